--- a/internal/dispatch/drainplan.go
+++ b/internal/dispatch/drainplan.go
@@ -23,7 +23,9 @@
 func (e *NoMachineError) Error() string { return e.Text }
 func (e *NoneLeftError) Error() string  { return e.Text }
 
-// mostDrains is how many drains may be in force at a time.
+// mostDrains is how many drains may be in force at a time, each of which is held against every
+// machine at each look. It does not bound the machines that are drained: a drain by type, zone,
+// age or version means any number, and one by names as many as its record holds.
 const mostDrains = 64
 
 // PlanDrain tells what a drain would do, were it started now; it changes nothing. Without
--- a/internal/dispatch/drainstore.go
+++ b/internal/dispatch/drainstore.go
@@ -23,7 +23,8 @@
 	// stateReports is how often, in report intervals, it is stored how a drain stands; a
 	// change of its phase is stored at once.
 	stateReports = 5
-	// mostEnded is how many drains that are over stay on record.
+	// mostEnded is how many drains that are over stay on record: the operators' history of
+	// them, whatever the number of machines.
 	mostEnded = 50
 )
 
@@ -41,8 +42,9 @@
 			continue
 		}
 		state, whole := d.state, d.state
-		// What does not fit is worked out again by the next leader, which takes empty
-		// machines first: those are mostly the ones in hand.
+		// It does not bound the machines in hand, which this leader knows. What does not fit
+		// is worked out again by the next leader, which takes empty machines first: those are
+		// mostly the ones in hand.
 		for len(state.Hand) > 0 && ledger.Size(state) > r.valueBytes {
 			state.Hand = state.Hand[:len(state.Hand)/2]
 		}
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"log/slog"
 	"reflect"
 	"strings"
@@ -42,7 +43,7 @@
 }
 
 // pageTasks is of how many tasks a plan tells at a time, so that a line of it stays below
-// 64 KiB.
+// 64 KiB. The rest comes in further pages; the sums are of all.
 const pageTasks = 250
 
 func (s *Server) mountDrains(app *fiber.App) {
@@ -90,10 +91,33 @@
 	if err := in.Check(time.Now()); err != nil {
 		return in, err.Error()
 	}
-	if ledger.Size(in.Spec) > s.valueBytes {
-		return in, "machines: too many or too long names for a record; say it by type, zone, age or version"
+	return in, s.tooLarge(in.Spec)
+}
+
+// mostSpec bounds a drain's record where a value holds more: the request for it, and the one
+// that passes it on to the leader along with the ids of all drains on record, must each fit
+// the 64 KiB of a request.
+const mostSpec = 48 << 10
+
+// tooLarge says why a drain does not fit its record, "" if it does.
+func (s *Server) tooLarge(spec drain.Spec) string {
+	limit := min(s.valueBytes, mostSpec)
+	// Guards against a drain that fits and can't be withdrawn, as its record grows by that.
+	spec.Stopped = true
+	size := ledger.Size(spec)
+	if size <= limit {
+		return ""
+	}
+	left, fit := size, len(spec.Machines)
+	for fit > 0 && left > limit {
+		fit--
+		left -= ledger.Size(spec.Machines[fit]) + len(",")
+	}
+	if fit == 0 {
+		return fmt.Sprintf("its record takes %d bytes, and a value of the state service holds %d: shorten machines, type, zone, version, to_version or window.rule", size, limit)
 	}
-	return in, ""
+	return fmt.Sprintf("machines: %d names, and only the first %d fit a record of %d bytes; say it by type, zone, older_than_s or version, or by several drains",
+		len(spec.Machines), fit, limit)
 }
 
 func (s *Server) plan(in request) peer.Relayed {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// page is how many machines an answer lists: a line of it stays well below 64 KiB.
+// page is how many machines an answer lists: a line of it stays well below 64 KiB. The rest
+// comes in further pages.
 const page = 200
 
 // Mount serves operators.
