--- a/internal/dispatch/claims.go
+++ b/internal/dispatch/claims.go
@@ -215,5 +215,7 @@
 	return min(n-len(j.claims), mostClaims)
 }
 
-// mostClaims bounds the work for one job in one look.
+// mostClaims bounds the work for one job in one look. It does not bound the machines on which
+// a job has room of its own: the next look claims as many more, until all that wait have some.
+// A gang, which starts whole or not at all, is looked at whole.
 const mostClaims = 64
--- /dev/null
+++ b/internal/dispatch/limits_test.go
@@ -0,0 +1,199 @@
+package dispatch
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"drumpick/internal/config"
+	"drumpick/internal/drain"
+	"drumpick/internal/fleet"
+	"drumpick/internal/ledger"
+	"drumpick/internal/rental"
+)
+
+// fleetSize is a fleet of the size that users run.
+const fleetSize = 4000
+
+// limitsCore is a Core of three zones that has settled and read the cloud's list.
+func limitsCore(types []ledger.MachineType) (*Core, time.Time) {
+	cfg := &config.Config{Options: config.DefaultOptions()}
+	cfg.Facts.Workers = config.Workers{ReportS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
+	cfg.Facts.State.ValueKB, cfg.Facts.Zones, cfg.Facts.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
+	now := time.Unix(1_000_000, 0)
+	c := NewCore(SettingsOf(cfg), 5, now)
+	for i := range types {
+		types[i].Zones = cfg.Facts.Zones
+	}
+	c.SetTypes(types)
+	c.CheckSettled(now)
+	c.Listed(nil, now, now)
+	return c, now
+}
+
+// limitsUp brings machines up, n of them with nothing on them.
+func limitsUp(c *Core, n int, now time.Time) []string {
+	var names []string
+	for i := range n {
+		h := fmt.Sprintf("m-%06d", i)
+		m, _ := c.Body(&fleet.Report{Host: h, Addr: h, Type: "c4", Zone: c.set.Zones[i%3], Session: 1, Baton: 5, Version: "1"}, true, now)
+		m.Recorded = true
+		names = append(names, h)
+	}
+	return names
+}
+
+// An upgrade takes a fleet of thousands of machines at once where operators ask for that.
+func TestUpgradeOfFleetAtOnce(t *testing.T) {
+	c, now := limitsCore([]ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	limitsUp(c, fleetSize+100, now)
+	spec := drain.Spec{ID: "d-1", Kind: drain.Upgrade, To: "2", AtOnce: fleetSize, KeepUp: 5}
+	if err := spec.Check(now); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.PlanDrain(&spec, false, now); err != nil {
+		t.Fatal(err)
+	}
+	c.SetDrain(spec, nil, 0)
+	c.drain(now)
+	v, _ := c.DrainView("d-1")
+	cordoned := 0
+	for _, m := range c.fleet.Sorted() {
+		if m.Cordon != nil {
+			cordoned++
+		}
+	}
+	if len(v.State.Hand) != fleetSize || cordoned != fleetSize {
+		t.Errorf("%d machines in hand, %d drained, %d at once are asked for", len(v.State.Hand), cordoned, fleetSize)
+	}
+}
+
+// A drain that names thousands of machines drains just these.
+func TestDrainOfThousandsByName(t *testing.T) {
+	c, now := limitsCore([]ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	names := limitsUp(c, fleetSize+100, now)
+	spec := drain.Spec{ID: "d-1", Kind: drain.Empty, Machines: names[:fleetSize]}
+	if err := spec.Check(now); err != nil {
+		t.Fatal(err)
+	}
+	p, err := c.PlanDrain(&spec, false, now)
+	if err != nil || p.All.Machines != fleetSize {
+		t.Fatalf("planned: %v, %v", p, err)
+	}
+	c.SetDrain(spec, nil, 0)
+	c.drain(now)
+	for _, m := range c.fleet.Sorted() {
+		if drained := m.Cordon != nil; drained != slices.Contains(names[:fleetSize], m.Host) {
+			t.Fatalf("%s drained: %v", m.Host, drained)
+		}
+	}
+}
+
+// One look plans a whole fleet: work for thousands of machines of many types is asked for at
+// once, by requests of the protocol's size.
+func TestPlanOfFleet(t *testing.T) {
+	const want, perType = 4500, 150
+	var types []ledger.MachineType
+	for i := range want / perType {
+		types = append(types, ledger.MachineType{Name: fmt.Sprintf("t%02d", i), CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20})
+	}
+	c, now := limitsCore(types)
+	for i := range types {
+		c.AddJob(ledger.Job{
+			ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: ledger.ShapeBatch, Priority: ledger.PrioNormal, Tasks: perType,
+			CPUs: 4, MemGB: 1, Image: "img", EstimateS: 3600, Types: []string{types[i].Name}, AcceptedMS: now.UnixMilli(),
+		}, 10, now, now)
+	}
+	asked := 0
+	for _, r := range c.Wants(now) {
+		if asked += r.Count; r.Count > rental.MostCount {
+			t.Fatalf("a request for %d machines", r.Count)
+		}
+	}
+	if asked != want {
+		t.Errorf("%d machines are asked for in one look, %d are needed", asked, want)
+	}
+}
+
+// The protocol's bounds of one request bound no fleet: look by look, all machines of one type
+// and zone that work needs are rented, and all are given back.
+func TestRequestsBoundNoFleet(t *testing.T) {
+	const want = 4500
+	c, now := limitsCore([]ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	zone := "a"
+	c.AddJob(ledger.Job{
+		ID: "j-1", Team: "team", Class: "class", Shape: ledger.ShapeBatch, Priority: ledger.PrioNormal, Tasks: want,
+		CPUs: 4, MemGB: 1, Image: "img", EstimateS: 3600, Zone: &zone, AcceptedMS: now.UnixMilli(),
+	}, 10, now, now)
+	rented := 0
+	for range 2 * want / rental.MostCount {
+		for _, r := range c.Wants(now) {
+			var hosts []string
+			for range r.Count {
+				hosts = append(hosts, fmt.Sprintf("m-%06d", rented))
+				rented++
+			}
+			c.Rented(r, hosts, now)
+		}
+		now = now.Add(c.set.Report / 4)
+	}
+	if rented != want {
+		t.Fatalf("%d machines are rented, %d are needed", rented, want)
+	}
+	now = now.Add(time.Hour) // none ever came up
+	returned := 0
+	for range 2 * want / rental.MostNames {
+		hosts := c.Returns(now)
+		if len(hosts) > rental.MostNames {
+			t.Fatalf("%d machines are given back at once", len(hosts))
+		}
+		c.Returned(hosts, now)
+		returned += len(hosts)
+	}
+	if returned != want {
+		t.Errorf("%d machines are given back, %d were rented", returned, want)
+	}
+}
+
+// BenchmarkPlanOfFleet is a look at work for more machines than one plan counts.
+func BenchmarkPlanOfFleet(b *testing.B) {
+	for _, cpus := range []float64{4, 1.5} { // machines that are full, and such as have room left
+		b.Run(fmt.Sprint(cpus, " CPUs a task"), func(b *testing.B) {
+			c, now := limitsCore([]ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+			for i := range 45 {
+				c.AddJob(ledger.Job{
+					ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: ledger.ShapeBatch, Priority: ledger.PrioNormal, Tasks: 400,
+					CPUs: cpus, MemGB: 1, Image: "img", EstimateS: 3600, AcceptedMS: now.UnixMilli(),
+				}, 10, now, now)
+			}
+			for b.Loop() {
+				c.Wants(now)
+				c.rent.inflight = map[string]rental.Request{}
+			}
+		})
+	}
+}
+
+// BenchmarkDrainOfNames is a look, and a plan, while a drain by names empties a fleet.
+func BenchmarkDrainOfNames(b *testing.B) {
+	spec := drain.Spec{ID: "d-1", Kind: drain.Empty}
+	b.Run("look", func(b *testing.B) {
+		c, now := floor(b, fleetSize)
+		for _, m := range c.fleet.Sorted() {
+			spec.Machines = append(spec.Machines, m.Host)
+		}
+		c.SetDrain(spec, nil, 0)
+		for b.Loop() {
+			c.drain(now)
+		}
+	})
+	b.Run("plan", func(b *testing.B) {
+		c, now := floor(b, fleetSize)
+		for b.Loop() {
+			if _, err := c.PlanDrain(&spec, true, now); err != nil {
+				b.Fatal(err)
+			}
+		}
+	})
+}
--- a/internal/dispatch/rentplan.go
+++ b/internal/dispatch/rentplan.go
@@ -35,8 +35,11 @@
 	}
 }
 
-// mostNew bounds the work of one rental plan, in machines.
-const mostNew = 20 * rental.MostCount
+// mostNew bounds the work of one rental plan, in machines. It does not bound the fleet: what
+// a plan leaves out the next one counts, a quarter of a report interval later, beside what was
+// asked for by then. It lies above the largest fleet that one leader was seen to carry, so that
+// a fleet for all that waits is planned in one look and no type or zone waits for another.
+const mostNew = 200 * rental.MostCount
 
 func (c *Core) startup(typ string) time.Duration {
 	return time.Duration(c.types[typ].StartupS * float64(time.Second))
@@ -267,6 +270,9 @@
 	return max(n, 1), b.Takes()
 }
 
+// mostAlone bounds for how many tasks it is tried whether an empty machine holds them. It does
+// not bound machines or tasks: a machine that holds more has room left (takes), and the others
+// are packed into it one by one.
 const mostAlone = 100
 
 // offerFor picks what to rent for a task: cheap machines where the job permits,
