--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -35,12 +35,17 @@
 	}()
 }
 
+// mostAddresses bounds the addresses that are remembered: machines come and go. It lies above
+// the largest fleet that one leader was seen to carry; beyond it all are forgotten at once, and
+// each is made anew at its next call, which needs a new connection in any case.
+const mostAddresses = 20_000
+
 func (c *Caller) client(addr string) *link.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hc := c.clients[addr]
 	if hc == nil {
-		if len(c.clients) > 2000 { // machines come and go; old connections are of no use
+		if len(c.clients) >= mostAddresses {
 			for a, old := range c.clients {
 				old.Close()
 				delete(c.clients, a)
--- a/internal/workers/caller_test.go
+++ b/internal/workers/caller_test.go
@@ -12,6 +12,25 @@
 	"drumpick/internal/fleet"
 )
 
+// Thousands of machines are remembered by their addresses; of ever new ones, a bounded number.
+func TestAddressesOfFleet(t *testing.T) {
+	const fleet = 4500
+	c := NewCaller(2, time.Second)
+	addr := func(i int) string { return fmt.Sprintf("10.0.%d.%d:9000", i/256, i%256) }
+	first := c.client(addr(0))
+	for i := range fleet {
+		c.client(addr(i))
+	}
+	if c.client(addr(0)) != first || len(c.clients) != fleet {
+		t.Errorf("%d addresses of %d are remembered", len(c.clients), fleet)
+	}
+	for i := range 3 * mostAddresses {
+		if c.client(addr(i)); len(c.clients) > mostAddresses {
+			t.Fatalf("%d addresses are remembered", len(c.clients))
+		}
+	}
+}
+
 // Commands go out as the protocol writes them; whatever a worker answers that
 // makes no sense is an error, never a report.
 func TestOrders(t *testing.T) {
