--- a/internal/intake/memory.go
+++ b/internal/intake/memory.go
@@ -33,6 +33,21 @@
 	}
 }
 
+// forgetSettled bounds the memory of cancellations of which the leader may not have heard: when
+// it is full, those go that are older than a leader's grant, as nobody asks about them any more
+// (confirmable). Guards against a user who is told of a cancellation before the leader is,
+// because it was forgotten here.
+func forgetSettled(m map[string]time.Time, grant time.Duration) {
+	if len(m) < mostRemembered {
+		return
+	}
+	for id, since := range m {
+		if time.Since(since) > grant {
+			delete(m, id)
+		}
+	}
+}
+
 // remembered answers about a job whose final state is known here.
 func (s *Server) remembered(ctx context.Context, id string) (answer, bool) {
 	o, ok := s.overOf(id)
@@ -92,7 +107,7 @@
 		s.told.Add(id, time.Now()) // before anybody is told
 		clear(s.clear)             // it may be before any of them
 		if _, known := s.over[id]; !known && started {
-			forgetHalf(s.unheard)
+			forgetSettled(s.unheard, s.cfg.Timing().Grant)
 			s.unheard[id] = time.Now()
 		}
 	}
@@ -100,5 +115,7 @@
 	s.over[id] = o
 }
 
-// mostRemembered bounds the memory for final states and for accepted ids.
+// mostRemembered bounds each memory of jobs: final states, accepted ids, what is known of
+// chains. It bounds no jobs: at 41,000 a day it holds those of the last six to twelve hours,
+// and what was forgotten is read from the store when it is asked for, at one or two requests.
 const mostRemembered = 20_000
--- /dev/null
+++ b/internal/intake/memory_test.go
@@ -0,0 +1,40 @@
+package intake
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"drumpick/internal/config"
+	"drumpick/internal/ledger"
+)
+
+// However many cancellations are remembered, none is forgotten while the leader may not have
+// heard of it; those of which that is settled make room.
+func TestFreshCancellationsAreKept(t *testing.T) {
+	cfg := &config.Config{Node: "n-0", Options: config.DefaultOptions()}
+	cfg.Facts.Workers = config.Workers{ReportS: 5, LeaseS: 24, CancelS: 44}
+	cfg.Facts.State.RPS = 100
+	s := New(cfg, nil, nil, nil, nil)
+	const fresh = 100
+	old := time.Now().Add(-2 * cfg.Timing().Grant)
+	for i := range mostRemembered {
+		id := fmt.Sprint("j-", i)
+		if s.unheard[id] = old; i >= mostRemembered-fresh {
+			delete(s.unheard, id)
+			s.remember(id, ledger.Over{Status: ledger.StatusCancelled}, true)
+		}
+	}
+	s.remember("j-99999", ledger.Over{Status: ledger.StatusCancelled}, true)
+	kept := 0
+	for id, since := range s.unheard {
+		if since.After(old) {
+			kept++
+		} else {
+			t.Fatalf("%s is settled and kept, and the memory is full", id)
+		}
+	}
+	if kept != fresh+1 {
+		t.Errorf("%d of %d fresh cancellations are remembered", kept, fresh+1)
+	}
+}
