--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -26,7 +26,11 @@
 
 const (
 	// mostKept bounds the log, mostTold the ids in a word and mostBytes their length in all:
-	// a word goes to the leader every quarter of a report interval.
+	// a word goes to the leader every quarter of a report interval. None of them bounds
+	// machines or jobs: beyond them a word reaches less far back, and a leader out of touch
+	// with the store that it does not cover lets leases lapse, as if it had not been heard. At
+	// 41,000 jobs a day, all of them cancelled, 1,024 are told in 36 minutes; a word has to
+	// reach back for less than the cancellation time, which settings bound.
 	mostKept, mostTold, mostBytes = 4096, 1024, 24 << 10
 )
 
--- a/internal/scale/size.go
+++ b/internal/scale/size.go
@@ -45,7 +45,8 @@
 	rackWorkers     = 40   // of the planned size, those behind one switch
 )
 
-// Limits of one run on one machine.
+// Limits of one run on one machine. They leave room for 7,600 workers in three regions; a size
+// beyond them is refused with the reason.
 const (
 	// MostProcesses is how many processes a run may start.
 	MostProcesses = 40
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -132,7 +132,8 @@
 	}
 }
 
-// mostLog is how many changes a watch can go back.
+// mostLog is how many changes a watch can go back. It bounds no rows: a watch that is further
+// behind is told so, and reads the rows anew.
 const mostLog = 10_000
 
 // row reads a key.
@@ -169,7 +170,7 @@
 	return rows, false, epoch
 }
 
-// mostPage is what an answer to a list holds, in bytes.
+// mostPage is what an answer to a list holds, in bytes; the rest comes in further pages.
 const mostPage = 512 << 10
 
 // grant gives a lease out.
