--- a/internal/region/settings.go
+++ b/internal/region/settings.go
@@ -19,6 +19,10 @@
 	startupS = 2.0
 )
 
+// fdLimit gives a controller three quarters of so many connections for workers and users:
+// enough for 4,000 workers, one connection each. It is a bound, and reserves nothing.
+const fdLimit = 6000
+
 // facts are the region's figures.
 func facts(zones []string, controllers int) config.Facts {
 	return config.Facts{
@@ -34,7 +38,7 @@
 		Workers:   config.Workers{ReportS: reportS, LeaseS: leaseS, GangWaitS: 15, GangPeerS: 3, CancelS: cancelS},
 		State:     config.State{RPS: 1000, WriteRPS: 200, ValueKB: 16, TxnOps: 16},
 		Cloud:     config.Cloud{RPS: 20, ListLagS: 0.5},
-		Resources: config.Resources{Cores: 1, RAMMB: 256, FDLimit: 2000},
+		Resources: config.Resources{Cores: 1, RAMMB: 256, FDLimit: fdLimit},
 	}
 }
 
