--- a/internal/intake/memory.go
+++ b/internal/intake/memory.go
@@ -116,6 +116,6 @@
 }
 
 // mostRemembered bounds each memory of jobs: final states, accepted ids, what is known of
-// chains. It bounds no jobs: at 41,000 a day it holds those of the last six to twelve hours,
+// chains. It bounds no jobs: at 41,000 a day it is full every six hours or so, half of it goes,
 // and what was forgotten is read from the store when it is asked for, at one or two requests.
 const mostRemembered = 20_000
--- a/internal/served/served_test.go
+++ b/internal/served/served_test.go
@@ -43,7 +43,7 @@
 // none of them; once they are over, it forgets those.
 func TestDayOfOpenJobs(t *testing.T) {
 	const day = 41_000
-	const bound = 5 * time.Second // measured: 20 ms, and 37 s with a look through all at each that came
+	const bound = 5 * time.Second // measured: 0.1 s with all below, and 35 s with a look through all at each that came
 	a, now := New(), time.Unix(1000, 0)
 	began := time.Now()
 	for i := range day {
