--- /dev/null
+++ b/internal/goldentest/golden_test.go
@@ -0,0 +1,34 @@
+package goldentest
+
+import (
+	"slices"
+	"testing"
+)
+
+// A field that a value leaves unset is told, wherever it is; one that the form leaves out
+// is not.
+func TestUnset(t *testing.T) {
+	type inner struct {
+		N int    `json:"n"`
+		S string `json:"s"`
+	}
+	type outer struct {
+		inner
+		P    *inner           `json:"p"`
+		F    *float64         `json:"f"`
+		L    []inner          `json:"l"`
+		M    map[string]inner `json:"m"`
+		B    []byte           `json:"b"`
+		Left string           `json:"-"`
+	}
+	zero := 0.0
+	full := inner{1, "x"}
+	v := outer{inner: full, P: &full, F: &zero, L: []inner{full}, M: map[string]inner{"k": full}, B: []byte{0}}
+	if got := Unset(v, "json"); len(got) != 0 {
+		t.Errorf("of a value that is set: %v", got)
+	}
+	v = outer{inner: inner{S: "x"}, P: &inner{N: 1}, L: []inner{full, {N: 2}}, M: map[string]inner{"k": {S: "y"}}}
+	if got, want := Unset(v, "json"), []string{".N", ".P.S", ".F", ".L[1].S", ".M[k].N", ".B"}; !slices.Equal(got, want) {
+		t.Errorf("got %v, want %v", got, want)
+	}
+}
