--- /dev/null
+++ b/internal/dispatch/golden_test.go
@@ -0,0 +1,26 @@
+package dispatch
+
+import (
+	"testing"
+
+	"drumpick/internal/drain"
+	"drumpick/internal/goldentest"
+)
+
+// Machines and drains keep the forms in which operators see them.
+func TestGoldenViews(t *testing.T) {
+	task := TaskView{Task: "j-412/3", Try: 2, State: "running", RanS: 4.5, Stops: true}
+	goldentest.Run(t, "golden-views.json", goldentest.JSON, []goldentest.Case{
+		{Name: "machine", Value: MachineView{
+			Name: "m-000231", Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.232:9000", State: MachineUp, AgeS: 60.5,
+			Version: "1.0", Count: 1, Tasks: []TaskView{task},
+		}},
+		{Name: "task", Value: task},
+		{Name: "drain", Unset: true, Value: DrainView{Spec: drain.Spec{ID: "d-1"}, State: &drain.State{Phase: drain.Draining}}},
+		{Name: "drain that no leader has seen", Unset: true, Value: DrainView{Spec: drain.Spec{ID: "d-1"}}},
+		{Name: "states of machines", Direction: goldentest.Written, Value: []string{
+			MachineBooting, MachineUp, MachineUnsettled, MachineSilent, MachineDeaf, MachineNoticed, MachineFaulty,
+			MachineReturning, MachineCordoned, MachineEmptying, MachineDrained,
+		}},
+	})
+}
--- /dev/null
+++ b/internal/ledger/golden_test.go
@@ -0,0 +1,89 @@
+package ledger
+
+import (
+	"encoding/json"
+	"testing"
+
+	"drumpick/internal/goldentest"
+)
+
+// Every record of the state service and the parts of its requests and answers keep their
+// forms: controllers of several versions read them.
+func TestGoldenRecords(t *testing.T) {
+	zone, due := "a", 300.5
+	job := Job{
+		ID: "j-412", Class: "train", Team: "vision", Shape: ShapeGroup, Priority: PrioUrgent, Tasks: 4,
+		CPUs: 1.5, GPUs: 2, MemGB: 16, Image: "img", ImageGB: 3, Types: []string{"c4", "g8"}, Zone: &zone,
+		OneZone: true, Apart: true, Spot: true, EstimateS: 10, CheckpointS: 5, SaveS: 2, DeadlineS: &due,
+		AcceptedMS: 946684802000, Prereqs: []string{"j-1", "j-2"},
+	}
+	mt := MachineType{
+		Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05,
+		StartupS: 30, Zones: []string{"a", "b"},
+	}
+	goldentest.Run(t, "golden-records.json", goldentest.JSON, []goldentest.Case{
+		{Name: "leader", Value: Leader{Node: "n-2", Start: "start-3", Marks: true}},
+		{Name: "open job", Value: job},
+		{Name: "job that is over", Value: Over{Status: StatusDone, Tasks: 90, AtMS: 946684803000, Service: true}},
+		{Name: "machine", Value: Host{Addr: "10.1.0.232:9000", Type: "c4", Zone: "a", Spot: true, Session: 3}},
+		{Name: "machine types", Value: Types{Types: []MachineType{mt}}},
+		{Name: "sent mark", Value: Mark(42)},
+		{Name: "finished tasks of a chunk", Value: Ranges(func(i int) bool { return i < 5 || i == 7 }, 9)},
+		{Name: "keys", Direction: goldentest.Written, Value: []string{
+			KeyLeader, OpenKey("j-412"), OverKey("j-412"), PrefixDone, PrefixHosts, PrefixSent, KeyWhole, KeyTypes,
+			PrefixDrains, PrefixDrain, KeyDrainTurn, PartID("j-412", 7, 2),
+		}},
+		{Name: "shapes", Direction: goldentest.Written, Value: []string{ShapeBatch, ShapeGroup, ShapeService}},
+		{Name: "states of jobs", Direction: goldentest.Written, Value: []string{StatusPending, StatusRunning, StatusDone, StatusCancelled}},
+		{Name: "priorities", Direction: goldentest.Written, Value: []string{PrioCritical, PrioUrgent, PrioNormal, PrioLow}},
+		{Name: "row", Direction: goldentest.Read, Value: Row{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Stamp: 7, Hold: 8}},
+		{Name: "condition", Direction: goldentest.Written, Value: Cond{Key: "leader", Stamp: 7}},
+		{Name: "change", Direction: goldentest.Written, Value: Op{Write: "types", Value: map[string]int{"n": 1}, Hold: 8, Delete: "whole"}},
+		{Name: "event", Direction: goldentest.Read, Value: Event{Write: "types", Delete: "whole", Value: json.RawMessage(`{"n":1}`), Stamp: 7}},
+		{Name: "conflict", Direction: goldentest.Read, Value: ConflictError{Failed: []string{"leader"}, Epoch: 9}},
+	})
+	if n, err := ParseMark(Mark(42)); err != nil || n != 42 {
+		t.Errorf("the mark is read as %d, %v", n, err)
+	}
+}
+
+// A value that many records share is an object of them by id; one record under a key of its
+// own, as earlier versions wrote it, is read as well.
+func TestGoldenSharedValues(t *testing.T) {
+	f := goldentest.Open(t, "golden-shared-values.json")
+	for name, x := range map[string]struct {
+		prefix string
+		id     string
+		value  json.RawMessage
+	}{
+		"machines":       {PrefixHosts, "m-000001", json.RawMessage(`{"addr":"m:1","rig":"c4","site":"a","loaners":true,"stint":1}`)},
+		"finished tasks": {PrefixDone, PartID("j-412", 7, 2), json.RawMessage(`"0-4,7"`)},
+		"sent marks":     {PrefixSent, "j-412", Mark(42)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := NewShelf(x.prefix, 8, func() string { return "1-1" })
+			if !s.Put(x.id, x.value, 0) {
+				t.Fatal("the record has no place")
+			}
+			op, _, _ := s.Take(s.Changed()[0])
+			raw, err := json.Marshal(op)
+			if err != nil {
+				t.Fatal(err)
+			}
+			golden := f.Check(t, name, raw, true)
+			var read struct {
+				Write string          `json:"write"`
+				Value json.RawMessage `json:"value"`
+			}
+			if err := json.Unmarshal(golden, &read); err != nil {
+				t.Fatal(err)
+			}
+			for _, row := range []Row{{Key: read.Write, Value: read.Value}, {Key: x.prefix + x.id, Value: x.value}} {
+				entries, err := Entries(x.prefix, row)
+				if err != nil || len(entries) != 1 || string(entries[x.id]) != string(x.value) {
+					t.Errorf("%s is read as %s, %v", row.Key, entries, err)
+				}
+			}
+		})
+	}
+}
