--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,101 @@
+package config
+
+import (
+	"bytes"
+	"os"
+	"reflect"
+	"testing"
+
+	"drumpick/internal/goldentest"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// Every key of the settings is read into the configuration, and written alike: the local
+// region writes the settings of its controllers.
+func TestGoldenSettings(t *testing.T) {
+	rps, writeRPS, valueKB, txnOps := 11.5, 12.5, 13.5, 14
+	want := Config{
+		Node: "n-1", Zone: "a", Bind: "10.0.0.1:80", Back: "10.0.0.1:81",
+		Seeds:    []Seed{{Node: "n-2", Zone: "b", Addr: "10.0.0.2:81"}},
+		External: External{Cloud: "10.0.0.3:80", State: "10.0.0.4:80"},
+		Facts: Facts{
+			Nodes: 2, Zones: []string{"a", "b"}, TimeBoundMS: 100.5,
+			Teams:      []Team{{Name: "vision", CPUs: 1.5, CPUsMax: 2.5, GPUs: 3.5, GPUsMax: 4.5}},
+			Objectives: []Objective{{Kind: KindWait, Class: "train", WithinS: 5.5, Share: 0.9, Times: 1.5}},
+			Workers:    Workers{ReportS: 1.5, LeaseS: 6.5, GangWaitS: 7.5, GangPeerS: 8.5, CancelS: 16.5},
+			State: State{
+				RPS: 21.5, WriteRPS: 22.5, ValueKB: 23.5, TxnOps: 24,
+				Next: Next{RPS: &rps, WriteRPS: &writeRPS, ValueKB: &valueKB, TxnOps: &txnOps},
+			},
+			Cloud:     Cloud{RPS: 31.5, ListLagS: 32.5},
+			Resources: Resources{Cores: 1.5, RAMMB: 256.5, FDLimit: 2000},
+		},
+	}
+	for _, field := range goldentest.Unset(want, "toml") {
+		t.Errorf("the value of the test leaves the field %s unset", field)
+	}
+	written, err := toml.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const path = "testdata/golden-settings.toml"
+	goldentest.WriteText(t, path, written)
+	golden, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written, golden) {
+		t.Errorf("the settings are written as\n%s\nwant\n%s", written, golden)
+	}
+	want.Options = DefaultOptions()
+	if got, err := Parse(golden); err != nil || !reflect.DeepEqual(*got, want) {
+		t.Errorf("%s is read as\n     %+v, %v\nwant %+v", path, got, err, want)
+	}
+}
+
+// Kinds of objectives stand in the settings.
+func TestGoldenObjectives(t *testing.T) {
+	goldentest.Run(t, "golden-objectives.json", goldentest.JSON, []goldentest.Case{
+		{Name: "kinds", Direction: goldentest.Written, Value: []string{KindWait, KindDeadline, KindGuarantee}},
+	})
+}
+
+// Every key of the operators' file is read into an option of its own.
+func TestGoldenOptions(t *testing.T) {
+	want := Options{
+		RoundReports: 3.5, AlphaUp: -0.3, AlphaDown: 0.6, Window: 9, Percentile: 91, GrantReports: 4.5, IdleStartups: 5.5,
+		SpreadRefused: 6.5, Operators: true, Marks: true, Lapses: true, Relay: true, Shed: true, Guarantees: true,
+		Largest: true, BeginS: 7.5, DarkZones: true,
+	}
+	got, defaults := reflect.ValueOf(want), reflect.ValueOf(DefaultOptions())
+	for i := range got.NumField() {
+		if got.Field(i).IsZero() || got.Field(i).Equal(defaults.Field(i)) {
+			t.Errorf("the value of the test leaves the field %s at its default", got.Type().Field(i).Name)
+		}
+	}
+	if got, err := LoadOptions("testdata/golden-options.ini"); err != nil || got != want {
+		t.Errorf("the options are read as\n     %+v, %v\nwant %+v", got, err, want)
+	}
+	// One switch at a time: two that are exchanged read alike when both are on.
+	for key, want := range map[string]func(*Options) *bool{
+		"[operator]\nenabled":   func(o *Options) *bool { return &o.Operators },
+		"[takeover]\nmarks":     func(o *Options) *bool { return &o.Marks },
+		"[takeover]\nlapses":    func(o *Options) *bool { return &o.Lapses },
+		"[relay]\nenabled":      func(o *Options) *bool { return &o.Relay },
+		"[overload]\nshed":      func(o *Options) *bool { return &o.Shed },
+		"[zones]\ndark":         func(o *Options) *bool { return &o.DarkZones },
+		"[guarantees]\nenabled": func(o *Options) *bool { return &o.Guarantees },
+		"[largest]\nenabled":    func(o *Options) *bool { return &o.Largest },
+	} {
+		path := t.TempDir() + "/options.ini"
+		if err := os.WriteFile(path, []byte(key+" = true\n"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		one := DefaultOptions()
+		*want(&one) = true
+		if got, err := LoadOptions(path); err != nil || got != one {
+			t.Errorf("%q is read as %+v, %v, want %+v", key, got, err, one)
+		}
+	}
+}
--- a/internal/goldentest/exchange.go
+++ b/internal/goldentest/exchange.go
@@ -45,11 +45,25 @@
 
 // CheckExchange compares a request and its answer with an entry.
 func (f *File) CheckExchange(t *testing.T, name string, x Exchange) {
+	t.Helper()
+	f.checkValue(t, name, x)
+}
+
+// CheckExchanges compares requests and their answers, of which there must be n, with an entry.
+func (f *File) CheckExchanges(t *testing.T, name string, xs []Exchange, n int) {
+	t.Helper()
+	if len(xs) != n {
+		t.Errorf("%d requests, want %d", len(xs), n)
+	}
+	f.checkValue(t, name, xs)
+}
+
+func (f *File) checkValue(t *testing.T, name string, v any) {
 	t.Helper()
 	var out bytes.Buffer
 	e := json.NewEncoder(&out)
 	e.SetEscapeHTML(false)
-	if err := e.Encode(x); err != nil {
+	if err := e.Encode(v); err != nil {
 		t.Fatal(err)
 	}
 	f.Check(t, name, bytes.TrimSpace(out.Bytes()), true)
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -50,6 +50,17 @@
 	return f
 }
 
+// WriteText writes a golden file that is no JSON, with -update-golden alone.
+func WriteText(t *testing.T, path string, text []byte) {
+	t.Helper()
+	if !*update {
+		return
+	}
+	if err := os.WriteFile(path, text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func (f *File) close() {
 	if *update {
 		if err := f.write(); err != nil {
