--- /dev/null
+++ b/client/golden_test.go
@@ -0,0 +1,121 @@
+package client
+
+import (
+	"errors"
+	"reflect"
+	"testing"
+	"time"
+
+	"drumpick/internal/drain"
+	"drumpick/internal/goldentest"
+)
+
+func goldenSamples() (Job, Machine, Drain, DrainView, DrainPlan) {
+	zone, due := "a", 300.5
+	sum := drain.Summary{Machines: 1, Finish: 2, Move: 3, Lose: 4, Wait: 5, Blocked: 6, LostS: 7.5, Vanished: 8, EmptyS: 9.5}
+	spec := drain.Spec{
+		ID: "d-1", Kind: DrainUpgrade, Machines: []string{"m-1"}, Type: "c4", Zone: "a", OlderS: 60, Version: "1.0", ByMS: 946684802000,
+		Then: ThenReturn, To: "1.1", AtOnce: 2, KeepUp: 3, BeganMS: 946684801000, Stopped: true,
+		Window: &Window{Rule: "FREQ=WEEKLY;BYDAY=SU", Zone: "Europe/Warsaw", ForS: 7200, LeadS: 600, Starts: "2026-01-31T22:00"},
+	}
+	return Job{
+			ID: "j-412", Class: "train", Team: "vision", Shape: Group, Priority: Urgent, Tasks: 4, CPUs: 1.5, GPUs: 2, MemGB: 16,
+			Image: "img", ImageGB: 3, Types: []string{"c4", "g8"}, Zone: &zone, OneZone: true, Apart: true, Spot: true,
+			EstimateS: 10, CheckpointS: 5, SaveS: 2, DeadlineS: &due, Needs: []string{"j-1", "j-2"},
+		}, Machine{
+			Name: "m-1", Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.232:9000", State: "up", AgeS: 60.5, Version: "1.0", Count: 1,
+			Tasks: []Task{{Task: "j-1/0", Try: 2, State: "running", RanS: 4.5, Stops: true}},
+		}, Drain{Spec: spec, Force: true, Since: "m-0"}, DrainView{Drain: spec, State: &DrainState{
+			Phase: drain.Upgrading, Roll: &drain.Roll{Want: "1.1", From: "1.0", Back: true, Why: "w", Blocked: "b"}, Hand: []string{"m-1"},
+			Left: 2, Blocked: "b", Plan: sum, Seen: sum, BeganMS: 946684801000, EndedMS: 946684802000, Term: 41,
+		}}, DrainPlan{
+			Machines: []drain.MachinePlan{{Machine: "m-1", Zone: "a", EmptyS: 4.5, Others: 5, Tasks: []drain.TaskPlan{{
+				Task: "j-1/0", Class: "train", Action: drain.Move, Why: "w", UntilS: 1.5, LostS: 2.5, LateS: 3.5,
+			}}}}, More: true,
+			Classes: map[string]*drain.ClassPlan{"train": {Summary: sum, Late: 1, LateNow: 2}}, All: sum,
+			Windows: []string{"2026-01-31T22:00:00+01:00"}, Warnings: []string{"w"},
+		}
+}
+
+// What programs of others send and read through this package keeps its forms.
+func TestGoldenForms(t *testing.T) {
+	job, machine, d, view, plan := goldenSamples()
+	goldentest.Run(t, "golden-forms.json", goldentest.JSON, []goldentest.Case{
+		{Name: "job", Value: job},
+		{Name: "status", Value: Status{ID: "j-412", Status: Running, Done: 3, Running: 4}},
+		{Name: "machine", Value: machine},
+		{Name: "task", Value: machine.Tasks[0]},
+		{Name: "drain", Value: d},
+		{Name: "drain with its state", Value: view},
+		{Name: "plan", Value: plan},
+		{Name: "shapes", Direction: goldentest.Written, Value: []string{Batch, Group, Service}},
+		{Name: "priorities", Direction: goldentest.Written, Value: []string{Critical, Urgent, Standard, Low}},
+		{Name: "states", Direction: goldentest.Written, Value: []string{Pending, Running, Done, Cancelled}},
+		{Name: "kinds of drains", Direction: goldentest.Written, Value: []string{DrainCordon, DrainEmpty, DrainUpgrade, ThenKeep, ThenReturn}},
+	})
+}
+
+// Every call goes out as the protocol has it, and its answer is read.
+func TestGoldenRequests(t *testing.T) {
+	job, machine, d, view, plan := goldenSamples()
+	server := goldentest.NewPeer(t)
+	c, err := New(server.Addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.Patience.Submit, c.Patience.Poll, c.Patience.Pause = 10*time.Second, 10*time.Second, time.Millisecond
+	ctx := t.Context()
+	text := func(v any) string {
+		raw, err := goldentest.JSON.Encode(v)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return string(raw)
+	}
+	st := Status{ID: "j-412", Status: Running, Done: 3, Running: 4}
+	const status = `{"uid":"j-412","status":"running","done":3,"running":4}`
+	last := plan
+	last.More, last.Machines = false, []drain.MachinePlan{}
+	both := last
+	both.Machines = plan.Machines
+	get := func() (any, error) { return c.Get(ctx, "j-412") }
+	type answer struct {
+		status int
+		text   string
+	}
+	f := goldentest.Open(t, "golden-requests.json")
+	for name, x := range map[string]struct {
+		answers []answer
+		do      func() (any, error)
+		want    any
+		err     error
+	}{
+		"submit":            {[]answer{{201, status}}, func() (any, error) { st, created, err := c.Submit(ctx, job); return []any{st, created}, err }, []any{st, true}, nil},
+		"submit again":      {[]answer{{200, status}}, func() (any, error) { st, created, err := c.Submit(ctx, job); return []any{st, created}, err }, []any{st, false}, nil},
+		"submit, refused":   {[]answer{{422, `{"error":"unknown team"}`}}, func() (any, error) { st, _, err := c.Submit(ctx, job); return st, err }, Status{}, &RefusedError{422, "unknown team"}},
+		"poll":              {[]answer{{200, status}}, get, st, nil},
+		"poll, unknown":     {[]answer{{404, `{"error":"no such job"}`}}, get, Status{}, ErrNotFound},
+		"poll, again later": {[]answer{{503, `{"error":"please retry"}`}, {200, status}}, get, st, nil},
+		"withdraw":          {[]answer{{200, status}}, func() (any, error) { return c.Cancel(ctx, "j-412") }, st, nil},
+		"machines": {[]answer{{200, `{"machines":[` + text(machine) + `],"more":true}`}, {200, `{"machines":[],"more":false}`}},
+			func() (any, error) { return c.Machines(ctx) }, []Machine{machine}, nil},
+		"machine": {[]answer{{200, text(machine)}}, func() (any, error) { return c.Machine(ctx, "m-1") }, machine, nil},
+		"plan":    {[]answer{{200, text(plan)}, {200, text(last)}}, func() (any, error) { return c.PlanDrain(ctx, d) }, both, nil},
+		"start":   {[]answer{{201, text(view)}}, func() (any, error) { return c.StartDrain(ctx, d) }, view, nil},
+		"drains":  {[]answer{{200, `{"drains":[` + text(view) + `]}`}}, func() (any, error) { return c.Drains(ctx) }, []DrainView{view}, nil},
+		"drain":   {[]answer{{200, text(view)}}, func() (any, error) { return c.Drain(ctx, "d-1") }, view, nil},
+		"stop":    {[]answer{{200, text(view)}}, func() (any, error) { return c.StopDrain(ctx, "d-1") }, view, nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			for _, a := range x.answers {
+				server.Answer(a.status, a.text)
+			}
+			got, err := x.do()
+			var refused *RefusedError
+			if !reflect.DeepEqual(got, x.want) || !errors.Is(err, x.err) && !(errors.As(err, &refused) && reflect.DeepEqual(refused, x.err)) {
+				t.Errorf("got %+v, %v, want %+v, %v", got, err, x.want, x.err)
+			}
+			f.CheckExchanges(t, name, server.Exchanges(), len(x.answers))
+		})
+	}
+}
