--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -17,7 +17,7 @@
 	}
 	warning, windDown := 12.5, 4.0
 	orders := []Order{{Verb: VerbKill, Shot: "j-412/3", Try: 2, WindDownS: &windDown}}
-	goldentest.Run(t, "golden-reports.json", fast, []goldentest.Case{
+	reports := []goldentest.Case{
 		{Name: "report", Value: Report{
 			Host: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Tick: 88, Baton: 41,
 			WarningS: &warning, Version: "1.0",
@@ -27,7 +27,11 @@
 		{Name: "answer", Value: Response{Baton: 41, Orders: orders}},
 		{Name: "answer without orders", Unset: true, Value: Response{Baton: 41, Orders: []Order{}}},
 		{Name: "order", Value: orders[0]},
-	})
+	}
+	// Both write and read the same: controllers use the one, and the workers of the local
+	// region the other, also for GET /status.
+	t.Run("easyjson", func(t *testing.T) { goldentest.Run(t, "golden-reports.json", fast, reports) })
+	t.Run("standard library", func(t *testing.T) { goldentest.Run(t, "golden-reports.json", goldentest.JSON, reports) })
 	goldentest.Run(t, "golden-orders.json", goldentest.JSON, []goldentest.Case{
 		{Name: "direct command", Value: Direct{Baton: 41, Session: 1, Orders: orders}},
 		{Name: "verbs", Direction: goldentest.Written, Value: []string{VerbRun, VerbKill, VerbReap}},
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -37,6 +37,8 @@
 		{Name: "states of jobs", Direction: goldentest.Written, Value: []string{StatusPending, StatusRunning, StatusDone, StatusCancelled}},
 		{Name: "priorities", Direction: goldentest.Written, Value: []string{PrioCritical, PrioUrgent, PrioNormal, PrioLow}},
 		{Name: "row", Direction: goldentest.Read, Value: Row{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Stamp: 7, Hold: 8}},
+		// The local region keeps its records so.
+		{Name: "row, written", Direction: goldentest.Written, Value: Row{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Stamp: 7, Hold: 8}},
 		{Name: "condition", Direction: goldentest.Written, Value: Cond{Key: "leader", Stamp: 7}},
 		{Name: "change", Direction: goldentest.Written, Value: Op{Write: "types", Value: map[string]int{"n": 1}, Hold: 8, Delete: "whole"}},
 		{Name: "event", Direction: goldentest.Read, Value: Event{Write: "types", Delete: "whole", Value: json.RawMessage(`{"n":1}`), Stamp: 7}},
--- /dev/null
+++ b/internal/standin/golden_test.go
@@ -0,0 +1,56 @@
+package standin
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"drumpick/internal/goldentest"
+	"drumpick/internal/ledger"
+
+	"github.com/gofiber/fiber/v2"
+)
+
+// The state service and the cloud of the local region answer in the forms of the protocol.
+func TestGoldenServices(t *testing.T) {
+	state := NewState()
+	state.Fill(map[string]ledger.Row{"types": {Key: "types", Value: []byte(`{"rigs":[]}`), Stamp: 7}})
+	w := NewWorld(t.Context())
+	w.Types = []ledger.MachineType{{Name: "g8", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"}}}
+	app := fiber.New()
+	ServeState(t.Context(), app, state, nil)
+	ServeCloud(app, w)
+	f := goldentest.Open(t, "golden-services.json")
+	for _, x := range []struct{ name, method, uri, body string }{
+		{"read", "GET", "/store/types", ""},
+		{"read an absent key", "GET", "/store/none", ""},
+		{"list", "GET", "/store?under=types&limit=500", ""},
+		{"commit", "POST", "/commit", `{"when":[{"k":"types","stamp":7}],"writes":[{"write":"whole","value":{"n":1}},{"delete":"types"}]}`},
+		{"watch", "GET", "/watch?under=&since=7&wait_ms=0", ""},
+		{"commit, conflict", "POST", "/commit", `{"when":[{"k":"types","stamp":7}],"writes":[]}`},
+		{"commit, no such lease", "POST", "/commit", `{"when":[],"writes":[{"write":"leader","value":{},"hold":99}]}`},
+		{"commit, malformed", "POST", "/commit", `{"when":[],"writes":[{}]}`},
+		{"grant", "POST", "/grants", `{"life_ms":6000}`},
+		{"grant, malformed", "POST", "/grants", `{"life_ms":1}`},
+		{"extend, ended", "POST", "/grants/99/extend", `{}`},
+		{"drop", "DELETE", "/grants/99", ""},
+		{"machine types", "GET", "/machine_types", ""},
+		{"rent, malformed", "POST", "/machines", `{"booking":"b-1"}`},
+		{"machines", "GET", "/machines?limit=500", ""},
+		{"return", "POST", "/machines/return", `{"hosts":[]}`},
+		{"return, malformed", "POST", "/machines/return", `{"hosts":7}`},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			f.CheckExchange(t, x.name, goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, x.method, x.uri, x.body))
+		})
+	}
+}
+
+// What the local region tells of its past.
+func TestGoldenHistory(t *testing.T) {
+	at := time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC)
+	goldentest.Run(t, "golden-history.json", goldentest.JSON, []goldentest.Case{
+		{Name: "attempt", Value: Ran{Task: "j-1/0", Machine: "m-1", Zone: "a", From: at, Running: at.Add(time.Second), To: at.Add(time.Minute), Cause: "done"}},
+		{Name: "bill", Value: Bill{Machine: "m-1", Type: "g8", Zone: "a", Spot: true, From: at, To: at.Add(time.Minute), Cost: 0.5}},
+	})
+}
