--- /dev/null
+++ b/internal/region/golden_test.go
@@ -0,0 +1,33 @@
+package region
+
+import (
+	"net/http"
+	"testing"
+
+	"drumpick/internal/goldentest"
+	"drumpick/internal/standin"
+
+	"github.com/gofiber/fiber/v2"
+)
+
+// The control of a local region, which other processes ask, keeps its forms.
+func TestGoldenControl(t *testing.T) {
+	r := &Region{World: standin.NewWorld(t.Context()), options: Options{Zones: []string{"a"}}}
+	app := fiber.New()
+	r.control(app)
+	f := goldentest.Open(t, "golden-control.json")
+	for _, x := range []struct{ name, method, uri string }{
+		{"cut", "POST", "/cut/a?for=1ms"},
+		{"cut, unknown zone", "POST", "/cut/x"},
+		{"cut, no length of time", "POST", "/cut/a?for=x"},
+		{"kill, unknown", "POST", "/kill/m-9"},
+		{"upgrade, unknown", "POST", "/upgrade/m-9?to=1.1"},
+		{"upgrade, no version", "POST", "/upgrade/m-9"},
+		{"storm", "POST", "/storm/a"},
+		{"history", "GET", "/history"},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			f.CheckExchange(t, x.name, goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, x.method, x.uri, ""))
+		})
+	}
+}
--- /dev/null
+++ b/internal/scale/golden_test.go
@@ -0,0 +1,46 @@
+package scale
+
+import (
+	"testing"
+	"time"
+
+	"drumpick/internal/goldentest"
+	"drumpick/internal/ledger"
+	"drumpick/internal/rental"
+)
+
+// Results of measurements are kept and compared over versions, and the processes of a run
+// talk to each other: both keep their forms.
+func TestGolden(t *testing.T) {
+	waits := Waits{Count: 1, P50: 2.5, P95: 3.5, P99: 4.5, Max: 5.5}
+	traffic := Traffic{Messages: 1, Sent: 2, Received: 3}
+	r := Result{
+		Version: "v", At: time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC), Cores: 2,
+		Size: Size{Workers: 3, RealWorkers: 4, Tasks: 5, Rate: 6.5, Controllers: 7, Teams: 8, Zones: 9, Regions: 10, For: 11,
+			Faults: Faults{Compress: 1.5, Rack: true, Zone: true, Leader: true}, StoreRPS: 12.5, StoreWrites: 13.5},
+		Measured: 14.5, Workers: 15, Running: 16, Starts: Rates{Mean: 17.5, Peak: 18.5},
+		Usage:   map[string]Usage{"controller": {Processes: 1, Cores: 2.5, PeakCores: 3.5, MemoryMB: 4.5}},
+		Traffic: map[string]Traffic{"reports": traffic}, Waits: map[string]Waits{"train": waits}, ToRun: waits, InTime: 19.5, Lapses: 20,
+		Lost: 21, Refused: 22, Jobs: 23, Finished: 24, Unanswered: 25,
+		Happened: Happened{Failures: 1, Restarts: 2, Racks: 3, Zones: 4, Takeovers: []Takeover{{Region: 1, LeaderS: 2.5, SettledS: 3.5}}},
+		Breaches: []Breach{{Rule: "r", What: "w"}},
+	}
+	// All but the run before, which is a result itself.
+	if unset := goldentest.Unset(r, "json"); len(unset) != 1 {
+		t.Errorf("the value of the test leaves %v unset", unset)
+	}
+	both := r
+	both.Without = &r
+	goldentest.Run(t, "golden-results.json", goldentest.JSON, []goldentest.Case{
+		{Name: "result", Value: both, Unset: true},
+		{Name: "result, empty", Value: Result{}, Unset: true},
+		{Name: "what happened", Value: r.Happened},
+		{Name: "setup", Value: Setup{Nodes: []Node{{Name: "n-1", Addr: "a:1"}}, Types: []ledger.MachineType{{
+			Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"},
+		}}}},
+		{Name: "placement", Value: Placement{Host: "m-1", Rent: rental.Request{Booking: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 3}}},
+		{Name: "placed", Value: Placed{Addr: "a:1"}},
+		{Name: "counts of workers", Value: WorkerCounts{Machines: 1, Running: 2, Starts: 3, Lapses: 4, Reports: traffic, Refused: 5, Orders: traffic}},
+		{Name: "child", Value: hello{Addr: "a:1", Service: "a:2"}},
+	})
+}
