--- a/internal/dispatch/core.go
+++ b/internal/scheduler/core.go
@@ -1,7 +1,7 @@
 // Package dispatch decides: which task runs where and when, which are stopped,
 // which machines are wanted and which are given back. Core is plain data moved
 // by events, with time passed in; Leader drives it for one term.
-package dispatch
+package scheduler
 
 import (
 	"math/bits"
@@ -9,18 +9,18 @@
 	"sort"
 	"time"
 
-	"drumpick/internal/chain"
 	"drumpick/internal/config"
+	"drumpick/internal/dependency"
+	"drumpick/internal/fairshare"
 	"drumpick/internal/fleet"
 	"drumpick/internal/forecast"
-	"drumpick/internal/frontier"
-	"drumpick/internal/guarantee"
-	"drumpick/internal/ledger"
-	"drumpick/internal/means"
+	"drumpick/internal/overload"
 	"drumpick/internal/packing"
-	"drumpick/internal/served"
-	"drumpick/internal/usage"
-	"drumpick/internal/zones"
+	"drumpick/internal/quota"
+	"drumpick/internal/records"
+	"drumpick/internal/slo"
+	"drumpick/internal/watermark"
+	"drumpick/internal/zonehealth"
 )
 
 // Settings shape a Core. All durations derive from the platform's settings.
@@ -55,8 +55,8 @@
 		Round:        time.Duration(float64(report) * c.Options.RoundReports),
 		GangPeer:     config.Seconds(w.GangPeerS),
 		ListLag:      config.Seconds(c.Facts.Cloud.ListLagS),
-		ChunkTasks:   ledger.ChunkTasks(c.Facts.State.ValueKB),
-		PartTasks:    ledger.PartTasks(ledger.ChunkTasks(c.Facts.State.ValueKB), c.Facts.State.Lowest().ValueKB),
+		ChunkTasks:   records.ChunkTasks(c.Facts.State.ValueKB),
+		PartTasks:    records.PartTasks(records.ChunkTasks(c.Facts.State.ValueKB), c.Facts.State.Lowest().ValueKB),
 		IdleStartups: c.Options.IdleStartups, RefusedStartups: c.Options.SpreadRefused,
 		Zones: c.Facts.Zones, Objectives: c.Facts.Objectives, Marks: c.Options.Marks, Shed: c.Options.Shed, DarkZones: c.Options.DarkZones, Guarantees: c.Options.Guarantees,
 		Teams: map[string]config.Team{},
@@ -82,21 +82,21 @@
 
 // Job is an open job.
 type Job struct {
-	ledger.Job
+	records.Job
 	Stamp    uint64
 	Accepted time.Time
-	base     time.Time   // from when its times count: its acceptance, or the end of the last job before it
-	since    uint64      // the revision before which none of its tasks can have been started
-	waits    bool        // for a job that is not known to be stored as done
-	terms    chain.Terms // what it is worth for its own sake and that of the jobs behind it
+	base     time.Time        // from when its times count: its acceptance, or the end of the last job before it
+	since    uint64           // the revision before which none of its tasks can have been started
+	waits    bool             // for a job that is not known to be stored as done
+	terms    dependency.Terms // what it is worth for its own sake and that of the jobs behind it
 	req      packing.Vec
 	prefer   []string // marks of machines that suit it, the weightiest first
 	ready    string   // mark of machines where its image is
 	alike    int      // a number that jobs share whose tasks fit the same machines; 0: it shares none
 	twins    int      // the same of those that also share the image
 
-	mark  frontier.Mark // how far into it tasks may have been sent
-	doubt []uint64      // bit set of tasks that may be on machines not heard since the takeover; nil: none
+	mark  watermark.Mark // how far into it tasks may have been sent
+	doubt []uint64       // bit set of tasks that may be on machines not heard since the takeover; nil: none
 
 	done, stored []uint64 // bit sets of finished tasks, and of those the store has
 	nDone        int
@@ -142,7 +142,7 @@
 // plain says whether where a task may go depends on nothing but its size, zone and
 // kind of machine.
 func (j *Job) plain() bool {
-	return len(j.Types) == 0 && !j.OneZone && !j.Apart && j.Shape != ledger.ShapeGroup
+	return len(j.Types) == 0 && !j.OneZone && !j.Apart && j.Shape != records.ShapeGroup
 }
 
 // likeness is all that decides whether a plain job's task has room.
@@ -199,19 +199,19 @@
 	seq      uint64
 	jobs     map[string]*Job
 	complete map[*Job]struct{} // of these, those of which every task is done
-	chain    *chain.Graph      // of the same jobs and those that they name
+	chain    *dependency.Graph // of the same jobs and those that they name
 	alike    map[likeness]int
 	sorted   []*Job
 	order    *placingOrder // of the same jobs
 	placing  *placingTurns // of the placing under way; nil: there is none
 	resort   bool
-	types    map[string]ledger.MachineType
+	types    map[string]records.MachineType
 	names    []string                  // machine types, cheapest first
 	spaces   map[string]*packing.Space // the bins of each type
 	opened   time.Time                 // when it was last looked at which machines take tasks
 	now      time.Time                 // of the placing or round under way
 	fleet    *fleet.Table
-	usage    *usage.Account // of what the attempts in fleet take, by team
+	usage    *quota.Account // of what the attempts in fleet take, by team
 	settled  bool
 	began    time.Time
 
@@ -227,19 +227,19 @@
 	closed      []string         // jobs whose finished tasks need no record any more
 	dropped     []string         // machines that need no record any more
 	marks       marks
-	means       *means.Governor   // how far the leader falls behind
-	late        time.Duration     // by how much anything waited since the last look
-	cuts        *zones.Watch      // which zones are cut off
-	keepers     []*Job            // jobs for whose sake machines are kept
-	keeper      *Job              // the one of them that is served last, for the placing under way
-	scarce      *guarantee.Scarce // which ordinary machines are too few for those who may use no others
-	savers      []*Job            // jobs for which room may have to be saved
-	owners      []*Job            // jobs that have claims
-	served      *served.Account   // who came and who began
-	toldServed  time.Time         // when that was last told
-	drains      []*drainWork      // what operators asked for, by id
-	lastDrain   time.Time         // when it was last looked at
-	draining    bool              // any of it holds now
+	means       *overload.Governor // how far the leader falls behind
+	late        time.Duration      // by how much anything waited since the last look
+	cuts        *zonehealth.Watch  // which zones are cut off
+	keepers     []*Job             // jobs for whose sake machines are kept
+	keeper      *Job               // the one of them that is served last, for the placing under way
+	scarce      *fairshare.Scarce  // which ordinary machines are too few for those who may use no others
+	savers      []*Job             // jobs for which room may have to be saved
+	owners      []*Job             // jobs that have claims
+	served      *slo.Account       // who came and who began
+	toldServed  time.Time          // when that was last told
+	drains      []*drainWork       // what operators asked for, by id
+	lastDrain   time.Time          // when it was last looked at
+	draining    bool               // any of it holds now
 
 	// Kick lists machines that should hear orders at once, not at their next report.
 	kick map[string]bool
@@ -248,18 +248,18 @@
 // NewCore starts a term with nothing known.
 func NewCore(set Settings, term uint64, now time.Time) *Core {
 	c := &Core{
-		set: set, term: term, jobs: map[string]*Job{}, chain: chain.New(), alike: map[likeness]int{}, types: map[string]ledger.MachineType{},
+		set: set, term: term, jobs: map[string]*Job{}, chain: dependency.New(), alike: map[likeness]int{}, types: map[string]records.MachineType{},
 		fleet: fleet.NewTable(term, set.Lease, set.Forecast), began: now, kick: map[string]bool{}, marks: newMarks(),
-		means: means.New(set.Report, set.Report/TickShare), cuts: zones.New(set.Lease),
-		scarce: guarantee.NewScarce(), served: served.New(), toldServed: now, rent: newRentState(), spaces: map[string]*packing.Space{},
-		usage: usage.NewAccount(), order: newPlacingOrder(nil, nil), complete: map[*Job]struct{}{},
+		means: overload.New(set.Report, set.Report/TickShare), cuts: zonehealth.New(set.Lease),
+		scarce: fairshare.NewScarce(), served: slo.New(), toldServed: now, rent: newRentState(), spaces: map[string]*packing.Space{},
+		usage: quota.NewAccount(), order: newPlacingOrder(nil, nil), complete: map[*Job]struct{}{},
 	}
 	c.fleet.OnChange = c.charge
 	return c
 }
 
 // SetTypes takes in the machine types that the cloud offers.
-func (c *Core) SetTypes(types []ledger.MachineType) {
+func (c *Core) SetTypes(types []records.MachineType) {
 	for _, t := range types {
 		c.types[t.Name] = t
 	}
@@ -317,7 +317,7 @@
 }
 
 // AddJob takes in an open job.
-func (c *Core) AddJob(rec ledger.Job, stamp uint64, now, wall time.Time) *Job {
+func (c *Core) AddJob(rec records.Job, stamp uint64, now, wall time.Time) *Job {
 	if j := c.jobs[rec.ID]; j != nil {
 		return j
 	}
@@ -363,10 +363,10 @@
 	}
 	c.served.Began(id, c.began)
 	base := chunk * c.set.ChunkTasks
-	return ledger.ParseRanges(ranges, func(i int) {
+	return records.ParseRanges(ranges, func(i int) {
 		if n := base + i; n < j.Tasks {
 			j.stored[n/64] |= 1 << (n % 64)
-			if j.Shape == ledger.ShapeGroup {
+			if j.Shape == records.ShapeGroup {
 				c.markDone(j, n) // and so its mates, which may not be stored
 			} else if !has(j.done, n) {
 				c.noteDone(j, n)
@@ -384,7 +384,7 @@
 }
 
 // LoadHost takes in a machine that an earlier term may have used.
-func (c *Core) LoadHost(host string, h ledger.Host, now time.Time) {
+func (c *Core) LoadHost(host string, h records.Host, now time.Time) {
 	m := c.fleet.Ensure(host, h.Addr, h.Type, h.Zone, h.Spot)
 	m.Recorded, m.Inherited = true, true
 	m.Session = max(m.Session, h.Session)
@@ -470,19 +470,19 @@
 			running++
 		}
 	}
-	status = ledger.StatusPending
+	status = records.StatusPending
 	if running > 0 {
-		status = ledger.StatusRunning
+		status = records.StatusRunning
 	}
 	return status, j.nDone, running, true
 }
 
 func (c *Core) markDone(j *Job, n int) {
-	if n >= j.Tasks || has(j.done, n) || j.Shape == ledger.ShapeService {
+	if n >= j.Tasks || has(j.done, n) || j.Shape == records.ShapeService {
 		return
 	}
 	first, last := n, n
-	if j.Shape == ledger.ShapeGroup {
+	if j.Shape == records.ShapeGroup {
 		// A gang completes together (PROTOCOL). Guards against one of which some results reached
 		// the last leader, or reach us from one machine and not from another that is gone: the
 		// rest would begin alone, wait for mates in vain, and the job would never be done.
@@ -598,7 +598,7 @@
 		if a.Task.N < j.next && !has(j.done, a.Task.N) {
 			c.retry(j, a.Task.N)
 		}
-		if j.Shape == ledger.ShapeGroup {
+		if j.Shape == records.ShapeGroup {
 			c.keepPlace(j, a)
 			if len(j.held) == 0 {
 				if j.began.told {
--- a/internal/dispatch/dark.go
+++ b/internal/scheduler/dark.go
@@ -1,16 +1,16 @@
-package dispatch
+package scheduler
 
 import (
 	"log/slog"
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/zones"
+	"drumpick/internal/zonehealth"
 )
 
 // quiet says whether a machine has been silent for so long that its zone may be the cause.
 func (c *Core) quiet(m *fleet.Machine, now time.Time) bool {
-	return float64(now.Sub(m.LastHeard())) > zones.Silence*float64(c.set.Report)
+	return float64(now.Sub(m.LastHeard())) > zonehealth.Silence*float64(c.set.Report)
 }
 
 // watchZones looks at which zones are cut off.
@@ -18,7 +18,7 @@
 	if !c.set.DarkZones {
 		return
 	}
-	counts := map[string]zones.Count{}
+	counts := map[string]zonehealth.Count{}
 	for _, m := range c.fleet.Sorted() {
 		if !m.Up && !m.Inherited || m.Dead || m.Returning {
 			continue
--- a/internal/dispatch/drainbench_test.go
+++ b/internal/scheduler/drainbench_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"drumpick/internal/config"
 	"drumpick/internal/drain"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // floor is a Core with that many machines, ten tasks running on each.
@@ -22,12 +22,12 @@
 	cfg.Facts.State.ValueKB, cfg.Facts.Zones, cfg.Facts.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
 	now := time.Unix(1_000_000, 0)
 	c := NewCore(SettingsOf(cfg), 5, now)
-	c.SetTypes([]ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.1, Zones: cfg.Facts.Zones}})
+	c.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.1, Zones: cfg.Facts.Zones}})
 	c.CheckSettled(now)
 	const perJob = 100
 	for i := range machines * 10 / perJob {
-		j := ledger.Job{
-			ID: fmt.Sprint("j-", i), Team: "team", Class: fmt.Sprint("class-", i%5), Shape: ledger.ShapeBatch, Priority: ledger.PrioNormal, Tasks: perJob,
+		j := records.Job{
+			ID: fmt.Sprint("j-", i), Team: "team", Class: fmt.Sprint("class-", i%5), Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: perJob,
 			CPUs: 0.4, MemGB: 1, Image: fmt.Sprint("img-", i%8), ImageGB: 1, EstimateS: 300, Spot: true, AcceptedMS: now.UnixMilli(),
 		}
 		if i%2 == 0 {
--- a/internal/dispatch/drainplan.go
+++ b/internal/scheduler/drainplan.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"drumpick/internal/drain"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
 	"drumpick/internal/packing"
+	"drumpick/internal/records"
 )
 
 // Errors of a drain that cannot be.
@@ -103,7 +103,7 @@
 		slices.Sort(names)
 		return &NoneLeftError{"it would leave no machine for jobs of " + strings.Join(names, ", ")}
 	}
-	if len(c.types) > 0 && !look.anywhere(&Job{Job: ledger.Job{Spot: true}}, nil) {
+	if len(c.types) > 0 && !look.anywhere(&Job{Job: records.Job{Spot: true}}, nil) {
 		return &NoneLeftError{"it would leave no machine at all"}
 	}
 	return nil
--- a/internal/dispatch/drains.go
+++ b/internal/scheduler/drains.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 
 	"drumpick/internal/drain"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // drainWork is what operators asked for and how it stands. Which machines it has is on the
@@ -129,7 +129,7 @@
 		}
 	}
 	for _, j := range c.queue(now) {
-		if j.Shape != ledger.ShapeService {
+		if j.Shape != records.ShapeService {
 			j.leaving, j.staying = 0, nil
 		}
 	}
@@ -274,9 +274,9 @@
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	_, ran := a.Took(now)
 	t := drain.Task{
-		Running: a.State() == fleet.Running, Waiting: a.State() == fleet.Waiting || a.State() == fleet.Pulling && j.Shape == ledger.ShapeGroup,
-		Stopping: a.Stopping(), Group: j.Shape == ledger.ShapeGroup, Service: j.Shape == ledger.ShapeService,
-		Urgent: j.terms.Rank <= prioRank[ledger.PrioUrgent], Remaining: seconds(c.remaining(j, a, now)),
+		Running: a.State() == fleet.Running, Waiting: a.State() == fleet.Waiting || a.State() == fleet.Pulling && j.Shape == records.ShapeGroup,
+		Stopping: a.Stopping(), Group: j.Shape == records.ShapeGroup, Service: j.Shape == records.ShapeService,
+		Urgent: j.terms.Rank <= prioRank[records.PrioUrgent], Remaining: seconds(c.remaining(j, a, now)),
 		Ran: ran, Saves: j.CheckpointS > 0, Save: seconds(j.SaveS), Restart: c.set.Report + c.fetch(j),
 	}
 	if t.Service {
@@ -318,7 +318,7 @@
 		if j == nil || a.Stopping() || a.State() == fleet.Ended || a.State() == fleet.Planned || a.State() == fleet.Sent || a.Stray {
 			continue // on its way out, or not known well enough yet
 		}
-		if j.Shape == ledger.ShapeGroup {
+		if j.Shape == records.ShapeGroup {
 			c.emptyGang(j, left, look)
 			continue
 		}
@@ -444,7 +444,7 @@
 // it ends.
 func isService(a *fleet.Attempt) bool {
 	j, ok := a.Job.(*Job)
-	return ok && j.Shape == ledger.ShapeService
+	return ok && j.Shape == records.ShapeService
 }
 
 // standing works out how a drain stands, for people.
--- a/internal/dispatch/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"drumpick/internal/config"
 	"drumpick/internal/drain"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 
 	"pgregory.net/rapid"
 )
@@ -24,22 +24,22 @@
 		cfg := &config.Config{Options: config.DefaultOptions()}
 		cfg.Facts.Workers = config.Workers{ReportS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
 		cfg.Facts.State.ValueKB, cfg.Facts.Zones, cfg.Facts.Teams = 8, []string{"a", "b"}, []config.Team{{Name: "team"}}
-		y := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]ledger.Job{}, runs: map[string]time.Duration{}, asked: map[string]time.Time{}, began: map[string]bool{}}
+		y := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]records.Job{}, runs: map[string]time.Duration{}, asked: map[string]time.Time{}, began: map[string]bool{}}
 		y.c = NewCore(SettingsOf(cfg), 5, y.now)
-		y.c.SetTypes([]ledger.MachineType{{Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: cfg.Facts.Zones}})
+		y.c.SetTypes([]records.MachineType{{Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: cfg.Facts.Zones}})
 		y.c.CheckSettled(y.now)
 		for i := range machines {
 			host := fmt.Sprintf("m-%02d", i)
 			y.hosts = append(y.hosts, &fakeMachine{report: fleet.Report{Host: host, Addr: host, Type: "c4", Zone: string("ab"[i%2]), Session: 1, Baton: 5}})
 		}
-		var comes []ledger.Job
+		var comes []records.Job
 		for i := range rapid.IntRange(1, 5).Draw(t, "jobs") {
-			j := ledger.Job{
-				ID: fmt.Sprint("j-", i), Team: "team", Image: "img", MemGB: 1, Shape: ledger.ShapeBatch, Priority: ledger.PrioNormal,
+			j := records.Job{
+				ID: fmt.Sprint("j-", i), Team: "team", Image: "img", MemGB: 1, Shape: records.ShapeBatch, Priority: records.PrioNormal,
 				CPUs: rapid.SampledFrom([]float64{1, 2, 4}).Draw(t, "cpus"), Tasks: rapid.IntRange(1, 12).Draw(t, "tasks"), EstimateS: float64(rapid.IntRange(5, 80).Draw(t, "estimate")),
 			}
 			if rapid.IntRange(0, 3).Draw(t, "gang") == 0 {
-				j.Shape, j.Tasks, j.OneZone = ledger.ShapeGroup, rapid.IntRange(2, 3).Draw(t, "members"), rapid.Bool().Draw(t, "one zone")
+				j.Shape, j.Tasks, j.OneZone = records.ShapeGroup, rapid.IntRange(2, 3).Draw(t, "members"), rapid.Bool().Draw(t, "one zone")
 			}
 			if rapid.Bool().Draw(t, "saves") {
 				j.CheckpointS, j.SaveS = 10, float64(rapid.IntRange(0, 4).Draw(t, "flush"))
@@ -110,7 +110,7 @@
 					if cordoned[h.report.Host] && m.Cordon != nil && !was[s] {
 						t.Fatalf("%s started on %s, which is drained", s.Shot, h.report.Host)
 					}
-					if j := y.jobs[s.job]; !pressed && s.stopping && j.CheckpointS == 0 && y.c.empties(m) && j.Shape == ledger.ShapeBatch && s.moved(y) {
+					if j := y.jobs[s.job]; !pressed && s.stopping && j.CheckpointS == 0 && y.c.empties(m) && j.Shape == records.ShapeBatch && s.moved(y) {
 						t.Fatalf("%s, which cannot save, was stopped on %s", s.Shot, h.report.Host)
 					}
 				}
--- a/internal/dispatch/drainstore.go
+++ b/internal/scheduler/drainstore.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"encoding/json"
@@ -6,13 +6,13 @@
 	"time"
 
 	"drumpick/internal/drain"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // ReadDrain reads what operators asked for from its record.
 func ReadDrain(key string, value json.RawMessage) (drain.Spec, bool) {
 	var s drain.Spec
-	if err := json.Unmarshal(value, &s); err != nil || ledger.PrefixDrains+s.ID != key {
+	if err := json.Unmarshal(value, &s); err != nil || records.PrefixDrains+s.ID != key {
 		slog.Error("unreadable record", "key", key, "err", err)
 		return s, false
 	}
@@ -45,16 +45,16 @@
 		// It does not bound the machines in hand, which this leader knows. What does not fit
 		// is worked out again by the next leader, which takes empty machines first: those are
 		// mostly the ones in hand.
-		for len(state.Hand) > 0 && ledger.Size(state) > r.valueBytes {
+		for len(state.Hand) > 0 && records.Size(state) > r.valueBytes {
 			state.Hand = state.Hand[:len(state.Hand)/2]
 		}
-		if !fits(1, ledger.Size(state)) {
+		if !fits(1, records.Size(state)) {
 			return false
 		}
 		d.wrote = now
 		*ws = append(*ws, Write{
-			Ops: []ledger.Op{{Write: ledger.PrefixDrain + d.spec.ID, Value: state}},
-			Key: ledger.PrefixDrain + d.spec.ID, Own: &d.stamp,
+			Ops: []records.Op{{Write: records.PrefixDrain + d.spec.ID, Value: state}},
+			Key: records.PrefixDrain + d.spec.ID, Own: &d.stamp,
 			Apply: func(uint64) { d.stored, d.known = whole, true },
 			Refused: func() {
 				slog.Error("store: how a drain stands takes more than a value", "drain", d.spec.ID, "term", r.core.term)
@@ -76,7 +76,7 @@
 		ended--
 		id := d.spec.ID
 		*ws = append(*ws, Write{
-			Ops:   []ledger.Op{{Delete: ledger.PrefixDrains + id}, {Delete: ledger.PrefixDrain + id}},
+			Ops:   []records.Op{{Delete: records.PrefixDrains + id}, {Delete: records.PrefixDrain + id}},
 			Apply: func(uint64) { r.core.DropDrain(id) },
 		})
 	}
--- a/internal/dispatch/events.go
+++ b/internal/scheduler/events.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"log/slog"
@@ -6,8 +6,8 @@
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
 	"drumpick/internal/packing"
+	"drumpick/internal/records"
 
 	"github.com/VictoriaMetrics/metrics"
 )
@@ -110,7 +110,7 @@
 	for _, j := range c.jobs {
 		// A gang that already ran and lost a member under an earlier term cannot
 		// be completed any more; one that still waits can, with its own attempt.
-		if j.Shape == ledger.ShapeGroup && j.gangTry != 0 && len(j.held) < j.Tasks {
+		if j.Shape == records.ShapeGroup && j.gangTry != 0 && len(j.held) < j.Tasks {
 			for _, a := range j.held {
 				if a.State() == fleet.Running || a.State() == fleet.Flushing {
 					c.breakGang(j, now)
@@ -145,11 +145,11 @@
 	// A machine that nobody knew of and that has tasks is a late copy from one that was given
 	// back, or was never on record as it should have been: its tasks count, and go.
 	fits := !m.Stranger && j.held[a.Task.N] == nil && !has(j.done, a.Task.N) &&
-		(j.Shape != ledger.ShapeGroup || j.gangTry == 0 || j.gangTry == a.Try)
+		(j.Shape != records.ShapeGroup || j.gangTry == 0 || j.gangTry == a.Try)
 	if fits && a.Try>>24 != c.term {
 		a.Stray = false
 		j.held[a.Task.N], j.beyond = a, true
-		if j.Shape == ledger.ShapeGroup {
+		if j.Shape == records.ShapeGroup {
 			j.gangTry = a.Try
 		}
 		return
@@ -165,7 +165,7 @@
 	lostTotal.Inc()
 	drained(a, now)
 	slog.Debug("attempt gone", "task", a.Task.String(), "machine", a.Machine.Host, "state", a.State().String(), "fate", c.inVain(a), "term", c.term)
-	if j != nil && j.Shape == ledger.ShapeGroup && j.held[a.Task.N] == a && a.State() != fleet.Sent {
+	if j != nil && j.Shape == records.ShapeGroup && j.held[a.Task.N] == a && a.State() != fleet.Sent {
 		defer func() { c.breakGang(j, now); c.keepPlace(j, a) }()
 	}
 	c.release(a)
@@ -195,7 +195,7 @@
 		m.Proven = true
 		c.markDone(j, a.Task.N)
 		for _, other := range j.held {
-			if other != a && (other.Task == a.Task || j.Shape == ledger.ShapeGroup && other.Try != a.Try) {
+			if other != a && (other.Task == a.Task || j.Shape == records.ShapeGroup && other.Try != a.Try) {
 				c.end(other) // its result is there already
 			}
 		}
@@ -207,7 +207,7 @@
 		}
 		clear(j.errorHosts)
 		j.backoff = 0
-		if j.Shape == ledger.ShapeService {
+		if j.Shape == records.ShapeService {
 			a.Reap = true
 		}
 	case fleet.CauseError:
@@ -225,7 +225,7 @@
 	}
 	held := j.held[a.Task.N] == a
 	c.release(a)
-	if j.Shape == ledger.ShapeGroup && held && a.Cause != fleet.CauseDone {
+	if j.Shape == records.ShapeGroup && held && a.Cause != fleet.CauseDone {
 		first := !j.gangBroken // afterwards release keeps the places
 		c.breakGang(j, now)
 		if first {
@@ -315,13 +315,13 @@
 			continue
 		}
 		left := m.Notice.Sub(now).Seconds()
-		if j.Shape == ledger.ShapeGroup {
+		if j.Shape == records.ShapeGroup {
 			if j.CheckpointS > 0 && left > j.SaveS {
 				c.breakGang(j, now)
 			}
 			continue
 		}
-		if j.Shape == ledger.ShapeService {
+		if j.Shape == records.ShapeService {
 			continue // dealt with in rounds: a replica moves while another runs
 		}
 		switch remains := c.remaining(j, a, now); {
--- a/internal/dispatch/keep.go
+++ b/internal/scheduler/keep.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
 	"drumpick/internal/packing"
+	"drumpick/internal/records"
 )
 
 // keepShare bounds how many of the machines may be emptying for larger tasks, one at least:
@@ -34,7 +34,7 @@
 	var waiting []*Job
 	smallest := 1.0
 	for _, j := range c.queue(now) {
-		if j.Shape != ledger.ShapeGroup && c.startable(j, now) && j.peek() >= 0 {
+		if j.Shape != records.ShapeGroup && c.startable(j, now) && j.peek() >= 0 {
 			waiting = append(waiting, j)
 			smallest = min(smallest, c.smallestShare(j))
 		}
--- a/internal/dispatch/largest.go
+++ b/internal/scheduler/largest.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"cmp"
@@ -7,9 +7,9 @@
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/largest"
-	"drumpick/internal/ledger"
 	"drumpick/internal/packing"
+	"drumpick/internal/records"
+	"drumpick/internal/reservation"
 )
 
 // saveRoom makes what has fallen free the own of gangs that have waited for long, in the order
@@ -39,7 +39,7 @@
 	})
 	ahead := map[string]int{}
 	for _, j := range due {
-		if j.Shape != ledger.ShapeGroup {
+		if j.Shape != records.ShapeGroup {
 			c.saveOne(j, now)
 			continue
 		}
@@ -49,7 +49,7 @@
 			}
 			j.saveAfter = now.Add(c.set.Report / 4)
 			zone, in := c.saveWhere(j, ahead, now)
-			if zone == "" || !largest.Due(now.Sub(j.waitsSince()), time.Duration(in*float64(time.Second)), c.set.Begin) {
+			if zone == "" || !reservation.Due(now.Sub(j.waitsSince()), time.Duration(in*float64(time.Second)), c.set.Begin) {
 				continue
 			}
 			j.saving = zone
@@ -65,7 +65,7 @@
 func (c *Core) chooseSavers() {
 	c.savers = c.savers[:0]
 	for _, j := range c.sorted {
-		if j.Shape == ledger.ShapeGroup || j.Shape == ledger.ShapeBatch && j.nDone == 0 && !j.began.told {
+		if j.Shape == records.ShapeGroup || j.Shape == records.ShapeBatch && j.nDone == 0 && !j.began.told {
 			c.savers = append(c.savers, j)
 		} else {
 			j.saving = ""
@@ -85,13 +85,13 @@
 // array the first.
 func (c *Core) saves(j *Job, now time.Time) bool {
 	waited := now.Sub(j.waitsSince())
-	is := waited >= largest.Soonest(c.set.Begin) && len(j.held)+len(j.strays) == 0 && c.startable(j, now) && j.peek() >= 0
+	is := waited >= reservation.Soonest(c.set.Begin) && len(j.held)+len(j.strays) == 0 && c.startable(j, now) && j.peek() >= 0
 	switch {
 	case !is:
-	case j.Shape == ledger.ShapeGroup:
+	case j.Shape == records.ShapeGroup:
 		is = j.gangTry == 0 && c.wanted(j) >= j.pending()
 	default:
-		is = j.Shape == ledger.ShapeBatch && j.nDone == 0 && !j.began.told && largest.Due(waited, 0, c.set.Begin) && c.wanted(j) > 0
+		is = j.Shape == records.ShapeBatch && j.nDone == 0 && !j.began.told && reservation.Due(waited, 0, c.set.Begin) && c.wanted(j) > 0
 	}
 	if !is {
 		j.saving = ""
@@ -108,15 +108,15 @@
 		}
 		zone := m.Zone
 		if !j.OneZone {
-			zone = largest.Everywhere
+			zone = reservation.Everywhere
 		}
 		byZone[zone] = append(byZone[zone], c.placesIn(j, m, now)...)
 	}
-	var zones []largest.Zone
+	var zones []reservation.Zone
 	for name, in := range byZone {
-		zones = append(zones, largest.Zone{Name: name, In: in, Ahead: ahead[name]})
+		zones = append(zones, reservation.Zone{Name: name, In: in, Ahead: ahead[name]})
 	}
-	return largest.Choose(zones, j.pending())
+	return reservation.Choose(zones, j.pending())
 }
 
 // placesIn guesses when a machine has room for one, two and more tasks of a job, in seconds,
@@ -150,7 +150,7 @@
 	}
 	var list []place
 	for _, m := range c.fleet.Sorted() {
-		if j.saving != largest.Everywhere && m.Zone != j.saving || !c.mayHold(j, m, now) {
+		if j.saving != reservation.Everywhere && m.Zone != j.saving || !c.mayHold(j, m, now) {
 			continue
 		}
 		for _, in := range c.placesIn(j, m, now) {
@@ -168,7 +168,7 @@
 	}
 	list = list[:n]
 	need := time.Duration(list[n-1].in * float64(time.Second))
-	urgent := !ahead && largest.Urgent(now.Sub(j.waitsSince()), need, c.set.Begin)
+	urgent := !ahead && reservation.Urgent(now.Sub(j.waitsSince()), need, c.set.Begin)
 	for _, p := range list {
 		if p.in > 0 {
 			lacks++
@@ -182,7 +182,7 @@
 
 // saveOne makes the place that is free soonest the own of an array of which no task has begun.
 func (c *Core) saveOne(j *Job, now time.Time) {
-	j.saving = largest.Everywhere
+	j.saving = reservation.Everywhere
 	if len(j.claims) > 0 {
 		return
 	}
--- a/internal/dispatch/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"fmt"
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/config"
 	"drumpick/internal/drain"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/rental"
+	"drumpick/internal/records"
 )
 
 // fleetSize is a fleet of the size that users run.
 const fleetSize = 4000
 
 // limitsCore is a Core of three zones that has settled and read the cloud's list.
-func limitsCore(types []ledger.MachineType) (*Core, time.Time) {
+func limitsCore(types []records.MachineType) (*Core, time.Time) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Facts.Workers = config.Workers{ReportS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
 	cfg.Facts.State.ValueKB, cfg.Facts.Zones, cfg.Facts.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
@@ -46,7 +46,7 @@
 
 // An upgrade takes a fleet of thousands of machines at once where operators ask for that.
 func TestUpgradeOfFleetAtOnce(t *testing.T) {
-	c, now := limitsCore([]ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	limitsUp(c, fleetSize+100, now)
 	spec := drain.Spec{ID: "d-1", Kind: drain.Upgrade, To: "2", AtOnce: fleetSize, KeepUp: 5}
 	if err := spec.Check(now); err != nil {
@@ -71,7 +71,7 @@
 
 // A drain that names thousands of machines drains just these.
 func TestDrainOfThousandsByName(t *testing.T) {
-	c, now := limitsCore([]ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	names := limitsUp(c, fleetSize+100, now)
 	spec := drain.Spec{ID: "d-1", Kind: drain.Empty, Machines: names[:fleetSize]}
 	if err := spec.Check(now); err != nil {
@@ -94,20 +94,20 @@
 // once, by requests of the protocol's size.
 func TestPlanOfFleet(t *testing.T) {
 	const want, perType = 4500, 150
-	var types []ledger.MachineType
+	var types []records.MachineType
 	for i := range want / perType {
-		types = append(types, ledger.MachineType{Name: fmt.Sprintf("t%02d", i), CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20})
+		types = append(types, records.MachineType{Name: fmt.Sprintf("t%02d", i), CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20})
 	}
 	c, now := limitsCore(types)
 	for i := range types {
-		c.AddJob(ledger.Job{
-			ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: ledger.ShapeBatch, Priority: ledger.PrioNormal, Tasks: perType,
+		c.AddJob(records.Job{
+			ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: perType,
 			CPUs: 4, MemGB: 1, Image: "img", EstimateS: 3600, Types: []string{types[i].Name}, AcceptedMS: now.UnixMilli(),
 		}, 10, now, now)
 	}
 	asked := 0
 	for _, r := range c.Wants(now) {
-		if asked += r.Count; r.Count > rental.MostCount {
+		if asked += r.Count; r.Count > autoscaler.MostCount {
 			t.Fatalf("a request for %d machines", r.Count)
 		}
 	}
@@ -120,14 +120,14 @@
 // and zone that work needs are rented, and all are given back.
 func TestRequestsBoundNoFleet(t *testing.T) {
 	const want = 4500
-	c, now := limitsCore([]ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	zone := "a"
-	c.AddJob(ledger.Job{
-		ID: "j-1", Team: "team", Class: "class", Shape: ledger.ShapeBatch, Priority: ledger.PrioNormal, Tasks: want,
+	c.AddJob(records.Job{
+		ID: "j-1", Team: "team", Class: "class", Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: want,
 		CPUs: 4, MemGB: 1, Image: "img", EstimateS: 3600, Zone: &zone, AcceptedMS: now.UnixMilli(),
 	}, 10, now, now)
 	rented := 0
-	for range 2 * want / rental.MostCount {
+	for range 2 * want / autoscaler.MostCount {
 		for _, r := range c.Wants(now) {
 			var hosts []string
 			for range r.Count {
@@ -143,9 +143,9 @@
 	}
 	now = now.Add(time.Hour) // none ever came up
 	returned := 0
-	for range 2 * want / rental.MostNames {
+	for range 2 * want / autoscaler.MostNames {
 		hosts := c.Returns(now)
-		if len(hosts) > rental.MostNames {
+		if len(hosts) > autoscaler.MostNames {
 			t.Fatalf("%d machines are given back at once", len(hosts))
 		}
 		c.Returned(hosts, now)
@@ -160,16 +160,16 @@
 func BenchmarkPlanOfFleet(b *testing.B) {
 	for _, cpus := range []float64{4, 1.5} { // machines that are full, and such as have room left
 		b.Run(fmt.Sprint(cpus, " CPUs a task"), func(b *testing.B) {
-			c, now := limitsCore([]ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+			c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 			for i := range 45 {
-				c.AddJob(ledger.Job{
-					ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: ledger.ShapeBatch, Priority: ledger.PrioNormal, Tasks: 400,
+				c.AddJob(records.Job{
+					ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: 400,
 					CPUs: cpus, MemGB: 1, Image: "img", EstimateS: 3600, AcceptedMS: now.UnixMilli(),
 				}, 10, now, now)
 			}
 			for b.Loop() {
 				c.Wants(now)
-				c.rent.inflight = map[string]rental.Request{}
+				c.rent.inflight = map[string]autoscaler.Request{}
 			}
 		})
 	}
--- a/internal/dispatch/marks.go
+++ b/internal/scheduler/marks.go
@@ -1,12 +1,12 @@
-package dispatch
+package scheduler
 
 import (
 	"math/bits"
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/frontier"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
+	"drumpick/internal/watermark"
 )
 
 // marks is what a term knows of the marks in the store (package frontier).
@@ -121,7 +121,7 @@
 	if !c.set.Marks {
 		return
 	}
-	if j.Shape == ledger.ShapeGroup {
+	if j.Shape == records.ShapeGroup {
 		t = j.Tasks - 1 // all of it is sent or none
 	}
 	if j.mark.Raise(t, j.Tasks) {
@@ -134,9 +134,9 @@
 // chain each step of which waits for the store.
 func (c *Core) foresee(j *Job) {
 	switch {
-	case len(j.Prereqs) > 0 || j.Tasks <= 2*frontier.Ahead:
+	case len(j.Prereqs) > 0 || j.Tasks <= 2*watermark.Ahead:
 		c.raise(j, j.Tasks-1)
-	case prioRank[j.Priority] <= prioRank[ledger.PrioUrgent]:
+	case prioRank[j.Priority] <= prioRank[records.PrioUrgent]:
 		c.raise(j, 0)
 	}
 }
@@ -190,7 +190,7 @@
 		if left <= 0 || j.waits || !c.startable(j, now) {
 			continue
 		}
-		if j.Shape == ledger.ShapeGroup {
+		if j.Shape == records.ShapeGroup {
 			c.raise(j, 0)
 			budget -= left
 			continue
--- a/internal/dispatch/order.go
+++ b/internal/scheduler/order.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"cmp"
@@ -7,12 +7,12 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
 	"drumpick/internal/packing"
+	"drumpick/internal/records"
 )
 
 var prioRank = map[string]int{
-	ledger.PrioCritical: 0, ledger.PrioUrgent: 1, ledger.PrioNormal: 2, ledger.PrioLow: 3,
+	records.PrioCritical: 0, records.PrioUrgent: 1, records.PrioNormal: 2, records.PrioLow: 3,
 }
 
 // queue returns the open jobs in the order in which they are served.
@@ -100,7 +100,7 @@
 		}
 	}
 	for _, j := range c.sorted {
-		j.rank = 2 * min(j.terms.Rank, prioRank[ledger.PrioNormal])
+		j.rank = 2 * min(j.terms.Rank, prioRank[records.PrioNormal])
 		age := now.Sub(j.base).Seconds()
 		last := j.targets[len(j.targets)-1]
 		next := last
--- a/internal/dispatch/owed.go
+++ b/internal/scheduler/owed.go
@@ -1,21 +1,21 @@
-package dispatch
+package scheduler
 
 import (
 	"time"
 
+	"drumpick/internal/fairshare"
 	"drumpick/internal/fleet"
-	"drumpick/internal/guarantee"
-	"drumpick/internal/ledger"
-	"drumpick/internal/usage"
+	"drumpick/internal/quota"
+	"drumpick/internal/records"
 )
 
 // guarantees marks the jobs that fit, together with their team's earlier unfinished ones,
 // into what their team is guaranteed, and those of them that can still begin in time.
 func (c *Core) guarantees(now time.Time) {
-	account := guarantee.NewAccount(c.set.Teams, c.set.Guarantees)
+	account := fairshare.NewAccount(c.set.Teams, c.set.Guarantees)
 	for _, j := range c.sorted {
 		j.guaranteed, j.holds = account.Take(j.Team, j.Tasks-j.nDone, j.req)
-		j.inTime = j.guaranteed && c.set.Guarantees && guarantee.InTime(c.set.Promise, now.Sub(j.base), c.set.Report, c.fetch(j))
+		j.inTime = j.guaranteed && c.set.Guarantees && fairshare.InTime(c.set.Promise, now.Sub(j.base), c.set.Report, c.fetch(j))
 		if !j.began.known {
 			j.began.known, j.began.entitled = true, j.guaranteed
 		}
@@ -30,13 +30,13 @@
 // stopped for it. Guards against tasks that are stopped again and again for gangs which are
 // late all the same: on crowded days that was more than a third of the starts of their class.
 func (c *Core) gains(j *Job, now time.Time) bool {
-	return !c.set.Guarantees || c.set.Promise == 0 || guarantee.InTime(c.set.Promise, now.Sub(j.base), savingReports*c.set.Report, c.fetch(j))
+	return !c.set.Guarantees || c.set.Promise == 0 || fairshare.InTime(c.set.Promise, now.Sub(j.base), savingReports*c.set.Report, c.fetch(j))
 }
 
 // lacked notes that a job of a team with a guarantee found no room, and may use ordinary
 // machines alone. What its team's limit holds back lacks none.
-func (c *Core) lacked(j *Job, used usage.Amount, now time.Time) {
-	if !c.set.Guarantees || j.Spot || !guarantee.Any(j.team) || j.limited && !c.withinLimit(j, used) {
+func (c *Core) lacked(j *Job, used quota.Amount, now time.Time) {
+	if !c.set.Guarantees || j.Spot || !fairshare.Any(j.team) || j.limited && !c.withinLimit(j, used) {
 		return
 	}
 	for _, name := range c.names {
@@ -55,7 +55,7 @@
 // lately, though cheap ones would do: cheap machines are rented for as many, so that those
 // who come next leave the ordinary ones alone.
 func (c *Core) displaced(j *Job, now time.Time) int {
-	if !c.set.Guarantees || !j.Spot || j.Shape != ledger.ShapeBatch {
+	if !c.set.Guarantees || !j.Spot || j.Shape != records.ShapeBatch {
 		return 0
 	}
 	n := 0
--- a/internal/dispatch/place.go
+++ b/internal/scheduler/place.go
@@ -1,16 +1,16 @@
-package dispatch
+package scheduler
 
 import (
 	"log/slog"
 	"slices"
 	"time"
 
+	"drumpick/internal/fairshare"
 	"drumpick/internal/fleet"
-	"drumpick/internal/guarantee"
-	"drumpick/internal/ledger"
-	"drumpick/internal/means"
+	"drumpick/internal/overload"
 	"drumpick/internal/packing"
-	"drumpick/internal/usage"
+	"drumpick/internal/quota"
+	"drumpick/internal/records"
 )
 
 // startable says whether tasks of the job may be started at all now. After a
@@ -25,7 +25,7 @@
 	if c.settled {
 		return true
 	}
-	return (j.doubt == nil || j.Shape != ledger.ShapeGroup) && !j.limited && !j.OneZone && !j.Apart
+	return (j.doubt == nil || j.Shape != records.ShapeGroup) && !j.limited && !j.OneZone && !j.Apart
 }
 
 // open says whether a machine may be given new tasks.
@@ -93,7 +93,7 @@
 func (c *Core) place(now time.Time) {
 	c.dirty = false
 	c.reopen(now)
-	p := &placing{c: c, now: now, used: map[string]usage.Amount{}, failed: make([]*Job, len(c.alike)+1)}
+	p := &placing{c: c, now: now, used: map[string]quota.Amount{}, failed: make([]*Job, len(c.alike)+1)}
 	c.queue(now)
 	c.keeper = c.lastKeeper()
 	c.reviewClaims(now)
@@ -118,7 +118,7 @@
 type placing struct {
 	c      *Core
 	now    time.Time
-	used   map[string]usage.Amount // by teams with a limit, what is planned here included
+	used   map[string]quota.Amount // by teams with a limit, what is planned here included
 	failed []*Job                  // by likeness, the first that found no room
 }
 
@@ -143,7 +143,7 @@
 		p.used[j.Team] = c.usage.Committed(j.Team)
 	}
 	var ok bool
-	if j.Shape == ledger.ShapeGroup {
+	if j.Shape == records.ShapeGroup {
 		mine := c.lift(j)
 		if ok = c.placeGang(j, p.used, p.now); !ok {
 			c.lay(j, mine)
@@ -161,14 +161,14 @@
 	}
 	// What ordinary machines lacked is noted by the first that finds no room, so that has to be one
 	// whose team has a guarantee.
-	if j.Spot || !j.limited || guarantee.Any(j.team) {
+	if j.Spot || !j.limited || fairshare.Any(j.team) {
 		p.failed[t.likeness()] = j
 	}
 }
 
 // placeTasks places as many tasks of a job as possible, only on machines with a
 // mark unless it is "". It returns false when some had no room.
-func (c *Core) placeTasks(j *Job, only string, used map[string]usage.Amount, zones map[string]int, now time.Time) bool {
+func (c *Core) placeTasks(j *Job, only string, used map[string]quota.Amount, zones map[string]int, now time.Time) bool {
 	limited := j.limited
 	for {
 		t := j.peek()
@@ -212,7 +212,7 @@
 
 // placeGang places a whole gang or nothing of it. Tasks that replace members
 // which never arrived take the gang's attempt number.
-func (c *Core) placeGang(j *Job, used map[string]usage.Amount, now time.Time) bool {
+func (c *Core) placeGang(j *Job, used map[string]quota.Amount, now time.Time) bool {
 	if j.gangTry == 0 && len(j.held)+len(j.strays) > 0 {
 		return false
 	}
@@ -384,7 +384,7 @@
 // tasks started under a round ago, each once. Gangs never move, and replicas move only
 // in rounds, one at a time.
 func (c *Core) movable(j *Job, a *fleet.Attempt, now time.Time) bool {
-	if j == nil || a.Stopping() || a.Stray || j.Shape != ledger.ShapeBatch {
+	if j == nil || a.Stopping() || a.Stray || j.Shape != records.ShapeBatch {
 		return false
 	}
 	if _, before := j.moved[a.Task.N]; before && a.State() != fleet.Planned {
@@ -467,7 +467,7 @@
 
 // Choose plans what a machine that is being answered is to start.
 func (c *Core) Choose(m *fleet.Machine, now time.Time) {
-	if c.dirty && c.means.Level() == means.Easy {
+	if c.dirty && c.means.Level() == overload.Easy {
 		c.place(now)
 	}
 	if m.Recorded {
--- a/internal/dispatch/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"log/slog"
@@ -7,9 +7,9 @@
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
 	"drumpick/internal/packing"
-	"drumpick/internal/usage"
+	"drumpick/internal/quota"
+	"drumpick/internal/records"
 )
 
 // vacancy is a machine as a job that looks for room sees it: what it would have left
@@ -43,7 +43,7 @@
 type search struct {
 	c        *Core
 	now      time.Time
-	excess   map[string]usage.Amount // what teams run beyond their guarantees
+	excess   map[string]quota.Amount // what teams run beyond their guarantees
 	versions map[*fleet.Machine]int  // how often a machine was changed by this look
 	seen     map[likes][]*vacancy
 }
@@ -72,16 +72,16 @@
 	if len(claimants) == 0 {
 		return
 	}
-	s := &search{c: c, now: now, excess: map[string]usage.Amount{}, versions: map[*fleet.Machine]int{}, seen: map[likes][]*vacancy{}}
+	s := &search{c: c, now: now, excess: map[string]quota.Amount{}, versions: map[*fleet.Machine]int{}, seen: map[likes][]*vacancy{}}
 	if owing {
 		for name, t := range c.set.Teams {
-			s.excess[name] = c.usage.Staying(name).Sub(usage.Amount{CPUs: t.CPUs, GPUs: t.GPUs})
+			s.excess[name] = c.usage.Staying(name).Sub(quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs})
 		}
 	}
 	ending := c.freed.lately(now, c.set.Report)
 	for _, j := range claimants {
 		n := c.lacks(j, now)
-		if j.Shape == ledger.ShapeGroup {
+		if j.Shape == records.ShapeGroup {
 			if n > 0 {
 				s.gang(j, n)
 			}
@@ -147,14 +147,14 @@
 	s.weigh(j, v, s.excess)
 	// Room that is free now and nobody's own is for placing; only a gang, whose places
 	// are not all free at once, makes that its own as well.
-	if v.ok && j.Shape != ledger.ShapeGroup && v.m.Bin.Fits(j.req) {
+	if v.ok && j.Shape != records.ShapeGroup && v.m.Bin.Fits(j.req) {
 		v.ok = false
 	}
 }
 
 // gather chooses places for up to n tasks where least work is lost, and says how many
 // it did not find.
-func (s *search) gather(j *Job, n int, list []*vacancy, zones map[string]int, excess map[string]usage.Amount) ([]taken, int) {
+func (s *search) gather(j *Job, n int, list []*vacancy, zones map[string]int, excess map[string]quota.Amount) ([]taken, int) {
 	var chosen []taken
 	for n > 0 {
 		var best *vacancy
@@ -196,7 +196,7 @@
 }
 
 // carryOut stops whom it takes and makes the room the job's own.
-func (s *search) carryOut(j *Job, chosen []taken, excess map[string]usage.Amount) {
+func (s *search) carryOut(j *Job, chosen []taken, excess map[string]quota.Amount) {
 	for _, x := range chosen {
 		for _, a := range x.stop {
 			why, save, aj := whyGuarantee, 0.0, s.c.jobOf(a)
@@ -224,7 +224,7 @@
 
 // weigh finds what must be stopped on a machine to make room for one more task of a
 // job with the least loss of work. Nobody is stopped twice for the same job.
-func (s *search) weigh(j *Job, v *vacancy, excess map[string]usage.Amount) {
+func (s *search) weigh(j *Job, v *vacancy, excess map[string]quota.Amount) {
 	v.next, v.loss, v.ok = nil, 0, true
 	free, over := v.free, excess
 	for !free.Fits(j.req) {
@@ -255,12 +255,12 @@
 
 // stoppable says whether an attempt may be stopped for the sake of a job: it has lower
 // priority, or its team runs more than it is guaranteed and the job's is owed that.
-func (s *search) stoppable(j *Job, a *fleet.Attempt, excess map[string]usage.Amount) bool {
+func (s *search) stoppable(j *Job, a *fleet.Attempt, excess map[string]quota.Amount) bool {
 	if a.Stopping() || !a.Present() || a.State() == fleet.Sent || a.Item == nil {
 		return false
 	}
 	aj := s.c.jobOf(a)
-	if aj == nil || aj.Shape != ledger.ShapeBatch || aj.holds {
+	if aj == nil || aj.Shape != records.ShapeBatch || aj.holds {
 		return false
 	}
 	if _, before := j.stopped[a.Task]; before {
--- a/internal/dispatch/progress.go
+++ b/internal/scheduler/progress.go
@@ -1,10 +1,10 @@
-package dispatch
+package scheduler
 
 import (
 	"encoding/json"
 	"slices"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // progress keeps the finished tasks of open jobs on record. A record holds a part of
@@ -13,7 +13,7 @@
 // chunk's own id, as earlier versions write it, holds all of the chunk, and is never
 // written over with less.
 type progress struct {
-	shelf *ledger.Shelf
+	shelf *records.Shelf
 	set   Settings
 	jobs  map[string]*kept
 	parts map[string]part // by record
@@ -54,7 +54,7 @@
 	return chunk, from, min(from+s.PartTasks, s.ChunkTasks, tasks-chunk*s.ChunkTasks)
 }
 
-func newProgress(set Settings, shelf *ledger.Shelf) *progress {
+func newProgress(set Settings, shelf *records.Shelf) *progress {
 	return &progress{shelf: shelf, set: set, jobs: map[string]*kept{}, parts: map[string]part{}}
 }
 
@@ -80,7 +80,7 @@
 	k := p.of(j.ID)
 	k.taken[id] = true
 	first, last := -1, -1
-	if err := ledger.ParseRanges(ranges, func(i int) {
+	if err := records.ParseRanges(ranges, func(i int) {
 		if n := chunk*p.set.ChunkTasks + i; n < j.Tasks {
 			if first < 0 {
 				first = c.part(n)
@@ -90,7 +90,7 @@
 	}); err != nil {
 		return err
 	}
-	if first >= 0 && first == last && k.ids[first] == "" && p.shelf.Has(id) && p.suits(ledger.Zeros(id), first) {
+	if first >= 0 && first == last && k.ids[first] == "" && p.shelf.Has(id) && p.suits(records.Zeros(id), first) {
 		k.ids[first], p.parts[id] = id, part{j.ID, first}
 		return nil
 	}
@@ -109,11 +109,11 @@
 		for n := range j.dirty {
 			delete(j.dirty, n)
 			chunk, from, to := p.set.span(n, j.Tasks)
-			raw, err := json.Marshal(ledger.Ranges(func(i int) bool {
+			raw, err := json.Marshal(records.Ranges(func(i int) bool {
 				return i >= from && has(j.done, chunk*p.set.ChunkTasks+i)
 			}, to))
 			if err == nil {
-				p.put(j.ID, n, raw, min(ledger.ChunkBytes(to-from, p.set.ChunkTasks), 2*len(raw)+growth))
+				p.put(j.ID, n, raw, min(records.ChunkBytes(to-from, p.set.ChunkTasks), 2*len(raw)+growth))
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 			if per > 1 {
 				zeros = 1 + n%per
 			}
-			for id = ledger.PartID(job, chunk, zeros); k.taken[id]; id = ledger.PartID(job, chunk, zeros) {
+			for id = records.PartID(job, chunk, zeros); k.taken[id]; id = records.PartID(job, chunk, zeros) {
 				zeros += per
 			}
 			k.ids[n], k.taken[id], p.parts[id] = id, true, part{job, n}
--- a/internal/dispatch/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // store is what values a term may have left at any moment.
@@ -18,9 +18,9 @@
 
 func (s store) keys() []string { return slices.Sorted(maps.Keys(s)) }
 
-func (s store) bytes(key string) int { return ledger.Size(s[key]) }
+func (s store) bytes(key string) int { return records.Size(s[key]) }
 
-func (s store) apply(op ledger.Op) {
+func (s store) apply(op records.Op) {
 	if op.Delete != "" {
 		delete(s, op.Delete)
 		return
@@ -33,7 +33,7 @@
 	done := map[string]map[int]bool{}
 	for _, m := range s {
 		for id, v := range m {
-			job, chunk, ok := ledger.ParseChunkID(id)
+			job, chunk, ok := records.ParseChunkID(id)
 			var text string
 			if err := json.Unmarshal(v, &text); err != nil || !ok {
 				t.Fatalf("record %s is unreadable: %s", id, v)
@@ -41,7 +41,7 @@
 			if done[job] == nil {
 				done[job] = map[int]bool{}
 			}
-			if err := ledger.ParseRanges(text, func(i int) { done[job][chunk*chunkTasks+i] = true }); err != nil {
+			if err := records.ParseRanges(text, func(i int) { done[job][chunk*chunkTasks+i] = true }); err != nil {
 				t.Fatalf("record %s: %v", id, err)
 			}
 		}
@@ -86,11 +86,11 @@
 	e.memory[job][n] = true
 	c := n / e.chunk
 	size := min(e.chunk, tasks-c*e.chunk)
-	raw, _ := json.Marshal(ledger.Ranges(func(i int) bool { return e.memory[job][c*e.chunk+i] }, size))
-	id := ledger.PartID(job, c, 0)
+	raw, _ := json.Marshal(records.Ranges(func(i int) bool { return e.memory[job][c*e.chunk+i] }, size))
+	id := records.PartID(job, c, 0)
 	key := e.where[id]
 	if key == "" {
-		need := ledger.ChunkBytes(size, e.chunk) + len(id) + 4
+		need := records.ChunkBytes(size, e.chunk) + len(id) + 4
 		for _, k := range e.s.keys() {
 			if e.size[k]+need <= e.limit {
 				key = k
@@ -128,7 +128,7 @@
 		valueKB := []float64{4, 8, 16}[r.IntN(3)]
 		set := settings(valueKB, []float64{1, 2}[r.IntN(2)])
 		nextKB := 1.0
-		if ledger.PartTasks(set.ChunkTasks, 2) == set.PartTasks {
+		if records.PartTasks(set.ChunkTasks, 2) == set.PartTasks {
 			nextKB = 2
 		}
 		tasks := map[string]int{"j-1": 9000, "j-2": 700, "j-3": 40, "j-4": 5000}
@@ -165,14 +165,14 @@
 			now := time.Unix(1000, 0)
 			c := NewCore(set, uint64(term), now)
 			for _, id := range jobs {
-				c.AddJob(ledger.Job{ID: id, Tasks: tasks[id], Shape: ledger.ShapeBatch}, 1, now, now)
+				c.AddJob(records.Job{ID: id, Tasks: tasks[id], Shape: records.ShapeBatch}, 1, now, now)
 			}
 			n := 0
-			p := newProgress(set, ledger.NewShelf("done/", nextKB, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }))
+			p := newProgress(set, records.NewShelf("done/", nextKB, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }))
 			for _, key := range s.keys() {
 				p.shelf.Load(key, s[key], s.bytes(key))
 				for id, v := range s[key] {
-					job, chunk, _ := ledger.ParseChunkID(id)
+					job, chunk, _ := records.ParseChunkID(id)
 					var text string
 					_ = json.Unmarshal(v, &text)
 					if err := p.load(c, id, c.jobs[job], chunk, text); err != nil {
@@ -192,7 +192,7 @@
 					op, _, ids := p.shelf.Take(b)
 					if op.Write != "" {
 						written[op.Write] = true
-						if size := ledger.Size(op.Value); float64(size) > nextKB*1024 {
+						if size := records.Size(op.Value); float64(size) > nextKB*1024 {
 							t.Fatalf("seed %d: %s takes %d bytes", seed, op.Write, size)
 						}
 					} else if !written[op.Delete] {
@@ -236,8 +236,8 @@
 	}
 	now := time.Unix(1000, 0)
 	c := NewCore(set, 3, now)
-	c.AddJob(ledger.Job{ID: "j-1", Tasks: 5000, Shape: ledger.ShapeBatch}, 1, now, now)
-	p := newProgress(set, ledger.NewShelf("done/", 8, func() string { return "3-1" }))
+	c.AddJob(records.Job{ID: "j-1", Tasks: 5000, Shape: records.ShapeBatch}, 1, now, now)
+	p := newProgress(set, records.NewShelf("done/", 8, func() string { return "3-1" }))
 	for _, n := range []int{0, 1, 2, 7, 2048, 4999} {
 		c.markDone(c.jobs["j-1"], n)
 	}
--- a/internal/dispatch/quota.go
+++ b/internal/scheduler/quota.go
@@ -1,9 +1,9 @@
-package dispatch
+package scheduler
 
 import (
 	"drumpick/internal/config"
 	"drumpick/internal/fleet"
-	"drumpick/internal/usage"
+	"drumpick/internal/quota"
 )
 
 // quotaSlack forgives the rounding of decimal amounts where a quota is compared.
@@ -15,7 +15,7 @@
 }
 
 // quota is what one task of the job counts for.
-func (j *Job) quota() usage.Amount { return usage.Amount{CPUs: j.req.CPU, GPUs: j.req.GPU} }
+func (j *Job) quota() quota.Amount { return quota.Amount{CPUs: j.req.CPU, GPUs: j.req.GPU} }
 
 // charge brings the account up to date with an attempt. The fleet's table calls it for every
 // change of the attempt; a change of its job (it comes, or is over) is the other reason.
@@ -28,17 +28,17 @@
 // chargeOf is what an attempt counts for: all that may be on a machine, and apart from that
 // what is planned. Where its job is over or not known it counts for every team, as what it
 // takes until it is proven gone.
-func (c *Core) chargeOf(a *fleet.Attempt) usage.Charge {
-	var charge usage.Charge
+func (c *Core) chargeOf(a *fleet.Attempt) quota.Charge {
+	var charge quota.Charge
 	switch {
 	case !a.Listed() || a.State() == fleet.Ended:
 		return charge
 	case a.State() == fleet.Planned:
-		charge.Phase = usage.Planned
+		charge.Phase = quota.Planned
 	case a.Stopping():
-		charge.Phase = usage.Stopping
+		charge.Phase = quota.Stopping
 	default:
-		charge.Phase = usage.Present
+		charge.Phase = quota.Present
 	}
 	if j := c.jobOf(a); j != nil {
 		charge.Team, charge.Size = j.Team, j.quota()
@@ -46,14 +46,14 @@
 	}
 	charge.Shared = true
 	if a.Item != nil {
-		charge.Size = usage.Amount{CPUs: a.Item.Req.CPU, GPUs: a.Item.Req.GPU}
+		charge.Size = quota.Amount{CPUs: a.Item.Req.CPU, GPUs: a.Item.Req.GPU}
 	}
 	return charge
 }
 
 // withinLimit says whether one more task of the job is within its team's limit, beside what is
 // used.
-func (c *Core) withinLimit(j *Job, used usage.Amount) bool {
+func (c *Core) withinLimit(j *Job, used quota.Amount) bool {
 	t := j.team
 	sum := used.Add(j.quota())
 	return (t.CPUsMax == 0 || sum.CPUs <= t.CPUsMax+quotaSlack) && (t.GPUsMax == 0 || sum.GPUs <= t.GPUsMax+quotaSlack)
--- a/internal/dispatch/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"fmt"
@@ -6,28 +6,28 @@
 	"testing"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/config"
 	"drumpick/internal/drain"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/rental"
-	"drumpick/internal/usage"
+	"drumpick/internal/quota"
+	"drumpick/internal/records"
 
 	"pgregory.net/rapid"
 )
 
 // scanUsage is the oracle of the account: a look at every attempt on every machine.
-func scanUsage(c *Core, team string) (inUse, committed, staying usage.Amount) {
+func scanUsage(c *Core, team string) (inUse, committed, staying quota.Amount) {
 	for _, m := range c.fleet.Sorted() {
 		for _, a := range m.Attempts() {
 			if a.State() == fleet.Ended {
 				continue
 			}
-			size, shared, mine := usage.Amount{}, true, false
+			size, shared, mine := quota.Amount{}, true, false
 			if j := c.jobOf(a); j != nil {
-				size, shared, mine = usage.Amount{CPUs: j.CPUs, GPUs: j.GPUs}, false, j.Team == team
+				size, shared, mine = quota.Amount{CPUs: j.CPUs, GPUs: j.GPUs}, false, j.Team == team
 			} else if a.Item != nil {
-				size = usage.Amount{CPUs: a.Item.Req.CPU, GPUs: a.Item.Req.GPU}
+				size = quota.Amount{CPUs: a.Item.Req.CPU, GPUs: a.Item.Req.GPU}
 			}
 			if !shared && !mine {
 				continue
@@ -46,7 +46,7 @@
 
 // checkUsage compares the account with the scan, for every team.
 func checkUsage(t *rapid.T, c *Core, after string) {
-	same := func(a, b usage.Amount) bool {
+	same := func(a, b quota.Amount) bool {
 		return math.Abs(a.CPUs-b.CPUs) < quotaSlack && math.Abs(a.GPUs-b.GPUs) < quotaSlack
 	}
 	for team := range c.set.Teams {
@@ -84,7 +84,7 @@
 	t      *rapid.T
 	teams  []config.Team
 	old    []fleet.Report // reports that came, of which copies may come again
-	came   []ledger.Job
+	came   []records.Job
 	drains int
 }
 
@@ -101,10 +101,10 @@
 func (s *usageStory) pickHost() *fakeMachine { return rapid.SampledFrom(s.hosts).Draw(s.t, "machine") }
 
 func (s *usageStory) submit() {
-	j := ledger.Job{
+	j := records.Job{
 		ID: fmt.Sprint("j-", len(s.came)), Team: rapid.SampledFrom(s.teams).Draw(s.t, "team").Name, Image: "img", MemGB: 1,
-		Shape:    rapid.SampledFrom([]string{ledger.ShapeBatch, ledger.ShapeBatch, ledger.ShapeGroup, ledger.ShapeService}).Draw(s.t, "shape"),
-		Priority: rapid.SampledFrom([]string{ledger.PrioCritical, ledger.PrioUrgent, ledger.PrioNormal, ledger.PrioLow}).Draw(s.t, "priority"),
+		Shape:    rapid.SampledFrom([]string{records.ShapeBatch, records.ShapeBatch, records.ShapeGroup, records.ShapeService}).Draw(s.t, "shape"),
+		Priority: rapid.SampledFrom([]string{records.PrioCritical, records.PrioUrgent, records.PrioNormal, records.PrioLow}).Draw(s.t, "priority"),
 		CPUs:     rapid.SampledFrom([]float64{0.1, 0.3, 1, 2, 4}).Draw(s.t, "cpus"), Tasks: rapid.IntRange(1, 6).Draw(s.t, "tasks"), EstimateS: 20, AcceptedMS: s.now.UnixMilli(),
 	}
 	if rapid.Bool().Draw(s.t, "saves") {
@@ -156,10 +156,10 @@
 func (s *usageStory) takeover() {
 	before := s.c
 	s.c = NewCore(before.set, before.term+1, s.now)
-	s.c.SetTypes([]ledger.MachineType{before.types["c4"]})
+	s.c.SetTypes([]records.MachineType{before.types["c4"]})
 	for _, m := range before.fleet.Sorted() {
 		if m.Recorded {
-			s.c.LoadHost(m.Host, ledger.Host{Addr: m.Addr, Type: m.Type, Zone: m.Zone}, s.now)
+			s.c.LoadHost(m.Host, records.Host{Addr: m.Addr, Type: m.Type, Zone: m.Zone}, s.now)
 		}
 	}
 	for _, j := range s.came {
@@ -204,7 +204,7 @@
 		h.report.Session, h.attempts = h.report.Session+1, nil
 	case "cancellation":
 		if id := s.anyJob(); id != "" {
-			s.c.Over(id, ledger.Over{Status: ledger.StatusCancelled}, 20)
+			s.c.Over(id, records.Over{Status: records.StatusCancelled}, 20)
 		}
 	case "end":
 		if id := s.anyJob(); id != "" {
@@ -217,7 +217,7 @@
 		s.c.Returned([]string{s.pickHost().report.Host}, s.now)
 	case "failure":
 		h := s.pickHost().report
-		s.c.Listed([]rental.Listed{{Host: h.Host, Addr: h.Addr, Type: "c4", Zone: h.Zone, Status: "failed"}}, s.now, s.now)
+		s.c.Listed([]autoscaler.Listed{{Host: h.Host, Addr: h.Addr, Type: "c4", Zone: h.Zone, Status: "failed"}}, s.now, s.now)
 	case "takeover":
 		if rapid.IntRange(0, 3).Draw(s.t, "yes") == 0 {
 			s.takeover()
--- a/internal/dispatch/records.go
+++ b/internal/scheduler/records.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"encoding/json"
@@ -7,14 +7,14 @@
 	"log/slog"
 	"time"
 
-	"drumpick/internal/frontier"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
+	"drumpick/internal/watermark"
 )
 
 // Write is one change for the store, with what it means once it is in.
 type Write struct {
-	Ops   []ledger.Op
-	When  []ledger.Cond
+	Ops   []records.Op
+	When  []records.Cond
 	Apply func(stamp uint64) // at the revision at which it was stored
 	Key   string             // of the condition that is its own
 	Lost  func()             // that condition did not hold
@@ -34,9 +34,9 @@
 // holds the lock of the Core in every call.
 type Records struct {
 	core       *Core
-	hosts      *ledger.Shelf
+	hosts      *records.Shelf
 	done       *progress
-	sent       *ledger.Shelf
+	sent       *records.Shelf
 	mostOps    int       // changes in one commit
 	valueBytes int       // of a value at the most
 	flushed    time.Time // when finished tasks were last gathered
@@ -51,23 +51,23 @@
 // NewRecords returns those of a term that has read nothing yet, for a store that takes
 // values of a size, in KiB, and so many changes in one commit.
 func NewRecords(c *Core, valueKB float64, mostOps int) *Records {
-	shelf := func(prefix string) *ledger.Shelf {
+	shelf := func(prefix string) *records.Shelf {
 		n := 0
-		return ledger.NewShelf(prefix, valueKB, func() string {
+		return records.NewShelf(prefix, valueKB, func() string {
 			n++
 			return fmt.Sprintf("%d-%d", c.term, n)
 		})
 	}
 	return &Records{
-		core: c, hosts: shelf(ledger.PrefixHosts), done: newProgress(c.set, shelf(ledger.PrefixDone)), sent: shelf(ledger.PrefixSent),
+		core: c, hosts: shelf(records.PrefixHosts), done: newProgress(c.set, shelf(records.PrefixDone)), sent: shelf(records.PrefixSent),
 		mostOps: mostOps, valueBytes: int(valueKB * 1024), marks: map[string]int{},
 	}
 }
 
 // LoadDone takes in a value of finished tasks of jobs that are known.
-func (r *Records) LoadDone(row ledger.Row) {
-	load(ledger.PrefixDone, r.done.shelf, row, func(id string, v json.RawMessage) error {
-		job, chunk, ok := ledger.ParseChunkID(id)
+func (r *Records) LoadDone(row records.Row) {
+	load(records.PrefixDone, r.done.shelf, row, func(id string, v json.RawMessage) error {
+		job, chunk, ok := records.ParseChunkID(id)
 		var ranges string
 		if !ok || json.Unmarshal(v, &ranges) != nil {
 			return errors.New("unreadable")
@@ -82,9 +82,9 @@
 }
 
 // LoadHost takes in a value of machines that an earlier term may have used.
-func (r *Records) LoadHost(row ledger.Row, now time.Time) {
-	load(ledger.PrefixHosts, r.hosts, row, func(host string, v json.RawMessage) error {
-		var h ledger.Host
+func (r *Records) LoadHost(row records.Row, now time.Time) {
+	load(records.PrefixHosts, r.hosts, row, func(host string, v json.RawMessage) error {
+		var h records.Host
 		err := json.Unmarshal(v, &h)
 		// Whatever is unreadable about it, the machine may hold tasks.
 		r.core.LoadHost(host, h, now)
@@ -93,9 +93,9 @@
 }
 
 // LoadMark takes in a value of marks. One that cannot be read may stand for any task.
-func (r *Records) LoadMark(row ledger.Row) {
-	readable := load(ledger.PrefixSent, r.sent, row, func(id string, v json.RawMessage) error {
-		n, err := ledger.ParseMark(v)
+func (r *Records) LoadMark(row records.Row) {
+	readable := load(records.PrefixSent, r.sent, row, func(id string, v json.RawMessage) error {
+		n, err := records.ParseMark(v)
 		if err != nil {
 			r.unmarked = true
 			return err
@@ -110,7 +110,7 @@
 // Loaded ends the reading. Whole says that earlier leaders kept to the marks.
 func (r *Records) Loaded(whole bool) {
 	for id := range r.done.shelf.IDs() {
-		if job, _, _ := ledger.ParseChunkID(id); r.core.jobs[job] == nil {
+		if job, _, _ := records.ParseChunkID(id); r.core.jobs[job] == nil {
 			r.done.shelf.Remove(id)
 		}
 	}
@@ -126,8 +126,8 @@
 }
 
 // load takes in a value of a shelf, and says whether it is readable as a whole.
-func load(prefix string, s *ledger.Shelf, row ledger.Row, each func(id string, v json.RawMessage) error) bool {
-	entries, err := ledger.Entries(prefix, row)
+func load(prefix string, s *records.Shelf, row records.Row, each func(id string, v json.RawMessage) error) bool {
+	entries, err := records.Entries(prefix, row)
 	if err != nil {
 		slog.Error("unreadable record", "key", row.Key, "err", err)
 		return false
@@ -152,7 +152,7 @@
 // tasks and machines that are gone. What does not fit waits for the next commit,
 // and what became more urgent meanwhile goes before it. due makes the
 // record that marks are whole, if it is time for one.
-func (r *Records) Writes(now time.Time, due func(now time.Time) *frontier.Record) []Write {
+func (r *Records) Writes(now time.Time, due func(now time.Time) *watermark.Record) []Write {
 	c := r.core
 	var ws []Write
 	ops, bytes := 0, 0
@@ -174,7 +174,7 @@
 			return ws
 		}
 		slog.Info("job cancelled with one before it", "job", id, "term", c.term)
-		ws = append(ws, c.finish(j, ledger.Over{Status: ledger.StatusCancelled}))
+		ws = append(ws, c.finish(j, records.Over{Status: records.StatusCancelled}))
 	}
 	for j := range c.complete {
 		if j.finishing {
@@ -183,13 +183,13 @@
 		if !fits(2, 2*perOp) {
 			return ws
 		}
-		ws = append(ws, c.finish(j, ledger.Over{Status: ledger.StatusDone, AtMS: now.UnixMilli()}))
+		ws = append(ws, c.finish(j, records.Over{Status: records.StatusDone, AtMS: now.UnixMilli()}))
 	}
 	if wholeRecord := due(now); wholeRecord != nil {
-		if !fits(1, ledger.Size(wholeRecord)) {
+		if !fits(1, records.Size(wholeRecord)) {
 			return ws
 		}
-		ws = append(ws, Write{Ops: []ledger.Op{{Write: ledger.KeyWhole, Value: wholeRecord}}, Apply: func(uint64) {}})
+		ws = append(ws, Write{Ops: []records.Op{{Write: records.KeyWhole, Value: wholeRecord}}, Apply: func(uint64) {}})
 	}
 	if !r.takeMarks(&ws, fits, now) {
 		return ws
@@ -199,7 +199,7 @@
 			continue
 		}
 		m.Recording = true
-		h := ledger.Host{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: m.Session}
+		h := records.Host{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Session: m.Session}
 		raw, err := json.Marshal(h)
 		if err != nil {
 			slog.Error("unwritable record", "machine", m.Host, "err", err)
@@ -267,7 +267,7 @@
 // takeShelf gathers the values of a shelf that have changed, and says whether all fit.
 // taken is told the records of each, and returns what is to be done once they are stored,
 // and with those that need another place when the value was refused as too large.
-func (r *Records) takeShelf(s *ledger.Shelf, ws *[]Write, fits func(ops, bytes int) bool,
+func (r *Records) takeShelf(s *records.Shelf, ws *[]Write, fits func(ops, bytes int) bool,
 	taken func(ids []string, entries map[string]json.RawMessage) (stored func(uint64), refused func(ids []string))) bool {
 	for _, b := range s.Changed() {
 		if !fits(1, r.valueBytes) {
@@ -276,7 +276,7 @@
 		op, _, ids := s.Take(b)
 		entries, _ := op.Value.(map[string]json.RawMessage)
 		stored, refused := taken(ids, entries)
-		*ws = append(*ws, Write{Ops: []ledger.Op{op}, Key: b.Key, Own: &b.Stamp, Late: b.Late, Apply: stored, Refused: func() { refused(s.Refused(b)) }})
+		*ws = append(*ws, Write{Ops: []records.Op{op}, Key: b.Key, Own: &b.Stamp, Late: b.Late, Apply: stored, Refused: func() { refused(s.Refused(b)) }})
 	}
 	return true
 }
@@ -295,7 +295,7 @@
 	for j := range c.marks.raised {
 		delete(c.marks.raised, j)
 		if !j.over {
-			v := ledger.Mark(j.mark.Want)
+			v := records.Mark(j.mark.Want)
 			r.sent.Put(j.ID, v, len(v))
 		}
 	}
@@ -303,7 +303,7 @@
 		stored := func(uint64) {
 			for _, id := range ids {
 				r.sent.Thaw(id)
-				if n, err := ledger.ParseMark(entries[id]); err == nil && c.jobs[id] != nil {
+				if n, err := records.ParseMark(entries[id]); err == nil && c.jobs[id] != nil {
 					c.jobs[id].mark.Keep(n)
 				}
 			}
--- a/internal/dispatch/records_test.go
+++ b/internal/scheduler/records_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/frontier"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
+	"drumpick/internal/watermark"
 )
 
 func recorded(term uint64, valueKB float64) (*Core, *Records, time.Time) {
@@ -22,7 +22,7 @@
 	return c, NewRecords(c, valueKB, 16), now
 }
 
-func noOath(time.Time) *frontier.Record { return nil }
+func noOath(time.Time) *watermark.Record { return nil }
 
 // The limits fall while marks rise: a value of marks is refused as too large, and what is
 // stored in its place is what is asked for by then. Guards against a mark that is put back
@@ -33,7 +33,7 @@
 	c.CheckSettled(now)
 	const jobs = 200
 	for n := range jobs {
-		c.AddJob(ledger.Job{ID: fmt.Sprint("j-", n), Team: "team", Shape: ledger.ShapeBatch, Priority: ledger.PrioNormal, Tasks: 5000, CPUs: 1}, 10, now, now)
+		c.AddJob(records.Job{ID: fmt.Sprint("j-", n), Team: "team", Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: 5000, CPUs: 1}, 10, now, now)
 	}
 	even := func(id string) bool { return strings.Contains("02468", id[len(id)-1:]) }
 	for _, j := range c.jobs {
@@ -45,11 +45,11 @@
 		now = now.Add(time.Second)
 		for _, w := range r.Writes(now, noOath) {
 			key := w.Ops[0].Write
-			if !strings.HasPrefix(key, ledger.PrefixSent) {
+			if !strings.HasPrefix(key, records.PrefixSent) {
 				continue
 			}
 			entries := w.Ops[0].Value.(map[string]json.RawMessage)
-			if ledger.Size(entries) > 2<<10 {
+			if records.Size(entries) > 2<<10 {
 				for id, j := range c.jobs {
 					if even(id) {
 						c.raise(j, 3000) // while it was on its way
@@ -73,7 +73,7 @@
 		most := 0
 		for _, entries := range stored {
 			if v, ok := entries[id]; ok {
-				n, err := ledger.ParseMark(v)
+				n, err := records.ParseMark(v)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -92,9 +92,9 @@
 		`{"j-1":"000004"}`: true, `{"j-1":"-2"}`: false, `{"j-1":7}`: false, `"torn`: false, `[]`: false,
 	} {
 		c, r, now := recorded(30, 8)
-		c.AddJob(ledger.Job{ID: "j-1", Team: "team", Shape: ledger.ShapeBatch, Priority: ledger.PrioNormal, Tasks: 10, CPUs: 1}, 10, now, now)
-		c.LoadHost("m-1", ledger.Host{Addr: "m-1:1"}, now)
-		r.LoadMark(ledger.Row{Key: ledger.PrefixSent + "1-1", Value: json.RawMessage(value)})
+		c.AddJob(records.Job{ID: "j-1", Team: "team", Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: 10, CPUs: 1}, 10, now, now)
+		c.LoadHost("m-1", records.Host{Addr: "m-1:1"}, now)
+		r.LoadMark(records.Row{Key: records.PrefixSent + "1-1", Value: json.RawMessage(value)})
 		r.Loaded(true)
 		if n := c.jobs["j-1"].doubts(); (n < 10) != whole {
 			t.Errorf("marks %s: %d tasks of 10 are in doubt", value, n)
--- a/internal/dispatch/rentplan.go
+++ b/internal/scheduler/rentplan.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 	"sort"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/means"
+	"drumpick/internal/overload"
 	"drumpick/internal/packing"
-	"drumpick/internal/rental"
+	"drumpick/internal/records"
 )
 
 type offer struct {
@@ -22,7 +22,7 @@
 
 type rentState struct {
 	refused  map[offer]time.Time
-	inflight map[string]rental.Request
+	inflight map[string]autoscaler.Request
 	returned map[string]time.Time // given back: may still be listed for a while
 	listed   map[string]time.Time // until when it is known to have been listed, or up
 	ready    bool                 // a list has been read under this term
@@ -30,7 +30,7 @@
 
 func newRentState() rentState {
 	return rentState{
-		refused: map[offer]time.Time{}, inflight: map[string]rental.Request{},
+		refused: map[offer]time.Time{}, inflight: map[string]autoscaler.Request{},
 		returned: map[string]time.Time{}, listed: map[string]time.Time{},
 	}
 }
@@ -39,7 +39,7 @@
 // a plan leaves out the next one counts, a quarter of a report interval later, beside what was
 // asked for by then. It lies above the largest fleet that one leader was seen to carry, so that
 // a fleet for all that waits is planned in one look and no type or zone waits for another.
-const mostNew = 200 * rental.MostCount
+const mostNew = 200 * autoscaler.MostCount
 
 func (c *Core) startup(typ string) time.Duration {
 	return time.Duration(c.types[typ].StartupS * float64(time.Second))
@@ -70,8 +70,8 @@
 // Wants tells what to rent now: the new bins that the packing would open for
 // what waits, less what is booting, and no more than the work can keep busy
 // for about as long as a machine takes to start.
-func (c *Core) Wants(now time.Time) []rental.Request {
-	if !c.rent.ready || len(c.types) == 0 || c.means.Level() > means.Easy {
+func (c *Core) Wants(now time.Time) []autoscaler.Request {
+	if !c.rent.ready || len(c.types) == 0 || c.means.Level() > overload.Easy {
 		return nil
 	}
 	p := &plan{
@@ -121,7 +121,7 @@
 		return fmt.Sprint(offers[a]) < fmt.Sprint(offers[b])
 	})
 	running := c.runningWork(now)
-	var reqs []rental.Request
+	var reqs []autoscaler.Request
 	for _, o := range offers {
 		n := p.counts[o]
 		// Work that the machines at hand will soon have done needs no others.
@@ -140,7 +140,7 @@
 			continue
 		}
 		term, seq := c.Name()
-		r := rental.Request{Booking: fmt.Sprintf("r-%d-%d", term, seq), Type: o.typ, Zone: o.zone, Spot: o.spot, Count: min(n, rental.MostCount)}
+		r := autoscaler.Request{Booking: fmt.Sprintf("r-%d-%d", term, seq), Type: o.typ, Zone: o.zone, Spot: o.spot, Count: min(n, autoscaler.MostCount)}
 		c.rent.inflight[r.Booking] = r
 		reqs = append(reqs, r)
 	}
@@ -188,7 +188,7 @@
 	sum := map[string]float64{}
 	for _, m := range c.fleet.Sorted() {
 		for _, a := range m.Attempts() {
-			if j := c.jobOf(a); j != nil && a.Item != nil && j.Shape == ledger.ShapeBatch {
+			if j := c.jobOf(a); j != nil && a.Item != nil && j.Shape == records.ShapeBatch {
 				sum[m.Type] += c.remaining(j, a, now) * m.Bin.Cap.Share(a.Item.Req)
 			}
 		}
@@ -201,7 +201,7 @@
 func (c *Core) plan(p *plan, j *Job, n int, now time.Time) {
 	it := func() *packing.Item { return &packing.Item{ID: j.ID, Req: j.req} }
 	note := func(typ string, n int) {
-		if j.Shape == ledger.ShapeBatch {
+		if j.Shape == records.ShapeBatch {
 			p.busy[typ] += float64(n) * j.EstimateS * c.capacity(typ).Share(j.req)
 		} else {
 			p.busy[typ] = math.Inf(1) // gangs and replicas need all their places
@@ -310,7 +310,7 @@
 }
 
 // Rented takes in the machines that a request brought.
-func (c *Core) Rented(r rental.Request, hosts []string, now time.Time) {
+func (c *Core) Rented(r autoscaler.Request, hosts []string, now time.Time) {
 	delete(c.rent.inflight, r.Booking)
 	for _, h := range hosts {
 		if _, gone := c.rent.returned[h]; gone || h == "" {
@@ -330,7 +330,7 @@
 }
 
 // Refused notes that a request brought nothing.
-func (c *Core) Refused(r rental.Request, noCapacity bool, now time.Time) {
+func (c *Core) Refused(r autoscaler.Request, noCapacity bool, now time.Time) {
 	delete(c.rent.inflight, r.Booking)
 	if noCapacity {
 		c.refuse(r, now)
@@ -338,7 +338,7 @@
 	}
 }
 
-func (c *Core) refuse(r rental.Request, now time.Time) {
+func (c *Core) refuse(r autoscaler.Request, now time.Time) {
 	pause := time.Duration(float64(c.startup(r.Type)) * c.set.RefusedStartups)
 	c.rent.refused[offer{r.Type, r.Zone, r.Spot}] = now.Add(pause)
 }
@@ -378,11 +378,11 @@
 		c.manyUnheard = now
 	}
 	for _, m := range c.fleet.Sorted() {
-		if m.Returning && len(hosts) < rental.MostNames {
+		if m.Returning && len(hosts) < autoscaler.MostNames {
 			hosts = append(hosts, m.Host) // an earlier try had no answer
 			continue
 		}
-		if len(hosts) < rental.MostNames && c.giveBack(m, now) {
+		if len(hosts) < autoscaler.MostNames && c.giveBack(m, now) {
 			m.Returning = true
 			m.Bin.SetOpen(false)
 			hosts = append(hosts, m.Host)
@@ -473,7 +473,7 @@
 			hold = time.Duration(float64(hold) * t.SpotPrice / t.Price)
 		}
 	}
-	if !m.Rented.IsZero() && now.Sub(m.Rented) < rental.MinCharge {
+	if !m.Rented.IsZero() && now.Sub(m.Rented) < autoscaler.MinCharge {
 		return false // it is paid for
 	}
 	if m.Spot && c.scarceLately(m.Type, now) {
@@ -491,7 +491,7 @@
 }
 
 // Listed takes in the cloud's list, asked for at the time given.
-func (c *Core) Listed(list []rental.Listed, asked, now time.Time) {
+func (c *Core) Listed(list []autoscaler.Listed, asked, now time.Time) {
 	c.rent.ready = true
 	here := map[string]bool{}
 	for _, l := range list {
--- a/internal/dispatch/rounds.go
+++ b/internal/scheduler/rounds.go
@@ -1,13 +1,13 @@
-package dispatch
+package scheduler
 
 import (
 	"log/slog"
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/means"
+	"drumpick/internal/overload"
 	"drumpick/internal/packing"
+	"drumpick/internal/records"
 )
 
 // Tick does what time alone brings about.
@@ -36,13 +36,13 @@
 	if len(c.drains) > 0 && now.Sub(c.lastDrain) >= c.set.Report {
 		c.drain(now)
 	}
-	if now.Sub(c.lastRound) >= c.set.Round && c.means.Level() < means.Drowning {
+	if now.Sub(c.lastRound) >= c.set.Round && c.means.Level() < overload.Drowning {
 		c.round(now)
 	}
 	if c.dirty {
 		c.place(now)
 	}
-	if c.means.Level() == means.Easy {
+	if c.means.Level() == overload.Easy {
 		c.preempt(now)
 		c.keep(now)
 	}
@@ -72,10 +72,10 @@
 // putOff says whether a start waits until the leader keeps up again.
 func (c *Core) putOff(j *Job) bool {
 	switch c.means.Level() {
-	case means.Drowning:
+	case overload.Drowning:
 		return true
-	case means.Behind:
-		return prioRank[j.Priority] > prioRank[ledger.PrioUrgent] && !j.guaranteed
+	case overload.Behind:
+		return prioRank[j.Priority] > prioRank[records.PrioUrgent] && !j.guaranteed
 	}
 	return false
 }
@@ -126,7 +126,7 @@
 // at a time, and only while another one runs and there is a place for it.
 func (c *Core) moveReplicas(now time.Time) {
 	for _, j := range c.queue(now) {
-		if j.Shape != ledger.ShapeService {
+		if j.Shape != records.ShapeService {
 			continue
 		}
 		j.leaving = 0
--- a/internal/dispatch/served.go
+++ b/internal/scheduler/served.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/served"
+	"drumpick/internal/slo"
 
 	"github.com/VictoriaMetrics/metrics"
 )
@@ -30,7 +30,7 @@
 	for _, l := range c.served.Look(c.set.Within, now) {
 		for what, n := range map[string]int{"came": l.Came, "begun": l.Begun, "done": l.Done, "late": l.Late} {
 			// Guards against metrics without end: users make classes up, settings do not.
-			if l.By != served.Team && !c.aimed(l.Name) {
+			if l.By != slo.Team && !c.aimed(l.Name) {
 				break
 			}
 			metrics.GetOrCreateGauge(`drumpick_served_jobs{by="`+l.By+`",name="`+label(l.Name)+`",what="`+what+`"}`, nil).Set(float64(n))
--- a/internal/dispatch/trace_test.go
+++ b/internal/scheduler/trace_test.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"fmt"
@@ -8,19 +8,19 @@
 	"testing"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/config"
 	"drumpick/internal/drain"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/rental"
-	"drumpick/internal/trace"
+	"drumpick/internal/records"
+	"drumpick/internal/scenario"
 )
 
 // The stories of testdata are told to a Core of term 5 (unless "term" says
 // otherwise) with reports every 2 s, a lease of 12 s and zones a and b.
 func TestTraces(t *testing.T) {
-	trace.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
-		s := &story{t: t, start: time.Unix(1_000_000, 0), term: 5, ticks: map[string]uint64{}, out: map[string]rental.Request{}}
+	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
+		s := &story{t: t, start: time.Unix(1_000_000, 0), term: 5, ticks: map[string]uint64{}, out: map[string]autoscaler.Request{}}
 		s.now = s.start
 		return s.event
 	})
@@ -33,7 +33,7 @@
 	term  uint64
 	core  *Core
 	ticks map[string]uint64
-	out   map[string]rental.Request
+	out   map[string]autoscaler.Request
 	teams []config.Team
 	aims  []config.Objective
 	marks bool
@@ -41,7 +41,7 @@
 	owed  bool
 	begin float64
 	asked map[string]fleet.Question // the machines asked last
-	types []ledger.MachineType
+	types []records.MachineType
 }
 
 func (s *story) open() *Core {
@@ -56,7 +56,7 @@
 		cfg.Options.Marks, cfg.Options.DarkZones, cfg.Options.Guarantees = s.marks, s.dark, s.owed
 		cfg.Options.Largest, cfg.Options.BeginS = s.begin > 0, s.begin
 		s.core = NewCore(SettingsOf(cfg), s.term, s.now)
-		s.core.SetTypes(append(s.types, ledger.MachineType{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.2, Zones: []string{"a", "b"}}))
+		s.core.SetTypes(append(s.types, records.MachineType{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.2, Zones: []string{"a", "b"}}))
 	}
 	return s.core
 }
@@ -114,7 +114,7 @@
 		s.begin = s.num(rest[0], 0)
 		return nil
 	case "type":
-		s.types = append(s.types, ledger.MachineType{Name: rest[0], CPUs: s.num(a["cpus"], 4), GPUs: s.num(a["gpus"], 0), MemGB: 16, Price: s.num(a["price"], 1), SpotPrice: s.num(a["cheap"], 0),
+		s.types = append(s.types, records.MachineType{Name: rest[0], CPUs: s.num(a["cpus"], 4), GPUs: s.num(a["gpus"], 0), MemGB: 16, Price: s.num(a["price"], 1), SpotPrice: s.num(a["cheap"], 0),
 			StartupS: s.num(a["startup"], 20), CacheGB: 40, FetchGBps: s.num(a["rate"], 0.2), Zones: []string{"a", "b"}})
 		return nil
 	case "team":
@@ -127,7 +127,7 @@
 	c := s.open()
 	switch what {
 	case "job":
-		j := ledger.Job{
+		j := records.Job{
 			ID: rest[0], Team: or(a["team"], "team"), Shape: or(a["shape"], "batch"), Priority: or(a["prio"], "standard"),
 			Tasks: int(s.num(a["tasks"], 1)), CPUs: s.num(a["cpus"], 1), GPUs: s.num(a["gpus"], 0), MemGB: s.num(a["mem"], 1),
 			Class: a["class"], Image: or(a["image"], "img"), ImageGB: s.num(a["gb"], 0), EstimateS: s.num(a["guess"], 60), CheckpointS: s.num(a["saves"], 0), SaveS: s.num(a["flush"], 0),
@@ -154,7 +154,7 @@
 		}
 		return nil
 	case "machine-on-record":
-		c.LoadHost(rest[0], ledger.Host{Addr: rest[0] + ":1", Type: "c4", Zone: or(a["zone"], "a"), Spot: a["spot"] != ""}, s.now)
+		c.LoadHost(rest[0], records.Host{Addr: rest[0] + ":1", Type: "c4", Zone: or(a["zone"], "a"), Spot: a["spot"] != ""}, s.now)
 		return nil
 	case "marks-on-record":
 		stored := map[string]int{}
@@ -192,13 +192,13 @@
 		copy(j.stored, j.done)
 		return nil
 	case "cancelled":
-		c.Over(rest[0], ledger.Over{Status: ledger.StatusCancelled}, uint64(s.num(a["stamp"], 20)))
+		c.Over(rest[0], records.Over{Status: records.StatusCancelled}, uint64(s.num(a["stamp"], 20)))
 		return s.kicked()
 	case "over":
-		c.Over(rest[0], ledger.Over{Status: ledger.StatusDone, AtMS: s.now.UnixMilli()}, uint64(s.num(a["stamp"], 20)))
+		c.Over(rest[0], records.Over{Status: records.StatusDone, AtMS: s.now.UnixMilli()}, uint64(s.num(a["stamp"], 20)))
 		return s.kicked()
 	case "over-without-time":
-		c.Over(rest[0], ledger.Over{Status: ledger.StatusDone}, uint64(s.num(a["stamp"], 20)))
+		c.Over(rest[0], records.Over{Status: records.StatusDone}, uint64(s.num(a["stamp"], 20)))
 		return nil
 	case "on-its-way":
 		if at := c.LastSent(rest[0]); !at.IsZero() {
@@ -255,10 +255,10 @@
 		c.Refused(s.out[rest[0]], true, s.now)
 		return nil
 	case "listed":
-		var list []rental.Listed
+		var list []autoscaler.Listed
 		for _, h := range rest {
 			name, status, _ := strings.Cut(h, "=")
-			list = append(list, rental.Listed{Host: name, Addr: name + ":1", Type: "c4", Zone: "a", Status: status, AgeS: 30})
+			list = append(list, autoscaler.Listed{Host: name, Addr: name + ":1", Type: "c4", Zone: "a", Status: status, AgeS: 30})
 		}
 		c.Listed(list, s.now, s.now)
 		return nil
--- a/internal/dispatch/turns.go
+++ b/internal/scheduler/turns.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"math/bits"
@@ -6,7 +6,7 @@
 	"sort"
 	"time"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // turn is a job's place in the order of placing: on machines that have its image,
@@ -76,7 +76,7 @@
 	o := &placingOrder{groups: map[turnGroup]positions{}, mine: make(map[*Job][]int, len(jobs))}
 	for _, j := range jobs {
 		fetch := 2 * fetchTime(j)
-		if fetch > 0 && j.Shape != ledger.ShapeGroup {
+		if fetch > 0 && j.Shape != records.ShapeGroup {
 			o.turns = append(o.turns, turn{j, j.turn, true})
 		}
 		o.turns = append(o.turns, turn{j, j.turn.Add(fetch), false})
--- a/internal/dispatch/turns_test.go
+++ b/internal/scheduler/turns_test.go
@@ -1,11 +1,11 @@
-package dispatch
+package scheduler
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // A placing goes through the turns in order, and passes over those alike once one of them is hopeless, but for jobs
@@ -13,7 +13,7 @@
 // is woken.
 func TestPlacingTurns(t *testing.T) {
 	job := func(id string, twins int) *Job {
-		return &Job{Job: ledger.Job{ID: id, Tasks: 1}, alike: 1, twins: twins, turn: time.Unix(int64(id[0]), 0)}
+		return &Job{Job: records.Job{ID: id, Tasks: 1}, alike: 1, twins: twins, turn: time.Unix(int64(id[0]), 0)}
 	}
 	a, b, c, d, e := job("a", 2), job("b", 2), job("c", 3), job("d", 2), job("e", 2)
 	order := newPlacingOrder([]*Job{a, b, c, d, e}, func(*Job) time.Duration { return 0 })
--- a/internal/dispatch/view.go
+++ b/internal/scheduler/view.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"slices"
--- a/internal/dispatch/waits.go
+++ b/internal/scheduler/waits.go
@@ -1,11 +1,11 @@
-package dispatch
+package scheduler
 
 import (
 	"log/slog"
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 
 	"github.com/VictoriaMetrics/metrics"
 )
@@ -45,7 +45,7 @@
 func (j *Job) waitOf(a *fleet.Attempt, now time.Time) wait {
 	placed, sent, ready := j.began.placed, a.Since, a.ReadySince
 	w := wait{machine: a.Machine}
-	if j.Shape == ledger.ShapeGroup {
+	if j.Shape == records.ShapeGroup {
 		for _, x := range j.held {
 			if x.Since.After(sent) {
 				sent = x.Since
@@ -67,7 +67,7 @@
 // begun says whether a job of which a task was just seen to run has begun: a gang has when
 // all its tasks run.
 func (j *Job) begun() bool {
-	if j.Shape != ledger.ShapeGroup {
+	if j.Shape != records.ShapeGroup {
 		return true
 	}
 	for _, x := range j.held {
--- a/internal/standin/attempt.go
+++ b/internal/simulation/attempt.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // attempt is one start of a task on a machine.
 type attempt struct {
 	task     string
 	id       fleet.TaskID
-	job      ledger.Job
+	job      records.Job
 	try      uint64
 	status   string
 	cause    string
@@ -36,7 +36,7 @@
 		m.lastSent = now
 	}
 	for _, s := range m.tasks {
-		group := s.job.Shape == ledger.ShapeGroup
+		group := s.job.Shape == records.ShapeGroup
 		switch {
 		case s.status == "pulling" && !now.Before(s.until):
 			m.fetched(s)
@@ -62,7 +62,7 @@
 		m.over(s, fleet.CauseDone) // its result is kept
 		return
 	}
-	if s.job.Shape != ledger.ShapeGroup || m.w.GangWait == 0 {
+	if s.job.Shape != records.ShapeGroup || m.w.GangWait == 0 {
 		m.begin(s, now)
 		return
 	}
@@ -87,7 +87,7 @@
 	s.status, s.since, s.until = "running", now, time.Time{}
 	s.ran = now
 	s.progress = m.w.saved[s.safe()]
-	if s.job.Shape != ledger.ShapeService {
+	if s.job.Shape != records.ShapeService {
 		s.until = now.Add(max(m.w.RunFor(s.task)-s.progress, 0))
 	}
 }
@@ -99,13 +99,13 @@
 		return
 	}
 	all := []mate{{m, s}}
-	if s.job.Shape == ledger.ShapeGroup && m.w.GangWait > 0 {
+	if s.job.Shape == records.ShapeGroup && m.w.GangWait > 0 {
 		all = m.w.mates(s)
 	}
 	if m.w.finished[s.id.Job] == nil {
 		m.w.finished[s.id.Job] = map[string]bool{}
 	}
-	if s.job.Shape == ledger.ShapeGroup {
+	if s.job.Shape == records.ShapeGroup {
 		// When one task is done every one is, also where gangs go on whoever is missing.
 		for n := range s.job.Tasks {
 			m.w.finished[s.id.Job][fleet.TaskID{Job: s.id.Job, N: n}.String()] = true
@@ -147,7 +147,7 @@
 
 // safe names what a task's safe progress is kept under.
 func (s *attempt) safe() string {
-	if s.job.Shape == ledger.ShapeGroup {
+	if s.job.Shape == records.ShapeGroup {
 		return s.id.Job
 	}
 	return s.task
--- a/internal/standin/chain_test.go
+++ b/internal/simulation/chain_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -9,12 +9,12 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // chained makes a job that waits for others.
-func chained(id string, tasks int, needs ...string) ledger.Job {
-	return ledger.Job{ID: id, Tasks: tasks, EstimateS: 10, Prereqs: needs}
+func chained(id string, tasks int, needs ...string) records.Job {
+	return records.Job{ID: id, Tasks: tasks, EstimateS: 10, Prereqs: needs}
 }
 
 func (c *cluster) wantCancelled(i int, ids ...string) {
@@ -57,7 +57,7 @@
 	play(t, func(c *cluster) {
 		c.world.RunFor = func(string) time.Duration { return 10 * time.Second }
 		sleep(2)
-		for i, j := range []ledger.Job{
+		for i, j := range []records.Job{
 			chained("j-1", 4), chained("j-2", 6, "j-1"), chained("j-3", 2, "j-1"), chained("j-4", 2, "j-2", "j-3", "j-2"),
 		} {
 			if i == 2 {
@@ -84,7 +84,7 @@
 		if n := c.world.Starts(); n != 14 {
 			t.Errorf("%d starts for 14 tasks", n)
 		}
-		var o ledger.Over
+		var o records.Over
 		if err := json.Unmarshal([]byte(c.state.Value("jobs/over/j-4")), &o); err != nil || o.AtMS == 0 {
 			t.Errorf("when it was done is not on record: %+v, %v", o, err)
 		}
@@ -262,9 +262,9 @@
 // production is what the version in production had in the store in the middle of a day:
 // one large value of machines, finished tasks under a chunk's own id, final states
 // without a time.
-func production(t *testing.T) map[string]ledger.Row {
+func production(t *testing.T) map[string]records.Row {
 	raw, err := os.ReadFile("testdata/production-records.json")
-	rows := map[string]ledger.Row{}
+	rows := map[string]records.Row{}
 	if err == nil {
 		err = json.Unmarshal(raw, &rows)
 	}
@@ -294,7 +294,7 @@
 					hosts[id] = true
 					continue
 				}
-				job, chunk, ok := ledger.ParseChunkID(id)
+				job, chunk, ok := records.ParseChunkID(id)
 				var text string
 				if err := json.Unmarshal(v, &text); err != nil || !ok {
 					t.Fatalf("%s: %s is unreadable: %s", key, id, v)
@@ -302,7 +302,7 @@
 				if done[job] == nil {
 					done[job] = map[int]bool{}
 				}
-				if err := ledger.ParseRanges(text, func(i int) { done[job][chunk*chunkTasks+i] = true }); err != nil {
+				if err := records.ParseRanges(text, func(i int) { done[job][chunk*chunkTasks+i] = true }); err != nil {
 					t.Errorf("%s: %s: %v", key, id, err)
 				}
 			}
@@ -328,23 +328,23 @@
 		c.state.Fill(rows)
 		for k, r := range rows {
 			if id, ok := strings.CutPrefix(k, "jobs/open/"); ok {
-				var j ledger.Job
+				var j records.Job
 				if err := json.Unmarshal(r.Value, &j); err != nil || j.Prereqs != nil {
 					t.Fatalf("%s: %+v, %v", id, j, err)
 				}
 				c.jobs[id] = j
 			}
 		}
-		c.jobs["j-2"], c.jobs["j-4"] = ledger.Job{}, ledger.Job{}
+		c.jobs["j-2"], c.jobs["j-4"] = records.Job{}, records.Job{}
 		c.world.cancelled["j-4"] = time.Now()
 		c.world.finished["j-1"] = map[string]bool{}
-		done, _ := earlier(c.t, c.state, ledger.ChunkTasks(8))
+		done, _ := earlier(c.t, c.state, records.ChunkTasks(8))
 		for n := range done["j-1"] {
 			c.world.finished["j-1"][fmt.Sprint("j-1/", n)] = true
 		}
 	}, func(c *cluster) {
 		c.world.RunFor = func(string) time.Duration { return 4 * time.Second }
-		before, machines := earlier(t, c.state, ledger.ChunkTasks(8))
+		before, machines := earlier(t, c.state, records.ChunkTasks(8))
 		if len(before["j-1"]) < 1000 || len(machines) < 50 {
 			t.Fatalf("%d tasks, %d machines on record", len(before["j-1"]), len(machines))
 		}
@@ -359,7 +359,7 @@
 			t.Errorf("behind an old open job: %d", got)
 		}
 		check := func() {
-			now, _ := earlier(t, c.state, ledger.ChunkTasks(8))
+			now, _ := earlier(t, c.state, records.ChunkTasks(8))
 			if len(c.state.Value("jobs/open/j-1")) == 0 {
 				return
 			}
@@ -411,11 +411,11 @@
 	play(t, func(c *cluster) {
 		c.world.RunFor = func(task string) time.Duration { return time.Duration(3+len(task)*7%9) * time.Second }
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 1200, EstimateS: 6})
-		c.submit(0, ledger.Job{ID: "j-2", Tasks: 300, EstimateS: 6})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 1200, EstimateS: 6})
+		c.submit(0, records.Job{ID: "j-2", Tasks: 300, EstimateS: 6})
 		sleep(20.4)
 		c.state.Limit(2, 5, 5)
-		c.submit(1, ledger.Job{ID: "j-3", Tasks: 300, EstimateS: 6})
+		c.submit(1, records.Job{ID: "j-3", Tasks: 300, EstimateS: 6})
 		sleep(20)
 		refused := len(c.state.Refused)
 		if refused == 0 {
--- a/internal/standin/confirm_test.go
+++ b/internal/simulation/confirm_test.go
@@ -1,11 +1,11 @@
-package standin
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"drumpick/internal/ledger"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 )
 
 // From when a user is told that a job is cancelled none of its tasks starts (the world notes each
@@ -56,14 +56,14 @@
 				sleep(2)
 				const jobs = 12
 				for n := range jobs {
-					c.submit(n%3, ledger.Job{ID: id(n + 1), Tasks: 3000, CPUs: 1, EstimateS: 1})
+					c.submit(n%3, records.Job{ID: id(n + 1), Tasks: 3000, CPUs: 1, EstimateS: 1})
 				}
 				sleep(35)
 				leader, next := c.leading(), 0
 				story(c, leader, func() {
 					// As users do, until it is confirmed; then the next.
 					if next < jobs {
-						if _, st := c.ask((leader+1+next%2)%3, peer.Withdraw, id(next+1)); st == ledger.StatusCancelled {
+						if _, st := c.ask((leader+1+next%2)%3, peer.Withdraw, id(next+1)); st == records.StatusCancelled {
 							next++
 						}
 					}
--- a/internal/standin/dark_test.go
+++ b/internal/simulation/dark_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // What becomes of a zone's machines while it is cut off.
@@ -21,7 +21,7 @@
 	}, func(c *cluster) {
 		c.world.RunFor = func(task string) time.Duration { return 10 * mixed(task) }
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 96, EstimateS: 90})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 96, EstimateS: 90})
 		sleep(40)
 		before := map[string]bool{}
 		for _, m := range c.world.Machines() {
--- a/internal/standin/gap_test.go
+++ b/internal/simulation/gap_test.go
@@ -1,10 +1,10 @@
-package standin
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // The gap: the store refuses the leader alone, another controller confirms cancellations, and
@@ -217,9 +217,9 @@
 			g.c.forget("j-7")
 		}},
 		"before its first task, and while its run is on its way": {play: func(g *gap) {
-			g.c.submit(g.other, ledger.Job{ID: "j-8", Tasks: 20, EstimateS: 400})
+			g.c.submit(g.other, records.Job{ID: "j-8", Tasks: 20, EstimateS: 400})
 			g.refuse(g.leader, true)
-			g.c.submit(g.other, ledger.Job{ID: "j-9", Tasks: 20, EstimateS: 400})
+			g.c.submit(g.other, records.Job{ID: "j-9", Tasks: 20, EstimateS: 400})
 			g.cancel(g.other, "j-8", "j-9")
 			g.c.state.Outage(true)
 			g.goneIn(8, "j-8", "j-9")
@@ -289,7 +289,7 @@
 			}, func(c *cluster) {
 				c.world.RunFor = func(string) time.Duration { return 400 * time.Second }
 				sleep(2)
-				for id, j := range map[string]ledger.Job{
+				for id, j := range map[string]records.Job{
 					"j-1": {Tasks: 12}, "j-2": {Tasks: 4}, "j-3": {Tasks: 4, Shape: "group"},
 					"j-4": {Tasks: 4, Shape: "group", CheckpointS: 30, SaveS: 5}, "j-5": {Tasks: 3, Shape: "service"}, "j-6": {Tasks: 2},
 				} {
@@ -299,8 +299,8 @@
 					}
 					c.submit(0, j)
 				}
-				c.submit(0, ledger.Job{ID: "j-7", Tasks: 2, EstimateS: 10, Prereqs: []string{"j-6"}})
-				c.submit(0, ledger.Job{ID: "j-10", Tasks: 30, EstimateS: 400})
+				c.submit(0, records.Job{ID: "j-7", Tasks: 2, EstimateS: 10, Prereqs: []string{"j-6"}})
+				c.submit(0, records.Job{ID: "j-10", Tasks: 30, EstimateS: 400})
 				c.forget("j-5") // it runs until it is cancelled
 				sleep(34)
 				g := &gap{c: c, leader: c.leading(), starts: c.world.Starts()}
--- a/internal/standin/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"net/http"
@@ -6,7 +6,7 @@
 	"time"
 
 	"drumpick/internal/goldentest"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 
 	"github.com/gofiber/fiber/v2"
 )
@@ -14,9 +14,9 @@
 // The state service and the cloud of the local region answer in the forms of the protocol.
 func TestGoldenServices(t *testing.T) {
 	state := NewState()
-	state.Fill(map[string]ledger.Row{"types": {Key: "types", Value: []byte(`{"rigs":[]}`), Stamp: 7}})
+	state.Fill(map[string]records.Row{"types": {Key: "types", Value: []byte(`{"rigs":[]}`), Stamp: 7}})
 	w := NewWorld(t.Context())
-	w.Types = []ledger.MachineType{{Name: "g8", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"}}}
+	w.Types = []records.MachineType{{Name: "g8", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"}}}
 	app := fiber.New()
 	ServeState(t.Context(), app, state, nil)
 	ServeCloud(app, w)
--- a/internal/standin/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"testing/synctest"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/config"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/rental"
+	"drumpick/internal/records"
 )
 
 // longestIdle is how long a job may wait beside a machine that fits and has room, once all
@@ -74,7 +74,7 @@
 	if waits <= 0 {
 		return ""
 	}
-	if j.Shape != ledger.ShapeGroup {
+	if j.Shape != records.ShapeGroup {
 		waits = 1
 	}
 	cpus, gpus := w.used(j.Team)
@@ -97,7 +97,7 @@
 }
 
 // roomy finds a machine for one more task of a job, beside what has been taken of each.
-func (w *World) roomy(j ledger.Job, zones map[string]int, taken map[*Machine]float64) *Machine {
+func (w *World) roomy(j records.Job, zones map[string]int, taken map[*Machine]float64) *Machine {
 	for _, m := range w.machines {
 		cpus, mem := m.typ.CPUs-taken[m]-j.CPUs, m.typ.MemGB-j.MemGB
 		for _, s := range m.tasks {
@@ -156,21 +156,21 @@
 func TestIdleCheck(t *testing.T) {
 	zone := "b"
 	for name, x := range map[string]struct {
-		job      ledger.Job
+		job      records.Job
 		busy     float64 // CPUs taken by another job on the only machine, in zone a
 		troubled bool
 		want     int
 	}{
-		"waits":                 {job: ledger.Job{Tasks: 2, CPUs: 2, Spot: true}, want: 1},
-		"room for one of three": {job: ledger.Job{Tasks: 3, CPUs: 2, Spot: true}, busy: 2, want: 1},
-		"a gang":                {job: ledger.Job{Shape: ledger.ShapeGroup, Tasks: 2, CPUs: 2, Spot: true}, want: 1},
-		"room for half a gang":  {job: ledger.Job{Shape: ledger.ShapeGroup, Tasks: 2, CPUs: 2, Spot: true}, busy: 2},
-		"no room":               {job: ledger.Job{Tasks: 2, CPUs: 2, Spot: true}, busy: 3},
-		"at its limit":          {job: ledger.Job{Team: "limited", Tasks: 2, CPUs: 2, Spot: true}, busy: 2},
-		"another zone":          {job: ledger.Job{Zone: &zone, Tasks: 2, CPUs: 2, Spot: true}},
-		"ordinary machines":     {job: ledger.Job{Tasks: 2, CPUs: 2}},
-		"waits for another":     {job: ledger.Job{Tasks: 2, CPUs: 2, Spot: true, Prereqs: []string{"j-0"}}},
-		"in a trouble":          {job: ledger.Job{Tasks: 2, CPUs: 2, Spot: true}, troubled: true},
+		"waits":                 {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, want: 1},
+		"room for one of three": {job: records.Job{Tasks: 3, CPUs: 2, Spot: true}, busy: 2, want: 1},
+		"a gang":                {job: records.Job{Shape: records.ShapeGroup, Tasks: 2, CPUs: 2, Spot: true}, want: 1},
+		"room for half a gang":  {job: records.Job{Shape: records.ShapeGroup, Tasks: 2, CPUs: 2, Spot: true}, busy: 2},
+		"no room":               {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, busy: 3},
+		"at its limit":          {job: records.Job{Team: "limited", Tasks: 2, CPUs: 2, Spot: true}, busy: 2},
+		"another zone":          {job: records.Job{Zone: &zone, Tasks: 2, CPUs: 2, Spot: true}},
+		"ordinary machines":     {job: records.Job{Tasks: 2, CPUs: 2}},
+		"waits for another":     {job: records.Job{Tasks: 2, CPUs: 2, Spot: true, Prereqs: []string{"j-0"}}},
+		"in a trouble":          {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, troubled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -178,17 +178,17 @@
 				defer end()
 				w := NewWorld(ctx)
 				w.Every, w.Lease, w.Startup, w.Cancel, w.Capacity, w.Nodes = 2*time.Second, time.Hour, time.Second, time.Hour, 1, []string{"n-0"}
-				w.Types = []ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16}}
+				w.Types = []records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16}}
 				w.Teams = []config.Team{{Name: "limited", CPUsMax: 3}, {Name: ""}}
 				if x.job.ID = "j-1"; x.job.Shape == "" {
-					x.job.Shape = ledger.ShapeBatch
+					x.job.Shape = records.ShapeBatch
 				}
-				w.Jobs = func(id string) (ledger.Job, bool) {
-					return map[string]ledger.Job{"j-0": {ID: "j-0", Team: "limited", Tasks: 1, CPUs: x.busy, Spot: true}, "j-1": x.job}[id], true
+				w.Jobs = func(id string) (records.Job, bool) {
+					return map[string]records.Job{"j-0": {ID: "j-0", Team: "limited", Tasks: 1, CPUs: x.busy, Spot: true}, "j-1": x.job}[id], true
 				}
 				w.RunFor = func(string) time.Duration { return time.Hour }
 				w.Report = func(int, *fleet.Report) (int, fleet.Response, string) { return 503, fleet.Response{}, "" }
-				if _, err := w.rent(rental.Request{Booking: "r", Type: "c4", Zone: "a", Count: 1, Spot: true}); err != nil {
+				if _, err := w.rent(autoscaler.Request{Booking: "r", Type: "c4", Zone: "a", Count: 1, Spot: true}); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(2 * time.Second)
--- a/internal/standin/lapse_test.go
+++ b/internal/simulation/lapse_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"drumpick/internal/dispatch"
-	"drumpick/internal/lead"
-	"drumpick/internal/ledger"
+	"drumpick/internal/leader"
+	"drumpick/internal/records"
+	"drumpick/internal/scheduler"
 )
 
 // When a new leader may take the tasks of machines that it has not heard for gone.
@@ -16,7 +16,7 @@
 // beside plays a takeover beside a zone that stays cut off for long, with machines that have
 // no other zone to go to. It tells how many seconds after the leader's end all older work
 // went on, and how many machines of the zone were still there then; -1 if it did not.
-func beside(t *testing.T, prepare func(c *cluster), fall func(c *cluster, leader int, old *lead.Leader)) (after float64, left int) {
+func beside(t *testing.T, prepare func(c *cluster), fall func(c *cluster, leader int, old *leader.Leader)) (after float64, left int) {
 	after = -1
 	playWith(t, func(c *cluster) {
 		c.cfg.Options.DarkZones = true
@@ -25,7 +25,7 @@
 	}, func(c *cluster) {
 		c.world.RunFor = func(task string) time.Duration { return 3 * mixed(task) }
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 160, EstimateS: 20})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 160, EstimateS: 20})
 		sleep(40)
 		l := c.leading()
 		c.mu.Lock()
@@ -61,7 +61,7 @@
 }
 
 // after returns a leader other than the one given; nil: there is none.
-func (c *cluster) after(old *lead.Leader) *lead.Leader {
+func (c *cluster) after(old *leader.Leader) *leader.Leader {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.nodes {
@@ -73,10 +73,10 @@
 }
 
 // settles says whether a leader has no machine left to hear.
-func settles(l *lead.Leader) bool {
+func settles(l *leader.Leader) bool {
 	all, _ := l.Machines("", 1000)
 	for _, m := range all {
-		if m.State == dispatch.MachineUnsettled {
+		if m.State == scheduler.MachineUnsettled {
 			return false
 		}
 	}
@@ -89,8 +89,8 @@
 // back.
 func TestLeasesEndBesideACutZone(t *testing.T) {
 	t.Parallel()
-	fall := func(back bool) func(*cluster, int, *lead.Leader) {
-		return func(c *cluster, l int, _ *lead.Leader) {
+	fall := func(back bool) func(*cluster, int, *leader.Leader) {
+		return func(c *cluster, l int, _ *leader.Leader) {
 			c.world.Cut("b", true)
 			sleep(1)
 			c.kill(l)
@@ -121,7 +121,7 @@
 	t.Parallel()
 	for _, more := range []bool{false, true} {
 		t.Run(fmt.Sprint("another takeover ", more), func(t *testing.T) {
-			beside(t, func(*cluster) {}, func(c *cluster, l int, old *lead.Leader) {
+			beside(t, func(*cluster) {}, func(c *cluster, l int, old *leader.Leader) {
 				c.state.Refuse(strings.Fields(names)[l], true)
 				c.mu.Lock()
 				c.alone[l], c.only["b"] = true, l
--- a/internal/standin/late_test.go
+++ b/internal/simulation/late_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // recorder holds what a leader has on record, at every change of the store, against what the
@@ -40,7 +40,7 @@
 func (r *recorder) entries(prefix string, each func(id string, v json.RawMessage)) {
 	for key, row := range r.c.state.rows {
 		if strings.HasPrefix(key, prefix) {
-			all, err := ledger.Entries(prefix, row)
+			all, err := records.Entries(prefix, row)
 			if err != nil {
 				r.fail("%s: %v", key, err)
 			}
@@ -53,7 +53,7 @@
 
 func (r *recorder) changed(ch Change) {
 	for _, key := range ch.Gone {
-		r.deleted[key] = r.deleted[key] || !strings.HasPrefix(key, ledger.KeyLeader)
+		r.deleted[key] = r.deleted[key] || !strings.HasPrefix(key, records.KeyLeader)
 	}
 	for _, row := range ch.Writes {
 		if r.deleted[row.Key] {
@@ -61,24 +61,24 @@
 		}
 	}
 	hosts, marks, done := map[string]bool{}, map[string]int{}, map[string]int{}
-	r.entries(ledger.PrefixHosts, func(id string, _ json.RawMessage) { hosts[id] = true })
-	r.entries(ledger.PrefixSent, func(id string, v json.RawMessage) {
-		n, _ := ledger.ParseMark(v)
+	r.entries(records.PrefixHosts, func(id string, _ json.RawMessage) { hosts[id] = true })
+	r.entries(records.PrefixSent, func(id string, v json.RawMessage) {
+		n, _ := records.ParseMark(v)
 		marks[id] = max(marks[id], n)
 	})
-	r.entries(ledger.PrefixDone, func(id string, v json.RawMessage) {
+	r.entries(records.PrefixDone, func(id string, v json.RawMessage) {
 		var ranges string
 		_ = json.Unmarshal(v, &ranges)
-		job, _, _ := ledger.ParseChunkID(id)
-		_ = ledger.ParseRanges(ranges, func(int) { done[job]++ })
+		job, _, _ := records.ParseChunkID(id)
+		_ = records.ParseRanges(ranges, func(int) { done[job]++ })
 	})
 	for id, n := range r.marks {
-		if _, open := r.c.state.rows[ledger.OpenKey(id)]; open && marks[id] < n {
+		if _, open := r.c.state.rows[records.OpenKey(id)]; open && marks[id] < n {
 			r.fail("the mark of %s fell from %d to %d", id, n, marks[id])
 		}
 	}
 	for id, n := range r.done {
-		if _, open := r.c.state.rows[ledger.OpenKey(id)]; open && done[id] < n {
+		if _, open := r.c.state.rows[records.OpenKey(id)]; open && done[id] < n {
 			r.fail("%d of %d finished tasks of %s are forgotten", n-done[id], n, id)
 		}
 	}
@@ -120,7 +120,7 @@
 				sleep(2)
 				late()
 				for n := range 12 {
-					j := ledger.Job{ID: fmt.Sprint("j-", n+1), Tasks: 4 + r.IntN(60), CPUs: float64(1 + r.IntN(4)), EstimateS: 8}
+					j := records.Job{ID: fmt.Sprint("j-", n+1), Tasks: 4 + r.IntN(60), CPUs: float64(1 + r.IntN(4)), EstimateS: 8}
 					for try := range 6 { // as users do, until somebody answers
 						if status := c.submit((n+try)%3, j); status == 201 || status == 200 {
 							break
--- a/internal/standin/machine.go
+++ b/internal/simulation/machine.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
-	"drumpick/internal/rental"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
 )
 
 // Machine is a rented machine and its worker.
@@ -19,7 +19,7 @@
 	Zone     string
 	Spot     bool
 	Version  string
-	typ      ledger.MachineType
+	typ      records.MachineType
 	addr     string
 	rented   time.Time
 	up, gone bool
@@ -38,7 +38,7 @@
 	poke     chan struct{}
 }
 
-func newMachine(w *World, host string, r rental.Request) *Machine {
+func newMachine(w *World, host string, r autoscaler.Request) *Machine {
 	m := &Machine{
 		w: w, Host: host, Zone: r.Zone, Spot: r.Spot, addr: host, rented: time.Now(), session: 1, typ: w.Types[0], Version: w.Version,
 		tasks: map[string]*attempt{}, images: map[string]time.Time{}, close: func() {}, poke: make(chan struct{}, 1),
@@ -63,7 +63,7 @@
 	}
 	return Bill{
 		Machine: m.Host, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot, From: m.rented, To: to,
-		Cost: price * max(end.Sub(m.rented), rental.MinCharge).Hours(),
+		Cost: price * max(end.Sub(m.rented), autoscaler.MinCharge).Hours(),
 	}
 }
 
@@ -97,7 +97,7 @@
 
 // overAt ends a task that was over at a time.
 func (m *Machine) overAt(s *attempt, cause string, at time.Time) {
-	if cause != fleet.CauseDone && s.job.Shape != ledger.ShapeService {
+	if cause != fleet.CauseDone && s.job.Shape != records.ShapeService {
 		m.w.wasted += max(s.at(time.Now())-m.w.saved[s.safe()], 0)
 	}
 	s.status, s.cause, s.since, s.until = "ended", cause, at, time.Time{}
@@ -241,7 +241,7 @@
 		takes = w.boots()
 	}
 	w.mu.Unlock()
-	if link.Sleep(w.ctx, takes) != nil {
+	if httpclient.Sleep(w.ctx, takes) != nil {
 		return false
 	}
 	if w.Open != nil {
@@ -301,7 +301,7 @@
 				status = 0 // the answer does not reach it, or the process that asked is no more
 			}
 			w.mu.Unlock()
-			if status == 0 && link.Sleep(w.ctx, patience) != nil {
+			if status == 0 && httpclient.Sleep(w.ctx, patience) != nil {
 				return
 			}
 			w.mu.Lock()
@@ -314,14 +314,14 @@
 				// It goes there at once, or after up to half a second.
 				node = slices.Index(w.Nodes, conductor)
 				w.mu.Unlock()
-				if link.Sleep(w.ctx, min(w.Every, time.Second)/4) != nil {
+				if httpclient.Sleep(w.ctx, min(w.Every, time.Second)/4) != nil {
 					return
 				}
 				continue
 			case status != 200:
 				node = (node + 1) % len(w.Nodes)
 				w.mu.Unlock()
-				if link.Sleep(w.ctx, w.elsewhere()) != nil {
+				if httpclient.Sleep(w.ctx, w.elsewhere()) != nil {
 					return
 				}
 				continue
@@ -352,7 +352,7 @@
 		return false
 	case <-t.C:
 	case <-m.poke:
-		return link.Sleep(w.ctx, w.Every/4) == nil
+		return httpclient.Sleep(w.ctx, w.Every/4) == nil
 	}
 	return true
 }
--- a/internal/standin/many_test.go
+++ b/internal/simulation/many_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // What becomes of work when many machines fail at once, at the size of the large
@@ -70,7 +70,7 @@
 	}, func(c *cluster) {
 		sleep(2)
 		for n := range manyJobs {
-			c.submit(0, ledger.Job{ID: fmt.Sprint("j-", n+1), Tasks: manyTasks * manyMachines() / 1300, EstimateS: 60})
+			c.submit(0, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: manyTasks * manyMachines() / 1300, EstimateS: 60})
 		}
 		sleep(60)
 		ms := c.world.Machines()
--- a/internal/standin/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"flag"
@@ -10,8 +10,8 @@
 	"time"
 
 	"drumpick/internal/drain"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
 )
 
 var (
@@ -47,20 +47,20 @@
 		due             float64
 		of              float64 // of the load
 	}{
-		{"export", ledger.PrioUrgent, 8, 1, 25, 0, 0, 50, 0.25},
-		{"index", ledger.PrioNormal, 40, 1, 18, 0, 0, 70, 0.35},
-		{"cleanup", ledger.PrioLow, 12, 4, 70, 30, 4, 160, 0.4},
+		{"export", records.PrioUrgent, 8, 1, 25, 0, 0, 50, 0.25},
+		{"index", records.PrioNormal, 40, 1, 18, 0, 0, 70, 0.35},
+		{"cleanup", records.PrioLow, 12, 4, 70, 30, 4, 160, 0.4},
 	} {
 		k.seconds, k.due = k.seconds**stretch, k.due**stretch
 		every := float64(k.tasks) * k.cpus * k.seconds / (cpus * k.of)
 		r := rand.New(rand.NewPCG(s.seed, uint64(i)))
 		go func() {
 			for time.Now().Before(s.until) {
-				if link.Sleep(s.ctx, time.Duration(every*r.ExpFloat64()*float64(time.Second))) != nil {
+				if httpclient.Sleep(s.ctx, time.Duration(every*r.ExpFloat64()*float64(time.Second))) != nil {
 					return
 				}
-				s.post(ledger.Job{
-					Class: k.class, Team: "team", Shape: ledger.ShapeBatch, Priority: k.priority, Tasks: k.tasks, CPUs: k.cpus, MemGB: 1,
+				s.post(records.Job{
+					Class: k.class, Team: "team", Shape: records.ShapeBatch, Priority: k.priority, Tasks: k.tasks, CPUs: k.cpus, MemGB: 1,
 					Image: fmt.Sprint(k.class, r.IntN(6)), ImageGB: 0.5, Spot: true, EstimateS: k.seconds, CheckpointS: k.saves, SaveS: k.flush, DeadlineS: &k.due,
 				}, k.due)
 			}
@@ -68,7 +68,7 @@
 	}
 }
 
-func (s *shift) post(j ledger.Job, due float64) {
+func (s *shift) post(j records.Job, due float64) {
 	s.mu.Lock()
 	s.n++
 	j.ID = fmt.Sprint("j-", s.n)
@@ -76,7 +76,7 @@
 	s.jobs[j.ID] = &posted{class: j.Class, at: time.Now(), due: time.Duration(due * float64(time.Second))}
 	s.mu.Unlock()
 	for s.submit(s.n%3, j) != 201 {
-		if link.Sleep(s.ctx, time.Second) != nil {
+		if httpclient.Sleep(s.ctx, time.Second) != nil {
 			return
 		}
 	}
@@ -86,14 +86,14 @@
 func (s *shift) follow() {
 	var since uint64
 	for s.ctx.Err() == nil {
-		events, epoch, err := s.state.watch(s.ctx, "", ledger.PrefixOver, since, time.Second, func() bool { return false })
+		events, epoch, err := s.state.watch(s.ctx, "", records.PrefixOver, since, time.Second, func() bool { return false })
 		if err != nil {
 			return
 		}
 		since = epoch
 		s.mu.Lock()
 		for _, e := range events {
-			if p := s.jobs[strings.TrimPrefix(e.Write, ledger.PrefixOver)]; p != nil && p.done == 0 {
+			if p := s.jobs[strings.TrimPrefix(e.Write, records.PrefixOver)]; p != nil && p.done == 0 {
 				p.done = time.Since(p.at)
 			}
 		}
@@ -168,7 +168,7 @@
 // TestMeasureDrain compares ways to empty one of two zones for a storm: the drain, by a time
 // and without one; no new tasks and waiting; and what happens without any of it.
 //
-//	go test ./internal/standin -run MeasureDrain -measure 450 -v
+//	go test ./internal/simulation -run MeasureDrain -measure 450 -v
 func TestMeasureDrain(t *testing.T) {
 	if *measure == 0 {
 		t.Skip("a measurement, taken by hand")
@@ -225,7 +225,7 @@
 // record puts a drain on record, as operators do.
 func (s *shift) record(d drain.Spec) {
 	for {
-		_, err := s.state.Client("operator").Commit(s.ctx, nil, []ledger.Op{{Write: ledger.PrefixDrains + d.ID, Value: d}})
+		_, err := s.state.Client("operator").Commit(s.ctx, nil, []records.Op{{Write: records.PrefixDrains + d.ID, Value: d}})
 		if err == nil || s.ctx.Err() != nil {
 			return
 		}
@@ -236,7 +236,7 @@
 // TestMeasureUpgrade rolls all machines over to another version, a tenth at a time, and tells
 // how long it took, how many changes the store took for it, and what was lost.
 //
-//	go test ./internal/standin -run MeasureUpgrade -measure 3000 -v -timeout 1h
+//	go test ./internal/simulation -run MeasureUpgrade -measure 3000 -v -timeout 1h
 func TestMeasureUpgrade(t *testing.T) {
 	if *measure == 0 {
 		t.Skip("a measurement, taken by hand")
@@ -262,7 +262,7 @@
 					left++
 				}
 			}
-			if strings.Contains(s.state.Value(ledger.PrefixDrain+"d-1"), `"phase":"done"`) {
+			if strings.Contains(s.state.Value(records.PrefixDrain+"d-1"), `"phase":"done"`) {
 				break
 			}
 		}
--- a/internal/standin/meeting_list_test.go
+++ b/internal/simulation/meeting_list_test.go
@@ -1,12 +1,12 @@
-package standin
+package simulation
 
 import (
 	"math/rand/v2"
 	"strconv"
 	"time"
 
-	"drumpick/internal/ledger"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 )
 
 // meetings are the meetings of troubles of docs/meetings.md, in its order, each brought about once
@@ -137,7 +137,7 @@
 		n := len(c.jobs)
 		c.mu.Unlock()
 		for k := range 3 {
-			c.offer(k, ledger.Job{ID: id(n + 1 + k), Team: "limited", Tasks: 6 + r.IntN(6), CPUs: 2, EstimateS: 10})
+			c.offer(k, records.Job{ID: id(n + 1 + k), Team: "limited", Tasks: 6 + r.IntN(6), CPUs: 2, EstimateS: 10})
 		}
 		sleep(float64(5 + r.IntN(25)))
 		hung := c.hangs(r, 2, 1+r.IntN(25))
@@ -212,7 +212,7 @@
 		for k := range 120 {
 			at, job := r.IntN(3), id(n+1+k)
 			go func() {
-				c.offer(at, ledger.Job{ID: job, Tasks: 1, CPUs: 1, EstimateS: 8})
+				c.offer(at, records.Job{ID: job, Tasks: 1, CPUs: 1, EstimateS: 8})
 				if k%4 == 0 {
 					sleep(float64(k%5) / 2)
 					c.withdraw((at+1)%3, job)
@@ -240,9 +240,9 @@
 		n := len(c.jobs)
 		c.mu.Unlock()
 		for k := range 3 {
-			j := ledger.Job{ID: id(n + 1 + k), Tasks: 30, CPUs: 2, EstimateS: 10}
+			j := records.Job{ID: id(n + 1 + k), Tasks: 30, CPUs: 2, EstimateS: 10}
 			if k == 2 {
-				j.Priority = ledger.PrioUrgent
+				j.Priority = records.PrioUrgent
 			}
 			c.offer(k, j)
 		}
@@ -259,9 +259,9 @@
 		n := len(c.jobs)
 		c.mu.Unlock()
 		zone := []string{"a", "b"}[r.IntN(2)]
-		c.offer(0, ledger.Job{ID: id(n + 1), Tasks: 8, CPUs: 2, OneZone: true, EstimateS: 10})
-		c.offer(1, ledger.Job{ID: id(n + 2), Tasks: 12, CPUs: 2, Zone: &zone, EstimateS: 10})
-		c.offer(2, ledger.Job{ID: id(n + 3), Shape: ledger.ShapeGroup, Tasks: 3, CPUs: 2, OneZone: true, EstimateS: 10})
+		c.offer(0, records.Job{ID: id(n + 1), Tasks: 8, CPUs: 2, OneZone: true, EstimateS: 10})
+		c.offer(1, records.Job{ID: id(n + 2), Tasks: 12, CPUs: 2, Zone: &zone, EstimateS: 10})
+		c.offer(2, records.Job{ID: id(n + 3), Shape: records.ShapeGroup, Tasks: 3, CPUs: 2, OneZone: true, EstimateS: 10})
 		sleep(float64(3 + r.IntN(25)))
 		switch r.IntN(3) {
 		case 0:
@@ -297,7 +297,7 @@
 		c.mu.Lock()
 		n := len(c.jobs) + 1
 		c.mu.Unlock()
-		j := ledger.Job{ID: id(n), Tasks: 1 + r.IntN(3), CPUs: 1, EstimateS: 10}
+		j := records.Job{ID: id(n), Tasks: 1 + r.IntN(3), CPUs: 1, EstimateS: 10}
 		c.offer(0, j)
 		for k := 0; k < 3000 && !c.finished(j); k++ {
 			sleep(0.02)
@@ -339,7 +339,7 @@
 		n := len(c.jobs)
 		c.mu.Unlock()
 		for k := range 3 {
-			c.offer(k, ledger.Job{ID: id(n + 1 + k), Team: "limited", Tasks: 10, CPUs: 2, EstimateS: 10})
+			c.offer(k, records.Job{ID: id(n + 1 + k), Team: "limited", Tasks: 10, CPUs: 2, EstimateS: 10})
 		}
 		sleep(float64(5 + r.IntN(20)))
 		z := []string{"a", "b"}[r.IntN(2)]
@@ -449,7 +449,7 @@
 }
 
 // finished says whether all of a job's tasks have completed.
-func (c *cluster) finished(j ledger.Job) bool {
+func (c *cluster) finished(j records.Job) bool {
 	c.world.mu.Lock()
 	defer c.world.mu.Unlock()
 	return len(c.world.finished[j.ID]) >= j.Tasks
--- a/internal/standin/meetings_test.go
+++ b/internal/simulation/meetings_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 )
 
 // Where two troubles meet (docs/meetings.md has a row for each, and the tests of the others).
@@ -37,7 +37,7 @@
 				record(c)
 				sleep(2)
 				for n := range 8 {
-					c.submit(n%3, ledger.Job{ID: fmt.Sprint("j-", n+1), Tasks: 2 + n%2, CPUs: 2, EstimateS: 70})
+					c.submit(n%3, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: 2 + n%2, CPUs: 2, EstimateS: 70})
 				}
 				// The first tasks end from 29 s on; the leader ends at some moment around that,
 				// with its last transactions late or lost, and the next one later.
@@ -81,9 +81,9 @@
 					c.world.RunFor = func(string) time.Duration { return 120 * time.Second }
 					c.echoes(3*time.Second, 15*time.Second)
 					sleep(2)
-					c.submit(0, ledger.Job{ID: "j-1", Tasks: 20, CPUs: 2, EstimateS: 120})
-					c.submit(1, ledger.Job{ID: "j-2", Shape: "group", Tasks: 4, CPUs: 2, EstimateS: 120})
-					c.submit(2, ledger.Job{ID: "j-3", Tasks: 30, CPUs: 2, EstimateS: 120})
+					c.submit(0, records.Job{ID: "j-1", Tasks: 20, CPUs: 2, EstimateS: 120})
+					c.submit(1, records.Job{ID: "j-2", Shape: "group", Tasks: 4, CPUs: 2, EstimateS: 120})
+					c.submit(2, records.Job{ID: "j-3", Tasks: 30, CPUs: 2, EstimateS: 120})
 					sleep(36)
 					set := func(on bool) {
 						switch how {
@@ -140,7 +140,7 @@
 					for range s / 2 {
 						n++
 						id := fmt.Sprint("j-", n)
-						c.submit(n%3, ledger.Job{ID: id, Tasks: 6, CPUs: 2, EstimateS: 8})
+						c.submit(n%3, records.Job{ID: id, Tasks: 6, CPUs: 2, EstimateS: 8})
 						if n%2 == 0 {
 							if _, st := c.ask((n+1)%3, "withdraw", id); st == "cancelled" {
 								c.forget(id)
@@ -261,7 +261,7 @@
 				t.Errorf("withdraw %s, once more: %d", id, status)
 			}
 		}
-		if status := c.submit(0, ledger.Job{ID: "j-9999", Tasks: 4, EstimateS: 8}); status != 201 {
+		if status := c.submit(0, records.Job{ID: "j-9999", Tasks: 4, EstimateS: 8}); status != 201 {
 			t.Errorf("a job after all troubles: %d", status)
 		}
 		sleep(600)
@@ -275,7 +275,7 @@
 	c.mu.Lock()
 	n, asked := len(c.jobs)+1, slices.Clone(c.asked)
 	c.mu.Unlock()
-	j := ledger.Job{ID: fmt.Sprint("j-", n), Tasks: 2 + r.IntN(20), CPUs: float64(1 + r.IntN(4)), EstimateS: 10}
+	j := records.Job{ID: fmt.Sprint("j-", n), Tasks: 2 + r.IntN(20), CPUs: float64(1 + r.IntN(4)), EstimateS: 10}
 	switch r.IntN(4) {
 	case 0:
 		j.Shape, j.Tasks, j.CPUs = "group", 2+r.IntN(3), 2
@@ -306,7 +306,7 @@
 }
 
 // offer submits a job at a node, and at the next where that does not take it.
-func (c *cluster) offer(i int, j ledger.Job) {
+func (c *cluster) offer(i int, j records.Job) {
 	for k := range 3 {
 		if status := c.submit((i+k)%3, j); status == 201 || status == 200 {
 			return
@@ -386,7 +386,7 @@
 			}
 			later(2*time.Millisecond, func() { c.submit(i, j) })
 		}
-		if event == ledger.StatusDone && cancels {
+		if event == records.StatusDone && cancels {
 			later(time.Millisecond, func() { c.ask(from, peer.Withdraw, id) }) // it is done, and stays so
 		}
 		if event == "accepted" {
@@ -400,7 +400,7 @@
 
 // odd sends submissions that lack a field, fit no machine or are of no team, each under an id that
 // nobody else uses.
-func (c *cluster) odd(i int, j ledger.Job) {
+func (c *cluster) odd(i int, j records.Job) {
 	for k, change := range []func(m map[string]any){
 		func(m map[string]any) { delete(m, "vcpus") }, func(m map[string]any) { delete(m, "guess_s") }, func(m map[string]any) { m["shots"] = "2" },
 		func(m map[string]any) { m["vcpus"] = 99.0 }, func(m map[string]any) { m["owner"] = "nobody" }, func(m map[string]any) { m["rigs"] = []string{"none"} },
--- a/internal/standin/norace_test.go
+++ b/internal/simulation/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package standin
+package simulation
 
 const raced = false
--- a/internal/standin/overtaken_test.go
+++ b/internal/simulation/overtaken_test.go
@@ -1,10 +1,10 @@
-package standin
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // The controllers are slow to take reports in, and the leader changes: the new one asks all
@@ -21,7 +21,7 @@
 		c.world.RunFor = func(string) time.Duration { return 200 * time.Second }
 		const tasks = 64
 		sleep(3)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: tasks, EstimateS: 200})
+		c.submit(0, records.Job{ID: "j-1", Tasks: tasks, EstimateS: 200})
 		sleep(33)
 		c.mu.Lock()
 		for i := range c.nodes {
--- a/internal/standin/relay_test.go
+++ b/internal/simulation/relay_test.go
@@ -1,11 +1,11 @@
-package standin
+package simulation
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // What becomes of workers' reports when controllers pass them on.
@@ -28,7 +28,7 @@
 	playWith(t, func(c *cluster) { prepare(c); c.world.Capacity = 6 }, func(c *cluster) {
 		c.world.RunFor = func(string) time.Duration { return 90 * time.Second }
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 48, EstimateS: 90})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 48, EstimateS: 90})
 		sleep(36)
 		story(c)
 		sleep(150)
--- a/internal/standin/rules.go
+++ b/internal/simulation/rules.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"drumpick/internal/config"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // The rules of the protocol ("Rules"), by their names there. A breach is noted once and for
@@ -82,13 +82,13 @@
 }
 
 // canRun says whether a machine type takes a job's tasks and its team's limit allows it.
-func (w *World) canRun(j ledger.Job) bool {
+func (w *World) canRun(j records.Job) bool {
 	n := 1.0
-	if j.Shape != ledger.ShapeBatch {
+	if j.Shape != records.ShapeBatch {
 		n = float64(j.Tasks)
 	}
 	known := len(w.Teams) == 0 || slices.ContainsFunc(w.Teams, func(t config.Team) bool { return t.Name == j.Team })
-	return known && w.within(j.Team, n*j.CPUs, n*j.GPUs) && slices.ContainsFunc(w.Types, func(t ledger.MachineType) bool {
+	return known && w.within(j.Team, n*j.CPUs, n*j.GPUs) && slices.ContainsFunc(w.Types, func(t records.MachineType) bool {
 		return (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && (j.Zone == nil || len(t.Zones) == 0 || slices.Contains(t.Zones, *j.Zone)) &&
 			j.CPUs <= t.CPUs+1e-9 && j.GPUs <= t.GPUs+1e-9 && j.MemGB <= t.MemGB+1e-9
 	})
@@ -122,18 +122,18 @@
 		w.breach("invented: nobody submitted %s, which is called %s", id, status)
 	}
 	w.accept(id)
-	over := status == ledger.StatusDone || status == ledger.StatusCancelled
+	over := status == records.StatusDone || status == records.StatusCancelled
 	switch {
-	case status == ledger.StatusCancelled && !wanted:
+	case status == records.StatusCancelled && !wanted:
 		w.breach("went_back: %s is called cancelled, which neither it nor one before it was", id)
-	case status != ledger.StatusCancelled && orphaned > w.Cancel:
+	case status != records.StatusCancelled && orphaned > w.Cancel:
 		w.breach("orphaned: %s is called %s, %v after one before it was cancelled", id, status, orphaned)
 	}
 	was, ended := w.final[id]
 	if ended && was.status != status && (over || asked.After(was.at)) {
 		w.breach("went_back: %s was called %s, and is called %s", id, was.status, status)
 	}
-	if done := len(w.finished[id]); known && status == ledger.StatusDone && done < j.Tasks {
+	if done := len(w.finished[id]); known && status == records.StatusDone && done < j.Tasks {
 		w.breach("not_done: %s is called done with %d of %d tasks", id, done, j.Tasks)
 	}
 	if over && !ended {
@@ -177,7 +177,7 @@
 }
 
 // checkStart checks the rules when a task starts.
-func (w *World) checkStart(m *Machine, o fleet.Order, job ledger.Job) {
+func (w *World) checkStart(m *Machine, o fleet.Order, job records.Job) {
 	id, _ := fleet.ParseTask(o.Shot)
 	now := time.Now()
 	if at, ok := w.cancelled[id.Job]; ok {
--- a/internal/standin/serve.go
+++ b/internal/simulation/serve.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/rental"
+	"drumpick/internal/records"
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/gofiber/fiber/v2/utils"
@@ -37,7 +37,7 @@
 	app.Get("/store", func(c *fiber.Ctx) error {
 		rows, more, epoch := s.list(c.Query("under"), c.Query("since"), min(max(c.QueryInt("limit", 1000), 1), 1000), mostPage)
 		if rows == nil {
-			rows = []ledger.Row{}
+			rows = []records.Row{}
 		}
 		return answer(c, 200, fiber.Map{"rows": rows, "more": more, "epoch": epoch})
 	})
@@ -50,7 +50,7 @@
 	})
 	app.Post("/commit", func(c *fiber.Ctx) error {
 		var in struct {
-			When   []ledger.Cond `json:"when"`
+			When   []records.Cond `json:"when"`
 			Writes []struct {
 				Write  string          `json:"write"`
 				Value  json.RawMessage `json:"value"`
@@ -61,23 +61,23 @@
 		if err := json.Unmarshal(c.Body(), &in); err != nil {
 			return c.Status(400).JSON(failure{err.Error()})
 		}
-		var ops []ledger.Op
+		var ops []records.Op
 		for _, w := range in.Writes {
 			if (w.Write == "") == (w.Delete == "") || w.Write != "" && len(w.Value) == 0 {
 				return c.Status(400).JSON(failure{"a change is either a write with a value or a delete"})
 			}
-			ops = append(ops, ledger.Op{Write: w.Write, Value: json.RawMessage(utils.CopyBytes(w.Value)), Hold: w.Hold, Delete: w.Delete})
+			ops = append(ops, records.Op{Write: w.Write, Value: json.RawMessage(utils.CopyBytes(w.Value)), Hold: w.Hold, Delete: w.Delete})
 		}
 		epoch, err := s.commit(in.When, ops)
-		var conflict *ledger.ConflictError
+		var conflict *records.ConflictError
 		switch {
 		case err == nil:
 			return answer(c, 200, fiber.Map{"epoch": epoch})
 		case errors.As(err, &conflict):
 			return answer(c, 409, conflict)
-		case errors.Is(err, ledger.ErrThrottled):
+		case errors.Is(err, records.ErrThrottled):
 			return c.SendStatus(429)
-		case errors.Is(err, ledger.ErrNoGrant):
+		case errors.Is(err, records.ErrNoGrant):
 			return c.Status(400).JSON(failure{"no such lease"})
 		}
 		return c.Status(400).JSON(failure{err.Error()})
@@ -107,7 +107,7 @@
 		since, _ := strconv.ParseUint(c.Query("since"), 10, 64)
 		wait := time.Duration(min(max(c.QueryInt("wait_ms"), 0), 60_000)) * time.Millisecond
 		events, epoch, err := s.watch(ctx, "", c.Query("under"), since, wait, func() bool { return false })
-		if errors.Is(err, ledger.ErrCompacted) {
+		if errors.Is(err, records.ErrCompacted) {
 			return c.Status(410).JSON(failure{"too old"})
 		}
 		if err != nil {
@@ -135,10 +135,10 @@
 
 // ServeCloud serves the cloud's interface.
 func ServeCloud(app *fiber.App, w *World) {
-	app.Get("/machine_types", func(c *fiber.Ctx) error { return c.JSON(ledger.Types{Types: w.Types}) })
+	app.Get("/machine_types", func(c *fiber.Ctx) error { return c.JSON(records.Types{Types: w.Types}) })
 	app.Post("/machines", func(c *fiber.Ctx) error {
-		var r rental.Request
-		if err := json.Unmarshal(c.Body(), &r); err != nil || r.Booking == "" || r.Count < 1 || r.Count > rental.MostCount {
+		var r autoscaler.Request
+		if err := json.Unmarshal(c.Body(), &r); err != nil || r.Booking == "" || r.Count < 1 || r.Count > autoscaler.MostCount {
 			return c.Status(400).JSON(failure{"booking is missing, or count is not within 1 to 50"})
 		}
 		r.Booking, r.Type, r.Zone = utils.CopyString(r.Booking), utils.CopyString(r.Type), utils.CopyString(r.Zone)
@@ -152,7 +152,7 @@
 		var in struct {
 			Hosts []string `json:"hosts"`
 		}
-		if err := json.Unmarshal(c.Body(), &in); err != nil || len(in.Hosts) > rental.MostNames {
+		if err := json.Unmarshal(c.Body(), &in); err != nil || len(in.Hosts) > autoscaler.MostNames {
 			return c.Status(400).JSON(failure{"hosts is no list of at most 100 names"})
 		}
 		w.takeBack(in.Hosts)
@@ -160,7 +160,7 @@
 	})
 	app.Get("/machines", func(c *fiber.Ctx) error {
 		since, limit := c.Query("since"), min(max(c.QueryInt("limit", 500), 1), 500)
-		page := []rental.Listed{}
+		page := []autoscaler.Listed{}
 		more := false
 		for _, l := range w.Listed() {
 			if l.Host <= since {
--- a/internal/standin/seven_test.go
+++ b/internal/simulation/seven_test.go
@@ -1,11 +1,11 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // Seven controllers, reports every 1.5 s and gangs that hold half of a machine: all
@@ -26,7 +26,7 @@
 		submit := func(n int) {
 			size := 2 + 2*(n%3)
 			tasks += size
-			if got := c.submit(n%nodes, ledger.Job{ID: fmt.Sprint("j-", n), Shape: ledger.ShapeGroup, Tasks: size, CPUs: 2, EstimateS: 150, CheckpointS: 60, SaveS: 4, OneZone: true}); got != 201 {
+			if got := c.submit(n%nodes, records.Job{ID: fmt.Sprint("j-", n), Shape: records.ShapeGroup, Tasks: size, CPUs: 2, EstimateS: 150, CheckpointS: 60, SaveS: 4, OneZone: true}); got != 201 {
 				t.Errorf("gang %d: status %d", n, got)
 			}
 		}
--- a/internal/standin/singles_test.go
+++ b/internal/simulation/singles_test.go
@@ -1,12 +1,12 @@
-package standin
+package simulation
 
 import (
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"drumpick/internal/ledger"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 )
 
 // One-task jobs at four a second for three minutes, a quarter of them cancelled, on a store of the
@@ -31,7 +31,7 @@
 					go func() {
 						began := time.Now()
 						for try, status := k, 0; status != 200 && status != 201; try++ {
-							if status = c.submit(try%3, ledger.Job{ID: id(k + 1), Tasks: 1, CPUs: 1, EstimateS: 8}); status != 200 && status != 201 {
+							if status = c.submit(try%3, records.Job{ID: id(k + 1), Tasks: 1, CPUs: 1, EstimateS: 8}); status != 200 && status != 201 {
 								sleep(1)
 							}
 						}
@@ -41,7 +41,7 @@
 							sleep(float64(k % 11))
 							for try := k; ; try++ {
 								status, st := c.ask(try%3, peer.Withdraw, id(k+1))
-								if st == ledger.StatusCancelled {
+								if st == records.StatusCancelled {
 									c.forget(id(k + 1))
 								}
 								if status == 200 {
@@ -76,7 +76,7 @@
 				if !x.troubles && (c.state.Later > 5 || slowest.Load() > 1000 || backlog > 24) {
 					t.Errorf("throttled %d times, slowest acceptance %d ms, at most %d ended jobs unstored", c.state.Later, slowest.Load(), backlog)
 				}
-				if keys := append(c.state.Keys(ledger.PrefixOpen), c.state.Keys(ledger.PrefixDone)...); len(keys) > 0 {
+				if keys := append(c.state.Keys(records.PrefixOpen), c.state.Keys(records.PrefixDone)...); len(keys) > 0 {
 					t.Errorf("left in the store: %v", keys)
 				}
 			})
@@ -87,9 +87,9 @@
 // unstored counts the open jobs whose tasks have all ended.
 func (c *cluster) unstored() int {
 	n := 0
-	for _, key := range c.state.Keys(ledger.PrefixOpen) {
+	for _, key := range c.state.Keys(records.PrefixOpen) {
 		c.world.mu.Lock()
-		if len(c.world.finished[key[len(ledger.PrefixOpen):]]) > 0 {
+		if len(c.world.finished[key[len(records.PrefixOpen):]]) > 0 {
 			n++
 		}
 		c.world.mu.Unlock()
--- a/internal/standin/state.go
+++ b/internal/simulation/state.go
@@ -2,7 +2,7 @@
 // cloud, and workers, with the protocol's nastiness. It serves the interfaces
 // that the duties use, in whatever time the test runs on, and checks the rules
 // of the protocol while it does.
-package standin
+package simulation
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
 
 	"golang.org/x/time/rate"
 )
@@ -24,8 +24,8 @@
 type State struct {
 	mu      sync.Mutex
 	epoch   uint64
-	rows    map[string]ledger.Row
-	log     []ledger.Event
+	rows    map[string]records.Row
+	log     []records.Event
 	grants  map[uint64]*grant
 	hold    uint64
 	forgot  uint64          // changes up to this revision are not in the log
@@ -45,7 +45,7 @@
 // Change is what a revision changed, for whoever keeps it.
 type Change struct {
 	Epoch  uint64
-	Writes []ledger.Row
+	Writes []records.Row
 	Gone   []string // keys
 	Hold   uint64   // the last lease given out
 	Life   time.Duration
@@ -59,7 +59,7 @@
 
 // NewState returns an empty service.
 func NewState() *State {
-	return &State{rows: map[string]ledger.Row{}, grants: map[uint64]*grant{}, refused: map[string]bool{}, changed: make(chan struct{})}
+	return &State{rows: map[string]records.Row{}, grants: map[uint64]*grant{}, refused: map[string]bool{}, changed: make(chan struct{})}
 }
 
 // Outage starts or ends an outage; afterwards every lease has its full time.
@@ -86,7 +86,7 @@
 }
 
 // Fill puts in what another run left, without what was attached to a lease.
-func (s *State) Fill(rows map[string]ledger.Row) {
+func (s *State) Fill(rows map[string]records.Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k, r := range rows {
@@ -99,7 +99,7 @@
 
 // Restore puts in what the service itself had kept when it ended: all leases have their
 // full time again.
-func (s *State) Restore(rows []ledger.Row, epoch, hold uint64, lives map[uint64]time.Duration) {
+func (s *State) Restore(rows []records.Row, epoch, hold uint64, lives map[uint64]time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range rows {
@@ -127,7 +127,7 @@
 		s.Keep(c)
 	}
 	if n := len(s.log); n > 2*mostLog {
-		s.log = append([]ledger.Event(nil), s.log[n-mostLog:]...)
+		s.log = append([]records.Event(nil), s.log[n-mostLog:]...)
 		s.forgot = s.log[0].Stamp
 	}
 }
@@ -137,7 +137,7 @@
 const mostLog = 10_000
 
 // row reads a key.
-func (s *State) row(key string) (ledger.Row, uint64, bool) {
+func (s *State) row(key string) (records.Row, uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.rows[key]
@@ -145,13 +145,13 @@
 }
 
 // Rows lists what is under a prefix, in the order of the keys, as of one moment.
-func (s *State) Rows(prefix string) []ledger.Row {
+func (s *State) Rows(prefix string) []records.Row {
 	rows, _, _ := s.list(prefix, "", math.MaxInt, math.MaxInt)
 	return rows
 }
 
 // list reads keys under a prefix, behind since, at most limit and so many bytes of them.
-func (s *State) list(prefix, since string, limit, most int) (rows []ledger.Row, more bool, epoch uint64) {
+func (s *State) list(prefix, since string, limit, most int) (rows []records.Row, more bool, epoch uint64) {
 	s.mu.Lock()
 	epoch = s.epoch
 	for k, r := range s.rows {
@@ -212,11 +212,11 @@
 
 // watch waits for a change under a prefix, and looks at gone now and then. Open watches
 // stay open through an outage.
-func (s *State) watch(ctx context.Context, client, prefix string, since uint64, wait time.Duration, gone func() bool) ([]ledger.Event, uint64, error) {
+func (s *State) watch(ctx context.Context, client, prefix string, since uint64, wait time.Duration, gone func() bool) ([]records.Event, uint64, error) {
 	end := time.Now().Add(wait)
 	for {
 		s.mu.Lock()
-		var events []ledger.Event
+		var events []records.Event
 		first := sort.Search(len(s.log), func(i int) bool { return s.log[i].Stamp > since })
 		for _, e := range s.log[first:] {
 			if e.Write != "" && strings.HasPrefix(e.Write, prefix) || e.Delete != "" && strings.HasPrefix(e.Delete, prefix) {
@@ -228,11 +228,11 @@
 		left := time.Until(end)
 		switch {
 		case gone():
-			return nil, since, ledger.ErrNoAnswer
+			return nil, since, records.ErrNoAnswer
 		case blocked:
 			left = max(left, latency)
 		case old:
-			return nil, since, ledger.ErrCompacted
+			return nil, since, records.ErrCompacted
 		case len(events) > 0 || left <= 0:
 			return events, epoch, nil
 		}
@@ -295,7 +295,7 @@
 		if r.Hold == id {
 			s.epoch++
 			delete(s.rows, k)
-			s.log = append(s.log, ledger.Event{Delete: k, Stamp: s.epoch})
+			s.log = append(s.log, records.Event{Delete: k, Stamp: s.epoch})
 			gone.Gone = append(gone.Gone, k)
 		}
 	}
@@ -309,27 +309,27 @@
 }
 
 // Commit applies a transaction as the protocol says.
-func (s *State) commit(when []ledger.Cond, ops []ledger.Op) (uint64, error) {
+func (s *State) commit(when []records.Cond, ops []records.Op) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, op := range ops {
 		if op.Hold != 0 && s.grants[op.Hold] == nil {
-			return 0, ledger.ErrNoGrant
+			return 0, records.ErrNoGrant
 		}
 	}
 	if s.txnOps > 0 && (len(ops) > s.txnOps || len(when) > 4*s.txnOps) {
 		s.Refused = append(s.Refused, fmt.Sprint(len(ops), " changes"))
-		return 0, fmt.Errorf("%w: too many changes", ledger.ErrInvalid)
+		return 0, fmt.Errorf("%w: too many changes", records.ErrInvalid)
 	}
 	for _, op := range ops {
-		if n := ledger.Size(op.Value); op.Write != "" && s.valueKB > 0 && float64(n) > s.valueKB*1024 {
+		if n := records.Size(op.Value); op.Write != "" && s.valueKB > 0 && float64(n) > s.valueKB*1024 {
 			s.Refused = append(s.Refused, fmt.Sprint(op.Write, " of ", n, " bytes"))
-			return 0, fmt.Errorf("%w: too large a value", ledger.ErrInvalid)
+			return 0, fmt.Errorf("%w: too large a value", records.ErrInvalid)
 		}
 	}
 	if s.rate != nil && !s.rate.AllowN(time.Now(), len(ops)) {
 		s.Later++
-		return 0, ledger.ErrThrottled
+		return 0, records.ErrThrottled
 	}
 	var failed []string
 	for _, c := range when {
@@ -339,14 +339,14 @@
 	}
 	s.Writes += len(ops)
 	if failed != nil {
-		return 0, &ledger.ConflictError{Failed: failed, Epoch: s.epoch}
+		return 0, &records.ConflictError{Failed: failed, Epoch: s.epoch}
 	}
 	s.epoch++
 	var change Change
 	for _, op := range ops {
 		if op.Delete != "" {
 			delete(s.rows, op.Delete)
-			s.log = append(s.log, ledger.Event{Delete: op.Delete, Stamp: s.epoch})
+			s.log = append(s.log, records.Event{Delete: op.Delete, Stamp: s.epoch})
 			change.Gone = append(change.Gone, op.Delete)
 			continue
 		}
@@ -354,8 +354,8 @@
 		if err != nil {
 			return 0, err
 		}
-		s.rows[op.Write] = ledger.Row{Key: op.Write, Value: raw, Stamp: s.epoch, Hold: op.Hold}
-		s.log = append(s.log, ledger.Event{Write: op.Write, Value: raw, Stamp: s.epoch})
+		s.rows[op.Write] = records.Row{Key: op.Write, Value: raw, Stamp: s.epoch, Hold: op.Hold}
+		s.log = append(s.log, records.Event{Write: op.Write, Value: raw, Stamp: s.epoch})
 		change.Writes = append(change.Writes, s.rows[op.Write])
 	}
 	s.keep(change)
@@ -440,27 +440,27 @@
 	c.mu.Lock()
 	slow := c.slow
 	c.mu.Unlock()
-	if err := link.Sleep(ctx, max(latency, c.hanging(), min(slow, callPatience))); err != nil {
+	if err := httpclient.Sleep(ctx, max(latency, c.hanging(), min(slow, callPatience))); err != nil {
 		return err
 	}
 	if slow >= callPatience {
 		c.mu.Lock()
 		c.failed = time.Now()
 		c.mu.Unlock()
-		return fmt.Errorf("%w: too slow", ledger.ErrNoAnswer)
+		return fmt.Errorf("%w: too slow", records.ErrNoAnswer)
 	}
 	refused := c.s.away(c.name)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.cut:
-		return ledger.ErrNoAnswer
+		return records.ErrNoAnswer
 	case c.hangs > 0:
 		c.failed = time.Now()
-		return ledger.ErrNoAnswer
+		return records.ErrNoAnswer
 	case refused:
 		c.failed, c.reached = time.Now(), time.Now()
-		return ledger.ErrRefused
+		return records.ErrRefused
 	}
 	c.lastOK, c.reached = time.Now(), time.Now()
 	return nil
@@ -501,7 +501,7 @@
 }
 
 // Get reads a key.
-func (c *Client) Get(ctx context.Context, key string) (*ledger.Row, error) {
+func (c *Client) Get(ctx context.Context, key string) (*records.Row, error) {
 	if err := c.pass(ctx); err != nil {
 		return nil, err
 	}
@@ -512,13 +512,13 @@
 }
 
 // List reads the keys under a prefix.
-func (c *Client) List(ctx context.Context, prefix string, each func(ledger.Row) error) (uint64, error) {
+func (c *Client) List(ctx context.Context, prefix string, each func(records.Row) error) (uint64, error) {
 	if err := c.pass(ctx); err != nil {
 		return 0, err
 	}
 	var first uint64
 	for since, more := "", true; more; {
-		var rows []ledger.Row
+		var rows []records.Row
 		var epoch uint64
 		if rows, more, epoch = c.s.list(prefix, since, 500, mostPage); since == "" {
 			first = epoch
@@ -534,7 +534,7 @@
 }
 
 // Commit applies a transaction.
-func (c *Client) Commit(ctx context.Context, when []ledger.Cond, ops []ledger.Op) (uint64, error) {
+func (c *Client) Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error) {
 	c.mu.Lock()
 	slow, cut := c.slow, c.cut
 	c.mu.Unlock()
@@ -560,17 +560,17 @@
 	if lose && late == 0 {
 		// It is carried out at once, and only its answer is lost.
 		_, _ = c.s.commit(when, ops)
-		if err := link.Sleep(ctx, callPatience); err != nil {
+		if err := httpclient.Sleep(ctx, callPatience); err != nil {
 			return 0, err
 		}
 		c.mu.Lock()
 		c.failed = time.Now()
 		c.mu.Unlock()
-		return 0, fmt.Errorf("%w: its answer is lost", ledger.ErrNoAnswer)
+		return 0, fmt.Errorf("%w: its answer is lost", records.ErrNoAnswer)
 	}
 	if lose {
 		time.AfterFunc(late, func() { _, _ = c.s.commit(when, ops) })
-		return 0, fmt.Errorf("%w: lost", ledger.ErrNoAnswer)
+		return 0, fmt.Errorf("%w: lost", records.ErrNoAnswer)
 	}
 	return c.s.commit(when, ops)
 }
@@ -589,7 +589,7 @@
 		return err
 	}
 	if !c.s.extend(hold) {
-		return ledger.ErrNoGrant
+		return records.ErrNoGrant
 	}
 	return nil
 }
@@ -602,7 +602,7 @@
 }
 
 // Watch waits for a change under a prefix.
-func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]ledger.Event, uint64, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error) {
 	if err := c.pass(ctx); err != nil {
 		return nil, since, err
 	}
--- a/internal/standin/takeover_test.go
+++ b/internal/simulation/takeover_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // What a new leader may start before it has heard every machine.
@@ -32,7 +32,7 @@
 		c.world.RunFor = mixed
 		sleep(2)
 		for n := range 4 {
-			c.submit(0, ledger.Job{ID: fmt.Sprint("j-", n+1), Tasks: 200, EstimateS: 8})
+			c.submit(0, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: 200, EstimateS: 8})
 		}
 		sleep(36)
 		c.world.Cut("b", true)
@@ -126,7 +126,7 @@
 				jobs := 0
 				submit := func() {
 					for i := range 3 {
-						if c.node(i) != nil && c.submit(i, ledger.Job{ID: fmt.Sprint("j-", jobs+1), Tasks: 20 + r.IntN(120), EstimateS: 8}) == 201 {
+						if c.node(i) != nil && c.submit(i, records.Job{ID: fmt.Sprint("j-", jobs+1), Tasks: 20 + r.IntN(120), EstimateS: 8}) == 201 {
 							jobs++
 							return
 						}
--- a/internal/standin/teams_test.go
+++ b/internal/simulation/teams_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // Many teams with quotas, all at their limits: what they use is accounted for as attempts come
@@ -32,7 +32,7 @@
 	}, func(c *cluster) {
 		sleep(2)
 		for n := range jobs {
-			c.submit(n%3, ledger.Job{ID: fmt.Sprint("j-", n), Team: fmt.Sprint("team-", n), Tasks: 10 * limit, EstimateS: 10})
+			c.submit(n%3, records.Job{ID: fmt.Sprint("j-", n), Team: fmt.Sprint("team-", n), Tasks: 10 * limit, EstimateS: 10})
 		}
 		sleep(28)
 		story(c)
@@ -43,7 +43,7 @@
 				if c.node(i) == nil {
 					continue
 				}
-				if status, state := c.ask(i, "poll", id); status != 200 || state != ledger.StatusDone && state != ledger.StatusCancelled {
+				if status, state := c.ask(i, "poll", id); status != 200 || state != records.StatusDone && state != records.StatusCancelled {
 					t.Errorf("poll %s at node %d: %d %q", id, i, status, state)
 				}
 			}
--- a/internal/standin/troubles_test.go
+++ b/internal/simulation/troubles_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/dispatch"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
+	"drumpick/internal/scheduler"
 )
 
 // The troubles of docs/troubles.md, each in stories of its own, and at the end of each what is
@@ -65,7 +65,7 @@
 }
 
 // view tells how the leader sees the machines.
-func (c *cluster) view() []dispatch.MachineView {
+func (c *cluster) view() []scheduler.MachineView {
 	i := c.leading()
 	if i < 0 {
 		return nil
@@ -82,7 +82,7 @@
 		here[m.Host] = true
 	}
 	for _, v := range c.view() {
-		if !here[v.Name] && v.State != dispatch.MachineBooting && v.State != dispatch.MachineReturning {
+		if !here[v.Name] && v.State != scheduler.MachineBooting && v.State != scheduler.MachineReturning {
 			c.t.Errorf("the leader has %s as %s, which does not exist", v.Name, v.State)
 		}
 	}
@@ -102,13 +102,13 @@
 	}
 	for name, story := range map[string]func(c *cluster){
 		"holds a gang": func(c *cluster) {
-			c.submit(0, ledger.Job{ID: "j-1", Shape: "group", Tasks: 6, CPUs: 4, EstimateS: 30})
+			c.submit(0, records.Job{ID: "j-1", Shape: "group", Tasks: 6, CPUs: 4, EstimateS: 30})
 			sleep(35)
 			c.world.Machines()[0].Deafen(true)
 			sleep(90)
 		},
 		"from its boot": func(c *cluster) {
-			c.submit(0, ledger.Job{ID: "j-1", Shape: "group", Tasks: 6, CPUs: 4, EstimateS: 30})
+			c.submit(0, records.Job{ID: "j-1", Shape: "group", Tasks: 6, CPUs: 4, EstimateS: 30})
 			for len(c.world.Machines()) == 0 {
 				sleep(0.01)
 			}
@@ -119,20 +119,20 @@
 			}
 		},
 		"across a takeover": func(c *cluster) {
-			c.submit(0, ledger.Job{ID: "j-1", Tasks: 12, CPUs: 2, EstimateS: 30})
-			c.submit(0, ledger.Job{ID: "j-2", Team: "limited", Tasks: 12, CPUs: 2, EstimateS: 30})
+			c.submit(0, records.Job{ID: "j-1", Tasks: 12, CPUs: 2, EstimateS: 30})
+			c.submit(0, records.Job{ID: "j-2", Team: "limited", Tasks: 12, CPUs: 2, EstimateS: 30})
 			sleep(33)
 			c.world.Machines()[0].Deafen(true)
 			c.kill(c.leading())
 			sleep(20)
-			if lists := c.view(); !slices.ContainsFunc(lists, func(v dispatch.MachineView) bool { return v.State == dispatch.MachineUp }) {
+			if lists := c.view(); !slices.ContainsFunc(lists, func(v scheduler.MachineView) bool { return v.State == scheduler.MachineUp }) {
 				c.t.Error("no machine is up 20 s after the takeover")
 			}
 			sleep(90)
 		},
 		"a job on it is cancelled": func(c *cluster) {
-			c.submit(0, ledger.Job{ID: "j-1", Tasks: 12, CPUs: 2, EstimateS: 30})
-			c.submit(0, ledger.Job{ID: "j-2", Tasks: 4, CPUs: 2, EstimateS: 300})
+			c.submit(0, records.Job{ID: "j-1", Tasks: 12, CPUs: 2, EstimateS: 30})
+			c.submit(0, records.Job{ID: "j-2", Tasks: 4, CPUs: 2, EstimateS: 300})
 			sleep(33)
 			ms := c.world.Machines()
 			for _, m := range ms {
@@ -144,19 +144,19 @@
 			sleep(90)
 		},
 		"hears again after 5 s": func(c *cluster) {
-			c.submit(0, ledger.Job{ID: "j-1", Tasks: 60, CPUs: 2, EstimateS: 30})
+			c.submit(0, records.Job{ID: "j-1", Tasks: 60, CPUs: 2, EstimateS: 30})
 			sleep(33)
 			spell(c, c.world.Machines()[:2], 5)
 			sleep(15)
 			for _, v := range c.view() {
-				if v.State == dispatch.MachineDeaf {
+				if v.State == scheduler.MachineDeaf {
 					c.t.Errorf("%s hears and is taken for deaf", v.Name)
 				}
 			}
 			sleep(120)
 		},
 		"a zone for two leases": func(c *cluster) {
-			c.submit(0, ledger.Job{ID: "j-1", Tasks: 60, CPUs: 2, EstimateS: 30})
+			c.submit(0, records.Job{ID: "j-1", Tasks: 60, CPUs: 2, EstimateS: 30})
 			sleep(33)
 			spell(c, slices.DeleteFunc(c.world.Machines(), func(m *Machine) bool { return m.Zone != "a" }), 24)
 			sleep(200)
@@ -196,7 +196,7 @@
 				c.echoes(x.echo...)
 				sleep(2)
 				for n := range 3 {
-					c.submit(n, ledger.Job{ID: fmt.Sprint("j-", n+1), Tasks: 60, CPUs: 2, EstimateS: 8})
+					c.submit(n, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: 60, CPUs: 2, EstimateS: 8})
 				}
 				sleep(35)
 				c.kill(c.leading())
@@ -214,7 +214,7 @@
 				// Until then machines are empty and have been given back, and the copies
 				// of their reports go on coming. A new leader does not know them.
 				sleep(20)
-				c.submit(0, ledger.Job{ID: "j-9", Tasks: 4, CPUs: 4, EstimateS: 8})
+				c.submit(0, records.Job{ID: "j-9", Tasks: 4, CPUs: 4, EstimateS: 8})
 				c.kill(c.leading())
 				sleep(60)
 				c.known()
@@ -233,8 +233,8 @@
 				play(t, func(c *cluster) {
 					c.world.RunFor = func(string) time.Duration { return 40 * time.Second }
 					sleep(2)
-					c.submit(0, ledger.Job{ID: "j-1", Tasks: 40, CPUs: 2, EstimateS: 40})
-					c.submit(1, ledger.Job{ID: "j-2", Tasks: 4, EstimateS: 300})
+					c.submit(0, records.Job{ID: "j-1", Tasks: 40, CPUs: 2, EstimateS: 40})
+					c.submit(1, records.Job{ID: "j-2", Tasks: 4, EstimateS: 300})
 					sleep(33)
 					old := c.leading()
 					cut := old
@@ -328,11 +328,11 @@
 			t.Parallel()
 			play(t, func(c *cluster) {
 				sleep(2)
-				c.submit(0, ledger.Job{ID: "j-1", Tasks: 40, CPUs: 2, EstimateS: 30})
-				c.submit(1, ledger.Job{ID: "j-2", Shape: "group", Tasks: 4, CPUs: 2, EstimateS: 30})
+				c.submit(0, records.Job{ID: "j-1", Tasks: 40, CPUs: 2, EstimateS: 30})
+				c.submit(1, records.Job{ID: "j-2", Shape: "group", Tasks: 4, CPUs: 2, EstimateS: 30})
 				sleep(33)
 				story(c)
-				c.submit(2, ledger.Job{ID: "j-3", Tasks: 4, EstimateS: 30})
+				c.submit(2, records.Job{ID: "j-3", Tasks: 4, EstimateS: 30})
 				sleep(200)
 				c.known()
 				c.noGhosts()
@@ -357,7 +357,7 @@
 		return n
 	}
 	sleep(5)
-	if n := states()[dispatch.MachineUp]; n != len(ms) {
+	if n := states()[scheduler.MachineUp]; n != len(ms) {
 		c.t.Errorf("%d machines of %d are in use again: %v", n, len(ms), states())
 	}
 }
@@ -376,7 +376,7 @@
 				jobs := 0
 				for range 10 {
 					for i := range 3 {
-						if c.node(i) != nil && c.submit(i, ledger.Job{ID: fmt.Sprint("j-", jobs+1), Tasks: 10 + r.IntN(40), CPUs: float64(1 + r.IntN(4)), EstimateS: 8}) == 201 {
+						if c.node(i) != nil && c.submit(i, records.Job{ID: fmt.Sprint("j-", jobs+1), Tasks: 10 + r.IntN(40), CPUs: float64(1 + r.IntN(4)), EstimateS: 8}) == 201 {
 							jobs++
 							break
 						}
--- a/internal/standin/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/config"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
-	"drumpick/internal/rental"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
 )
 
 // Report is how a worker reaches a controller: status, answer, and the node it
@@ -28,9 +28,9 @@
 	Every, Lease, Startup, Cancel time.Duration
 	GangWait, GangPeer            time.Duration // 0: gangs start and go on whoever is missing
 	Nodes                         []string
-	Types                         []ledger.MachineType
-	Jobs                          func(id string) (ledger.Job, bool) // what users submitted
-	Teams                         []config.Team                      // with their limits; may be nil
+	Types                         []records.MachineType
+	Jobs                          func(id string) (records.Job, bool) // what users submitted
+	Teams                         []config.Team                       // with their limits; may be nil
 	Report                        Report
 	RunFor                        func(task string) time.Duration
 	Capacity                      int    // machines to be had in a zone, cheap and ordinary ones each
@@ -179,34 +179,34 @@
 }
 
 func (c *CloudClient) pass(ctx context.Context) error {
-	if err := link.Sleep(ctx, 20*latency); err != nil {
+	if err := httpclient.Sleep(ctx, 20*latency); err != nil {
 		return err
 	}
 	if !c.Alive() {
-		return rental.ErrNoAnswer
+		return autoscaler.ErrNoAnswer
 	}
 	return nil
 }
 
 // Types lists what there is to rent.
-func (c *CloudClient) Types(ctx context.Context) ([]ledger.MachineType, error) {
-	return append([]ledger.MachineType(nil), c.W.Types...), c.pass(ctx)
+func (c *CloudClient) Types(ctx context.Context) ([]records.MachineType, error) {
+	return append([]records.MachineType(nil), c.W.Types...), c.pass(ctx)
 }
 
 // Rent starts machines.
-func (c *CloudClient) Rent(ctx context.Context, r rental.Request) ([]string, error) {
+func (c *CloudClient) Rent(ctx context.Context, r autoscaler.Request) ([]string, error) {
 	if err := c.pass(ctx); err != nil {
 		return nil, err
 	}
 	hosts, err := c.W.rent(r)
 	if err == nil && c.Lose > 0 {
 		c.Lose--
-		return nil, rental.ErrNoAnswer
+		return nil, autoscaler.ErrNoAnswer
 	}
 	return hosts, err
 }
 
-func (w *World) rent(r rental.Request) ([]string, error) {
+func (w *World) rent(r autoscaler.Request) ([]string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if hosts, known := w.bookings[r.Booking]; known {
@@ -219,7 +219,7 @@
 		}
 	}
 	if free <= 0 {
-		return nil, rental.ErrNoCapacity
+		return nil, autoscaler.ErrNoCapacity
 	}
 	var hosts []string
 	for range min(r.Count, free) {
@@ -231,7 +231,7 @@
 }
 
 // add starts a machine, with the world locked.
-func (w *World) add(host string, r rental.Request) *Machine {
+func (w *World) add(host string, r autoscaler.Request) *Machine {
 	m := newMachine(w, host, r)
 	w.machines[host] = m
 	go m.run()
@@ -239,7 +239,7 @@
 }
 
 // Host starts a machine that was rented elsewhere (Remote).
-func (w *World) Host(host string, r rental.Request) *Machine {
+func (w *World) Host(host string, r autoscaler.Request) *Machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.add(host, r)
@@ -280,7 +280,7 @@
 }
 
 // List lists the machines.
-func (c *CloudClient) List(ctx context.Context) ([]rental.Listed, error) {
+func (c *CloudClient) List(ctx context.Context) ([]autoscaler.Listed, error) {
 	if err := c.pass(ctx); err != nil {
 		return nil, err
 	}
@@ -288,10 +288,10 @@
 }
 
 // Listed lists the machines as the cloud knows them.
-func (w *World) Listed() []rental.Listed {
+func (w *World) Listed() []autoscaler.Listed {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var out []rental.Listed
+	var out []autoscaler.Listed
 	for _, m := range w.machines {
 		st := "running"
 		if !m.up {
@@ -300,7 +300,7 @@
 		if m.gone {
 			st = "failed"
 		}
-		out = append(out, rental.Listed{Host: m.Host, Addr: m.addr, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot, Status: st, AgeS: time.Since(m.rented).Seconds()})
+		out = append(out, autoscaler.Listed{Host: m.Host, Addr: m.addr, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot, Status: st, AgeS: time.Since(m.rented).Seconds()})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Host < out[j].Host })
 	return out
@@ -386,14 +386,14 @@
 
 // Orders gives direct commands to a worker.
 func (w *World) Orders(addr string, d fleet.Direct) (int, *fleet.Report, error) {
-	_ = link.Sleep(w.ctx, latency)
+	_ = httpclient.Sleep(w.ctx, latency)
 	w.mu.Lock()
 	m := w.machines[addr]
 	closed := m != nil && (w.closed[m.Zone] || m.deaf)
 	held := w.held
 	w.mu.Unlock()
 	if closed {
-		_ = link.Sleep(w.ctx, w.Every) // it hangs until the caller gives up
+		_ = httpclient.Sleep(w.ctx, w.Every) // it hangs until the caller gives up
 	}
 	if m == nil || closed {
 		return 0, nil, errors.New("no answer")
@@ -404,12 +404,12 @@
 	command, answer := held()
 	if command >= w.Every {
 		time.AfterFunc(command, func() { _, _, _ = m.Direct(d) })
-		_ = link.Sleep(w.ctx, w.Every)
+		_ = httpclient.Sleep(w.ctx, w.Every)
 		return 0, nil, errors.New("no answer in time")
 	}
-	_ = link.Sleep(w.ctx, command)
+	_ = httpclient.Sleep(w.ctx, command)
 	status, r, err := m.Direct(d)
-	_ = link.Sleep(w.ctx, min(answer, w.Every))
+	_ = httpclient.Sleep(w.ctx, min(answer, w.Every))
 	if answer >= w.Every {
 		return 0, nil, errors.New("no answer in time")
 	}
--- a/internal/standin/world_test.go
+++ b/internal/simulation/world_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 	"testing/synctest"
 	"time"
 
+	"drumpick/internal/api"
 	"drumpick/internal/config"
+	"drumpick/internal/election"
 	"drumpick/internal/fleet"
-	"drumpick/internal/frontier"
-	"drumpick/internal/intake"
-	"drumpick/internal/lead"
-	"drumpick/internal/ledger"
+	"drumpick/internal/leader"
 	"drumpick/internal/peer"
-	"drumpick/internal/tenure"
+	"drumpick/internal/records"
+	"drumpick/internal/watermark"
 )
 
 // These tests run whole controllers against the stand-ins, in synctest's time.
@@ -26,10 +26,10 @@
 type node struct {
 	name   string
 	client *Client
-	ten    *tenure.Tenure
-	server *intake.Server
-	heard  frontier.Witness
-	leader *lead.Leader
+	ten    *election.Tenure
+	server *api.Server
+	heard  watermark.Witness
+	leader *leader.Leader
 	cancel context.CancelFunc
 	gone   chan struct{}
 }
@@ -43,7 +43,7 @@
 
 	mu    sync.Mutex
 	nodes []*node // nil while down
-	jobs  map[string]ledger.Job
+	jobs  map[string]records.Job
 	start int
 	grant time.Duration          // life of a leader's
 	deaf  map[int]bool           // nodes that workers cannot reach
@@ -79,13 +79,13 @@
 			State:   config.State{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16},
 			Cloud:   config.Cloud{RPS: 4, ListLagS: 3},
 		}
-		c := &cluster{t: t, ctx: ctx, state: NewState(), world: NewWorld(ctx), cfg: cfg, jobs: map[string]ledger.Job{}, grant: 4 * time.Second, slow: map[int]time.Duration{}, deaf: map[int]bool{}, plain: map[int]bool{}, alone: map[int]bool{}, only: map[string]int{}, gone: map[string]bool{}}
+		c := &cluster{t: t, ctx: ctx, state: NewState(), world: NewWorld(ctx), cfg: cfg, jobs: map[string]records.Job{}, grant: 4 * time.Second, slow: map[int]time.Duration{}, deaf: map[int]bool{}, plain: map[int]bool{}, alone: map[int]bool{}, only: map[string]int{}, gone: map[string]bool{}}
 		w := c.world
 		w.Every, w.Lease, w.Startup, w.Cancel = 2*time.Second, 12*time.Second, 20*time.Second, 30*time.Second
 		w.Capacity = 50
-		w.Types = []ledger.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, Zones: []string{"a", "b"}}}
+		w.Types = []records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, Zones: []string{"a", "b"}}}
 		w.RunFor = func(string) time.Duration { return 30 * time.Second }
-		w.Jobs = func(id string) (ledger.Job, bool) {
+		w.Jobs = func(id string) (records.Job, bool) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			j, ok := c.jobs[id]
@@ -141,7 +141,7 @@
 	cfg := *c.cfg
 	cfg.Options.Marks = cfg.Options.Marks && !c.plain[i]
 	cfg.Options.Relay = cfg.Options.Relay && !c.plain[i]
-	n.ten = tenure.New(n.client, name, fmt.Sprint("start-", c.start), c.grant, cfg.Options.Marks)
+	n.ten = election.New(n.client, name, fmt.Sprint("start-", c.start), c.grant, cfg.Options.Marks)
 	cfg.Node = name
 	for j, other := range c.world.Nodes {
 		if j != i {
@@ -149,7 +149,7 @@
 		}
 	}
 	peers := &friends{c, i}
-	n.server = intake.New(&cfg, n.client, peers, n.ten.Leader, func() intake.Local {
+	n.server = api.New(&cfg, n.client, peers, n.ten.Leader, func() api.Local {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if n.leader == nil {
@@ -166,7 +166,7 @@
 	go func() {
 		defer close(n.gone)
 		n.ten.Run(ctx, func(ctx context.Context, term uint64) {
-			l := lead.New(&cfg, n.client, cloud, n.ten, peers, c.world, &n.heard, n.server.Told(), term)
+			l := leader.New(&cfg, n.client, cloud, n.ten, peers, c.world, &n.heard, n.server.Told(), term)
 			c.mu.Lock()
 			n.leader = l
 			c.mu.Unlock()
@@ -435,7 +435,7 @@
 }
 
 // submission is what a user sends of a job.
-func (c *cluster) submission(j ledger.Job) []byte {
+func (c *cluster) submission(j records.Job) []byte {
 	if j.Class == "" {
 		j.Class, j.Image = "any", "img"
 	}
@@ -459,7 +459,7 @@
 	return raw
 }
 
-func (c *cluster) submit(i int, j ledger.Job) int {
+func (c *cluster) submit(i int, j records.Job) int {
 	asked := time.Now()
 	status, _ := c.request(i, peer.Relay{Method: peer.Submit, Body: c.submission(j)})
 	c.world.Submitted(j.ID, status, asked)
@@ -483,7 +483,7 @@
 	over := false
 	switch {
 	case status == 200:
-		if state == ledger.StatusCancelled {
+		if state == records.StatusCancelled {
 			c.world.Cancelled(id)
 		}
 		over = c.world.Told(id, state, asked)
@@ -515,7 +515,7 @@
 func TestDay(t *testing.T) {
 	play(t, func(c *cluster) {
 		sleep(2)
-		if got := c.submit(0, ledger.Job{ID: "j-1", Tasks: 8, EstimateS: 30}); got != 201 {
+		if got := c.submit(0, records.Job{ID: "j-1", Tasks: 8, EstimateS: 30}); got != 201 {
 			t.Fatalf("submit: %d", got)
 		}
 		sleep(35)
@@ -524,7 +524,7 @@
 		for i := range 3 {
 			c.wantDone(i, "j-1")
 		}
-		if got := c.submit(1, ledger.Job{ID: "j-1", Tasks: 8}); got != 200 {
+		if got := c.submit(1, records.Job{ID: "j-1", Tasks: 8}); got != 200 {
 			t.Errorf("repeated submission of a finished job: %d, want 200", got)
 		}
 		sleep(120)
@@ -541,7 +541,7 @@
 func TestTakeoverKeepsTasks(t *testing.T) {
 	play(t, func(c *cluster) {
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
 		sleep(32)
 		old := c.leading()
 		starts := c.world.Starts()
@@ -562,7 +562,7 @@
 func TestAllControllersRestart(t *testing.T) {
 	play(t, func(c *cluster) {
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
 		sleep(32)
 		starts := c.world.Starts()
 		for i := range 3 {
@@ -585,7 +585,7 @@
 func TestMachineHangsThroughTakeover(t *testing.T) {
 	play(t, func(c *cluster) {
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 8, EstimateS: 30})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 8, EstimateS: 30})
 		sleep(32)
 		ms := c.world.Machines()
 		ms[0].Hang(true)
@@ -613,8 +613,8 @@
 			return 10 * time.Second
 		}
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 4, EstimateS: 90})
-		c.submit(1, ledger.Job{ID: "j-2", Tasks: 40, EstimateS: 1})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 4, EstimateS: 90})
+		c.submit(1, records.Job{ID: "j-2", Tasks: 40, EstimateS: 1})
 		sleep(29)
 		starts := c.world.Starts()
 		c.state.Outage(true)
@@ -644,7 +644,7 @@
 	play(t, func(c *cluster) {
 		c.world.RunFor = func(string) time.Duration { return 5 * time.Second }
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 200, EstimateS: 2})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 200, EstimateS: 2})
 		sleep(30)
 		old := c.leading()
 		c.state.Outage(true)
@@ -669,7 +669,7 @@
 	play(t, func(c *cluster) {
 		c.world.RunFor = func(string) time.Duration { return 200 * time.Second }
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 4, EstimateS: 200})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 4, EstimateS: 200})
 		sleep(32)
 		other := (c.leading() + 1) % 3
 		// The cancellation reaches the store and its user, but the leader hears
@@ -694,7 +694,7 @@
 func TestFirstReportStarts(t *testing.T) {
 	play(t, func(c *cluster) {
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 4, EstimateS: 30})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 4, EstimateS: 30})
 		var heard, started time.Time
 		for range 400 {
 			sleep(0.1)
@@ -720,7 +720,7 @@
 func TestOutageEndsForOthersFirst(t *testing.T) {
 	play(t, func(c *cluster) {
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
 		sleep(32)
 		old := c.leading()
 		c.state.Outage(true)
@@ -745,7 +745,7 @@
 func TestRefusedAlone(t *testing.T) {
 	play(t, func(c *cluster) {
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
 		sleep(32)
 		starts := c.world.Starts()
 		old := c.leading()
@@ -760,7 +760,7 @@
 		if status, st := c.ask(old, "poll", "j-1"); status != 200 {
 			t.Errorf("poll at the refused node: %d %s", status, st)
 		}
-		if got := c.submit(old, ledger.Job{ID: "j-2", Tasks: 1, EstimateS: 30}); got != 201 {
+		if got := c.submit(old, records.Job{ID: "j-2", Tasks: 1, EstimateS: 30}); got != 201 {
 			t.Errorf("submission at the refused node: %d", got)
 		}
 		sleep(60)
@@ -777,7 +777,7 @@
 	play(t, func(c *cluster) {
 		c.world.RunFor = func(string) time.Duration { return 60 * time.Second }
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 8, EstimateS: 60})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 8, EstimateS: 60})
 		sleep(32)
 		up := len(c.world.Machines())
 		l := c.leading()
@@ -806,11 +806,11 @@
 		sleep(2)
 		n := c.node(1)
 		n.client.LoseAnswers(1, time.Second)
-		if got := c.submit(1, ledger.Job{ID: "j-1", Tasks: 2, EstimateS: 30}); got != 503 {
+		if got := c.submit(1, records.Job{ID: "j-1", Tasks: 2, EstimateS: 30}); got != 503 {
 			t.Errorf("unanswered submission: %d, want 503", got)
 		}
 		sleep(2)
-		if got := c.submit(1, ledger.Job{ID: "j-1", Tasks: 2, EstimateS: 30}); got != 200 {
+		if got := c.submit(1, records.Job{ID: "j-1", Tasks: 2, EstimateS: 30}); got != 200 {
 			t.Errorf("its retry: %d, want 200", got)
 		}
 		sleep(20)
@@ -825,7 +825,7 @@
 func TestCancel(t *testing.T) {
 	play(t, func(c *cluster) {
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 12, EstimateS: 30})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 12, EstimateS: 30})
 		sleep(30)
 		if _, st := c.ask(2, "withdraw", "j-1"); st != "cancelled" {
 			t.Fatalf("withdraw: %q", st)
@@ -841,7 +841,7 @@
 			if status, st := c.ask(i, "poll", "j-1"); status != 200 || st != "cancelled" {
 				t.Errorf("poll: %d %s", status, st)
 			}
-			if got := c.submit(i, ledger.Job{ID: "j-1", Tasks: 12}); got != 200 {
+			if got := c.submit(i, records.Job{ID: "j-1", Tasks: 12}); got != 200 {
 				t.Errorf("repeated submission of a cancelled job: %d", got)
 			}
 		}
@@ -853,7 +853,7 @@
 	play(t, func(c *cluster) {
 		c.world.RunFor = func(task string) time.Duration { return time.Second }
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 100_000, EstimateS: 1})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 100_000, EstimateS: 1})
 		sleep(60)
 		c.kill(c.leading())
 		sleep(15)
@@ -880,7 +880,7 @@
 func TestMachinesComeAndGo(t *testing.T) {
 	play(t, func(c *cluster) {
 		sleep(2)
-		c.submit(0, ledger.Job{ID: "j-1", Tasks: 16, EstimateS: 30, CheckpointS: 10, SaveS: 2})
+		c.submit(0, records.Job{ID: "j-1", Tasks: 16, EstimateS: 30, CheckpointS: 10, SaveS: 2})
 		sleep(30)
 		ms := c.world.Machines()
 		if len(ms) < 3 {
--- a/internal/served/served.go
+++ b/internal/slo/served.go
@@ -5,7 +5,7 @@
 //
 // The package is pure: no I/O, no clock. It knows what its owner has seen, which begins anew
 // with each term.
-package served
+package slo
 
 import (
 	"cmp"
--- a/internal/served/served_test.go
+++ b/internal/slo/served_test.go
@@ -1,4 +1,4 @@
-package served
+package slo
 
 import (
 	"fmt"
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
 
 	"github.com/VictoriaMetrics/metrics"
 	"golang.org/x/time/rate"
@@ -36,7 +36,7 @@
 
 // conn is what the views of one connection share.
 type conn struct {
-	link    *link.Client
+	link    *httpclient.Client
 	timeout time.Duration
 	batch   *rate.Limiter // the leader's own writes; users' requests do not wait for it
 	calls   *governor     // of users' requests
@@ -61,7 +61,7 @@
 func NewClient(addr string, l Limits) *Client {
 	return &Client{conn: &conn{
 		calls: newGovernor(l.RPS, l.Controllers), changes: newGovernor(l.WriteRPS, l.Controllers),
-		link:    link.New(addr, l.Conns, l.Timeout),
+		link:    httpclient.New(addr, l.Conns, l.Timeout),
 		timeout: l.Timeout,
 		// Half of the write rate is the leader's; the rest stays free for users.
 		batch:   rate.NewLimiter(rate.Limit(l.WriteRPS/2), max(int(l.WriteRPS/2), 1)),
@@ -123,7 +123,7 @@
 	if err != nil {
 		unansweredTotal.Inc()
 		c.note(false)
-		return 0, nil, fmt.Errorf("%w: %s %s: %v", ledger.ErrNoAnswer, method, uri, err)
+		return 0, nil, fmt.Errorf("%w: %s %s: %v", records.ErrNoAnswer, method, uri, err)
 	}
 	if timeout <= c.timeout { // watches wait on purpose
 		requestSeconds.UpdateDuration(began)
@@ -135,10 +135,10 @@
 	case 503:
 		refusedTotal.Inc()
 		c.note(false)
-		return status, nil, ledger.ErrRefused
+		return status, nil, records.ErrRefused
 	case 429:
 		throttledTotal.Inc()
-		return status, nil, ledger.ErrThrottled
+		return status, nil, records.ErrThrottled
 	}
 	c.note(true)
 	return status, raw, nil
@@ -150,10 +150,10 @@
 	for i := 0; ; i++ {
 		if c.users && changes != many && !c.turn(ctx, changes) {
 			heldBackTotal.Inc()
-			return 429, nil, ledger.ErrThrottled
+			return 429, nil, records.ErrThrottled
 		}
 		status, raw, err := c.call(ctx, method, uri, body, c.timeout)
-		if !errors.Is(err, ledger.ErrThrottled) {
+		if !errors.Is(err, records.ErrThrottled) {
 			return status, raw, err
 		}
 		now := time.Now()
@@ -164,7 +164,7 @@
 		if i == 3 || c.users && i == 1 {
 			return status, raw, err
 		}
-		if err := link.Sleep(ctx, wait/2+rand.N(wait)); err != nil {
+		if err := httpclient.Sleep(ctx, wait/2+rand.N(wait)); err != nil {
 			return 0, nil, err
 		}
 		wait *= 2
@@ -184,7 +184,7 @@
 			if d == 0 {
 				return true
 			}
-			if now.Add(d).After(end) || link.Sleep(ctx, d) != nil {
+			if now.Add(d).After(end) || httpclient.Sleep(ctx, d) != nil {
 				return false
 			}
 		}
@@ -193,7 +193,7 @@
 }
 
 // Get reads a key. It returns nil when the key is absent.
-func (c *Client) Get(ctx context.Context, key string) (*ledger.Row, error) {
+func (c *Client) Get(ctx context.Context, key string) (*records.Row, error) {
 	status, raw, err := c.retry429(ctx, "GET", "/store/"+key, nil, 0)
 	if err != nil {
 		return nil, err
@@ -205,22 +205,22 @@
 			Epoch *uint64 `json:"epoch"`
 		}
 		if json.Unmarshal(raw, &e) != nil || e.Epoch == nil {
-			return nil, fmt.Errorf("%w: 404 without epoch", ledger.ErrUnexpected)
+			return nil, fmt.Errorf("%w: 404 without epoch", records.ErrUnexpected)
 		}
 		return nil, nil
 	case 200:
-		var r ledger.Row
+		var r records.Row
 		if err := json.Unmarshal(raw, &r); err != nil || r.Key != key || r.Stamp == 0 {
-			return nil, fmt.Errorf("%w: bad row for %s", ledger.ErrUnexpected, key)
+			return nil, fmt.Errorf("%w: bad row for %s", records.ErrUnexpected, key)
 		}
 		return &r, nil
 	}
-	return nil, fmt.Errorf("%w: %d for %s", ledger.ErrUnexpected, status, key)
+	return nil, fmt.Errorf("%w: %d for %s", records.ErrUnexpected, status, key)
 }
 
 // List reads every key under a prefix. The epoch returned is that of the first
 // page: a watch from there misses nothing.
-func (c *Client) List(ctx context.Context, prefix string, each func(ledger.Row) error) (uint64, error) {
+func (c *Client) List(ctx context.Context, prefix string, each func(records.Row) error) (uint64, error) {
 	var epoch uint64
 	since := ""
 	for {
@@ -233,15 +233,15 @@
 			return 0, err
 		}
 		var page struct {
-			Rows  []ledger.Row `json:"rows"`
-			More  bool         `json:"more"`
-			Epoch uint64       `json:"epoch"`
+			Rows  []records.Row `json:"rows"`
+			More  bool          `json:"more"`
+			Epoch uint64        `json:"epoch"`
 		}
 		if status != 200 {
-			return 0, fmt.Errorf("%w: %d for list %s", ledger.ErrUnexpected, status, prefix)
+			return 0, fmt.Errorf("%w: %d for list %s", records.ErrUnexpected, status, prefix)
 		}
 		if err := json.Unmarshal(raw, &page); err != nil {
-			return 0, fmt.Errorf("%w: %v", ledger.ErrUnexpected, err)
+			return 0, fmt.Errorf("%w: %v", records.ErrUnexpected, err)
 		}
 		if epoch == 0 {
 			epoch = page.Epoch
@@ -259,16 +259,16 @@
 }
 
 // Commit applies ops if all conditions hold, and returns the revision.
-func (c *Client) Commit(ctx context.Context, when []ledger.Cond, ops []ledger.Op) (uint64, error) {
+func (c *Client) Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error) {
 	if when == nil {
-		when = []ledger.Cond{}
+		when = []records.Cond{}
 	}
 	if ops == nil {
-		ops = []ledger.Op{}
+		ops = []records.Op{}
 	}
 	status, raw, err := c.retry429(ctx, "POST", "/commit", struct {
-		When   []ledger.Cond `json:"when"`
-		Writes []ledger.Op   `json:"writes"`
+		When   []records.Cond `json:"when"`
+		Writes []records.Op   `json:"writes"`
 	}{when, ops}, len(ops))
 	if err != nil {
 		return 0, err
@@ -280,13 +280,13 @@
 		}
 		if err := json.Unmarshal(raw, &r); err != nil || r.Epoch == 0 {
 			// It was executed, but what came back is unreadable: treat it as unknown.
-			return 0, fmt.Errorf("%w: unreadable commit answer", ledger.ErrNoAnswer)
+			return 0, fmt.Errorf("%w: unreadable commit answer", records.ErrNoAnswer)
 		}
 		return r.Epoch, nil
 	case 409:
-		var e ledger.ConflictError
+		var e records.ConflictError
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return 0, fmt.Errorf("%w: %v", ledger.ErrUnexpected, err)
+			return 0, fmt.Errorf("%w: %v", records.ErrUnexpected, err)
 		}
 		return 0, &e
 	case 400:
@@ -295,11 +295,11 @@
 		}
 		_ = json.Unmarshal(raw, &e)
 		if e.Error == "no such lease" {
-			return 0, ledger.ErrNoGrant
+			return 0, records.ErrNoGrant
 		}
-		return 0, fmt.Errorf("%w: %s", ledger.ErrInvalid, e.Error)
+		return 0, fmt.Errorf("%w: %s", records.ErrInvalid, e.Error)
 	}
-	return 0, fmt.Errorf("%w: %d for commit", ledger.ErrUnexpected, status)
+	return 0, fmt.Errorf("%w: %d for commit", records.ErrUnexpected, status)
 }
 
 // Grant obtains a lease of the given life.
@@ -312,7 +312,7 @@
 		Hold uint64 `json:"hold"`
 	}
 	if status != 200 || json.Unmarshal(raw, &r) != nil || r.Hold == 0 {
-		return 0, fmt.Errorf("%w: %d for grant", ledger.ErrUnexpected, status)
+		return 0, fmt.Errorf("%w: %d for grant", records.ErrUnexpected, status)
 	}
 	return r.Hold, nil
 }
@@ -321,7 +321,7 @@
 func (c *Client) Extend(ctx context.Context, hold uint64, timeout time.Duration) error {
 	status, _, err := c.call(ctx, "POST", "/grants/"+strconv.FormatUint(hold, 10)+"/extend", struct{}{}, timeout)
 	switch {
-	case errors.Is(err, ledger.ErrThrottled):
+	case errors.Is(err, records.ErrThrottled):
 		c.calls.throttled(time.Now()) // users make room
 		return err
 	case err != nil:
@@ -329,9 +329,9 @@
 	case status == 200:
 		return nil
 	case status == 404:
-		return ledger.ErrNoGrant
+		return records.ErrNoGrant
 	}
-	return fmt.Errorf("%w: %d for extend", ledger.ErrUnexpected, status)
+	return fmt.Errorf("%w: %d for extend", records.ErrUnexpected, status)
 }
 
 // Drop ends a lease; nothing depends on its success.
@@ -340,24 +340,24 @@
 }
 
 // Watch waits until something under prefix changes after the given revision.
-func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]ledger.Event, uint64, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error) {
 	uri := fmt.Sprintf("/watch?under=%s&since=%d&wait_ms=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
 	status, raw, err := c.call(ctx, "GET", uri, nil, wait+c.timeout)
 	if err != nil {
 		return nil, since, err
 	}
 	if status == 410 {
-		return nil, since, ledger.ErrCompacted
+		return nil, since, records.ErrCompacted
 	}
 	var r struct {
-		Epoch uint64         `json:"epoch"`
-		Log   []ledger.Event `json:"log"`
+		Epoch uint64          `json:"epoch"`
+		Log   []records.Event `json:"log"`
 	}
 	if status != 200 {
-		return nil, since, fmt.Errorf("%w: %d for watch", ledger.ErrUnexpected, status)
+		return nil, since, fmt.Errorf("%w: %d for watch", records.ErrUnexpected, status)
 	}
 	if err := json.Unmarshal(raw, &r); err != nil || r.Epoch < since {
-		return nil, since, fmt.Errorf("%w: unreadable watch answer", ledger.ErrUnexpected)
+		return nil, since, fmt.Errorf("%w: unreadable watch answer", records.ErrUnexpected)
 	}
 	return r.Log, r.Epoch, nil
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // What each answer of the service lets a caller conclude.
@@ -40,8 +40,8 @@
 	defer srv.Close()
 	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), Limits{WriteRPS: 20, Conns: 4, Timeout: 100 * time.Millisecond})
 	for key, want := range map[string]error{
-		"proxy": ledger.ErrUnexpected, "odd": ledger.ErrUnexpected, "broken": ledger.ErrUnexpected,
-		"refused": ledger.ErrRefused, "throttled": ledger.ErrThrottled, "teapot": ledger.ErrUnexpected,
+		"proxy": records.ErrUnexpected, "odd": records.ErrUnexpected, "broken": records.ErrUnexpected,
+		"refused": records.ErrRefused, "throttled": records.ErrThrottled, "teapot": records.ErrUnexpected,
 	} {
 		if row, err := c.Get(context.Background(), key); !errors.Is(err, want) || row != nil {
 			t.Errorf("%s: %v, %v, want %v", key, row, err, want)
@@ -61,7 +61,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	c = NewClient(addr, Limits{WriteRPS: 20, Conns: 4, Timeout: 100 * time.Millisecond})
-	if _, err := c.Commit(context.Background(), nil, nil); !errors.Is(err, ledger.ErrNoAnswer) {
+	if _, err := c.Commit(context.Background(), nil, nil); !errors.Is(err, records.ErrNoAnswer) {
 		t.Errorf("nobody listens: %v", err)
 	}
 	if _, failing, _ := c.Health(); !failing {
--- a/internal/frontier/lapse_model_test.go
+++ b/internal/watermark/lapse_model_test.go
@@ -1,4 +1,4 @@
-package frontier
+package watermark
 
 import (
 	"fmt"
--- a/internal/frontier/mark.go
+++ b/internal/watermark/mark.go
@@ -1,4 +1,4 @@
-package frontier
+package watermark
 
 // Mark is how far into a job tasks may have been sent: none from Stored on, by what the
 // store says; Want is what it is to say next.
--- a/internal/frontier/word.go
+++ b/internal/watermark/word.go
@@ -12,7 +12,7 @@
 // one witness is enough.
 //
 // The package is pure: no I/O, no clock.
-package frontier
+package watermark
 
 import (
 	"sync"
--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
 
 	"github.com/mailru/easyjson"
 )
@@ -18,12 +18,12 @@
 	slots   chan struct{}
 
 	mu      sync.Mutex
-	clients map[string]*link.Client
+	clients map[string]*httpclient.Client
 }
 
 // NewCaller returns a caller that has at most n calls under way.
 func NewCaller(n int, timeout time.Duration) *Caller {
-	return &Caller{timeout: timeout, slots: make(chan struct{}, n), clients: map[string]*link.Client{}}
+	return &Caller{timeout: timeout, slots: make(chan struct{}, n), clients: map[string]*httpclient.Client{}}
 }
 
 // Go runs f once a slot is free, without waiting for it.
@@ -40,7 +40,7 @@
 // each is made anew at its next call, which needs a new connection in any case.
 const mostAddresses = 20_000
 
-func (c *Caller) client(addr string) *link.Client {
+func (c *Caller) client(addr string) *httpclient.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hc := c.clients[addr]
@@ -51,7 +51,7 @@
 				delete(c.clients, a)
 			}
 		}
-		hc = link.New(addr, 2, c.timeout/2)
+		hc = httpclient.New(addr, 2, c.timeout/2)
 		hc.Once = true
 		c.clients[addr] = hc
 	}
--- a/internal/zones/zones.go
+++ b/internal/zonehealth/zones.go
@@ -5,7 +5,7 @@
 // and what is rented in their place in the same zone is as silent as they are.
 //
 // The package is pure: no I/O, no clock.
-package zones
+package zonehealth
 
 import (
 	"slices"
--- a/internal/zones/zones_test.go
+++ b/internal/zonehealth/zones_test.go
@@ -1,4 +1,4 @@
-package zones
+package zonehealth
 
 import (
 	"fmt"
