--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -27,11 +27,11 @@
 
 // Store is the state service as a leader needs it.
 type Store interface {
-	Get(ctx context.Context, key string) (*records.Row, error)
-	List(ctx context.Context, prefix string, each func(records.Row) error) (uint64, error)
-	Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error)
+	Get(ctx context.Context, key string) (*records.KeyValue, error)
+	List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error)
+	Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error)
 	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error)
-	WaitBatch(ctx context.Context, n int) error
+	WaitForWrites(ctx context.Context, n int) error
 	Health() (lastOK time.Time, failing bool, started time.Time)
 	FailedSince(t time.Time) bool
 }
@@ -39,20 +39,20 @@
 // Cloud rents machines.
 type Cloud interface {
 	Types(ctx context.Context) ([]records.MachineType, error)
-	Rent(ctx context.Context, r autoscaler.Request) ([]string, error)
+	Rent(ctx context.Context, r autoscaler.RentalRequest) ([]string, error)
 	Return(ctx context.Context, hosts []string) error
-	List(ctx context.Context) ([]autoscaler.Listed, error)
+	List(ctx context.Context) ([]autoscaler.CloudMachine, error)
 }
 
 // Workers takes direct commands to workers.
 type Workers interface {
 	Go(f func())
-	Orders(addr string, d fleet.Direct) (int, *fleet.Report, error)
+	SendCommands(addr string, d fleet.CommandRequest) (int, *fleet.Heartbeat, error)
 }
 
 // Peers are the other controllers.
 type Peers interface {
-	Tell(ctx context.Context, ask peer.Inquiry) (answers []peer.Status, all bool)
+	QueryStatus(ctx context.Context, ask peer.StatusRequest) (answers []peer.Status, all bool)
 }
 
 // Leader drives a dispatch.Core through one term: it feeds events in and carries the
@@ -62,18 +62,18 @@
 	set     scheduler.Settings
 	store   Store
 	cloud   Cloud
-	tenure  *election.Tenure
+	tenure  *election.Election
 	peers   Peers
 	workers Workers
-	witness *watermark.Witness // this controller's own
-	told    *cancellation.Log  // what users were told here of cancellations
+	witness *watermark.Observer // this controller's own
+	told    *cancellation.Log   // what users were told here of cancellations
 
 	term   uint64
 	began  time.Time
-	last   watermark.Word // of the latest settled term, as heard at the takeover
+	last   watermark.Attestation // of the latest settled term, as heard at the takeover
 	mu     sync.Mutex
-	core   *scheduler.Core
-	rec    *scheduler.Records
+	core   *scheduler.Scheduler
+	rec    *scheduler.Persistence
 	loaded chan struct{}
 	wake   chan struct{} // something is to be stored
 	over   atomic.Bool   // the term is over, or given up
@@ -81,23 +81,23 @@
 	ended  ended         // jobs that others said are cancelled
 
 	contactMu sync.Mutex
-	bound     cancellation.Bound // until when leases may be renewed
-	vouched   time.Time          // until then, nobody else can lead, grant or not
-	word      watermark.Word
+	bound     cancellation.RenewalBound // until when leases may be renewed
+	vouched   time.Time                 // until then, nobody else can lead, grant or not
+	word      watermark.Attestation
 	loose     time.Time // until then, all others have heard that the marks are loose
 	swore     time.Time // when a record was last made that the marks are whole
 	spoke     time.Time // when the others were last told how they stand; for announce alone
 }
 
 // New prepares a term; Run serves it.
-func New(cfg *config.Config, store Store, cloud Cloud, ten *election.Tenure, peers Peers, workers Workers, witness *watermark.Witness, told *cancellation.Log, term uint64) *Leader {
+func New(cfg *config.Config, store Store, cloud Cloud, ten *election.Election, peers Peers, workers Workers, witness *watermark.Observer, told *cancellation.Log, term uint64) *Leader {
 	set := scheduler.SettingsOf(cfg)
 	return &Leader{
 		cfg: cfg, set: set, store: store, cloud: cloud, tenure: ten, peers: peers, workers: workers, witness: witness, told: told,
-		term: term, began: time.Now(), core: scheduler.NewCore(set, term, time.Now()),
+		term: term, began: time.Now(), core: scheduler.New(set, term, time.Now()),
 		loaded: make(chan struct{}), wake: make(chan struct{}, 1), logged: make(chan struct{}),
-		word:  watermark.Word{Term: term, Epoch: term, Node: cfg.Node},
-		bound: cancellation.NewBound(config.Seconds(cfg.Facts.Workers.CancelS), set.Lease),
+		word:  watermark.Attestation{Term: term, Revision: term, Node: cfg.Node},
+		bound: cancellation.NewRenewalBound(config.Seconds(cfg.Deployment.Workers.CancelS), set.Lease),
 	}
 }
 
@@ -120,7 +120,7 @@
 			break
 		}
 		slog.Warn("takeover: cannot read the store", "term", l.term, "err", err)
-		if httpclient.Sleep(ctx, l.set.Report/8+rand.N(l.set.Report/8)) != nil {
+		if httpclient.Sleep(ctx, l.set.HeartbeatInterval/8+rand.N(l.set.HeartbeatInterval/8)) != nil {
 			return
 		}
 	}
@@ -142,7 +142,7 @@
 
 // watch follows new and closed jobs.
 func (l *Leader) watch(ctx context.Context, since uint64) {
-	l.follow(ctx, records.PrefixOpen, since, l.set.Report, l.reread, func(events []records.Event, asked time.Time) {
+	l.follow(ctx, records.PrefixOpen, since, l.set.HeartbeatInterval, l.reread, func(events []records.Event, asked time.Time) {
 		// What came back was made after it was asked for: up to then nothing
 		// was missed.
 		now := time.Now()
@@ -150,7 +150,7 @@
 		defer l.mu.Unlock()
 		for _, e := range events {
 			if e.Write != "" {
-				l.addJob(l.core, e.Write, e.Value, e.Stamp, now, now)
+				l.addJob(l.core, e.Write, e.Value, e.Revision, now, now)
 			} else if id, ok := strings.CutPrefix(e.Delete, records.PrefixOpen); ok {
 				l.core.CloseJob(id) // how it ended, its over record tells
 			}
@@ -175,7 +175,7 @@
 			events = nil
 		}
 		if err != nil {
-			if httpclient.Sleep(ctx, l.set.Report/8+rand.N(l.set.Report/8)) != nil {
+			if httpclient.Sleep(ctx, l.set.HeartbeatInterval/8+rand.N(l.set.HeartbeatInterval/8)) != nil {
 				return
 			}
 			continue
@@ -187,8 +187,8 @@
 
 // reread replaces a watch whose revision is too old.
 func (l *Leader) reread(ctx context.Context) (uint64, error) {
-	open := map[string]records.Row{}
-	epoch, err := l.store.List(ctx, records.PrefixOpen, func(r records.Row) error {
+	open := map[string]records.KeyValue{}
+	epoch, err := l.store.List(ctx, records.PrefixOpen, func(r records.KeyValue) error {
 		open[strings.TrimPrefix(r.Key, records.PrefixOpen)] = r
 		return nil
 	})
@@ -200,97 +200,97 @@
 	defer l.mu.Unlock()
 	l.core.CloseMissing(func(id string) bool { _, ok := open[id]; return ok }, epoch)
 	for _, r := range open {
-		l.addJob(l.core, r.Key, r.Value, r.Stamp, now, now)
+		l.addJob(l.core, r.Key, r.Value, r.Revision, now, now)
 	}
 	return epoch, nil
 }
 
-// Report answers a worker. A status other than 200 sends it on.
-func (l *Leader) Report(r *fleet.Report) (int, fleet.Response) {
+// Heartbeat answers a worker. A status other than 200 sends it on.
+func (l *Leader) Heartbeat(r *fleet.Heartbeat) (int, fleet.HeartbeatResponse) {
 	select {
 	case <-l.loaded:
 	default:
-		t := time.NewTimer(l.set.Report / 2)
+		t := time.NewTimer(l.set.HeartbeatInterval / 2)
 		defer t.Stop()
 		select {
 		case <-l.loaded:
 		case <-t.C:
-			return 503, fleet.Response{}
+			return 503, fleet.HeartbeatResponse{}
 		}
 	}
 	// Guards against workers held by one that has given up leading and still waits for calls
 	// which nobody answers.
 	if l.over.Load() {
-		return 421, fleet.Response{}
+		return 421, fleet.HeartbeatResponse{}
 	}
 	now := time.Now()
 	// Guards against renewing leases while cancellations may be missed, be it in an
 	// outage with others' word for the leadership or with a watch that hangs.
 	if !l.supports(now) {
-		return 503, fleet.Response{}
+		return 503, fleet.HeartbeatResponse{}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.core.Waited(time.Since(now))
-	if r.Baton > l.term {
+	l.core.ObserveDelay(time.Since(now))
+	if r.FencingToken > l.term {
 		// Somebody leads with a higher term: not we.
 		l.tenure.Resign()
-		return 421, fleet.Response{}
+		return 421, fleet.HeartbeatResponse{}
 	}
-	m, stale := l.core.Body(r, true, now)
+	m, stale := l.core.Reconcile(r, true, now)
 	if stale || m == nil {
-		if resp, ok := l.core.Renew(m, r, now); ok {
+		if resp, ok := l.core.RenewOvertaken(m, r, now); ok {
 			return 200, resp
 		}
-		return 503, fleet.Response{}
+		return 503, fleet.HeartbeatResponse{}
 	}
-	l.core.Observe(m)
+	l.core.ObserveUse(m)
 	// One that may have nothing yet, as it has not shown our term, needs no record: it is
 	// answered, which shows it the term, and given nothing. Guards against machines on
 	// record, and waited for at the next takeover, which a late copy of a report made up.
-	if !m.Recorded && (m.Settled || !m.Empty()) && !l.await(m, func() bool { return m.Recorded }) {
-		return 503, fleet.Response{}
+	if !m.Recorded && (m.Reconciled || !m.Empty()) && !l.await(m, func() bool { return m.Recorded }) {
+		return 503, fleet.HeartbeatResponse{}
 	}
 	now = time.Now()
 	can := l.mayStart()
 	// Asked with the lock held from there on until the answer is made: announce relies on it.
-	l.core.SetLoose(l.isLoose(now))
+	l.core.SetRelaxed(l.isLoose(now))
 	if can {
 		ok, stands := l.marked(m, now)
 		if !ok {
-			return 503, fleet.Response{}
+			return 503, fleet.HeartbeatResponse{}
 		}
 		if !stands {
 			now = time.Now()
-			l.core.SetLoose(l.isLoose(now))
-			l.core.Choose(m, now)
+			l.core.SetRelaxed(l.isLoose(now))
+			l.core.PlanMachine(m, now)
 		}
 	}
 	resp := l.core.Respond(m, can, now)
 	// Guards against a grant that ended while orders were computed: what was
 	// marked as sent is given up when the next report lacks it.
 	if can && !l.mayStart() {
-		return 503, fleet.Response{}
+		return 503, fleet.HeartbeatResponse{}
 	}
-	if l.core.Unstored() {
+	if l.core.HasUnstoredJobs() {
 		l.poke()
 	}
-	l.core.Answered(m, r.Via, time.Now())
+	l.core.NoteAnswered(m, r.Via, time.Now())
 	return 200, resp
 }
 
 // Recency tells how a report stands to what is known of its machine.
-func (l *Leader) Recency(r *fleet.Report) fleet.Recency {
+func (l *Leader) Recency(r *fleet.Heartbeat) fleet.Recency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.core.Recency(r, time.Now())
 }
 
-// Late notes by how much something waited before this controller got to it, as others
+// ObserveDelay notes by how much something waited before this controller got to it, as others
 // felt it.
-func (l *Leader) Late(d time.Duration) {
+func (l *Leader) ObserveDelay(d time.Duration) {
 	l.mu.Lock()
-	l.core.Waited(d)
+	l.core.ObserveDelay(d)
 	l.mu.Unlock()
 }
 
@@ -298,9 +298,9 @@
 // is on record: what waits then starts with this answer, and not a report interval
 // later. It says whether the machine's report is still the last we know.
 func (l *Leader) await(m *fleet.Machine, ready func() bool) bool {
-	session, tick := m.Session, m.Tick
+	session, tick := m.Incarnation, m.Sequence
 	// Others that came in the same bundle wait along.
-	over := time.NewTimer(l.set.Report / 16)
+	over := time.NewTimer(l.set.HeartbeatInterval / 16)
 	defer over.Stop()
 	for waiting := true; waiting && !ready() && l.granted(); {
 		logged := l.logged
@@ -313,15 +313,15 @@
 		}
 		l.mu.Lock()
 	}
-	return l.core.Latest(m, session, tick) && l.supports(time.Now())
+	return l.core.IsLatest(m, session, tick) && l.supports(time.Now())
 }
 
-// Unreachable says whether a worker whose report a peer passed on cannot reach
+// NeedsRelay says whether a worker whose report a peer passed on cannot reach
 // us itself.
-func (l *Leader) Unreachable(r *fleet.Report) bool {
+func (l *Leader) NeedsRelay(r *fleet.Heartbeat) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.core.Unreachable(r.Host, time.Now())
+	return l.core.NeedsRelay(r.Machine, time.Now())
 }
 
 func (l *Leader) poke() {
@@ -333,20 +333,20 @@
 
 // tick does what time brings, and sends kills out at once.
 func (l *Leader) tick(ctx context.Context) {
-	every := l.set.Report / scheduler.TickShare
+	every := l.set.HeartbeatInterval / scheduler.TicksPerHeartbeat
 	for began := time.Now(); httpclient.Sleep(ctx, every) == nil; began = time.Now() {
 		now := time.Now()
 		can := l.mayStart()
 		l.mu.Lock()
-		l.core.Look(now.Sub(began), now)
+		l.core.ObserveTick(now.Sub(began), now)
 		l.core.Tick(now, can)
-		calls := l.core.Calls()
-		questions := l.core.Questions(now)
+		calls := l.core.TakeUrgentCommands()
+		questions := l.core.Probes(now)
 		l.mu.Unlock()
 		l.ask(questions)
 		for _, c := range calls {
 			l.workers.Go(func() {
-				if _, r, err := l.workers.Orders(c.Addr, c.Body); err == nil {
+				if _, r, err := l.workers.SendCommands(c.Addr, c.Body); err == nil {
 					l.body(r)
 				}
 			})
@@ -355,30 +355,30 @@
 }
 
 // ask finds out what machines have whose reports cannot be taken at their word.
-func (l *Leader) ask(questions []fleet.Question) {
+func (l *Leader) ask(questions []fleet.Probe) {
 	for _, q := range questions {
 		l.workers.Go(func() {
-			_, r, err := l.workers.Orders(q.Addr, fleet.Direct{Baton: l.term, Session: q.Session, Orders: []fleet.Order{}})
+			_, r, err := l.workers.SendCommands(q.Addr, fleet.CommandRequest{FencingToken: l.term, Incarnation: q.Incarnation, Commands: []fleet.Command{}})
 			if err != nil {
 				return
 			}
 			l.mu.Lock()
-			l.core.Answer(q, r, time.Now())
+			l.core.ApplyProbe(q, r, time.Now())
 			l.mu.Unlock()
 		})
 	}
 }
 
-func (l *Leader) body(r *fleet.Report) {
+func (l *Leader) body(r *fleet.Heartbeat) {
 	l.mu.Lock()
-	l.core.Body(r, false, time.Now())
+	l.core.Reconcile(r, false, time.Now())
 	l.mu.Unlock()
 }
 
 // valueBytes is what a value takes at the most.
-func (l *Leader) valueBytes() int { return int(l.cfg.Facts.State.Lowest().ValueKB * 1024) }
+func (l *Leader) valueBytes() int { return int(l.cfg.Deployment.State.Lowest().ValueKB * 1024) }
 
 // mine is the condition under which every write of a leader stands.
-func (l *Leader) mine() []records.Cond {
-	return []records.Cond{{Key: records.KeyLeader, Stamp: l.term}}
+func (l *Leader) mine() []records.Compare {
+	return []records.Compare{{Key: records.KeyLeader, Revision: l.term}}
 }
--- a/internal/leader/outage.go
+++ b/internal/leader/outage.go
@@ -34,19 +34,19 @@
 func (l *Leader) supports(now time.Time) bool {
 	l.contactMu.Lock()
 	defer l.contactMu.Unlock()
-	return l.bound.Renews(now)
+	return l.bound.MayRenew(now)
 }
 
 func (l *Leader) touched(at time.Time) {
 	l.contactMu.Lock()
-	l.bound.Seen(at)
+	l.bound.NoteContact(at)
 	l.contactMu.Unlock()
 }
 
 func (l *Leader) lastContact() time.Time {
 	l.contactMu.Lock()
 	defer l.contactMu.Unlock()
-	return l.bound.Contact()
+	return l.bound.LastContact()
 }
 
 // ended are jobs of which others have told us that they are cancelled, before our watch of the store
@@ -98,19 +98,19 @@
 	if l.ended.ids == nil {
 		l.ended.ids = map[string]time.Time{}
 	}
-	if sent := l.core.LastSent(id); !sent.IsZero() {
-		arrived = sent.Add(l.set.Report / inFlightShare)
+	if sent := l.core.LastDispatched(id); !sent.IsZero() {
+		arrived = sent.Add(l.set.HeartbeatInterval / inFlightShare)
 	}
 	l.ended.ids[id] = arrived
 	l.core.CloseJob(id) // its over record will tell those behind it
 	return arrived
 }
 
-// Cancel ends a job that the store has as cancelled, before its user is told so, and says whether
+// NotifyCancelled ends a job that the store has as cancelled, before its user is told so, and says whether
 // none of its tasks is sent from then on. Guards against starts after a confirmed cancellation:
 // the watch tells later where the store is slow or out of reach of us alone. What is on its way to
 // a worker by then is given a moment to arrive.
-func (l *Leader) Cancel(ctx context.Context, id string) bool {
+func (l *Leader) NotifyCancelled(ctx context.Context, id string) bool {
 	select {
 	case <-l.loaded:
 	case <-ctx.Done():
@@ -140,9 +140,9 @@
 	odd := time.Time{} // since when others are served, past the end of our grant, and we are not
 	// Words are told one after the other, from here alone. Guards against an earlier word
 	// that reaches a controller which started only after it had been asked to hear a later.
-	for l.announce(ctx); httpclient.Sleep(ctx, l.set.Report/4) == nil; {
+	for l.announce(ctx); httpclient.Sleep(ctx, l.set.HeartbeatInterval/4) == nil; {
 		lastOK, failing, _ := l.store.Health()
-		if !failing || time.Since(lastOK) < l.set.Report/2 {
+		if !failing || time.Since(lastOK) < l.set.HeartbeatInterval/2 {
 			l.announce(ctx)
 			continue
 		}
@@ -150,23 +150,23 @@
 		_, until := l.tenure.Term()
 		word := l.loosen()
 		l.contactMu.Lock()
-		back := l.bound.Asks(asked, l.set.Report) // answers may take a moment, and so may we
+		back := l.bound.InquirySpan(asked, l.set.HeartbeatInterval) // answers may take a moment, and so may we
 		l.contactMu.Unlock()
-		answers, all := l.peers.Tell(ctx, peer.Inquiry{Word: word, ToldMS: back.Milliseconds()})
+		answers, all := l.peers.QueryStatus(ctx, peer.StatusRequest{Attestation: word, CancellationSpanMS: back.Milliseconds()})
 		l.loosened(word, answers, all, asked)
 		now := time.Now()
-		own := l.told.Word(back, now)
-		words := []cancellation.Word{{Told: &own, Quiet: l.told.Quiet(now)}}
+		own := l.told.Confirmed(back, now)
+		words := []cancellation.PeerAnswer{{Confirmed: &own, QuietFor: l.told.QuietFor(now)}}
 		ended := time.Since(until)
 		served, past, vouched := false, false, all
 		for _, a := range answers {
 			since := time.Duration(a.StoreSilentMS) * time.Millisecond
-			served = served || since < l.set.Report/2 && !a.Failing
-			past = past || a.Answered && since < ended-now.Sub(asked)
-			words = append(words, cancellation.Word{Told: a.Told, Quiet: time.Duration(a.QuietMS) * time.Millisecond})
+			served = served || since < l.set.HeartbeatInterval/2 && !a.StoreFailing
+			past = past || a.StoreAnswered && since < ended-now.Sub(asked)
+			words = append(words, cancellation.PeerAnswer{Confirmed: a.Cancellations, QuietFor: time.Duration(a.CancellationQuietMS) * time.Millisecond})
 			// A controller that the store has never answered since its start
 			// cannot lead either, however short that is.
-			vouched = vouched && (!a.Answered || since-config.Drift(since) >= ended)
+			vouched = vouched && (!a.StoreAnswered || since-config.Drift(since) >= ended)
 		}
 		// Until the grant is over nobody else can lead. Guards against a leader that steps down
 		// moments before the store is down for all: there would be none until it is back.
@@ -177,7 +177,7 @@
 		}
 		// Guards against the end of an outage that all shared: whoever asks first is
 		// served first. Only a request of ours that failed after that tells.
-		if served && past && time.Since(lastOK) > l.set.Report && l.store.FailedSince(odd) && asked.Sub(odd) >= l.set.Report/2 {
+		if served && past && time.Since(lastOK) > l.set.HeartbeatInterval && l.store.FailedSince(odd) && asked.Sub(odd) >= l.set.HeartbeatInterval/2 {
 			slog.Info("refused by the store alone: stepping down", "term", l.term)
 			l.tenure.Resign()
 			return
@@ -191,7 +191,7 @@
 		}
 		if vouched && !served {
 			l.contactMu.Lock()
-			l.vouched = asked.Add(l.set.Report)
+			l.vouched = asked.Add(l.set.HeartbeatInterval)
 			l.contactMu.Unlock()
 		}
 	}
--- a/internal/leader/renting.go
+++ b/internal/leader/renting.go
@@ -20,7 +20,7 @@
 func (l *Leader) prices(ctx context.Context) {
 	var stored string
 	stamp, known := uint64(0), false // of the record
-	pause := l.set.Report
+	pause := l.set.HeartbeatInterval
 	for ctx.Err() == nil {
 		types, err := l.cloud.Types(ctx)
 		if err != nil {
@@ -40,7 +40,7 @@
 			plain[i].SpotPrice = 0 // it moves all the time
 		}
 		raw, _ := json.Marshal(plain)
-		if value := (records.Types{Types: types}); string(raw) != stored && records.Size(value) > l.valueBytes() {
+		if value := (records.MachineTypes{Types: types}); string(raw) != stored && records.EncodedSize(value) > l.valueBytes() {
 			// Controllers ask the cloud where there is no such record.
 			slog.Warn("store: the list of machine types takes more than a value", "types", len(types), "term", l.term)
 			stored = string(raw)
@@ -49,12 +49,12 @@
 			if !known {
 				if row, err := l.store.Get(ctx, records.KeyTypes); err == nil {
 					if stamp, known = 0, true; row != nil {
-						stamp = row.Stamp
+						stamp = row.Revision
 					}
 				}
 			}
 			if known {
-				e, err := l.store.Commit(ctx, append(l.mine(), records.Cond{Key: records.KeyTypes, Stamp: stamp}), []records.Op{{Write: records.KeyTypes, Value: value}})
+				e, err := l.store.Commit(ctx, append(l.mine(), records.Compare{Key: records.KeyTypes, Revision: stamp}), []records.Op{{Write: records.KeyTypes, Value: value}})
 				if known = err == nil; known {
 					stored, stamp = string(raw), e
 				}
@@ -69,20 +69,20 @@
 // lists reads the cloud's list of machines now and then.
 func (l *Leader) lists(ctx context.Context) {
 	for ctx.Err() == nil {
-		every := l.set.ListLag + l.set.Report
+		every := l.set.ListLag + l.set.HeartbeatInterval
 		asked := time.Now()
 		list, err := l.cloud.List(ctx)
 		if err == nil {
 			l.mu.Lock()
-			l.core.Listed(list, asked, time.Now())
-			if !l.core.Settled() {
+			l.core.ReconcileCloudList(list, asked, time.Now())
+			if !l.core.Reconciled() {
 				every = l.set.ListLag / 2 // work waits to hear which machines are gone
 			}
 			l.mu.Unlock()
 		} else {
 			slog.Debug("cloud: no list", "err", err)
 		}
-		every = max(every, l.set.Report/4)
+		every = max(every, l.set.HeartbeatInterval/4)
 		if httpclient.Sleep(ctx, every*3/4+rand.N(every/2)) != nil {
 			return
 		}
@@ -93,12 +93,12 @@
 func (l *Leader) rents(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for httpclient.Sleep(ctx, l.set.Report/4) == nil {
+	for httpclient.Sleep(ctx, l.set.HeartbeatInterval/4) == nil {
 		if !l.granted() {
 			continue
 		}
 		l.mu.Lock()
-		reqs := l.core.Wants(time.Now())
+		reqs := l.core.PlanRentals(time.Now())
 		l.mu.Unlock()
 		for _, r := range reqs {
 			wg.Add(1)
@@ -108,11 +108,11 @@
 }
 
 // rent repeats one request under its own name until it is answered.
-func (l *Leader) rent(ctx context.Context, r autoscaler.Request) {
-	pause := l.set.Report / 4
+func (l *Leader) rent(ctx context.Context, r autoscaler.RentalRequest) {
+	pause := l.set.HeartbeatInterval / 4
 	for try := 0; ; try++ {
 		var hosts []string
-		err := error(autoscaler.ErrTrouble)
+		err := error(autoscaler.ErrUnavailable)
 		if l.granted() {
 			hosts, err = l.cloud.Rent(ctx, r)
 		}
@@ -120,33 +120,33 @@
 		switch {
 		case err == nil:
 			l.mu.Lock()
-			l.core.Rented(r, hosts, now)
+			l.core.MachinesRented(r, hosts, now)
 			l.mu.Unlock()
 			return
 		case errors.Is(err, autoscaler.ErrNoCapacity), ctx.Err() != nil, try >= 8:
 			l.mu.Lock()
-			l.core.Refused(r, errors.Is(err, autoscaler.ErrNoCapacity), now)
+			l.core.RentalRefused(r, errors.Is(err, autoscaler.ErrNoCapacity), now)
 			l.mu.Unlock()
 			return
 		}
-		slog.Debug("rental not answered", "booking", r.Booking, "err", err)
+		slog.Debug("rental not answered", "booking", r.Name, "err", err)
 		if httpclient.Sleep(ctx, pause/2+rand.N(pause)) != nil {
 			continue
 		}
-		pause = min(2*pause, 4*l.set.Report)
+		pause = min(2*pause, 4*l.set.HeartbeatInterval)
 	}
 }
 
 // returns gives machines back.
 func (l *Leader) returns(ctx context.Context) {
-	for httpclient.Sleep(ctx, l.set.Report/2) == nil {
+	for httpclient.Sleep(ctx, l.set.HeartbeatInterval/2) == nil {
 		// Guards against hundreds of machines, of a zone that went silent, that are given
 		// back one call in each interval while all older work waits for the last of them.
 		for full := true; full && l.granted(); {
 			l.mu.Lock()
-			hosts := l.core.Returns(time.Now())
+			hosts := l.core.MachinesToReturn(time.Now())
 			l.mu.Unlock()
-			full = len(hosts) == autoscaler.MostNames
+			full = len(hosts) == autoscaler.MaxReturnNames
 			if len(hosts) == 0 || !l.granted() {
 				break
 			}
@@ -155,7 +155,7 @@
 				break
 			}
 			l.mu.Lock()
-			l.core.Returned(hosts, time.Now())
+			l.core.MachinesReturned(hosts, time.Now())
 			l.mu.Unlock()
 			l.poke()
 		}
--- a/internal/leader/resolve.go
+++ b/internal/leader/resolve.go
@@ -16,13 +16,13 @@
 
 // resolve reads what has become of jobs that open ones name.
 func (l *Leader) resolve(ctx context.Context) {
-	share := max(l.cfg.Facts.State.Lowest().RPS*resolveShare, 1)
+	share := max(l.cfg.Deployment.State.Lowest().RPS*resolveShare, 1)
 	reads := rate.NewLimiter(rate.Limit(share), int(share))
-	pause := l.set.Report / 8
+	pause := l.set.HeartbeatInterval / 8
 	missing := map[string]time.Time{} // not over when last read: to be read again later
 	for httpclient.Sleep(ctx, pause/2+rand.N(pause)) == nil {
 		l.mu.Lock()
-		ids := l.core.Unread()
+		ids := l.core.UnreadDependencies()
 		l.mu.Unlock()
 		var wg sync.WaitGroup
 		var absent []string
@@ -40,28 +40,28 @@
 			wg.Add(1)
 			go func() {
 				defer func() { <-slots; wg.Done() }()
-				row, err := l.store.Get(ctx, records.OverKey(id))
+				row, err := l.store.Get(ctx, records.ClosedKey(id))
 				if err != nil {
 					slog.Debug("store: no answer about a job before others", "job", id, "err", err)
 					return
 				}
 				l.mu.Lock()
 				defer l.mu.Unlock()
-				var o records.Over
+				var o records.ClosedJob
 				if row == nil || json.Unmarshal(row.Value, &o) != nil {
 					// It may be open, and the watch about to tell.
 					absent = append(absent, id)
 					return
 				}
-				l.core.Over(id, o, row.Stamp)
+				l.core.NoteClosed(id, o, row.Revision)
 			}()
 		}
 		wg.Wait()
 		for _, id := range absent {
-			missing[id] = now.Add(l.set.Report)
+			missing[id] = now.Add(l.set.HeartbeatInterval)
 		}
 		l.mu.Lock()
-		doomed := l.core.Doomed()
+		doomed := l.core.HasCascade()
 		l.mu.Unlock()
 		if doomed {
 			l.poke()
@@ -79,12 +79,12 @@
 	mostReads    = 8
 )
 
-// Clear says whether, as far as the watch has come, no job before this one is cancelled,
+// DependenciesClear says whether, as far as the watch has come, no job before this one is cancelled,
 // and how long ago it had come there.
-func (l *Leader) Clear(id string) (time.Duration, bool) {
+func (l *Leader) DependenciesClear(id string) (time.Duration, bool) {
 	// In this order: what the watch brings in between makes the word older, not wrong.
 	contact := l.lastContact()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Since(contact), l.core.Clear(id)
+	return time.Since(contact), l.core.DependenciesClear(id)
 }
--- a/internal/leader/takeover.go
+++ b/internal/leader/takeover.go
@@ -15,21 +15,21 @@
 
 // load reads what earlier terms left: open jobs, finished tasks, machines.
 func (l *Leader) load(ctx context.Context) (uint64, error) {
-	core := scheduler.NewCore(l.set, l.term, time.Now())
-	low := l.cfg.Facts.State.Lowest()
-	rec := scheduler.NewRecords(core, low.ValueKB, low.TxnOps)
+	core := scheduler.New(l.set, l.term, time.Now())
+	low := l.cfg.Deployment.State.Lowest()
+	rec := scheduler.NewPersistence(core, low.ValueKB, low.TxnOps)
 	whole := l.askWitnesses(ctx)
 	now, wall := time.Now(), time.Now()
 	if row, err := l.store.Get(ctx, records.KeyTypes); err != nil {
 		return 0, err
 	} else if row != nil {
-		var t records.Types
+		var t records.MachineTypes
 		if json.Unmarshal(row.Value, &t) == nil {
 			core.SetTypes(t.Types)
 		}
 	}
-	epoch, err := l.store.List(ctx, records.PrefixOpen, func(r records.Row) error {
-		l.addJob(core, r.Key, r.Value, r.Stamp, now, wall)
+	epoch, err := l.store.List(ctx, records.PrefixOpen, func(r records.KeyValue) error {
+		l.addJob(core, r.Key, r.Value, r.Revision, now, wall)
 		return nil
 	})
 	if err != nil {
@@ -37,28 +37,28 @@
 	}
 	values := []struct {
 		prefix string
-		take   func(records.Row)
+		take   func(records.KeyValue)
 	}{
 		{records.PrefixDone, rec.LoadDone},
-		{records.PrefixHosts, func(r records.Row) { rec.LoadHost(r, now) }},
-		{records.PrefixSent, rec.LoadMark},
+		{records.PrefixMachines, func(r records.KeyValue) { rec.LoadMachine(r, now) }},
+		{records.PrefixWatermarks, rec.LoadWatermark},
 	}
 	for _, v := range values {
-		if v.prefix == records.PrefixSent && !l.set.Marks {
+		if v.prefix == records.PrefixWatermarks && !l.set.Watermarks {
 			continue
 		}
-		if _, err := l.store.List(ctx, v.prefix, func(r records.Row) error { v.take(r); return nil }); err != nil {
+		if _, err := l.store.List(ctx, v.prefix, func(r records.KeyValue) error { v.take(r); return nil }); err != nil {
 			return 0, err
 		}
 	}
-	rec.Loaded(whole)
+	rec.FinishLoading(whole)
 	if l.cfg.Options.Operators {
 		if err := l.loadDrains(ctx, core); err != nil {
 			return 0, err
 		}
 	}
-	core.CheckSettled(now)
-	jobs, machines := core.Sizes()
+	core.CheckReconciled(now)
+	jobs, machines := core.Counts()
 	slog.Info("took over", "term", l.term, "jobs", jobs, "machines", machines)
 	l.mu.Lock()
 	l.core, l.rec = core, rec
@@ -66,7 +66,7 @@
 	return epoch, nil
 }
 
-func (l *Leader) addJob(core *scheduler.Core, key string, value json.RawMessage, stamp uint64, now, wall time.Time) {
+func (l *Leader) addJob(core *scheduler.Scheduler, key string, value json.RawMessage, stamp uint64, now, wall time.Time) {
 	var rec records.Job
 	if err := json.Unmarshal(value, &rec); err != nil || records.OpenKey(rec.ID) != key || rec.Tasks <= 0 {
 		slog.Error("unreadable record", "key", key, "err", err)
@@ -85,7 +85,7 @@
 func (l *Leader) fence(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
-		targets, settled := l.core.Unheard(), l.core.Settled()
+		targets, settled := l.core.Unreconciled(), l.core.Reconciled()
 		l.mu.Unlock()
 		if settled {
 			return
@@ -96,23 +96,23 @@
 			l.workers.Go(func() {
 				defer wg.Done()
 				for range 2 {
-					status, r, err := l.workers.Orders(t.Addr, fleet.Direct{Baton: l.term, Session: t.Session, Orders: []fleet.Order{}})
+					status, r, err := l.workers.SendCommands(t.Addr, fleet.CommandRequest{FencingToken: l.term, Incarnation: t.Incarnation, Commands: []fleet.Command{}})
 					if err != nil {
 						return
 					}
-					if r.Baton > l.term {
+					if r.FencingToken > l.term {
 						return
 					}
 					l.body(r)
 					if status == 200 {
 						return
 					}
-					t.Session = r.Session
+					t.Incarnation = r.Incarnation
 				}
 			})
 		}
 		wg.Wait()
-		if httpclient.Sleep(ctx, l.set.Report/2) != nil {
+		if httpclient.Sleep(ctx, l.set.HeartbeatInterval/2) != nil {
 			return
 		}
 	}
--- a/internal/linearizability/history.go
+++ b/internal/linearizability/history.go
@@ -144,8 +144,8 @@
 	return l.order()
 }
 
-// Order says which answers fit into no order, whether or not every job has ended; nil: all do.
-func (l *Log) Order() error {
+// CheckOrder says which answers fit into no order, whether or not every job has ended; nil: all do.
+func (l *Log) CheckOrder() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.order()
--- a/internal/loadtest/cell.go
+++ b/internal/loadtest/cell.go
@@ -32,7 +32,7 @@
 	zones  []string
 	state  *child
 	hosts  []*host // processes of workers
-	region *localcluster.Region
+	region *localcluster.Cluster
 	users  *client.Client
 	each   []*client.Client   // of one controller each
 	store  *httpclient.Client // to the state service
@@ -79,9 +79,9 @@
 		return nil, err
 	}
 	perZone := (workers + len(c.zones) - 1) / len(c.zones)
-	c.region, err = localcluster.Up(ctx, localcluster.Options{
-		Data: dir, Daemon: programs.Daemon, Arguments: []string{"--options", programs.Options}, Zones: c.zones, Controllers: size.Controllers,
-		Machines: perZone, LogLevel: "info", Facts: size.facts(index, c.zones), Types: size.types(c.zones), State: c.state.Service, Workers: c.place,
+	c.region, err = localcluster.Start(ctx, localcluster.Options{
+		Data: dir, Controller: programs.Daemon, Arguments: []string{"--options", programs.Options}, Zones: c.zones, Controllers: size.Controllers,
+		Machines: perZone, LogLevel: "info", Deployment: size.facts(index, c.zones), Types: size.types(c.zones), State: c.state.Service, Workers: c.place,
 	})
 	if err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 	c.where[m.Host] = to
 	c.mu.Unlock()
 	var at Placed
-	err := to.ask("POST", "/machines", Placement{m.Host, autoscaler.Request{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}, &at)
+	err := to.ask("POST", "/machines", Placement{m.Host, autoscaler.RentalRequest{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}, &at)
 	if err != nil {
 		c.gone(m.Host)
 		return "", nil, err
@@ -209,12 +209,12 @@
 	if err != nil || status != 200 {
 		return leadership{}
 	}
-	var row records.Row
+	var row records.KeyValue
 	var l records.Leader
 	if json.Unmarshal(raw, &row) != nil || json.Unmarshal(row.Value, &l) != nil {
 		return leadership{}
 	}
-	return leadership{l.Node, row.Stamp}
+	return leadership{l.Node, row.Revision}
 }
 
 // finals asks each controller how a job stands.
@@ -231,10 +231,10 @@
 }
 
 // history gathers what all workers ran.
-func (c *cell) history() ([]simulation.Ran, error) {
-	var all []simulation.Ran
+func (c *cell) history() ([]simulation.TaskRun, error) {
+	var all []simulation.TaskRun
 	for _, h := range c.hosts {
-		var ran []simulation.Ran
+		var ran []simulation.TaskRun
 		if err := h.ask("GET", "/history", nil, &ran); err != nil {
 			return nil, err
 		}
@@ -286,7 +286,7 @@
 func (c *cell) close() error {
 	var err error
 	if c.region != nil {
-		err = c.region.Down()
+		err = c.region.Stop()
 	}
 	for _, h := range c.hosts {
 		h.stop()
--- a/internal/loadtest/check.go
+++ b/internal/loadtest/check.go
@@ -29,8 +29,8 @@
 	Status     string // client.Done, client.Cancelled, or what it says instead
 }
 
-// Breach is a rule of the protocol that was broken, by its name there.
-type Breach struct {
+// Violation is a rule of the protocol that was broken, by its name there.
+type Violation struct {
 	Rule string `json:"rule"`
 	What string `json:"what"`
 }
@@ -47,21 +47,21 @@
 
 // History is what a run looked like from outside.
 type History struct {
-	Ran    []simulation.Ran // by all workers
+	Ran    []simulation.TaskRun // by all workers
 	Jobs   map[string]*UserJob
 	Limits []Limits      // by region
 	Cancel time.Duration // within which a cancelled job's tasks have to be gone
 }
 
 // Check lists the rules that were broken.
-func (h *History) Check() []Breach {
-	var all []Breach
+func (h *History) Check() []Violation {
+	var all []Violation
 	all = append(all, h.checkPlaces()...)
 	all = append(all, h.checkCancelled()...)
 	all = append(all, h.checkQuotas()...)
 	all = append(all, h.checkAnswers()...)
 	if len(h.Ran) == 0 {
-		all = append(all, Breach{"nothing_ran", "no task was started"})
+		all = append(all, Violation{"nothing_ran", "no task was started"})
 	}
 	return all
 }
@@ -72,17 +72,19 @@
 }
 
 // checkPlaces looks for tasks that started on one machine while they were on another.
-func (h *History) checkPlaces() []Breach {
+func (h *History) checkPlaces() []Violation {
 	ran := slices.Clone(h.Ran)
-	slices.SortFunc(ran, func(a, b simulation.Ran) int { return cmp.Or(cmp.Compare(a.Task, b.Task), a.From.Compare(b.From)) })
-	var all []Breach
-	var last simulation.Ran // of the task, the one that ends last so far
+	slices.SortFunc(ran, func(a, b simulation.TaskRun) int {
+		return cmp.Or(cmp.Compare(a.Task, b.Task), a.Started.Compare(b.Started))
+	})
+	var all []Violation
+	var last simulation.TaskRun // of the task, the one that ends last so far
 	for i, r := range ran {
 		if i > 0 && last.Task == r.Task {
-			if r.From.Before(last.To) && r.Machine != last.Machine {
-				all = append(all, Breach{"ran_twice", fmt.Sprintf("%s started on %s at %v while it was on %s until %v", r.Task, r.Machine, r.From, last.Machine, last.To)})
+			if r.Started.Before(last.Ended) && r.Machine != last.Machine {
+				all = append(all, Violation{"ran_twice", fmt.Sprintf("%s started on %s at %v while it was on %s until %v", r.Task, r.Machine, r.Started, last.Machine, last.Ended)})
 			}
-			if r.To.Before(last.To) {
+			if r.Ended.Before(last.Ended) {
 				continue
 			}
 		}
@@ -92,18 +94,18 @@
 }
 
 // checkCancelled looks for tasks of cancelled jobs that started after the confirmation or stayed too long.
-func (h *History) checkCancelled() []Breach {
-	var all []Breach
+func (h *History) checkCancelled() []Violation {
+	var all []Violation
 	for _, r := range h.Ran {
 		j := h.Jobs[jobOf(r.Task)]
 		if j == nil || j.Cancelled.IsZero() {
 			continue
 		}
-		if late := r.To.Sub(j.Cancelled); late > h.Cancel {
-			all = append(all, Breach{"ran_cancelled", fmt.Sprintf("%s was on %s for %v after its job was cancelled", r.Task, r.Machine, late)})
+		if late := r.Ended.Sub(j.Cancelled); late > h.Cancel {
+			all = append(all, Violation{"ran_cancelled", fmt.Sprintf("%s was on %s for %v after its job was cancelled", r.Task, r.Machine, late)})
 		}
-		if late := r.From.Sub(j.Cancelled); late > inFlight {
-			all = append(all, Breach{"started_cancelled", fmt.Sprintf("%s started on %s %v after its cancellation was confirmed", r.Task, r.Machine, late)})
+		if late := r.Started.Sub(j.Cancelled); late > inFlight {
+			all = append(all, Violation{"started_cancelled", fmt.Sprintf("%s started on %s %v after its cancellation was confirmed", r.Task, r.Machine, late)})
 		}
 	}
 	return all
@@ -116,7 +118,7 @@
 }
 
 // checkQuotas adds up what the teams' tasks took at every moment.
-func (h *History) checkQuotas() []Breach {
+func (h *History) checkQuotas() []Violation {
 	type owner struct {
 		team   string
 		region int
@@ -128,9 +130,9 @@
 			continue
 		}
 		who := owner{j.Team, j.Region}
-		changes[who] = append(changes[who], change{r.From, j.CPUs}, change{r.To, -j.CPUs})
+		changes[who] = append(changes[who], change{r.Started, j.CPUs}, change{r.Ended, -j.CPUs})
 	}
-	var all []Breach
+	var all []Violation
 	for who, list := range changes {
 		// What ends goes before what begins at the same moment.
 		slices.SortFunc(list, func(a, b change) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.cpus, b.cpus)) })
@@ -140,16 +142,16 @@
 			most = max(most, used)
 		}
 		if limit := h.Limits[who.region][who.team]; most > limit+amountSlack {
-			all = append(all, Breach{"quota", fmt.Sprintf("%s used %g CPUs of %g in region %d", who.team, most, limit, who.region)})
+			all = append(all, Violation{"quota", fmt.Sprintf("%s used %g CPUs of %g in region %d", who.team, most, limit, who.region)})
 		}
 	}
-	slices.SortFunc(all, func(a, b Breach) int { return cmp.Compare(a.What, b.What) })
+	slices.SortFunc(all, func(a, b Violation) int { return cmp.Compare(a.What, b.What) })
 	return all
 }
 
 // checkAnswers compares what the controllers say at the end of each accepted job with each other and with what
 // ran.
-func (h *History) checkAnswers() []Breach {
+func (h *History) checkAnswers() []Violation {
 	done := map[string]map[string]bool{}
 	for _, r := range h.Ran {
 		if r.Cause == fleet.CauseDone {
@@ -160,7 +162,7 @@
 			done[id][r.Task] = true
 		}
 	}
-	var all []Breach
+	var all []Violation
 	for _, id := range slices.Sorted(maps.Keys(h.Jobs)) {
 		j := h.Jobs[id]
 		if j.Accepted.IsZero() {
@@ -172,20 +174,20 @@
 }
 
 // checkFinals checks the final answers of a job of which so many tasks were seen to complete.
-func (j *UserJob) checkFinals(done int) []Breach {
-	var all []Breach
+func (j *UserJob) checkFinals(done int) []Violation {
+	var all []Violation
 	for _, f := range j.Finals {
 		switch {
 		case f.Status == client.Pending || f.Status == client.Running:
-			all = append(all, Breach{"unfinished", fmt.Sprintf("%s is still %s at %s at the end", j.ID, f.Status, f.Controller)})
+			all = append(all, Violation{"unfinished", fmt.Sprintf("%s is still %s at %s at the end", j.ID, f.Status, f.Controller)})
 		case f.Status != client.Done && f.Status != client.Cancelled:
-			all = append(all, Breach{"forgotten", fmt.Sprintf("%s is %q at %s at the end", j.ID, f.Status, f.Controller)})
+			all = append(all, Violation{"forgotten", fmt.Sprintf("%s is %q at %s at the end", j.ID, f.Status, f.Controller)})
 		case f.Status != j.Finals[0].Status:
-			all = append(all, Breach{"went_back", fmt.Sprintf("%s is %s at %s and %s at %s", j.ID, j.Finals[0].Status, j.Finals[0].Controller, f.Status, f.Controller)})
+			all = append(all, Violation{"went_back", fmt.Sprintf("%s is %s at %s and %s at %s", j.ID, j.Finals[0].Status, j.Finals[0].Controller, f.Status, f.Controller)})
 		case f.Status == client.Done && done < j.Tasks:
-			all = append(all, Breach{"not_done", fmt.Sprintf("%s is called done at %s with %d of %d tasks done", j.ID, f.Controller, done, j.Tasks)})
+			all = append(all, Violation{"not_done", fmt.Sprintf("%s is called done at %s with %d of %d tasks done", j.ID, f.Controller, done, j.Tasks)})
 		case f.Status == client.Cancelled && !j.Withdrawn:
-			all = append(all, Breach{"went_back", fmt.Sprintf("%s is called cancelled at %s, and nobody cancelled it", j.ID, f.Controller)})
+			all = append(all, Violation{"went_back", fmt.Sprintf("%s is called cancelled at %s, and nobody cancelled it", j.ID, f.Controller)})
 		}
 	}
 	return all
--- a/internal/loadtest/check_test.go
+++ b/internal/loadtest/check_test.go
@@ -19,11 +19,11 @@
 		}
 	}
 	return &History{
-		Ran: []simulation.Ran{
-			{Task: "j-1/0", Machine: "m-1", From: at(1), Running: at(2), To: at(5), Cause: "lost"},
-			{Task: "j-1/0", Machine: "m-2", From: at(5), Running: at(6), To: at(9), Cause: "done"},
-			{Task: "j-1/1", Machine: "m-1", From: at(1), Running: at(2), To: at(8), Cause: "done"},
-			{Task: "j-2/0", Machine: "m-3", From: at(9), Running: at(9), To: at(12), Cause: "stopped"},
+		Ran: []simulation.TaskRun{
+			{Task: "j-1/0", Machine: "m-1", Started: at(1), Running: at(2), Ended: at(5), Cause: "lost"},
+			{Task: "j-1/0", Machine: "m-2", Started: at(5), Running: at(6), Ended: at(9), Cause: "done"},
+			{Task: "j-1/1", Machine: "m-1", Started: at(1), Running: at(2), Ended: at(8), Cause: "done"},
+			{Task: "j-2/0", Machine: "m-3", Started: at(9), Running: at(9), Ended: at(12), Cause: "stopped"},
 		},
 		Jobs:   map[string]*UserJob{"j-1": job("j-1", 2, time.Time{}, client.Done), "j-2": job("j-2", 1, at(10), client.Cancelled)},
 		Limits: []Limits{{"a": 2}}, Cancel: 10 * time.Second,
@@ -39,9 +39,12 @@
 		rule    string
 		breakIt func(h *History)
 	}{
-		{"ran_twice", func(h *History) { h.Ran[1].From = h.Ran[0].To.Add(-time.Millisecond); h.Limits = []Limits{nil} }},
-		{"ran_cancelled", func(h *History) { h.Ran[3].To = h.Ran[3].To.Add(9 * time.Second) }},
-		{"started_cancelled", func(h *History) { h.Ran[3].From = h.Ran[3].From.Add(6 * time.Second); h.Ran[3].To = h.Ran[3].From }},
+		{"ran_twice", func(h *History) { h.Ran[1].Started = h.Ran[0].Ended.Add(-time.Millisecond); h.Limits = []Limits{nil} }},
+		{"ran_cancelled", func(h *History) { h.Ran[3].Ended = h.Ran[3].Ended.Add(9 * time.Second) }},
+		{"started_cancelled", func(h *History) {
+			h.Ran[3].Started = h.Ran[3].Started.Add(6 * time.Second)
+			h.Ran[3].Ended = h.Ran[3].Started
+		}},
 		{"quota", func(h *History) { h.Limits[0]["a"] = 1.5 }},
 		{"forgotten", func(h *History) { h.Jobs["j-1"].Finals[1].Status = "not found" }},
 		{"unfinished", func(h *History) { h.Jobs["j-1"].Finals[1].Status = client.Running }},
--- a/internal/loadtest/child.go
+++ b/internal/loadtest/child.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := localcluster.Start(c.cmd); err != nil {
+	if err := localcluster.StartProcess(c.cmd); err != nil {
 		return nil, err
 	}
 	said := make(chan error, 1)
@@ -115,7 +115,7 @@
 	var said hello
 	switch role {
 	case RoleWorkers:
-		NewHollow(ctx).Mount(app)
+		NewHollowWorkers(ctx).Mount(app)
 	case RoleState:
 		requests := newStateCounts()
 		addr, err := localcluster.ServeState(ctx, filepath.Join(data, "state.db"), requests.count)
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -9,20 +9,20 @@
 	"drumpick/internal/httpclient"
 )
 
-// Takeover is how a region came through the end of its leader.
-type Takeover struct {
+// Failover is how a region came through the end of its leader.
+type Failover struct {
 	Region   int     `json:"region"`
 	LeaderS  float64 `json:"leader_s"`  // until another led
 	SettledS float64 `json:"settled_s"` // until a task started again under it
 }
 
-// Happened counts what went wrong on purpose.
-type Happened struct {
+// InjectedFaults counts what went wrong on purpose.
+type InjectedFaults struct {
 	Failures  int        `json:"failures"` // machines that failed, those of racks and zones included
 	Restarts  int        `json:"restarts"`
 	Racks     int        `json:"racks"`
 	Zones     int        `json:"zones"`
-	Takeovers []Takeover `json:"takeovers,omitempty"`
+	Failovers []Failover `json:"takeovers,omitempty"`
 }
 
 // When, in parts of the time that is measured, the larger faults happen.
@@ -37,7 +37,7 @@
 	size  Size
 	cells []*cell
 	rand  *rand.Rand
-	did   Happened
+	did   InjectedFaults
 }
 
 // event is one fault and when it happens.
@@ -118,7 +118,7 @@
 func (f *faults) failZone(context.Context) {
 	c := f.anyCell()
 	f.did.Zones++
-	f.did.Failures += c.region.World.Storm(c.zones[f.rand.IntN(len(c.zones))])
+	f.did.Failures += c.region.World.FailZone(c.zones[f.rand.IntN(len(c.zones))])
 }
 
 // takeoverPatience bounds how long a takeover is followed.
@@ -132,7 +132,7 @@
 		return
 	}
 	began := time.Now()
-	took := Takeover{Region: c.index}
+	took := Failover{Region: c.index}
 	for time.Since(began) < takeoverPatience && httpclient.Sleep(ctx, 20*time.Millisecond) == nil {
 		if now := c.leader(); now.term > old.term {
 			took.LeaderS = time.Since(began).Seconds()
@@ -147,5 +147,5 @@
 			break
 		}
 	}
-	f.did.Takeovers = append(f.did.Takeovers, took)
+	f.did.Failovers = append(f.did.Failovers, took)
 }
--- a/internal/loadtest/fit.go
+++ b/internal/loadtest/fit.go
@@ -31,8 +31,8 @@
 	plannedTeams = 48
 )
 
-// Line is a cost that is fitted by a fixed part and a slope.
-type Line struct {
+// CostModel is a cost that is fitted by a fixed part and a slope.
+type CostModel struct {
 	Cost      string
 	Fixed     float64
 	Slope     float64
@@ -42,11 +42,11 @@
 	Planned   float64   // at the planned size
 }
 
-// Fits are the costs over sizes.
-type Fits struct {
+// Regression are the costs over sizes.
+type Regression struct {
 	By      string
 	Sizes   []float64
-	Lines   []Line
+	Lines   []CostModel
 	Planned float64 // size
 	Beyond  bool    // it is larger than what was run
 }
@@ -81,7 +81,7 @@
 }
 
 // Fit fits a line to each cost over the results of runs whose sizes differ.
-func Fit(files []string, by string) (*Fits, error) {
+func Fit(files []string, by string) (*Regression, error) {
 	if _, known := planned[by]; !known {
 		return nil, &UsageError{"by", fmt.Sprintf("%q is none of %s, %s, %s", by, ByWorkers, ByRate, ByTeams)}
 	}
@@ -94,7 +94,7 @@
 		results = append(results, r)
 	}
 	slices.SortFunc(results, func(a, b *Result) int { return cmp.Compare(a.sizeBy(by), b.sizeBy(by)) })
-	f := &Fits{By: by, Planned: planned[by]}
+	f := &Regression{By: by, Planned: planned[by]}
 	distinct := map[float64]bool{}
 	for _, r := range results {
 		f.Sizes = append(f.Sizes, r.sizeBy(by))
@@ -108,13 +108,13 @@
 	return f, nil
 }
 
-func (f *Fits) fitAll(results []*Result) {
+func (f *Regression) fitAll(results []*Result) {
 	costs := make([]map[string]float64, len(results))
 	for i, r := range results {
 		costs[i] = r.costs()
 	}
 	for _, cost := range slices.Sorted(maps.Keys(costs[0])) {
-		line := Line{Cost: cost}
+		line := CostModel{Cost: cost}
 		for _, of := range costs {
 			line.Measured = append(line.Measured, of[cost])
 		}
@@ -124,7 +124,7 @@
 }
 
 // fit works out the line and how far each size is from it.
-func (l *Line) fit(sizes []float64, at float64) {
+func (l *CostModel) fit(sizes []float64, at float64) {
 	l.Fixed, l.Slope = stat.LinearRegression(sizes, l.Measured, nil, false)
 	if l.RSquared = stat.RSquared(sizes, l.Measured, nil, l.Fixed, l.Slope); math.IsNaN(l.RSquared) {
 		l.RSquared = 1 // all are alike
@@ -136,7 +136,7 @@
 }
 
 // Print writes the fits as a table for people.
-func (f *Fits) Print(out io.Writer) error {
+func (f *Regression) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	beyond := ""
 	if f.Beyond {
--- a/internal/loadtest/golden_test.go
+++ b/internal/loadtest/golden_test.go
@@ -22,8 +22,8 @@
 		Usage:   map[string]Usage{"controller": {Processes: 1, Cores: 2.5, PeakCores: 3.5, MemoryMB: 4.5}},
 		Traffic: map[string]Traffic{"reports": traffic}, Waits: map[string]Waits{"train": waits}, ToRun: waits, InTime: 19.5, Lapses: 20,
 		Lost: 21, Refused: 22, Jobs: 23, Finished: 24, Unanswered: 25,
-		Happened: Happened{Failures: 1, Restarts: 2, Racks: 3, Zones: 4, Takeovers: []Takeover{{Region: 1, LeaderS: 2.5, SettledS: 3.5}}},
-		Breaches: []Breach{{Rule: "r", What: "w"}},
+		Happened: InjectedFaults{Failures: 1, Restarts: 2, Racks: 3, Zones: 4, Failovers: []Failover{{Region: 1, LeaderS: 2.5, SettledS: 3.5}}},
+		Breaches: []Violation{{Rule: "r", What: "w"}},
 	}
 	// All but the run before, which is a result itself.
 	if unset := goldentest.Unset(r, "json"); len(unset) != 1 {
@@ -38,7 +38,7 @@
 		{Name: "setup", Value: Setup{Nodes: []Node{{Name: "n-1", Addr: "a:1"}}, Types: []records.MachineType{{
 			Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"},
 		}}}},
-		{Name: "placement", Value: Placement{Host: "m-1", Rent: autoscaler.Request{Booking: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 3}}},
+		{Name: "placement", Value: Placement{Host: "m-1", Rent: autoscaler.RentalRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 3}}},
 		{Name: "placed", Value: Placed{Addr: "a:1"}},
 		{Name: "counts of workers", Value: WorkerCounts{Machines: 1, Running: 2, Starts: 3, Lapses: 4, Reports: traffic, Refused: 5, Orders: traffic}},
 		{Name: "child", Value: hello{Addr: "a:1", Service: "a:2"}},
--- a/internal/loadtest/hollow.go
+++ b/internal/loadtest/hollow.go
@@ -34,8 +34,8 @@
 
 // Placement is a machine that was rented and is to run in this process.
 type Placement struct {
-	Host string             `json:"host"`
-	Rent autoscaler.Request `json:"rent"`
+	Host string                   `json:"host"`
+	Rent autoscaler.RentalRequest `json:"rent"`
 }
 
 // Placed is where such a machine's worker takes direct commands.
@@ -84,9 +84,9 @@
 	Orders   Traffic `json:"orders"`  // direct commands
 }
 
-// Hollow runs workers whose tasks are timers: machines of the stand-in world, each behind a socket of
+// HollowWorkers runs workers whose tasks are timers: machines of the stand-in world, each behind a socket of
 // its own and with a connection of its own to a controller.
-type Hollow struct {
+type HollowWorkers struct {
 	world   *simulation.World
 	ctx     context.Context
 	workers *fasthttp.Server
@@ -110,19 +110,19 @@
 // workerPatience is how long a worker waits for an answer (PROTOCOL).
 const workerPatience = 4 * time.Second
 
-// NewHollow returns a process of workers without any.
-func NewHollow(ctx context.Context) *Hollow {
-	h := &Hollow{
+// NewHollowWorkers returns a process of workers without any.
+func NewHollowWorkers(ctx context.Context) *HollowWorkers {
+	h := &HollowWorkers{
 		world: simulation.NewWorld(ctx), ctx: ctx, jobs: map[string]records.Job{}, at: map[string]*simulation.Machine{}, links: map[string]*connection{},
 	}
 	w := h.world
-	w.Every, w.Lease, w.Cancel = config.Seconds(reportS), config.Seconds(leaseS), config.Seconds(cancelS)
+	w.HeartbeatInterval, w.Lease, w.Cancel = config.Seconds(reportS), config.Seconds(leaseS), config.Seconds(cancelS)
 	w.GangWait, w.GangPeer = config.Seconds(gangWaitS), config.Seconds(gangPeerS)
 	w.InFlight = inFlight
 	w.Jobs = h.job
 	w.RunFor = h.runFor
 	w.Open = h.open
-	w.Report = simulation.Reporter(h.report)
+	w.Heartbeat = simulation.HeartbeatOverHTTP(h.report)
 	w.FirstNode = h.firstNode
 	commands := newApp()
 	commands.Use(func(c *fiber.Ctx) error {
@@ -146,7 +146,7 @@
 func listen() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
 
 // job is a job's description, as users uploaded it.
-func (h *Hollow) job(id string) (records.Job, bool) {
+func (h *HollowWorkers) job(id string) (records.Job, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	j, ok := h.jobs[id]
@@ -154,7 +154,7 @@
 }
 
 // runFor is how long a task runs: near its owner's estimate, by its name.
-func (h *Hollow) runFor(task string) time.Duration {
+func (h *HollowWorkers) runFor(task string) time.Duration {
 	j, _ := h.job(jobOf(task))
 	sum := fnv.New32a()
 	sum.Write([]byte(task))
@@ -162,7 +162,7 @@
 }
 
 // firstNode spreads the workers' first reports over the controllers.
-func (h *Hollow) firstNode(host string) int {
+func (h *HollowWorkers) firstNode(host string) int {
 	sum := fnv.New32a()
 	sum.Write([]byte(host))
 	h.mu.Lock()
@@ -171,7 +171,7 @@
 }
 
 // open opens the address where a machine takes commands.
-func (h *Hollow) open(m *simulation.Machine) (string, func(), error) {
+func (h *HollowWorkers) open(m *simulation.Machine) (string, func(), error) {
 	ln, err := listen()
 	if err != nil {
 		return "", nil, err
@@ -195,7 +195,7 @@
 }
 
 // linkTo is a worker's connection to a controller; the one to another is closed.
-func (h *Hollow) linkTo(host string, node int) *httpclient.Client {
+func (h *HollowWorkers) linkTo(host string, node int) *httpclient.Client {
 	h.mu.Lock()
 	was := h.links[host]
 	if was != nil && was.node == node {
@@ -212,7 +212,7 @@
 }
 
 // report sends a worker's report to a controller.
-func (h *Hollow) report(host string, node int, body []byte) (int, []byte, error) {
+func (h *HollowWorkers) report(host string, node int, body []byte) (int, []byte, error) {
 	status, answer, err := h.linkTo(host, node).Do("POST", "/checkin", "application/json", body, time.Now().Add(workerPatience))
 	h.reports.add(len(body), len(answer))
 	if status != 200 {
@@ -221,7 +221,7 @@
 	return status, answer, err
 }
 
-func (h *Hollow) setUp(s Setup) {
+func (h *HollowWorkers) setUp(s Setup) {
 	h.mu.Lock()
 	h.nodes = s.Nodes
 	h.mu.Unlock()
@@ -232,7 +232,7 @@
 }
 
 // place starts a rented machine and waits until it takes commands.
-func (h *Hollow) place(p Placement) (Placed, error) {
+func (h *HollowWorkers) place(p Placement) (Placed, error) {
 	m := h.world.Host(p.Host, p.Rent)
 	for until := time.Now().Add(askTime); time.Now().Before(until); {
 		if addr := m.Addr(); addr != "" {
@@ -246,15 +246,15 @@
 	return Placed{}, fmt.Errorf("machine %s does not come up", p.Host)
 }
 
-func (h *Hollow) counts() WorkerCounts {
+func (h *HollowWorkers) counts() WorkerCounts {
 	return WorkerCounts{
-		Machines: len(h.world.Machines()), Running: h.world.Running(), Starts: h.world.Starts(), Lapses: h.world.Lapses(),
+		Machines: len(h.world.Machines()), Running: h.world.Running(), Starts: h.world.Starts(), Lapses: h.world.LeaseExpiries(),
 		Reports: h.reports.read(), Refused: h.refused.Load(), Orders: h.orders.read(),
 	}
 }
 
 // Mount serves whoever runs the process.
-func (h *Hollow) Mount(app *fiber.App) {
+func (h *HollowWorkers) Mount(app *fiber.App) {
 	app.Post("/setup", func(c *fiber.Ctx) error {
 		return taking(c, func(s Setup) (any, error) { h.setUp(s); return fiber.Map{}, nil })
 	})
@@ -281,7 +281,7 @@
 }
 
 // with serves what is done to a machine by name.
-func (h *Hollow) with(do func(*simulation.Machine)) fiber.Handler {
+func (h *HollowWorkers) with(do func(*simulation.Machine)) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		return taking(c, func(p Placement) (any, error) {
 			m := h.world.Machine(p.Host)
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -37,10 +37,10 @@
 	Jobs       int                `json:"jobs"`     // accepted
 	Finished   int                `json:"finished"` // of these, over at the end
 	Unanswered int                `json:"unanswered"`
-	Happened   Happened           `json:"happened"`
+	Happened   InjectedFaults     `json:"happened"`
 	// Without is the same size without teams, played just before in the same run.
-	Without  *Result  `json:"without,omitempty"`
-	Breaches []Breach `json:"breaches"`
+	Without  *Result     `json:"without,omitempty"`
+	Breaches []Violation `json:"breaches"`
 }
 
 // Rates are starts a second.
@@ -76,23 +76,23 @@
 }
 
 // measureStarts works out, from what ran, what began within a span.
-func (r *Result) measureStarts(ran []simulation.Ran, jobs map[string]*UserJob, from, to time.Time) {
+func (r *Result) measureStarts(ran []simulation.TaskRun, jobs map[string]*UserJob, from, to time.Time) {
 	waits := map[string]*hdrhistogram.Histogram{classUrgent: newHistogram(), classBulk: newHistogram()}
 	toRun := newHistogram()
 	first := map[string]time.Time{} // when a task began, by its name
 	perSecond := map[int]int{}
 	starts, inTime, urgent := 0, 0, 0
 	for _, x := range ran {
-		if at, known := first[x.Task]; !known || x.From.Before(at) {
-			first[x.Task] = x.From
+		if at, known := first[x.Task]; !known || x.Started.Before(at) {
+			first[x.Task] = x.Started
 		}
-		if x.From.Before(from) || x.From.After(to) {
+		if x.Started.Before(from) || x.Started.After(to) {
 			continue
 		}
 		starts++
-		perSecond[int(x.From.Sub(from).Seconds())]++
+		perSecond[int(x.Started.Sub(from).Seconds())]++
 		if !x.Running.IsZero() {
-			record(toRun, x.Running.Sub(x.From))
+			record(toRun, x.Running.Sub(x.Started))
 		}
 		if j := jobs[jobOf(x.Task)]; x.Cause != fleet.CauseDone && (j == nil || !j.Withdrawn) {
 			r.Lost++
@@ -169,7 +169,7 @@
 	fmt.Fprintf(w, "leases lost\t%d; starts that came to nothing %d; reports not answered with 200: %d\n", r.Lapses, r.Lost, r.Refused)
 	fmt.Fprintf(w, "jobs\t%d accepted, %d over at the end, %d submissions unanswered\n", r.Jobs, r.Finished, r.Unanswered)
 	fmt.Fprintf(w, "went wrong on purpose\t%d machines failed, %d restarted, %d racks, %d zones\n", r.Happened.Failures, r.Happened.Restarts, r.Happened.Racks, r.Happened.Zones)
-	for _, t := range r.Happened.Takeovers {
+	for _, t := range r.Happened.Failovers {
 		fmt.Fprintf(w, "takeover in region %d\tled after %.1f s, started again after %.1f s\n", t.Region+1, t.LeaderS, t.SettledS)
 	}
 	fmt.Fprintln(w, "\nrole\tprocesses\tcores, mean\tpeak\tMB")
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -133,7 +133,7 @@
 
 // judge works out what the workers and users saw, and checks the rules on it.
 func (r *run) judge(result *Result, began, ended time.Time) error {
-	var ran []simulation.Ran
+	var ran []simulation.TaskRun
 	for _, c := range r.cells {
 		of, err := c.history()
 		if err != nil {
@@ -155,7 +155,7 @@
 	for _, c := range r.cells {
 		of := Limits{}
 		for _, t := range r.size.facts(c.index, c.zones).Teams {
-			of[t.Name] = t.CPUsMax
+			of[t.Name] = t.LimitCPUs
 		}
 		h.Limits = append(h.Limits, of)
 	}
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -182,14 +182,14 @@
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
 
 // facts are the settings of one region's controllers.
-func (s *Size) facts(region int, zones []string) *config.Facts {
-	f := &config.Facts{
+func (s *Size) facts(region int, zones []string) *config.Deployment {
+	f := &config.Deployment{
 		Nodes: s.Controllers, Zones: zones, TimeBoundMS: 100,
 		Objectives: []config.Objective{
 			{Kind: config.KindWait, Class: classUrgent, WithinS: urgentS, Share: 0.95},
 			{Kind: "finished", Class: classBulk, WithinS: 20 * s.taskTime().Seconds(), Share: 0.9},
 		},
-		Workers:   config.Workers{ReportS: reportS, LeaseS: leaseS, GangWaitS: gangWaitS, GangPeerS: gangPeerS, CancelS: cancelS},
+		Workers:   config.Workers{HeartbeatS: reportS, LeaseS: leaseS, GangWaitS: gangWaitS, GangPeerS: gangPeerS, CancelS: cancelS},
 		State:     config.State{RPS: s.StoreRPS, WriteRPS: s.StoreWrites, ValueKB: 64, TxnOps: 64},
 		Cloud:     config.Cloud{RPS: 20, ListLagS: 3},
 		Resources: config.Resources{Cores: 1, RAMMB: 4096, FDLimit: 16000},
@@ -199,7 +199,7 @@
 		t := config.Team{Name: teamName(i)}
 		if s.Teams > 0 {
 			part := cpus / float64(s.Teams)
-			t.CPUs, t.CPUsMax = math.Floor(guaranteed*part), math.Max(math.Ceil(limited*part), 1)
+			t.GuaranteedCPUs, t.LimitCPUs = math.Floor(guaranteed*part), math.Max(math.Ceil(limited*part), 1)
 		}
 		f.Teams = append(f.Teams, t)
 	}
--- a/internal/localcluster/control.go
+++ b/internal/localcluster/control.go
@@ -15,13 +15,13 @@
 
 // History is what happened in a region so far.
 type History struct {
-	Ran    []simulation.Ran  `json:"ran"`
-	Bills  []simulation.Bill `json:"bills"`
-	Broken []string          `json:"broken"` // rules of the protocol that were broken
+	Ran    []simulation.TaskRun    `json:"ran"`
+	Bills  []simulation.RentalCost `json:"bills"`
+	Broken []string                `json:"broken"` // rules of the protocol that were broken
 }
 
 // History tells what ran and what it cost.
-func (r *Region) History() History {
+func (r *Cluster) History() History {
 	ran, bills := r.World.History()
 	return History{ran, bills, r.World.Broken()}
 }
@@ -32,7 +32,7 @@
 }
 
 // control serves whoever causes trouble by hand.
-func (r *Region) control(app *fiber.App) {
+func (r *Cluster) control(app *fiber.App) {
 	reply := func(c *fiber.Ctx, text string, err error) error {
 		if err != nil {
 			return c.Status(404).JSON(done{Error: err.Error()})
@@ -52,7 +52,7 @@
 		if err != nil || span <= 0 {
 			return c.Status(400).JSON(done{Error: "for is no length of time such as 10s"})
 		}
-		return reply(c, fmt.Sprintf("nobody reaches the machines of %s for %v", name(c), span), r.Cut(name(c), span))
+		return reply(c, fmt.Sprintf("nobody reaches the machines of %s for %v", name(c), span), r.PartitionZone(name(c), span))
 	})
 	app.Post("/upgrade/:name", func(c *fiber.Ctx) error {
 		version := utils.CopyString(c.Query("to"))
@@ -62,7 +62,7 @@
 		return reply(c, name(c)+" comes back with version "+version, r.Upgrade(name(c), version))
 	})
 	app.Post("/storm/:name", func(c *fiber.Ctx) error {
-		n, err := r.Storm(name(c))
+		n, err := r.FailZone(name(c))
 		return reply(c, fmt.Sprintf("%s is without power: %d machines are gone", name(c), n), err)
 	})
 	app.Get("/history", func(c *fiber.Ctx) error { return c.JSON(r.History()) })
--- a/internal/localcluster/disk.go
+++ b/internal/localcluster/disk.go
@@ -39,7 +39,7 @@
 		return nil, fmt.Errorf("state service: %s: %w (is another region running on it?)", path, err)
 	}
 	d := &disk{db: db, more: make(chan struct{}, 1), news: make(chan struct{}), quit: make(chan struct{}), done: make(chan struct{})}
-	var rows []records.Row
+	var rows []records.KeyValue
 	var hold uint64
 	lives := map[uint64]time.Duration{}
 	err = db.Update(func(tx *bbolt.Tx) error {
@@ -57,7 +57,7 @@
 			return err
 		}
 		return tx.Bucket(bucketRows).ForEach(func(k, v []byte) error {
-			var r records.Row
+			var r records.KeyValue
 			if err := json.Unmarshal(v, &r); err != nil {
 				return fmt.Errorf("record %s: %w", k, err)
 			}
@@ -71,7 +71,7 @@
 	}
 	d.written = d.epoch
 	s.Restore(rows, d.epoch, hold, lives)
-	s.Keep = d.keep
+	s.OnChange = d.keep
 	go d.run()
 	return d, nil
 }
@@ -90,7 +90,7 @@
 	d.mu.Lock()
 	if !d.closed {
 		d.pending = append(d.pending, c)
-		d.epoch = c.Epoch
+		d.epoch = c.Revision
 	}
 	d.mu.Unlock()
 	select {
@@ -129,7 +129,7 @@
 		}
 		err := d.db.Update(func(tx *bbolt.Tx) error { return write(tx, batch) })
 		d.mu.Lock()
-		if d.written = batch[len(batch)-1].Epoch; err != nil {
+		if d.written = batch[len(batch)-1].Revision; err != nil {
 			d.failed = err
 		}
 		close(d.news)
@@ -150,26 +150,26 @@
 				return err
 			}
 		}
-		for _, k := range c.Gone {
+		for _, k := range c.Deletes {
 			if err := rows.Delete([]byte(k)); err != nil {
 				return err
 			}
 		}
-		if c.Hold != 0 {
-			if err := grants.Put(bytesOf(c.Hold), bytesOf(uint64(c.Life))); err != nil {
+		if c.LeaseID != 0 {
+			if err := grants.Put(bytesOf(c.LeaseID), bytesOf(uint64(c.Life))); err != nil {
 				return err
 			}
-			if err := meta.Put([]byte("hold"), bytesOf(c.Hold)); err != nil {
+			if err := meta.Put([]byte("hold"), bytesOf(c.LeaseID)); err != nil {
 				return err
 			}
 		}
-		if c.Ended != 0 {
-			if err := grants.Delete(bytesOf(c.Ended)); err != nil {
+		if c.RevokedLease != 0 {
+			if err := grants.Delete(bytesOf(c.RevokedLease)); err != nil {
 				return err
 			}
 		}
 	}
-	return meta.Put([]byte("epoch"), bytesOf(batch[len(batch)-1].Epoch))
+	return meta.Put([]byte("epoch"), bytesOf(batch[len(batch)-1].Revision))
 }
 
 // close writes what is pending and closes the file.
--- a/internal/localcluster/drain_test.go
+++ b/internal/localcluster/drain_test.go
@@ -52,8 +52,8 @@
 			continue
 		}
 		for _, s := range r.Tasks {
-			if strings.HasPrefix(s.Shot, id+"/") && s.Status == "running" {
-				where[s.Shot] = m.Host
+			if strings.HasPrefix(s.Task, id+"/") && s.Status == "running" {
+				where[s.Task] = m.Host
 			}
 		}
 	}
@@ -61,8 +61,8 @@
 }
 
 // ran lists the ended attempts of a job.
-func (p *place) ran(id string) []simulation.Ran {
-	var all []simulation.Ran
+func (p *place) ran(id string) []simulation.TaskRun {
+	var all []simulation.TaskRun
 	for _, x := range p.r.History().Ran {
 		if strings.HasPrefix(x.Task, id+"/") {
 			all = append(all, x)
@@ -261,7 +261,7 @@
 		}
 	}
 	p.until("the first machines to be upgraded", func() bool { tend(); return upgraded > 0 })
-	p.r.World.Cut("north", true)
+	p.r.World.PartitionZone("north", true)
 	p.until("the zone's tasks to run elsewhere or have ended", func() bool {
 		st, err := p.r.Client().Get(t.Context(), "j-1")
 		return len(p.lost()) > 0 || err == nil && st.Over()
@@ -271,7 +271,7 @@
 			_ = p.r.Upgrade(m.Host, "2.0")
 		}
 	}
-	p.r.World.Cut("north", false)
+	p.r.World.PartitionZone("north", false)
 	old, err := production(t)
 	if err != nil {
 		t.Logf("without the version in production: %v", err)
@@ -284,7 +284,7 @@
 		leader := ""
 		p.until("it to lead", func() bool { leader = p.leader(); return leader != "" && p.logged("leading", old != "") })
 		for _, c := range p.r.Info.Controllers {
-			_ = p.r.Replace(c.Name, p.r.options.Daemon, []string{"--options", filepath.Join(p.r.options.Data, "drumpick.ini")})
+			_ = p.r.Replace(c.Name, p.r.options.Controller, []string{"--options", filepath.Join(p.r.options.Data, "drumpick.ini")})
 		}
 	}
 	p.until("all to have the version", func() bool {
@@ -301,8 +301,8 @@
 }
 
 // lost lists attempts whose machine lost them.
-func (p *place) lost() []simulation.Ran {
-	var all []simulation.Ran
+func (p *place) lost() []simulation.TaskRun {
+	var all []simulation.TaskRun
 	for _, x := range p.r.History().Ran {
 		if x.Cause == "lost" {
 			all = append(all, x)
--- a/internal/localcluster/loopback_test.go
+++ b/internal/localcluster/loopback_test.go
@@ -45,7 +45,7 @@
 // place is a region with users that write down what they are told.
 type place struct {
 	t    *testing.T
-	r    *Region
+	r    *Cluster
 	log  *linearizability.Log
 	rand *rand.Rand
 	wg   sync.WaitGroup
@@ -59,17 +59,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := Options{Data: t.TempDir(), Daemon: daemon, Zones: []string{"north", "south"}, Controllers: 3, Machines: 5, LogLevel: "info"}
+	o := Options{Data: t.TempDir(), Controller: daemon, Zones: []string{"north", "south"}, Controllers: 3, Machines: 5, LogLevel: "info"}
 	if change != nil {
 		change(&o)
 	}
-	r, err := Up(t.Context(), o)
+	r, err := Start(t.Context(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &place{t: t, r: r, log: linearizability.New(), rand: rand.New(rand.NewPCG(seed, 1))}
 	t.Cleanup(func() {
-		if err := r.Down(); err != nil {
+		if err := r.Stop(); err != nil {
 			t.Error(err)
 		}
 		for _, c := range r.controllers {
@@ -192,7 +192,7 @@
 		case round == 0:
 			_ = p.r.Kill(p.leader())
 		case victim == 0:
-			_, _ = p.r.Storm(p.r.options.Zones[p.rand.IntN(2)])
+			_, _ = p.r.FailZone(p.r.options.Zones[p.rand.IntN(2)])
 		case victim == 1:
 			for _, c := range p.r.Info.Controllers {
 				_ = p.r.Kill(c.Name)
@@ -230,10 +230,10 @@
 	if st, err := c.Wait(ctx, "j-1", nil); err != nil || st.Status != client.Done {
 		t.Fatalf("%+v, %v", st, err)
 	}
-	if _, err := Up(ctx, Options{Data: data, Daemon: p.r.options.Daemon, Zones: []string{"north"}, Controllers: 1}); err == nil {
+	if _, err := Start(ctx, Options{Data: data, Controller: p.r.options.Controller, Zones: []string{"north"}, Controllers: 1}); err == nil {
 		t.Error("a second region on the same directory")
 	}
-	if err := p.r.Down(); err != nil {
+	if err := p.r.Stop(); err != nil {
 		t.Fatal(err)
 	}
 	p.r.controllers, p.r.apps, p.r.disk = nil, nil, nil
@@ -263,7 +263,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	_, err = Up(ctx, Options{Data: t.TempDir(), Daemon: bad, Zones: []string{"north"}, Controllers: 1})
+	_, err = Start(ctx, Options{Data: t.TempDir(), Controller: bad, Zones: []string{"north"}, Controllers: 1})
 	if err == nil || !strings.Contains(err.Error(), "controller-1 ends at once") {
 		t.Errorf("%v", err)
 	}
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -26,8 +26,8 @@
 	return work
 })
 
-// Start starts a process that is killed when this one ends, however it ends.
-func Start(cmd *exec.Cmd) error {
+// StartProcess starts a process that is killed when this one ends, however it ends.
+func StartProcess(cmd *exec.Cmd) error {
 	// A group of its own: a Ctrl-C at the terminal is for the region to act on.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	failed := make(chan error)
@@ -71,7 +71,7 @@
 		p.mu.Unlock()
 		cmd.Env, cmd.Stdout, cmd.Stderr = append(os.Environ(), p.env...), out, out
 		began := time.Now()
-		if err := Start(cmd); err != nil {
+		if err := StartProcess(cmd); err != nil {
 			out.Close()
 			p.fail(err)
 			return
--- a/internal/localcluster/region.go
+++ b/internal/localcluster/region.go
@@ -29,7 +29,7 @@
 // Options say what to run.
 type Options struct {
 	Data        string   // directory for records, settings and logs; it is made
-	Daemon      string   // the controllers' program
+	Controller  string   // the controllers' program
 	Arguments   []string // of every controller, before --config
 	Zones       []string
 	Controllers int
@@ -38,7 +38,7 @@
 	// RunFor, where set, says how long tasks run; otherwise near their estimate.
 	RunFor func(task string) time.Duration
 	// Facts, where set, replace the figures that the region runs by.
-	Facts *config.Facts
+	Deployment *config.Deployment
 	// Types, where set, are the machines to be had.
 	Types []records.MachineType
 	// State, where set, is the address of a state service that runs already.
@@ -48,15 +48,15 @@
 }
 
 // facts are the figures that the region runs by.
-func (o Options) facts() config.Facts {
-	if o.Facts != nil {
-		return *o.Facts
+func (o Options) facts() config.Deployment {
+	if o.Deployment != nil {
+		return *o.Deployment
 	}
 	return facts(o.Zones, o.Controllers)
 }
 
-// Region is a deployment that runs.
-type Region struct {
+// Cluster is a deployment that runs.
+type Cluster struct {
 	Info  Info
 	State *simulation.State
 	World *simulation.World
@@ -119,8 +119,8 @@
 	portTaken = "address already in use"
 )
 
-// Up starts a region and waits until every controller can take requests.
-func Up(ctx context.Context, o Options) (*Region, error) {
+// Start starts a region and waits until every controller can take requests.
+func Start(ctx context.Context, o Options) (*Cluster, error) {
 	if err := os.MkdirAll(o.Data, 0o700); err != nil {
 		return nil, err
 	}
@@ -135,13 +135,13 @@
 	return nil, failed
 }
 
-func up(ctx context.Context, o Options) (_ *Region, err error) {
+func up(ctx context.Context, o Options) (_ *Cluster, err error) {
 	run, cancel := context.WithCancel(context.Background())
-	r := &Region{options: o, ctx: run, cancel: cancel, State: simulation.NewState(), World: simulation.NewWorld(run)}
+	r := &Cluster{options: o, ctx: run, cancel: cancel, State: simulation.NewState(), World: simulation.NewWorld(run)}
 	r.World.InFlight = workerPatience
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, r.Down())
+			err = errors.Join(err, r.Stop())
 		}
 	}()
 	if r.Info.State = o.State; o.State == "" {
@@ -184,7 +184,7 @@
 	if err != nil {
 		return "", err
 	}
-	r := &Region{}
+	r := &Cluster{}
 	if addr, err = r.serve(func(app *fiber.App) {
 		if count != nil {
 			app.Use(count)
@@ -198,7 +198,7 @@
 }
 
 // openState serves the state service, kept in a file.
-func (r *Region) openState(ctx context.Context) (err error) {
+func (r *Cluster) openState(ctx context.Context) (err error) {
 	if r.disk, err = openDisk(filepath.Join(r.options.Data, "state.db"), r.State); err != nil {
 		return err
 	}
@@ -207,10 +207,10 @@
 }
 
 // build sets the world up: its machines, what they are told, and what they run.
-func (r *Region) build() {
+func (r *Cluster) build() {
 	w, o := r.World, r.options
 	f := o.facts()
-	w.Every, w.Lease, w.Startup, w.Cancel = config.Seconds(f.Workers.ReportS), config.Seconds(f.Workers.LeaseS), config.Seconds(startupS), config.Seconds(f.Workers.CancelS)
+	w.HeartbeatInterval, w.Lease, w.Startup, w.Cancel = config.Seconds(f.Workers.HeartbeatS), config.Seconds(f.Workers.LeaseS), config.Seconds(startupS), config.Seconds(f.Workers.CancelS)
 	w.GangWait, w.GangPeer = config.Seconds(f.Workers.GangWaitS), config.Seconds(f.Workers.GangPeerS)
 	w.Capacity, w.Version = o.Machines, "1.0"
 	w.Types = []records.MachineType{{
@@ -247,7 +247,7 @@
 }
 
 // job reads an open job, as workers fetch what users uploaded.
-func (r *Region) job(id string) (records.Job, bool) {
+func (r *Cluster) job(id string) (records.Job, bool) {
 	var j records.Job
 	value := r.State.Value(records.OpenKey(id))
 	return j, value != "" && json.Unmarshal([]byte(value), &j) == nil
@@ -260,7 +260,7 @@
 }
 
 // serve opens an address and returns it.
-func (r *Region) serve(mount func(*fiber.App)) (string, error) {
+func (r *Cluster) serve(mount func(*fiber.App)) (string, error) {
 	ln, err := listen()
 	if err != nil {
 		return "", fmt.Errorf("local region: %w", err)
@@ -273,7 +273,7 @@
 }
 
 // settle chooses the controllers' ports and writes their settings.
-func (r *Region) settle() error {
+func (r *Cluster) settle() error {
 	o := r.options
 	var held []net.Listener // until all are chosen, so that none is chosen twice
 	defer func() {
@@ -307,12 +307,12 @@
 	for i := range r.Info.Controllers {
 		c := &r.Info.Controllers[i]
 		cfg := &config.Config{
-			Node: c.Name, Zone: c.Zone, Bind: c.Bind, Back: c.Back,
-			External: config.External{Cloud: r.Info.Cloud, State: r.Info.State}, Facts: o.facts(),
+			Node: c.Name, Zone: c.Zone, UserAddr: c.Bind, PeerAddr: c.Back,
+			External: config.External{Cloud: r.Info.Cloud, State: r.Info.State}, Deployment: o.facts(),
 		}
 		for _, other := range r.Info.Controllers {
 			if other.Name != c.Name {
-				cfg.Seeds = append(cfg.Seeds, config.Seed{Node: other.Name, Zone: other.Zone, Addr: other.Back})
+				cfg.Peers = append(cfg.Peers, config.Peer{Node: other.Name, Zone: other.Zone, Addr: other.Back})
 			}
 		}
 		var err error
@@ -324,13 +324,13 @@
 }
 
 // Arguments are a controller's command line with a given program.
-func (r *Region) arguments(c Controller, daemon string, more []string) []string {
+func (r *Cluster) arguments(c Controller, daemon string, more []string) []string {
 	args := append([]string{daemon}, more...)
 	return append(args, "--config", c.Config)
 }
 
 // launch starts the controllers, and the workers' way to them.
-func (r *Region) launch() error {
+func (r *Cluster) launch() error {
 	o := r.options
 	if o.Arguments == nil {
 		o.Arguments = []string{"--options", filepath.Join(o.Data, "drumpick.ini")}
@@ -340,13 +340,13 @@
 		r.World.Nodes = append(r.World.Nodes, c.Name)
 		links = append(links, httpclient.New(c.Bind, 1000, time.Second/2))
 		p := &process{
-			Name: c.Name, args: r.arguments(c, o.Daemon, o.Arguments), env: []string{"LOG_LEVEL=" + o.LogLevel}, log: c.Log,
-			again: config.Seconds(o.facts().Workers.ReportS), ended: make(chan struct{}), quit: make(chan struct{}),
+			Name: c.Name, args: r.arguments(c, o.Controller, o.Arguments), env: []string{"LOG_LEVEL=" + o.LogLevel}, log: c.Log,
+			again: config.Seconds(o.facts().Workers.HeartbeatS), ended: make(chan struct{}), quit: make(chan struct{}),
 		}
 		r.controllers = append(r.controllers, p)
 		go p.run()
 	}
-	r.World.Report = simulation.Reporter(func(_ string, node int, body []byte) (int, []byte, error) {
+	r.World.Heartbeat = simulation.HeartbeatOverHTTP(func(_ string, node int, body []byte) (int, []byte, error) {
 		// Workers give an answer four seconds (PROTOCOL), in the region's proportions less.
 		return links[node].Do("POST", "/checkin", "application/json", body, time.Now().Add(config.Seconds(2*reportS)))
 	})
@@ -354,7 +354,7 @@
 }
 
 // ready waits until every controller can take requests.
-func (r *Region) ready(ctx context.Context) error {
+func (r *Cluster) ready(ctx context.Context) error {
 	for i, c := range r.Info.Controllers {
 		probe := httpclient.New(c.Bind, 1, time.Second)
 		for {
@@ -378,17 +378,17 @@
 
 // judge tells the world which jobs users may know to be cancelled, so that it can check
 // that their tasks go.
-func (r *Region) judge() {
+func (r *Cluster) judge() {
 	var since uint64
 	for r.ctx.Err() == nil {
-		for _, row := range r.State.Rows(records.PrefixOver) {
-			var o records.Over
-			if row.Stamp > since && json.Unmarshal(row.Value, &o) == nil && o.Status == records.StatusCancelled {
-				r.World.Cancelled(strings.TrimPrefix(row.Key, records.PrefixOver))
+		for _, row := range r.State.Rows(records.PrefixClosed) {
+			var o records.ClosedJob
+			if row.Revision > since && json.Unmarshal(row.Value, &o) == nil && o.Status == records.StatusCancelled {
+				r.World.Cancelled(strings.TrimPrefix(row.Key, records.PrefixClosed))
 			}
-			since = max(since, row.Stamp)
+			since = max(since, row.Revision)
 		}
-		r.World.Sweep()
+		r.World.CheckEnd()
 		if httpclient.Sleep(r.ctx, config.Seconds(reportS)) != nil {
 			return
 		}
@@ -396,7 +396,7 @@
 }
 
 // Client returns a client of the region.
-func (r *Region) Client() *client.Client {
+func (r *Cluster) Client() *client.Client {
 	c, err := client.New(r.Info.Addrs()...)
 	if err != nil {
 		panic(fmt.Sprintf("a region without controllers: %v", err))
@@ -405,8 +405,8 @@
 	return c
 }
 
-// Down ends everything that runs. The records stay.
-func (r *Region) Down() error {
+// Stop ends everything that runs. The records stay.
+func (r *Cluster) Stop() error {
 	for _, p := range r.controllers {
 		p.stop()
 	}
@@ -428,7 +428,7 @@
 	return errors.Join(errs...)
 }
 
-func (r *Region) process(name string) *process {
+func (r *Cluster) process(name string) *process {
 	i := slices.IndexFunc(r.controllers, func(p *process) bool { return p.Name == name })
 	if i < 0 {
 		return nil
@@ -437,7 +437,7 @@
 }
 
 // PID is the process of a controller; 0: it does not run now.
-func (r *Region) PID(controller string) int {
+func (r *Cluster) PID(controller string) int {
 	if p := r.process(controller); p != nil {
 		return p.pid()
 	}
@@ -445,7 +445,7 @@
 }
 
 // Kill ends a controller, which starts again after a moment, or a machine, for good.
-func (r *Region) Kill(name string) error {
+func (r *Cluster) Kill(name string) error {
 	if p := r.process(name); p != nil {
 		slog.Debug("killing", "controller", name)
 		p.kill()
@@ -462,7 +462,7 @@
 
 // Replace gives a controller another program from its next start on, and ends the one
 // that runs: the step of an upgrade.
-func (r *Region) Replace(name, daemon string, arguments []string) error {
+func (r *Cluster) Replace(name, daemon string, arguments []string) error {
 	p := r.process(name)
 	i := slices.IndexFunc(r.Info.Controllers, func(c Controller) bool { return c.Name == name })
 	if p == nil || i < 0 {
@@ -477,32 +477,32 @@
 
 // Upgrade gives a machine's worker another version, as somebody does who looks after the
 // machine: whatever runs there is lost, so it should be drained.
-func (r *Region) Upgrade(machine, version string) error {
+func (r *Cluster) Upgrade(machine, version string) error {
 	if !r.World.Upgrade(machine, version) {
 		return fmt.Errorf("there is no machine %q that is up", machine)
 	}
 	return nil
 }
 
-func (r *Region) zone(name string) error {
+func (r *Cluster) zone(name string) error {
 	if !slices.Contains(r.options.Zones, name) {
 		return fmt.Errorf("there is no zone %q, only %s", name, strings.Join(r.options.Zones, ", "))
 	}
 	return nil
 }
 
-// Cut keeps the machines of a zone from being reached for a time.
-func (r *Region) Cut(zone string, span time.Duration) error {
+// PartitionZone keeps the machines of a zone from being reached for a time.
+func (r *Cluster) PartitionZone(zone string, span time.Duration) error {
 	if err := r.zone(zone); err != nil {
 		return err
 	}
-	r.World.Cut(zone, true)
-	time.AfterFunc(span, func() { r.World.Cut(zone, false) })
+	r.World.PartitionZone(zone, true)
+	time.AfterFunc(span, func() { r.World.PartitionZone(zone, false) })
 	return nil
 }
 
-// Storm takes the power from a zone: its machines are gone, its controllers crash.
-func (r *Region) Storm(zone string) (int, error) {
+// FailZone takes the power from a zone: its machines are gone, its controllers crash.
+func (r *Cluster) FailZone(zone string) (int, error) {
 	if err := r.zone(zone); err != nil {
 		return 0, err
 	}
@@ -511,5 +511,5 @@
 			r.process(c.Name).kill()
 		}
 	}
-	return r.World.Storm(zone), nil
+	return r.World.FailZone(zone), nil
 }
--- a/internal/localcluster/settings.go
+++ b/internal/localcluster/settings.go
@@ -24,18 +24,18 @@
 const fdLimit = 6000
 
 // facts are the region's figures.
-func facts(zones []string, controllers int) config.Facts {
-	return config.Facts{
+func facts(zones []string, controllers int) config.Deployment {
+	return config.Deployment{
 		Nodes: controllers, Zones: zones, TimeBoundMS: 100,
 		Teams: []config.Team{
-			{Name: "desk", CPUs: 16}, {Name: "field", CPUs: 8, CPUsMax: 32}, {Name: "archive"},
+			{Name: "desk", GuaranteedCPUs: 16}, {Name: "field", GuaranteedCPUs: 8, LimitCPUs: 32}, {Name: "archive"},
 		},
 		Objectives: []config.Objective{
 			{Kind: config.KindDeadline, Class: "export", Share: 0.9, Times: 1},
 			{Kind: config.KindWait, Class: "export", WithinS: 10, Share: 0.9},
 			{Kind: "finished", Class: "index", WithinS: 60, Share: 0.9},
 		},
-		Workers:   config.Workers{ReportS: reportS, LeaseS: leaseS, GangWaitS: 15, GangPeerS: 3, CancelS: cancelS},
+		Workers:   config.Workers{HeartbeatS: reportS, LeaseS: leaseS, GangWaitS: 15, GangPeerS: 3, CancelS: cancelS},
 		State:     config.State{RPS: 1000, WriteRPS: 200, ValueKB: 16, TxnOps: 16},
 		Cloud:     config.Cloud{RPS: 20, ListLagS: 0.5},
 		Resources: config.Resources{Cores: 1, RAMMB: 256, FDLimit: fdLimit},
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -22,9 +22,9 @@
 
 // Store is what operators need of the state service.
 type Store interface {
-	Get(ctx context.Context, key string) (*records.Row, error)
-	List(ctx context.Context, prefix string, each func(records.Row) error) (uint64, error)
-	Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error)
+	Get(ctx context.Context, key string) (*records.KeyValue, error)
+	List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error)
+	Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error)
 }
 
 // request is a drain as operators ask for it.
@@ -49,7 +49,7 @@
 func (s *Server) mountDrains(app *fiber.App) {
 	app.Get("/operator/drains", func(c *fiber.Ctx) error { return send(c, s.within(s.list)) })
 	app.Post("/operator/drains", func(c *fiber.Ctx) error {
-		return send(c, s.within(func(ctx context.Context) peer.Relayed { return s.start(ctx, c.Body()) }))
+		return send(c, s.within(func(ctx context.Context) peer.RelayReply { return s.start(ctx, c.Body()) }))
 	})
 	app.Post("/operator/drains/plan", func(c *fiber.Ctx) error {
 		in, why := s.read(c.Body())
@@ -60,16 +60,16 @@
 	})
 	app.Get("/operator/drains/:id", func(c *fiber.Ctx) error {
 		id := utils.CopyString(c.Params("id"))
-		return send(c, s.within(func(ctx context.Context) peer.Relayed { return s.show(ctx, id) }))
+		return send(c, s.within(func(ctx context.Context) peer.RelayReply { return s.show(ctx, id) }))
 	})
 	app.Post("/operator/drains/:id/stop", func(c *fiber.Ctx) error {
 		id := utils.CopyString(c.Params("id"))
-		return send(c, s.within(func(ctx context.Context) peer.Relayed { return s.stop(ctx, id) }))
+		return send(c, s.within(func(ctx context.Context) peer.RelayReply { return s.stop(ctx, id) }))
 	})
 }
 
 // within bounds a request.
-func (s *Server) within(do func(context.Context) peer.Relayed) peer.Relayed {
+func (s *Server) within(do func(context.Context) peer.RelayReply) peer.RelayReply {
 	ctx, cancel := context.WithTimeout(context.Background(), s.wait)
 	defer cancel()
 	return do(ctx)
@@ -104,14 +104,14 @@
 	limit := min(s.valueBytes, mostSpec)
 	// Guards against a drain that fits and can't be withdrawn, as its record grows by that.
 	spec.Stopped = true
-	size := records.Size(spec)
+	size := records.EncodedSize(spec)
 	if size <= limit {
 		return ""
 	}
 	left, fit := size, len(spec.Machines)
 	for fit > 0 && left > limit {
 		fit--
-		left -= records.Size(spec.Machines[fit]) + len(",")
+		left -= records.EncodedSize(spec.Machines[fit]) + len(",")
 	}
 	if fit == 0 {
 		return fmt.Sprintf("its record takes %d bytes, and a value of the state service holds %d: shorten machines, type, zone, version, to_version or window.rule", size, limit)
@@ -120,17 +120,17 @@
 		len(spec.Machines), fit, limit)
 }
 
-func (s *Server) plan(in request) peer.Relayed {
+func (s *Server) plan(in request) peer.RelayReply {
 	raw, err := json.Marshal(in)
 	if err != nil {
 		return answer(400, failure{err.Error()})
 	}
-	return s.Answer(peer.Relay{Method: "plan", Body: raw})
+	return s.Answer(peer.RelayRequest{Method: "plan", Body: raw})
 }
 
 // start puts a drain on record. The same request again, under its id, is answered as the
 // first one was.
-func (s *Server) start(ctx context.Context, body []byte) peer.Relayed {
+func (s *Server) start(ctx context.Context, body []byte) peer.RelayReply {
 	in, why := s.read(body)
 	if why != "" {
 		return answer(400, failure{why})
@@ -139,16 +139,16 @@
 	for {
 		// In this order: what is on record at the turn, the leader has to have read.
 		var stamp uint64
-		turn, err := s.store.Get(ctx, records.KeyDrainTurn)
+		turn, err := s.store.Get(ctx, records.KeyDrainSequence)
 		if err != nil {
 			return errStore
 		}
 		if turn != nil {
-			stamp = turn.Stamp
+			stamp = turn.Revision
 		}
 		in.Seen = in.Seen[:0]
-		var row *records.Row
-		if _, err := s.store.List(ctx, records.PrefixDrains, func(r records.Row) error {
+		var row *records.KeyValue
+		if _, err := s.store.List(ctx, records.PrefixDrains, func(r records.KeyValue) error {
 			if in.Seen = append(in.Seen, strings.TrimPrefix(r.Key, records.PrefixDrains)); r.Key == key {
 				row = &r
 			}
@@ -169,8 +169,8 @@
 		}
 		// Guards against two drains asked for in the same moment, each of which leaves enough
 		// without the other.
-		_, err = s.store.Commit(ctx, []records.Cond{{Key: key}, {Key: records.KeyDrainTurn, Stamp: stamp}},
-			[]records.Op{{Write: key, Value: in.Spec}, {Write: records.KeyDrainTurn, Value: in.ID}})
+		_, err = s.store.Commit(ctx, []records.Compare{{Key: key}, {Key: records.KeyDrainSequence, Revision: stamp}},
+			[]records.Op{{Write: key, Value: in.Spec}, {Write: records.KeyDrainSequence, Value: in.ID}})
 		var conflict *records.ConflictError
 		switch {
 		case err == nil:
@@ -187,7 +187,7 @@
 const statusUnread = 425
 
 // again answers a request for a drain that is on record.
-func again(spec drain.Spec, row *records.Row) peer.Relayed {
+func again(spec drain.Spec, row *records.KeyValue) peer.RelayReply {
 	var old drain.Spec
 	if err := json.Unmarshal(row.Value, &old); err != nil {
 		return answer(409, failure{"its record is unreadable: " + err.Error()})
@@ -201,7 +201,7 @@
 }
 
 // stop withdraws a drain; one that is withdrawn already is no error.
-func (s *Server) stop(ctx context.Context, id string) peer.Relayed {
+func (s *Server) stop(ctx context.Context, id string) peer.RelayReply {
 	if !drain.ValidID(id) {
 		return answer(404, failure{"there is no drain " + id})
 	}
@@ -222,7 +222,7 @@
 			return answer(200, scheduler.DrainView{Spec: spec})
 		}
 		spec.Stopped = true
-		_, err = s.store.Commit(ctx, []records.Cond{{Key: key, Stamp: row.Stamp}}, []records.Op{{Write: key, Value: spec}})
+		_, err = s.store.Commit(ctx, []records.Compare{{Key: key, Revision: row.Revision}}, []records.Op{{Write: key, Value: spec}})
 		var conflict *records.ConflictError
 		switch {
 		case err == nil:
@@ -236,19 +236,19 @@
 }
 
 // list tells of all drains on record.
-func (s *Server) list(ctx context.Context) peer.Relayed {
+func (s *Server) list(ctx context.Context) peer.RelayReply {
 	states := map[string]*drain.State{}
-	if _, err := s.store.List(ctx, records.PrefixDrain, func(r records.Row) error {
+	if _, err := s.store.List(ctx, records.PrefixDrainState, func(r records.KeyValue) error {
 		var st drain.State
 		if json.Unmarshal(r.Value, &st) == nil {
-			states[strings.TrimPrefix(r.Key, records.PrefixDrain)] = &st
+			states[strings.TrimPrefix(r.Key, records.PrefixDrainState)] = &st
 		}
 		return nil
 	}); err != nil {
 		return errStore
 	}
 	out := Drains{Drains: []scheduler.DrainView{}}
-	if _, err := s.store.List(ctx, records.PrefixDrains, func(r records.Row) error {
+	if _, err := s.store.List(ctx, records.PrefixDrains, func(r records.KeyValue) error {
 		var spec drain.Spec
 		if err := json.Unmarshal(r.Value, &spec); err != nil {
 			slog.Error("unreadable record", "key", r.Key, "err", err)
@@ -270,11 +270,11 @@
 const mostListed = 3
 
 // show tells of one drain, as the leader knows it or, where none answers, as it is on record.
-func (s *Server) show(ctx context.Context, id string) peer.Relayed {
+func (s *Server) show(ctx context.Context, id string) peer.RelayReply {
 	if !drain.ValidID(id) {
 		return answer(404, failure{"there is no drain " + id})
 	}
-	if out := s.Answer(peer.Relay{Method: "drain", ID: id}); out.Status == 200 {
+	if out := s.Answer(peer.RelayRequest{Method: "drain", ID: id}); out.Status == 200 {
 		return out
 	}
 	row, err := s.store.Get(ctx, records.PrefixDrains+id)
@@ -288,7 +288,7 @@
 	if err := json.Unmarshal(row.Value, &v.Spec); err != nil {
 		return answer(409, failure{"its record is unreadable: " + err.Error()})
 	}
-	if row, err := s.store.Get(ctx, records.PrefixDrain+id); err == nil && row != nil {
+	if row, err := s.store.Get(ctx, records.PrefixDrainState+id); err == nil && row != nil {
 		var st drain.State
 		if json.Unmarshal(row.Value, &st) == nil {
 			v.State = &st
@@ -298,7 +298,7 @@
 }
 
 // decideDrain answers as the leader.
-func decideDrain(l Local, r peer.Relay) peer.Relayed {
+func decideDrain(l Local, r peer.RelayRequest) peer.RelayReply {
 	if r.Method == "drain" {
 		if v, ok := l.Drain(r.ID); ok {
 			return answer(200, v)
@@ -314,9 +314,9 @@
 			return answer(statusUnread, failure{"the leader has not read the drain " + id})
 		}
 	}
-	p, err := l.PlanDrain(&in.Spec, in.Force, in.Since, pageTasks)
+	p, err := l.PreviewDrain(&in.Spec, in.Force, in.Since, pageTasks)
 	var none *scheduler.NoMachineError
-	var left *scheduler.NoneLeftError
+	var left *scheduler.NoCapacityLeftError
 	switch {
 	case errors.As(err, &none):
 		return answer(404, failure{err.Error()})
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -40,9 +40,9 @@
 	}, name == "m-1"
 }
 
-func (l *goldenLead) PlanDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
+func (l *goldenLead) PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
 	if l.refuse != nil {
-		return l.lead.PlanDrain(spec, force, since, limit)
+		return l.lead.PreviewDrain(spec, force, since, limit)
 	}
 	l.asked, l.force, l.since = *spec, force, since
 	return &drain.Plan{
@@ -65,7 +65,7 @@
 	l := &goldenLead{}
 	state := simulation.NewState()
 	cfg := &config.Config{Node: "n-0"}
-	cfg.Facts.State.ValueKB = 8
+	cfg.Deployment.State.ValueKB = 8
 	leader, leads := "n-0", true
 	s := New(cfg, state.Client("n-0"), &way{old: true}, func() string { return leader }, func() Local {
 		if leads {
@@ -102,7 +102,7 @@
 	stored("stored turn", "drainturn")
 	check("start again", "POST", "/operator/drains", goldenDrain)
 	check("start another under the same id", "POST", "/operator/drains", `{"id":"d-1","zone":"b"}`)
-	state.Fill(map[string]records.Row{"drainstate/d-1": {Key: "drainstate/d-1", Stamp: 99, Value: []byte(`{"phase":"upgrading","in_hand":["m-1"],"left":2,"plan":{},"seen":{}}`)}})
+	state.Fill(map[string]records.KeyValue{"drainstate/d-1": {Key: "drainstate/d-1", Revision: 99, Value: []byte(`{"phase":"upgrading","in_hand":["m-1"],"left":2,"plan":{},"seen":{}}`)}})
 	check("list", "GET", "/operator/drains", "")
 	check("show", "GET", "/operator/drains/d-1", "")
 	check("show an unknown one", "GET", "/operator/drains/d-9", "")
@@ -128,9 +128,9 @@
 	l.know("d-1")
 	l.refuse = &scheduler.NoMachineError{Text: "there is no machine m-7"}
 	check("start, unknown machine", "POST", "/operator/drains", `{"id":"d-2","machines":["m-7"]}`)
-	l.refuse = &scheduler.NoneLeftError{Text: "it would leave no machine at all"}
+	l.refuse = &scheduler.NoCapacityLeftError{Text: "it would leave no machine at all"}
 	check("start, none left", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`)
-	state.Fill(map[string]records.Row{"drains/d-8": {Key: "drains/d-8", Stamp: 100, Value: []byte(`{"id":"d-8","zone":7}`)}})
+	state.Fill(map[string]records.KeyValue{"drains/d-8": {Key: "drains/d-8", Revision: 100, Value: []byte(`{"id":"d-8","zone":7}`)}})
 	check("stop, unreadable record", "POST", "/operator/drains/d-8/stop", "{}")
 	leads, leader = false, "n-1"
 	check("the leader knows no operators", "GET", "/operator/machines", "")
@@ -155,10 +155,10 @@
 		{Name: "page of machines", Unset: true, Direction: goldentest.Written, Value: Machines{Machines: []scheduler.MachineView{{Name: "m-1"}}, More: true}},
 		{Name: "drains", Unset: true, Direction: goldentest.Written, Value: Drains{Drains: []scheduler.DrainView{{Spec: drain.Spec{ID: "d-1"}}}}},
 	})
-	var asked []peer.Relay
+	var asked []peer.RelayRequest
 	cfg := &config.Config{Node: "n-0"}
-	cfg.Facts.State.ValueKB = 8
-	s := New(cfg, nil, relayed(func(r peer.Relay) { asked = append(asked, r) }), func() string { return "n-1" }, func() Local { return nil }, time.Second)
+	cfg.Deployment.State.ValueKB = 8
+	s := New(cfg, nil, relayed(func(r peer.RelayRequest) { asked = append(asked, r) }), func() string { return "n-1" }, func() Local { return nil }, time.Second)
 	app := fiber.New()
 	s.Mount(app)
 	for _, uri := range []string{"/operator/machines?since=m-0", "/operator/machines/m-1"} {
@@ -178,9 +178,9 @@
 }
 
 // relayed takes what is passed on to the leader.
-type relayed func(peer.Relay)
+type relayed func(peer.RelayRequest)
 
-func (f relayed) Operate(_ string, r peer.Relay, _ time.Duration) (peer.Relayed, error) {
+func (f relayed) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
 	f(r)
-	return peer.Relayed{Status: 200, Body: []byte("{}")}, nil
+	return peer.RelayReply{Status: 200, Body: []byte("{}")}, nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -20,7 +20,7 @@
 
 // Peers is the way to the leader.
 type Peers interface {
-	Operate(node string, r peer.Relay, timeout time.Duration) (peer.Relayed, error)
+	Operate(node string, r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, error)
 }
 
 // Local is this process's leader side, when it leads.
@@ -28,7 +28,7 @@
 	Machines(since string, limit int) ([]scheduler.MachineView, bool)
 	Machine(name string) (scheduler.MachineView, bool)
 	Drain(id string) (scheduler.DrainView, bool)
-	PlanDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error)
+	PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error)
 }
 
 // Server answers operators.
@@ -46,7 +46,7 @@
 func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Local, wait time.Duration) *Server {
 	return &Server{
 		node: cfg.Node, store: store, peers: peers, leader: leader, local: local, wait: wait,
-		valueBytes: int(cfg.Facts.State.Lowest().ValueKB * 1024),
+		valueBytes: int(cfg.Deployment.State.Lowest().ValueKB * 1024),
 	}
 }
 
@@ -58,20 +58,20 @@
 func (s *Server) Mount(app *fiber.App) {
 	s.mountDrains(app)
 	app.Get("/operator/machines", func(c *fiber.Ctx) error {
-		return s.reply(c, peer.Relay{Method: "machines", ID: utils.CopyString(c.Query("since"))})
+		return s.reply(c, peer.RelayRequest{Method: "machines", ID: utils.CopyString(c.Query("since"))})
 	})
 	app.Get("/operator/machines/:name", func(c *fiber.Ctx) error {
 		name, err := url.PathUnescape(c.Params("name"))
 		if err != nil {
 			return send(c, answer(400, failure{"the machine's name is not readable"}))
 		}
-		return s.reply(c, peer.Relay{Method: "machine", ID: utils.CopyString(name)})
+		return s.reply(c, peer.RelayRequest{Method: "machine", ID: utils.CopyString(name)})
 	})
 }
 
-func (s *Server) reply(c *fiber.Ctx, r peer.Relay) error { return send(c, s.Answer(r)) }
+func (s *Server) reply(c *fiber.Ctx, r peer.RelayRequest) error { return send(c, s.Answer(r)) }
 
-func send(c *fiber.Ctx, out peer.Relayed) error {
+func send(c *fiber.Ctx, out peer.RelayReply) error {
 	if out.Status == 503 {
 		c.Set("Retry-After", "1")
 	}
@@ -80,7 +80,7 @@
 }
 
 // Answer answers what the leader must, here or there.
-func (s *Server) Answer(r peer.Relay) peer.Relayed {
+func (s *Server) Answer(r peer.RelayRequest) peer.RelayReply {
 	if s.local() != nil {
 		return s.Decide(r)
 	}
@@ -97,7 +97,7 @@
 }
 
 // Decide answers as the leader.
-func (s *Server) Decide(r peer.Relay) peer.Relayed {
+func (s *Server) Decide(r peer.RelayRequest) peer.RelayReply {
 	l := s.local()
 	if l == nil {
 		return answer(503, failure{"this controller does not lead any more; please retry"})
@@ -127,10 +127,10 @@
 	Error string `json:"error"`
 }
 
-func answer(status int, v any) peer.Relayed {
+func answer(status int, v any) peer.RelayReply {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		return peer.Relayed{Status: 503}
+		return peer.RelayReply{Status: 503}
 	}
-	return peer.Relayed{Status: status, Body: raw}
+	return peer.RelayReply{Status: status, Body: raw}
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -63,13 +63,13 @@
 	return scheduler.DrainView{}, l.read[id]
 }
 
-func (l *lead) PlanDrain(spec *drain.Spec, force bool, _ string, _ int) (*drain.Plan, error) {
+func (l *lead) PreviewDrain(spec *drain.Spec, force bool, _ string, _ int) (*drain.Plan, error) {
 	l.planned = append(l.planned, *spec)
 	if f := l.asked; f != nil {
 		l.asked = nil
 		f()
 	}
-	var none *scheduler.NoneLeftError
+	var none *scheduler.NoCapacityLeftError
 	if force && errors.As(l.refuse, &none) {
 		return &drain.Plan{}, nil
 	}
@@ -82,12 +82,12 @@
 	old bool // the leader knows no operators
 }
 
-func (w *way) Operate(_ string, r peer.Relay, _ time.Duration) (peer.Relayed, error) {
+func (w *way) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
 	if w.old {
-		return peer.Relayed{}, errors.New("status 404")
+		return peer.RelayReply{}, errors.New("status 404")
 	}
 	if raw, err := msgpack.Marshal(r); err != nil || len(raw) > 64<<10 {
-		return peer.Relayed{}, fmt.Errorf("status 413: %d bytes, %w", len(raw), err)
+		return peer.RelayReply{}, fmt.Errorf("status 413: %d bytes, %w", len(raw), err)
 	}
 	return w.to.Decide(r), nil
 }
@@ -105,7 +105,7 @@
 func newOfficeOf(t *testing.T, limits config.State) *office {
 	o := &office{t: t, state: simulation.NewState(), lead: &lead{}, way: &way{}, apps: map[string]*fiber.App{}}
 	cfg := &config.Config{Node: "n-0"}
-	cfg.Facts.State = limits
+	cfg.Deployment.State = limits
 	for _, node := range []string{"n-0", "n-1"} {
 		cfg := *cfg
 		cfg.Node = node
@@ -182,7 +182,7 @@
 	if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","machines":["m-7"]}`); status != 404 || !strings.Contains(text, "m-7") {
 		t.Errorf("unknown machine: %d %s", status, text)
 	}
-	o.lead.refuse = &scheduler.NoneLeftError{Text: "no machine for jobs of plan"}
+	o.lead.refuse = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
 	if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a"}`); status != 409 || !strings.Contains(text, "plan") {
 		t.Errorf("none left: %d %s", status, text)
 	}
@@ -263,7 +263,7 @@
 		if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"b"}`); status != 201 {
 			t.Errorf("the one that is quicker: %d %s", status, text)
 		}
-		o.lead.refuse = &scheduler.NoneLeftError{Text: "no machine for jobs of plan"}
+		o.lead.refuse = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
 		time.AfterFunc(100*time.Millisecond, func() { o.lead.know("d-2") })
 	}
 	if status, text := o.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 409 || !strings.Contains(text, "no machine") {
@@ -285,8 +285,8 @@
 		atLeast int
 	}{
 		{config.State{ValueKB: 8}, 8 << 10, 700},
-		{config.State{ValueKB: 8, Next: config.Next{ValueKB: kb(2)}}, 2 << 10, 150},
-		{config.State{ValueKB: 16, Next: config.Next{ValueKB: kb(64)}}, 16 << 10, 1400},
+		{config.State{ValueKB: 8, Next: config.UpcomingLimits{ValueKB: kb(2)}}, 2 << 10, 150},
+		{config.State{ValueKB: 16, Next: config.UpcomingLimits{ValueKB: kb(64)}}, 16 << 10, 1400},
 		{config.State{ValueKB: 64}, mostSpec, 4000},
 	} {
 		o := newOfficeOf(t, x.state)
--- a/internal/overload/means.go
+++ b/internal/overload/means.go
@@ -16,15 +16,15 @@
 // Easy: nothing. Behind: starts of work that is not urgent, and plans for each report.
 // Drowning: all starts. Leases, exits and cancellations are never left out.
 const (
-	Easy Level = iota
-	Behind
-	Drowning
+	Normal Level = iota
+	Degraded
+	Overloaded
 )
 
 func (l Level) String() string { return [...]string{"easy", "behind", "drowning"}[l] }
 
-// Governor watches how late a leader is: its own timer, and what waits for it.
-type Governor struct {
+// Detector watches how late a leader is: its own timer, and what waits for it.
+type Detector struct {
 	report time.Duration
 	every  time.Duration // between two looks
 	late   time.Duration // the worst of late, forgotten by and by
@@ -35,7 +35,7 @@
 
 // New returns a governor for workers that report every so often, looked at as often as
 // every says.
-func New(report, every time.Duration) *Governor { return &Governor{report: report, every: every} }
+func New(report, every time.Duration) *Detector { return &Detector{report: report, every: every} }
 
 const (
 	// behindShare and drowningShare are the parts of a report interval, one in so many, by
@@ -50,21 +50,21 @@
 	growShare   = 1.0 / 32
 )
 
-// Look takes in that a look came gap after the last one, with so many machines up. It says
+// Observe takes in that a look came gap after the last one, with so many machines up. It says
 // whether the level has changed.
-func (g *Governor) Look(gap time.Duration, up int, now time.Time) bool {
+func (g *Detector) Observe(gap time.Duration, up int, now time.Time) bool {
 	was := g.level
 	g.late = max(gap-g.every, time.Duration(float64(g.late)*forget))
 	switch {
 	case g.late > g.report/drowningShare:
-		g.level = Drowning
+		g.level = Overloaded
 	case g.late > g.report/behindShare:
-		g.level = Behind
+		g.level = Degraded
 	case g.late < g.report/(2*behindShare):
-		g.level = Easy
+		g.level = Normal
 	}
 	switch {
-	case g.level > Easy:
+	case g.level > Normal:
 		if g.most == 0 || up < g.most {
 			g.most = up
 		}
@@ -80,14 +80,14 @@
 }
 
 // Level is what to leave out now.
-func (g *Governor) Level() Level { return g.level }
+func (g *Detector) Level() Level { return g.level }
 
-// Late is how late the timer has been lately.
-func (g *Governor) Late() time.Duration { return g.late }
+// Lag is how late the timer has been lately.
+func (g *Detector) Lag() time.Duration { return g.late }
 
-// Room tells how many machines more a leader should rent that has so many, at most n.
-func (g *Governor) Room(have, n int) int {
-	if g.level > Easy {
+// RentalHeadroom tells how many machines more a leader should rent that has so many, at most n.
+func (g *Detector) RentalHeadroom(have, n int) int {
+	if g.level > Normal {
 		return 0
 	}
 	if g.most == 0 {
--- a/internal/overload/means_test.go
+++ b/internal/overload/means_test.go
@@ -18,7 +18,7 @@
 
 // play returns the share of all tasks that were lost, and how many ended in the last of
 // ten minutes, as a share of what the machines could do.
-func (c crowd) play(g *Governor) (lost, last float64) {
+func (c crowd) play(g *Detector) (lost, last float64) {
 	now := time.Unix(1_000_000, 0)
 	const step = 0.625
 	var queue, ended, gone, final, running float64
@@ -27,10 +27,10 @@
 		now = now.Add(time.Duration(step * float64(time.Second)))
 		wait := queue / c.rate // of what comes in now
 		if g != nil {
-			g.Look(time.Duration((step+max(wait-gap, 0))*float64(time.Second)), c.machines, now)
+			g.Observe(time.Duration((step+max(wait-gap, 0))*float64(time.Second)), c.machines, now)
 		}
 		starts := min(c.tasks-running, c.rate*step/4) // in answers that it gets to
-		if g != nil && g.Level() > Easy {
+		if g != nil && g.Level() > Normal {
 			starts = 0
 		}
 		// Between the 60th and the 90th second the leader stands nearly still.
@@ -76,29 +76,29 @@
 	g, now := New(report, every), time.Unix(1_000_000, 0)
 	look := func(late time.Duration, up int) Level {
 		now = now.Add(every + late)
-		g.Look(every+late, up, now)
+		g.Observe(every+late, up, now)
 		return g.Level()
 	}
-	if look(100*time.Millisecond, 1000) != Easy || g.Room(1000, 50) != 50 {
-		t.Errorf("a little late: %v, room for %d", g.Level(), g.Room(1000, 50))
+	if look(100*time.Millisecond, 1000) != Normal || g.RentalHeadroom(1000, 50) != 50 {
+		t.Errorf("a little late: %v, room for %d", g.Level(), g.RentalHeadroom(1000, 50))
 	}
-	if look(800*time.Millisecond, 1000) != Behind || g.Room(1000, 50) != 0 {
-		t.Errorf("late: %v, room for %d", g.Level(), g.Room(1000, 50))
+	if look(800*time.Millisecond, 1000) != Degraded || g.RentalHeadroom(1000, 50) != 0 {
+		t.Errorf("late: %v, room for %d", g.Level(), g.RentalHeadroom(1000, 50))
 	}
-	if look(3*time.Second, 1100) != Drowning {
+	if look(3*time.Second, 1100) != Overloaded {
 		t.Errorf("very late: %v", g.Level())
 	}
 	for range 30 {
 		look(0, 1000)
 	}
-	if g.Level() != Easy || g.Room(980, 50) < 20 || g.Room(980, 50) == 50 {
-		t.Errorf("a while later: %v, room for %d beside 980", g.Level(), g.Room(980, 50))
+	if g.Level() != Normal || g.RentalHeadroom(980, 50) < 20 || g.RentalHeadroom(980, 50) == 50 {
+		t.Errorf("a while later: %v, room for %d beside 980", g.Level(), g.RentalHeadroom(980, 50))
 	}
 	for range 400 {
 		look(0, 1000)
 	}
-	if g.Room(1000, 50) != 50 {
-		t.Errorf("long after: room for %d beside 1000", g.Room(1000, 50))
+	if g.RentalHeadroom(1000, 50) != 50 {
+		t.Errorf("long after: room for %d beside 1000", g.RentalHeadroom(1000, 50))
 	}
 	for range 8 {
 		look(800*time.Millisecond, 1000)
@@ -106,7 +106,7 @@
 	for range 400 {
 		look(0, 100)
 	}
-	if g.Room(100, 5000) != 5000 {
-		t.Errorf("with a tenth of the machines: room for %d", g.Room(100, 5000))
+	if g.RentalHeadroom(100, 5000) != 5000 {
+		t.Errorf("with a tenth of the machines: room for %d", g.RentalHeadroom(100, 5000))
 	}
 }
--- a/internal/packing/packing.go
+++ b/internal/packing/packing.go
@@ -6,25 +6,29 @@
 
 import "slices"
 
-// Vec is an amount in every dimension.
-type Vec struct{ CPU, GPU, Mem float64 }
+// Resources is an amount in every dimension.
+type Resources struct{ CPU, GPU, Mem float64 }
 
 // Add returns v + w.
-func (v Vec) Add(w Vec) Vec { return Vec{v.CPU + w.CPU, v.GPU + w.GPU, v.Mem + w.Mem} }
+func (v Resources) Add(w Resources) Resources {
+	return Resources{v.CPU + w.CPU, v.GPU + w.GPU, v.Mem + w.Mem}
+}
 
 // Sub returns v - w.
-func (v Vec) Sub(w Vec) Vec { return Vec{v.CPU - w.CPU, v.GPU - w.GPU, v.Mem - w.Mem} }
+func (v Resources) Sub(w Resources) Resources {
+	return Resources{v.CPU - w.CPU, v.GPU - w.GPU, v.Mem - w.Mem}
+}
 
 // eps forgives the rounding of decimal amounts that were added and taken away.
 const eps = 1e-9
 
 // Fits says whether w fits into what v leaves free.
-func (v Vec) Fits(w Vec) bool {
+func (v Resources) Fits(w Resources) bool {
 	return w.CPU <= v.CPU+eps && w.GPU <= v.GPU+eps && w.Mem <= v.Mem+eps
 }
 
 // Share is the largest share that w takes of capacity v (section 3.8).
-func (v Vec) Share(w Vec) float64 {
+func (v Resources) Share(w Resources) float64 {
 	return max(ratio(w.CPU, v.CPU), ratio(w.GPU, v.GPU), ratio(w.Mem, v.Mem))
 }
 
@@ -67,32 +71,32 @@
 
 // Most moves that the two operations may list (Theorems 2 and 3).
 const (
-	MostInsert = 3
-	MostChange = 7
+	MaxInsertMoves = 3
+	MaxChangeMoves = 7
 )
 
 // Item is a task on a machine or about to be.
 type Item struct {
-	ID      string
-	Req     Vec
-	Movable bool     // may be moved merely to fill or empty a bin, unless its space knows better
-	Prefer  []string // marks of bins to prefer, the weightiest first
-	Only    string   // a mark that the bin must have; then it goes by the paper's rules or nowhere
-	Not     string   // a mark that the bin must not have, while it is being placed
-	Owner   any      // whose item it is; nothing to the packing
-	kind    Kind
+	ID           string
+	Req          Resources
+	Movable      bool     // may be moved merely to fill or empty a bin, unless its space knows better
+	PreferLabels []string // marks of bins to prefer, the weightiest first
+	RequireLabel string   // a mark that the bin must have; then it goes by the paper's rules or nowhere
+	ExcludeLabel string   // a mark that the bin must not have, while it is being placed
+	Owner        any      // whose item it is; nothing to the packing
+	kind         Kind
 }
 
 // Bin is a machine.
 type Bin struct {
 	ID    string
-	Cap   Vec
+	Cap   Resources
 	Load  float64 // predicted use; 0 where nothing is predicted
 	Owner any     // whose bin it is; nothing to the packing
 	open  bool
-	used  Vec
-	owed  Vec // room that is spoken for by items that are not here yet
-	free  Vec // what that leaves
+	used  Resources
+	owed  Resources // room that is spoken for by items that are not here yet
+	free  Resources // what that leaves
 	gap   float64
 	items []*Item
 	count [4]int
@@ -104,7 +108,7 @@
 }
 
 // NewBin returns an empty bin that takes items.
-func NewBin(id string, capacity Vec) *Bin {
+func NewBin(id string, capacity Resources) *Bin {
 	b := &Bin{ID: id, Cap: capacity, open: true}
 	b.moved()
 	return b
@@ -125,7 +129,7 @@
 }
 
 // SetCap gives the bin another capacity, which may change what its items are.
-func (b *Bin) SetCap(c Vec) {
+func (b *Bin) SetCap(c Resources) {
 	if b.Cap == c {
 		return
 	}
@@ -138,8 +142,8 @@
 	b.moved()
 }
 
-// Mark gives the bin a mark that items may prefer, or takes it away.
-func (b *Bin) Mark(name string, on bool) {
+// SetLabel gives the bin a mark that items may prefer, or takes it away.
+func (b *Bin) SetLabel(name string, on bool) {
 	i := slices.Index(b.marks, name)
 	switch {
 	case on == (i >= 0):
@@ -159,30 +163,30 @@
 	}
 }
 
-// Marked says whether the bin has a mark.
-func (b *Bin) Marked(name string) bool { return slices.Contains(b.marks, name) }
+// HasLabel says whether the bin has a mark.
+func (b *Bin) HasLabel(name string) bool { return slices.Contains(b.marks, name) }
 
 // Used is what the bin's items take together.
-func (b *Bin) Used() Vec { return b.used }
+func (b *Bin) Used() Resources { return b.used }
 
 // Items are what the bin holds; the slice is the bin's own.
 func (b *Bin) Items() []*Item { return b.items }
 
-// Owe sets so much more room aside, or with a negative amount less. It may be room that
+// Reserve sets so much more room aside, or with a negative amount less. It may be room that
 // items still fill: then the bin is owed more than it has until they leave.
-func (b *Bin) Owe(req Vec) {
+func (b *Bin) Reserve(req Resources) {
 	b.owed = b.owed.Add(req)
 	if b.owed.CPU < eps && b.owed.GPU < eps && b.owed.Mem < eps {
-		b.owed = Vec{}
+		b.owed = Resources{}
 	}
 	b.moved()
 }
 
-// Owed is what is set aside.
-func (b *Bin) Owed() Vec { return b.owed }
+// Reserved is what is set aside.
+func (b *Bin) Reserved() Resources { return b.owed }
 
 // Fits says whether an amount fits in every dimension beside what is set aside.
-func (b *Bin) Fits(req Vec) bool { return b.free.Fits(req) }
+func (b *Bin) Fits(req Resources) bool { return b.free.Fits(req) }
 
 // Gap is the space left in the fullest dimension (Definition 1).
 func (b *Bin) Gap() float64 { return b.gap }
@@ -207,7 +211,7 @@
 			b.count[it.kind]--
 			b.used = b.used.Sub(it.Req)
 			if len(b.items) == 0 {
-				b.used = Vec{}
+				b.used = Resources{}
 			}
 			b.moved()
 			return
@@ -223,14 +227,14 @@
 func (b *Bin) ut() bool    { return b.tBin() && b.Gap() >= Third-eps }
 func (b *Bin) ullt() bool  { return b.lOrLT() && b.Gap() >= Third-eps }
 
-// Takes says whether the paper lets other items join those of the bin.
-func (b *Bin) Takes() bool {
+// AllowsJoin says whether the paper lets other items join those of the bin.
+func (b *Bin) AllowsJoin() bool {
 	return b.Gap() > eps && (b.empty() || b.tBin() || b.lOrLT() || b.sBin())
 }
 
-// Joins says whether an item may join those of the bin, without any move, by the paper's
+// CanJoin says whether an item may join those of the bin, without any move, by the paper's
 // combinations or by filling up a T- or LT-bin.
-func (b *Bin) Joins(req Vec) bool {
+func (b *Bin) CanJoin(req Resources) bool {
 	if !b.open || !b.Fits(req) {
 		return false
 	}
@@ -247,7 +251,7 @@
 // which exceed a third together (Definition 4). First fit gives just that.
 func (b *Bin) groups() [][]*Item {
 	var gs [][]*Item
-	var sizes []Vec
+	var sizes []Resources
 next:
 	for _, it := range b.items {
 		if it.kind != Tiny {
@@ -278,7 +282,7 @@
 const (
 	NoBin    Rule = iota // nothing has room
 	Paper                // one of the paper's combinations
-	Topping              // a tiny item into a filled T-bin with room to spare
+	TopUp                // a tiny item into a filled T-bin with room to spare
 	FirstFit             // no allowed bin: anywhere with room
 )
 
@@ -296,7 +300,7 @@
 // Insert finds a bin for an item, puts it there and lists the moves that the
 // paper asks for. ok tells which bins the item may be in at all.
 func (s *Space) Insert(it *Item, ok func(*Bin) bool) (*Bin, []Move, Rule) {
-	o := &op{s: s, ok: ok, most: MostInsert}
+	o := &op{s: s, ok: ok, most: MaxInsertMoves}
 	b, rule := o.place(it)
 	if b == nil {
 		return nil, nil, NoBin
@@ -325,13 +329,13 @@
 		// Requests are reserved, so the last third of a machine need not stay
 		// free for growth: a filled T- or LT-bin may be filled up.
 		if b := o.best(it, isT|isLT); b != nil {
-			return b, Topping
+			return b, TopUp
 		}
 	}
 	if b := o.best(it, isEmpty); b != nil {
 		return b, Paper
 	}
-	if !o.s.OnlyPaper && it.Only == "" {
+	if !o.s.OnlyPaper && it.RequireLabel == "" {
 		if b := o.best(it, isAny); b != nil {
 			return b, FirstFit
 		}
@@ -343,7 +347,7 @@
 
 // shift moves a group if every item of it may move and fits.
 func (o *op) shift(g []*Item, from, to *Bin) bool {
-	var sum Vec
+	var sum Resources
 	for _, it := range g {
 		if !o.s.movable(it) || to != nil && o.s.Suits != nil && !o.s.Suits(it, to) {
 			return false
@@ -469,7 +473,7 @@
 // table of section 3.4 comes down to the row "X to T". now is the kind that the
 // item has become.
 func (s *Space) Change(ob *Bin, old, now Kind, ok func(*Bin) bool) []Move {
-	o := &op{s: s, ok: ok, most: MostChange}
+	o := &op{s: s, ok: ok, most: MaxChangeMoves}
 	switch {
 	case ob.Hot():
 		o.cool(ob)
--- a/internal/packing/packing_test.go
+++ b/internal/packing/packing_test.go
@@ -46,7 +46,7 @@
 			switch w[0] {
 			case "bins":
 				for _, n := range w[1:] {
-					s.Add(NewBin(n, Vec{CPU: 12, Mem: 12}))
+					s.Add(NewBin(n, Resources{CPU: 12, Mem: 12}))
 				}
 				return nil
 			case "insert":
@@ -54,7 +54,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				it := &Item{ID: w[1], Req: Vec{CPU: size}, Movable: len(w) < 4}
+				it := &Item{ID: w[1], Req: Resources{CPU: size}, Movable: len(w) < 4}
 				b, moves, rule := s.Insert(it, nil)
 				if b == nil {
 					return []string{"no bin"}
@@ -87,14 +87,14 @@
 	r := rand.New(rand.NewPCG(1, 2))
 	s := &Space{}
 	for i := range 40 {
-		s.Add(NewBin(fmt.Sprintf("%02d", i), Vec{CPU: 4, Mem: 16}))
+		s.Add(NewBin(fmt.Sprintf("%02d", i), Resources{CPU: 4, Mem: 16}))
 	}
 	total := 0
 	for range 4000 {
 		if r.IntN(2) == 0 {
-			req := Vec{CPU: float64(1+r.IntN(16)) / 4, Mem: float64(r.IntN(16))}
+			req := Resources{CPU: float64(1+r.IntN(16)) / 4, Mem: float64(r.IntN(16))}
 			b, moves, _ := s.Insert(&Item{Req: req, Movable: r.IntN(2) == 0}, nil)
-			if len(moves) > MostInsert {
+			if len(moves) > MaxInsertMoves {
 				t.Fatalf("insert lists %d moves", len(moves))
 			}
 			if b != nil {
@@ -105,7 +105,7 @@
 			old := it.kind
 			b.Remove(it)
 			total--
-			if moves := s.Change(b, old, Tiny, nil); len(moves) > MostChange {
+			if moves := s.Change(b, old, Tiny, nil); len(moves) > MaxChangeMoves {
 				t.Fatalf("change lists %d moves", len(moves))
 			}
 		}
@@ -128,16 +128,16 @@
 	var rank float64
 	for _, b := range s.Bins {
 		if !b.open || is>>b.kindOf()&1 == 0 || !b.Fits(it.Req) || (ok != nil && !ok(b)) ||
-			it.Only != "" && !b.Marked(it.Only) || it.Not != "" && b.Marked(it.Not) {
+			it.RequireLabel != "" && !b.HasLabel(it.RequireLabel) || it.ExcludeLabel != "" && b.HasLabel(it.ExcludeLabel) {
 			continue
 		}
 		if !s.Ranked {
 			return b
 		}
 		r := 1 - b.Gap()
-		for i, m := range it.Prefer {
+		for i, m := range it.PreferLabels {
 			if slices.Contains(b.marks, m) {
-				r += float64(int(2) << (len(it.Prefer) - i))
+				r += float64(int(2) << (len(it.PreferLabels) - i))
 			}
 		}
 		if found == nil || r > rank {
@@ -153,33 +153,33 @@
 	for _, ranked := range []bool{false, true} {
 		r := rand.New(rand.NewPCG(5, 6))
 		s := &Space{Ranked: ranked}
-		capacity := Vec{CPU: 4, GPU: 1, Mem: 16}
+		capacity := Resources{CPU: 4, GPU: 1, Mem: 16}
 		names := []string{"img-1", "img-2", "spot"}
 		found := 0
 		for n := range 5_000 {
 			switch k := r.IntN(20); {
 			case len(s.Bins) == 0 || k == 0 && len(s.Bins) < 150:
 				b := NewBin(fmt.Sprintf("m-%04d", r.IntN(10_000)), capacity)
-				b.Mark("spot", r.IntN(2) == 0)
+				b.SetLabel("spot", r.IntN(2) == 0)
 				s.Add(b)
 			case k == 1 && r.IntN(3) == 0:
 				s.Drop(s.Bins[r.IntN(len(s.Bins))])
 			case k == 2:
 				s.Bins[r.IntN(len(s.Bins))].SetOpen(r.IntN(3) > 0)
 			case k == 3:
-				s.Bins[r.IntN(len(s.Bins))].Mark(names[r.IntN(2)], r.IntN(2) == 0)
+				s.Bins[r.IntN(len(s.Bins))].SetLabel(names[r.IntN(2)], r.IntN(2) == 0)
 			case k < 10:
 				if b := s.Bins[r.IntN(len(s.Bins))]; len(b.items) > 0 {
 					b.Remove(b.items[r.IntN(len(b.items))])
 				}
 			default:
-				it := &Item{Req: Vec{CPU: float64(r.IntN(17)) / 4, GPU: float64(r.IntN(2) * r.IntN(2)), Mem: float64(r.IntN(17))}}
-				it.Prefer = names[r.IntN(2):][:r.IntN(2)+1]
+				it := &Item{Req: Resources{CPU: float64(r.IntN(17)) / 4, GPU: float64(r.IntN(2) * r.IntN(2)), Mem: float64(r.IntN(17))}}
+				it.PreferLabels = names[r.IntN(2):][:r.IntN(2)+1]
 				if r.IntN(4) == 0 {
-					it.Only = names[r.IntN(2)]
+					it.RequireLabel = names[r.IntN(2)]
 				}
 				if r.IntN(4) == 0 {
-					it.Not = names[r.IntN(2)]
+					it.ExcludeLabel = names[r.IntN(2)]
 				}
 				var ok func(*Bin) bool
 				if r.IntN(3) == 0 {
@@ -217,7 +217,7 @@
 // What may join a bin without a move: what insert puts there by the paper's rules, or to
 // fill up a bin of tiny items, and nothing else.
 func TestJoins(t *testing.T) {
-	item := func(share float64) *Item { return &Item{Req: Vec{CPU: share * 12, Mem: 1}} }
+	item := func(share float64) *Item { return &Item{Req: Resources{CPU: share * 12, Mem: 1}} }
 	for _, x := range []struct {
 		in   []float64
 		add  float64
@@ -228,11 +228,11 @@
 		{[]float64{0.25}, 0.5, false}, {[]float64{0.25}, 0.6, false}, {[]float64{0.5}, 0.5, true}, {[]float64{0.5}, 0.25, false},
 		{[]float64{0.6}, 0.25, true}, {[]float64{0.6}, 0.4, false}, {[]float64{0.9}, 0.05, false},
 	} {
-		b := NewBin("b", Vec{CPU: 12, Mem: 100})
+		b := NewBin("b", Resources{CPU: 12, Mem: 100})
 		for _, share := range x.in {
 			b.Add(item(share))
 		}
-		if got := b.Joins(item(x.add).Req); got != x.want {
+		if got := b.CanJoin(item(x.add).Req); got != x.want {
 			t.Errorf("%v joins %v: %v", x.add, x.in, got)
 		}
 		s := &Space{OnlyPaper: true}
@@ -241,9 +241,9 @@
 			t.Errorf("%v is put to %v: %v", x.add, x.in, in != nil)
 		}
 	}
-	b := NewBin("b", Vec{CPU: 12, Mem: 100})
+	b := NewBin("b", Resources{CPU: 12, Mem: 100})
 	b.SetOpen(false)
-	if b.Joins(item(0.25).Req) {
+	if b.CanJoin(item(0.25).Req) {
 		t.Error("a closed bin is joined")
 	}
 }
--- a/internal/packing/space.go
+++ b/internal/packing/space.go
@@ -204,7 +204,7 @@
 
 // least is the smallest share that an item takes in any dimension of a capacity:
 // a bin with a smaller gap cannot take it.
-func least(c, req Vec) float64 {
+func least(c, req Resources) float64 {
 	l := 1.0
 	for _, d := range [...]struct{ c, r float64 }{{c.CPU, req.CPU}, {c.GPU, req.GPU}, {c.Mem, req.Mem}} {
 		if d.c > 0 {
@@ -217,11 +217,11 @@
 // search finds the best open bin of the given kinds that an item fits into.
 func (s *Space) search(it *Item, is kinds, ok func(*Bin) bool) *Bin {
 	fits := func(b *Bin) bool { return b.Fits(it.Req) && (ok == nil || ok(b)) }
-	only := s.marked[it.Only]
-	if it.Only != "" && only == nil {
+	only := s.marked[it.RequireLabel]
+	if it.RequireLabel != "" && only == nil {
 		return nil
 	}
-	not := s.marked[it.Not] // "" marks nothing
+	not := s.marked[it.ExcludeLabel] // "" marks nothing
 	from := step(least(s.Bins[0].Cap, it.Req) - 1e-6)
 	var room [steps + 1]kinds // by step, the kinds of which there are bins
 	var all kinds
@@ -274,9 +274,9 @@
 	if !some {
 		return nil
 	}
-	n := len(it.Prefer)
+	n := len(it.PreferLabels)
 	preferred := make([]set, n)
-	for i, name := range it.Prefer {
+	for i, name := range it.PreferLabels {
 		preferred[i] = s.marked[name]
 	}
 	for tier := 1<<n - 1; tier >= 0; tier-- {
--- a/internal/peer/gather.go
+++ b/internal/peer/gather.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// Bundle is workers' reports that came to a controller which does not lead, as the
+// HeartbeatBatch is workers' reports that came to a controller which does not lead, as the
 // workers sent them. An empty one says that the sender could pass some on.
-type Bundle struct {
-	From   string   `msgpack:"from"`
-	Bodies [][]byte `msgpack:"bodies"`
+type HeartbeatBatch struct {
+	From       string   `msgpack:"from"`
+	Heartbeats [][]byte `msgpack:"bodies"`
 	// LateMS is how long the sender's last bundle waited before the leader got to it, and
 	// its answer on the way back.
-	LateMS int64  `msgpack:"late_ms,omitempty"`
-	Zone   string `msgpack:"zone,omitempty"` // the sender's
+	DelayMS int64  `msgpack:"late_ms,omitempty"`
+	Zone    string `msgpack:"zone,omitempty"` // the sender's
 }
 
-// Bundled are the answers, in the same order.
-type Bundled struct {
-	Answers []Relayed `msgpack:"answers"`
-	HeldMS  int64     `msgpack:"held_ms,omitempty"` // how long the leader had it in hand
+// HeartbeatBatchReply are the answers, in the same order.
+type HeartbeatBatchReply struct {
+	Answers []RelayReply `msgpack:"answers"`
+	HeldMS  int64        `msgpack:"held_ms,omitempty"` // how long the leader had it in hand
 }
 
-// Checkins passes a bundle on to the node that leads. A version that takes no bundles
+// RelayHeartbeats passes a bundle on to the node that leads. A version that takes no bundles
 // answers 404, which is an error here.
-func (p *Peers) Checkins(node string, in Bundle, timeout time.Duration) (Bundled, error) {
+func (p *Peers) RelayHeartbeats(node string, in HeartbeatBatch, timeout time.Duration) (HeartbeatBatchReply, error) {
 	for i, s := range p.seeds {
 		if s.Node == node {
-			var out Bundled
+			var out HeartbeatBatchReply
 			err := p.call(i, "/peer/checkins", in, &out, timeout)
-			if err == nil && len(out.Answers) != len(in.Bodies) {
-				err = fmt.Errorf("peer %s: %d answers to %d reports", node, len(out.Answers), len(in.Bodies))
+			if err == nil && len(out.Answers) != len(in.Heartbeats) {
+				err = fmt.Errorf("peer %s: %d answers to %d reports", node, len(out.Answers), len(in.Heartbeats))
 			}
 			return out, err
 		}
 	}
-	return Bundled{}, fmt.Errorf("peer %q is not known", node)
+	return HeartbeatBatchReply{}, fmt.Errorf("peer %q is not known", node)
 }
 
-// Gather puts reports for one node together: what comes within a window goes out at once,
+// Batcher puts reports for one node together: what comes within a window goes out at once,
 // or later where the node has not answered the bundles before; these grow meanwhile.
 // Guards against a leader that takes a moment and is thereby asked more and more at once.
-type Gather struct {
+type Batcher struct {
 	window time.Duration
-	send   func(node string, bodies [][]byte) (Bundled, error)
+	send   func(node string, bodies [][]byte) (HeartbeatBatchReply, error)
 
 	mu   sync.Mutex
 	open map[string]*bundle       // by node
@@ -58,20 +58,20 @@
 	bodies [][]byte
 	bytes  int
 	done   chan struct{}
-	out    Bundled
+	out    HeartbeatBatchReply
 	err    error
 }
 
 // mostBundled keeps a bundle well below the 64 KiB of a request, in bytes of reports.
 const mostBundled = 40 << 10
 
-// NewGather returns one that sends through the function given.
-func NewGather(window time.Duration, send func(node string, bodies [][]byte) (Bundled, error)) *Gather {
-	return &Gather{window: window, send: send, open: map[string]*bundle{}, ways: map[string]chan struct{}{}}
+// NewBatcher returns one that sends through the function given.
+func NewBatcher(window time.Duration, send func(node string, bodies [][]byte) (HeartbeatBatchReply, error)) *Batcher {
+	return &Batcher{window: window, send: send, open: map[string]*bundle{}, ways: map[string]chan struct{}{}}
 }
 
-// Checkin passes a report on along with others and waits for its answer.
-func (g *Gather) Checkin(node string, body []byte) (Relayed, error) {
+// Send passes a report on along with others and waits for its answer.
+func (g *Batcher) Send(node string, body []byte) (RelayReply, error) {
 	g.mu.Lock()
 	b := g.open[node]
 	first := b == nil || b.bytes+len(body) > mostBundled
@@ -103,7 +103,7 @@
 		close(b.done)
 	}
 	if b.err != nil {
-		return Relayed{}, b.err
+		return RelayReply{}, b.err
 	}
 	return b.out.Answers[i], nil
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -21,37 +21,37 @@
 
 // Status is how the store serves a controller.
 type Status struct {
-	Node          string `msgpack:"node"`
-	StoreSilentMS int64  `msgpack:"silent_ms"` // since the store's last answer, or since the start
-	Answered      bool   `msgpack:"answered"`  // the store has answered since the start
-	Failing       bool   `msgpack:"failing"`   // its last request failed
-	QuietMS       int64  `msgpack:"quiet_ms"`  // since a user was last told of a cancellation, or since the start
+	Node                string `msgpack:"node"`
+	StoreSilentMS       int64  `msgpack:"silent_ms"` // since the store's last answer, or since the start
+	StoreAnswered       bool   `msgpack:"answered"`  // the store has answered since the start
+	StoreFailing        bool   `msgpack:"failing"`   // its last request failed
+	CancellationQuietMS int64  `msgpack:"quiet_ms"`  // since a user was last told of a cancellation, or since the start
 	// Told is which cancellations that were, where it was asked. Versions that do not tell
 	// leave it out.
-	Told *cancellation.Told `msgpack:"told,omitempty"`
+	Cancellations *cancellation.ConfirmedList `msgpack:"told,omitempty"`
 	// Heard is what it remembers of leaders' words about their marks. Versions without
 	// marks leave it out.
-	Heard *watermark.Word `msgpack:"heard,omitempty"`
+	Attestation *watermark.Attestation `msgpack:"heard,omitempty"`
 	// Settled is the latest settled term that it has heard of.
-	Settled *watermark.Word `msgpack:"settled,omitempty"`
+	Reconciled *watermark.Attestation `msgpack:"settled,omitempty"`
 	// RenewedMS is since it may last have renewed a worker's lease, as leader, or since the
 	// start. Versions that do not tell leave it out.
-	RenewedMS *int64 `msgpack:"renewed_ms,omitempty"`
+	SinceRenewalMS *int64 `msgpack:"renewed_ms,omitempty"`
 }
 
 // StatusOf says how the store serves a controller, and what that has told of cancellations.
 func StatusOf(node string, store interface {
 	Health() (lastOK time.Time, failing bool, started time.Time)
-}, told *cancellation.Log, ask Inquiry) Status {
+}, told *cancellation.Log, ask StatusRequest) Status {
 	lastOK, failing, started := store.Health()
 	now := time.Now()
-	s := Status{Node: node, Answered: !lastOK.IsZero(), Failing: failing, QuietMS: told.Quiet(now).Milliseconds()}
+	s := Status{Node: node, StoreAnswered: !lastOK.IsZero(), StoreFailing: failing, CancellationQuietMS: told.QuietFor(now).Milliseconds()}
 	// Guards against a span that no clock could have measured: it asks for all there is.
-	if span := time.Duration(min(ask.ToldMS, mostAskedMS)) * time.Millisecond; span > 0 {
-		word := told.Word(span, now)
-		s.Told = &word
+	if span := time.Duration(min(ask.CancellationSpanMS, mostAskedMS)) * time.Millisecond; span > 0 {
+		word := told.Confirmed(span, now)
+		s.Cancellations = &word
 	}
-	if !s.Answered {
+	if !s.StoreAnswered {
 		lastOK = started
 	}
 	s.StoreSilentMS = time.Since(lastOK).Milliseconds()
@@ -61,30 +61,30 @@
 // mostAskedMS bounds how far back a controller is asked for what it told.
 const mostAskedMS = 24 * 3600 * 1000
 
-// Witnessed adds what a controller remembers of leaders' words, having heard one more, and
+// WithAttestations adds what a controller remembers of leaders' words, having heard one more, and
 // how long ago it may last have renewed a lease.
-func (s Status) Witnessed(w *watermark.Witness, word watermark.Word, renewed time.Duration) Status {
-	heard, settled, ms := w.Hear(word), w.Settled(), renewed.Milliseconds()
-	s.Heard, s.Settled, s.RenewedMS = &heard, &settled, &ms
+func (s Status) WithAttestations(w *watermark.Observer, word watermark.Attestation, renewed time.Duration) Status {
+	heard, settled, ms := w.Observe(word), w.LatestReconciled(), renewed.Milliseconds()
+	s.Attestation, s.Reconciled, s.SinceRenewalMS = &heard, &settled, &ms
 	return s
 }
 
-// Inquiry is a leader's word about its marks, along with which a controller is asked how the
+// StatusRequest is a leader's word about its marks, along with which a controller is asked how the
 // store serves it.
-type Inquiry struct {
-	watermark.Word
+type StatusRequest struct {
+	watermark.Attestation
 	// ToldMS asks for the cancellations that it told so long ago or later; 0: for none.
-	ToldMS int64 `msgpack:"told_ms,omitempty"`
+	CancellationSpanMS int64 `msgpack:"told_ms,omitempty"`
 }
 
-// Ask names a job.
-type Ask struct {
+// JobRequest names a job.
+type JobRequest struct {
 	ID string `msgpack:"id"`
 }
 
-// Heard says whether a leader has taken in what it was told.
-type Heard struct {
-	Heard bool `msgpack:"heard"`
+// CancelledReply says whether a leader has taken in what it was told.
+type CancelledReply struct {
+	Acknowledged bool `msgpack:"heard"`
 }
 
 // Progress is how a job stands at the leader.
@@ -95,54 +95,54 @@
 	Running int    `msgpack:"running"`
 	// Clear says that no job before this one is cancelled, as far as the leader knew
 	// so long ago. Earlier versions leave it out: then it is not known.
-	Clear   bool  `msgpack:"clear,omitempty"`
-	ClearMS int64 `msgpack:"clear_ms,omitempty"`
+	DependenciesClear bool  `msgpack:"clear,omitempty"`
+	ClearAgeMS        int64 `msgpack:"clear_ms,omitempty"`
 }
 
 // Requests of users that one controller passes on to another.
 const (
-	Submit   = "submit"
-	Poll     = "poll"
-	Withdraw = "withdraw"
-	// SubmitChain is a submission that names prerequisites. Guards against an earlier
+	MethodSubmit = "submit"
+	MethodPoll   = "poll"
+	MethodCancel = "withdraw"
+	// MethodSubmitWithDependencies is a submission that names prerequisites. Guards against an earlier
 	// version, which would accept it as a job that waits for nothing: it does not know
 	// this word, and answers 400.
-	SubmitChain = "submit_chain"
+	MethodSubmitWithDependencies = "submit_chain"
 )
 
-// Relay is a user's request, passed on.
-type Relay struct {
+// RelayRequest is a user's request, passed on.
+type RelayRequest struct {
 	Method string `msgpack:"method"`
 	ID     string `msgpack:"id"`
 	Body   []byte `msgpack:"body"`
 }
 
-// Relayed is its answer.
-type Relayed struct {
+// RelayReply is its answer.
+type RelayReply struct {
 	Status int    `msgpack:"status"`
 	Body   []byte `msgpack:"body"`
 }
 
 // Final says whether a peer's answer is one for the user. What is malformed is not
 // passed on, so a 400 for a chain says that the peer knows no chains.
-func (out *Relayed) Final(r Relay) bool {
-	return out.Status != 503 && out.Status != 0 && !(out.Status == 400 && r.Method == SubmitChain)
+func (out *RelayReply) Final(r RelayRequest) bool {
+	return out.Status != 503 && out.Status != 0 && !(out.Status == 400 && r.Method == MethodSubmitWithDependencies)
 }
 
-// Checkin is a worker's report that came to a controller which does not lead.
-type Checkin struct {
+// HeartbeatRequest is a worker's report that came to a controller which does not lead.
+type HeartbeatRequest struct {
 	Body []byte `msgpack:"body"` // as the worker sent it
 }
 
 // Peers calls the other controllers.
 type Peers struct {
 	timeout time.Duration
-	seeds   []config.Seed
+	seeds   []config.Peer
 	clients []*httpclient.Client
 }
 
 // NewPeers returns a caller for the other controllers.
-func NewPeers(seeds []config.Seed, timeout time.Duration) *Peers {
+func NewPeers(seeds []config.Peer, timeout time.Duration) *Peers {
 	p := &Peers{timeout: timeout, seeds: seeds}
 	for _, s := range seeds {
 		p.clients = append(p.clients, httpclient.New(s.Addr, 16, timeout))
@@ -152,8 +152,8 @@
 
 var errStatus = errors.New("peer: unexpected status")
 
-// Unknown says whether a peer answered that it does not know what it was asked.
-func Unknown(err error) bool { return errors.Is(err, errStatus) }
+// IsUnsupported says whether a peer answered that it does not know what it was asked.
+func IsUnsupported(err error) bool { return errors.Is(err, errStatus) }
 
 func (p *Peers) call(i int, path string, in, out any, timeout time.Duration) error {
 	raw, err := msgpack.Marshal(in)
@@ -172,11 +172,11 @@
 
 // Status asks every other controller. all is true when every one answered.
 func (p *Peers) Status(ctx context.Context) (answers []Status, all bool) {
-	return p.Tell(ctx, Inquiry{})
+	return p.QueryStatus(ctx, StatusRequest{})
 }
 
-// Tell is Status with a leader's word about its marks; a zero word tells nothing.
-func (p *Peers) Tell(_ context.Context, ask Inquiry) (answers []Status, all bool) {
+// QueryStatus is Status with a leader's word about its marks; a zero word tells nothing.
+func (p *Peers) QueryStatus(_ context.Context, ask StatusRequest) (answers []Status, all bool) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range p.seeds {
@@ -200,21 +200,21 @@
 	for i, s := range p.seeds {
 		if s.Node == node {
 			var out Progress
-			err := p.call(i, "/peer/progress", Ask{id}, &out, p.timeout/2)
+			err := p.call(i, "/peer/progress", JobRequest{id}, &out, p.timeout/2)
 			return out, err
 		}
 	}
 	return Progress{}, fmt.Errorf("peer %q is not known", node)
 }
 
-// Cancelled tells a node that leads of a cancelled job. heard says that it starts none of its
+// NotifyCancelled tells a node that leads of a cancelled job. heard says that it starts none of its
 // tasks from then on; a version that does not know the question answers with an Unknown error.
-func (p *Peers) Cancelled(node, id string) (heard bool, err error) {
+func (p *Peers) NotifyCancelled(node, id string) (heard bool, err error) {
 	for i, s := range p.seeds {
 		if s.Node == node {
-			var out Heard
-			err := p.call(i, "/peer/cancelled", Ask{id}, &out, p.timeout)
-			return out.Heard, err
+			var out CancelledReply
+			err := p.call(i, "/peer/cancelled", JobRequest{id}, &out, p.timeout)
+			return out.Acknowledged, err
 		}
 	}
 	return false, fmt.Errorf("peer %q is not known", node)
@@ -222,49 +222,49 @@
 
 // Relay passes a user's request to the peers in turn, until one has a final
 // answer for it.
-func (p *Peers) Relay(r Relay, timeout time.Duration) (Relayed, bool) {
+func (p *Peers) Relay(r RelayRequest, timeout time.Duration) (RelayReply, bool) {
 	for i := range p.seeds {
-		var out Relayed
+		var out RelayReply
 		if p.call(i, "/peer/relay", r, &out, timeout) == nil && out.Final(r) {
 			return out, true
 		}
 	}
-	return Relayed{}, false
+	return RelayReply{}, false
 }
 
-// Checkin passes a worker's report on to the node that leads.
-func (p *Peers) Checkin(node string, body []byte) (Relayed, error) {
+// RelayHeartbeat passes a worker's report on to the node that leads.
+func (p *Peers) RelayHeartbeat(node string, body []byte) (RelayReply, error) {
 	for i, s := range p.seeds {
 		if s.Node == node {
-			var out Relayed
-			err := p.call(i, "/peer/checkin", Checkin{body}, &out, p.timeout)
+			var out RelayReply
+			err := p.call(i, "/peer/checkin", HeartbeatRequest{body}, &out, p.timeout)
 			return out, err
 		}
 	}
-	return Relayed{}, fmt.Errorf("peer %q is not known", node)
+	return RelayReply{}, fmt.Errorf("peer %q is not known", node)
 }
 
 // Operate asks the node that leads an operator's question. A version without operators
 // answers 404, which is an error here.
-func (p *Peers) Operate(node string, r Relay, timeout time.Duration) (Relayed, error) {
+func (p *Peers) Operate(node string, r RelayRequest, timeout time.Duration) (RelayReply, error) {
 	for i, s := range p.seeds {
 		if s.Node == node {
-			var out Relayed
+			var out RelayReply
 			err := p.call(i, "/peer/operate", r, &out, timeout)
 			return out, err
 		}
 	}
-	return Relayed{}, fmt.Errorf("peer %q is not known", node)
+	return RelayReply{}, fmt.Errorf("peer %q is not known", node)
 }
 
 // Handlers are what a controller answers its peers with.
 type Handlers struct {
-	Operate  func(Relay) Relayed // nil where operators are not served
-	Status   func(Inquiry) Status
-	Progress func(id string) Progress
-	Relay    func(Relay) Relayed
-	Checkin  func(Checkin) Relayed
-	Checkins func(Bundle) Bundled // nil where reports are not passed on
+	Operate         func(RelayRequest) RelayReply // nil where operators are not served
+	Status          func(StatusRequest) Status
+	Progress        func(id string) Progress
+	Relay           func(RelayRequest) RelayReply
+	RelayHeartbeat  func(HeartbeatRequest) RelayReply
+	RelayHeartbeats func(HeartbeatBatch) HeartbeatBatchReply // nil where reports are not passed on
 	// Cancelled takes in a cancellation, as the leader; nil: like a version that does not know it.
 	Cancelled func(id string) bool
 }
@@ -273,14 +273,14 @@
 func Mount(app *fiber.App, h Handlers) {
 	app.Post("/peer/status", func(c *fiber.Ctx) error {
 		// Versions without marks send a word that says nothing.
-		var ask Inquiry
+		var ask StatusRequest
 		if err := msgpack.Unmarshal(c.Body(), &ask); err != nil {
 			return c.SendStatus(400)
 		}
 		return send(c, h.Status(ask))
 	})
 	app.Post("/peer/progress", func(c *fiber.Ctx) error {
-		var a Ask
+		var a JobRequest
 		if err := msgpack.Unmarshal(c.Body(), &a); err != nil {
 			return c.SendStatus(400)
 		}
@@ -288,32 +288,32 @@
 	})
 	if h.Cancelled != nil {
 		app.Post("/peer/cancelled", func(c *fiber.Ctx) error {
-			var a Ask
+			var a JobRequest
 			if err := msgpack.Unmarshal(c.Body(), &a); err != nil {
 				return c.SendStatus(400)
 			}
-			return send(c, Heard{h.Cancelled(a.ID)})
+			return send(c, CancelledReply{h.Cancelled(a.ID)})
 		})
 	}
 	app.Post("/peer/checkin", func(c *fiber.Ctx) error {
-		var in Checkin
+		var in HeartbeatRequest
 		if err := msgpack.Unmarshal(c.Body(), &in); err != nil {
 			return c.SendStatus(400)
 		}
-		return send(c, h.Checkin(in))
+		return send(c, h.RelayHeartbeat(in))
 	})
-	if h.Checkins != nil {
+	if h.RelayHeartbeats != nil {
 		app.Post("/peer/checkins", func(c *fiber.Ctx) error {
-			var in Bundle
+			var in HeartbeatBatch
 			if err := msgpack.Unmarshal(c.Body(), &in); err != nil {
 				return c.SendStatus(400)
 			}
-			return send(c, h.Checkins(in))
+			return send(c, h.RelayHeartbeats(in))
 		})
 	}
-	relay := func(answer func(Relay) Relayed) fiber.Handler {
+	relay := func(answer func(RelayRequest) RelayReply) fiber.Handler {
 		return func(c *fiber.Ctx) error {
-			var r Relay
+			var r RelayRequest
 			if err := msgpack.Unmarshal(c.Body(), &r); err != nil {
 				return c.SendStatus(400)
 			}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -33,21 +33,21 @@
 	told := cancellation.NewLog(time.Now().Add(-time.Minute))
 	app := fiber.New(fiber.Config{DisableStartupMessage: true})
 	Mount(app, Handlers{
-		Status: func(ask Inquiry) Status {
-			if ask.Term != 7 && ask.ToldMS != 0 {
+		Status: func(ask StatusRequest) Status {
+			if ask.Term != 7 && ask.CancellationSpanMS != 0 {
 				t.Errorf("asked as %+v", ask)
 			}
 			return StatusOf("n-1", health{started: time.Now()}, told, ask)
 		},
 		Progress: func(id string) Progress { return Progress{Known: id == "j-1", Status: "running", Done: 2, Running: 3} },
-		Relay: func(r Relay) Relayed {
+		Relay: func(r RelayRequest) RelayReply {
 			if r.ID == "j-503" {
-				return Relayed{Status: 503}
+				return RelayReply{Status: 503}
 			}
-			return Relayed{Status: 200, Body: append([]byte(r.Method+" "+r.ID+" "), r.Body...)}
+			return RelayReply{Status: 200, Body: append([]byte(r.Method+" "+r.ID+" "), r.Body...)}
 		},
-		Checkin:   func(c Checkin) Relayed { return Relayed{Status: 200, Body: c.Body} },
-		Cancelled: func(id string) bool { return id == "j-1" },
+		RelayHeartbeat: func(c HeartbeatRequest) RelayReply { return RelayReply{Status: 200, Body: c.Body} },
+		Cancelled:      func(id string) bool { return id == "j-1" },
 	})
 	earlier := fiber.New(fiber.Config{DisableStartupMessage: true}) // a version that does not know that question
 	Mount(earlier, Handlers{})
@@ -65,18 +65,18 @@
 	}
 	addr := away.Addr().String()
 	away.Close()
-	here := config.Seed{Node: "n-1", Addr: ln.Addr().String()}
+	here := config.Peer{Node: "n-1", Addr: ln.Addr().String()}
 	ctx := context.Background()
 
-	p := NewPeers([]config.Seed{here}, 5*time.Second)
+	p := NewPeers([]config.Peer{here}, 5*time.Second)
 	answers, all := p.Status(ctx)
-	if !all || len(answers) != 1 || answers[0].Node != "n-1" || answers[0].Answered || !answers[0].Failing || answers[0].QuietMS < 60000 || answers[0].Told != nil {
+	if !all || len(answers) != 1 || answers[0].Node != "n-1" || answers[0].StoreAnswered || !answers[0].StoreFailing || answers[0].CancellationQuietMS < 60000 || answers[0].Cancellations != nil {
 		t.Errorf("status: %+v, all %v", answers, all)
 	}
 	// Asked for what it told, along with a leader's word, it lists it.
 	told.Add("j-7", time.Now())
-	answers, _ = p.Tell(ctx, Inquiry{Word: watermark.Word{Term: 7}, ToldMS: 45_000})
-	if w := answers[0].Told; w == nil || w.ReachMS != 45_000 || !slices.Equal(w.IDs, []string{"j-7"}) {
+	answers, _ = p.QueryStatus(ctx, StatusRequest{Attestation: watermark.Attestation{Term: 7}, CancellationSpanMS: 45_000})
+	if w := answers[0].Cancellations; w == nil || w.SpanMS != 45_000 || !slices.Equal(w.IDs, []string{"j-7"}) {
 		t.Errorf("told: %+v", w)
 	}
 	if pr, err := p.Progress("n-1", "j-1"); err != nil || !pr.Known || pr.Done != 2 || pr.Running != 3 {
@@ -85,33 +85,33 @@
 	if _, err := p.Progress("n-9", "j-1"); err == nil {
 		t.Error("progress of a node that nobody knows is no error")
 	}
-	if out, ok := p.Relay(Relay{Method: "poll", ID: "j-1", Body: []byte("x")}, 5*time.Second); !ok || string(out.Body) != "poll j-1 x" {
+	if out, ok := p.Relay(RelayRequest{Method: "poll", ID: "j-1", Body: []byte("x")}, 5*time.Second); !ok || string(out.Body) != "poll j-1 x" {
 		t.Errorf("relay: %+v, %v", out, ok)
 	}
-	if out, ok := p.Relay(Relay{Method: "poll", ID: "j-503"}, 5*time.Second); ok {
+	if out, ok := p.Relay(RelayRequest{Method: "poll", ID: "j-503"}, 5*time.Second); ok {
 		t.Errorf("a peer that cannot serve counts as an answer: %+v", out)
 	}
-	if out, err := p.Checkin("n-1", []byte("report")); err != nil || string(out.Body) != "report" {
+	if out, err := p.RelayHeartbeat("n-1", []byte("report")); err != nil || string(out.Body) != "report" {
 		t.Errorf("checkin: %+v, %v", out, err)
 	}
 
 	for id, want := range map[string]bool{"j-1": true, "j-2": false} {
-		if heard, err := p.Cancelled("n-1", id); err != nil || heard != want {
+		if heard, err := p.NotifyCancelled("n-1", id); err != nil || heard != want {
 			t.Errorf("cancelled %s: heard %v, %v", id, heard, err)
 		}
 	}
-	p = NewPeers([]config.Seed{{Node: "n-2", Addr: addr}, {Node: "n-3", Addr: back.Addr().String()}}, 5*time.Second)
-	if heard, err := p.Cancelled("n-2", "j-1"); heard || err == nil || Unknown(err) {
+	p = NewPeers([]config.Peer{{Node: "n-2", Addr: addr}, {Node: "n-3", Addr: back.Addr().String()}}, 5*time.Second)
+	if heard, err := p.NotifyCancelled("n-2", "j-1"); heard || err == nil || IsUnsupported(err) {
 		t.Errorf("cancelled, told to a peer that is away: %v, %v", heard, err)
 	}
-	if heard, err := p.Cancelled("n-3", "j-1"); heard || !Unknown(err) {
+	if heard, err := p.NotifyCancelled("n-3", "j-1"); heard || !IsUnsupported(err) {
 		t.Errorf("cancelled, told to a version that does not know it: %v, %v", heard, err)
 	}
-	if _, err := p.Cancelled("n-9", "j-1"); err == nil || Unknown(err) {
+	if _, err := p.NotifyCancelled("n-9", "j-1"); err == nil || IsUnsupported(err) {
 		t.Errorf("cancelled, told to a node that nobody knows: %v", err)
 	}
 
-	p = NewPeers([]config.Seed{here, {Node: "n-2", Addr: addr}}, 5*time.Second)
+	p = NewPeers([]config.Peer{here, {Node: "n-2", Addr: addr}}, 5*time.Second)
 	if answers, all := p.Status(ctx); all || len(answers) != 1 {
 		t.Errorf("one of two is away: %d answers, all %v", len(answers), all)
 	}
@@ -130,12 +130,12 @@
 		t.Fatal(err)
 	}
 	for name, want := range map[string]any{
-		"status":   Status{Node: "n-1", StoreSilentMS: 12, Answered: true, Failing: true, QuietMS: 4500},
-		"ask":      Ask{ID: "j-1"},
+		"status":   Status{Node: "n-1", StoreSilentMS: 12, StoreAnswered: true, StoreFailing: true, CancellationQuietMS: 4500},
+		"ask":      JobRequest{ID: "j-1"},
 		"progress": Progress{Known: true, Status: "running", Done: 3, Running: 4},
-		"relay":    Relay{Method: Submit, ID: "j-1", Body: []byte(`{"uid":"j-1"}`)},
-		"relayed":  Relayed{Status: 201, Body: []byte(`{"uid":"j-1","status":"pending"}`)},
-		"checkin":  Checkin{Body: []byte(`{"host":"m-1"}`)},
+		"relay":    RelayRequest{Method: MethodSubmit, ID: "j-1", Body: []byte(`{"uid":"j-1"}`)},
+		"relayed":  RelayReply{Status: 201, Body: []byte(`{"uid":"j-1","status":"pending"}`)},
+		"checkin":  HeartbeatRequest{Body: []byte(`{"host":"m-1"}`)},
 	} {
 		bytes, err := hex.DecodeString(kept[name])
 		if err != nil || len(bytes) == 0 {
@@ -156,7 +156,7 @@
 		Done    int    `msgpack:"done"`
 		Running int    `msgpack:"running"`
 	}
-	now, err := msgpack.Marshal(Progress{Known: true, Status: "pending", Done: 1, Clear: true, ClearMS: 70})
+	now, err := msgpack.Marshal(Progress{Known: true, Status: "pending", Done: 1, DependenciesClear: true, ClearAgeMS: 70})
 	if err == nil {
 		err = msgpack.Unmarshal(now, &old)
 	}
@@ -164,12 +164,12 @@
 		t.Errorf("read as %+v, %v", old, err)
 	}
 	// A version that knows of marks alone reads the word about them in an inquiry.
-	var word watermark.Word
-	ask := Inquiry{Word: watermark.Word{Term: 5, Seq: 2, Whole: true, Epoch: 9}, ToldMS: 1000}
+	var word watermark.Attestation
+	ask := StatusRequest{Attestation: watermark.Attestation{Term: 5, Seq: 2, Complete: true, Revision: 9}, CancellationSpanMS: 1000}
 	if now, err = msgpack.Marshal(ask); err == nil {
 		err = msgpack.Unmarshal(now, &word)
 	}
-	if err != nil || word != ask.Word {
+	if err != nil || word != ask.Attestation {
 		t.Errorf("an inquiry is read as %+v, %v", word, err)
 	}
 	// It knows no chains, and says so with a 400, which is no answer for the user.
@@ -177,9 +177,9 @@
 		status int
 		method string
 		final  bool
-	}{{201, SubmitChain, true}, {422, SubmitChain, true}, {400, SubmitChain, false}, {400, Submit, true}, {503, Submit, false}, {0, Poll, false}} {
-		out := Relayed{Status: x.status}
-		if got := out.Final(Relay{Method: x.method}); got != x.final {
+	}{{201, MethodSubmitWithDependencies, true}, {422, MethodSubmitWithDependencies, true}, {400, MethodSubmitWithDependencies, false}, {400, MethodSubmit, true}, {503, MethodSubmit, false}, {0, MethodPoll, false}} {
+		out := RelayReply{Status: x.status}
+		if got := out.Final(RelayRequest{Method: x.method}); got != x.final {
 			t.Errorf("%d for %s: final %v", x.status, x.method, got)
 		}
 	}
--- a/internal/quota/usage.go
+++ b/internal/quota/usage.go
@@ -124,8 +124,8 @@
 	return a.teams[team].sum(a.shared.sum(Amount{}, Planned, Present, Stopping), Planned, Present, Stopping)
 }
 
-// Staying is what is in use of a team's own attempts that were not told to stop.
-func (a *Account) Staying(team string) Amount {
+// NotStopping is what is in use of a team's own attempts that were not told to stop.
+func (a *Account) NotStopping(team string) Amount {
 	return a.teams[team].sum(Amount{}, Present)
 }
 
--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -12,39 +12,39 @@
 func TestGoldenRecords(t *testing.T) {
 	zone, due := "a", 300.5
 	job := Job{
-		ID: "j-412", Class: "train", Team: "vision", Shape: ShapeGroup, Priority: PrioUrgent, Tasks: 4,
+		ID: "j-412", Class: "train", Team: "vision", Shape: ShapeGang, Priority: PriorityUrgent, Tasks: 4,
 		CPUs: 1.5, GPUs: 2, MemGB: 16, Image: "img", ImageGB: 3, Types: []string{"c4", "g8"}, Zone: &zone,
-		OneZone: true, Apart: true, Spot: true, EstimateS: 10, CheckpointS: 5, SaveS: 2, DeadlineS: &due,
-		AcceptedMS: 946684802000, Prereqs: []string{"j-1", "j-2"},
+		OneZone: true, SpreadZones: true, Spot: true, EstimateS: 10, CheckpointS: 5, SaveS: 2, DeadlineS: &due,
+		AcceptedMS: 946684802000, Dependencies: []string{"j-1", "j-2"},
 	}
 	mt := MachineType{
 		Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05,
 		StartupS: 30, Zones: []string{"a", "b"},
 	}
 	goldentest.Run(t, "golden-records.json", goldentest.JSON, []goldentest.Case{
-		{Name: "leader", Value: Leader{Node: "n-2", Start: "start-3", Marks: true}},
+		{Name: "leader", Value: Leader{Node: "n-2", Incarnation: "start-3", Watermarks: true}},
 		{Name: "open job", Value: job},
-		{Name: "job that is over", Value: Over{Status: StatusDone, Tasks: 90, AtMS: 946684803000, Service: true}},
-		{Name: "machine", Value: Host{Addr: "10.1.0.232:9000", Type: "c4", Zone: "a", Spot: true, Session: 3}},
-		{Name: "machine types", Value: Types{Types: []MachineType{mt}}},
-		{Name: "sent mark", Value: Mark(42)},
-		{Name: "finished tasks of a chunk", Value: Ranges(func(i int) bool { return i < 5 || i == 7 }, 9)},
+		{Name: "job that is over", Value: ClosedJob{Status: StatusDone, Tasks: 90, AtMS: 946684803000, Service: true}},
+		{Name: "machine", Value: Machine{Addr: "10.1.0.232:9000", Type: "c4", Zone: "a", Spot: true, Incarnation: 3}},
+		{Name: "machine types", Value: MachineTypes{Types: []MachineType{mt}}},
+		{Name: "sent mark", Value: FormatWatermark(42)},
+		{Name: "finished tasks of a chunk", Value: FormatRanges(func(i int) bool { return i < 5 || i == 7 }, 9)},
 		{Name: "keys", Direction: goldentest.Written, Value: []string{
-			KeyLeader, OpenKey("j-412"), OverKey("j-412"), PrefixDone, PrefixHosts, PrefixSent, KeyWhole, KeyTypes,
-			PrefixDrains, PrefixDrain, KeyDrainTurn, PartID("j-412", 7, 2),
+			KeyLeader, OpenKey("j-412"), ClosedKey("j-412"), PrefixDone, PrefixMachines, PrefixWatermarks, KeyWatermarksComplete, KeyTypes,
+			PrefixDrains, PrefixDrainState, KeyDrainSequence, PartID("j-412", 7, 2),
 		}},
-		{Name: "shapes", Direction: goldentest.Written, Value: []string{ShapeBatch, ShapeGroup, ShapeService}},
+		{Name: "shapes", Direction: goldentest.Written, Value: []string{ShapeArray, ShapeGang, ShapeService}},
 		{Name: "states of jobs", Direction: goldentest.Written, Value: []string{StatusPending, StatusRunning, StatusDone, StatusCancelled}},
-		{Name: "priorities", Direction: goldentest.Written, Value: []string{PrioCritical, PrioUrgent, PrioNormal, PrioLow}},
-		{Name: "row", Direction: goldentest.Read, Value: Row{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Stamp: 7, Hold: 8}},
+		{Name: "priorities", Direction: goldentest.Written, Value: []string{PriorityCritical, PriorityUrgent, PriorityStandard, PriorityLow}},
+		{Name: "row", Direction: goldentest.Read, Value: KeyValue{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Revision: 7, LeaseID: 8}},
 		// The local region keeps its records so.
-		{Name: "row, written", Direction: goldentest.Written, Value: Row{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Stamp: 7, Hold: 8}},
-		{Name: "condition", Direction: goldentest.Written, Value: Cond{Key: "leader", Stamp: 7}},
-		{Name: "change", Direction: goldentest.Written, Value: Op{Write: "types", Value: map[string]int{"n": 1}, Hold: 8, Delete: "whole"}},
-		{Name: "event", Direction: goldentest.Read, Value: Event{Write: "types", Delete: "whole", Value: json.RawMessage(`{"n":1}`), Stamp: 7}},
-		{Name: "conflict", Direction: goldentest.Read, Value: ConflictError{Failed: []string{"leader"}, Epoch: 9}},
+		{Name: "row, written", Direction: goldentest.Written, Value: KeyValue{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Revision: 7, LeaseID: 8}},
+		{Name: "condition", Direction: goldentest.Written, Value: Compare{Key: "leader", Revision: 7}},
+		{Name: "change", Direction: goldentest.Written, Value: Op{Write: "types", Value: map[string]int{"n": 1}, LeaseID: 8, Delete: "whole"}},
+		{Name: "event", Direction: goldentest.Read, Value: Event{Write: "types", Delete: "whole", Value: json.RawMessage(`{"n":1}`), Revision: 7}},
+		{Name: "conflict", Direction: goldentest.Read, Value: ConflictError{Failed: []string{"leader"}, Revision: 9}},
 	})
-	if n, err := ParseMark(Mark(42)); err != nil || n != 42 {
+	if n, err := ParseWatermark(FormatWatermark(42)); err != nil || n != 42 {
 		t.Errorf("the mark is read as %d, %v", n, err)
 	}
 }
@@ -58,16 +58,16 @@
 		id     string
 		value  json.RawMessage
 	}{
-		"machines":       {PrefixHosts, "m-000001", json.RawMessage(`{"addr":"m:1","rig":"c4","site":"a","loaners":true,"stint":1}`)},
+		"machines":       {PrefixMachines, "m-000001", json.RawMessage(`{"addr":"m:1","rig":"c4","site":"a","loaners":true,"stint":1}`)},
 		"finished tasks": {PrefixDone, PartID("j-412", 7, 2), json.RawMessage(`"0-4,7"`)},
-		"sent marks":     {PrefixSent, "j-412", Mark(42)},
+		"sent marks":     {PrefixWatermarks, "j-412", FormatWatermark(42)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := NewShelf(x.prefix, 8, func() string { return "1-1" })
+			s := NewPagedRecords(x.prefix, 8, func() string { return "1-1" })
 			if !s.Put(x.id, x.value, 0) {
 				t.Fatal("the record has no place")
 			}
-			op, _, _ := s.Take(s.Changed()[0])
+			op, _, _ := s.TakeWrite(s.Dirty()[0])
 			raw, err := json.Marshal(op)
 			if err != nil {
 				t.Fatal(err)
@@ -80,7 +80,7 @@
 			if err := json.Unmarshal(golden, &read); err != nil {
 				t.Fatal(err)
 			}
-			for _, row := range []Row{{Key: read.Write, Value: read.Value}, {Key: x.prefix + x.id, Value: x.value}} {
+			for _, row := range []KeyValue{{Key: read.Write, Value: read.Value}, {Key: x.prefix + x.id, Value: x.value}} {
 				entries, err := Entries(x.prefix, row)
 				if err != nil || len(entries) != 1 || string(entries[x.id]) != string(x.value) {
 					t.Errorf("%s is read as %s, %v", row.Key, entries, err)
--- a/internal/records/ledger_test.go
+++ b/internal/records/ledger_test.go
@@ -11,7 +11,7 @@
 func TestRanges(t *testing.T) {
 	for kb := 1; kb <= 64; kb *= 2 {
 		n := ChunkTasks(float64(kb))
-		if s := Ranges(func(i int) bool { return i%2 == 0 }, n); len(s) > kb*1024*9/10 {
+		if s := FormatRanges(func(i int) bool { return i%2 == 0 }, n); len(s) > kb*1024*9/10 {
 			t.Errorf("%d KiB: the worst pattern of %d tasks takes %d bytes", kb, n, len(s))
 		}
 	}
@@ -20,7 +20,7 @@
 			chunk := ChunkTasks(float64(kb))
 			n := PartTasks(chunk, float64(next))
 			// The last part of a chunk has the longest numbers.
-			s := Ranges(func(i int) bool { return i >= chunk-n && i%2 == 0 }, chunk)
+			s := FormatRanges(func(i int) bool { return i >= chunk-n && i%2 == 0 }, chunk)
 			if len(s) > ChunkBytes(n, chunk) || len(s)+len(PartID("j-000412", 48, 64)) > next*1024*15/16 {
 				t.Errorf("%d KiB, later %d: the worst pattern of %d tasks takes %d bytes", kb, next, n, len(s))
 			}
@@ -28,7 +28,7 @@
 	}
 	for id, want := range map[string]int{"j-1/0": 0, "j-1/00": 1, "j-1/000": 2, "j-1/7": 0, "j-1/0010": 2, "j-1/x": 0} {
 		job, chunk, ok := ParseChunkID(id)
-		if z := Zeros(id); z != want || ok && PartID(job, chunk, z) != id || ok == (id == "j-1/x") {
+		if z := LeadingZeros(id); z != want || ok && PartID(job, chunk, z) != id || ok == (id == "j-1/x") {
 			t.Errorf("%s: %d zeros, %s %d %v", id, z, job, chunk, ok)
 		}
 	}
@@ -39,7 +39,7 @@
 			set[r.IntN(300)] = true
 		}
 		got := map[int]bool{}
-		text := Ranges(func(i int) bool { return set[i] }, 300)
+		text := FormatRanges(func(i int) bool { return set[i] }, 300)
 		if err := ParseRanges(text, func(i int) { got[i] = true }); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -12,32 +12,32 @@
 // Keys. Open and over jobs live under different prefixes so that a takeover
 // reads only what is still to be done, while final states are kept for good.
 const (
-	KeyLeader   = "leader"
-	PrefixOpen  = "jobs/open/"
-	PrefixOver  = "jobs/over/"
-	PrefixDone  = "done/"
-	PrefixHosts = "machines/"
+	KeyLeader      = "leader"
+	PrefixOpen     = "jobs/open/"
+	PrefixClosed   = "jobs/over/"
+	PrefixDone     = "done/"
+	PrefixMachines = "machines/"
 	// From which task on none of a job was ever sent (package frontier). Versions that
 	// keep no marks leave it alone.
-	PrefixSent = "sent/"
-	// KeyWhole is when the last leader's marks were last whole.
-	KeyWhole = "whole"
-	KeyTypes = "types"
+	PrefixWatermarks = "sent/"
+	// KeyWatermarksComplete is when the last leader's marks were last whole.
+	KeyWatermarksComplete = "whole"
+	KeyTypes              = "types"
 	// What operators asked for, and how it stands. Versions that know of no drains leave
 	// both alone.
-	PrefixDrains = "drains/"
-	PrefixDrain  = "drainstate/"
-	// KeyDrainTurn is written along with each new drain: of two that were planned beside
+	PrefixDrains     = "drains/"
+	PrefixDrainState = "drainstate/"
+	// KeyDrainSequence is written along with each new drain: of two that were planned beside
 	// the same others only one is stored.
-	KeyDrainTurn = "drainturn"
+	KeyDrainSequence = "drainturn"
 )
 
 // Leader is the value of the leader key.
 type Leader struct {
-	Node  string `json:"node"`
-	Start string `json:"start"` // id of the process's own start
+	Node        string `json:"node"`
+	Incarnation string `json:"start"` // id of the process's own start
 	// Marks says that it keeps marks of what it sends (package frontier).
-	Marks bool `json:"marks,omitempty"`
+	Watermarks bool `json:"marks,omitempty"`
 }
 
 // Job is an accepted job, as users describe it plus when it was accepted. What users send
@@ -58,7 +58,7 @@
 	Types       []string `json:"rigs"`
 	Zone        *string  `json:"site"`
 	OneZone     bool     `json:"one_zone"`
-	Apart       bool     `json:"apart"`
+	SpreadZones bool     `json:"apart"`
 	Spot        bool     `json:"loaners"`
 	EstimateS   float64  `json:"guess_s"`
 	CheckpointS float64  `json:"snapshot_s"`
@@ -67,13 +67,13 @@
 	AcceptedMS  int64    `json:"accepted_ms"` // time of day, within the settings' bound
 	// Prereqs names the jobs that have to be done before any task of this one
 	// starts. Versions without it wrote records without it: none.
-	Prereqs []string `json:"prereqs,omitempty"`
+	Dependencies []string `json:"prereqs,omitempty"`
 }
 
 // Shapes, priorities and states of jobs, in the protocol's words.
 const (
-	ShapeBatch   = "batch"
-	ShapeGroup   = "group"
+	ShapeArray   = "batch"
+	ShapeGang    = "group"
 	ShapeService = "service"
 
 	StatusPending   = "pending"
@@ -81,28 +81,28 @@
 	StatusDone      = "done"
 	StatusCancelled = "cancelled"
 
-	PrioCritical = "critical"
-	PrioUrgent   = "urgent"
-	PrioNormal   = "standard"
-	PrioLow      = "low"
+	PriorityCritical = "critical"
+	PriorityUrgent   = "urgent"
+	PriorityStandard = "standard"
+	PriorityLow      = "low"
 )
 
-// Over is the final state of a job. What is omitted was not written by earlier
+// ClosedJob is the final state of a job. What is omitted was not written by earlier
 // versions: a reader must do without it.
-type Over struct {
+type ClosedJob struct {
 	Status  string `json:"status"`
 	Tasks   int    `json:"shots"`
 	AtMS    int64  `json:"at_ms,omitempty"`   // time of day when it was done
 	Service bool   `json:"service,omitempty"` // no job may wait for it
 }
 
-// Host is a machine that may hold tasks. Many share a value, by name (Shelf).
-type Host struct {
-	Addr    string `json:"addr"`
-	Type    string `json:"rig"`
-	Zone    string `json:"site"`
-	Spot    bool   `json:"loaners"`
-	Session uint64 `json:"stint"`
+// Machine is a machine that may hold tasks. Many share a value, by name (Shelf).
+type Machine struct {
+	Addr        string `json:"addr"`
+	Type        string `json:"rig"`
+	Zone        string `json:"site"`
+	Spot        bool   `json:"loaners"`
+	Incarnation uint64 `json:"stint"`
 }
 
 // MachineType is what the cloud offers.
@@ -119,13 +119,13 @@
 	Zones     []string `json:"sites"`
 }
 
-// Types is the last known list of machine types.
-type Types struct {
+// MachineTypes is the last known list of machine types.
+type MachineTypes struct {
 	Types []MachineType `json:"rigs"`
 }
 
-// Size is how many bytes a value takes.
-func Size(v any) int {
+// EncodedSize is how many bytes a value takes.
+func EncodedSize(v any) int {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return math.MaxInt
@@ -136,8 +136,8 @@
 // OpenKey names the record of a job that is open.
 func OpenKey(id string) string { return PrefixOpen + id }
 
-// OverKey names the record of a job that is over.
-func OverKey(id string) string { return PrefixOver + id }
+// ClosedKey names the record of a job that is over.
+func ClosedKey(id string) string { return PrefixClosed + id }
 
 // PartID names what is kept of a chunk of a job's finished tasks. Many such records share
 // a value (Shelf). Zeros before the chunk's number change nothing for a reader, of any
@@ -153,12 +153,12 @@
 	return id, chunk, ok && err == nil && chunk >= 0
 }
 
-// Mark is the text form of how far into a job tasks may have been sent, as wide for
+// FormatWatermark is the text form of how far into a job tasks may have been sent, as wide for
 // every number, so that it never outgrows its place in a value.
-func Mark(n int) json.RawMessage { return fmt.Appendf(nil, "\"%06d\"", n) }
+func FormatWatermark(n int) json.RawMessage { return fmt.Appendf(nil, "\"%06d\"", n) }
 
-// ParseMark is the reverse.
-func ParseMark(v json.RawMessage) (int, error) {
+// ParseWatermark is the reverse.
+func ParseWatermark(v json.RawMessage) (int, error) {
 	var s string
 	if err := json.Unmarshal(v, &s); err != nil {
 		return 0, err
@@ -170,8 +170,8 @@
 	return n, err
 }
 
-// Zeros tells how many zeros stand before the number of a chunk.
-func Zeros(s string) int {
+// LeadingZeros tells how many zeros stand before the number of a chunk.
+func LeadingZeros(s string) int {
 	_, c, _ := strings.Cut(s, "/")
 	n, err := strconv.Atoi(c)
 	if err != nil {
@@ -182,7 +182,7 @@
 
 // Entries reads a value that many records share. Before there were any such, each
 // record had a key of its own: the last part of it is then the id.
-func Entries(prefix string, r Row) (map[string]json.RawMessage, error) {
+func Entries(prefix string, r KeyValue) (map[string]json.RawMessage, error) {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(r.Value, &m); err == nil {
 		if _, single := m["rig"]; !single {
@@ -216,9 +216,9 @@
 // partShare leaves room in a value for the record's id.
 const partShare = 0.8
 
-// Ranges is the text form of a set of finished tasks: "0-4,7". Numbers count
+// FormatRanges is the text form of a set of finished tasks: "0-4,7". Numbers count
 // from the start of the chunk.
-func Ranges(done func(i int) bool, n int) string {
+func FormatRanges(done func(i int) bool, n int) string {
 	var b strings.Builder
 	for i := 0; i < n; i++ {
 		if !done(i) {
--- a/internal/records/shelf.go
+++ b/internal/records/shelf.go
@@ -5,30 +5,30 @@
 	"maps"
 )
 
-// Shelf spreads many small records over few values of the state service. The
+// PagedRecords spreads many small records over few values of the state service. The
 // service counts changes, not bytes: a record of its own for each machine of a
 // large deployment would take the write rate of half a minute.
-type Shelf struct {
+type PagedRecords struct {
 	prefix string
 	limit  float64       // bytes that a value is filled to
 	most   float64       // bytes of a value that can still be written
 	name   func() string // gives a name that no other value ever had
-	boxes  []*Box
-	where  map[string]*Box // the box where a record is written
+	boxes  []*Page
+	where  map[string]*Page // the box where a record is written
 }
 
-// Box is one value: records by id.
-type Box struct {
+// Page is one value: records by id.
+type Page struct {
 	Key string
 	// Stamp is the revision at which the service has it, 0 where it has not: the condition
 	// of its next write or delete.
-	Stamp   uint64
-	entries map[string]json.RawMessage
-	room    map[string]int // bytes kept for each record
-	size    int
-	changed bool
-	frozen  bool // too large to be written again: it is only read, and deleted in the end
-	late    bool // its first write may be carried out at any time
+	Revision uint64
+	entries  map[string]json.RawMessage
+	room     map[string]int // bytes kept for each record
+	size     int
+	changed  bool
+	frozen   bool // too large to be written again: it is only read, and deleted in the end
+	late     bool // its first write may be carried out at any time
 }
 
 // fillShare is how far a value is filled: the rest is for what escapes take.
@@ -36,9 +36,9 @@
 
 func fill(valueKB float64) float64 { return valueKB * 1024 * fillShare }
 
-// NewShelf returns an empty shelf for keys under a prefix, for values of a size.
-func NewShelf(prefix string, valueKB float64, name func() string) *Shelf {
-	return &Shelf{prefix: prefix, limit: fill(valueKB), most: valueKB * 1024, name: name, where: map[string]*Box{}}
+// NewPagedRecords returns an empty shelf for keys under a prefix, for values of a size.
+func NewPagedRecords(prefix string, valueKB float64, name func() string) *PagedRecords {
+	return &PagedRecords{prefix: prefix, limit: fill(valueKB), most: valueKB * 1024, name: name, where: map[string]*Page{}}
 }
 
 // overhead is what an entry takes beside its id and value: quotes, colon, comma.
@@ -46,7 +46,7 @@
 
 // Put sets a record, for which most bytes are kept if there is room. It returns
 // false, and changes nothing, when the record has outgrown the box that it is in.
-func (s *Shelf) Put(id string, v json.RawMessage, most int) bool {
+func (s *PagedRecords) Put(id string, v json.RawMessage, most int) bool {
 	least := len(v) + len(id) + overhead
 	need := max(most, len(v)) + len(id) + overhead
 	b := s.where[id]
@@ -58,7 +58,7 @@
 			}
 		}
 		if b == nil {
-			b = &Box{Key: s.prefix + s.name(), entries: map[string]json.RawMessage{}, room: map[string]int{}}
+			b = &Page{Key: s.prefix + s.name(), entries: map[string]json.RawMessage{}, room: map[string]int{}}
 			s.boxes = append(s.boxes, b)
 		}
 		s.where[id] = b
@@ -80,16 +80,16 @@
 }
 
 // Remove takes a record out, wherever it is.
-func (s *Shelf) Remove(id string) {
+func (s *PagedRecords) Remove(id string) {
 	delete(s.where, id)
 	for _, b := range s.boxes {
 		b.remove(id)
 	}
 }
 
-// Thaw takes a record that is written elsewhere out of the boxes that are not
+// DropReadOnly takes a record that is written elsewhere out of the boxes that are not
 // written any more.
-func (s *Shelf) Thaw(id string) {
+func (s *PagedRecords) DropReadOnly(id string) {
 	for _, b := range s.boxes {
 		if b.frozen && s.where[id] != b {
 			b.remove(id)
@@ -97,7 +97,7 @@
 	}
 }
 
-func (b *Box) remove(id string) {
+func (b *Page) remove(id string) {
 	if _, ok := b.entries[id]; !ok {
 		return
 	}
@@ -110,8 +110,8 @@
 // Load takes in a box as the service has it, of the given size. A record that is in
 // two boxes stays in both: which is newer cannot be told. One in a box that is too
 // large is in no box where it could be written.
-func (s *Shelf) Load(key string, entries map[string]json.RawMessage, bytes int) *Box {
-	b := &Box{
+func (s *PagedRecords) Load(key string, entries map[string]json.RawMessage, bytes int) *Page {
+	b := &Page{
 		Key: key, entries: maps.Clone(entries), room: map[string]int{},
 		frozen: float64(bytes) > s.most, changed: len(entries) == 0,
 	}
@@ -126,17 +126,17 @@
 	return b
 }
 
-// Late notes that the first write of a box had no answer: it may be carried out yet. Guards
+// NoteUnanswered notes that the first write of a box had no answer: it may be carried out yet. Guards
 // against a value that comes back after it was deleted: the condition of a first write, that
 // there is none, holds again then. Such a box is emptied instead, for the next leader to
 // delete, to whom nothing of this one's comes late.
-func (b *Box) Late() { b.late = true }
+func (b *Page) NoteUnanswered() { b.late = true }
 
 // Has says whether a record of that id has its place in a box that can be written.
-func (s *Shelf) Has(id string) bool { return s.where[id] != nil }
+func (s *PagedRecords) Has(id string) bool { return s.where[id] != nil }
 
 // IDs lists the records, of all boxes.
-func (s *Shelf) IDs() map[string]bool {
+func (s *PagedRecords) IDs() map[string]bool {
 	ids := map[string]bool{}
 	for _, b := range s.boxes {
 		for id := range b.entries {
@@ -146,8 +146,8 @@
 	return ids
 }
 
-// Frozen lists the records of the first box that can only be deleted.
-func (s *Shelf) Frozen() map[string]json.RawMessage {
+// ReadOnly lists the records of the first box that can only be deleted.
+func (s *PagedRecords) ReadOnly() map[string]json.RawMessage {
 	for _, b := range s.boxes {
 		if b.frozen && len(b.entries) > 0 {
 			return maps.Clone(b.entries)
@@ -156,10 +156,10 @@
 	return nil
 }
 
-// Refused notes that the service took a box for too large. It is not written again,
+// NoteTooLarge notes that the service took a box for too large. It is not written again,
 // and the next ones are half as large. It tells which records need another place;
 // none where the box has but one, for which there is no smaller one.
-func (s *Shelf) Refused(b *Box) []string {
+func (s *PagedRecords) NoteTooLarge(b *Page) []string {
 	if len(b.entries) < 2 {
 		return nil
 	}
@@ -176,9 +176,9 @@
 	return ids
 }
 
-// Changed lists the boxes that differ from what was last taken to be written.
-func (s *Shelf) Changed() []*Box {
-	var bs []*Box
+// Dirty lists the boxes that differ from what was last taken to be written.
+func (s *PagedRecords) Dirty() []*Page {
+	var bs []*Page
 	for _, b := range s.boxes {
 		if b.changed && (!b.frozen || len(b.entries) == 0) {
 			bs = append(bs, b)
@@ -187,9 +187,9 @@
 	return bs
 }
 
-// Take returns the change that stores a box as it is now, its size in bytes, and
+// TakeWrite returns the change that stores a box as it is now, its size in bytes, and
 // the ids it holds. A box without records is mostly deleted and takes no more.
-func (s *Shelf) Take(b *Box) (op Op, bytes int, ids []string) {
+func (s *PagedRecords) TakeWrite(b *Page) (op Op, bytes int, ids []string) {
 	b.changed = false
 	if len(b.entries) == 0 && !b.late {
 		for i, x := range s.boxes {
--- a/internal/records/shelf_test.go
+++ b/internal/records/shelf_test.go
@@ -16,7 +16,7 @@
 func TestShelf(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 8))
 	n := 0
-	s := NewShelf("machines/", 1, func() string { n++; return fmt.Sprint("5-", n) })
+	s := NewPagedRecords("machines/", 1, func() string { n++; return fmt.Sprint("5-", n) })
 	want := map[string]string{}
 	store := map[string]map[string]json.RawMessage{}
 	deleted := map[string]bool{}
@@ -33,8 +33,8 @@
 		if r.IntN(5) > 0 {
 			continue
 		}
-		for _, b := range s.Changed() {
-			op, bytes, _ := s.Take(b)
+		for _, b := range s.Dirty() {
+			op, bytes, _ := s.TakeWrite(b)
 			writes++
 			if op.Delete != "" {
 				delete(store, op.Delete)
@@ -66,29 +66,29 @@
 		t.Fatalf("only %d writes of %d boxes", writes, len(store))
 	}
 	// A later leader reads the boxes and goes on with them.
-	s2 := NewShelf("machines/", 1, func() string { return "6-1" })
+	s2 := NewPagedRecords("machines/", 1, func() string { return "6-1" })
 	held := 0
 	for key, m := range store {
 		held += len(m)
 		raw, _ := json.Marshal(m)
 		s2.Load(key, m, len(raw))
 	}
-	if len(s2.IDs()) != held || held == 0 || len(s2.Changed()) != 0 {
-		t.Errorf("read %d of %d records, %d boxes changed", len(s2.IDs()), held, len(s2.Changed()))
+	if len(s2.IDs()) != held || held == 0 || len(s2.Dirty()) != 0 {
+		t.Errorf("read %d of %d records, %d boxes changed", len(s2.IDs()), held, len(s2.Dirty()))
 	}
 }
 
 // Records of before there were shared values are read as what they are.
 func TestEntries(t *testing.T) {
 	for _, x := range []struct{ prefix, key, value, want string }{
-		{PrefixHosts, "machines/m-000231", `{"addr":"a:1","rig":"c4","site":"a","loaners":true,"stint":2}`, `[m-000231]`},
-		{PrefixHosts, "machines/5-1", `{"m-1":{"rig":"c4"},"m-2":{"rig":"c4"}}`, `[m-1 m-2]`},
+		{PrefixMachines, "machines/m-000231", `{"addr":"a:1","rig":"c4","site":"a","loaners":true,"stint":2}`, `[m-000231]`},
+		{PrefixMachines, "machines/5-1", `{"m-1":{"rig":"c4"},"m-2":{"rig":"c4"}}`, `[m-1 m-2]`},
 		{PrefixDone, "done/j-1/2", `"0-4,7"`, `[j-1/2]`},
 		{PrefixDone, "done/5-1", `{"j-1/0":"0-4","j-2/0":"1"}`, `[j-1/0 j-2/0]`},
 		{PrefixDone, "done/5-2", `[1]`, ``},
 		{PrefixDone, "done/5-3", ``, ``},
 	} {
-		m, err := Entries(x.prefix, Row{Key: x.key, Value: json.RawMessage(x.value)})
+		m, err := Entries(x.prefix, KeyValue{Key: x.key, Value: json.RawMessage(x.value)})
 		var ids []string
 		for id := range m {
 			ids = append(ids, id)
@@ -112,34 +112,34 @@
 		raw, _ := json.Marshal(big)
 		store := map[string]map[string]json.RawMessage{"machines/3-1": big, "machines/3-2": {"m-900000": big["m-000001"]}}
 		n := 0
-		s := NewShelf("machines/", kb, func() string { n++; return fmt.Sprintf("9-%d", n) })
+		s := NewPagedRecords("machines/", kb, func() string { n++; return fmt.Sprintf("9-%d", n) })
 		s.Load("machines/3-1", big, len(raw))
 		s.Load("machines/3-2", store["machines/3-2"], 100)
 		s.Remove("m-000007") // given back meanwhile
-		if len(s.Frozen()) != 109 || s.Has("m-000001") || !s.Has("m-900000") || len(s.Changed()) != 0 {
-			t.Fatalf("%d records are to be moved, %d boxes to be written", len(s.Frozen()), len(s.Changed()))
+		if len(s.ReadOnly()) != 109 || s.Has("m-000001") || !s.Has("m-900000") || len(s.Dirty()) != 0 {
+			t.Fatalf("%d records are to be moved, %d boxes to be written", len(s.ReadOnly()), len(s.Dirty()))
 		}
 		steps := 0
 		for ; ; steps++ {
-			for id, v := range s.Frozen() {
+			for id, v := range s.ReadOnly() {
 				if !s.Has(id) && !s.Put(id, v, len(v)) {
 					t.Fatalf("%s has no place", id)
 				}
 			}
-			boxes := s.Changed()
+			boxes := s.Dirty()
 			if len(boxes) == 0 {
 				break
 			}
-			op, _, ids := s.Take(boxes[0])
+			op, _, ids := s.TakeWrite(boxes[0])
 			if op.Delete != "" {
 				delete(store, op.Delete)
-			} else if m := op.Value.(map[string]json.RawMessage); Size(m) > int(kb*1024) {
-				t.Fatalf("%s takes %d bytes", op.Write, Size(m))
+			} else if m := op.Value.(map[string]json.RawMessage); EncodedSize(m) > int(kb*1024) {
+				t.Fatalf("%s takes %d bytes", op.Write, EncodedSize(m))
 			} else {
 				store[op.Write] = m
 			}
 			for _, id := range ids {
-				s.Thaw(id)
+				s.DropReadOnly(id)
 			}
 			first := map[string]string{}
 			for _, key := range slices.Sorted(maps.Keys(store)) {
@@ -164,21 +164,21 @@
 // A value that the service refuses as too large is divided; one record alone cannot be.
 func TestRefused(t *testing.T) {
 	n := 0
-	s := NewShelf("done/", 4, func() string { n++; return fmt.Sprint("1-", n) })
+	s := NewPagedRecords("done/", 4, func() string { n++; return fmt.Sprint("1-", n) })
 	for i := range 40 {
 		s.Put(fmt.Sprint("j-", i), json.RawMessage(fmt.Sprintf("%q", strings.Repeat("x", 60))), 60)
 	}
 	for limit := 1000; ; {
-		boxes := s.Changed()
+		boxes := s.Dirty()
 		if len(boxes) == 0 {
 			break
 		}
-		op, bytes, _ := s.Take(boxes[0])
+		op, bytes, _ := s.TakeWrite(boxes[0])
 		if bytes <= limit {
 			continue
 		}
 		m := op.Value.(map[string]json.RawMessage)
-		ids := s.Refused(boxes[0])
+		ids := s.NoteTooLarge(boxes[0])
 		if len(ids) != len(m) {
 			t.Fatalf("%d of %d records need another place", len(ids), len(m))
 		}
@@ -189,9 +189,9 @@
 	if len(s.IDs()) != 40 || n > 20 {
 		t.Errorf("%d records in %d values", len(s.IDs()), n)
 	}
-	one := NewShelf("done/", 4, func() string { return "2-1" })
+	one := NewPagedRecords("done/", 4, func() string { return "2-1" })
 	one.Put("j-1", json.RawMessage(`"x"`), 1)
-	if ids := one.Refused(one.Changed()[0]); ids != nil {
+	if ids := one.NoteTooLarge(one.Dirty()[0]); ids != nil {
 		t.Errorf("one record alone is to go elsewhere: %v", ids)
 	}
 }
--- a/internal/records/wire.go
+++ b/internal/records/wire.go
@@ -10,49 +10,49 @@
 
 // Errors of the state service, by what the caller may conclude from them.
 var (
-	ErrRefused    = errors.New("state service refused the request (503)")           // not executed
-	ErrThrottled  = errors.New("state service: too many requests (429)")            // not executed
-	ErrNoAnswer   = errors.New("state service did not answer")                      // may have been, or may yet be, executed
-	ErrNoGrant    = errors.New("state service: no such lease")                      // the lease has ended
-	ErrCompacted  = errors.New("state service: revision too old, read again (410)") // watch from a fresh read
-	ErrInvalid    = errors.New("state service: malformed or too large (400)")       // not executed, nor will it ever be
-	ErrUnexpected = errors.New("state service: unexpected answer")
+	ErrUnavailable    = errors.New("state service refused the request (503)")           // not executed
+	ErrThrottled      = errors.New("state service: too many requests (429)")            // not executed
+	ErrUnknownOutcome = errors.New("state service did not answer")                      // may have been, or may yet be, executed
+	ErrLeaseExpired   = errors.New("state service: no such lease")                      // the lease has ended
+	ErrCompacted      = errors.New("state service: revision too old, read again (410)") // watch from a fresh read
+	ErrInvalid        = errors.New("state service: malformed or too large (400)")       // not executed, nor will it ever be
+	ErrUnexpected     = errors.New("state service: unexpected answer")
 )
 
 // ConflictError says which conditions of a commit did not hold.
 type ConflictError struct {
-	Failed []string `json:"failed"`
-	Epoch  uint64   `json:"epoch"`
+	Failed   []string `json:"failed"`
+	Revision uint64   `json:"epoch"`
 }
 
 func (e *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", e.Failed) }
 
-// Row is a key with its value and the revision of its last change.
-type Row struct {
-	Key   string          `json:"k"`
-	Value json.RawMessage `json:"value"`
-	Stamp uint64          `json:"stamp"`
-	Hold  uint64          `json:"hold"`
+// KeyValue is a key with its value and the revision of its last change.
+type KeyValue struct {
+	Key      string          `json:"k"`
+	Value    json.RawMessage `json:"value"`
+	Revision uint64          `json:"stamp"`
+	LeaseID  uint64          `json:"hold"`
 }
 
-// Cond requires that a key has the given stamp; 0 means absent.
-type Cond struct {
-	Key   string `json:"k"`
-	Stamp uint64 `json:"stamp"`
+// Compare requires that a key has the given stamp; 0 means absent.
+type Compare struct {
+	Key      string `json:"k"`
+	Revision uint64 `json:"stamp"`
 }
 
 // Op is one change of a commit: a write or a delete.
 type Op struct {
-	Write  string `json:"write,omitempty"`
-	Value  any    `json:"value,omitempty"`
-	Hold   uint64 `json:"hold,omitempty"`
-	Delete string `json:"delete,omitempty"`
+	Write   string `json:"write,omitempty"`
+	Value   any    `json:"value,omitempty"`
+	LeaseID uint64 `json:"hold,omitempty"`
+	Delete  string `json:"delete,omitempty"`
 }
 
 // Event is one entry of a watch's log.
 type Event struct {
-	Write  string          `json:"write"`
-	Delete string          `json:"delete"`
-	Value  json.RawMessage `json:"value"`
-	Stamp  uint64          `json:"stamp"`
+	Write    string          `json:"write"`
+	Delete   string          `json:"delete"`
+	Value    json.RawMessage `json:"value"`
+	Revision uint64          `json:"stamp"`
 }
--- a/internal/reservation/largest.go
+++ b/internal/reservation/largest.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Everywhere stands for all zones together.
-const Everywhere = "*"
+// AllZones stands for all zones together.
+const AllZones = "*"
 
 // Due says whether room is to be saved for a job by now. Guards against saving that begins
 // so late that the bound is missed all the same: what is saved falls free one place after the
@@ -25,8 +25,8 @@
 // are kept for it that are free in part.
 func Urgent(waited, need, bound time.Duration) bool { return waited+need >= bound }
 
-// Soonest is the wait before which room is saved for nobody, whatever it needs.
-func Soonest(bound time.Duration) time.Duration {
+// EarliestWait is the wait before which room is saved for nobody, whatever it needs.
+func EarliestWait(bound time.Duration) time.Duration {
 	return time.Duration(float64(bound) * dueShare / 2)
 }
 
@@ -37,20 +37,20 @@
 
 // Zone is what falls free in one zone for the tasks of one job.
 type Zone struct {
-	Name  string
-	In    []float64 // seconds until each further place is free, in any order
-	Ahead int       // places that others who save there still lack
+	Name       string
+	FreeAfterS []float64 // seconds until each further place is free, in any order
+	Committed  int       // places that others who save there still lack
 }
 
-// Choose picks the zone where n places are free soonest once those who save there have theirs,
+// ChooseZone picks the zone where n places are free soonest once those who save there have theirs,
 // and says in how many seconds; "" if no zone will have as many.
-func Choose(zones []Zone, n int) (name string, in float64) {
+func ChooseZone(zones []Zone, n int) (name string, in float64) {
 	for _, z := range zones {
-		k := z.Ahead + n
-		if len(z.In) < k {
+		k := z.Committed + n
+		if len(z.FreeAfterS) < k {
 			continue
 		}
-		at := slices.Sorted(slices.Values(z.In))[k-1]
+		at := slices.Sorted(slices.Values(z.FreeAfterS))[k-1]
 		if name == "" || at < in || at == in && z.Name < name {
 			name, in = z.Name, at
 		}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -67,9 +67,9 @@
 	mostOwn = 2
 )
 
-// Heard notes that another controller, in a zone, has passed something on, if only that it
+// NotePeer notes that another controller, in a zone, has passed something on, if only that it
 // is there.
-func (r *Router) Heard(name, zone string, now time.Time) {
+func (r *Router) NotePeer(name, zone string, now time.Time) {
 	n := r.nodes[name]
 	if n == nil {
 		n = &node{}
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -34,7 +34,7 @@
 			}
 			switch w[2] {
 			case "heard":
-				r.Heard(w[3], in(w[4:]), now)
+				r.NotePeer(w[3], in(w[4:]), now)
 				return nil
 			case "report":
 				return []string{told(r.Route(w[3], in(w[6:]), w[5], now))}
@@ -100,7 +100,7 @@
 					up[n] = rapid.IntRange(0, 3).Draw(t, "up") > 0
 				}
 				if up[n] {
-					r.Heard(fmt.Sprint("n-", n), of[n], now)
+					r.NotePeer(fmt.Sprint("n-", n), of[n], now)
 					heard[n] = now
 				}
 			}
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -21,10 +21,10 @@
 // site is a deployment of full size, for benchmarks: machines that report by turns
 // and run what they are told, jobs that come as others end.
 type site struct {
-	core  *Core
+	core  *Scheduler
 	now   time.Time
 	r     *rand.Rand
-	hosts []*fleet.Report
+	hosts []*fleet.Heartbeat
 	jobs  int
 	at    int
 	teams int  // that submit by turns
@@ -42,31 +42,31 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	if teams > 1 {
-		cfg.Options.Guarantees, cfg.Options.Largest = true, true
+		cfg.Options.Guarantees, cfg.Options.Reservations = true, true
 	}
-	cfg.Facts.Workers = config.Workers{ReportS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-	cfg.Facts.State.ValueKB = 8
-	cfg.Facts.Cloud.ListLagS = 3
-	cfg.Facts.Zones = []string{"a", "b"}
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
+	cfg.Deployment.State.ValueKB = 8
+	cfg.Deployment.Cloud.ListLagS = 3
+	cfg.Deployment.Zones = []string{"a", "b"}
 	s := &site{now: time.Unix(1_000_000, 0), r: rand.New(rand.NewPCG(1, 2)), chain: chain, teams: teams}
 	for i := range teams {
 		team := config.Team{Name: teamName(i)}
 		if teams > 1 {
 			share := 4 * float64(machines) / float64(teams)
-			team.CPUs, team.CPUsMax = 0.4*share, 2*share
+			team.GuaranteedCPUs, team.LimitCPUs = 0.4*share, 2*share
 		}
-		cfg.Facts.Teams = append(cfg.Facts.Teams, team)
+		cfg.Deployment.Teams = append(cfg.Deployment.Teams, team)
 	}
-	s.core = NewCore(SettingsOf(cfg), 5, s.now)
+	s.core = New(SettingsOf(cfg), 5, s.now)
 	s.core.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 1, Zones: []string{"a", "b"}}})
-	s.core.CheckSettled(s.now)
+	s.core.CheckReconciled(s.now)
 	s.core.rent.ready = true
 	for range max(100, machines/10) {
 		s.submit()
 	}
 	for i := range machines {
 		h := fmt.Sprintf("m-%06d", i)
-		s.hosts = append(s.hosts, &fleet.Report{Host: h, Addr: h + ":1", Type: "c4", Zone: "a", Spot: true, Session: 1, Baton: 5})
+		s.hosts = append(s.hosts, &fleet.Heartbeat{Machine: h, Addr: h + ":1", Type: "c4", Zone: "a", Spot: true, Incarnation: 1, FencingToken: 5})
 		s.report()
 		s.core.fleet.Machines[h].Recorded = true
 	}
@@ -82,19 +82,19 @@
 func (s *site) submit() {
 	s.jobs++
 	j := records.Job{
-		ID: fmt.Sprintf("j-%06d", s.jobs), Team: teamName(s.jobs % s.teams), Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: 20 + s.r.IntN(200),
+		ID: fmt.Sprintf("j-%06d", s.jobs), Team: teamName(s.jobs % s.teams), Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 20 + s.r.IntN(200),
 		CPUs: 1, MemGB: 3.6, Image: fmt.Sprint("img-", s.r.IntN(16)), ImageGB: 1, EstimateS: 18, Spot: true, AcceptedMS: s.now.UnixMilli(),
 	}
 	switch s.jobs % 4 {
 	case 1:
-		j.Priority, j.MemGB = records.PrioUrgent, 3.8
+		j.Priority, j.MemGB = records.PriorityUrgent, 3.8
 	case 2:
-		j.Priority, j.CPUs, j.MemGB, j.CheckpointS, j.SaveS = records.PrioLow, 4, 15, 30, 5
+		j.Priority, j.CPUs, j.MemGB, j.CheckpointS, j.SaveS = records.PriorityLow, 4, 15, 30, 5
 	}
 	if s.chain {
 		for _, back := range []int{4, 8} {
 			if id := fmt.Sprintf("j-%06d", s.jobs-back); s.core.jobs[id] != nil {
-				j.Prereqs = append(j.Prereqs, id)
+				j.Dependencies = append(j.Dependencies, id)
 			}
 		}
 		due := float64(s.r.IntN(600))
@@ -110,27 +110,27 @@
 		s.now = s.now.Add(4 * time.Millisecond)
 	}
 	r := s.hosts[s.at]
-	r.Tick++
+	r.Sequence++
 	for i := range r.Tasks {
 		if t := &r.Tasks[i]; t.Status != "ended" && s.r.IntN(10) == 0 {
 			t.Status, t.Cause = "ended", fleet.CauseDone
 		}
 	}
-	m, stale := s.core.Body(r, true, s.now)
+	m, stale := s.core.Reconcile(r, true, s.now)
 	if stale {
 		panic("a report is taken for stale")
 	}
-	s.core.Observe(m)
-	s.core.Choose(m, s.now)
+	s.core.ObserveUse(m)
+	s.core.PlanMachine(m, s.now)
 	resp := s.core.Respond(m, true, s.now)
-	s.core.Answered(m, "", s.now)
-	for _, o := range resp.Orders {
+	s.core.NoteAnswered(m, "", s.now)
+	for _, o := range resp.Commands {
 		switch o.Verb {
 		case fleet.VerbRun:
-			r.Tasks = append(r.Tasks, fleet.TaskReport{Shot: o.Shot, Try: o.Try, Status: "running"})
+			r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: "running"})
 		case fleet.VerbReap:
 			for i := range r.Tasks {
-				if r.Tasks[i].Shot == o.Shot {
+				if r.Tasks[i].Task == o.Task {
 					r.Tasks = append(r.Tasks[:i], r.Tasks[i+1:]...)
 					break
 				}
@@ -140,7 +140,7 @@
 	for id, j := range s.core.jobs {
 		copy(j.stored, j.done)
 		if j.nDone == j.Tasks && !j.finishing {
-			s.core.Over(id, records.Over{Status: records.StatusDone, AtMS: s.now.UnixMilli()}, 20)
+			s.core.NoteClosed(id, records.ClosedJob{Status: records.StatusDone, AtMS: s.now.UnixMilli()}, 20)
 			s.submit()
 		}
 		break // another one each time
@@ -151,8 +151,8 @@
 func (s *site) tick() {
 	s.now = s.now.Add(250 * time.Millisecond)
 	for _, m := range s.core.fleet.Machines {
-		m.LastBody = s.now
-		m.LastAnswer = s.now
+		m.LastStatus = s.now
+		m.LastRenewal = s.now
 	}
 	s.core.Tick(s.now, true)
 }
@@ -201,14 +201,14 @@
 	began := s.now
 	for i := range s.hosts {
 		s.now = began.Add(step * time.Duration(i) / time.Duration(len(s.hosts)))
-		if i%(len(s.hosts)/TickShare+1) == 0 {
+		if i%(len(s.hosts)/TicksPerHeartbeat+1) == 0 {
 			s.core.Tick(s.now, true)
-			s.core.Calls()
+			s.core.TakeUrgentCommands()
 		}
 		if i%(len(s.hosts)/5+1) == 0 {
-			s.core.Wants(s.now)
+			s.core.PlanRentals(s.now)
 			clear(s.core.rent.inflight)
-			s.core.Returns(s.now)
+			s.core.MachinesToReturn(s.now)
 		}
 		s.report()
 	}
@@ -259,7 +259,7 @@
 func BenchmarkWants(b *testing.B) {
 	s := newSite(b, 200, false)
 	for b.Loop() {
-		s.core.Wants(s.now)
+		s.core.PlanRentals(s.now)
 		clear(s.core.rent.inflight)
 	}
 }
@@ -272,10 +272,10 @@
 	for i, h := range s.hosts {
 		bodies[i], _ = json.Marshal(h)
 	}
-	answer := fleet.Response{Baton: 5, Orders: []fleet.Order{{Verb: fleet.VerbRun, Shot: "j-000412/4", Try: 5<<24 + 77}, {Verb: fleet.VerbReap, Shot: "j-000398/0", Try: 5 << 24}}}
+	answer := fleet.HeartbeatResponse{FencingToken: 5, Commands: []fleet.Command{{Verb: fleet.VerbRun, Task: "j-000412/4", Attempt: 5<<24 + 77}, {Verb: fleet.VerbReap, Task: "j-000398/0", Attempt: 5 << 24}}}
 	i := 0
 	for b.Loop() {
-		var r fleet.Report
+		var r fleet.Heartbeat
 		if easyjson.Unmarshal(bodies[i%len(bodies)], &r) != nil {
 			b.Fatal("unreadable")
 		}
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -13,12 +13,12 @@
 // and images, a few at a time, leave nothing behind, and jobs alike stay alike.
 func TestNothingGrows(t *testing.T) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
-	cfg.Facts.Workers = config.Workers{ReportS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-	cfg.Facts.State.ValueKB = 8
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
+	cfg.Deployment.State.ValueKB = 8
 	now := time.Unix(1_000_000, 0)
-	c := NewCore(SettingsOf(cfg), 5, now)
+	c := New(SettingsOf(cfg), 5, now)
 	add := func(id, image string, cpus float64) *Job {
-		return c.AddJob(records.Job{ID: id, Shape: records.ShapeBatch, Tasks: 10, CPUs: cpus, Image: image}, 10, now, now)
+		return c.AddJob(records.Job{ID: id, Shape: records.ShapeArray, Tasks: 10, CPUs: cpus, Image: image}, 10, now, now)
 	}
 	for i := range 5000 {
 		a := add(fmt.Sprint("j-1", i), fmt.Sprint("img-", i), float64(i)/1000)
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -29,8 +29,8 @@
 )
 
 // own makes room on a machine, for one task, a job's own.
-func (c *Core) own(j *Job, m *fleet.Machine, now time.Time) {
-	m.Bin.Owe(j.req)
+func (c *Scheduler) own(j *Job, m *fleet.Machine, now time.Time) {
+	m.Bin.Reserve(j.req)
 	if j.claims = append(j.claims, claim{m, now}); len(j.claims) == 1 {
 		c.owners = append(c.owners, j)
 	}
@@ -41,46 +41,46 @@
 
 // keepPlace makes the place that a task of a broken gang leaves the gang's own: it has
 // to begin anew, and what else went there would be stopped a moment later.
-func (c *Core) keepPlace(j *Job, a *fleet.Attempt) {
+func (c *Scheduler) keepPlace(j *Job, a *fleet.Attempt) {
 	if j.gangBroken && a.Machine.Bin.Open() && a.State() != fleet.Planned {
 		c.own(j, a.Machine, c.now)
 	}
 }
 
 // disown gives up a claim.
-func (c *Core) disown(j *Job, i int) {
-	j.claims[i].m.Bin.Owe(packing.Vec{}.Sub(j.req))
+func (c *Scheduler) disown(j *Job, i int) {
+	j.claims[i].m.Bin.Reserve(packing.Resources{}.Sub(j.req))
 	j.claims = slices.Delete(j.claims, i, i+1)
 	c.dirty = true
 }
 
 // giveUp gives up all claims of a job.
-func (c *Core) giveUp(j *Job) {
+func (c *Scheduler) giveUp(j *Job) {
 	for len(j.claims) > 0 {
 		c.disown(j, len(j.claims)-1)
 	}
 }
 
 // lift lets a job see its own room as free; lay puts the claims back.
-func (c *Core) lift(j *Job) []claim {
+func (c *Scheduler) lift(j *Job) []claim {
 	mine := j.claims
 	for _, cl := range mine {
-		cl.m.Bin.Owe(packing.Vec{}.Sub(j.req))
+		cl.m.Bin.Reserve(packing.Resources{}.Sub(j.req))
 	}
 	j.claims = nil
 	return mine
 }
 
-func (c *Core) lay(j *Job, mine []claim) {
+func (c *Scheduler) lay(j *Job, mine []claim) {
 	for _, cl := range mine {
-		cl.m.Bin.Owe(j.req)
+		cl.m.Bin.Reserve(j.req)
 	}
 	j.claims = mine
 }
 
 // useClaims starts tasks of a job that need not start together in room of its own, as
 // far as it is free.
-func (c *Core) useClaims(j *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
+func (c *Scheduler) useClaims(j *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
 	limited := j.limited
 	for i := 0; i < len(j.claims); {
 		t, m := j.peek(), j.claims[i].m
@@ -99,7 +99,7 @@
 			}
 			zones[m.Zone]++
 		}
-		it := &packing.Item{ID: j.ID, Req: j.req, Prefer: j.prefer}
+		it := &packing.Item{ID: j.ID, Req: j.req, PreferLabels: j.prefer}
 		m.Bin.Add(it)
 		c.plant(j, t, c.newTry(), m, it, now)
 		j.take(t)
@@ -111,7 +111,7 @@
 
 // reviewClaims gives up claims whose job or machine is out of the question, that are
 // more than the job has tasks for, and those whose room was there in vain for a time.
-func (c *Core) reviewClaims(now time.Time) {
+func (c *Scheduler) reviewClaims(now time.Time) {
 	owners := c.owners
 	c.owners = c.owners[:0]
 	for _, j := range owners {
@@ -122,7 +122,7 @@
 	clear(owners[len(c.owners):])
 }
 
-func (c *Core) review(j *Job, now time.Time) {
+func (c *Scheduler) review(j *Job, now time.Time) {
 	if len(j.claims) == 0 {
 		return
 	}
@@ -131,7 +131,7 @@
 		return
 	}
 	for i := len(j.claims) - 1; i >= 0; i-- {
-		if m := j.claims[i].m; m.Dropped() || !m.Bin.Open() {
+		if m := j.claims[i].m; m.Removed() || !m.Bin.Open() {
 			c.disown(j, i)
 		}
 	}
@@ -143,9 +143,9 @@
 		switch cl := &j.claims[i]; {
 		case coming || j.saving != "":
 			cl.since = now
-		case now.Sub(cl.since) > claimReports*c.set.Report:
+		case now.Sub(cl.since) > claimReports*c.set.HeartbeatInterval:
 			slog.Debug("room was kept in vain", "job", j.ID, "machine", cl.m.Host, "term", c.term)
-			j.claimAfter = now.Add(claimRest * c.set.Report)
+			j.claimAfter = now.Add(claimRest * c.set.HeartbeatInterval)
 			c.disown(j, i)
 		}
 	}
@@ -153,7 +153,7 @@
 
 // claimable is for how many of a job's tasks room may be its own: those that wait, and those that
 // move, up to as many as it has claims for.
-func (c *Core) claimable(j *Job) int {
+func (c *Scheduler) claimable(j *Job) int {
 	n := j.pending()
 	if n >= len(j.claims) {
 		return n
@@ -168,7 +168,7 @@
 
 // isComing says whether room of a job's own is on its way: somebody there is being stopped, or one
 // of its own tasks that is to move there.
-func (c *Core) isComing(j *Job) bool {
+func (c *Scheduler) isComing(j *Job) bool {
 	if j.gangBroken {
 		return true
 	}
@@ -186,12 +186,12 @@
 }
 
 // leaves says whether an attempt is being stopped, and its room on its way.
-func leaves(a *fleet.Attempt) bool { return a.Stopping() && a.Present() && a.Item != nil }
+func leaves(a *fleet.Attempt) bool { return a.Stopping() && a.MayBePresent() && a.Item != nil }
 
 // coming is the room that a machine has or will have, once what is being stopped there
 // is gone, beyond what is anybody's own.
-func coming(m *fleet.Machine) packing.Vec {
-	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Owed())
+func coming(m *fleet.Machine) packing.Resources {
+	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
 	for _, a := range m.Attempts() {
 		if leaves(a) {
 			free = free.Add(a.Item.Req)
@@ -201,12 +201,12 @@
 }
 
 // lacks is for how many more of a job's tasks room could be made its own.
-func (c *Core) lacks(j *Job, now time.Time) int {
+func (c *Scheduler) lacks(j *Job, now time.Time) int {
 	if now.Before(j.claimAfter) {
 		return 0
 	}
 	n := c.wanted(j)
-	if j.Shape == records.ShapeGroup {
+	if j.Shape == records.ShapeGang {
 		if n < j.pending() || j.gangTry == 0 && len(j.held)+len(j.strays) > 0 {
 			return 0 // it could not start whole
 		}
