--- a/internal/scheduler/claims_test.go
+++ b/internal/scheduler/claims_test.go
@@ -31,7 +31,7 @@
 // fakeFleet is a few machines that do what a Core tells them, in made-up time.
 type fakeFleet struct {
 	t     *rapid.T
-	c     *Core
+	c     *Scheduler
 	now   time.Time
 	hosts []*fakeMachine
 	jobs  map[string]records.Job
@@ -42,12 +42,12 @@
 }
 
 type fakeMachine struct {
-	report   fleet.Report
+	report   fleet.Heartbeat
 	attempts []*fakeAttempt
 }
 
 type fakeAttempt struct {
-	fleet.TaskReport
+	fleet.TaskStatus
 	job      string
 	ends     time.Time // when it completes, or has saved
 	stopping bool
@@ -59,15 +59,15 @@
 // newYard opens one with so many machines in each of two zones.
 func newFakeFleet(t *rapid.T, options config.Options, teams []config.Team, slots int) *fakeFleet {
 	cfg := &config.Config{Options: options}
-	cfg.Facts.Workers = config.Workers{ReportS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-	cfg.Facts.State.ValueKB, cfg.Facts.Zones, cfg.Facts.Teams = 8, []string{"a", "b"}, teams
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
+	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b"}, teams
 	y := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]records.Job{}, runs: map[string]time.Duration{}, asked: map[string]time.Time{}, began: map[string]bool{}}
-	y.c = NewCore(SettingsOf(cfg), 5, y.now)
+	y.c = New(SettingsOf(cfg), 5, y.now)
 	y.c.SetTypes([]records.MachineType{{Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: []string{"a", "b"}}})
-	y.c.CheckSettled(y.now)
+	y.c.CheckReconciled(y.now)
 	for i := range 2 * slots {
 		host := fmt.Sprintf("m-%02d", i)
-		y.hosts = append(y.hosts, &fakeMachine{report: fleet.Report{Host: host, Addr: host, Type: "c4", Zone: string("ab"[i%2]), Session: 1, Baton: 5}})
+		y.hosts = append(y.hosts, &fakeMachine{report: fleet.Heartbeat{Machine: host, Addr: host, Type: "c4", Zone: string("ab"[i%2]), Incarnation: 1, FencingToken: 5}})
 	}
 	return y
 }
@@ -79,8 +79,8 @@
 	for host := range y.c.kick {
 		// Kills go out at once.
 		for _, h := range y.hosts {
-			if h.report.Host == host {
-				y.obey(h, y.c.fleet.Machines[host].Orders())
+			if h.report.Machine == host {
+				y.obey(h, y.c.fleet.Machines[host].PendingCommands())
 			}
 		}
 		delete(y.c.kick, host)
@@ -95,37 +95,37 @@
 }
 
 func (y *fakeFleet) checkin(h *fakeMachine) {
-	h.report.Tick++
+	h.report.Sequence++
 	h.report.Tasks = h.report.Tasks[:0]
 	for _, s := range h.attempts {
-		h.report.Tasks = append(h.report.Tasks, s.TaskReport)
+		h.report.Tasks = append(h.report.Tasks, s.TaskStatus)
 	}
 	r := h.report
-	m, stale := y.c.Body(&r, true, y.now)
+	m, stale := y.c.Reconcile(&r, true, y.now)
 	if stale {
 		y.t.Fatalf("a report in order is called stale")
 	}
 	m.Recorded = true
-	y.c.Choose(m, y.now)
+	y.c.PlanMachine(m, y.now)
 	resp := y.c.Respond(m, true, y.now)
-	y.c.Answered(m, "", y.now)
-	y.obey(h, resp.Orders)
+	y.c.NoteAnswered(m, "", y.now)
+	y.obey(h, resp.Commands)
 	for _, j := range y.c.jobs {
 		copy(j.stored, j.done)
 		if j.nDone == j.Tasks {
-			y.c.Over(j.ID, records.Over{Status: records.StatusDone}, 99)
+			y.c.NoteClosed(j.ID, records.ClosedJob{Status: records.StatusDone}, 99)
 		}
 	}
 }
 
-func (y *fakeFleet) obey(h *fakeMachine, orders []fleet.Order) {
+func (y *fakeFleet) obey(h *fakeMachine, orders []fleet.Command) {
 	for _, o := range orders {
-		i := slices.IndexFunc(h.attempts, func(s *fakeAttempt) bool { return s.Shot == o.Shot && s.Try == o.Try })
+		i := slices.IndexFunc(h.attempts, func(s *fakeAttempt) bool { return s.Task == o.Task && s.Attempt == o.Attempt })
 		switch {
 		case o.Verb == fleet.VerbRun && i < 0:
-			id, _ := fleet.ParseTask(o.Shot)
-			s := &fakeAttempt{TaskReport: fleet.TaskReport{Shot: o.Shot, Try: o.Try, Status: "running"}, job: id.Job, ends: y.now.Add(y.runs[id.Job])}
-			if y.jobs[id.Job].Shape == records.ShapeGroup {
+			id, _ := fleet.ParseTask(o.Task)
+			s := &fakeAttempt{TaskStatus: fleet.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: "running"}, job: id.Job, ends: y.now.Add(y.runs[id.Job])}
+			if y.jobs[id.Job].Shape == records.ShapeGang {
 				s.Status = "waiting"
 			}
 			h.attempts = append(h.attempts, s)
@@ -133,7 +133,7 @@
 			s := h.attempts[i]
 			s.left = s.ends.Sub(y.now)
 			s.stopping, s.Status = true, "flushing"
-			s.ends = y.now.Add(time.Duration(*o.WindDownS * float64(time.Second)))
+			s.ends = y.now.Add(time.Duration(*o.GraceS * float64(time.Second)))
 		case o.Verb == fleet.VerbReap && i >= 0:
 			h.attempts = slices.Delete(h.attempts, i, i+1)
 		}
@@ -143,8 +143,8 @@
 // advance ends what is over, and starts gangs that are complete.
 func (y *fakeFleet) advance(h *fakeMachine) {
 	for _, s := range h.attempts {
-		if s.Status == "waiting" && len(y.find(func(o *fakeAttempt) bool { return o.job == s.job && o.Try == s.Try })) == y.jobs[s.job].Tasks {
-			for _, o := range y.find(func(o *fakeAttempt) bool { return o.job == s.job && o.Try == s.Try }) {
+		if s.Status == "waiting" && len(y.find(func(o *fakeAttempt) bool { return o.job == s.job && o.Attempt == s.Attempt })) == y.jobs[s.job].Tasks {
+			for _, o := range y.find(func(o *fakeAttempt) bool { return o.job == s.job && o.Attempt == s.Attempt }) {
 				o.Status, o.ends = "running", y.now.Add(y.runs[s.job])
 			}
 		}
@@ -184,17 +184,17 @@
 			j := y.jobs[s.job]
 			cpus += j.CPUs
 			use[j.Team] += j.CPUs
-			if at, twice := on[s.Shot]; twice {
-				y.t.Fatalf("%s is on %s and %s", s.Shot, at, h.report.Host)
+			if at, twice := on[s.Task]; twice {
+				y.t.Fatalf("%s is on %s and %s", s.Task, at, h.report.Machine)
 			}
-			on[s.Shot] = h.report.Host
+			on[s.Task] = h.report.Machine
 			if z := zones[s.job]; j.OneZone && z != "" && z != h.report.Zone {
 				y.t.Fatalf("%s is in zones %s and %s", s.job, z, h.report.Zone)
 			}
 			zones[s.job] = h.report.Zone
 		}
 		if cpus > fakeCPUs {
-			y.t.Fatalf("%s holds tasks of %g CPUs", h.report.Host, cpus)
+			y.t.Fatalf("%s holds tasks of %g CPUs", h.report.Machine, cpus)
 		}
 	}
 	for id, j := range y.c.jobs {
@@ -213,7 +213,7 @@
 		}
 	}
 	for team, cpus := range use {
-		if limit := y.c.set.Teams[team].CPUsMax; limit > 0 && cpus > limit {
+		if limit := y.c.set.Teams[team].LimitCPUs; limit > 0 && cpus > limit {
 			y.t.Fatalf("%s uses %g CPUs of %g", team, cpus, limit)
 		}
 	}
@@ -229,9 +229,9 @@
 		slots := rapid.IntRange(2, 5).Draw(t, "machines by zone")
 		var teams []config.Team
 		for i := range rapid.IntRange(1, 3).Draw(t, "teams") {
-			team := config.Team{Name: fmt.Sprint("team-", i), CPUs: float64(fakeCPUs * rapid.IntRange(0, slots).Draw(t, "guarantee"))}
+			team := config.Team{Name: fmt.Sprint("team-", i), GuaranteedCPUs: float64(fakeCPUs * rapid.IntRange(0, slots).Draw(t, "guarantee"))}
 			if rapid.Bool().Draw(t, "limited") {
-				team.CPUsMax = max(team.CPUs, float64(fakeCPUs*slots))
+				team.LimitCPUs = max(team.GuaranteedCPUs, float64(fakeCPUs*slots))
 			}
 			teams = append(teams, team)
 		}
@@ -241,13 +241,13 @@
 		var comes []records.Job
 		for i := range rapid.IntRange(2, 7).Draw(t, "jobs") {
 			j := records.Job{
-				ID: fmt.Sprint("j-", i), Team: rapid.SampledFrom(teams).Draw(t, "team").Name, Image: "img", MemGB: 1, Shape: records.ShapeBatch,
-				Priority: rapid.SampledFrom([]string{records.PrioCritical, records.PrioUrgent, records.PrioNormal, records.PrioLow}).Draw(t, "priority"),
+				ID: fmt.Sprint("j-", i), Team: rapid.SampledFrom(teams).Draw(t, "team").Name, Image: "img", MemGB: 1, Shape: records.ShapeArray,
+				Priority: rapid.SampledFrom([]string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}).Draw(t, "priority"),
 				CPUs:     rapid.SampledFrom([]float64{1, 1, 2}).Draw(t, "cpus"), Tasks: rapid.IntRange(1, 10*slots).Draw(t, "tasks"),
 				EstimateS: float64(rapid.IntRange(5, 60).Draw(t, "estimate")),
 			}
 			if rapid.Bool().Draw(t, "gang") {
-				j.Shape, j.Tasks, j.CPUs = records.ShapeGroup, rapid.IntRange(2, slots).Draw(t, "members"), rapid.SampledFrom([]float64{2, 4}).Draw(t, "gang cpus")
+				j.Shape, j.Tasks, j.CPUs = records.ShapeGang, rapid.IntRange(2, slots).Draw(t, "members"), rapid.SampledFrom([]float64{2, 4}).Draw(t, "gang cpus")
 				j.OneZone = rapid.Bool().Draw(t, "one zone")
 			}
 			if rapid.Bool().Draw(t, "saves") {
@@ -267,7 +267,7 @@
 				comes = comes[1:]
 			}
 			if h := y.hosts[0]; i == dies && dies > 0 {
-				h.report.Session, h.report.Tick = h.report.Session+1, 0
+				h.report.Incarnation, h.report.Sequence = h.report.Incarnation+1, 0
 				y.died = y.now
 				for _, s := range h.attempts { // and a gang is asked for anew
 					asked += y.jobs[s.job].Tasks * int(y.jobs[s.job].CPUs)
@@ -289,8 +289,8 @@
 			t.Errorf("%d moves of %d tasks", n, all)
 		}
 		for _, h := range y.hosts {
-			if owed := y.c.fleet.Machines[h.report.Host].Bin.Owed(); len(y.c.jobs) == 0 && owed.CPU > 0 {
-				t.Errorf("%s still owes room: %+v", h.report.Host, owed)
+			if owed := y.c.fleet.Machines[h.report.Machine].Bin.Reserved(); len(y.c.jobs) == 0 && owed.CPU > 0 {
+				t.Errorf("%s still owes room: %+v", h.report.Machine, owed)
 			}
 		}
 	})
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -25,56 +25,56 @@
 
 // Settings shape a Core. All durations derive from the platform's settings.
 type Settings struct {
-	Report, Lease, Round, GangPeer time.Duration
-	ListLag                        time.Duration
-	ChunkTasks, PartTasks          int // tasks of a chunk, and of what a record holds of it
-	IdleStartups                   float64
-	RefusedStartups                float64
-	Zones                          []string
-	Objectives                     []config.Objective
-	Teams                          map[string]config.Team
-	Forecast                       forecast.Params
-	Marks                          bool          // nothing is sent that the store has not marked
-	Shed                           bool          // starts are left out when the leader falls behind
-	Guarantees                     bool          // work within a guarantee that can begin in time goes first, and finds room
-	Promise                        time.Duration // within which work that is guaranteed is to begin; 0: none is stated
-	Within                         time.Duration // in which any job should begin, for the account of who is served
-	Begin                          time.Duration // within which any job is to begin, the largest too; 0: room is saved for none
-	DarkZones                      bool          // machines of a zone that is cut off are waited for
+	HeartbeatInterval, Lease, RoundInterval, GangPeerTimeout time.Duration
+	ListLag                                                  time.Duration
+	ChunkTasks, PartTasks                                    int // tasks of a chunk, and of what a record holds of it
+	IdleStartups                                             float64
+	RefusedStartups                                          float64
+	Zones                                                    []string
+	Objectives                                               []config.Objective
+	Teams                                                    map[string]config.Team
+	Forecast                                                 forecast.Params
+	Watermarks                                               bool          // nothing is sent that the store has not marked
+	LoadShedding                                             bool          // starts are left out when the leader falls behind
+	Guarantees                                               bool          // work within a guarantee that can begin in time goes first, and finds room
+	GuaranteeWithin                                          time.Duration // within which work that is guaranteed is to begin; 0: none is stated
+	BeginWithin                                              time.Duration // in which any job should begin, for the account of who is served
+	ReservationBound                                         time.Duration // within which any job is to begin, the largest too; 0: room is saved for none
+	ZoneHealth                                               bool          // machines of a zone that is cut off are waited for
 }
 
 // SettingsOf derives them from the configuration.
 func SettingsOf(c *config.Config) Settings {
-	w := c.Facts.Workers
-	report, lease := config.Seconds(w.ReportS), config.Seconds(w.LeaseS)
+	w := c.Deployment.Workers
+	report, lease := config.Seconds(w.HeartbeatS), config.Seconds(w.LeaseS)
 	s := Settings{
-		Report: report,
+		HeartbeatInterval: report,
 		// A worker's lease ends by its own clock, so drift is added, and a
 		// margin for what lies between writing an answer and its arrival.
-		Lease:        lease + config.Drift(lease) + report/4,
-		Round:        time.Duration(float64(report) * c.Options.RoundReports),
-		GangPeer:     config.Seconds(w.GangPeerS),
-		ListLag:      config.Seconds(c.Facts.Cloud.ListLagS),
-		ChunkTasks:   records.ChunkTasks(c.Facts.State.ValueKB),
-		PartTasks:    records.PartTasks(records.ChunkTasks(c.Facts.State.ValueKB), c.Facts.State.Lowest().ValueKB),
-		IdleStartups: c.Options.IdleStartups, RefusedStartups: c.Options.SpreadRefused,
-		Zones: c.Facts.Zones, Objectives: c.Facts.Objectives, Marks: c.Options.Marks, Shed: c.Options.Shed, DarkZones: c.Options.DarkZones, Guarantees: c.Options.Guarantees,
+		Lease:           lease + config.Drift(lease) + report/4,
+		RoundInterval:   time.Duration(float64(report) * c.Options.RoundIntervals),
+		GangPeerTimeout: config.Seconds(w.GangPeerS),
+		ListLag:         config.Seconds(c.Deployment.Cloud.ListLagS),
+		ChunkTasks:      records.ChunkTasks(c.Deployment.State.ValueKB),
+		PartTasks:       records.PartTasks(records.ChunkTasks(c.Deployment.State.ValueKB), c.Deployment.State.Lowest().ValueKB),
+		IdleStartups:    c.Options.IdleStartups, RefusedStartups: c.Options.CapacityBackoffStartups,
+		Zones: c.Deployment.Zones, Objectives: c.Deployment.Objectives, Watermarks: c.Options.Watermarks, LoadShedding: c.Options.LoadShedding, ZoneHealth: c.Options.ZoneHealth, Guarantees: c.Options.Guarantees,
 		Teams: map[string]config.Team{},
 		Forecast: forecast.Params{
 			Up: c.Options.AlphaUp, Down: c.Options.AlphaDown,
 			Window: c.Options.Window, Percentile: c.Options.Percentile,
 		},
 	}
-	s.Within = config.Seconds(c.Options.BeginS)
-	if c.Options.Largest {
-		s.Begin = s.Within
+	s.BeginWithin = config.Seconds(c.Options.BeginS)
+	if c.Options.Reservations {
+		s.ReservationBound = s.BeginWithin
 	}
-	for _, o := range c.Facts.Objectives {
-		if within := config.Seconds(o.WithinS); o.Kind == config.KindGuarantee && within > 0 && (s.Promise == 0 || within < s.Promise) {
-			s.Promise = within
+	for _, o := range c.Deployment.Objectives {
+		if within := config.Seconds(o.WithinS); o.Kind == config.KindGuarantee && within > 0 && (s.GuaranteeWithin == 0 || within < s.GuaranteeWithin) {
+			s.GuaranteeWithin = within
 		}
 	}
-	for _, t := range c.Facts.Teams {
+	for _, t := range c.Deployment.Teams {
 		s.Teams[t.Name] = t
 	}
 	return s
@@ -83,13 +83,13 @@
 // Job is an open job.
 type Job struct {
 	records.Job
-	Stamp    uint64
+	Revision uint64
 	Accepted time.Time
-	base     time.Time        // from when its times count: its acceptance, or the end of the last job before it
-	since    uint64           // the revision before which none of its tasks can have been started
-	waits    bool             // for a job that is not known to be stored as done
-	terms    dependency.Terms // what it is worth for its own sake and that of the jobs behind it
-	req      packing.Vec
+	base     time.Time          // from when its times count: its acceptance, or the end of the last job before it
+	since    uint64             // the revision before which none of its tasks can have been started
+	waits    bool               // for a job that is not known to be stored as done
+	terms    dependency.Urgency // what it is worth for its own sake and that of the jobs behind it
+	req      packing.Resources
 	prefer   []string // marks of machines that suit it, the weightiest first
 	ready    string   // mark of machines where its image is
 	alike    int      // a number that jobs share whose tasks fit the same machines; 0: it shares none
@@ -142,19 +142,19 @@
 // plain says whether where a task may go depends on nothing but its size, zone and
 // kind of machine.
 func (j *Job) plain() bool {
-	return len(j.Types) == 0 && !j.OneZone && !j.Apart && j.Shape != records.ShapeGroup
+	return len(j.Types) == 0 && !j.OneZone && !j.SpreadZones && j.Shape != records.ShapeGang
 }
 
 // likeness is all that decides whether a plain job's task has room.
 type likeness struct {
-	req   packing.Vec
+	req   packing.Resources
 	zone  string
 	spot  bool
 	image string // of jobs that are to start where it is; otherwise ""
 }
 
 // number gives each likeness a number of its own, from 1.
-func (c *Core) number(f likeness) int {
+func (c *Scheduler) number(f likeness) int {
 	if c.alike[f] == 0 {
 		c.alike[f] = len(c.alike) + 1
 	}
@@ -162,7 +162,7 @@
 }
 
 // liken gives a job the numbers that it shares with jobs alike.
-func (c *Core) liken(j *Job) {
+func (c *Scheduler) liken(j *Job) {
 	if !j.plain() {
 		return
 	}
@@ -176,7 +176,7 @@
 }
 
 // jobOf returns the open job of an attempt, nil if there is none.
-func (c *Core) jobOf(a *fleet.Attempt) *Job {
+func (c *Scheduler) jobOf(a *fleet.Attempt) *Job {
 	j, ok := a.Job.(*Job)
 	if !ok {
 		if j = c.jobs[a.Task.Job]; j == nil {
@@ -192,8 +192,8 @@
 
 func has(set []uint64, i int) bool { return set[i/64]>>(i%64)&1 == 1 }
 
-// Core is the leader's memory for one term.
-type Core struct {
+// Scheduler is the leader's memory for one term.
+type Scheduler struct {
 	set      Settings
 	term     uint64
 	seq      uint64
@@ -227,31 +227,31 @@
 	closed      []string         // jobs whose finished tasks need no record any more
 	dropped     []string         // machines that need no record any more
 	marks       marks
-	means       *overload.Governor // how far the leader falls behind
-	late        time.Duration      // by how much anything waited since the last look
-	cuts        *zonehealth.Watch  // which zones are cut off
-	keepers     []*Job             // jobs for whose sake machines are kept
-	keeper      *Job               // the one of them that is served last, for the placing under way
-	scarce      *fairshare.Scarce  // which ordinary machines are too few for those who may use no others
-	savers      []*Job             // jobs for which room may have to be saved
-	owners      []*Job             // jobs that have claims
-	served      *slo.Account       // who came and who began
-	toldServed  time.Time          // when that was last told
-	drains      []*drainWork       // what operators asked for, by id
-	lastDrain   time.Time          // when it was last looked at
-	draining    bool               // any of it holds now
+	means       *overload.Detector         // how far the leader falls behind
+	late        time.Duration              // by how much anything waited since the last look
+	cuts        *zonehealth.Monitor        // which zones are cut off
+	keepers     []*Job                     // jobs for whose sake machines are kept
+	keeper      *Job                       // the one of them that is served last, for the placing under way
+	scarce      *fairshare.ShortageTracker // which ordinary machines are too few for those who may use no others
+	savers      []*Job                     // jobs for which room may have to be saved
+	owners      []*Job                     // jobs that have claims
+	served      *slo.Tracker               // who came and who began
+	toldServed  time.Time                  // when that was last told
+	drains      []*drainWork               // what operators asked for, by id
+	lastDrain   time.Time                  // when it was last looked at
+	draining    bool                       // any of it holds now
 
 	// Kick lists machines that should hear orders at once, not at their next report.
 	kick map[string]bool
 }
 
-// NewCore starts a term with nothing known.
-func NewCore(set Settings, term uint64, now time.Time) *Core {
-	c := &Core{
+// New starts a term with nothing known.
+func New(set Settings, term uint64, now time.Time) *Scheduler {
+	c := &Scheduler{
 		set: set, term: term, jobs: map[string]*Job{}, chain: dependency.New(), alike: map[likeness]int{}, types: map[string]records.MachineType{},
 		fleet: fleet.NewTable(term, set.Lease, set.Forecast), began: now, kick: map[string]bool{}, marks: newMarks(),
-		means: overload.New(set.Report, set.Report/TickShare), cuts: zonehealth.New(set.Lease),
-		scarce: fairshare.NewScarce(), served: slo.New(), toldServed: now, rent: newRentState(), spaces: map[string]*packing.Space{},
+		means: overload.New(set.HeartbeatInterval, set.HeartbeatInterval/TicksPerHeartbeat), cuts: zonehealth.New(set.Lease),
+		scarce: fairshare.NewShortageTracker(), served: slo.New(), toldServed: now, rent: newRentState(), spaces: map[string]*packing.Space{},
 		usage: quota.NewAccount(), order: newPlacingOrder(nil, nil), complete: map[*Job]struct{}{},
 	}
 	c.fleet.OnChange = c.charge
@@ -259,7 +259,7 @@
 }
 
 // SetTypes takes in the machine types that the cloud offers.
-func (c *Core) SetTypes(types []records.MachineType) {
+func (c *Scheduler) SetTypes(types []records.MachineType) {
 	for _, t := range types {
 		c.types[t.Name] = t
 	}
@@ -284,12 +284,12 @@
 }
 
 // fit gives a machine's bin the capacity of its type, and its place among them.
-func (c *Core) fit(m *fleet.Machine) {
+func (c *Scheduler) fit(m *fleet.Machine) {
 	t, ok := c.types[m.Type]
 	if !ok {
 		return
 	}
-	m.Bin.SetCap(packing.Vec{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB})
+	m.Bin.SetCap(packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB})
 	s := c.spaces[m.Type]
 	if s == nil {
 		s = &packing.Space{Ranked: true, Movable: func(it *packing.Item) bool {
@@ -307,7 +307,7 @@
 				return false
 			}
 			j := c.jobOf(a)
-			return j != nil && (c.fetch(j) == 0 || to.Marked(j.ready))
+			return j != nil && (c.fetch(j) == 0 || to.HasLabel(j.ready))
 		}}
 		c.spaces[m.Type] = s
 	}
@@ -317,15 +317,15 @@
 }
 
 // AddJob takes in an open job.
-func (c *Core) AddJob(rec records.Job, stamp uint64, now, wall time.Time) *Job {
+func (c *Scheduler) AddJob(rec records.Job, stamp uint64, now, wall time.Time) *Job {
 	if j := c.jobs[rec.ID]; j != nil {
 		return j
 	}
 	words := (rec.Tasks + 63) / 64
 	j := &Job{
-		Job: rec, Stamp: stamp,
-		req:   packing.Vec{CPU: rec.CPUs, GPU: rec.GPUs, Mem: rec.MemGB},
-		ready: fleet.ReadyMark(rec.Image),
+		Job: rec, Revision: stamp,
+		req:   packing.Resources{CPU: rec.CPUs, GPU: rec.GPUs, Mem: rec.MemGB},
+		ready: fleet.ImageReadyLabel(rec.Image),
 		done:  make([]uint64, words), stored: make([]uint64, words), listed: make([]uint64, words),
 		dirty: map[int]bool{}, held: map[int]*fleet.Attempt{}, strays: map[int]int{},
 		errorHosts: map[string]bool{},
@@ -345,7 +345,7 @@
 	j.ofTeam(c.set.Teams[j.Team])
 	c.jobs[rec.ID] = j
 	c.resort, c.dirty = true, true
-	c.served.Came(j.ID, j.Class, j.Team, float64(j.Tasks)*max(j.req.CPU, j.req.GPU), j.base)
+	c.served.JobArrived(j.ID, j.Class, j.Team, float64(j.Tasks)*max(j.req.CPU, j.req.GPU), j.base)
 	c.link(j)
 	c.suspect(j)
 	c.foresee(j)
@@ -356,17 +356,17 @@
 }
 
 // LoadDone takes in stored ranges of finished tasks.
-func (c *Core) LoadDone(id string, chunk int, ranges string) error {
+func (c *Scheduler) LoadDone(id string, chunk int, ranges string) error {
 	j := c.jobs[id]
 	if j == nil {
 		return nil
 	}
-	c.served.Began(id, c.began)
+	c.served.JobBegan(id, c.began)
 	base := chunk * c.set.ChunkTasks
 	return records.ParseRanges(ranges, func(i int) {
 		if n := base + i; n < j.Tasks {
 			j.stored[n/64] |= 1 << (n % 64)
-			if j.Shape == records.ShapeGroup {
+			if j.Shape == records.ShapeGang {
 				c.markDone(j, n) // and so its mates, which may not be stored
 			} else if !has(j.done, n) {
 				c.noteDone(j, n)
@@ -376,18 +376,18 @@
 }
 
 // noteDone notes that a task is done which was not.
-func (c *Core) noteDone(j *Job, n int) {
+func (c *Scheduler) noteDone(j *Job, n int) {
 	j.done[n/64] |= 1 << (n % 64)
 	if j.nDone++; j.nDone == j.Tasks {
 		c.complete[j] = struct{}{}
 	}
 }
 
-// LoadHost takes in a machine that an earlier term may have used.
-func (c *Core) LoadHost(host string, h records.Host, now time.Time) {
-	m := c.fleet.Ensure(host, h.Addr, h.Type, h.Zone, h.Spot)
+// LoadMachine takes in a machine that an earlier term may have used.
+func (c *Scheduler) LoadMachine(host string, h records.Machine, now time.Time) {
+	m := c.fleet.GetOrCreate(host, h.Addr, h.Type, h.Zone, h.Spot)
 	m.Recorded, m.Inherited = true, true
-	m.Session = max(m.Session, h.Session)
+	m.Incarnation = max(m.Incarnation, h.Incarnation)
 	m.SilentSince = now
 	c.rent.listed[host] = now // it was up before, so a list from later on must have it
 	c.fit(m)
@@ -395,7 +395,7 @@
 
 // CloseJob notes that a job is over, whichever way; whatever still runs of it is
 // stopped.
-func (c *Core) CloseJob(id string) {
+func (c *Scheduler) CloseJob(id string) {
 	c.chain.Close(id)
 	c.follow()
 	j := c.jobs[id]
@@ -403,7 +403,7 @@
 		return
 	}
 	j.over = true
-	c.served.Over(id, j.nDone == j.Tasks, c.now)
+	c.served.JobClosed(id, j.nDone == j.Tasks, c.now)
 	c.giveUp(j)
 	delete(c.jobs, id)
 	delete(c.complete, j)
@@ -415,9 +415,9 @@
 	}
 }
 
-// LastSent is when a task of a job, which may be over by now, was last sent to a machine that has
+// LastDispatched is when a task of a job, which may be over by now, was last sent to a machine that has
 // not shown it yet; zero: none is on its way.
-func (c *Core) LastSent(id string) time.Time {
+func (c *Scheduler) LastDispatched(id string) time.Time {
 	var last time.Time
 	for _, a := range c.fleet.OfJob(id) {
 		if a.State() == fleet.Sent && a.Since.After(last) {
@@ -428,7 +428,7 @@
 }
 
 // end withdraws an attempt whose job is over.
-func (c *Core) end(a *fleet.Attempt) {
+func (c *Scheduler) end(a *fleet.Attempt) {
 	switch a.State() {
 	case fleet.Planned:
 		a.Machine.Forget(a)
@@ -441,26 +441,26 @@
 
 // stop marks an attempt to be killed, and why: the first reason stays. The kill is repeated
 // until its exit shows.
-func (c *Core) stop(a *fleet.Attempt, why string, grace float64, now time.Time) {
+func (c *Scheduler) stop(a *fleet.Attempt, why string, grace float64, now time.Time) {
 	if !a.RequestStop(why, grace, now) {
 		return
 	}
 	c.kick[a.Machine.Host] = true
 }
 
-func (c *Core) newTry() uint64 {
+func (c *Scheduler) newTry() uint64 {
 	c.seq++
 	return c.term<<24 | c.seq
 }
 
-// Name gives a rental request a name that no other term or request has.
-func (c *Core) Name() (term, seq uint64) {
+// NextRequestName gives a rental request a name that no other term or request has.
+func (c *Scheduler) NextRequestName() (term, seq uint64) {
 	c.seq++
 	return c.term, c.seq
 }
 
 // Progress tells how a job stands, for display.
-func (c *Core) Progress(id string) (status string, done, running int, ok bool) {
+func (c *Scheduler) Progress(id string) (status string, done, running int, ok bool) {
 	j := c.jobs[id]
 	if j == nil {
 		return "", 0, 0, false
@@ -477,12 +477,12 @@
 	return status, j.nDone, running, true
 }
 
-func (c *Core) markDone(j *Job, n int) {
+func (c *Scheduler) markDone(j *Job, n int) {
 	if n >= j.Tasks || has(j.done, n) || j.Shape == records.ShapeService {
 		return
 	}
 	first, last := n, n
-	if j.Shape == records.ShapeGroup {
+	if j.Shape == records.ShapeGang {
 		// A gang completes together (PROTOCOL). Guards against one of which some results reached
 		// the last leader, or reach us from one machine and not from another that is gone: the
 		// rest would begin alone, wait for mates in vain, and the job would never be done.
@@ -557,7 +557,7 @@
 func (j *Job) idle() bool { return len(j.again) == 0 && j.next >= j.Tasks }
 
 // retry puts a task back into the queue.
-func (c *Core) retry(j *Job, t int) {
+func (c *Scheduler) retry(j *Job, t int) {
 	j.push(t)
 	c.order.wake(j)
 }
@@ -587,7 +587,7 @@
 }
 
 // release gives a task back to the queue once its attempt is gone.
-func (c *Core) release(a *fleet.Attempt) {
+func (c *Scheduler) release(a *fleet.Attempt) {
 	j := c.jobs[a.Task.Job]
 	c.dirty = true
 	if j == nil {
@@ -598,7 +598,7 @@
 		if a.Task.N < j.next && !has(j.done, a.Task.N) {
 			c.retry(j, a.Task.N)
 		}
-		if j.Shape == records.ShapeGroup {
+		if j.Shape == records.ShapeGang {
 			c.keepPlace(j, a)
 			if len(j.held) == 0 {
 				if j.began.told {
@@ -609,7 +609,7 @@
 		}
 		return
 	}
-	if a.Stray && a.Task.N < j.Tasks {
+	if a.Duplicate && a.Task.N < j.Tasks {
 		if j.strays[a.Task.N]--; j.strays[a.Task.N] <= 0 {
 			delete(j.strays, a.Task.N)
 			if a.Task.N < j.next && j.held[a.Task.N] == nil && !has(j.done, a.Task.N) {
--- a/internal/scheduler/dark.go
+++ b/internal/scheduler/dark.go
@@ -9,18 +9,18 @@
 )
 
 // quiet says whether a machine has been silent for so long that its zone may be the cause.
-func (c *Core) quiet(m *fleet.Machine, now time.Time) bool {
-	return float64(now.Sub(m.LastHeard())) > zonehealth.Silence*float64(c.set.Report)
+func (c *Scheduler) quiet(m *fleet.Machine, now time.Time) bool {
+	return float64(now.Sub(m.LastHeard())) > zonehealth.SilentAfterIntervals*float64(c.set.HeartbeatInterval)
 }
 
 // watchZones looks at which zones are cut off.
-func (c *Core) watchZones(now time.Time) {
-	if !c.set.DarkZones {
+func (c *Scheduler) watchZones(now time.Time) {
+	if !c.set.ZoneHealth {
 		return
 	}
 	counts := map[string]zonehealth.Count{}
 	for _, m := range c.fleet.Sorted() {
-		if !m.Up && !m.Inherited || m.Dead || m.Returning {
+		if !m.Up && !m.Inherited || m.Failed || m.Returning {
 			continue
 		}
 		n := counts[m.Zone]
@@ -30,7 +30,7 @@
 		}
 		counts[m.Zone] = n
 	}
-	dark, light := c.cuts.Look(counts, now)
+	dark, light := c.cuts.Observe(counts, now)
 	for _, z := range dark {
 		slog.Warn("zone is dark: its machines are silent and those of others are not", "zone", z, "machines", counts[z].Machines, "silent", counts[z].Silent, "term", c.term)
 	}
@@ -42,11 +42,11 @@
 // elsewhere says whether there is room, as far as known, for a machine in the place of
 // another one where it would be heard. What was refused of late is: as long as work waits
 // it is asked for again and again.
-func (c *Core) elsewhere(m *fleet.Machine, now time.Time) bool {
+func (c *Scheduler) elsewhere(m *fleet.Machine, now time.Time) bool {
 	t := c.types[m.Type]
 	late := now.Add(-2 * c.startup(m.Type))
 	for _, z := range t.Zones {
-		if c.cuts.Dark(z) {
+		if c.cuts.Suspected(z) {
 			continue
 		}
 		if late.After(c.rent.refused[offer{m.Type, z, false}]) || t.SpotPrice > 0 && late.After(c.rent.refused[offer{m.Type, z, true}]) {
--- a/internal/scheduler/drainbench_test.go
+++ b/internal/scheduler/drainbench_test.go
@@ -13,21 +13,21 @@
 )
 
 // floor is a Core with that many machines, ten tasks running on each.
-func floor(b *testing.B, machines int) (*Core, time.Time) {
+func floor(b *testing.B, machines int) (*Scheduler, time.Time) {
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	b.Cleanup(func() { slog.SetDefault(old) })
 	cfg := &config.Config{Options: config.DefaultOptions()}
-	cfg.Facts.Workers = config.Workers{ReportS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
-	cfg.Facts.State.ValueKB, cfg.Facts.Zones, cfg.Facts.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
+	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
 	now := time.Unix(1_000_000, 0)
-	c := NewCore(SettingsOf(cfg), 5, now)
-	c.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.1, Zones: cfg.Facts.Zones}})
-	c.CheckSettled(now)
+	c := New(SettingsOf(cfg), 5, now)
+	c.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.1, Zones: cfg.Deployment.Zones}})
+	c.CheckReconciled(now)
 	const perJob = 100
 	for i := range machines * 10 / perJob {
 		j := records.Job{
-			ID: fmt.Sprint("j-", i), Team: "team", Class: fmt.Sprint("class-", i%5), Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: perJob,
+			ID: fmt.Sprint("j-", i), Team: "team", Class: fmt.Sprint("class-", i%5), Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: perJob,
 			CPUs: 0.4, MemGB: 1, Image: fmt.Sprint("img-", i%8), ImageGB: 1, EstimateS: 300, Spot: true, AcceptedMS: now.UnixMilli(),
 		}
 		if i%2 == 0 {
@@ -35,25 +35,25 @@
 		}
 		c.AddJob(j, 10, now, now)
 	}
-	reports := make([]*fleet.Report, machines)
+	reports := make([]*fleet.Heartbeat, machines)
 	for i := range reports {
 		h := fmt.Sprintf("m-%06d", i)
-		reports[i] = &fleet.Report{Host: h, Addr: h, Type: "c4", Zone: cfg.Facts.Zones[i%3], Spot: true, Session: 1, Baton: 5, Version: "1"}
+		reports[i] = &fleet.Heartbeat{Machine: h, Addr: h, Type: "c4", Zone: cfg.Deployment.Zones[i%3], Spot: true, Incarnation: 1, FencingToken: 5, Version: "1"}
 		r := *reports[i]
-		m, _ := c.Body(&r, true, now)
+		m, _ := c.Reconcile(&r, true, now)
 		m.Recorded = true
 	}
 	for round := range 2 {
 		now = now.Add(5 * time.Second)
 		for _, rep := range reports {
-			rep.Tick++
+			rep.Sequence++
 			r := *rep
-			m, _ := c.Body(&r, true, now)
+			m, _ := c.Reconcile(&r, true, now)
 			if round == 0 {
-				c.Choose(m, now)
+				c.PlanMachine(m, now)
 			}
-			for _, o := range c.Respond(m, round == 0, now).Orders {
-				rep.Tasks = append(rep.Tasks, fleet.TaskReport{Shot: o.Shot, Try: o.Try, Status: "running"})
+			for _, o := range c.Respond(m, round == 0, now).Commands {
+				rep.Tasks = append(rep.Tasks, fleet.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: "running"})
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 			b.Run(fmt.Sprintf("%s-%d", name, machines), func(b *testing.B) {
 				c, now := floor(b, machines)
 				for b.Loop() {
-					if _, err := c.PlanDrain(&spec, false, now); err != nil {
+					if _, err := c.PreviewDrain(&spec, false, now); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/internal/scheduler/drainplan.go
+++ b/internal/scheduler/drainplan.go
@@ -16,21 +16,21 @@
 type (
 	// NoMachineError says that what was named is not there.
 	NoMachineError struct{ Text string }
-	// NoneLeftError says that a drain would leave jobs without any machine.
-	NoneLeftError struct{ Text string }
+	// NoCapacityLeftError says that a drain would leave jobs without any machine.
+	NoCapacityLeftError struct{ Text string }
 )
 
-func (e *NoMachineError) Error() string { return e.Text }
-func (e *NoneLeftError) Error() string  { return e.Text }
+func (e *NoMachineError) Error() string      { return e.Text }
+func (e *NoCapacityLeftError) Error() string { return e.Text }
 
 // mostDrains is how many drains may be in force at a time, each of which is held against every
 // machine at each look. It does not bound the machines that are drained: a drain by type, zone,
 // age or version means any number, and one by names as many as its record holds.
 const mostDrains = 64
 
-// PlanDrain tells what a drain would do, were it started now; it changes nothing. Without
+// PreviewDrain tells what a drain would do, were it started now; it changes nothing. Without
 // force, one that would leave the jobs of a class without any machine is an error.
-func (c *Core) PlanDrain(spec *drain.Spec, force bool, now time.Time) (*drain.Plan, error) {
+func (c *Scheduler) PreviewDrain(spec *drain.Spec, force bool, now time.Time) (*drain.Plan, error) {
 	for _, name := range spec.Machines {
 		if c.fleet.Machines[name] == nil {
 			return nil, &NoMachineError{"there is no machine " + name}
@@ -43,7 +43,7 @@
 		}
 	}
 	if active >= mostDrains {
-		return nil, &NoneLeftError{fmt.Sprintf("%d drains are in force; stop some first", active)}
+		return nil, &NoCapacityLeftError{fmt.Sprintf("%d drains are in force; stop some first", active)}
 	}
 	if spec.Zone != "" && !slices.Contains(c.set.Zones, spec.Zone) {
 		return nil, &NoMachineError{"there is no zone " + spec.Zone}
@@ -86,7 +86,7 @@
 }
 
 // noneLeft finds jobs that could run nowhere any more.
-func (c *Core) noneLeft(spec *drain.Spec, now time.Time) error {
+func (c *Scheduler) noneLeft(spec *drain.Spec, now time.Time) error {
 	look := &places{c: c, now: now, permits: map[*Job]bool{}, barred: spec.Bars,
 		leaves: func(m *fleet.Machine) bool { return spec.Selects(drainView(m, now)) }}
 	classes := map[string]bool{}
@@ -101,10 +101,10 @@
 			names = append(names, class)
 		}
 		slices.Sort(names)
-		return &NoneLeftError{"it would leave no machine for jobs of " + strings.Join(names, ", ")}
+		return &NoCapacityLeftError{"it would leave no machine for jobs of " + strings.Join(names, ", ")}
 	}
 	if len(c.types) > 0 && !look.anywhere(&Job{Job: records.Job{Spot: true}}, nil) {
-		return &NoneLeftError{"it would leave no machine at all"}
+		return &NoCapacityLeftError{"it would leave no machine at all"}
 	}
 	return nil
 }
@@ -112,7 +112,7 @@
 // planOf works out what becomes of each task on the machines that a drain means. Tasks
 // that move take the room that others would, so each has its place set aside while it
 // looks. list says of which machines the tasks are told.
-func (c *Core) planOf(spec *drain.Spec, d *drainWork, now time.Time, list func(*fleet.Machine) bool) *drain.Plan {
+func (c *Scheduler) planOf(spec *drain.Spec, d *drainWork, now time.Time, list func(*fleet.Machine) bool) *drain.Plan {
 	p := &drain.Plan{Classes: map[string]*drain.ClassPlan{}, Machines: []drain.MachinePlan{}}
 	var left *time.Duration
 	if _, by, _ := spec.Holds(now); !by.IsZero() {
@@ -120,14 +120,14 @@
 		left = &l
 	}
 	means := func(m *fleet.Machine) bool {
-		return !m.Returning && !m.Lost && spec.Selects(drainView(m, now)) && !(spec.Kind == drain.Upgrade && m.Version == spec.To)
+		return !m.Returning && !m.LeaseExpired && spec.Selects(drainView(m, now)) && !(spec.Kind == drain.Upgrade && m.Version == spec.To)
 	}
 	look := &places{c: c, now: now, none: map[int]bool{}, permits: map[*Job]bool{}, barred: spec.Bars,
 		// Machines of an upgrade go one after the other: the rest is there for them.
 		leaves: func(m *fleet.Machine) bool { return spec.Kind != drain.Upgrade && means(m) }}
 	type owed struct {
 		m   *fleet.Machine
-		req packing.Vec
+		req packing.Resources
 	}
 	var taken []owed
 	late := map[*Job]float64{}
@@ -157,7 +157,7 @@
 					t.Place = drain.Room
 				}
 			}
-			dec := drain.Decide(t, left, c.set.Report)
+			dec := drain.Decide(t, left, c.set.HeartbeatInterval)
 			tp := drain.TaskPlan{Task: a.Task.String(), Class: j.Class, Action: dec.Action, Why: dec.Why, LostS: dec.Lost.Seconds()}
 			delay := time.Duration(0)
 			switch dec.Action {
@@ -165,7 +165,7 @@
 				tp.UntilS = t.Save.Seconds()
 				delay = t.Save + t.Restart + dec.Lost
 				if to != nil && !t.Stopping {
-					to.Bin.Owe(j.req)
+					to.Bin.Reserve(j.req)
 					taken = append(taken, owed{to, j.req})
 				}
 			default:
@@ -192,7 +192,7 @@
 		}
 	}
 	for _, x := range taken {
-		x.m.Bin.Owe(packing.Vec{}.Sub(x.req))
+		x.m.Bin.Reserve(packing.Resources{}.Sub(x.req))
 	}
 	for j := range late {
 		p.Classes[j.Class].Late++
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -40,7 +40,7 @@
 
 // SetDrain takes in what operators asked for, as it is on record; state is nil where there
 // is none of it yet.
-func (c *Core) SetDrain(spec drain.Spec, state *drain.State, stamp uint64) {
+func (c *Scheduler) SetDrain(spec drain.Spec, state *drain.State, stamp uint64) {
 	i, found := slices.BinarySearchFunc(c.drains, spec.ID, func(d *drainWork, id string) int { return strings.Compare(d.spec.ID, id) })
 	if !found {
 		d := &drainWork{had: map[string]bool{}}
@@ -56,8 +56,8 @@
 	c.lastDrain = time.Time{}
 }
 
-// DropDrain forgets a drain whose record is gone.
-func (c *Core) DropDrain(id string) {
+// RemoveDrain forgets a drain whose record is gone.
+func (c *Scheduler) RemoveDrain(id string) {
 	c.drains = slices.DeleteFunc(c.drains, func(d *drainWork) bool {
 		if d.spec.ID != id {
 			return false
@@ -81,35 +81,35 @@
 }
 
 // barred says whether no machine of a type is to be rented in a zone: it would be drained.
-func (c *Core) barred(typ, zone string) bool {
+func (c *Scheduler) barred(typ, zone string) bool {
 	return slices.ContainsFunc(c.drains, func(d *drainWork) bool { return d.holds && d.spec.Bars(typ, zone) })
 }
 
 // empties says whether a machine is being emptied for an operator.
-func (c *Core) empties(m *fleet.Machine) bool {
+func (c *Scheduler) empties(m *fleet.Machine) bool {
 	d, ok := m.Cordon.(*drainWork)
 	return ok && d.spec.Kind != drain.Cordon
 }
 
 // awaits says whether a machine is empty and kept for an operator, who may well have switched
 // it off: then its silence is no reason to give it back, for a long time.
-func (c *Core) awaits(m *fleet.Machine, now time.Time) bool {
+func (c *Scheduler) awaits(m *fleet.Machine, now time.Time) bool {
 	d, ok := m.Cordon.(*drainWork)
-	return ok && d.spec.Kind != drain.Cordon && d.spec.Then == drain.Keep && m.Settled && !m.Dead && m.Empty() &&
-		now.Sub(m.LastBody) < awaitLeases*c.set.Lease
+	return ok && d.spec.Kind != drain.Cordon && d.spec.Then == drain.Keep && m.Reconciled && !m.Failed && m.Empty() &&
+		now.Sub(m.LastStatus) < awaitLeases*c.set.Lease
 }
 
 // awaitLeases is for how many leases a machine that is kept may be silent.
 const awaitLeases = 50
 
 // givesBack says whether an empty cordoned machine is to be given back.
-func (c *Core) givesBack(m *fleet.Machine) bool {
+func (c *Scheduler) givesBack(m *fleet.Machine) bool {
 	d, ok := m.Cordon.(*drainWork)
 	return ok && d.spec.Kind != drain.Cordon && d.spec.Then == drain.Return
 }
 
 // drain brings machines into the state that operators asked for.
-func (c *Core) drain(now time.Time) {
+func (c *Scheduler) drain(now time.Time) {
 	c.lastDrain, c.draining = now, false
 	c.reopen(now)
 	wanted := map[*fleet.Machine]*drainWork{}
@@ -145,10 +145,10 @@
 }
 
 // engage finds the machines that a drain wants now.
-func (c *Core) engage(d *drainWork, wanted map[*fleet.Machine]*drainWork, now time.Time) {
+func (c *Scheduler) engage(d *drainWork, wanted map[*fleet.Machine]*drainWork, now time.Time) {
 	if d.spec.Kind != drain.Upgrade {
 		for _, m := range c.fleet.Sorted() {
-			if !m.Returning && (!m.Lost || c.awaits(m, now)) && d.spec.Selects(drainView(m, now)) && better(d, wanted[m]) {
+			if !m.Returning && (!m.LeaseExpired || c.awaits(m, now)) && d.spec.Selects(drainView(m, now)) && better(d, wanted[m]) {
 				wanted[m] = d
 			}
 		}
@@ -175,7 +175,7 @@
 			classes[class]++
 		}
 	}
-	hand := d.state.Roll.Next(&d.spec, all, zones, classes, soakReports*c.set.Report)
+	hand := d.state.Roll.Next(&d.spec, all, zones, classes, soakReports*c.set.HeartbeatInterval)
 	slices.Sort(hand)
 	d.state.Hand, d.state.Blocked = hand, d.state.Roll.Blocked
 	for _, name := range hand {
@@ -204,7 +204,7 @@
 	return other.spec.Kind == drain.Cordon && d.spec.Kind != drain.Cordon
 }
 
-func (c *Core) cordon(m *fleet.Machine, d *drainWork) {
+func (c *Scheduler) cordon(m *fleet.Machine, d *drainWork) {
 	slog.Info("draining machine", "machine", m.Host, "drain", d.spec.ID, "kind", d.spec.Kind, "term", c.term)
 	m.Cordon = d
 	d.had[m.Host] = true
@@ -214,7 +214,7 @@
 }
 
 // uncordon brings a machine back into service. What was told to stop still does.
-func (c *Core) uncordon(m *fleet.Machine, now time.Time) {
+func (c *Scheduler) uncordon(m *fleet.Machine, now time.Time) {
 	slog.Info("machine is back in service", "machine", m.Host, "version", m.Version, "term", c.term)
 	m.Cordon = nil
 	m.EmptySince = now
@@ -223,7 +223,7 @@
 }
 
 // candidates are the machines that an upgrade means.
-func (c *Core) candidates(d *drainWork, known map[offer][]string, now time.Time) []drain.Candidate {
+func (c *Scheduler) candidates(d *drainWork, known map[offer][]string, now time.Time) []drain.Candidate {
 	var all []drain.Candidate
 	hand := map[string]bool{}
 	for _, name := range d.state.Hand {
@@ -231,11 +231,11 @@
 	}
 	for _, m := range c.fleet.Sorted() {
 		v := drainView(m, now)
-		if !m.Up || m.Lost && !c.awaits(m, now) || m.Returning || !m.Notice.IsZero() || !d.spec.Selects(v) || d.after(m) {
+		if !m.Up || m.LeaseExpired && !c.awaits(m, now) || m.Returning || !m.PreemptionAt.IsZero() || !d.spec.Selects(v) || d.after(m) {
 			continue
 		}
 		x := drain.Candidate{
-			Machine: v, Empty: m.Empty(), Up: m.Cordon == nil && c.open(m, now), Proven: m.Proven, Failed: m.Bad, Classes: c.classesOf(m, known),
+			Machine: v, Empty: m.Empty(), Up: m.Cordon == nil && c.open(m, now), Proven: m.Proven, Failed: m.Faulty, Classes: c.classesOf(m, known),
 			// A new leader finds in hand what the one before had.
 			InHand: m.Cordon == d || m.Cordon == nil && hand[m.Host],
 		}
@@ -254,7 +254,7 @@
 
 // classesOf lists the classes of open jobs that may run on a machine; machines of a type,
 // zone and kind share the answer of one look, which known holds.
-func (c *Core) classesOf(m *fleet.Machine, known map[offer][]string) []string {
+func (c *Scheduler) classesOf(m *fleet.Machine, known map[offer][]string) []string {
 	o := offer{m.Type, m.Zone, m.Spot}
 	if list, ok := known[o]; ok {
 		return list
@@ -270,14 +270,14 @@
 }
 
 // task is what a decision about an attempt depends on, but for where else it could go.
-func (c *Core) task(j *Job, a *fleet.Attempt, now time.Time) drain.Task {
+func (c *Scheduler) task(j *Job, a *fleet.Attempt, now time.Time) drain.Task {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	_, ran := a.Took(now)
+	_, ran := a.Durations(now)
 	t := drain.Task{
-		Running: a.State() == fleet.Running, Waiting: a.State() == fleet.Waiting || a.State() == fleet.Pulling && j.Shape == records.ShapeGroup,
-		Stopping: a.Stopping(), Group: j.Shape == records.ShapeGroup, Service: j.Shape == records.ShapeService,
-		Urgent: j.terms.Rank <= prioRank[records.PrioUrgent], Remaining: seconds(c.remaining(j, a, now)),
-		Ran: ran, Saves: j.CheckpointS > 0, Save: seconds(j.SaveS), Restart: c.set.Report + c.fetch(j),
+		Running: a.State() == fleet.Running, Waiting: a.State() == fleet.Waiting || a.State() == fleet.Pulling && j.Shape == records.ShapeGang,
+		Stopping: a.Stopping(), Group: j.Shape == records.ShapeGang, Service: j.Shape == records.ShapeService,
+		Urgent: j.terms.Rank <= prioRank[records.PriorityUrgent], Remaining: seconds(c.remaining(j, a, now)),
+		Ran: ran, Saves: j.CheckpointS > 0, Save: seconds(j.SaveS), Restart: c.set.HeartbeatInterval + c.fetch(j),
 	}
 	if t.Service {
 		t.Remaining = 0
@@ -295,7 +295,7 @@
 
 // slack is how much time a job has beyond what a task of it still needs; false where
 // nothing is due any more.
-func (c *Core) slack(j *Job, remaining time.Duration, now time.Time) (time.Duration, bool) {
+func (c *Scheduler) slack(j *Job, remaining time.Duration, now time.Time) (time.Duration, bool) {
 	age := now.Sub(j.base)
 	for _, t := range j.targets {
 		if due := time.Duration(t * float64(time.Second)); age+remaining <= due {
@@ -306,7 +306,7 @@
 }
 
 // empty does with each task of a machine what is decided about it.
-func (c *Core) empty(m *fleet.Machine, d *drainWork, look *places) {
+func (c *Scheduler) empty(m *fleet.Machine, d *drainWork, look *places) {
 	now := look.now
 	var left *time.Duration
 	if !d.by.IsZero() {
@@ -315,10 +315,10 @@
 	}
 	for _, a := range slices.Clone(m.Attempts()) {
 		j := c.jobOf(a)
-		if j == nil || a.Stopping() || a.State() == fleet.Ended || a.State() == fleet.Planned || a.State() == fleet.Sent || a.Stray {
+		if j == nil || a.Stopping() || a.State() == fleet.Ended || a.State() == fleet.Planned || a.State() == fleet.Sent || a.Duplicate {
 			continue // on its way out, or not known well enough yet
 		}
-		if j.Shape == records.ShapeGroup {
+		if j.Shape == records.ShapeGang {
 			c.emptyGang(j, left, look)
 			continue
 		}
@@ -332,7 +332,7 @@
 				t.Place = drain.Room
 			}
 		}
-		dec := drain.Decide(t, left, c.set.Report)
+		dec := drain.Decide(t, left, c.set.HeartbeatInterval)
 		if t.Service && left == nil {
 			continue // replicas move in rounds, one of a job at a time
 		}
@@ -350,7 +350,7 @@
 }
 
 // leave stops a task for a drain's sake.
-func (c *Core) leave(j *Job, a *fleet.Attempt, dec drain.Decision, now time.Time) {
+func (c *Scheduler) leave(j *Job, a *fleet.Attempt, dec drain.Decision, now time.Time) {
 	slog.Info("task leaves its machine", "task", a.Task.String(), "machine", a.Machine.Host, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", c.term)
 	drainedTasks.Inc()
 	grace := 0.0
@@ -362,7 +362,7 @@
 
 // emptyGang decides about a gang as a whole, of which some tasks are on machines that are
 // being emptied.
-func (c *Core) emptyGang(j *Job, left *time.Duration, look *places) {
+func (c *Scheduler) emptyGang(j *Job, left *time.Duration, look *places) {
 	now := look.now
 	if j.gangBroken {
 		return
@@ -386,7 +386,7 @@
 	t := c.task(j, leaving[0], now)
 	for _, a := range j.held {
 		t.Waiting = t.Waiting || a.State() != fleet.Running
-		_, ran := a.Took(now)
+		_, ran := a.Durations(now)
 		t.Ran = max(t.Ran, ran)
 	}
 	var to []*fleet.Machine
@@ -398,11 +398,11 @@
 			t.Place = drain.Room // all of it, away from where the others could have stayed
 		}
 	}
-	dec := drain.Decide(t, left, c.set.Report)
+	dec := drain.Decide(t, left, c.set.HeartbeatInterval)
 	switch dec.Action {
 	case drain.Wait:
 		j.leaving += len(leaving)
-		if j.OneZone || j.Apart {
+		if j.OneZone || j.SpreadZones {
 			j.staying = staying
 		}
 	case drain.Move, drain.Lose:
@@ -422,7 +422,7 @@
 	if !ok || d.spec.Kind == drain.Cordon || a.State() == fleet.Sent {
 		return
 	}
-	_, ran := a.Took(now)
+	_, ran := a.Durations(now)
 	seen := &d.state.Seen
 	switch {
 	case a.State() != fleet.Ended:
@@ -448,7 +448,7 @@
 }
 
 // standing works out how a drain stands, for people.
-func (c *Core) standing(d *drainWork, now time.Time) {
+func (c *Scheduler) standing(d *drainWork, now time.Time) {
 	s := &d.state
 	if s.Phase == drain.Stopped || s.Over() && d.spec.Kind == drain.Upgrade && !d.spec.Stopped {
 		return
@@ -463,7 +463,7 @@
 		if m.Cordon == d && !m.Empty() {
 			left++
 		}
-		if d.spec.Kind == drain.Upgrade && m.Up && (!m.Lost || c.awaits(m, now)) && !m.Returning && d.spec.Selects(drainView(m, now)) && !d.after(m) && s.Roll != nil {
+		if d.spec.Kind == drain.Upgrade && m.Up && (!m.LeaseExpired || c.awaits(m, now)) && !m.Returning && d.spec.Selects(drainView(m, now)) && !d.after(m) && s.Roll != nil {
 			if want++; m.Version == s.Roll.Want {
 				have++
 			}
@@ -502,9 +502,9 @@
 
 // soaked says whether every machine with a new version has shown that it works, or had the
 // time to.
-func (c *Core) soaked(d *drainWork, now time.Time) bool {
+func (c *Scheduler) soaked(d *drainWork, now time.Time) bool {
 	for _, m := range c.fleet.Sorted() {
-		if m.Version == d.state.Roll.Want && !m.VersionSince.IsZero() && !m.Proven && now.Sub(m.VersionSince) < soakReports*c.set.Report {
+		if m.Version == d.state.Roll.Want && !m.VersionSince.IsZero() && !m.Proven && now.Sub(m.VersionSince) < soakReports*c.set.HeartbeatInterval {
 			return false
 		}
 	}
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -22,24 +22,24 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const machines = 6
 		cfg := &config.Config{Options: config.DefaultOptions()}
-		cfg.Facts.Workers = config.Workers{ReportS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-		cfg.Facts.State.ValueKB, cfg.Facts.Zones, cfg.Facts.Teams = 8, []string{"a", "b"}, []config.Team{{Name: "team"}}
+		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
+		cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b"}, []config.Team{{Name: "team"}}
 		y := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]records.Job{}, runs: map[string]time.Duration{}, asked: map[string]time.Time{}, began: map[string]bool{}}
-		y.c = NewCore(SettingsOf(cfg), 5, y.now)
-		y.c.SetTypes([]records.MachineType{{Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: cfg.Facts.Zones}})
-		y.c.CheckSettled(y.now)
+		y.c = New(SettingsOf(cfg), 5, y.now)
+		y.c.SetTypes([]records.MachineType{{Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: cfg.Deployment.Zones}})
+		y.c.CheckReconciled(y.now)
 		for i := range machines {
 			host := fmt.Sprintf("m-%02d", i)
-			y.hosts = append(y.hosts, &fakeMachine{report: fleet.Report{Host: host, Addr: host, Type: "c4", Zone: string("ab"[i%2]), Session: 1, Baton: 5}})
+			y.hosts = append(y.hosts, &fakeMachine{report: fleet.Heartbeat{Machine: host, Addr: host, Type: "c4", Zone: string("ab"[i%2]), Incarnation: 1, FencingToken: 5}})
 		}
 		var comes []records.Job
 		for i := range rapid.IntRange(1, 5).Draw(t, "jobs") {
 			j := records.Job{
-				ID: fmt.Sprint("j-", i), Team: "team", Image: "img", MemGB: 1, Shape: records.ShapeBatch, Priority: records.PrioNormal,
+				ID: fmt.Sprint("j-", i), Team: "team", Image: "img", MemGB: 1, Shape: records.ShapeArray, Priority: records.PriorityStandard,
 				CPUs: rapid.SampledFrom([]float64{1, 2, 4}).Draw(t, "cpus"), Tasks: rapid.IntRange(1, 12).Draw(t, "tasks"), EstimateS: float64(rapid.IntRange(5, 80).Draw(t, "estimate")),
 			}
 			if rapid.IntRange(0, 3).Draw(t, "gang") == 0 {
-				j.Shape, j.Tasks, j.OneZone = records.ShapeGroup, rapid.IntRange(2, 3).Draw(t, "members"), rapid.Bool().Draw(t, "one zone")
+				j.Shape, j.Tasks, j.OneZone = records.ShapeGang, rapid.IntRange(2, 3).Draw(t, "members"), rapid.Bool().Draw(t, "one zone")
 			}
 			if rapid.Bool().Draw(t, "saves") {
 				j.CheckpointS, j.SaveS = 10, float64(rapid.IntRange(0, 4).Draw(t, "flush"))
@@ -57,7 +57,7 @@
 			w.from = rapid.IntRange(5, 100).Draw(t, "from step")
 			w.to = w.from + rapid.IntRange(1, 300).Draw(t, "for steps")
 			if rapid.Bool().Draw(t, "a zone") {
-				w.spec.Zone = rapid.SampledFrom(cfg.Facts.Zones).Draw(t, "zone")
+				w.spec.Zone = rapid.SampledFrom(cfg.Deployment.Zones).Draw(t, "zone")
 			} else {
 				w.spec.Machines = []string{fmt.Sprintf("m-%02d", rapid.IntRange(0, machines-1).Draw(t, "machine"))}
 			}
@@ -96,29 +96,29 @@
 			}
 			cordoned := map[string]bool{}
 			for _, h := range y.hosts {
-				if m := y.c.fleet.Machines[h.report.Host]; m != nil && m.Cordon != nil {
-					cordoned[h.report.Host] = true
+				if m := y.c.fleet.Machines[h.report.Machine]; m != nil && m.Cordon != nil {
+					cordoned[h.report.Machine] = true
 				}
 			}
 			y.step(i)
 			for _, h := range y.hosts {
-				m := y.c.fleet.Machines[h.report.Host]
+				m := y.c.fleet.Machines[h.report.Machine]
 				if m == nil {
 					continue // has not reported yet
 				}
 				for _, s := range h.attempts {
-					if cordoned[h.report.Host] && m.Cordon != nil && !was[s] {
-						t.Fatalf("%s started on %s, which is drained", s.Shot, h.report.Host)
+					if cordoned[h.report.Machine] && m.Cordon != nil && !was[s] {
+						t.Fatalf("%s started on %s, which is drained", s.Task, h.report.Machine)
 					}
-					if j := y.jobs[s.job]; !pressed && s.stopping && j.CheckpointS == 0 && y.c.empties(m) && j.Shape == records.ShapeBatch && s.moved(y) {
-						t.Fatalf("%s, which cannot save, was stopped on %s", s.Shot, h.report.Host)
+					if j := y.jobs[s.job]; !pressed && s.stopping && j.CheckpointS == 0 && y.c.empties(m) && j.Shape == records.ShapeArray && s.moved(y) {
+						t.Fatalf("%s, which cannot save, was stopped on %s", s.Task, h.report.Machine)
 					}
 				}
 				d, ok := m.Cordon.(*drainWork)
 				if ok && !d.by.IsZero() && y.now.Sub(d.by) > 10*time.Second {
 					for _, s := range h.attempts {
 						if s.Status != "ended" {
-							t.Fatalf("%s is still on %s, %v after it was to be empty", s.Shot, h.report.Host, y.now.Sub(d.by))
+							t.Fatalf("%s is still on %s, %v after it was to be empty", s.Task, h.report.Machine, y.now.Sub(d.by))
 						}
 					}
 				}
@@ -129,8 +129,8 @@
 			t.Errorf("%s never ended: %s, %d done, %d running", id, st, done, running)
 		}
 		for _, h := range y.hosts {
-			if m := y.c.fleet.Machines[h.report.Host]; m.Bin.Owed().CPU > 0 || m.Cordon != nil {
-				t.Errorf("%s owes %+v, drained %v", m.Host, m.Bin.Owed(), m.Cordon != nil)
+			if m := y.c.fleet.Machines[h.report.Machine]; m.Bin.Reserved().CPU > 0 || m.Cordon != nil {
+				t.Errorf("%s owes %+v, drained %v", m.Host, m.Bin.Reserved(), m.Cordon != nil)
 			}
 		}
 	})
@@ -140,5 +140,5 @@
 // only to fill or empty a bin would take.
 func (s *fakeAttempt) moved(y *fakeFleet) bool {
 	ran := y.runs[s.job] - s.left
-	return ran > 2*y.c.set.Round
+	return ran > 2*y.c.set.RoundInterval
 }
--- a/internal/scheduler/drainstore.go
+++ b/internal/scheduler/drainstore.go
@@ -29,7 +29,7 @@
 )
 
 // takeDrains gathers how drains stand, and says whether all fit.
-func (r *Records) takeDrains(ws *[]Write, fits func(ops, bytes int) bool, now time.Time) bool {
+func (r *Persistence) takeDrains(ws *[]PendingWrite, fits func(ops, bytes int) bool, now time.Time) bool {
 	ended := 0
 	for _, d := range r.core.drains {
 		if d.spec.Stopped || d.state.Over() {
@@ -38,25 +38,25 @@
 	}
 	for _, d := range r.core.drains {
 		if d.state.Phase == "" || d.known && d.state.Same(&d.stored) ||
-			d.known && d.state.Phase == d.stored.Phase && now.Sub(d.wrote) < stateReports*r.core.set.Report {
+			d.known && d.state.Phase == d.stored.Phase && now.Sub(d.wrote) < stateReports*r.core.set.HeartbeatInterval {
 			continue
 		}
 		state, whole := d.state, d.state
 		// It does not bound the machines in hand, which this leader knows. What does not fit
 		// is worked out again by the next leader, which takes empty machines first: those are
 		// mostly the ones in hand.
-		for len(state.Hand) > 0 && records.Size(state) > r.valueBytes {
+		for len(state.Hand) > 0 && records.EncodedSize(state) > r.valueBytes {
 			state.Hand = state.Hand[:len(state.Hand)/2]
 		}
-		if !fits(1, records.Size(state)) {
+		if !fits(1, records.EncodedSize(state)) {
 			return false
 		}
 		d.wrote = now
-		*ws = append(*ws, Write{
-			Ops: []records.Op{{Write: records.PrefixDrain + d.spec.ID, Value: state}},
-			Key: records.PrefixDrain + d.spec.ID, Own: &d.stamp,
-			Apply: func(uint64) { d.stored, d.known = whole, true },
-			Refused: func() {
+		*ws = append(*ws, PendingWrite{
+			Ops:    []records.Op{{Write: records.PrefixDrainState + d.spec.ID, Value: state}},
+			OwnKey: records.PrefixDrainState + d.spec.ID, OwnRevision: &d.stamp,
+			OnStored: func(uint64) { d.stored, d.known = whole, true },
+			OnTooLarge: func() {
 				slog.Error("store: how a drain stands takes more than a value", "drain", d.spec.ID, "term", r.core.term)
 				d.stored, d.known = whole, true
 			},
@@ -75,16 +75,16 @@
 		}
 		ended--
 		id := d.spec.ID
-		*ws = append(*ws, Write{
-			Ops:   []records.Op{{Delete: records.PrefixDrains + id}, {Delete: records.PrefixDrain + id}},
-			Apply: func(uint64) { r.core.DropDrain(id) },
+		*ws = append(*ws, PendingWrite{
+			Ops:      []records.Op{{Delete: records.PrefixDrains + id}, {Delete: records.PrefixDrainState + id}},
+			OnStored: func(uint64) { r.core.RemoveDrain(id) },
 		})
 	}
 	return true
 }
 
-// KeepDrains takes in all drains that there are; others are gone.
-func (c *Core) KeepDrains(found map[string]drain.Spec) {
+// ReplaceDrains takes in all drains that there are; others are gone.
+func (c *Scheduler) ReplaceDrains(found map[string]drain.Spec) {
 	var gone []string
 	for _, d := range c.drains {
 		if _, ok := found[d.spec.ID]; !ok {
@@ -92,17 +92,17 @@
 		}
 	}
 	for _, id := range gone {
-		c.DropDrain(id)
+		c.RemoveDrain(id)
 	}
 	for _, spec := range found {
 		c.SetDrain(spec, nil, 0)
 	}
 }
 
-// PagePlan tells what a drain would do: of machines behind since with up to limit tasks,
+// PreviewDrainPage tells what a drain would do: of machines behind since with up to limit tasks,
 // and in all.
-func (c *Core) PagePlan(spec *drain.Spec, force bool, since string, limit int, now time.Time) (*drain.Plan, error) {
-	p, err := c.PlanDrain(spec, force, now)
+func (c *Scheduler) PreviewDrainPage(spec *drain.Spec, force bool, since string, limit int, now time.Time) (*drain.Plan, error) {
+	p, err := c.PreviewDrain(spec, force, now)
 	if err != nil {
 		return nil, err
 	}
@@ -124,7 +124,7 @@
 }
 
 // DrainView tells how a drain stands.
-func (c *Core) DrainView(id string) (DrainView, bool) {
+func (c *Scheduler) DrainView(id string) (DrainView, bool) {
 	for _, d := range c.drains {
 		if d.spec.ID == id {
 			state := d.state
--- a/internal/scheduler/driver.go
+++ b/internal/scheduler/driver.go
@@ -8,90 +8,90 @@
 
 // What the driver of a term (package lead) asks and tells beside events and decisions.
 
-// TickShare is the part of a report interval, one in so many, between two ticks.
-const TickShare = 8
+// TicksPerHeartbeat is the part of a report interval, one in so many, between two ticks.
+const TicksPerHeartbeat = 8
 
-// Sizes tells how many open jobs and machines are known.
-func (c *Core) Sizes() (jobs, machines int) { return len(c.jobs), len(c.fleet.Sorted()) }
+// Counts tells how many open jobs and machines are known.
+func (c *Scheduler) Counts() (jobs, machines int) { return len(c.jobs), len(c.fleet.Sorted()) }
 
-// Settled says whether every machine that an earlier term may have used has been heard, or
+// Reconciled says whether every machine that an earlier term may have used has been heard, or
 // is gone.
-func (c *Core) Settled() bool { return c.settled }
+func (c *Scheduler) Reconciled() bool { return c.settled }
 
-// Unheard is a machine that has to show the term, by its address and the session of its
+// UnreconciledMachine is a machine that has to show the term, by its address and the session of its
 // worker that is known.
-type Unheard struct {
-	Addr    string
-	Session uint64
+type UnreconciledMachine struct {
+	Addr        string
+	Incarnation uint64
 }
 
-// Unheard lists those that have not.
-func (c *Core) Unheard() []Unheard {
-	var list []Unheard
+// Unreconciled lists those that have not.
+func (c *Scheduler) Unreconciled() []UnreconciledMachine {
+	var list []UnreconciledMachine
 	for _, m := range c.fleet.Sorted() {
-		if m.Unheard() && m.Addr != "" {
-			list = append(list, Unheard{m.Addr, max(m.Session, 1)})
+		if m.AwaitsReconciliation() && m.Addr != "" {
+			list = append(list, UnreconciledMachine{m.Addr, max(m.Incarnation, 1)})
 		}
 	}
 	return list
 }
 
 // Replan places tasks if anything has changed since that was last done.
-func (c *Core) Replan(now time.Time) {
+func (c *Scheduler) Replan(now time.Time) {
 	if c.dirty {
 		c.place(now)
 	}
 }
 
 // CloseMissing closes the jobs that a list of all open ones lacks, read at a revision.
-func (c *Core) CloseMissing(listed func(id string) bool, epoch uint64) {
+func (c *Scheduler) CloseMissing(listed func(id string) bool, epoch uint64) {
 	for id, j := range c.jobs {
 		// A job newer than the list is not in it.
-		if !listed(id) && j.Stamp <= epoch {
+		if !listed(id) && j.Revision <= epoch {
 			c.CloseJob(id)
 		}
 	}
 }
 
-// Waited notes by how much anything waited before it was got to.
-func (c *Core) Waited(d time.Duration) { c.late = max(c.late, d) }
+// ObserveDelay notes by how much anything waited before it was got to.
+func (c *Scheduler) ObserveDelay(d time.Duration) { c.late = max(c.late, d) }
 
-// SetLoose says whether tasks beyond marks may be sent now.
-func (c *Core) SetLoose(on bool) { c.marks.loose = on }
+// SetRelaxed says whether tasks beyond marks may be sent now.
+func (c *Scheduler) SetRelaxed(on bool) { c.marks.loose = on }
 
-// MarksStored says whether every task that may have been sent is below a mark in the store.
-func (c *Core) MarksStored() bool {
+// WatermarksStored says whether every task that may have been sent is below a mark in the store.
+func (c *Scheduler) WatermarksStored() bool {
 	stored := c.marks.whole
 	for _, j := range c.jobs {
-		stored = stored && j.mark.Stored >= j.mark.Want
+		stored = stored && j.mark.Stored >= j.mark.Requested
 	}
 	return stored
 }
 
-// Latest says whether a report, by its session and number, is the last that we know of a
+// IsLatest says whether a report, by its session and number, is the last that we know of a
 // machine.
-func (c *Core) Latest(m *fleet.Machine, session, tick uint64) bool {
-	return c.fleet.Machines[m.Host] == m && m.Session == session && m.Tick == tick
+func (c *Scheduler) IsLatest(m *fleet.Machine, session, tick uint64) bool {
+	return c.fleet.Machines[m.Host] == m && m.Incarnation == session && m.Sequence == tick
 }
 
-// Call is orders that a machine is to hear at once, not at its next report.
-type Call struct {
+// UrgentCommands is orders that a machine is to hear at once, not at its next report.
+type UrgentCommands struct {
 	Addr string
-	Body fleet.Direct
+	Body fleet.CommandRequest
 }
 
-// Calls takes what is to be sent so.
-func (c *Core) Calls() []Call {
-	var calls, deaf []Call
+// TakeUrgentCommands takes what is to be sent so.
+func (c *Scheduler) TakeUrgentCommands() []UrgentCommands {
+	var calls, deaf []UrgentCommands
 	for host := range c.kick {
 		m := c.fleet.Machines[host]
 		delete(c.kick, host)
 		if m == nil || m.Addr == "" || !m.Up {
 			continue
 		}
-		if orders := m.Orders(); len(orders) > 0 {
-			call := Call{m.Addr, fleet.Direct{Baton: c.term, Session: m.Session, Orders: orders}}
-			if m.Deaf() {
+		if orders := m.PendingCommands(); len(orders) > 0 {
+			call := UrgentCommands{m.Addr, fleet.CommandRequest{FencingToken: c.term, Incarnation: m.Incarnation, Commands: orders}}
+			if m.Unreachable() {
 				deaf = append(deaf, call)
 			} else {
 				calls = append(calls, call)
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -24,28 +24,28 @@
 	drainedTasks   = metrics.NewCounter("drumpick_drained_total")
 )
 
-// Body takes in a worker's report or answer. It tells whether it was stale.
-func (c *Core) Body(r *fleet.Report, isReport bool, now time.Time) (*fleet.Machine, bool) {
+// Reconcile takes in a worker's report or answer. It tells whether it was stale.
+func (c *Scheduler) Reconcile(r *fleet.Heartbeat, isReport bool, now time.Time) (*fleet.Machine, bool) {
 	reportsTotal.Inc()
 	// Guards against a late copy that brings a machine up which was given back.
-	if c.fleet.Machines[r.Host] == nil && c.Recency(r, now) == fleet.Late {
+	if c.fleet.Machines[r.Machine] == nil && c.Recency(r, now) == fleet.Late {
 		return nil, true
 	}
-	wasDeaf := c.deaf(r.Host)
+	wasDeaf := c.deaf(r.Machine)
 	return c.take(c.fleet.Apply(r, isReport, now), wasDeaf, now)
 }
 
 // take draws the conclusions from what a body changed.
-func (c *Core) take(out fleet.Outcome, wasDeaf bool, now time.Time) (*fleet.Machine, bool) {
+func (c *Scheduler) take(out fleet.Outcome, wasDeaf bool, now time.Time) (*fleet.Machine, bool) {
 	m := out.Machine
 	if out.Stale {
 		return m, true
 	}
-	if is := m.Deaf(); is != wasDeaf {
+	if is := m.Unreachable(); is != wasDeaf {
 		c.dirty = true
 		slog.Info("whether a machine hears", "machine", m.Host, "zone", m.Zone, "hears", !is, "term", c.term)
 	}
-	if out.First {
+	if out.FirstStatus {
 		c.fit(m)
 		m.EmptySince = now
 		c.dirty = true
@@ -63,17 +63,17 @@
 	for _, a := range out.Running {
 		if j := c.jobOf(a); j != nil {
 			c.useImage(m, j)
-			m.Bin.Mark(j.ready, true)
+			m.Bin.SetLabel(j.ready, true)
 			c.running(j, a, now)
 		}
 	}
 	for _, a := range out.Ended {
 		c.ended(a, now)
 	}
-	if out.Settled {
+	if out.Reconciled {
 		c.dirty = true
 	}
-	if m.Settled && !c.settled {
+	if m.Reconciled && !c.settled {
 		c.seen(m)
 	}
 	if out.Upgraded {
@@ -81,9 +81,9 @@
 		c.lastDrain = time.Time{} // it may come back into service
 	}
 	if !c.settled {
-		c.CheckSettled(now)
+		c.CheckReconciled(now)
 	}
-	if !m.Notice.IsZero() {
+	if !m.PreemptionAt.IsZero() {
 		c.notice(m, now)
 	}
 	if m.Empty() {
@@ -98,10 +98,10 @@
 	return m, false
 }
 
-// CheckSettled notes when every machine that an earlier term may have used has been heard, or is
+// CheckReconciled notes when every machine that an earlier term may have used has been heard, or is
 // gone.
-func (c *Core) CheckSettled(now time.Time) {
-	if c.fleet.Unsettled() {
+func (c *Scheduler) CheckReconciled(now time.Time) {
+	if c.fleet.Unreconciled() {
 		return
 	}
 	c.settled, c.dirty = true, true
@@ -110,7 +110,7 @@
 	for _, j := range c.jobs {
 		// A gang that already ran and lost a member under an earlier term cannot
 		// be completed any more; one that still waits can, with its own attempt.
-		if j.Shape == records.ShapeGroup && j.gangTry != 0 && len(j.held) < j.Tasks {
+		if j.Shape == records.ShapeGang && j.gangTry != 0 && len(j.held) < j.Tasks {
 			for _, a := range j.held {
 				if a.State() == fleet.Running || a.State() == fleet.Flushing {
 					c.breakGang(j, now)
@@ -122,15 +122,15 @@
 }
 
 // adopt takes in an attempt that a worker holds and this term did not start.
-func (c *Core) adopt(m *fleet.Machine, a *fleet.Attempt) {
+func (c *Scheduler) adopt(m *fleet.Machine, a *fleet.Attempt) {
 	j := c.jobs[a.Task.Job]
-	a.Stray = true
+	a.Duplicate = true
 	if j == nil || a.Task.N >= j.Tasks {
 		if a.State() == fleet.Ended {
 			a.Reap = true
 		} else {
 			// Its size is unknown: hold the whole machine until it is gone.
-			m.Hold(a, &packing.Item{ID: a.Task.String(), Req: m.Bin.Cap})
+			m.Adopt(a, &packing.Item{ID: a.Task.String(), Req: m.Bin.Cap})
 			c.stop(a, whyOver, 0, time.Time{})
 		}
 		return
@@ -139,18 +139,18 @@
 		return
 	}
 	if a.Item == nil {
-		m.Hold(a, &packing.Item{ID: a.Task.String(), Req: j.req})
+		m.Adopt(a, &packing.Item{ID: a.Task.String(), Req: j.req})
 		c.useImage(m, j)
 	}
 	// A machine that nobody knew of and that has tasks is a late copy from one that was given
 	// back, or was never on record as it should have been: its tasks count, and go.
-	fits := !m.Stranger && j.held[a.Task.N] == nil && !has(j.done, a.Task.N) &&
-		(j.Shape != records.ShapeGroup || j.gangTry == 0 || j.gangTry == a.Try)
-	if fits && a.Try>>24 != c.term {
-		a.Stray = false
+	fits := !m.Unverified && j.held[a.Task.N] == nil && !has(j.done, a.Task.N) &&
+		(j.Shape != records.ShapeGang || j.gangTry == 0 || j.gangTry == a.Number)
+	if fits && a.Number>>24 != c.term {
+		a.Duplicate = false
 		j.held[a.Task.N], j.beyond = a, true
-		if j.Shape == records.ShapeGroup {
-			j.gangTry = a.Try
+		if j.Shape == records.ShapeGang {
+			j.gangTry = a.Number
 		}
 		return
 	}
@@ -160,19 +160,19 @@
 }
 
 // gone handles an attempt that is no longer on its machine and left no result.
-func (c *Core) gone(a *fleet.Attempt, now time.Time) {
+func (c *Scheduler) gone(a *fleet.Attempt, now time.Time) {
 	j := c.jobs[a.Task.Job]
 	lostTotal.Inc()
 	drained(a, now)
 	slog.Debug("attempt gone", "task", a.Task.String(), "machine", a.Machine.Host, "state", a.State().String(), "fate", c.inVain(a), "term", c.term)
-	if j != nil && j.Shape == records.ShapeGroup && j.held[a.Task.N] == a && a.State() != fleet.Sent {
+	if j != nil && j.Shape == records.ShapeGang && j.held[a.Task.N] == a && a.State() != fleet.Sent {
 		defer func() { c.breakGang(j, now); c.keepPlace(j, a) }()
 	}
 	c.release(a)
 }
 
 // ended handles an exit.
-func (c *Core) ended(a *fleet.Attempt, now time.Time) {
+func (c *Scheduler) ended(a *fleet.Attempt, now time.Time) {
 	j, m := c.jobs[a.Task.Job], a.Machine
 	c.dirty = true
 	if j == nil || a.Task.N >= j.Tasks {
@@ -181,7 +181,7 @@
 	}
 	drained(a, now)
 	metrics.GetOrCreateCounter(`drumpick_tasks_ended_total{cause="` + causeLabel(a.Cause) + `"}`).Inc()
-	fetched, ran := a.Took(now)
+	fetched, ran := a.Durations(now)
 	became := "done"
 	if a.Cause != fleet.CauseDone {
 		became = c.inVain(a)
@@ -190,12 +190,12 @@
 		"fetch_s", fetched.Seconds(), "run_s", ran.Seconds(), "term", c.term)
 	switch a.Cause {
 	case fleet.CauseDone:
-		c.freed.add(j.req, now, c.set.Report)
+		c.freed.add(j.req, now, c.set.HeartbeatInterval)
 		clear(m.ErrorJobs)
 		m.Proven = true
 		c.markDone(j, a.Task.N)
 		for _, other := range j.held {
-			if other != a && (other.Task == a.Task || j.Shape == records.ShapeGroup && other.Try != a.Try) {
+			if other != a && (other.Task == a.Task || j.Shape == records.ShapeGang && other.Number != a.Number) {
 				c.end(other) // its result is there already
 			}
 		}
@@ -216,7 +216,7 @@
 	case fleet.CauseFull:
 		a.Reap = true
 		// The worker knows better than we do what is free.
-		m.FullUntil = now.Add(2 * c.set.Report)
+		m.FullUntil = now.Add(2 * c.set.HeartbeatInterval)
 	case fleet.CauseNoSuch:
 		a.Reap = true
 		c.backOff(j, now)
@@ -225,7 +225,7 @@
 	}
 	held := j.held[a.Task.N] == a
 	c.release(a)
-	if j.Shape == records.ShapeGroup && held && a.Cause != fleet.CauseDone {
+	if j.Shape == records.ShapeGang && held && a.Cause != fleet.CauseDone {
 		first := !j.gangBroken // afterwards release keeps the places
 		c.breakGang(j, now)
 		if first {
@@ -245,12 +245,12 @@
 }
 
 // failed weighs an error: the machine may be faulty, or the job.
-func (c *Core) failed(j *Job, m *fleet.Machine, now time.Time) {
+func (c *Scheduler) failed(j *Job, m *fleet.Machine, now time.Time) {
 	m.ErrorJobs[j.ID]++
 	j.errorHosts[m.Host] = true
 	fine := j.nDone > 0
 	for _, a := range j.held {
-		if a.Machine != m && a.State() == fleet.Running && now.Sub(a.RunSince) > 2*c.set.Report {
+		if a.Machine != m && a.State() == fleet.Running && now.Sub(a.RunSince) > 2*c.set.HeartbeatInterval {
 			fine = true
 		}
 	}
@@ -269,15 +269,15 @@
 		}
 		clear(j.errorHosts)
 	default:
-		m.FullUntil = now.Add(5 * c.set.Report)
+		m.FullUntil = now.Add(5 * c.set.HeartbeatInterval)
 	}
 }
 
-func (c *Core) condemn(m *fleet.Machine) {
-	if !m.Bad {
+func (c *Scheduler) condemn(m *fleet.Machine) {
+	if !m.Faulty {
 		slog.Info("machine is faulty", "machine", m.Host, "errors", len(m.ErrorJobs), "term", c.term)
 	}
-	m.Bad, m.Draining = true, true
+	m.Faulty, m.Draining = true, true
 	m.Bin.SetOpen(false)
 	c.unplan(m)
 	c.lastDrain = time.Time{} // an upgrade may have to be rolled back
@@ -288,14 +288,14 @@
 	}
 }
 
-func (c *Core) backOff(j *Job, now time.Time) {
-	j.backoff = min(max(2*j.backoff, 4*c.set.Report), 60*c.set.Report)
+func (c *Scheduler) backOff(j *Job, now time.Time) {
+	j.backoff = min(max(2*j.backoff, 4*c.set.HeartbeatInterval), 60*c.set.HeartbeatInterval)
 	j.retryAt = now.Add(j.backoff)
 	slog.Info("job fails everywhere, retrying later", "job", j.ID, "pause", j.backoff, "term", c.term)
 }
 
 // unplan takes back what was meant for a machine and not yet sent.
-func (c *Core) unplan(m *fleet.Machine) {
+func (c *Scheduler) unplan(m *fleet.Machine) {
 	for _, a := range slices.Clone(m.Attempts()) {
 		if a.State() == fleet.Planned {
 			m.Forget(a)
@@ -306,7 +306,7 @@
 
 // notice empties a machine that the cloud is about to take: nothing new, and
 // what can save is told to while there is time.
-func (c *Core) notice(m *fleet.Machine, now time.Time) {
+func (c *Scheduler) notice(m *fleet.Machine, now time.Time) {
 	c.unplan(m)
 	m.Draining = true
 	for _, a := range m.Attempts() {
@@ -314,8 +314,8 @@
 		if j == nil || a.Stopping() || a.State() != fleet.Running && a.State() != fleet.Waiting {
 			continue
 		}
-		left := m.Notice.Sub(now).Seconds()
-		if j.Shape == records.ShapeGroup {
+		left := m.PreemptionAt.Sub(now).Seconds()
+		if j.Shape == records.ShapeGang {
 			if j.CheckpointS > 0 && left > j.SaveS {
 				c.breakGang(j, now)
 			}
@@ -338,7 +338,7 @@
 }
 
 // remaining guesses, in seconds, how long an attempt still runs.
-func (c *Core) remaining(j *Job, a *fleet.Attempt, now time.Time) float64 {
+func (c *Scheduler) remaining(j *Job, a *fleet.Attempt, now time.Time) float64 {
 	if a.RunSince.IsZero() {
 		return j.EstimateS
 	}
@@ -346,7 +346,7 @@
 }
 
 // breakGang stops every task of a gang so that a new attempt can start whole.
-func (c *Core) breakGang(j *Job, now time.Time) {
+func (c *Scheduler) breakGang(j *Job, now time.Time) {
 	if j.over || j.nDone == j.Tasks {
 		return
 	}
@@ -363,40 +363,40 @@
 	}
 }
 
-// Unreachable says whether a worker that came to another controller cannot reach
+// NeedsRelay says whether a worker that came to another controller cannot reach
 // this one, and is to be answered through that controller. A worker new to us, or
 // heard of just now, is sent here first; one that comes to the other controller
 // again, or was heard here and has fallen silent, has tried. Guards against a
 // leader that only the workers cannot reach: it would take every machine for lost.
 // Now and then a worker is sent here again to find out whether the way is open.
-func (c *Core) Unreachable(host string, now time.Time) bool {
+func (c *Scheduler) NeedsRelay(host string, now time.Time) bool {
 	m := c.fleet.Machines[host]
 	if m == nil {
 		return false
 	}
-	if !m.Forwarded.IsZero() && now.Sub(m.Forwarded) < c.set.Lease {
-		if !m.ForwardedSince.IsZero() && now.Sub(m.ForwardedSince) > 4*c.set.Lease {
-			m.ForwardedSince = time.Time{}
+	if !m.RelayedAt.IsZero() && now.Sub(m.RelayedAt) < c.set.Lease {
+		if !m.RelayedSince.IsZero() && now.Sub(m.RelayedSince) > 4*c.set.Lease {
+			m.RelayedSince = time.Time{}
 			return false
 		}
-		if m.ForwardedSince.IsZero() {
-			m.ForwardedSince = now
+		if m.RelayedSince.IsZero() {
+			m.RelayedSince = now
 		}
-		m.Forwarded = now
+		m.RelayedAt = now
 		return true
 	}
-	m.Forwarded, m.ForwardedSince = now, time.Time{}
-	return m.Up && now.Sub(m.LastBody) > c.set.Report*3/2
+	m.RelayedAt, m.RelayedSince = now, time.Time{}
+	return m.Up && now.Sub(m.LastStatus) > c.set.HeartbeatInterval*3/2
 }
 
-// Answered notes that a 200 was written to a report that came through a controller.
-func (c *Core) Answered(m *fleet.Machine, via string, now time.Time) { m.Answered(via, now) }
+// NoteAnswered notes that a 200 was written to a report that came through a controller.
+func (c *Scheduler) NoteAnswered(m *fleet.Machine, via string, now time.Time) { m.Answered(via, now) }
 
 // Recency tells how a report stands to what is known. One that is late, or from a machine that
 // was given back, is nothing to conclude from, not even where its worker reports.
-func (c *Core) Recency(r *fleet.Report, now time.Time) fleet.Recency {
-	if c.fleet.Machines[r.Host] == nil {
-		if _, gone := c.rent.returned[r.Host]; gone {
+func (c *Scheduler) Recency(r *fleet.Heartbeat, now time.Time) fleet.Recency {
+	if c.fleet.Machines[r.Machine] == nil {
+		if _, gone := c.rent.returned[r.Machine]; gone {
 			return fleet.Late
 		}
 		return fleet.Current
@@ -404,64 +404,66 @@
 	return c.fleet.Recency(r, now)
 }
 
-// Renew answers a report that an answer to a direct command has overtaken: its worker's lease is
+// RenewOvertaken answers a report that an answer to a direct command has overtaken: its worker's lease is
 // renewed, and what is harmless late is told again. ok is false where the report is late, or its
 // machine is not on record, so that the next leader would not know whom it may hold.
-func (c *Core) Renew(m *fleet.Machine, r *fleet.Report, now time.Time) (resp fleet.Response, ok bool) {
+func (c *Scheduler) RenewOvertaken(m *fleet.Machine, r *fleet.Heartbeat, now time.Time) (resp fleet.HeartbeatResponse, ok bool) {
 	if m == nil || !m.Recorded || !m.Overtaken(r, now) {
 		return resp, false
 	}
 	m.Renewed(now)
-	return fleet.Response{Baton: c.term, Orders: m.Orders()}, true
+	return fleet.HeartbeatResponse{FencingToken: c.term, Commands: m.PendingCommands()}, true
 }
 
-// Questions lists machines that are to be asked what they have.
-func (c *Core) Questions(now time.Time) []fleet.Question { return c.fleet.Questions(c.set.Report, now) }
+// Probes lists machines that are to be asked what they have.
+func (c *Scheduler) Probes(now time.Time) []fleet.Probe {
+	return c.fleet.Probes(c.set.HeartbeatInterval, now)
+}
 
-// Answer takes in what one says that was asked.
-func (c *Core) Answer(q fleet.Question, r *fleet.Report, now time.Time) {
+// ApplyProbe takes in what one says that was asked.
+func (c *Scheduler) ApplyProbe(q fleet.Probe, r *fleet.Heartbeat, now time.Time) {
 	wasDeaf := c.deaf(q.Host)
-	out, anew := c.fleet.Answer(q, r, now)
+	out, anew := c.fleet.ApplyProbe(q, r, now)
 	if anew {
-		slog.Info("machine has started anew", "machine", q.Host, "stint", r.Session, "tick", r.Tick, "gone", len(out.Gone), "term", c.term)
+		slog.Info("machine has started anew", "machine", q.Host, "stint", r.Incarnation, "tick", r.Sequence, "gone", len(out.Gone), "term", c.term)
 	}
 	c.take(out, wasDeaf, now)
 }
 
-// Expire gives up machines whose lease has ended.
-func (c *Core) Expire(now time.Time) {
-	for _, a := range c.fleet.Expire(now) {
+// ExpireLeases gives up machines whose lease has ended.
+func (c *Scheduler) ExpireLeases(now time.Time) {
+	for _, a := range c.fleet.ExpireLeases(now) {
 		a.Machine.Bin.SetOpen(false)
 		c.gone(a, now)
 		c.dirty = true
 	}
 }
 
-// Lapse takes in that no lease which an earlier term gave is left, and says of how many
+// ExpireEarlierLeases takes in that no lease which an earlier term gave is left, and says of how many
 // machines, unheard of, that ends the doubt.
-func (c *Core) Lapse(now time.Time) int {
-	n, gone := c.fleet.Lapse()
+func (c *Scheduler) ExpireEarlierLeases(now time.Time) int {
+	n, gone := c.fleet.ExpireEarlierLeases()
 	for _, a := range gone {
 		c.gone(a, now)
 	}
 	c.dirty = true
 	if !c.settled {
-		c.CheckSettled(now)
+		c.CheckReconciled(now)
 	}
 	return n
 }
 
-// DropMachine forgets a machine that is surely gone.
-func (c *Core) DropMachine(host string, now time.Time) {
+// RemoveMachine forgets a machine that is surely gone.
+func (c *Scheduler) RemoveMachine(host string, now time.Time) {
 	if m := c.fleet.Machines[host]; m != nil && c.spaces[m.Type] != nil {
 		c.spaces[m.Type].Drop(m.Bin)
 	}
-	for _, a := range c.fleet.Drop(host) {
+	for _, a := range c.fleet.Remove(host) {
 		c.gone(a, now)
 	}
 	c.dirty = true
 	c.dropped = append(c.dropped, host)
 	if !c.settled {
-		c.CheckSettled(now)
+		c.CheckReconciled(now)
 	}
 }
--- a/internal/scheduler/fates.go
+++ b/internal/scheduler/fates.go
@@ -23,11 +23,11 @@
 // silent for its lease, "unsent" a run that never arrived, "lost" all else.
 func fate(a *fleet.Attempt) string {
 	switch {
-	case a.Stopping() && a.Why != "":
-		return a.Why
+	case a.Stopping() && a.StopReason != "":
+		return a.StopReason
 	case a.State() == fleet.Ended:
 		return causeLabel(a.Cause)
-	case a.Machine.Lost && !a.Machine.Dead:
+	case a.Machine.LeaseExpired && !a.Machine.Failed:
 		return "lease"
 	case a.State() == fleet.Sent:
 		return "unsent"
@@ -38,9 +38,9 @@
 // inVain counts a start that did not end in a result. Guards against work that is thrown
 // away by choices of ours that each look small: on crowded days it was a third of the
 // starts of a class before it was counted.
-func (c *Core) inVain(a *fleet.Attempt) string {
+func (c *Scheduler) inVain(a *fleet.Attempt) string {
 	f := fate(a)
-	if a.State() != fleet.Planned && a.Why != whyOver {
+	if a.State() != fleet.Planned && a.StopReason != whyOver {
 		metrics.GetOrCreateCounter(`drumpick_starts_in_vain_total{fate="` + f + `"}`).Inc()
 	}
 	return f
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -19,7 +19,7 @@
 		{Name: "drain", Unset: true, Value: DrainView{Spec: drain.Spec{ID: "d-1"}, State: &drain.State{Phase: drain.Draining}}},
 		{Name: "drain that no leader has seen", Unset: true, Value: DrainView{Spec: drain.Spec{ID: "d-1"}}},
 		{Name: "states of machines", Direction: goldentest.Written, Value: []string{
-			MachineBooting, MachineUp, MachineUnsettled, MachineSilent, MachineDeaf, MachineNoticed, MachineFaulty,
+			MachineBooting, MachineUp, MachineUnreconciled, MachineSilent, MachineUnreachable, MachinePreempting, MachineFaulty,
 			MachineReturning, MachineCordoned, MachineEmptying, MachineDrained,
 		}},
 	})
--- a/internal/scheduler/keep.go
+++ b/internal/scheduler/keep.go
@@ -18,13 +18,13 @@
 // these a kept machine takes only what has its turn before. Guards against large
 // tasks that never start because small ones of later turns fill every gap before a
 // machine is empty. Those that will have room soonest are kept.
-func (c *Core) keep(now time.Time) {
+func (c *Scheduler) keep(now time.Time) {
 	was := map[*fleet.Machine]bool{}
 	for _, m := range c.fleet.Sorted() {
-		if m.Kept != nil {
+		if m.ReservedFor != nil {
 			was[m] = true
-			m.Kept = nil
-			m.Bin.Mark(keptMark, false)
+			m.ReservedFor = nil
+			m.Bin.SetLabel(keptMark, false)
 		}
 	}
 	c.keepers = c.keepers[:0]
@@ -34,7 +34,7 @@
 	var waiting []*Job
 	smallest := 1.0
 	for _, j := range c.queue(now) {
-		if j.Shape != records.ShapeGroup && c.startable(j, now) && j.peek() >= 0 {
+		if j.Shape != records.ShapeGang && c.startable(j, now) && j.peek() >= 0 {
 			waiting = append(waiting, j)
 			smallest = min(smallest, c.smallestShare(j))
 		}
@@ -56,7 +56,7 @@
 		if listed != j.alike {
 			listed, list = j.alike, list[:0]
 			for _, m := range c.fleet.Sorted() {
-				if !m.Bin.Open() || m.Kept != nil || !j.permits(m.Type, m.Zone, m.Spot) || !m.Bin.Cap.Fits(j.req) {
+				if !m.Bin.Open() || m.ReservedFor != nil || !j.permits(m.Type, m.Zone, m.Spot) || !m.Bin.Cap.Fits(j.req) {
 					continue
 				}
 				in := c.roomIn(j, m, now)
@@ -69,8 +69,8 @@
 		}
 		n := min(j.pending(), left, len(list))
 		for _, x := range list[:n] {
-			x.m.Kept = j
-			x.m.Bin.Mark(keptMark, true)
+			x.m.ReservedFor = j
+			x.m.Bin.SetLabel(keptMark, true)
 		}
 		if n > 0 {
 			c.keepers = append(c.keepers, j)
@@ -82,7 +82,7 @@
 
 // roomIn guesses, in seconds, when a machine will have room for a task of the job
 // if it is given nothing else.
-func (c *Core) roomIn(j *Job, m *fleet.Machine, now time.Time) float64 {
+func (c *Scheduler) roomIn(j *Job, m *fleet.Machine, now time.Time) float64 {
 	free := m.Bin.Cap.Sub(m.Bin.Used())
 	ends := c.endings(m, now)
 	for _, e := range ends {
@@ -100,11 +100,11 @@
 // ending is room that a task gives back when it ends, by its estimate in so many seconds.
 type ending struct {
 	in  float64
-	req packing.Vec
+	req packing.Resources
 }
 
 // endings lists, the soonest first, when what is on a machine ends.
-func (c *Core) endings(m *fleet.Machine, now time.Time) []ending {
+func (c *Scheduler) endings(m *fleet.Machine, now time.Time) []ending {
 	ends := make([]ending, 0, 16) // a machine holds few
 	for _, a := range m.Attempts() {
 		if a.Item == nil {
@@ -127,7 +127,7 @@
 // there is none or one of them is over. Whoever is served after it finds every kept machine
 // spared, which need not be asked of each: on 1,300 machines that was most of what the
 // placing cost.
-func (c *Core) lastKeeper() *Job {
+func (c *Scheduler) lastKeeper() *Job {
 	var last *Job
 	for _, k := range c.keepers {
 		if k.over {
@@ -142,6 +142,6 @@
 
 // spared says whether a machine is kept for a job whose turn is before another's.
 func spared(m *fleet.Machine, j *Job) bool {
-	k, ok := m.Kept.(*Job)
+	k, ok := m.ReservedFor.(*Job)
 	return ok && k != j && !k.over && before(k, j)
 }
--- a/internal/scheduler/largest.go
+++ b/internal/scheduler/largest.go
@@ -16,8 +16,8 @@
 // in which they must begin, in one zone for each. It goes before all placing: section 3.4's insert takes
 // items one by one, and a gang that needs twelve bins at once finds eleven at the most beside
 // a queue of smaller ones that never ends.
-func (c *Core) saveRoom(now time.Time) {
-	if c.set.Begin <= 0 || !c.settled {
+func (c *Scheduler) saveRoom(now time.Time) {
+	if c.set.ReservationBound <= 0 || !c.settled {
 		return
 	}
 	var due []*Job
@@ -29,7 +29,7 @@
 	}
 	missed := func(j *Job) bool {
 		w := now.Sub(j.waitsSince())
-		return w > c.set.Begin && w < 2*c.set.Begin
+		return w > c.set.ReservationBound && w < 2*c.set.ReservationBound
 	}
 	slices.SortStableFunc(due, func(a, b *Job) int {
 		if missed(a) != missed(b) {
@@ -39,7 +39,7 @@
 	})
 	ahead := map[string]int{}
 	for _, j := range due {
-		if j.Shape != records.ShapeGroup {
+		if j.Shape != records.ShapeGang {
 			c.saveOne(j, now)
 			continue
 		}
@@ -47,9 +47,9 @@
 			if now.Before(j.saveAfter) {
 				continue // it was a look at every task
 			}
-			j.saveAfter = now.Add(c.set.Report / 4)
+			j.saveAfter = now.Add(c.set.HeartbeatInterval / 4)
 			zone, in := c.saveWhere(j, ahead, now)
-			if zone == "" || !reservation.Due(now.Sub(j.waitsSince()), time.Duration(in*float64(time.Second)), c.set.Begin) {
+			if zone == "" || !reservation.Due(now.Sub(j.waitsSince()), time.Duration(in*float64(time.Second)), c.set.ReservationBound) {
 				continue
 			}
 			j.saving = zone
@@ -62,10 +62,10 @@
 
 // chooseSavers lists, in the order of the queue, the jobs for which room may have to be saved until
 // the order is worked out anew: gangs, which may begin anew, and arrays of which nothing has begun.
-func (c *Core) chooseSavers() {
+func (c *Scheduler) chooseSavers() {
 	c.savers = c.savers[:0]
 	for _, j := range c.sorted {
-		if j.Shape == records.ShapeGroup || j.Shape == records.ShapeBatch && j.nDone == 0 && !j.began.told {
+		if j.Shape == records.ShapeGang || j.Shape == records.ShapeArray && j.nDone == 0 && !j.began.told {
 			c.savers = append(c.savers, j)
 		} else {
 			j.saving = ""
@@ -83,15 +83,15 @@
 
 // saves says whether room is to be saved for a job by now: for a gang all its places, for an
 // array the first.
-func (c *Core) saves(j *Job, now time.Time) bool {
+func (c *Scheduler) saves(j *Job, now time.Time) bool {
 	waited := now.Sub(j.waitsSince())
-	is := waited >= reservation.Soonest(c.set.Begin) && len(j.held)+len(j.strays) == 0 && c.startable(j, now) && j.peek() >= 0
+	is := waited >= reservation.EarliestWait(c.set.ReservationBound) && len(j.held)+len(j.strays) == 0 && c.startable(j, now) && j.peek() >= 0
 	switch {
 	case !is:
-	case j.Shape == records.ShapeGroup:
+	case j.Shape == records.ShapeGang:
 		is = j.gangTry == 0 && c.wanted(j) >= j.pending()
 	default:
-		is = j.Shape == records.ShapeBatch && j.nDone == 0 && !j.began.told && reservation.Due(waited, 0, c.set.Begin) && c.wanted(j) > 0
+		is = j.Shape == records.ShapeArray && j.nDone == 0 && !j.began.told && reservation.Due(waited, 0, c.set.ReservationBound) && c.wanted(j) > 0
 	}
 	if !is {
 		j.saving = ""
@@ -100,7 +100,7 @@
 }
 
 // saveWhere chooses the zone where a job's places fall free soonest.
-func (c *Core) saveWhere(j *Job, ahead map[string]int, now time.Time) (zone string, in float64) {
+func (c *Scheduler) saveWhere(j *Job, ahead map[string]int, now time.Time) (zone string, in float64) {
 	byZone := map[string][]float64{}
 	for _, m := range c.fleet.Sorted() {
 		if !c.mayHold(j, m, now) {
@@ -108,22 +108,22 @@
 		}
 		zone := m.Zone
 		if !j.OneZone {
-			zone = reservation.Everywhere
+			zone = reservation.AllZones
 		}
 		byZone[zone] = append(byZone[zone], c.placesIn(j, m, now)...)
 	}
 	var zones []reservation.Zone
 	for name, in := range byZone {
-		zones = append(zones, reservation.Zone{Name: name, In: in, Ahead: ahead[name]})
+		zones = append(zones, reservation.Zone{Name: name, FreeAfterS: in, Committed: ahead[name]})
 	}
-	return reservation.Choose(zones, j.pending())
+	return reservation.ChooseZone(zones, j.pending())
 }
 
 // placesIn guesses when a machine has room for one, two and more tasks of a job, in seconds,
 // if it is given nothing else.
-func (c *Core) placesIn(j *Job, m *fleet.Machine, now time.Time) []float64 {
+func (c *Scheduler) placesIn(j *Job, m *fleet.Machine, now time.Time) []float64 {
 	var ins []float64
-	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Owed())
+	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
 	for _, e := range append([]ending{{}}, c.endings(m, now)...) {
 		for free = free.Add(e.req); free.Fits(j.req); free = free.Sub(j.req) {
 			ins = append(ins, e.in)
@@ -137,7 +137,7 @@
 // many are not free yet. What has begun to empty goes on, unless another place is free first.
 // Guards against machines of which small tasks always take the part that is free: none of them
 // is ever free as a whole.
-func (c *Core) save(j *Job, ahead bool, now time.Time) (lacks int) {
+func (c *Scheduler) save(j *Job, ahead bool, now time.Time) (lacks int) {
 	was := map[*fleet.Machine]bool{}
 	for _, cl := range j.claims {
 		was[cl.m] = true
@@ -150,7 +150,7 @@
 	}
 	var list []place
 	for _, m := range c.fleet.Sorted() {
-		if j.saving != reservation.Everywhere && m.Zone != j.saving || !c.mayHold(j, m, now) {
+		if j.saving != reservation.AllZones && m.Zone != j.saving || !c.mayHold(j, m, now) {
 			continue
 		}
 		for _, in := range c.placesIn(j, m, now) {
@@ -168,7 +168,7 @@
 	}
 	list = list[:n]
 	need := time.Duration(list[n-1].in * float64(time.Second))
-	urgent := !ahead && reservation.Urgent(now.Sub(j.waitsSince()), need, c.set.Begin)
+	urgent := !ahead && reservation.Urgent(now.Sub(j.waitsSince()), need, c.set.ReservationBound)
 	for _, p := range list {
 		if p.in > 0 {
 			lacks++
@@ -181,15 +181,15 @@
 }
 
 // saveOne makes the place that is free soonest the own of an array of which no task has begun.
-func (c *Core) saveOne(j *Job, now time.Time) {
-	j.saving = reservation.Everywhere
+func (c *Scheduler) saveOne(j *Job, now time.Time) {
+	j.saving = reservation.AllZones
 	if len(j.claims) > 0 {
 		return
 	}
 	var best *fleet.Machine
 	soonest := 0.0
 	for _, m := range c.fleet.Sorted() {
-		if !c.mayHold(j, m, now) || m.Bin.Owed() != (packing.Vec{}) {
+		if !c.mayHold(j, m, now) || m.Bin.Reserved() != (packing.Resources{}) {
 			continue
 		}
 		if in := c.roomIn(j, m, now); best == nil || in < soonest {
--- a/internal/scheduler/largest_test.go
+++ b/internal/scheduler/largest_test.go
@@ -17,11 +17,11 @@
 // of a zone come in between. It tells when each began, counted from when it came.
 func crowded(t *rapid.T, begin float64, slots int, gangs []int, runs []int) map[string]time.Duration {
 	options := config.DefaultOptions()
-	options.Largest, options.BeginS = begin > 0, max(begin, 1)
+	options.Reservations, options.BeginS = begin > 0, max(begin, 1)
 	y := newFakeFleet(t, options, []config.Team{{Name: "team"}}, slots)
 	add := func(id, shape string, tasks int, cpus float64, run int) {
-		j := records.Job{ID: id, Team: "team", Image: "img", MemGB: 1, Shape: shape, Priority: records.PrioNormal, CPUs: cpus, Tasks: tasks,
-			OneZone: shape == records.ShapeGroup, EstimateS: float64(run), AcceptedMS: y.now.UnixMilli()}
+		j := records.Job{ID: id, Team: "team", Image: "img", MemGB: 1, Shape: shape, Priority: records.PriorityStandard, CPUs: cpus, Tasks: tasks,
+			OneZone: shape == records.ShapeGang, EstimateS: float64(run), AcceptedMS: y.now.UnixMilli()}
 		y.jobs[id], y.runs[id] = j, time.Duration(run)*time.Second
 		y.c.AddJob(j, 10, y.now, y.now)
 	}
@@ -30,11 +30,11 @@
 		if i%4 == 0 {
 			// As much as all machines do in two seconds, and a little more.
 			run := runs[i/4%len(runs)]
-			add(fmt.Sprint("j-1000", i), records.ShapeBatch, 1+2*fakeCPUs*slots*2/run, 1, run)
+			add(fmt.Sprint("j-1000", i), records.ShapeArray, 1+2*fakeCPUs*slots*2/run, 1, run)
 		}
 		for n, at := range gangs {
 			if id := fmt.Sprint("j-9", n); i == at {
-				add(id, records.ShapeGroup, slots, fakeCPUs, 10)
+				add(id, records.ShapeGang, slots, fakeCPUs, 10)
 				came[id] = y.now
 			}
 		}
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -17,27 +17,27 @@
 const fleetSize = 4000
 
 // limitsCore is a Core of three zones that has settled and read the cloud's list.
-func limitsCore(types []records.MachineType) (*Core, time.Time) {
+func limitsCore(types []records.MachineType) (*Scheduler, time.Time) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
-	cfg.Facts.Workers = config.Workers{ReportS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
-	cfg.Facts.State.ValueKB, cfg.Facts.Zones, cfg.Facts.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
+	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
 	now := time.Unix(1_000_000, 0)
-	c := NewCore(SettingsOf(cfg), 5, now)
+	c := New(SettingsOf(cfg), 5, now)
 	for i := range types {
-		types[i].Zones = cfg.Facts.Zones
+		types[i].Zones = cfg.Deployment.Zones
 	}
 	c.SetTypes(types)
-	c.CheckSettled(now)
-	c.Listed(nil, now, now)
+	c.CheckReconciled(now)
+	c.ReconcileCloudList(nil, now, now)
 	return c, now
 }
 
 // limitsUp brings machines up, n of them with nothing on them.
-func limitsUp(c *Core, n int, now time.Time) []string {
+func limitsUp(c *Scheduler, n int, now time.Time) []string {
 	var names []string
 	for i := range n {
 		h := fmt.Sprintf("m-%06d", i)
-		m, _ := c.Body(&fleet.Report{Host: h, Addr: h, Type: "c4", Zone: c.set.Zones[i%3], Session: 1, Baton: 5, Version: "1"}, true, now)
+		m, _ := c.Reconcile(&fleet.Heartbeat{Machine: h, Addr: h, Type: "c4", Zone: c.set.Zones[i%3], Incarnation: 1, FencingToken: 5, Version: "1"}, true, now)
 		m.Recorded = true
 		names = append(names, h)
 	}
@@ -52,7 +52,7 @@
 	if err := spec.Check(now); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.PlanDrain(&spec, false, now); err != nil {
+	if _, err := c.PreviewDrain(&spec, false, now); err != nil {
 		t.Fatal(err)
 	}
 	c.SetDrain(spec, nil, 0)
@@ -77,7 +77,7 @@
 	if err := spec.Check(now); err != nil {
 		t.Fatal(err)
 	}
-	p, err := c.PlanDrain(&spec, false, now)
+	p, err := c.PreviewDrain(&spec, false, now)
 	if err != nil || p.All.Machines != fleetSize {
 		t.Fatalf("planned: %v, %v", p, err)
 	}
@@ -101,13 +101,13 @@
 	c, now := limitsCore(types)
 	for i := range types {
 		c.AddJob(records.Job{
-			ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: perType,
+			ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: perType,
 			CPUs: 4, MemGB: 1, Image: "img", EstimateS: 3600, Types: []string{types[i].Name}, AcceptedMS: now.UnixMilli(),
 		}, 10, now, now)
 	}
 	asked := 0
-	for _, r := range c.Wants(now) {
-		if asked += r.Count; r.Count > autoscaler.MostCount {
+	for _, r := range c.PlanRentals(now) {
+		if asked += r.Count; r.Count > autoscaler.MaxRentCount {
 			t.Fatalf("a request for %d machines", r.Count)
 		}
 	}
@@ -123,32 +123,32 @@
 	c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	zone := "a"
 	c.AddJob(records.Job{
-		ID: "j-1", Team: "team", Class: "class", Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: want,
+		ID: "j-1", Team: "team", Class: "class", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: want,
 		CPUs: 4, MemGB: 1, Image: "img", EstimateS: 3600, Zone: &zone, AcceptedMS: now.UnixMilli(),
 	}, 10, now, now)
 	rented := 0
-	for range 2 * want / autoscaler.MostCount {
-		for _, r := range c.Wants(now) {
+	for range 2 * want / autoscaler.MaxRentCount {
+		for _, r := range c.PlanRentals(now) {
 			var hosts []string
 			for range r.Count {
 				hosts = append(hosts, fmt.Sprintf("m-%06d", rented))
 				rented++
 			}
-			c.Rented(r, hosts, now)
+			c.MachinesRented(r, hosts, now)
 		}
-		now = now.Add(c.set.Report / 4)
+		now = now.Add(c.set.HeartbeatInterval / 4)
 	}
 	if rented != want {
 		t.Fatalf("%d machines are rented, %d are needed", rented, want)
 	}
 	now = now.Add(time.Hour) // none ever came up
 	returned := 0
-	for range 2 * want / autoscaler.MostNames {
-		hosts := c.Returns(now)
-		if len(hosts) > autoscaler.MostNames {
+	for range 2 * want / autoscaler.MaxReturnNames {
+		hosts := c.MachinesToReturn(now)
+		if len(hosts) > autoscaler.MaxReturnNames {
 			t.Fatalf("%d machines are given back at once", len(hosts))
 		}
-		c.Returned(hosts, now)
+		c.MachinesReturned(hosts, now)
 		returned += len(hosts)
 	}
 	if returned != want {
@@ -163,13 +163,13 @@
 			c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 			for i := range 45 {
 				c.AddJob(records.Job{
-					ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: 400,
+					ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 400,
 					CPUs: cpus, MemGB: 1, Image: "img", EstimateS: 3600, AcceptedMS: now.UnixMilli(),
 				}, 10, now, now)
 			}
 			for b.Loop() {
-				c.Wants(now)
-				c.rent.inflight = map[string]autoscaler.Request{}
+				c.PlanRentals(now)
+				c.rent.inflight = map[string]autoscaler.RentalRequest{}
 			}
 		})
 	}
@@ -191,7 +191,7 @@
 	b.Run("plan", func(b *testing.B) {
 		c, now := floor(b, fleetSize)
 		for b.Loop() {
-			if _, err := c.PlanDrain(&spec, true, now); err != nil {
+			if _, err := c.PreviewDrain(&spec, true, now); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/scheduler/marks.go
+++ b/internal/scheduler/marks.go
@@ -32,7 +32,7 @@
 }
 
 // suspect takes all tasks of a job as in doubt, if an earlier leader can have sent any.
-func (c *Core) suspect(j *Job) {
+func (c *Scheduler) suspect(j *Job) {
 	if c.settled || j.since > c.term {
 		return
 	}
@@ -45,7 +45,7 @@
 
 // trust takes no task of a job as in doubt any more: where a machine holds one, that is
 // known.
-func (c *Core) trust(j *Job) {
+func (c *Scheduler) trust(j *Job) {
 	if j.doubt == nil {
 		return
 	}
@@ -63,12 +63,12 @@
 	}
 }
 
-// LoadMarks takes in the marks that the store has, by job. Where they are whole, only what
+// LoadWatermarks takes in the marks that the store has, by job. Where they are whole, only what
 // is below them is in doubt: the rest was never sent.
-func (c *Core) LoadMarks(stored map[string]int, whole bool) {
+func (c *Scheduler) LoadWatermarks(stored map[string]int, whole bool) {
 	for id, j := range c.jobs {
 		n := min(stored[id], j.Tasks)
-		j.mark.Keep(n)
+		j.mark.NoteStored(n)
 		if !whole || j.doubt == nil {
 			continue
 		}
@@ -90,10 +90,10 @@
 // had not ended when the last leader stopped, so it was sent to no other. Guards against what only
 // a copy of an earlier report has shown, and is still to be asked about: the machine may have
 // started anew since, and the task have been sent to another that is unheard of.
-func (c *Core) seen(m *fleet.Machine) {
+func (c *Scheduler) seen(m *fleet.Machine) {
 	for _, a := range m.Attempts() {
 		j := c.jobOf(a)
-		if j != nil && j.doubtful(a.Task.N) && a.Present() && m.Shows(a) && j.held[a.Task.N] == a {
+		if j != nil && j.doubtful(a.Task.N) && a.MayBePresent() && m.LastReported(a) && j.held[a.Task.N] == a {
 			j.doubt[a.Task.N/64] &^= 1 << (a.Task.N % 64)
 		}
 	}
@@ -101,11 +101,11 @@
 
 // certain ends all doubt, as every machine has been heard, and marks what is on them: an
 // earlier leader may have kept no marks.
-func (c *Core) certain() {
+func (c *Scheduler) certain() {
 	for _, j := range c.jobs {
 		c.trust(j)
 		for t, a := range j.held {
-			if a.Present() {
+			if a.MayBePresent() {
 				c.raise(j, t)
 			}
 		}
@@ -113,15 +113,15 @@
 			c.raise(j, t)
 		}
 	}
-	c.marks.whole = c.set.Marks
+	c.marks.whole = c.set.Watermarks
 }
 
 // raise asks for a mark beyond a task.
-func (c *Core) raise(j *Job, t int) {
-	if !c.set.Marks {
+func (c *Scheduler) raise(j *Job, t int) {
+	if !c.set.Watermarks {
 		return
 	}
-	if j.Shape == records.ShapeGroup {
+	if j.Shape == records.ShapeGang {
 		t = j.Tasks - 1 // all of it is sent or none
 	}
 	if j.mark.Raise(t, j.Tasks) {
@@ -132,26 +132,26 @@
 // foresee marks what of a new job will be wanted at once when its turn comes: urgent jobs'
 // first tasks, and small jobs and those that wait for others whole. Guards against a
 // chain each step of which waits for the store.
-func (c *Core) foresee(j *Job) {
+func (c *Scheduler) foresee(j *Job) {
 	switch {
-	case len(j.Prereqs) > 0 || j.Tasks <= 2*watermark.Ahead:
+	case len(j.Dependencies) > 0 || j.Tasks <= 2*watermark.RaiseDivisor:
 		c.raise(j, j.Tasks-1)
-	case prioRank[j.Priority] <= prioRank[records.PrioUrgent]:
+	case prioRank[j.Priority] <= prioRank[records.PriorityUrgent]:
 		c.raise(j, 0)
 	}
 }
 
 // covered says whether a task that is planned may be sent as far as marks go.
-func (c *Core) covered(a *fleet.Attempt) bool {
-	if !c.set.Marks || c.marks.loose {
+func (c *Scheduler) covered(a *fleet.Attempt) bool {
+	if !c.set.Watermarks || c.marks.loose {
 		return true
 	}
 	j := c.jobOf(a)
 	return j == nil || j.mark.Covers(a.Task.N)
 }
 
-// LacksMark says whether anything planned for a machine waits for its mark.
-func (c *Core) LacksMark(m *fleet.Machine) bool {
+// AwaitsWatermark says whether anything planned for a machine waits for its mark.
+func (c *Scheduler) AwaitsWatermark(m *fleet.Machine) bool {
 	for _, a := range m.Attempts() {
 		if a.State() == fleet.Planned && !c.covered(a) {
 			return true
@@ -165,7 +165,7 @@
 const aheadShare = 1.0 / 2
 
 // takers counts the machines that take tasks.
-func (c *Core) takers() int {
+func (c *Scheduler) takers() int {
 	n := 0
 	for _, m := range c.fleet.Sorted() {
 		if m.Bin.Open() {
@@ -177,8 +177,8 @@
 
 // ahead raises the marks of the jobs that are served next, so that a task that finds room
 // in the answer to a report need not wait for the store.
-func (c *Core) ahead(now time.Time) {
-	if !c.set.Marks {
+func (c *Scheduler) ahead(now time.Time) {
+	if !c.set.Watermarks {
 		return
 	}
 	budget := int(float64(c.takers()) * aheadShare)
@@ -190,12 +190,12 @@
 		if left <= 0 || j.waits || !c.startable(j, now) {
 			continue
 		}
-		if j.Shape == records.ShapeGroup {
+		if j.Shape == records.ShapeGang {
 			c.raise(j, 0)
 			budget -= left
 			continue
 		}
-		if want := min(left, budget); j.mark.Want-j.next < want {
+		if want := min(left, budget); j.mark.Requested-j.next < want {
 			c.raise(j, j.next+want-1)
 		}
 		budget -= left
--- a/internal/scheduler/order.go
+++ b/internal/scheduler/order.go
@@ -12,11 +12,11 @@
 )
 
 var prioRank = map[string]int{
-	records.PrioCritical: 0, records.PrioUrgent: 1, records.PrioNormal: 2, records.PrioLow: 3,
+	records.PriorityCritical: 0, records.PriorityUrgent: 1, records.PriorityStandard: 2, records.PriorityLow: 3,
 }
 
 // queue returns the open jobs in the order in which they are served.
-func (c *Core) queue(now time.Time) []*Job {
+func (c *Scheduler) queue(now time.Time) []*Job {
 	if c.resort {
 		c.resort = false
 		c.sorted = c.sorted[:0]
@@ -73,7 +73,7 @@
 
 // fetch is how long a machine that suits a job, and has room for its tasks at all, takes to
 // fetch its image.
-func (c *Core) fetch(j *Job) time.Duration {
+func (c *Scheduler) fetch(j *Job) time.Duration {
 	rate := 0.0
 	for name, t := range c.types {
 		if j.allowsType(name) && c.capacity(name).Fits(j.req) {
@@ -92,15 +92,15 @@
 // machines busy, some times over. So work with little time passes work with much,
 // short jobs pass long ones, and every job's turn comes. A job that can no longer
 // meet any objective lets those pass that can, until it is very late.
-func (c *Core) turns(now time.Time) {
+func (c *Scheduler) turns(now time.Time) {
 	up := 0
 	for _, m := range c.fleet.Sorted() {
-		if m.Up && !m.Lost && !m.Returning {
+		if m.Up && !m.LeaseExpired && !m.Returning {
 			up++
 		}
 	}
 	for _, j := range c.sorted {
-		j.rank = 2 * min(j.terms.Rank, prioRank[records.PrioNormal])
+		j.rank = 2 * min(j.terms.Rank, prioRank[records.PriorityStandard])
 		age := now.Sub(j.base).Seconds()
 		last := j.targets[len(j.targets)-1]
 		next := last
@@ -122,7 +122,7 @@
 // targets lists, in seconds from its base, when a job should be complete by its
 // class's objectives and for the sake of the jobs behind it, the soonest first. The
 // deadline counts from the acceptance, however long the job waited.
-func (c *Core) targets(j *Job) []float64 {
+func (c *Scheduler) targets(j *Job) []float64 {
 	var ts []float64
 	for _, o := range c.set.Objectives {
 		switch {
@@ -138,11 +138,11 @@
 	if j.DeadlineS != nil && len(ts) == 0 {
 		ts = append(ts, *j.DeadlineS-j.waited())
 	}
-	if due := j.terms.Due; !due.IsZero() && (j.DeadlineS == nil || due.Before(j.after(*j.DeadlineS))) {
-		ts = append(ts, j.left(due), j.left(j.terms.Last))
+	if due := j.terms.Deadline; !due.IsZero() && (j.DeadlineS == nil || due.Before(j.after(*j.DeadlineS))) {
+		ts = append(ts, j.left(due), j.left(j.terms.LatestEnd))
 	}
 	if len(ts) == 0 {
-		ts = append(ts, noTarget*c.set.Report.Seconds())
+		ts = append(ts, noTarget*c.set.HeartbeatInterval.Seconds())
 	}
 	slices.Sort(ts)
 	return ts
@@ -164,11 +164,11 @@
 )
 
 // smallestShare is what a task takes of the machine type that suits it best.
-func (c *Core) smallestShare(j *Job) float64 {
+func (c *Scheduler) smallestShare(j *Job) float64 {
 	share := 1.0
 	for name, t := range c.types {
 		if j.allowsType(name) {
-			share = min(share, packing.Vec{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB}.Share(j.req))
+			share = min(share, packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB}.Share(j.req))
 		}
 	}
 	return share
--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -18,25 +18,25 @@
 // that can be on none of those still unheard of, and none of a job that needs the whole
 // picture: all tasks of jobs accepted, or released by one that was stored as done, under
 // this term, and of older jobs what is beyond their marks.
-func (c *Core) startable(j *Job, now time.Time) bool {
+func (c *Scheduler) startable(j *Job, now time.Time) bool {
 	if j.over || j.waits || j.finishing || j.gangBroken || now.Before(j.retryAt) {
 		return false
 	}
 	if c.settled {
 		return true
 	}
-	return (j.doubt == nil || j.Shape != records.ShapeGroup) && !j.limited && !j.OneZone && !j.Apart
+	return (j.doubt == nil || j.Shape != records.ShapeGang) && !j.limited && !j.OneZone && !j.SpreadZones
 }
 
 // open says whether a machine may be given new tasks.
-func (c *Core) open(m *fleet.Machine, now time.Time) bool {
-	return m.Up && m.Settled && inService(m) && m.Notice.IsZero() &&
-		now.Sub(m.LastBody) < 3*c.set.Report && !now.Before(m.FullUntil)
+func (c *Scheduler) open(m *fleet.Machine, now time.Time) bool {
+	return m.Up && m.Reconciled && inService(m) && m.PreemptionAt.IsZero() &&
+		now.Sub(m.LastStatus) < 3*c.set.HeartbeatInterval && !now.Before(m.FullUntil)
 }
 
 // inService says whether a machine takes new tasks, or will when it is up.
 func inService(m *fleet.Machine) bool {
-	return !m.Returning && !m.Lost && !m.Draining && m.Cordon == nil && !m.Deaf()
+	return !m.Returning && !m.LeaseExpired && !m.Draining && m.Cordon == nil && !m.Unreachable()
 }
 
 // permits says whether the job's own wishes allow the machine.
@@ -49,16 +49,16 @@
 }
 
 // mayHold says whether a machine may be given tasks of the job, once it has room.
-func (c *Core) mayHold(j *Job, m *fleet.Machine, now time.Time) bool {
+func (c *Scheduler) mayHold(j *Job, m *fleet.Machine, now time.Time) bool {
 	return c.open(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.req)
 }
 
 // zones counts the job's tasks by zone, on machines and, with planned, meant for them
 // or for room that is its own.
-func (c *Core) zones(j *Job, planned bool) map[string]int {
+func (c *Scheduler) zones(j *Job, planned bool) map[string]int {
 	n := map[string]int{}
 	for _, a := range j.held {
-		if a.Present() || planned && a.State() == fleet.Planned {
+		if a.MayBePresent() || planned && a.State() == fleet.Planned {
 			n[a.Machine.Zone]++
 		}
 	}
@@ -69,7 +69,7 @@
 	}
 	if len(j.strays) > 0 {
 		for _, a := range c.fleet.OfJob(j.ID) {
-			if a.Stray && a.Present() {
+			if a.Duplicate && a.MayBePresent() {
 				n[a.Machine.Zone]++
 			}
 		}
@@ -86,11 +86,11 @@
 			}
 		}
 	}
-	return !j.Apart || n[zone]+1 <= (j.Tasks+1)/2
+	return !j.SpreadZones || n[zone]+1 <= (j.Tasks+1)/2
 }
 
 // place inserts waiting tasks into bins, in queue order.
-func (c *Core) place(now time.Time) {
+func (c *Scheduler) place(now time.Time) {
 	c.dirty = false
 	c.reopen(now)
 	p := &placing{c: c, now: now, used: map[string]quota.Amount{}, failed: make([]*Job, len(c.alike)+1)}
@@ -116,7 +116,7 @@
 
 // placing is one look at all that waits.
 type placing struct {
-	c      *Core
+	c      *Scheduler
 	now    time.Time
 	used   map[string]quota.Amount // by teams with a limit, what is planned here included
 	failed []*Job                  // by likeness, the first that found no room
@@ -143,7 +143,7 @@
 		p.used[j.Team] = c.usage.Committed(j.Team)
 	}
 	var ok bool
-	if j.Shape == records.ShapeGroup {
+	if j.Shape == records.ShapeGang {
 		mine := c.lift(j)
 		if ok = c.placeGang(j, p.used, p.now); !ok {
 			c.lay(j, mine)
@@ -161,14 +161,14 @@
 	}
 	// What ordinary machines lacked is noted by the first that finds no room, so that has to be one
 	// whose team has a guarantee.
-	if j.Spot || !j.limited || fairshare.Any(j.team) {
+	if j.Spot || !j.limited || fairshare.HasGuarantee(j.team) {
 		p.failed[t.likeness()] = j
 	}
 }
 
 // placeTasks places as many tasks of a job as possible, only on machines with a
 // mark unless it is "". It returns false when some had no room.
-func (c *Core) placeTasks(j *Job, only string, used map[string]quota.Amount, zones map[string]int, now time.Time) bool {
+func (c *Scheduler) placeTasks(j *Job, only string, used map[string]quota.Amount, zones map[string]int, now time.Time) bool {
 	limited := j.limited
 	for {
 		t := j.peek()
@@ -194,8 +194,8 @@
 }
 
 // bounds counts a job's tasks by zone where that decides about others; nil elsewhere.
-func (c *Core) bounds(j *Job) map[string]int {
-	if j.OneZone || j.Apart {
+func (c *Scheduler) bounds(j *Job) map[string]int {
+	if j.OneZone || j.SpreadZones {
 		return c.zones(j, true)
 	}
 	return nil
@@ -203,7 +203,7 @@
 
 // zoneChoices are the zones in which a job is to be tried one after the other; "" is
 // all of them together.
-func (c *Core) zoneChoices(j *Job, zones map[string]int) []string {
+func (c *Scheduler) zoneChoices(j *Job, zones map[string]int) []string {
 	if j.OneZone && len(zones) == 0 {
 		return c.set.Zones
 	}
@@ -212,7 +212,7 @@
 
 // placeGang places a whole gang or nothing of it. Tasks that replace members
 // which never arrived take the gang's attempt number.
-func (c *Core) placeGang(j *Job, used map[string]quota.Amount, now time.Time) bool {
+func (c *Scheduler) placeGang(j *Job, used map[string]quota.Amount, now time.Time) bool {
 	if j.gangTry == 0 && len(j.held)+len(j.strays) > 0 {
 		return false
 	}
@@ -273,10 +273,10 @@
 // insertIn finds a bin for one task by VISBP's insert, over the machine types
 // that the job allows, cheapest first, and lists the moves that it asks for. Try 0
 // stands for a new attempt number.
-func (c *Core) insertIn(j *Job, t int, try uint64, only string, zones map[string]int, zone string, now time.Time) (*fleet.Machine, []packing.Move) {
-	it := &packing.Item{ID: j.ID, Req: j.req, Prefer: j.prefer, Only: only}
+func (c *Scheduler) insertIn(j *Job, t int, try uint64, only string, zones map[string]int, zone string, now time.Time) (*fleet.Machine, []packing.Move) {
+	it := &packing.Item{ID: j.ID, Req: j.req, PreferLabels: j.prefer, RequireLabel: only}
 	if c.keeper != nil && before(c.keeper, j) {
-		it.Not = keptMark
+		it.ExcludeLabel = keptMark
 	}
 	ok := func(b *packing.Bin) bool {
 		m := b.Owner.(*fleet.Machine)
@@ -292,7 +292,7 @@
 		if b == nil {
 			continue
 		}
-		it.Not = ""
+		it.ExcludeLabel = ""
 		m := b.Owner.(*fleet.Machine)
 		putBack(moves)
 		if try == 0 {
@@ -311,7 +311,7 @@
 // insertInto inserts among the machines of one type. Where ordinary ones were too few for
 // others lately, what may use cheap ones goes there first. Guards against ordinary machines
 // that gangs wait for and that are filled with tasks beside empty cheap ones.
-func (c *Core) insertInto(s *packing.Space, typ string, j *Job, it *packing.Item, ok func(*packing.Bin) bool) (*packing.Bin, []packing.Move, packing.Rule) {
+func (c *Scheduler) insertInto(s *packing.Space, typ string, j *Job, it *packing.Item, ok func(*packing.Bin) bool) (*packing.Bin, []packing.Move, packing.Rule) {
 	if j.Spot && c.scarceLately(typ, c.now) {
 		if b, moves, rule := s.Insert(it, func(b *packing.Bin) bool { return b.Owner.(*fleet.Machine).Spot && ok(b) }); b != nil {
 			return b, moves, rule
@@ -321,7 +321,7 @@
 }
 
 // plant notes a task as meant for a machine, whose bin has its item already.
-func (c *Core) plant(j *Job, t int, try uint64, m *fleet.Machine, it *packing.Item, now time.Time) *fleet.Attempt {
+func (c *Scheduler) plant(j *Job, t int, try uint64, m *fleet.Machine, it *packing.Item, now time.Time) *fleet.Attempt {
 	a := c.fleet.Plan(m, fleet.TaskID{Job: j.ID, N: t}, try, it, now)
 	a.Job, j.held[t] = j, a
 	j.began.placed = now
@@ -335,8 +335,8 @@
 // left, a task would otherwise wait for the report of just the machine it was planned
 // for. Nothing gets a worse place: no fetch that it would have been spared, no machine
 // that may be taken instead of one that may not, no empty machine instead of one in use.
-func (c *Core) bind(m *fleet.Machine, now time.Time) {
-	if !m.Bin.Open() || !m.Bin.Takes() {
+func (c *Scheduler) bind(m *fleet.Machine, now time.Time) {
+	if !m.Bin.Open() || !m.Bin.AllowsJoin() {
 		return
 	}
 	keep := c.unsent[:0]
@@ -347,31 +347,31 @@
 		j := c.jobOf(a)
 		// Guards against a task that lacks its mark and goes to the first machine that
 		// reports: it would wait there for the next report.
-		if j == nil || a.Machine == m || !c.covered(a) || !j.plain() || !m.Bin.Joins(j.req) || !j.permits(m.Type, m.Zone, m.Spot) ||
+		if j == nil || a.Machine == m || !c.covered(a) || !j.plain() || !m.Bin.CanJoin(j.req) || !j.permits(m.Type, m.Zone, m.Spot) ||
 			m.Type != a.Machine.Type || m.Spot && !a.Machine.Spot || !m.Spot && a.Machine.Spot && c.scarceLately(m.Type, now) || spared(m, j) || m.Empty() && len(a.Machine.Bin.Items()) > 1 ||
-			c.fetch(j) > 0 && !m.Bin.Marked(j.ready) && a.Machine.Bin.Marked(j.ready) {
+			c.fetch(j) > 0 && !m.Bin.HasLabel(j.ready) && a.Machine.Bin.HasLabel(j.ready) {
 			keep = append(keep, a)
 			continue
 		}
 		a.Machine.Forget(a)
-		it := &packing.Item{ID: j.ID, Req: j.req, Prefer: j.prefer}
+		it := &packing.Item{ID: j.ID, Req: j.req, PreferLabels: j.prefer}
 		m.Bin.Add(it)
-		c.plant(j, a.Task.N, a.Try, m, it, now)
+		c.plant(j, a.Task.N, a.Number, m, it, now)
 	}
 	clear(c.unsent[len(keep):])
 	c.unsent = keep
 }
 
 // useImage notes that a machine has a job's image, or fetches it.
-func (c *Core) useImage(m *fleet.Machine, j *Job) {
+func (c *Scheduler) useImage(m *fleet.Machine, j *Job) {
 	m.UseImage(j.Image, j.ImageGB, c.types[m.Type].CacheGB)
 }
 
 // reopen looks anew at which machines take tasks. What a report changes is seen
 // at once; what time alone changes, a few times in a report interval.
-func (c *Core) reopen(now time.Time) {
+func (c *Scheduler) reopen(now time.Time) {
 	c.now = now
-	if now.Sub(c.opened) < c.set.Report/8 {
+	if now.Sub(c.opened) < c.set.HeartbeatInterval/8 {
 		return
 	}
 	c.opened = now
@@ -383,14 +383,14 @@
 // movable says whether an attempt may be moved merely to fill or empty a bin:
 // tasks started under a round ago, each once. Gangs never move, and replicas move only
 // in rounds, one at a time.
-func (c *Core) movable(j *Job, a *fleet.Attempt, now time.Time) bool {
-	if j == nil || a.Stopping() || a.Stray || j.Shape != records.ShapeBatch {
+func (c *Scheduler) movable(j *Job, a *fleet.Attempt, now time.Time) bool {
+	if j == nil || a.Stopping() || a.Duplicate || j.Shape != records.ShapeArray {
 		return false
 	}
 	if _, before := j.moved[a.Task.N]; before && a.State() != fleet.Planned {
 		return false
 	}
-	return a.State() == fleet.Planned || a.Present() && a.State() != fleet.Sent && now.Sub(a.Since) < c.set.Round
+	return a.State() == fleet.Planned || a.MayBePresent() && a.State() != fleet.Sent && now.Sub(a.Since) < c.set.RoundInterval
 }
 
 // putBack undoes what listed moves did to the bins, which keep what is really there.
@@ -408,7 +408,7 @@
 // carryOut turns listed moves into plans and stops. What was only planned moves at
 // once; what is on a machine is stopped there, and starts elsewhere once it is gone,
 // where the room is its job's own until then.
-func (c *Core) carryOut(moves []packing.Move, now time.Time) {
+func (c *Scheduler) carryOut(moves []packing.Move, now time.Time) {
 	for _, mv := range moves {
 		for _, it := range mv.Items {
 			from := mv.From.Owner.(*fleet.Machine)
@@ -438,7 +438,7 @@
 
 // mayRun checks every rule once more, just before a run is written. It looks
 // at what is on machines, runs in flight included, not at what was planned.
-func (c *Core) mayRun(a *fleet.Attempt, now time.Time) bool {
+func (c *Scheduler) mayRun(a *fleet.Attempt, now time.Time) bool {
 	j, m := c.jobOf(a), a.Machine
 	if j == nil || a.State() != fleet.Planned || !c.startable(j, now) || !c.open(m, now) || !m.Recorded {
 		return false
@@ -450,24 +450,24 @@
 	if !j.permits(m.Type, m.Zone, m.Spot) {
 		return false
 	}
-	if (j.OneZone || j.Apart) && !j.zoneOK(m.Zone, c.zones(j, false)) {
+	if (j.OneZone || j.SpreadZones) && !j.zoneOK(m.Zone, c.zones(j, false)) {
 		return false
 	}
 	if j.limited && !c.withinLimit(j, c.usage.InUse(j.Team)) {
 		return false
 	}
-	var sum packing.Vec
+	var sum packing.Resources
 	for _, x := range m.Attempts() {
-		if x.Present() && x.Item != nil {
+		if x.MayBePresent() && x.Item != nil {
 			sum = sum.Add(x.Item.Req)
 		}
 	}
 	return m.Bin.Cap.Sub(sum).Fits(j.req)
 }
 
-// Choose plans what a machine that is being answered is to start.
-func (c *Core) Choose(m *fleet.Machine, now time.Time) {
-	if c.dirty && c.means.Level() == overload.Easy {
+// PlanMachine plans what a machine that is being answered is to start.
+func (c *Scheduler) PlanMachine(m *fleet.Machine, now time.Time) {
+	if c.dirty && c.means.Level() == overload.Normal {
 		c.place(now)
 	}
 	if m.Recorded {
@@ -478,7 +478,7 @@
 // Respond compiles what a worker is told in answer to its report, of what was planned.
 // Runs go out here and nowhere else: such a response is dropped when it is late, a direct
 // command is not.
-func (c *Core) Respond(m *fleet.Machine, canRun bool, now time.Time) fleet.Response {
+func (c *Scheduler) Respond(m *fleet.Machine, canRun bool, now time.Time) fleet.HeartbeatResponse {
 	for _, a := range m.Attempts() {
 		if a.State() == fleet.Ended && a.Cause == fleet.CauseDone && !a.Reap {
 			j := c.jobOf(a)
@@ -486,7 +486,7 @@
 			a.Reap = j == nil || has(j.stored, a.Task.N)
 		}
 	}
-	resp := fleet.Response{Baton: c.term, Orders: m.Orders()}
+	resp := fleet.HeartbeatResponse{FencingToken: c.term, Commands: m.PendingCommands()}
 	delete(c.kick, m.Host)
 	if !canRun {
 		return resp
@@ -511,10 +511,10 @@
 		runsTotal.Inc()
 		startSeconds.Update(now.Sub(j.base).Seconds())
 		c.useImage(m, j)
-		resp.Orders = append(resp.Orders, fleet.Order{Verb: fleet.VerbRun, Shot: a.Task.String(), Try: a.Try})
+		resp.Commands = append(resp.Commands, fleet.Command{Verb: fleet.VerbRun, Task: a.Task.String(), Attempt: a.Number})
 	}
-	if len(resp.Orders) > 0 {
-		slog.Debug("orders", "machine", m.Host, "orders", len(resp.Orders), "term", c.term)
+	if len(resp.Commands) > 0 {
+		slog.Debug("orders", "machine", m.Host, "orders", len(resp.Commands), "term", c.term)
 	}
 	return resp
 }
--- a/internal/scheduler/places.go
+++ b/internal/scheduler/places.go
@@ -11,7 +11,7 @@
 // places answers, within one look, where tasks could go. Jobs alike share an answer that
 // there is no room.
 type places struct {
-	c       *Core
+	c       *Scheduler
 	now     time.Time
 	none    map[int]bool
 	permits map[*Job]bool
@@ -31,7 +31,7 @@
 	c := p.c
 	in := func(zone string) bool { return zones == nil || j.zoneOK(zone, zones) }
 	for _, m := range c.fleet.Sorted() {
-		if !m.Returning && !m.Lost && m.Cordon == nil && (p.leaves == nil || !p.leaves(m)) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.req) && in(m.Zone) {
+		if !m.Returning && !m.LeaseExpired && m.Cordon == nil && (p.leaves == nil || !p.leaves(m)) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.req) && in(m.Zone) {
 			ok = true
 			break
 		}
@@ -53,7 +53,7 @@
 	if j.alike > 0 && p.none[j.alike] {
 		return nil
 	}
-	it := &packing.Item{ID: j.ID, Req: j.req, Prefer: j.prefer}
+	it := &packing.Item{ID: j.ID, Req: j.req, PreferLabels: j.prefer}
 	ok := func(b *packing.Bin) bool {
 		m := b.Owner.(*fleet.Machine)
 		return m.Cordon == nil && (p.leaves == nil || !p.leaves(m)) && j.permits(m.Type, m.Zone, m.Spot) &&
@@ -92,12 +92,12 @@
 			if m == nil {
 				break
 			}
-			m.Bin.Owe(j.req)
+			m.Bin.Reserve(j.req)
 			found = append(found, m)
 			count[m.Zone]++
 		}
 		for _, m := range found {
-			m.Bin.Owe(packing.Vec{}.Sub(j.req))
+			m.Bin.Reserve(packing.Resources{}.Sub(j.req))
 		}
 		if len(found) == n {
 			break
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -16,7 +16,7 @@
 // and whom that would cost, were all that was chosen so far carried out.
 type vacancy struct {
 	m       *fleet.Machine
-	free    packing.Vec
+	free    packing.Resources
 	chosen  []*fleet.Attempt // to be stopped
 	next    []*fleet.Attempt // to be stopped for one more task
 	loss    float64          // of these
@@ -41,7 +41,7 @@
 
 // search is one look for room by all who may claim it.
 type search struct {
-	c        *Core
+	c        *Scheduler
 	now      time.Time
 	excess   map[string]quota.Amount // what teams run beyond their guarantees
 	versions map[*fleet.Machine]int  // how often a machine was changed by this look
@@ -57,7 +57,7 @@
 // tasks in the middle of their fetches. Nobody is stopped for what could not start all
 // the same: a gang gets all its places or none. Jobs alike share one look at the
 // machines: without that, a queue of urgent jobs costs a look at every task for each.
-func (c *Core) preempt(now time.Time) {
+func (c *Scheduler) preempt(now time.Time) {
 	if !c.settled {
 		return
 	}
@@ -75,19 +75,19 @@
 	s := &search{c: c, now: now, excess: map[string]quota.Amount{}, versions: map[*fleet.Machine]int{}, seen: map[likes][]*vacancy{}}
 	if owing {
 		for name, t := range c.set.Teams {
-			s.excess[name] = c.usage.Staying(name).Sub(quota.Amount{CPUs: t.CPUs, GPUs: t.GPUs})
+			s.excess[name] = c.usage.NotStopping(name).Sub(quota.Amount{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs})
 		}
 	}
-	ending := c.freed.lately(now, c.set.Report)
+	ending := c.freed.lately(now, c.set.HeartbeatInterval)
 	for _, j := range claimants {
 		n := c.lacks(j, now)
-		if j.Shape == records.ShapeGroup {
+		if j.Shape == records.ShapeGang {
 			if n > 0 {
 				s.gang(j, n)
 			}
 			continue
 		}
-		for n > 0 && ending.Fits(j.req) && j.req != (packing.Vec{}) {
+		for n > 0 && ending.Fits(j.req) && j.req != (packing.Resources{}) {
 			ending = ending.Sub(j.req)
 			n--
 		}
@@ -124,7 +124,7 @@
 			return
 		}
 	}
-	j.claimAfter = s.now.Add(s.c.set.Report) // it was a look at every task, for nothing
+	j.claimAfter = s.now.Add(s.c.set.HeartbeatInterval) // it was a look at every task, for nothing
 }
 
 // machines lists those that a job may use, in a zone or, with "", in all.
@@ -147,7 +147,7 @@
 	s.weigh(j, v, s.excess)
 	// Room that is free now and nobody's own is for placing; only a gang, whose places
 	// are not all free at once, makes that its own as well.
-	if v.ok && j.Shape != records.ShapeGroup && v.m.Bin.Fits(j.req) {
+	if v.ok && j.Shape != records.ShapeGang && v.m.Bin.Fits(j.req) {
 		v.ok = false
 	}
 }
@@ -256,11 +256,11 @@
 // stoppable says whether an attempt may be stopped for the sake of a job: it has lower
 // priority, or its team runs more than it is guaranteed and the job's is owed that.
 func (s *search) stoppable(j *Job, a *fleet.Attempt, excess map[string]quota.Amount) bool {
-	if a.Stopping() || !a.Present() || a.State() == fleet.Sent || a.Item == nil {
+	if a.Stopping() || !a.MayBePresent() || a.State() == fleet.Sent || a.Item == nil {
 		return false
 	}
 	aj := s.c.jobOf(a)
-	if aj == nil || aj.Shape != records.ShapeBatch || aj.holds {
+	if aj == nil || aj.Shape != records.ShapeArray || aj.holds {
 		return false
 	}
 	if _, before := j.stopped[a.Task]; before {
@@ -272,7 +272,7 @@
 
 // loss is the machine time that stopping an attempt throws away, as a share of
 // a machine. Tasks about to finish are left alone.
-func (c *Core) loss(j *Job, a *fleet.Attempt, now time.Time) (float64, bool) {
+func (c *Scheduler) loss(j *Job, a *fleet.Attempt, now time.Time) (float64, bool) {
 	share := a.Machine.Bin.Cap.Share(j.req)
 	if a.RunSince.IsZero() {
 		return share * 0.5, true
@@ -290,10 +290,10 @@
 // flow is the room that ends of tasks have freed lately.
 type flow struct {
 	since     time.Time
-	now, last packing.Vec
+	now, last packing.Resources
 }
 
-func (f *flow) add(req packing.Vec, now time.Time, span time.Duration) {
+func (f *flow) add(req packing.Resources, now time.Time, span time.Duration) {
 	f.turn(now, span)
 	f.now = f.now.Add(req)
 }
@@ -302,14 +302,14 @@
 func (f *flow) turn(now time.Time, span time.Duration) {
 	switch past := now.Sub(f.since); {
 	case past >= 2*span:
-		f.since, f.now, f.last = now, packing.Vec{}, packing.Vec{}
+		f.since, f.now, f.last = now, packing.Resources{}, packing.Resources{}
 	case past >= span:
-		f.since, f.now, f.last = f.since.Add(span), packing.Vec{}, f.now
+		f.since, f.now, f.last = f.since.Add(span), packing.Resources{}, f.now
 	}
 }
 
 // lately is what was freed in the span before the one under way.
-func (f *flow) lately(now time.Time, span time.Duration) packing.Vec {
+func (f *flow) lately(now time.Time, span time.Duration) packing.Resources {
 	f.turn(now, span)
 	return f.last
 }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -13,7 +13,7 @@
 // chunk's own id, as earlier versions write it, holds all of the chunk, and is never
 // written over with less.
 type progress struct {
-	shelf *records.Shelf
+	shelf *records.PagedRecords
 	set   Settings
 	jobs  map[string]*kept
 	parts map[string]part // by record
@@ -43,7 +43,7 @@
 func (s *Settings) perChunk() int { return (s.ChunkTasks + s.PartTasks - 1) / s.PartTasks }
 
 // part tells to which part a task belongs.
-func (c *Core) part(n int) int {
+func (c *Scheduler) part(n int) int {
 	return n/c.set.ChunkTasks*c.set.perChunk() + n%c.set.ChunkTasks/c.set.PartTasks
 }
 
@@ -54,7 +54,7 @@
 	return chunk, from, min(from+s.PartTasks, s.ChunkTasks, tasks-chunk*s.ChunkTasks)
 }
 
-func newProgress(set Settings, shelf *records.Shelf) *progress {
+func newProgress(set Settings, shelf *records.PagedRecords) *progress {
 	return &progress{shelf: shelf, set: set, jobs: map[string]*kept{}, parts: map[string]part{}}
 }
 
@@ -76,7 +76,7 @@
 
 // load takes in a record of an open job. One that can be written again and holds
 // nothing but one part goes on as that part's.
-func (p *progress) load(c *Core, id string, j *Job, chunk int, ranges string) error {
+func (p *progress) load(c *Scheduler, id string, j *Job, chunk int, ranges string) error {
 	k := p.of(j.ID)
 	k.taken[id] = true
 	first, last := -1, -1
@@ -90,7 +90,7 @@
 	}); err != nil {
 		return err
 	}
-	if first >= 0 && first == last && k.ids[first] == "" && p.shelf.Has(id) && p.suits(records.Zeros(id), first) {
+	if first >= 0 && first == last && k.ids[first] == "" && p.shelf.Has(id) && p.suits(records.LeadingZeros(id), first) {
 		k.ids[first], p.parts[id] = id, part{j.ID, first}
 		return nil
 	}
@@ -104,12 +104,12 @@
 }
 
 // gather puts what has been finished since on the shelf.
-func (p *progress) gather(c *Core) {
+func (p *progress) gather(c *Scheduler) {
 	for _, j := range c.jobs {
 		for n := range j.dirty {
 			delete(j.dirty, n)
 			chunk, from, to := p.set.span(n, j.Tasks)
-			raw, err := json.Marshal(records.Ranges(func(i int) bool {
+			raw, err := json.Marshal(records.FormatRanges(func(i int) bool {
 				return i >= from && has(j.done, chunk*p.set.ChunkTasks+i)
 			}, to))
 			if err == nil {
@@ -154,7 +154,7 @@
 
 // stored returns what marks the finished tasks of some records, as they are now, as
 // stored.
-func (p *progress) stored(c *Core, ids []string) func(uint64) {
+func (p *progress) stored(c *Scheduler, ids []string) func(uint64) {
 	type was struct {
 		j    *Job
 		n    int
@@ -201,7 +201,7 @@
 }
 
 // again writes records once more that need another place.
-func (p *progress) again(c *Core, ids []string) {
+func (p *progress) again(c *Scheduler, ids []string) {
 	for _, id := range ids {
 		x := p.parts[id]
 		if j := c.jobs[x.job]; j != nil {
--- a/internal/scheduler/progress_test.go
+++ b/internal/scheduler/progress_test.go
@@ -18,7 +18,7 @@
 
 func (s store) keys() []string { return slices.Sorted(maps.Keys(s)) }
 
-func (s store) bytes(key string) int { return records.Size(s[key]) }
+func (s store) bytes(key string) int { return records.EncodedSize(s[key]) }
 
 func (s store) apply(op records.Op) {
 	if op.Delete != "" {
@@ -86,7 +86,7 @@
 	e.memory[job][n] = true
 	c := n / e.chunk
 	size := min(e.chunk, tasks-c*e.chunk)
-	raw, _ := json.Marshal(records.Ranges(func(i int) bool { return e.memory[job][c*e.chunk+i] }, size))
+	raw, _ := json.Marshal(records.FormatRanges(func(i int) bool { return e.memory[job][c*e.chunk+i] }, size))
 	id := records.PartID(job, c, 0)
 	key := e.where[id]
 	if key == "" {
@@ -110,10 +110,10 @@
 
 func settings(valueKB, nextKB float64) Settings {
 	cfg := &config.Config{Options: config.DefaultOptions()}
-	cfg.Facts.Workers = config.Workers{ReportS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-	cfg.Facts.State.ValueKB = valueKB
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
+	cfg.Deployment.State.ValueKB = valueKB
 	if nextKB > 0 {
-		cfg.Facts.State.Next.ValueKB = &nextKB
+		cfg.Deployment.State.Next.ValueKB = &nextKB
 	}
 	return SettingsOf(cfg)
 }
@@ -163,12 +163,12 @@
 				continue
 			}
 			now := time.Unix(1000, 0)
-			c := NewCore(set, uint64(term), now)
+			c := New(set, uint64(term), now)
 			for _, id := range jobs {
-				c.AddJob(records.Job{ID: id, Tasks: tasks[id], Shape: records.ShapeBatch}, 1, now, now)
+				c.AddJob(records.Job{ID: id, Tasks: tasks[id], Shape: records.ShapeArray}, 1, now, now)
 			}
 			n := 0
-			p := newProgress(set, records.NewShelf("done/", nextKB, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }))
+			p := newProgress(set, records.NewPagedRecords("done/", nextKB, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }))
 			for _, key := range s.keys() {
 				p.shelf.Load(key, s[key], s.bytes(key))
 				for id, v := range s[key] {
@@ -187,12 +187,12 @@
 			for range 6 {
 				ended(func(job string, n int) { c.markDone(c.jobs[job], n) })
 				p.gather(c)
-				for len(p.shelf.Changed()) > 0 {
-					b := p.shelf.Changed()[0]
-					op, _, ids := p.shelf.Take(b)
+				for len(p.shelf.Dirty()) > 0 {
+					b := p.shelf.Dirty()[0]
+					op, _, ids := p.shelf.TakeWrite(b)
 					if op.Write != "" {
 						written[op.Write] = true
-						if size := records.Size(op.Value); float64(size) > nextKB*1024 {
+						if size := records.EncodedSize(op.Value); float64(size) > nextKB*1024 {
 							t.Fatalf("seed %d: %s takes %d bytes", seed, op.Write, size)
 						}
 					} else if !written[op.Delete] {
@@ -235,14 +235,14 @@
 		t.Fatalf("%d parts in a chunk", set.perChunk())
 	}
 	now := time.Unix(1000, 0)
-	c := NewCore(set, 3, now)
-	c.AddJob(records.Job{ID: "j-1", Tasks: 5000, Shape: records.ShapeBatch}, 1, now, now)
-	p := newProgress(set, records.NewShelf("done/", 8, func() string { return "3-1" }))
+	c := New(set, 3, now)
+	c.AddJob(records.Job{ID: "j-1", Tasks: 5000, Shape: records.ShapeArray}, 1, now, now)
+	p := newProgress(set, records.NewPagedRecords("done/", 8, func() string { return "3-1" }))
 	for _, n := range []int{0, 1, 2, 7, 2048, 4999} {
 		c.markDone(c.jobs["j-1"], n)
 	}
 	p.gather(c)
-	op, _, _ := p.shelf.Take(p.shelf.Changed()[0])
+	op, _, _ := p.shelf.TakeWrite(p.shelf.Dirty()[0])
 	raw, _ := json.Marshal(op.Value)
 	if want := `{"j-1/0":"0-2,7","j-1/1":"0","j-1/2":"903"}`; string(raw) != want || op.Write != "done/3-1" {
 		t.Errorf("%s %s, want %s", op.Write, raw, want)
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -11,7 +11,7 @@
 
 // ofTeam gives the job what the settings say of its team.
 func (j *Job) ofTeam(t config.Team) {
-	j.team, j.limited = t, t.CPUsMax > 0 || t.GPUsMax > 0
+	j.team, j.limited = t, t.LimitCPUs > 0 || t.LimitGPUs > 0
 }
 
 // quota is what one task of the job counts for.
@@ -19,7 +19,7 @@
 
 // charge brings the account up to date with an attempt. The fleet's table calls it for every
 // change of the attempt; a change of its job (it comes, or is over) is the other reason.
-func (c *Core) charge(a *fleet.Attempt) {
+func (c *Scheduler) charge(a *fleet.Attempt) {
 	next := c.chargeOf(a)
 	c.usage.Replace(a.Charge, next)
 	a.Charge = next
@@ -28,10 +28,10 @@
 // chargeOf is what an attempt counts for: all that may be on a machine, and apart from that
 // what is planned. Where its job is over or not known it counts for every team, as what it
 // takes until it is proven gone.
-func (c *Core) chargeOf(a *fleet.Attempt) quota.Charge {
+func (c *Scheduler) chargeOf(a *fleet.Attempt) quota.Charge {
 	var charge quota.Charge
 	switch {
-	case !a.Listed() || a.State() == fleet.Ended:
+	case !a.OnMachine() || a.State() == fleet.Ended:
 		return charge
 	case a.State() == fleet.Planned:
 		charge.Phase = quota.Planned
@@ -53,24 +53,24 @@
 
 // withinLimit says whether one more task of the job is within its team's limit, beside what is
 // used.
-func (c *Core) withinLimit(j *Job, used quota.Amount) bool {
+func (c *Scheduler) withinLimit(j *Job, used quota.Amount) bool {
 	t := j.team
 	sum := used.Add(j.quota())
-	return (t.CPUsMax == 0 || sum.CPUs <= t.CPUsMax+quotaSlack) && (t.GPUsMax == 0 || sum.GPUs <= t.GPUsMax+quotaSlack)
+	return (t.LimitCPUs == 0 || sum.CPUs <= t.LimitCPUs+quotaSlack) && (t.LimitGPUs == 0 || sum.GPUs <= t.LimitGPUs+quotaSlack)
 }
 
 // wanted is how many of a job's tasks wait and are within its team's limit.
-func (c *Core) wanted(j *Job) int {
+func (c *Scheduler) wanted(j *Job) int {
 	n := j.pending() + j.leaving
 	if !j.limited {
 		return n
 	}
 	t, used := j.team, c.usage.Committed(j.Team)
-	if t.CPUsMax > 0 && j.CPUs > 0 {
-		n = min(n, int((t.CPUsMax-used.CPUs)/j.CPUs+quotaSlack))
+	if t.LimitCPUs > 0 && j.CPUs > 0 {
+		n = min(n, int((t.LimitCPUs-used.CPUs)/j.CPUs+quotaSlack))
 	}
-	if t.GPUsMax > 0 && j.GPUs > 0 {
-		n = min(n, int((t.GPUsMax-used.GPUs)/j.GPUs+quotaSlack))
+	if t.LimitGPUs > 0 && j.GPUs > 0 {
+		n = min(n, int((t.LimitGPUs-used.GPUs)/j.GPUs+quotaSlack))
 	}
 	return n
 }
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -17,7 +17,7 @@
 )
 
 // scanUsage is the oracle of the account: a look at every attempt on every machine.
-func scanUsage(c *Core, team string) (inUse, committed, staying quota.Amount) {
+func scanUsage(c *Scheduler, team string) (inUse, committed, staying quota.Amount) {
 	for _, m := range c.fleet.Sorted() {
 		for _, a := range m.Attempts() {
 			if a.State() == fleet.Ended {
@@ -33,7 +33,7 @@
 				continue
 			}
 			committed = committed.Add(size)
-			if a.Present() {
+			if a.MayBePresent() {
 				inUse = inUse.Add(size)
 				if mine && !a.Stopping() {
 					staying = staying.Add(size)
@@ -45,7 +45,7 @@
 }
 
 // checkUsage compares the account with the scan, for every team.
-func checkUsage(t *rapid.T, c *Core, after string) {
+func checkUsage(t *rapid.T, c *Scheduler, after string) {
 	same := func(a, b quota.Amount) bool {
 		return math.Abs(a.CPUs-b.CPUs) < quotaSlack && math.Abs(a.GPUs-b.GPUs) < quotaSlack
 	}
@@ -57,7 +57,7 @@
 		if got := c.usage.Committed(team); !same(got, committed) {
 			t.Fatalf("after %s: %s has committed %+v by the account, %+v by the scan", after, team, got, committed)
 		}
-		if got := c.usage.Staying(team); !same(got, staying) {
+		if got := c.usage.NotStopping(team); !same(got, staying) {
 			t.Fatalf("after %s: of %s stays %+v by the account, %+v by the scan", after, team, got, staying)
 		}
 	}
@@ -65,7 +65,7 @@
 
 // checkKept compares what is kept as events come with a look at all jobs: who may have tasks to start, and who is
 // complete.
-func checkKept(t *rapid.T, c *Core, after string) {
+func checkKept(t *rapid.T, c *Scheduler, after string) {
 	for i, turn := range c.order.turns {
 		if !turn.j.over && !turn.j.idle() && c.order.awake.next(i) != i {
 			t.Fatalf("after %s: %s has tasks to start, and is passed over", after, turn.j.ID)
@@ -83,7 +83,7 @@
 	*fakeFleet
 	t      *rapid.T
 	teams  []config.Team
-	old    []fleet.Report // reports that came, of which copies may come again
+	old    []fleet.Heartbeat // reports that came, of which copies may come again
 	came   []records.Job
 	drains int
 }
@@ -91,7 +91,7 @@
 func newUsageStory(t *rapid.T) *usageStory {
 	var teams []config.Team
 	for i := range 4 {
-		teams = append(teams, config.Team{Name: fmt.Sprint("team-", i), CPUs: float64(i), CPUsMax: float64(4 * (i % 3)), GPUsMax: float64(i % 2)})
+		teams = append(teams, config.Team{Name: fmt.Sprint("team-", i), GuaranteedCPUs: float64(i), LimitCPUs: float64(4 * (i % 3)), LimitGPUs: float64(i % 2)})
 	}
 	options := config.DefaultOptions()
 	options.Guarantees = true
@@ -103,8 +103,8 @@
 func (s *usageStory) submit() {
 	j := records.Job{
 		ID: fmt.Sprint("j-", len(s.came)), Team: rapid.SampledFrom(s.teams).Draw(s.t, "team").Name, Image: "img", MemGB: 1,
-		Shape:    rapid.SampledFrom([]string{records.ShapeBatch, records.ShapeBatch, records.ShapeGroup, records.ShapeService}).Draw(s.t, "shape"),
-		Priority: rapid.SampledFrom([]string{records.PrioCritical, records.PrioUrgent, records.PrioNormal, records.PrioLow}).Draw(s.t, "priority"),
+		Shape:    rapid.SampledFrom([]string{records.ShapeArray, records.ShapeArray, records.ShapeGang, records.ShapeService}).Draw(s.t, "shape"),
+		Priority: rapid.SampledFrom([]string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}).Draw(s.t, "priority"),
 		CPUs:     rapid.SampledFrom([]float64{0.1, 0.3, 1, 2, 4}).Draw(s.t, "cpus"), Tasks: rapid.IntRange(1, 6).Draw(s.t, "tasks"), EstimateS: 20, AcceptedMS: s.now.UnixMilli(),
 	}
 	if rapid.Bool().Draw(s.t, "saves") {
@@ -119,25 +119,25 @@
 func (s *usageStory) report() {
 	h := s.pickHost()
 	s.advance(h)
-	h.report.Tick++
+	h.report.Sequence++
 	h.report.Tasks = nil
 	for _, shot := range h.attempts {
-		h.report.Tasks = append(h.report.Tasks, shot.TaskReport)
+		h.report.Tasks = append(h.report.Tasks, shot.TaskStatus)
 	}
 	r := h.report
-	r.Tasks = append([]fleet.TaskReport(nil), r.Tasks...)
+	r.Tasks = append([]fleet.TaskStatus(nil), r.Tasks...)
 	s.old = append(s.old, r)
-	m, stale := s.c.Body(&r, rapid.IntRange(0, 5).Draw(s.t, "answer to a command") > 0, s.now)
+	m, stale := s.c.Reconcile(&r, rapid.IntRange(0, 5).Draw(s.t, "answer to a command") > 0, s.now)
 	if stale || m == nil {
 		return
 	}
 	m.Recorded = true
-	s.c.Choose(m, s.now)
+	s.c.PlanMachine(m, s.now)
 	resp := s.c.Respond(m, true, s.now)
 	if rapid.IntRange(0, 4).Draw(s.t, "lost answer") > 0 {
-		s.c.Answered(m, "", s.now)
-		h.report.Baton = s.c.term
-		s.obey(h, resp.Orders)
+		s.c.NoteAnswered(m, "", s.now)
+		h.report.FencingToken = s.c.term
+		s.obey(h, resp.Commands)
 	}
 }
 
@@ -147,7 +147,7 @@
 	id := fleet.TaskID{Job: fmt.Sprint("j-", rapid.IntRange(0, 12).Draw(s.t, "job")), N: rapid.IntRange(0, 8).Draw(s.t, "task")}
 	h := s.pickHost()
 	h.attempts = append(h.attempts, &fakeAttempt{
-		TaskReport: fleet.TaskReport{Shot: id.String(), Try: 3<<24 + uint64(rapid.IntRange(1, 9).Draw(s.t, "attempt")), Status: "running"},
+		TaskStatus: fleet.TaskStatus{Task: id.String(), Attempt: 3<<24 + uint64(rapid.IntRange(1, 9).Draw(s.t, "attempt")), Status: "running"},
 		job:        id.Job, ends: s.now.Add(20 * time.Second),
 	})
 }
@@ -155,11 +155,11 @@
 // takeover begins the next term with what the store has.
 func (s *usageStory) takeover() {
 	before := s.c
-	s.c = NewCore(before.set, before.term+1, s.now)
+	s.c = New(before.set, before.term+1, s.now)
 	s.c.SetTypes([]records.MachineType{before.types["c4"]})
 	for _, m := range before.fleet.Sorted() {
 		if m.Recorded {
-			s.c.LoadHost(m.Host, records.Host{Addr: m.Addr, Type: m.Type, Zone: m.Zone}, s.now)
+			s.c.LoadMachine(m.Host, records.Machine{Addr: m.Addr, Type: m.Type, Zone: m.Zone}, s.now)
 		}
 	}
 	for _, j := range s.came {
@@ -195,16 +195,16 @@
 	case "late copy":
 		if len(s.old) > 0 {
 			r := rapid.SampledFrom(s.old).Draw(s.t, "copy")
-			s.c.Body(&r, true, s.now)
+			s.c.Reconcile(&r, true, s.now)
 		}
 	case "stranger":
 		s.stranger()
 	case "session":
 		h := s.pickHost()
-		h.report.Session, h.attempts = h.report.Session+1, nil
+		h.report.Incarnation, h.attempts = h.report.Incarnation+1, nil
 	case "cancellation":
 		if id := s.anyJob(); id != "" {
-			s.c.Over(id, records.Over{Status: records.StatusCancelled}, 20)
+			s.c.NoteClosed(id, records.ClosedJob{Status: records.StatusCancelled}, 20)
 		}
 	case "end":
 		if id := s.anyJob(); id != "" {
@@ -214,23 +214,23 @@
 		s.now = s.now.Add(14 * time.Second)
 		s.c.Tick(s.now, true)
 	case "return":
-		s.c.Returned([]string{s.pickHost().report.Host}, s.now)
+		s.c.MachinesReturned([]string{s.pickHost().report.Machine}, s.now)
 	case "failure":
 		h := s.pickHost().report
-		s.c.Listed([]autoscaler.Listed{{Host: h.Host, Addr: h.Addr, Type: "c4", Zone: h.Zone, Status: "failed"}}, s.now, s.now)
+		s.c.ReconcileCloudList([]autoscaler.CloudMachine{{Machine: h.Machine, Addr: h.Addr, Type: "c4", Zone: h.Zone, Status: "failed"}}, s.now, s.now)
 	case "takeover":
 		if rapid.IntRange(0, 3).Draw(s.t, "yes") == 0 {
 			s.takeover()
 		}
 	case "lapse":
-		s.c.Lapse(s.now)
+		s.c.ExpireEarlierLeases(s.now)
 	case "drain":
 		s.drains++
-		s.c.SetDrain(drain.Spec{ID: fmt.Sprint("d-", s.drains), Kind: drain.Empty, Machines: []string{s.pickHost().report.Host}, BeganMS: s.now.UnixMilli()}, nil, 0)
+		s.c.SetDrain(drain.Spec{ID: fmt.Sprint("d-", s.drains), Kind: drain.Empty, Machines: []string{s.pickHost().report.Machine}, BeganMS: s.now.UnixMilli()}, nil, 0)
 	case "settle":
-		s.c.CheckSettled(s.now)
+		s.c.CheckReconciled(s.now)
 	case "faulty":
-		if m := s.c.fleet.Machines[s.pickHost().report.Host]; m != nil {
+		if m := s.c.fleet.Machines[s.pickHost().report.Machine]; m != nil {
 			s.c.condemn(m)
 		}
 	}
@@ -250,7 +250,7 @@
 			checkKept(t, s.c, event)
 		}
 		for _, m := range s.c.fleet.Sorted() {
-			s.c.DropMachine(m.Host, s.now)
+			s.c.RemoveMachine(m.Host, s.now)
 		}
 		checkUsage(t, s.c, "the loss of all machines")
 		if !s.c.usage.Empty() {
--- a/internal/scheduler/records_test.go
+++ b/internal/scheduler/records_test.go
@@ -12,28 +12,28 @@
 	"drumpick/internal/watermark"
 )
 
-func recorded(term uint64, valueKB float64) (*Core, *Records, time.Time) {
+func recorded(term uint64, valueKB float64) (*Scheduler, *Persistence, time.Time) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
-	cfg.Facts.Workers = config.Workers{ReportS: 2, LeaseS: 12, CancelS: 30}
-	cfg.Facts.State.ValueKB = valueKB
-	cfg.Options.Marks = true
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, CancelS: 30}
+	cfg.Deployment.State.ValueKB = valueKB
+	cfg.Options.Watermarks = true
 	now := time.Unix(1_000_000, 0)
-	c := NewCore(SettingsOf(cfg), term, now)
-	return c, NewRecords(c, valueKB, 16), now
+	c := New(SettingsOf(cfg), term, now)
+	return c, NewPersistence(c, valueKB, 16), now
 }
 
-func noOath(time.Time) *watermark.Record { return nil }
+func noOath(time.Time) *watermark.StoredAttestation { return nil }
 
 // The limits fall while marks rise: a value of marks is refused as too large, and what is
 // stored in its place is what is asked for by then. Guards against a mark that is put back
 // as it was, and a job whose tasks wait for the one that was asked for.
 func TestMarksRefused(t *testing.T) {
 	c, r, now := recorded(1, 8)
-	r.Loaded(false)
-	c.CheckSettled(now)
+	r.FinishLoading(false)
+	c.CheckReconciled(now)
 	const jobs = 200
 	for n := range jobs {
-		c.AddJob(records.Job{ID: fmt.Sprint("j-", n), Team: "team", Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: 5000, CPUs: 1}, 10, now, now)
+		c.AddJob(records.Job{ID: fmt.Sprint("j-", n), Team: "team", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 5000, CPUs: 1}, 10, now, now)
 	}
 	even := func(id string) bool { return strings.Contains("02468", id[len(id)-1:]) }
 	for _, j := range c.jobs {
@@ -43,24 +43,24 @@
 	refused := 0
 	for round := range 6 {
 		now = now.Add(time.Second)
-		for _, w := range r.Writes(now, noOath) {
+		for _, w := range r.NextWrites(now, noOath) {
 			key := w.Ops[0].Write
-			if !strings.HasPrefix(key, records.PrefixSent) {
+			if !strings.HasPrefix(key, records.PrefixWatermarks) {
 				continue
 			}
 			entries := w.Ops[0].Value.(map[string]json.RawMessage)
-			if records.Size(entries) > 2<<10 {
+			if records.EncodedSize(entries) > 2<<10 {
 				for id, j := range c.jobs {
 					if even(id) {
 						c.raise(j, 3000) // while it was on its way
 					}
 				}
-				w.Refused()
+				w.OnTooLarge()
 				refused++
 				continue
 			}
 			stored[key] = entries
-			w.Apply(uint64(20 + round))
+			w.OnStored(uint64(20 + round))
 		}
 	}
 	if refused == 0 {
@@ -73,7 +73,7 @@
 		most := 0
 		for _, entries := range stored {
 			if v, ok := entries[id]; ok {
-				n, err := records.ParseMark(v)
+				n, err := records.ParseWatermark(v)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -92,10 +92,10 @@
 		`{"j-1":"000004"}`: true, `{"j-1":"-2"}`: false, `{"j-1":7}`: false, `"torn`: false, `[]`: false,
 	} {
 		c, r, now := recorded(30, 8)
-		c.AddJob(records.Job{ID: "j-1", Team: "team", Shape: records.ShapeBatch, Priority: records.PrioNormal, Tasks: 10, CPUs: 1}, 10, now, now)
-		c.LoadHost("m-1", records.Host{Addr: "m-1:1"}, now)
-		r.LoadMark(records.Row{Key: records.PrefixSent + "1-1", Value: json.RawMessage(value)})
-		r.Loaded(true)
+		c.AddJob(records.Job{ID: "j-1", Team: "team", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 10, CPUs: 1}, 10, now, now)
+		c.LoadMachine("m-1", records.Machine{Addr: "m-1:1"}, now)
+		r.LoadWatermark(records.KeyValue{Key: records.PrefixWatermarks + "1-1", Value: json.RawMessage(value)})
+		r.FinishLoading(true)
 		if n := c.jobs["j-1"].doubts(); (n < 10) != whole {
 			t.Errorf("marks %s: %d tasks of 10 are in doubt", value, n)
 		}
--- a/internal/scheduler/rentplan.go
+++ b/internal/scheduler/rentplan.go
@@ -22,7 +22,7 @@
 
 type rentState struct {
 	refused  map[offer]time.Time
-	inflight map[string]autoscaler.Request
+	inflight map[string]autoscaler.RentalRequest
 	returned map[string]time.Time // given back: may still be listed for a while
 	listed   map[string]time.Time // until when it is known to have been listed, or up
 	ready    bool                 // a list has been read under this term
@@ -30,7 +30,7 @@
 
 func newRentState() rentState {
 	return rentState{
-		refused: map[offer]time.Time{}, inflight: map[string]autoscaler.Request{},
+		refused: map[offer]time.Time{}, inflight: map[string]autoscaler.RentalRequest{},
 		returned: map[string]time.Time{}, listed: map[string]time.Time{},
 	}
 }
@@ -39,15 +39,15 @@
 // a plan leaves out the next one counts, a quarter of a report interval later, beside what was
 // asked for by then. It lies above the largest fleet that one leader was seen to carry, so that
 // a fleet for all that waits is planned in one look and no type or zone waits for another.
-const mostNew = 200 * autoscaler.MostCount
+const mostNew = 200 * autoscaler.MaxRentCount
 
-func (c *Core) startup(typ string) time.Duration {
+func (c *Scheduler) startup(typ string) time.Duration {
 	return time.Duration(c.types[typ].StartupS * float64(time.Second))
 }
 
-func (c *Core) capacity(typ string) packing.Vec {
+func (c *Scheduler) capacity(typ string) packing.Resources {
 	t := c.types[typ]
-	return packing.Vec{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB}
+	return packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB}
 }
 
 // plan is one look at what to rent.
@@ -60,18 +60,18 @@
 	opened int
 }
 
-func (p *plan) add(o offer, capacity packing.Vec) *packing.Bin {
+func (p *plan) add(o offer, capacity packing.Resources) *packing.Bin {
 	b := packing.NewBin("", capacity)
 	b.Owner = o
 	p.spaces[o.typ].Add(b)
 	return b
 }
 
-// Wants tells what to rent now: the new bins that the packing would open for
+// PlanRentals tells what to rent now: the new bins that the packing would open for
 // what waits, less what is booting, and no more than the work can keep busy
 // for about as long as a machine takes to start.
-func (c *Core) Wants(now time.Time) []autoscaler.Request {
-	if !c.rent.ready || len(c.types) == 0 || c.means.Level() > overload.Easy {
+func (c *Scheduler) PlanRentals(now time.Time) []autoscaler.RentalRequest {
+	if !c.rent.ready || len(c.types) == 0 || c.means.Level() > overload.Normal {
 		return nil
 	}
 	p := &plan{
@@ -90,7 +90,7 @@
 		// While machines are drained, tasks that are to leave them wait for room as well;
 		// what is up and empty is for them, and no reason to rent more.
 		free := c.draining && m.Empty() && c.open(m, now)
-		if (!m.Up || free) && !m.Returning && !m.Lost && p.spaces[m.Type] != nil {
+		if (!m.Up || free) && !m.Returning && !m.LeaseExpired && p.spaces[m.Type] != nil {
 			p.add(offer{m.Type, m.Zone, m.Spot}, c.capacity(m.Type))
 		}
 	}
@@ -121,7 +121,7 @@
 		return fmt.Sprint(offers[a]) < fmt.Sprint(offers[b])
 	})
 	running := c.runningWork(now)
-	var reqs []autoscaler.Request
+	var reqs []autoscaler.RentalRequest
 	for _, o := range offers {
 		n := p.counts[o]
 		// Work that the machines at hand will soon have done needs no others.
@@ -134,14 +134,14 @@
 		for _, k := range have {
 			all += k
 		}
-		n = c.means.Room(all, n)
+		n = c.means.RentalHeadroom(all, n)
 		have[o.typ] += max(n, 0)
 		if n <= 0 || asked[o] {
 			continue
 		}
-		term, seq := c.Name()
-		r := autoscaler.Request{Booking: fmt.Sprintf("r-%d-%d", term, seq), Type: o.typ, Zone: o.zone, Spot: o.spot, Count: min(n, autoscaler.MostCount)}
-		c.rent.inflight[r.Booking] = r
+		term, seq := c.NextRequestName()
+		r := autoscaler.RentalRequest{Name: fmt.Sprintf("r-%d-%d", term, seq), Type: o.typ, Zone: o.zone, Spot: o.spot, Count: min(n, autoscaler.MaxRentCount)}
+		c.rent.inflight[r.Name] = r
 		reqs = append(reqs, r)
 	}
 	return reqs
@@ -149,7 +149,7 @@
 
 // anyPermits says whether a machine at hand, or about to be rented, may take the
 // job's tasks at all.
-func (c *Core) anyPermits(j *Job, counts map[offer]int) bool {
+func (c *Scheduler) anyPermits(j *Job, counts map[offer]int) bool {
 	for _, m := range c.fleet.Sorted() {
 		if inService(m) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.req) {
 			return true
@@ -171,7 +171,7 @@
 // horizon is how long, in startup times, the machines at hand may take for all
 // the work before others are rented. Where cheap machines of the kind exist, the
 // ordinary ones are worth it only for longer work.
-func (c *Core) horizon(o offer) float64 {
+func (c *Scheduler) horizon(o offer) float64 {
 	if t := c.types[o.typ]; !o.spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
 		return horizonDear
 	}
@@ -184,11 +184,11 @@
 )
 
 // runningWork is what running tasks still have before them, in machine seconds.
-func (c *Core) runningWork(now time.Time) map[string]float64 {
+func (c *Scheduler) runningWork(now time.Time) map[string]float64 {
 	sum := map[string]float64{}
 	for _, m := range c.fleet.Sorted() {
 		for _, a := range m.Attempts() {
-			if j := c.jobOf(a); j != nil && a.Item != nil && j.Shape == records.ShapeBatch {
+			if j := c.jobOf(a); j != nil && a.Item != nil && j.Shape == records.ShapeArray {
 				sum[m.Type] += c.remaining(j, a, now) * m.Bin.Cap.Share(a.Item.Req)
 			}
 		}
@@ -198,10 +198,10 @@
 
 // plan packs n waiting tasks of a job into machines that are booting, and opens
 // new bins for the rest, as many at once as hold nothing but these tasks.
-func (c *Core) plan(p *plan, j *Job, n int, now time.Time) {
+func (c *Scheduler) plan(p *plan, j *Job, n int, now time.Time) {
 	it := func() *packing.Item { return &packing.Item{ID: j.ID, Req: j.req} }
 	note := func(typ string, n int) {
-		if j.Shape == records.ShapeBatch {
+		if j.Shape == records.ShapeArray {
 			p.busy[typ] += float64(n) * j.EstimateS * c.capacity(typ).Share(j.req)
 		} else {
 			p.busy[typ] = math.Inf(1) // gangs and replicas need all their places
@@ -256,7 +256,7 @@
 
 // alone tells how many items of a size a bin holds by the paper's combinations,
 // and whether others may join them.
-func alone(capacity, req packing.Vec) (n int, takes bool) {
+func alone(capacity, req packing.Resources) (n int, takes bool) {
 	b := packing.NewBin("", capacity)
 	s := &packing.Space{OnlyPaper: true}
 	s.Add(b)
@@ -267,7 +267,7 @@
 		}
 		n++
 	}
-	return max(n, 1), b.Takes()
+	return max(n, 1), b.AllowsJoin()
 }
 
 // mostAlone bounds for how many tasks it is tried whether an empty machine holds them. It does
@@ -277,7 +277,7 @@
 
 // offerFor picks what to rent for a task: cheap machines where the job permits,
 // by price for its share, in the zone that has the fewest, a dark one last.
-func (c *Core) offerFor(p *plan, j *Job, now time.Time) (offer, bool) {
+func (c *Scheduler) offerFor(p *plan, j *Job, now time.Time) (offer, bool) {
 	var best offer
 	bestCost, bestCount, bestDark, found := 0.0, 0, false, false
 	for _, name := range c.names {
@@ -299,7 +299,7 @@
 					continue
 				}
 				// What is rented in a dark zone is of use only when that is back.
-				dark := c.cuts.Dark(z)
+				dark := c.cuts.Suspected(z)
 				if !found || bestDark && !dark || bestDark == dark && (cost < bestCost || cost == bestCost && p.inZone[z] < bestCount) {
 					best, bestCost, bestCount, bestDark, found = o, cost, p.inZone[z], dark, true
 				}
@@ -309,15 +309,15 @@
 	return best, found
 }
 
-// Rented takes in the machines that a request brought.
-func (c *Core) Rented(r autoscaler.Request, hosts []string, now time.Time) {
-	delete(c.rent.inflight, r.Booking)
+// MachinesRented takes in the machines that a request brought.
+func (c *Scheduler) MachinesRented(r autoscaler.RentalRequest, hosts []string, now time.Time) {
+	delete(c.rent.inflight, r.Name)
 	for _, h := range hosts {
 		if _, gone := c.rent.returned[h]; gone || h == "" {
 			continue
 		}
-		m := c.fleet.Ensure(h, "", r.Type, r.Zone, r.Spot)
-		m.Stranger = false
+		m := c.fleet.GetOrCreate(h, "", r.Type, r.Zone, r.Spot)
+		m.Unverified = false
 		if m.Rented.IsZero() {
 			m.Rented = now
 		}
@@ -329,34 +329,34 @@
 	slog.Info("rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(hosts), "term", c.term)
 }
 
-// Refused notes that a request brought nothing.
-func (c *Core) Refused(r autoscaler.Request, noCapacity bool, now time.Time) {
-	delete(c.rent.inflight, r.Booking)
+// RentalRefused notes that a request brought nothing.
+func (c *Scheduler) RentalRefused(r autoscaler.RentalRequest, noCapacity bool, now time.Time) {
+	delete(c.rent.inflight, r.Name)
 	if noCapacity {
 		c.refuse(r, now)
 		slog.Info("no capacity", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "term", c.term)
 	}
 }
 
-func (c *Core) refuse(r autoscaler.Request, now time.Time) {
+func (c *Scheduler) refuse(r autoscaler.RentalRequest, now time.Time) {
 	pause := time.Duration(float64(c.startup(r.Type)) * c.set.RefusedStartups)
 	c.rent.refused[offer{r.Type, r.Zone, r.Spot}] = now.Add(pause)
 }
 
-// Returns tells which machines to give back now, and sends them nothing more.
-func (c *Core) Returns(now time.Time) []string {
+// MachinesToReturn tells which machines to give back now, and sends them nothing more.
+func (c *Scheduler) MachinesToReturn(now time.Time) []string {
 	var hosts []string
 	up, silent, quiet, deaf := 0, 0, 0, 0
 	for _, m := range c.fleet.Sorted() {
 		if m.Up {
 			up++
-			if now.Sub(m.LastBody) > 3*c.set.Report {
+			if now.Sub(m.LastStatus) > 3*c.set.HeartbeatInterval {
 				silent++
 			}
 			if c.quiet(m, now) {
 				quiet++
 			}
-			if m.Deaf() {
+			if m.Unreachable() {
 				deaf++
 			}
 		}
@@ -368,25 +368,25 @@
 	c.mostSilent = silent > 2 && 2*silent > up
 	// Guards against many that fell silent at once and are given back a few at a time, each
 	// being one of few that have been silent for long, or one of the last to come back.
-	if float64(quiet) > someShare*float64(up) || c.cuts.Any() {
+	if float64(quiet) > someShare*float64(up) || c.cuts.AnySuspected() {
 		c.manySilent = now
 	}
-	inherited, unheard := c.fleet.Inherited()
+	inherited, unheard := c.fleet.CountInherited()
 	// Guards against the last of a zone that comes back: they are few then, and just about
 	// to be heard.
 	if float64(unheard) > fewShare*float64(inherited) {
 		c.manyUnheard = now
 	}
 	for _, m := range c.fleet.Sorted() {
-		if m.Returning && len(hosts) < autoscaler.MostNames {
+		if m.Returning && len(hosts) < autoscaler.MaxReturnNames {
 			hosts = append(hosts, m.Host) // an earlier try had no answer
 			continue
 		}
-		if len(hosts) < autoscaler.MostNames && c.giveBack(m, now) {
+		if len(hosts) < autoscaler.MaxReturnNames && c.giveBack(m, now) {
 			m.Returning = true
 			m.Bin.SetOpen(false)
 			hosts = append(hosts, m.Host)
-			slog.Info("giving back", "machine", m.Host, "bad", m.Bad, "lost", m.Lost, "up", m.Up, "term", c.term)
+			slog.Info("giving back", "machine", m.Host, "bad", m.Faulty, "lost", m.LeaseExpired, "up", m.Up, "term", c.term)
 		}
 	}
 	return hosts
@@ -404,9 +404,9 @@
 const someShare = 1.0 / 4
 
 // deaf says whether a machine is known that does not hear.
-func (c *Core) deaf(host string) bool {
+func (c *Scheduler) deaf(host string) bool {
 	m := c.fleet.Machines[host]
-	return m != nil && m.Deaf()
+	return m != nil && m.Unreachable()
 }
 
 // silence is how long a machine may be silent before it is given back without waiting
@@ -414,56 +414,56 @@
 // elsewhere that much sooner. One that the cloud was about to take has most likely been
 // taken; any other has most likely died, unless many are silent, behind a cut or
 // because we stood still.
-func (c *Core) silence(m *fleet.Machine, now time.Time) time.Duration {
-	if !m.Notice.IsZero() && now.After(m.Notice) {
-		return c.set.Report * 3 / 2
+func (c *Scheduler) silence(m *fleet.Machine, now time.Time) time.Duration {
+	if !m.PreemptionAt.IsZero() && now.After(m.PreemptionAt) {
+		return c.set.HeartbeatInterval * 3 / 2
 	}
-	d := max(c.set.Lease/2, 2*c.set.Report)
+	d := max(c.set.Lease/2, 2*c.set.HeartbeatInterval)
 	if now.Sub(c.manySilent) > d {
 		return d
 	}
 	return math.MaxInt64
 }
 
-func (c *Core) giveBack(m *fleet.Machine, now time.Time) bool {
-	startup := max(c.startup(m.Type), c.set.Report)
+func (c *Scheduler) giveBack(m *fleet.Machine, now time.Time) bool {
+	startup := max(c.startup(m.Type), c.set.HeartbeatInterval)
 	switch {
 	case c.awaits(m, now):
 		return false
-	case m.Lost && !m.Dead && c.cuts.Waits(m.Zone, now.Sub(m.LastHeard()), startup, c.elsewhere(m, now), now):
+	case m.LeaseExpired && !m.Failed && c.cuts.KeepWaiting(m.Zone, now.Sub(m.LastHeard()), startup, c.elsewhere(m, now), now):
 		return false
-	case !m.Up && !m.Inherited && c.cuts.Dark(m.Zone):
+	case !m.Up && !m.Inherited && c.cuts.Suspected(m.Zone):
 		return false // it may well be up
-	case m.Lost:
+	case m.LeaseExpired:
 		// Its tasks are gone. Where most machines are silent, the trouble is more
 		// likely ours than theirs, and they may yet be heard of.
 		return !c.mostSilent || now.Sub(m.LastHeard()) > 4*c.set.Lease
-	case m.Unheard():
+	case m.AwaitsReconciliation():
 		// Unheard of since the takeover. Time alone does not settle it, as an
 		// older leader may be renewing its lease; its return does. All work of before
 		// stands still until then: the last few that neither report nor answer are not
 		// waited for as long as their work would be worth it alone.
 		silent := now.Sub(m.SilentSince)
-		return silent > c.set.Lease || silent > fewReports*c.set.Report && now.Sub(c.manyUnheard) > c.set.Report
-	case m.Up && now.Sub(m.LastBody) > c.silence(m, now):
+		return silent > c.set.Lease || silent > fewReports*c.set.HeartbeatInterval && now.Sub(c.manyUnheard) > c.set.HeartbeatInterval
+	case m.Up && now.Sub(m.LastStatus) > c.silence(m, now):
 		return true
-	case m.Up && !m.Settled && now.Sub(m.LastBody) > c.set.Lease:
+	case m.Up && !m.Reconciled && now.Sub(m.LastStatus) > c.set.Lease:
 		// Brought up by a late copy of a report, maybe: nothing else would end that.
 		return true
-	case m.DeafFor(now) > c.set.Lease:
+	case m.UnreachableFor(now) > c.set.Lease:
 		// What it had is gone with its lease, or goes with its return.
-		return !c.manyDeaf || m.DeafFor(now) > 4*c.set.Lease
-	case m.InDoubtFor(now) > c.set.Lease:
+		return !c.manyDeaf || m.UnreachableFor(now) > 4*c.set.Lease
+	case m.UnansweredProbesFor(now) > c.set.Lease:
 		return true // no answer, and what it has is not known: its return is proof
 	case !m.Up:
-		return !m.Rented.IsZero() && now.Sub(m.Rented) > 3*startup+c.set.Report
+		return !m.Rented.IsZero() && now.Sub(m.Rented) > 3*startup+c.set.HeartbeatInterval
 	case !m.Empty():
 		return false
 	case m.Cordon != nil:
-		return m.Settled && c.givesBack(m)
-	case m.Bad, m.Draining:
+		return m.Reconciled && c.givesBack(m)
+	case m.Faulty, m.Draining:
 		return true
-	case !c.settled, m.Bin.Owed() != packing.Vec{}:
+	case !c.settled, m.Bin.Reserved() != packing.Resources{}:
 		return false
 	}
 	hold := time.Duration(float64(startup) * c.set.IdleStartups)
@@ -482,49 +482,49 @@
 	return !m.EmptySince.IsZero() && now.Sub(m.EmptySince) > hold
 }
 
-// Returned forgets machines that the cloud has taken back.
-func (c *Core) Returned(hosts []string, now time.Time) {
+// MachinesReturned forgets machines that the cloud has taken back.
+func (c *Scheduler) MachinesReturned(hosts []string, now time.Time) {
 	for _, h := range hosts {
 		c.rent.returned[h] = now
-		c.DropMachine(h, now)
+		c.RemoveMachine(h, now)
 	}
 }
 
-// Listed takes in the cloud's list, asked for at the time given.
-func (c *Core) Listed(list []autoscaler.Listed, asked, now time.Time) {
+// ReconcileCloudList takes in the cloud's list, asked for at the time given.
+func (c *Scheduler) ReconcileCloudList(list []autoscaler.CloudMachine, asked, now time.Time) {
 	c.rent.ready = true
 	here := map[string]bool{}
 	for _, l := range list {
-		here[l.Host] = true
-		c.rent.listed[l.Host] = now
-		if _, gone := c.rent.returned[l.Host]; gone {
+		here[l.Machine] = true
+		c.rent.listed[l.Machine] = now
+		if _, gone := c.rent.returned[l.Machine]; gone {
 			continue
 		}
-		m := c.fleet.Machines[l.Host]
+		m := c.fleet.Machines[l.Machine]
 		if l.Status == "failed" {
 			// It stopped on its own, and all on it with it.
-			if m != nil && !m.Lost {
-				slog.Info("machine failed", "machine", l.Host, "term", c.term)
+			if m != nil && !m.LeaseExpired {
+				slog.Info("machine failed", "machine", l.Machine, "term", c.term)
 				for _, a := range slices.Clone(m.Attempts()) {
 					m.Forget(a)
 					if a.State() != fleet.Ended {
 						c.gone(a, now)
 					}
 				}
-				m.Lost, m.Settled, m.Dead = true, true, true
+				m.LeaseExpired, m.Reconciled, m.Failed = true, true, true
 				if !c.settled {
-					c.CheckSettled(now)
+					c.CheckReconciled(now)
 				}
 			}
 			if m == nil {
-				m = c.fleet.Ensure(l.Host, l.Addr, l.Type, l.Zone, l.Spot)
-				m.Lost, m.Settled, m.Dead = true, true, true
+				m = c.fleet.GetOrCreate(l.Machine, l.Addr, l.Type, l.Zone, l.Spot)
+				m.LeaseExpired, m.Reconciled, m.Failed = true, true, true
 			}
 			continue
 		}
 		if m == nil {
-			m = c.fleet.Ensure(l.Host, l.Addr, l.Type, l.Zone, l.Spot)
-			slog.Info("unexpected machine", "machine", l.Host, "status", l.Status, "term", c.term)
+			m = c.fleet.GetOrCreate(l.Machine, l.Addr, l.Type, l.Zone, l.Spot)
+			slog.Info("unexpected machine", "machine", l.Machine, "status", l.Status, "term", c.term)
 			c.fit(m)
 		}
 		if m.Addr == "" {
@@ -532,9 +532,9 @@
 		}
 		// Until then the list may have one that an earlier leader gave back.
 		if asked.Sub(c.began) <= 2*c.set.ListLag && !m.Up && !m.Inherited && m.Rented.IsZero() {
-			m.Stranger = true
+			m.Unverified = true
 		} else if asked.Sub(c.began) > 2*c.set.ListLag {
-			m.Stranger = false
+			m.Unverified = false
 		}
 		if m.Rented.IsZero() {
 			m.Rented = now.Add(-time.Duration(l.AgeS * float64(time.Second)))
@@ -543,15 +543,15 @@
 	// A list tells how things were up to twice the lag before it was asked for. A
 	// machine that was there before that time, and is missing, is gone.
 	for _, m := range c.fleet.Sorted() {
-		if last, ok := c.rent.listed[m.Host]; ok && !here[m.Host] && asked.Sub(last) > c.set.ListLag*5/2+c.set.Report/4 {
+		if last, ok := c.rent.listed[m.Host]; ok && !here[m.Host] && asked.Sub(last) > c.set.ListLag*5/2+c.set.HeartbeatInterval/4 {
 			slog.Info("machine gone", "machine", m.Host, "term", c.term)
 			c.rent.returned[m.Host] = now
-			c.DropMachine(m.Host, now)
+			c.RemoveMachine(m.Host, now)
 		}
 	}
 	for h, t := range c.rent.returned {
 		// Names rise and are not used again, but reports that name them come late.
-		if now.Sub(t) > max(20*(c.set.ListLag+c.set.Report), fleet.CopiesLeases*c.set.Lease) && !here[h] {
+		if now.Sub(t) > max(20*(c.set.ListLag+c.set.HeartbeatInterval), fleet.LateCopyLeases*c.set.Lease) && !here[h] {
 			delete(c.rent.returned, h)
 			delete(c.rent.listed, h)
 		}
--- a/internal/scheduler/rounds.go
+++ b/internal/scheduler/rounds.go
@@ -11,19 +11,19 @@
 )
 
 // Tick does what time alone brings about.
-func (c *Core) Tick(now time.Time, canRun bool) {
-	c.Expire(now)
+func (c *Scheduler) Tick(now time.Time, canRun bool) {
+	c.ExpireLeases(now)
 	if !canRun {
 		return
 	}
 	c.tellServed(now)
 	for _, m := range c.fleet.Sorted() {
-		if m.Draining || m.Returning || m.Lost || m.Deaf() {
+		if m.Draining || m.Returning || m.LeaseExpired || m.Unreachable() {
 			c.unplan(m)
 			continue
 		}
 		// A machine that went quiet keeps what it runs, but nothing is planned for it.
-		if now.Sub(m.LastBody) > 3*c.set.Report {
+		if now.Sub(m.LastStatus) > 3*c.set.HeartbeatInterval {
 			c.unplan(m)
 		}
 	}
@@ -33,55 +33,55 @@
 			c.dirty = true
 		}
 	}
-	if len(c.drains) > 0 && now.Sub(c.lastDrain) >= c.set.Report {
+	if len(c.drains) > 0 && now.Sub(c.lastDrain) >= c.set.HeartbeatInterval {
 		c.drain(now)
 	}
-	if now.Sub(c.lastRound) >= c.set.Round && c.means.Level() < overload.Drowning {
+	if now.Sub(c.lastRound) >= c.set.RoundInterval && c.means.Level() < overload.Overloaded {
 		c.round(now)
 	}
 	if c.dirty {
 		c.place(now)
 	}
-	if c.means.Level() == overload.Easy {
+	if c.means.Level() == overload.Normal {
 		c.preempt(now)
 		c.keep(now)
 	}
 	c.ahead(now)
 }
 
-// Look takes in that a tick came gap after it was asked for; what waited for longer than
+// ObserveTick takes in that a tick came gap after it was asked for; what waited for longer than
 // that tick counts instead, since a timer that is due goes before all else. What is left out then: starts
 // and plans, in this order; leases, exits and cancellations never.
-func (c *Core) Look(gap time.Duration, now time.Time) {
-	if !c.set.Shed {
+func (c *Scheduler) ObserveTick(gap time.Duration, now time.Time) {
+	if !c.set.LoadShedding {
 		return
 	}
 	up := 0
 	for _, m := range c.fleet.Sorted() {
-		if m.Up && !m.Lost {
+		if m.Up && !m.LeaseExpired {
 			up++
 		}
 	}
-	gap, c.late = max(gap, c.set.Report/TickShare+c.late), 0
-	if c.means.Look(gap, up, now) {
-		slog.Info("how the leader keeps up", "level", c.means.Level().String(), "late", c.means.Late().Round(time.Millisecond), "machines", up, "term", c.term)
+	gap, c.late = max(gap, c.set.HeartbeatInterval/TicksPerHeartbeat+c.late), 0
+	if c.means.Observe(gap, up, now) {
+		slog.Info("how the leader keeps up", "level", c.means.Level().String(), "late", c.means.Lag().Round(time.Millisecond), "machines", up, "term", c.term)
 	}
-	lateSeconds.Set(c.means.Late().Seconds())
+	lateSeconds.Set(c.means.Lag().Seconds())
 }
 
 // putOff says whether a start waits until the leader keeps up again.
-func (c *Core) putOff(j *Job) bool {
+func (c *Scheduler) putOff(j *Job) bool {
 	switch c.means.Level() {
-	case overload.Drowning:
+	case overload.Overloaded:
 		return true
-	case overload.Behind:
-		return prioRank[j.Priority] > prioRank[records.PrioUrgent] && !j.guaranteed
+	case overload.Degraded:
+		return prioRank[j.Priority] > prioRank[records.PriorityUrgent] && !j.guaranteed
 	}
 	return false
 }
 
 // round observes use, and runs the paper's change on bins that are hot or gape.
-func (c *Core) round(now time.Time) {
+func (c *Scheduler) round(now time.Time) {
 	c.lastRound = now
 	c.resort = true
 	c.reopen(now)
@@ -97,7 +97,7 @@
 		if m.Bin.Hot() {
 			slog.Info("hot machine", "machine", m.Host, "predicted", m.Bin.Load, "reserved", m.Bin.Cap.Share(m.Bin.Used()), "term", c.term)
 		}
-		if m.Bin.Hot() || len(m.Changed) > 0 && m.Bin.Gap() >= packing.Third-1e-9 && !m.Empty() && m.Bin.Owed() == (packing.Vec{}) {
+		if m.Bin.Hot() || len(m.Changed) > 0 && m.Bin.Gap() >= packing.Third-1e-9 && !m.Empty() && m.Bin.Reserved() == (packing.Resources{}) {
 			old := packing.Tiny
 			for _, k := range m.Changed {
 				old = max(old, k)
@@ -111,9 +111,9 @@
 	c.moveReplicas(now)
 }
 
-// Observe feeds a machine's use at a report into its forecast.
-func (c *Core) Observe(m *fleet.Machine) {
-	var sum packing.Vec
+// ObserveUse feeds a machine's use at a report into its forecast.
+func (c *Scheduler) ObserveUse(m *fleet.Machine) {
+	var sum packing.Resources
 	for _, a := range m.Attempts() {
 		if a.Item != nil && (a.State() == fleet.Running || a.State() == fleet.Flushing || a.State() == fleet.Waiting) {
 			sum = sum.Add(a.Item.Req)
@@ -124,7 +124,7 @@
 
 // moveReplicas moves replicas off machines that are to be emptied, one of a job
 // at a time, and only while another one runs and there is a place for it.
-func (c *Core) moveReplicas(now time.Time) {
+func (c *Scheduler) moveReplicas(now time.Time) {
 	for _, j := range c.queue(now) {
 		if j.Shape != records.ShapeService {
 			continue
@@ -161,7 +161,7 @@
 
 // roomFor finds a machine with room for a replica that leaves another one, where
 // fewest of its job are.
-func (c *Core) roomFor(j *Job, leave *fleet.Attempt, now time.Time) *fleet.Machine {
+func (c *Scheduler) roomFor(j *Job, leave *fleet.Attempt, now time.Time) *fleet.Machine {
 	zones := c.zones(j, true)
 	if zones[leave.Machine.Zone]--; zones[leave.Machine.Zone] == 0 {
 		delete(zones, leave.Machine.Zone)
--- a/internal/scheduler/served.go
+++ b/internal/scheduler/served.go
@@ -22,30 +22,30 @@
 
 // tellServed tells, now and then, who is served: one line for each class, team and class's
 // largest, and a warning where less than half of them may end up without.
-func (c *Core) tellServed(now time.Time) {
-	if now.Sub(c.toldServed) < c.set.Within/servedLooks {
+func (c *Scheduler) tellServed(now time.Time) {
+	if now.Sub(c.toldServed) < c.set.BeginWithin/servedLooks {
 		return
 	}
 	c.toldServed = now
-	for _, l := range c.served.Look(c.set.Within, now) {
-		for what, n := range map[string]int{"came": l.Came, "begun": l.Begun, "done": l.Done, "late": l.Late} {
+	for _, l := range c.served.Summarize(c.set.BeginWithin, now) {
+		for what, n := range map[string]int{"came": l.Arrived, "begun": l.Begun, "done": l.Done, "late": l.Late} {
 			// Guards against metrics without end: users make classes up, settings do not.
-			if l.By != slo.Team && !c.aimed(l.Name) {
+			if l.Dimension != slo.ByTeam && !c.aimed(l.Name) {
 				break
 			}
-			metrics.GetOrCreateGauge(`drumpick_served_jobs{by="`+l.By+`",name="`+label(l.Name)+`",what="`+what+`"}`, nil).Set(float64(n))
+			metrics.GetOrCreateGauge(`drumpick_served_jobs{by="`+l.Dimension+`",name="`+label(l.Name)+`",what="`+what+`"}`, nil).Set(float64(n))
 		}
 		level := slog.LevelInfo
-		if l.Served() < servedWarn || l.Waiting != "" && float64(l.Longest) > waitWarn*float64(c.set.Within) {
+		if l.ShareInTime() < servedWarn || l.Waiting != "" && float64(l.LongestWait) > waitWarn*float64(c.set.BeginWithin) {
 			level = slog.LevelWarn
 		}
-		slog.Log(context.Background(), level, "served", "by", l.By, "name", l.Name, "came", l.Came, "begun", l.Begun, "done", l.Done, "late", l.Late,
-			"longest_s", l.Longest.Round(time.Second).Seconds(), "waiting", l.Waiting, "term", c.term)
+		slog.Log(context.Background(), level, "served", "by", l.Dimension, "name", l.Name, "came", l.Arrived, "begun", l.Begun, "done", l.Done, "late", l.Late,
+			"longest_s", l.LongestWait.Round(time.Second).Seconds(), "waiting", l.Waiting, "term", c.term)
 	}
 }
 
 // aimed says whether an objective speaks of a class.
-func (c *Core) aimed(class string) bool {
+func (c *Scheduler) aimed(class string) bool {
 	return slices.ContainsFunc(c.set.Objectives, func(o config.Objective) bool { return o.Class == class })
 }
 
--- a/internal/scheduler/trace_test.go
+++ b/internal/scheduler/trace_test.go
@@ -20,7 +20,7 @@
 // otherwise) with reports every 2 s, a lease of 12 s and zones a and b.
 func TestTraces(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
-		s := &story{t: t, start: time.Unix(1_000_000, 0), term: 5, ticks: map[string]uint64{}, out: map[string]autoscaler.Request{}}
+		s := &story{t: t, start: time.Unix(1_000_000, 0), term: 5, ticks: map[string]uint64{}, out: map[string]autoscaler.RentalRequest{}}
 		s.now = s.start
 		return s.event
 	})
@@ -31,31 +31,31 @@
 	start time.Time
 	now   time.Time
 	term  uint64
-	core  *Core
+	core  *Scheduler
 	ticks map[string]uint64
-	out   map[string]autoscaler.Request
+	out   map[string]autoscaler.RentalRequest
 	teams []config.Team
 	aims  []config.Objective
 	marks bool
 	dark  bool
 	owed  bool
 	begin float64
-	asked map[string]fleet.Question // the machines asked last
+	asked map[string]fleet.Probe // the machines asked last
 	types []records.MachineType
 }
 
-func (s *story) open() *Core {
+func (s *story) open() *Scheduler {
 	if s.core == nil {
 		cfg := &config.Config{Options: config.DefaultOptions()}
-		cfg.Facts.Workers = config.Workers{ReportS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-		cfg.Facts.State.ValueKB = 8
-		cfg.Facts.Cloud.ListLagS = 3
-		cfg.Facts.Zones = []string{"a", "b"}
-		cfg.Facts.Teams = append(s.teams, config.Team{Name: "team"})
-		cfg.Facts.Objectives = s.aims
-		cfg.Options.Marks, cfg.Options.DarkZones, cfg.Options.Guarantees = s.marks, s.dark, s.owed
-		cfg.Options.Largest, cfg.Options.BeginS = s.begin > 0, s.begin
-		s.core = NewCore(SettingsOf(cfg), s.term, s.now)
+		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
+		cfg.Deployment.State.ValueKB = 8
+		cfg.Deployment.Cloud.ListLagS = 3
+		cfg.Deployment.Zones = []string{"a", "b"}
+		cfg.Deployment.Teams = append(s.teams, config.Team{Name: "team"})
+		cfg.Deployment.Objectives = s.aims
+		cfg.Options.Watermarks, cfg.Options.ZoneHealth, cfg.Options.Guarantees = s.marks, s.dark, s.owed
+		cfg.Options.Reservations, cfg.Options.BeginS = s.begin > 0, s.begin
+		s.core = New(SettingsOf(cfg), s.term, s.now)
 		s.core.SetTypes(append(s.types, records.MachineType{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.2, Zones: []string{"a", "b"}}))
 	}
 	return s.core
@@ -118,7 +118,7 @@
 			StartupS: s.num(a["startup"], 20), CacheGB: 40, FetchGBps: s.num(a["rate"], 0.2), Zones: []string{"a", "b"}})
 		return nil
 	case "team":
-		s.teams = append(s.teams, config.Team{Name: rest[0], CPUs: s.num(a["cpus"], 0), CPUsMax: s.num(a["max"], 0)})
+		s.teams = append(s.teams, config.Team{Name: rest[0], GuaranteedCPUs: s.num(a["cpus"], 0), LimitCPUs: s.num(a["max"], 0)})
 		return nil
 	case "objective":
 		s.aims = append(s.aims, config.Objective{Kind: rest[0], Class: rest[1], WithinS: s.num(rest[2], 0)})
@@ -131,13 +131,13 @@
 			ID: rest[0], Team: or(a["team"], "team"), Shape: or(a["shape"], "batch"), Priority: or(a["prio"], "standard"),
 			Tasks: int(s.num(a["tasks"], 1)), CPUs: s.num(a["cpus"], 1), GPUs: s.num(a["gpus"], 0), MemGB: s.num(a["mem"], 1),
 			Class: a["class"], Image: or(a["image"], "img"), ImageGB: s.num(a["gb"], 0), EstimateS: s.num(a["guess"], 60), CheckpointS: s.num(a["saves"], 0), SaveS: s.num(a["flush"], 0),
-			OneZone: a["one_zone"] != "", Apart: a["apart"] != "", Spot: a["spot"] != "no", AcceptedMS: s.now.UnixMilli(),
+			OneZone: a["one_zone"] != "", SpreadZones: a["apart"] != "", Spot: a["spot"] != "no", AcceptedMS: s.now.UnixMilli(),
 		}
 		if z := a["zone"]; z != "" {
 			j.Zone = &z
 		}
 		if a["needs"] != "" {
-			j.Prereqs = strings.Split(a["needs"], ",")
+			j.Dependencies = strings.Split(a["needs"], ",")
 		}
 		if a["due"] != "" {
 			due := s.num(a["due"], 0)
@@ -154,21 +154,21 @@
 		}
 		return nil
 	case "machine-on-record":
-		c.LoadHost(rest[0], records.Host{Addr: rest[0] + ":1", Type: "c4", Zone: or(a["zone"], "a"), Spot: a["spot"] != ""}, s.now)
+		c.LoadMachine(rest[0], records.Machine{Addr: rest[0] + ":1", Type: "c4", Zone: or(a["zone"], "a"), Spot: a["spot"] != ""}, s.now)
 		return nil
 	case "marks-on-record":
 		stored := map[string]int{}
 		for id, n := range args(rest[1:]) {
 			stored[id] = int(s.num(n, 0))
 		}
-		c.LoadMarks(stored, rest[0] == "whole")
+		c.LoadWatermarks(stored, rest[0] == "whole")
 		return nil
 	case "marks-stored", "marks-to-store":
 		var out []string
 		for j := range c.marks.raised {
-			out = append(out, fmt.Sprintf("%s: none sent from %d on", j.ID, j.mark.Want))
+			out = append(out, fmt.Sprintf("%s: none sent from %d on", j.ID, j.mark.Requested))
 			if what == "marks-stored" {
-				j.mark.Keep(j.mark.Want)
+				j.mark.NoteStored(j.mark.Requested)
 				delete(c.marks.raised, j)
 			}
 		}
@@ -178,9 +178,9 @@
 		c.marks.loose = true
 		return nil
 	case "lapse":
-		return []string{fmt.Sprintf("unheard machines: %d, settled: %v", c.Lapse(s.now), c.settled)}
+		return []string{fmt.Sprintf("unheard machines: %d, settled: %v", c.ExpireEarlierLeases(s.now), c.settled)}
 	case "settle":
-		c.CheckSettled(s.now)
+		c.CheckReconciled(s.now)
 		return []string{fmt.Sprintf("settled: %v", c.settled)}
 	case "recorded":
 		for _, h := range rest {
@@ -192,16 +192,16 @@
 		copy(j.stored, j.done)
 		return nil
 	case "cancelled":
-		c.Over(rest[0], records.Over{Status: records.StatusCancelled}, uint64(s.num(a["stamp"], 20)))
+		c.NoteClosed(rest[0], records.ClosedJob{Status: records.StatusCancelled}, uint64(s.num(a["stamp"], 20)))
 		return s.kicked()
 	case "over":
-		c.Over(rest[0], records.Over{Status: records.StatusDone, AtMS: s.now.UnixMilli()}, uint64(s.num(a["stamp"], 20)))
+		c.NoteClosed(rest[0], records.ClosedJob{Status: records.StatusDone, AtMS: s.now.UnixMilli()}, uint64(s.num(a["stamp"], 20)))
 		return s.kicked()
 	case "over-without-time":
-		c.Over(rest[0], records.Over{Status: records.StatusDone}, uint64(s.num(a["stamp"], 20)))
+		c.NoteClosed(rest[0], records.ClosedJob{Status: records.StatusDone}, uint64(s.num(a["stamp"], 20)))
 		return nil
 	case "on-its-way":
-		if at := c.LastSent(rest[0]); !at.IsZero() {
+		if at := c.LastDispatched(rest[0]); !at.IsZero() {
 			return []string{fmt.Sprintf("sent at %g and not shown yet", at.Sub(s.start).Seconds())}
 		}
 		return []string{"nothing on its way"}
@@ -219,11 +219,11 @@
 		}
 		return or2(out, "nothing to start")
 	case "doomed":
-		return or2(c.chain.Doomed(), "none to cancel")
+		return or2(c.chain.ToCancel(), "none to cancel")
 	case "questions":
-		s.asked = map[string]fleet.Question{}
+		s.asked = map[string]fleet.Probe{}
 		var out []string
-		for _, q := range c.Questions(s.now) {
+		for _, q := range c.Probes(s.now) {
 			s.asked[q.Host] = q
 			out = append(out, fmt.Sprintf("ask %s what it has", q.Host))
 		}
@@ -243,27 +243,27 @@
 		return out
 	case "wants":
 		var out []string
-		for _, r := range c.Wants(s.now) {
-			s.out[r.Booking] = r
-			out = append(out, fmt.Sprintf("rent %s: %d %s in %s spot=%v", r.Booking, r.Count, r.Type, r.Zone, r.Spot))
+		for _, r := range c.PlanRentals(s.now) {
+			s.out[r.Name] = r
+			out = append(out, fmt.Sprintf("rent %s: %d %s in %s spot=%v", r.Name, r.Count, r.Type, r.Zone, r.Spot))
 		}
 		return or2(out, "rent nothing")
 	case "rented":
-		c.Rented(s.out[rest[0]], rest[1:], s.now)
+		c.MachinesRented(s.out[rest[0]], rest[1:], s.now)
 		return nil
 	case "refused":
-		c.Refused(s.out[rest[0]], true, s.now)
+		c.RentalRefused(s.out[rest[0]], true, s.now)
 		return nil
 	case "listed":
-		var list []autoscaler.Listed
+		var list []autoscaler.CloudMachine
 		for _, h := range rest {
 			name, status, _ := strings.Cut(h, "=")
-			list = append(list, autoscaler.Listed{Host: name, Addr: name + ":1", Type: "c4", Zone: "a", Status: status, AgeS: 30})
+			list = append(list, autoscaler.CloudMachine{Machine: name, Addr: name + ":1", Type: "c4", Zone: "a", Status: status, AgeS: 30})
 		}
-		c.Listed(list, s.now, s.now)
+		c.ReconcileCloudList(list, s.now, s.now)
 		return nil
 	case "returns":
-		hosts := c.Returns(s.now)
+		hosts := c.MachinesToReturn(s.now)
 		if len(hosts) == 0 {
 			return []string{"give back nothing"}
 		}
@@ -279,7 +279,7 @@
 		if err := spec.Check(s.now); err != nil {
 			return []string{"refused: " + err.Error()}
 		}
-		p, err := c.PlanDrain(&spec, a["force"] != "", s.now)
+		p, err := c.PreviewDrain(&spec, a["force"] != "", s.now)
 		if err != nil {
 			return []string{"refused: " + err.Error()}
 		}
@@ -320,12 +320,12 @@
 		}
 		return out
 	case "forwarded":
-		if c.Unreachable(rest[0], s.now) {
+		if c.NeedsRelay(rest[0], s.now) {
 			return []string{"answered through the peer"}
 		}
 		return []string{"sent here"}
 	case "returned":
-		c.Returned(rest, s.now)
+		c.MachinesReturned(rest, s.now)
 		return nil
 	}
 	s.t.Fatalf("unknown event %q", what)
@@ -343,19 +343,19 @@
 // "report m-1 stint=1 j-1/0:TRY=running ...". Ticks rise by themselves unless given.
 func (s *story) body(what string, rest []string, a map[string]string) []string {
 	host := rest[0]
-	r := &fleet.Report{
-		Host: host, Addr: host + ":1", Type: or(a["type"], "c4"), Zone: or(a["zone"], "a"), Spot: a["spot"] != "",
-		Version: a["version"], Session: uint64(s.num(a["stint"], 1)), Baton: uint64(s.num(a["baton"], float64(s.term))),
+	r := &fleet.Heartbeat{
+		Machine: host, Addr: host + ":1", Type: or(a["type"], "c4"), Zone: or(a["zone"], "a"), Spot: a["spot"] != "",
+		Version: a["version"], Incarnation: uint64(s.num(a["stint"], 1)), FencingToken: uint64(s.num(a["baton"], float64(s.term))),
 	}
 	if n := a["notice"]; n != "" {
 		f := s.num(n, 0)
-		r.WarningS = &f
+		r.PreemptionNoticeS = &f
 	}
 	if a["tick"] != "" {
-		r.Tick = uint64(s.num(a["tick"], 0))
+		r.Sequence = uint64(s.num(a["tick"], 0))
 	} else {
 		s.ticks[host]++
-		r.Tick = s.ticks[host]
+		r.Sequence = s.ticks[host]
 	}
 	for _, w := range rest[1:] {
 		k, v, _ := strings.Cut(w, "=")
@@ -363,7 +363,7 @@
 		if !ok {
 			continue
 		}
-		tr := fleet.TaskReport{Shot: shot, Try: s.try(try)}
+		tr := fleet.TaskStatus{Task: shot, Attempt: s.try(try)}
 		tr.Status, tr.Cause, _ = strings.Cut(v, ":")
 		tr.Cause, tr.Saved = strings.CutSuffix(tr.Cause, "+saved")
 		r.Tasks = append(r.Tasks, tr)
@@ -371,16 +371,16 @@
 	r.Via = a["via"]
 	// A machine is rented before it is heard, unless the story says that nobody knows of it.
 	if _, gone := s.core.rent.returned[host]; !gone && a["stranger"] == "" && what == "report" {
-		s.core.fleet.Ensure(host, "", r.Type, r.Zone, r.Spot)
+		s.core.fleet.GetOrCreate(host, "", r.Type, r.Zone, r.Spot)
 	}
 	if what == "answer" {
-		s.core.Answer(s.asked[host], r, s.now)
+		s.core.ApplyProbe(s.asked[host], r, s.now)
 		return s.kicked()
 	}
-	m, stale := s.core.Body(r, what != "body", s.now)
+	m, stale := s.core.Reconcile(r, what != "body", s.now)
 	if stale {
-		if resp, ok := s.core.Renew(m, r, s.now); ok && what != "body" {
-			return append([]string{"overtaken by an answer: its lease is renewed, nothing is concluded"}, s.orders(resp.Orders)...)
+		if resp, ok := s.core.RenewOvertaken(m, r, s.now); ok && what != "body" {
+			return append([]string{"overtaken by an answer: its lease is renewed, nothing is concluded"}, s.orders(resp.Commands)...)
 		}
 		return []string{"older than what is known: not answered with 200"}
 	}
@@ -389,11 +389,11 @@
 	}
 	run := a["run"] != "no"
 	if run {
-		s.core.Choose(m, s.now)
+		s.core.PlanMachine(m, s.now)
 	}
 	resp := s.core.Respond(m, run, s.now)
-	s.core.Answered(m, r.Via, s.now)
-	return s.orders(resp.Orders)
+	s.core.NoteAnswered(m, r.Via, s.now)
+	return s.orders(resp.Commands)
 }
 
 // try reads "5.2": the second attempt number of term 5.
@@ -402,12 +402,12 @@
 	return uint64(s.num(term, 0))<<24 | uint64(s.num(n, 0))
 }
 
-func (s *story) orders(orders []fleet.Order) []string {
+func (s *story) orders(orders []fleet.Command) []string {
 	out := []string{}
 	for _, o := range orders {
-		line := fmt.Sprintf("%s %s:%d.%d", o.Verb, o.Shot, o.Try>>24, o.Try&(1<<24-1))
-		if o.WindDownS != nil {
-			line += fmt.Sprintf(" with %gs to save", *o.WindDownS)
+		line := fmt.Sprintf("%s %s:%d.%d", o.Verb, o.Task, o.Attempt>>24, o.Attempt&(1<<24-1))
+		if o.GraceS != nil {
+			line += fmt.Sprintf(" with %gs to save", *o.GraceS)
 		}
 		out = append(out, line)
 	}
@@ -422,7 +422,7 @@
 	sort.Strings(hosts)
 	for _, h := range hosts {
 		if m := s.core.fleet.Machines[h]; m != nil {
-			for _, o := range s.orders(m.Orders()) {
+			for _, o := range s.orders(m.PendingCommands()) {
 				out = append(out, "at once to "+h+": "+o)
 			}
 		}
--- a/internal/scheduler/turns.go
+++ b/internal/scheduler/turns.go
@@ -76,7 +76,7 @@
 	o := &placingOrder{groups: map[turnGroup]positions{}, mine: make(map[*Job][]int, len(jobs))}
 	for _, j := range jobs {
 		fetch := 2 * fetchTime(j)
-		if fetch > 0 && j.Shape != records.ShapeGroup {
+		if fetch > 0 && j.Shape != records.ShapeGang {
 			o.turns = append(o.turns, turn{j, j.turn, true})
 		}
 		o.turns = append(o.turns, turn{j, j.turn.Add(fetch), false})
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -33,46 +33,46 @@
 
 // States of machines, as operators see them.
 const (
-	MachineBooting   = "booting"
-	MachineUp        = "up"
-	MachineUnsettled = "unsettled" // not heard since the takeover
-	MachineSilent    = "silent"
-	MachineDeaf      = "deaf"    // reports, but nothing that is sent reaches it
-	MachineNoticed   = "noticed" // the cloud is about to take it
-	MachineFaulty    = "faulty"
-	MachineReturning = "returning"
-	MachineCordoned  = "cordoned" // takes no new tasks: an operator's drain
-	MachineEmptying  = "draining" // and what runs there leaves
-	MachineDrained   = "drained"  // and nothing is on it any more
+	MachineBooting      = "booting"
+	MachineUp           = "up"
+	MachineUnreconciled = "unsettled" // not heard since the takeover
+	MachineSilent       = "silent"
+	MachineUnreachable  = "deaf"    // reports, but nothing that is sent reaches it
+	MachinePreempting   = "noticed" // the cloud is about to take it
+	MachineFaulty       = "faulty"
+	MachineReturning    = "returning"
+	MachineCordoned     = "cordoned" // takes no new tasks: an operator's drain
+	MachineEmptying     = "draining" // and what runs there leaves
+	MachineDrained      = "drained"  // and nothing is on it any more
 )
 
-func (c *Core) machineState(m *fleet.Machine, now time.Time) string {
+func (c *Scheduler) machineState(m *fleet.Machine, now time.Time) string {
 	switch {
 	case m.Returning:
 		return MachineReturning
-	case m.Unheard():
-		return MachineUnsettled
-	case !m.Up && !m.Lapsed:
+	case m.AwaitsReconciliation():
+		return MachineUnreconciled
+	case !m.Up && !m.EarlierLeasesExpired:
 		return MachineBooting
-	case m.Lost || now.Sub(m.LastBody) > 3*c.set.Report:
+	case m.LeaseExpired || now.Sub(m.LastStatus) > 3*c.set.HeartbeatInterval:
 		return MachineSilent
-	case m.Deaf():
-		return MachineDeaf
+	case m.Unreachable():
+		return MachineUnreachable
 	case c.empties(m) && m.Empty():
 		return MachineDrained
 	case c.empties(m):
 		return MachineEmptying
-	case m.Bad:
+	case m.Faulty:
 		return MachineFaulty
 	case m.Cordon != nil:
 		return MachineCordoned
-	case !m.Notice.IsZero():
-		return MachineNoticed
+	case !m.PreemptionAt.IsZero():
+		return MachinePreempting
 	}
 	return MachineUp
 }
 
-func (c *Core) view(m *fleet.Machine, now time.Time) MachineView {
+func (c *Scheduler) view(m *fleet.Machine, now time.Time) MachineView {
 	v := MachineView{Name: m.Host, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Addr: m.Addr, Version: m.Version, State: c.machineState(m, now)}
 	if !m.Rented.IsZero() {
 		v.AgeS = now.Sub(m.Rented).Seconds()
@@ -87,7 +87,7 @@
 
 // ListMachines lists up to limit machines by name, behind since, without their tasks; more
 // says that there are others behind them.
-func (c *Core) ListMachines(since string, limit int, now time.Time) (list []MachineView, more bool) {
+func (c *Scheduler) ListMachines(since string, limit int, now time.Time) (list []MachineView, more bool) {
 	all := c.fleet.Sorted()
 	i, found := slices.BinarySearchFunc(all, since, func(m *fleet.Machine, name string) int { return strings.Compare(m.Host, name) })
 	if found {
@@ -101,16 +101,16 @@
 }
 
 // DescribeMachine tells of one machine with all that is on it.
-func (c *Core) DescribeMachine(name string, now time.Time) (MachineView, bool) {
+func (c *Scheduler) DescribeMachine(name string, now time.Time) (MachineView, bool) {
 	m := c.fleet.Machines[name]
 	if m == nil {
 		return MachineView{}, false
 	}
 	v := c.view(m, now)
 	for _, a := range m.Attempts() {
-		t := TaskView{Task: a.Task.String(), Try: a.Try, State: a.State().String(), Stops: a.Stopping()}
+		t := TaskView{Task: a.Task.String(), Try: a.Number, State: a.State().String(), Stops: a.Stopping()}
 		if a.State() != fleet.Ended {
-			_, ran := a.Took(now)
+			_, ran := a.Durations(now)
 			t.RanS = ran.Seconds()
 		}
 		v.Tasks = append(v.Tasks, t)
--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -45,7 +45,7 @@
 func (j *Job) waitOf(a *fleet.Attempt, now time.Time) wait {
 	placed, sent, ready := j.began.placed, a.Since, a.ReadySince
 	w := wait{machine: a.Machine}
-	if j.Shape == records.ShapeGroup {
+	if j.Shape == records.ShapeGang {
 		for _, x := range j.held {
 			if x.Since.After(sent) {
 				sent = x.Since
@@ -67,7 +67,7 @@
 // begun says whether a job of which a task was just seen to run has begun: a gang has when
 // all its tasks run.
 func (j *Job) begun() bool {
-	if j.Shape != records.ShapeGroup {
+	if j.Shape != records.ShapeGang {
 		return true
 	}
 	for _, x := range j.held {
@@ -80,12 +80,12 @@
 
 // running notes that a task was seen to run, and tells once, when its job has begun, for
 // what it waited until then: a guarantee that is missed by seconds is missed by one of these.
-func (c *Core) running(j *Job, a *fleet.Attempt, now time.Time) {
+func (c *Scheduler) running(j *Job, a *fleet.Attempt, now time.Time) {
 	if !j.begun() {
 		return
 	}
-	c.served.Began(j.ID, now)
-	if j.began.told || j.held[a.Task.N] != a || a.Try>>24 != c.term {
+	c.served.JobBegan(j.ID, now)
+	if j.began.told || j.held[a.Task.N] != a || a.Number>>24 != c.term {
 		return
 	}
 	j.began.told = true
--- a/internal/scheduler/waits_test.go
+++ b/internal/scheduler/waits_test.go
@@ -17,7 +17,7 @@
 	was := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	defer slog.SetDefault(was)
-	s := &story{t: t, start: time.Unix(1_000_000, 0), term: 5, ticks: map[string]uint64{}, teams: []config.Team{{Name: "owner", CPUs: 8}}}
+	s := &story{t: t, start: time.Unix(1_000_000, 0), term: 5, ticks: map[string]uint64{}, teams: []config.Team{{Name: "owner", GuaranteedCPUs: 8}}}
 	for _, line := range strings.Split(strings.TrimSpace(`
 at 0 settle
 at 0 job j-1 shape=group tasks=2 cpus=4 team=owner gb=1
