--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -36,7 +36,7 @@
 		m.lastSent = now
 	}
 	for _, s := range m.tasks {
-		group := s.job.Shape == records.ShapeGroup
+		group := s.job.Shape == records.ShapeGang
 		switch {
 		case s.status == "pulling" && !now.Before(s.until):
 			m.fetched(s)
@@ -62,7 +62,7 @@
 		m.over(s, fleet.CauseDone) // its result is kept
 		return
 	}
-	if s.job.Shape != records.ShapeGroup || m.w.GangWait == 0 {
+	if s.job.Shape != records.ShapeGang || m.w.GangWait == 0 {
 		m.begin(s, now)
 		return
 	}
@@ -99,13 +99,13 @@
 		return
 	}
 	all := []mate{{m, s}}
-	if s.job.Shape == records.ShapeGroup && m.w.GangWait > 0 {
+	if s.job.Shape == records.ShapeGang && m.w.GangWait > 0 {
 		all = m.w.mates(s)
 	}
 	if m.w.finished[s.id.Job] == nil {
 		m.w.finished[s.id.Job] = map[string]bool{}
 	}
-	if s.job.Shape == records.ShapeGroup {
+	if s.job.Shape == records.ShapeGang {
 		// When one task is done every one is, also where gangs go on whoever is missing.
 		for n := range s.job.Tasks {
 			m.w.finished[s.id.Job][fleet.TaskID{Job: s.id.Job, N: n}.String()] = true
@@ -147,7 +147,7 @@
 
 // safe names what a task's safe progress is kept under.
 func (s *attempt) safe() string {
-	if s.job.Shape == records.ShapeGroup {
+	if s.job.Shape == records.ShapeGang {
 		return s.id.Job
 	}
 	return s.task
@@ -174,10 +174,10 @@
 	w.saved[s.safe()] = max(w.saved[s.safe()], to)
 }
 
-func (m *Machine) execute(orders []fleet.Order) {
+func (m *Machine) execute(orders []fleet.Command) {
 	m.step()
 	for _, o := range orders {
-		k := fmt.Sprintf("%s:%d", o.Shot, o.Try)
+		k := fmt.Sprintf("%s:%d", o.Task, o.Attempt)
 		s := m.tasks[k]
 		switch o.Verb {
 		case fleet.VerbRun:
@@ -197,10 +197,10 @@
 }
 
 // kill stops a task, which saves where it can and is given the time.
-func (m *Machine) kill(s *attempt, o fleet.Order) {
+func (m *Machine) kill(s *attempt, o fleet.Command) {
 	now, grace := time.Now(), 0.0
-	if o.WindDownS != nil {
-		grace = *o.WindDownS
+	if o.GraceS != nil {
+		grace = *o.GraceS
 	}
 	switch saves := s.job.CheckpointS > 0; {
 	case s.status == "flushing" && grace > 0:
@@ -220,12 +220,12 @@
 }
 
 // start takes a task in, and checks the rules while it does.
-func (m *Machine) start(k string, o fleet.Order) {
+func (m *Machine) start(k string, o fleet.Command) {
 	w := m.w
-	id, _ := fleet.ParseTask(o.Shot)
+	id, _ := fleet.ParseTask(o.Task)
 	now := time.Now()
 	job, ok := w.Jobs(id.Job)
-	s := &attempt{task: o.Shot, id: id, job: job, try: o.Try, began: now, since: now, status: "pulling"}
+	s := &attempt{task: o.Task, id: id, job: job, try: o.Attempt, began: now, since: now, status: "pulling"}
 	m.tasks[k] = s
 	cpus, mem := job.CPUs, job.MemGB
 	for _, x := range m.tasks {
--- a/internal/simulation/chain_test.go
+++ b/internal/simulation/chain_test.go
@@ -14,7 +14,7 @@
 
 // chained makes a job that waits for others.
 func chained(id string, tasks int, needs ...string) records.Job {
-	return records.Job{ID: id, Tasks: tasks, EstimateS: 10, Prereqs: needs}
+	return records.Job{ID: id, Tasks: tasks, EstimateS: 10, Dependencies: needs}
 }
 
 func (c *cluster) wantCancelled(i int, ids ...string) {
@@ -84,7 +84,7 @@
 		if n := c.world.Starts(); n != 14 {
 			t.Errorf("%d starts for 14 tasks", n)
 		}
-		var o records.Over
+		var o records.ClosedJob
 		if err := json.Unmarshal([]byte(c.state.Value("jobs/over/j-4")), &o); err != nil || o.AtMS == 0 {
 			t.Errorf("when it was done is not on record: %+v, %v", o, err)
 		}
@@ -165,7 +165,7 @@
 
 // The leader dies in the middle of a cascade; the next goes on with it.
 func TestTakeoverAmidCascade(t *testing.T) {
-	playWith(t, func(c *cluster) { c.cfg.Facts.State.TxnOps = 2 }, func(c *cluster) {
+	playWith(t, func(c *cluster) { c.cfg.Deployment.State.TxnOps = 2 }, func(c *cluster) {
 		sleep(2)
 		c.submit(0, chained("j-900", 1))
 		c.submit(0, chained("j-1", 2))
@@ -262,9 +262,9 @@
 // production is what the version in production had in the store in the middle of a day:
 // one large value of machines, finished tasks under a chunk's own id, final states
 // without a time.
-func production(t *testing.T) map[string]records.Row {
+func production(t *testing.T) map[string]records.KeyValue {
 	raw, err := os.ReadFile("testdata/production-records.json")
-	rows := map[string]records.Row{}
+	rows := map[string]records.KeyValue{}
 	if err == nil {
 		err = json.Unmarshal(raw, &rows)
 	}
@@ -313,7 +313,7 @@
 
 func lower(c *cluster) {
 	kb, ops, rps := 2.0, 5, 15.0
-	c.cfg.Facts.State.Next = config.Next{ValueKB: &kb, TxnOps: &ops, WriteRPS: &rps}
+	c.cfg.Deployment.State.Next = config.UpcomingLimits{ValueKB: &kb, TxnOps: &ops, WriteRPS: &rps}
 	c.paced = true
 }
 
@@ -329,7 +329,7 @@
 		for k, r := range rows {
 			if id, ok := strings.CutPrefix(k, "jobs/open/"); ok {
 				var j records.Job
-				if err := json.Unmarshal(r.Value, &j); err != nil || j.Prereqs != nil {
+				if err := json.Unmarshal(r.Value, &j); err != nil || j.Dependencies != nil {
 					t.Fatalf("%s: %+v, %v", id, j, err)
 				}
 				c.jobs[id] = j
@@ -399,8 +399,8 @@
 		if len(c.state.Refused) > 0 {
 			t.Errorf("refused as too large: %v", c.state.Refused)
 		}
-		if c.state.Later > 5 {
-			t.Errorf("%d times too many changes a second", c.state.Later)
+		if c.state.ThrottledWrites > 5 {
+			t.Errorf("%d times too many changes a second", c.state.ThrottledWrites)
 		}
 	})
 }
--- a/internal/simulation/confirm_test.go
+++ b/internal/simulation/confirm_test.go
@@ -63,7 +63,7 @@
 				story(c, leader, func() {
 					// As users do, until it is confirmed; then the next.
 					if next < jobs {
-						if _, st := c.ask((leader+1+next%2)%3, peer.Withdraw, id(next+1)); st == records.StatusCancelled {
+						if _, st := c.ask((leader+1+next%2)%3, peer.MethodCancel, id(next+1)); st == records.StatusCancelled {
 							next++
 						}
 					}
@@ -72,7 +72,7 @@
 					t.Error("no cancellation was confirmed")
 				}
 				for n := range jobs {
-					c.ask(0, peer.Withdraw, id(n+1))
+					c.ask(0, peer.MethodCancel, id(n+1))
 				}
 				sleep(60)
 			})
--- a/internal/simulation/dark_test.go
+++ b/internal/simulation/dark_test.go
@@ -16,7 +16,7 @@
 // lost.
 func zoneCut(t *testing.T, seconds float64, dark bool) (same, of, lost int) {
 	playWith(t, func(c *cluster) {
-		c.cfg.Options.DarkZones = dark
+		c.cfg.Options.ZoneHealth = dark
 		c.world.Capacity = 6
 	}, func(c *cluster) {
 		c.world.RunFor = func(task string) time.Duration { return 10 * mixed(task) }
@@ -29,9 +29,9 @@
 				before[m.Host] = true
 			}
 		}
-		c.world.Cut("b", true)
+		c.world.PartitionZone("b", true)
 		sleep(seconds)
-		c.world.Cut("b", false)
+		c.world.PartitionZone("b", false)
 		sleep(8)
 		for _, m := range c.world.Machines() {
 			if before[m.Host] {
--- a/internal/simulation/gap_test.go
+++ b/internal/simulation/gap_test.go
@@ -225,21 +225,21 @@
 			g.goneIn(8, "j-8", "j-9")
 		}},
 		"workers answer no commands": {play: func(g *gap) {
-			g.c.world.Close("a", true)
-			g.c.world.Close("b", true)
+			g.c.world.CloseZone("a", true)
+			g.c.world.CloseZone("b", true)
 			g.dark(0, "j-1")
 			g.goneIn(8, "j-1")
-			g.c.world.Close("a", false)
-			g.c.world.Close("b", false)
+			g.c.world.CloseZone("a", false)
+			g.c.world.CloseZone("b", false)
 		}},
 		"workers hear nothing": {cost: true, play: func(g *gap) {
 			for _, m := range g.c.world.Machines() {
-				m.Deafen(true)
+				m.SetUnreachable(true)
 			}
 			g.dark(0, "j-1")
 			sleep(50)
 			for _, m := range g.c.world.Machines() {
-				m.Deafen(false)
+				m.SetUnreachable(false)
 			}
 		}},
 		"a follower is refused, and users use it": {play: func(g *gap) {
@@ -284,7 +284,7 @@
 				nodes = 2
 			}
 			playWith(t, func(c *cluster) {
-				c.cfg.Facts.Nodes = nodes
+				c.cfg.Deployment.Nodes = nodes
 				c.world.GangWait, c.world.GangPeer = 30*time.Second, 5*time.Second
 			}, func(c *cluster) {
 				c.world.RunFor = func(string) time.Duration { return 400 * time.Second }
@@ -299,7 +299,7 @@
 					}
 					c.submit(0, j)
 				}
-				c.submit(0, records.Job{ID: "j-7", Tasks: 2, EstimateS: 10, Prereqs: []string{"j-6"}})
+				c.submit(0, records.Job{ID: "j-7", Tasks: 2, EstimateS: 10, Dependencies: []string{"j-6"}})
 				c.submit(0, records.Job{ID: "j-10", Tasks: 30, EstimateS: 400})
 				c.forget("j-5") // it runs until it is cancelled
 				sleep(34)
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -14,7 +14,7 @@
 // The state service and the cloud of the local region answer in the forms of the protocol.
 func TestGoldenServices(t *testing.T) {
 	state := NewState()
-	state.Fill(map[string]records.Row{"types": {Key: "types", Value: []byte(`{"rigs":[]}`), Stamp: 7}})
+	state.Fill(map[string]records.KeyValue{"types": {Key: "types", Value: []byte(`{"rigs":[]}`), Revision: 7}})
 	w := NewWorld(t.Context())
 	w.Types = []records.MachineType{{Name: "g8", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"}}}
 	app := fiber.New()
@@ -50,7 +50,7 @@
 func TestGoldenHistory(t *testing.T) {
 	at := time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC)
 	goldentest.Run(t, "golden-history.json", goldentest.JSON, []goldentest.Case{
-		{Name: "attempt", Value: Ran{Task: "j-1/0", Machine: "m-1", Zone: "a", From: at, Running: at.Add(time.Second), To: at.Add(time.Minute), Cause: "done"}},
-		{Name: "bill", Value: Bill{Machine: "m-1", Type: "g8", Zone: "a", Spot: true, From: at, To: at.Add(time.Minute), Cost: 0.5}},
+		{Name: "attempt", Value: TaskRun{Task: "j-1/0", Machine: "m-1", Zone: "a", Started: at, Running: at.Add(time.Second), Ended: at.Add(time.Minute), Cause: "done"}},
+		{Name: "bill", Value: RentalCost{Machine: "m-1", Type: "g8", Zone: "a", Spot: true, From: at, To: at.Add(time.Minute), Cost: 0.5}},
 	})
 }
--- a/internal/simulation/idle_test.go
+++ b/internal/simulation/idle_test.go
@@ -61,7 +61,7 @@
 	if _, over := w.cancelled[id]; over {
 		return ""
 	}
-	for _, p := range j.Prereqs {
+	for _, p := range j.Dependencies {
 		if pj, ok := w.Jobs(p); !ok || len(w.finished[p]) < pj.Tasks || w.final[p].status == "" {
 			return ""
 		}
@@ -74,7 +74,7 @@
 	if waits <= 0 {
 		return ""
 	}
-	if j.Shape != records.ShapeGroup {
+	if j.Shape != records.ShapeGang {
 		waits = 1
 	}
 	cpus, gpus := w.used(j.Team)
@@ -108,7 +108,7 @@
 		switch {
 		case m.gone, !m.up, !m.notice.IsZero(), cpus < -1e-9, m.typ.MemGB > 0 && mem < -1e-9, m.Spot && !j.Spot,
 			j.Zone != nil && *j.Zone != m.Zone, len(j.Types) > 0 && !slices.Contains(j.Types, m.typ.Name),
-			j.Apart && zones[m.Zone]+1 > (j.Tasks+1)/2, j.OneZone && len(zones) > 0 && zones[m.Zone] == 0:
+			j.SpreadZones && zones[m.Zone]+1 > (j.Tasks+1)/2, j.OneZone && len(zones) > 0 && zones[m.Zone] == 0:
 			continue
 		}
 		return m
@@ -163,13 +163,13 @@
 	}{
 		"waits":                 {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, want: 1},
 		"room for one of three": {job: records.Job{Tasks: 3, CPUs: 2, Spot: true}, busy: 2, want: 1},
-		"a gang":                {job: records.Job{Shape: records.ShapeGroup, Tasks: 2, CPUs: 2, Spot: true}, want: 1},
-		"room for half a gang":  {job: records.Job{Shape: records.ShapeGroup, Tasks: 2, CPUs: 2, Spot: true}, busy: 2},
+		"a gang":                {job: records.Job{Shape: records.ShapeGang, Tasks: 2, CPUs: 2, Spot: true}, want: 1},
+		"room for half a gang":  {job: records.Job{Shape: records.ShapeGang, Tasks: 2, CPUs: 2, Spot: true}, busy: 2},
 		"no room":               {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, busy: 3},
 		"at its limit":          {job: records.Job{Team: "limited", Tasks: 2, CPUs: 2, Spot: true}, busy: 2},
 		"another zone":          {job: records.Job{Zone: &zone, Tasks: 2, CPUs: 2, Spot: true}},
 		"ordinary machines":     {job: records.Job{Tasks: 2, CPUs: 2}},
-		"waits for another":     {job: records.Job{Tasks: 2, CPUs: 2, Spot: true, Prereqs: []string{"j-0"}}},
+		"waits for another":     {job: records.Job{Tasks: 2, CPUs: 2, Spot: true, Dependencies: []string{"j-0"}}},
 		"in a trouble":          {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, troubled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -177,23 +177,25 @@
 				ctx, end := context.WithCancel(context.Background())
 				defer end()
 				w := NewWorld(ctx)
-				w.Every, w.Lease, w.Startup, w.Cancel, w.Capacity, w.Nodes = 2*time.Second, time.Hour, time.Second, time.Hour, 1, []string{"n-0"}
+				w.HeartbeatInterval, w.Lease, w.Startup, w.Cancel, w.Capacity, w.Nodes = 2*time.Second, time.Hour, time.Second, time.Hour, 1, []string{"n-0"}
 				w.Types = []records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16}}
-				w.Teams = []config.Team{{Name: "limited", CPUsMax: 3}, {Name: ""}}
+				w.Teams = []config.Team{{Name: "limited", LimitCPUs: 3}, {Name: ""}}
 				if x.job.ID = "j-1"; x.job.Shape == "" {
-					x.job.Shape = records.ShapeBatch
+					x.job.Shape = records.ShapeArray
 				}
 				w.Jobs = func(id string) (records.Job, bool) {
 					return map[string]records.Job{"j-0": {ID: "j-0", Team: "limited", Tasks: 1, CPUs: x.busy, Spot: true}, "j-1": x.job}[id], true
 				}
 				w.RunFor = func(string) time.Duration { return time.Hour }
-				w.Report = func(int, *fleet.Report) (int, fleet.Response, string) { return 503, fleet.Response{}, "" }
-				if _, err := w.rent(autoscaler.Request{Booking: "r", Type: "c4", Zone: "a", Count: 1, Spot: true}); err != nil {
+				w.Heartbeat = func(int, *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
+					return 503, fleet.HeartbeatResponse{}, ""
+				}
+				if _, err := w.rent(autoscaler.RentalRequest{Name: "r", Type: "c4", Zone: "a", Count: 1, Spot: true}); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(2 * time.Second)
 				if x.busy > 0 {
-					_, _, _ = w.Orders("m-000001", fleet.Direct{Baton: 1, Session: 1, Orders: []fleet.Order{{Verb: fleet.VerbRun, Shot: "j-0/0", Try: 1}}})
+					_, _, _ = w.SendCommands("m-000001", fleet.CommandRequest{FencingToken: 1, Incarnation: 1, Commands: []fleet.Command{{Verb: fleet.VerbRun, Task: "j-0/0", Attempt: 1}}})
 				}
 				w.Submitted("j-1", 201, time.Now())
 				idle := &idler{w: w}
--- a/internal/simulation/lapse_test.go
+++ b/internal/simulation/lapse_test.go
@@ -19,7 +19,7 @@
 func beside(t *testing.T, prepare func(c *cluster), fall func(c *cluster, leader int, old *leader.Leader)) (after float64, left int) {
 	after = -1
 	playWith(t, func(c *cluster) {
-		c.cfg.Options.DarkZones = true
+		c.cfg.Options.ZoneHealth = true
 		c.world.Capacity = 5
 		prepare(c)
 	}, func(c *cluster) {
@@ -42,8 +42,8 @@
 		if !settled {
 			t.Error("the first leader was not settled: the story shows nothing")
 		}
-		c.world.Cut("b", false)
-		c.world.Close("b", false)
+		c.world.PartitionZone("b", false)
+		c.world.CloseZone("b", false)
 		c.mu.Lock()
 		clear(c.only)
 		clear(c.alone)
@@ -76,7 +76,7 @@
 func settles(l *leader.Leader) bool {
 	all, _ := l.Machines("", 1000)
 	for _, m := range all {
-		if m.State == scheduler.MachineUnsettled {
+		if m.State == scheduler.MachineUnreconciled {
 			return false
 		}
 	}
@@ -91,7 +91,7 @@
 	t.Parallel()
 	fall := func(back bool) func(*cluster, int, *leader.Leader) {
 		return func(c *cluster, l int, _ *leader.Leader) {
-			c.world.Cut("b", true)
+			c.world.PartitionZone("b", true)
 			sleep(1)
 			c.kill(l)
 			if back {
@@ -126,7 +126,7 @@
 				c.mu.Lock()
 				c.alone[l], c.only["b"] = true, l
 				c.mu.Unlock()
-				c.world.Close("b", true)
+				c.world.CloseZone("b", true)
 				if !more {
 					return
 				}
--- a/internal/simulation/late_test.go
+++ b/internal/simulation/late_test.go
@@ -24,7 +24,7 @@
 func record(c *cluster) *recorder {
 	r := &recorder{c: c, marks: map[string]int{}, done: map[string]int{}, deleted: map[string]bool{}, failed: map[string]bool{}}
 	c.state.mu.Lock()
-	c.state.Keep = r.changed
+	c.state.OnChange = r.changed
 	c.state.mu.Unlock()
 	return r
 }
@@ -52,7 +52,7 @@
 }
 
 func (r *recorder) changed(ch Change) {
-	for _, key := range ch.Gone {
+	for _, key := range ch.Deletes {
 		r.deleted[key] = r.deleted[key] || !strings.HasPrefix(key, records.KeyLeader)
 	}
 	for _, row := range ch.Writes {
@@ -61,9 +61,9 @@
 		}
 	}
 	hosts, marks, done := map[string]bool{}, map[string]int{}, map[string]int{}
-	r.entries(records.PrefixHosts, func(id string, _ json.RawMessage) { hosts[id] = true })
-	r.entries(records.PrefixSent, func(id string, v json.RawMessage) {
-		n, _ := records.ParseMark(v)
+	r.entries(records.PrefixMachines, func(id string, _ json.RawMessage) { hosts[id] = true })
+	r.entries(records.PrefixWatermarks, func(id string, v json.RawMessage) {
+		n, _ := records.ParseWatermark(v)
 		marks[id] = max(marks[id], n)
 	})
 	r.entries(records.PrefixDone, func(id string, v json.RawMessage) {
@@ -139,12 +139,12 @@
 						}
 					case 1:
 						l := max(c.leading(), 0)
-						c.world.Cut("b", true)
+						c.world.PartitionZone("b", true)
 						c.kill(l)
 						sleep(float64(r.IntN(8)))
 						c.boot(l)
 						late()
-						c.world.Cut("b", false)
+						c.world.PartitionZone("b", false)
 					}
 				}
 				for i := range 3 {
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -38,7 +38,7 @@
 	poke     chan struct{}
 }
 
-func newMachine(w *World, host string, r autoscaler.Request) *Machine {
+func newMachine(w *World, host string, r autoscaler.RentalRequest) *Machine {
 	m := &Machine{
 		w: w, Host: host, Zone: r.Zone, Spot: r.Spot, addr: host, rented: time.Now(), session: 1, typ: w.Types[0], Version: w.Version,
 		tasks: map[string]*attempt{}, images: map[string]time.Time{}, close: func() {}, poke: make(chan struct{}, 1),
@@ -52,7 +52,7 @@
 }
 
 // bill says what the machine cost until a time, or now.
-func (m *Machine) bill(to time.Time) Bill {
+func (m *Machine) bill(to time.Time) RentalCost {
 	end := to
 	if to.IsZero() {
 		end = time.Now()
@@ -61,7 +61,7 @@
 	if m.Spot {
 		price = m.typ.SpotPrice
 	}
-	return Bill{
+	return RentalCost{
 		Machine: m.Host, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot, From: m.rented, To: to,
 		Cost: price * max(end.Sub(m.rented), autoscaler.MinCharge).Hours(),
 	}
@@ -106,7 +106,7 @@
 			delete(m.w.byJob, s.id.Job)
 		}
 	}
-	m.w.ran = append(m.w.ran, Ran{Task: s.task, Machine: m.Host, Zone: m.Zone, From: s.began, Running: s.ran, To: s.since, Cause: cause})
+	m.w.ran = append(m.w.ran, TaskRun{Task: s.task, Machine: m.Host, Zone: m.Zone, Started: s.began, Running: s.ran, Ended: s.since, Cause: cause})
 	m.wake()
 }
 
@@ -138,17 +138,17 @@
 	m.w.mu.Unlock()
 }
 
-// Deafen keeps answers and commands from the machine, while its reports arrive; false lets
+// SetUnreachable keeps answers and commands from the machine, while its reports arrive; false lets
 // it hear again.
-func (m *Machine) Deafen(on bool) {
+func (m *Machine) SetUnreachable(on bool) {
 	m.w.mu.Lock()
 	m.deaf = on
 	m.w.mu.Unlock()
 }
 
-// Mute keeps the machine's worker from every controller, while direct commands reach it; false
+// SetIsolated keeps the machine's worker from every controller, while direct commands reach it; false
 // lets it report again.
-func (m *Machine) Mute(on bool) {
+func (m *Machine) SetIsolated(on bool) {
 	m.w.mu.Lock()
 	m.mute = on
 	m.w.mu.Unlock()
@@ -165,8 +165,8 @@
 	m.wake()
 }
 
-// Notice tells the worker that its machine will be taken.
-func (m *Machine) Notice(in time.Duration) {
+// NotifyPreemption tells the worker that its machine will be taken.
+func (m *Machine) NotifyPreemption(in time.Duration) {
 	m.w.mu.Lock()
 	m.notice = time.Now().Add(in)
 	m.w.mu.Unlock()
@@ -185,24 +185,24 @@
 
 var errSilent = errors.New("no answer")
 
-// Direct takes direct commands.
-func (m *Machine) Direct(d fleet.Direct) (int, *fleet.Report, error) {
+// ExecuteCommands takes direct commands.
+func (m *Machine) ExecuteCommands(d fleet.CommandRequest) (int, *fleet.Heartbeat, error) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	if m.unreachable() || m.deaf {
 		return 0, nil, errSilent
 	}
-	if d.Baton < m.baton || d.Session != m.session {
+	if d.FencingToken < m.baton || d.Incarnation != m.session {
 		return 409, m.body(), nil
 	}
-	m.baton = max(m.baton, d.Baton)
-	m.execute(d.Orders)
+	m.baton = max(m.baton, d.FencingToken)
+	m.execute(d.Commands)
 	m.wake()
 	return 200, m.body(), nil
 }
 
 // Status is the worker's report, on demand.
-func (m *Machine) Status() (*fleet.Report, error) {
+func (m *Machine) Status() (*fleet.Heartbeat, error) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	if m.unreachable() || m.deaf {
@@ -212,22 +212,22 @@
 	return m.body(), nil
 }
 
-func (m *Machine) body() *fleet.Report {
+func (m *Machine) body() *fleet.Heartbeat {
 	m.tick++
-	r := &fleet.Report{
-		Host: m.Host, Addr: m.addr, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot,
-		Session: m.session, Tick: m.tick, Baton: m.baton, Version: m.Version,
+	r := &fleet.Heartbeat{
+		Machine: m.Host, Addr: m.addr, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot,
+		Incarnation: m.session, Sequence: m.tick, FencingToken: m.baton, Version: m.Version,
 	}
 	if !m.notice.IsZero() {
 		left := time.Until(m.notice).Seconds()
-		r.WarningS = &left
+		r.PreemptionNoticeS = &left
 	}
 	for _, s := range m.tasks {
-		r.Tasks = append(r.Tasks, fleet.TaskReport{Shot: s.task, Try: s.try, Status: s.status, Cause: s.cause, Saved: s.saved})
+		r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: s.task, Attempt: s.try, Status: s.status, Cause: s.cause, Saved: s.saved})
 	}
 	// Deep copies stand for what goes over the wire.
 	raw, _ := json.Marshal(r)
-	var out fleet.Report
+	var out fleet.Heartbeat
 	_ = json.Unmarshal(raw, &out)
 	return &out
 }
@@ -268,7 +268,7 @@
 // tries the next controller then, or at once where none listens.
 const patience = 4 * time.Second
 
-func (w *World) elsewhere() time.Duration { return min(w.Every/2, time.Second) }
+func (w *World) elsewhere() time.Duration { return min(w.HeartbeatInterval/2, time.Second) }
 
 // run is the life of a machine: boot, then report and run tasks.
 func (m *Machine) run() {
@@ -283,7 +283,7 @@
 			w.mu.Unlock()
 			return
 		}
-		var r *fleet.Report
+		var r *fleet.Heartbeat
 		var sent time.Time
 		start := 0
 		silent := m.hung || m.mute || w.cut[m.Zone]
@@ -295,7 +295,7 @@
 		}
 		w.mu.Unlock()
 		if !silent {
-			status, resp, conductor := w.Report(node, r)
+			status, resp, conductor := w.Heartbeat(node, r)
 			w.mu.Lock()
 			if m.deaf || m.starts != start {
 				status = 0 // the answer does not reach it, or the process that asked is no more
@@ -306,15 +306,15 @@
 			}
 			w.mu.Lock()
 			switch {
-			case status == 200 && r.Session == m.session && resp.Baton >= m.baton && !m.gone && !m.hung && time.Since(sent) < 2*w.Every:
-				m.baton = resp.Baton
+			case status == 200 && r.Incarnation == m.session && resp.FencingToken >= m.baton && !m.gone && !m.hung && time.Since(sent) < 2*w.HeartbeatInterval:
+				m.baton = resp.FencingToken
 				m.lastSent = sent
-				m.execute(resp.Orders)
+				m.execute(resp.Commands)
 			case status == 421 && slices.Contains(w.Nodes, conductor) && slices.Index(w.Nodes, conductor) != node:
 				// It goes there at once, or after up to half a second.
 				node = slices.Index(w.Nodes, conductor)
 				w.mu.Unlock()
-				if httpclient.Sleep(w.ctx, min(w.Every, time.Second)/4) != nil {
+				if httpclient.Sleep(w.ctx, min(w.HeartbeatInterval, time.Second)/4) != nil {
 					return
 				}
 				continue
@@ -337,11 +337,11 @@
 // pause waits for the next report: the interval, or less when something changes.
 func (m *Machine) pause() bool {
 	w := m.w
-	wait := w.Every
+	wait := w.HeartbeatInterval
 	w.mu.Lock()
 	for _, s := range m.tasks {
 		if !s.until.IsZero() {
-			wait = min(wait, max(time.Until(s.until), w.Every/4))
+			wait = min(wait, max(time.Until(s.until), w.HeartbeatInterval/4))
 		}
 	}
 	w.mu.Unlock()
@@ -352,7 +352,7 @@
 		return false
 	case <-t.C:
 	case <-m.poke:
-		return httpclient.Sleep(w.ctx, w.Every/4) == nil
+		return httpclient.Sleep(w.ctx, w.HeartbeatInterval/4) == nil
 	}
 	return true
 }
--- a/internal/simulation/many_test.go
+++ b/internal/simulation/many_test.go
@@ -58,12 +58,12 @@
 func many(t *testing.T, prepare func(c *cluster), story func(c *cluster, ms []*Machine) (least time.Duration)) {
 	t.Helper()
 	playWith(t, func(c *cluster) {
-		c.cfg.Facts.Workers.ReportS, c.cfg.Facts.Workers.LeaseS, c.cfg.Facts.Workers.CancelS = 5, 26, 46
-		c.cfg.Facts.State = config.State{RPS: 500, WriteRPS: 60, ValueKB: 8, TxnOps: 16}
-		c.cfg.Facts.Cloud.RPS = 7
-		c.cfg.Options.DarkZones, c.cfg.Options.Shed = true, true
+		c.cfg.Deployment.Workers.HeartbeatS, c.cfg.Deployment.Workers.LeaseS, c.cfg.Deployment.Workers.CancelS = 5, 26, 46
+		c.cfg.Deployment.State = config.State{RPS: 500, WriteRPS: 60, ValueKB: 8, TxnOps: 16}
+		c.cfg.Deployment.Cloud.RPS = 7
+		c.cfg.Options.ZoneHealth, c.cfg.Options.LoadShedding = true, true
 		w := c.world
-		w.Every, w.Lease, w.Cancel = 5*time.Second, 26*time.Second, 46*time.Second
+		w.HeartbeatInterval, w.Lease, w.Cancel = 5*time.Second, 26*time.Second, 46*time.Second
 		w.Capacity = manyMachines() / 4 // of a zone and kind
 		w.RunFor = func(task string) time.Duration { return 8 * mixed(task) }
 		prepare(c)
@@ -137,7 +137,7 @@
 		}
 		sleep(0.3)
 		least := c.world.onThem(inZone(ms, "b"))
-		c.world.Storm("b")
+		c.world.FailZone("b")
 		return least
 	})
 }
@@ -187,7 +187,7 @@
 			m.Die()
 		}
 		for _, m := range taken {
-			m.Notice(12 * time.Second)
+			m.NotifyPreemption(12 * time.Second)
 		}
 		// Of what is taken, what ends within the notice need not be lost.
 		c.world.mu.Lock()
@@ -216,11 +216,11 @@
 		c.boot(0)
 		c.boot(2)
 		sleep(10)
-		c.world.Cut("b", true)
+		c.world.PartitionZone("b", true)
 		sleep(1)
 		c.kill(1)
 		sleep(10)
-		c.world.Cut("b", false)
+		c.world.PartitionZone("b", false)
 		return 0
 	})
 }
--- a/internal/simulation/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -47,9 +47,9 @@
 		due             float64
 		of              float64 // of the load
 	}{
-		{"export", records.PrioUrgent, 8, 1, 25, 0, 0, 50, 0.25},
-		{"index", records.PrioNormal, 40, 1, 18, 0, 0, 70, 0.35},
-		{"cleanup", records.PrioLow, 12, 4, 70, 30, 4, 160, 0.4},
+		{"export", records.PriorityUrgent, 8, 1, 25, 0, 0, 50, 0.25},
+		{"index", records.PriorityStandard, 40, 1, 18, 0, 0, 70, 0.35},
+		{"cleanup", records.PriorityLow, 12, 4, 70, 30, 4, 160, 0.4},
 	} {
 		k.seconds, k.due = k.seconds**stretch, k.due**stretch
 		every := float64(k.tasks) * k.cpus * k.seconds / (cpus * k.of)
@@ -60,7 +60,7 @@
 					return
 				}
 				s.post(records.Job{
-					Class: k.class, Team: "team", Shape: records.ShapeBatch, Priority: k.priority, Tasks: k.tasks, CPUs: k.cpus, MemGB: 1,
+					Class: k.class, Team: "team", Shape: records.ShapeArray, Priority: k.priority, Tasks: k.tasks, CPUs: k.cpus, MemGB: 1,
 					Image: fmt.Sprint(k.class, r.IntN(6)), ImageGB: 0.5, Spot: true, EstimateS: k.seconds, CheckpointS: k.saves, SaveS: k.flush, DeadlineS: &k.due,
 				}, k.due)
 			}
@@ -86,14 +86,14 @@
 func (s *shift) follow() {
 	var since uint64
 	for s.ctx.Err() == nil {
-		events, epoch, err := s.state.watch(s.ctx, "", records.PrefixOver, since, time.Second, func() bool { return false })
+		events, epoch, err := s.state.watch(s.ctx, "", records.PrefixClosed, since, time.Second, func() bool { return false })
 		if err != nil {
 			return
 		}
 		since = epoch
 		s.mu.Lock()
 		for _, e := range events {
-			if p := s.jobs[strings.TrimPrefix(e.Write, records.PrefixOver)]; p != nil && p.done == 0 {
+			if p := s.jobs[strings.TrimPrefix(e.Write, records.PrefixClosed)]; p != nil && p.done == 0 {
 				p.done = time.Since(p.at)
 			}
 		}
@@ -141,10 +141,10 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	playWith(t, func(c *cluster) {
 		c.cfg.Options.Operators = true
-		c.cfg.Facts.Workers.ReportS, c.cfg.Facts.Workers.LeaseS, c.cfg.Facts.Workers.CancelS = 5, 24, 44
-		c.cfg.Facts.State.WriteRPS, c.cfg.Facts.State.RPS, c.cfg.Facts.Cloud.ListLagS = 20, 150, 4
+		c.cfg.Deployment.Workers.HeartbeatS, c.cfg.Deployment.Workers.LeaseS, c.cfg.Deployment.Workers.CancelS = 5, 24, 44
+		c.cfg.Deployment.State.WriteRPS, c.cfg.Deployment.State.RPS, c.cfg.Deployment.Cloud.ListLagS = 20, 150, 4
 		w := c.world
-		w.Every, w.Lease, w.Cancel, w.Version = 5*time.Second, 24*time.Second, 44*time.Second, "1"
+		w.HeartbeatInterval, w.Lease, w.Cancel, w.Version = 5*time.Second, 24*time.Second, 44*time.Second, "1"
 		w.Capacity = machines/4 + 1 // in each of two zones, cheap and ordinary
 		w.Types[0].FetchGBps, w.Types[0].CacheGB = 0.1, 40
 		c.paced = true
@@ -198,7 +198,7 @@
 				}
 				if way == "power fails at 60 s" {
 					sleep(60)
-					s.world.Storm("a")
+					s.world.FailZone("a")
 				}
 				if way != "nothing happens" {
 					for s.on(north) > 0 && time.Since(began) < 10*time.Minute {
@@ -262,7 +262,7 @@
 					left++
 				}
 			}
-			if strings.Contains(s.state.Value(records.PrefixDrain+"d-1"), `"phase":"done"`) {
+			if strings.Contains(s.state.Value(records.PrefixDrainState+"d-1"), `"phase":"done"`) {
 				break
 			}
 		}
--- a/internal/simulation/meeting_list_test.go
+++ b/internal/simulation/meeting_list_test.go
@@ -68,18 +68,18 @@
 		deaf := r.IntN(2) == 0
 		for _, m := range c.world.Machines() {
 			if deaf && m.Zone == z {
-				m.Deafen(true)
+				m.SetUnreachable(true)
 			}
 		}
-		c.world.Cut(z, !deaf)
+		c.world.PartitionZone(z, !deaf)
 		sleep(float64(r.IntN(4)))
 		l := max(c.leading(), 0)
 		c.kill(l)
 		sleep(float64(r.IntN(30)))
 		c.boot(l)
-		c.world.Cut(z, false)
+		c.world.PartitionZone(z, false)
 		for _, m := range c.world.Machines() {
-			m.Deafen(false)
+			m.SetUnreachable(false)
 		}
 	}},
 	{"new troubles and old", func(c *cluster, r *rand.Rand) {
@@ -142,7 +142,7 @@
 		sleep(float64(5 + r.IntN(25)))
 		hung := c.hangs(r, 2, 1+r.IntN(25))
 		if r.IntN(2) == 0 {
-			c.world.Cut("b", true)
+			c.world.PartitionZone("b", true)
 		}
 		for k := range 2 {
 			c.withdraw(r.IntN(3), id(n+1+k))
@@ -154,7 +154,7 @@
 		c.boot(l)
 		c.withdraw(r.IntN(3), id(n+3))
 		<-hung
-		c.world.Cut("b", false)
+		c.world.PartitionZone("b", false)
 	}},
 	{"cancelled while work changes hands", func(c *cluster, r *rand.Rand) {
 		l := max(c.leading(), 0)
@@ -242,7 +242,7 @@
 		for k := range 3 {
 			j := records.Job{ID: id(n + 1 + k), Tasks: 30, CPUs: 2, EstimateS: 10}
 			if k == 2 {
-				j.Priority = records.PrioUrgent
+				j.Priority = records.PriorityUrgent
 			}
 			c.offer(k, j)
 		}
@@ -261,11 +261,11 @@
 		zone := []string{"a", "b"}[r.IntN(2)]
 		c.offer(0, records.Job{ID: id(n + 1), Tasks: 8, CPUs: 2, OneZone: true, EstimateS: 10})
 		c.offer(1, records.Job{ID: id(n + 2), Tasks: 12, CPUs: 2, Zone: &zone, EstimateS: 10})
-		c.offer(2, records.Job{ID: id(n + 3), Shape: records.ShapeGroup, Tasks: 3, CPUs: 2, OneZone: true, EstimateS: 10})
+		c.offer(2, records.Job{ID: id(n + 3), Shape: records.ShapeGang, Tasks: 3, CPUs: 2, OneZone: true, EstimateS: 10})
 		sleep(float64(3 + r.IntN(25)))
 		switch r.IntN(3) {
 		case 0:
-			c.world.Storm(zone)
+			c.world.FailZone(zone)
 		case 1:
 			for _, m := range c.world.Machines() {
 				if m.Zone == zone && r.IntN(2) == 0 {
@@ -273,14 +273,14 @@
 				}
 			}
 		case 2:
-			c.world.Cut(zone, true)
+			c.world.PartitionZone(zone, true)
 			sleep(float64(r.IntN(30)))
 		}
 		if r.IntN(2) == 0 {
 			c.restart(c.leading(), r.Float64())
 		}
 		sleep(float64(r.IntN(15)))
-		c.world.Cut(zone, false)
+		c.world.PartitionZone(zone, false)
 	}},
 	{"all controllers away for longer than a lease", func(c *cluster, r *rand.Rand) {
 		for k := range 3 {
@@ -306,7 +306,7 @@
 		for k := range 3 {
 			later(wait+time.Duration(r.IntN(20))*time.Millisecond, func() { c.withdraw(k, id(n)) })
 			for range 4 {
-				later(wait+time.Duration(r.IntN(1500))*time.Millisecond, func() { c.ask(k, peer.Poll, id(n)) })
+				later(wait+time.Duration(r.IntN(1500))*time.Millisecond, func() { c.ask(k, peer.MethodPoll, id(n)) })
 				later(wait+time.Duration(r.IntN(1500))*time.Millisecond, func() { c.submit(k, j) })
 			}
 		}
@@ -323,7 +323,7 @@
 		c.mu.Lock()
 		c.only[zone] = i
 		c.mu.Unlock()
-		c.world.Close(zone, true)
+		c.world.CloseZone(zone, true)
 		c.island(i, true)
 		sleep(float64(2 + r.IntN(10)))
 		c.withdrawSome(r, 2)
@@ -331,7 +331,7 @@
 		c.mu.Lock()
 		delete(c.only, zone)
 		c.mu.Unlock()
-		c.world.Close(zone, false)
+		c.world.CloseZone(zone, false)
 		c.island(i, false)
 	}},
 	{"at the limit, a new leader, machines that cannot be asked, and a cancellation", func(c *cluster, r *rand.Rand) {
@@ -343,10 +343,10 @@
 		}
 		sleep(float64(5 + r.IntN(20)))
 		z := []string{"a", "b"}[r.IntN(2)]
-		c.world.Close(z, true)
+		c.world.CloseZone(z, true)
 		for _, m := range c.world.Machines() {
 			if m.Zone == z && r.IntN(3) == 0 {
-				m.Mute(true)
+				m.SetIsolated(true)
 			}
 		}
 		l := max(c.leading(), 0)
@@ -357,12 +357,12 @@
 		c.withdraw((l+2)%3, id(n+2))
 		c.boot(l)
 		sleep(float64(r.IntN(10)))
-		c.world.Close(z, false)
+		c.world.CloseZone(z, false)
 		c.unmute()
 	}},
 	{"workers reach nobody, and direct commands reach them", func(c *cluster, r *rand.Rand) {
 		for _, m := range c.world.Machines() {
-			m.Mute(r.IntN(3) > 0)
+			m.SetIsolated(r.IntN(3) > 0)
 		}
 		sleep(float64(r.IntN(8)))
 		c.withdrawSome(r, 1)
@@ -444,7 +444,7 @@
 
 func (c *cluster) unmute() {
 	for _, m := range c.world.Machines() {
-		m.Mute(false)
+		m.SetIsolated(false)
 	}
 }
 
--- a/internal/simulation/meetings_test.go
+++ b/internal/simulation/meetings_test.go
@@ -88,12 +88,12 @@
 					set := func(on bool) {
 						switch how {
 						case "cut":
-							c.world.Cut("b", on)
+							c.world.PartitionZone("b", on)
 						default:
 							for _, m := range c.world.Machines() {
 								if m.Zone != "b" {
 								} else if how == "deaf" {
-									m.Deafen(on)
+									m.SetUnreachable(on)
 								} else {
 									m.Hang(on)
 								}
@@ -223,7 +223,7 @@
 	playWith(t, func(c *cluster) {
 		c.world.Capacity = 8
 		c.world.GangWait, c.world.GangPeer = 30*time.Second, 5*time.Second
-		c.cfg.Facts.Teams = append(c.cfg.Facts.Teams, config.Team{Name: "limited", CPUsMax: 20})
+		c.cfg.Deployment.Teams = append(c.cfg.Deployment.Teams, config.Team{Name: "limited", LimitCPUs: 20})
 		if r.IntN(3) == 0 {
 			c.plain[r.IntN(3)] = true
 		}
@@ -255,7 +255,7 @@
 		calm(c)
 		sleep(20)
 		for _, id := range c.again {
-			if status, st := c.ask(0, peer.Withdraw, id); st == "cancelled" {
+			if status, st := c.ask(0, peer.MethodCancel, id); st == "cancelled" {
 				c.cancelledWith(id)
 			} else if status != 200 && status != 404 {
 				t.Errorf("withdraw %s, once more: %d", id, status)
@@ -284,7 +284,7 @@
 		}
 	case 1:
 		if len(asked) > 0 {
-			j.Prereqs = []string{asked[r.IntN(len(asked))]}
+			j.Dependencies = []string{asked[r.IntN(len(asked))]}
 		}
 	case 2:
 		zone := []string{"a", "b"}[r.IntN(2)]
@@ -294,7 +294,7 @@
 		case 1:
 			j.OneZone, j.Tasks = true, min(j.Tasks, 6)
 		case 2:
-			j.Apart = true
+			j.SpreadZones = true
 		case 3:
 			j.Zone = &zone
 		}
@@ -316,7 +316,7 @@
 
 // withdraw has a user cancel a job, who asks again in the end if nobody answers.
 func (c *cluster) withdraw(i int, id string) {
-	switch status, st := c.ask(i, peer.Withdraw, id); {
+	switch status, st := c.ask(i, peer.MethodCancel, id); {
 	case st == "cancelled":
 		c.cancelledWith(id)
 	case status != 200:
@@ -346,7 +346,7 @@
 	c.mu.Lock()
 	var behind []string
 	for x, j := range c.jobs {
-		if slices.Contains(j.Prereqs, id) {
+		if slices.Contains(j.Dependencies, id) {
 			behind = append(behind, x)
 		}
 	}
@@ -382,12 +382,12 @@
 		mu.Unlock()
 		for i := range 3 {
 			for _, ms := range []int{0, 1, 4, 20} {
-				later(time.Duration(ms)*time.Millisecond, func() { c.ask(i, peer.Poll, id) })
+				later(time.Duration(ms)*time.Millisecond, func() { c.ask(i, peer.MethodPoll, id) })
 			}
 			later(2*time.Millisecond, func() { c.submit(i, j) })
 		}
 		if event == records.StatusDone && cancels {
-			later(time.Millisecond, func() { c.ask(from, peer.Withdraw, id) }) // it is done, and stays so
+			later(time.Millisecond, func() { c.ask(from, peer.MethodCancel, id) }) // it is done, and stays so
 		}
 		if event == "accepted" {
 			later(3*time.Millisecond, func() { c.odd(from, j) })
@@ -412,7 +412,7 @@
 		change(m)
 		raw, _ = json.Marshal(m)
 		asked := time.Now()
-		status, _ := c.request(i, peer.Relay{Method: peer.Submit, Body: raw})
+		status, _ := c.request(i, peer.RelayRequest{Method: peer.MethodSubmit, Body: raw})
 		c.world.Submitted(m["uid"].(string), status, asked)
 	}
 }
--- a/internal/simulation/overtaken_test.go
+++ b/internal/simulation/overtaken_test.go
@@ -15,8 +15,8 @@
 // leases.)
 func TestAnswersOvertakeReports(t *testing.T) {
 	playWith(t, func(c *cluster) {
-		c.cfg.Facts.Workers.ReportS, c.grant = 1.5, 3*time.Second
-		c.world.Every, c.world.Capacity = 1500*time.Millisecond, 20
+		c.cfg.Deployment.Workers.HeartbeatS, c.grant = 1.5, 3*time.Second
+		c.world.HeartbeatInterval, c.world.Capacity = 1500*time.Millisecond, 20
 	}, func(c *cluster) {
 		c.world.RunFor = func(string) time.Duration { return 200 * time.Second }
 		const tasks = 64
@@ -25,7 +25,7 @@
 		sleep(33)
 		c.mu.Lock()
 		for i := range c.nodes {
-			c.slow[i] = c.world.Every * 7 / 15
+			c.slow[i] = c.world.HeartbeatInterval * 7 / 15
 		}
 		c.mu.Unlock()
 		sleep(3)
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -33,7 +33,7 @@
 	asked := w.asked[id] || told
 	w.mu.Unlock()
 	j, _ := w.Jobs(id)
-	return asked || slices.ContainsFunc(j.Prereqs, w.wanted)
+	return asked || slices.ContainsFunc(j.Dependencies, w.wanted)
 }
 
 // Cancelled notes that a user was told that a job is cancelled.
@@ -49,7 +49,7 @@
 func (w *World) Orphaned(id string) time.Duration {
 	j, _ := w.Jobs(id)
 	var longest time.Duration
-	for _, p := range j.Prereqs {
+	for _, p := range j.Dependencies {
 		longest = max(longest, w.Orphaned(p))
 		w.mu.Lock()
 		if at, ok := w.cancelled[p]; ok {
@@ -84,7 +84,7 @@
 // canRun says whether a machine type takes a job's tasks and its team's limit allows it.
 func (w *World) canRun(j records.Job) bool {
 	n := 1.0
-	if j.Shape != records.ShapeBatch {
+	if j.Shape != records.ShapeArray {
 		n = float64(j.Tasks)
 	}
 	known := len(w.Teams) == 0 || slices.ContainsFunc(w.Teams, func(t config.Team) bool { return t.Name == j.Team })
@@ -110,10 +110,10 @@
 	}
 }
 
-// Told checks what state of a job a user is told who asked at some time. What anybody was told
+// NoteAnswer checks what state of a job a user is told who asked at some time. What anybody was told
 // before that binds the answer, whichever controller gives it. It says whether a final state is
 // told for the first time.
-func (w *World) Told(id, status string, asked time.Time) (first bool) {
+func (w *World) NoteAnswer(id, status string, asked time.Time) (first bool) {
 	orphaned, wanted := w.Orphaned(id), w.wanted(id)
 	j, known := w.Jobs(id)
 	w.mu.Lock()
@@ -155,8 +155,8 @@
 	return append([]string(nil), w.broken...)
 }
 
-// Sweep checks what must not be on machines any more.
-func (w *World) Sweep() {
+// CheckEnd checks what must not be on machines any more.
+func (w *World) CheckEnd() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range w.machines {
@@ -177,20 +177,20 @@
 }
 
 // checkStart checks the rules when a task starts.
-func (w *World) checkStart(m *Machine, o fleet.Order, job records.Job) {
-	id, _ := fleet.ParseTask(o.Shot)
+func (w *World) checkStart(m *Machine, o fleet.Command, job records.Job) {
+	id, _ := fleet.ParseTask(o.Task)
 	now := time.Now()
 	if at, ok := w.cancelled[id.Job]; ok {
 		switch since := now.Sub(at); {
 		case since > w.Cancel:
-			w.breach("ran_cancelled: %s started %v after its cancellation", o.Shot, since)
+			w.breach("ran_cancelled: %s started %v after its cancellation", o.Task, since)
 		case since > w.InFlight:
-			w.breach("started_cancelled: %s started %v after its cancellation was confirmed", o.Shot, since)
+			w.breach("started_cancelled: %s started %v after its cancellation was confirmed", o.Task, since)
 		}
 	}
-	for _, p := range job.Prereqs {
+	for _, p := range job.Dependencies {
 		if pj, ok := w.Jobs(p); ok && len(w.finished[p]) < pj.Tasks {
-			w.breach("too_early: %s started, %d of %d tasks of %s are done", o.Shot, len(w.finished[p]), pj.Tasks, p)
+			w.breach("too_early: %s started, %d of %d tasks of %s are done", o.Task, len(w.finished[p]), pj.Tasks, p)
 		}
 	}
 	zones := map[string]int{}
@@ -198,14 +198,14 @@
 		if !x.holds(now) {
 			continue
 		}
-		if s.task == o.Shot && x != m {
-			w.breach("ran_twice: %s started on %s while it is on %s", o.Shot, m.Host, x.Host)
+		if s.task == o.Task && x != m {
+			w.breach("ran_twice: %s started on %s while it is on %s", o.Task, m.Host, x.Host)
 		}
 		zones[x.Zone]++
 	}
-	if job.OneZone && len(zones) > 1 || job.Apart && zones[m.Zone] > (job.Tasks+1)/2 ||
+	if job.OneZone && len(zones) > 1 || job.SpreadZones && zones[m.Zone] > (job.Tasks+1)/2 ||
 		job.Zone != nil && *job.Zone != m.Zone || len(job.Types) > 0 && !slices.Contains(job.Types, m.typ.Name) || m.Spot && !job.Spot {
-		w.breach("wrong_place: %s on %s", o.Shot, m.Host)
+		w.breach("wrong_place: %s on %s", o.Task, m.Host)
 	}
 	w.checkLimit(job.Team)
 }
@@ -240,6 +240,6 @@
 // within says whether a team may use so much.
 func (w *World) within(team string, cpus, gpus float64) bool {
 	return !slices.ContainsFunc(w.Teams, func(t config.Team) bool {
-		return t.Name == team && (t.CPUsMax > 0 && cpus > t.CPUsMax+1e-9 || t.GPUsMax > 0 && gpus > t.GPUsMax+1e-9)
+		return t.Name == team && (t.LimitCPUs > 0 && cpus > t.LimitCPUs+1e-9 || t.LimitGPUs > 0 && gpus > t.LimitGPUs+1e-9)
 	})
 }
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -21,11 +21,11 @@
 	jobs := map[string]records.Job{}
 	for _, j := range []records.Job{
 		{ID: "j-1", Tasks: 4, CPUs: 1}, {ID: "j-2", Tasks: 2, CPUs: 1, Zone: &zone}, {ID: "j-3", Tasks: 2, CPUs: 1, Types: []string{"other"}},
-		{ID: "j-4", Tasks: 2, CPUs: 1, OneZone: true}, {ID: "j-5", Tasks: 3, CPUs: 1, Apart: true}, {ID: "j-6", Tasks: 4, CPUs: 2, Team: "limited"},
-		{ID: "j-7", Tasks: 1, CPUs: 1, Prereqs: []string{"j-1"}}, {ID: "j-8", Tasks: 2, CPUs: 1},
+		{ID: "j-4", Tasks: 2, CPUs: 1, OneZone: true}, {ID: "j-5", Tasks: 3, CPUs: 1, SpreadZones: true}, {ID: "j-6", Tasks: 4, CPUs: 2, Team: "limited"},
+		{ID: "j-7", Tasks: 1, CPUs: 1, Dependencies: []string{"j-1"}}, {ID: "j-8", Tasks: 2, CPUs: 1},
 		{ID: "j-10", Tasks: 1, CPUs: 5, Team: "limited"},
 	} {
-		j.Shape, j.Spot = records.ShapeBatch, j.ID != "j-8"
+		j.Shape, j.Spot = records.ShapeArray, j.ID != "j-8"
 		jobs[j.ID] = j
 	}
 	for want, breaks := range map[string]func(w *World, run func(host, task string, try uint64)){
@@ -59,13 +59,13 @@
 			run("m-000001", "j-1/0", 1)
 			w.Cancelled("j-1")
 			time.Sleep(w.Cancel + time.Second)
-			w.Sweep()
+			w.CheckEnd()
 		},
 		"too_early": func(_ *World, run func(string, string, uint64)) { run("m-000001", "j-7/0", 1) },
 		"orphaned": func(w *World, _ func(string, string, uint64)) {
 			w.Cancelled("j-1")
 			time.Sleep(w.Cancel + time.Second)
-			w.Told("j-7", records.StatusPending, time.Now())
+			w.NoteAnswer("j-7", records.StatusPending, time.Now())
 		},
 		"forgotten: j-1 was accepted and is": func(w *World, _ func(string, string, uint64)) {
 			w.Submitted("j-1", 201, time.Now())
@@ -77,14 +77,18 @@
 			later()
 			w.Submitted("j-1", 422, time.Now())
 		},
-		"invented":                           func(w *World, _ func(string, string, uint64)) { w.Told("j-99", records.StatusPending, time.Now()) },
-		"not_done":                           func(w *World, _ func(string, string, uint64)) { w.Told("j-1", records.StatusDone, time.Now()) },
-		"went_back: j-1 is called cancelled": func(w *World, _ func(string, string, uint64)) { w.Told("j-1", records.StatusCancelled, time.Now()) },
+		"invented": func(w *World, _ func(string, string, uint64)) {
+			w.NoteAnswer("j-99", records.StatusPending, time.Now())
+		},
+		"not_done": func(w *World, _ func(string, string, uint64)) { w.NoteAnswer("j-1", records.StatusDone, time.Now()) },
+		"went_back: j-1 is called cancelled": func(w *World, _ func(string, string, uint64)) {
+			w.NoteAnswer("j-1", records.StatusCancelled, time.Now())
+		},
 		"went_back: j-1 was called": func(w *World, _ func(string, string, uint64)) {
 			w.Cancelled("j-1")
-			w.Told("j-1", records.StatusCancelled, time.Now())
+			w.NoteAnswer("j-1", records.StatusCancelled, time.Now())
 			later()
-			w.Told("j-1", records.StatusRunning, time.Now())
+			w.NoteAnswer("j-1", records.StatusRunning, time.Now())
 		},
 		"went_back: j-1 was accepted": func(w *World, _ func(string, string, uint64)) {
 			w.Submitted("j-1", 201, time.Now())
@@ -107,8 +111,8 @@
 			run("m-000001", "j-1/0", 1)
 			w.Withdrawn("j-1")
 			w.Cancelled("j-1")
-			w.Told("j-1", records.StatusCancelled, asked)
-			w.Told("j-1", records.StatusRunning, asked)
+			w.NoteAnswer("j-1", records.StatusCancelled, asked)
+			w.NoteAnswer("j-1", records.StatusRunning, asked)
 			w.Submitted("j-1", 200, time.Now())
 		},
 	} {
@@ -117,21 +121,23 @@
 				ctx, end := context.WithCancel(context.Background())
 				defer end()
 				w := NewWorld(ctx)
-				w.Every, w.Lease, w.Startup, w.Cancel = 2*time.Second, time.Hour, time.Second, 30*time.Second
+				w.HeartbeatInterval, w.Lease, w.Startup, w.Cancel = 2*time.Second, time.Hour, time.Second, 30*time.Second
 				w.Capacity, w.Nodes = 9, []string{"n-0"}
 				w.Types = []records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16}}
-				w.Teams = []config.Team{{Name: "limited", CPUsMax: 4}, {Name: ""}}
+				w.Teams = []config.Team{{Name: "limited", LimitCPUs: 4}, {Name: ""}}
 				w.Jobs = func(id string) (records.Job, bool) { j, ok := jobs[id]; return j, ok }
 				w.RunFor = func(string) time.Duration { return time.Hour }
-				w.Report = func(int, *fleet.Report) (int, fleet.Response, string) { return 503, fleet.Response{}, "" }
+				w.Heartbeat = func(int, *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
+					return 503, fleet.HeartbeatResponse{}, ""
+				}
 				for i, z := range []string{"a", "b", "a"} {
-					if _, err := w.rent(autoscaler.Request{Booking: fmt.Sprint(i), Type: "c4", Zone: z, Count: 1, Spot: i == 2}); err != nil {
+					if _, err := w.rent(autoscaler.RentalRequest{Name: fmt.Sprint(i), Type: "c4", Zone: z, Count: 1, Spot: i == 2}); err != nil {
 						t.Fatal(err)
 					}
 				}
 				time.Sleep(2 * time.Second)
 				breaks(w, func(host, task string, try uint64) {
-					_, _, err := w.Orders(host, fleet.Direct{Baton: 1, Session: 1, Orders: []fleet.Order{{Verb: fleet.VerbRun, Shot: task, Try: try}}})
+					_, _, err := w.SendCommands(host, fleet.CommandRequest{FencingToken: 1, Incarnation: 1, Commands: []fleet.Command{{Verb: fleet.VerbRun, Task: task, Attempt: try}}})
 					if err != nil {
 						t.Error(err)
 					}
--- a/internal/simulation/serve.go
+++ b/internal/simulation/serve.go
@@ -21,7 +21,7 @@
 func ServeState(ctx context.Context, app *fiber.App, s *State, durable func(epoch uint64)) {
 	answer := func(c *fiber.Ctx, status int, body any) error {
 		if durable != nil {
-			durable(s.Epoch())
+			durable(s.Revision())
 		}
 		return c.Status(status).JSON(body)
 	}
@@ -37,7 +37,7 @@
 	app.Get("/store", func(c *fiber.Ctx) error {
 		rows, more, epoch := s.list(c.Query("under"), c.Query("since"), min(max(c.QueryInt("limit", 1000), 1), 1000), mostPage)
 		if rows == nil {
-			rows = []records.Row{}
+			rows = []records.KeyValue{}
 		}
 		return answer(c, 200, fiber.Map{"rows": rows, "more": more, "epoch": epoch})
 	})
@@ -50,7 +50,7 @@
 	})
 	app.Post("/commit", func(c *fiber.Ctx) error {
 		var in struct {
-			When   []records.Cond `json:"when"`
+			When   []records.Compare `json:"when"`
 			Writes []struct {
 				Write  string          `json:"write"`
 				Value  json.RawMessage `json:"value"`
@@ -66,7 +66,7 @@
 			if (w.Write == "") == (w.Delete == "") || w.Write != "" && len(w.Value) == 0 {
 				return c.Status(400).JSON(failure{"a change is either a write with a value or a delete"})
 			}
-			ops = append(ops, records.Op{Write: w.Write, Value: json.RawMessage(utils.CopyBytes(w.Value)), Hold: w.Hold, Delete: w.Delete})
+			ops = append(ops, records.Op{Write: w.Write, Value: json.RawMessage(utils.CopyBytes(w.Value)), LeaseID: w.Hold, Delete: w.Delete})
 		}
 		epoch, err := s.commit(in.When, ops)
 		var conflict *records.ConflictError
@@ -77,7 +77,7 @@
 			return answer(c, 409, conflict)
 		case errors.Is(err, records.ErrThrottled):
 			return c.SendStatus(429)
-		case errors.Is(err, records.ErrNoGrant):
+		case errors.Is(err, records.ErrLeaseExpired):
 			return c.Status(400).JSON(failure{"no such lease"})
 		}
 		return c.Status(400).JSON(failure{err.Error()})
@@ -115,7 +115,7 @@
 		}
 		log := make([]logged, len(events))
 		for i, e := range events {
-			log[i] = logged{Write: e.Write, Delete: e.Delete, Value: e.Value, Stamp: e.Stamp}
+			log[i] = logged{Write: e.Write, Delete: e.Delete, Value: e.Value, Stamp: e.Revision}
 		}
 		return answer(c, 200, fiber.Map{"epoch": epoch, "log": log})
 	})
@@ -135,13 +135,13 @@
 
 // ServeCloud serves the cloud's interface.
 func ServeCloud(app *fiber.App, w *World) {
-	app.Get("/machine_types", func(c *fiber.Ctx) error { return c.JSON(records.Types{Types: w.Types}) })
+	app.Get("/machine_types", func(c *fiber.Ctx) error { return c.JSON(records.MachineTypes{Types: w.Types}) })
 	app.Post("/machines", func(c *fiber.Ctx) error {
-		var r autoscaler.Request
-		if err := json.Unmarshal(c.Body(), &r); err != nil || r.Booking == "" || r.Count < 1 || r.Count > autoscaler.MostCount {
+		var r autoscaler.RentalRequest
+		if err := json.Unmarshal(c.Body(), &r); err != nil || r.Name == "" || r.Count < 1 || r.Count > autoscaler.MaxRentCount {
 			return c.Status(400).JSON(failure{"booking is missing, or count is not within 1 to 50"})
 		}
-		r.Booking, r.Type, r.Zone = utils.CopyString(r.Booking), utils.CopyString(r.Type), utils.CopyString(r.Zone)
+		r.Name, r.Type, r.Zone = utils.CopyString(r.Name), utils.CopyString(r.Type), utils.CopyString(r.Zone)
 		hosts, err := w.rent(r)
 		if err != nil {
 			return c.Status(503).JSON(failure{"no capacity"})
@@ -152,7 +152,7 @@
 		var in struct {
 			Hosts []string `json:"hosts"`
 		}
-		if err := json.Unmarshal(c.Body(), &in); err != nil || len(in.Hosts) > autoscaler.MostNames {
+		if err := json.Unmarshal(c.Body(), &in); err != nil || len(in.Hosts) > autoscaler.MaxReturnNames {
 			return c.Status(400).JSON(failure{"hosts is no list of at most 100 names"})
 		}
 		w.takeBack(in.Hosts)
@@ -160,10 +160,10 @@
 	})
 	app.Get("/machines", func(c *fiber.Ctx) error {
 		since, limit := c.Query("since"), min(max(c.QueryInt("limit", 500), 1), 500)
-		page := []autoscaler.Listed{}
+		page := []autoscaler.CloudMachine{}
 		more := false
 		for _, l := range w.Listed() {
-			if l.Host <= since {
+			if l.Machine <= since {
 				continue
 			}
 			if more = len(page) == limit; more {
@@ -189,15 +189,15 @@
 		return nil
 	}
 	app.Post("/orders", func(c *fiber.Ctx) error {
-		var d fleet.Direct
-		if json.Unmarshal(c.Body(), &d) != nil || d.Session == 0 {
+		var d fleet.CommandRequest
+		if json.Unmarshal(c.Body(), &d) != nil || d.Incarnation == 0 {
 			return c.Status(400).JSON(failure{"baton or stint is missing"})
 		}
 		m := at(c)
 		if m == nil {
 			return silent(c)
 		}
-		status, r, err := m.Direct(d)
+		status, r, err := m.ExecuteCommands(d)
 		if err != nil {
 			return silent(c)
 		}
@@ -216,24 +216,24 @@
 	})
 }
 
-// Reporter returns the workers' way to controllers at the given addresses.
-func Reporter(call func(host string, node int, body []byte) (status int, answer []byte, err error)) Report {
-	return func(node int, r *fleet.Report) (int, fleet.Response, string) {
+// HeartbeatOverHTTP returns the workers' way to controllers at the given addresses.
+func HeartbeatOverHTTP(call func(host string, node int, body []byte) (status int, answer []byte, err error)) HeartbeatFunc {
+	return func(node int, r *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
 		raw, err := json.Marshal(r)
 		if err != nil {
 			panic(fmt.Sprintf("unwritable report: %v", err))
 		}
-		status, answer, err := call(r.Host, node, raw)
+		status, answer, err := call(r.Machine, node, raw)
 		if err != nil {
-			return 0, fleet.Response{}, ""
+			return 0, fleet.HeartbeatResponse{}, ""
 		}
 		var out struct {
-			fleet.Response
+			fleet.HeartbeatResponse
 			Conductor string `json:"conductor"`
 		}
 		if json.Unmarshal(answer, &out) != nil && status == 200 {
-			return 0, fleet.Response{}, ""
+			return 0, fleet.HeartbeatResponse{}, ""
 		}
-		return status, out.Response, out.Conductor
+		return status, out.HeartbeatResponse, out.Conductor
 	}
 }
--- a/internal/simulation/seven_test.go
+++ b/internal/simulation/seven_test.go
@@ -15,10 +15,10 @@
 func TestSevenControllers(t *testing.T) {
 	const nodes, gangs = 7, 12
 	playWith(t, func(c *cluster) {
-		c.cfg.Facts.Nodes = nodes
-		c.cfg.Facts.Workers.ReportS, c.grant = 1.5, 3*time.Second
+		c.cfg.Deployment.Nodes = nodes
+		c.cfg.Deployment.Workers.HeartbeatS, c.grant = 1.5, 3*time.Second
 		c.cfg.Options.Guarantees = true
-		c.world.Every, c.world.Capacity = 1500*time.Millisecond, 20
+		c.world.HeartbeatInterval, c.world.Capacity = 1500*time.Millisecond, 20
 		c.world.GangWait, c.world.GangPeer = 30*time.Second, 5*time.Second
 	}, func(c *cluster) {
 		c.world.RunFor = func(string) time.Duration { return 150 * time.Second }
@@ -26,7 +26,7 @@
 		submit := func(n int) {
 			size := 2 + 2*(n%3)
 			tasks += size
-			if got := c.submit(n%nodes, records.Job{ID: fmt.Sprint("j-", n), Shape: records.ShapeGroup, Tasks: size, CPUs: 2, EstimateS: 150, CheckpointS: 60, SaveS: 4, OneZone: true}); got != 201 {
+			if got := c.submit(n%nodes, records.Job{ID: fmt.Sprint("j-", n), Shape: records.ShapeGang, Tasks: size, CPUs: 2, EstimateS: 150, CheckpointS: 60, SaveS: 4, OneZone: true}); got != 201 {
 				t.Errorf("gang %d: status %d", n, got)
 			}
 		}
--- a/internal/simulation/singles_test.go
+++ b/internal/simulation/singles_test.go
@@ -40,7 +40,7 @@
 						if k%4 == 0 {
 							sleep(float64(k % 11))
 							for try := k; ; try++ {
-								status, st := c.ask(try%3, peer.Withdraw, id(k+1))
+								status, st := c.ask(try%3, peer.MethodCancel, id(k+1))
 								if st == records.StatusCancelled {
 									c.forget(id(k + 1))
 								}
@@ -69,12 +69,12 @@
 				c.known()
 				c.noGhosts()
 				perJob := float64(c.state.Writes) / jobs
-				t.Logf("%.2f changes a job, throttled %d times, slowest acceptance %d ms, at most %d ended jobs unstored", perJob, c.state.Later, slowest.Load(), backlog)
+				t.Logf("%.2f changes a job, throttled %d times, slowest acceptance %d ms, at most %d ended jobs unstored", perJob, c.state.ThrottledWrites, slowest.Load(), backlog)
 				if perJob > 4 {
 					t.Errorf("%.2f changes a job", perJob)
 				}
-				if !x.troubles && (c.state.Later > 5 || slowest.Load() > 1000 || backlog > 24) {
-					t.Errorf("throttled %d times, slowest acceptance %d ms, at most %d ended jobs unstored", c.state.Later, slowest.Load(), backlog)
+				if !x.troubles && (c.state.ThrottledWrites > 5 || slowest.Load() > 1000 || backlog > 24) {
+					t.Errorf("throttled %d times, slowest acceptance %d ms, at most %d ended jobs unstored", c.state.ThrottledWrites, slowest.Load(), backlog)
 				}
 				if keys := append(c.state.Keys(records.PrefixOpen), c.state.Keys(records.PrefixDone)...); len(keys) > 0 {
 					t.Errorf("left in the store: %v", keys)
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -22,34 +22,34 @@
 
 // State is a state service.
 type State struct {
-	mu      sync.Mutex
-	epoch   uint64
-	rows    map[string]records.Row
-	log     []records.Event
-	grants  map[uint64]*grant
-	hold    uint64
-	forgot  uint64          // changes up to this revision are not in the log
-	out     bool            // an outage for everyone
-	refused map[string]bool // clients that are refused alone
-	changed chan struct{}
-	Writes  int
-	valueKB float64 // limits, 0 for none
-	txnOps  int
-	rate    *rate.Limiter // of changes
-	Refused []string      // what was refused for good as too large
-	Later   int           // how often changes were refused as too many a second
+	mu              sync.Mutex
+	epoch           uint64
+	rows            map[string]records.KeyValue
+	log             []records.Event
+	grants          map[uint64]*grant
+	hold            uint64
+	forgot          uint64          // changes up to this revision are not in the log
+	out             bool            // an outage for everyone
+	refused         map[string]bool // clients that are refused alone
+	changed         chan struct{}
+	Writes          int
+	valueKB         float64 // limits, 0 for none
+	txnOps          int
+	rate            *rate.Limiter // of changes
+	Refused         []string      // what was refused for good as too large
+	ThrottledWrites int           // how often changes were refused as too many a second
 	// Keep, where it is set, is told of every change, in order and with the lock held.
-	Keep func(Change)
+	OnChange func(Change)
 }
 
 // Change is what a revision changed, for whoever keeps it.
 type Change struct {
-	Epoch  uint64
-	Writes []records.Row
-	Gone   []string // keys
-	Hold   uint64   // the last lease given out
-	Life   time.Duration
-	Ended  uint64 // a lease that has ended
+	Revision     uint64
+	Writes       []records.KeyValue
+	Deletes      []string // keys
+	LeaseID      uint64   // the last lease given out
+	Life         time.Duration
+	RevokedLease uint64 // a lease that has ended
 }
 
 type grant struct {
@@ -59,7 +59,7 @@
 
 // NewState returns an empty service.
 func NewState() *State {
-	return &State{rows: map[string]records.Row{}, grants: map[uint64]*grant{}, refused: map[string]bool{}, changed: make(chan struct{})}
+	return &State{rows: map[string]records.KeyValue{}, grants: map[uint64]*grant{}, refused: map[string]bool{}, changed: make(chan struct{})}
 }
 
 // Outage starts or ends an outage; afterwards every lease has its full time.
@@ -86,20 +86,20 @@
 }
 
 // Fill puts in what another run left, without what was attached to a lease.
-func (s *State) Fill(rows map[string]records.Row) {
+func (s *State) Fill(rows map[string]records.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k, r := range rows {
-		if r.Hold == 0 {
+		if r.LeaseID == 0 {
 			s.rows[k] = r
 		}
-		s.epoch = max(s.epoch, r.Stamp)
+		s.epoch = max(s.epoch, r.Revision)
 	}
 }
 
 // Restore puts in what the service itself had kept when it ended: all leases have their
 // full time again.
-func (s *State) Restore(rows []records.Row, epoch, hold uint64, lives map[uint64]time.Duration) {
+func (s *State) Restore(rows []records.KeyValue, epoch, hold uint64, lives map[uint64]time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range rows {
@@ -113,8 +113,8 @@
 	}
 }
 
-// Epoch is the revision of the last change.
-func (s *State) Epoch() uint64 {
+// Revision is the revision of the last change.
+func (s *State) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.epoch
@@ -122,13 +122,13 @@
 
 // keep notes a change for good.
 func (s *State) keep(c Change) {
-	if s.Keep != nil {
-		c.Epoch = s.epoch
-		s.Keep(c)
+	if s.OnChange != nil {
+		c.Revision = s.epoch
+		s.OnChange(c)
 	}
 	if n := len(s.log); n > 2*mostLog {
 		s.log = append([]records.Event(nil), s.log[n-mostLog:]...)
-		s.forgot = s.log[0].Stamp
+		s.forgot = s.log[0].Revision
 	}
 }
 
@@ -137,7 +137,7 @@
 const mostLog = 10_000
 
 // row reads a key.
-func (s *State) row(key string) (records.Row, uint64, bool) {
+func (s *State) row(key string) (records.KeyValue, uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.rows[key]
@@ -145,13 +145,13 @@
 }
 
 // Rows lists what is under a prefix, in the order of the keys, as of one moment.
-func (s *State) Rows(prefix string) []records.Row {
+func (s *State) Rows(prefix string) []records.KeyValue {
 	rows, _, _ := s.list(prefix, "", math.MaxInt, math.MaxInt)
 	return rows
 }
 
 // list reads keys under a prefix, behind since, at most limit and so many bytes of them.
-func (s *State) list(prefix, since string, limit, most int) (rows []records.Row, more bool, epoch uint64) {
+func (s *State) list(prefix, since string, limit, most int) (rows []records.KeyValue, more bool, epoch uint64) {
 	s.mu.Lock()
 	epoch = s.epoch
 	for k, r := range s.rows {
@@ -181,7 +181,7 @@
 	g := &grant{life: life}
 	s.grants[s.hold] = g
 	s.arm(s.hold, g)
-	s.keep(Change{Hold: s.hold, Life: life})
+	s.keep(Change{LeaseID: s.hold, Life: life})
 	return s.hold
 }
 
@@ -217,7 +217,7 @@
 	for {
 		s.mu.Lock()
 		var events []records.Event
-		first := sort.Search(len(s.log), func(i int) bool { return s.log[i].Stamp > since })
+		first := sort.Search(len(s.log), func(i int) bool { return s.log[i].Revision > since })
 		for _, e := range s.log[first:] {
 			if e.Write != "" && strings.HasPrefix(e.Write, prefix) || e.Delete != "" && strings.HasPrefix(e.Delete, prefix) {
 				events = append(events, e)
@@ -228,7 +228,7 @@
 		left := time.Until(end)
 		switch {
 		case gone():
-			return nil, since, records.ErrNoAnswer
+			return nil, since, records.ErrUnknownOutcome
 		case blocked:
 			left = max(left, latency)
 		case old:
@@ -290,13 +290,13 @@
 		g.timer.Stop()
 	}
 	delete(s.grants, id)
-	gone := Change{Ended: id}
+	gone := Change{RevokedLease: id}
 	for k, r := range s.rows {
-		if r.Hold == id {
+		if r.LeaseID == id {
 			s.epoch++
 			delete(s.rows, k)
-			s.log = append(s.log, records.Event{Delete: k, Stamp: s.epoch})
-			gone.Gone = append(gone.Gone, k)
+			s.log = append(s.log, records.Event{Delete: k, Revision: s.epoch})
+			gone.Deletes = append(gone.Deletes, k)
 		}
 	}
 	s.keep(gone)
@@ -309,12 +309,12 @@
 }
 
 // Commit applies a transaction as the protocol says.
-func (s *State) commit(when []records.Cond, ops []records.Op) (uint64, error) {
+func (s *State) commit(when []records.Compare, ops []records.Op) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, op := range ops {
-		if op.Hold != 0 && s.grants[op.Hold] == nil {
-			return 0, records.ErrNoGrant
+		if op.LeaseID != 0 && s.grants[op.LeaseID] == nil {
+			return 0, records.ErrLeaseExpired
 		}
 	}
 	if s.txnOps > 0 && (len(ops) > s.txnOps || len(when) > 4*s.txnOps) {
@@ -322,40 +322,40 @@
 		return 0, fmt.Errorf("%w: too many changes", records.ErrInvalid)
 	}
 	for _, op := range ops {
-		if n := records.Size(op.Value); op.Write != "" && s.valueKB > 0 && float64(n) > s.valueKB*1024 {
+		if n := records.EncodedSize(op.Value); op.Write != "" && s.valueKB > 0 && float64(n) > s.valueKB*1024 {
 			s.Refused = append(s.Refused, fmt.Sprint(op.Write, " of ", n, " bytes"))
 			return 0, fmt.Errorf("%w: too large a value", records.ErrInvalid)
 		}
 	}
 	if s.rate != nil && !s.rate.AllowN(time.Now(), len(ops)) {
-		s.Later++
+		s.ThrottledWrites++
 		return 0, records.ErrThrottled
 	}
 	var failed []string
 	for _, c := range when {
-		if s.rows[c.Key].Stamp != c.Stamp {
+		if s.rows[c.Key].Revision != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
 	s.Writes += len(ops)
 	if failed != nil {
-		return 0, &records.ConflictError{Failed: failed, Epoch: s.epoch}
+		return 0, &records.ConflictError{Failed: failed, Revision: s.epoch}
 	}
 	s.epoch++
 	var change Change
 	for _, op := range ops {
 		if op.Delete != "" {
 			delete(s.rows, op.Delete)
-			s.log = append(s.log, records.Event{Delete: op.Delete, Stamp: s.epoch})
-			change.Gone = append(change.Gone, op.Delete)
+			s.log = append(s.log, records.Event{Delete: op.Delete, Revision: s.epoch})
+			change.Deletes = append(change.Deletes, op.Delete)
 			continue
 		}
 		raw, err := json.Marshal(op.Value)
 		if err != nil {
 			return 0, err
 		}
-		s.rows[op.Write] = records.Row{Key: op.Write, Value: raw, Stamp: s.epoch, Hold: op.Hold}
-		s.log = append(s.log, records.Event{Write: op.Write, Value: raw, Stamp: s.epoch})
+		s.rows[op.Write] = records.KeyValue{Key: op.Write, Value: raw, Revision: s.epoch, LeaseID: op.LeaseID}
+		s.log = append(s.log, records.Event{Write: op.Write, Value: raw, Revision: s.epoch})
 		change.Writes = append(change.Writes, s.rows[op.Write])
 	}
 	s.keep(change)
@@ -447,20 +447,20 @@
 		c.mu.Lock()
 		c.failed = time.Now()
 		c.mu.Unlock()
-		return fmt.Errorf("%w: too slow", records.ErrNoAnswer)
+		return fmt.Errorf("%w: too slow", records.ErrUnknownOutcome)
 	}
 	refused := c.s.away(c.name)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.cut:
-		return records.ErrNoAnswer
+		return records.ErrUnknownOutcome
 	case c.hangs > 0:
 		c.failed = time.Now()
-		return records.ErrNoAnswer
+		return records.ErrUnknownOutcome
 	case refused:
 		c.failed, c.reached = time.Now(), time.Now()
-		return records.ErrRefused
+		return records.ErrUnavailable
 	}
 	c.lastOK, c.reached = time.Now(), time.Now()
 	return nil
@@ -473,8 +473,8 @@
 	return c.lastOK, c.failed.After(c.lastOK), c.started
 }
 
-// Reached tells when the service last answered anything, a refusal included.
-func (c *Client) Reached() time.Time {
+// LastResponse tells when the service last answered anything, a refusal included.
+func (c *Client) LastResponse() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.reached
@@ -487,8 +487,8 @@
 	return c.failed.After(c.lastOK) && c.failed.After(t)
 }
 
-// WaitBatch waits for the leader's share of the changes a second.
-func (c *Client) WaitBatch(ctx context.Context, n int) error {
+// WaitForWrites waits for the leader's share of the changes a second.
+func (c *Client) WaitForWrites(ctx context.Context, n int) error {
 	if c.batch == nil {
 		return ctx.Err()
 	}
@@ -501,7 +501,7 @@
 }
 
 // Get reads a key.
-func (c *Client) Get(ctx context.Context, key string) (*records.Row, error) {
+func (c *Client) Get(ctx context.Context, key string) (*records.KeyValue, error) {
 	if err := c.pass(ctx); err != nil {
 		return nil, err
 	}
@@ -512,13 +512,13 @@
 }
 
 // List reads the keys under a prefix.
-func (c *Client) List(ctx context.Context, prefix string, each func(records.Row) error) (uint64, error) {
+func (c *Client) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
 	if err := c.pass(ctx); err != nil {
 		return 0, err
 	}
 	var first uint64
 	for since, more := "", true; more; {
-		var rows []records.Row
+		var rows []records.KeyValue
 		var epoch uint64
 		if rows, more, epoch = c.s.list(prefix, since, 500, mostPage); since == "" {
 			first = epoch
@@ -534,7 +534,7 @@
 }
 
 // Commit applies a transaction.
-func (c *Client) Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error) {
+func (c *Client) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
 	c.mu.Lock()
 	slow, cut := c.slow, c.cut
 	c.mu.Unlock()
@@ -566,36 +566,36 @@
 		c.mu.Lock()
 		c.failed = time.Now()
 		c.mu.Unlock()
-		return 0, fmt.Errorf("%w: its answer is lost", records.ErrNoAnswer)
+		return 0, fmt.Errorf("%w: its answer is lost", records.ErrUnknownOutcome)
 	}
 	if lose {
 		time.AfterFunc(late, func() { _, _ = c.s.commit(when, ops) })
-		return 0, fmt.Errorf("%w: lost", records.ErrNoAnswer)
+		return 0, fmt.Errorf("%w: lost", records.ErrUnknownOutcome)
 	}
 	return c.s.commit(when, ops)
 }
 
-// Grant obtains a lease.
-func (c *Client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+// GrantLease obtains a lease.
+func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
 	if err := c.pass(ctx); err != nil {
 		return 0, err
 	}
 	return c.s.grant(life), nil
 }
 
-// Extend renews a lease.
-func (c *Client) Extend(ctx context.Context, hold uint64, _ time.Duration) error {
+// RenewLease renews a lease.
+func (c *Client) RenewLease(ctx context.Context, hold uint64, _ time.Duration) error {
 	if err := c.pass(ctx); err != nil {
 		return err
 	}
 	if !c.s.extend(hold) {
-		return records.ErrNoGrant
+		return records.ErrLeaseExpired
 	}
 	return nil
 }
 
-// Drop ends a lease.
-func (c *Client) Drop(ctx context.Context, hold uint64) {
+// RevokeLease ends a lease.
+func (c *Client) RevokeLease(ctx context.Context, hold uint64) {
 	if c.pass(ctx) == nil {
 		c.s.drop(hold)
 	}
--- a/internal/simulation/takeover_test.go
+++ b/internal/simulation/takeover_test.go
@@ -25,7 +25,7 @@
 func half(t *testing.T, prepare func(*cluster), fall func(c *cluster)) (started int) {
 	playWith(t, func(c *cluster) {
 		// No lease ends in the story, so that nothing starts again for that.
-		c.cfg.Facts.Workers.LeaseS, c.cfg.Facts.Workers.CancelS = 30, 50
+		c.cfg.Deployment.Workers.LeaseS, c.cfg.Deployment.Workers.CancelS = 30, 50
 		c.world.Lease, c.world.Cancel, c.world.Capacity = 30*time.Second, 50*time.Second, 4
 		prepare(c)
 	}, func(c *cluster) {
@@ -35,16 +35,16 @@
 			c.submit(0, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: 200, EstimateS: 8})
 		}
 		sleep(36)
-		c.world.Cut("b", true)
+		c.world.PartitionZone("b", true)
 		sleep(1)
 		fall(c)
 		for c.leading() < 0 {
 			sleep(0.1)
 		}
 		before := c.world.Starts()
-		sleep(2 * c.cfg.Facts.Workers.ReportS)
+		sleep(2 * c.cfg.Deployment.Workers.HeartbeatS)
 		started = c.world.Starts() - before
-		c.world.Cut("b", false)
+		c.world.PartitionZone("b", false)
 		sleep(240)
 		for n := range 4 {
 			for i := range 3 {
@@ -66,7 +66,7 @@
 	if n := half(t, func(*cluster) {}, dies); n < 10 {
 		t.Errorf("%d tasks started within two report intervals, want 10 or more", n)
 	}
-	if n := half(t, func(c *cluster) { c.cfg.Options.Marks = false }, dies); n > 0 {
+	if n := half(t, func(c *cluster) { c.cfg.Options.Watermarks = false }, dies); n > 0 {
 		t.Errorf("%d tasks started without marks: the story shows nothing", n)
 	}
 }
@@ -179,7 +179,7 @@
 	case 6:
 		c.state.Refuse(fmt.Sprint("n-", i), r.IntN(2) == 0)
 	case 7:
-		c.world.Cut([]string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0)
+		c.world.PartitionZone([]string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0)
 	case 8:
 		for _, m := range ms {
 			if r.IntN(3) == 0 {
--- a/internal/simulation/teams_test.go
+++ b/internal/simulation/teams_test.go
@@ -21,9 +21,9 @@
 	t.Helper()
 	const limit, jobs = 2, manyTeams
 	playWith(t, func(c *cluster) {
-		c.cfg.Facts.Teams = nil
+		c.cfg.Deployment.Teams = nil
 		for i := range manyTeams {
-			c.cfg.Facts.Teams = append(c.cfg.Facts.Teams, config.Team{Name: fmt.Sprint("team-", i), CPUs: limit / 2, CPUsMax: limit})
+			c.cfg.Deployment.Teams = append(c.cfg.Deployment.Teams, config.Team{Name: fmt.Sprint("team-", i), GuaranteedCPUs: limit / 2, LimitCPUs: limit})
 		}
 		c.cfg.Options.Guarantees = true
 		c.world.Capacity = 8 // of a zone and kind: 32 machines of 4 CPUs, and 96 CPUs may be used
@@ -77,10 +77,10 @@
 	atTheirLimits(t, func(*cluster) {}, func(c *cluster) {
 		c.replace(6)
 		sleep(4)
-		c.world.Cut("b", true)
+		c.world.PartitionZone("b", true)
 		sleep(3)
 		c.replace(12)
-		c.world.Cut("b", false)
+		c.world.PartitionZone("b", false)
 		sleep(4)
 		ms := c.world.Machines()
 		hung := ms[:len(ms)/2]
@@ -116,7 +116,7 @@
 			case 0:
 				m.Die()
 			case 1:
-				m.Notice(8 * time.Second)
+				m.NotifyPreemption(8 * time.Second)
 			}
 		}
 	})
--- a/internal/simulation/troubles_test.go
+++ b/internal/simulation/troubles_test.go
@@ -93,18 +93,18 @@
 func TestDeafMachine(t *testing.T) {
 	spell := func(c *cluster, ms []*Machine, s float64) {
 		for _, m := range ms {
-			m.Deafen(true)
+			m.SetUnreachable(true)
 		}
 		sleep(s)
 		for _, m := range ms {
-			m.Deafen(false)
+			m.SetUnreachable(false)
 		}
 	}
 	for name, story := range map[string]func(c *cluster){
 		"holds a gang": func(c *cluster) {
 			c.submit(0, records.Job{ID: "j-1", Shape: "group", Tasks: 6, CPUs: 4, EstimateS: 30})
 			sleep(35)
-			c.world.Machines()[0].Deafen(true)
+			c.world.Machines()[0].SetUnreachable(true)
 			sleep(90)
 		},
 		"from its boot": func(c *cluster) {
@@ -112,7 +112,7 @@
 			for len(c.world.Machines()) == 0 {
 				sleep(0.01)
 			}
-			c.world.Machines()[0].Deafen(true)
+			c.world.Machines()[0].SetUnreachable(true)
 			sleep(100)
 			if started := c.world.Starts(); started < 6 {
 				c.t.Errorf("the gang has not begun: %d starts", started)
@@ -122,7 +122,7 @@
 			c.submit(0, records.Job{ID: "j-1", Tasks: 12, CPUs: 2, EstimateS: 30})
 			c.submit(0, records.Job{ID: "j-2", Team: "limited", Tasks: 12, CPUs: 2, EstimateS: 30})
 			sleep(33)
-			c.world.Machines()[0].Deafen(true)
+			c.world.Machines()[0].SetUnreachable(true)
 			c.kill(c.leading())
 			sleep(20)
 			if lists := c.view(); !slices.ContainsFunc(lists, func(v scheduler.MachineView) bool { return v.State == scheduler.MachineUp }) {
@@ -136,7 +136,7 @@
 			sleep(33)
 			ms := c.world.Machines()
 			for _, m := range ms {
-				m.Deafen(true)
+				m.SetUnreachable(true)
 			}
 			c.ask(0, "withdraw", "j-2")
 			c.asked = c.asked[:1]
@@ -149,7 +149,7 @@
 			spell(c, c.world.Machines()[:2], 5)
 			sleep(15)
 			for _, v := range c.view() {
-				if v.State == scheduler.MachineDeaf {
+				if v.State == scheduler.MachineUnreachable {
 					c.t.Errorf("%s hears and is taken for deaf", v.Name)
 				}
 			}
@@ -166,7 +166,7 @@
 			t.Parallel()
 			playWith(t, func(c *cluster) {
 				c.world.GangWait, c.world.GangPeer = 30*time.Second, 5*time.Second
-				c.cfg.Facts.Teams = append(c.cfg.Facts.Teams, config.Team{Name: "limited", CPUsMax: 100})
+				c.cfg.Deployment.Teams = append(c.cfg.Deployment.Teams, config.Team{Name: "limited", LimitCPUs: 100})
 			}, func(c *cluster) {
 				sleep(2)
 				story(c)
@@ -261,7 +261,7 @@
 					if n := lost(c) - killed; n > 0 {
 						t.Errorf("%d tasks were lost by their lease, of %d", n, starts)
 					}
-					c.world.Sweep()
+					c.world.CheckEnd()
 					c.island(cut, false)
 					sleep(120)
 					c.known()
@@ -403,11 +403,11 @@
 	switch i := r.IntN(3); r.IntN(4) {
 	case 0:
 		for _, m := range ms {
-			m.Deafen(r.IntN(3) == 0)
+			m.SetUnreachable(r.IntN(3) == 0)
 		}
 		sleep(float64(1 + r.IntN(25)))
 		for _, m := range ms {
-			m.Deafen(false)
+			m.SetUnreachable(false)
 		}
 	case 1:
 		if c.node(i) != nil {
@@ -456,12 +456,12 @@
 	}
 	c.world.Hold(nil)
 	for _, z := range []string{"a", "b"} {
-		c.world.Cut(z, false)
-		c.world.Close(z, false)
+		c.world.PartitionZone(z, false)
+		c.world.CloseZone(z, false)
 	}
 	for _, m := range c.world.Machines() {
 		m.Hang(false)
-		m.Deafen(false)
-		m.Mute(false)
+		m.SetUnreachable(false)
+		m.SetIsolated(false)
 	}
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -16,25 +16,25 @@
 	"drumpick/internal/records"
 )
 
-// Report is how a worker reaches a controller: status, answer, and the node it
+// HeartbeatFunc is how a worker reaches a controller: status, answer, and the node it
 // is sent on to. Status 0 means that nobody answered, Refused that nobody listened.
-type Report func(node int, r *fleet.Report) (status int, resp fleet.Response, conductor string)
+type HeartbeatFunc func(node int, r *fleet.Heartbeat) (status int, resp fleet.HeartbeatResponse, conductor string)
 
 // Refused is the status of a report to a controller that does not run.
 const Refused = -1
 
 // World holds the cloud and its machines, and watches over the rules.
 type World struct {
-	Every, Lease, Startup, Cancel time.Duration
-	GangWait, GangPeer            time.Duration // 0: gangs start and go on whoever is missing
-	Nodes                         []string
-	Types                         []records.MachineType
-	Jobs                          func(id string) (records.Job, bool) // what users submitted
-	Teams                         []config.Team                       // with their limits; may be nil
-	Report                        Report
-	RunFor                        func(task string) time.Duration
-	Capacity                      int    // machines to be had in a zone, cheap and ordinary ones each
-	Version                       string // of new machines' workers
+	HeartbeatInterval, Lease, Startup, Cancel time.Duration
+	GangWait, GangPeer                        time.Duration // 0: gangs start and go on whoever is missing
+	Nodes                                     []string
+	Types                                     []records.MachineType
+	Jobs                                      func(id string) (records.Job, bool) // what users submitted
+	Teams                                     []config.Team                       // with their limits; may be nil
+	Heartbeat                                 HeartbeatFunc
+	RunFor                                    func(task string) time.Duration
+	Capacity                                  int    // machines to be had in a zone, cheap and ordinary ones each
+	Version                                   string // of new machines' workers
 	// InFlight is for how long a start may be on its way to a machine: one that arrives later after a
 	// cancellation was confirmed was sent after it.
 	InFlight time.Duration
@@ -61,8 +61,8 @@
 	cut       map[string]bool                  // zones that nobody reaches
 	closed    map[string]bool                  // zones that no direct commands reach
 	byJob     map[string]map[*attempt]*Machine // tasks that have not ended
-	ran       []Ran
-	bills     []Bill
+	ran       []TaskRun
+	bills     []RentalCost
 	starts    int
 	lapses    int           // leases of workers that ended
 	wasted    time.Duration // work that is to be done again
@@ -72,19 +72,19 @@
 	broken    []string
 }
 
-// Ran is a task's time on a machine that is over.
-type Ran struct {
+// TaskRun is a task's time on a machine that is over.
+type TaskRun struct {
 	Task    string    `json:"task"`
 	Machine string    `json:"machine"`
 	Zone    string    `json:"zone"`
-	From    time.Time `json:"from"`
+	Started time.Time `json:"from"`
 	Running time.Time `json:"running,omitzero"` // when it ran; zero: it never did
-	To      time.Time `json:"to"`
+	Ended   time.Time `json:"to"`
 	Cause   string    `json:"cause"` // as workers report it; "lost" with the machine
 }
 
-// Bill is what a machine costs.
-type Bill struct {
+// RentalCost is what a machine costs.
+type RentalCost struct {
 	Machine string    `json:"machine"`
 	Type    string    `json:"type"`
 	Zone    string    `json:"zone"`
@@ -111,8 +111,8 @@
 	return w.starts
 }
 
-// Lapses tells how many leases of workers have ended.
-func (w *World) Lapses() int {
+// LeaseExpiries tells how many leases of workers have ended.
+func (w *World) LeaseExpiries() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.lapses
@@ -183,7 +183,7 @@
 		return err
 	}
 	if !c.Alive() {
-		return autoscaler.ErrNoAnswer
+		return autoscaler.ErrUnknownOutcome
 	}
 	return nil
 }
@@ -194,22 +194,22 @@
 }
 
 // Rent starts machines.
-func (c *CloudClient) Rent(ctx context.Context, r autoscaler.Request) ([]string, error) {
+func (c *CloudClient) Rent(ctx context.Context, r autoscaler.RentalRequest) ([]string, error) {
 	if err := c.pass(ctx); err != nil {
 		return nil, err
 	}
 	hosts, err := c.W.rent(r)
 	if err == nil && c.Lose > 0 {
 		c.Lose--
-		return nil, autoscaler.ErrNoAnswer
+		return nil, autoscaler.ErrUnknownOutcome
 	}
 	return hosts, err
 }
 
-func (w *World) rent(r autoscaler.Request) ([]string, error) {
+func (w *World) rent(r autoscaler.RentalRequest) ([]string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if hosts, known := w.bookings[r.Booking]; known {
+	if hosts, known := w.bookings[r.Name]; known {
 		return hosts, nil
 	}
 	free := w.Capacity
@@ -226,12 +226,12 @@
 		w.seq++
 		hosts = append(hosts, w.add(fmt.Sprintf("m-%06d", w.seq), r).Host)
 	}
-	w.bookings[r.Booking] = hosts
+	w.bookings[r.Name] = hosts
 	return hosts, nil
 }
 
 // add starts a machine, with the world locked.
-func (w *World) add(host string, r autoscaler.Request) *Machine {
+func (w *World) add(host string, r autoscaler.RentalRequest) *Machine {
 	m := newMachine(w, host, r)
 	w.machines[host] = m
 	go m.run()
@@ -239,7 +239,7 @@
 }
 
 // Host starts a machine that was rented elsewhere (Remote).
-func (w *World) Host(host string, r autoscaler.Request) *Machine {
+func (w *World) Host(host string, r autoscaler.RentalRequest) *Machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.add(host, r)
@@ -280,7 +280,7 @@
 }
 
 // List lists the machines.
-func (c *CloudClient) List(ctx context.Context) ([]autoscaler.Listed, error) {
+func (c *CloudClient) List(ctx context.Context) ([]autoscaler.CloudMachine, error) {
 	if err := c.pass(ctx); err != nil {
 		return nil, err
 	}
@@ -288,10 +288,10 @@
 }
 
 // Listed lists the machines as the cloud knows them.
-func (w *World) Listed() []autoscaler.Listed {
+func (w *World) Listed() []autoscaler.CloudMachine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var out []autoscaler.Listed
+	var out []autoscaler.CloudMachine
 	for _, m := range w.machines {
 		st := "running"
 		if !m.up {
@@ -300,9 +300,9 @@
 		if m.gone {
 			st = "failed"
 		}
-		out = append(out, autoscaler.Listed{Host: m.Host, Addr: m.addr, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot, Status: st, AgeS: time.Since(m.rented).Seconds()})
+		out = append(out, autoscaler.CloudMachine{Machine: m.Host, Addr: m.addr, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot, Status: st, AgeS: time.Since(m.rented).Seconds()})
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Host < out[j].Host })
+	sort.Slice(out, func(i, j int) bool { return out[i].Machine < out[j].Machine })
 	return out
 }
 
@@ -340,22 +340,22 @@
 	w.mu.Unlock()
 }
 
-// Cut makes a zone's machines unreachable, or reachable again.
-func (w *World) Cut(zone string, on bool) {
+// PartitionZone makes a zone's machines unreachable, or reachable again.
+func (w *World) PartitionZone(zone string, on bool) {
 	w.mu.Lock()
 	w.cut[zone] = on
 	w.mu.Unlock()
 }
 
-// Close keeps direct commands from a zone's machines, or lets them pass again.
-func (w *World) Close(zone string, on bool) {
+// CloseZone keeps direct commands from a zone's machines, or lets them pass again.
+func (w *World) CloseZone(zone string, on bool) {
 	w.mu.Lock()
 	w.closed[zone] = on
 	w.mu.Unlock()
 }
 
-// Storm takes the power from all machines of a zone, and says how many there were.
-func (w *World) Storm(zone string) int {
+// FailZone takes the power from all machines of a zone, and says how many there were.
+func (w *World) FailZone(zone string) int {
 	n := 0
 	for _, m := range w.Machines() {
 		if m.Zone == zone {
@@ -368,7 +368,7 @@
 
 // History lists what ran, the order being that of the ends, and what machines cost so
 // far at nominal prices.
-func (w *World) History() ([]Ran, []Bill) {
+func (w *World) History() ([]TaskRun, []RentalCost) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	bills := slices.Clone(w.bills)
@@ -384,8 +384,8 @@
 // Go and Orders are the way to the workers.
 func (w *World) Go(f func()) { go f() }
 
-// Orders gives direct commands to a worker.
-func (w *World) Orders(addr string, d fleet.Direct) (int, *fleet.Report, error) {
+// SendCommands gives direct commands to a worker.
+func (w *World) SendCommands(addr string, d fleet.CommandRequest) (int, *fleet.Heartbeat, error) {
 	_ = httpclient.Sleep(w.ctx, latency)
 	w.mu.Lock()
 	m := w.machines[addr]
@@ -393,24 +393,24 @@
 	held := w.held
 	w.mu.Unlock()
 	if closed {
-		_ = httpclient.Sleep(w.ctx, w.Every) // it hangs until the caller gives up
+		_ = httpclient.Sleep(w.ctx, w.HeartbeatInterval) // it hangs until the caller gives up
 	}
 	if m == nil || closed {
 		return 0, nil, errors.New("no answer")
 	}
 	if held == nil {
-		return m.Direct(d)
+		return m.ExecuteCommands(d)
 	}
 	command, answer := held()
-	if command >= w.Every {
-		time.AfterFunc(command, func() { _, _, _ = m.Direct(d) })
-		_ = httpclient.Sleep(w.ctx, w.Every)
+	if command >= w.HeartbeatInterval {
+		time.AfterFunc(command, func() { _, _, _ = m.ExecuteCommands(d) })
+		_ = httpclient.Sleep(w.ctx, w.HeartbeatInterval)
 		return 0, nil, errors.New("no answer in time")
 	}
 	_ = httpclient.Sleep(w.ctx, command)
-	status, r, err := m.Direct(d)
-	_ = httpclient.Sleep(w.ctx, min(answer, w.Every))
-	if answer >= w.Every {
+	status, r, err := m.ExecuteCommands(d)
+	_ = httpclient.Sleep(w.ctx, min(answer, w.HeartbeatInterval))
+	if answer >= w.HeartbeatInterval {
 		return 0, nil, errors.New("no answer in time")
 	}
 	return status, r, err
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -26,9 +26,9 @@
 type node struct {
 	name   string
 	client *Client
-	ten    *election.Tenure
+	ten    *election.Election
 	server *api.Server
-	heard  watermark.Witness
+	heard  watermark.Observer
 	leader *leader.Leader
 	cancel context.CancelFunc
 	gone   chan struct{}
@@ -72,16 +72,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cfg := &config.Config{Options: config.DefaultOptions()}
-		cfg.Options.Marks, cfg.Options.Relay, cfg.Options.Lapses = true, true, true
-		cfg.Facts = config.Facts{
+		cfg.Options.Watermarks, cfg.Options.HeartbeatRelay, cfg.Options.LeaseExpiryProofs = true, true, true
+		cfg.Deployment = config.Deployment{
 			Nodes: 3, Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "team"}, {Name: "other"}},
-			Workers: config.Workers{ReportS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30},
+			Workers: config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30},
 			State:   config.State{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16},
 			Cloud:   config.Cloud{RPS: 4, ListLagS: 3},
 		}
 		c := &cluster{t: t, ctx: ctx, state: NewState(), world: NewWorld(ctx), cfg: cfg, jobs: map[string]records.Job{}, grant: 4 * time.Second, slow: map[int]time.Duration{}, deaf: map[int]bool{}, plain: map[int]bool{}, alone: map[int]bool{}, only: map[string]int{}, gone: map[string]bool{}}
 		w := c.world
-		w.Every, w.Lease, w.Startup, w.Cancel = 2*time.Second, 12*time.Second, 20*time.Second, 30*time.Second
+		w.HeartbeatInterval, w.Lease, w.Startup, w.Cancel = 2*time.Second, 12*time.Second, 20*time.Second, 30*time.Second
 		w.Capacity = 50
 		w.Types = []records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, Zones: []string{"a", "b"}}}
 		w.RunFor = func(string) time.Duration { return 30 * time.Second }
@@ -91,10 +91,10 @@
 			j, ok := c.jobs[id]
 			return j, ok
 		}
-		w.Report = c.report
+		w.Heartbeat = c.report
 		prepare(c)
-		w.Teams = cfg.Facts.Teams
-		n := cfg.Facts.Nodes
+		w.Teams = cfg.Deployment.Teams
+		n := cfg.Deployment.Nodes
 		c.nodes, c.came, w.Nodes = make([]*node, n), make([]int, n), strings.Fields(names)[:n]
 		for i := range c.nodes {
 			c.boot(i)
@@ -103,8 +103,8 @@
 		go func() {
 			for idle := (&idler{w: w}); ; {
 				select {
-				case <-time.After(w.Every / 4):
-					w.Sweep()
+				case <-time.After(w.HeartbeatInterval / 4):
+					w.CheckEnd()
 					idle.look(c.troubled())
 				case <-ended:
 					return
@@ -113,7 +113,7 @@
 		}()
 		story(c)
 		close(ended)
-		w.Sweep()
+		w.CheckEnd()
 		for _, b := range w.Broken() {
 			t.Error("rule broken: " + b)
 		}
@@ -136,16 +136,16 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	n := &node{name: name, client: c.state.Client(name), cancel: cancel, gone: make(chan struct{})}
 	if c.paced {
-		n.client.Share(c.cfg.Facts.State.Lowest().WriteRPS / 2)
+		n.client.Share(c.cfg.Deployment.State.Lowest().WriteRPS / 2)
 	}
 	cfg := *c.cfg
-	cfg.Options.Marks = cfg.Options.Marks && !c.plain[i]
-	cfg.Options.Relay = cfg.Options.Relay && !c.plain[i]
-	n.ten = election.New(n.client, name, fmt.Sprint("start-", c.start), c.grant, cfg.Options.Marks)
+	cfg.Options.Watermarks = cfg.Options.Watermarks && !c.plain[i]
+	cfg.Options.HeartbeatRelay = cfg.Options.HeartbeatRelay && !c.plain[i]
+	n.ten = election.New(n.client, name, fmt.Sprint("start-", c.start), c.grant, cfg.Options.Watermarks)
 	cfg.Node = name
 	for j, other := range c.world.Nodes {
 		if j != i {
-			cfg.Seeds = append(cfg.Seeds, config.Seed{Node: other})
+			cfg.Peers = append(cfg.Peers, config.Peer{Node: other})
 		}
 	}
 	peers := &friends{c, i}
@@ -159,14 +159,14 @@
 	})
 	n.server.SetTypes(c.world.Types)
 	go n.server.Watch(ctx)
-	if cfg.Options.Relay {
-		go n.server.Offer(ctx)
+	if cfg.Options.HeartbeatRelay {
+		go n.server.OfferRelay(ctx)
 	}
 	cloud := &CloudClient{W: c.world, Alive: func() bool { return ctx.Err() == nil }}
 	go func() {
 		defer close(n.gone)
 		n.ten.Run(ctx, func(ctx context.Context, term uint64) {
-			l := leader.New(&cfg, n.client, cloud, n.ten, peers, c.world, &n.heard, n.server.Told(), term)
+			l := leader.New(&cfg, n.client, cloud, n.ten, peers, c.world, &n.heard, n.server.Cancellations(), term)
 			c.mu.Lock()
 			n.leader = l
 			c.mu.Unlock()
@@ -251,14 +251,14 @@
 	return c.alone[i] || c.alone[k]
 }
 
-func (c *cluster) report(i int, r *fleet.Report) (int, fleet.Response, string) {
+func (c *cluster) report(i int, r *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
 	time.Sleep(latency + c.late(i))
 	n := c.node(i)
 	if n == nil {
-		return Refused, fleet.Response{}, ""
+		return Refused, fleet.HeartbeatResponse{}, ""
 	}
 	if c.cut(i) || c.hidden(i, r.Zone) {
-		return 0, fleet.Response{}, ""
+		return 0, fleet.HeartbeatResponse{}, ""
 	}
 	c.mu.Lock()
 	c.came[i]++
@@ -269,19 +269,19 @@
 		later(d, func() {
 			if to := c.node((i + n) % len(c.nodes)); to != nil {
 				copied, _ := json.Marshal(r)
-				to.server.Checkin(copied)
+				to.server.Heartbeat(copied)
 			}
 		})
 	}
 	body, _ := json.Marshal(r)
-	out := n.server.Checkin(body)
+	out := n.server.Heartbeat(body)
 	var answer struct {
-		fleet.Response
+		fleet.HeartbeatResponse
 		Conductor string `json:"conductor"`
 	}
 	_ = json.Unmarshal(out.Body, &answer)
 	time.Sleep(latency) // on its way
-	return out.Status, answer.Response, answer.Conductor
+	return out.Status, answer.HeartbeatResponse, answer.Conductor
 }
 
 type friends struct {
@@ -290,10 +290,10 @@
 }
 
 func (f *friends) Status(ctx context.Context) ([]peer.Status, bool) {
-	return f.Tell(ctx, peer.Inquiry{})
+	return f.QueryStatus(ctx, peer.StatusRequest{})
 }
 
-func (f *friends) Tell(_ context.Context, ask peer.Inquiry) ([]peer.Status, bool) {
+func (f *friends) QueryStatus(_ context.Context, ask peer.StatusRequest) ([]peer.Status, bool) {
 	time.Sleep(latency)
 	var out []peer.Status
 	for i := range f.c.nodes {
@@ -303,10 +303,10 @@
 		}
 		if f.c.old(i) {
 			// It knows no more than to say how quiet it has been.
-			out = append(out, peer.StatusOf(n.name, n.client, n.server.Told(), peer.Inquiry{}))
+			out = append(out, peer.StatusOf(n.name, n.client, n.server.Cancellations(), peer.StatusRequest{}))
 			continue
 		}
-		s := peer.StatusOf(n.name, n.client, n.server.Told(), ask).Witnessed(&n.heard, ask.Word, n.server.Renewed())
+		s := peer.StatusOf(n.name, n.client, n.server.Cancellations(), ask).WithAttestations(&n.heard, ask.Attestation, n.server.SinceRenewal())
 		out = append(out, s)
 	}
 	return out, len(out) == len(f.c.nodes)-1
@@ -321,24 +321,24 @@
 	return true
 }
 
-func (f *friends) Checkin(node string, body []byte) (peer.Relayed, error) {
+func (f *friends) RelayHeartbeat(node string, body []byte) (peer.RelayReply, error) {
 	for i := range f.c.nodes {
 		if n := f.c.node(i); n != nil && n.name == node && !f.cut(i) {
-			return n.server.Forwarded(peer.Checkin{Body: body}), nil
+			return n.server.RelayedHeartbeat(peer.HeartbeatRequest{Body: body}), nil
 		}
 	}
-	return peer.Relayed{}, errors.New("no answer")
+	return peer.RelayReply{}, errors.New("no answer")
 }
 
-func (f *friends) Checkins(node string, in peer.Bundle, _ time.Duration) (peer.Bundled, error) {
+func (f *friends) RelayHeartbeats(node string, in peer.HeartbeatBatch, _ time.Duration) (peer.HeartbeatBatchReply, error) {
 	time.Sleep(latency)
 	for i := range f.c.nodes {
 		if n := f.c.node(i); n != nil && n.name == node && !f.c.old(i) && !f.c.apart(f.me, i) {
 			time.Sleep(f.c.late(i))
-			return n.server.Bundled(in), nil
+			return n.server.RelayedHeartbeats(in), nil
 		}
 	}
-	return peer.Bundled{}, errors.New("no answer")
+	return peer.HeartbeatBatchReply{}, errors.New("no answer")
 }
 
 func (f *friends) Progress(node, id string) (peer.Progress, error) {
@@ -351,25 +351,25 @@
 				break
 			}
 			status, done, running, ok := l.Progress(id)
-			age, isClear := l.Clear(id)
-			return peer.Progress{Known: ok, Status: status, Done: done, Running: running, Clear: isClear, ClearMS: age.Milliseconds()}, nil
+			age, isClear := l.DependenciesClear(id)
+			return peer.Progress{Known: ok, Status: status, Done: done, Running: running, DependenciesClear: isClear, ClearAgeMS: age.Milliseconds()}, nil
 		}
 	}
 	return peer.Progress{}, errors.New("no answer")
 }
 
-func (f *friends) Cancelled(node, id string) (bool, error) {
+func (f *friends) NotifyCancelled(node, id string) (bool, error) {
 	time.Sleep(latency)
 	for i := range f.c.nodes {
 		if n := f.c.node(i); n != nil && n.name == node && !f.cut(i) {
 			time.Sleep(f.c.late(i))
-			return n.server.Cancelled(id), nil
+			return n.server.PeerCancelled(id), nil
 		}
 	}
 	return false, errors.New("no answer")
 }
 
-func (f *friends) Relay(r peer.Relay, _ time.Duration) (peer.Relayed, bool) {
+func (f *friends) Relay(r peer.RelayRequest, _ time.Duration) (peer.RelayReply, bool) {
 	for i := range f.c.nodes {
 		if n := f.c.node(i); n != nil && i != f.me && !f.cut(i) {
 			if out := n.server.Relay(r); out.Final(r) {
@@ -377,7 +377,7 @@
 			}
 		}
 	}
-	return peer.Relayed{}, false
+	return peer.RelayReply{}, false
 }
 
 // echoes has a copy of every report come to another node after each of these times.
@@ -388,7 +388,7 @@
 }
 
 // keep keeps a copy of a report for the next leader.
-func (c *cluster) keep(r *fleet.Report) {
+func (c *cluster) keep(r *fleet.Heartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.keeps != nil && c.keeps() {
@@ -406,14 +406,14 @@
 	for _, raw := range kept {
 		for i := range c.nodes {
 			if n := c.node(i); n != nil && ctx.Err() == nil {
-				go n.server.Checkin(raw)
+				go n.server.Heartbeat(raw)
 			}
 		}
 	}
 }
 
 // request sends a user's request to a node, and says what came back; status 0: the node is down.
-func (c *cluster) request(i int, r peer.Relay) (status int, state string) {
+func (c *cluster) request(i int, r peer.RelayRequest) (status int, state string) {
 	n := c.node(i)
 	if n == nil {
 		return 0, ""
@@ -461,7 +461,7 @@
 
 func (c *cluster) submit(i int, j records.Job) int {
 	asked := time.Now()
-	status, _ := c.request(i, peer.Relay{Method: peer.Submit, Body: c.submission(j)})
+	status, _ := c.request(i, peer.RelayRequest{Method: peer.MethodSubmit, Body: c.submission(j)})
 	c.world.Submitted(j.ID, status, asked)
 	if status == 201 {
 		c.mu.Lock()
@@ -475,18 +475,18 @@
 }
 
 func (c *cluster) ask(i int, method, id string) (int, string) {
-	if method == peer.Withdraw {
+	if method == peer.MethodCancel {
 		c.world.Withdrawn(id)
 	}
 	asked := time.Now()
-	status, state := c.request(i, peer.Relay{Method: method, ID: id})
+	status, state := c.request(i, peer.RelayRequest{Method: method, ID: id})
 	over := false
 	switch {
 	case status == 200:
 		if state == records.StatusCancelled {
 			c.world.Cancelled(id)
 		}
-		over = c.world.Told(id, state, asked)
+		over = c.world.NoteAnswer(id, state, asked)
 	case status == 404:
 		c.world.Unknown(id, asked)
 	}
@@ -684,7 +684,7 @@
 		c.boot(other)
 		sleep(31)
 		c.wantRunning(0)
-		c.world.Sweep()
+		c.world.CheckEnd()
 		c.state.Outage(false)
 	})
 }
@@ -709,7 +709,7 @@
 				started = time.Now()
 			}
 		}
-		if heard.IsZero() || started.IsZero() || started.Sub(heard) > c.world.Every/2 {
+		if heard.IsZero() || started.IsZero() || started.Sub(heard) > c.world.HeartbeatInterval/2 {
 			t.Errorf("first answer %v, first start %v", heard, started)
 		}
 	})
@@ -887,7 +887,7 @@
 			t.Fatalf("%d machines are up, want 3 or more", len(ms))
 		}
 		ms[0].Die()
-		ms[1].Notice(8 * time.Second)
+		ms[1].NotifyPreemption(8 * time.Second)
 		sleep(150)
 		c.wantDone(0, "j-1")
 	})
--- a/internal/slo/served.go
+++ b/internal/slo/served.go
@@ -21,15 +21,15 @@
 	over, done  bool
 }
 
-// Account is who came and what became of them.
-type Account struct {
+// Tracker is who came and what became of them.
+type Tracker struct {
 	jobs  map[string]*job
 	order []string // as they came
 	ended int      // of these, those that are over
 }
 
 // New returns an empty account.
-func New() *Account { return &Account{jobs: map[string]*job{}} }
+func New() *Tracker { return &Tracker{jobs: map[string]*job{}} }
 
 // most is how many jobs are remembered; of these, those over for longest are forgotten first.
 // None that is open is forgotten, however many they are. At 41,000 jobs a day the account thus
@@ -37,8 +37,8 @@
 // its figures leave out old jobs that are over, and nobody's scheduling depends on them.
 const most = 4096
 
-// Came notes a job, which needs so much room and waits since then.
-func (a *Account) Came(id, class, team string, room float64, since time.Time) {
+// JobArrived notes a job, which needs so much room and waits since then.
+func (a *Tracker) JobArrived(id, class, team string, room float64, since time.Time) {
 	if a.jobs[id] != nil {
 		return
 	}
@@ -61,22 +61,22 @@
 	a.order = kept
 }
 
-// Since notes that a job waits only since then: before, it waited for others.
-func (a *Account) Since(id string, at time.Time) {
+// ResetWait notes that a job waits only since then: before, it waited for others.
+func (a *Tracker) ResetWait(id string, at time.Time) {
 	if j := a.jobs[id]; j != nil {
 		j.came = at
 	}
 }
 
-// Began notes that a job has begun: a gang with all its tasks, an array with its first.
-func (a *Account) Began(id string, at time.Time) {
+// JobBegan notes that a job has begun: a gang with all its tasks, an array with its first.
+func (a *Tracker) JobBegan(id string, at time.Time) {
 	if j := a.jobs[id]; j != nil && j.began.IsZero() {
 		j.began = at
 	}
 }
 
-// Over notes that a job is over, done or cancelled.
-func (a *Account) Over(id string, done bool, at time.Time) {
+// JobClosed notes that a job is over, done or cancelled.
+func (a *Tracker) JobClosed(id string, done bool, at time.Time) {
 	j := a.jobs[id]
 	if j == nil {
 		return
@@ -86,28 +86,28 @@
 	}
 	j.over, j.done = true, done
 	if done {
-		a.Began(id, at)
+		a.JobBegan(id, at)
 	}
 }
 
 // What a line speaks of.
 const (
-	Class   = "class"
-	Team    = "team"
-	Largest = "largest" // of a class, the largest tenth by room
+	ByClass   = "class"
+	ByTeam    = "team"
+	ByLargest = "largest" // of a class, the largest tenth by room
 )
 
-// Line is how a class, a team or a class's largest were served. Cancelled jobs are in none.
-type Line struct {
-	By, Name          string
-	Came, Begun, Done int
-	Due, Late         int           // of those who came a bound ago or began: all, and those who did not begin within it
-	Longest           time.Duration // wait, of those who have not begun up to now
-	Waiting           string        // who waits longest of those who have not begun; "" if none does
+// Summary is how a class, a team or a class's largest were served. Cancelled jobs are in none.
+type Summary struct {
+	Dimension, Name      string
+	Arrived, Begun, Done int
+	Due, Late            int           // of those who came a bound ago or began: all, and those who did not begin within it
+	LongestWait          time.Duration // wait, of those who have not begun up to now
+	Waiting              string        // who waits longest of those who have not begun; "" if none does
 }
 
-// Served is the share of those due that began in time; 1 where nobody is due.
-func (l Line) Served() float64 {
+// ShareInTime is the share of those due that began in time; 1 where nobody is due.
+func (l Summary) ShareInTime() float64 {
 	if l.Due == 0 {
 		return 1
 	}
@@ -117,17 +117,17 @@
 // largestShare is the share of a class that counts as its largest, one job at least.
 const largestShare = 0.1
 
-// Look adds up, by classes, teams and largest, each by name.
-func (a *Account) Look(bound time.Duration, now time.Time) []Line {
-	lines := map[[2]string]*Line{}
+// Summarize adds up, by classes, teams and largest, each by name.
+func (a *Tracker) Summarize(bound time.Duration, now time.Time) []Summary {
+	lines := map[[2]string]*Summary{}
 	byClass := map[string][]string{}
 	for _, id := range a.order {
 		j := a.jobs[id]
 		if j.over && !j.done {
 			continue
 		}
-		a.add(lines, Class, j.class, id, bound, now)
-		a.add(lines, Team, j.team, id, bound, now)
+		a.add(lines, ByClass, j.class, id, bound, now)
+		a.add(lines, ByTeam, j.team, id, bound, now)
 		byClass[j.class] = append(byClass[j.class], id)
 	}
 	for class, ids := range byClass {
@@ -135,26 +135,28 @@
 		least := a.jobs[ids[max(int(float64(len(ids))*largestShare), 1)-1]].room
 		for _, id := range ids {
 			if a.jobs[id].room >= least {
-				a.add(lines, Largest, class, id, bound, now)
+				a.add(lines, ByLargest, class, id, bound, now)
 			}
 		}
 	}
-	var out []Line
+	var out []Summary
 	for _, l := range lines {
 		out = append(out, *l)
 	}
-	slices.SortFunc(out, func(x, y Line) int { return cmp.Or(cmp.Compare(x.By, y.By), cmp.Compare(x.Name, y.Name)) })
+	slices.SortFunc(out, func(x, y Summary) int {
+		return cmp.Or(cmp.Compare(x.Dimension, y.Dimension), cmp.Compare(x.Name, y.Name))
+	})
 	return out
 }
 
-func (a *Account) add(lines map[[2]string]*Line, by, name, id string, bound time.Duration, now time.Time) {
+func (a *Tracker) add(lines map[[2]string]*Summary, by, name, id string, bound time.Duration, now time.Time) {
 	l := lines[[2]string{by, name}]
 	if l == nil {
-		l = &Line{By: by, Name: name}
+		l = &Summary{Dimension: by, Name: name}
 		lines[[2]string{by, name}] = l
 	}
 	j := a.jobs[id]
-	l.Came++
+	l.Arrived++
 	waited := now.Sub(j.came)
 	if !j.began.IsZero() {
 		l.Begun++
@@ -169,8 +171,8 @@
 	if waited > bound {
 		l.Late++
 	}
-	if waited > l.Longest {
-		l.Longest = waited
+	if waited > l.LongestWait {
+		l.LongestWait = waited
 	}
 	if j.began.IsZero() && (l.Waiting == "" || j.came.Before(a.jobs[l.Waiting].came)) {
 		l.Waiting = id
--- a/internal/slo/served_test.go
+++ b/internal/slo/served_test.go
@@ -14,18 +14,18 @@
 	a := New()
 	for i := range 20 {
 		id := fmt.Sprint("small-", i)
-		a.Came(id, "scan", "desk", 2, at(i))
-		a.Began(id, at(i+5))
+		a.JobArrived(id, "scan", "desk", 2, at(i))
+		a.JobBegan(id, at(i+5))
 	}
-	a.Came("big-1", "scan", "desk", 12, at(3))
-	a.Came("big-2", "scan", "night", 12, at(4))
-	a.Began("big-2", at(200))
-	a.Came("gone", "scan", "desk", 50, at(4))
-	a.Over("gone", false, at(9)) // cancelled: it counts nowhere
-	a.Over("small-0", true, at(60))
+	a.JobArrived("big-1", "scan", "desk", 12, at(3))
+	a.JobArrived("big-2", "scan", "night", 12, at(4))
+	a.JobBegan("big-2", at(200))
+	a.JobArrived("gone", "scan", "desk", 50, at(4))
+	a.JobClosed("gone", false, at(9)) // cancelled: it counts nowhere
+	a.JobClosed("small-0", true, at(60))
 	got := map[string]string{}
-	for _, l := range a.Look(100*time.Second, at(300)) {
-		got[l.By+" "+l.Name] = fmt.Sprintf("%d came, %d begun, %d done, %.2f in time, longest %v, waits %s", l.Came, l.Begun, l.Done, l.Served(), l.Longest, l.Waiting)
+	for _, l := range a.Summarize(100*time.Second, at(300)) {
+		got[l.Dimension+" "+l.Name] = fmt.Sprintf("%d came, %d begun, %d done, %.2f in time, longest %v, waits %s", l.Arrived, l.Begun, l.Done, l.ShareInTime(), l.LongestWait, l.Waiting)
 	}
 	for what, want := range map[string]string{
 		"class scan":   "22 came, 21 begun, 1 done, 0.91 in time, longest 4m57s, waits big-1",
@@ -47,7 +47,7 @@
 	a, now := New(), time.Unix(1000, 0)
 	began := time.Now()
 	for i := range day {
-		a.Came(fmt.Sprint("j-", i), "class", "team", 1, now)
+		a.JobArrived(fmt.Sprint("j-", i), "class", "team", 1, now)
 	}
 	if took := time.Since(began); took > bound {
 		t.Errorf("%d open jobs took %v", day, took)
@@ -56,10 +56,10 @@
 		t.Errorf("%d of %d open jobs are remembered", len(a.jobs), day)
 	}
 	for i := range day {
-		a.Over(fmt.Sprint("j-", i), true, now)
-		a.Over(fmt.Sprint("j-", i), true, now) // told twice
+		a.JobClosed(fmt.Sprint("j-", i), true, now)
+		a.JobClosed(fmt.Sprint("j-", i), true, now) // told twice
 	}
-	a.Came("j-later", "class", "team", 1, now)
+	a.JobArrived("j-later", "class", "team", 1, now)
 	if len(a.jobs) > most || len(a.jobs) != len(a.order) || a.jobs["j-later"] == nil {
 		t.Errorf("%d jobs are remembered, %d in order", len(a.jobs), len(a.order))
 	}
@@ -74,13 +74,13 @@
 		for i := range rapid.IntRange(1, 3*most).Draw(t, "jobs") {
 			now = now.Add(time.Second)
 			id := fmt.Sprint("j-", i)
-			a.Came(id, fmt.Sprint("c", i%3), fmt.Sprint("t", i%5), float64(i%17), now)
+			a.JobArrived(id, fmt.Sprint("c", i%3), fmt.Sprint("t", i%5), float64(i%17), now)
 			if i%1000 == 7 {
 				waits[id] = true
 				continue
 			}
-			a.Began(id, now)
-			a.Over(id, i%2 == 0, now)
+			a.JobBegan(id, now)
+			a.JobClosed(id, i%2 == 0, now)
 		}
 		over := 0
 		for _, j := range a.jobs {
@@ -99,8 +99,8 @@
 				t.Fatalf("%s waits and is forgotten", id)
 			}
 		}
-		for _, l := range a.Look(time.Minute, now) {
-			if l.Begun > l.Came || l.Done > l.Begun || l.Late > l.Due || l.Due > l.Came {
+		for _, l := range a.Summarize(time.Minute, now) {
+			if l.Begun > l.Arrived || l.Done > l.Begun || l.Late > l.Due || l.Due > l.Arrived {
 				t.Fatalf("%+v does not add up", l)
 			}
 		}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -51,17 +51,17 @@
 
 // Limits shape a client.
 type Limits struct {
-	RPS, WriteRPS float64 // what the service takes a second, requests and changes; 0: not known
-	Controllers   int     // that share it
-	Conns         int
-	Timeout       time.Duration
+	RPS, WriteRPS  float64 // what the service takes a second, requests and changes; 0: not known
+	Controllers    int     // that share it
+	MaxConnections int
+	Timeout        time.Duration
 }
 
 // NewClient returns a client for the state service at addr.
 func NewClient(addr string, l Limits) *Client {
 	return &Client{conn: &conn{
 		calls: newGovernor(l.RPS, l.Controllers), changes: newGovernor(l.WriteRPS, l.Controllers),
-		link:    httpclient.New(addr, l.Conns, l.Timeout),
+		link:    httpclient.New(addr, l.MaxConnections, l.Timeout),
 		timeout: l.Timeout,
 		// Half of the write rate is the leader's; the rest stays free for users.
 		batch:   rate.NewLimiter(rate.Limit(l.WriteRPS/2), max(int(l.WriteRPS/2), 1)),
@@ -69,9 +69,9 @@
 	}}
 }
 
-// Users returns the same connection for users' requests: where the service throttles they wait a moment for
+// ForUsers returns the same connection for users' requests: where the service throttles they wait a moment for
 // their turn, or are told to come back, and leave the rest to the leader.
-func (c *Client) Users() *Client { return &Client{c.conn, true} }
+func (c *Client) ForUsers() *Client { return &Client{c.conn, true} }
 
 // Health tells when the service last answered, and whether it fails now.
 func (c *Client) Health() (lastOK time.Time, failing bool, started time.Time) {
@@ -87,8 +87,8 @@
 	return c.lastFail.After(c.lastOK) && c.lastFail.After(t)
 }
 
-// Reached is when anything last came back from the service, a refusal included, or the start.
-func (c *Client) Reached() time.Time {
+// LastResponse is when anything last came back from the service, a refusal included, or the start.
+func (c *Client) LastResponse() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reached.IsZero() {
@@ -108,8 +108,8 @@
 	c.mu.Unlock()
 }
 
-// WaitBatch waits until n of the leader's writes fit into its share of the rate.
-func (c *Client) WaitBatch(ctx context.Context, n int) error {
+// WaitForWrites waits until n of the leader's writes fit into its share of the rate.
+func (c *Client) WaitForWrites(ctx context.Context, n int) error {
 	return c.batch.WaitN(ctx, min(n, c.batch.Burst()))
 }
 
@@ -123,7 +123,7 @@
 	if err != nil {
 		unansweredTotal.Inc()
 		c.note(false)
-		return 0, nil, fmt.Errorf("%w: %s %s: %v", records.ErrNoAnswer, method, uri, err)
+		return 0, nil, fmt.Errorf("%w: %s %s: %v", records.ErrUnknownOutcome, method, uri, err)
 	}
 	if timeout <= c.timeout { // watches wait on purpose
 		requestSeconds.UpdateDuration(began)
@@ -135,7 +135,7 @@
 	case 503:
 		refusedTotal.Inc()
 		c.note(false)
-		return status, nil, records.ErrRefused
+		return status, nil, records.ErrUnavailable
 	case 429:
 		throttledTotal.Inc()
 		return status, nil, records.ErrThrottled
@@ -193,7 +193,7 @@
 }
 
 // Get reads a key. It returns nil when the key is absent.
-func (c *Client) Get(ctx context.Context, key string) (*records.Row, error) {
+func (c *Client) Get(ctx context.Context, key string) (*records.KeyValue, error) {
 	status, raw, err := c.retry429(ctx, "GET", "/store/"+key, nil, 0)
 	if err != nil {
 		return nil, err
@@ -209,8 +209,8 @@
 		}
 		return nil, nil
 	case 200:
-		var r records.Row
-		if err := json.Unmarshal(raw, &r); err != nil || r.Key != key || r.Stamp == 0 {
+		var r records.KeyValue
+		if err := json.Unmarshal(raw, &r); err != nil || r.Key != key || r.Revision == 0 {
 			return nil, fmt.Errorf("%w: bad row for %s", records.ErrUnexpected, key)
 		}
 		return &r, nil
@@ -220,7 +220,7 @@
 
 // List reads every key under a prefix. The epoch returned is that of the first
 // page: a watch from there misses nothing.
-func (c *Client) List(ctx context.Context, prefix string, each func(records.Row) error) (uint64, error) {
+func (c *Client) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
 	var epoch uint64
 	since := ""
 	for {
@@ -233,9 +233,9 @@
 			return 0, err
 		}
 		var page struct {
-			Rows  []records.Row `json:"rows"`
-			More  bool          `json:"more"`
-			Epoch uint64        `json:"epoch"`
+			Rows  []records.KeyValue `json:"rows"`
+			More  bool               `json:"more"`
+			Epoch uint64             `json:"epoch"`
 		}
 		if status != 200 {
 			return 0, fmt.Errorf("%w: %d for list %s", records.ErrUnexpected, status, prefix)
@@ -259,16 +259,16 @@
 }
 
 // Commit applies ops if all conditions hold, and returns the revision.
-func (c *Client) Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error) {
+func (c *Client) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
 	if when == nil {
-		when = []records.Cond{}
+		when = []records.Compare{}
 	}
 	if ops == nil {
 		ops = []records.Op{}
 	}
 	status, raw, err := c.retry429(ctx, "POST", "/commit", struct {
-		When   []records.Cond `json:"when"`
-		Writes []records.Op   `json:"writes"`
+		When   []records.Compare `json:"when"`
+		Writes []records.Op      `json:"writes"`
 	}{when, ops}, len(ops))
 	if err != nil {
 		return 0, err
@@ -280,7 +280,7 @@
 		}
 		if err := json.Unmarshal(raw, &r); err != nil || r.Epoch == 0 {
 			// It was executed, but what came back is unreadable: treat it as unknown.
-			return 0, fmt.Errorf("%w: unreadable commit answer", records.ErrNoAnswer)
+			return 0, fmt.Errorf("%w: unreadable commit answer", records.ErrUnknownOutcome)
 		}
 		return r.Epoch, nil
 	case 409:
@@ -295,15 +295,15 @@
 		}
 		_ = json.Unmarshal(raw, &e)
 		if e.Error == "no such lease" {
-			return 0, records.ErrNoGrant
+			return 0, records.ErrLeaseExpired
 		}
 		return 0, fmt.Errorf("%w: %s", records.ErrInvalid, e.Error)
 	}
 	return 0, fmt.Errorf("%w: %d for commit", records.ErrUnexpected, status)
 }
 
-// Grant obtains a lease of the given life.
-func (c *Client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
+// GrantLease obtains a lease of the given life.
+func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
 	status, raw, err := c.retry429(ctx, "POST", "/grants", map[string]int64{"life_ms": life.Milliseconds()}, 0)
 	if err != nil {
 		return 0, err
@@ -317,8 +317,8 @@
 	return r.Hold, nil
 }
 
-// Extend renews a lease; ledger.ErrNoGrant says that it has ended.
-func (c *Client) Extend(ctx context.Context, hold uint64, timeout time.Duration) error {
+// RenewLease renews a lease; ledger.ErrNoGrant says that it has ended.
+func (c *Client) RenewLease(ctx context.Context, hold uint64, timeout time.Duration) error {
 	status, _, err := c.call(ctx, "POST", "/grants/"+strconv.FormatUint(hold, 10)+"/extend", struct{}{}, timeout)
 	switch {
 	case errors.Is(err, records.ErrThrottled):
@@ -329,13 +329,13 @@
 	case status == 200:
 		return nil
 	case status == 404:
-		return records.ErrNoGrant
+		return records.ErrLeaseExpired
 	}
 	return fmt.Errorf("%w: %d for extend", records.ErrUnexpected, status)
 }
 
-// Drop ends a lease; nothing depends on its success.
-func (c *Client) Drop(ctx context.Context, hold uint64) {
+// RevokeLease ends a lease; nothing depends on its success.
+func (c *Client) RevokeLease(ctx context.Context, hold uint64) {
 	_, _, _ = c.call(ctx, "DELETE", "/grants/"+strconv.FormatUint(hold, 10), nil, c.timeout)
 }
 
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -38,16 +38,16 @@
 		fmt.Fprint(w, a.body)
 	}))
 	defer srv.Close()
-	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), Limits{WriteRPS: 20, Conns: 4, Timeout: 100 * time.Millisecond})
+	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), Limits{WriteRPS: 20, MaxConnections: 4, Timeout: 100 * time.Millisecond})
 	for key, want := range map[string]error{
 		"proxy": records.ErrUnexpected, "odd": records.ErrUnexpected, "broken": records.ErrUnexpected,
-		"refused": records.ErrRefused, "throttled": records.ErrThrottled, "teapot": records.ErrUnexpected,
+		"refused": records.ErrUnavailable, "throttled": records.ErrThrottled, "teapot": records.ErrUnexpected,
 	} {
 		if row, err := c.Get(context.Background(), key); !errors.Is(err, want) || row != nil {
 			t.Errorf("%s: %v, %v, want %v", key, row, err, want)
 		}
 	}
-	if row, err := c.Get(context.Background(), "here"); err != nil || row == nil || row.Stamp != 7 {
+	if row, err := c.Get(context.Background(), "here"); err != nil || row == nil || row.Revision != 7 {
 		t.Errorf("here: %v, %v", row, err)
 	}
 	if row, err := c.Get(context.Background(), "away"); err != nil || row != nil {
@@ -60,8 +60,8 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	c = NewClient(addr, Limits{WriteRPS: 20, Conns: 4, Timeout: 100 * time.Millisecond})
-	if _, err := c.Commit(context.Background(), nil, nil); !errors.Is(err, records.ErrNoAnswer) {
+	c = NewClient(addr, Limits{WriteRPS: 20, MaxConnections: 4, Timeout: 100 * time.Millisecond})
+	if _, err := c.Commit(context.Background(), nil, nil); !errors.Is(err, records.ErrUnknownOutcome) {
 		t.Errorf("nobody listens: %v", err)
 	}
 	if _, failing, _ := c.Health(); !failing {
--- a/internal/watermark/golden_test.go
+++ b/internal/watermark/golden_test.go
@@ -9,6 +9,6 @@
 // The record of when marks were last whole keeps its form in the store.
 func TestGolden(t *testing.T) {
 	goldentest.Run(t, "golden-records.json", goldentest.JSON, []goldentest.Case{
-		{Name: "whole marks", Value: Record{Term: 41, Node: "n-2", AtMS: 946684802000}},
+		{Name: "whole marks", Value: StoredAttestation{Term: 41, Node: "n-2", AtMS: 946684802000}},
 	})
 }
--- a/internal/watermark/lapse.go
+++ b/internal/watermark/lapse.go
@@ -14,11 +14,11 @@
 // the worker sent the report that was answered, and what a holder answers afterwards renews
 // that of a worker which has nothing any more.
 
-// Holders lists, by name, the controllers that may have renewed a lease which the leader of
+// PossibleRenewers lists, by name, the controllers that may have renewed a lease which the leader of
 // a term has not: last is the word of the latest term known to be settled, reigns are all
 // that took the key since its revision. ok is false where that is not known.
-func Holders(last Word, reigns []Reign, ours uint64) (nodes []string, ok bool) {
-	if !last.Settled || last.Node == "" || last.Term >= ours {
+func PossibleRenewers(last Attestation, reigns []LeaderChange, ours uint64) (nodes []string, ok bool) {
+	if !last.Reconciled || last.Node == "" || last.Term >= ours {
 		return nil, false
 	}
 	nodes = []string{last.Node}
@@ -39,9 +39,9 @@
 	return slices.Compact(nodes), true
 }
 
-// Lapsed says whether each holder has renewed no lease for as long as a lease lasts, by how
+// LeasesExpired says whether each holder has renewed no lease for as long as a lease lasts, by how
 // long ago, at least, each last may have; what is not known of one is missing.
-func Lapsed(holders []string, since map[string]time.Duration, lease time.Duration) bool {
+func LeasesExpired(holders []string, since map[string]time.Duration, lease time.Duration) bool {
 	for _, h := range holders {
 		if s, known := since[h]; !known || s < lease {
 			return false
--- a/internal/watermark/lapse_model_test.go
+++ b/internal/watermark/lapse_model_test.go
@@ -101,11 +101,11 @@
 	if s.baton == s.top || m.unheard {
 		add(func(n *lapsing) { n.settled = n.top })
 	}
-	last := Word{Term: uint64(s.settled), Settled: s.settled > 0, Node: fmt.Sprint(s.holder[s.settled])}
-	var reigns []Reign
+	last := Attestation{Term: uint64(s.settled), Reconciled: s.settled > 0, Node: fmt.Sprint(s.holder[s.settled])}
+	var reigns []LeaderChange
 	for t := s.settled + 1; t <= s.top; t++ {
 		if t == s.top || !m.noReigns {
-			reigns = append(reigns, Reign{Term: uint64(t), Node: fmt.Sprint(s.holder[t])})
+			reigns = append(reigns, LeaderChange{Term: uint64(t), Node: fmt.Sprint(s.holder[t])})
 		}
 	}
 	since := map[string]time.Duration{}
@@ -113,7 +113,7 @@
 		since[fmt.Sprint(x)] = time.Duration(s.renewed[x])
 	}
 	since[fmt.Sprint(h)] = time.Duration(s.began)
-	holders, ok := Holders(last, reigns, uint64(s.top))
+	holders, ok := PossibleRenewers(last, reigns, uint64(s.top))
 	if m.noHolder && ok {
 		holders = holders[:0]
 		for _, r := range reigns {
@@ -127,7 +127,7 @@
 	if m.short {
 		lease--
 	}
-	if s.baton < s.top && ok && Lapsed(holders, since, lease) {
+	if s.baton < s.top && ok && LeasesExpired(holders, since, lease) {
 		add(func(n *lapsing) { n.lapsed = n.top })
 	}
 	return all, s.lapsed == s.top && s.baton < s.top && s.on
--- a/internal/watermark/mark.go
+++ b/internal/watermark/mark.go
@@ -2,16 +2,16 @@
 
 // Mark is how far into a job tasks may have been sent: none from Stored on, by what the
 // store says; Want is what it is to say next.
-type Mark struct{ Stored, Want int }
+type Mark struct{ Stored, Requested int }
 
-// Ahead is the share of a job that its mark is raised by at once, as one in so many: a
+// RaiseDivisor is the share of a job that its mark is raised by at once, as one in so many: a
 // raise is a change in the store, and what lies between the last task sent and the mark
 // waits at a takeover for nothing.
-const Ahead = 8
+const RaiseDivisor = 8
 
-// Step is by how many tasks the mark of a job is raised at least: small jobs are marked
+// RaiseStep is by how many tasks the mark of a job is raised at least: small jobs are marked
 // whole.
-func Step(tasks int) int { return tasks/Ahead + Ahead }
+func RaiseStep(tasks int) int { return tasks/RaiseDivisor + RaiseDivisor }
 
 // Covers says whether a task may be sent.
 func (m *Mark) Covers(task int) bool { return task < m.Stored }
@@ -19,15 +19,15 @@
 // Raise asks for a mark beyond a task, and says whether that is more than was asked
 // for.
 func (m *Mark) Raise(task, tasks int) bool {
-	if task < m.Want {
+	if task < m.Requested {
 		return false
 	}
-	m.Want = min(task+Step(tasks), tasks)
+	m.Requested = min(task+RaiseStep(tasks), tasks)
 	return true
 }
 
-// Keep notes what the store says; it never says less than before.
-func (m *Mark) Keep(stored int) {
+// NoteStored notes what the store says; it never says less than before.
+func (m *Mark) NoteStored(stored int) {
 	m.Stored = max(m.Stored, stored)
-	m.Want = max(m.Want, m.Stored)
+	m.Requested = max(m.Requested, m.Stored)
 }
--- a/internal/watermark/model_test.go
+++ b/internal/watermark/model_test.go
@@ -79,11 +79,11 @@
 	knows     int8 // where the task is
 }
 
-func (c *ctl) witness() *Witness {
-	return &Witness{heard: Word{Term: uint64(c.hTerm), Seq: uint64(c.hSeq), Whole: c.hWhole, Epoch: uint64(c.hTerm)}, bar: uint64(c.bar)}
+func (c *ctl) witness() *Observer {
+	return &Observer{heard: Attestation{Term: uint64(c.hTerm), Seq: uint64(c.hSeq), Complete: c.hWhole, Revision: uint64(c.hTerm)}, bar: uint64(c.bar)}
 }
 
-func (c *ctl) hear(x Word, mistake string) Word {
+func (c *ctl) hear(x Attestation, mistake string) Attestation {
 	w := c.witness()
 	switch mistake {
 	case "a late word is taken in":
@@ -92,11 +92,11 @@
 		}
 	case "a witness is not barred":
 		w.bar = 0
-		w.Hear(x)
+		w.Observe(x)
 	default:
-		w.Hear(x)
+		w.Observe(x)
 	}
-	c.hTerm, c.hSeq, c.hWhole, c.bar = int8(w.heard.Term), int8(w.heard.Seq), w.heard.Whole, int8(w.bar)
+	c.hTerm, c.hSeq, c.hWhole, c.bar = int8(w.heard.Term), int8(w.heard.Seq), w.heard.Complete, int8(w.bar)
 	return w.heard
 }
 
@@ -104,22 +104,22 @@
 
 // trusts is what a new leader decides about the marks, having reached some of the others.
 func (m *model) trusts(i int, reached bool, mistake string) bool {
-	var words []Word
+	var words []Attestation
 	for k := range m.ctl {
 		c := &m.ctl[k]
 		if k == i || reached && !c.old {
-			words = append(words, c.hear(Word{Term: uint64(m.term)}, mistake))
+			words = append(words, c.hear(Attestation{Term: uint64(m.term)}, mistake))
 		}
 	}
-	reigns := func(since int8) (all []Reign) {
+	reigns := func(since int8) (all []LeaderChange) {
 		for t := since; t <= m.term; t++ {
 			if m.reigns[t] > 0 && t > since {
-				all = append(all, Reign{Term: uint64(t), Marks: m.reigns[t] == 1 || mistake == "who led since is not asked"})
+				all = append(all, LeaderChange{Term: uint64(t), KeepsWatermarks: m.reigns[t] == 1 || mistake == "who led since is not asked"})
 			}
 		}
 		return all
 	}
-	if best, ok := Best(words); ok {
+	if best, ok := Latest(words); ok {
 		return Trusted(best, reigns(int8(best.Term)), uint64(m.term))
 	}
 	at := time.Unix(1000, 0)
@@ -127,8 +127,8 @@
 	if mistake == "an old record is believed" && m.ctl[i].start == later || mistake == "a process believes its own record" && m.ctl[i].start == before {
 		started = at.Add(time.Second)
 	}
-	r := Record{Term: uint64(m.rec.term), Node: fmt.Sprint(m.rec.node), AtMS: at.UnixMilli()}
-	if !r.Unbroken(fmt.Sprint(i), started, 2*time.Second, time.Second/10) {
+	r := StoredAttestation{Term: uint64(m.rec.term), Node: fmt.Sprint(m.rec.node), AtMS: at.UnixMilli()}
+	if !r.StillHolds(fmt.Sprint(i), started, 2*time.Second, time.Second/10) {
 		return false
 	}
 	since := reigns(m.rec.term)
@@ -267,12 +267,12 @@
 			}
 		}
 	}
-	say := func(n *model, whole bool) Word {
+	say := func(n *model, whole bool) Attestation {
 		l := &n.ctl[i].lead
 		if l.whole != whole || l.seq == 0 {
 			l.whole, l.seq, l.acks = whole, l.seq+1, 0
 		}
-		w := Word{Term: uint64(l.term), Seq: uint64(l.seq), Whole: whole, Epoch: uint64(l.term)}
+		w := Attestation{Term: uint64(l.term), Seq: uint64(l.seq), Complete: whole, Revision: uint64(l.term)}
 		n.ctl[i].hear(w, mistake)
 		return w
 	}
@@ -304,7 +304,7 @@
 				w, l := say(n, false), &n.ctl[i].lead
 				l.asks = true
 				young := l.young>>k&1 == 1 && mistake != "one that has just started is asked"
-				if heard := w.Heard(n.ctl[k].hear(w, mistake)); heard && !n.ctl[k].old && !young {
+				if heard := w.ObservedBy(n.ctl[k].hear(w, mistake)); heard && !n.ctl[k].old && !young {
 					l.acks |= 1 << k
 				}
 				all := l.acks == 7&^(1<<i) || mistake == "one that has heard is enough" && l.acks != 0
@@ -337,7 +337,7 @@
 	}
 	if h := m.held; h.to >= 0 {
 		do(func(n *model) {
-			n.ctl[h.to].hear(Word{Term: uint64(h.term), Seq: uint64(h.seq), Whole: true, Epoch: uint64(h.term)}, mistake)
+			n.ctl[h.to].hear(Attestation{Term: uint64(h.term), Seq: uint64(h.seq), Complete: true, Revision: uint64(h.term)}, mistake)
 			n.held.to = -1
 		})
 	}
@@ -377,7 +377,7 @@
 		m.elect(0, true, "")
 		m.hear(0, 1)
 		for i := range m.ctl {
-			m.ctl[i].hear(Word{Term: 1, Seq: 1, Whole: true, Epoch: 1}, "")
+			m.ctl[i].hear(Attestation{Term: 1, Seq: 1, Complete: true, Revision: 1}, "")
 		}
 		m.ctl[0].lead.whole, m.ctl[0].lead.seq = true, 1
 	}
--- a/internal/watermark/word.go
+++ b/internal/watermark/word.go
@@ -19,36 +19,36 @@
 	"time"
 )
 
-// Word is what a leader says of the marks in the store. A word without a sequence number
+// Attestation is what a leader says of the marks in the store. A word without a sequence number
 // comes from a new leader that has said nothing yet, and bars earlier terms.
-type Word struct {
-	Term  uint64 `msgpack:"term"`
-	Seq   uint64 `msgpack:"seq"`   // rises with each change of mind in a term
-	Whole bool   `msgpack:"whole"` // every task that was ever sent, by any leader, is below a mark; else loose
-	Epoch uint64 `msgpack:"epoch"` // a revision of the store at which the term held the leader's key
+type Attestation struct {
+	Term     uint64 `msgpack:"term"`
+	Seq      uint64 `msgpack:"seq"`   // rises with each change of mind in a term
+	Complete bool   `msgpack:"whole"` // every task that was ever sent, by any leader, is below a mark; else loose
+	Revision uint64 `msgpack:"epoch"` // a revision of the store at which the term held the leader's key
 	// Settled says that every machine which may hold tasks has shown the term (lapse.go), and
 	// Node who had it. Versions that tell of marks alone leave both out.
-	Settled bool   `msgpack:"settled,omitempty"`
-	Node    string `msgpack:"node,omitempty"`
+	Reconciled bool   `msgpack:"settled,omitempty"`
+	Node       string `msgpack:"node,omitempty"`
 }
 
-// Witness is a controller's memory of such words. It lasts as long as its process, and no
+// Observer is a controller's memory of such words. It lasts as long as its process, and no
 // longer: a process that has just started is no witness of anything.
-type Witness struct {
+type Observer struct {
 	mu    sync.Mutex
-	heard Word
-	last  Word   // of the latest term that was settled
-	bar   uint64 // words of earlier terms are not taken in
+	heard Attestation
+	last  Attestation // of the latest term that was settled
+	bar   uint64      // words of earlier terms are not taken in
 }
 
-// Hear takes in a word and returns what is remembered then. A word that comes late, by
+// Observe takes in a word and returns what is remembered then. A word that comes late, by
 // its term or its number, changes nothing.
-func (w *Witness) Hear(x Word) Word {
+func (w *Observer) Observe(x Attestation) Attestation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bar = max(w.bar, x.Term)
 	// That a term was settled stays true, however late it is told.
-	if x.Settled && x.After(w.last) {
+	if x.Reconciled && x.NewerThan(w.last) {
 		w.last = x
 	}
 	// Guards against words held up in the network, and against an earlier leader that
@@ -56,57 +56,59 @@
 	if x.Seq > 0 && x.Term >= w.bar && (x.Term > w.heard.Term || x.Term == w.heard.Term && x.Seq > w.heard.Seq) {
 		w.heard = x
 	} else if x.Seq > 0 && x.Term == w.heard.Term && x.Seq == w.heard.Seq {
-		w.heard.Epoch = max(w.heard.Epoch, x.Epoch)
+		w.heard.Revision = max(w.heard.Revision, x.Revision)
 	}
 	return w.heard
 }
 
-// Settled returns the last word that was heard of a settled term, if any.
-func (w *Witness) Settled() Word {
+// LatestReconciled returns the last word that was heard of a settled term, if any.
+func (w *Observer) LatestReconciled() Attestation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.last
 }
 
-// After says whether a word is of a later term than another one, or of a later revision in
+// NewerThan says whether a word is of a later term than another one, or of a later revision in
 // the same.
-func (x Word) After(w Word) bool { return x.Term > w.Term || x.Term == w.Term && x.Epoch > w.Epoch }
+func (x Attestation) NewerThan(w Attestation) bool {
+	return x.Term > w.Term || x.Term == w.Term && x.Revision > w.Revision
+}
 
-// Heard says whether a witness that remembers w has taken in x, and nothing later.
-func (x Word) Heard(w Word) bool { return w.Term == x.Term && w.Seq == x.Seq }
+// ObservedBy says whether a witness that remembers w has taken in x, and nothing later.
+func (x Attestation) ObservedBy(w Attestation) bool { return w.Term == x.Term && w.Seq == x.Seq }
 
-// Best picks, of what witnesses remember, the last word for whole marks: one is enough.
+// Latest picks, of what witnesses remember, the last word for whole marks: one is enough.
 // ok is false where there is none.
-func Best(words []Word) (best Word, ok bool) {
+func Latest(words []Attestation) (best Attestation, ok bool) {
 	for _, w := range words {
-		if w.Whole && w.After(best) {
+		if w.Complete && w.NewerThan(best) {
 			best, ok = w, true
 		}
 	}
 	return best, ok
 }
 
-// Reign is a change of the leader's key: who took it, and whether it keeps marks.
-type Reign struct {
-	Term  uint64
-	Marks bool
-	Node  string
+// LeaderChange is a change of the leader's key: who took it, and whether it keeps marks.
+type LeaderChange struct {
+	Term            uint64
+	KeepsWatermarks bool
+	Node            string
 }
 
-// Record is the same word in the store, for when all controllers have ended at once and
+// StoredAttestation is the same word in the store, for when all controllers have ended at once and
 // none is a witness any more.
-type Record struct {
+type StoredAttestation struct {
 	Term uint64 `json:"term"`
 	Node string `json:"node"`
 	AtMS int64  `json:"at_ms"` // time of day when it was sent; marks were whole then
 }
 
-// Unbroken says whether the leader that wrote a record cannot have gone loose since: it
+// StillHolds says whether the leader that wrote a record cannot have gone loose since: it
 // never does within span of sending one, and it was a process of the very node that now
 // takes its key over, where the present one started that soon afterwards. bound is how far
 // the time of day of either may be off. A record of the present process itself says nothing:
 // it may have gone loose since.
-func (r Record) Unbroken(node string, started time.Time, span, bound time.Duration) bool {
+func (r StoredAttestation) StillHolds(node string, started time.Time, span, bound time.Duration) bool {
 	after := started.Sub(time.UnixMilli(r.AtMS))
 	return r.Term != 0 && r.Node == node && after > 2*bound && after <= span-2*bound
 }
@@ -115,15 +117,15 @@
 // revision nobody has led that keeps no marks. reigns are all who took the key since.
 // One that keeps marks but had no witness itself does no harm: what it sent is below
 // them, and had it gone loose, the witness would have heard it.
-func Trusted(w Word, reigns []Reign, ours uint64) bool {
-	if !w.Whole || w.Term > ours {
+func Trusted(w Attestation, reigns []LeaderChange, ours uint64) bool {
+	if !w.Complete || w.Term > ours {
 		return false
 	}
 	found := w.Term == ours
 	for _, r := range reigns {
 		if r.Term == ours {
 			found = true
-		} else if !r.Marks {
+		} else if !r.KeepsWatermarks {
 			return false
 		}
 	}
--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -52,15 +52,15 @@
 			}
 		}
 		hc = httpclient.New(addr, 2, c.timeout/2)
-		hc.Once = true
+		hc.ClosePerCall = true
 		c.clients[addr] = hc
 	}
 	return hc
 }
 
-// Orders sends commands. On 200 they were executed, on 409 nothing was; either
+// SendCommands sends commands. On 200 they were executed, on 409 nothing was; either
 // way the worker's report comes back.
-func (c *Caller) Orders(addr string, d fleet.Direct) (int, *fleet.Report, error) {
+func (c *Caller) SendCommands(addr string, d fleet.CommandRequest) (int, *fleet.Heartbeat, error) {
 	status, raw, err := c.client(addr).JSON("POST", "/orders", d, time.Now().Add(c.timeout))
 	if err != nil {
 		return 0, nil, fmt.Errorf("worker %s: %w", addr, err)
@@ -68,7 +68,7 @@
 	if status != 200 && status != 409 {
 		return status, nil, fmt.Errorf("worker %s: status %d", addr, status)
 	}
-	var r fleet.Report
+	var r fleet.Heartbeat
 	if err := easyjson.Unmarshal(raw, &r); err != nil {
 		return status, nil, fmt.Errorf("worker %s: %w", addr, err)
 	}
--- a/internal/workers/caller_test.go
+++ b/internal/workers/caller_test.go
@@ -45,7 +45,7 @@
 	c := NewCaller(2, 5*time.Second)
 	addr := strings.TrimPrefix(srv.URL, "http://")
 	grace := 4.0
-	d := fleet.Direct{Baton: 41, Session: 1, Orders: []fleet.Order{{Verb: fleet.VerbKill, Shot: "j-1/0", Try: 2, WindDownS: &grace}}}
+	d := fleet.CommandRequest{FencingToken: 41, Incarnation: 1, Commands: []fleet.Command{{Verb: fleet.VerbKill, Task: "j-1/0", Attempt: 2, GraceS: &grace}}}
 	for _, x := range []struct {
 		status int
 		body   string
@@ -58,8 +58,8 @@
 		{400, `{}`, false},
 	} {
 		status, body = x.status, x.body
-		st, r, err := c.Orders(addr, d)
-		if (err == nil) != x.ok || x.ok && (st != x.status || r.Host != "m-1") {
+		st, r, err := c.SendCommands(addr, d)
+		if (err == nil) != x.ok || x.ok && (st != x.status || r.Machine != "m-1") {
 			t.Errorf("%d %s: %d, %+v, %v", x.status, x.body, st, r, err)
 		}
 	}
--- a/internal/workers/golden_test.go
+++ b/internal/workers/golden_test.go
@@ -14,20 +14,20 @@
 	worker := goldentest.NewPeer(t)
 	c := NewCaller(1, 10*time.Second)
 	warning, windDown := 12.5, 4.0
-	d := fleet.Direct{Baton: 41, Session: 1, Orders: []fleet.Order{
-		{Verb: fleet.VerbKill, Shot: "j-1/0", Try: 2, WindDownS: &windDown}, {Verb: fleet.VerbReap, Shot: "j-1/1", Try: 3},
+	d := fleet.CommandRequest{FencingToken: 41, Incarnation: 1, Commands: []fleet.Command{
+		{Verb: fleet.VerbKill, Task: "j-1/0", Attempt: 2, GraceS: &windDown}, {Verb: fleet.VerbReap, Task: "j-1/1", Attempt: 3},
 	}}
 	const text = `{"host":"m-1","addr":"10.1.0.232:9000","rig":"g8","site":"a","loaners":true,"stint":1,"tick":9,"baton":41,` +
 		`"warning_s":12.5,"version":"1.0","shots":[{"shot":"j-1/0","try":2,"status":"ended","cause":"stopped","saved":true}]}`
-	want := fleet.Report{
-		Host: "m-1", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Tick: 9, Baton: 41,
-		WarningS: &warning, Version: "1.0", Tasks: []fleet.TaskReport{{Shot: "j-1/0", Try: 2, Status: "ended", Cause: fleet.CauseStopped, Saved: true}},
+	want := fleet.Heartbeat{
+		Machine: "m-1", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Incarnation: 1, Sequence: 9, FencingToken: 41,
+		PreemptionNoticeS: &warning, Version: "1.0", Tasks: []fleet.TaskStatus{{Task: "j-1/0", Attempt: 2, Status: "ended", Cause: fleet.CauseStopped, Saved: true}},
 	}
 	f := goldentest.Open(t, "golden-orders.json")
 	for name, status := range map[string]int{"carried out": 200, "not carried out": 409} {
 		t.Run(name, func(t *testing.T) {
 			worker.Answer(status, text)
-			st, got, err := c.Orders(worker.Addr, d)
+			st, got, err := c.SendCommands(worker.Addr, d)
 			if err != nil || st != status || !reflect.DeepEqual(*got, want) {
 				t.Errorf("%d, %+v, %v, want %d, %+v", st, got, err, status, want)
 			}
--- a/internal/zonehealth/zones.go
+++ b/internal/zonehealth/zones.go
@@ -16,8 +16,8 @@
 // how many of these are silent.
 type Count struct{ Machines, Silent int }
 
-// Watch follows the zones of a term. Its owner holds the lock.
-type Watch struct {
+// Monitor follows the zones of a term. Its owner holds the lock.
+type Monitor struct {
 	lease time.Duration
 	zones map[string]*zone
 }
@@ -29,7 +29,7 @@
 }
 
 // New returns a watch for workers with leases of such a length.
-func New(lease time.Duration) *Watch { return &Watch{lease: lease, zones: map[string]*zone{}} }
+func New(lease time.Duration) *Monitor { return &Monitor{lease: lease, zones: map[string]*zone{}} }
 
 const (
 	// fewest is how many machines a zone needs to be judged by them.
@@ -46,15 +46,15 @@
 	mostLeases = 6
 )
 
-// Silence is after how many report intervals without a word a machine counts as silent
+// SilentAfterIntervals is after how many report intervals without a word a machine counts as silent
 // here: one report may be lost or late. It is less than what any decision on a machine by
 // itself waits for. Guards against a zone whose machines are given back one by one, each
 // being one of a few silent ones, as their last reports were not at the same moment.
-const Silence = 1.5
+const SilentAfterIntervals = 1.5
 
-// Look takes in how the zones stand, and tells which have fallen dark or are light again,
+// Observe takes in how the zones stand, and tells which have fallen dark or are light again,
 // by name.
-func (w *Watch) Look(counts map[string]Count, now time.Time) (dark, light []string) {
+func (w *Monitor) Observe(counts map[string]Count, now time.Time) (dark, light []string) {
 	machines, silent := 0, 0
 	for _, c := range counts {
 		machines += c.Machines
@@ -92,12 +92,12 @@
 	return dark, light
 }
 
-// Dark says whether a zone is dark.
-func (w *Watch) Dark(name string) bool { z := w.zones[name]; return z != nil && z.dark }
+// Suspected says whether a zone is dark.
+func (w *Monitor) Suspected(name string) bool { z := w.zones[name]; return z != nil && z.dark }
 
-// Any says whether any zone is dark. As long as one is, what else is silent may be so for
+// AnySuspected says whether any zone is dark. As long as one is, what else is silent may be so for
 // its sake: a worker can have its way through it.
-func (w *Watch) Any() bool {
+func (w *Monitor) AnySuspected() bool {
 	for _, z := range w.zones {
 		if z.dark {
 			return true
@@ -106,13 +106,13 @@
 	return false
 }
 
-// Waits says whether a machine of a zone that is dark, or was a moment ago, is still waited
+// KeepWaiting says whether a machine of a zone that is dark, or was a moment ago, is still waited
 // for, silent for so long that its tasks are gone, where replace is what another one takes to
 // do its work, and elsewhere whether there is room for another one where it would be heard.
 // Waiting as long as the replacement takes costs at most twice what either choice costs at
 // best, however long the cut lasts; where there is no replacement, waiting costs nothing but
 // money.
-func (w *Watch) Waits(name string, silent, replace time.Duration, elsewhere bool, now time.Time) bool {
+func (w *Monitor) KeepWaiting(name string, silent, replace time.Duration, elsewhere bool, now time.Time) bool {
 	z := w.zones[name]
 	switch {
 	case z == nil:
--- a/internal/zonehealth/zones_test.go
+++ b/internal/zonehealth/zones_test.go
@@ -26,7 +26,7 @@
 					counts[z] = Count{n, rapid.SampledFrom([]int{0, n / 8, n / 2, n}).Draw(t, "silent")}
 				}
 			}
-			dark, light := w.Look(counts, now)
+			dark, light := w.Observe(counts, now)
 			for _, z := range names {
 				others, quiet := 0, 0
 				for o, c := range counts {
@@ -41,13 +41,13 @@
 					t.Fatalf("%s is dark with %+v", z, counts)
 				case fell:
 					since[z] = now
-				case quietElsewhere && c.Silent == c.Machines && !w.Dark(z) && !slices.Contains(light, z):
+				case quietElsewhere && c.Silent == c.Machines && !w.Suspected(z) && !slices.Contains(light, z):
 					t.Fatalf("%s is not dark with %+v", z, counts)
 				}
-				if w.Dark(z) && c.Machines > 0 && 2*c.Silent <= c.Machines {
+				if w.Suspected(z) && c.Machines > 0 && 2*c.Silent <= c.Machines {
 					t.Fatalf("%s is dark though half of it is heard: %+v", z, counts)
 				}
-				if w.Dark(z) && now.Sub(since[z]) > mostLeases*lease {
+				if w.Suspected(z) && now.Sub(since[z]) > mostLeases*lease {
 					t.Fatalf("%s has been dark for %v", z, now.Sub(since[z]))
 				}
 			}
@@ -61,16 +61,16 @@
 func TestWaits(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	w := New(24 * time.Second)
-	w.Look(map[string]Count{"a": {100, 0}, "b": {50, 50}, "c": {50, 50}, "d": {50, 50}, "e": {200, 0}, "f": {200, 0}}, now)
-	w.Look(map[string]Count{"a": {100, 0}, "b": {50, 50}, "c": {50, 20}, "d": {50, 50}, "e": {200, 0}, "f": {200, 0}}, now)
+	w.Observe(map[string]Count{"a": {100, 0}, "b": {50, 50}, "c": {50, 50}, "d": {50, 50}, "e": {200, 0}, "f": {200, 0}}, now)
+	w.Observe(map[string]Count{"a": {100, 0}, "b": {50, 50}, "c": {50, 20}, "d": {50, 50}, "e": {200, 0}, "f": {200, 0}}, now)
 	now = now.Add(12 * time.Second)
-	w.Look(map[string]Count{"a": {100, 0}, "b": {50, 50}, "c": {50, 0}, "d": {50, 20}, "e": {200, 0}, "f": {200, 0}}, now)
+	w.Observe(map[string]Count{"a": {100, 0}, "b": {50, 50}, "c": {50, 0}, "d": {50, 20}, "e": {200, 0}, "f": {200, 0}}, now)
 	now = now.Add(time.Second)
 	got := []string{}
 	for _, zone := range []string{"a", "b", "c", "d"} {
 		for _, silent := range []time.Duration{30, 44, 45, 100} {
 			for _, elsewhere := range []bool{true, false} {
-				if w.Waits(zone, silent*time.Second, 20*time.Second, elsewhere, now) {
+				if w.KeepWaiting(zone, silent*time.Second, 20*time.Second, elsewhere, now) {
 					got = append(got, fmt.Sprint(zone, " ", int(silent), " ", elsewhere))
 				}
 			}
