--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -60,7 +60,7 @@
 	s.core = New(SettingsOf(cfg), 5, s.now)
 	s.core.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 1, Zones: []string{"a", "b"}}})
 	s.core.CheckReconciled(s.now)
-	s.core.rent.ready = true
+	s.core.autoscaling.listRead = true
 	for range max(100, machines/10) {
 		s.submit()
 	}
@@ -139,7 +139,7 @@
 	}
 	for id, j := range s.core.jobs {
 		copy(j.stored, j.done)
-		if j.nDone == j.Tasks && !j.finishing {
+		if j.doneCount == j.Tasks && !j.closing {
 			s.core.NoteClosed(id, records.ClosedJob{Status: records.StatusDone, AtMS: s.now.UnixMilli()}, 20)
 			s.submit()
 		}
@@ -207,7 +207,7 @@
 		}
 		if i%(len(s.hosts)/5+1) == 0 {
 			s.core.PlanRentals(s.now)
-			clear(s.core.rent.inflight)
+			clear(s.core.autoscaling.inflight)
 			s.core.MachinesToReturn(s.now)
 		}
 		s.report()
@@ -260,7 +260,7 @@
 	s := newSite(b, 200, false)
 	for b.Loop() {
 		s.core.PlanRentals(s.now)
-		clear(s.core.rent.inflight)
+		clear(s.core.autoscaling.inflight)
 	}
 }
 
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -24,15 +24,15 @@
 		a := add(fmt.Sprint("j-1", i), fmt.Sprint("img-", i), float64(i)/1000)
 		b := add(fmt.Sprint("j-2", i), fmt.Sprint("img-", i), float64(i)/1000)
 		other := add(fmt.Sprint("j-3", i), "else", float64(i)/1000)
-		if a.alike != b.alike || a.twins != b.twins || other.alike != a.alike || other.twins == a.twins || a.alike == a.twins {
-			t.Fatalf("job %d: numbers %d %d, %d %d, %d %d", i, a.alike, a.twins, b.alike, b.twins, other.alike, other.twins)
+		if a.placementClass != b.placementClass || a.imageClass != b.imageClass || other.placementClass != a.placementClass || other.imageClass == a.imageClass || a.placementClass == a.imageClass {
+			t.Fatalf("job %d: numbers %d %d, %d %d, %d %d", i, a.placementClass, a.imageClass, b.placementClass, b.imageClass, other.placementClass, other.imageClass)
 		}
 		for _, j := range []*Job{a, b, other} {
 			c.CloseJob(j.ID)
 		}
-		c.closed = c.closed[:0] // the flush takes them
-		if len(c.alike) > 100 || len(c.jobs) > 0 {
-			t.Fatalf("after job %d: %d likenesses, %d jobs", i, len(c.alike), len(c.jobs))
+		c.closedJobs = c.closedJobs[:0] // the flush takes them
+		if len(c.placementClasses) > 100 || len(c.jobs) > 0 {
+			t.Fatalf("after job %d: %d likenesses, %d jobs", i, len(c.placementClasses), len(c.jobs))
 		}
 	}
 }
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -17,63 +17,63 @@
 // again: where a gang needs several machines, the first to be free could take none of
 // its tasks yet, and would take any other's.
 type claim struct {
-	m     *fleet.Machine
-	since time.Time // when it was made, or the room was last seen to be on its way
+	machine *fleet.Machine
+	since   time.Time // when it was made, or the room was last seen to be on its way
 }
 
-// claimReports is how long, in report intervals, room that is there is kept for a job
+// claimIntervals is how long, in report intervals, room that is there is kept for a job
 // that does not start in it, and claimRest how long the job then claims no other.
 const (
-	claimReports = 2
-	claimRest    = 4
+	claimIntervals      = 2
+	claimPauseIntervals = 4
 )
 
-// own makes room on a machine, for one task, a job's own.
-func (c *Scheduler) own(j *Job, m *fleet.Machine, now time.Time) {
-	m.Bin.Reserve(j.req)
+// addClaim makes room on a machine, for one task, a job's own.
+func (c *Scheduler) addClaim(j *Job, m *fleet.Machine, now time.Time) {
+	m.Bin.Reserve(j.request)
 	if j.claims = append(j.claims, claim{m, now}); len(j.claims) == 1 {
-		c.owners = append(c.owners, j)
+		c.claimOwners = append(c.claimOwners, j)
 	}
-	if c.placing != nil {
-		c.placing.keep(j)
+	if c.currentTurns != nil {
+		c.currentTurns.keepSeparate(j)
 	}
 }
 
-// keepPlace makes the place that a task of a broken gang leaves the gang's own: it has
+// claimFreedPlace makes the place that a task of a broken gang leaves the gang's own: it has
 // to begin anew, and what else went there would be stopped a moment later.
-func (c *Scheduler) keepPlace(j *Job, a *fleet.Attempt) {
+func (c *Scheduler) claimFreedPlace(j *Job, a *fleet.Attempt) {
 	if j.gangBroken && a.Machine.Bin.Open() && a.State() != fleet.Planned {
-		c.own(j, a.Machine, c.now)
+		c.addClaim(j, a.Machine, c.now)
 	}
 }
 
-// disown gives up a claim.
-func (c *Scheduler) disown(j *Job, i int) {
-	j.claims[i].m.Bin.Reserve(packing.Resources{}.Sub(j.req))
+// dropClaim gives up a claim.
+func (c *Scheduler) dropClaim(j *Job, i int) {
+	j.claims[i].machine.Bin.Reserve(packing.Resources{}.Sub(j.request))
 	j.claims = slices.Delete(j.claims, i, i+1)
-	c.dirty = true
+	c.placementStale = true
 }
 
-// giveUp gives up all claims of a job.
-func (c *Scheduler) giveUp(j *Job) {
+// dropAllClaims gives up all claims of a job.
+func (c *Scheduler) dropAllClaims(j *Job) {
 	for len(j.claims) > 0 {
-		c.disown(j, len(j.claims)-1)
+		c.dropClaim(j, len(j.claims)-1)
 	}
 }
 
-// lift lets a job see its own room as free; lay puts the claims back.
-func (c *Scheduler) lift(j *Job) []claim {
+// suspendClaims lets a job see its own room as free; lay puts the claims back.
+func (c *Scheduler) suspendClaims(j *Job) []claim {
 	mine := j.claims
 	for _, cl := range mine {
-		cl.m.Bin.Reserve(packing.Resources{}.Sub(j.req))
+		cl.machine.Bin.Reserve(packing.Resources{}.Sub(j.request))
 	}
 	j.claims = nil
 	return mine
 }
 
-func (c *Scheduler) lay(j *Job, mine []claim) {
+func (c *Scheduler) restoreClaims(j *Job, mine []claim) {
 	for _, cl := range mine {
-		cl.m.Bin.Reserve(j.req)
+		cl.machine.Bin.Reserve(j.request)
 	}
 	j.claims = mine
 }
@@ -83,28 +83,28 @@
 func (c *Scheduler) useClaims(j *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
 	limited := j.limited
 	for i := 0; i < len(j.claims); {
-		t, m := j.peek(), j.claims[i].m
+		t, m := j.nextTask(), j.claims[i].machine
 		if t < 0 || limited && !c.withinLimit(j, used[j.Team]) {
 			return
 		}
-		if !m.Bin.Cap.Sub(m.Bin.Used()).Fits(j.req) {
+		if !m.Bin.Cap.Sub(m.Bin.Used()).Fits(j.request) {
 			i++
 			continue
 		}
-		c.disown(j, i)
+		c.dropClaim(j, i)
 		if zones != nil {
 			zones[m.Zone]-- // it was counted as the claim's
-			if !j.zoneOK(m.Zone, zones) {
+			if !j.zoneAllowed(m.Zone, zones) {
 				continue
 			}
 			zones[m.Zone]++
 		}
-		it := &packing.Item{ID: j.ID, Req: j.req, PreferLabels: j.prefer}
+		it := &packing.Item{ID: j.ID, Req: j.request, PreferLabels: j.preferLabels}
 		m.Bin.Add(it)
-		c.plant(j, t, c.newTry(), m, it, now)
-		j.take(t)
+		c.planAttempt(j, t, c.newAttemptNumber(), m, it, now)
+		j.takeTask(t)
 		if limited {
-			used[j.Team] = used[j.Team].Add(j.quota())
+			used[j.Team] = used[j.Team].Add(j.taskQuota())
 		}
 	}
 }
@@ -112,41 +112,41 @@
 // reviewClaims gives up claims whose job or machine is out of the question, that are
 // more than the job has tasks for, and those whose room was there in vain for a time.
 func (c *Scheduler) reviewClaims(now time.Time) {
-	owners := c.owners
-	c.owners = c.owners[:0]
+	owners := c.claimOwners
+	c.claimOwners = c.claimOwners[:0]
 	for _, j := range owners {
-		if c.review(j, now); len(j.claims) > 0 && !slices.Contains(c.owners, j) {
-			c.owners = append(c.owners, j)
+		if c.reviewJobClaims(j, now); len(j.claims) > 0 && !slices.Contains(c.claimOwners, j) {
+			c.claimOwners = append(c.claimOwners, j)
 		}
 	}
-	clear(owners[len(c.owners):])
+	clear(owners[len(c.claimOwners):])
 }
 
-func (c *Scheduler) review(j *Job, now time.Time) {
+func (c *Scheduler) reviewJobClaims(j *Job, now time.Time) {
 	if len(j.claims) == 0 {
 		return
 	}
 	if !j.gangBroken && !c.startable(j, now) {
-		c.giveUp(j)
+		c.dropAllClaims(j)
 		return
 	}
 	for i := len(j.claims) - 1; i >= 0; i-- {
-		if m := j.claims[i].m; m.Removed() || !m.Bin.Open() {
-			c.disown(j, i)
+		if m := j.claims[i].machine; m.Removed() || !m.Bin.Open() {
+			c.dropClaim(j, i)
 		}
 	}
 	for wants := c.claimable(j); len(j.claims) > wants; {
-		c.disown(j, len(j.claims)-1)
+		c.dropClaim(j, len(j.claims)-1)
 	}
-	coming := c.isComing(j)
+	coming := c.claimedRoomFreeing(j)
 	for i := len(j.claims) - 1; i >= 0; i-- {
 		switch cl := &j.claims[i]; {
-		case coming || j.saving != "":
+		case coming || j.reservedZone != "":
 			cl.since = now
-		case now.Sub(cl.since) > claimReports*c.set.HeartbeatInterval:
-			slog.Debug("room was kept in vain", "job", j.ID, "machine", cl.m.Host, "term", c.term)
-			j.claimAfter = now.Add(claimRest * c.set.HeartbeatInterval)
-			c.disown(j, i)
+		case now.Sub(cl.since) > claimIntervals*c.settings.HeartbeatInterval:
+			slog.Debug("room was kept in vain", "job", j.ID, "machine", cl.machine.Host, "term", c.term)
+			j.noClaimsBefore = now.Add(claimPauseIntervals * c.settings.HeartbeatInterval)
+			c.dropClaim(j, i)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 	if n >= len(j.claims) {
 		return n
 	}
-	for _, a := range j.held {
+	for _, a := range j.attempts {
 		if a.Stopping() {
 			n++
 		}
@@ -166,18 +166,18 @@
 	return n
 }
 
-// isComing says whether room of a job's own is on its way: somebody there is being stopped, or one
+// claimedRoomFreeing says whether room of a job's own is on its way: somebody there is being stopped, or one
 // of its own tasks that is to move there.
-func (c *Scheduler) isComing(j *Job) bool {
+func (c *Scheduler) claimedRoomFreeing(j *Job) bool {
 	if j.gangBroken {
 		return true
 	}
 	for _, cl := range j.claims {
-		if slices.ContainsFunc(cl.m.Attempts(), leaves) {
+		if slices.ContainsFunc(cl.machine.Attempts(), isLeaving) {
 			return true
 		}
 	}
-	for _, a := range j.held {
+	for _, a := range j.attempts {
 		if a.Stopping() {
 			return true
 		}
@@ -185,37 +185,37 @@
 	return false
 }
 
-// leaves says whether an attempt is being stopped, and its room on its way.
-func leaves(a *fleet.Attempt) bool { return a.Stopping() && a.MayBePresent() && a.Item != nil }
+// isLeaving says whether an attempt is being stopped, and its room on its way.
+func isLeaving(a *fleet.Attempt) bool { return a.Stopping() && a.MayBePresent() && a.Item != nil }
 
-// coming is the room that a machine has or will have, once what is being stopped there
+// expectedRoom is the room that a machine has or will have, once what is being stopped there
 // is gone, beyond what is anybody's own.
-func coming(m *fleet.Machine) packing.Resources {
+func expectedRoom(m *fleet.Machine) packing.Resources {
 	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
 	for _, a := range m.Attempts() {
-		if leaves(a) {
+		if isLeaving(a) {
 			free = free.Add(a.Item.Req)
 		}
 	}
 	return free
 }
 
-// lacks is for how many more of a job's tasks room could be made its own.
-func (c *Scheduler) lacks(j *Job, now time.Time) int {
-	if now.Before(j.claimAfter) {
+// missingClaims is for how many more of a job's tasks room could be made its own.
+func (c *Scheduler) missingClaims(j *Job, now time.Time) int {
+	if now.Before(j.noClaimsBefore) {
 		return 0
 	}
-	n := c.wanted(j)
+	n := c.waitingWithinLimit(j)
 	if j.Shape == records.ShapeGang {
-		if n < j.pending() || j.gangTry == 0 && len(j.held)+len(j.strays) > 0 {
+		if n < j.pending() || j.gangAttempt == 0 && len(j.attempts)+len(j.duplicates) > 0 {
 			return 0 // it could not start whole
 		}
 		return n - len(j.claims)
 	}
-	return min(n-len(j.claims), mostClaims)
+	return min(n-len(j.claims), maxClaimsPerPass)
 }
 
-// mostClaims bounds the work for one job in one look. It does not bound the machines on which
+// maxClaimsPerPass bounds the work for one job in one look. It does not bound the machines on which
 // a job has room of its own: the next look claims as many more, until all that wait have some.
 // A gang, which starts whole or not at all, is looked at whole.
-const mostClaims = 64
+const maxClaimsPerPass = 64
--- a/internal/scheduler/claims_test.go
+++ b/internal/scheduler/claims_test.go
@@ -76,14 +76,14 @@
 func (y *fakeFleet) step(i int) {
 	y.now = y.now.Add(500 * time.Millisecond)
 	y.c.Tick(y.now, true)
-	for host := range y.c.kick {
+	for host := range y.c.urgentMachines {
 		// Kills go out at once.
 		for _, h := range y.hosts {
 			if h.report.Machine == host {
 				y.obey(h, y.c.fleet.Machines[host].PendingCommands())
 			}
 		}
-		delete(y.c.kick, host)
+		delete(y.c.urgentMachines, host)
 	}
 	for n, h := range y.hosts {
 		y.advance(h)
@@ -112,7 +112,7 @@
 	y.obey(h, resp.Commands)
 	for _, j := range y.c.jobs {
 		copy(j.stored, j.done)
-		if j.nDone == j.Tasks {
+		if j.doneCount == j.Tasks {
 			y.c.NoteClosed(j.ID, records.ClosedJob{Status: records.StatusDone}, 99)
 		}
 	}
@@ -201,7 +201,7 @@
 		if _, runs := zones[id]; runs {
 			y.began[id] = true
 		}
-		if y.began[id] || len(j.stopped) == 0 || j.limited {
+		if y.began[id] || len(j.preempted) == 0 || j.limited {
 			continue
 		}
 		// What is stopped saves for up to 4 s, then its machine reports, then the other one.
@@ -209,11 +209,11 @@
 			y.asked[id] = y.now
 		}
 		if since := y.asked[id]; y.now.Sub(since) > 10*time.Second && y.died.Before(since) {
-			y.t.Fatalf("%s has not started %v after %d tasks were stopped for it", id, y.now.Sub(since), len(j.stopped))
+			y.t.Fatalf("%s has not started %v after %d tasks were stopped for it", id, y.now.Sub(since), len(j.preempted))
 		}
 	}
 	for team, cpus := range use {
-		if limit := y.c.set.Teams[team].LimitCPUs; limit > 0 && cpus > limit {
+		if limit := y.c.settings.Teams[team].LimitCPUs; limit > 0 && cpus > limit {
 			y.t.Fatalf("%s uses %g CPUs of %g", team, cpus, limit)
 		}
 	}
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -83,96 +83,96 @@
 // Job is an open job.
 type Job struct {
 	records.Job
-	Revision uint64
-	Accepted time.Time
-	base     time.Time          // from when its times count: its acceptance, or the end of the last job before it
-	since    uint64             // the revision before which none of its tasks can have been started
-	waits    bool               // for a job that is not known to be stored as done
-	terms    dependency.Urgency // what it is worth for its own sake and that of the jobs behind it
-	req      packing.Resources
-	prefer   []string // marks of machines that suit it, the weightiest first
-	ready    string   // mark of machines where its image is
-	alike    int      // a number that jobs share whose tasks fit the same machines; 0: it shares none
-	twins    int      // the same of those that also share the image
-
-	mark  watermark.Mark // how far into it tasks may have been sent
-	doubt []uint64       // bit set of tasks that may be on machines not heard since the takeover; nil: none
+	Revision         uint64
+	Accepted         time.Time
+	releasedAt       time.Time          // from when its times count: its acceptance, or the end of the last job before it
+	notStartedBefore uint64             // the revision before which none of its tasks can have been started
+	blocked          bool               // for a job that is not known to be stored as done
+	urgency          dependency.Urgency // what it is worth for its own sake and that of the jobs behind it
+	request          packing.Resources
+	preferLabels     []string // marks of machines that suit it, the weightiest first
+	imageReadyLabel  string   // mark of machines where its image is
+	placementClass   int      // a number that jobs share whose tasks fit the same machines; 0: it shares none
+	imageClass       int      // the same of those that also share the image
+
+	watermark watermark.Mark // how far into it tasks may have been sent
+	uncertain []uint64       // bit set of tasks that may be on machines not heard since the takeover; nil: none
 
 	done, stored []uint64 // bit sets of finished tasks, and of those the store has
-	nDone        int
-	dirty        map[int]bool // parts to be stored
+	doneCount    int
+	dirtyParts   map[int]bool // parts to be stored
 
 	team    config.Team // what the settings say of its team
 	limited bool        // the team has a limit
 
-	next   int      // tasks from here on were never tried
-	beyond bool     // some of these may be held all the same, adopted after a takeover
-	again  []int    // tasks to be tried again
-	listed []uint64 // bit set of what again holds
-	held   map[int]*fleet.Attempt
-	strays map[int]int // attempts on machines beside the held one
-
-	over      bool // no longer open
-	finishing bool // its move to the over records is being stored
-
-	errorHosts map[string]bool
-	retryAt    time.Time
-	backoff    time.Duration
-
-	gangTry    uint64
-	gangBroken bool
-	began      stages                    // how far its first start has come
-	claims     []claim                   // room on machines that is its own
-	claimAfter time.Time                 // claims no room before
-	saving     string                    // the zone where room is saved for it
-	saveAfter  time.Time                 // it is not looked at before whether that is due
-	broke      time.Time                 // when a gang that had begun lost its last place
-	stopped    map[fleet.TaskID]struct{} // tasks that were stopped for its sake
-	moved      map[int]struct{}          // tasks that were moved to fill or empty a bin
-	leaving    int                       // tasks that are to leave their machines and find no others
-	staying    map[string]int            // where a job bound to zones has its others then; else nil
-	guaranteed bool                      // it is owed its room by its team's guarantee
-	holds      bool                      // it may have others stopped for that, and is stopped for nobody
-	inTime     bool                      // it can still begin in time
-	targets    []float64                 // when it should be complete, in seconds from its base
-	rank       int                       // of its priority, the highest being 0; odd ones are late
-	turn       time.Time                 // its place among jobs of its priority
+	nextUntried    int      // tasks from here on were never tried
+	adoptedUntried bool     // some of these may be held all the same, adopted after a takeover
+	retries        []int    // tasks to be tried again
+	retryListed    []uint64 // bit set of what again holds
+	attempts       map[int]*fleet.Attempt
+	duplicates     map[int]int // attempts on machines beside the held one
+
+	closed  bool // no longer open
+	closing bool // its move to the over records is being stored
+
+	errorMachines map[string]bool
+	retryAt       time.Time
+	backoff       time.Duration
+
+	gangAttempt      uint64
+	gangBroken       bool
+	start            startStages               // how far its first start has come
+	claims           []claim                   // room on machines that is its own
+	noClaimsBefore   time.Time                 // claims no room before
+	reservedZone     string                    // the zone where room is saved for it
+	reserveNotBefore time.Time                 // it is not looked at before whether that is due
+	gangBrokenAt     time.Time                 // when a gang that had begun lost its last place
+	preempted        map[fleet.TaskID]struct{} // tasks that were stopped for its sake
+	moved            map[int]struct{}          // tasks that were moved to fill or empty a bin
+	relocating       int                       // tasks that are to leave their machines and find no others
+	remainingZones   map[string]int            // where a job bound to zones has its others then; else nil
+	guaranteed       bool                      // it is owed its room by its team's guarantee
+	protected        bool                      // it may have others stopped for that, and is stopped for nobody
+	canBeginInTime   bool                      // it can still begin in time
+	targets          []float64                 // when it should be complete, in seconds from its base
+	rank             int                       // of its priority, the highest being 0; odd ones are late
+	turnAt           time.Time                 // its place among jobs of its priority
 }
 
-// plain says whether where a task may go depends on nothing but its size, zone and
+// unconstrained says whether where a task may go depends on nothing but its size, zone and
 // kind of machine.
-func (j *Job) plain() bool {
+func (j *Job) unconstrained() bool {
 	return len(j.Types) == 0 && !j.OneZone && !j.SpreadZones && j.Shape != records.ShapeGang
 }
 
-// likeness is all that decides whether a plain job's task has room.
-type likeness struct {
-	req   packing.Resources
-	zone  string
-	spot  bool
-	image string // of jobs that are to start where it is; otherwise ""
+// placementKey is all that decides whether a plain job's task has room.
+type placementKey struct {
+	request packing.Resources
+	zone    string
+	spot    bool
+	image   string // of jobs that are to start where it is; otherwise ""
 }
 
-// number gives each likeness a number of its own, from 1.
-func (c *Scheduler) number(f likeness) int {
-	if c.alike[f] == 0 {
-		c.alike[f] = len(c.alike) + 1
+// classNumber gives each likeness a number of its own, from 1.
+func (c *Scheduler) classNumber(f placementKey) int {
+	if c.placementClasses[f] == 0 {
+		c.placementClasses[f] = len(c.placementClasses) + 1
 	}
-	return c.alike[f]
+	return c.placementClasses[f]
 }
 
-// liken gives a job the numbers that it shares with jobs alike.
-func (c *Scheduler) liken(j *Job) {
-	if !j.plain() {
+// assignPlacementClass gives a job the numbers that it shares with jobs alike.
+func (c *Scheduler) assignPlacementClass(j *Job) {
+	if !j.unconstrained() {
 		return
 	}
-	f := likeness{req: j.req, spot: j.Spot}
+	f := placementKey{request: j.request, spot: j.Spot}
 	if j.Job.Zone != nil {
 		f.zone = *j.Job.Zone
 	}
-	j.alike = c.number(f)
+	j.placementClass = c.classNumber(f)
 	f.image = j.Image
-	j.twins = c.number(f)
+	j.imageClass = c.classNumber(f)
 }
 
 // jobOf returns the open job of an attempt, nil if there is none.
@@ -184,7 +184,7 @@
 		}
 		a.Job = j
 	}
-	if j.over {
+	if j.closed {
 		return nil
 	}
 	return j
@@ -194,67 +194,67 @@
 
 // Scheduler is the leader's memory for one term.
 type Scheduler struct {
-	set      Settings
-	term     uint64
-	seq      uint64
-	jobs     map[string]*Job
-	complete map[*Job]struct{} // of these, those of which every task is done
-	chain    *dependency.Graph // of the same jobs and those that they name
-	alike    map[likeness]int
-	sorted   []*Job
-	order    *placingOrder // of the same jobs
-	placing  *placingTurns // of the placing under way; nil: there is none
-	resort   bool
-	types    map[string]records.MachineType
-	names    []string                  // machine types, cheapest first
-	spaces   map[string]*packing.Space // the bins of each type
-	opened   time.Time                 // when it was last looked at which machines take tasks
-	now      time.Time                 // of the placing or round under way
-	fleet    *fleet.Table
-	usage    *quota.Account // of what the attempts in fleet take, by team
-	settled  bool
-	began    time.Time
-
-	rent        rentState
-	freed       flow
-	lastRound   time.Time
-	dirty       bool             // something changed since the last placing
-	manyDeaf    bool             // more than a few machines report and hear nothing
-	mostSilent  bool             // more machines are silent than heard
-	manySilent  time.Time        // when last more than a few machines were silent, or a zone was dark
-	manyUnheard time.Time        // when last more than a few of the machines on record at the takeover had not been heard
-	unsent      []*fleet.Attempt // planned, in the order of their turns, and maybe no longer so
-	closed      []string         // jobs whose finished tasks need no record any more
-	dropped     []string         // machines that need no record any more
-	marks       marks
-	means       *overload.Detector         // how far the leader falls behind
-	late        time.Duration              // by how much anything waited since the last look
-	cuts        *zonehealth.Monitor        // which zones are cut off
-	keepers     []*Job                     // jobs for whose sake machines are kept
-	keeper      *Job                       // the one of them that is served last, for the placing under way
-	scarce      *fairshare.ShortageTracker // which ordinary machines are too few for those who may use no others
-	savers      []*Job                     // jobs for which room may have to be saved
-	owners      []*Job                     // jobs that have claims
-	served      *slo.Tracker               // who came and who began
-	toldServed  time.Time                  // when that was last told
-	drains      []*drainWork               // what operators asked for, by id
-	lastDrain   time.Time                  // when it was last looked at
-	draining    bool                       // any of it holds now
+	settings         Settings
+	term             uint64
+	sequence         uint64
+	jobs             map[string]*Job
+	complete         map[*Job]struct{} // of these, those of which every task is done
+	dependencies     *dependency.Graph // of the same jobs and those that they name
+	placementClasses map[placementKey]int
+	sortedJobs       []*Job
+	order            *placingOrder // of the same jobs
+	currentTurns     *placingTurns // of the placing under way; nil: there is none
+	queueStale       bool
+	types            map[string]records.MachineType
+	typeNames        []string                  // machine types, cheapest first
+	spaces           map[string]*packing.Space // the bins of each type
+	lastReopen       time.Time                 // when it was last looked at which machines take tasks
+	now              time.Time                 // of the placing or round under way
+	fleet            *fleet.Table
+	quotaUsage       *quota.Account // of what the attempts in fleet take, by team
+	reconciled       bool
+	termStart        time.Time
+
+	autoscaling           autoscalingState
+	freedRoom             freedRoom
+	lastRebalance         time.Time
+	placementStale        bool             // something changed since the last placing
+	manyUnreachable       bool             // more than a few machines report and hear nothing
+	mostSilent            bool             // more machines are silent than heard
+	manySilentAt          time.Time        // when last more than a few machines were silent, or a zone was dark
+	manyUnreconciledAt    time.Time        // when last more than a few of the machines on record at the takeover had not been heard
+	plannedAttempts       []*fleet.Attempt // planned, in the order of their turns, and maybe no longer so
+	closedJobs            []string         // jobs whose finished tasks need no record any more
+	removedMachines       []string         // machines that need no record any more
+	watermarks            watermarkState
+	overload              *overload.Detector         // how far the leader falls behind
+	delay                 time.Duration              // by how much anything waited since the last look
+	zoneHealth            *zonehealth.Monitor        // which zones are cut off
+	holders               []*Job                     // jobs for whose sake machines are kept
+	lastHolder            *Job                       // the one of them that is served last, for the placing under way
+	onDemandShortage      *fairshare.ShortageTracker // which ordinary machines are too few for those who may use no others
+	reservationCandidates []*Job                     // jobs for which room may have to be saved
+	claimOwners           []*Job                     // jobs that have claims
+	slo                   *slo.Tracker               // who came and who began
+	lastSLOReport         time.Time                  // when that was last told
+	drains                []*activeDrain             // what operators asked for, by id
+	lastDrainPass         time.Time                  // when it was last looked at
+	drainsActive          bool                       // any of it holds now
 
 	// Kick lists machines that should hear orders at once, not at their next report.
-	kick map[string]bool
+	urgentMachines map[string]bool
 }
 
 // New starts a term with nothing known.
 func New(set Settings, term uint64, now time.Time) *Scheduler {
 	c := &Scheduler{
-		set: set, term: term, jobs: map[string]*Job{}, chain: dependency.New(), alike: map[likeness]int{}, types: map[string]records.MachineType{},
-		fleet: fleet.NewTable(term, set.Lease, set.Forecast), began: now, kick: map[string]bool{}, marks: newMarks(),
-		means: overload.New(set.HeartbeatInterval, set.HeartbeatInterval/TicksPerHeartbeat), cuts: zonehealth.New(set.Lease),
-		scarce: fairshare.NewShortageTracker(), served: slo.New(), toldServed: now, rent: newRentState(), spaces: map[string]*packing.Space{},
-		usage: quota.NewAccount(), order: newPlacingOrder(nil, nil), complete: map[*Job]struct{}{},
+		settings: set, term: term, jobs: map[string]*Job{}, dependencies: dependency.New(), placementClasses: map[placementKey]int{}, types: map[string]records.MachineType{},
+		fleet: fleet.NewTable(term, set.Lease, set.Forecast), termStart: now, urgentMachines: map[string]bool{}, watermarks: newWatermarkState(),
+		overload: overload.New(set.HeartbeatInterval, set.HeartbeatInterval/TicksPerHeartbeat), zoneHealth: zonehealth.New(set.Lease),
+		onDemandShortage: fairshare.NewShortageTracker(), slo: slo.New(), lastSLOReport: now, autoscaling: newAutoscalingState(), spaces: map[string]*packing.Space{},
+		quotaUsage: quota.NewAccount(), order: newPlacingOrder(nil, nil), complete: map[*Job]struct{}{},
 	}
-	c.fleet.OnChange = c.charge
+	c.fleet.OnChange = c.updateCharge
 	return c
 }
 
@@ -263,12 +263,12 @@
 	for _, t := range types {
 		c.types[t.Name] = t
 	}
-	c.names = c.names[:0]
+	c.typeNames = c.typeNames[:0]
 	for n := range c.types {
-		c.names = append(c.names, n)
+		c.typeNames = append(c.typeNames, n)
 	}
-	sort.Slice(c.names, func(i, j int) bool {
-		a, b := c.types[c.names[i]], c.types[c.names[j]]
+	sort.Slice(c.typeNames, func(i, j int) bool {
+		a, b := c.types[c.typeNames[i]], c.types[c.typeNames[j]]
 		if (a.GPUs > 0) != (b.GPUs > 0) {
 			return b.GPUs > 0 // GPU types pack apart and come last
 		}
@@ -278,13 +278,13 @@
 		return a.Name < b.Name
 	})
 	for _, m := range c.fleet.Machines {
-		c.fit(m)
+		c.assignBin(m)
 	}
-	c.dirty = true
+	c.placementStale = true
 }
 
-// fit gives a machine's bin the capacity of its type, and its place among them.
-func (c *Scheduler) fit(m *fleet.Machine) {
+// assignBin gives a machine's bin the capacity of its type, and its place among them.
+func (c *Scheduler) assignBin(m *fleet.Machine) {
 	t, ok := c.types[m.Type]
 	if !ok {
 		return
@@ -303,11 +303,11 @@
 				return true
 			}
 			// Guards against two machines that empty into each other.
-			if slices.ContainsFunc(to.Owner.(*fleet.Machine).Attempts(), leaves) {
+			if slices.ContainsFunc(to.Owner.(*fleet.Machine).Attempts(), isLeaving) {
 				return false
 			}
 			j := c.jobOf(a)
-			return j != nil && (c.fetch(j) == 0 || to.HasLabel(j.ready))
+			return j != nil && (c.fetchTime(j) == 0 || to.HasLabel(j.imageReadyLabel))
 		}}
 		c.spaces[m.Type] = s
 	}
@@ -324,33 +324,33 @@
 	words := (rec.Tasks + 63) / 64
 	j := &Job{
 		Job: rec, Revision: stamp,
-		req:   packing.Resources{CPU: rec.CPUs, GPU: rec.GPUs, Mem: rec.MemGB},
-		ready: fleet.ImageReadyLabel(rec.Image),
-		done:  make([]uint64, words), stored: make([]uint64, words), listed: make([]uint64, words),
-		dirty: map[int]bool{}, held: map[int]*fleet.Attempt{}, strays: map[int]int{},
-		errorHosts: map[string]bool{},
+		request:         packing.Resources{CPU: rec.CPUs, GPU: rec.GPUs, Mem: rec.MemGB},
+		imageReadyLabel: fleet.ImageReadyLabel(rec.Image),
+		done:            make([]uint64, words), stored: make([]uint64, words), retryListed: make([]uint64, words),
+		dirtyParts: map[int]bool{}, attempts: map[int]*fleet.Attempt{}, duplicates: map[int]int{},
+		errorMachines: map[string]bool{},
 	}
 	age := max(wall.Sub(time.UnixMilli(rec.AcceptedMS)), 0)
 	j.Accepted = now.Add(-age)
-	j.base, j.since = j.Accepted, stamp
-	j.began.heard = now
-	if len(c.alike) > 4*len(c.jobs)+64 {
+	j.releasedAt, j.notStartedBefore = j.Accepted, stamp
+	j.start.learnedAt = now
+	if len(c.placementClasses) > 4*len(c.jobs)+64 {
 		// Most numbers are of jobs long over.
-		clear(c.alike)
+		clear(c.placementClasses)
 		for _, o := range c.jobs {
-			c.liken(o)
+			c.assignPlacementClass(o)
 		}
 	}
-	c.liken(j)
-	j.ofTeam(c.set.Teams[j.Team])
+	c.assignPlacementClass(j)
+	j.setTeam(c.settings.Teams[j.Team])
 	c.jobs[rec.ID] = j
-	c.resort, c.dirty = true, true
-	c.served.JobArrived(j.ID, j.Class, j.Team, float64(j.Tasks)*max(j.req.CPU, j.req.GPU), j.base)
-	c.link(j)
-	c.suspect(j)
-	c.foresee(j)
+	c.queueStale, c.placementStale = true, true
+	c.slo.JobArrived(j.ID, j.Class, j.Team, float64(j.Tasks)*max(j.request.CPU, j.request.GPU), j.releasedAt)
+	c.addDependencies(j)
+	c.markUncertain(j)
+	c.raiseForNewJob(j)
 	for _, a := range c.fleet.OfJob(rec.ID) {
-		c.charge(a) // until now its owner was not known
+		c.updateCharge(a) // until now its owner was not known
 	}
 	return j
 }
@@ -361,8 +361,8 @@
 	if j == nil {
 		return nil
 	}
-	c.served.JobBegan(id, c.began)
-	base := chunk * c.set.ChunkTasks
+	c.slo.JobBegan(id, c.termStart)
+	base := chunk * c.settings.ChunkTasks
 	return records.ParseRanges(ranges, func(i int) {
 		if n := base + i; n < j.Tasks {
 			j.stored[n/64] |= 1 << (n % 64)
@@ -378,7 +378,7 @@
 // noteDone notes that a task is done which was not.
 func (c *Scheduler) noteDone(j *Job, n int) {
 	j.done[n/64] |= 1 << (n % 64)
-	if j.nDone++; j.nDone == j.Tasks {
+	if j.doneCount++; j.doneCount == j.Tasks {
 		c.complete[j] = struct{}{}
 	}
 }
@@ -389,28 +389,28 @@
 	m.Recorded, m.Inherited = true, true
 	m.Incarnation = max(m.Incarnation, h.Incarnation)
 	m.SilentSince = now
-	c.rent.listed[host] = now // it was up before, so a list from later on must have it
-	c.fit(m)
+	c.autoscaling.lastListed[host] = now // it was up before, so a list from later on must have it
+	c.assignBin(m)
 }
 
 // CloseJob notes that a job is over, whichever way; whatever still runs of it is
 // stopped.
 func (c *Scheduler) CloseJob(id string) {
-	c.chain.Close(id)
-	c.follow()
+	c.dependencies.Close(id)
+	c.applyDependencyChanges()
 	j := c.jobs[id]
 	if j == nil {
 		return
 	}
-	j.over = true
-	c.served.JobClosed(id, j.nDone == j.Tasks, c.now)
-	c.giveUp(j)
+	j.closed = true
+	c.slo.JobClosed(id, j.doneCount == j.Tasks, c.now)
+	c.dropAllClaims(j)
 	delete(c.jobs, id)
 	delete(c.complete, j)
-	c.closed = append(c.closed, id)
-	c.resort, c.dirty = true, true
+	c.closedJobs = append(c.closedJobs, id)
+	c.queueStale, c.placementStale = true, true
 	for _, a := range c.fleet.OfJob(id) {
-		c.charge(a)
+		c.updateCharge(a)
 		c.end(a)
 	}
 }
@@ -435,7 +435,7 @@
 	case fleet.Ended:
 		a.Reap = true
 	default:
-		c.stop(a, whyOver, 0, time.Time{})
+		c.stop(a, stopJobClosed, 0, time.Time{})
 	}
 }
 
@@ -445,18 +445,18 @@
 	if !a.RequestStop(why, grace, now) {
 		return
 	}
-	c.kick[a.Machine.Host] = true
+	c.urgentMachines[a.Machine.Host] = true
 }
 
-func (c *Scheduler) newTry() uint64 {
-	c.seq++
-	return c.term<<24 | c.seq
+func (c *Scheduler) newAttemptNumber() uint64 {
+	c.sequence++
+	return c.term<<24 | c.sequence
 }
 
 // NextRequestName gives a rental request a name that no other term or request has.
 func (c *Scheduler) NextRequestName() (term, seq uint64) {
-	c.seq++
-	return c.term, c.seq
+	c.sequence++
+	return c.term, c.sequence
 }
 
 // Progress tells how a job stands, for display.
@@ -465,7 +465,7 @@
 	if j == nil {
 		return "", 0, 0, false
 	}
-	for _, a := range j.held {
+	for _, a := range j.attempts {
 		if a.State() == fleet.Running || a.State() == fleet.Flushing {
 			running++
 		}
@@ -474,7 +474,7 @@
 	if running > 0 {
 		status = records.StatusRunning
 	}
-	return status, j.nDone, running, true
+	return status, j.doneCount, running, true
 }
 
 func (c *Scheduler) markDone(j *Job, n int) {
@@ -491,15 +491,15 @@
 	for n := first; n <= last; n++ {
 		if !has(j.done, n) {
 			c.noteDone(j, n)
-			j.dirty[c.part(n)] = true
+			j.dirtyParts[c.part(n)] = true
 		}
 	}
 }
 
 // pending counts tasks that are neither done nor held.
 func (j *Job) pending() int {
-	n := len(j.again) + j.doubts()
-	for i := j.next; i < j.Tasks; {
+	n := len(j.retries) + j.countUncertain()
+	for i := j.nextUntried; i < j.Tasks; {
 		// Whole words of untouched tasks count at once.
 		if i%64 == 0 && i+64 <= j.Tasks {
 			n += 64 - bits.OnesCount64(j.done[i/64])
@@ -511,109 +511,109 @@
 		}
 		i++
 	}
-	if !j.beyond {
+	if !j.adoptedUntried {
 		return n
 	}
 	// Tasks beyond next that are held (adopted after a takeover).
-	for t := range j.held {
-		if (t >= j.next || j.doubtful(t)) && !has(j.done, t) {
+	for t := range j.attempts {
+		if (t >= j.nextUntried || j.isUncertain(t)) && !has(j.done, t) {
 			n--
 		}
 	}
 	return max(n, 0)
 }
 
-// peek returns the next task to start, or -1. A task with any attempt on any
+// nextTask returns the next task to start, or -1. A task with any attempt on any
 // machine is passed over: it is tried again when that attempt is gone.
-func (j *Job) peek() int {
-	for len(j.again) > 0 {
-		t := j.again[0]
-		if has(j.done, t) || j.held[t] != nil {
-			j.pop()
+func (j *Job) nextTask() int {
+	for len(j.retries) > 0 {
+		t := j.retries[0]
+		if has(j.done, t) || j.attempts[t] != nil {
+			j.popRetry()
 			continue
 		}
-		if j.strays[t] > 0 {
+		if j.duplicates[t] > 0 {
 			break
 		}
 		return t
 	}
-	for j.next < j.Tasks {
-		if has(j.done, j.next) || j.held[j.next] != nil {
-			j.next++
+	for j.nextUntried < j.Tasks {
+		if has(j.done, j.nextUntried) || j.attempts[j.nextUntried] != nil {
+			j.nextUntried++
 			continue
 		}
-		if j.strays[j.next] > 0 {
-			j.push(j.next)
-			j.next++
+		if j.duplicates[j.nextUntried] > 0 {
+			j.pushRetry(j.nextUntried)
+			j.nextUntried++
 			continue
 		}
-		return j.next
+		return j.nextUntried
 	}
 	return -1
 }
 
-// idle says whether no task of the job waits to be started, now or when others of its attempts
+// hasNoWaiting says whether no task of the job waits to be started, now or when others of its attempts
 // are gone.
-func (j *Job) idle() bool { return len(j.again) == 0 && j.next >= j.Tasks }
+func (j *Job) hasNoWaiting() bool { return len(j.retries) == 0 && j.nextUntried >= j.Tasks }
 
-// retry puts a task back into the queue.
-func (c *Scheduler) retry(j *Job, t int) {
-	j.push(t)
-	c.order.wake(j)
+// retryTask puts a task back into the queue.
+func (c *Scheduler) retryTask(j *Job, t int) {
+	j.pushRetry(t)
+	c.order.activate(j)
 }
 
-// push and pop keep the list of tasks to be tried again free of repeats: a task
+// pushRetry and pop keep the list of tasks to be tried again free of repeats: a task
 // can be given back twice when a second attempt of it was about. What is in doubt
 // joins the list when it no longer is.
-func (j *Job) push(t int) {
-	if !has(j.listed, t) && !j.doubtful(t) {
-		j.listed[t/64] |= 1 << (t % 64)
-		j.again = append(j.again, t)
+func (j *Job) pushRetry(t int) {
+	if !has(j.retryListed, t) && !j.isUncertain(t) {
+		j.retryListed[t/64] |= 1 << (t % 64)
+		j.retries = append(j.retries, t)
 	}
 }
 
-func (j *Job) pop() {
-	t := j.again[0]
-	j.listed[t/64] &^= 1 << (t % 64)
-	j.again = j.again[1:]
+func (j *Job) popRetry() {
+	t := j.retries[0]
+	j.retryListed[t/64] &^= 1 << (t % 64)
+	j.retries = j.retries[1:]
 }
 
-func (j *Job) take(t int) {
-	if len(j.again) > 0 && j.again[0] == t {
-		j.pop()
-	} else if t == j.next {
-		j.next++
+func (j *Job) takeTask(t int) {
+	if len(j.retries) > 0 && j.retries[0] == t {
+		j.popRetry()
+	} else if t == j.nextUntried {
+		j.nextUntried++
 	}
 }
 
-// release gives a task back to the queue once its attempt is gone.
-func (c *Scheduler) release(a *fleet.Attempt) {
+// releaseAttempt gives a task back to the queue once its attempt is gone.
+func (c *Scheduler) releaseAttempt(a *fleet.Attempt) {
 	j := c.jobs[a.Task.Job]
-	c.dirty = true
+	c.placementStale = true
 	if j == nil {
 		return
 	}
-	if j.held[a.Task.N] == a {
-		delete(j.held, a.Task.N)
-		if a.Task.N < j.next && !has(j.done, a.Task.N) {
-			c.retry(j, a.Task.N)
+	if j.attempts[a.Task.N] == a {
+		delete(j.attempts, a.Task.N)
+		if a.Task.N < j.nextUntried && !has(j.done, a.Task.N) {
+			c.retryTask(j, a.Task.N)
 		}
 		if j.Shape == records.ShapeGang {
-			c.keepPlace(j, a)
-			if len(j.held) == 0 {
-				if j.began.told {
-					j.broke = c.now
+			c.claimFreedPlace(j, a)
+			if len(j.attempts) == 0 {
+				if j.start.reported {
+					j.gangBrokenAt = c.now
 				}
-				j.gangTry, j.gangBroken = 0, false
+				j.gangAttempt, j.gangBroken = 0, false
 			}
 		}
 		return
 	}
 	if a.Duplicate && a.Task.N < j.Tasks {
-		if j.strays[a.Task.N]--; j.strays[a.Task.N] <= 0 {
-			delete(j.strays, a.Task.N)
-			if a.Task.N < j.next && j.held[a.Task.N] == nil && !has(j.done, a.Task.N) {
-				c.retry(j, a.Task.N)
+		if j.duplicates[a.Task.N]--; j.duplicates[a.Task.N] <= 0 {
+			delete(j.duplicates, a.Task.N)
+			if a.Task.N < j.nextUntried && j.attempts[a.Task.N] == nil && !has(j.done, a.Task.N) {
+				c.retryTask(j, a.Task.N)
 			}
 		}
 	}
--- a/internal/scheduler/dark.go
+++ b/internal/scheduler/dark.go
@@ -8,14 +8,14 @@
 	"drumpick/internal/zonehealth"
 )
 
-// quiet says whether a machine has been silent for so long that its zone may be the cause.
-func (c *Scheduler) quiet(m *fleet.Machine, now time.Time) bool {
-	return float64(now.Sub(m.LastHeard())) > zonehealth.SilentAfterIntervals*float64(c.set.HeartbeatInterval)
+// isQuiet says whether a machine has been silent for so long that its zone may be the cause.
+func (c *Scheduler) isQuiet(m *fleet.Machine, now time.Time) bool {
+	return float64(now.Sub(m.LastHeard())) > zonehealth.SilentAfterIntervals*float64(c.settings.HeartbeatInterval)
 }
 
-// watchZones looks at which zones are cut off.
-func (c *Scheduler) watchZones(now time.Time) {
-	if !c.set.ZoneHealth {
+// observeZones looks at which zones are cut off.
+func (c *Scheduler) observeZones(now time.Time) {
+	if !c.settings.ZoneHealth {
 		return
 	}
 	counts := map[string]zonehealth.Count{}
@@ -25,12 +25,12 @@
 		}
 		n := counts[m.Zone]
 		n.Machines++
-		if c.quiet(m, now) {
+		if c.isQuiet(m, now) {
 			n.Silent++
 		}
 		counts[m.Zone] = n
 	}
-	dark, light := c.cuts.Observe(counts, now)
+	dark, light := c.zoneHealth.Observe(counts, now)
 	for _, z := range dark {
 		slog.Warn("zone is dark: its machines are silent and those of others are not", "zone", z, "machines", counts[z].Machines, "silent", counts[z].Silent, "term", c.term)
 	}
@@ -39,17 +39,17 @@
 	}
 }
 
-// elsewhere says whether there is room, as far as known, for a machine in the place of
+// replaceableElsewhere says whether there is room, as far as known, for a machine in the place of
 // another one where it would be heard. What was refused of late is: as long as work waits
 // it is asked for again and again.
-func (c *Scheduler) elsewhere(m *fleet.Machine, now time.Time) bool {
+func (c *Scheduler) replaceableElsewhere(m *fleet.Machine, now time.Time) bool {
 	t := c.types[m.Type]
-	late := now.Add(-2 * c.startup(m.Type))
+	late := now.Add(-2 * c.startupTime(m.Type))
 	for _, z := range t.Zones {
-		if c.cuts.Suspected(z) {
+		if c.zoneHealth.Suspected(z) {
 			continue
 		}
-		if late.After(c.rent.refused[offer{m.Type, z, false}]) || t.SpotPrice > 0 && late.After(c.rent.refused[offer{m.Type, z, true}]) {
+		if late.After(c.autoscaling.refusedUntil[machineOffer{m.Type, z, false}]) || t.SpotPrice > 0 && late.After(c.autoscaling.refusedUntil[machineOffer{m.Type, z, true}]) {
 			return true
 		}
 	}
--- a/internal/scheduler/drainbench_test.go
+++ b/internal/scheduler/drainbench_test.go
@@ -96,7 +96,7 @@
 				c, now := floor(b, machines)
 				c.SetDrain(spec, nil, 0)
 				for b.Loop() {
-					c.drain(now)
+					c.runDrains(now)
 				}
 			})
 		}
--- a/internal/scheduler/drainplan.go
+++ b/internal/scheduler/drainplan.go
@@ -45,7 +45,7 @@
 	if active >= mostDrains {
 		return nil, &NoCapacityLeftError{fmt.Sprintf("%d drains are in force; stop some first", active)}
 	}
-	if spec.Zone != "" && !slices.Contains(c.set.Zones, spec.Zone) {
+	if spec.Zone != "" && !slices.Contains(c.settings.Zones, spec.Zone) {
 		return nil, &NoMachineError{"there is no zone " + spec.Zone}
 	}
 	if _, ok := c.types[spec.Type]; spec.Type != "" && !ok && len(c.types) > 0 {
@@ -66,7 +66,7 @@
 	if spec.Kind == drain.Upgrade && spec.KeepUp > 0 {
 		zones := map[string]int{}
 		for _, m := range c.fleet.Sorted() {
-			if c.open(m, now) {
+			if c.acceptsTasks(m, now) {
 				zones[m.Zone]++
 			}
 		}
@@ -87,11 +87,11 @@
 
 // noneLeft finds jobs that could run nowhere any more.
 func (c *Scheduler) noneLeft(spec *drain.Spec, now time.Time) error {
-	look := &places{c: c, now: now, permits: map[*Job]bool{}, barred: spec.Bars,
-		leaves: func(m *fleet.Machine) bool { return spec.Selects(drainView(m, now)) }}
+	look := &placeFinder{scheduler: c, now: now, permits: map[*Job]bool{}, barred: spec.Bars,
+		isLeaving: func(m *fleet.Machine) bool { return spec.Selects(drainView(m, now)) }}
 	classes := map[string]bool{}
 	for _, j := range c.jobs {
-		if !j.over && !look.anywhere(j, nil) {
+		if !j.closed && !look.allowedAnywhere(j, nil) {
 			classes[j.Class] = true
 		}
 	}
@@ -103,7 +103,7 @@
 		slices.Sort(names)
 		return &NoCapacityLeftError{"it would leave no machine for jobs of " + strings.Join(names, ", ")}
 	}
-	if len(c.types) > 0 && !look.anywhere(&Job{Job: records.Job{Spot: true}}, nil) {
+	if len(c.types) > 0 && !look.allowedAnywhere(&Job{Job: records.Job{Spot: true}}, nil) {
 		return &NoCapacityLeftError{"it would leave no machine at all"}
 	}
 	return nil
@@ -112,7 +112,7 @@
 // planOf works out what becomes of each task on the machines that a drain means. Tasks
 // that move take the room that others would, so each has its place set aside while it
 // looks. list says of which machines the tasks are told.
-func (c *Scheduler) planOf(spec *drain.Spec, d *drainWork, now time.Time, list func(*fleet.Machine) bool) *drain.Plan {
+func (c *Scheduler) planOf(spec *drain.Spec, d *activeDrain, now time.Time, list func(*fleet.Machine) bool) *drain.Plan {
 	p := &drain.Plan{Classes: map[string]*drain.ClassPlan{}, Machines: []drain.MachinePlan{}}
 	var left *time.Duration
 	if _, by, _ := spec.Holds(now); !by.IsZero() {
@@ -122,9 +122,9 @@
 	means := func(m *fleet.Machine) bool {
 		return !m.Returning && !m.LeaseExpired && spec.Selects(drainView(m, now)) && !(spec.Kind == drain.Upgrade && m.Version == spec.To)
 	}
-	look := &places{c: c, now: now, none: map[int]bool{}, permits: map[*Job]bool{}, barred: spec.Bars,
+	look := &placeFinder{scheduler: c, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}, barred: spec.Bars,
 		// Machines of an upgrade go one after the other: the rest is there for them.
-		leaves: func(m *fleet.Machine) bool { return spec.Kind != drain.Upgrade && means(m) }}
+		isLeaving: func(m *fleet.Machine) bool { return spec.Kind != drain.Upgrade && means(m) }}
 	type owed struct {
 		m   *fleet.Machine
 		req packing.Resources
@@ -143,21 +143,21 @@
 			if j == nil || a.State() == fleet.Ended || a.State() == fleet.Planned || spec.Kind == drain.Cordon {
 				continue
 			}
-			t := c.task(j, a, now)
+			t := c.drainTask(j, a, now)
 			var to *fleet.Machine
-			zones := c.bounds(j)
-			for _, o := range j.held {
+			zones := c.zoneCounts(j)
+			for _, o := range j.attempts {
 				if zones != nil && means(o.Machine) {
 					zones[o.Machine.Zone]-- // they all leave
 				}
 			}
-			if t.Place = drain.Nowhere; look.anywhere(j, zones) {
+			if t.Place = drain.Nowhere; look.allowedAnywhere(j, zones) {
 				t.Place = drain.NotNow
-				if to = look.room(j, zones); to != nil {
+				if to = look.findRoom(j, zones); to != nil {
 					t.Place = drain.Room
 				}
 			}
-			dec := drain.Decide(t, left, c.set.HeartbeatInterval)
+			dec := drain.Decide(t, left, c.settings.HeartbeatInterval)
 			tp := drain.TaskPlan{Task: a.Task.String(), Class: j.Class, Action: dec.Action, Why: dec.Why, LostS: dec.Lost.Seconds()}
 			delay := time.Duration(0)
 			switch dec.Action {
@@ -165,8 +165,8 @@
 				tp.UntilS = t.Save.Seconds()
 				delay = t.Save + t.Restart + dec.Lost
 				if to != nil && !t.Stopping {
-					to.Bin.Reserve(j.req)
-					taken = append(taken, owed{to, j.req})
+					to.Bin.Reserve(j.request)
+					taken = append(taken, owed{to, j.request})
 				}
 			default:
 				tp.UntilS = t.Remaining.Seconds()
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -13,52 +13,52 @@
 	"drumpick/internal/records"
 )
 
-// drainWork is what operators asked for and how it stands. Which machines it has is on the
+// activeDrain is what operators asked for and how it stands. Which machines it has is on the
 // machines themselves; a new leader works it out again.
-type drainWork struct {
-	spec   drain.Spec
-	state  drain.State
-	stored drain.State // as the store has it
-	known  bool        // the store has a state
-	stamp  uint64      // at that revision; 0: none
-	wrote  time.Time
-	holds  bool
-	by     time.Time
-	had    map[string]bool // machines that it has, or had until they were gone
+type activeDrain struct {
+	spec      drain.Spec
+	state     drain.State
+	stored    drain.State // as the store has it
+	known     bool        // the store has a state
+	revision  uint64      // at that revision; 0: none
+	writtenAt time.Time
+	holds     bool
+	deadline  time.Time
+	machines  map[string]bool // machines that it has, or had until they were gone
 }
 
-func (d *drainWork) upgrades() bool {
+func (d *activeDrain) upgrades() bool {
 	return d.holds && d.spec.Kind == drain.Upgrade && d.state.Roll != nil && !d.state.Over()
 }
 
-// after says whether a machine was rented for one that an upgrade gave back. It has the
+// isReplacement says whether a machine was rented for one that an upgrade gave back. It has the
 // version that the cloud gives; to replace it again, for as long as that is not the wanted
 // one, would never end.
-func (d *drainWork) after(m *fleet.Machine) bool {
+func (d *activeDrain) isReplacement(m *fleet.Machine) bool {
 	return d.spec.Then == drain.Return && !m.Rented.IsZero() && m.Rented.After(time.UnixMilli(d.spec.BeganMS))
 }
 
 // SetDrain takes in what operators asked for, as it is on record; state is nil where there
 // is none of it yet.
 func (c *Scheduler) SetDrain(spec drain.Spec, state *drain.State, stamp uint64) {
-	i, found := slices.BinarySearchFunc(c.drains, spec.ID, func(d *drainWork, id string) int { return strings.Compare(d.spec.ID, id) })
+	i, found := slices.BinarySearchFunc(c.drains, spec.ID, func(d *activeDrain, id string) int { return strings.Compare(d.spec.ID, id) })
 	if !found {
-		d := &drainWork{had: map[string]bool{}}
+		d := &activeDrain{machines: map[string]bool{}}
 		if state != nil {
-			d.state, d.stored, d.known, d.stamp = *state, *state, true, stamp
+			d.state, d.stored, d.known, d.revision = *state, *state, true, stamp
 			for _, name := range state.Hand {
-				d.had[name] = true
+				d.machines[name] = true
 			}
 		}
 		c.drains = slices.Insert(c.drains, i, d)
 	}
 	c.drains[i].spec = spec
-	c.lastDrain = time.Time{}
+	c.lastDrainPass = time.Time{}
 }
 
 // RemoveDrain forgets a drain whose record is gone.
 func (c *Scheduler) RemoveDrain(id string) {
-	c.drains = slices.DeleteFunc(c.drains, func(d *drainWork) bool {
+	c.drains = slices.DeleteFunc(c.drains, func(d *activeDrain) bool {
 		if d.spec.ID != id {
 			return false
 		}
@@ -80,44 +80,44 @@
 	return v
 }
 
-// barred says whether no machine of a type is to be rented in a zone: it would be drained.
-func (c *Scheduler) barred(typ, zone string) bool {
-	return slices.ContainsFunc(c.drains, func(d *drainWork) bool { return d.holds && d.spec.Bars(typ, zone) })
+// barredByDrain says whether no machine of a type is to be rented in a zone: it would be drained.
+func (c *Scheduler) barredByDrain(typ, zone string) bool {
+	return slices.ContainsFunc(c.drains, func(d *activeDrain) bool { return d.holds && d.spec.Bars(typ, zone) })
 }
 
-// empties says whether a machine is being emptied for an operator.
-func (c *Scheduler) empties(m *fleet.Machine) bool {
-	d, ok := m.Cordon.(*drainWork)
+// isEmptying says whether a machine is being emptied for an operator.
+func (c *Scheduler) isEmptying(m *fleet.Machine) bool {
+	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.spec.Kind != drain.Cordon
 }
 
-// awaits says whether a machine is empty and kept for an operator, who may well have switched
+// awaitedByOperator says whether a machine is empty and kept for an operator, who may well have switched
 // it off: then its silence is no reason to give it back, for a long time.
-func (c *Scheduler) awaits(m *fleet.Machine, now time.Time) bool {
-	d, ok := m.Cordon.(*drainWork)
+func (c *Scheduler) awaitedByOperator(m *fleet.Machine, now time.Time) bool {
+	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.spec.Kind != drain.Cordon && d.spec.Then == drain.Keep && m.Reconciled && !m.Failed && m.Empty() &&
-		now.Sub(m.LastStatus) < awaitLeases*c.set.Lease
+		now.Sub(m.LastStatus) < operatorWaitLeases*c.settings.Lease
 }
 
-// awaitLeases is for how many leases a machine that is kept may be silent.
-const awaitLeases = 50
+// operatorWaitLeases is for how many leases a machine that is kept may be silent.
+const operatorWaitLeases = 50
 
-// givesBack says whether an empty cordoned machine is to be given back.
-func (c *Scheduler) givesBack(m *fleet.Machine) bool {
-	d, ok := m.Cordon.(*drainWork)
+// returnsWhenEmpty says whether an empty cordoned machine is to be given back.
+func (c *Scheduler) returnsWhenEmpty(m *fleet.Machine) bool {
+	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.spec.Kind != drain.Cordon && d.spec.Then == drain.Return
 }
 
-// drain brings machines into the state that operators asked for.
-func (c *Scheduler) drain(now time.Time) {
-	c.lastDrain, c.draining = now, false
-	c.reopen(now)
-	wanted := map[*fleet.Machine]*drainWork{}
+// runDrains brings machines into the state that operators asked for.
+func (c *Scheduler) runDrains(now time.Time) {
+	c.lastDrainPass, c.drainsActive = now, false
+	c.refreshAccepting(now)
+	wanted := map[*fleet.Machine]*activeDrain{}
 	for _, d := range c.drains {
-		d.holds, d.by, _ = d.spec.Holds(now)
-		c.draining = c.draining || d.holds && !d.state.Over()
+		d.holds, d.deadline, _ = d.spec.Holds(now)
+		c.drainsActive = c.drainsActive || d.holds && !d.state.Over()
 		if d.holds && !d.state.Over() || d.spec.Kind != drain.Upgrade && d.holds {
-			c.engage(d, wanted, now)
+			c.selectForDrain(d, wanted, now)
 		}
 	}
 	for _, m := range c.fleet.Sorted() {
@@ -130,13 +130,13 @@
 	}
 	for _, j := range c.queue(now) {
 		if j.Shape != records.ShapeService {
-			j.leaving, j.staying = 0, nil
+			j.relocating, j.remainingZones = 0, nil
 		}
 	}
-	look := &places{c: c, now: now, none: map[int]bool{}, permits: map[*Job]bool{}}
+	look := &placeFinder{scheduler: c, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}}
 	for _, m := range c.fleet.Sorted() {
-		if d, ok := m.Cordon.(*drainWork); ok && d.spec.Kind != drain.Cordon {
-			c.empty(m, d, look)
+		if d, ok := m.Cordon.(*activeDrain); ok && d.spec.Kind != drain.Cordon {
+			c.emptyMachine(m, d, look)
 		}
 	}
 	for _, d := range c.drains {
@@ -144,17 +144,17 @@
 	}
 }
 
-// engage finds the machines that a drain wants now.
-func (c *Scheduler) engage(d *drainWork, wanted map[*fleet.Machine]*drainWork, now time.Time) {
+// selectForDrain finds the machines that a drain wants now.
+func (c *Scheduler) selectForDrain(d *activeDrain, wanted map[*fleet.Machine]*activeDrain, now time.Time) {
 	if d.spec.Kind != drain.Upgrade {
 		for _, m := range c.fleet.Sorted() {
-			if !m.Returning && (!m.LeaseExpired || c.awaits(m, now)) && d.spec.Selects(drainView(m, now)) && better(d, wanted[m]) {
+			if !m.Returning && (!m.LeaseExpired || c.awaitedByOperator(m, now)) && d.spec.Selects(drainView(m, now)) && takesPrecedence(d, wanted[m]) {
 				wanted[m] = d
 			}
 		}
 		return
 	}
-	known := map[offer][]string{}
+	known := map[machineOffer][]string{}
 	all := c.candidates(d, known, now)
 	if d.state.Roll == nil {
 		r := drain.Begin(&d.spec, all)
@@ -167,7 +167,7 @@
 	}
 	zones, classes := map[string]int{}, map[string]int{}
 	for _, m := range c.fleet.Sorted() {
-		if m.Cordon != nil || wanted[m] != nil || !c.open(m, now) {
+		if m.Cordon != nil || wanted[m] != nil || !c.acceptsTasks(m, now) {
 			continue
 		}
 		zones[m.Zone]++
@@ -175,42 +175,42 @@
 			classes[class]++
 		}
 	}
-	hand := d.state.Roll.Next(&d.spec, all, zones, classes, soakReports*c.set.HeartbeatInterval)
+	hand := d.state.Roll.Next(&d.spec, all, zones, classes, soakIntervals*c.settings.HeartbeatInterval)
 	slices.Sort(hand)
 	d.state.Hand, d.state.Blocked = hand, d.state.Roll.Blocked
 	for _, name := range hand {
-		if m := c.fleet.Machines[name]; better(d, wanted[m]) {
+		if m := c.fleet.Machines[name]; takesPrecedence(d, wanted[m]) {
 			wanted[m] = d
 		}
 	}
 }
 
-// soakReports is for how many report intervals a machine with its new version counts as
+// soakIntervals is for how many report intervals a machine with its new version counts as
 // out of service until a task has completed there.
-const soakReports = 5
+const soakIntervals = 5
 
-// better says whether a drain goes before another that wants the same machine: one with a
+// takesPrecedence says whether a drain goes before another that wants the same machine: one with a
 // time to keep, then one that empties, then the older one.
-func better(d, other *drainWork) bool {
+func takesPrecedence(d, other *activeDrain) bool {
 	if other == nil {
 		return true
 	}
-	if d.by.IsZero() != other.by.IsZero() {
-		return !d.by.IsZero()
+	if d.deadline.IsZero() != other.deadline.IsZero() {
+		return !d.deadline.IsZero()
 	}
-	if !d.by.IsZero() && !d.by.Equal(other.by) {
-		return d.by.Before(other.by)
+	if !d.deadline.IsZero() && !d.deadline.Equal(other.deadline) {
+		return d.deadline.Before(other.deadline)
 	}
 	return other.spec.Kind == drain.Cordon && d.spec.Kind != drain.Cordon
 }
 
-func (c *Scheduler) cordon(m *fleet.Machine, d *drainWork) {
+func (c *Scheduler) cordon(m *fleet.Machine, d *activeDrain) {
 	slog.Info("draining machine", "machine", m.Host, "drain", d.spec.ID, "kind", d.spec.Kind, "term", c.term)
 	m.Cordon = d
-	d.had[m.Host] = true
+	d.machines[m.Host] = true
 	m.Bin.SetOpen(false)
-	c.unplan(m)
-	c.dirty = true
+	c.cancelPlanned(m)
+	c.placementStale = true
 }
 
 // uncordon brings a machine back into service. What was told to stop still does.
@@ -218,12 +218,12 @@
 	slog.Info("machine is back in service", "machine", m.Host, "version", m.Version, "term", c.term)
 	m.Cordon = nil
 	m.EmptySince = now
-	c.dirty = true
-	c.opened = time.Time{}
+	c.placementStale = true
+	c.lastReopen = time.Time{}
 }
 
 // candidates are the machines that an upgrade means.
-func (c *Scheduler) candidates(d *drainWork, known map[offer][]string, now time.Time) []drain.Candidate {
+func (c *Scheduler) candidates(d *activeDrain, known map[machineOffer][]string, now time.Time) []drain.Candidate {
 	var all []drain.Candidate
 	hand := map[string]bool{}
 	for _, name := range d.state.Hand {
@@ -231,11 +231,11 @@
 	}
 	for _, m := range c.fleet.Sorted() {
 		v := drainView(m, now)
-		if !m.Up || m.LeaseExpired && !c.awaits(m, now) || m.Returning || !m.PreemptionAt.IsZero() || !d.spec.Selects(v) || d.after(m) {
+		if !m.Up || m.LeaseExpired && !c.awaitedByOperator(m, now) || m.Returning || !m.PreemptionAt.IsZero() || !d.spec.Selects(v) || d.isReplacement(m) {
 			continue
 		}
 		x := drain.Candidate{
-			Machine: v, Empty: m.Empty(), Up: m.Cordon == nil && c.open(m, now), Proven: m.Proven, Failed: m.Faulty, Classes: c.classesOf(m, known),
+			Machine: v, Empty: m.Empty(), Up: m.Cordon == nil && c.acceptsTasks(m, now), Proven: m.Proven, Failed: m.Faulty, Classes: c.classesOf(m, known),
 			// A new leader finds in hand what the one before had.
 			InHand: m.Cordon == d || m.Cordon == nil && hand[m.Host],
 		}
@@ -244,7 +244,7 @@
 		}
 		for _, a := range m.Attempts() {
 			if j := c.jobOf(a); j != nil && a.State() != fleet.Ended {
-				x.Cost += time.Duration(c.remaining(j, a, now) * float64(time.Second))
+				x.Cost += time.Duration(c.remainingSeconds(j, a, now) * float64(time.Second))
 			}
 		}
 		all = append(all, x)
@@ -254,14 +254,14 @@
 
 // classesOf lists the classes of open jobs that may run on a machine; machines of a type,
 // zone and kind share the answer of one look, which known holds.
-func (c *Scheduler) classesOf(m *fleet.Machine, known map[offer][]string) []string {
-	o := offer{m.Type, m.Zone, m.Spot}
+func (c *Scheduler) classesOf(m *fleet.Machine, known map[machineOffer][]string) []string {
+	o := machineOffer{m.Type, m.Zone, m.Spot}
 	if list, ok := known[o]; ok {
 		return list
 	}
 	seen := map[string]bool{}
-	for _, j := range c.sorted {
-		if !seen[j.Class] && j.permits(m.Type, m.Zone, m.Spot) && c.capacity(m.Type).Fits(j.req) {
+	for _, j := range c.sortedJobs {
+		if !seen[j.Class] && j.permits(m.Type, m.Zone, m.Spot) && c.capacity(m.Type).Fits(j.request) {
 			seen[j.Class] = true
 		}
 	}
@@ -269,19 +269,19 @@
 	return known[o]
 }
 
-// task is what a decision about an attempt depends on, but for where else it could go.
-func (c *Scheduler) task(j *Job, a *fleet.Attempt, now time.Time) drain.Task {
+// drainTask is what a decision about an attempt depends on, but for where else it could go.
+func (c *Scheduler) drainTask(j *Job, a *fleet.Attempt, now time.Time) drain.Task {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	_, ran := a.Durations(now)
 	t := drain.Task{
 		Running: a.State() == fleet.Running, Waiting: a.State() == fleet.Waiting || a.State() == fleet.Pulling && j.Shape == records.ShapeGang,
 		Stopping: a.Stopping(), Group: j.Shape == records.ShapeGang, Service: j.Shape == records.ShapeService,
-		Urgent: j.terms.Rank <= prioRank[records.PriorityUrgent], Remaining: seconds(c.remaining(j, a, now)),
-		Ran: ran, Saves: j.CheckpointS > 0, Save: seconds(j.SaveS), Restart: c.set.HeartbeatInterval + c.fetch(j),
+		Urgent: j.urgency.Rank <= priorityRank[records.PriorityUrgent], Remaining: seconds(c.remainingSeconds(j, a, now)),
+		Ran: ran, Saves: j.CheckpointS > 0, Save: seconds(j.SaveS), Restart: c.settings.HeartbeatInterval + c.fetchTime(j),
 	}
 	if t.Service {
 		t.Remaining = 0
-		for _, o := range j.held {
+		for _, o := range j.attempts {
 			if o != a && o.State() == fleet.Running && !o.Stopping() && o.Machine.Cordon == nil {
 				t.Others++
 			}
@@ -296,7 +296,7 @@
 // slack is how much time a job has beyond what a task of it still needs; false where
 // nothing is due any more.
 func (c *Scheduler) slack(j *Job, remaining time.Duration, now time.Time) (time.Duration, bool) {
-	age := now.Sub(j.base)
+	age := now.Sub(j.releasedAt)
 	for _, t := range j.targets {
 		if due := time.Duration(t * float64(time.Second)); age+remaining <= due {
 			return due - age - remaining, true
@@ -305,12 +305,12 @@
 	return 0, false
 }
 
-// empty does with each task of a machine what is decided about it.
-func (c *Scheduler) empty(m *fleet.Machine, d *drainWork, look *places) {
+// emptyMachine does with each task of a machine what is decided about it.
+func (c *Scheduler) emptyMachine(m *fleet.Machine, d *activeDrain, look *placeFinder) {
 	now := look.now
 	var left *time.Duration
-	if !d.by.IsZero() {
-		l := d.by.Sub(now)
+	if !d.deadline.IsZero() {
+		l := d.deadline.Sub(now)
 		left = &l
 	}
 	for _, a := range slices.Clone(m.Attempts()) {
@@ -322,58 +322,58 @@
 			c.emptyGang(j, left, look)
 			continue
 		}
-		t := c.task(j, a, now)
-		to, zones := (*fleet.Machine)(nil), c.bounds(j)
+		t := c.drainTask(j, a, now)
+		to, zones := (*fleet.Machine)(nil), c.zoneCounts(j)
 		if zones != nil {
 			zones[m.Zone]-- // it leaves
 		}
-		if t.Place = drain.Nowhere; look.anywhere(j, zones) {
-			if t.Place, to = drain.NotNow, look.room(j, zones); to != nil {
+		if t.Place = drain.Nowhere; look.allowedAnywhere(j, zones) {
+			if t.Place, to = drain.NotNow, look.findRoom(j, zones); to != nil {
 				t.Place = drain.Room
 			}
 		}
-		dec := drain.Decide(t, left, c.set.HeartbeatInterval)
+		dec := drain.Decide(t, left, c.settings.HeartbeatInterval)
 		if t.Service && left == nil {
 			continue // replicas move in rounds, one of a job at a time
 		}
 		switch dec.Action {
 		case drain.Wait:
-			j.leaving++ // others are rented ahead where that is worth it
-			j.staying = zones
+			j.relocating++ // others are rented ahead where that is worth it
+			j.remainingZones = zones
 		case drain.Move, drain.Lose:
 			if to != nil {
-				c.own(j, to, now)
+				c.addClaim(j, to, now)
 			}
-			c.leave(j, a, dec, now)
+			c.stopForDrain(j, a, dec, now)
 		}
 	}
 }
 
-// leave stops a task for a drain's sake.
-func (c *Scheduler) leave(j *Job, a *fleet.Attempt, dec drain.Decision, now time.Time) {
+// stopForDrain stops a task for a drain's sake.
+func (c *Scheduler) stopForDrain(j *Job, a *fleet.Attempt, dec drain.Decision, now time.Time) {
 	slog.Info("task leaves its machine", "task", a.Task.String(), "machine", a.Machine.Host, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", c.term)
 	drainedTasks.Inc()
 	grace := 0.0
 	if j.CheckpointS > 0 {
 		grace = j.SaveS
 	}
-	c.stop(a, whyDrained, grace, now)
+	c.stop(a, stopDrained, grace, now)
 }
 
 // emptyGang decides about a gang as a whole, of which some tasks are on machines that are
 // being emptied.
-func (c *Scheduler) emptyGang(j *Job, left *time.Duration, look *places) {
+func (c *Scheduler) emptyGang(j *Job, left *time.Duration, look *placeFinder) {
 	now := look.now
 	if j.gangBroken {
 		return
 	}
 	var leaving []*fleet.Attempt
 	staying := map[string]int{}
-	for _, a := range j.held {
+	for _, a := range j.attempts {
 		switch {
 		case a.Stopping():
 			return
-		case c.empties(a.Machine):
+		case c.isEmptying(a.Machine):
 			leaving = append(leaving, a)
 		default:
 			staying[a.Machine.Zone]++
@@ -383,34 +383,34 @@
 		return
 	}
 	slices.SortFunc(leaving, func(a, b *fleet.Attempt) int { return cmp.Compare(a.Task.N, b.Task.N) })
-	t := c.task(j, leaving[0], now)
-	for _, a := range j.held {
+	t := c.drainTask(j, leaving[0], now)
+	for _, a := range j.attempts {
 		t.Waiting = t.Waiting || a.State() != fleet.Running
 		_, ran := a.Durations(now)
 		t.Ran = max(t.Ran, ran)
 	}
 	var to []*fleet.Machine
-	if t.Place = drain.Nowhere; look.anywhere(j, staying) {
+	if t.Place = drain.Nowhere; look.allowedAnywhere(j, staying) {
 		t.Place = drain.NotNow
-		if to = look.roomForAll(j, len(leaving), staying); len(to) == len(leaving) {
+		if to = look.findRoomForAll(j, len(leaving), staying); len(to) == len(leaving) {
 			t.Place = drain.Room
-		} else if to = look.roomForAll(j, len(j.held), nil); len(to) == len(j.held) {
+		} else if to = look.findRoomForAll(j, len(j.attempts), nil); len(to) == len(j.attempts) {
 			t.Place = drain.Room // all of it, away from where the others could have stayed
 		}
 	}
-	dec := drain.Decide(t, left, c.set.HeartbeatInterval)
+	dec := drain.Decide(t, left, c.settings.HeartbeatInterval)
 	switch dec.Action {
 	case drain.Wait:
-		j.leaving += len(leaving)
+		j.relocating += len(leaving)
 		if j.OneZone || j.SpreadZones {
-			j.staying = staying
+			j.remainingZones = staying
 		}
 	case drain.Move, drain.Lose:
 		slog.Info("gang leaves its machines", "job", j.ID, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", c.term)
-		c.breakGang(j, now)
+		c.stopGang(j, now)
 		if t.Place == drain.Room {
 			for _, m := range to {
-				c.own(j, m, now)
+				c.addClaim(j, m, now)
 			}
 		}
 	}
@@ -418,7 +418,7 @@
 
 // drained counts what became of a task on a machine that was being emptied.
 func drained(a *fleet.Attempt, now time.Time) {
-	d, ok := a.Machine.Cordon.(*drainWork)
+	d, ok := a.Machine.Cordon.(*activeDrain)
 	if !ok || d.spec.Kind == drain.Cordon || a.State() == fleet.Sent {
 		return
 	}
@@ -448,7 +448,7 @@
 }
 
 // standing works out how a drain stands, for people.
-func (c *Scheduler) standing(d *drainWork, now time.Time) {
+func (c *Scheduler) standing(d *activeDrain, now time.Time) {
 	s := &d.state
 	if s.Phase == drain.Stopped || s.Over() && d.spec.Kind == drain.Upgrade && !d.spec.Stopped {
 		return
@@ -463,31 +463,31 @@
 		if m.Cordon == d && !m.Empty() {
 			left++
 		}
-		if d.spec.Kind == drain.Upgrade && m.Up && (!m.LeaseExpired || c.awaits(m, now)) && !m.Returning && d.spec.Selects(drainView(m, now)) && !d.after(m) && s.Roll != nil {
+		if d.spec.Kind == drain.Upgrade && m.Up && (!m.LeaseExpired || c.awaitedByOperator(m, now)) && !m.Returning && d.spec.Selects(drainView(m, now)) && !d.isReplacement(m) && s.Roll != nil {
 			if want++; m.Version == s.Roll.Want {
 				have++
 			}
 		}
 	}
-	s.Seen.Machines = len(d.had)
+	s.Seen.Machines = len(d.machines)
 	phase := s.Phase
 	switch {
 	case d.spec.Stopped:
 		s.Phase, s.Left, s.Blocked, s.Hand = drain.Stopped, 0, "", nil
 	case !d.holds:
 		s.Phase, s.Left = drain.Waiting, 0
-	case d.spec.Kind == drain.Upgrade && s.Roll.Back && s.Roll.From == "", d.spec.Kind == drain.Upgrade && s.Roll.Back && have == want && c.settled:
+	case d.spec.Kind == drain.Upgrade && s.Roll.Back && s.Roll.From == "", d.spec.Kind == drain.Upgrade && s.Roll.Back && have == want && c.reconciled:
 		s.Phase, s.Left, s.Hand = drain.RolledBack, want-have, nil
 	case d.spec.Kind == drain.Upgrade && s.Roll.Back:
 		s.Phase, s.Left = drain.RollingBack, want-have
-	case d.spec.Kind == drain.Upgrade && have == want && (want > 0 || len(d.had) > 0) && c.settled && c.soaked(d, now):
+	case d.spec.Kind == drain.Upgrade && have == want && (want > 0 || len(d.machines) > 0) && c.reconciled && c.soaked(d, now):
 		s.Phase, s.Left, s.Hand = drain.Done, 0, nil
 	case d.spec.Kind == drain.Upgrade:
 		s.Phase, s.Left = drain.Upgrading, want-have
-	case left > 0 || !c.settled || d.spec.Kind == drain.Cordon:
+	case left > 0 || !c.reconciled || d.spec.Kind == drain.Cordon:
 		s.Phase, s.Left = drain.Draining, left
 	default:
-		if s.Seen.EmptyS == 0 && len(d.had) > 0 {
+		if s.Seen.EmptyS == 0 && len(d.machines) > 0 {
 			s.Seen.EmptyS = max(now.Sub(time.UnixMilli(s.BeganMS)).Seconds(), 0.001)
 		}
 		s.Phase, s.Left = drain.Drained, 0
@@ -502,9 +502,9 @@
 
 // soaked says whether every machine with a new version has shown that it works, or had the
 // time to.
-func (c *Scheduler) soaked(d *drainWork, now time.Time) bool {
+func (c *Scheduler) soaked(d *activeDrain, now time.Time) bool {
 	for _, m := range c.fleet.Sorted() {
-		if m.Version == d.state.Roll.Want && !m.VersionSince.IsZero() && !m.Proven && now.Sub(m.VersionSince) < soakReports*c.set.HeartbeatInterval {
+		if m.Version == d.state.Roll.Want && !m.VersionSince.IsZero() && !m.Proven && now.Sub(m.VersionSince) < soakIntervals*c.settings.HeartbeatInterval {
 			return false
 		}
 	}
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -110,15 +110,15 @@
 					if cordoned[h.report.Machine] && m.Cordon != nil && !was[s] {
 						t.Fatalf("%s started on %s, which is drained", s.Task, h.report.Machine)
 					}
-					if j := y.jobs[s.job]; !pressed && s.stopping && j.CheckpointS == 0 && y.c.empties(m) && j.Shape == records.ShapeArray && s.moved(y) {
+					if j := y.jobs[s.job]; !pressed && s.stopping && j.CheckpointS == 0 && y.c.isEmptying(m) && j.Shape == records.ShapeArray && s.moved(y) {
 						t.Fatalf("%s, which cannot save, was stopped on %s", s.Task, h.report.Machine)
 					}
 				}
-				d, ok := m.Cordon.(*drainWork)
-				if ok && !d.by.IsZero() && y.now.Sub(d.by) > 10*time.Second {
+				d, ok := m.Cordon.(*activeDrain)
+				if ok && !d.deadline.IsZero() && y.now.Sub(d.deadline) > 10*time.Second {
 					for _, s := range h.attempts {
 						if s.Status != "ended" {
-							t.Fatalf("%s is still on %s, %v after it was to be empty", s.Task, h.report.Machine, y.now.Sub(d.by))
+							t.Fatalf("%s is still on %s, %v after it was to be empty", s.Task, h.report.Machine, y.now.Sub(d.deadline))
 						}
 					}
 				}
@@ -140,5 +140,5 @@
 // only to fill or empty a bin would take.
 func (s *fakeAttempt) moved(y *fakeFleet) bool {
 	ran := y.runs[s.job] - s.left
-	return ran > 2*y.c.set.RoundInterval
+	return ran > 2*y.c.settings.RoundInterval
 }
--- a/internal/scheduler/drainstore.go
+++ b/internal/scheduler/drainstore.go
@@ -38,7 +38,7 @@
 	}
 	for _, d := range r.core.drains {
 		if d.state.Phase == "" || d.known && d.state.Same(&d.stored) ||
-			d.known && d.state.Phase == d.stored.Phase && now.Sub(d.wrote) < stateReports*r.core.set.HeartbeatInterval {
+			d.known && d.state.Phase == d.stored.Phase && now.Sub(d.writtenAt) < stateReports*r.core.settings.HeartbeatInterval {
 			continue
 		}
 		state, whole := d.state, d.state
@@ -51,10 +51,10 @@
 		if !fits(1, records.EncodedSize(state)) {
 			return false
 		}
-		d.wrote = now
+		d.writtenAt = now
 		*ws = append(*ws, PendingWrite{
 			Ops:    []records.Op{{Write: records.PrefixDrainState + d.spec.ID, Value: state}},
-			OwnKey: records.PrefixDrainState + d.spec.ID, OwnRevision: &d.stamp,
+			OwnKey: records.PrefixDrainState + d.spec.ID, OwnRevision: &d.revision,
 			OnStored: func(uint64) { d.stored, d.known = whole, true },
 			OnTooLarge: func() {
 				slog.Error("store: how a drain stands takes more than a value", "drain", d.spec.ID, "term", r.core.term)
--- a/internal/scheduler/driver.go
+++ b/internal/scheduler/driver.go
@@ -16,7 +16,7 @@
 
 // Reconciled says whether every machine that an earlier term may have used has been heard, or
 // is gone.
-func (c *Scheduler) Reconciled() bool { return c.settled }
+func (c *Scheduler) Reconciled() bool { return c.reconciled }
 
 // UnreconciledMachine is a machine that has to show the term, by its address and the session of its
 // worker that is known.
@@ -38,8 +38,8 @@
 
 // Replan places tasks if anything has changed since that was last done.
 func (c *Scheduler) Replan(now time.Time) {
-	if c.dirty {
-		c.place(now)
+	if c.placementStale {
+		c.placeWaiting(now)
 	}
 }
 
@@ -54,16 +54,16 @@
 }
 
 // ObserveDelay notes by how much anything waited before it was got to.
-func (c *Scheduler) ObserveDelay(d time.Duration) { c.late = max(c.late, d) }
+func (c *Scheduler) ObserveDelay(d time.Duration) { c.delay = max(c.delay, d) }
 
 // SetRelaxed says whether tasks beyond marks may be sent now.
-func (c *Scheduler) SetRelaxed(on bool) { c.marks.loose = on }
+func (c *Scheduler) SetRelaxed(on bool) { c.watermarks.relaxed = on }
 
 // WatermarksStored says whether every task that may have been sent is below a mark in the store.
 func (c *Scheduler) WatermarksStored() bool {
-	stored := c.marks.whole
+	stored := c.watermarks.complete
 	for _, j := range c.jobs {
-		stored = stored && j.mark.Stored >= j.mark.Requested
+		stored = stored && j.watermark.Stored >= j.watermark.Requested
 	}
 	return stored
 }
@@ -83,9 +83,9 @@
 // TakeUrgentCommands takes what is to be sent so.
 func (c *Scheduler) TakeUrgentCommands() []UrgentCommands {
 	var calls, deaf []UrgentCommands
-	for host := range c.kick {
+	for host := range c.urgentMachines {
 		m := c.fleet.Machines[host]
-		delete(c.kick, host)
+		delete(c.urgentMachines, host)
 		if m == nil || m.Addr == "" || !m.Up {
 			continue
 		}
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -13,15 +13,15 @@
 )
 
 var (
-	reportsTotal   = metrics.NewCounter("drumpick_reports_total")
-	runsTotal      = metrics.NewCounter("drumpick_runs_total")
-	movesTotal     = metrics.NewCounter("drumpick_moves_total")
-	preemptedTotal = metrics.NewCounter("drumpick_preempted_total")
-	lostTotal      = metrics.NewCounter("drumpick_attempts_lost_total")
-	startSeconds   = metrics.NewHistogram("drumpick_task_wait_seconds")
-	lateSeconds    = metrics.NewGauge("drumpick_late_seconds", nil)
-	deafMachines   = metrics.NewGauge("drumpick_machines_deaf", nil)
-	drainedTasks   = metrics.NewCounter("drumpick_drained_total")
+	reportsTotal        = metrics.NewCounter("drumpick_reports_total")
+	runsTotal           = metrics.NewCounter("drumpick_runs_total")
+	movesTotal          = metrics.NewCounter("drumpick_moves_total")
+	preemptedTotal      = metrics.NewCounter("drumpick_preempted_total")
+	lostTotal           = metrics.NewCounter("drumpick_attempts_lost_total")
+	startSeconds        = metrics.NewHistogram("drumpick_task_wait_seconds")
+	lagSeconds          = metrics.NewGauge("drumpick_late_seconds", nil)
+	unreachableMachines = metrics.NewGauge("drumpick_machines_deaf", nil)
+	drainedTasks        = metrics.NewCounter("drumpick_drained_total")
 )
 
 // Reconcile takes in a worker's report or answer. It tells whether it was stale.
@@ -31,60 +31,60 @@
 	if c.fleet.Machines[r.Machine] == nil && c.Recency(r, now) == fleet.Late {
 		return nil, true
 	}
-	wasDeaf := c.deaf(r.Machine)
-	return c.take(c.fleet.Apply(r, isReport, now), wasDeaf, now)
+	wasDeaf := c.isUnreachable(r.Machine)
+	return c.applyOutcome(c.fleet.Apply(r, isReport, now), wasDeaf, now)
 }
 
-// take draws the conclusions from what a body changed.
-func (c *Scheduler) take(out fleet.Outcome, wasDeaf bool, now time.Time) (*fleet.Machine, bool) {
+// applyOutcome draws the conclusions from what a body changed.
+func (c *Scheduler) applyOutcome(out fleet.Outcome, wasDeaf bool, now time.Time) (*fleet.Machine, bool) {
 	m := out.Machine
 	if out.Stale {
 		return m, true
 	}
 	if is := m.Unreachable(); is != wasDeaf {
-		c.dirty = true
+		c.placementStale = true
 		slog.Info("whether a machine hears", "machine", m.Host, "zone", m.Zone, "hears", !is, "term", c.term)
 	}
 	if out.FirstStatus {
-		c.fit(m)
+		c.assignBin(m)
 		m.EmptySince = now
-		c.dirty = true
+		c.placementStale = true
 		slog.Info("machine up", "machine", m.Host, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "term", c.term)
 	}
 	for _, a := range out.Gone {
-		c.gone(a, now)
+		c.attemptLost(a, now)
 	}
 	for _, a := range out.New {
 		c.adopt(m, a)
 		if a.State() == fleet.Ended {
-			c.ended(a, now)
+			c.attemptEnded(a, now)
 		}
 	}
 	for _, a := range out.Running {
 		if j := c.jobOf(a); j != nil {
 			c.useImage(m, j)
-			m.Bin.SetLabel(j.ready, true)
-			c.running(j, a, now)
+			m.Bin.SetLabel(j.imageReadyLabel, true)
+			c.noteRunning(j, a, now)
 		}
 	}
 	for _, a := range out.Ended {
-		c.ended(a, now)
+		c.attemptEnded(a, now)
 	}
 	if out.Reconciled {
-		c.dirty = true
+		c.placementStale = true
 	}
-	if m.Reconciled && !c.settled {
-		c.seen(m)
+	if m.Reconciled && !c.reconciled {
+		c.clearUncertainOn(m)
 	}
 	if out.Upgraded {
 		slog.Info("worker has another version", "machine", m.Host, "version", m.Version, "term", c.term)
-		c.lastDrain = time.Time{} // it may come back into service
+		c.lastDrainPass = time.Time{} // it may come back into service
 	}
-	if !c.settled {
+	if !c.reconciled {
 		c.CheckReconciled(now)
 	}
 	if !m.PreemptionAt.IsZero() {
-		c.notice(m, now)
+		c.handlePreemptionNotice(m, now)
 	}
 	if m.Empty() {
 		if m.EmptySince.IsZero() {
@@ -93,8 +93,8 @@
 	} else {
 		m.EmptySince = time.Time{}
 	}
-	c.dirty = c.dirty || out.Changed
-	m.Bin.SetOpen(c.open(m, now))
+	c.placementStale = c.placementStale || out.Changed
+	m.Bin.SetOpen(c.acceptsTasks(m, now))
 	return m, false
 }
 
@@ -104,16 +104,16 @@
 	if c.fleet.Unreconciled() {
 		return
 	}
-	c.settled, c.dirty = true, true
-	c.certain()
-	slog.Info("all machines settled", "term", c.term, "after", now.Sub(c.began).Round(time.Millisecond))
+	c.reconciled, c.placementStale = true, true
+	c.clearAllUncertain()
+	slog.Info("all machines settled", "term", c.term, "after", now.Sub(c.termStart).Round(time.Millisecond))
 	for _, j := range c.jobs {
 		// A gang that already ran and lost a member under an earlier term cannot
 		// be completed any more; one that still waits can, with its own attempt.
-		if j.Shape == records.ShapeGang && j.gangTry != 0 && len(j.held) < j.Tasks {
-			for _, a := range j.held {
+		if j.Shape == records.ShapeGang && j.gangAttempt != 0 && len(j.attempts) < j.Tasks {
+			for _, a := range j.attempts {
 				if a.State() == fleet.Running || a.State() == fleet.Flushing {
-					c.breakGang(j, now)
+					c.stopGang(j, now)
 					break
 				}
 			}
@@ -131,7 +131,7 @@
 		} else {
 			// Its size is unknown: hold the whole machine until it is gone.
 			m.Adopt(a, &packing.Item{ID: a.Task.String(), Req: m.Bin.Cap})
-			c.stop(a, whyOver, 0, time.Time{})
+			c.stop(a, stopJobClosed, 0, time.Time{})
 		}
 		return
 	}
@@ -139,42 +139,42 @@
 		return
 	}
 	if a.Item == nil {
-		m.Adopt(a, &packing.Item{ID: a.Task.String(), Req: j.req})
+		m.Adopt(a, &packing.Item{ID: a.Task.String(), Req: j.request})
 		c.useImage(m, j)
 	}
 	// A machine that nobody knew of and that has tasks is a late copy from one that was given
 	// back, or was never on record as it should have been: its tasks count, and go.
-	fits := !m.Unverified && j.held[a.Task.N] == nil && !has(j.done, a.Task.N) &&
-		(j.Shape != records.ShapeGang || j.gangTry == 0 || j.gangTry == a.Number)
+	fits := !m.Unverified && j.attempts[a.Task.N] == nil && !has(j.done, a.Task.N) &&
+		(j.Shape != records.ShapeGang || j.gangAttempt == 0 || j.gangAttempt == a.Number)
 	if fits && a.Number>>24 != c.term {
 		a.Duplicate = false
-		j.held[a.Task.N], j.beyond = a, true
+		j.attempts[a.Task.N], j.adoptedUntried = a, true
 		if j.Shape == records.ShapeGang {
-			j.gangTry = a.Number
+			j.gangAttempt = a.Number
 		}
 		return
 	}
 	// A second attempt of the same task: it goes, and until then it counts.
-	j.strays[a.Task.N]++
-	c.stop(a, whyStray, 0, time.Time{})
+	j.duplicates[a.Task.N]++
+	c.stop(a, stopDuplicate, 0, time.Time{})
 }
 
-// gone handles an attempt that is no longer on its machine and left no result.
-func (c *Scheduler) gone(a *fleet.Attempt, now time.Time) {
+// attemptLost handles an attempt that is no longer on its machine and left no result.
+func (c *Scheduler) attemptLost(a *fleet.Attempt, now time.Time) {
 	j := c.jobs[a.Task.Job]
 	lostTotal.Inc()
 	drained(a, now)
-	slog.Debug("attempt gone", "task", a.Task.String(), "machine", a.Machine.Host, "state", a.State().String(), "fate", c.inVain(a), "term", c.term)
-	if j != nil && j.Shape == records.ShapeGang && j.held[a.Task.N] == a && a.State() != fleet.Sent {
-		defer func() { c.breakGang(j, now); c.keepPlace(j, a) }()
+	slog.Debug("attempt gone", "task", a.Task.String(), "machine", a.Machine.Host, "state", a.State().String(), "fate", c.countWastedStart(a), "term", c.term)
+	if j != nil && j.Shape == records.ShapeGang && j.attempts[a.Task.N] == a && a.State() != fleet.Sent {
+		defer func() { c.stopGang(j, now); c.claimFreedPlace(j, a) }()
 	}
-	c.release(a)
+	c.releaseAttempt(a)
 }
 
-// ended handles an exit.
-func (c *Scheduler) ended(a *fleet.Attempt, now time.Time) {
+// attemptEnded handles an exit.
+func (c *Scheduler) attemptEnded(a *fleet.Attempt, now time.Time) {
 	j, m := c.jobs[a.Task.Job], a.Machine
-	c.dirty = true
+	c.placementStale = true
 	if j == nil || a.Task.N >= j.Tasks {
 		a.Reap = true
 		return
@@ -184,52 +184,52 @@
 	fetched, ran := a.Durations(now)
 	became := "done"
 	if a.Cause != fleet.CauseDone {
-		became = c.inVain(a)
+		became = c.countWastedStart(a)
 	}
 	slog.Debug("task ended", "task", a.Task.String(), "machine", m.Host, "cause", a.Cause, "fate", became, "saved", a.Saved,
 		"fetch_s", fetched.Seconds(), "run_s", ran.Seconds(), "term", c.term)
 	switch a.Cause {
 	case fleet.CauseDone:
-		c.freed.add(j.req, now, c.set.HeartbeatInterval)
+		c.freedRoom.add(j.request, now, c.settings.HeartbeatInterval)
 		clear(m.ErrorJobs)
 		m.Proven = true
 		c.markDone(j, a.Task.N)
-		for _, other := range j.held {
+		for _, other := range j.attempts {
 			if other != a && (other.Task == a.Task || j.Shape == records.ShapeGang && other.Number != a.Number) {
 				c.end(other) // its result is there already
 			}
 		}
-		for host := range j.errorHosts {
+		for host := range j.errorMachines {
 			// The job can run, so what failed it is the machine.
 			if bad := c.fleet.Machines[host]; bad != nil && bad != m {
-				c.condemn(bad)
+				c.markFaulty(bad)
 			}
 		}
-		clear(j.errorHosts)
+		clear(j.errorMachines)
 		j.backoff = 0
 		if j.Shape == records.ShapeService {
 			a.Reap = true
 		}
 	case fleet.CauseError:
 		a.Reap = true
-		c.failed(j, m, now)
+		c.attemptFailed(j, m, now)
 	case fleet.CauseFull:
 		a.Reap = true
 		// The worker knows better than we do what is free.
-		m.FullUntil = now.Add(2 * c.set.HeartbeatInterval)
+		m.FullUntil = now.Add(2 * c.settings.HeartbeatInterval)
 	case fleet.CauseNoSuch:
 		a.Reap = true
-		c.backOff(j, now)
+		c.delayRetry(j, now)
 	default:
 		a.Reap = true
 	}
-	held := j.held[a.Task.N] == a
-	c.release(a)
+	held := j.attempts[a.Task.N] == a
+	c.releaseAttempt(a)
 	if j.Shape == records.ShapeGang && held && a.Cause != fleet.CauseDone {
 		first := !j.gangBroken // afterwards release keeps the places
-		c.breakGang(j, now)
+		c.stopGang(j, now)
 		if first {
-			c.keepPlace(j, a)
+			c.claimFreedPlace(j, a)
 		}
 	}
 }
@@ -244,43 +244,43 @@
 	return "other"
 }
 
-// failed weighs an error: the machine may be faulty, or the job.
-func (c *Scheduler) failed(j *Job, m *fleet.Machine, now time.Time) {
+// attemptFailed weighs an error: the machine may be faulty, or the job.
+func (c *Scheduler) attemptFailed(j *Job, m *fleet.Machine, now time.Time) {
 	m.ErrorJobs[j.ID]++
-	j.errorHosts[m.Host] = true
-	fine := j.nDone > 0
-	for _, a := range j.held {
-		if a.Machine != m && a.State() == fleet.Running && now.Sub(a.RunSince) > 2*c.set.HeartbeatInterval {
+	j.errorMachines[m.Host] = true
+	fine := j.doneCount > 0
+	for _, a := range j.attempts {
+		if a.Machine != m && a.State() == fleet.Running && now.Sub(a.RunSince) > 2*c.settings.HeartbeatInterval {
 			fine = true
 		}
 	}
 	switch {
 	case fine || len(m.ErrorJobs) >= 2:
-		c.condemn(m)
-	case len(j.errorHosts) >= 3:
+		c.markFaulty(m)
+	case len(j.errorMachines) >= 3:
 		// It fails wherever it goes: the machines are not to blame.
-		c.backOff(j, now)
-		for host := range j.errorHosts {
+		c.delayRetry(j, now)
+		for host := range j.errorMachines {
 			if x := c.fleet.Machines[host]; x != nil {
 				delete(x.ErrorJobs, j.ID)
 				x.FullUntil = time.Time{}
-				x.Bin.SetOpen(c.open(x, now))
+				x.Bin.SetOpen(c.acceptsTasks(x, now))
 			}
 		}
-		clear(j.errorHosts)
+		clear(j.errorMachines)
 	default:
-		m.FullUntil = now.Add(5 * c.set.HeartbeatInterval)
+		m.FullUntil = now.Add(5 * c.settings.HeartbeatInterval)
 	}
 }
 
-func (c *Scheduler) condemn(m *fleet.Machine) {
+func (c *Scheduler) markFaulty(m *fleet.Machine) {
 	if !m.Faulty {
 		slog.Info("machine is faulty", "machine", m.Host, "errors", len(m.ErrorJobs), "term", c.term)
 	}
 	m.Faulty, m.Draining = true, true
 	m.Bin.SetOpen(false)
-	c.unplan(m)
-	c.lastDrain = time.Time{} // an upgrade may have to be rolled back
+	c.cancelPlanned(m)
+	c.lastDrainPass = time.Time{} // an upgrade may have to be rolled back
 	for _, d := range c.drains {
 		if d.upgrades() && d.spec.Selects(drainView(m, c.now)) && m.Version == d.state.Roll.Want && m.Cordon == nil {
 			m.Cordon = d // it stays, to get its earlier version back
@@ -288,26 +288,26 @@
 	}
 }
 
-func (c *Scheduler) backOff(j *Job, now time.Time) {
-	j.backoff = min(max(2*j.backoff, 4*c.set.HeartbeatInterval), 60*c.set.HeartbeatInterval)
+func (c *Scheduler) delayRetry(j *Job, now time.Time) {
+	j.backoff = min(max(2*j.backoff, 4*c.settings.HeartbeatInterval), 60*c.settings.HeartbeatInterval)
 	j.retryAt = now.Add(j.backoff)
 	slog.Info("job fails everywhere, retrying later", "job", j.ID, "pause", j.backoff, "term", c.term)
 }
 
-// unplan takes back what was meant for a machine and not yet sent.
-func (c *Scheduler) unplan(m *fleet.Machine) {
+// cancelPlanned takes back what was meant for a machine and not yet sent.
+func (c *Scheduler) cancelPlanned(m *fleet.Machine) {
 	for _, a := range slices.Clone(m.Attempts()) {
 		if a.State() == fleet.Planned {
 			m.Forget(a)
-			c.release(a)
+			c.releaseAttempt(a)
 		}
 	}
 }
 
-// notice empties a machine that the cloud is about to take: nothing new, and
+// handlePreemptionNotice empties a machine that the cloud is about to take: nothing new, and
 // what can save is told to while there is time.
-func (c *Scheduler) notice(m *fleet.Machine, now time.Time) {
-	c.unplan(m)
+func (c *Scheduler) handlePreemptionNotice(m *fleet.Machine, now time.Time) {
+	c.cancelPlanned(m)
 	m.Draining = true
 	for _, a := range m.Attempts() {
 		j := c.jobs[a.Task.Job]
@@ -317,49 +317,49 @@
 		left := m.PreemptionAt.Sub(now).Seconds()
 		if j.Shape == records.ShapeGang {
 			if j.CheckpointS > 0 && left > j.SaveS {
-				c.breakGang(j, now)
+				c.stopGang(j, now)
 			}
 			continue
 		}
 		if j.Shape == records.ShapeService {
 			continue // dealt with in rounds: a replica moves while another runs
 		}
-		switch remains := c.remaining(j, a, now); {
+		switch remains := c.remainingSeconds(j, a, now); {
 		case j.CheckpointS > 0:
 			if left > j.SaveS && remains > left {
-				c.stop(a, whyNotice, j.SaveS, now)
+				c.stop(a, stopPreemptionNotice, j.SaveS, now)
 			}
 		case remains > left:
 			// What it has done is lost with the machine in any case; stopped now, it
 			// starts elsewhere now, and not when the machine is known to be gone.
-			c.stop(a, whyNotice, 0, now)
+			c.stop(a, stopPreemptionNotice, 0, now)
 		}
 	}
 }
 
-// remaining guesses, in seconds, how long an attempt still runs.
-func (c *Scheduler) remaining(j *Job, a *fleet.Attempt, now time.Time) float64 {
+// remainingSeconds guesses, in seconds, how long an attempt still runs.
+func (c *Scheduler) remainingSeconds(j *Job, a *fleet.Attempt, now time.Time) float64 {
 	if a.RunSince.IsZero() {
 		return j.EstimateS
 	}
 	return max(j.EstimateS-now.Sub(a.RunSince).Seconds(), j.EstimateS/10)
 }
 
-// breakGang stops every task of a gang so that a new attempt can start whole.
-func (c *Scheduler) breakGang(j *Job, now time.Time) {
-	if j.over || j.nDone == j.Tasks {
+// stopGang stops every task of a gang so that a new attempt can start whole.
+func (c *Scheduler) stopGang(j *Job, now time.Time) {
+	if j.closed || j.doneCount == j.Tasks {
 		return
 	}
-	j.gangBroken = len(j.held) > 0
-	for _, a := range j.held {
+	j.gangBroken = len(j.attempts) > 0
+	for _, a := range j.attempts {
 		if a.State() == fleet.Planned {
-			defer func() { a.Machine.Forget(a); c.release(a) }()
+			defer func() { a.Machine.Forget(a); c.releaseAttempt(a) }()
 			continue
 		}
-		c.stop(a, whyMates, j.SaveS, now)
+		c.stop(a, stopGangMember, j.SaveS, now)
 	}
 	if !j.gangBroken {
-		j.gangTry = 0
+		j.gangAttempt = 0
 	}
 }
 
@@ -374,8 +374,8 @@
 	if m == nil {
 		return false
 	}
-	if !m.RelayedAt.IsZero() && now.Sub(m.RelayedAt) < c.set.Lease {
-		if !m.RelayedSince.IsZero() && now.Sub(m.RelayedSince) > 4*c.set.Lease {
+	if !m.RelayedAt.IsZero() && now.Sub(m.RelayedAt) < c.settings.Lease {
+		if !m.RelayedSince.IsZero() && now.Sub(m.RelayedSince) > 4*c.settings.Lease {
 			m.RelayedSince = time.Time{}
 			return false
 		}
@@ -386,7 +386,7 @@
 		return true
 	}
 	m.RelayedAt, m.RelayedSince = now, time.Time{}
-	return m.Up && now.Sub(m.LastStatus) > c.set.HeartbeatInterval*3/2
+	return m.Up && now.Sub(m.LastStatus) > c.settings.HeartbeatInterval*3/2
 }
 
 // NoteAnswered notes that a 200 was written to a report that came through a controller.
@@ -396,7 +396,7 @@
 // was given back, is nothing to conclude from, not even where its worker reports.
 func (c *Scheduler) Recency(r *fleet.Heartbeat, now time.Time) fleet.Recency {
 	if c.fleet.Machines[r.Machine] == nil {
-		if _, gone := c.rent.returned[r.Machine]; gone {
+		if _, gone := c.autoscaling.returnedAt[r.Machine]; gone {
 			return fleet.Late
 		}
 		return fleet.Current
@@ -417,25 +417,25 @@
 
 // Probes lists machines that are to be asked what they have.
 func (c *Scheduler) Probes(now time.Time) []fleet.Probe {
-	return c.fleet.Probes(c.set.HeartbeatInterval, now)
+	return c.fleet.Probes(c.settings.HeartbeatInterval, now)
 }
 
 // ApplyProbe takes in what one says that was asked.
 func (c *Scheduler) ApplyProbe(q fleet.Probe, r *fleet.Heartbeat, now time.Time) {
-	wasDeaf := c.deaf(q.Host)
+	wasDeaf := c.isUnreachable(q.Host)
 	out, anew := c.fleet.ApplyProbe(q, r, now)
 	if anew {
 		slog.Info("machine has started anew", "machine", q.Host, "stint", r.Incarnation, "tick", r.Sequence, "gone", len(out.Gone), "term", c.term)
 	}
-	c.take(out, wasDeaf, now)
+	c.applyOutcome(out, wasDeaf, now)
 }
 
 // ExpireLeases gives up machines whose lease has ended.
 func (c *Scheduler) ExpireLeases(now time.Time) {
 	for _, a := range c.fleet.ExpireLeases(now) {
 		a.Machine.Bin.SetOpen(false)
-		c.gone(a, now)
-		c.dirty = true
+		c.attemptLost(a, now)
+		c.placementStale = true
 	}
 }
 
@@ -444,10 +444,10 @@
 func (c *Scheduler) ExpireEarlierLeases(now time.Time) int {
 	n, gone := c.fleet.ExpireEarlierLeases()
 	for _, a := range gone {
-		c.gone(a, now)
+		c.attemptLost(a, now)
 	}
-	c.dirty = true
-	if !c.settled {
+	c.placementStale = true
+	if !c.reconciled {
 		c.CheckReconciled(now)
 	}
 	return n
@@ -459,11 +459,11 @@
 		c.spaces[m.Type].Drop(m.Bin)
 	}
 	for _, a := range c.fleet.Remove(host) {
-		c.gone(a, now)
+		c.attemptLost(a, now)
 	}
-	c.dirty = true
-	c.dropped = append(c.dropped, host)
-	if !c.settled {
+	c.placementStale = true
+	c.removedMachines = append(c.removedMachines, host)
+	if !c.reconciled {
 		c.CheckReconciled(now)
 	}
 }
--- a/internal/scheduler/keep.go
+++ b/internal/scheduler/keep.go
@@ -10,36 +10,36 @@
 	"drumpick/internal/records"
 )
 
-// keepShare bounds how many of the machines may be emptying for larger tasks, one at least:
+// heldMachineShare bounds how many of the machines may be emptying for larger tasks, one at least:
 // each stands half empty for as long as its last small task runs.
-const keepShare = 1.0 / 8
+const heldMachineShare = 1.0 / 8
 
-// keep sets machines aside for tasks that are larger than others which wait: from
+// holdMachines sets machines aside for tasks that are larger than others which wait: from
 // these a kept machine takes only what has its turn before. Guards against large
 // tasks that never start because small ones of later turns fill every gap before a
 // machine is empty. Those that will have room soonest are kept.
-func (c *Scheduler) keep(now time.Time) {
+func (c *Scheduler) holdMachines(now time.Time) {
 	was := map[*fleet.Machine]bool{}
 	for _, m := range c.fleet.Sorted() {
 		if m.ReservedFor != nil {
 			was[m] = true
 			m.ReservedFor = nil
-			m.Bin.SetLabel(keptMark, false)
+			m.Bin.SetLabel(heldLabel, false)
 		}
 	}
-	c.keepers = c.keepers[:0]
-	if !c.settled {
+	c.holders = c.holders[:0]
+	if !c.reconciled {
 		return
 	}
 	var waiting []*Job
 	smallest := 1.0
 	for _, j := range c.queue(now) {
-		if j.Shape != records.ShapeGang && c.startable(j, now) && j.peek() >= 0 {
+		if j.Shape != records.ShapeGang && c.startable(j, now) && j.nextTask() >= 0 {
 			waiting = append(waiting, j)
 			smallest = min(smallest, c.smallestShare(j))
 		}
 	}
-	left := max(int(float64(c.takers())*keepShare), 1)
+	left := max(int(float64(c.countAccepting())*heldMachineShare), 1)
 	type soon struct {
 		m  *fleet.Machine
 		in float64
@@ -50,16 +50,16 @@
 		if left == 0 {
 			return
 		}
-		if j.alike == 0 || c.smallestShare(j) <= smallest+1e-9 || j.limited {
+		if j.placementClass == 0 || c.smallestShare(j) <= smallest+1e-9 || j.limited {
 			continue
 		}
-		if listed != j.alike {
-			listed, list = j.alike, list[:0]
+		if listed != j.placementClass {
+			listed, list = j.placementClass, list[:0]
 			for _, m := range c.fleet.Sorted() {
-				if !m.Bin.Open() || m.ReservedFor != nil || !j.permits(m.Type, m.Zone, m.Spot) || !m.Bin.Cap.Fits(j.req) {
+				if !m.Bin.Open() || m.ReservedFor != nil || !j.permits(m.Type, m.Zone, m.Spot) || !m.Bin.Cap.Fits(j.request) {
 					continue
 				}
-				in := c.roomIn(j, m, now)
+				in := c.secondsUntilRoom(j, m, now)
 				if was[m] {
 					in /= 2 // what has begun to empty goes on
 				}
@@ -70,37 +70,37 @@
 		n := min(j.pending(), left, len(list))
 		for _, x := range list[:n] {
 			x.m.ReservedFor = j
-			x.m.Bin.SetLabel(keptMark, true)
+			x.m.Bin.SetLabel(heldLabel, true)
 		}
 		if n > 0 {
-			c.keepers = append(c.keepers, j)
+			c.holders = append(c.holders, j)
 		}
 		list = list[n:]
 		left -= n
 	}
 }
 
-// roomIn guesses, in seconds, when a machine will have room for a task of the job
+// secondsUntilRoom guesses, in seconds, when a machine will have room for a task of the job
 // if it is given nothing else.
-func (c *Scheduler) roomIn(j *Job, m *fleet.Machine, now time.Time) float64 {
+func (c *Scheduler) secondsUntilRoom(j *Job, m *fleet.Machine, now time.Time) float64 {
 	free := m.Bin.Cap.Sub(m.Bin.Used())
 	ends := c.endings(m, now)
 	for _, e := range ends {
-		if free.Fits(j.req) {
-			return e.in
+		if free.Fits(j.request) {
+			return e.seconds
 		}
-		free = free.Add(e.req)
+		free = free.Add(e.room)
 	}
 	if len(ends) == 0 {
 		return 0
 	}
-	return ends[len(ends)-1].in
+	return ends[len(ends)-1].seconds
 }
 
 // ending is room that a task gives back when it ends, by its estimate in so many seconds.
 type ending struct {
-	in  float64
-	req packing.Resources
+	seconds float64
+	room    packing.Resources
 }
 
 // endings lists, the soonest first, when what is on a machine ends.
@@ -112,36 +112,36 @@
 		}
 		in := 0.0
 		if aj := c.jobOf(a); aj != nil {
-			in = c.remaining(aj, a, now)
+			in = c.remainingSeconds(aj, a, now)
 		}
 		ends = append(ends, ending{in, a.Item.Req})
 	}
-	slices.SortFunc(ends, func(a, b ending) int { return cmp.Compare(a.in, b.in) })
+	slices.SortFunc(ends, func(a, b ending) int { return cmp.Compare(a.seconds, b.seconds) })
 	return ends
 }
 
-// keptMark is the mark of bins whose machines are kept.
-const keptMark = "kept"
+// heldLabel is the mark of bins whose machines are kept.
+const heldLabel = "kept"
 
-// lastKeeper is the one served last of the jobs for whose sake machines are kept, nil if
+// lastHoldingJob is the one served last of the jobs for whose sake machines are kept, nil if
 // there is none or one of them is over. Whoever is served after it finds every kept machine
 // spared, which need not be asked of each: on 1,300 machines that was most of what the
 // placing cost.
-func (c *Scheduler) lastKeeper() *Job {
+func (c *Scheduler) lastHoldingJob() *Job {
 	var last *Job
-	for _, k := range c.keepers {
-		if k.over {
+	for _, k := range c.holders {
+		if k.closed {
 			return nil
 		}
-		if last == nil || before(last, k) {
+		if last == nil || servedBefore(last, k) {
 			last = k
 		}
 	}
 	return last
 }
 
-// spared says whether a machine is kept for a job whose turn is before another's.
-func spared(m *fleet.Machine, j *Job) bool {
+// isHeldForEarlier says whether a machine is kept for a job whose turn is before another's.
+func isHeldForEarlier(m *fleet.Machine, j *Job) bool {
 	k, ok := m.ReservedFor.(*Job)
-	return ok && k != j && !k.over && before(k, j)
+	return ok && k != j && !k.closed && servedBefore(k, j)
 }
--- a/internal/scheduler/largest.go
+++ b/internal/scheduler/largest.go
@@ -12,105 +12,105 @@
 	"drumpick/internal/reservation"
 )
 
-// saveRoom makes what has fallen free the own of gangs that have waited for long, in the order
+// reserveRoom makes what has fallen free the own of gangs that have waited for long, in the order
 // in which they must begin, in one zone for each. It goes before all placing: section 3.4's insert takes
 // items one by one, and a gang that needs twelve bins at once finds eleven at the most beside
 // a queue of smaller ones that never ends.
-func (c *Scheduler) saveRoom(now time.Time) {
-	if c.set.ReservationBound <= 0 || !c.settled {
+func (c *Scheduler) reserveRoom(now time.Time) {
+	if c.settings.ReservationBound <= 0 || !c.reconciled {
 		return
 	}
 	var due []*Job
 	c.queue(now)
-	for _, j := range c.savers {
-		if c.saves(j, now) {
+	for _, j := range c.reservationCandidates {
+		if c.needsReservation(j, now) {
 			due = append(due, j)
 		}
 	}
 	missed := func(j *Job) bool {
-		w := now.Sub(j.waitsSince())
-		return w > c.set.ReservationBound && w < 2*c.set.ReservationBound
+		w := now.Sub(j.waitStart())
+		return w > c.settings.ReservationBound && w < 2*c.settings.ReservationBound
 	}
 	slices.SortStableFunc(due, func(a, b *Job) int {
 		if missed(a) != missed(b) {
-			return first(!missed(a))
+			return firstIf(!missed(a))
 		}
-		return a.waitsSince().Compare(b.waitsSince())
+		return a.waitStart().Compare(b.waitStart())
 	})
 	ahead := map[string]int{}
 	for _, j := range due {
 		if j.Shape != records.ShapeGang {
-			c.saveOne(j, now)
+			c.reserveOnePlace(j, now)
 			continue
 		}
-		if j.saving == "" {
-			if now.Before(j.saveAfter) {
+		if j.reservedZone == "" {
+			if now.Before(j.reserveNotBefore) {
 				continue // it was a look at every task
 			}
-			j.saveAfter = now.Add(c.set.HeartbeatInterval / 4)
-			zone, in := c.saveWhere(j, ahead, now)
-			if zone == "" || !reservation.Due(now.Sub(j.waitsSince()), time.Duration(in*float64(time.Second)), c.set.ReservationBound) {
+			j.reserveNotBefore = now.Add(c.settings.HeartbeatInterval / 4)
+			zone, in := c.chooseReservationZone(j, ahead, now)
+			if zone == "" || !reservation.Due(now.Sub(j.waitStart()), time.Duration(in*float64(time.Second)), c.settings.ReservationBound) {
 				continue
 			}
-			j.saving = zone
-			slog.Debug("saves room", "job", j.ID, "tasks", j.Tasks, "zone", j.saving, "waited_s", now.Sub(j.waitsSince()).Seconds(), "in_s", in, "term", c.term)
+			j.reservedZone = zone
+			slog.Debug("saves room", "job", j.ID, "tasks", j.Tasks, "zone", j.reservedZone, "waited_s", now.Sub(j.waitStart()).Seconds(), "in_s", in, "term", c.term)
 		}
-		zone := j.saving
-		ahead[zone] += c.save(j, ahead[zone] > 0, now)
+		zone := j.reservedZone
+		ahead[zone] += c.reservePlaces(j, ahead[zone] > 0, now)
 	}
 }
 
-// chooseSavers lists, in the order of the queue, the jobs for which room may have to be saved until
+// listReservationCandidates lists, in the order of the queue, the jobs for which room may have to be saved until
 // the order is worked out anew: gangs, which may begin anew, and arrays of which nothing has begun.
-func (c *Scheduler) chooseSavers() {
-	c.savers = c.savers[:0]
-	for _, j := range c.sorted {
-		if j.Shape == records.ShapeGang || j.Shape == records.ShapeArray && j.nDone == 0 && !j.began.told {
-			c.savers = append(c.savers, j)
+func (c *Scheduler) listReservationCandidates() {
+	c.reservationCandidates = c.reservationCandidates[:0]
+	for _, j := range c.sortedJobs {
+		if j.Shape == records.ShapeGang || j.Shape == records.ShapeArray && j.doneCount == 0 && !j.start.reported {
+			c.reservationCandidates = append(c.reservationCandidates, j)
 		} else {
-			j.saving = ""
+			j.reservedZone = ""
 		}
 	}
 }
 
-// waitsSince is from when a job's wait for its begin counts.
-func (j *Job) waitsSince() time.Time {
-	if j.broke.After(j.base) {
-		return j.broke
+// waitStart is from when a job's wait for its begin counts.
+func (j *Job) waitStart() time.Time {
+	if j.gangBrokenAt.After(j.releasedAt) {
+		return j.gangBrokenAt
 	}
-	return j.base
+	return j.releasedAt
 }
 
-// saves says whether room is to be saved for a job by now: for a gang all its places, for an
+// needsReservation says whether room is to be saved for a job by now: for a gang all its places, for an
 // array the first.
-func (c *Scheduler) saves(j *Job, now time.Time) bool {
-	waited := now.Sub(j.waitsSince())
-	is := waited >= reservation.EarliestWait(c.set.ReservationBound) && len(j.held)+len(j.strays) == 0 && c.startable(j, now) && j.peek() >= 0
+func (c *Scheduler) needsReservation(j *Job, now time.Time) bool {
+	waited := now.Sub(j.waitStart())
+	is := waited >= reservation.EarliestWait(c.settings.ReservationBound) && len(j.attempts)+len(j.duplicates) == 0 && c.startable(j, now) && j.nextTask() >= 0
 	switch {
 	case !is:
 	case j.Shape == records.ShapeGang:
-		is = j.gangTry == 0 && c.wanted(j) >= j.pending()
+		is = j.gangAttempt == 0 && c.waitingWithinLimit(j) >= j.pending()
 	default:
-		is = j.Shape == records.ShapeArray && j.nDone == 0 && !j.began.told && reservation.Due(waited, 0, c.set.ReservationBound) && c.wanted(j) > 0
+		is = j.Shape == records.ShapeArray && j.doneCount == 0 && !j.start.reported && reservation.Due(waited, 0, c.settings.ReservationBound) && c.waitingWithinLimit(j) > 0
 	}
 	if !is {
-		j.saving = ""
+		j.reservedZone = ""
 	}
 	return is
 }
 
-// saveWhere chooses the zone where a job's places fall free soonest.
-func (c *Scheduler) saveWhere(j *Job, ahead map[string]int, now time.Time) (zone string, in float64) {
+// chooseReservationZone chooses the zone where a job's places fall free soonest.
+func (c *Scheduler) chooseReservationZone(j *Job, ahead map[string]int, now time.Time) (zone string, in float64) {
 	byZone := map[string][]float64{}
 	for _, m := range c.fleet.Sorted() {
-		if !c.mayHold(j, m, now) {
+		if !c.couldHost(j, m, now) {
 			continue
 		}
 		zone := m.Zone
 		if !j.OneZone {
 			zone = reservation.AllZones
 		}
-		byZone[zone] = append(byZone[zone], c.placesIn(j, m, now)...)
+		byZone[zone] = append(byZone[zone], c.secondsUntilPlaces(j, m, now)...)
 	}
 	var zones []reservation.Zone
 	for name, in := range byZone {
@@ -119,30 +119,30 @@
 	return reservation.ChooseZone(zones, j.pending())
 }
 
-// placesIn guesses when a machine has room for one, two and more tasks of a job, in seconds,
+// secondsUntilPlaces guesses when a machine has room for one, two and more tasks of a job, in seconds,
 // if it is given nothing else.
-func (c *Scheduler) placesIn(j *Job, m *fleet.Machine, now time.Time) []float64 {
+func (c *Scheduler) secondsUntilPlaces(j *Job, m *fleet.Machine, now time.Time) []float64 {
 	var ins []float64
 	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
 	for _, e := range append([]ending{{}}, c.endings(m, now)...) {
-		for free = free.Add(e.req); free.Fits(j.req); free = free.Sub(j.req) {
-			ins = append(ins, e.in)
+		for free = free.Add(e.room); free.Fits(j.request); free = free.Sub(j.request) {
+			ins = append(ins, e.seconds)
 		}
 	}
 	return ins
 }
 
-// save makes places in the chosen zone the job's own, as many as it has tasks: what is free,
+// reservePlaces makes places in the chosen zone the job's own, as many as it has tasks: what is free,
 // and for the rest, once it is urgent and nobody is ahead, what falls free soonest. It says how
 // many are not free yet. What has begun to empty goes on, unless another place is free first.
 // Guards against machines of which small tasks always take the part that is free: none of them
 // is ever free as a whole.
-func (c *Scheduler) save(j *Job, ahead bool, now time.Time) (lacks int) {
+func (c *Scheduler) reservePlaces(j *Job, ahead bool, now time.Time) (lacks int) {
 	was := map[*fleet.Machine]bool{}
 	for _, cl := range j.claims {
-		was[cl.m] = true
+		was[cl.machine] = true
 	}
-	c.lift(j)
+	c.suspendClaims(j)
 	n := j.pending()
 	type place struct {
 		m  *fleet.Machine
@@ -150,10 +150,10 @@
 	}
 	var list []place
 	for _, m := range c.fleet.Sorted() {
-		if j.saving != reservation.AllZones && m.Zone != j.saving || !c.mayHold(j, m, now) {
+		if j.reservedZone != reservation.AllZones && m.Zone != j.reservedZone || !c.couldHost(j, m, now) {
 			continue
 		}
-		for _, in := range c.placesIn(j, m, now) {
+		for _, in := range c.secondsUntilPlaces(j, m, now) {
 			if in > 0 && was[m] {
 				in /= 2
 			}
@@ -163,40 +163,40 @@
 	slices.SortStableFunc(list, func(a, b place) int { return cmp.Compare(a.in, b.in) })
 	if len(list) < n || n == 0 {
 		// Guards against a gang that waits for a zone whose machines are gone.
-		j.saving = ""
+		j.reservedZone = ""
 		return 0
 	}
 	list = list[:n]
 	need := time.Duration(list[n-1].in * float64(time.Second))
-	urgent := !ahead && reservation.Urgent(now.Sub(j.waitsSince()), need, c.set.ReservationBound)
+	urgent := !ahead && reservation.Urgent(now.Sub(j.waitStart()), need, c.settings.ReservationBound)
 	for _, p := range list {
 		if p.in > 0 {
 			lacks++
 		}
 		if p.in <= 0 || urgent {
-			c.own(j, p.m, now)
+			c.addClaim(j, p.m, now)
 		}
 	}
 	return lacks
 }
 
-// saveOne makes the place that is free soonest the own of an array of which no task has begun.
-func (c *Scheduler) saveOne(j *Job, now time.Time) {
-	j.saving = reservation.AllZones
+// reserveOnePlace makes the place that is free soonest the own of an array of which no task has begun.
+func (c *Scheduler) reserveOnePlace(j *Job, now time.Time) {
+	j.reservedZone = reservation.AllZones
 	if len(j.claims) > 0 {
 		return
 	}
 	var best *fleet.Machine
 	soonest := 0.0
 	for _, m := range c.fleet.Sorted() {
-		if !c.mayHold(j, m, now) || m.Bin.Reserved() != (packing.Resources{}) {
+		if !c.couldHost(j, m, now) || m.Bin.Reserved() != (packing.Resources{}) {
 			continue
 		}
-		if in := c.roomIn(j, m, now); best == nil || in < soonest {
+		if in := c.secondsUntilRoom(j, m, now); best == nil || in < soonest {
 			best, soonest = m, in
 		}
 	}
 	if best != nil {
-		c.own(j, best, now)
+		c.addClaim(j, best, now)
 	}
 }
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -37,7 +37,7 @@
 	var names []string
 	for i := range n {
 		h := fmt.Sprintf("m-%06d", i)
-		m, _ := c.Reconcile(&fleet.Heartbeat{Machine: h, Addr: h, Type: "c4", Zone: c.set.Zones[i%3], Incarnation: 1, FencingToken: 5, Version: "1"}, true, now)
+		m, _ := c.Reconcile(&fleet.Heartbeat{Machine: h, Addr: h, Type: "c4", Zone: c.settings.Zones[i%3], Incarnation: 1, FencingToken: 5, Version: "1"}, true, now)
 		m.Recorded = true
 		names = append(names, h)
 	}
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	c.SetDrain(spec, nil, 0)
-	c.drain(now)
+	c.runDrains(now)
 	v, _ := c.DrainView("d-1")
 	cordoned := 0
 	for _, m := range c.fleet.Sorted() {
@@ -82,7 +82,7 @@
 		t.Fatalf("planned: %v, %v", p, err)
 	}
 	c.SetDrain(spec, nil, 0)
-	c.drain(now)
+	c.runDrains(now)
 	for _, m := range c.fleet.Sorted() {
 		if drained := m.Cordon != nil; drained != slices.Contains(names[:fleetSize], m.Host) {
 			t.Fatalf("%s drained: %v", m.Host, drained)
@@ -136,7 +136,7 @@
 			}
 			c.MachinesRented(r, hosts, now)
 		}
-		now = now.Add(c.set.HeartbeatInterval / 4)
+		now = now.Add(c.settings.HeartbeatInterval / 4)
 	}
 	if rented != want {
 		t.Fatalf("%d machines are rented, %d are needed", rented, want)
@@ -169,7 +169,7 @@
 			}
 			for b.Loop() {
 				c.PlanRentals(now)
-				c.rent.inflight = map[string]autoscaler.RentalRequest{}
+				c.autoscaling.inflight = map[string]autoscaler.RentalRequest{}
 			}
 		})
 	}
@@ -185,7 +185,7 @@
 		}
 		c.SetDrain(spec, nil, 0)
 		for b.Loop() {
-			c.drain(now)
+			c.runDrains(now)
 		}
 	})
 	b.Run("plan", func(b *testing.B) {
--- a/internal/scheduler/owed.go
+++ b/internal/scheduler/owed.go
@@ -9,58 +9,58 @@
 	"drumpick/internal/records"
 )
 
-// guarantees marks the jobs that fit, together with their team's earlier unfinished ones,
+// assignGuarantees marks the jobs that fit, together with their team's earlier unfinished ones,
 // into what their team is guaranteed, and those of them that can still begin in time.
-func (c *Scheduler) guarantees(now time.Time) {
-	account := fairshare.NewAccount(c.set.Teams, c.set.Guarantees)
-	for _, j := range c.sorted {
-		j.guaranteed, j.holds = account.Charge(j.Team, j.Tasks-j.nDone, j.req)
-		j.inTime = j.guaranteed && c.set.Guarantees && fairshare.CanBeginInTime(c.set.GuaranteeWithin, now.Sub(j.base), c.set.HeartbeatInterval, c.fetch(j))
-		if !j.began.known {
-			j.began.known, j.began.entitled = true, j.guaranteed
+func (c *Scheduler) assignGuarantees(now time.Time) {
+	account := fairshare.NewAccount(c.settings.Teams, c.settings.Guarantees)
+	for _, j := range c.sortedJobs {
+		j.guaranteed, j.protected = account.Charge(j.Team, j.Tasks-j.doneCount, j.request)
+		j.canBeginInTime = j.guaranteed && c.settings.Guarantees && fairshare.CanBeginInTime(c.settings.GuaranteeWithin, now.Sub(j.releasedAt), c.settings.HeartbeatInterval, c.fetchTime(j))
+		if !j.start.known {
+			j.start.known, j.start.entitled = true, j.guaranteed
 		}
 	}
 }
 
-// savingReports is how long, in report intervals, it takes until what was stopped has saved,
+// preemptionIntervals is how long, in report intervals, it takes until what was stopped has saved,
 // its end was heard and the run went out.
-const savingReports = 3
+const preemptionIntervals = 3
 
-// gains says whether a job within a guarantee can still begin in time once others were
+// benefitsFromPreemption says whether a job within a guarantee can still begin in time once others were
 // stopped for it. Guards against tasks that are stopped again and again for gangs which are
 // late all the same: on crowded days that was more than a third of the starts of their class.
-func (c *Scheduler) gains(j *Job, now time.Time) bool {
-	return !c.set.Guarantees || c.set.GuaranteeWithin == 0 || fairshare.CanBeginInTime(c.set.GuaranteeWithin, now.Sub(j.base), savingReports*c.set.HeartbeatInterval, c.fetch(j))
+func (c *Scheduler) benefitsFromPreemption(j *Job, now time.Time) bool {
+	return !c.settings.Guarantees || c.settings.GuaranteeWithin == 0 || fairshare.CanBeginInTime(c.settings.GuaranteeWithin, now.Sub(j.releasedAt), preemptionIntervals*c.settings.HeartbeatInterval, c.fetchTime(j))
 }
 
-// lacked notes that a job of a team with a guarantee found no room, and may use ordinary
+// noteShortage notes that a job of a team with a guarantee found no room, and may use ordinary
 // machines alone. What its team's limit holds back lacks none.
-func (c *Scheduler) lacked(j *Job, used quota.Amount, now time.Time) {
-	if !c.set.Guarantees || j.Spot || !fairshare.HasGuarantee(j.team) || j.limited && !c.withinLimit(j, used) {
+func (c *Scheduler) noteShortage(j *Job, used quota.Amount, now time.Time) {
+	if !c.settings.Guarantees || j.Spot || !fairshare.HasGuarantee(j.team) || j.limited && !c.withinLimit(j, used) {
 		return
 	}
-	for _, name := range c.names {
-		if j.allowsType(name) && c.types[name].SpotPrice > 0 && c.capacity(name).Fits(j.req) {
-			c.scarce.NoteShortage(name, now)
+	for _, name := range c.typeNames {
+		if j.allowsType(name) && c.types[name].SpotPrice > 0 && c.capacity(name).Fits(j.request) {
+			c.onDemandShortage.NoteShortage(name, now)
 		}
 	}
 }
 
-// scarceLately says whether ordinary machines of a type were too few within a startup time.
-func (c *Scheduler) scarceLately(typ string, now time.Time) bool {
-	return c.scarce.ShortageWithin(typ, c.startup(typ), now)
+// shortageLately says whether ordinary machines of a type were too few within a startup time.
+func (c *Scheduler) shortageLately(typ string, now time.Time) bool {
+	return c.onDemandShortage.ShortageWithin(typ, c.startupTime(typ), now)
 }
 
 // displaced counts the tasks of a job that stand on ordinary machines which others lacked
 // lately, though cheap ones would do: cheap machines are rented for as many, so that those
 // who come next leave the ordinary ones alone.
 func (c *Scheduler) displaced(j *Job, now time.Time) int {
-	if !c.set.Guarantees || !j.Spot || j.Shape != records.ShapeArray {
+	if !c.settings.Guarantees || !j.Spot || j.Shape != records.ShapeArray {
 		return 0
 	}
 	n := 0
-	for _, a := range j.held {
-		if m := a.Machine; !m.Spot && a.State() != fleet.Ended && c.scarceLately(m.Type, now) {
+	for _, a := range j.attempts {
+		if m := a.Machine; !m.Spot && a.State() != fleet.Ended && c.shortageLately(m.Type, now) {
 			n++
 		}
 	}
--- a/internal/scheduler/places.go
+++ b/internal/scheduler/places.go
@@ -8,30 +8,30 @@
 	"drumpick/internal/packing"
 )
 
-// places answers, within one look, where tasks could go. Jobs alike share an answer that
+// placeFinder answers, within one look, where tasks could go. Jobs alike share an answer that
 // there is no room.
-type places struct {
-	c       *Scheduler
-	now     time.Time
-	none    map[int]bool
-	permits map[*Job]bool
-	barred  func(typ, zone string) bool // beside what is drained already; nil: nothing
-	leaves  func(m *fleet.Machine) bool
+type placeFinder struct {
+	scheduler *Scheduler
+	now       time.Time
+	noRoom    map[int]bool
+	permits   map[*Job]bool
+	barred    func(typ, zone string) bool // beside what is drained already; nil: nothing
+	isLeaving func(m *fleet.Machine) bool
 }
 
-// anywhere says whether one more task of the job may run anywhere that is not drained: on
+// allowedAnywhere says whether one more task of the job may run anywhere that is not drained: on
 // a machine that is there or one that could be rented. zones are those of its other tasks,
 // where they decide about it; nil elsewhere.
-func (p *places) anywhere(j *Job, zones map[string]int) bool {
+func (p *placeFinder) allowedAnywhere(j *Job, zones map[string]int) bool {
 	ok, known := p.permits[j]
 	if known && zones == nil {
 		return ok
 	}
 	ok = false
-	c := p.c
-	in := func(zone string) bool { return zones == nil || j.zoneOK(zone, zones) }
+	c := p.scheduler
+	in := func(zone string) bool { return zones == nil || j.zoneAllowed(zone, zones) }
 	for _, m := range c.fleet.Sorted() {
-		if !m.Returning && !m.LeaseExpired && m.Cordon == nil && (p.leaves == nil || !p.leaves(m)) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.req) && in(m.Zone) {
+		if !m.Returning && !m.LeaseExpired && m.Cordon == nil && (p.isLeaving == nil || !p.isLeaving(m)) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.request) && in(m.Zone) {
 			ok = true
 			break
 		}
@@ -39,7 +39,7 @@
 	for name, t := range c.types {
 		for _, z := range t.Zones {
 			spot := t.SpotPrice > 0 && j.permits(name, z, true)
-			ok = ok || in(z) && (spot || j.permits(name, z, false)) && c.capacity(name).Fits(j.req) && !c.barred(name, z) && (p.barred == nil || !p.barred(name, z))
+			ok = ok || in(z) && (spot || j.permits(name, z, false)) && c.capacity(name).Fits(j.request) && !c.barredByDrain(name, z) && (p.barred == nil || !p.barred(name, z))
 		}
 	}
 	if zones == nil {
@@ -48,36 +48,36 @@
 	return ok
 }
 
-// room finds a machine with room for one more task of a job, nil if there is none.
-func (p *places) room(j *Job, zones map[string]int) *fleet.Machine {
-	if j.alike > 0 && p.none[j.alike] {
+// findRoom finds a machine with room for one more task of a job, nil if there is none.
+func (p *placeFinder) findRoom(j *Job, zones map[string]int) *fleet.Machine {
+	if j.placementClass > 0 && p.noRoom[j.placementClass] {
 		return nil
 	}
-	it := &packing.Item{ID: j.ID, Req: j.req, PreferLabels: j.prefer}
+	it := &packing.Item{ID: j.ID, Req: j.request, PreferLabels: j.preferLabels}
 	ok := func(b *packing.Bin) bool {
 		m := b.Owner.(*fleet.Machine)
-		return m.Cordon == nil && (p.leaves == nil || !p.leaves(m)) && j.permits(m.Type, m.Zone, m.Spot) &&
-			(zones == nil || j.zoneOK(m.Zone, zones)) && !spared(m, j)
+		return m.Cordon == nil && (p.isLeaving == nil || !p.isLeaving(m)) && j.permits(m.Type, m.Zone, m.Spot) &&
+			(zones == nil || j.zoneAllowed(m.Zone, zones)) && !isHeldForEarlier(m, j)
 	}
-	for _, name := range p.c.names {
-		if s := p.c.spaces[name]; s != nil {
+	for _, name := range p.scheduler.typeNames {
+		if s := p.scheduler.spaces[name]; s != nil {
 			if b, moves, _ := s.Insert(it, ok); b != nil {
-				putBack(moves)
+				undoMoves(moves)
 				b.Remove(it)
 				return b.Owner.(*fleet.Machine)
 			}
 		}
 	}
-	p.none[j.alike] = j.alike > 0
+	p.noRoom[j.placementClass] = j.placementClass > 0
 	return nil
 }
 
-// roomForAll finds places for all of some tasks of a gang, whose other tasks stay where they
+// findRoomForAll finds places for all of some tasks of a gang, whose other tasks stay where they
 // are; fewer than asked for: there is not room for all.
-func (p *places) roomForAll(j *Job, n int, staying map[string]int) []*fleet.Machine {
+func (p *placeFinder) findRoomForAll(j *Job, n int, staying map[string]int) []*fleet.Machine {
 	zones := []string{""}
 	if j.OneZone && len(staying) == 0 {
-		zones = p.c.set.Zones
+		zones = p.scheduler.settings.Zones
 	}
 	var found []*fleet.Machine
 	for _, zone := range zones {
@@ -88,16 +88,16 @@
 			count = map[string]int{zone: 1}
 		}
 		for len(found) < n {
-			m := p.room(j, count)
+			m := p.findRoom(j, count)
 			if m == nil {
 				break
 			}
-			m.Bin.Reserve(j.req)
+			m.Bin.Reserve(j.request)
 			found = append(found, m)
 			count[m.Zone]++
 		}
 		for _, m := range found {
-			m.Bin.Reserve(packing.Resources{}.Sub(j.req))
+			m.Bin.Reserve(packing.Resources{}.Sub(j.request))
 		}
 		if len(found) == n {
 			break
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -12,40 +12,40 @@
 	"drumpick/internal/records"
 )
 
-// vacancy is a machine as a job that looks for room sees it: what it would have left
+// machineOption is a machine as a job that looks for room sees it: what it would have left
 // and whom that would cost, were all that was chosen so far carried out.
-type vacancy struct {
-	m       *fleet.Machine
-	free    packing.Resources
-	chosen  []*fleet.Attempt // to be stopped
-	next    []*fleet.Attempt // to be stopped for one more task
-	loss    float64          // of these
-	ok      bool             // one more task can be had
-	version int              // of the machine when this was worked out
+type machineOption struct {
+	machine     *fleet.Machine
+	free        packing.Resources
+	victims     []*fleet.Attempt // to be stopped
+	nextVictims []*fleet.Attempt // to be stopped for one more task
+	loss        float64          // of these
+	feasible    bool             // one more task can be had
+	version     int              // of the machine when this was worked out
 }
 
-// taken is room for some tasks on a machine, and who is to be stopped for it.
-type taken struct {
-	m     *fleet.Machine
-	stop  []*fleet.Attempt
-	tasks int
+// preemptionChoice is room for some tasks on a machine, and who is to be stopped for it.
+type preemptionChoice struct {
+	machine *fleet.Machine
+	victims []*fleet.Attempt
+	tasks   int
 }
 
-// likes is what the choice of victims depends on, besides whom a job has had stopped.
-type likes struct {
-	alike      int
-	rank       int
-	team       string
-	guaranteed bool
+// victimKey is what the choice of victims depends on, besides whom a job has had stopped.
+type victimKey struct {
+	placementClass int
+	rank           int
+	team           string
+	guaranteed     bool
 }
 
-// search is one look for room by all who may claim it.
-type search struct {
-	c        *Scheduler
-	now      time.Time
-	excess   map[string]quota.Amount // what teams run beyond their guarantees
-	versions map[*fleet.Machine]int  // how often a machine was changed by this look
-	seen     map[likes][]*vacancy
+// preemptionSearch is one look for room by all who may claim it.
+type preemptionSearch struct {
+	scheduler *Scheduler
+	now       time.Time
+	excess    map[string]quota.Amount // what teams run beyond their guarantees
+	versions  map[*fleet.Machine]int  // how often a machine was changed by this look
+	options   map[victimKey][]*machineOption
 }
 
 // preempt stops work of lower priority, or what another team runs in excess of its
@@ -58,111 +58,111 @@
 // the same: a gang gets all its places or none. Jobs alike share one look at the
 // machines: without that, a queue of urgent jobs costs a look at every task for each.
 func (c *Scheduler) preempt(now time.Time) {
-	if !c.settled {
+	if !c.reconciled {
 		return
 	}
 	var claimants []*Job
 	owing := false
 	for _, j := range c.queue(now) {
-		if c.startable(j, now) && j.peek() >= 0 && (prioRank[j.Priority] <= 1 || j.holds && c.gains(j, now)) {
+		if c.startable(j, now) && j.nextTask() >= 0 && (priorityRank[j.Priority] <= 1 || j.protected && c.benefitsFromPreemption(j, now)) {
 			claimants = append(claimants, j)
-			owing = owing || j.holds
+			owing = owing || j.protected
 		}
 	}
 	if len(claimants) == 0 {
 		return
 	}
-	s := &search{c: c, now: now, excess: map[string]quota.Amount{}, versions: map[*fleet.Machine]int{}, seen: map[likes][]*vacancy{}}
+	s := &preemptionSearch{scheduler: c, now: now, excess: map[string]quota.Amount{}, versions: map[*fleet.Machine]int{}, options: map[victimKey][]*machineOption{}}
 	if owing {
-		for name, t := range c.set.Teams {
-			s.excess[name] = c.usage.NotStopping(name).Sub(quota.Amount{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs})
+		for name, t := range c.settings.Teams {
+			s.excess[name] = c.quotaUsage.NotStopping(name).Sub(quota.Amount{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs})
 		}
 	}
-	ending := c.freed.lately(now, c.set.HeartbeatInterval)
+	ending := c.freedRoom.previousSpan(now, c.settings.HeartbeatInterval)
 	for _, j := range claimants {
-		n := c.lacks(j, now)
+		n := c.missingClaims(j, now)
 		if j.Shape == records.ShapeGang {
 			if n > 0 {
-				s.gang(j, n)
+				s.makeRoomForGang(j, n)
 			}
 			continue
 		}
-		for n > 0 && ending.Fits(j.req) && j.req != (packing.Resources{}) {
-			ending = ending.Sub(j.req)
+		for n > 0 && ending.Fits(j.request) && j.request != (packing.Resources{}) {
+			ending = ending.Sub(j.request)
 			n--
 		}
 		if n > 0 {
-			s.tasks(j, n)
+			s.makeRoomForTasks(j, n)
 		}
 	}
 }
 
-// tasks makes room for up to n tasks of a job that need not start together.
-func (s *search) tasks(j *Job, n int) {
-	k := likes{alike: j.alike, rank: j.terms.Rank, guaranteed: j.holds}
-	if j.holds {
+// makeRoomForTasks makes room for up to n tasks of a job that need not start together.
+func (s *preemptionSearch) makeRoomForTasks(j *Job, n int) {
+	k := victimKey{placementClass: j.placementClass, rank: j.urgency.Rank, guaranteed: j.protected}
+	if j.protected {
 		k.team = j.Team
 	}
-	list, ok := s.seen[k]
-	if j.alike == 0 || !ok {
-		list = s.machines(j, "")
-		s.seen[k] = list
+	list, ok := s.options[k]
+	if j.placementClass == 0 || !ok {
+		list = s.listOptions(j, "")
+		s.options[k] = list
 	}
 	excess := maps.Clone(s.excess)
-	chosen, _ := s.gather(j, n, list, s.c.bounds(j), excess)
-	s.carryOut(j, chosen, excess)
+	chosen, _ := s.choosePlaces(j, n, list, s.scheduler.zoneCounts(j), excess)
+	s.execute(j, chosen, excess)
 }
 
-// gang makes room for all n tasks that a gang lacks, or for none.
-func (s *search) gang(j *Job, n int) {
-	zones := s.c.bounds(j)
-	for _, zone := range s.c.zoneChoices(j, zones) {
+// makeRoomForGang makes room for all n tasks that a gang lacks, or for none.
+func (s *preemptionSearch) makeRoomForGang(j *Job, n int) {
+	zones := s.scheduler.zoneCounts(j)
+	for _, zone := range s.scheduler.zoneChoices(j, zones) {
 		excess := maps.Clone(s.excess)
-		chosen, left := s.gather(j, n, s.machines(j, zone), maps.Clone(zones), excess)
+		chosen, left := s.choosePlaces(j, n, s.listOptions(j, zone), maps.Clone(zones), excess)
 		if left == 0 {
-			s.carryOut(j, chosen, excess)
+			s.execute(j, chosen, excess)
 			return
 		}
 	}
-	j.claimAfter = s.now.Add(s.c.set.HeartbeatInterval) // it was a look at every task, for nothing
+	j.noClaimsBefore = s.now.Add(s.scheduler.settings.HeartbeatInterval) // it was a look at every task, for nothing
 }
 
-// machines lists those that a job may use, in a zone or, with "", in all.
-func (s *search) machines(j *Job, zone string) []*vacancy {
-	var list []*vacancy
-	for _, m := range s.c.fleet.Sorted() {
-		if s.c.mayHold(j, m, s.now) &&
-			(zone == "" || m.Zone == zone) && !spared(m, j) {
-			v := &vacancy{m: m}
-			s.look(j, v)
+// listOptions lists those that a job may use, in a zone or, with "", in all.
+func (s *preemptionSearch) listOptions(j *Job, zone string) []*machineOption {
+	var list []*machineOption
+	for _, m := range s.scheduler.fleet.Sorted() {
+		if s.scheduler.couldHost(j, m, s.now) &&
+			(zone == "" || m.Zone == zone) && !isHeldForEarlier(m, j) {
+			v := &machineOption{machine: m}
+			s.evaluate(j, v)
 			list = append(list, v)
 		}
 	}
 	return list
 }
 
-// look works a machine out as it is.
-func (s *search) look(j *Job, v *vacancy) {
-	v.free, v.chosen, v.version = coming(v.m), nil, s.versions[v.m]
-	s.weigh(j, v, s.excess)
+// evaluate works a machine out as it is.
+func (s *preemptionSearch) evaluate(j *Job, v *machineOption) {
+	v.free, v.victims, v.version = expectedRoom(v.machine), nil, s.versions[v.machine]
+	s.chooseVictims(j, v, s.excess)
 	// Room that is free now and nobody's own is for placing; only a gang, whose places
 	// are not all free at once, makes that its own as well.
-	if v.ok && j.Shape != records.ShapeGang && v.m.Bin.Fits(j.req) {
-		v.ok = false
+	if v.feasible && j.Shape != records.ShapeGang && v.machine.Bin.Fits(j.request) {
+		v.feasible = false
 	}
 }
 
-// gather chooses places for up to n tasks where least work is lost, and says how many
+// choosePlaces chooses places for up to n tasks where least work is lost, and says how many
 // it did not find.
-func (s *search) gather(j *Job, n int, list []*vacancy, zones map[string]int, excess map[string]quota.Amount) ([]taken, int) {
-	var chosen []taken
+func (s *preemptionSearch) choosePlaces(j *Job, n int, list []*machineOption, zones map[string]int, excess map[string]quota.Amount) ([]preemptionChoice, int) {
+	var chosen []preemptionChoice
 	for n > 0 {
-		var best *vacancy
+		var best *machineOption
 		for _, v := range list {
-			if v.version != s.versions[v.m] {
-				s.look(j, v)
+			if v.version != s.versions[v.machine] {
+				s.evaluate(j, v)
 			}
-			if v.ok && (best == nil || v.loss < best.loss) && (zones == nil || j.zoneOK(v.m.Zone, zones)) {
+			if v.feasible && (best == nil || v.loss < best.loss) && (zones == nil || j.zoneAllowed(v.machine.Zone, zones)) {
 				best = v
 			}
 		}
@@ -171,109 +171,109 @@
 		}
 		// It may have been worked out for a job alike, or before others were chosen.
 		was := best.loss
-		if s.weigh(j, best, excess); !best.ok || best.loss > was {
+		if s.chooseVictims(j, best, excess); !best.feasible || best.loss > was {
 			continue
 		}
-		take := taken{m: best.m, stop: best.next}
-		for _, a := range best.next {
+		take := preemptionChoice{machine: best.machine, victims: best.nextVictims}
+		for _, a := range best.nextVictims {
 			best.free = best.free.Add(a.Item.Req)
-			aj := s.c.jobOf(a)
-			excess[aj.Team] = excess[aj.Team].Sub(aj.quota())
+			aj := s.scheduler.jobOf(a)
+			excess[aj.Team] = excess[aj.Team].Sub(aj.taskQuota())
 		}
-		best.chosen = append(best.chosen, best.next...)
-		for n > 0 && best.free.Fits(j.req) && (zones == nil || j.zoneOK(best.m.Zone, zones)) {
-			best.free = best.free.Sub(j.req)
+		best.victims = append(best.victims, best.nextVictims...)
+		for n > 0 && best.free.Fits(j.request) && (zones == nil || j.zoneAllowed(best.machine.Zone, zones)) {
+			best.free = best.free.Sub(j.request)
 			take.tasks++
 			n--
 			if zones != nil {
-				zones[best.m.Zone]++
+				zones[best.machine.Zone]++
 			}
 		}
 		chosen = append(chosen, take)
-		s.weigh(j, best, excess)
+		s.chooseVictims(j, best, excess)
 	}
 	return chosen, n
 }
 
-// carryOut stops whom it takes and makes the room the job's own.
-func (s *search) carryOut(j *Job, chosen []taken, excess map[string]quota.Amount) {
+// execute stops whom it takes and makes the room the job's own.
+func (s *preemptionSearch) execute(j *Job, chosen []preemptionChoice, excess map[string]quota.Amount) {
 	for _, x := range chosen {
-		for _, a := range x.stop {
-			why, save, aj := whyGuarantee, 0.0, s.c.jobOf(a)
+		for _, a := range x.victims {
+			why, save, aj := stopForGuarantee, 0.0, s.scheduler.jobOf(a)
 			if aj.CheckpointS > 0 {
 				save = aj.SaveS
 			}
-			if aj.terms.Rank > j.terms.Rank {
-				why = whyPreempted
+			if aj.urgency.Rank > j.urgency.Rank {
+				why = stopPreempted
 			}
-			if j.stopped == nil {
-				j.stopped = map[fleet.TaskID]struct{}{}
+			if j.preempted == nil {
+				j.preempted = map[fleet.TaskID]struct{}{}
 			}
-			j.stopped[a.Task] = struct{}{}
+			j.preempted[a.Task] = struct{}{}
 			preemptedTotal.Inc()
-			slog.Debug("stopped for another", "task", a.Task.String(), "machine", x.m.Host, "job", j.ID, "term", s.c.term)
-			s.c.stop(a, why, save, s.now)
+			slog.Debug("stopped for another", "task", a.Task.String(), "machine", x.machine.Host, "job", j.ID, "term", s.scheduler.term)
+			s.scheduler.stop(a, why, save, s.now)
 		}
 		for range x.tasks {
-			s.c.own(j, x.m, s.now)
+			s.scheduler.addClaim(j, x.machine, s.now)
 		}
-		s.versions[x.m]++
+		s.versions[x.machine]++
 	}
 	s.excess = excess
 }
 
-// weigh finds what must be stopped on a machine to make room for one more task of a
+// chooseVictims finds what must be stopped on a machine to make room for one more task of a
 // job with the least loss of work. Nobody is stopped twice for the same job.
-func (s *search) weigh(j *Job, v *vacancy, excess map[string]quota.Amount) {
-	v.next, v.loss, v.ok = nil, 0, true
+func (s *preemptionSearch) chooseVictims(j *Job, v *machineOption, excess map[string]quota.Amount) {
+	v.nextVictims, v.loss, v.feasible = nil, 0, true
 	free, over := v.free, excess
-	for !free.Fits(j.req) {
+	for !free.Fits(j.request) {
 		var best *fleet.Attempt
 		least := 0.0
-		for _, a := range v.m.Attempts() {
-			if !s.stoppable(j, a, over) || slices.Contains(v.chosen, a) || slices.Contains(v.next, a) {
+		for _, a := range v.machine.Attempts() {
+			if !s.mayPreempt(j, a, over) || slices.Contains(v.victims, a) || slices.Contains(v.nextVictims, a) {
 				continue
 			}
-			if l, ok := s.c.loss(s.c.jobOf(a), a, s.now); ok && (best == nil || l < least) {
+			if l, ok := s.scheduler.lostWork(s.scheduler.jobOf(a), a, s.now); ok && (best == nil || l < least) {
 				best, least = a, l
 			}
 		}
 		if best == nil {
-			v.next, v.loss, v.ok = nil, 0, false
+			v.nextVictims, v.loss, v.feasible = nil, 0, false
 			return
 		}
-		if len(v.next) == 0 {
+		if len(v.nextVictims) == 0 {
 			over = maps.Clone(excess)
 		}
-		bj := s.c.jobOf(best)
-		over[bj.Team] = over[bj.Team].Sub(bj.quota())
-		v.next = append(v.next, best)
+		bj := s.scheduler.jobOf(best)
+		over[bj.Team] = over[bj.Team].Sub(bj.taskQuota())
+		v.nextVictims = append(v.nextVictims, best)
 		free = free.Add(best.Item.Req)
 		v.loss += least
 	}
 }
 
-// stoppable says whether an attempt may be stopped for the sake of a job: it has lower
+// mayPreempt says whether an attempt may be stopped for the sake of a job: it has lower
 // priority, or its team runs more than it is guaranteed and the job's is owed that.
-func (s *search) stoppable(j *Job, a *fleet.Attempt, excess map[string]quota.Amount) bool {
+func (s *preemptionSearch) mayPreempt(j *Job, a *fleet.Attempt, excess map[string]quota.Amount) bool {
 	if a.Stopping() || !a.MayBePresent() || a.State() == fleet.Sent || a.Item == nil {
 		return false
 	}
-	aj := s.c.jobOf(a)
-	if aj == nil || aj.Shape != records.ShapeArray || aj.holds {
+	aj := s.scheduler.jobOf(a)
+	if aj == nil || aj.Shape != records.ShapeArray || aj.protected {
 		return false
 	}
-	if _, before := j.stopped[a.Task]; before {
+	if _, before := j.preempted[a.Task]; before {
 		return false
 	}
 	over := excess[aj.Team]
-	return aj.terms.Rank > j.terms.Rank || j.holds && aj.Team != j.Team && (over.CPUs > quotaSlack || over.GPUs > quotaSlack)
+	return aj.urgency.Rank > j.urgency.Rank || j.protected && aj.Team != j.Team && (over.CPUs > quotaSlack || over.GPUs > quotaSlack)
 }
 
-// loss is the machine time that stopping an attempt throws away, as a share of
+// lostWork is the machine time that stopping an attempt throws away, as a share of
 // a machine. Tasks about to finish are left alone.
-func (c *Scheduler) loss(j *Job, a *fleet.Attempt, now time.Time) (float64, bool) {
-	share := a.Machine.Bin.Cap.Share(j.req)
+func (c *Scheduler) lostWork(j *Job, a *fleet.Attempt, now time.Time) (float64, bool) {
+	share := a.Machine.Bin.Cap.Share(j.request)
 	if a.RunSince.IsZero() {
 		return share * 0.5, true
 	}
@@ -287,29 +287,29 @@
 	return share * ran, true
 }
 
-// flow is the room that ends of tasks have freed lately.
-type flow struct {
-	since     time.Time
-	now, last packing.Resources
+// freedRoom is the room that ends of tasks have freed lately.
+type freedRoom struct {
+	since             time.Time
+	current, previous packing.Resources
 }
 
-func (f *flow) add(req packing.Resources, now time.Time, span time.Duration) {
-	f.turn(now, span)
-	f.now = f.now.Add(req)
+func (f *freedRoom) add(req packing.Resources, now time.Time, span time.Duration) {
+	f.advance(now, span)
+	f.current = f.current.Add(req)
 }
 
-// turn begins a new span when one is over.
-func (f *flow) turn(now time.Time, span time.Duration) {
+// advance begins a new span when one is over.
+func (f *freedRoom) advance(now time.Time, span time.Duration) {
 	switch past := now.Sub(f.since); {
 	case past >= 2*span:
-		f.since, f.now, f.last = now, packing.Resources{}, packing.Resources{}
+		f.since, f.current, f.previous = now, packing.Resources{}, packing.Resources{}
 	case past >= span:
-		f.since, f.now, f.last = f.since.Add(span), packing.Resources{}, f.now
+		f.since, f.current, f.previous = f.since.Add(span), packing.Resources{}, f.current
 	}
 }
 
-// lately is what was freed in the span before the one under way.
-func (f *flow) lately(now time.Time, span time.Duration) packing.Resources {
-	f.turn(now, span)
-	return f.last
+// previousSpan is what was freed in the span before the one under way.
+func (f *freedRoom) previousSpan(now time.Time, span time.Duration) packing.Resources {
+	f.advance(now, span)
+	return f.previous
 }
--- a/internal/scheduler/progress.go
+++ b/internal/scheduler/progress.go
@@ -44,7 +44,7 @@
 
 // part tells to which part a task belongs.
 func (c *Scheduler) part(n int) int {
-	return n/c.set.ChunkTasks*c.set.perChunk() + n%c.set.ChunkTasks/c.set.PartTasks
+	return n/c.settings.ChunkTasks*c.settings.perChunk() + n%c.settings.ChunkTasks/c.settings.PartTasks
 }
 
 // span gives the chunk of a part, and where in it the part begins and ends.
@@ -97,7 +97,7 @@
 	k.old = append(k.old, older{id, first, last})
 	if !p.shelf.Has(id) && first >= 0 {
 		for n := first; n <= last; n++ {
-			j.dirty[n] = true // so that the value it is in can be deleted
+			j.dirtyParts[n] = true // so that the value it is in can be deleted
 		}
 	}
 	return nil
@@ -106,8 +106,8 @@
 // gather puts what has been finished since on the shelf.
 func (p *progress) gather(c *Scheduler) {
 	for _, j := range c.jobs {
-		for n := range j.dirty {
-			delete(j.dirty, n)
+		for n := range j.dirtyParts {
+			delete(j.dirtyParts, n)
 			chunk, from, to := p.set.span(n, j.Tasks)
 			raw, err := json.Marshal(records.FormatRanges(func(i int) bool {
 				return i >= from && has(j.done, chunk*p.set.ChunkTasks+i)
@@ -163,7 +163,7 @@
 	var all []was
 	for _, id := range ids {
 		x, ok := p.parts[id]
-		if j := c.jobs[x.job]; ok && j != nil && !j.dirty[x.n] && p.of(x.job).ids[x.n] == id {
+		if j := c.jobs[x.job]; ok && j != nil && !j.dirtyParts[x.n] && p.of(x.job).ids[x.n] == id {
 			all = append(all, was{j, x.n, slices.Clone(j.done)})
 		}
 	}
@@ -205,7 +205,7 @@
 	for _, id := range ids {
 		x := p.parts[id]
 		if j := c.jobs[x.job]; j != nil {
-			j.dirty[x.n] = true
+			j.dirtyParts[x.n] = true
 		}
 	}
 	p.gather(c)
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -9,19 +9,19 @@
 // quotaSlack forgives the rounding of decimal amounts where a quota is compared.
 const quotaSlack = 1e-9
 
-// ofTeam gives the job what the settings say of its team.
-func (j *Job) ofTeam(t config.Team) {
+// setTeam gives the job what the settings say of its team.
+func (j *Job) setTeam(t config.Team) {
 	j.team, j.limited = t, t.LimitCPUs > 0 || t.LimitGPUs > 0
 }
 
-// quota is what one task of the job counts for.
-func (j *Job) quota() quota.Amount { return quota.Amount{CPUs: j.req.CPU, GPUs: j.req.GPU} }
+// taskQuota is what one task of the job counts for.
+func (j *Job) taskQuota() quota.Amount { return quota.Amount{CPUs: j.request.CPU, GPUs: j.request.GPU} }
 
-// charge brings the account up to date with an attempt. The fleet's table calls it for every
+// updateCharge brings the account up to date with an attempt. The fleet's table calls it for every
 // change of the attempt; a change of its job (it comes, or is over) is the other reason.
-func (c *Scheduler) charge(a *fleet.Attempt) {
+func (c *Scheduler) updateCharge(a *fleet.Attempt) {
 	next := c.chargeOf(a)
-	c.usage.Replace(a.Charge, next)
+	c.quotaUsage.Replace(a.Charge, next)
 	a.Charge = next
 }
 
@@ -41,7 +41,7 @@
 		charge.Phase = quota.Present
 	}
 	if j := c.jobOf(a); j != nil {
-		charge.Team, charge.Size = j.Team, j.quota()
+		charge.Team, charge.Size = j.Team, j.taskQuota()
 		return charge
 	}
 	charge.Shared = true
@@ -55,17 +55,17 @@
 // used.
 func (c *Scheduler) withinLimit(j *Job, used quota.Amount) bool {
 	t := j.team
-	sum := used.Add(j.quota())
+	sum := used.Add(j.taskQuota())
 	return (t.LimitCPUs == 0 || sum.CPUs <= t.LimitCPUs+quotaSlack) && (t.LimitGPUs == 0 || sum.GPUs <= t.LimitGPUs+quotaSlack)
 }
 
-// wanted is how many of a job's tasks wait and are within its team's limit.
-func (c *Scheduler) wanted(j *Job) int {
-	n := j.pending() + j.leaving
+// waitingWithinLimit is how many of a job's tasks wait and are within its team's limit.
+func (c *Scheduler) waitingWithinLimit(j *Job) int {
+	n := j.pending() + j.relocating
 	if !j.limited {
 		return n
 	}
-	t, used := j.team, c.usage.Committed(j.Team)
+	t, used := j.team, c.quotaUsage.Committed(j.Team)
 	if t.LimitCPUs > 0 && j.CPUs > 0 {
 		n = min(n, int((t.LimitCPUs-used.CPUs)/j.CPUs+quotaSlack))
 	}
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -49,15 +49,15 @@
 	same := func(a, b quota.Amount) bool {
 		return math.Abs(a.CPUs-b.CPUs) < quotaSlack && math.Abs(a.GPUs-b.GPUs) < quotaSlack
 	}
-	for team := range c.set.Teams {
+	for team := range c.settings.Teams {
 		inUse, committed, staying := scanUsage(c, team)
-		if got := c.usage.InUse(team); !same(got, inUse) {
+		if got := c.quotaUsage.InUse(team); !same(got, inUse) {
 			t.Fatalf("after %s: %s uses %+v by the account, %+v by the scan", after, team, got, inUse)
 		}
-		if got := c.usage.Committed(team); !same(got, committed) {
+		if got := c.quotaUsage.Committed(team); !same(got, committed) {
 			t.Fatalf("after %s: %s has committed %+v by the account, %+v by the scan", after, team, got, committed)
 		}
-		if got := c.usage.NotStopping(team); !same(got, staying) {
+		if got := c.quotaUsage.NotStopping(team); !same(got, staying) {
 			t.Fatalf("after %s: of %s stays %+v by the account, %+v by the scan", after, team, got, staying)
 		}
 	}
@@ -67,13 +67,13 @@
 // complete.
 func checkKept(t *rapid.T, c *Scheduler, after string) {
 	for i, turn := range c.order.turns {
-		if !turn.j.over && !turn.j.idle() && c.order.awake.next(i) != i {
-			t.Fatalf("after %s: %s has tasks to start, and is passed over", after, turn.j.ID)
+		if !turn.job.closed && !turn.job.hasNoWaiting() && c.order.active.next(i) != i {
+			t.Fatalf("after %s: %s has tasks to start, and is passed over", after, turn.job.ID)
 		}
 	}
 	for _, j := range c.jobs {
-		if _, kept := c.complete[j]; kept != (j.nDone == j.Tasks) {
-			t.Fatalf("after %s: %s has %d of %d tasks done, and is taken for complete: %v", after, j.ID, j.nDone, j.Tasks, kept)
+		if _, kept := c.complete[j]; kept != (j.doneCount == j.Tasks) {
+			t.Fatalf("after %s: %s has %d of %d tasks done, and is taken for complete: %v", after, j.ID, j.doneCount, j.Tasks, kept)
 		}
 	}
 }
@@ -155,7 +155,7 @@
 // takeover begins the next term with what the store has.
 func (s *usageStory) takeover() {
 	before := s.c
-	s.c = New(before.set, before.term+1, s.now)
+	s.c = New(before.settings, before.term+1, s.now)
 	s.c.SetTypes([]records.MachineType{before.types["c4"]})
 	for _, m := range before.fleet.Sorted() {
 		if m.Recorded {
@@ -231,7 +231,7 @@
 		s.c.CheckReconciled(s.now)
 	case "faulty":
 		if m := s.c.fleet.Machines[s.pickHost().report.Machine]; m != nil {
-			s.c.condemn(m)
+			s.c.markFaulty(m)
 		}
 	}
 	return name
@@ -253,7 +253,7 @@
 			s.c.RemoveMachine(m.Host, s.now)
 		}
 		checkUsage(t, s.c, "the loss of all machines")
-		if !s.c.usage.Empty() {
+		if !s.c.quotaUsage.Empty() {
 			t.Fatal("charges are left though no attempt is")
 		}
 	})
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -59,7 +59,7 @@
 		})
 	}
 	return &Persistence{
-		core: c, hosts: shelf(records.PrefixMachines), done: newProgress(c.set, shelf(records.PrefixDone)), sent: shelf(records.PrefixWatermarks),
+		core: c, hosts: shelf(records.PrefixMachines), done: newProgress(c.settings, shelf(records.PrefixDone)), sent: shelf(records.PrefixWatermarks),
 		mostOps: mostOps, valueBytes: int(valueKB * 1024), marks: map[string]int{},
 	}
 }
@@ -114,7 +114,7 @@
 			r.done.shelf.Remove(id)
 		}
 	}
-	if !r.core.set.Watermarks {
+	if !r.core.settings.Watermarks {
 		return
 	}
 	for id := range r.marks {
@@ -157,7 +157,7 @@
 	var ws []PendingWrite
 	ops, bytes := 0, 0
 	fits := func(o, b int) bool {
-		if len(ws) > 0 && (ops+o > r.mostOps || bytes+b > mostBytes) {
+		if len(ws) > 0 && (ops+o > r.mostOps || bytes+b > maxCommitBytes) {
 			return false
 		}
 		ops, bytes = ops+o, bytes+b
@@ -165,25 +165,25 @@
 	}
 	const perOp = 300 // what a change takes beside a shelf's entries
 	// Jobs behind a cancelled one go first: their users wait for it, and it is little.
-	for _, id := range c.chain.ToCancel() {
+	for _, id := range c.dependencies.ToCancel() {
 		j := c.jobs[id]
-		if j == nil || j.finishing {
+		if j == nil || j.closing {
 			continue
 		}
 		if !fits(2, 2*perOp) {
 			return ws
 		}
 		slog.Info("job cancelled with one before it", "job", id, "term", c.term)
-		ws = append(ws, c.finish(j, records.ClosedJob{Status: records.StatusCancelled}))
+		ws = append(ws, c.closeJobWrite(j, records.ClosedJob{Status: records.StatusCancelled}))
 	}
 	for j := range c.complete {
-		if j.finishing {
+		if j.closing {
 			continue
 		}
 		if !fits(2, 2*perOp) {
 			return ws
 		}
-		ws = append(ws, c.finish(j, records.ClosedJob{Status: records.StatusDone, AtMS: now.UnixMilli()}))
+		ws = append(ws, c.closeJobWrite(j, records.ClosedJob{Status: records.StatusDone, AtMS: now.UnixMilli()}))
 	}
 	if wholeRecord := due(now); wholeRecord != nil {
 		if !fits(1, records.EncodedSize(wholeRecord)) {
@@ -207,19 +207,19 @@
 		}
 		r.hosts.Put(m.Host, raw, len(raw))
 	}
-	for _, host := range c.dropped {
+	for _, host := range c.removedMachines {
 		if c.fleet.Machines[host] == nil {
 			r.hosts.Remove(host)
 		}
 	}
-	c.dropped = c.dropped[:0]
+	c.removedMachines = c.removedMachines[:0]
 	if !r.takeHosts(&ws, fits) {
 		return ws
 	}
-	r.done.close(c.closed)
-	r.over = append(r.over, c.closed...)
-	c.closed = c.closed[:0]
-	if now.Sub(r.flushed) >= r.core.set.HeartbeatInterval {
+	r.done.close(c.closedJobs)
+	r.over = append(r.over, c.closedJobs...)
+	c.closedJobs = c.closedJobs[:0]
+	if now.Sub(r.flushed) >= r.core.settings.HeartbeatInterval {
 		r.done.gather(c)
 		r.dropMarks()
 		r.flushed = now
@@ -281,21 +281,21 @@
 	return true
 }
 
-// mostBytes keeps a commit well below the service's 64 KiB.
-const mostBytes = 40 << 10
+// maxCommitBytes keeps a commit well below the service's 64 KiB.
+const maxCommitBytes = 40 << 10
 
 // takeMarks gathers the marks that have changed, and says whether all fit.
 func (r *Persistence) takeMarks(ws *[]PendingWrite, fits func(ops, bytes int) bool, now time.Time) bool {
 	c := r.core
 	// Marks are raised ahead of need, so they wait for each other, unless a task waits.
-	if !r.needed && now.Sub(r.marksAt) < r.core.set.HeartbeatInterval/4 {
+	if !r.needed && now.Sub(r.marksAt) < r.core.settings.HeartbeatInterval/4 {
 		return true
 	}
 	r.needed, r.marksAt = false, now
-	for j := range c.marks.raised {
-		delete(c.marks.raised, j)
-		if !j.over {
-			v := records.FormatWatermark(j.mark.Requested)
+	for j := range c.watermarks.raised {
+		delete(c.watermarks.raised, j)
+		if !j.closed {
+			v := records.FormatWatermark(j.watermark.Requested)
 			r.sent.Put(j.ID, v, len(v))
 		}
 	}
@@ -304,7 +304,7 @@
 			for _, id := range ids {
 				r.sent.DropReadOnly(id)
 				if n, err := records.ParseWatermark(entries[id]); err == nil && c.jobs[id] != nil {
-					c.jobs[id].mark.NoteStored(n)
+					c.jobs[id].watermark.NoteStored(n)
 				}
 			}
 		}
@@ -313,7 +313,7 @@
 			// stored next is what is asked for then, not what was asked for before.
 			for _, id := range ids {
 				if j := c.jobs[id]; j != nil {
-					c.marks.raised[j] = struct{}{}
+					c.watermarks.raised[j] = struct{}{}
 				}
 			}
 			r.needed = true
@@ -332,7 +332,7 @@
 // HasUnstoredJobs says whether a job is complete but not yet stored as done.
 func (c *Scheduler) HasUnstoredJobs() bool {
 	for j := range c.complete {
-		if !j.finishing {
+		if !j.closing {
 			return true
 		}
 	}
--- a/internal/scheduler/records_test.go
+++ b/internal/scheduler/records_test.go
@@ -37,7 +37,7 @@
 	}
 	even := func(id string) bool { return strings.Contains("02468", id[len(id)-1:]) }
 	for _, j := range c.jobs {
-		c.raise(j, 1000)
+		c.raiseWatermark(j, 1000)
 	}
 	stored := map[string]map[string]json.RawMessage{}
 	refused := 0
@@ -52,7 +52,7 @@
 			if records.EncodedSize(entries) > 2<<10 {
 				for id, j := range c.jobs {
 					if even(id) {
-						c.raise(j, 3000) // while it was on its way
+						c.raiseWatermark(j, 3000) // while it was on its way
 					}
 				}
 				w.OnTooLarge()
@@ -67,8 +67,8 @@
 		t.Fatal("no value was refused: the story shows nothing")
 	}
 	for id, j := range c.jobs {
-		if !j.mark.Covers(1000) || even(id) && !j.mark.Covers(3000) {
-			t.Errorf("%s: its mark is %+v, and tasks wait", id, j.mark)
+		if !j.watermark.Covers(1000) || even(id) && !j.watermark.Covers(3000) {
+			t.Errorf("%s: its mark is %+v, and tasks wait", id, j.watermark)
 		}
 		most := 0
 		for _, entries := range stored {
@@ -80,8 +80,8 @@
 				most = max(most, n)
 			}
 		}
-		if most != j.mark.Stored {
-			t.Errorf("%s: the store has %d, %d is taken to be stored", id, most, j.mark.Stored)
+		if most != j.watermark.Stored {
+			t.Errorf("%s: the store has %d, %d is taken to be stored", id, most, j.watermark.Stored)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 		c.LoadMachine("m-1", records.Machine{Addr: "m-1:1"}, now)
 		r.LoadWatermark(records.KeyValue{Key: records.PrefixWatermarks + "1-1", Value: json.RawMessage(value)})
 		r.FinishLoading(true)
-		if n := c.jobs["j-1"].doubts(); (n < 10) != whole {
+		if n := c.jobs["j-1"].countUncertain(); (n < 10) != whole {
 			t.Errorf("marks %s: %d tasks of 10 are in doubt", value, n)
 		}
 	}
--- a/internal/scheduler/rentplan.go
+++ b/internal/scheduler/rentplan.go
@@ -15,33 +15,33 @@
 	"drumpick/internal/records"
 )
 
-type offer struct {
-	typ, zone string
-	spot      bool
+type machineOffer struct {
+	machineType, zone string
+	spot              bool
 }
 
-type rentState struct {
-	refused  map[offer]time.Time
-	inflight map[string]autoscaler.RentalRequest
-	returned map[string]time.Time // given back: may still be listed for a while
-	listed   map[string]time.Time // until when it is known to have been listed, or up
-	ready    bool                 // a list has been read under this term
+type autoscalingState struct {
+	refusedUntil map[machineOffer]time.Time
+	inflight     map[string]autoscaler.RentalRequest
+	returnedAt   map[string]time.Time // given back: may still be listed for a while
+	lastListed   map[string]time.Time // until when it is known to have been listed, or up
+	listRead     bool                 // a list has been read under this term
 }
 
-func newRentState() rentState {
-	return rentState{
-		refused: map[offer]time.Time{}, inflight: map[string]autoscaler.RentalRequest{},
-		returned: map[string]time.Time{}, listed: map[string]time.Time{},
+func newAutoscalingState() autoscalingState {
+	return autoscalingState{
+		refusedUntil: map[machineOffer]time.Time{}, inflight: map[string]autoscaler.RentalRequest{},
+		returnedAt: map[string]time.Time{}, lastListed: map[string]time.Time{},
 	}
 }
 
-// mostNew bounds the work of one rental plan, in machines. It does not bound the fleet: what
+// maxNewMachines bounds the work of one rental plan, in machines. It does not bound the fleet: what
 // a plan leaves out the next one counts, a quarter of a report interval later, beside what was
 // asked for by then. It lies above the largest fleet that one leader was seen to carry, so that
 // a fleet for all that waits is planned in one look and no type or zone waits for another.
-const mostNew = 200 * autoscaler.MaxRentCount
+const maxNewMachines = 200 * autoscaler.MaxRentCount
 
-func (c *Scheduler) startup(typ string) time.Duration {
+func (c *Scheduler) startupTime(typ string) time.Duration {
 	return time.Duration(c.types[typ].StartupS * float64(time.Second))
 }
 
@@ -50,20 +50,20 @@
 	return packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB}
 }
 
-// plan is one look at what to rent.
-type plan struct {
-	spaces map[string]*packing.Space // machines that are booting or asked for, and new ones with room
-	inZone map[string]int            // machines by zone
-	counts map[offer]int             // new machines
-	urgent map[offer]int             // of these, those that do not depend on how much work there is
-	busy   map[string]float64        // machine seconds of waiting work by type
-	opened int
+// rentalPlan is one look at what to rent.
+type rentalPlan struct {
+	spaces         map[string]*packing.Space // machines that are booting or asked for, and new ones with room
+	machinesInZone map[string]int            // machines by zone
+	newMachines    map[machineOffer]int      // new machines
+	urgentMachines map[machineOffer]int      // of these, those that do not depend on how much work there is
+	machineSeconds map[string]float64        // machine seconds of waiting work by type
+	opened         int
 }
 
-func (p *plan) add(o offer, capacity packing.Resources) *packing.Bin {
+func (p *rentalPlan) addBin(o machineOffer, capacity packing.Resources) *packing.Bin {
 	b := packing.NewBin("", capacity)
 	b.Owner = o
-	p.spaces[o.typ].Add(b)
+	p.spaces[o.machineType].Add(b)
 	return b
 }
 
@@ -71,47 +71,47 @@
 // what waits, less what is booting, and no more than the work can keep busy
 // for about as long as a machine takes to start.
 func (c *Scheduler) PlanRentals(now time.Time) []autoscaler.RentalRequest {
-	if !c.rent.ready || len(c.types) == 0 || c.means.Level() > overload.Normal {
+	if !c.autoscaling.listRead || len(c.types) == 0 || c.overload.Level() > overload.Normal {
 		return nil
 	}
-	p := &plan{
-		spaces: map[string]*packing.Space{}, inZone: map[string]int{}, counts: map[offer]int{},
-		urgent: map[offer]int{}, busy: map[string]float64{},
+	p := &rentalPlan{
+		spaces: map[string]*packing.Space{}, machinesInZone: map[string]int{}, newMachines: map[machineOffer]int{},
+		urgentMachines: map[machineOffer]int{}, machineSeconds: map[string]float64{},
 	}
-	for _, n := range c.names {
+	for _, n := range c.typeNames {
 		p.spaces[n] = &packing.Space{OnlyPaper: true}
 	}
 	have := map[string]int{} // machines by type that take work now or soon
 	for _, m := range c.fleet.Sorted() {
-		p.inZone[m.Zone]++
+		p.machinesInZone[m.Zone]++
 		if inService(m) {
 			have[m.Type]++
 		}
 		// While machines are drained, tasks that are to leave them wait for room as well;
 		// what is up and empty is for them, and no reason to rent more.
-		free := c.draining && m.Empty() && c.open(m, now)
+		free := c.drainsActive && m.Empty() && c.acceptsTasks(m, now)
 		if (!m.Up || free) && !m.Returning && !m.LeaseExpired && p.spaces[m.Type] != nil {
-			p.add(offer{m.Type, m.Zone, m.Spot}, c.capacity(m.Type))
+			p.addBin(machineOffer{m.Type, m.Zone, m.Spot}, c.capacity(m.Type))
 		}
 	}
 	// One request at a time for each type, zone and kind: what one is refused, the
 	// next would be refused as well, and the cloud takes few calls.
-	asked := map[offer]bool{}
-	for _, r := range c.rent.inflight {
-		asked[offer{r.Type, r.Zone, r.Spot}] = true
+	asked := map[machineOffer]bool{}
+	for _, r := range c.autoscaling.inflight {
+		asked[machineOffer{r.Type, r.Zone, r.Spot}] = true
 		for range r.Count {
-			p.add(offer{r.Type, r.Zone, r.Spot}, c.capacity(r.Type))
+			p.addBin(machineOffer{r.Type, r.Zone, r.Spot}, c.capacity(r.Type))
 		}
-		p.inZone[r.Zone] += r.Count
+		p.machinesInZone[r.Zone] += r.Count
 		have[r.Type] += r.Count
 	}
 	for _, j := range c.queue(now) {
-		if !j.over && !j.finishing && !now.Before(j.retryAt) {
-			c.plan(p, j, c.wanted(j)+c.displaced(j, now), now)
+		if !j.closed && !j.closing && !now.Before(j.retryAt) {
+			c.planJob(p, j, c.waitingWithinLimit(j)+c.displaced(j, now), now)
 		}
 	}
-	offers := make([]offer, 0, len(p.counts))
-	for o := range p.counts {
+	offers := make([]machineOffer, 0, len(p.newMachines))
+	for o := range p.newMachines {
 		offers = append(offers, o)
 	}
 	sort.Slice(offers, func(a, b int) bool {
@@ -123,25 +123,25 @@
 	running := c.runningWork(now)
 	var reqs []autoscaler.RentalRequest
 	for _, o := range offers {
-		n := p.counts[o]
+		n := p.newMachines[o]
 		// Work that the machines at hand will soon have done needs no others.
-		if work := p.busy[o.typ] + running[o.typ]; work < math.Inf(1) {
-			horizon := max(c.startup(o.typ).Seconds(), 1) * c.horizon(o)
-			most := int(math.Ceil(work/horizon)) - have[o.typ]
-			n = min(n, max(most, p.urgent[o]))
+		if work := p.machineSeconds[o.machineType] + running[o.machineType]; work < math.Inf(1) {
+			horizon := max(c.startupTime(o.machineType).Seconds(), 1) * c.rentalHorizon(o)
+			most := int(math.Ceil(work/horizon)) - have[o.machineType]
+			n = min(n, max(most, p.urgentMachines[o]))
 		}
 		all := 0
 		for _, k := range have {
 			all += k
 		}
-		n = c.means.RentalHeadroom(all, n)
-		have[o.typ] += max(n, 0)
+		n = c.overload.RentalHeadroom(all, n)
+		have[o.machineType] += max(n, 0)
 		if n <= 0 || asked[o] {
 			continue
 		}
 		term, seq := c.NextRequestName()
-		r := autoscaler.RentalRequest{Name: fmt.Sprintf("r-%d-%d", term, seq), Type: o.typ, Zone: o.zone, Spot: o.spot, Count: min(n, autoscaler.MaxRentCount)}
-		c.rent.inflight[r.Name] = r
+		r := autoscaler.RentalRequest{Name: fmt.Sprintf("r-%d-%d", term, seq), Type: o.machineType, Zone: o.zone, Spot: o.spot, Count: min(n, autoscaler.MaxRentCount)}
+		c.autoscaling.inflight[r.Name] = r
 		reqs = append(reqs, r)
 	}
 	return reqs
@@ -149,18 +149,18 @@
 
 // anyPermits says whether a machine at hand, or about to be rented, may take the
 // job's tasks at all.
-func (c *Scheduler) anyPermits(j *Job, counts map[offer]int) bool {
+func (c *Scheduler) anyPermits(j *Job, counts map[machineOffer]int) bool {
 	for _, m := range c.fleet.Sorted() {
-		if inService(m) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.req) {
+		if inService(m) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.request) {
 			return true
 		}
 	}
 	for o := range counts {
-		if j.permits(o.typ, o.zone, o.spot) {
+		if j.permits(o.machineType, o.zone, o.spot) {
 			return true
 		}
 	}
-	for _, r := range c.rent.inflight {
+	for _, r := range c.autoscaling.inflight {
 		if j.permits(r.Type, r.Zone, r.Spot) {
 			return true
 		}
@@ -168,19 +168,19 @@
 	return false
 }
 
-// horizon is how long, in startup times, the machines at hand may take for all
+// rentalHorizon is how long, in startup times, the machines at hand may take for all
 // the work before others are rented. Where cheap machines of the kind exist, the
 // ordinary ones are worth it only for longer work.
-func (c *Scheduler) horizon(o offer) float64 {
-	if t := c.types[o.typ]; !o.spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
-		return horizonDear
+func (c *Scheduler) rentalHorizon(o machineOffer) float64 {
+	if t := c.types[o.machineType]; !o.spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
+		return onDemandHorizon
 	}
-	return horizonCheap
+	return spotHorizon
 }
 
 const (
-	horizonCheap = 1.0
-	horizonDear  = 4.0
+	spotHorizon     = 1.0
+	onDemandHorizon = 4.0
 )
 
 // runningWork is what running tasks still have before them, in machine seconds.
@@ -189,64 +189,64 @@
 	for _, m := range c.fleet.Sorted() {
 		for _, a := range m.Attempts() {
 			if j := c.jobOf(a); j != nil && a.Item != nil && j.Shape == records.ShapeArray {
-				sum[m.Type] += c.remaining(j, a, now) * m.Bin.Cap.Share(a.Item.Req)
+				sum[m.Type] += c.remainingSeconds(j, a, now) * m.Bin.Cap.Share(a.Item.Req)
 			}
 		}
 	}
 	return sum
 }
 
-// plan packs n waiting tasks of a job into machines that are booting, and opens
+// planJob packs n waiting tasks of a job into machines that are booting, and opens
 // new bins for the rest, as many at once as hold nothing but these tasks.
-func (c *Scheduler) plan(p *plan, j *Job, n int, now time.Time) {
-	it := func() *packing.Item { return &packing.Item{ID: j.ID, Req: j.req} }
+func (c *Scheduler) planJob(p *rentalPlan, j *Job, n int, now time.Time) {
+	it := func() *packing.Item { return &packing.Item{ID: j.ID, Req: j.request} }
 	note := func(typ string, n int) {
 		if j.Shape == records.ShapeArray {
-			p.busy[typ] += float64(n) * j.EstimateS * c.capacity(typ).Share(j.req)
+			p.machineSeconds[typ] += float64(n) * j.EstimateS * c.capacity(typ).Share(j.request)
 		} else {
-			p.busy[typ] = math.Inf(1) // gangs and replicas need all their places
+			p.machineSeconds[typ] = math.Inf(1) // gangs and replicas need all their places
 		}
 	}
 	ok := func(b *packing.Bin) bool {
-		o := b.Owner.(offer)
-		return j.permits(o.typ, o.zone, o.spot) && (j.staying == nil || j.zoneOK(o.zone, j.staying))
+		o := b.Owner.(machineOffer)
+		return j.permits(o.machineType, o.zone, o.spot) && (j.remainingZones == nil || j.zoneAllowed(o.zone, j.remainingZones))
 	}
 	// What an empty machine holds of them, worked out once for a type in a row.
 	of, most, takes := "", 0, false
 next:
 	for n > 0 {
-		for _, name := range c.names {
+		for _, name := range c.typeNames {
 			if b, _, _ := p.spaces[name].Insert(it(), ok); b != nil {
 				note(name, 1)
 				n--
 				continue next
 			}
 		}
-		o, found := c.offerFor(p, j, now)
+		o, found := c.chooseOffer(p, j, now)
 		if !found {
 			return
 		}
-		if p.opened >= mostNew {
-			note(o.typ, n) // more than one plan rents, but work all the same
+		if p.opened >= maxNewMachines {
+			note(o.machineType, n) // more than one plan rents, but work all the same
 			return
 		}
 		// Guards against a job that waits for ever because the machines at hand count as
 		// enough, while none of them may or can take it.
-		wait := time.Duration(float64(c.startup(o.typ)) * horizonDear)
-		if j.terms.Rank <= 1 || j.guaranteed || now.Sub(j.base) > wait || !c.anyPermits(j, p.counts) {
-			p.urgent[o]++
+		wait := time.Duration(float64(c.startupTime(o.machineType)) * onDemandHorizon)
+		if j.urgency.Rank <= 1 || j.guaranteed || now.Sub(j.releasedAt) > wait || !c.anyPermits(j, p.newMachines) {
+			p.urgentMachines[o]++
 		}
-		p.counts[o]++
-		p.inZone[o.zone]++
+		p.newMachines[o]++
+		p.machinesInZone[o.zone]++
 		p.opened++
-		if o.typ != of {
-			of = o.typ
-			most, takes = alone(c.capacity(of), j.req)
+		if o.machineType != of {
+			of = o.machineType
+			most, takes = itemsPerEmptyBin(c.capacity(of), j.request)
 		}
 		k := min(n, most)
-		note(o.typ, k)
+		note(o.machineType, k)
 		if n -= k; k < most || takes {
-			b := p.add(o, c.capacity(o.typ)) // it has room for others
+			b := p.addBin(o, c.capacity(o.machineType)) // it has room for others
 			for range k {
 				b.Add(it())
 			}
@@ -254,14 +254,14 @@
 	}
 }
 
-// alone tells how many items of a size a bin holds by the paper's combinations,
+// itemsPerEmptyBin tells how many items of a size a bin holds by the paper's combinations,
 // and whether others may join them.
-func alone(capacity, req packing.Resources) (n int, takes bool) {
+func itemsPerEmptyBin(capacity, req packing.Resources) (n int, takes bool) {
 	b := packing.NewBin("", capacity)
 	s := &packing.Space{OnlyPaper: true}
 	s.Add(b)
 	// What takes next to nothing never fills a machine: mostAlone will do.
-	for n < mostAlone {
+	for n < maxItemsPerEmptyBin {
 		if in, _, _ := s.Insert(&packing.Item{Req: req}, nil); in == nil {
 			break
 		}
@@ -270,19 +270,19 @@
 	return max(n, 1), b.AllowsJoin()
 }
 
-// mostAlone bounds for how many tasks it is tried whether an empty machine holds them. It does
+// maxItemsPerEmptyBin bounds for how many tasks it is tried whether an empty machine holds them. It does
 // not bound machines or tasks: a machine that holds more has room left (takes), and the others
 // are packed into it one by one.
-const mostAlone = 100
+const maxItemsPerEmptyBin = 100
 
-// offerFor picks what to rent for a task: cheap machines where the job permits,
+// chooseOffer picks what to rent for a task: cheap machines where the job permits,
 // by price for its share, in the zone that has the fewest, a dark one last.
-func (c *Scheduler) offerFor(p *plan, j *Job, now time.Time) (offer, bool) {
-	var best offer
+func (c *Scheduler) chooseOffer(p *rentalPlan, j *Job, now time.Time) (machineOffer, bool) {
+	var best machineOffer
 	bestCost, bestCount, bestDark, found := 0.0, 0, false, false
-	for _, name := range c.names {
+	for _, name := range c.typeNames {
 		t := c.types[name]
-		if !c.capacity(name).Fits(j.req) {
+		if !c.capacity(name).Fits(j.request) {
 			continue
 		}
 		for _, spot := range []bool{true, false} {
@@ -292,16 +292,16 @@
 					continue
 				}
 			}
-			cost := price * c.capacity(name).Share(j.req)
+			cost := price * c.capacity(name).Share(j.request)
 			for _, z := range t.Zones {
-				o := offer{name, z, spot}
-				if !j.permits(name, z, spot) || now.Before(c.rent.refused[o]) || c.barred(name, z) || j.staying != nil && !j.zoneOK(z, j.staying) {
+				o := machineOffer{name, z, spot}
+				if !j.permits(name, z, spot) || now.Before(c.autoscaling.refusedUntil[o]) || c.barredByDrain(name, z) || j.remainingZones != nil && !j.zoneAllowed(z, j.remainingZones) {
 					continue
 				}
 				// What is rented in a dark zone is of use only when that is back.
-				dark := c.cuts.Suspected(z)
-				if !found || bestDark && !dark || bestDark == dark && (cost < bestCost || cost == bestCost && p.inZone[z] < bestCount) {
-					best, bestCost, bestCount, bestDark, found = o, cost, p.inZone[z], dark, true
+				dark := c.zoneHealth.Suspected(z)
+				if !found || bestDark && !dark || bestDark == dark && (cost < bestCost || cost == bestCost && p.machinesInZone[z] < bestCount) {
+					best, bestCost, bestCount, bestDark, found = o, cost, p.machinesInZone[z], dark, true
 				}
 			}
 		}
@@ -311,9 +311,9 @@
 
 // MachinesRented takes in the machines that a request brought.
 func (c *Scheduler) MachinesRented(r autoscaler.RentalRequest, hosts []string, now time.Time) {
-	delete(c.rent.inflight, r.Name)
+	delete(c.autoscaling.inflight, r.Name)
 	for _, h := range hosts {
-		if _, gone := c.rent.returned[h]; gone || h == "" {
+		if _, gone := c.autoscaling.returnedAt[h]; gone || h == "" {
 			continue
 		}
 		m := c.fleet.GetOrCreate(h, "", r.Type, r.Zone, r.Spot)
@@ -321,26 +321,26 @@
 		if m.Rented.IsZero() {
 			m.Rented = now
 		}
-		c.fit(m)
+		c.assignBin(m)
 	}
 	if len(hosts) < r.Count {
-		c.refuse(r, now)
+		c.backOffOffer(r, now)
 	}
 	slog.Info("rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(hosts), "term", c.term)
 }
 
 // RentalRefused notes that a request brought nothing.
 func (c *Scheduler) RentalRefused(r autoscaler.RentalRequest, noCapacity bool, now time.Time) {
-	delete(c.rent.inflight, r.Name)
+	delete(c.autoscaling.inflight, r.Name)
 	if noCapacity {
-		c.refuse(r, now)
+		c.backOffOffer(r, now)
 		slog.Info("no capacity", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "term", c.term)
 	}
 }
 
-func (c *Scheduler) refuse(r autoscaler.RentalRequest, now time.Time) {
-	pause := time.Duration(float64(c.startup(r.Type)) * c.set.RefusedStartups)
-	c.rent.refused[offer{r.Type, r.Zone, r.Spot}] = now.Add(pause)
+func (c *Scheduler) backOffOffer(r autoscaler.RentalRequest, now time.Time) {
+	pause := time.Duration(float64(c.startupTime(r.Type)) * c.settings.RefusedStartups)
+	c.autoscaling.refusedUntil[machineOffer{r.Type, r.Zone, r.Spot}] = now.Add(pause)
 }
 
 // MachinesToReturn tells which machines to give back now, and sends them nothing more.
@@ -350,10 +350,10 @@
 	for _, m := range c.fleet.Sorted() {
 		if m.Up {
 			up++
-			if now.Sub(m.LastStatus) > 3*c.set.HeartbeatInterval {
+			if now.Sub(m.LastStatus) > 3*c.settings.HeartbeatInterval {
 				silent++
 			}
-			if c.quiet(m, now) {
+			if c.isQuiet(m, now) {
 				quiet++
 			}
 			if m.Unreachable() {
@@ -361,28 +361,28 @@
 			}
 		}
 	}
-	c.watchZones(now)
-	deafMachines.Set(float64(deaf))
+	c.observeZones(now)
+	unreachableMachines.Set(float64(deaf))
 	// Where many hear nothing it is more likely we who answer too late.
-	c.manyDeaf = float64(deaf) > max(someShare*float64(up), 2)
+	c.manyUnreachable = float64(deaf) > max(manySilentShare*float64(up), 2)
 	c.mostSilent = silent > 2 && 2*silent > up
 	// Guards against many that fell silent at once and are given back a few at a time, each
 	// being one of few that have been silent for long, or one of the last to come back.
-	if float64(quiet) > someShare*float64(up) || c.cuts.AnySuspected() {
-		c.manySilent = now
+	if float64(quiet) > manySilentShare*float64(up) || c.zoneHealth.AnySuspected() {
+		c.manySilentAt = now
 	}
 	inherited, unheard := c.fleet.CountInherited()
 	// Guards against the last of a zone that comes back: they are few then, and just about
 	// to be heard.
-	if float64(unheard) > fewShare*float64(inherited) {
-		c.manyUnheard = now
+	if float64(unheard) > fewUnreconciledShare*float64(inherited) {
+		c.manyUnreconciledAt = now
 	}
 	for _, m := range c.fleet.Sorted() {
 		if m.Returning && len(hosts) < autoscaler.MaxReturnNames {
 			hosts = append(hosts, m.Host) // an earlier try had no answer
 			continue
 		}
-		if len(hosts) < autoscaler.MaxReturnNames && c.giveBack(m, now) {
+		if len(hosts) < autoscaler.MaxReturnNames && c.shouldReturn(m, now) {
 			m.Returning = true
 			m.Bin.SetOpen(false)
 			hosts = append(hosts, m.Host)
@@ -393,80 +393,80 @@
 }
 
 const (
-	// fewShare is the share of machines on record whose work is worth less than the
+	// fewUnreconciledShare is the share of machines on record whose work is worth less than the
 	// wait of all others, and fewReports how many report intervals all are given to
 	// find the new leader: they try the old one for up to two.
-	fewShare   = 1.0 / 20
-	fewReports = 2
+	fewUnreconciledShare     = 1.0 / 20
+	fewUnreconciledIntervals = 2
 )
 
-// someShare is the share of machines that may be silent for each to be taken for dead.
-const someShare = 1.0 / 4
+// manySilentShare is the share of machines that may be silent for each to be taken for dead.
+const manySilentShare = 1.0 / 4
 
-// deaf says whether a machine is known that does not hear.
-func (c *Scheduler) deaf(host string) bool {
+// isUnreachable says whether a machine is known that does not hear.
+func (c *Scheduler) isUnreachable(host string) bool {
 	m := c.fleet.Machines[host]
 	return m != nil && m.Unreachable()
 }
 
-// silence is how long a machine may be silent before it is given back without waiting
+// silenceLimit is how long a machine may be silent before it is given back without waiting
 // for the end of its lease: its return proves that its tasks are gone, and they start
 // elsewhere that much sooner. One that the cloud was about to take has most likely been
 // taken; any other has most likely died, unless many are silent, behind a cut or
 // because we stood still.
-func (c *Scheduler) silence(m *fleet.Machine, now time.Time) time.Duration {
+func (c *Scheduler) silenceLimit(m *fleet.Machine, now time.Time) time.Duration {
 	if !m.PreemptionAt.IsZero() && now.After(m.PreemptionAt) {
-		return c.set.HeartbeatInterval * 3 / 2
+		return c.settings.HeartbeatInterval * 3 / 2
 	}
-	d := max(c.set.Lease/2, 2*c.set.HeartbeatInterval)
-	if now.Sub(c.manySilent) > d {
+	d := max(c.settings.Lease/2, 2*c.settings.HeartbeatInterval)
+	if now.Sub(c.manySilentAt) > d {
 		return d
 	}
 	return math.MaxInt64
 }
 
-func (c *Scheduler) giveBack(m *fleet.Machine, now time.Time) bool {
-	startup := max(c.startup(m.Type), c.set.HeartbeatInterval)
+func (c *Scheduler) shouldReturn(m *fleet.Machine, now time.Time) bool {
+	startup := max(c.startupTime(m.Type), c.settings.HeartbeatInterval)
 	switch {
-	case c.awaits(m, now):
+	case c.awaitedByOperator(m, now):
 		return false
-	case m.LeaseExpired && !m.Failed && c.cuts.KeepWaiting(m.Zone, now.Sub(m.LastHeard()), startup, c.elsewhere(m, now), now):
+	case m.LeaseExpired && !m.Failed && c.zoneHealth.KeepWaiting(m.Zone, now.Sub(m.LastHeard()), startup, c.replaceableElsewhere(m, now), now):
 		return false
-	case !m.Up && !m.Inherited && c.cuts.Suspected(m.Zone):
+	case !m.Up && !m.Inherited && c.zoneHealth.Suspected(m.Zone):
 		return false // it may well be up
 	case m.LeaseExpired:
 		// Its tasks are gone. Where most machines are silent, the trouble is more
 		// likely ours than theirs, and they may yet be heard of.
-		return !c.mostSilent || now.Sub(m.LastHeard()) > 4*c.set.Lease
+		return !c.mostSilent || now.Sub(m.LastHeard()) > 4*c.settings.Lease
 	case m.AwaitsReconciliation():
 		// Unheard of since the takeover. Time alone does not settle it, as an
 		// older leader may be renewing its lease; its return does. All work of before
 		// stands still until then: the last few that neither report nor answer are not
 		// waited for as long as their work would be worth it alone.
 		silent := now.Sub(m.SilentSince)
-		return silent > c.set.Lease || silent > fewReports*c.set.HeartbeatInterval && now.Sub(c.manyUnheard) > c.set.HeartbeatInterval
-	case m.Up && now.Sub(m.LastStatus) > c.silence(m, now):
+		return silent > c.settings.Lease || silent > fewUnreconciledIntervals*c.settings.HeartbeatInterval && now.Sub(c.manyUnreconciledAt) > c.settings.HeartbeatInterval
+	case m.Up && now.Sub(m.LastStatus) > c.silenceLimit(m, now):
 		return true
-	case m.Up && !m.Reconciled && now.Sub(m.LastStatus) > c.set.Lease:
+	case m.Up && !m.Reconciled && now.Sub(m.LastStatus) > c.settings.Lease:
 		// Brought up by a late copy of a report, maybe: nothing else would end that.
 		return true
-	case m.UnreachableFor(now) > c.set.Lease:
+	case m.UnreachableFor(now) > c.settings.Lease:
 		// What it had is gone with its lease, or goes with its return.
-		return !c.manyDeaf || m.UnreachableFor(now) > 4*c.set.Lease
-	case m.UnansweredProbesFor(now) > c.set.Lease:
+		return !c.manyUnreachable || m.UnreachableFor(now) > 4*c.settings.Lease
+	case m.UnansweredProbesFor(now) > c.settings.Lease:
 		return true // no answer, and what it has is not known: its return is proof
 	case !m.Up:
-		return !m.Rented.IsZero() && now.Sub(m.Rented) > 3*startup+c.set.HeartbeatInterval
+		return !m.Rented.IsZero() && now.Sub(m.Rented) > 3*startup+c.settings.HeartbeatInterval
 	case !m.Empty():
 		return false
 	case m.Cordon != nil:
-		return m.Reconciled && c.givesBack(m)
+		return m.Reconciled && c.returnsWhenEmpty(m)
 	case m.Faulty, m.Draining:
 		return true
-	case !c.settled, m.Bin.Reserved() != packing.Resources{}:
+	case !c.reconciled, m.Bin.Reserved() != packing.Resources{}:
 		return false
 	}
-	hold := time.Duration(float64(startup) * c.set.IdleStartups)
+	hold := time.Duration(float64(startup) * c.settings.IdleStartups)
 	if !m.Spot {
 		// The dearer a machine, the shorter it waits for work.
 		if t := c.types[m.Type]; t.SpotPrice > 0 && t.SpotPrice < t.Price {
@@ -476,7 +476,7 @@
 	if !m.Rented.IsZero() && now.Sub(m.Rented) < autoscaler.MinCharge {
 		return false // it is paid for
 	}
-	if m.Spot && c.scarceLately(m.Type, now) {
+	if m.Spot && c.shortageLately(m.Type, now) {
 		return false // what comes next for it would take an ordinary one
 	}
 	return !m.EmptySince.IsZero() && now.Sub(m.EmptySince) > hold
@@ -485,19 +485,19 @@
 // MachinesReturned forgets machines that the cloud has taken back.
 func (c *Scheduler) MachinesReturned(hosts []string, now time.Time) {
 	for _, h := range hosts {
-		c.rent.returned[h] = now
+		c.autoscaling.returnedAt[h] = now
 		c.RemoveMachine(h, now)
 	}
 }
 
 // ReconcileCloudList takes in the cloud's list, asked for at the time given.
 func (c *Scheduler) ReconcileCloudList(list []autoscaler.CloudMachine, asked, now time.Time) {
-	c.rent.ready = true
+	c.autoscaling.listRead = true
 	here := map[string]bool{}
 	for _, l := range list {
 		here[l.Machine] = true
-		c.rent.listed[l.Machine] = now
-		if _, gone := c.rent.returned[l.Machine]; gone {
+		c.autoscaling.lastListed[l.Machine] = now
+		if _, gone := c.autoscaling.returnedAt[l.Machine]; gone {
 			continue
 		}
 		m := c.fleet.Machines[l.Machine]
@@ -508,11 +508,11 @@
 				for _, a := range slices.Clone(m.Attempts()) {
 					m.Forget(a)
 					if a.State() != fleet.Ended {
-						c.gone(a, now)
+						c.attemptLost(a, now)
 					}
 				}
 				m.LeaseExpired, m.Reconciled, m.Failed = true, true, true
-				if !c.settled {
+				if !c.reconciled {
 					c.CheckReconciled(now)
 				}
 			}
@@ -525,15 +525,15 @@
 		if m == nil {
 			m = c.fleet.GetOrCreate(l.Machine, l.Addr, l.Type, l.Zone, l.Spot)
 			slog.Info("unexpected machine", "machine", l.Machine, "status", l.Status, "term", c.term)
-			c.fit(m)
+			c.assignBin(m)
 		}
 		if m.Addr == "" {
 			m.Addr = l.Addr
 		}
 		// Until then the list may have one that an earlier leader gave back.
-		if asked.Sub(c.began) <= 2*c.set.ListLag && !m.Up && !m.Inherited && m.Rented.IsZero() {
+		if asked.Sub(c.termStart) <= 2*c.settings.ListLag && !m.Up && !m.Inherited && m.Rented.IsZero() {
 			m.Unverified = true
-		} else if asked.Sub(c.began) > 2*c.set.ListLag {
+		} else if asked.Sub(c.termStart) > 2*c.settings.ListLag {
 			m.Unverified = false
 		}
 		if m.Rented.IsZero() {
@@ -543,17 +543,17 @@
 	// A list tells how things were up to twice the lag before it was asked for. A
 	// machine that was there before that time, and is missing, is gone.
 	for _, m := range c.fleet.Sorted() {
-		if last, ok := c.rent.listed[m.Host]; ok && !here[m.Host] && asked.Sub(last) > c.set.ListLag*5/2+c.set.HeartbeatInterval/4 {
+		if last, ok := c.autoscaling.lastListed[m.Host]; ok && !here[m.Host] && asked.Sub(last) > c.settings.ListLag*5/2+c.settings.HeartbeatInterval/4 {
 			slog.Info("machine gone", "machine", m.Host, "term", c.term)
-			c.rent.returned[m.Host] = now
+			c.autoscaling.returnedAt[m.Host] = now
 			c.RemoveMachine(m.Host, now)
 		}
 	}
-	for h, t := range c.rent.returned {
+	for h, t := range c.autoscaling.returnedAt {
 		// Names rise and are not used again, but reports that name them come late.
-		if now.Sub(t) > max(20*(c.set.ListLag+c.set.HeartbeatInterval), fleet.LateCopyLeases*c.set.Lease) && !here[h] {
-			delete(c.rent.returned, h)
-			delete(c.rent.listed, h)
+		if now.Sub(t) > max(20*(c.settings.ListLag+c.settings.HeartbeatInterval), fleet.LateCopyLeases*c.settings.Lease) && !here[h] {
+			delete(c.autoscaling.returnedAt, h)
+			delete(c.autoscaling.lastListed, h)
 		}
 	}
 }
--- a/internal/scheduler/rounds.go
+++ b/internal/scheduler/rounds.go
@@ -16,44 +16,44 @@
 	if !canRun {
 		return
 	}
-	c.tellServed(now)
+	c.reportSLO(now)
 	for _, m := range c.fleet.Sorted() {
 		if m.Draining || m.Returning || m.LeaseExpired || m.Unreachable() {
-			c.unplan(m)
+			c.cancelPlanned(m)
 			continue
 		}
 		// A machine that went quiet keeps what it runs, but nothing is planned for it.
-		if now.Sub(m.LastStatus) > 3*c.set.HeartbeatInterval {
-			c.unplan(m)
+		if now.Sub(m.LastStatus) > 3*c.settings.HeartbeatInterval {
+			c.cancelPlanned(m)
 		}
 	}
 	for _, j := range c.jobs {
 		if !j.retryAt.IsZero() && !now.Before(j.retryAt) {
 			j.retryAt = time.Time{}
-			c.dirty = true
+			c.placementStale = true
 		}
 	}
-	if len(c.drains) > 0 && now.Sub(c.lastDrain) >= c.set.HeartbeatInterval {
-		c.drain(now)
+	if len(c.drains) > 0 && now.Sub(c.lastDrainPass) >= c.settings.HeartbeatInterval {
+		c.runDrains(now)
 	}
-	if now.Sub(c.lastRound) >= c.set.RoundInterval && c.means.Level() < overload.Overloaded {
-		c.round(now)
+	if now.Sub(c.lastRebalance) >= c.settings.RoundInterval && c.overload.Level() < overload.Overloaded {
+		c.rebalance(now)
 	}
-	if c.dirty {
-		c.place(now)
+	if c.placementStale {
+		c.placeWaiting(now)
 	}
-	if c.means.Level() == overload.Normal {
+	if c.overload.Level() == overload.Normal {
 		c.preempt(now)
-		c.keep(now)
+		c.holdMachines(now)
 	}
-	c.ahead(now)
+	c.raiseWatermarksAhead(now)
 }
 
 // ObserveTick takes in that a tick came gap after it was asked for; what waited for longer than
 // that tick counts instead, since a timer that is due goes before all else. What is left out then: starts
 // and plans, in this order; leases, exits and cancellations never.
 func (c *Scheduler) ObserveTick(gap time.Duration, now time.Time) {
-	if !c.set.LoadShedding {
+	if !c.settings.LoadShedding {
 		return
 	}
 	up := 0
@@ -62,36 +62,36 @@
 			up++
 		}
 	}
-	gap, c.late = max(gap, c.set.HeartbeatInterval/TicksPerHeartbeat+c.late), 0
-	if c.means.Observe(gap, up, now) {
-		slog.Info("how the leader keeps up", "level", c.means.Level().String(), "late", c.means.Lag().Round(time.Millisecond), "machines", up, "term", c.term)
+	gap, c.delay = max(gap, c.settings.HeartbeatInterval/TicksPerHeartbeat+c.delay), 0
+	if c.overload.Observe(gap, up, now) {
+		slog.Info("how the leader keeps up", "level", c.overload.Level().String(), "late", c.overload.Lag().Round(time.Millisecond), "machines", up, "term", c.term)
 	}
-	lateSeconds.Set(c.means.Lag().Seconds())
+	lagSeconds.Set(c.overload.Lag().Seconds())
 }
 
-// putOff says whether a start waits until the leader keeps up again.
-func (c *Scheduler) putOff(j *Job) bool {
-	switch c.means.Level() {
+// shedsStart says whether a start waits until the leader keeps up again.
+func (c *Scheduler) shedsStart(j *Job) bool {
+	switch c.overload.Level() {
 	case overload.Overloaded:
 		return true
 	case overload.Degraded:
-		return prioRank[j.Priority] > prioRank[records.PriorityUrgent] && !j.guaranteed
+		return priorityRank[j.Priority] > priorityRank[records.PriorityUrgent] && !j.guaranteed
 	}
 	return false
 }
 
-// round observes use, and runs the paper's change on bins that are hot or gape.
-func (c *Scheduler) round(now time.Time) {
-	c.lastRound = now
-	c.resort = true
-	c.reopen(now)
+// rebalance observes use, and runs the paper's change on bins that are hot or gape.
+func (c *Scheduler) rebalance(now time.Time) {
+	c.lastRebalance = now
+	c.queueStale = true
+	c.refreshAccepting(now)
 	for _, m := range c.fleet.Sorted() {
 		reserved := m.Bin.Cap.Share(m.Bin.Used())
 		m.Bin.Load = m.Forecast.Predicted(reserved)
 	}
 	for _, m := range c.fleet.Sorted() {
 		s := c.spaces[m.Type]
-		if s == nil || !c.settled {
+		if s == nil || !c.reconciled {
 			continue
 		}
 		if m.Bin.Hot() {
@@ -103,8 +103,8 @@
 				old = max(old, k)
 			}
 			moves := s.Change(m.Bin, old, packing.Tiny, nil)
-			putBack(moves)
-			c.carryOut(moves, now)
+			undoMoves(moves)
+			c.executeMoves(moves, now)
 		}
 		m.Changed = m.Changed[:0]
 	}
@@ -129,10 +129,10 @@
 		if j.Shape != records.ShapeService {
 			continue
 		}
-		j.leaving = 0
+		j.relocating = 0
 		running := 0
 		var leave *fleet.Attempt
-		for _, a := range j.held {
+		for _, a := range j.attempts {
 			if a.Stopping() {
 				leave = nil
 				running = 0
@@ -140,7 +140,7 @@
 			}
 			if a.State() == fleet.Running {
 				running++
-				if (a.Machine.Draining || c.empties(a.Machine)) && (leave == nil || a.Task.N < leave.Task.N) {
+				if (a.Machine.Draining || c.isEmptying(a.Machine)) && (leave == nil || a.Task.N < leave.Task.N) {
 					leave = a
 				}
 			}
@@ -150,26 +150,26 @@
 		}
 		// Guards against a replica that is stopped for a machine's sake and then waits
 		// for room while its machine could have gone on with it.
-		if to := c.roomFor(j, leave, now); to != nil {
-			c.own(j, to, now)
-			c.stop(leave, whyMoved, j.SaveS, now)
+		if to := c.roomForReplica(j, leave, now); to != nil {
+			c.addClaim(j, to, now)
+			c.stop(leave, stopMoved, j.SaveS, now)
 		} else {
-			j.leaving = 1
+			j.relocating = 1
 		}
 	}
 }
 
-// roomFor finds a machine with room for a replica that leaves another one, where
+// roomForReplica finds a machine with room for a replica that leaves another one, where
 // fewest of its job are.
-func (c *Scheduler) roomFor(j *Job, leave *fleet.Attempt, now time.Time) *fleet.Machine {
-	zones := c.zones(j, true)
+func (c *Scheduler) roomForReplica(j *Job, leave *fleet.Attempt, now time.Time) *fleet.Machine {
+	zones := c.tasksByZone(j, true)
 	if zones[leave.Machine.Zone]--; zones[leave.Machine.Zone] == 0 {
 		delete(zones, leave.Machine.Zone)
 	}
 	var best *fleet.Machine
 	for _, m := range c.fleet.Sorted() {
-		if c.open(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Fits(j.req) && j.zoneOK(m.Zone, zones) &&
-			!spared(m, j) && (best == nil || zones[m.Zone] < zones[best.Zone]) {
+		if c.acceptsTasks(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Fits(j.request) && j.zoneAllowed(m.Zone, zones) &&
+			!isHeldForEarlier(m, j) && (best == nil || zones[m.Zone] < zones[best.Zone]) {
 			best = m
 		}
 	}
--- a/internal/scheduler/served.go
+++ b/internal/scheduler/served.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// servedLooks is how often, in the bound on a job's begin, it is looked at who is served.
-	servedLooks = 4
-	// servedWarn is the share served in time below which, and the share of the bound waited
+	// sloReportsPerBound is how often, in the bound on a job's begin, it is looked at who is served.
+	sloReportsPerBound = 4
+	// sloWarnShare is the share served in time below which, and the share of the bound waited
 	// beyond which, that is a warning: before a half, and the bound, are missed.
-	servedWarn, waitWarn = 0.6, 0.75
+	sloWarnShare, waitWarn = 0.6, 0.75
 )
 
-// tellServed tells, now and then, who is served: one line for each class, team and class's
+// reportSLO tells, now and then, who is served: one line for each class, team and class's
 // largest, and a warning where less than half of them may end up without.
-func (c *Scheduler) tellServed(now time.Time) {
-	if now.Sub(c.toldServed) < c.set.BeginWithin/servedLooks {
+func (c *Scheduler) reportSLO(now time.Time) {
+	if now.Sub(c.lastSLOReport) < c.settings.BeginWithin/sloReportsPerBound {
 		return
 	}
-	c.toldServed = now
-	for _, l := range c.served.Summarize(c.set.BeginWithin, now) {
+	c.lastSLOReport = now
+	for _, l := range c.slo.Summarize(c.settings.BeginWithin, now) {
 		for what, n := range map[string]int{"came": l.Arrived, "begun": l.Begun, "done": l.Done, "late": l.Late} {
 			// Guards against metrics without end: users make classes up, settings do not.
-			if l.Dimension != slo.ByTeam && !c.aimed(l.Name) {
+			if l.Dimension != slo.ByTeam && !c.hasObjective(l.Name) {
 				break
 			}
 			metrics.GetOrCreateGauge(`drumpick_served_jobs{by="`+l.Dimension+`",name="`+label(l.Name)+`",what="`+what+`"}`, nil).Set(float64(n))
 		}
 		level := slog.LevelInfo
-		if l.ShareInTime() < servedWarn || l.Waiting != "" && float64(l.LongestWait) > waitWarn*float64(c.set.BeginWithin) {
+		if l.ShareInTime() < sloWarnShare || l.Waiting != "" && float64(l.LongestWait) > waitWarn*float64(c.settings.BeginWithin) {
 			level = slog.LevelWarn
 		}
 		slog.Log(context.Background(), level, "served", "by", l.Dimension, "name", l.Name, "came", l.Arrived, "begun", l.Begun, "done", l.Done, "late", l.Late,
@@ -44,9 +44,9 @@
 	}
 }
 
-// aimed says whether an objective speaks of a class.
-func (c *Scheduler) aimed(class string) bool {
-	return slices.ContainsFunc(c.set.Objectives, func(o config.Objective) bool { return o.Class == class })
+// hasObjective says whether an objective speaks of a class.
+func (c *Scheduler) hasObjective(class string) bool {
+	return slices.ContainsFunc(c.settings.Objectives, func(o config.Objective) bool { return o.Class == class })
 }
 
 // label keeps what users make up from breaking the metrics' names.
--- a/internal/scheduler/trace_test.go
+++ b/internal/scheduler/trace_test.go
@@ -165,23 +165,23 @@
 		return nil
 	case "marks-stored", "marks-to-store":
 		var out []string
-		for j := range c.marks.raised {
-			out = append(out, fmt.Sprintf("%s: none sent from %d on", j.ID, j.mark.Requested))
+		for j := range c.watermarks.raised {
+			out = append(out, fmt.Sprintf("%s: none sent from %d on", j.ID, j.watermark.Requested))
 			if what == "marks-stored" {
-				j.mark.NoteStored(j.mark.Requested)
-				delete(c.marks.raised, j)
+				j.watermark.NoteStored(j.watermark.Requested)
+				delete(c.watermarks.raised, j)
 			}
 		}
 		sort.Strings(out)
 		return or2(out, "no marks to store")
 	case "loose":
-		c.marks.loose = true
+		c.watermarks.relaxed = true
 		return nil
 	case "lapse":
-		return []string{fmt.Sprintf("unheard machines: %d, settled: %v", c.ExpireEarlierLeases(s.now), c.settled)}
+		return []string{fmt.Sprintf("unheard machines: %d, settled: %v", c.ExpireEarlierLeases(s.now), c.reconciled)}
 	case "settle":
 		c.CheckReconciled(s.now)
-		return []string{fmt.Sprintf("settled: %v", c.settled)}
+		return []string{fmt.Sprintf("settled: %v", c.reconciled)}
 	case "recorded":
 		for _, h := range rest {
 			c.fleet.Machines[h].Recorded = true
@@ -211,15 +211,15 @@
 	case "worth":
 		var out []string
 		for _, j := range c.queue(s.now) {
-			line := fmt.Sprintf("%s rank %d, counts from %g", j.ID, j.rank, j.base.Sub(s.start).Seconds())
+			line := fmt.Sprintf("%s rank %d, counts from %g", j.ID, j.rank, j.releasedAt.Sub(s.start).Seconds())
 			for _, t := range j.targets {
-				line += fmt.Sprintf(", due at %g", j.base.Sub(s.start).Seconds()+t)
+				line += fmt.Sprintf(", due at %g", j.releasedAt.Sub(s.start).Seconds()+t)
 			}
 			out = append(out, line)
 		}
 		return or2(out, "nothing to start")
 	case "doomed":
-		return or2(c.chain.ToCancel(), "none to cancel")
+		return or2(c.dependencies.ToCancel(), "none to cancel")
 	case "questions":
 		s.asked = map[string]fleet.Probe{}
 		var out []string
@@ -370,7 +370,7 @@
 	}
 	r.Via = a["via"]
 	// A machine is rented before it is heard, unless the story says that nobody knows of it.
-	if _, gone := s.core.rent.returned[host]; !gone && a["stranger"] == "" && what == "report" {
+	if _, gone := s.core.autoscaling.returnedAt[host]; !gone && a["stranger"] == "" && what == "report" {
 		s.core.fleet.GetOrCreate(host, "", r.Type, r.Zone, r.Spot)
 	}
 	if what == "answer" {
@@ -416,7 +416,7 @@
 
 func (s *story) kicked() []string {
 	var out, hosts []string
-	for h := range s.core.kick {
+	for h := range s.core.urgentMachines {
 		hosts = append(hosts, h)
 	}
 	sort.Strings(hosts)
@@ -426,7 +426,7 @@
 				out = append(out, "at once to "+h+": "+o)
 			}
 		}
-		delete(s.core.kick, h)
+		delete(s.core.urgentMachines, h)
 	}
 	return out
 }
--- a/internal/scheduler/turns.go
+++ b/internal/scheduler/turns.go
@@ -9,21 +9,21 @@
 	"drumpick/internal/records"
 )
 
-// turn is a job's place in the order of placing: on machines that have its image,
+// placingTurn is a job's place in the order of placing: on machines that have its image,
 // or on any.
-type turn struct {
-	j     *Job
+type placingTurn struct {
+	job   *Job
 	at    time.Time
 	ready bool
 }
 
-// likeness is the number that the turn shares with those that find no room where it finds none;
+// placementClass is the number that the turn shares with those that find no room where it finds none;
 // 0: there are none.
-func (t turn) likeness() int {
+func (t placingTurn) placementClass() int {
 	if t.ready {
-		return t.j.twins
+		return t.job.imageClass
 	}
-	return t.j.alike
+	return t.job.placementClass
 }
 
 // positions is a set of places in the order of placing.
@@ -55,17 +55,17 @@
 // between it is kept which of them have tasks to start, so that a placing passes over the others
 // without a look at each.
 type placingOrder struct {
-	turns  []turn
-	awake  positions               // of jobs that may have tasks to start
-	groups map[turnGroup]positions // of turns that are hopeless once an earlier one of them is
-	mine   map[*Job][]int          // where a job's turns are
+	turns   []placingTurn
+	active  positions               // of jobs that may have tasks to start
+	groups  map[turnGroup]positions // of turns that are hopeless once an earlier one of them is
+	turnsOf map[*Job][]int          // where a job's turns are
 }
 
 // turnGroup are turns that follow each other in the order of placing as they do in that of their
 // jobs, and share their likeness.
 type turnGroup struct {
-	twins int
-	ready bool
+	imageClass int
+	ready      bool
 }
 
 // newPlacingOrder orders the jobs for placing. Where its image has to be fetched first, a
@@ -73,29 +73,29 @@
 // for that time, while a job that came that much later can use it at once. Images
 // can take as long as the tasks, and each machine fetches each for itself.
 func newPlacingOrder(jobs []*Job, fetchTime func(*Job) time.Duration) *placingOrder {
-	o := &placingOrder{groups: map[turnGroup]positions{}, mine: make(map[*Job][]int, len(jobs))}
+	o := &placingOrder{groups: map[turnGroup]positions{}, turnsOf: make(map[*Job][]int, len(jobs))}
 	for _, j := range jobs {
 		fetch := 2 * fetchTime(j)
 		if fetch > 0 && j.Shape != records.ShapeGang {
-			o.turns = append(o.turns, turn{j, j.turn, true})
+			o.turns = append(o.turns, placingTurn{j, j.turnAt, true})
 		}
-		o.turns = append(o.turns, turn{j, j.turn.Add(fetch), false})
+		o.turns = append(o.turns, placingTurn{j, j.turnAt.Add(fetch), false})
 	}
 	sort.SliceStable(o.turns, func(a, b int) bool {
 		x, y := o.turns[a], o.turns[b]
-		if d := precedence(x.j, y.j); d != 0 {
+		if d := precedence(x.job, y.job); d != 0 {
 			return d < 0
 		}
 		return x.at.Before(y.at)
 	})
-	o.awake = newPositions(len(o.turns))
+	o.active = newPositions(len(o.turns))
 	for i, t := range o.turns {
-		o.awake.put(i)
-		o.mine[t.j] = append(o.mine[t.j], i)
-		if t.j.alike == 0 {
+		o.active.put(i)
+		o.turnsOf[t.job] = append(o.turnsOf[t.job], i)
+		if t.job.placementClass == 0 {
 			continue
 		}
-		group := turnGroup{t.j.twins, t.ready}
+		group := turnGroup{t.job.imageClass, t.ready}
 		if o.groups[group] == nil {
 			o.groups[group] = newPositions(len(o.turns))
 		}
@@ -104,55 +104,55 @@
 	return o
 }
 
-// wake notes that a job may have tasks to start again.
-func (o *placingOrder) wake(j *Job) {
-	for _, i := range o.mine[j] {
-		o.awake.put(i)
+// activate notes that a job may have tasks to start again.
+func (o *placingOrder) activate(j *Job) {
+	for _, i := range o.turnsOf[j] {
+		o.active.put(i)
 	}
 }
 
 // placingTurns goes through the turns of one placing.
 type placingTurns struct {
-	order *placingOrder
-	left  positions
-	kept  positions // never passed over as being like others
-	at    int
+	order     *placingOrder
+	remaining positions
+	separate  positions // never passed over as being like others
+	at        int
 }
 
 // begin starts to go through the turns of jobs that may have tasks to start. Those of some jobs are
 // looked at each for itself.
 func (o *placingOrder) begin(each []*Job) *placingTurns {
-	p := &placingTurns{order: o, left: slices.Clone(o.awake), kept: newPositions(len(o.turns)), at: -1}
+	p := &placingTurns{order: o, remaining: slices.Clone(o.active), separate: newPositions(len(o.turns)), at: -1}
 	for _, j := range each {
-		p.keep(j)
+		p.keepSeparate(j)
 	}
 	return p
 }
 
 // next is the next turn; false: there is none.
-func (p *placingTurns) next() (turn, bool) {
-	if p.at = p.left.next(p.at + 1); p.at < 0 {
-		return turn{}, false
+func (p *placingTurns) next() (placingTurn, bool) {
+	if p.at = p.remaining.next(p.at + 1); p.at < 0 {
+		return placingTurn{}, false
 	}
 	return p.order.turns[p.at], true
 }
 
-// sleep passes over the turn's job until it is woken.
-func (p *placingTurns) sleep() { p.order.awake.remove(p.at) }
+// deactivate passes over the turn's job until it is woken.
+func (p *placingTurns) deactivate() { p.order.active.remove(p.at) }
 
 // skipAlike passes over all turns like the last one that are to come.
 func (p *placingTurns) skipAlike() {
 	t := p.order.turns[p.at]
-	for w, same := range p.order.groups[turnGroup{t.j.twins, t.ready}] {
-		p.left[w] &^= same &^ p.kept[w]
+	for w, same := range p.order.groups[turnGroup{t.job.imageClass, t.ready}] {
+		p.remaining[w] &^= same &^ p.separate[w]
 	}
 }
 
-// keep has the turns of a job that are to come looked at each for itself from now on.
-func (p *placingTurns) keep(j *Job) {
-	for _, i := range p.order.mine[j] {
-		if p.kept.put(i); i > p.at {
-			p.left.put(i)
+// keepSeparate has the turns of a job that are to come looked at each for itself from now on.
+func (p *placingTurns) keepSeparate(j *Job) {
+	for _, i := range p.order.turnsOf[j] {
+		if p.separate.put(i); i > p.at {
+			p.remaining.put(i)
 		}
 	}
 }
--- a/internal/scheduler/turns_test.go
+++ b/internal/scheduler/turns_test.go
@@ -13,15 +13,15 @@
 // is woken.
 func TestPlacingTurns(t *testing.T) {
 	job := func(id string, twins int) *Job {
-		return &Job{Job: records.Job{ID: id, Tasks: 1}, alike: 1, twins: twins, turn: time.Unix(int64(id[0]), 0)}
+		return &Job{Job: records.Job{ID: id, Tasks: 1}, placementClass: 1, imageClass: twins, turnAt: time.Unix(int64(id[0]), 0)}
 	}
 	a, b, c, d, e := job("a", 2), job("b", 2), job("c", 3), job("d", 2), job("e", 2)
 	order := newPlacingOrder([]*Job{a, b, c, d, e}, func(*Job) time.Duration { return 0 })
 	play := func(each []*Job, at func(turns *placingTurns, j *Job)) (seen []string) {
 		turns := order.begin(each)
 		for turn, more := turns.next(); more; turn, more = turns.next() {
-			seen = append(seen, turn.j.ID)
-			at(turns, turn.j)
+			seen = append(seen, turn.job.ID)
+			at(turns, turn.job)
 		}
 		return seen
 	}
@@ -48,15 +48,15 @@
 		case b:
 			turns.skipAlike()
 		case c:
-			turns.keep(e)
+			turns.keepSeparate(e)
 		}
 	}), "a", "b", "c", "e")
 	want("a falls asleep", play(nil, func(turns *placingTurns, j *Job) {
 		if j == a {
-			turns.sleep()
+			turns.deactivate()
 		}
 	}), "a", "b", "c", "d", "e")
 	want("a sleeps", play(nil, nothing), "b", "c", "d", "e")
-	order.wake(a)
+	order.activate(a)
 	want("a is woken", play(nil, nothing), "a", "b", "c", "d", "e")
 }
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -54,13 +54,13 @@
 		return MachineUnreconciled
 	case !m.Up && !m.EarlierLeasesExpired:
 		return MachineBooting
-	case m.LeaseExpired || now.Sub(m.LastStatus) > 3*c.set.HeartbeatInterval:
+	case m.LeaseExpired || now.Sub(m.LastStatus) > 3*c.settings.HeartbeatInterval:
 		return MachineSilent
 	case m.Unreachable():
 		return MachineUnreachable
-	case c.empties(m) && m.Empty():
+	case c.isEmptying(m) && m.Empty():
 		return MachineDrained
-	case c.empties(m):
+	case c.isEmptying(m):
 		return MachineEmptying
 	case m.Faulty:
 		return MachineFaulty
