--- a/internal/scheduler/waits.go
+++ b/internal/scheduler/waits.go
@@ -10,30 +10,30 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// stages is when a job that begins came how far; of a gang, its last task. What is tried
+// startStages is when a job that begins came how far; of a gang, its last task. What is tried
 // again counts from its last try: the time before went by waiting for room.
-type stages struct {
-	heard, placed time.Time
-	entitled      bool // it was within its team's guarantee when it was first placed in order
-	known         bool // whether it was is known
-	told          bool
+type startStages struct {
+	learnedAt, placedAt time.Time
+	entitled            bool // it was within its team's guarantee when it was first placed in order
+	known               bool // whether it was is known
+	reported            bool
 }
 
-// wait is how long a job waited for what, until it began.
-type wait struct {
-	heard, room, report, fetch, mates time.Duration
-	machine                           *fleet.Machine // where its image came last
+// waitBreakdown is how long a job waited for what, until it began.
+type waitBreakdown struct {
+	heard, room, report, fetch, gang time.Duration
+	machine                          *fleet.Machine // where its image came last
 }
 
-// longest names what a job waited for longest: to be heard of by the leader, for room, for
+// longestPart names what a job waited for longest: to be heard of by the leader, for room, for
 // marks and the report that takes the run along, for its image, or for the rest of the gang
 // to be seen running.
-func (w wait) longest() string {
+func (w waitBreakdown) longestPart() string {
 	by, most := "heard", w.heard
 	for _, x := range []struct {
 		by string
 		d  time.Duration
-	}{{"room", w.room}, {"report", w.report}, {"fetch", w.fetch}, {"mates", w.mates}} {
+	}{{"room", w.room}, {"report", w.report}, {"fetch", w.fetch}, {"mates", w.gang}} {
 		if x.d > most {
 			by, most = x.by, x.d
 		}
@@ -41,12 +41,12 @@
 	return by
 }
 
-// waitOf works out for what a job waited whose task a is the last one seen to run.
-func (j *Job) waitOf(a *fleet.Attempt, now time.Time) wait {
-	placed, sent, ready := j.began.placed, a.Since, a.ReadySince
-	w := wait{machine: a.Machine}
+// waitBreakdown works out for what a job waited whose task a is the last one seen to run.
+func (j *Job) waitBreakdown(a *fleet.Attempt, now time.Time) waitBreakdown {
+	placed, sent, ready := j.start.placedAt, a.Since, a.ReadySince
+	w := waitBreakdown{machine: a.Machine}
 	if j.Shape == records.ShapeGang {
-		for _, x := range j.held {
+		for _, x := range j.attempts {
 			if x.Since.After(sent) {
 				sent = x.Since
 			}
@@ -59,41 +59,41 @@
 	if placed.After(sent) {
 		placed = sent
 	}
-	w.heard, w.room = j.began.heard.Sub(j.base), placed.Sub(j.began.heard)
-	w.report, w.fetch, w.mates = sent.Sub(placed), ready.Sub(sent), now.Sub(ready)
+	w.heard, w.room = j.start.learnedAt.Sub(j.releasedAt), placed.Sub(j.start.learnedAt)
+	w.report, w.fetch, w.gang = sent.Sub(placed), ready.Sub(sent), now.Sub(ready)
 	return w
 }
 
-// begun says whether a job of which a task was just seen to run has begun: a gang has when
+// hasBegun says whether a job of which a task was just seen to run has begun: a gang has when
 // all its tasks run.
-func (j *Job) begun() bool {
+func (j *Job) hasBegun() bool {
 	if j.Shape != records.ShapeGang {
 		return true
 	}
-	for _, x := range j.held {
+	for _, x := range j.attempts {
 		if x.RunSince.IsZero() {
 			return false
 		}
 	}
-	return len(j.held) == j.Tasks
+	return len(j.attempts) == j.Tasks
 }
 
-// running notes that a task was seen to run, and tells once, when its job has begun, for
+// noteRunning notes that a task was seen to run, and tells once, when its job has begun, for
 // what it waited until then: a guarantee that is missed by seconds is missed by one of these.
-func (c *Scheduler) running(j *Job, a *fleet.Attempt, now time.Time) {
-	if !j.begun() {
+func (c *Scheduler) noteRunning(j *Job, a *fleet.Attempt, now time.Time) {
+	if !j.hasBegun() {
 		return
 	}
-	c.served.JobBegan(j.ID, now)
-	if j.began.told || j.held[a.Task.N] != a || a.Number>>24 != c.term {
+	c.slo.JobBegan(j.ID, now)
+	if j.start.reported || j.attempts[a.Task.N] != a || a.Number>>24 != c.term {
 		return
 	}
-	j.began.told = true
-	w := j.waitOf(a, now)
-	if j.began.entitled {
-		metrics.GetOrCreateHistogram(`drumpick_guarantee_wait_seconds{longest="` + w.longest() + `"}`).Update(now.Sub(j.base).Seconds())
+	j.start.reported = true
+	w := j.waitBreakdown(a, now)
+	if j.start.entitled {
+		metrics.GetOrCreateHistogram(`drumpick_guarantee_wait_seconds{longest="` + w.longestPart() + `"}`).Update(now.Sub(j.releasedAt).Seconds())
 	}
-	slog.Debug("job began", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "entitled", j.began.entitled,
-		"wait_s", now.Sub(j.base).Seconds(), "longest", w.longest(), "heard_s", w.heard.Seconds(), "room_s", w.room.Seconds(),
-		"report_s", w.report.Seconds(), "fetch_s", w.fetch.Seconds(), "mates_s", w.mates.Seconds(), "machine", w.machine.Host, "type", w.machine.Type, "term", c.term)
+	slog.Debug("job began", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "entitled", j.start.entitled,
+		"wait_s", now.Sub(j.releasedAt).Seconds(), "longest", w.longestPart(), "heard_s", w.heard.Seconds(), "room_s", w.room.Seconds(),
+		"report_s", w.report.Seconds(), "fetch_s", w.fetch.Seconds(), "mates_s", w.gang.Seconds(), "machine", w.machine.Host, "type", w.machine.Type, "term", c.term)
 }
