--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"drumpick/internal/fleet"
 	"drumpick/internal/goldentest"
 	"drumpick/internal/records"
 
@@ -54,3 +55,13 @@
 		{Name: "bill", Value: RentalCost{Machine: "m-1", Type: "g8", Zone: "a", Spot: true, From: at, To: at.Add(time.Minute), Cost: 0.5}},
 	})
 }
+
+// A worker of the local region reads where it is sent, and what it is told.
+func TestGoldenAnswers(t *testing.T) {
+	for answer, want := range map[string]string{`{"conductor":"n-1"}`: "n-1", `{}`: ""} {
+		report := HeartbeatOverHTTP(func(string, int, []byte) (int, []byte, error) { return 421, []byte(answer), nil })
+		if status, _, to := report(0, &fleet.Heartbeat{Machine: "m-1"}); status != 421 || to != want {
+			t.Errorf("%s is read as %d, %q", answer, status, to)
+		}
+	}
+}
