--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,6 +1,15 @@
-// Package tenure decides who leads. The leader holds a key on a lease of the
-// state service; the key's stamp is the term, and every write of a leader is
-// conditional on it, so that whatever a deposed one wrote late fails.
+// Package election elects the leader among the controllers. The leader holds a key in the
+// consensus-backed store on a lease of a fixed duration.
+//
+// Invariants:
+//   - The term is the revision at which the key was written, so terms only grow, and each
+//     belongs to one process. It is the fencing token that workers check.
+//   - A leader makes every write conditional on the key still being at its term, so a write
+//     of a deposed leader that arrives late fails.
+//   - A term counts as confirmed only up to the lease's expiry as the local clock sees it at
+//     the earliest: from when the request was sent, less the clock drift.
+//   - A leader that resigns deletes nothing. Its lease expires by itself, and nobody else
+//     leads before that.
 package election
 
 import (
@@ -17,161 +26,199 @@
 	"drumpick/internal/records"
 )
 
-// Store is what tenure needs of the state service.
+// Store is the part of the consensus-backed store that an election needs.
 type Store interface {
 	Get(ctx context.Context, key string) (*records.KeyValue, error)
-	Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error)
-	GrantLease(ctx context.Context, life time.Duration) (uint64, error)
-	RenewLease(ctx context.Context, hold uint64, timeout time.Duration) error
-	RevokeLease(ctx context.Context, hold uint64)
+	Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error)
+	GrantLease(ctx context.Context, duration time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, leaseID uint64, timeout time.Duration) error
+	RevokeLease(ctx context.Context, leaseID uint64)
 	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error)
 }
 
-// Election follows the leader key and campaigns for it.
+// Election follows the leader key and campaigns for it on behalf of one process.
 type Election struct {
-	store       Store
-	node, start string
-	life        time.Duration
-	marks       bool // the leader's record says that it keeps marks
-
-	mu     sync.Mutex
-	leader string // node that leads, as far as known
-	term   uint64 // our own term, 0 when we do not lead
-	until  time.Time
-	resign context.CancelFunc
-	barred time.Time // no campaign before this
-	held   uint64    // the grant of the last term of ours; its key ends by itself
-}
-
-// New returns a tenure for this process; start must differ for every start.
-// marks says whether a term of this process keeps marks of what it sends.
-func New(store Store, node, start string, life time.Duration, marks bool) *Election {
-	return &Election{store: store, node: node, start: start, life: life, marks: marks}
-}
-
-// Leader names the node that leads, "" when unknown.
-func (t *Election) Leader() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.leader
-}
-
-// Term returns our own term and until when the grant is surely ours.
-func (t *Election) Term() (term uint64, until time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.term, t.until
-}
-
-// Resign gives up leading without deleting anything: the grant ends by itself,
-// so that nobody else leads before it is over.
-func (t *Election) Resign() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.resign != nil {
-		t.resign()
-		t.barred = time.Now().Add(2 * t.life)
+	store           Store
+	node            string
+	incarnation     string
+	leaseDuration   time.Duration
+	keepsWatermarks bool
+
+	mu               sync.Mutex // guards the fields below
+	leader           string     // node that leads, as far as known
+	term             uint64     // this process's own term, 0 while it does not lead
+	confirmedUntil   time.Time
+	cancelTerm       context.CancelFunc // ends the term being served; nil while none is
+	noCampaignBefore time.Time
+	lastLeaseID      uint64 // of the last own term, whose key goes when the lease expires
+}
+
+// wonTerm is a term that this process has won, with the lease that its key is held on.
+type wonTerm struct {
+	number      uint64
+	leaseID     uint64
+	requestedAt time.Time // when the lease was asked for, from which it counts
+}
+
+// New returns the election as one process takes part in it. incarnation must differ for every
+// start of the process; keepsWatermarks is written to the leader key and says whether a term
+// of this process keeps watermarks of what it dispatches.
+func New(store Store, node, incarnation string, leaseDuration time.Duration, keepsWatermarks bool) *Election {
+	return &Election{
+		store:           store,
+		node:            node,
+		incarnation:     incarnation,
+		leaseDuration:   leaseDuration,
+		keepsWatermarks: keepsWatermarks,
 	}
 }
 
-func (t *Election) setLeader(node string) {
-	t.mu.Lock()
-	if t.leader != node {
-		t.leader = node
+// Leader returns the node that leads, "" when unknown.
+func (e *Election) Leader() string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.leader
+}
+
+// Term returns this process's own term, 0 when it does not lead, and until when its lease is
+// certain not to have expired.
+func (e *Election) Term() (term uint64, confirmedUntil time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.term, e.confirmedUntil
+}
+
+// Resign ends the term being served, if any, without deleting anything: the lease expires by
+// itself, so that nobody else leads before that.
+func (e *Election) Resign() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.cancelTerm != nil {
+		e.cancelTerm()
+		e.noCampaignBefore = time.Now().Add(2 * e.leaseDuration)
 	}
-	t.mu.Unlock()
 }
 
-// Run follows and campaigns until ctx ends. lead is called with each term won
-// and must return when its context ends.
-func (t *Election) Run(ctx context.Context, lead func(ctx context.Context, term uint64)) {
+func (e *Election) setLeader(node string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.leader = node
+}
+
+// Run follows the leader key and campaigns for it until ctx ends. lead is called with each
+// term won and must return when its context ends.
+func (e *Election) Run(ctx context.Context, lead func(ctx context.Context, term uint64)) {
 	for ctx.Err() == nil {
-		term, hold, sent, err := t.campaign(ctx)
+		won, err := e.campaign(ctx)
 		switch {
-		case term != 0:
-			t.serve(ctx, term, hold, sent, lead)
+		case won != nil:
+			e.serve(ctx, *won, lead)
 		case err != nil:
-			slog.Debug("tenure: cannot reach the leader key", "err", err)
-			_ = httpclient.Sleep(ctx, t.life/8+rand.N(t.life/8))
+			slog.Debug("election: store unavailable", "node", e.node, "err", err)
+			_ = httpclient.Sleep(ctx, e.leaseDuration/8+rand.N(e.leaseDuration/8))
 		}
 	}
 }
 
-// campaign waits until the leader key is free and takes it. It returns term 0
-// when it should simply be called again.
-func (t *Election) campaign(ctx context.Context) (term, hold uint64, sent time.Time, err error) {
-	row, err := t.store.Get(ctx, records.KeyLeader)
+// campaign waits for the leader key to change while another term holds it, and otherwise tries
+// to take it. It returns nil without an error when it is simply to be called again.
+func (e *Election) campaign(ctx context.Context) (*wonTerm, error) {
+	row, err := e.store.Get(ctx, records.KeyLeader)
 	if err != nil {
-		return 0, 0, sent, err
+		return nil, err
 	}
-	stamp := uint64(0)
+	revision := uint64(0)
 	if row != nil {
-		var l records.Leader
-		_ = json.Unmarshal(row.Value, &l)
-		// A key that an earlier start of this very node holds is ours to
-		// replace: there is one process per node, and that one has ended.
-		if l.Node != t.node || l.Incarnation == t.start {
-			t.setLeader(l.Node)
-			if l.Incarnation == t.start {
-				t.setLeader("") // resigned; it ends with its grant
-				t.mu.Lock()
-				held := t.held
-				t.mu.Unlock()
-				// Guards against a campaign without an answer that is carried out late: the
-				// key would stay with a term that nobody serves, for as long as its grant.
-				if row.LeaseID != held {
-					slog.Info("a campaign was carried out late: its grant is dropped", "term", row.Revision)
-					t.store.RevokeLease(ctx, row.LeaseID)
-				}
-			}
-			return 0, 0, sent, t.follow(ctx, row.Revision)
+		holder := decodeLeader(row)
+		if !e.replaceable(holder) {
+			e.noteHolder(ctx, holder, row)
+			return nil, e.awaitChange(ctx, row.Revision)
 		}
-		stamp = row.Revision
+		revision = row.Revision
+	}
+	e.setLeader("")
+	if wait := e.campaignBarredFor(); wait > 0 {
+		return nil, httpclient.Sleep(ctx, min(wait, e.leaseDuration/8))
+	}
+	return e.acquire(ctx, revision)
+}
+
+// decodeLeader reads the holder of the leader key. What is unreadable names no node.
+func decodeLeader(row *records.KeyValue) records.Leader {
+	var holder records.Leader
+	_ = json.Unmarshal(row.Value, &holder)
+	return holder
+}
+
+// replaceable reports whether the key is held by an earlier incarnation of this very node: there
+// is one process per node, so that one has ended.
+func (e *Election) replaceable(holder records.Leader) bool {
+	return holder.Node == e.node && holder.Incarnation != e.incarnation
+}
+
+// noteHolder takes in who holds the leader key while it cannot be taken. A key of this very
+// incarnation has nobody who serves it: either the term was resigned, and its lease is left to
+// expire, or it was won by a campaign that had got no answer.
+func (e *Election) noteHolder(ctx context.Context, holder records.Leader, row *records.KeyValue) {
+	if holder.Incarnation != e.incarnation {
+		e.setLeader(holder.Node)
+		return
 	}
-	t.setLeader("")
-	t.mu.Lock()
-	barred := time.Until(t.barred)
-	t.mu.Unlock()
-	if barred > 0 {
-		return 0, 0, sent, httpclient.Sleep(ctx, min(barred, t.life/8))
+	e.setLeader("")
+	e.mu.Lock()
+	lastLeaseID := e.lastLeaseID
+	e.mu.Unlock()
+	// Without this, the key would stay with a term that nobody serves until its lease expires.
+	if row.LeaseID != lastLeaseID {
+		slog.Info("late campaign revoked", "node", e.node, "term", row.Revision)
+		e.store.RevokeLease(ctx, row.LeaseID)
 	}
-	sent = time.Now()
-	hold, err = t.store.GrantLease(ctx, t.life)
+}
+
+func (e *Election) campaignBarredFor() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return time.Until(e.noCampaignBefore)
+}
+
+// acquire writes the leader key on a new lease, provided that the key is still at a revision.
+// It returns nil without an error when somebody else was faster.
+func (e *Election) acquire(ctx context.Context, revision uint64) (*wonTerm, error) {
+	requestedAt := time.Now()
+	leaseID, err := e.store.GrantLease(ctx, e.leaseDuration)
 	if err != nil {
-		return 0, 0, sent, err
+		return nil, err
 	}
-	epoch, err := t.store.Commit(ctx,
-		[]records.Compare{{Key: records.KeyLeader, Revision: stamp}},
-		[]records.Op{{Write: records.KeyLeader, Value: records.Leader{Node: t.node, Incarnation: t.start, Watermarks: t.marks}, LeaseID: hold}})
+	value := records.Leader{Node: e.node, Incarnation: e.incarnation, Watermarks: e.keepsWatermarks}
+	term, err := e.store.Commit(ctx,
+		[]records.Compare{{Key: records.KeyLeader, Revision: revision}},
+		[]records.Op{{Write: records.KeyLeader, Value: value, LeaseID: leaseID}})
 	if err == nil {
-		return epoch, hold, sent, nil
+		return &wonTerm{number: term, leaseID: leaseID, requestedAt: requestedAt}, nil
 	}
 	var conflict *records.ConflictError
 	if errors.As(err, &conflict) {
-		t.store.RevokeLease(ctx, hold)
-		return 0, 0, sent, nil
+		e.store.RevokeLease(ctx, leaseID)
+		return nil, nil
 	}
-	// No answer: the commit may have been applied, or may yet be. Read it back;
-	// the grant is dropped unless the key is ours, and with it a late commit.
-	row, rerr := t.store.Get(ctx, records.KeyLeader)
-	if rerr == nil && row != nil && row.LeaseID == hold {
-		var l records.Leader
-		if json.Unmarshal(row.Value, &l) == nil && l.Incarnation == t.start {
-			return row.Revision, hold, sent, nil
-		}
+	// There was no answer: the commit may have been applied, or may yet be. Unless reading the
+	// key shows that it was, the lease is revoked, and with it a commit applied late.
+	row, readErr := e.store.Get(ctx, records.KeyLeader)
+	if readErr == nil && row != nil && row.LeaseID == leaseID && decodeLeader(row).Incarnation == e.incarnation {
+		return &wonTerm{number: row.Revision, leaseID: leaseID, requestedAt: requestedAt}, nil
 	}
-	t.store.RevokeLease(ctx, hold)
-	return 0, 0, sent, err
+	e.store.RevokeLease(ctx, leaseID)
+	return nil, err
 }
 
-// follow waits until the leader key changes.
-func (t *Election) follow(ctx context.Context, since uint64) error {
+// awaitChange waits until the leader key changes.
+func (e *Election) awaitChange(ctx context.Context, since uint64) error {
 	for ctx.Err() == nil {
-		events, epoch, err := t.store.Watch(ctx, records.KeyLeader, since, t.life/2)
+		events, revision, err := e.store.Watch(ctx, records.KeyLeader, since, e.leaseDuration/2)
 		if err != nil {
 			return err
 		}
-		since = epoch
+		since = revision
 		if len(events) > 0 {
 			return nil
 		}
@@ -179,54 +226,78 @@
 	return ctx.Err()
 }
 
-func (t *Election) serve(ctx context.Context, term, hold uint64, sent time.Time, lead func(context.Context, uint64)) {
+// serve runs lead for a term until the lease expires, the term is resigned, or ctx ends, and
+// returns once lead has.
+func (e *Election) serve(ctx context.Context, won wonTerm, lead func(context.Context, uint64)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	t.mu.Lock()
-	t.leader, t.term, t.until, t.resign, t.held = t.node, term, t.validUntil(sent), cancel, hold
-	t.mu.Unlock()
-	slog.Info("leading", "term", term)
+	e.beginTerm(won, cancel)
+	slog.Info("leader elected", "term", won.number, "node", e.node)
 	done := make(chan struct{})
-	go func() { defer close(done); lead(ctx, term) }()
-	pause := t.life / 4
+	go func() {
+		defer close(done)
+		lead(ctx, won.number)
+	}()
+	e.renewUntilLost(ctx, won)
+	e.endTerm()
+	cancel()
+	<-done
+	slog.Info("leadership lost", "term", won.number, "node", e.node)
+}
+
+func (e *Election) beginTerm(won wonTerm, cancel context.CancelFunc) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.leader = e.node
+	e.term = won.number
+	e.confirmedUntil = e.confirmedFrom(won.requestedAt)
+	e.cancelTerm = cancel
+	e.lastLeaseID = won.leaseID
+}
+
+func (e *Election) endTerm() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.term = 0
+	e.confirmedUntil = time.Time{}
+	e.cancelTerm = nil
+	if e.leader == e.node {
+		e.leader = ""
+	}
+}
+
+// renewUntilLost renews the lease of a term until it has expired or ctx ends.
+func (e *Election) renewUntilLost(ctx context.Context, won wonTerm) {
+	pause := e.leaseDuration / 4
 	for ctx.Err() == nil {
 		if httpclient.Sleep(ctx, pause) != nil {
-			break
+			return
 		}
-		pause = t.life / 4
-		sent := time.Now()
-		// The extension gets half a life, so that a lost packet leaves time
-		// for another try.
-		err := t.store.RenewLease(ctx, hold, t.life/2)
+		pause = e.leaseDuration / 4
+		requestedAt := time.Now()
+		// A renewal may take half of the duration, so that a lost packet leaves time for a retry.
+		err := e.store.RenewLease(ctx, won.leaseID, e.leaseDuration/2)
 		if err == nil {
-			t.mu.Lock()
-			t.until = t.validUntil(sent)
-			t.mu.Unlock()
+			e.mu.Lock()
+			e.confirmedUntil = e.confirmedFrom(requestedAt)
+			e.mu.Unlock()
 			continue
 		}
 		if errors.Is(err, records.ErrLeaseExpired) {
-			slog.Info("grant ended", "term", term)
-			break
+			slog.Info("lease expired", "term", won.number, "node", e.node)
+			return
 		}
-		slog.Debug("extension failed", "term", term, "err", err)
+		slog.Debug("lease renewal failed", "term", won.number, "node", e.node, "err", err)
 		if errors.Is(err, records.ErrThrottled) {
-			// Guards against a lease that is lost to users' requests: of several tries one is served.
-			pause = t.life/40 + rand.N(t.life/40)
+			// Without quick retries the lease could be lost to users' requests: of several tries
+			// one is served.
+			pause = e.leaseDuration/40 + rand.N(e.leaseDuration/40)
 		}
 	}
-	t.mu.Lock()
-	t.term, t.until, t.resign = 0, time.Time{}, nil
-	if t.leader == t.node {
-		t.leader = ""
-	}
-	t.mu.Unlock()
-	cancel()
-	<-done
-	slog.Info("no longer leading", "term", term)
 }
 
-// validUntil counts the grant from when its request was sent, less what our
-// clock may lag.
-func (t *Election) validUntil(sent time.Time) time.Time {
-	return sent.Add(t.life - config.Drift(t.life))
+// confirmedFrom returns until when a lease is certain to last that was granted or renewed by a
+// request sent then: it counts from the sending, less the drift of the local clock.
+func (e *Election) confirmedFrom(requestedAt time.Time) time.Time {
+	return requestedAt.Add(e.leaseDuration - config.Drift(e.leaseDuration))
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -15,68 +15,71 @@
 	"drumpick/internal/simulation"
 )
 
-// A story starts and kills processes of nodes ("start n-0 s1", "kill n-0"),
-// makes the state service fail ("outage on", "refuse n-0 on", "lose n-0 3": the
-// next commit is applied 3 s late, without an answer), lets time pass ("wait 5"),
-// makes a leader resign, carries a campaign out late ("late n-0 s1"), or lets a leader of an old term write ("write TERM").
-// Grants live for 4 s.
+// A scenario starts and kills processes of nodes ("start n-0 s1", "kill n-0"), makes the store
+// fail ("outage on", "refuse n-0 on", "lose n-0 3": the next commit is applied 3 s late, without
+// an answer), lets time pass ("wait 5"), makes a leader resign, applies a campaign late
+// ("late n-0 s1"), or lets a leader of an old term write ("write TERM"). Leases last for 4 s.
 func TestTraces(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
-		// The whole story is gathered first, as it is told within one bubble.
+		// The whole scenario is gathered first, as it is replayed within one synctest bubble.
 		lines := make(chan []string)
 		answers := make(chan []string)
-		go tell(t, lines, answers)
-		t.Cleanup(func() { close(lines); <-answers })
-		return func(w []string) []string {
-			lines <- w
+		go replayLines(t, lines, answers)
+		t.Cleanup(func() {
+			close(lines)
+			<-answers
+		})
+		return func(line []string) []string {
+			lines <- line
 			return <-answers
 		}
 	})
 }
 
 type process struct {
-	ten    *election.Election
-	client *simulation.Client
-	cancel context.CancelFunc
-	gone   chan struct{}
+	election *election.Election
+	client   *simulation.Client
+	cancel   context.CancelFunc
+	stopped  chan struct{}
 }
 
-// tell takes the lines of one story and answers each.
-func tell(t *testing.T, lines <-chan []string, answers chan<- []string) {
+// replayLines takes the lines of one scenario and answers each.
+func replayLines(t *testing.T, lines <-chan []string, answers chan<- []string) {
 	defer close(answers)
-	var story [][]string
-	for w := range lines {
-		story = append(story, w)
+	var events [][]string
+	for line := range lines {
+		events = append(events, line)
 		var out []string
-		// Told anew from the start for every line: time is simulated, so this
-		// costs nothing, and a bubble cannot wait for the outside.
-		synctest.Test(t, func(t *testing.T) { out = play(t, story) })
+		// Replayed from the start for every line: time is simulated, so this costs nothing,
+		// and a bubble cannot wait for anything outside of it.
+		synctest.Test(t, func(t *testing.T) { out = replay(t, events) })
 		answers <- out
 	}
 }
 
-func play(t *testing.T, story [][]string) (last []string) {
+// replay runs the events of a scenario and returns what is seen after the last.
+func replay(t *testing.T, events [][]string) (last []string) {
 	state := simulation.NewState()
 	nodes := map[string]*process{}
 	kill := func(name string) {
 		if p := nodes[name]; p != nil {
 			p.client.Kill()
 			p.cancel()
-			<-p.gone
+			<-p.stopped
 			delete(nodes, name)
 		}
 	}
-	for _, w := range story {
+	for _, w := range events {
 		last = nil
 		switch w[0] {
 		case "start":
 			ctx, cancel := context.WithCancel(context.Background())
-			p := &process{client: state.Client(w[1]), cancel: cancel, gone: make(chan struct{})}
-			p.ten = election.New(p.client, w[1], w[2], 4*time.Second, false)
+			p := &process{client: state.Client(w[1]), cancel: cancel, stopped: make(chan struct{})}
+			p.election = election.New(p.client, w[1], w[2], 4*time.Second, false)
 			nodes[w[1]] = p
 			go func() {
-				defer close(p.gone)
-				p.ten.Run(ctx, func(ctx context.Context, _ uint64) { <-ctx.Done() })
+				defer close(p.stopped)
+				p.election.Run(ctx, func(ctx context.Context, _ uint64) { <-ctx.Done() })
 			}()
 			time.Sleep(100 * time.Millisecond)
 		case "kill":
@@ -89,18 +92,18 @@
 			s, _ := strconv.Atoi(w[2])
 			nodes[w[1]].client.LoseAnswers(1, time.Duration(s)*time.Second)
 		case "late":
-			// A campaign that nobody waits for any more is carried out, on a grant of its own.
+			// A campaign that nobody waits for any more is applied, on a lease of its own.
 			c := state.Client("late")
-			hold, err := c.GrantLease(context.Background(), 4*time.Second)
+			leaseID, err := c.GrantLease(context.Background(), 4*time.Second)
 			if err == nil {
 				_, err = c.Commit(context.Background(), []records.Compare{{Key: records.KeyLeader}},
-					[]records.Op{{Write: records.KeyLeader, Value: records.Leader{Node: w[1], Incarnation: w[2]}, LeaseID: hold}})
+					[]records.Op{{Write: records.KeyLeader, Value: records.Leader{Node: w[1], Incarnation: w[2]}, LeaseID: leaseID}})
 			}
 			if err != nil {
 				t.Error(err)
 			}
 		case "resign":
-			nodes[w[1]].ten.Resign()
+			nodes[w[1]].election.Resign()
 		case "wait":
 			s, _ := strconv.ParseFloat(w[1], 64)
 			time.Sleep(time.Duration(s * float64(time.Second)))
@@ -119,8 +122,8 @@
 				if p == nil {
 					continue
 				}
-				term, until := p.ten.Term()
-				line := n + " follows " + p.ten.Leader()
+				term, until := p.election.Term()
+				line := n + " follows " + p.election.Leader()
 				if term != 0 {
 					line = fmt.Sprintf("%s leads, term %d, sure: %v", n, term, time.Now().Before(until))
 				}
