--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -24,7 +24,7 @@
 type goldenLeader struct {
 	leading
 	got     fleet.Heartbeat
-	status  int
+	outcome fleet.HeartbeatOutcome
 	recency fleet.Recency
 }
 
@@ -34,12 +34,12 @@
 
 func (l *goldenLeader) Recency(*fleet.Heartbeat) fleet.Recency { return l.recency }
 
-func (l *goldenLeader) Heartbeat(r *fleet.Heartbeat) (int, fleet.HeartbeatResponse) {
+func (l *goldenLeader) Heartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult {
 	l.got = *r
 	windDown := 4.0
-	return l.status, fleet.HeartbeatResponse{FencingToken: 41, Commands: []fleet.Command{
+	return fleet.HeartbeatResult{Outcome: l.outcome, Response: fleet.HeartbeatResponse{FencingToken: 41, Commands: []fleet.Command{
 		{Verb: fleet.VerbRun, Task: "j-1/0", Attempt: 2}, {Verb: fleet.VerbKill, Task: "j-1/1", Attempt: 3, GraceS: &windDown},
-	}}
+	}}}
 }
 
 // referring is a controller whose peers answer for the leader that they reach.
@@ -186,14 +186,14 @@
 		peers  api.Peers
 		body   string
 	}{
-		"at the leader":                {"n-0", &goldenLeader{status: 200}, alone{}, report},
-		"at a leader that is deposed":  {"n-0", &goldenLeader{status: 503}, alone{}, report},
-		"late at the leader":           {"n-0", &goldenLeader{status: 200, recency: fleet.Late}, alone{}, report},
-		"no report":                    {"n-0", &goldenLeader{status: 200}, alone{}, "[]"},
-		"host missing":                 {"n-0", &goldenLeader{status: 200}, alone{}, `{"stint":1}`},
-		"stint missing":                {"n-0", &goldenLeader{status: 200}, alone{}, `{"host":"m-1"}`},
-		"task of no form":              {"n-0", &goldenLeader{status: 200}, alone{}, `{"host":"m-1","stint":1,"shots":[{"shot":"x","status":"running"}]}`},
-		"state not known":              {"n-0", &goldenLeader{status: 200}, alone{}, `{"host":"m-1","stint":1,"shots":[{"shot":"j-1/0","status":"x"}]}`},
+		"at the leader":                {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, report},
+		"at a leader that is deposed":  {"n-0", &goldenLeader{outcome: fleet.HeartbeatUnavailable}, alone{}, report},
+		"late at the leader":           {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted, recency: fleet.Late}, alone{}, report},
+		"no report":                    {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, "[]"},
+		"host missing":                 {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, `{"stint":1}`},
+		"stint missing":                {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, `{"host":"m-1"}`},
+		"task of no form":              {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, `{"host":"m-1","stint":1,"shots":[{"shot":"x","status":"running"}]}`},
+		"state not known":              {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, `{"host":"m-1","stint":1,"shots":[{"shot":"j-1/0","status":"x"}]}`},
 		"sent to the leader":           {"n-1", nil, alone{}, report},
 		"the leader is not known":      {"", nil, alone{}, report},
 		"passed on to the leader":      {"n-1", nil, referring{status: 200}, report},
--- /dev/null
+++ b/internal/api/heartbeat_outcome_test.go
@@ -0,0 +1,26 @@
+package api_test
+
+import (
+	"testing"
+
+	"drumpick/internal/api"
+	"drumpick/internal/config"
+	"drumpick/internal/fleet"
+	"drumpick/internal/simulation"
+)
+
+// Each outcome of a heartbeat at the leader has its status code in the protocol.
+func TestHeartbeatOutcomeStatus(t *testing.T) {
+	for outcome, want := range map[fleet.HeartbeatOutcome]int{
+		fleet.HeartbeatAccepted:    200,
+		fleet.HeartbeatRedirected:  421,
+		fleet.HeartbeatUnavailable: 503,
+	} {
+		leader := &goldenLeader{outcome: outcome}
+		server := api.New(&config.Config{Node: "n-0"}, simulation.NewState().Client("n-0"), alone{},
+			func() string { return "n-0" }, func() api.Local { return leader })
+		if got := server.Heartbeat([]byte(`{"host":"m-1","stint":1}`)); got.Status != want {
+			t.Errorf("outcome %d: got status %d, want %d", outcome, got.Status, want)
+		}
+	}
+}
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -82,11 +82,19 @@
 	}
 	// Noted before it is answered: a lease counts from when the report was sent.
 	s.renewed.Store(time.Now())
-	status, resp := l.Heartbeat(&r)
-	if status == 200 {
-		return asJSON(200, resp)
+	return heartbeatReply(l.Heartbeat(&r))
+}
+
+// heartbeatReply maps what the leader made of a heartbeat to the protocol's status codes.
+func heartbeatReply(result fleet.HeartbeatResult) peer.RelayReply {
+	switch result.Outcome {
+	case fleet.HeartbeatAccepted:
+		return asJSON(200, result.Response)
+	case fleet.HeartbeatRedirected:
+		return asJSON(421, referral{})
+	default:
+		return asJSON(503, referral{})
 	}
-	return asJSON(status, referral{})
 }
 
 func asJSON(status int, v any) peer.RelayReply {
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -49,7 +49,7 @@
 	Progress(id string) (status string, done, running int, ok bool)
 	// Clear says whether no job before this one was cancelled so long ago.
 	DependenciesClear(id string) (age time.Duration, ok bool)
-	Heartbeat(r *fleet.Heartbeat) (int, fleet.HeartbeatResponse)
+	Heartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult
 	// Recency tells how a report stands to what is known of its machine.
 	Recency(r *fleet.Heartbeat) fleet.Recency
 	// Cancel takes in that a job is cancelled, by the store's word, and says whether none of its
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -214,10 +214,10 @@
 func (l *leading) Recency(*fleet.Heartbeat) fleet.Recency         { return fleet.Current }
 func (l *leading) NotifyCancelled(context.Context, string) bool   { return true }
 func (l *leading) NeedsRelay(*fleet.Heartbeat) bool               { return true }
-func (l *leading) Heartbeat(r *fleet.Heartbeat) (int, fleet.HeartbeatResponse) {
+func (l *leading) Heartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult {
 	l.reports++
 	l.tasks += len(r.Tasks)
-	return 200, fleet.HeartbeatResponse{FencingToken: 1, Commands: []fleet.Command{}}
+	return fleet.HeartbeatResult{Outcome: fleet.HeartbeatAccepted, Response: fleet.HeartbeatResponse{FencingToken: 1, Commands: []fleet.Command{}}}
 }
 
 // Garbled reports are refused before the leader sees them; a very long one is taken,
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -205,8 +205,8 @@
 	return epoch, nil
 }
 
-// Heartbeat answers a worker. A status other than 200 sends it on.
-func (l *Leader) Heartbeat(r *fleet.Heartbeat) (int, fleet.HeartbeatResponse) {
+// Heartbeat answers a worker.
+func (l *Leader) Heartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult {
 	select {
 	case <-l.loaded:
 	default:
@@ -215,19 +215,19 @@
 		select {
 		case <-l.loaded:
 		case <-t.C:
-			return 503, fleet.HeartbeatResponse{}
+			return fleet.HeartbeatResult{Outcome: fleet.HeartbeatUnavailable}
 		}
 	}
 	// Guards against workers held by one that has given up leading and still waits for calls
 	// which nobody answers.
 	if l.over.Load() {
-		return 421, fleet.HeartbeatResponse{}
+		return fleet.HeartbeatResult{Outcome: fleet.HeartbeatRedirected}
 	}
 	now := time.Now()
 	// Guards against renewing leases while cancellations may be missed, be it in an
 	// outage with others' word for the leadership or with a watch that hangs.
 	if !l.supports(now) {
-		return 503, fleet.HeartbeatResponse{}
+		return fleet.HeartbeatResult{Outcome: fleet.HeartbeatUnavailable}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -235,21 +235,21 @@
 	if r.FencingToken > l.term {
 		// Somebody leads with a higher term: not we.
 		l.tenure.Resign()
-		return 421, fleet.HeartbeatResponse{}
+		return fleet.HeartbeatResult{Outcome: fleet.HeartbeatRedirected}
 	}
 	m, stale := l.core.Reconcile(r, true, now)
 	if stale || m == nil {
 		if resp, ok := l.core.RenewOvertaken(m, r, now); ok {
-			return 200, resp
+			return fleet.HeartbeatResult{Outcome: fleet.HeartbeatAccepted, Response: resp}
 		}
-		return 503, fleet.HeartbeatResponse{}
+		return fleet.HeartbeatResult{Outcome: fleet.HeartbeatUnavailable}
 	}
 	l.core.ObserveUse(m)
 	// One that may have nothing yet, as it has not shown our term, needs no record: it is
 	// answered, which shows it the term, and given nothing. Guards against machines on
 	// record, and waited for at the next takeover, which a late copy of a report made up.
 	if !m.Recorded && (m.Reconciled || !m.Empty()) && !l.await(m, func() bool { return m.Recorded }) {
-		return 503, fleet.HeartbeatResponse{}
+		return fleet.HeartbeatResult{Outcome: fleet.HeartbeatUnavailable}
 	}
 	now = time.Now()
 	can := l.mayStart()
@@ -258,7 +258,7 @@
 	if can {
 		ok, stands := l.marked(m, now)
 		if !ok {
-			return 503, fleet.HeartbeatResponse{}
+			return fleet.HeartbeatResult{Outcome: fleet.HeartbeatUnavailable}
 		}
 		if !stands {
 			now = time.Now()
@@ -270,13 +270,13 @@
 	// Guards against a grant that ended while orders were computed: what was
 	// marked as sent is given up when the next report lacks it.
 	if can && !l.mayStart() {
-		return 503, fleet.HeartbeatResponse{}
+		return fleet.HeartbeatResult{Outcome: fleet.HeartbeatUnavailable}
 	}
 	if l.core.HasUnstoredJobs() {
 		l.poke()
 	}
 	l.core.NoteAnswered(m, r.Via, time.Now())
-	return 200, resp
+	return fleet.HeartbeatResult{Outcome: fleet.HeartbeatAccepted, Response: resp}
 }
 
 // Recency tells how a report stands to what is known of its machine.
