--- /dev/null
+++ b/internal/leader/attestation_query.go
@@ -0,0 +1,92 @@
+package leader
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"time"
+
+	"drumpick/internal/config"
+	"drumpick/internal/peer"
+	"drumpick/internal/records"
+	"drumpick/internal/watermark"
+)
+
+// earlierComplete reports whether the watermarks that earlier leaders left are complete. It asks
+// after the term was won: from then on no observer takes in that an earlier leader relaxes them.
+func (a *attestor) earlierComplete(ctx context.Context) bool {
+	if !a.settings.Watermarks {
+		return false
+	}
+	answers, attestations := a.queryObservers(ctx)
+	if latest, ok := watermark.Latest(attestations); ok {
+		changes, err := a.leaderChanges(ctx, latest.Revision)
+		complete := err == nil && watermark.Trusted(latest, changes, a.number)
+		slog.Info("watermarks checked", "term", a.number, "source", "peers", "attested", latest.Term, "complete", complete, "err", err)
+		return complete
+	}
+	row, err := a.store.Get(ctx, records.KeyWatermarksComplete)
+	if err != nil || row == nil {
+		slog.Info("watermarks checked", "term", a.number, "source", "none", "complete", false, "peers", answers, "err", err)
+		return false
+	}
+	return a.recordHolds(ctx, row)
+}
+
+// queryObservers asks all controllers, this one included, what they have observed of earlier
+// leaders' watermarks, and keeps the attestation of the latest reconciled term.
+func (a *attestor) queryObservers(ctx context.Context) (answered int, attestations []watermark.Attestation) {
+	request := watermark.Attestation{Term: a.number}
+	attestations = []watermark.Attestation{a.observer.Observe(request)}
+	lastReconciled := a.observer.LatestReconciled()
+	answers, _ := a.peers.QueryStatus(ctx, peer.StatusRequest{Attestation: request})
+	for _, answer := range answers {
+		if answer.Attestation != nil {
+			attestations = append(attestations, *answer.Attestation)
+		}
+		if answer.Reconciled != nil && answer.Reconciled.NewerThan(lastReconciled) {
+			lastReconciled = *answer.Reconciled
+		}
+	}
+	a.lastReconciled = lastReconciled
+	return len(answers), attestations
+}
+
+// recordHolds reports whether the record that watermarks are complete, in the store, still holds.
+// It serves when all controllers have ended at once, so that none has observed anything.
+func (a *attestor) recordHolds(ctx context.Context, row *records.KeyValue) bool {
+	var stored watermark.StoredAttestation
+	_ = json.Unmarshal(row.Value, &stored) // what is unreadable is of no term
+	_, _, startedAt := a.store.Health()
+	timeBound := time.Duration(a.cfg.Deployment.TimeBoundMS * float64(time.Millisecond))
+	firmSpan := a.firmSpan() - config.Drift(a.firmSpan())
+	complete := stored.StillHolds(a.cfg.Node, startedAt, firmSpan, timeBound)
+	if complete {
+		changes, err := a.leaderChanges(ctx, row.Revision)
+		complete = err == nil && len(changes) == 1 && changes[0].Term == a.number
+	}
+	slog.Info("watermarks checked", "term", a.number, "source", "store", "attested", stored.Term, "node", stored.Node, "complete", complete)
+	return complete
+}
+
+// leaderChanges lists who has taken the leader key since a revision.
+func (t *term) leaderChanges(ctx context.Context, since uint64) ([]watermark.LeaderChange, error) {
+	events, _, err := t.store.Watch(ctx, records.KeyLeader, since, 0)
+	if err != nil {
+		return nil, err
+	}
+	var changes []watermark.LeaderChange
+	for _, event := range events {
+		if event.Write == records.KeyLeader {
+			changes = append(changes, leaderChange(event))
+		}
+	}
+	return changes, nil
+}
+
+// leaderChange reads a write of the leader key. One that is unreadable keeps no watermarks.
+func leaderChange(event records.Event) watermark.LeaderChange {
+	var holder records.Leader
+	_ = json.Unmarshal(event.Value, &holder)
+	return watermark.LeaderChange{Term: event.Revision, KeepsWatermarks: holder.Watermarks, Node: holder.Node}
+}
--- /dev/null
+++ b/internal/leader/autoscaling.go
@@ -0,0 +1,134 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"drumpick/internal/autoscaler"
+	"drumpick/internal/httpclient"
+)
+
+// maxRentalRetries is how often a rental request is repeated that the cloud does not answer.
+const maxRentalRetries = 8
+
+// autoscaling carries out what the scheduler decides about scaling out and in, and reconciles its
+// machines with the cloud's list.
+type autoscaling struct {
+	*term
+	cloud Cloud
+}
+
+// reconcileCloudLists reads the cloud's list of machines time after time.
+func (a *autoscaling) reconcileCloudLists(ctx context.Context) {
+	for ctx.Err() == nil {
+		pause := max(a.reconcileCloudList(ctx), a.settings.HeartbeatInterval/4)
+		if httpclient.Sleep(ctx, pause*3/4+rand.N(pause/2)) != nil {
+			return
+		}
+	}
+}
+
+// reconcileCloudList reads the cloud's list of machines, and returns after which time to read it
+// again.
+func (a *autoscaling) reconcileCloudList(ctx context.Context) (pause time.Duration) {
+	pause = a.settings.ListLag + a.settings.HeartbeatInterval
+	askedAt := time.Now()
+	list, err := a.cloud.List(ctx)
+	if err != nil {
+		slog.Debug("cloud machine list not read", "err", err)
+		return pause
+	}
+	a.state.mu.Lock()
+	defer a.state.mu.Unlock()
+	a.state.scheduler.ReconcileCloudList(list, askedAt, time.Now())
+	if !a.state.scheduler.Reconciled() {
+		return a.settings.ListLag / 2 // work waits to hear which machines are gone
+	}
+	return pause
+}
+
+// scaleOut rents the machines that the scheduler plans. It returns once every request has ended.
+func (a *autoscaling) scaleOut(ctx context.Context) {
+	var requests sync.WaitGroup
+	defer requests.Wait()
+	for httpclient.Sleep(ctx, a.settings.HeartbeatInterval/4) == nil {
+		if !a.confirmed() {
+			continue
+		}
+		a.state.mu.Lock()
+		planned := a.state.scheduler.PlanRentals(time.Now())
+		a.state.mu.Unlock()
+		for _, request := range planned {
+			requests.Add(1)
+			go func() {
+				defer requests.Done()
+				a.rent(ctx, request)
+			}()
+		}
+	}
+}
+
+// rent repeats one request, which the cloud knows by its name, until it is answered.
+func (a *autoscaling) rent(ctx context.Context, request autoscaler.RentalRequest) {
+	pause := a.settings.HeartbeatInterval / 4
+	for retries := 0; ; retries++ {
+		var machines []string
+		err := error(autoscaler.ErrUnavailable)
+		if a.confirmed() {
+			machines, err = a.cloud.Rent(ctx, request)
+		}
+		now := time.Now()
+		noCapacity := errors.Is(err, autoscaler.ErrNoCapacity)
+		switch {
+		case err == nil:
+			a.state.mu.Lock()
+			a.state.scheduler.MachinesRented(request, machines, now)
+			a.state.mu.Unlock()
+			return
+		case noCapacity, ctx.Err() != nil, retries >= maxRentalRetries:
+			a.state.mu.Lock()
+			a.state.scheduler.RentalRefused(request, noCapacity, now)
+			a.state.mu.Unlock()
+			return
+		}
+		slog.Debug("scale out not answered", "request", request.Name, "err", err)
+		if httpclient.Sleep(ctx, pause/2+rand.N(pause)) != nil {
+			continue
+		}
+		pause = min(2*pause, 4*a.settings.HeartbeatInterval)
+	}
+}
+
+// scaleIn returns the machines that the scheduler has no more use for.
+func (a *autoscaling) scaleIn(ctx context.Context) {
+	for httpclient.Sleep(ctx, a.settings.HeartbeatInterval/2) == nil {
+		// Without going on while calls are full, hundreds of machines, of a zone that went silent,
+		// would be returned one call in each interval while all older work waits for the last.
+		for more := true; more && a.confirmed(); {
+			more = a.returnMachines(ctx)
+		}
+	}
+}
+
+// returnMachines returns as many machines as one call takes, and reports whether there may be more.
+func (a *autoscaling) returnMachines(ctx context.Context) (more bool) {
+	a.state.mu.Lock()
+	machines := a.state.scheduler.MachinesToReturn(time.Now())
+	a.state.mu.Unlock()
+	if len(machines) == 0 || !a.confirmed() {
+		return false
+	}
+	if err := a.cloud.Return(ctx, machines); err != nil {
+		slog.Debug("scale in not answered", "machines", machines, "err", err)
+		return false
+	}
+	a.state.mu.Lock()
+	a.state.scheduler.MachinesReturned(machines, time.Now())
+	a.state.mu.Unlock()
+	a.persistSoon()
+	return len(machines) == autoscaler.MaxReturnNames
+}
--- /dev/null
+++ b/internal/leader/commit_conflict.go
@@ -0,0 +1,102 @@
+package leader
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"math/rand/v2"
+	"reflect"
+	"slices"
+	"strings"
+
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
+	"drumpick/internal/scheduler"
+)
+
+// resolveConflict finds out which writes of a failed commit are to be tried again; ok is false
+// when the term is over, or ctx has ended before the store told.
+func (p *persister) resolveConflict(
+	ctx context.Context, writes []scheduler.PendingWrite, conflict *records.ConflictError,
+) (remaining []scheduler.PendingWrite, ok bool) {
+	if slices.Contains(conflict.Failed, records.KeyLeader) {
+		slog.Info("term superseded", "term", p.number, "node", p.cfg.Node)
+		p.election.Resign()
+		return nil, false
+	}
+	explained := false
+	for _, write := range writes {
+		switch failed := write.OwnKey != "" && slices.Contains(conflict.Failed, write.OwnKey); {
+		case failed && write.OwnRevision != nil:
+			explained = true
+			stored, err := p.refreshRevision(ctx, write)
+			if err != nil {
+				return nil, false
+			}
+			if !stored {
+				remaining = append(remaining, write)
+			}
+		case failed:
+			explained = true
+			p.state.mu.Lock()
+			write.OnConflict()
+			p.state.mu.Unlock()
+		default:
+			remaining = append(remaining, write)
+		}
+	}
+	if !explained {
+		slog.Error("unexpected commit conflict", "keys", strings.Join(conflict.Failed, " "), "term", p.number)
+	}
+	return remaining, true
+}
+
+// refreshRevision reads a key that only the leader writes and that is not at the revision where it
+// was known to be: mostly the write itself was applied, and its answer lost. stored reports that;
+// otherwise the write is repeated on what is there now.
+func (p *persister) refreshRevision(ctx context.Context, write scheduler.PendingWrite) (stored bool, err error) {
+	for {
+		row, err := p.store.Get(ctx, write.OwnKey)
+		if err == nil {
+			return p.takeRevision(write, row), nil
+		}
+		if err := httpclient.Sleep(ctx, p.settings.HeartbeatInterval/16+rand.N(p.settings.HeartbeatInterval/16)); err != nil {
+			return false, err
+		}
+	}
+}
+
+// takeRevision takes in what the store has under the key of a write, nil for nothing, and reports
+// whether that is the write.
+func (p *persister) takeRevision(write scheduler.PendingWrite, row *records.KeyValue) (stored bool) {
+	p.state.mu.Lock()
+	defer p.state.mu.Unlock()
+	*write.OwnRevision = 0
+	if row != nil {
+		*write.OwnRevision = row.Revision
+	}
+	stored = isStored(write.Ops[0], row)
+	if stored {
+		write.OnStored(*write.OwnRevision)
+	} else {
+		slog.Error("unexpected stored value", "key", write.OwnKey, "revision", *write.OwnRevision, "term", p.number)
+	}
+	return stored
+}
+
+// isStored reports whether a change is what the store has. The store may keep a value in another
+// form, so that values are compared and not their bytes.
+func isStored(op records.Op, row *records.KeyValue) bool {
+	if op.Delete != "" || row == nil {
+		return (op.Delete != "") == (row == nil)
+	}
+	raw, err := json.Marshal(op.Value)
+	if err != nil {
+		return false
+	}
+	var written, found any
+	if json.Unmarshal(raw, &written) != nil || json.Unmarshal(row.Value, &found) != nil {
+		return false
+	}
+	return reflect.DeepEqual(written, found)
+}
--- /dev/null
+++ b/internal/leader/dependencies.go
@@ -0,0 +1,106 @@
+package leader
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
+
+	"golang.org/x/time/rate"
+)
+
+const (
+	// dependencyReadShare is the share of the store's request rate that such reads may take.
+	dependencyReadShare = 0.25
+	// maxDependencyReads is how many of them are under way at once.
+	maxDependencyReads = 8
+)
+
+// dependencyReader reads what has become of closed jobs that open ones depend on.
+type dependencyReader struct {
+	*term
+	limiter *rate.Limiter
+	// notBefore is, by job that was not closed when last read, when to read it again.
+	notBefore map[string]time.Time
+}
+
+func newDependencyReader(t *term) *dependencyReader {
+	requestRate := max(t.cfg.Deployment.State.Lowest().RPS*dependencyReadShare, 1)
+	return &dependencyReader{
+		term:      t,
+		limiter:   rate.NewLimiter(rate.Limit(requestRate), int(requestRate)),
+		notBefore: map[string]time.Time{},
+	}
+}
+
+func (d *dependencyReader) run(ctx context.Context) {
+	pause := d.settings.HeartbeatInterval / 8
+	for httpclient.Sleep(ctx, pause/2+rand.N(pause)) == nil {
+		d.state.mu.Lock()
+		jobs := d.state.scheduler.UnreadDependencies()
+		d.state.mu.Unlock()
+		d.readAll(ctx, jobs)
+		d.state.mu.Lock()
+		cascade := d.state.scheduler.HasCascade()
+		d.state.mu.Unlock()
+		if cascade {
+			d.persistSoon()
+		}
+		// Jobs that nothing depends on any more are forgotten.
+		if len(d.notBefore) > 4*len(jobs)+64 {
+			clear(d.notBefore)
+		}
+	}
+}
+
+// readAll reads the records of closed jobs, as fast as the limit allows, and returns when all are
+// answered.
+func (d *dependencyReader) readAll(ctx context.Context, jobs []string) {
+	var reads sync.WaitGroup
+	var absent []string // guarded by the lock of the state
+	slots := make(chan struct{}, maxDependencyReads)
+	now := time.Now()
+	for _, job := range jobs {
+		if now.Before(d.notBefore[job]) {
+			continue
+		}
+		delete(d.notBefore, job)
+		if d.limiter.Wait(ctx) != nil {
+			break
+		}
+		slots <- struct{}{}
+		reads.Add(1)
+		go func() {
+			defer reads.Done()
+			defer func() { <-slots }()
+			d.read(ctx, job, &absent)
+		}()
+	}
+	reads.Wait()
+	for _, job := range absent {
+		d.notBefore[job] = now.Add(d.settings.HeartbeatInterval)
+	}
+}
+
+// read reads the record of one closed job, and adds the job to absent where there is none.
+func (d *dependencyReader) read(ctx context.Context, job string, absent *[]string) {
+	row, err := d.store.Get(ctx, records.ClosedKey(job))
+	if err != nil {
+		slog.Debug("dependency not read", "job", job, "err", err)
+		return
+	}
+	d.state.mu.Lock()
+	defer d.state.mu.Unlock()
+	var closed records.ClosedJob
+	if row == nil || json.Unmarshal(row.Value, &closed) != nil {
+		// The job may be open, and the watch about to bring it.
+		*absent = append(*absent, job)
+		return
+	}
+	d.state.scheduler.NoteClosed(job, closed, row.Revision)
+}
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"fmt"
 	"log/slog"
 	"strings"
 	"time"
@@ -12,50 +13,63 @@
 	"drumpick/internal/scheduler"
 )
 
-// loadDrains reads what operators asked for, and how far earlier terms came with it.
+// loadDrains loads the drains that operators have asked for, and how far earlier terms came with
+// them.
 func (l *Leader) loadDrains(ctx context.Context, core *scheduler.Scheduler) error {
-	states, stamps := map[string]*drain.State{}, map[string]uint64{}
-	if _, err := l.store.List(ctx, records.PrefixDrainState, func(r records.KeyValue) error {
-		var s drain.State
-		if err := json.Unmarshal(r.Value, &s); err != nil {
-			slog.Error("unreadable record", "key", r.Key, "err", err)
+	states := map[string]*drain.State{}
+	revisions := map[string]uint64{}
+	_, err := l.store.List(ctx, records.PrefixDrainState, func(row records.KeyValue) error {
+		var state drain.State
+		if err := json.Unmarshal(row.Value, &state); err != nil {
+			slog.Error("unreadable record", "key", row.Key, "err", err)
 			return nil
 		}
-		id := strings.TrimPrefix(r.Key, records.PrefixDrainState)
-		states[id], stamps[id] = &s, r.Revision
+		id := strings.TrimPrefix(row.Key, records.PrefixDrainState)
+		states[id] = &state
+		revisions[id] = row.Revision
 		return nil
-	}); err != nil {
-		return err
+	})
+	if err != nil {
+		return fmt.Errorf("load %s: %w", records.PrefixDrainState, err)
 	}
-	_, err := l.store.List(ctx, records.PrefixDrains, func(r records.KeyValue) error {
-		if spec, ok := scheduler.ReadDrain(r.Key, r.Value); ok {
-			core.SetDrain(spec, states[spec.ID], stamps[spec.ID])
+	return l.loadPrefix(ctx, records.PrefixDrains, func(row records.KeyValue) {
+		if spec, ok := scheduler.ReadDrain(row.Key, row.Value); ok {
+			core.SetDrain(spec, states[spec.ID], revisions[spec.ID])
 		}
-		return nil
 	})
-	return err
 }
 
-// watchDrains follows what operators ask for.
-func (l *Leader) watchDrains(ctx context.Context, since uint64) {
-	l.follow(ctx, records.PrefixDrains, since, 2*l.set.HeartbeatInterval, l.rereadDrains, func(events []records.Event, _ time.Time) {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		for _, e := range events {
-			if e.Write == "" {
-				l.core.RemoveDrain(strings.TrimPrefix(e.Delete, records.PrefixDrains))
-			} else if spec, ok := scheduler.ReadDrain(e.Write, e.Value); ok {
-				l.core.SetDrain(spec, nil, 0)
-			}
+// drainWatch follows the drains that operators ask for.
+type drainWatch struct {
+	*term
+}
+
+func (w *drainWatch) run(ctx context.Context, revision uint64) {
+	w.follow(ctx, prefixWatch{
+		prefix: records.PrefixDrains,
+		wait:   2 * w.settings.HeartbeatInterval,
+		reread: w.reread,
+		apply:  w.apply,
+	}, revision)
+}
+
+func (w *drainWatch) apply(events []records.Event, _ time.Time) {
+	w.state.mu.Lock()
+	defer w.state.mu.Unlock()
+	for _, event := range events {
+		if event.Write == "" {
+			w.state.scheduler.RemoveDrain(strings.TrimPrefix(event.Delete, records.PrefixDrains))
+		} else if spec, ok := scheduler.ReadDrain(event.Write, event.Value); ok {
+			w.state.scheduler.SetDrain(spec, nil, 0)
 		}
-	})
+	}
 }
 
-// rereadDrains replaces a watch whose revision is too old.
-func (l *Leader) rereadDrains(ctx context.Context) (uint64, error) {
+// reread takes in the list of all drains.
+func (w *drainWatch) reread(ctx context.Context) (revision uint64, err error) {
 	found := map[string]drain.Spec{}
-	epoch, err := l.store.List(ctx, records.PrefixDrains, func(r records.KeyValue) error {
-		if spec, ok := scheduler.ReadDrain(r.Key, r.Value); ok {
+	revision, err = w.store.List(ctx, records.PrefixDrains, func(row records.KeyValue) error {
+		if spec, ok := scheduler.ReadDrain(row.Key, row.Value); ok {
 			found[spec.ID] = spec
 		}
 		return nil
@@ -63,23 +77,23 @@
 	if err != nil {
 		return 0, err
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.core.ReplaceDrains(found)
-	return epoch, nil
+	w.state.mu.Lock()
+	defer w.state.mu.Unlock()
+	w.state.scheduler.ReplaceDrains(found)
+	return revision, nil
 }
 
-// PreviewDrain tells what a drain would do: of machines behind since with up to limit tasks,
-// and in all.
+// PreviewDrain returns what a drain would do: in all, and for up to limit tasks of machines behind
+// since.
 func (l *Leader) PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.core.PreviewDrainPage(spec, force, since, limit, time.Now())
+	l.state.mu.Lock()
+	defer l.state.mu.Unlock()
+	return l.state.scheduler.PreviewDrainPage(spec, force, since, limit, time.Now())
 }
 
-// Drain tells how a drain stands, as its leader knows it.
-func (l *Leader) Drain(id string) (scheduler.DrainView, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.core.DrainView(id)
+// Drain returns how a drain stands; ok is false when it is not known.
+func (l *Leader) Drain(id string) (view scheduler.DrainView, ok bool) {
+	l.state.mu.Lock()
+	defer l.state.mu.Unlock()
+	return l.state.scheduler.DrainView(id)
 }
--- /dev/null
+++ b/internal/leader/job_watch.go
@@ -0,0 +1,120 @@
+package leader
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"math/rand/v2"
+	"strings"
+	"time"
+
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
+	"drumpick/internal/scheduler"
+)
+
+// prefixWatch follows the records under a prefix.
+type prefixWatch struct {
+	prefix string
+	wait   time.Duration // for how long the store holds a request open without events
+	// reread takes in a list of all records in place of the events that the store no longer has,
+	// and returns its revision.
+	reread func(ctx context.Context) (revision uint64, err error)
+	// apply takes in an answer of the store, and when it was asked for.
+	apply func(events []records.Event, askedAt time.Time)
+}
+
+// follow runs a watch from a revision on until ctx ends.
+func (t *term) follow(ctx context.Context, watch prefixWatch, since uint64) {
+	for ctx.Err() == nil {
+		askedAt := time.Now()
+		events, revision, err := t.store.Watch(ctx, watch.prefix, since, watch.wait)
+		if errors.Is(err, records.ErrCompacted) {
+			revision, err = watch.reread(ctx)
+			events = nil
+		}
+		if err != nil {
+			if httpclient.Sleep(ctx, t.settings.HeartbeatInterval/8+rand.N(t.settings.HeartbeatInterval/8)) != nil {
+				return
+			}
+			continue
+		}
+		since = revision
+		watch.apply(events, askedAt)
+	}
+}
+
+// jobWatch follows new and closed jobs.
+type jobWatch struct {
+	*term
+}
+
+func (w *jobWatch) run(ctx context.Context, revision uint64) {
+	w.follow(ctx, prefixWatch{
+		prefix: records.PrefixOpen,
+		wait:   w.settings.HeartbeatInterval,
+		reread: w.reread,
+		apply:  w.apply,
+	}, revision)
+}
+
+// apply takes in events. What the store answered was made after it was asked, so that up to then
+// nothing was missed.
+func (w *jobWatch) apply(events []records.Event, askedAt time.Time) {
+	now := time.Now()
+	w.state.mu.Lock()
+	defer w.state.mu.Unlock()
+	for _, event := range events {
+		if event.Write != "" {
+			w.addJob(w.state.scheduler, records.KeyValue{Key: event.Write, Value: event.Value, Revision: event.Revision}, now, now)
+		} else if job, ok := strings.CutPrefix(event.Delete, records.PrefixOpen); ok {
+			w.state.scheduler.CloseJob(job) // the record of the closed job tells how it ended
+		}
+	}
+	if len(events) > 0 && w.confirmed() {
+		w.state.scheduler.Replan(now)
+	}
+	w.state.cancelled.noteWatched(askedAt)
+	w.contact.note(askedAt)
+}
+
+// reread takes in the list of all open jobs.
+func (w *jobWatch) reread(ctx context.Context) (revision uint64, err error) {
+	open := map[string]records.KeyValue{}
+	revision, err = w.store.List(ctx, records.PrefixOpen, func(row records.KeyValue) error {
+		open[strings.TrimPrefix(row.Key, records.PrefixOpen)] = row
+		return nil
+	})
+	if err != nil {
+		return 0, err
+	}
+	now := time.Now()
+	w.state.mu.Lock()
+	defer w.state.mu.Unlock()
+	isOpen := func(job string) bool {
+		_, ok := open[job]
+		return ok
+	}
+	w.state.scheduler.CloseMissing(isOpen, revision)
+	for _, row := range open {
+		w.addJob(w.state.scheduler, row, now, now)
+	}
+	return revision, nil
+}
+
+// addJob adds the job of a record to a scheduler. Once the state of earlier terms is loaded, the
+// caller holds the state's lock.
+func (t *term) addJob(core *scheduler.Scheduler, row records.KeyValue, now, wall time.Time) {
+	var job records.Job
+	if err := json.Unmarshal(row.Value, &job); err != nil || records.OpenKey(job.ID) != row.Key || job.Tasks <= 0 {
+		slog.Error("unreadable record", "key", row.Key, "err", err)
+		return
+	}
+	// Without this, an answer of the store from before a cancellation that comes in after the
+	// peers have reported it would open the job again.
+	if t.state.cancelled.contains(job.ID) {
+		return
+	}
+	core.AddJob(job, row.Revision, now, wall)
+}
--- a/internal/leader/lease_expiry.go
+++ b/internal/leader/lease_expiry.go
@@ -11,57 +11,73 @@
 	"drumpick/internal/watermark"
 )
 
-// whoHeld lists who may have renewed leases that this term has not; none: it is not known.
-func (l *Leader) whoHeld(ctx context.Context) []string {
-	if !l.last.Reconciled || !l.cfg.Options.LeaseExpiryProofs {
-		return nil
-	}
-	reigns, err := l.reigns(ctx, l.last.Revision)
-	if err != nil {
-		slog.Debug("who held the key is not known", "term", l.term, "since", l.last.Revision, "err", err)
-		return nil
-	}
-	nodes, _ := watermark.PossibleRenewers(l.last, reigns, l.term)
-	return nodes
+// leaseExpiry waits, as long as machines are not reconciled after the failover, for the workers'
+// leases that earlier terms renewed to have expired: then the tasks that these machines had are
+// gone.
+type leaseExpiry struct {
+	*term
+	attestor *attestor
 }
 
-// lapse waits, as long as machines are unheard of since the takeover, for the leases that
-// earlier terms gave to have ended: then what these machines had is gone. It asks the store
-// only once the takeover is done, which does not wait for it.
-func (l *Leader) lapse(ctx context.Context) {
-	holders := l.whoHeld(ctx)
-	if len(holders) == 0 {
+// run asks the store only once the failover is complete, which does not wait for it.
+func (e *leaseExpiry) run(ctx context.Context) {
+	renewers := e.possibleRenewers(ctx)
+	if len(renewers) == 0 {
 		return
 	}
-	// Two clocks are in it: the worker's, for its lease, and the holder's, for how long it
-	// has answered nobody.
-	lease := l.set.Lease + config.Drift(l.set.Lease)
-	for httpclient.Sleep(ctx, l.set.HeartbeatInterval/4) == nil {
-		l.mu.Lock()
-		settled := l.core.Reconciled()
-		l.mu.Unlock()
-		if settled {
+	// Two clocks are involved: the worker's, for its lease, and the renewer's, for how long it has
+	// accepted no heartbeat.
+	lease := e.settings.Lease + config.Drift(e.settings.Lease)
+	for httpclient.Sleep(ctx, e.settings.HeartbeatInterval/4) == nil {
+		if e.reconciled() {
 			return
 		}
-		if time.Since(l.began) < lease/2 {
+		if time.Since(e.startedAt) < lease/2 {
 			continue // the last leader cannot have been silent for so long
 		}
-		// What this process answered in an earlier term of its own, it did before this one.
-		since := map[string]time.Duration{l.cfg.Node: time.Since(l.began)}
-		answers, _ := l.peers.QueryStatus(ctx, peer.StatusRequest{})
-		for _, a := range answers {
-			if a.SinceRenewalMS != nil {
-				since[a.Node] = time.Duration(*a.SinceRenewalMS) * time.Millisecond
-			}
-		}
-		if !watermark.LeasesExpired(holders, since, lease) {
+		if !watermark.LeasesExpired(renewers, e.sinceRenewals(ctx), lease) {
 			continue
 		}
-		l.mu.Lock()
-		n := l.core.ExpireEarlierLeases(time.Now())
-		l.mu.Unlock()
-		slog.Info("leases that earlier terms gave have ended", "term", l.term, "machines", n, "holders", holders)
-		l.poke()
+		e.state.mu.Lock()
+		machines := e.state.scheduler.ExpireEarlierLeases(time.Now())
+		e.state.mu.Unlock()
+		slog.Info("earlier leases expired", "term", e.number, "machines", machines, "nodes", renewers)
+		e.persistSoon()
 		return
 	}
 }
+
+func (e *leaseExpiry) reconciled() bool {
+	e.state.mu.Lock()
+	defer e.state.mu.Unlock()
+	return e.state.scheduler.Reconciled()
+}
+
+// possibleRenewers lists the nodes that may have renewed leases which this term has not; none
+// where that is not known.
+func (e *leaseExpiry) possibleRenewers(ctx context.Context) []string {
+	last := e.attestor.lastReconciled
+	if !last.Reconciled || !e.cfg.Options.LeaseExpiryProofs {
+		return nil
+	}
+	changes, err := e.leaderChanges(ctx, last.Revision)
+	if err != nil {
+		slog.Debug("earlier leaders unknown", "term", e.number, "revision", last.Revision, "err", err)
+		return nil
+	}
+	nodes, _ := watermark.PossibleRenewers(last, changes, e.number)
+	return nodes
+}
+
+// sinceRenewals returns, by node, how long ago at least each controller that answers has renewed a
+// lease. What this process renewed in an earlier term of its own was before this term.
+func (e *leaseExpiry) sinceRenewals(ctx context.Context) map[string]time.Duration {
+	since := map[string]time.Duration{e.cfg.Node: time.Since(e.startedAt)}
+	answers, _ := e.peers.QueryStatus(ctx, peer.StatusRequest{})
+	for _, answer := range answers {
+		if answer.SinceRenewalMS != nil {
+			since[answer.Node] = time.Duration(*answer.SinceRenewalMS) * time.Millisecond
+		}
+	}
+	return since
+}
--- a/internal/leader/persist.go
+++ b/internal/leader/persist.go
@@ -2,13 +2,9 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"log/slog"
 	"math/rand/v2"
-	"reflect"
-	"slices"
-	"strings"
 	"time"
 
 	"drumpick/internal/httpclient"
@@ -16,216 +12,173 @@
 	"drumpick/internal/scheduler"
 )
 
-// flush stores what is due, in commits as large as the service takes.
-func (l *Leader) flush(ctx context.Context) {
-	every := l.set.HeartbeatInterval / 4
-	for ctx.Err() == nil {
-		t := time.NewTimer(every)
-		select {
-		case <-ctx.Done():
-			t.Stop()
+// persister stores what the term has to persist, in commits as large as the store takes. Only one
+// commit of it is under way at a time.
+type persister struct {
+	*term
+	attestor *attestor
+}
+
+func (p *persister) run(ctx context.Context) {
+	for p.awaitDue(ctx) {
+		if p.confirmed() && !p.persistAll(ctx) {
 			return
-		case <-t.C:
-		case <-l.wake:
-			t.Stop()
 		}
-		if !l.granted() {
-			continue
+	}
+}
+
+// awaitDue waits for the next round, and returns false when ctx has ended.
+func (p *persister) awaitDue(ctx context.Context) bool {
+	if ctx.Err() != nil {
+		return false
+	}
+	timer := time.NewTimer(p.settings.HeartbeatInterval / 4)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+	case <-p.writesDue:
+	}
+	return true
+}
+
+// persistAll stores batch after batch until nothing is due. It returns false when the term is over.
+func (p *persister) persistAll(ctx context.Context) bool {
+	for {
+		p.state.mu.Lock()
+		writes := p.state.persistence.NextWrites(time.Now(), p.attestor.recordDue)
+		p.state.mu.Unlock()
+		if len(writes) == 0 {
+			return true
 		}
-		for {
-			l.mu.Lock()
-			ws := l.rec.NextWrites(time.Now(), l.wholeRecord)
-			l.mu.Unlock()
-			if len(ws) == 0 {
-				break
-			}
-			ops := 0
-			for _, w := range ws {
-				ops += len(w.Ops)
-			}
-			if !l.commit(ctx, ws, ops) {
-				return
-			}
+		if !p.commit(ctx, writes) {
+			return false
 		}
 	}
 }
 
-// commit stores a batch, again and again until it is in or cannot be any more.
-// It returns false when the term is over. Every write is the same when
-// repeated, and fails once it, or a newer one of its key, was carried out; so
-// neither an answer that was lost nor a write that is late does any harm.
-func (l *Leader) commit(ctx context.Context, ws []scheduler.PendingWrite, ops int) bool {
-	pause := l.set.HeartbeatInterval / 20
+// commit stores a batch, again and again until it is stored or cannot be any more. It returns
+// false when the term is over. Every write is the same when repeated, and fails once it, or a
+// newer one of its key, was applied; so neither a lost answer nor a write that is applied late
+// does any harm.
+func (p *persister) commit(ctx context.Context, writes []scheduler.PendingWrite) bool {
+	opCount := countOps(writes)
+	pause := p.settings.HeartbeatInterval / 20
 	for {
-		if l.store.WaitForWrites(ctx, ops) != nil {
+		if p.store.WaitForWrites(ctx, opCount) != nil {
 			return false
 		}
-		when, all := l.transaction(ws)
-		stamp, err := l.store.Commit(ctx, when, all)
+		compares, ops := p.transaction(writes)
+		revision, err := p.store.Commit(ctx, compares, ops)
 		var conflict *records.ConflictError
 		switch {
 		case err == nil:
-			l.stored(ws, stamp)
+			p.noteStored(writes, revision)
 			return true
 		case errors.As(err, &conflict):
-			rest, ok := l.resolveConflict(ctx, ws, conflict)
-			if !ok || len(rest) == 0 {
+			remaining, ok := p.resolveConflict(ctx, writes, conflict)
+			if !ok || len(remaining) == 0 {
 				return ok
 			}
-			ws = rest
+			writes = remaining
 		case errors.Is(err, records.ErrInvalid):
-			return l.split(ctx, ws, err)
+			return p.commitSeparately(ctx, writes, err)
 		default:
-			slog.Debug("store: commit failed", "err", err)
+			slog.Debug("commit failed", "term", p.number, "err", err)
 			if !errors.Is(err, records.ErrUnavailable) && !errors.Is(err, records.ErrThrottled) {
-				l.unanswered(ws)
+				p.noteUnanswered(writes)
 			}
 		}
 		if httpclient.Sleep(ctx, pause/2+rand.N(pause)) != nil {
 			return false
 		}
-		pause = min(2*pause, l.set.HeartbeatInterval)
+		pause = min(2*pause, p.settings.HeartbeatInterval)
 	}
 }
 
-// transaction puts writes together, with the conditions under which all of them stand.
-func (l *Leader) transaction(ws []scheduler.PendingWrite) (when []records.Compare, ops []records.Op) {
-	when = l.mine()
-	seen := map[string]bool{}
-	for _, w := range ws {
-		ops = append(ops, w.Ops...)
-		conds := w.Compares
-		if w.OwnRevision != nil {
-			conds = []records.Compare{{Key: w.OwnKey, Revision: *w.OwnRevision}}
-		}
-		for _, c := range conds {
-			if !seen[c.Key] {
-				seen[c.Key] = true
-				when = append(when, c)
-			}
-		}
+func countOps(writes []scheduler.PendingWrite) int {
+	count := 0
+	for _, write := range writes {
+		count += len(write.Ops)
 	}
-	return when, ops
+	return count
 }
 
-// stored takes in that writes are in the store, at a revision.
-func (l *Leader) stored(ws []scheduler.PendingWrite, stamp uint64) {
-	l.mu.Lock()
-	for _, w := range ws {
-		if w.OwnRevision != nil {
-			if *w.OwnRevision = stamp; w.Ops[0].Delete != "" {
-				*w.OwnRevision = 0
-			}
+// transaction puts writes together, with the compares under which all of them are valid.
+func (p *persister) transaction(writes []scheduler.PendingWrite) (compares []records.Compare, ops []records.Op) {
+	compares = p.leaderKeyCompare()
+	compared := map[string]bool{}
+	for _, write := range writes {
+		ops = append(ops, write.Ops...)
+		needed := write.Compares
+		if write.OwnRevision != nil {
+			needed = []records.Compare{{Key: write.OwnKey, Revision: *write.OwnRevision}}
 		}
-		w.OnStored(stamp)
-	}
-	close(l.logged)
-	l.logged = make(chan struct{})
-	l.mu.Unlock()
-	l.led(stamp)
-}
-
-// resolveConflict finds out which writes of a transaction that failed are to be tried again; not ok: the term is
-// over, or the store does not tell.
-func (l *Leader) resolveConflict(ctx context.Context, ws []scheduler.PendingWrite, conflict *records.ConflictError) (rest []scheduler.PendingWrite, ok bool) {
-	if slices.Contains(conflict.Failed, records.KeyLeader) {
-		slog.Info("deposed", "term", l.term)
-		l.tenure.Resign()
-		return nil, false
-	}
-	ours := false
-	for _, w := range ws {
-		switch failed := w.OwnKey != "" && slices.Contains(conflict.Failed, w.OwnKey); {
-		case failed && w.OwnRevision != nil:
-			ours = true
-			in, err := l.reconcile(ctx, w)
-			if err != nil {
-				return nil, false
-			}
-			if !in {
-				rest = append(rest, w)
+		for _, compare := range needed {
+			if !compared[compare.Key] {
+				compared[compare.Key] = true
+				compares = append(compares, compare)
 			}
-		case failed:
-			ours = true
-			l.mu.Lock()
-			w.OnConflict()
-			l.mu.Unlock()
-		default:
-			rest = append(rest, w)
-		}
-	}
-	if !ours {
-		slog.Error("store: conflict over nothing of ours", "failed", strings.Join(conflict.Failed, " "))
-	}
-	return rest, true
-}
-
-// unanswered takes in that writes may yet be carried out.
-func (l *Leader) unanswered(ws []scheduler.PendingWrite) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, w := range ws {
-		if w.OwnRevision != nil && *w.OwnRevision == 0 && w.OnUnanswered != nil {
-			w.OnUnanswered()
 		}
 	}
+	return compares, ops
 }
 
-// reconcile reads a key that only the leader writes and that is not at the revision where it
-// was known to be: mostly the write itself was carried out, and its answer lost. in says so;
-// otherwise it is repeated on what is there now.
-func (l *Leader) reconcile(ctx context.Context, w scheduler.PendingWrite) (in bool, err error) {
-	for {
-		row, err := l.store.Get(ctx, w.OwnKey)
-		if err == nil {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			if *w.OwnRevision = 0; row != nil {
-				*w.OwnRevision = row.Revision
-			}
-			if in = stands(w.Ops[0], row); in {
-				w.OnStored(*w.OwnRevision)
-			} else {
-				slog.Error("store: a value is neither what was there nor what was written", "key", w.OwnKey, "stamp", *w.OwnRevision, "term", l.term)
+// noteStored takes in that writes are in the store, at a revision.
+func (p *persister) noteStored(writes []scheduler.PendingWrite, revision uint64) {
+	p.state.mu.Lock()
+	for _, write := range writes {
+		if write.OwnRevision != nil {
+			*write.OwnRevision = revision
+			if write.Ops[0].Delete != "" {
+				*write.OwnRevision = 0
 			}
-			return in, nil
-		}
-		if err := httpclient.Sleep(ctx, l.set.HeartbeatInterval/16+rand.N(l.set.HeartbeatInterval/16)); err != nil {
-			return false, err
 		}
+		write.OnStored(revision)
 	}
+	close(p.state.committed)
+	p.state.committed = make(chan struct{})
+	p.state.mu.Unlock()
+	p.attestor.noteLed(revision)
 }
 
-// stands says whether a change is in the store, whose form of a value may be another.
-func stands(op records.Op, row *records.KeyValue) bool {
-	if op.Delete != "" || row == nil {
-		return (op.Delete != "") == (row == nil)
+// noteUnanswered takes in that writes may yet be applied.
+func (p *persister) noteUnanswered(writes []scheduler.PendingWrite) {
+	p.state.mu.Lock()
+	defer p.state.mu.Unlock()
+	for _, write := range writes {
+		if write.OwnRevision != nil && *write.OwnRevision == 0 && write.OnUnanswered != nil {
+			write.OnUnanswered()
+		}
 	}
-	raw, err := json.Marshal(op.Value)
-	var ours, theirs any
-	return err == nil && json.Unmarshal(raw, &ours) == nil && json.Unmarshal(row.Value, &theirs) == nil && reflect.DeepEqual(ours, theirs)
 }
 
-// split stores one by one what the store refused as one commit. Guards against a
-// limit that falls without notice: a commit that is too large is refused however
-// often it is repeated, and a leader that repeats it does nothing else any more.
-func (l *Leader) split(ctx context.Context, ws []scheduler.PendingWrite, err error) bool {
-	slog.Warn("store: refused as too large, writing less at a time", "writes", len(ws), "term", l.term, "err", err)
-	if len(ws) == 1 {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if ws[0].OnTooLarge == nil {
-			slog.Error("store: a write that it will never take, given up", "write", ws[0].Ops[0].Write, "term", l.term)
-			return true
-		}
-		ws[0].OnTooLarge()
+// commitSeparately stores one by one what the store rejected as one commit. Without this, a limit
+// that falls without notice would stop the leader for good: a commit that is too large is rejected
+// however often it is repeated.
+func (p *persister) commitSeparately(ctx context.Context, writes []scheduler.PendingWrite, cause error) bool {
+	slog.Warn("commit rejected as too large", "writes", len(writes), "term", p.number, "err", cause)
+	if len(writes) == 1 {
+		p.noteTooLarge(writes[0])
 		return true
 	}
-	l.rec.HalveCommits()
-	for _, w := range ws {
-		if !l.commit(ctx, []scheduler.PendingWrite{w}, len(w.Ops)) {
+	p.state.persistence.HalveCommits()
+	for _, write := range writes {
+		if !p.commit(ctx, []scheduler.PendingWrite{write}) {
 			return false
 		}
 	}
 	return true
 }
+
+// noteTooLarge takes in that the store will never take a write as it is.
+func (p *persister) noteTooLarge(write scheduler.PendingWrite) {
+	p.state.mu.Lock()
+	defer p.state.mu.Unlock()
+	if write.OnTooLarge == nil {
+		slog.Error("write abandoned as too large", "key", write.Ops[0].Write, "term", p.number)
+		return
+	}
+	write.OnTooLarge()
+}
