--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -31,147 +31,283 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// run serves until the process is killed.
+const (
+	// memoryLimitShare is the share of the process's memory from which on garbage is collected
+	// more often.
+	memoryLimitShare = 0.7
+	// gcPercent is by how much the heap may grow until garbage is collected.
+	gcPercent = 200
+
+	// The file descriptors that the process may have open are divided up. Every worker keeps a
+	// connection, to the leader or to a controller that relays its heartbeats; users come beside
+	// them. The rest is for calls: to the store and to peers, and to workers one after the other.
+	userConnectionsPercent   = 75
+	peerConnectionsDivisor   = 16
+	storeConnectionsDivisor  = 20
+	workerConnectionsDivisor = 40
+
+	minConnections       = 16 // of each of the two servers
+	minStoreConnections  = 8
+	minWorkerConnections = 4
+
+	// peerIdleTimeout is for how long a peer's connection may be silent.
+	peerIdleTimeout = 5 * time.Minute
+	// maxBodyBytes is the largest request body of the protocol.
+	maxBodyBytes = 64 << 10
+	// bufferBytes is the size of a connection's read and write buffers.
+	bufferBytes = 4096
+)
+
+// run serves until the process is killed, or an address can no longer be served. There is no
+// orderly shutdown: a controller may end at any moment, and its lease on the leader key expires by
+// itself.
 func run(cfg *config.Config) error {
 	setLogging(os.Getenv("LOG_LEVEL"))
-	res := cfg.Deployment.Resources
-	runtime.GOMAXPROCS(max(1, int(res.Cores)))
-	debug.SetMemoryLimit(int64(res.RAMMB * 0.7 * (1 << 20)))
-	debug.SetGCPercent(200)
-
+	limitRuntime(cfg.Deployment.Resources)
+	logWarnings(cfg)
+	d := newDaemon(cfg)
+	listeners, err := listen(cfg)
+	if err != nil {
+		return err
+	}
 	ctx := context.Background()
+	failed := d.serve(listeners)
+	d.startBackground(ctx)
+	slog.Info("started", "node", cfg.Node, "zone", cfg.Zone, "version", version)
+	return <-failed
+}
+
+// limitRuntime keeps the Go runtime within the resources that the deployment gives to the process.
+func limitRuntime(resources config.Resources) {
+	runtime.GOMAXPROCS(max(1, int(resources.Cores)))
+	debug.SetMemoryLimit(int64(resources.RAMMB * memoryLimitShare * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
+}
+
+func logWarnings(cfg *config.Config) {
+	for _, warning := range cfg.Warnings() {
+		slog.Warn("settings inconsistent", "node", cfg.Node, "reason", warning)
+	}
+}
+
+// daemon is one controller: its clients, what it takes part in, and its servers.
+type daemon struct {
+	cfg    *config.Config
+	timing config.Timing
+
+	store    *store.Client
+	cloud    *cloud.Client
+	peers    *peer.Peers
+	workers  *workers.Caller
+	election *election.Election
+	observer watermark.Observer // what leaders have attested of their watermarks
+
+	currentLeader atomic.Pointer[leader.Leader] // nil while this process does not lead
+	api           *api.Server
+	operators     *operator.Server
+}
+
+func newDaemon(cfg *config.Config) *daemon {
 	timing := cfg.Timing()
-	report := timing.HeartbeatInterval
-	for _, d := range cfg.Warnings() {
-		slog.Warn("settings hold together badly", "doubt", d)
+	descriptors := cfg.Deployment.Resources.FDLimit
+	d := &daemon{
+		cfg:     cfg,
+		timing:  timing,
+		store:   newStoreClient(cfg, timing),
+		cloud:   cloud.NewClient(cfg.External.Cloud, cfg.Deployment.Cloud.RPS, timing.Cloud),
+		peers:   peer.NewPeers(cfg.Peers, timing.Peer),
+		workers: workers.NewCaller(max(descriptors/workerConnectionsDivisor, minWorkerConnections), timing.Worker),
 	}
-	st := cfg.Deployment.State.Lowest()
-	store := store.NewClient(cfg.External.State, store.Limits{
-		RPS: st.RPS, WriteRPS: st.WriteRPS, Controllers: cfg.Deployment.Nodes, MaxConnections: max(res.FDLimit/20, 8), Timeout: timing.Store,
-	})
-	peers := peer.NewPeers(cfg.Peers, timing.Peer)
-	cloud := cloud.NewClient(cfg.External.Cloud, cfg.Deployment.Cloud.RPS, timing.Cloud)
-	workers := workers.NewCaller(max(res.FDLimit/40, 4), timing.Worker)
-	ten := election.New(store, cfg.Node, strconv.FormatUint(rand.Uint64(), 36),
-		timing.LeaderLease, cfg.Options.Watermarks)
-	var witness watermark.Observer
-
-	var currentLeader atomic.Pointer[leader.Leader]
-	server := api.New(cfg, store.ForUsers(), peers, ten.Leader, func() api.Local {
-		if l := currentLeader.Load(); l != nil {
-			return l
-		}
-		return nil
+	incarnation := strconv.FormatUint(rand.Uint64(), 36)
+	d.election = election.New(d.store, cfg.Node, incarnation, timing.LeaderLease, cfg.Options.Watermarks)
+	d.api = api.New(cfg, d.store.ForUsers(), d.peers, d.election.Leader, d.leaderForAPI)
+	d.operators = operator.New(cfg, d.store, d.peers, d.election.Leader, d.leaderForOperators, timing.HeartbeatInterval/2)
+	return d
+}
+
+func newStoreClient(cfg *config.Config, timing config.Timing) *store.Client {
+	limits := cfg.Deployment.State.Lowest()
+	return store.NewClient(cfg.External.State, store.Limits{
+		RPS:            limits.RPS,
+		WriteRPS:       limits.WriteRPS,
+		Controllers:    cfg.Deployment.Nodes,
+		MaxConnections: max(cfg.Deployment.Resources.FDLimit/storeConnectionsDivisor, minStoreConnections),
+		Timeout:        timing.Store,
 	})
+}
 
-	front, err := net.Listen("tcp4", cfg.UserAddr)
-	if err != nil {
-		return fmt.Errorf("bind %s: %w", cfg.UserAddr, err)
+// leaderForAPI returns the leader in this process, or a nil interface.
+func (d *daemon) leaderForAPI() api.Local {
+	if l := d.currentLeader.Load(); l != nil {
+		return l
+	}
+	return nil
+}
+
+// leaderForOperators returns the leader in this process, or a nil interface.
+func (d *daemon) leaderForOperators() operator.Local {
+	if l := d.currentLeader.Load(); l != nil {
+		return l
 	}
-	back, err := net.Listen("tcp4", cfg.PeerAddr)
+	return nil
+}
+
+// listeners are the sockets of the two addresses that a controller serves.
+type listeners struct {
+	user net.Listener
+	peer net.Listener
+}
+
+func listen(cfg *config.Config) (listeners, error) {
+	user, err := net.Listen("tcp4", cfg.UserAddr)
 	if err != nil {
-		return fmt.Errorf("back %s: %w", cfg.PeerAddr, err)
+		return listeners{}, fmt.Errorf("bind %s: %w", cfg.UserAddr, err)
 	}
-	backApp := newApp(res.FDLimit/16, 5*time.Minute)
-	handlers := peer.Handlers{
-		Status: func(ask peer.StatusRequest) peer.Status {
-			return peer.StatusOf(cfg.Node, store, server.Cancellations(), ask).WithAttestations(&witness, ask.Attestation, server.SinceRenewal())
-		},
-		Progress: func(id string) peer.Progress {
-			l := currentLeader.Load()
-			if l == nil {
-				return peer.Progress{}
-			}
-			status, done, running, ok := l.Progress(id)
-			age, isClear := l.DependenciesClear(id)
-			return peer.Progress{Known: ok, Status: status, Done: done, Running: running, DependenciesClear: isClear, ClearAgeMS: age.Milliseconds()}
-		},
-		Relay:          server.Relay,
-		RelayHeartbeat: server.RelayedHeartbeat, Cancelled: server.PeerCancelled,
-	}
-	operators := operator.New(cfg, store, peers, ten.Leader, func() operator.Local {
-		if l := currentLeader.Load(); l != nil {
-			return l
-		}
-		return nil
-	}, report/2)
-	if cfg.Options.Operators {
-		handlers.Operate = operators.Decide
+	peers, err := net.Listen("tcp4", cfg.PeerAddr)
+	if err != nil {
+		return listeners{}, fmt.Errorf("back %s: %w", cfg.PeerAddr, err)
 	}
-	if cfg.Options.HeartbeatRelay {
-		handlers.RelayHeartbeats = server.RelayedHeartbeats
-		go server.OfferRelay(ctx)
+	return listeners{user: user, peer: peers}, nil
+}
+
+// serve begins to serve both addresses. The channel gets an error when one cannot be served any
+// more.
+func (d *daemon) serve(on listeners) <-chan error {
+	userApp := d.newUserApp()
+	peerApp := d.newPeerApp()
+	failed := make(chan error, 2)
+	go func() { failed <- userApp.Listener(on.user) }()
+	go func() { failed <- peerApp.Listener(on.peer) }()
+	return failed
+}
+
+// newUserApp serves users, workers and operators.
+func (d *daemon) newUserApp() *fiber.App {
+	connections := d.cfg.Deployment.Resources.FDLimit * userConnectionsPercent / 100
+	app := newApp(connections, config.Seconds(d.cfg.Deployment.Workers.LeaseS))
+	d.api.Mount(app)
+	if d.cfg.Options.Operators {
+		d.operators.Mount(app)
 	}
-	peer.Mount(backApp, handlers)
-	backApp.Get("/metrics", func(c *fiber.Ctx) error {
+	return app
+}
+
+// newPeerApp serves the other controllers, and the metrics.
+func (d *daemon) newPeerApp() *fiber.App {
+	app := newApp(d.cfg.Deployment.Resources.FDLimit/peerConnectionsDivisor, peerIdleTimeout)
+	peer.Mount(app, d.peerHandlers())
+	app.Get("/metrics", func(c *fiber.Ctx) error {
 		metrics.WritePrometheus(c.Response().BodyWriter(), true)
 		return nil
 	})
-	// Every worker keeps a connection, to the leader or to one that passes its reports on;
-	// users come beside them. The rest is for calls: to the store and peers, and to workers
-	// one after the other.
-	app := newApp(res.FDLimit*3/4, config.Seconds(cfg.Deployment.Workers.LeaseS))
-	server.Mount(app)
-	if cfg.Options.Operators {
-		operators.Mount(app)
+	return app
+}
+
+func (d *daemon) peerHandlers() peer.Handlers {
+	handlers := peer.Handlers{
+		Status:         d.peerStatus,
+		Progress:       d.peerProgress,
+		Relay:          d.api.Relay,
+		RelayHeartbeat: d.api.RelayedHeartbeat,
+		Cancelled:      d.api.PeerCancelled,
+	}
+	if d.cfg.Options.Operators {
+		handlers.Operate = d.operators.Decide
 	}
+	if d.cfg.Options.HeartbeatRelay {
+		handlers.RelayHeartbeats = d.api.RelayedHeartbeats
+	}
+	return handlers
+}
 
-	failed := make(chan error, 2)
-	go func() { failed <- app.Listener(front) }()
-	go func() { failed <- backApp.Listener(back) }()
-	go server.Watch(ctx)
-	go learnTypes(ctx, server, store, cloud, report)
-	go ten.Run(ctx, func(ctx context.Context, term uint64) {
-		l := leader.New(cfg, store, cloud, ten, peers, workers, &witness, server.Cancellations(), term)
-		currentLeader.Store(l)
-		defer currentLeader.Store(nil)
-		l.Run(ctx)
-	})
-	slog.Info("started", "node", cfg.Node, "zone", cfg.Zone, "version", version)
-	return <-failed
+func (d *daemon) peerStatus(request peer.StatusRequest) peer.Status {
+	status := peer.StatusOf(d.cfg.Node, d.store, d.api.Cancellations(), request)
+	return status.WithAttestations(&d.observer, request.Attestation, d.api.SinceRenewal())
 }
 
-// newApp returns an HTTP server of the protocol's limits. A connection that says
-// nothing for as long as idle is closed: workers that gave one up behind a cut, or
-// hung, come back on another, and the old ones would take all sockets in the end.
-func newApp(connections int, idle time.Duration) *fiber.App {
-	return fiber.New(fiber.Config{
-		DisableStartupMessage: true,
-		BodyLimit:             64 << 10,
-		Concurrency:           max(connections, 16),
-		ReadBufferSize:        4096,
-		WriteBufferSize:       4096,
-		IdleTimeout:           idle,
-		ReadTimeout:           idle,
-		ReduceMemoryUsage:     true,
-	})
+func (d *daemon) peerProgress(job string) peer.Progress {
+	l := d.currentLeader.Load()
+	if l == nil {
+		return peer.Progress{}
+	}
+	status, done, running, known := l.Progress(job)
+	age, isClear := l.DependenciesClear(job)
+	return peer.Progress{
+		Known:             known,
+		Status:            status,
+		Done:              done,
+		Running:           running,
+		DependenciesClear: isClear,
+		ClearAgeMS:        age.Milliseconds(),
+	}
 }
 
-// learnTypes finds out which machine types there are: from the store, or from
-// the cloud itself where no leader has stored them yet.
-func learnTypes(ctx context.Context, server *api.Server, store *store.Client, cloud *cloud.Client, report time.Duration) {
-	pause := report / 8
+// startBackground starts what the controller does beside answering, which goes on until ctx ends.
+func (d *daemon) startBackground(ctx context.Context) {
+	if d.cfg.Options.HeartbeatRelay {
+		go d.api.OfferRelay(ctx)
+	}
+	go d.api.Watch(ctx)
+	go d.learnMachineTypes(ctx)
+	go d.election.Run(ctx, d.lead)
+}
+
+// lead serves one term of leadership.
+func (d *daemon) lead(ctx context.Context, term uint64) {
+	l := leader.New(d.cfg, d.store, d.cloud, d.election, d.peers, d.workers, &d.observer, d.api.Cancellations(), term)
+	d.currentLeader.Store(l)
+	defer d.currentLeader.Store(nil)
+	l.Run(ctx)
+}
+
+// learnMachineTypes keeps the API's machine types: from the store, or from the cloud itself where
+// no leader has stored them yet.
+func (d *daemon) learnMachineTypes(ctx context.Context) {
+	interval := d.timing.HeartbeatInterval
+	retryPause := interval / 8
 	for {
-		if row, err := store.Get(ctx, records.KeyTypes); err == nil && row != nil {
-			var t records.MachineTypes
-			if json.Unmarshal(row.Value, &t) == nil && len(t.Types) > 0 {
-				server.SetTypes(t.Types)
-			}
+		d.readMachineTypes(ctx)
+		pause := 30 * interval
+		if !d.api.HasTypes() {
+			pause = retryPause
+			retryPause = min(2*retryPause, interval)
 		}
-		if !server.HasTypes() {
-			if types, err := cloud.Types(ctx); err == nil {
-				server.SetTypes(types)
-			} else {
-				slog.Debug("machine types are not known yet", "err", err)
-			}
-		}
-		wait := 30 * report
-		if !server.HasTypes() {
-			wait = pause
-			pause = min(2*pause, report)
-		}
-		if httpclient.Sleep(ctx, wait/2+rand.N(wait)) != nil {
+		if httpclient.Sleep(ctx, pause/2+rand.N(pause)) != nil {
 			return
 		}
 	}
 }
+
+func (d *daemon) readMachineTypes(ctx context.Context) {
+	if row, err := d.store.Get(ctx, records.KeyTypes); err == nil && row != nil {
+		var stored records.MachineTypes
+		if json.Unmarshal(row.Value, &stored) == nil && len(stored.Types) > 0 {
+			d.api.SetTypes(stored.Types)
+		}
+	}
+	if d.api.HasTypes() {
+		return
+	}
+	types, err := d.cloud.Types(ctx)
+	if err != nil {
+		slog.Debug("machine types not read", "err", err)
+		return
+	}
+	d.api.SetTypes(types)
+}
+
+// newApp returns an HTTP server with the protocol's limits. A connection that is silent for as long
+// as idleTimeout is closed: workers that gave one up behind a network partition, or hung, come back
+// on another, and the old ones would use up all sockets in the end.
+func newApp(connections int, idleTimeout time.Duration) *fiber.App {
+	return fiber.New(fiber.Config{
+		DisableStartupMessage: true,
+		BodyLimit:             maxBodyBytes,
+		Concurrency:           max(connections, minConnections),
+		ReadBufferSize:        bufferBytes,
+		WriteBufferSize:       bufferBytes,
+		IdleTimeout:           idleTimeout,
+		ReadTimeout:           idleTimeout,
+		ReduceMemoryUsage:     true,
+	})
+}
--- a/cmd/drumpick/daemon_test.go
+++ b/cmd/drumpick/daemon_test.go
@@ -13,18 +13,18 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 )
 
-// A body over 64 KiB is refused by its announced length, before it is sent.
-func TestBodyLimit(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+// A body over 64 KiB is rejected by its announced length, before it is sent.
+func TestBodyOverLimitIsRejected(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	app := newApp(16, time.Minute)
 	app.Post("/work", func(c *fiber.Ctx) error { return c.SendStatus(201) })
-	go func() { _ = app.Listener(ln) }()
+	go func() { _ = app.Listener(listener) }()
 	defer func() { _ = app.Shutdown() }()
 	for length, want := range map[int]string{64 << 10: "201", 64<<10 + 1: "413"} {
-		conn, err := net.Dial("tcp4", ln.Addr().String())
+		conn, err := net.Dial("tcp4", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -34,26 +34,26 @@
 		}
 		line := make([]byte, 12)
 		if _, err := io.ReadFull(conn, line); err != nil || !strings.HasSuffix(string(line), want) {
-			t.Errorf("%d bytes: %q, %v, want %s", length, line, err, want)
+			t.Errorf("%d bytes: got %q, %v, want status %s", length, line, err, want)
 		}
 		conn.Close()
 	}
 }
 
-// A connection that says nothing is closed after its time, in simulated time; one
-// that goes on asking stays.
-func TestIdleConnections(t *testing.T) {
+// A connection that is silent is closed after the idle timeout, in simulated time; one that goes
+// on sending requests stays open.
+func TestIdleConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		app := newApp(16, 12*time.Second)
 		app.Get("/ready", func(c *fiber.Ctx) error { return c.SendStatus(200) })
-		ln := fasthttputil.NewInmemoryListener()
-		go func() { _ = app.Server().Serve(ln) }()
+		listener := fasthttputil.NewInmemoryListener()
+		go func() { _ = app.Server().Serve(listener) }()
 		app.Handler() // as a listener would
-		conn, err := ln.Dial()
+		conn, err := listener.Dial()
 		if err != nil {
 			t.Fatal(err)
 		}
-		ask := func() error {
+		request := func() error {
 			if _, err := fmt.Fprint(conn, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 				return err
 			}
@@ -61,16 +61,16 @@
 			return err
 		}
 		for range 5 {
-			if err := ask(); err != nil {
-				t.Fatalf("a connection in use: %v", err)
+			if err := request(); err != nil {
+				t.Fatalf("request on a connection in use: got %v, want an answer", err)
 			}
 			time.Sleep(8 * time.Second)
 		}
 		time.Sleep(8 * time.Second)
-		if err := ask(); err == nil {
-			t.Error("an idle connection stays open")
+		if err := request(); err == nil {
+			t.Error("request on an idle connection: got an answer, want it closed")
 		}
-		ln.Close()
+		listener.Close()
 		_ = conn.Close()
 		time.Sleep(time.Hour)
 	})
--- a/cmd/drumpick/golden_test.go
+++ b/cmd/drumpick/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Metrics keep their names. Those with labels come into being with their first value and are
-// not among these.
+// Metrics keep their names. Those with labels are registered with their first value and are not
+// among these.
 func TestGoldenMetrics(t *testing.T) {
 	var names []string
 	for _, name := range metrics.ListMetricNames() {
--- a/cmd/drumpick/main.go
+++ b/cmd/drumpick/main.go
@@ -1,7 +1,9 @@
-// Command drumpick is a cluster scheduler; see README.md.
+// Command drumpick is the controller daemon of a cluster scheduler; see README.md. One controller
+// runs on each node; they elect a leader, and the others relay requests to it.
 package main
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -22,19 +24,27 @@
 	}
 }
 
-func command() *cobra.Command {
-	var path, options string
-	load := func() (*config.Config, error) {
-		if path == "" {
-			return nil, fmt.Errorf("--config FILE is required")
-		}
-		cfg, err := config.Load(path)
-		if err != nil || options == "" {
-			return cfg, err
-		}
-		cfg.Options, err = config.LoadOptions(options)
+// settingsFlags are the files that the settings come from.
+type settingsFlags struct {
+	configPath  string
+	optionsPath string
+}
+
+func (f *settingsFlags) load() (*config.Config, error) {
+	if f.configPath == "" {
+		return nil, errors.New("--config FILE is required")
+	}
+	cfg, err := config.Load(f.configPath)
+	if err != nil || f.optionsPath == "" {
 		return cfg, err
 	}
+	cfg.Options, err = config.LoadOptions(f.optionsPath)
+	return cfg, err
+}
+
+// command is the command line: without a subcommand it runs the daemon.
+func command() *cobra.Command {
+	var flags settingsFlags
 	root := &cobra.Command{
 		Use:           "drumpick",
 		Short:         "Cluster scheduler: runs the controller daemon",
@@ -43,44 +53,50 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(*cobra.Command, []string) error {
-			cfg, err := load()
+			cfg, err := flags.load()
 			if err != nil {
 				return err
 			}
 			return run(cfg)
 		},
 	}
-	root.PersistentFlags().StringVar(&path, "config", "", "settings `file` of the platform (TOML)")
-	root.PersistentFlags().StringVar(&options, "options", "", "operators' settings `file` (INI)")
-	root.AddCommand(&cobra.Command{
+	root.PersistentFlags().StringVar(&flags.configPath, "config", "", "settings `file` of the platform (TOML)")
+	root.PersistentFlags().StringVar(&flags.optionsPath, "options", "", "operators' settings `file` (INI)")
+	root.AddCommand(checkCommand(&flags))
+	root.CompletionOptions.DisableDefaultCmd = true
+	return root
+}
+
+func checkCommand(flags *settingsFlags) *cobra.Command {
+	return &cobra.Command{
 		Use:   "check",
 		Short: "Check the settings and exit",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := load()
-			if err == nil {
-				for _, d := range cfg.Warnings() {
-					fmt.Fprintln(cmd.OutOrStdout(), "doubt:", d)
-				}
-				fmt.Fprintf(cmd.OutOrStdout(), "settings of %s are in order\n", cfg.Node)
+			cfg, err := flags.load()
+			if err != nil {
+				return err
 			}
-			return err
+			for _, warning := range cfg.Warnings() {
+				fmt.Fprintln(cmd.OutOrStdout(), "doubt:", warning)
+			}
+			fmt.Fprintf(cmd.OutOrStdout(), "settings of %s are in order\n", cfg.Node)
+			return nil
 		},
-	})
-	root.CompletionOptions.DisableDefaultCmd = true
-	return root
+	}
 }
 
-// setLogging sets how much goes to standard error.
-func setLogging(level string) {
-	l := slog.LevelInfo
-	switch strings.ToLower(level) {
+// setLogging sends log messages of a level, by its name, and above to standard error. Any other
+// name stands for info.
+func setLogging(name string) {
+	level := slog.LevelInfo
+	switch strings.ToLower(name) {
 	case "error":
-		l = slog.LevelError
+		level = slog.LevelError
 	case "warn", "warning":
-		l = slog.LevelWarn
+		level = slog.LevelWarn
 	case "debug":
-		l = slog.LevelDebug
+		level = slog.LevelDebug
 	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l})))
+	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
 }
--- a/cmd/drumpick/main_test.go
+++ b/cmd/drumpick/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// The command line: what is wrong is told in one line, and is an error.
+// Each command line gives its answer; a wrong one is an error of one line, which says what is wrong.
 func TestCommandLine(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("node_name = \"n-0\"\n"), 0o600); err != nil {
@@ -38,7 +38,7 @@
 			text += err.Error()
 		}
 		if (err == nil) != x.ok || !strings.Contains(text, x.want) || !x.ok && strings.Contains(text, "\n") {
-			t.Errorf("%v: %v, %q, want %q", x.args, err, text, x.want)
+			t.Errorf("%v: got error %v, text %q, want text %q, success %v", x.args, err, text, x.want, x.ok)
 		}
 	}
 }
