--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"net/http"
-	"sync"
 	"time"
 
 	"drumpick/internal/fleet"
@@ -69,46 +67,3 @@
 	defer t.state.mu.Unlock()
 	t.state.scheduler.Reconcile(status, false, time.Now())
 }
-
-// fenceMachines makes every machine that earlier terms may have used show this term: from then
-// on it follows no older leader, and what it shows is all it runs. It ends when all are
-// reconciled.
-func (t *term) fenceMachines(ctx context.Context) {
-	for ctx.Err() == nil {
-		t.state.mu.Lock()
-		machines := t.state.scheduler.Unreconciled()
-		reconciled := t.state.scheduler.Reconciled()
-		t.state.mu.Unlock()
-		if reconciled {
-			return
-		}
-		var calls sync.WaitGroup
-		for _, machine := range machines {
-			calls.Add(1)
-			t.workers.Go(func() {
-				defer calls.Done()
-				t.fenceMachine(machine)
-			})
-		}
-		calls.Wait()
-		if httpclient.Sleep(ctx, t.settings.HeartbeatInterval/2) != nil {
-			return
-		}
-	}
-}
-
-// fenceMachine shows a machine the term. A worker that has restarted refuses the call and tells
-// its new incarnation, with which it is tried once more.
-func (t *term) fenceMachine(machine scheduler.UnreconciledMachine) {
-	for range 2 {
-		code, status, err := t.workers.SendCommands(machine.Addr, t.noCommands(machine.Incarnation))
-		if err != nil || status.FencingToken > t.number {
-			return
-		}
-		t.reconcileAnswer(status)
-		if code == http.StatusOK {
-			return
-		}
-		machine.Incarnation = status.Incarnation
-	}
-}
--- a/internal/leader/commit_conflict.go
+++ b/internal/leader/commit_conflict.go
@@ -15,7 +15,7 @@
 )
 
 // resolveConflict finds out which writes of a failed commit are to be tried again; ok is false
-// when the term is over, or ctx has ended before the store told.
+// when the term is over, or ctx has ended before the store has answered.
 func (p *persister) resolveConflict(
 	ctx context.Context, writes []scheduler.PendingWrite, conflict *records.ConflictError,
 ) (remaining []scheduler.PendingWrite, ok bool) {
--- /dev/null
+++ b/internal/leader/fencing.go
@@ -0,0 +1,57 @@
+package leader
+
+import (
+	"context"
+	"net/http"
+	"sync"
+
+	"drumpick/internal/httpclient"
+	"drumpick/internal/scheduler"
+)
+
+// machineFencing makes every machine that earlier terms may have used show this term: from then on
+// it follows no older leader, and what it shows is all it runs.
+type machineFencing struct {
+	*term
+}
+
+// run calls the machines until all are reconciled, each round once the one before is answered.
+func (f *machineFencing) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		f.state.mu.Lock()
+		machines := f.state.scheduler.Unreconciled()
+		reconciled := f.state.scheduler.Reconciled()
+		f.state.mu.Unlock()
+		if reconciled {
+			return
+		}
+		var calls sync.WaitGroup
+		for _, machine := range machines {
+			calls.Add(1)
+			f.workers.Go(func() {
+				defer calls.Done()
+				f.fence(machine)
+			})
+		}
+		calls.Wait()
+		if httpclient.Sleep(ctx, f.settings.HeartbeatInterval/2) != nil {
+			return
+		}
+	}
+}
+
+// fence shows a machine the term. A worker that has restarted refuses the call and tells
+// its new incarnation, with which it is tried once more.
+func (f *machineFencing) fence(machine scheduler.UnreconciledMachine) {
+	for range 2 {
+		code, status, err := f.workers.SendCommands(machine.Addr, f.noCommands(machine.Incarnation))
+		if err != nil || status.FencingToken > f.number {
+			return
+		}
+		f.reconcileAnswer(status)
+		if code == http.StatusOK {
+			return
+		}
+		machine.Incarnation = status.Incarnation
+	}
+}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -90,6 +90,7 @@
 	persister := &persister{term: t, attestor: attestor}
 	jobs := &jobWatch{term: t}
 	commands := &commandLoop{term: t}
+	fencing := &machineFencing{term: t}
 	machines := &autoscaling{term: t, cloud: cloud}
 	types := &machineTypes{term: t, cloud: cloud}
 	outage := &storeOutage{term: t, attestor: attestor, confirmed: confirmed}
@@ -100,7 +101,7 @@
 		jobs.run,
 		withoutRevision(persister.run),
 		withoutRevision(commands.run),
-		withoutRevision(t.fenceMachines),
+		withoutRevision(fencing.run),
 		withoutRevision(types.run),
 		withoutRevision(machines.reconcileCloudLists),
 		withoutRevision(machines.scaleOut),
