--- a/client/client.go
+++ b/client/client.go
@@ -15,6 +15,7 @@
 	"sync/atomic"
 	"time"
 
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/httpclient"
 )
 
@@ -180,7 +181,7 @@
 		if last.Over() {
 			return last, nil
 		}
-		if err := httpclient.Sleep(ctx, c.Every*3/4+rand.N(c.Every/2+1)); err != nil {
+		if err := ctxtime.Sleep(ctx, c.Every*3/4+rand.N(c.Every/2+1)); err != nil {
 			return last, err
 		}
 	}
@@ -226,7 +227,7 @@
 		if time.Now().Add(pause).After(until) {
 			return a, fmt.Errorf("%w: %w", ErrUnavailable, last)
 		}
-		if err := httpclient.Sleep(ctx, pause); err != nil {
+		if err := ctxtime.Sleep(ctx, pause); err != nil {
 			return a, err
 		}
 	}
--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -17,8 +17,8 @@
 	"drumpick/internal/api"
 	"drumpick/internal/cloud"
 	"drumpick/internal/config"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/election"
-	"drumpick/internal/httpclient"
 	"drumpick/internal/leader"
 	"drumpick/internal/operator"
 	"drumpick/internal/peer"
@@ -272,7 +272,7 @@
 			pause = retryPause
 			retryPause = min(2*retryPause, interval)
 		}
-		if httpclient.Sleep(ctx, pause/2+rand.N(pause)) != nil {
+		if ctxtime.Sleep(ctx, pause/2+rand.N(pause)) != nil {
 			return
 		}
 	}
--- a/cmd/drumpickctl/demo.go
+++ b/cmd/drumpickctl/demo.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"drumpick/client"
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/jobspec"
 	"drumpick/internal/localcluster"
 
@@ -68,7 +68,7 @@
 		}
 		// What a cancelled service left running is gone within the region's bound.
 		for r.World.Running() > 0 {
-			if err := httpclient.Sleep(cmd.Context(), 100*time.Millisecond); err != nil {
+			if err := ctxtime.Sleep(cmd.Context(), 100*time.Millisecond); err != nil {
 				return err
 			}
 		}
--- a/internal/api/answer_order_test.go
+++ b/internal/api/answer_order_test.go
@@ -12,7 +12,7 @@
 
 	"drumpick/internal/api"
 	"drumpick/internal/config"
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/linearizability"
 	"drumpick/internal/peer"
 	"drumpick/internal/records"
@@ -60,7 +60,7 @@
 }
 
 func (s *slow) Get(ctx context.Context, key string) (*records.KeyValue, error) {
-	if err := httpclient.Sleep(ctx, s.w.pause()); err != nil {
+	if err := ctxtime.Sleep(ctx, s.w.pause()); err != nil {
 		return nil, records.ErrUnknownOutcome
 	}
 	row, err := s.Client.Get(ctx, key)
@@ -72,7 +72,7 @@
 		s.old[key] = row
 		s.mu.Unlock()
 	}
-	if sleep := httpclient.Sleep(ctx, s.w.pause()); sleep != nil {
+	if sleep := ctxtime.Sleep(ctx, s.w.pause()); sleep != nil {
 		return nil, records.ErrUnknownOutcome
 	}
 	return row, err
@@ -81,7 +81,7 @@
 func (s *slow) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
 	var rows []records.KeyValue
 	epoch, err := s.Client.List(ctx, prefix, func(r records.KeyValue) error { rows = append(rows, r); return nil })
-	if httpclient.Sleep(ctx, s.w.pause()) != nil {
+	if ctxtime.Sleep(ctx, s.w.pause()) != nil {
 		return 0, records.ErrUnknownOutcome
 	}
 	for _, r := range rows {
@@ -100,7 +100,7 @@
 }
 
 func (s *slow) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
-	if httpclient.Sleep(ctx, s.w.pause()) != nil {
+	if ctxtime.Sleep(ctx, s.w.pause()) != nil {
 		return 0, records.ErrUnknownOutcome
 	}
 	switch s.w.mistake {
--- a/internal/api/heartbeat_relay.go
+++ b/internal/api/heartbeat_relay.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/peer"
 	"drumpick/internal/routing"
 
@@ -129,7 +129,7 @@
 // leads no more, or takes no bundles, is asked again later.
 func (s *Server) OfferRelay(ctx context.Context) {
 	report := s.cfg.HeartbeatInterval()
-	for httpclient.Sleep(ctx, report/2) == nil {
+	for ctxtime.Sleep(ctx, report/2) == nil {
 		node := s.leader()
 		if s.local() != nil || node == s.cfg.Node || !s.relays.tries(node, time.Now()) {
 			continue
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -12,8 +12,8 @@
 
 	"drumpick/internal/cancellation"
 	"drumpick/internal/config"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/fleet"
-	"drumpick/internal/httpclient"
 	"drumpick/internal/peer"
 	"drumpick/internal/records"
 
@@ -337,7 +337,7 @@
 // controller that is cut off.
 func (s *Server) Watch(ctx context.Context) {
 	report := s.cfg.HeartbeatInterval()
-	for httpclient.Sleep(ctx, report/4) == nil {
+	for ctxtime.Sleep(ctx, report/4) == nil {
 		served, alone := false, false
 		_, failing, _ := s.store.Health()
 		if failing {
--- a/internal/api/shared_poll.go
+++ b/internal/api/shared_poll.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/peer"
 	"drumpick/internal/records"
 
@@ -75,7 +75,7 @@
 	defer close(l.done)
 	ctx, cancel := context.WithTimeout(context.Background(), wait+s.budget())
 	defer cancel()
-	_ = httpclient.Sleep(ctx, wait)
+	_ = ctxtime.Sleep(ctx, wait)
 	s.crowd.mu.Lock()
 	s.crowd.next, s.crowd.last = nil, time.Now()
 	s.crowd.mu.Unlock()
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -22,7 +22,7 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/records"
 )
 
@@ -115,7 +115,7 @@
 			e.serve(ctx, *won, lead)
 		case err != nil:
 			slog.Debug("election: store unavailable", "node", e.node, "err", err)
-			_ = httpclient.Sleep(ctx, e.leaseDuration/8+rand.N(e.leaseDuration/8))
+			_ = ctxtime.Sleep(ctx, e.leaseDuration/8+rand.N(e.leaseDuration/8))
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	}
 	e.setLeader("")
 	if wait := e.campaignBarredFor(); wait > 0 {
-		return nil, httpclient.Sleep(ctx, min(wait, e.leaseDuration/8))
+		return nil, ctxtime.Sleep(ctx, min(wait, e.leaseDuration/8))
 	}
 	return e.acquire(ctx, revision)
 }
@@ -270,7 +270,7 @@
 func (e *Election) renewUntilLost(ctx context.Context, won wonTerm) {
 	pause := e.leaseDuration / 4
 	for ctx.Err() == nil {
-		if httpclient.Sleep(ctx, pause) != nil {
+		if ctxtime.Sleep(ctx, pause) != nil {
 			return
 		}
 		pause = e.leaseDuration / 4
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -3,7 +3,6 @@
 package httpclient
 
 import (
-	"context"
 	"encoding/json"
 	"net"
 	"strconv"
@@ -94,15 +93,3 @@
 	}
 	return c.Do(method, uri, "application/json", raw, deadline)
 }
-
-// Sleep waits for d or until ctx ends.
-func Sleep(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-t.C:
-		return nil
-	}
-}
--- a/internal/leader/autoscaling.go
+++ b/internal/leader/autoscaling.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"drumpick/internal/autoscaler"
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 )
 
 // maxRentalRetries is how often a rental request is repeated that the cloud does not answer.
@@ -26,7 +26,7 @@
 func (a *autoscaling) reconcileCloudLists(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := max(a.reconcileCloudList(ctx), a.settings.HeartbeatInterval/4)
-		if httpclient.Sleep(ctx, pause*3/4+rand.N(pause/2)) != nil {
+		if ctxtime.Sleep(ctx, pause*3/4+rand.N(pause/2)) != nil {
 			return
 		}
 	}
@@ -55,7 +55,7 @@
 func (a *autoscaling) scaleOut(ctx context.Context) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
-	for httpclient.Sleep(ctx, a.settings.HeartbeatInterval/4) == nil {
+	for ctxtime.Sleep(ctx, a.settings.HeartbeatInterval/4) == nil {
 		if !a.confirmed() {
 			continue
 		}
@@ -96,7 +96,7 @@
 			return
 		}
 		slog.Debug("scale out not answered", "request", request.Name, "err", err)
-		if httpclient.Sleep(ctx, pause/2+rand.N(pause)) != nil {
+		if ctxtime.Sleep(ctx, pause/2+rand.N(pause)) != nil {
 			continue
 		}
 		pause = min(2*pause, 4*a.settings.HeartbeatInterval)
@@ -105,7 +105,7 @@
 
 // scaleIn returns the machines that the scheduler has no more use for.
 func (a *autoscaling) scaleIn(ctx context.Context) {
-	for httpclient.Sleep(ctx, a.settings.HeartbeatInterval/2) == nil {
+	for ctxtime.Sleep(ctx, a.settings.HeartbeatInterval/2) == nil {
 		// Without going on while calls are full, hundreds of machines, of a zone that went silent,
 		// would be returned one call in each interval while all older work waits for the last.
 		for more := true; more && a.confirmed(); {
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 
 	"github.com/VictoriaMetrics/metrics"
 )
@@ -90,5 +90,5 @@
 	l.state.mu.Lock()
 	arrival := l.cancelLocked(id)
 	l.state.mu.Unlock()
-	return httpclient.Sleep(ctx, time.Until(arrival)) == nil
+	return ctxtime.Sleep(ctx, time.Until(arrival)) == nil
 }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/fleet"
-	"drumpick/internal/httpclient"
 	"drumpick/internal/scheduler"
 )
 
@@ -17,7 +17,7 @@
 
 func (c *commandLoop) run(ctx context.Context) {
 	interval := c.settings.HeartbeatInterval / scheduler.TicksPerHeartbeat
-	for sleptFrom := time.Now(); httpclient.Sleep(ctx, interval) == nil; sleptFrom = time.Now() {
+	for sleptFrom := time.Now(); ctxtime.Sleep(ctx, interval) == nil; sleptFrom = time.Now() {
 		now := time.Now()
 		mayStart := c.mayStartTasks()
 		c.state.mu.Lock()
--- a/internal/leader/commit_conflict.go
+++ b/internal/leader/commit_conflict.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/records"
 	"drumpick/internal/scheduler"
 )
@@ -60,7 +60,7 @@
 		if err == nil {
 			return p.takeRevision(write, row), nil
 		}
-		if err := httpclient.Sleep(ctx, p.settings.HeartbeatInterval/16+rand.N(p.settings.HeartbeatInterval/16)); err != nil {
+		if err := ctxtime.Sleep(ctx, p.settings.HeartbeatInterval/16+rand.N(p.settings.HeartbeatInterval/16)); err != nil {
 			return false, err
 		}
 	}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/records"
 
 	"golang.org/x/time/rate"
@@ -40,7 +40,7 @@
 
 func (d *dependencyReader) run(ctx context.Context) {
 	pause := d.settings.HeartbeatInterval / 8
-	for httpclient.Sleep(ctx, pause/2+rand.N(pause)) == nil {
+	for ctxtime.Sleep(ctx, pause/2+rand.N(pause)) == nil {
 		d.state.mu.Lock()
 		jobs := d.state.scheduler.UnreadDependencies()
 		d.state.mu.Unlock()
--- a/internal/leader/fencing.go
+++ b/internal/leader/fencing.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"sync"
 
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/scheduler"
 )
 
@@ -34,7 +34,7 @@
 			})
 		}
 		calls.Wait()
-		if httpclient.Sleep(ctx, f.settings.HeartbeatInterval/2) != nil {
+		if ctxtime.Sleep(ctx, f.settings.HeartbeatInterval/2) != nil {
 			return
 		}
 	}
--- a/internal/leader/job_watch.go
+++ b/internal/leader/job_watch.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/records"
 	"drumpick/internal/scheduler"
 )
@@ -35,7 +35,7 @@
 			events = nil
 		}
 		if err != nil {
-			if httpclient.Sleep(ctx, t.settings.HeartbeatInterval/8+rand.N(t.settings.HeartbeatInterval/8)) != nil {
+			if ctxtime.Sleep(ctx, t.settings.HeartbeatInterval/8+rand.N(t.settings.HeartbeatInterval/8)) != nil {
 				return
 			}
 			continue
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -28,9 +28,9 @@
 	"drumpick/internal/autoscaler"
 	"drumpick/internal/cancellation"
 	"drumpick/internal/config"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/election"
 	"drumpick/internal/fleet"
-	"drumpick/internal/httpclient"
 	"drumpick/internal/peer"
 	"drumpick/internal/records"
 	"drumpick/internal/scheduler"
@@ -151,7 +151,7 @@
 			return revision, true
 		}
 		slog.Warn("failover delayed", "term", l.number, "node", l.cfg.Node, "err", err)
-		if httpclient.Sleep(ctx, l.settings.HeartbeatInterval/8+rand.N(l.settings.HeartbeatInterval/8)) != nil {
+		if ctxtime.Sleep(ctx, l.settings.HeartbeatInterval/8+rand.N(l.settings.HeartbeatInterval/8)) != nil {
 			return 0, false
 		}
 	}
--- a/internal/leader/lease_expiry.go
+++ b/internal/leader/lease_expiry.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/peer"
 	"drumpick/internal/watermark"
 )
@@ -28,7 +28,7 @@
 	// Two clocks are involved: the worker's, for its lease, and the renewer's, for how long it has
 	// accepted no heartbeat.
 	lease := e.settings.Lease + config.Drift(e.settings.Lease)
-	for httpclient.Sleep(ctx, e.settings.HeartbeatInterval/4) == nil {
+	for ctxtime.Sleep(ctx, e.settings.HeartbeatInterval/4) == nil {
 		if e.reconciled() {
 			return
 		}
--- a/internal/leader/machine_types.go
+++ b/internal/leader/machine_types.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"sort"
 
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/records"
 )
 
@@ -31,7 +31,7 @@
 		types, err := m.cloud.Types(ctx)
 		if err != nil {
 			slog.Debug("machine types not read", "err", err)
-			if httpclient.Sleep(ctx, interval/2+rand.N(interval)) != nil {
+			if ctxtime.Sleep(ctx, interval/2+rand.N(interval)) != nil {
 				return
 			}
 			continue
@@ -41,7 +41,7 @@
 		m.state.mu.Unlock()
 		sort.Slice(types, func(i, j int) bool { return types[i].Name < types[j].Name })
 		m.storeChanged(ctx, types)
-		if httpclient.Sleep(ctx, typesRefreshIntervals*interval) != nil {
+		if ctxtime.Sleep(ctx, typesRefreshIntervals*interval) != nil {
 			return
 		}
 	}
--- a/internal/leader/persist.go
+++ b/internal/leader/persist.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/records"
 	"drumpick/internal/scheduler"
 )
@@ -90,7 +90,7 @@
 				p.noteUnanswered(writes)
 			}
 		}
-		if httpclient.Sleep(ctx, pause/2+rand.N(pause)) != nil {
+		if ctxtime.Sleep(ctx, pause/2+rand.N(pause)) != nil {
 			return false
 		}
 		pause = min(2*pause, p.settings.HeartbeatInterval)
--- a/internal/leader/store_outage.go
+++ b/internal/leader/store_outage.go
@@ -7,7 +7,7 @@
 
 	"drumpick/internal/cancellation"
 	"drumpick/internal/config"
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/peer"
 )
 
@@ -30,7 +30,7 @@
 // run queries and announces one after the other, from here alone. Without this, a peer that
 // started only after an earlier attestation was sent could take it in after a later one.
 func (o *storeOutage) run(ctx context.Context) {
-	for o.attestor.announce(ctx); httpclient.Sleep(ctx, o.settings.HeartbeatInterval/4) == nil; {
+	for o.attestor.announce(ctx); ctxtime.Sleep(ctx, o.settings.HeartbeatInterval/4) == nil; {
 		lastOK, failing, _ := o.store.Health()
 		if !failing || time.Since(lastOK) < o.settings.HeartbeatInterval/2 {
 			o.attestor.announce(ctx)
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 )
 
 // Failover is how a region came through the end of its leader.
@@ -76,7 +76,7 @@
 func (f *faults) run(ctx context.Context) {
 	began := time.Now()
 	for _, e := range f.schedule() {
-		if httpclient.Sleep(ctx, e.at-time.Since(began)) != nil {
+		if ctxtime.Sleep(ctx, e.at-time.Since(began)) != nil {
 			return
 		}
 		e.do(ctx)
@@ -133,14 +133,14 @@
 	}
 	began := time.Now()
 	took := Failover{Region: c.index}
-	for time.Since(began) < takeoverPatience && httpclient.Sleep(ctx, 20*time.Millisecond) == nil {
+	for time.Since(began) < takeoverPatience && ctxtime.Sleep(ctx, 20*time.Millisecond) == nil {
 		if now := c.leader(); now.term > old.term {
 			took.LeaderS = time.Since(began).Seconds()
 			break
 		}
 	}
 	before, err := c.counts()
-	for err == nil && time.Since(began) < takeoverPatience && httpclient.Sleep(ctx, 50*time.Millisecond) == nil {
+	for err == nil && time.Since(began) < takeoverPatience && ctxtime.Sleep(ctx, 50*time.Millisecond) == nil {
 		now, err := c.counts()
 		if err == nil && now.Starts > before.Starts {
 			took.SettledS = time.Since(began).Seconds()
--- a/internal/loadtest/hollow_workers.go
+++ b/internal/loadtest/hollow_workers.go
@@ -12,6 +12,7 @@
 
 	"drumpick/internal/autoscaler"
 	"drumpick/internal/config"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/httpclient"
 	"drumpick/internal/records"
 	"drumpick/internal/simulation"
@@ -238,7 +239,7 @@
 		if addr := m.Addr(); addr != "" {
 			return Placed{addr}, nil
 		}
-		if err := httpclient.Sleep(h.ctx, 5*time.Millisecond); err != nil {
+		if err := ctxtime.Sleep(h.ctx, 5*time.Millisecond); err != nil {
 			return Placed{}, err
 		}
 	}
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"drumpick/client"
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 )
 
 // Classes of the load, and what is expected of urgent work.
@@ -81,7 +81,7 @@
 func (u *users) submitAll(ctx context.Context) {
 	began, streams := time.Now(), u.size.streams()
 	last := began
-	for httpclient.Sleep(ctx, submitEvery) == nil {
+	for ctxtime.Sleep(ctx, submitEvery) == nil {
 		now := time.Now()
 		ramp := min(now.Sub(began).Seconds()/rampTime.Seconds(), 1)
 		for _, s := range streams {
@@ -172,7 +172,7 @@
 
 // pollAll asks about every open job now and then until ctx ends.
 func (u *users) pollAll(ctx context.Context) {
-	for httpclient.Sleep(ctx, pollEvery) == nil {
+	for ctxtime.Sleep(ctx, pollEvery) == nil {
 		u.mu.Lock()
 		var ask []*UserJob
 		for id, open := range u.open {
@@ -215,7 +215,7 @@
 // state of each.
 func (u *users) finish(ctx context.Context) {
 	until := time.Now().Add(3*u.size.taskTime() + drainPatience)
-	for u.left() > 0 && time.Now().Before(until) && httpclient.Sleep(ctx, time.Second) == nil {
+	for u.left() > 0 && time.Now().Before(until) && ctxtime.Sleep(ctx, time.Second) == nil {
 	}
 	u.mu.Lock()
 	all := make([]*UserJob, 0, len(u.jobs))
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/simulation"
 )
 
@@ -203,7 +203,7 @@
 			said = time.Now()
 			fmt.Fprintf(r.log, "%s: %d workers up, %d tasks running, %d starts so far, %d jobs open\n", what, counts.workers.Machines, counts.workers.Running, counts.workers.Starts, r.users.left())
 		}
-		if err := httpclient.Sleep(ctx, sampleEvery); err != nil {
+		if err := ctxtime.Sleep(ctx, sampleEvery); err != nil {
 			return err
 		}
 	}
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -19,6 +19,7 @@
 
 	"drumpick/client"
 	"drumpick/internal/config"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/httpclient"
 	"drumpick/internal/records"
 	"drumpick/internal/simulation"
@@ -364,7 +365,7 @@
 			if err := r.controllers[i].failure(); err != nil {
 				return err
 			}
-			if err := httpclient.Sleep(ctx, 20*time.Millisecond); err != nil {
+			if err := ctxtime.Sleep(ctx, 20*time.Millisecond); err != nil {
 				return err
 			}
 		}
@@ -389,7 +390,7 @@
 			since = max(since, row.Revision)
 		}
 		r.World.CheckEnd()
-		if httpclient.Sleep(r.ctx, config.Seconds(reportS)) != nil {
+		if ctxtime.Sleep(r.ctx, config.Seconds(reportS)) != nil {
 			return
 		}
 	}
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/drain"
-	"drumpick/internal/httpclient"
 	"drumpick/internal/peer"
 	"drumpick/internal/records"
 	"drumpick/internal/scheduler"
@@ -160,7 +160,7 @@
 			return again(in.Spec, row)
 		}
 		// Whether it can be, the leader knows; it changes nothing.
-		if out := s.plan(in); out.Status == statusUnread && httpclient.Sleep(ctx, s.wait/20) == nil {
+		if out := s.plan(in); out.Status == statusUnread && ctxtime.Sleep(ctx, s.wait/20) == nil {
 			continue
 		} else if out.Status == statusUnread {
 			return answer(503, failure{"the leader has not read all drains yet; please retry"})
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"drumpick/internal/autoscaler"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/fleet"
-	"drumpick/internal/httpclient"
 	"drumpick/internal/records"
 )
 
@@ -241,7 +241,7 @@
 		takes = w.boots()
 	}
 	w.mu.Unlock()
-	if httpclient.Sleep(w.ctx, takes) != nil {
+	if ctxtime.Sleep(w.ctx, takes) != nil {
 		return false
 	}
 	if w.Open != nil {
@@ -301,7 +301,7 @@
 				status = 0 // the answer does not reach it, or the process that asked is no more
 			}
 			w.mu.Unlock()
-			if status == 0 && httpclient.Sleep(w.ctx, patience) != nil {
+			if status == 0 && ctxtime.Sleep(w.ctx, patience) != nil {
 				return
 			}
 			w.mu.Lock()
@@ -314,14 +314,14 @@
 				// It goes there at once, or after up to half a second.
 				node = slices.Index(w.Nodes, conductor)
 				w.mu.Unlock()
-				if httpclient.Sleep(w.ctx, min(w.HeartbeatInterval, time.Second)/4) != nil {
+				if ctxtime.Sleep(w.ctx, min(w.HeartbeatInterval, time.Second)/4) != nil {
 					return
 				}
 				continue
 			case status != 200:
 				node = (node + 1) % len(w.Nodes)
 				w.mu.Unlock()
-				if httpclient.Sleep(w.ctx, w.elsewhere()) != nil {
+				if ctxtime.Sleep(w.ctx, w.elsewhere()) != nil {
 					return
 				}
 				continue
@@ -352,7 +352,7 @@
 		return false
 	case <-t.C:
 	case <-m.poke:
-		return httpclient.Sleep(w.ctx, w.HeartbeatInterval/4) == nil
+		return ctxtime.Sleep(w.ctx, w.HeartbeatInterval/4) == nil
 	}
 	return true
 }
--- a/internal/simulation/measure_test.go
+++ b/internal/simulation/measure_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/drain"
-	"drumpick/internal/httpclient"
 	"drumpick/internal/records"
 )
 
@@ -56,7 +56,7 @@
 		r := rand.New(rand.NewPCG(s.seed, uint64(i)))
 		go func() {
 			for time.Now().Before(s.until) {
-				if httpclient.Sleep(s.ctx, time.Duration(every*r.ExpFloat64()*float64(time.Second))) != nil {
+				if ctxtime.Sleep(s.ctx, time.Duration(every*r.ExpFloat64()*float64(time.Second))) != nil {
 					return
 				}
 				s.post(records.Job{
@@ -76,7 +76,7 @@
 	s.jobs[j.ID] = &posted{class: j.Class, at: time.Now(), due: time.Duration(due * float64(time.Second))}
 	s.mu.Unlock()
 	for s.submit(s.n%3, j) != 201 {
-		if httpclient.Sleep(s.ctx, time.Second) != nil {
+		if ctxtime.Sleep(s.ctx, time.Second) != nil {
 			return
 		}
 	}
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"drumpick/internal/httpclient"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/records"
 
 	"golang.org/x/time/rate"
@@ -440,7 +440,7 @@
 	c.mu.Lock()
 	slow := c.slow
 	c.mu.Unlock()
-	if err := httpclient.Sleep(ctx, max(latency, c.hanging(), min(slow, callPatience))); err != nil {
+	if err := ctxtime.Sleep(ctx, max(latency, c.hanging(), min(slow, callPatience))); err != nil {
 		return err
 	}
 	if slow >= callPatience {
@@ -560,7 +560,7 @@
 	if lose && late == 0 {
 		// It is carried out at once, and only its answer is lost.
 		_, _ = c.s.commit(when, ops)
-		if err := httpclient.Sleep(ctx, callPatience); err != nil {
+		if err := ctxtime.Sleep(ctx, callPatience); err != nil {
 			return 0, err
 		}
 		c.mu.Lock()
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -11,8 +11,8 @@
 
 	"drumpick/internal/autoscaler"
 	"drumpick/internal/config"
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/fleet"
-	"drumpick/internal/httpclient"
 	"drumpick/internal/records"
 )
 
@@ -179,7 +179,7 @@
 }
 
 func (c *CloudClient) pass(ctx context.Context) error {
-	if err := httpclient.Sleep(ctx, 20*latency); err != nil {
+	if err := ctxtime.Sleep(ctx, 20*latency); err != nil {
 		return err
 	}
 	if !c.Alive() {
@@ -386,14 +386,14 @@
 
 // SendCommands gives direct commands to a worker.
 func (w *World) SendCommands(addr string, d fleet.CommandRequest) (int, *fleet.Heartbeat, error) {
-	_ = httpclient.Sleep(w.ctx, latency)
+	_ = ctxtime.Sleep(w.ctx, latency)
 	w.mu.Lock()
 	m := w.machines[addr]
 	closed := m != nil && (w.closed[m.Zone] || m.deaf)
 	held := w.held
 	w.mu.Unlock()
 	if closed {
-		_ = httpclient.Sleep(w.ctx, w.HeartbeatInterval) // it hangs until the caller gives up
+		_ = ctxtime.Sleep(w.ctx, w.HeartbeatInterval) // it hangs until the caller gives up
 	}
 	if m == nil || closed {
 		return 0, nil, errors.New("no answer")
@@ -404,12 +404,12 @@
 	command, answer := held()
 	if command >= w.HeartbeatInterval {
 		time.AfterFunc(command, func() { _, _, _ = m.ExecuteCommands(d) })
-		_ = httpclient.Sleep(w.ctx, w.HeartbeatInterval)
+		_ = ctxtime.Sleep(w.ctx, w.HeartbeatInterval)
 		return 0, nil, errors.New("no answer in time")
 	}
-	_ = httpclient.Sleep(w.ctx, command)
+	_ = ctxtime.Sleep(w.ctx, command)
 	status, r, err := m.ExecuteCommands(d)
-	_ = httpclient.Sleep(w.ctx, min(answer, w.HeartbeatInterval))
+	_ = ctxtime.Sleep(w.ctx, min(answer, w.HeartbeatInterval))
 	if answer >= w.HeartbeatInterval {
 		return 0, nil, errors.New("no answer in time")
 	}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"drumpick/internal/ctxtime"
 	"drumpick/internal/httpclient"
 	"drumpick/internal/records"
 
@@ -164,7 +165,7 @@
 		if i == 3 || c.users && i == 1 {
 			return status, raw, err
 		}
-		if err := httpclient.Sleep(ctx, wait/2+rand.N(wait)); err != nil {
+		if err := ctxtime.Sleep(ctx, wait/2+rand.N(wait)); err != nil {
 			return 0, nil, err
 		}
 		wait *= 2
@@ -184,7 +185,7 @@
 			if d == 0 {
 				return true
 			}
-			if now.Add(d).After(end) || httpclient.Sleep(ctx, d) != nil {
+			if now.Add(d).After(end) || ctxtime.Sleep(ctx, d) != nil {
 				return false
 			}
 		}
