--- a/internal/leader/fencing.go
+++ b/internal/leader/fencing.go
@@ -2,11 +2,11 @@
 
 import (
 	"context"
-	"net/http"
 	"sync"
 
 	"drumpick/internal/ctxtime"
 	"drumpick/internal/scheduler"
+	"drumpick/internal/workers"
 )
 
 // machineFencing makes every machine that earlier terms may have used show this term: from then on
@@ -44,12 +44,12 @@
 // its new incarnation, with which it is tried once more.
 func (f *machineFencing) fence(machine scheduler.UnreconciledMachine) {
 	for range 2 {
-		code, status, err := f.workers.SendCommands(machine.Addr, f.noCommands(machine.Incarnation))
+		outcome, status, err := f.workers.SendCommands(machine.Addr, f.noCommands(machine.Incarnation))
 		if err != nil || status.FencingToken > f.number {
 			return
 		}
 		f.reconcileAnswer(status)
-		if code == http.StatusOK {
+		if outcome == workers.OutcomeExecuted {
 			return
 		}
 		machine.Incarnation = status.Incarnation
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -35,6 +35,7 @@
 	"drumpick/internal/records"
 	"drumpick/internal/scheduler"
 	"drumpick/internal/watermark"
+	"drumpick/internal/workers"
 )
 
 // Store is the part of the consensus-backed store that a leader needs.
@@ -59,7 +60,7 @@
 // Workers sends commands directly to workers. Go runs a call when there is room for one more.
 type Workers interface {
 	Go(call func())
-	SendCommands(addr string, request fleet.CommandRequest) (status int, heartbeat *fleet.Heartbeat, err error)
+	SendCommands(addr string, request fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error)
 }
 
 // Peers are the other controllers. QueryStatus asks all of them; all reports whether each one
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -10,6 +10,7 @@
 	"drumpick/internal/ctxtime"
 	"drumpick/internal/fleet"
 	"drumpick/internal/records"
+	"drumpick/internal/workers"
 )
 
 // Machine is a rented machine and its worker.
@@ -186,19 +187,19 @@
 var errSilent = errors.New("no answer")
 
 // ExecuteCommands takes direct commands.
-func (m *Machine) ExecuteCommands(d fleet.CommandRequest) (int, *fleet.Heartbeat, error) {
+func (m *Machine) ExecuteCommands(d fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	if m.unreachable() || m.deaf {
-		return 0, nil, errSilent
+		return workers.OutcomeUnknown, nil, errSilent
 	}
 	if d.FencingToken < m.baton || d.Incarnation != m.session {
-		return 409, m.body(), nil
+		return workers.OutcomeRejected, m.body(), nil
 	}
 	m.baton = max(m.baton, d.FencingToken)
 	m.execute(d.Commands)
 	m.wake()
-	return 200, m.body(), nil
+	return workers.OutcomeExecuted, m.body(), nil
 }
 
 // Status is the worker's report, on demand.
--- a/internal/simulation/serve.go
+++ b/internal/simulation/serve.go
@@ -11,6 +11,7 @@
 	"drumpick/internal/autoscaler"
 	"drumpick/internal/fleet"
 	"drumpick/internal/records"
+	"drumpick/internal/workers"
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/gofiber/fiber/v2/utils"
@@ -197,11 +198,14 @@
 		if m == nil {
 			return silent(c)
 		}
-		status, r, err := m.ExecuteCommands(d)
+		outcome, r, err := m.ExecuteCommands(d)
 		if err != nil {
 			return silent(c)
 		}
-		return c.Status(status).JSON(r)
+		if outcome == workers.OutcomeRejected {
+			return c.Status(409).JSON(r)
+		}
+		return c.JSON(r)
 	})
 	app.Get("/status", func(c *fiber.Ctx) error {
 		m := at(c)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -14,6 +14,7 @@
 	"drumpick/internal/ctxtime"
 	"drumpick/internal/fleet"
 	"drumpick/internal/records"
+	"drumpick/internal/workers"
 )
 
 // HeartbeatFunc is how a worker reaches a controller: status, answer, and the node it
@@ -385,7 +386,7 @@
 func (w *World) Go(f func()) { go f() }
 
 // SendCommands gives direct commands to a worker.
-func (w *World) SendCommands(addr string, d fleet.CommandRequest) (int, *fleet.Heartbeat, error) {
+func (w *World) SendCommands(addr string, d fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
 	_ = ctxtime.Sleep(w.ctx, latency)
 	w.mu.Lock()
 	m := w.machines[addr]
@@ -396,7 +397,7 @@
 		_ = ctxtime.Sleep(w.ctx, w.HeartbeatInterval) // it hangs until the caller gives up
 	}
 	if m == nil || closed {
-		return 0, nil, errors.New("no answer")
+		return workers.OutcomeUnknown, nil, errors.New("no answer")
 	}
 	if held == nil {
 		return m.ExecuteCommands(d)
@@ -405,13 +406,13 @@
 	if command >= w.HeartbeatInterval {
 		time.AfterFunc(command, func() { _, _, _ = m.ExecuteCommands(d) })
 		_ = ctxtime.Sleep(w.ctx, w.HeartbeatInterval)
-		return 0, nil, errors.New("no answer in time")
+		return workers.OutcomeUnknown, nil, errors.New("no answer in time")
 	}
 	_ = ctxtime.Sleep(w.ctx, command)
-	status, r, err := m.ExecuteCommands(d)
+	outcome, r, err := m.ExecuteCommands(d)
 	_ = ctxtime.Sleep(w.ctx, min(answer, w.HeartbeatInterval))
 	if answer >= w.HeartbeatInterval {
-		return 0, nil, errors.New("no answer in time")
+		return workers.OutcomeUnknown, nil, errors.New("no answer in time")
 	}
-	return status, r, err
+	return outcome, r, err
 }
--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -58,22 +58,41 @@
 	return hc
 }
 
-// SendCommands sends commands. On 200 they were executed, on 409 nothing was; either
-// way the worker's report comes back.
-func (c *Caller) SendCommands(addr string, d fleet.CommandRequest) (int, *fleet.Heartbeat, error) {
+// Outcome is what a worker did with the commands of a request.
+type Outcome int
+
+const (
+	// OutcomeUnknown means that no valid answer came: the commands may have been executed.
+	OutcomeUnknown Outcome = iota
+	// OutcomeExecuted means that the worker executed the commands.
+	OutcomeExecuted
+	// OutcomeRejected means that the worker executed none of them, because the fencing
+	// token or the incarnation of the request was out of date.
+	OutcomeRejected
+)
+
+// SendCommands sends commands to the worker at addr. Whether it executed or rejected them,
+// its heartbeat comes back. With an error the outcome is OutcomeUnknown.
+func (c *Caller) SendCommands(addr string, d fleet.CommandRequest) (Outcome, *fleet.Heartbeat, error) {
 	status, raw, err := c.client(addr).JSON("POST", "/orders", d, time.Now().Add(c.timeout))
 	if err != nil {
-		return 0, nil, fmt.Errorf("worker %s: %w", addr, err)
+		return OutcomeUnknown, nil, fmt.Errorf("worker %s: %w", addr, err)
 	}
-	if status != 200 && status != 409 {
-		return status, nil, fmt.Errorf("worker %s: status %d", addr, status)
+	var outcome Outcome
+	switch status {
+	case 200:
+		outcome = OutcomeExecuted
+	case 409:
+		outcome = OutcomeRejected
+	default:
+		return OutcomeUnknown, nil, fmt.Errorf("worker %s: status %d", addr, status)
 	}
 	var r fleet.Heartbeat
 	if err := easyjson.Unmarshal(raw, &r); err != nil {
-		return status, nil, fmt.Errorf("worker %s: %w", addr, err)
+		return OutcomeUnknown, nil, fmt.Errorf("worker %s: %w", addr, err)
 	}
 	if err := r.Check(); err != nil {
-		return status, nil, fmt.Errorf("worker %s: %w", addr, err)
+		return OutcomeUnknown, nil, fmt.Errorf("worker %s: %w", addr, err)
 	}
-	return status, &r, nil
+	return outcome, &r, nil
 }
--- a/internal/workers/caller_test.go
+++ b/internal/workers/caller_test.go
@@ -49,18 +49,19 @@
 	for _, x := range []struct {
 		status int
 		body   string
-		ok     bool
+		want   Outcome
 	}{
-		{200, `{"host":"m-1","stint":1,"tick":9,"baton":41,"shots":[{"shot":"j-1/0","try":2,"status":"flushing"}]}`, true},
-		{409, `{"host":"m-1","stint":2,"tick":1,"baton":41,"shots":null}`, true},
-		{200, `{"stint":1}`, false},
-		{200, `{"host":`, false},
-		{400, `{}`, false},
+		{200, `{"host":"m-1","stint":1,"tick":9,"baton":41,"shots":[{"shot":"j-1/0","try":2,"status":"flushing"}]}`, OutcomeExecuted},
+		{409, `{"host":"m-1","stint":2,"tick":1,"baton":41,"shots":null}`, OutcomeRejected},
+		{200, `{"stint":1}`, OutcomeUnknown},
+		{200, `{"host":`, OutcomeUnknown},
+		{400, `{}`, OutcomeUnknown},
 	} {
 		status, body = x.status, x.body
-		st, r, err := c.SendCommands(addr, d)
-		if (err == nil) != x.ok || x.ok && (st != x.status || r.Machine != "m-1") {
-			t.Errorf("%d %s: %d, %+v, %v", x.status, x.body, st, r, err)
+		outcome, heartbeat, err := c.SendCommands(addr, d)
+		valid := x.want != OutcomeUnknown
+		if (err == nil) != valid || outcome != x.want || valid && heartbeat.Machine != "m-1" {
+			t.Errorf("%d %s: got %d, %+v, %v, want %d", x.status, x.body, outcome, heartbeat, err, x.want)
 		}
 	}
 	want := `POST /orders {"baton":41,"stint":1,"orders":[{"verb":"kill","shot":"j-1/0","try":2,"wind_down_s":4}]}`
--- a/internal/workers/golden_test.go
+++ b/internal/workers/golden_test.go
@@ -24,12 +24,15 @@
 		PreemptionNoticeS: &warning, Version: "1.0", Tasks: []fleet.TaskStatus{{Task: "j-1/0", Attempt: 2, Status: "ended", Cause: fleet.CauseStopped, Saved: true}},
 	}
 	f := goldentest.Open(t, "golden-orders.json")
-	for name, status := range map[string]int{"carried out": 200, "not carried out": 409} {
+	for name, x := range map[string]struct {
+		status int
+		want   Outcome
+	}{"carried out": {200, OutcomeExecuted}, "not carried out": {409, OutcomeRejected}} {
 		t.Run(name, func(t *testing.T) {
-			worker.Answer(status, text)
-			st, got, err := c.SendCommands(worker.Addr, d)
-			if err != nil || st != status || !reflect.DeepEqual(*got, want) {
-				t.Errorf("%d, %+v, %v, want %d, %+v", st, got, err, status, want)
+			worker.Answer(x.status, text)
+			outcome, got, err := c.SendCommands(worker.Addr, d)
+			if err != nil || outcome != x.want || !reflect.DeepEqual(*got, want) {
+				t.Errorf("%d, %+v, %v, want %d, %+v", outcome, got, err, x.want, want)
 			}
 			f.CheckExchanges(t, name, worker.Exchanges(), 1)
 		})
