--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -146,8 +146,8 @@
 	return id + "/" + strings.Repeat("0", zeros) + strconv.Itoa(chunk)
 }
 
-// ParseChunkID is the reverse of PartID, whatever the zeros.
-func ParseChunkID(s string) (id string, chunk int, ok bool) {
+// ParsePartID is the reverse of PartID, whatever the zeros.
+func ParsePartID(s string) (id string, chunk int, ok bool) {
 	id, c, ok := strings.Cut(s, "/")
 	chunk, err := strconv.Atoi(c)
 	return id, chunk, ok && err == nil && chunk >= 0
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -27,7 +27,7 @@
 		}
 	}
 	for id, want := range map[string]int{"j-1/0": 0, "j-1/00": 1, "j-1/000": 2, "j-1/7": 0, "j-1/0010": 2, "j-1/x": 0} {
-		job, chunk, ok := ParseChunkID(id)
+		job, chunk, ok := ParsePartID(id)
 		if z := LeadingZeros(id); z != want || ok && PartID(job, chunk, z) != id || ok == (id == "j-1/x") {
 			t.Errorf("%s: %d zeros, %s %d %v", id, z, job, chunk, ok)
 		}
--- a/internal/scheduler/finished_tasks_test.go
+++ b/internal/scheduler/finished_tasks_test.go
@@ -33,7 +33,7 @@
 	done := map[string]map[int]bool{}
 	for _, m := range s {
 		for id, v := range m {
-			job, chunk, ok := records.ParseChunkID(id)
+			job, chunk, ok := records.ParsePartID(id)
 			var text string
 			if err := json.Unmarshal(v, &text); err != nil || !ok {
 				t.Fatalf("record %s is unreadable: %s", id, v)
@@ -172,7 +172,7 @@
 			for _, key := range s.keys() {
 				p.shelf.Load(key, s[key], s.bytes(key))
 				for id, v := range s[key] {
-					job, chunk, _ := records.ParseChunkID(id)
+					job, chunk, _ := records.ParsePartID(id)
 					var text string
 					_ = json.Unmarshal(v, &text)
 					if err := p.load(c, id, c.jobs[job], chunk, text); err != nil {
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -67,7 +67,7 @@
 // LoadDone takes in a value of finished tasks of jobs that are known.
 func (r *Persistence) LoadDone(row records.KeyValue) {
 	load(records.PrefixDone, r.done.shelf, row, func(id string, v json.RawMessage) error {
-		job, chunk, ok := records.ParseChunkID(id)
+		job, chunk, ok := records.ParsePartID(id)
 		var ranges string
 		if !ok || json.Unmarshal(v, &ranges) != nil {
 			return errors.New("unreadable")
@@ -110,7 +110,7 @@
 // FinishLoading ends the reading. Whole says that earlier leaders kept to the marks.
 func (r *Persistence) FinishLoading(whole bool) {
 	for id := range r.done.shelf.IDs() {
-		if job, _, _ := records.ParseChunkID(id); r.core.jobs[job] == nil {
+		if job, _, _ := records.ParsePartID(id); r.core.jobs[job] == nil {
 			r.done.shelf.Remove(id)
 		}
 	}
--- a/internal/simulation/chain_test.go
+++ b/internal/simulation/chain_test.go
@@ -294,7 +294,7 @@
 					hosts[id] = true
 					continue
 				}
-				job, chunk, ok := records.ParseChunkID(id)
+				job, chunk, ok := records.ParsePartID(id)
 				var text string
 				if err := json.Unmarshal(v, &text); err != nil || !ok {
 					t.Fatalf("%s: %s is unreadable: %s", key, id, v)
--- a/internal/simulation/late_messages_test.go
+++ b/internal/simulation/late_messages_test.go
@@ -69,7 +69,7 @@
 	r.entries(records.PrefixDone, func(id string, v json.RawMessage) {
 		var ranges string
 		_ = json.Unmarshal(v, &ranges)
-		job, _, _ := records.ParseChunkID(id)
+		job, _, _ := records.ParsePartID(id)
 		_ = records.ParseRanges(ranges, func(int) { done[job]++ })
 	})
 	for id, n := range r.marks {
