--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -7,8 +7,8 @@
 	"drumpick/internal/goldentest"
 )
 
-// Every record of the state service and the parts of its requests and answers keep their
-// forms: controllers of several versions read them.
+// Every record of the store and the parts of its requests and answers keep their forms:
+// controllers of several versions read them.
 func TestGoldenRecords(t *testing.T) {
 	zone, due := "a", 300.5
 	job := Job{
@@ -17,35 +17,42 @@
 		OneZone: true, SpreadZones: true, Spot: true, EstimateS: 10, CheckpointS: 5, SaveS: 2, DeadlineS: &due,
 		AcceptedMS: 946684802000, Dependencies: []string{"j-1", "j-2"},
 	}
-	mt := MachineType{
+	machineType := MachineType{
 		Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05,
 		StartupS: 30, Zones: []string{"a", "b"},
 	}
+	row := KeyValue{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Revision: 7, LeaseID: 8}
 	goldentest.Run(t, "golden-records.json", goldentest.JSON, []goldentest.Case{
 		{Name: "leader", Value: Leader{Node: "n-2", Incarnation: "start-3", Watermarks: true}},
 		{Name: "open job", Value: job},
 		{Name: "job that is over", Value: ClosedJob{Status: StatusDone, Tasks: 90, AtMS: 946684803000, Service: true}},
 		{Name: "machine", Value: Machine{Addr: "10.1.0.232:9000", Type: "c4", Zone: "a", Spot: true, Incarnation: 3}},
-		{Name: "machine types", Value: MachineTypes{Types: []MachineType{mt}}},
+		{Name: "machine types", Value: MachineTypes{Types: []MachineType{machineType}}},
 		{Name: "sent mark", Value: FormatWatermark(42)},
 		{Name: "finished tasks of a chunk", Value: FormatRanges(func(i int) bool { return i < 5 || i == 7 }, 9)},
 		{Name: "keys", Direction: goldentest.Written, Value: []string{
-			KeyLeader, OpenKey("j-412"), ClosedKey("j-412"), PrefixDone, PrefixMachines, PrefixWatermarks, KeyWatermarksComplete, KeyTypes,
-			PrefixDrains, PrefixDrainState, KeyDrainSequence, PartID("j-412", 7, 2),
+			KeyLeader, OpenKey("j-412"), ClosedKey("j-412"), PrefixDone, PrefixMachines, PrefixWatermarks, KeyWatermarksComplete,
+			KeyTypes, PrefixDrains, PrefixDrainState, KeyDrainSequence, PartID("j-412", 7, 2),
 		}},
 		{Name: "shapes", Direction: goldentest.Written, Value: []string{ShapeArray, ShapeGang, ShapeService}},
-		{Name: "states of jobs", Direction: goldentest.Written, Value: []string{StatusPending, StatusRunning, StatusDone, StatusCancelled}},
-		{Name: "priorities", Direction: goldentest.Written, Value: []string{PriorityCritical, PriorityUrgent, PriorityStandard, PriorityLow}},
-		{Name: "row", Direction: goldentest.Read, Value: KeyValue{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Revision: 7, LeaseID: 8}},
-		// The local region keeps its records so.
-		{Name: "row, written", Direction: goldentest.Written, Value: KeyValue{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Revision: 7, LeaseID: 8}},
+		{Name: "states of jobs", Direction: goldentest.Written, Value: []string{
+			StatusPending, StatusRunning, StatusDone, StatusCancelled,
+		}},
+		{Name: "priorities", Direction: goldentest.Written, Value: []string{
+			PriorityCritical, PriorityUrgent, PriorityStandard, PriorityLow,
+		}},
+		{Name: "row", Direction: goldentest.Read, Value: row},
+		// The store of a local cluster keeps its records so.
+		{Name: "row, written", Direction: goldentest.Written, Value: row},
 		{Name: "condition", Direction: goldentest.Written, Value: Compare{Key: "leader", Revision: 7}},
 		{Name: "change", Direction: goldentest.Written, Value: Op{Write: "types", Value: map[string]int{"n": 1}, LeaseID: 8, Delete: "whole"}},
-		{Name: "event", Direction: goldentest.Read, Value: Event{Write: "types", Delete: "whole", Value: json.RawMessage(`{"n":1}`), Revision: 7}},
+		{Name: "event", Direction: goldentest.Read, Value: Event{
+			Write: "types", Delete: "whole", Value: json.RawMessage(`{"n":1}`), Revision: 7,
+		}},
 		{Name: "conflict", Direction: goldentest.Read, Value: ConflictError{Failed: []string{"leader"}, Revision: 9}},
 	})
 	if n, err := ParseWatermark(FormatWatermark(42)); err != nil || n != 42 {
-		t.Errorf("the mark is read as %d, %v", n, err)
+		t.Errorf("the watermark is read as %d, %v, want 42", n, err)
 	}
 }
 
@@ -63,11 +70,11 @@
 		"sent marks":     {PrefixWatermarks, "j-412", FormatWatermark(42)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := NewPagedRecords(x.prefix, 8, func() string { return "1-1" })
-			if !s.Put(x.id, x.value, 0) {
+			paged := NewPagedRecords(x.prefix, 8, func() string { return "1-1" })
+			if !paged.Put(x.id, x.value, 0) {
 				t.Fatal("the record has no place")
 			}
-			op, _, _ := s.TakeWrite(s.Dirty()[0])
+			op, _, _ := paged.TakeWrite(paged.Dirty()[0])
 			raw, err := json.Marshal(op)
 			if err != nil {
 				t.Fatal(err)
@@ -80,10 +87,14 @@
 			if err := json.Unmarshal(golden, &read); err != nil {
 				t.Fatal(err)
 			}
-			for _, row := range []KeyValue{{Key: read.Write, Value: read.Value}, {Key: x.prefix + x.id, Value: x.value}} {
+			rows := []KeyValue{
+				{Key: read.Write, Value: read.Value},
+				{Key: x.prefix + x.id, Value: x.value},
+			}
+			for _, row := range rows {
 				entries, err := Entries(x.prefix, row)
 				if err != nil || len(entries) != 1 || string(entries[x.id]) != string(x.value) {
-					t.Errorf("%s is read as %s, %v", row.Key, entries, err)
+					t.Errorf("%s is read as %s, %v, want %s of %s", row.Key, entries, err, x.value, x.id)
 				}
 			}
 		})
--- /dev/null
+++ b/internal/records/keyvalue.go
@@ -0,0 +1,33 @@
+package records
+
+import "encoding/json"
+
+// KeyValue is a key with its value and the revision of its last change.
+type KeyValue struct {
+	Key      string          `json:"k"`
+	Value    json.RawMessage `json:"value"`
+	Revision uint64          `json:"stamp"`
+	LeaseID  uint64          `json:"hold"`
+}
+
+// Compare requires that a key was last changed at the given revision; 0 means absent.
+type Compare struct {
+	Key      string `json:"k"`
+	Revision uint64 `json:"stamp"`
+}
+
+// Op is one change of a commit: a write or a delete.
+type Op struct {
+	Write   string `json:"write,omitempty"`
+	Value   any    `json:"value,omitempty"`
+	LeaseID uint64 `json:"hold,omitempty"`
+	Delete  string `json:"delete,omitempty"`
+}
+
+// Event is one change that a watch reports.
+type Event struct {
+	Write    string          `json:"write"`
+	Delete   string          `json:"delete"`
+	Value    json.RawMessage `json:"value"`
+	Revision uint64          `json:"stamp"`
+}
--- a/internal/records/paged.go
+++ b/internal/records/paged.go
@@ -2,207 +2,274 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"maps"
+	"math"
+	"strings"
 )
 
-// PagedRecords spreads many small records over few values of the state service. The
-// service counts changes, not bytes: a record of its own for each machine of a
+// PagedRecords spreads many small records over few values of the store, the pages. The
+// store's rate limit counts changes, not bytes: a key of its own for each machine of a
 // large deployment would take the write rate of half a minute.
+//
+// It is not safe for concurrent use.
 type PagedRecords struct {
-	prefix string
-	limit  float64       // bytes that a value is filled to
-	most   float64       // bytes of a value that can still be written
-	name   func() string // gives a name that no other value ever had
-	boxes  []*Page
-	where  map[string]*Page // the box where a record is written
+	prefix    string
+	fillBytes float64       // how far a page is filled
+	maxBytes  float64       // the largest page that can still be written
+	newName   func() string // returns a name that no other page ever had
+	pages     []*Page
+	writable  map[string]*Page // by record id, the page where the record is written
 }
 
-// Page is one value: records by id.
+// Page is one value of the store: records by id.
 type Page struct {
 	Key string
-	// Stamp is the revision at which the service has it, 0 where it has not: the condition
+	// Revision is the one at which the store has the page, 0 where it has not: the compare
 	// of its next write or delete.
 	Revision uint64
-	entries  map[string]json.RawMessage
-	room     map[string]int // bytes kept for each record
-	size     int
-	changed  bool
-	frozen   bool // too large to be written again: it is only read, and deleted in the end
-	late     bool // its first write may be carried out at any time
-}
-
-// fillShare is how far a value is filled: the rest is for what escapes take.
-const fillShare = 15.0 / 16
-
-func fill(valueKB float64) float64 { return valueKB * 1024 * fillShare }
-
-// NewPagedRecords returns an empty shelf for keys under a prefix, for values of a size.
-func NewPagedRecords(prefix string, valueKB float64, name func() string) *PagedRecords {
-	return &PagedRecords{prefix: prefix, limit: fill(valueKB), most: valueKB * 1024, name: name, where: map[string]*Page{}}
-}
-
-// overhead is what an entry takes beside its id and value: quotes, colon, comma.
-const overhead = 4
-
-// Put sets a record, for which most bytes are kept if there is room. It returns
-// false, and changes nothing, when the record has outgrown the box that it is in.
-func (s *PagedRecords) Put(id string, v json.RawMessage, most int) bool {
-	least := len(v) + len(id) + overhead
-	need := max(most, len(v)) + len(id) + overhead
-	b := s.where[id]
-	if b == nil {
-		need = max(min(need, int(s.limit)), least)
-		for _, x := range s.boxes {
-			if !x.frozen && float64(x.size+need) <= s.limit && (b == nil || x.changed && !b.changed) {
-				b = x
-			}
-		}
-		if b == nil {
-			b = &Page{Key: s.prefix + s.name(), entries: map[string]json.RawMessage{}, room: map[string]int{}}
-			s.boxes = append(s.boxes, b)
-		}
-		s.where[id] = b
+
+	entries       map[string]json.RawMessage
+	reserved      map[string]int // bytes kept for each record
+	reservedBytes int            // their sum
+	dirty         bool           // differs from what was last taken to be written
+	readOnly      bool           // too large to be written again: it is only read, and deleted in the end
+	writePending  bool           // its first write may be executed at any time
+}
+
+const (
+	// fillShare is how far a page is filled: the rest is for what escapes take.
+	fillShare = 15.0 / 16
+	// entryOverhead is what an entry takes beside its id and value: quotes, colon, comma.
+	entryOverhead = 4
+)
+
+// fillBytes returns how many bytes of a value of the given size are filled.
+func fillBytes(valueKB float64) float64 { return valueKB * 1024 * fillShare }
+
+// NewPagedRecords returns paged records without any, for keys under a prefix and values of a
+// size. newName has to return a name that no other page under the prefix ever had.
+func NewPagedRecords(prefix string, valueKB float64, newName func() string) *PagedRecords {
+	return &PagedRecords{
+		prefix:    prefix,
+		fillBytes: fillBytes(valueKB),
+		maxBytes:  valueKB * 1024,
+		newName:   newName,
+		writable:  map[string]*Page{},
+	}
+}
+
+// Put sets a record, for which up to reserve bytes are kept if there is room. It returns
+// false, and changes nothing, when the record has outgrown the page that it is in.
+func (p *PagedRecords) Put(id string, value json.RawMessage, reserve int) bool {
+	least := len(value) + len(id) + entryOverhead
+	need := max(reserve, len(value)) + len(id) + entryOverhead
+	page := p.writable[id]
+	if page == nil {
+		need = max(min(need, int(p.fillBytes)), least)
+		page = p.pageWithRoom(need)
+		p.writable[id] = page
 	} else {
-		free := int(s.limit) - b.size + b.room[id]
+		free := int(p.fillBytes) - page.reservedBytes + page.reserved[id]
 		switch {
-		case least <= b.room[id]:
-			need = b.room[id]
-		case least > free && len(b.entries) > 1:
+		case least <= page.reserved[id]:
+			need = page.reserved[id]
+		case least > free && len(page.entries) > 1:
 			return false
 		default:
 			need = max(min(need, free), least)
 		}
 	}
-	b.size += need - b.room[id]
-	b.room[id] = need
-	b.entries[id], b.changed = v, true
+	page.reservedBytes += need - page.reserved[id]
+	page.reserved[id] = need
+	page.entries[id] = value
+	page.dirty = true
 	return true
 }
 
-// Remove takes a record out, wherever it is.
-func (s *PagedRecords) Remove(id string) {
-	delete(s.where, id)
-	for _, b := range s.boxes {
-		b.remove(id)
+// pageWithRoom returns a page with room for so many bytes, a new one if there is none. One
+// that is to be written in any case is preferred: it costs no further change.
+func (p *PagedRecords) pageWithRoom(need int) *Page {
+	var found *Page
+	for _, page := range p.pages {
+		if page.readOnly || float64(page.reservedBytes+need) > p.fillBytes {
+			continue
+		}
+		if found == nil || page.dirty && !found.dirty {
+			found = page
+		}
+	}
+	if found == nil {
+		found = &Page{
+			Key:      p.prefix + p.newName(),
+			entries:  map[string]json.RawMessage{},
+			reserved: map[string]int{},
+		}
+		p.pages = append(p.pages, found)
+	}
+	return found
+}
+
+// Remove takes a record out of every page.
+func (p *PagedRecords) Remove(id string) {
+	delete(p.writable, id)
+	for _, page := range p.pages {
+		page.remove(id)
 	}
 }
 
-// DropReadOnly takes a record that is written elsewhere out of the boxes that are not
+// DropReadOnly takes a record that is written elsewhere out of the pages that are not
 // written any more.
-func (s *PagedRecords) DropReadOnly(id string) {
-	for _, b := range s.boxes {
-		if b.frozen && s.where[id] != b {
-			b.remove(id)
+func (p *PagedRecords) DropReadOnly(id string) {
+	for _, page := range p.pages {
+		if page.readOnly && p.writable[id] != page {
+			page.remove(id)
 		}
 	}
 }
 
-func (b *Page) remove(id string) {
-	if _, ok := b.entries[id]; !ok {
+func (page *Page) remove(id string) {
+	if _, ok := page.entries[id]; !ok {
 		return
 	}
-	delete(b.entries, id)
-	b.size -= b.room[id]
-	delete(b.room, id)
-	b.changed = true
-}
-
-// Load takes in a box as the service has it, of the given size. A record that is in
-// two boxes stays in both: which is newer cannot be told. One in a box that is too
-// large is in no box where it could be written.
-func (s *PagedRecords) Load(key string, entries map[string]json.RawMessage, bytes int) *Page {
-	b := &Page{
-		Key: key, entries: maps.Clone(entries), room: map[string]int{},
-		frozen: float64(bytes) > s.most, changed: len(entries) == 0,
-	}
-	s.boxes = append(s.boxes, b)
-	for id, v := range entries {
-		b.room[id] = len(v) + len(id) + overhead
-		b.size += b.room[id]
-		if !b.frozen && s.where[id] == nil {
-			s.where[id] = b
+	delete(page.entries, id)
+	page.reservedBytes -= page.reserved[id]
+	delete(page.reserved, id)
+	page.dirty = true
+}
+
+// Load takes in a page as the store has it, of the given size in bytes. A record that is in
+// two pages stays in both: which is newer cannot be told. A record of a page that is too
+// large to be written again is in no page where it could be written.
+func (p *PagedRecords) Load(key string, entries map[string]json.RawMessage, bytes int) *Page {
+	page := &Page{
+		Key:      key,
+		entries:  maps.Clone(entries),
+		reserved: map[string]int{},
+		readOnly: float64(bytes) > p.maxBytes,
+		dirty:    len(entries) == 0,
+	}
+	p.pages = append(p.pages, page)
+	for id, value := range entries {
+		page.reserved[id] = len(value) + len(id) + entryOverhead
+		page.reservedBytes += page.reserved[id]
+		if !page.readOnly && p.writable[id] == nil {
+			p.writable[id] = page
 		}
 	}
-	return b
+	return page
 }
 
-// NoteUnanswered notes that the first write of a box had no answer: it may be carried out yet. Guards
-// against a value that comes back after it was deleted: the condition of a first write, that
-// there is none, holds again then. Such a box is emptied instead, for the next leader to
-// delete, to whom nothing of this one's comes late.
-func (b *Page) NoteUnanswered() { b.late = true }
+// NoteUnanswered notes that the first write of a page had no answer: it may be executed yet.
+// A late execution could bring the page back after it was deleted, since the compare of a
+// first write, that the key is absent, holds again then. Such a page is therefore emptied
+// instead, for the next leader to delete, which none of this one's writes reaches late.
+func (page *Page) NoteUnanswered() { page.writePending = true }
 
-// Has says whether a record of that id has its place in a box that can be written.
-func (s *PagedRecords) Has(id string) bool { return s.where[id] != nil }
+// Has reports whether a record of that id has its place in a page that can be written.
+func (p *PagedRecords) Has(id string) bool { return p.writable[id] != nil }
 
-// IDs lists the records, of all boxes.
-func (s *PagedRecords) IDs() map[string]bool {
+// IDs lists the records of all pages.
+func (p *PagedRecords) IDs() map[string]bool {
 	ids := map[string]bool{}
-	for _, b := range s.boxes {
-		for id := range b.entries {
+	for _, page := range p.pages {
+		for id := range page.entries {
 			ids[id] = true
 		}
 	}
 	return ids
 }
 
-// ReadOnly lists the records of the first box that can only be deleted.
-func (s *PagedRecords) ReadOnly() map[string]json.RawMessage {
-	for _, b := range s.boxes {
-		if b.frozen && len(b.entries) > 0 {
-			return maps.Clone(b.entries)
+// ReadOnly lists the records of the first page that can only be deleted.
+func (p *PagedRecords) ReadOnly() map[string]json.RawMessage {
+	for _, page := range p.pages {
+		if page.readOnly && len(page.entries) > 0 {
+			return maps.Clone(page.entries)
 		}
 	}
 	return nil
 }
 
-// NoteTooLarge notes that the service took a box for too large. It is not written again,
-// and the next ones are half as large. It tells which records need another place;
-// none where the box has but one, for which there is no smaller one.
-func (s *PagedRecords) NoteTooLarge(b *Page) []string {
-	if len(b.entries) < 2 {
+// NoteTooLarge notes that the store refused a page as too large. It is not written again,
+// and the next ones are half as large. It returns the ids of the records that need another
+// place; none where the page has but one, for which there is no smaller page.
+func (p *PagedRecords) NoteTooLarge(page *Page) []string {
+	if len(page.entries) < 2 {
 		return nil
 	}
-	s.limit = min(s.limit, float64(b.size)) / 2
-	s.most = min(s.most, s.limit/fillShare)
-	b.frozen, b.changed = true, false
+	p.fillBytes = min(p.fillBytes, float64(page.reservedBytes)) / 2
+	p.maxBytes = min(p.maxBytes, p.fillBytes/fillShare)
+	page.readOnly = true
+	page.dirty = false
 	var ids []string
-	for id := range b.entries {
-		if s.where[id] == b {
-			delete(s.where, id)
+	for id := range page.entries {
+		if p.writable[id] == page {
+			delete(p.writable, id)
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// Dirty lists the boxes that differ from what was last taken to be written.
-func (s *PagedRecords) Dirty() []*Page {
-	var bs []*Page
-	for _, b := range s.boxes {
-		if b.changed && (!b.frozen || len(b.entries) == 0) {
-			bs = append(bs, b)
+// Dirty lists the pages that differ from what was last taken to be written.
+func (p *PagedRecords) Dirty() []*Page {
+	var dirty []*Page
+	for _, page := range p.pages {
+		if page.dirty && (!page.readOnly || len(page.entries) == 0) {
+			dirty = append(dirty, page)
 		}
 	}
-	return bs
+	return dirty
 }
 
-// TakeWrite returns the change that stores a box as it is now, its size in bytes, and
-// the ids it holds. A box without records is mostly deleted and takes no more.
-func (s *PagedRecords) TakeWrite(b *Page) (op Op, bytes int, ids []string) {
-	b.changed = false
-	if len(b.entries) == 0 && !b.late {
-		for i, x := range s.boxes {
-			if x == b {
-				s.boxes = append(s.boxes[:i], s.boxes[i+1:]...)
-				break
-			}
-		}
-		return Op{Delete: b.Key}, 0, nil
+// TakeWrite returns the change that stores a page as it is now, its size in bytes, and
+// the ids of its records. A page without records is deleted, unless its first write is
+// still pending (NoteUnanswered), and no longer used.
+func (p *PagedRecords) TakeWrite(page *Page) (op Op, bytes int, ids []string) {
+	page.dirty = false
+	if len(page.entries) == 0 && !page.writePending {
+		p.discard(page)
+		return Op{Delete: page.Key}, 0, nil
 	}
-	for id, v := range b.entries {
-		bytes += len(id) + len(v) + overhead
+	for id, value := range page.entries {
+		bytes += len(id) + len(value) + entryOverhead
 		ids = append(ids, id)
 	}
-	return Op{Write: b.Key, Value: maps.Clone(b.entries)}, bytes, ids
+	return Op{Write: page.Key, Value: maps.Clone(page.entries)}, bytes, ids
+}
+
+func (p *PagedRecords) discard(page *Page) {
+	for i, other := range p.pages {
+		if other == page {
+			p.pages = append(p.pages[:i], p.pages[i+1:]...)
+			return
+		}
+	}
+}
+
+// Entries reads the records of a page. Before there were pages, each record had a key of its
+// own: the last part of it is then the id.
+func Entries(prefix string, row KeyValue) (map[string]json.RawMessage, error) {
+	var entries map[string]json.RawMessage
+	if err := json.Unmarshal(row.Value, &entries); err == nil {
+		if _, isMachine := entries[machineTypeField]; !isMachine {
+			return entries, nil
+		}
+	} else if len(row.Value) == 0 || row.Value[0] != '"' {
+		return nil, fmt.Errorf("record %s: %w", row.Key, err)
+	}
+	return map[string]json.RawMessage{strings.TrimPrefix(row.Key, prefix): row.Value}, nil
+}
+
+// machineTypeField is the field of Machine by which a single machine's record differs from a
+// page of them: no machine's id looks like it.
+const machineTypeField = "rig"
+
+// EncodedSize returns how many bytes a value takes.
+func EncodedSize(value any) int {
+	raw, err := json.Marshal(value)
+	if err != nil {
+		return math.MaxInt
+	}
+	return len(raw)
 }
--- a/internal/records/paged_test.go
+++ b/internal/records/paged_test.go
@@ -10,76 +10,112 @@
 	"testing"
 )
 
-// Whatever is put, grown and removed, each record is in just one box, no box
-// exceeds the value size, what the service holds after every write is what was
+// storedPages are the pages that a store has, by key.
+type storedPages map[string]map[string]json.RawMessage
+
+// apply executes a change as the store would.
+func (s storedPages) apply(op Op) {
+	if op.Delete != "" {
+		delete(s, op.Delete)
+		return
+	}
+	s[op.Write] = op.Value.(map[string]json.RawMessage)
+}
+
+// numbered returns names that never repeat.
+func numbered(prefix string) func() string {
+	n := 0
+	return func() string {
+		n++
+		return fmt.Sprint(prefix, "-", n)
+	}
+}
+
+// Whatever is put, grown and removed, each record is in just one page, no page
+// exceeds the value size, what the store has after every write is what was
 // put, and names are never used again.
-func TestShelf(t *testing.T) {
+func TestPagedRecordsKeepEachRecordOnce(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 8))
-	n := 0
-	s := NewPagedRecords("machines/", 1, func() string { n++; return fmt.Sprint("5-", n) })
+	paged := NewPagedRecords("machines/", 1, numbered("5"))
 	want := map[string]string{}
-	store := map[string]map[string]json.RawMessage{}
+	store := storedPages{}
 	deleted := map[string]bool{}
 	writes := 0
 	for range 5000 {
 		id := fmt.Sprint("m-", r.IntN(60))
 		if r.IntN(3) == 0 {
-			s.Remove(id)
+			paged.Remove(id)
 			delete(want, id)
 		} else {
 			want[id] = fmt.Sprintf("%q", fmt.Sprint(r.Uint64()>>r.IntN(60)))
-			s.Put(id, json.RawMessage(want[id]), 24)
+			paged.Put(id, json.RawMessage(want[id]), 24)
 		}
 		if r.IntN(5) > 0 {
 			continue
 		}
-		for _, b := range s.Dirty() {
-			op, bytes, _ := s.TakeWrite(b)
+		for _, page := range paged.Dirty() {
+			op, bytes, _ := paged.TakeWrite(page)
 			writes++
 			if op.Delete != "" {
-				delete(store, op.Delete)
 				deleted[op.Delete] = true
-				continue
-			}
-			if raw, _ := json.Marshal(op.Value); len(raw) > 1024 || bytes+2 < len(raw) {
-				t.Fatalf("%s takes %d bytes, said to be %d", op.Write, len(raw), bytes)
-			}
-			if deleted[op.Write] {
-				t.Fatalf("%s is used again", op.Write)
+			} else {
+				checkWrite(t, op, bytes, deleted)
 			}
-			store[op.Write] = op.Value.(map[string]json.RawMessage)
+			store.apply(op)
 		}
-		got := map[string]string{}
-		for key, m := range store {
-			for id, v := range m {
-				if got[id] != "" {
-					t.Fatalf("%s is in two boxes, one of them %s", id, key)
-				}
-				got[id] = string(v)
+		checkHeldOnce(t, store, want)
+	}
+	if writes < 100 || len(deleted) == 0 && len(store) < 2 {
+		t.Fatalf("only %d writes of %d pages: too little was tested", writes, len(store))
+	}
+	checkLoads(t, store)
+}
+
+// checkWrite checks the size and the name of a page that is written.
+func checkWrite(t *testing.T, op Op, bytes int, deleted map[string]bool) {
+	t.Helper()
+	if raw, _ := json.Marshal(op.Value); len(raw) > 1024 || bytes+2 < len(raw) {
+		t.Fatalf("%s takes %d bytes, want at most 1024 and what TakeWrite said: %d", op.Write, len(raw), bytes)
+	}
+	if deleted[op.Write] {
+		t.Fatalf("%s is used again", op.Write)
+	}
+}
+
+// checkHeldOnce checks that the store has each record wanted, in one page.
+func checkHeldOnce(t *testing.T, store storedPages, want map[string]string) {
+	t.Helper()
+	got := map[string]string{}
+	for key, entries := range store {
+		for id, value := range entries {
+			if got[id] != "" {
+				t.Fatalf("%s is in two pages, one of them %s", id, key)
 			}
-		}
-		if fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Fatalf("the service has %v, want %v", got, want)
+			got[id] = string(value)
 		}
 	}
-	if writes < 100 || len(deleted) == 0 && len(store) < 2 {
-		t.Fatalf("only %d writes of %d boxes", writes, len(store))
+	if !maps.Equal(got, want) {
+		t.Fatalf("the store has %v, want %v", got, want)
 	}
-	// A later leader reads the boxes and goes on with them.
-	s2 := NewPagedRecords("machines/", 1, func() string { return "6-1" })
+}
+
+// checkLoads checks that a later leader reads the pages and goes on with them.
+func checkLoads(t *testing.T, store storedPages) {
+	t.Helper()
+	paged := NewPagedRecords("machines/", 1, func() string { return "6-1" })
 	held := 0
-	for key, m := range store {
-		held += len(m)
-		raw, _ := json.Marshal(m)
-		s2.Load(key, m, len(raw))
+	for key, entries := range store {
+		held += len(entries)
+		raw, _ := json.Marshal(entries)
+		paged.Load(key, entries, len(raw))
 	}
-	if len(s2.IDs()) != held || held == 0 || len(s2.Dirty()) != 0 {
-		t.Errorf("read %d of %d records, %d boxes changed", len(s2.IDs()), held, len(s2.Dirty()))
+	if len(paged.IDs()) != held || held == 0 || len(paged.Dirty()) != 0 {
+		t.Errorf("read %d of %d records, %d pages are dirty, want none", len(paged.IDs()), held, len(paged.Dirty()))
 	}
 }
 
-// Records of before there were shared values are read as what they are.
-func TestEntries(t *testing.T) {
+// Records from before there were pages are read as what they are.
+func TestEntriesReadsRecordsOfEveryVersion(t *testing.T) {
 	for _, x := range []struct{ prefix, key, value, want string }{
 		{PrefixMachines, "machines/m-000231", `{"addr":"a:1","rig":"c4","site":"a","loaners":true,"stint":2}`, `[m-000231]`},
 		{PrefixMachines, "machines/5-1", `{"m-1":{"rig":"c4"},"m-2":{"rig":"c4"}}`, `[m-1 m-2]`},
@@ -88,110 +124,117 @@
 		{PrefixDone, "done/5-2", `[1]`, ``},
 		{PrefixDone, "done/5-3", ``, ``},
 	} {
-		m, err := Entries(x.prefix, KeyValue{Key: x.key, Value: json.RawMessage(x.value)})
-		var ids []string
-		for id := range m {
-			ids = append(ids, id)
-		}
-		slices.Sort(ids)
+		entries, err := Entries(x.prefix, KeyValue{Key: x.key, Value: json.RawMessage(x.value)})
+		ids := slices.Sorted(maps.Keys(entries))
 		if got := fmt.Sprint(ids); err == nil && got != x.want || (err != nil) != (x.want == "") {
-			t.Errorf("%s: %s, %v, want %s", x.key, got, err, x.want)
+			t.Errorf("%s: got %s, %v, want %s", x.key, got, err, x.want)
 		}
 	}
 }
 
-// A value that became too large to be written again is emptied in steps: what it holds is
+// A page that became too large to be written again is emptied in steps: what it holds is
 // put into others first. Between any two changes every record is in the store, for this
 // version and for an earlier one, which of two records of one id keeps the first.
-func TestFrozen(t *testing.T) {
-	for _, kb := range []float64{1, 2} {
-		big := map[string]json.RawMessage{}
-		for i := range 110 {
-			big[fmt.Sprintf("m-%06d", i)] = json.RawMessage(fmt.Sprintf(`{"addr":"10.1.0.%d:9000","rig":"c4","site":"a","loaners":true,"stint":%d}`, i, i))
+func TestOversizedPageIsEmptiedWithoutLoss(t *testing.T) {
+	for _, valueKB := range []float64{1, 2} {
+		t.Run(fmt.Sprintf("%g KiB", valueKB), func(t *testing.T) { emptyOversizedPage(t, valueKB) })
+	}
+}
+
+func emptyOversizedPage(t *testing.T, valueKB float64) {
+	t.Helper()
+	const oversized, other, removed = "machines/3-1", "machines/3-2", "m-000007"
+	big := map[string]json.RawMessage{}
+	for i := range 110 {
+		big[fmt.Sprintf("m-%06d", i)] = fmt.Appendf(nil, `{"addr":"10.1.0.%d:9000","rig":"c4","site":"a","loaners":true,"stint":%d}`, i, i)
+	}
+	raw, _ := json.Marshal(big)
+	store := storedPages{oversized: big, other: {"m-900000": big["m-000001"]}}
+	paged := NewPagedRecords("machines/", valueKB, numbered("9"))
+	paged.Load(oversized, big, len(raw))
+	paged.Load(other, store[other], 100)
+	paged.Remove(removed) // the machine was returned meanwhile
+	if len(paged.ReadOnly()) != 109 || paged.Has("m-000001") || !paged.Has("m-900000") || len(paged.Dirty()) != 0 {
+		t.Fatalf("%d records are to be moved, want 109; %d pages to be written, want none", len(paged.ReadOnly()), len(paged.Dirty()))
+	}
+	steps := 0
+	for ; ; steps++ {
+		for id, value := range paged.ReadOnly() {
+			if !paged.Has(id) && !paged.Put(id, value, len(value)) {
+				t.Fatalf("%s has no place", id)
+			}
 		}
-		raw, _ := json.Marshal(big)
-		store := map[string]map[string]json.RawMessage{"machines/3-1": big, "machines/3-2": {"m-900000": big["m-000001"]}}
-		n := 0
-		s := NewPagedRecords("machines/", kb, func() string { n++; return fmt.Sprintf("9-%d", n) })
-		s.Load("machines/3-1", big, len(raw))
-		s.Load("machines/3-2", store["machines/3-2"], 100)
-		s.Remove("m-000007") // given back meanwhile
-		if len(s.ReadOnly()) != 109 || s.Has("m-000001") || !s.Has("m-900000") || len(s.Dirty()) != 0 {
-			t.Fatalf("%d records are to be moved, %d boxes to be written", len(s.ReadOnly()), len(s.Dirty()))
+		dirty := paged.Dirty()
+		if len(dirty) == 0 {
+			break
 		}
-		steps := 0
-		for ; ; steps++ {
-			for id, v := range s.ReadOnly() {
-				if !s.Has(id) && !s.Put(id, v, len(v)) {
-					t.Fatalf("%s has no place", id)
-				}
-			}
-			boxes := s.Dirty()
-			if len(boxes) == 0 {
-				break
-			}
-			op, _, ids := s.TakeWrite(boxes[0])
-			if op.Delete != "" {
-				delete(store, op.Delete)
-			} else if m := op.Value.(map[string]json.RawMessage); EncodedSize(m) > int(kb*1024) {
-				t.Fatalf("%s takes %d bytes", op.Write, EncodedSize(m))
-			} else {
-				store[op.Write] = m
-			}
-			for _, id := range ids {
-				s.DropReadOnly(id)
-			}
-			first := map[string]string{}
-			for _, key := range slices.Sorted(maps.Keys(store)) {
-				for id, v := range store[key] {
-					if first[id] == "" {
-						first[id] = string(v)
-					}
-				}
-			}
-			for id, v := range big {
-				if id != "m-000007" && first[id] != string(v) {
-					t.Fatalf("step %d: %s is %q", steps, id, first[id])
-				}
+		op, _, ids := paged.TakeWrite(dirty[0])
+		if op.Delete == "" && EncodedSize(op.Value) > int(valueKB*1024) {
+			t.Fatalf("%s takes %d bytes, want at most %g KiB", op.Write, EncodedSize(op.Value), valueKB)
+		}
+		store.apply(op)
+		for _, id := range ids {
+			paged.DropReadOnly(id)
+		}
+		first := store.firstOfEach()
+		for id, value := range big {
+			if id != removed && first[id] != string(value) {
+				t.Fatalf("step %d: %s is %q, want %q", steps, id, first[id], value)
 			}
 		}
-		if store["machines/3-1"] != nil || steps < 6 || s.IDs()["m-000007"] || len(s.IDs()) != 110 {
-			t.Errorf("%g KiB: after %d steps %d records in %d values", kb, steps, len(s.IDs()), len(store))
+	}
+	if store[oversized] != nil || steps < 6 || paged.IDs()[removed] || len(paged.IDs()) != 110 {
+		t.Errorf("after %d steps %d records in %d values, want 110 in at least 6 steps", steps, len(paged.IDs()), len(store))
+	}
+}
+
+// firstOfEach returns the records as a version reads them that keeps the first of each id.
+func (s storedPages) firstOfEach() map[string]string {
+	first := map[string]string{}
+	for _, key := range slices.Sorted(maps.Keys(s)) {
+		for id, value := range s[key] {
+			if first[id] == "" {
+				first[id] = string(value)
+			}
 		}
 	}
+	return first
 }
 
-// A value that the service refuses as too large is divided; one record alone cannot be.
-func TestRefused(t *testing.T) {
-	n := 0
-	s := NewPagedRecords("done/", 4, func() string { n++; return fmt.Sprint("1-", n) })
+// A page that the store refuses as too large is divided.
+func TestPageRefusedAsTooLargeIsDivided(t *testing.T) {
+	const acceptedBytes = 1000 // less than the value size that the pages are made for
+	named := 0
+	paged := NewPagedRecords("done/", 4, func() string {
+		named++
+		return fmt.Sprint("1-", named)
+	})
 	for i := range 40 {
-		s.Put(fmt.Sprint("j-", i), json.RawMessage(fmt.Sprintf("%q", strings.Repeat("x", 60))), 60)
+		paged.Put(fmt.Sprint("j-", i), fmt.Appendf(nil, "%q", strings.Repeat("x", 60)), 60)
 	}
-	for limit := 1000; ; {
-		boxes := s.Dirty()
-		if len(boxes) == 0 {
-			break
-		}
-		op, bytes, _ := s.TakeWrite(boxes[0])
-		if bytes <= limit {
+	for dirty := paged.Dirty(); len(dirty) > 0; dirty = paged.Dirty() {
+		op, bytes, _ := paged.TakeWrite(dirty[0])
+		if bytes <= acceptedBytes {
 			continue
 		}
-		m := op.Value.(map[string]json.RawMessage)
-		ids := s.NoteTooLarge(boxes[0])
-		if len(ids) != len(m) {
-			t.Fatalf("%d of %d records need another place", len(ids), len(m))
+		entries := op.Value.(map[string]json.RawMessage)
+		ids := paged.NoteTooLarge(dirty[0])
+		if len(ids) != len(entries) {
+			t.Fatalf("%d records need another place, want %d", len(ids), len(entries))
 		}
 		for _, id := range ids {
-			s.Put(id, m[id], len(m[id]))
+			paged.Put(id, entries[id], len(entries[id]))
 		}
 	}
-	if len(s.IDs()) != 40 || n > 20 {
-		t.Errorf("%d records in %d values", len(s.IDs()), n)
+	if len(paged.IDs()) != 40 || named > 20 {
+		t.Errorf("%d records in %d pages, want 40 in at most 20", len(paged.IDs()), named)
 	}
-	one := NewPagedRecords("done/", 4, func() string { return "2-1" })
-	one.Put("j-1", json.RawMessage(`"x"`), 1)
-	if ids := one.NoteTooLarge(one.Dirty()[0]); ids != nil {
-		t.Errorf("one record alone is to go elsewhere: %v", ids)
+}
+
+func TestRefusedPageOfOneRecordStays(t *testing.T) {
+	paged := NewPagedRecords("done/", 4, func() string { return "2-1" })
+	paged.Put("j-1", json.RawMessage(`"x"`), 1)
+	if ids := paged.NoteTooLarge(paged.Dirty()[0]); ids != nil {
+		t.Errorf("records that need another place: %v, want none", ids)
 	}
 }
