--- a/internal/watermark/lease_expiry.go
+++ b/internal/watermark/lease_expiry.go
@@ -5,47 +5,51 @@
 	"time"
 )
 
-// A new leader need not hear a machine, or give it back, to know that its tasks are gone: it
-// is enough that its lease has ended. Whoever may have renewed it is known. Once a term was
-// settled, every machine that may hold tasks had shown it, and workers drop what an earlier
-// leader answers; so only the holders of that term and of those since can have renewed any
-// lease. When each of them, asked by the new leader, has answered no worker for a lease, no
-// lease is left but those that the new leader itself has renewed: a lease counts from when
-// the worker sent the report that was answered, and what a holder answers afterwards renews
-// that of a worker which has nothing any more.
+// A new leader need not hear from a machine, or return it to the cloud, to know that its
+// tasks are gone: it is enough that its lease has expired. Whoever may have renewed the lease
+// is known. Once a term was reconciled, every machine that may hold tasks had shown it, and
+// workers drop what an earlier leader answers; so only the leaders of that term and of those
+// since can have renewed any lease. When each of them, asked by the new leader, has answered
+// no worker for the length of a lease, no lease is left but those that the new leader itself
+// has renewed: a lease counts from when the worker sent the heartbeat that was answered, and
+// what an earlier leader answers afterwards renews that of a worker which has nothing any
+// more.
 
-// PossibleRenewers lists, by name, the controllers that may have renewed a lease which the leader of
-// a term has not: last is the word of the latest term known to be settled, reigns are all
-// that took the key since its revision. ok is false where that is not known.
-func PossibleRenewers(last Attestation, reigns []LeaderChange, ours uint64) (nodes []string, ok bool) {
-	if !last.Reconciled || last.Node == "" || last.Term >= ours {
+// PossibleRenewers lists, by name, the controllers that may have renewed a lease which the
+// leader of the given term has not. last is the attestation of the latest term known to be
+// reconciled, changes are all that took the leader's key since its revision. ok is false
+// where the controllers are not known.
+func PossibleRenewers(last Attestation, changes []LeaderChange, term uint64) (nodes []string, ok bool) {
+	if !last.Reconciled || last.Node == "" || last.Term >= term {
 		return nil, false
 	}
 	nodes = []string{last.Node}
-	for _, r := range reigns {
+	for _, change := range changes {
 		switch {
-		case r.Term == ours:
+		case change.Term == term:
 			ok = true
-		case r.Node == "":
+		case change.Node == "":
 			return nil, false
 		default:
-			nodes = append(nodes, r.Node)
+			nodes = append(nodes, change.Node)
 		}
 	}
 	slices.Sort(nodes)
 	if !ok {
-		return nil, false // a log without our own term is not the log we asked for
+		return nil, false // a log without the leader's own term is not the log it asked for
 	}
 	return slices.Compact(nodes), true
 }
 
-// LeasesExpired says whether each holder has renewed no lease for as long as a lease lasts, by how
-// long ago, at least, each last may have; what is not known of one is missing.
-func LeasesExpired(holders []string, since map[string]time.Duration, lease time.Duration) bool {
-	for _, h := range holders {
-		if s, known := since[h]; !known || s < lease {
+// LeasesExpired reports whether each of the renewers has renewed no lease for as long as a
+// lease lasts, by how long ago, at least, each last may have; a renewer of which that is not
+// known is missing in sinceRenewal.
+func LeasesExpired(renewers []string, sinceRenewal map[string]time.Duration, lease time.Duration) bool {
+	for _, node := range renewers {
+		since, known := sinceRenewal[node]
+		if !known || since < lease {
 			return false
 		}
 	}
-	return len(holders) > 0
+	return len(renewers) > 0
 }
--- a/internal/watermark/lease_expiry_model_test.go
+++ b/internal/watermark/lease_expiry_model_test.go
@@ -6,171 +6,228 @@
 	"time"
 )
 
-// The lapse of leases as a model, over every order of events at a small size: three
-// controllers, up to three terms, a machine, ages in ticks instead of times. A controller
-// goes on believing that it leads until it hears otherwise; whoever believes it may answer
-// the worker, and answers may arrive a tick late; only who holds the key sends a run along,
-// and only when the worker has shown its term. What decides is the package's own code. When
-// a leader takes the machine's lease for ended, nothing may be on it from then on, until the
-// worker has shown its term.
-type lapsing struct {
-	top     int8         // the latest term
-	holder  [4]int8      // by term
-	leads   [3]int8      // the term that each believes to have; 0: none
-	renewed [3]int8      // age of what each last noted
-	began   int8         // age of the latest term
-	settled int8         // the latest term that is told to be settled
-	baton   int8         // what the worker has shown
-	lease   int8         // age of the last answered report, by when it was sent
-	on      bool         // a task is on the machine
-	lapsed  int8         // the term whose leader took its lease for ended
-	answer  lapsingReply // one on its way
+// leaseModel is a model of lease expiry, checked over every order of events at a small size:
+// three controllers, up to three terms, a machine, ages in ticks instead of times. A
+// controller goes on believing that it leads until it hears otherwise; whoever believes it
+// may answer the worker, and answers may arrive a tick late; only the holder of the leader's
+// key sends a run command along, and only when the worker has shown its term. What decides is
+// the package's own code. When a leader takes the machine's lease to have expired, nothing
+// may be on it from then on, until the worker has shown its term.
+type leaseModel struct {
+	term         int8            // the latest one
+	leaderOf     [4]int8         // by term, the controller that took it
+	believes     [3]int8         // by controller, the term that it believes to lead; 0: none
+	sinceRenewal [3]int8         // by controller, the age of the renewal that it last noted
+	termAge      int8            // of the latest term
+	reconciled   int8            // the latest term that is attested to be reconciled
+	fencingToken int8            // the latest that the worker has seen
+	leaseAge     int8            // of the last answered heartbeat, from when it was sent
+	running      bool            // a task is on the machine
+	expiredFor   int8            // the term whose leader took the lease to have expired
+	reply        heartbeatAnswer // the one under way
 }
 
-type lapsingReply struct {
+// heartbeatAnswer is a leader's answer to the worker's heartbeat.
+type heartbeatAnswer struct {
 	from, term, age int8
-	run, sent       bool
+	run, underWay   bool
 }
 
 const (
-	leaseTicks = 2 // a lease has ended at an age above
-	oldest     = leaseTicks + 2
+	leaseTicks = 2              // a lease has expired at an age above
+	maxAge     = leaseTicks + 2 // older ages make no difference
 )
 
-type lapseMistake struct{ noHolder, noReigns, unheard, lateNote, short, noOwn bool }
+// leaseMistake is a mistake in how the package's code is used, which the model has to find.
+type leaseMistake string
 
-func older(age int8) int8 { return min(age+1, oldest) }
+const (
+	noLeaseMistake        leaseMistake = ""
+	omitReconciledLeader  leaseMistake = "the leader of the reconciled term is left out"
+	omitLaterLeaders      leaseMistake = "those who led since are left out"
+	reconciledUnheard     leaseMistake = "a term is attested as reconciled before the machine was heard"
+	renewalNotedOnArrival leaseMistake = "a renewal is noted when the answer arrives"
+	leaseTooShort         leaseMistake = "a lease is a tick too short"
+	omitOwnEarlierTerm    leaseMistake = "the leader's own earlier term is forgotten"
+)
 
-// next lists what may happen, and says whether the rule is broken here.
-func (s lapsing) next(m lapseMistake) (all []lapsing, broken bool) {
-	add := func(f func(*lapsing)) { n := s; f(&n); all = append(all, n) }
-	if s.answer.age == 0 || !s.answer.sent {
-		add(func(n *lapsing) { // time goes by
-			for i := range n.renewed {
-				n.renewed[i] = older(n.renewed[i])
-			}
-			n.began, n.lease = older(n.began), older(n.lease)
-			if n.answer.sent {
-				n.answer.age++
-			}
-			if n.lease > leaseTicks {
-				n.on = false
-			}
-		})
+func older(age int8) int8 { return min(age+1, maxAge) }
+
+// next lists the states that one event leads to, and reports whether the rule is broken in
+// this one.
+func (s leaseModel) next(mistake leaseMistake) (states []leaseModel, broken bool) {
+	add := func(change func(*leaseModel)) {
+		following := s
+		change(&following)
+		states = append(states, following)
+	}
+	s.passTime(add)
+	for controller := range s.believes {
+		s.controllerEvents(int8(controller), mistake, add)
 	}
-	for x := range s.leads {
-		t := s.leads[x]
-		if t > 0 && !s.answer.sent {
-			// The worker's report comes here and is answered.
-			add(func(n *lapsing) {
-				n.answer = lapsingReply{from: int8(x), term: t, sent: true, run: t == s.top && s.baton == t}
-				if !m.lateNote {
-					n.renewed[x] = 0
-				}
-			})
+	s.deliver(mistake, add)
+	leader := s.leaderOf[s.term]
+	if s.believes[leader] != s.term {
+		return states, false
+	}
+	if s.fencingToken == s.term || mistake == reconciledUnheard {
+		add(func(n *leaseModel) { n.reconciled = n.term })
+	}
+	if s.fencingToken < s.term && s.takenAsExpired(mistake) {
+		add(func(n *leaseModel) { n.expiredFor = n.term })
+	}
+	return states, s.expiredFor == s.term && s.fencingToken < s.term && s.running
+}
+
+// passTime adds the state a tick later. An answer is under way for a tick at most.
+func (s leaseModel) passTime(add func(func(*leaseModel))) {
+	if s.reply.age != 0 && s.reply.underWay {
+		return
+	}
+	add(func(n *leaseModel) {
+		for i := range n.sinceRenewal {
+			n.sinceRenewal[i] = older(n.sinceRenewal[i])
 		}
-		if t > 0 && t < s.top {
-			add(func(n *lapsing) { n.leads[x] = 0 }) // it hears that another leads
+		n.termAge = older(n.termAge)
+		n.leaseAge = older(n.leaseAge)
+		if n.reply.underWay {
+			n.reply.age++
 		}
-		add(func(n *lapsing) { n.leads[x], n.renewed[x] = 0, 0 }) // it ends, and starts
-		if int(s.top) < len(s.holder)-1 {
-			add(func(n *lapsing) {
-				n.top++
-				n.holder[n.top], n.leads[x], n.began = int8(x), n.top, 0
-			})
+		if n.leaseAge > leaseTicks {
+			n.running = false
 		}
-	}
-	if s.answer.sent {
-		add(func(n *lapsing) { n.answer = lapsingReply{} }) // it is lost
-		add(func(n *lapsing) {
-			a := n.answer
-			n.answer = lapsingReply{}
-			if m.lateNote {
-				n.renewed[a.from] = 0
-			}
-			if a.term >= n.baton {
-				n.baton, n.lease = a.term, min(n.lease, a.age)
-				n.on = n.on || a.run
+	})
+}
+
+// controllerEvents adds what may happen at a controller.
+func (s leaseModel) controllerEvents(controller int8, mistake leaseMistake, add func(func(*leaseModel))) {
+	term := s.believes[controller]
+	if term > 0 && !s.reply.underWay {
+		// The worker's heartbeat comes here and is answered.
+		add(func(n *leaseModel) {
+			n.reply = heartbeatAnswer{from: controller, term: term, underWay: true, run: term == s.term && s.fencingToken == term}
+			if mistake != renewalNotedOnArrival {
+				n.sinceRenewal[controller] = 0
 			}
 		})
 	}
-	h := s.holder[s.top]
-	if s.leads[h] != s.top {
-		return all, false
+	if term > 0 && term < s.term {
+		// It hears that another leads.
+		add(func(n *leaseModel) { n.believes[controller] = 0 })
+	}
+	// Its process restarts.
+	add(func(n *leaseModel) {
+		n.believes[controller] = 0
+		n.sinceRenewal[controller] = 0
+	})
+	if int(s.term) < len(s.leaderOf)-1 {
+		// It is elected.
+		add(func(n *leaseModel) {
+			n.term++
+			n.leaderOf[n.term] = controller
+			n.believes[controller] = n.term
+			n.termAge = 0
+		})
 	}
-	if s.baton == s.top || m.unheard {
-		add(func(n *lapsing) { n.settled = n.top })
+}
+
+// deliver adds what may happen to the answer under way.
+func (s leaseModel) deliver(mistake leaseMistake, add func(func(*leaseModel))) {
+	if !s.reply.underWay {
+		return
 	}
-	last := Attestation{Term: uint64(s.settled), Reconciled: s.settled > 0, Node: fmt.Sprint(s.holder[s.settled])}
-	var reigns []LeaderChange
-	for t := s.settled + 1; t <= s.top; t++ {
-		if t == s.top || !m.noReigns {
-			reigns = append(reigns, LeaderChange{Term: uint64(t), Node: fmt.Sprint(s.holder[t])})
+	// It is lost.
+	add(func(n *leaseModel) { n.reply = heartbeatAnswer{} })
+	// It arrives.
+	add(func(n *leaseModel) {
+		reply := n.reply
+		n.reply = heartbeatAnswer{}
+		if mistake == renewalNotedOnArrival {
+			n.sinceRenewal[reply.from] = 0
+		}
+		if reply.term >= n.fencingToken {
+			n.fencingToken = reply.term
+			n.leaseAge = min(n.leaseAge, reply.age)
+			n.running = n.running || reply.run
+		}
+	})
+}
+
+// takenAsExpired reports whether the leader of the latest term takes the lease to have
+// expired, by the package's code.
+func (s leaseModel) takenAsExpired(mistake leaseMistake) bool {
+	leader := s.leaderOf[s.term]
+	last := Attestation{Term: uint64(s.reconciled), Reconciled: s.reconciled > 0, Node: fmt.Sprint(s.leaderOf[s.reconciled])}
+	var changes []LeaderChange
+	for term := s.reconciled + 1; term <= s.term; term++ {
+		if term == s.term || mistake != omitLaterLeaders {
+			changes = append(changes, LeaderChange{Term: uint64(term), Node: fmt.Sprint(s.leaderOf[term])})
 		}
 	}
-	since := map[string]time.Duration{}
-	for x := range s.renewed {
-		since[fmt.Sprint(x)] = time.Duration(s.renewed[x])
+	sinceRenewal := map[string]time.Duration{}
+	for controller, age := range s.sinceRenewal {
+		sinceRenewal[fmt.Sprint(controller)] = time.Duration(age)
 	}
-	since[fmt.Sprint(h)] = time.Duration(s.began)
-	holders, ok := PossibleRenewers(last, reigns, uint64(s.top))
-	if m.noHolder && ok {
-		holders = holders[:0]
-		for _, r := range reigns {
-			holders = append(holders, r.Node)
+	sinceRenewal[fmt.Sprint(leader)] = time.Duration(s.termAge)
+	renewers, ok := PossibleRenewers(last, changes, uint64(s.term))
+	if mistake == omitReconciledLeader && ok {
+		renewers = renewers[:0]
+		for _, change := range changes {
+			renewers = append(renewers, change.Node)
 		}
 	}
-	if m.noOwn {
-		since[fmt.Sprint(h)] = oldest
+	if mistake == omitOwnEarlierTerm {
+		sinceRenewal[fmt.Sprint(leader)] = maxAge
 	}
 	lease := time.Duration(leaseTicks + 1)
-	if m.short {
+	if mistake == leaseTooShort {
 		lease--
 	}
-	if s.baton < s.top && ok && LeasesExpired(holders, since, lease) {
-		add(func(n *lapsing) { n.lapsed = n.top })
-	}
-	return all, s.lapsed == s.top && s.baton < s.top && s.on
+	return ok && LeasesExpired(renewers, sinceRenewal, lease)
 }
 
-// explore looks at up to most states, the nearest first, and says whether one breaks the
-// rule.
-func (m lapseMistake) explore(most int) (seen int, broken bool) {
-	start := lapsing{top: 1, leads: [3]int8{1, 0, 0}, settled: 1, baton: 1}
-	known := map[lapsing]struct{}{start: {}}
-	queue := []lapsing{start}
-	for i := 0; i < len(queue) && i < most; i++ {
-		next, bad := queue[i].next(m)
-		if bad {
+// exploreLeases looks at up to maxStates states, the nearest first. It returns how many it
+// has seen and whether one breaks the rule.
+func exploreLeases(mistake leaseMistake, maxStates int) (seen int, broken bool) {
+	start := leaseModel{term: 1, believes: [3]int8{1, 0, 0}, reconciled: 1, fencingToken: 1}
+	known := map[leaseModel]struct{}{start: {}}
+	queue := []leaseModel{start}
+	for i := 0; i < len(queue) && i < maxStates; i++ {
+		states, broken := queue[i].next(mistake)
+		if broken {
 			return i, true
 		}
-		for _, n := range next {
-			if _, ok := known[n]; !ok {
-				known[n] = struct{}{}
-				queue = append(queue, n)
+		for _, state := range states {
+			if _, ok := known[state]; !ok {
+				known[state] = struct{}{}
+				queue = append(queue, state)
 			}
 		}
 	}
-	return min(len(queue), most), false
+	return min(len(queue), maxStates), false
 }
 
-func TestLapseModel(t *testing.T) {
-	most := 2 * *mostStates // the last of the mistakes is far out
-	seen, broken := lapseMistake{}.explore(most)
+// leaseStates is how many states of the lease model are looked at: the last of the mistakes
+// is far out.
+func leaseStates() int { return 2 * *maxModelStates }
+
+func TestExpiredLeaseMeansNoTask(t *testing.T) {
+	seen, broken := exploreLeases(noLeaseMistake, leaseStates())
 	t.Logf("%d states", seen)
 	if broken {
-		t.Error("a lease is taken for ended with a task on the machine")
-	}
-	for name, m := range map[string]lapseMistake{
-		"the holder of the settled term is left out": {noHolder: true},
-		"those who led since are left out":           {noReigns: true},
-		"a term is called settled unheard":           {unheard: true},
-		"an answer is noted when it arrives":         {lateNote: true},
-		"a lease is a tick too short":                {short: true},
-		"one's own earlier term is forgotten":        {noOwn: true},
+		t.Errorf("after %d states a lease is taken to have expired with a task on the machine", seen)
+	}
+}
+
+// A model that finds nothing may check nothing: it has to find these mistakes.
+func TestLeaseModelFindsMistakes(t *testing.T) {
+	for _, mistake := range []leaseMistake{
+		omitReconciledLeader, omitLaterLeaders, reconciledUnheard, renewalNotedOnArrival, leaseTooShort, omitOwnEarlierTerm,
 	} {
-		if seen, broken := m.explore(most); !broken {
-			t.Errorf("%s: not found in %d states", name, seen)
+		seen, broken := exploreLeases(mistake, leaseStates())
+		t.Logf("%s: %d states", mistake, seen)
+		if !broken {
+			t.Errorf("%s: not found in %d states", mistake, seen)
 		}
 	}
 }
--- a/internal/watermark/mark.go
+++ b/internal/watermark/mark.go
@@ -1,23 +1,25 @@
 package watermark
 
-// Mark is how far into a job tasks may have been sent: none from Stored on, by what the
-// store says; Want is what it is to say next.
-type Mark struct{ Stored, Requested int }
+// Mark is the watermark of one job: tasks from it on were never dispatched.
+type Mark struct {
+	Stored    int // what the store says
+	Requested int // what it is to say next
+}
 
-// RaiseDivisor is the share of a job that its mark is raised by at once, as one in so many: a
-// raise is a change in the store, and what lies between the last task sent and the mark
-// waits at a takeover for nothing.
+// RaiseDivisor is the share of a job that its watermark is raised by at once, as one in so
+// many: a raise is a change in the store, and what lies between the last task dispatched and
+// the watermark waits at a failover for nothing.
 const RaiseDivisor = 8
 
-// RaiseStep is by how many tasks the mark of a job is raised at least: small jobs are marked
-// whole.
+// RaiseStep is by how many tasks the watermark of a job is raised at least: that of a small
+// job covers the whole job at once.
 func RaiseStep(tasks int) int { return tasks/RaiseDivisor + RaiseDivisor }
 
-// Covers says whether a task may be sent.
+// Covers reports whether a task may be dispatched.
 func (m *Mark) Covers(task int) bool { return task < m.Stored }
 
-// Raise asks for a mark beyond a task, and says whether that is more than was asked
-// for.
+// Raise requests a watermark beyond a task of a job with so many, and reports whether that is
+// more than was requested before.
 func (m *Mark) Raise(task, tasks int) bool {
 	if task < m.Requested {
 		return false
@@ -26,7 +28,7 @@
 	return true
 }
 
-// NoteStored notes what the store says; it never says less than before.
+// NoteStored notes what the store says; a watermark never falls.
 func (m *Mark) NoteStored(stored int) {
 	m.Stored = max(m.Stored, stored)
 	m.Requested = max(m.Requested, m.Stored)
