--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,15 +1,11 @@
-// Package store talks to the state service: requests within its rates, and what each
-// answer, or none, lets a caller conclude (package ledger has the records and errors).
 package store
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net/url"
-	"strconv"
+	"net/http"
 	"sync"
 	"time"
 
@@ -29,159 +25,197 @@
 	heldBackTotal   = metrics.NewCounter("drumpick_state_users_held_back_total")
 )
 
-// Client is a connection to the state service. It is safe for concurrent use.
+const (
+	// leaderWriteShare is the leader's part of the write rate; the rest stays free for users.
+	leaderWriteShare = 0.5
+	// throttledRetries and userThrottledRetries are how often a throttled request is repeated.
+	throttledRetries     = 3
+	userThrottledRetries = 1
+	// firstRetryShare is the first pause before a retry, as a part of the timeout.
+	firstRetryShare = 20
+	// userWaitShare is how long a user's request waits for its turn, as a part of the timeout.
+	userWaitShare = 2
+)
+
+// Client is a client of the store. It is safe for concurrent use.
 type Client struct {
-	*conn
-	users bool // its requests are users', and are held back where the service throttles
+	*connection
+	forUsers bool // its requests are users', and are held back where the store throttles
 }
 
-// conn is what the views of one connection share.
-type conn struct {
-	link    *httpclient.Client
-	timeout time.Duration
-	batch   *rate.Limiter // the leader's own writes; users' requests do not wait for it
-	calls   *governor     // of users' requests
-	changes *governor     // of what they change
+// connection is what the views of one connection share.
+type connection struct {
+	http         *httpclient.Client
+	timeout      time.Duration
+	leaderWrites *rate.Limiter // the leader's own writes; users' requests do not wait for it
+	userRequests *userThrottle
+	userChanges  *userThrottle // what users' requests change
+
+	started time.Time
 
-	mu       sync.Mutex
-	started  time.Time
-	lastOK   time.Time // when an answer last came in
-	lastFail time.Time
-	reached  time.Time // when anything last came back, a refusal included
+	mu           sync.Mutex // guards the fields below
+	lastOK       time.Time  // when an answer last came in that was no refusal
+	lastFailure  time.Time  // when a request was last refused or not answered
+	lastResponse time.Time  // when anything last came back, a refusal included
 }
 
-// Limits shape a client.
+// Limits are the rates and bounds of a client.
 type Limits struct {
-	RPS, WriteRPS  float64 // what the service takes a second, requests and changes; 0: not known
-	Controllers    int     // that share it
+	RPS            float64 // requests that the store takes a second; 0: not known
+	WriteRPS       float64 // changes that the store takes a second; 0: not known
+	Controllers    int     // controllers that share the rates
 	MaxConnections int
 	Timeout        time.Duration
 }
 
-// NewClient returns a client for the state service at addr.
-func NewClient(addr string, l Limits) *Client {
-	return &Client{conn: &conn{
-		calls: newGovernor(l.RPS, l.Controllers), changes: newGovernor(l.WriteRPS, l.Controllers),
-		link:    httpclient.New(addr, l.MaxConnections, l.Timeout),
-		timeout: l.Timeout,
-		// Half of the write rate is the leader's; the rest stays free for users.
-		batch:   rate.NewLimiter(rate.Limit(l.WriteRPS/2), max(int(l.WriteRPS/2), 1)),
-		started: time.Now(),
+// NewClient returns a client for the store at addr.
+func NewClient(addr string, limits Limits) *Client {
+	leaderWriteRPS := limits.WriteRPS * leaderWriteShare
+	return &Client{connection: &connection{
+		http:         httpclient.New(addr, limits.MaxConnections, limits.Timeout),
+		timeout:      limits.Timeout,
+		leaderWrites: rate.NewLimiter(rate.Limit(leaderWriteRPS), max(int(leaderWriteRPS), 1)),
+		userRequests: newUserThrottle(limits.RPS, limits.Controllers),
+		userChanges:  newUserThrottle(limits.WriteRPS, limits.Controllers),
+		started:      time.Now(),
 	}}
 }
 
-// ForUsers returns the same connection for users' requests: where the service throttles they wait a moment for
-// their turn, or are told to come back, and leave the rest to the leader.
-func (c *Client) ForUsers() *Client { return &Client{c.conn, true} }
+// ForUsers returns the same connection for users' requests: where the store throttles they
+// wait a moment for their turn, or fail as throttled, and leave the rest to the leader.
+func (c *Client) ForUsers() *Client { return &Client{connection: c.connection, forUsers: true} }
 
-// Health tells when the service last answered, and whether it fails now.
+// Health returns when the store last answered (zero: not since the start), whether it fails
+// now, and when the client started.
 func (c *Client) Health() (lastOK time.Time, failing bool, started time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lastOK, c.lastFail.After(c.lastOK), c.started
+	return c.lastOK, c.failingLocked(), c.started
 }
 
-// FailedSince says whether the last request failed, later than t.
+// FailedSince reports whether the last request failed, later than t.
 func (c *Client) FailedSince(t time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lastFail.After(c.lastOK) && c.lastFail.After(t)
+	return c.failingLocked() && c.lastFailure.After(t)
 }
 
-// LastResponse is when anything last came back from the service, a refusal included, or the start.
+func (c *connection) failingLocked() bool { return c.lastFailure.After(c.lastOK) }
+
+// LastResponse returns when anything last came back from the store, a refusal included, or
+// when the client started.
 func (c *Client) LastResponse() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reached.IsZero() {
+	if c.lastResponse.IsZero() {
 		return c.started
 	}
-	return c.reached
+	return c.lastResponse
 }
 
-func (c *Client) note(ok bool) {
+func (c *connection) noteOK() {
 	now := time.Now()
 	c.mu.Lock()
-	if ok {
-		c.lastOK = now
-	} else {
-		c.lastFail = now
-	}
-	c.mu.Unlock()
+	defer c.mu.Unlock()
+	c.lastOK = now
 }
 
-// WaitForWrites waits until n of the leader's writes fit into its share of the rate.
+func (c *connection) noteFailure() {
+	now := time.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastFailure = now
+}
+
+func (c *connection) noteResponse() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastResponse = time.Now()
+}
+
+// WaitForWrites waits until n of the leader's writes fit into its share of the write rate.
 func (c *Client) WaitForWrites(ctx context.Context, n int) error {
-	return c.batch.WaitN(ctx, min(n, c.batch.Burst()))
+	return c.leaderWrites.WaitN(ctx, min(n, c.leaderWrites.Burst()))
 }
 
-func (c *Client) call(ctx context.Context, method, uri string, body any, timeout time.Duration) (int, []byte, error) {
+// request is a request to the store.
+type request struct {
+	method, uri string
+	body        any // nil for none
+	changes     int // how many keys it changes
+	// shared is set for a request that serves many users at once, and is not held back.
+	shared bool
+}
+
+// send sends a request once. It fails where the store did not execute it, or may not have.
+func (c *connection) send(ctx context.Context, r request, timeout time.Duration) (status int, body []byte, err error) {
 	began := time.Now()
 	deadline := began.Add(timeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
-	status, raw, err := c.link.JSON(method, uri, body, deadline)
+	status, body, err = c.http.JSON(r.method, r.uri, r.body, deadline)
 	if err != nil {
 		unansweredTotal.Inc()
-		c.note(false)
-		return 0, nil, fmt.Errorf("%w: %s %s: %v", records.ErrUnknownOutcome, method, uri, err)
+		c.noteFailure()
+		return 0, nil, fmt.Errorf("%w: %s %s: %v", records.ErrUnknownOutcome, r.method, r.uri, err)
 	}
 	if timeout <= c.timeout { // watches wait on purpose
 		requestSeconds.UpdateDuration(began)
 	}
-	c.mu.Lock()
-	c.reached = time.Now()
-	c.mu.Unlock()
+	c.noteResponse()
 	switch status {
-	case 503:
+	case http.StatusServiceUnavailable:
 		refusedTotal.Inc()
-		c.note(false)
+		c.noteFailure()
 		return status, nil, records.ErrUnavailable
-	case 429:
+	case http.StatusTooManyRequests:
 		throttledTotal.Inc()
 		return status, nil, records.ErrThrottled
 	}
-	c.note(true)
-	return status, raw, nil
+	c.noteOK()
+	return status, body, nil
 }
 
-// retry429 repeats a call that was throttled, for a short while. changes is how much it changes.
-func (c *Client) retry429(ctx context.Context, method, uri string, body any, changes int) (int, []byte, error) {
-	wait := c.timeout / 20
-	for i := 0; ; i++ {
-		if c.users && changes != many && !c.turn(ctx, changes) {
+// do sends a request and repeats it, for a short while, where it is throttled.
+func (c *Client) do(ctx context.Context, r request) (status int, body []byte, err error) {
+	retries := throttledRetries
+	if c.forUsers {
+		retries = userThrottledRetries
+	}
+	pause := c.timeout / firstRetryShare
+	for try := 0; ; try++ {
+		if c.forUsers && !r.shared && !c.waitForTurn(ctx, r.changes) {
 			heldBackTotal.Inc()
-			return 429, nil, records.ErrThrottled
+			return http.StatusTooManyRequests, nil, records.ErrThrottled
 		}
-		status, raw, err := c.call(ctx, method, uri, body, c.timeout)
+		status, body, err = c.send(ctx, r, c.timeout)
 		if !errors.Is(err, records.ErrThrottled) {
-			return status, raw, err
+			return status, body, err
 		}
 		now := time.Now()
-		if changes > 0 {
-			c.changes.throttled(now)
+		if r.changes > 0 {
+			c.userChanges.noteThrottled(now)
 		}
-		c.calls.throttled(now)
-		if i == 3 || c.users && i == 1 {
-			return status, raw, err
+		c.userRequests.noteThrottled(now)
+		if try == retries {
+			return status, body, err
 		}
-		if err := ctxtime.Sleep(ctx, wait/2+rand.N(wait)); err != nil {
+		if err := ctxtime.Sleep(ctx, pause/2+rand.N(pause)); err != nil {
 			return 0, nil, err
 		}
-		wait *= 2
+		pause *= 2
 	}
 }
 
-// many stands for a call that serves many users at once, and is not held back.
-const many = -1
-
-// turn waits for the turn of a user's request, and says whether it has come soon enough.
-func (c *Client) turn(ctx context.Context, changes int) bool {
-	end := time.Now().Add(c.timeout / 2)
-	wait := func(g *governor, n int) bool {
+// waitForTurn waits for the turn of a user's request, and reports whether it has come soon
+// enough.
+func (c *Client) waitForTurn(ctx context.Context, changes int) bool {
+	end := time.Now().Add(c.timeout / userWaitShare)
+	wait := func(throttle *userThrottle, n int) bool {
 		for {
 			now := time.Now()
-			d := g.take(float64(n), now)
+			d := throttle.take(float64(n), now)
 			if d == 0 {
 				return true
 			}
@@ -190,175 +224,5 @@
 			}
 		}
 	}
-	return (changes == 0 || wait(c.changes, changes)) && wait(c.calls, 1)
-}
-
-// Get reads a key. It returns nil when the key is absent.
-func (c *Client) Get(ctx context.Context, key string) (*records.KeyValue, error) {
-	status, raw, err := c.retry429(ctx, "GET", "/store/"+key, nil, 0)
-	if err != nil {
-		return nil, err
-	}
-	switch status {
-	case 404:
-		// Only the service's own 404 counts as absent.
-		var e struct {
-			Epoch *uint64 `json:"epoch"`
-		}
-		if json.Unmarshal(raw, &e) != nil || e.Epoch == nil {
-			return nil, fmt.Errorf("%w: 404 without epoch", records.ErrUnexpected)
-		}
-		return nil, nil
-	case 200:
-		var r records.KeyValue
-		if err := json.Unmarshal(raw, &r); err != nil || r.Key != key || r.Revision == 0 {
-			return nil, fmt.Errorf("%w: bad row for %s", records.ErrUnexpected, key)
-		}
-		return &r, nil
-	}
-	return nil, fmt.Errorf("%w: %d for %s", records.ErrUnexpected, status, key)
-}
-
-// List reads every key under a prefix. The epoch returned is that of the first
-// page: a watch from there misses nothing.
-func (c *Client) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
-	var epoch uint64
-	since := ""
-	for {
-		uri := "/store?under=" + url.QueryEscape(prefix) + "&limit=500"
-		if since != "" {
-			uri += "&since=" + url.QueryEscape(since)
-		}
-		status, raw, err := c.retry429(ctx, "GET", uri, nil, many)
-		if err != nil {
-			return 0, err
-		}
-		var page struct {
-			Rows  []records.KeyValue `json:"rows"`
-			More  bool               `json:"more"`
-			Epoch uint64             `json:"epoch"`
-		}
-		if status != 200 {
-			return 0, fmt.Errorf("%w: %d for list %s", records.ErrUnexpected, status, prefix)
-		}
-		if err := json.Unmarshal(raw, &page); err != nil {
-			return 0, fmt.Errorf("%w: %v", records.ErrUnexpected, err)
-		}
-		if epoch == 0 {
-			epoch = page.Epoch
-		}
-		for _, r := range page.Rows {
-			if err := each(r); err != nil {
-				return 0, err
-			}
-			since = r.Key
-		}
-		if !page.More || len(page.Rows) == 0 {
-			return epoch, nil
-		}
-	}
-}
-
-// Commit applies ops if all conditions hold, and returns the revision.
-func (c *Client) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
-	if when == nil {
-		when = []records.Compare{}
-	}
-	if ops == nil {
-		ops = []records.Op{}
-	}
-	status, raw, err := c.retry429(ctx, "POST", "/commit", struct {
-		When   []records.Compare `json:"when"`
-		Writes []records.Op      `json:"writes"`
-	}{when, ops}, len(ops))
-	if err != nil {
-		return 0, err
-	}
-	switch status {
-	case 200:
-		var r struct {
-			Epoch uint64 `json:"epoch"`
-		}
-		if err := json.Unmarshal(raw, &r); err != nil || r.Epoch == 0 {
-			// It was executed, but what came back is unreadable: treat it as unknown.
-			return 0, fmt.Errorf("%w: unreadable commit answer", records.ErrUnknownOutcome)
-		}
-		return r.Epoch, nil
-	case 409:
-		var e records.ConflictError
-		if err := json.Unmarshal(raw, &e); err != nil {
-			return 0, fmt.Errorf("%w: %v", records.ErrUnexpected, err)
-		}
-		return 0, &e
-	case 400:
-		var e struct {
-			Error string `json:"error"`
-		}
-		_ = json.Unmarshal(raw, &e)
-		if e.Error == "no such lease" {
-			return 0, records.ErrLeaseExpired
-		}
-		return 0, fmt.Errorf("%w: %s", records.ErrInvalid, e.Error)
-	}
-	return 0, fmt.Errorf("%w: %d for commit", records.ErrUnexpected, status)
-}
-
-// GrantLease obtains a lease of the given life.
-func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
-	status, raw, err := c.retry429(ctx, "POST", "/grants", map[string]int64{"life_ms": life.Milliseconds()}, 0)
-	if err != nil {
-		return 0, err
-	}
-	var r struct {
-		Hold uint64 `json:"hold"`
-	}
-	if status != 200 || json.Unmarshal(raw, &r) != nil || r.Hold == 0 {
-		return 0, fmt.Errorf("%w: %d for grant", records.ErrUnexpected, status)
-	}
-	return r.Hold, nil
-}
-
-// RenewLease renews a lease; ledger.ErrNoGrant says that it has ended.
-func (c *Client) RenewLease(ctx context.Context, hold uint64, timeout time.Duration) error {
-	status, _, err := c.call(ctx, "POST", "/grants/"+strconv.FormatUint(hold, 10)+"/extend", struct{}{}, timeout)
-	switch {
-	case errors.Is(err, records.ErrThrottled):
-		c.calls.throttled(time.Now()) // users make room
-		return err
-	case err != nil:
-		return err
-	case status == 200:
-		return nil
-	case status == 404:
-		return records.ErrLeaseExpired
-	}
-	return fmt.Errorf("%w: %d for extend", records.ErrUnexpected, status)
-}
-
-// RevokeLease ends a lease; nothing depends on its success.
-func (c *Client) RevokeLease(ctx context.Context, hold uint64) {
-	_, _, _ = c.call(ctx, "DELETE", "/grants/"+strconv.FormatUint(hold, 10), nil, c.timeout)
-}
-
-// Watch waits until something under prefix changes after the given revision.
-func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error) {
-	uri := fmt.Sprintf("/watch?under=%s&since=%d&wait_ms=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
-	status, raw, err := c.call(ctx, "GET", uri, nil, wait+c.timeout)
-	if err != nil {
-		return nil, since, err
-	}
-	if status == 410 {
-		return nil, since, records.ErrCompacted
-	}
-	var r struct {
-		Epoch uint64          `json:"epoch"`
-		Log   []records.Event `json:"log"`
-	}
-	if status != 200 {
-		return nil, since, fmt.Errorf("%w: %d for watch", records.ErrUnexpected, status)
-	}
-	if err := json.Unmarshal(raw, &r); err != nil || r.Epoch < since {
-		return nil, since, fmt.Errorf("%w: unreadable watch answer", records.ErrUnexpected)
-	}
-	return r.Log, r.Epoch, nil
+	return (changes == 0 || wait(c.userChanges, changes)) && wait(c.userRequests, 1)
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -14,57 +14,65 @@
 	"drumpick/internal/records"
 )
 
-// What each answer of the service lets a caller conclude.
-func TestAnswers(t *testing.T) {
-	answers := map[string]struct {
-		status int
-		body   string
+var testLimits = Limits{WriteRPS: 20, MaxConnections: 4, Timeout: 100 * time.Millisecond}
+
+// Each answer of the store lets a caller conclude what it says, and nothing else.
+func TestGetTellsAnswersApart(t *testing.T) {
+	cases := map[string]struct {
+		status       int
+		body         string
+		wantErr      error
+		wantRevision uint64 // 0: the key is absent
 	}{
-		"/store/here":      {200, `{"k":"here","value":{"a":1},"stamp":7,"extra":true}`},
-		"/store/away":      {404, `{"epoch":9}`},
-		"/store/proxy":     {404, `<html>not found</html>`},
-		"/store/odd":       {200, `{"k":"another","value":{},"stamp":7}`},
-		"/store/broken":    {200, `{"k":`},
-		"/store/refused":   {503, `{}`},
-		"/store/throttled": {429, `{}`},
-		"/store/teapot":    {418, `{}`},
+		"here":      {status: 200, body: `{"k":"here","value":{"a":1},"stamp":7,"extra":true}`, wantRevision: 7},
+		"away":      {status: 404, body: `{"epoch":9}`},
+		"proxy":     {status: 404, body: `<html>not found</html>`, wantErr: records.ErrUnexpected},
+		"odd":       {status: 200, body: `{"k":"another","value":{},"stamp":7}`, wantErr: records.ErrUnexpected},
+		"broken":    {status: 200, body: `{"k":`, wantErr: records.ErrUnexpected},
+		"refused":   {status: 503, body: `{}`, wantErr: records.ErrUnavailable},
+		"throttled": {status: 429, body: `{}`, wantErr: records.ErrThrottled},
+		"teapot":    {status: 418, body: `{}`, wantErr: records.ErrUnexpected},
 	}
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a, ok := answers[r.URL.Path]
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		answer, ok := cases[strings.TrimPrefix(r.URL.Path, "/store/")]
 		if !ok {
 			t.Errorf("unexpected request %s", r.URL.Path)
 		}
-		w.WriteHeader(a.status)
-		fmt.Fprint(w, a.body)
+		w.WriteHeader(answer.status)
+		fmt.Fprint(w, answer.body)
 	}))
-	defer srv.Close()
-	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), Limits{WriteRPS: 20, MaxConnections: 4, Timeout: 100 * time.Millisecond})
-	for key, want := range map[string]error{
-		"proxy": records.ErrUnexpected, "odd": records.ErrUnexpected, "broken": records.ErrUnexpected,
-		"refused": records.ErrUnavailable, "throttled": records.ErrThrottled, "teapot": records.ErrUnexpected,
-	} {
-		if row, err := c.Get(context.Background(), key); !errors.Is(err, want) || row != nil {
-			t.Errorf("%s: %v, %v, want %v", key, row, err, want)
-		}
-	}
-	if row, err := c.Get(context.Background(), "here"); err != nil || row == nil || row.Revision != 7 {
-		t.Errorf("here: %v, %v", row, err)
+	defer server.Close()
+	client := NewClient(strings.TrimPrefix(server.URL, "http://"), testLimits)
+	for key, x := range cases {
+		t.Run(key, func(t *testing.T) {
+			row, err := client.Get(context.Background(), key)
+			if !errors.Is(err, x.wantErr) {
+				t.Errorf("got error %v, want %v", err, x.wantErr)
+			}
+			var revision uint64
+			if row != nil {
+				revision = row.Revision
+			}
+			if (row != nil) != (x.wantRevision != 0) || revision != x.wantRevision {
+				t.Errorf("got %+v, want revision %d", row, x.wantRevision)
+			}
+		})
 	}
-	if row, err := c.Get(context.Background(), "away"); err != nil || row != nil {
-		t.Errorf("away: %v, %v", row, err)
-	}
-	// Nobody listens: it may have been executed, for all the caller knows.
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+}
+
+// Where nobody listens a commit may have been executed, for all that the caller knows.
+func TestUnansweredCommitHasUnknownOutcome(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := ln.Addr().String()
-	ln.Close()
-	c = NewClient(addr, Limits{WriteRPS: 20, MaxConnections: 4, Timeout: 100 * time.Millisecond})
-	if _, err := c.Commit(context.Background(), nil, nil); !errors.Is(err, records.ErrUnknownOutcome) {
-		t.Errorf("nobody listens: %v", err)
+	addr := listener.Addr().String()
+	listener.Close()
+	client := NewClient(addr, testLimits)
+	if _, err := client.Commit(context.Background(), nil, nil); !errors.Is(err, records.ErrUnknownOutcome) {
+		t.Errorf("got error %v, want %v", err, records.ErrUnknownOutcome)
 	}
-	if _, failing, _ := c.Health(); !failing {
-		t.Error("a service that does not answer counts as healthy")
+	if _, failing, _ := client.Health(); !failing {
+		t.Error("a store that does not answer counts as healthy")
 	}
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"reflect"
@@ -11,63 +12,107 @@
 	"drumpick/internal/records"
 )
 
-// Every request to the state service goes out as the protocol has it, and every answer of it
-// is read.
+// goldenAnswer is an answer that the store gives.
+type goldenAnswer struct {
+	status int
+	text   string
+}
+
+// goldenCase is a call of the client, the answers to its requests, and what it returns.
+type goldenCase struct {
+	answers []goldenAnswer
+	call    func() (any, error)
+	want    any
+	err     error
+}
+
+func answer(status int, text string) []goldenAnswer { return []goldenAnswer{{status, text}} }
+
+// Every request to the store goes out as the protocol has it, and every answer of it is read.
 func TestGoldenRequests(t *testing.T) {
 	service := goldentest.NewPeer(t)
-	c := NewClient(service.Addr, Limits{RPS: 1000, WriteRPS: 1000, Controllers: 1, MaxConnections: 2, Timeout: 10 * time.Second})
-	ctx := t.Context()
-	type answer struct {
-		status int
-		text   string
+	client := NewClient(service.Addr, Limits{RPS: 1000, WriteRPS: 1000, Controllers: 1, MaxConnections: 2, Timeout: 10 * time.Second})
+	f := goldentest.Open(t, "golden-requests.json")
+	for _, cases := range []map[string]goldenCase{
+		goldenReads(t.Context(), client), goldenCommits(t.Context(), client), goldenLeases(t.Context(), client),
+	} {
+		for name, x := range cases {
+			t.Run(name, func(t *testing.T) {
+				for _, a := range x.answers {
+					service.Answer(a.status, a.text)
+				}
+				got, err := x.call()
+				if !reflect.DeepEqual(got, x.want) || !errors.Is(err, x.err) && !reflect.DeepEqual(err, x.err) {
+					t.Errorf("got %+v, %v, want %+v, %v", got, err, x.want, x.err)
+				}
+				f.CheckExchanges(t, name, service.Exchanges(), len(x.answers))
+			})
+		}
 	}
-	row := records.KeyValue{Key: "machines/1-1", Value: json.RawMessage(`{"m":1}`), Revision: 7, LeaseID: 8}
+}
+
+func goldenReads(ctx context.Context, client *Client) map[string]goldenCase {
 	const rowText = `{"k":"machines/1-1","value":{"m":1},"stamp":7,"hold":8}`
-	when := []records.Compare{{Key: "leader", Revision: 7}, {Key: "types"}}
-	ops := []records.Op{{Write: "types", Value: map[string]int{"n": 1}, LeaseID: 8}, {Delete: "whole"}}
-	commit := func() (any, error) { return c.Commit(ctx, when, ops) }
+	row := records.KeyValue{Key: "machines/1-1", Value: json.RawMessage(`{"m":1}`), Revision: 7, LeaseID: 8}
+	get := func() (any, error) { return client.Get(ctx, row.Key) }
+	list := func() (any, error) {
+		var rows []records.KeyValue
+		revision, err := client.List(ctx, "machines/", func(r records.KeyValue) error {
+			rows = append(rows, r)
+			return nil
+		})
+		return []any{rows, revision}, err
+	}
 	watch := func() (any, error) {
-		events, epoch, err := c.Watch(ctx, "jobs/open/", 5, time.Second)
-		return []any{events, epoch}, err
+		events, revision, err := client.Watch(ctx, "jobs/open/", 5, time.Second)
+		return []any{events, revision}, err
 	}
-	extend := func() (any, error) { return nil, c.RenewLease(ctx, 8, time.Second) }
-	f := goldentest.Open(t, "golden-requests.json")
-	for name, x := range map[string]struct {
-		answers []answer
-		do      func() (any, error)
-		want    any
-		err     error
-	}{
-		"read":                  {[]answer{{200, rowText}}, func() (any, error) { return c.Get(ctx, row.Key) }, &row, nil},
-		"read an absent key":    {[]answer{{404, `{"epoch":9}`}}, func() (any, error) { return c.Get(ctx, "machines/1-1") }, (*records.KeyValue)(nil), nil},
-		"commit":                {[]answer{{200, `{"epoch":9}`}}, commit, uint64(9), nil},
-		"commit nothing":        {[]answer{{200, `{"epoch":9}`}}, func() (any, error) { return c.Commit(ctx, nil, nil) }, uint64(9), nil},
-		"commit, conflict":      {[]answer{{409, `{"failed":["leader"],"epoch":9}`}}, commit, uint64(0), &records.ConflictError{Failed: []string{"leader"}, Revision: 9}},
-		"commit, no such lease": {[]answer{{400, `{"error":"no such lease"}`}}, commit, uint64(0), records.ErrLeaseExpired},
-		"commit, malformed":     {[]answer{{400, `{"error":"value too large"}`}}, commit, uint64(0), records.ErrInvalid},
-		"commit, refused":       {[]answer{{503, `{"error":"unavailable"}`}}, commit, uint64(0), records.ErrUnavailable},
-		"grant":                 {[]answer{{200, `{"hold":8}`}}, func() (any, error) { return c.GrantLease(ctx, 6*time.Second) }, uint64(8), nil},
-		"extend":                {[]answer{{200, `{}`}}, extend, nil, nil},
-		"extend, ended":         {[]answer{{404, `{}`}}, extend, nil, records.ErrLeaseExpired},
-		"drop":                  {[]answer{{200, `{}`}}, func() (any, error) { c.RevokeLease(ctx, 8); return nil, nil }, nil, nil},
-		"watch": {[]answer{{200, `{"epoch":9,"log":[{"write":"jobs/open/j-1","value":{"n":1},"stamp":8},{"delete":"jobs/open/j-2","stamp":9}]}`}}, watch,
-			[]any{[]records.Event{{Write: "jobs/open/j-1", Value: json.RawMessage(`{"n":1}`), Revision: 8}, {Delete: "jobs/open/j-2", Revision: 9}}, uint64(9)}, nil},
-		"watch, too old": {[]answer{{410, `{}`}}, watch, []any{[]records.Event(nil), uint64(5)}, records.ErrCompacted},
-		"list in pages": {[]answer{{200, `{"rows":[` + rowText + `],"more":true,"epoch":9}`}, {200, `{"rows":[],"more":false,"epoch":11}`}}, func() (any, error) {
-			var rows []records.KeyValue
-			epoch, err := c.List(ctx, "machines/", func(r records.KeyValue) error { rows = append(rows, r); return nil })
-			return []any{rows, epoch}, err
-		}, []any{[]records.KeyValue{row}, uint64(9)}, nil},
-	} {
-		t.Run(name, func(t *testing.T) {
-			for _, a := range x.answers {
-				service.Answer(a.status, a.text)
-			}
-			got, err := x.do()
-			if !reflect.DeepEqual(got, x.want) || !errors.Is(err, x.err) && !reflect.DeepEqual(err, x.err) {
-				t.Errorf("got %+v, %v, want %+v, %v", got, err, x.want, x.err)
-			}
-			f.CheckExchanges(t, name, service.Exchanges(), len(x.answers))
-		})
+	const watchText = `{"epoch":9,"log":[` +
+		`{"write":"jobs/open/j-1","value":{"n":1},"stamp":8},{"delete":"jobs/open/j-2","stamp":9}]}`
+	events := []records.Event{
+		{Write: "jobs/open/j-1", Value: json.RawMessage(`{"n":1}`), Revision: 8},
+		{Delete: "jobs/open/j-2", Revision: 9},
+	}
+	pages := []goldenAnswer{
+		{200, `{"rows":[` + rowText + `],"more":true,"epoch":9}`},
+		{200, `{"rows":[],"more":false,"epoch":11}`},
+	}
+	return map[string]goldenCase{
+		"read":               {answer(200, rowText), get, &row, nil},
+		"read an absent key": {answer(404, `{"epoch":9}`), get, (*records.KeyValue)(nil), nil},
+		"list in pages":      {pages, list, []any{[]records.KeyValue{row}, uint64(9)}, nil},
+		"watch":              {answer(200, watchText), watch, []any{events, uint64(9)}, nil},
+		"watch, too old":     {answer(410, `{}`), watch, []any{[]records.Event(nil), uint64(5)}, records.ErrCompacted},
+	}
+}
+
+func goldenCommits(ctx context.Context, client *Client) map[string]goldenCase {
+	compares := []records.Compare{{Key: "leader", Revision: 7}, {Key: "types"}}
+	ops := []records.Op{{Write: "types", Value: map[string]int{"n": 1}, LeaseID: 8}, {Delete: "whole"}}
+	commit := func() (any, error) { return client.Commit(ctx, compares, ops) }
+	commitNothing := func() (any, error) { return client.Commit(ctx, nil, nil) }
+	conflict := &records.ConflictError{Failed: []string{"leader"}, Revision: 9}
+	return map[string]goldenCase{
+		"commit":                {answer(200, `{"epoch":9}`), commit, uint64(9), nil},
+		"commit nothing":        {answer(200, `{"epoch":9}`), commitNothing, uint64(9), nil},
+		"commit, conflict":      {answer(409, `{"failed":["leader"],"epoch":9}`), commit, uint64(0), conflict},
+		"commit, no such lease": {answer(400, `{"error":"no such lease"}`), commit, uint64(0), records.ErrLeaseExpired},
+		"commit, malformed":     {answer(400, `{"error":"value too large"}`), commit, uint64(0), records.ErrInvalid},
+		"commit, refused":       {answer(503, `{"error":"unavailable"}`), commit, uint64(0), records.ErrUnavailable},
+	}
+}
+
+func goldenLeases(ctx context.Context, client *Client) map[string]goldenCase {
+	grant := func() (any, error) { return client.GrantLease(ctx, 6*time.Second) }
+	renew := func() (any, error) { return nil, client.RenewLease(ctx, 8, time.Second) }
+	revoke := func() (any, error) {
+		client.RevokeLease(ctx, 8)
+		return nil, nil
+	}
+	return map[string]goldenCase{
+		"grant":         {answer(200, `{"hold":8}`), grant, uint64(8), nil},
+		"extend":        {answer(200, `{}`), renew, nil, nil},
+		"extend, ended": {answer(404, `{}`), renew, nil, records.ErrLeaseExpired},
+		"drop":          {answer(200, `{}`), revoke, nil, nil},
 	}
 }
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -5,76 +5,89 @@
 	"time"
 )
 
-// governor holds users' requests to what the service takes, so that the leader's own are served:
-// its lease first of all. As long as the service throttles nobody it lets everything pass. Each
-// time it does, the users' rate is cut by a part, down to a controller's part of their share of the
-// service's rate; then it rises again by itself. Guards against users who ask and submit everywhere at
-// once: every request over the rate is answered with a 429, whoever sent it, and leaders lost their leases by that,
-// one after the other.
-type governor struct {
-	most, least float64 // a second: what the service takes, and what is always left to users here
-	mu          sync.Mutex
-	rate        float64   // as of the last cut; it has risen since
-	cut         time.Time // when it was last cut; zero: never
-	tokens      float64
-	at          time.Time // when tokens were last counted
+// userThrottle holds users' requests to what the store takes, so that the leader's own are
+// served: the renewal of its lease first of all. As long as the store throttles nobody it
+// lets everything pass. Each time the store does, the users' rate is cut by a part, down to
+// this controller's part of their share of the store's rate; then it rises again by itself.
+//
+// Without it, users who poll and submit everywhere at once could take the leader's lease:
+// every request over the rate is answered with a 429, whoever sent it, and leaders lost their
+// leases by that, one after the other.
+type userThrottle struct {
+	maxRate float64 // a second: what the store takes
+	minRate float64 // a second: what is always left to this controller's users
+
+	mu        sync.Mutex // guards the fields below
+	rate      float64    // as of the last cut; it has risen since
+	lastCut   time.Time  // zero: nothing is held back
+	tokens    float64
+	countedAt time.Time // when tokens were last counted
 }
 
 const (
-	// usersShare is the part of the service's rate that users' requests may take when it throttles,
+	// usersShare is the part of the store's rate that users' requests may take when it throttles,
 	// all controllers together.
 	usersShare = 0.6
-	// cutTo is to which part of what it was the rate is cut.
-	cutTo = 0.7
-	// risesIn is how long the rate takes to rise from nothing to all of it, and cutPause how long
-	// one cut is given to show before the next.
-	risesIn, cutPause = 10 * time.Second, 250 * time.Millisecond
+	// cutFactor is what the rate is multiplied with at a cut.
+	cutFactor = 0.7
+	// fullRiseTime is how long the rate takes to rise from nothing to all of it.
+	fullRiseTime = 10 * time.Second
+	// minCutInterval is how long one cut is given to show before the next.
+	minCutInterval = 250 * time.Millisecond
+	// burstSeconds is for how long at its rate requests may be saved up.
+	burstSeconds = 0.5
 )
 
-// newGovernor returns one of so many controllers' governors for a rate of the service a second;
-// 0: it is not known, and nothing is held back.
-func newGovernor(rate float64, controllers int) *governor {
-	return &governor{most: rate, least: rate * usersShare / float64(max(controllers, 1)), rate: rate}
+// newUserThrottle returns the throttle of one of so many controllers for a rate of the store
+// a second; 0: the rate is not known, and nothing is held back.
+func newUserThrottle(rate float64, controllers int) *userThrottle {
+	return &userThrottle{
+		maxRate: rate,
+		minRate: rate * usersShare / float64(max(controllers, 1)),
+		rate:    rate,
+	}
 }
 
-// now is the rate at a time, with the lock held.
-func (g *governor) now(at time.Time) float64 {
-	return min(g.most, g.rate+g.most*at.Sub(g.cut).Seconds()/risesIn.Seconds())
+// rateLocked returns the rate at a time.
+func (t *userThrottle) rateLocked(now time.Time) float64 {
+	return min(t.maxRate, t.rate+t.maxRate*now.Sub(t.lastCut).Seconds()/fullRiseTime.Seconds())
 }
 
-// throttled notes that the service has throttled a request.
-func (g *governor) throttled(at time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if at.Sub(g.cut) < cutPause {
+// noteThrottled notes that the store has throttled a request.
+func (t *userThrottle) noteThrottled(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if now.Sub(t.lastCut) < minCutInterval {
 		return
 	}
-	if was := g.now(at); g.cut.IsZero() {
-		g.rate, g.tokens, g.at = max(was*cutTo, g.least), 0, at
-	} else {
-		g.rate = max(was*cutTo, g.least)
+	rate := t.rateLocked(now)
+	if t.lastCut.IsZero() {
+		t.tokens = 0
+		t.countedAt = now
 	}
-	g.cut = at
+	t.rate = max(rate*cutFactor, t.minRate)
+	t.lastCut = now
 }
 
-// take takes n of what may be sent, or says how long to wait for them.
-func (g *governor) take(n float64, at time.Time) (wait time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.cut.IsZero() || g.most == 0 {
+// take takes n of what may be sent, or returns how long to wait for them.
+func (t *userThrottle) take(n float64, now time.Time) (wait time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.lastCut.IsZero() || t.maxRate == 0 {
 		return 0
 	}
-	rate := g.now(at)
-	if rate == g.most {
-		g.cut = time.Time{}
+	rate := t.rateLocked(now)
+	if rate == t.maxRate {
+		t.lastCut = time.Time{}
 		return 0
 	}
-	// Half a second's worth may be saved up, and at least one request of any size.
-	g.tokens = min(g.tokens+rate*at.Sub(g.at).Seconds(), max(rate/2, n))
-	g.at = at
-	if g.tokens >= n {
-		g.tokens -= n
+	// At least one request of any size may be saved up.
+	burst := max(rate*burstSeconds, n)
+	t.tokens = min(t.tokens+rate*now.Sub(t.countedAt).Seconds(), burst)
+	t.countedAt = now
+	if t.tokens >= n {
+		t.tokens -= n
 		return 0
 	}
-	return time.Duration((n - g.tokens) / rate * float64(time.Second))
+	return time.Duration((n - t.tokens) / rate * float64(time.Second))
 }
