--- a/internal/api/cancel_confirm.go
+++ b/internal/api/cancel_confirm.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 	"time"
 
@@ -58,7 +59,7 @@
 	leaderTold.Inc()
 	heard, err := s.peers.NotifyCancelled(node, id)
 	// A version that does not know the question has its watch alone.
-	return err == nil && heard || peer.IsUnsupported(err)
+	return err == nil && heard || errors.Is(err, peer.ErrUnsupported)
 }
 
 // PeerCancelled answers a peer that tells this controller, as the leader, of a cancellation.
--- a/internal/api/heartbeat_relay.go
+++ b/internal/api/heartbeat_relay.go
@@ -94,8 +94,8 @@
 		r.failed, r.refused = 0, ""
 	} else if r.refused != "" && r.refused != node {
 		r.failed, r.refused = 1, ""
-	} else if r.failed++; r.failed > fewFailures || peer.IsUnsupported(err) {
-		r.refused, r.until, r.unknown = node, until, peer.IsUnsupported(err)
+	} else if r.failed++; r.failed > fewFailures || errors.Is(err, peer.ErrUnsupported) {
+		r.refused, r.until, r.unknown = node, until, errors.Is(err, peer.ErrUnsupported)
 	}
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -150,10 +150,8 @@
 	return p
 }
 
-var errStatus = errors.New("peer: unexpected status")
-
-// IsUnsupported says whether a peer answered that it does not know what it was asked.
-func IsUnsupported(err error) bool { return errors.Is(err, errStatus) }
+// ErrUnsupported means that a peer answered that it does not know what it was asked.
+var ErrUnsupported = errors.New("peer: unexpected status")
 
 func (p *Peers) call(i int, path string, in, out any, timeout time.Duration) error {
 	raw, err := msgpack.Marshal(in)
@@ -165,7 +163,7 @@
 		return fmt.Errorf("peer %s: %w", p.seeds[i].Node, err)
 	}
 	if status != 200 {
-		return fmt.Errorf("%w %d from %s", errStatus, status, p.seeds[i].Node)
+		return fmt.Errorf("%w %d from %s", ErrUnsupported, status, p.seeds[i].Node)
 	}
 	return msgpack.Unmarshal(answer, out)
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"net"
 	"os"
 	"reflect"
@@ -101,13 +102,13 @@
 		}
 	}
 	p = NewPeers([]config.Peer{{Node: "n-2", Addr: addr}, {Node: "n-3", Addr: back.Addr().String()}}, 5*time.Second)
-	if heard, err := p.NotifyCancelled("n-2", "j-1"); heard || err == nil || IsUnsupported(err) {
+	if heard, err := p.NotifyCancelled("n-2", "j-1"); heard || err == nil || errors.Is(err, ErrUnsupported) {
 		t.Errorf("cancelled, told to a peer that is away: %v, %v", heard, err)
 	}
-	if heard, err := p.NotifyCancelled("n-3", "j-1"); heard || !IsUnsupported(err) {
+	if heard, err := p.NotifyCancelled("n-3", "j-1"); heard || !errors.Is(err, ErrUnsupported) {
 		t.Errorf("cancelled, told to a version that does not know it: %v, %v", heard, err)
 	}
-	if _, err := p.NotifyCancelled("n-9", "j-1"); err == nil || IsUnsupported(err) {
+	if _, err := p.NotifyCancelled("n-9", "j-1"); err == nil || errors.Is(err, ErrUnsupported) {
 		t.Errorf("cancelled, told to a node that nobody knows: %v", err)
 	}
 
