--- a/internal/peer/batcher.go
+++ b/internal/peer/batcher.go
@@ -1,109 +1,105 @@
 package peer
 
 import (
-	"fmt"
 	"sync"
 	"time"
 )
 
-// HeartbeatBatch is workers' reports that came to a controller which does not lead, as the
-// workers sent them. An empty one says that the sender could pass some on.
-type HeartbeatBatch struct {
-	From       string   `msgpack:"from"`
-	Heartbeats [][]byte `msgpack:"bodies"`
-	// LateMS is how long the sender's last bundle waited before the leader got to it, and
-	// its answer on the way back.
-	DelayMS int64  `msgpack:"late_ms,omitempty"`
-	Zone    string `msgpack:"zone,omitempty"` // the sender's
-}
+const (
+	// maxUnanswered bounds the batches that one node has not answered yet.
+	maxUnanswered = 4
+	// maxBatchBytes keeps a batch well below the 64 KiB of a request, in bytes of heartbeats.
+	maxBatchBytes = 40 << 10
+)
 
-// HeartbeatBatchReply are the answers, in the same order.
-type HeartbeatBatchReply struct {
-	Answers []RelayReply `msgpack:"answers"`
-	HeldMS  int64        `msgpack:"held_ms,omitempty"` // how long the leader had it in hand
-}
+// SendBatch sends heartbeats to a node.
+type SendBatch func(node string, heartbeats [][]byte) (HeartbeatBatchReply, error)
 
-// RelayHeartbeats passes a bundle on to the node that leads. A version that takes no bundles
-// answers 404, which is an error here.
-func (p *Peers) RelayHeartbeats(node string, in HeartbeatBatch, timeout time.Duration) (HeartbeatBatchReply, error) {
-	for i, s := range p.seeds {
-		if s.Node == node {
-			var out HeartbeatBatchReply
-			err := p.call(i, "/peer/checkins", in, &out, timeout)
-			if err == nil && len(out.Answers) != len(in.Heartbeats) {
-				err = fmt.Errorf("peer %s: %d answers to %d reports", node, len(out.Answers), len(in.Heartbeats))
-			}
-			return out, err
-		}
-	}
-	return HeartbeatBatchReply{}, fmt.Errorf("peer %q is not known", node)
-}
-
-// Batcher puts reports for one node together: what comes within a window goes out at once,
-// or later where the node has not answered the bundles before; these grow meanwhile.
-// Guards against a leader that takes a moment and is thereby asked more and more at once.
+// Batcher puts heartbeats for one node together: what comes within a window goes out at once,
+// or later where the node has not answered the batches before; these grow meanwhile. Without
+// that, a leader that takes a moment would be asked more and more at once.
+//
+// It is safe for concurrent use.
 type Batcher struct {
 	window time.Duration
-	send   func(node string, bodies [][]byte) (HeartbeatBatchReply, error)
+	send   SendBatch
 
-	mu   sync.Mutex
-	open map[string]*bundle       // by node
-	ways map[string]chan struct{} // what is under way to each
+	mu    sync.Mutex               // guards the fields below
+	open  map[string]*batch        // by node, the batch that takes more
+	slots map[string]chan struct{} // by node, what it has not answered yet
 }
 
-// mostUnderWay bounds the bundles that one node has not answered yet.
-const mostUnderWay = 4
+// batch is heartbeats that are sent together.
+type batch struct {
+	heartbeats [][]byte // guarded by the batcher until the batch is no longer open
+	bytes      int      // guarded by the batcher
 
-type bundle struct {
-	bodies [][]byte
-	bytes  int
-	done   chan struct{}
-	out    HeartbeatBatchReply
-	err    error
+	answered chan struct{} // closed once reply and err are set
+	reply    HeartbeatBatchReply
+	err      error
 }
 
-// mostBundled keeps a bundle well below the 64 KiB of a request, in bytes of reports.
-const mostBundled = 40 << 10
-
-// NewBatcher returns one that sends through the function given.
-func NewBatcher(window time.Duration, send func(node string, bodies [][]byte) (HeartbeatBatchReply, error)) *Batcher {
-	return &Batcher{window: window, send: send, open: map[string]*bundle{}, ways: map[string]chan struct{}{}}
+// NewBatcher returns a batcher that sends through the function given.
+func NewBatcher(window time.Duration, send SendBatch) *Batcher {
+	return &Batcher{window: window, send: send, open: map[string]*batch{}, slots: map[string]chan struct{}{}}
 }
 
-// Send passes a report on along with others and waits for its answer.
-func (g *Batcher) Send(node string, body []byte) (RelayReply, error) {
-	g.mu.Lock()
-	b := g.open[node]
-	first := b == nil || b.bytes+len(body) > mostBundled
+// Send sends a heartbeat along with others and waits for its answer.
+func (b *Batcher) Send(node string, heartbeat []byte) (RelayReply, error) {
+	joined, index, first := b.join(node, heartbeat)
 	if first {
-		b = &bundle{done: make(chan struct{})}
-		g.open[node] = b
+		b.deliver(node, joined)
+	} else {
+		<-joined.answered
 	}
-	way := g.ways[node]
-	if way == nil {
-		way = make(chan struct{}, mostUnderWay)
-		g.ways[node] = way
+	if joined.err != nil {
+		return RelayReply{}, joined.err
 	}
-	i := len(b.bodies)
-	b.bodies = append(b.bodies, body)
-	b.bytes += len(body)
-	g.mu.Unlock()
-	if !first {
-		<-b.done
-	} else {
-		time.Sleep(g.window)
-		way <- struct{}{}
-		g.mu.Lock()
-		if g.open[node] == b {
-			delete(g.open, node)
-		}
-		g.mu.Unlock()
-		b.out, b.err = g.send(node, b.bodies)
-		<-way
-		close(b.done)
+	return joined.reply.Answers[index], nil
+}
+
+// join adds a heartbeat to the open batch of a node and returns its index there. first means
+// that the batch is new: whoever opened it delivers it.
+func (b *Batcher) join(node string, heartbeat []byte) (joined *batch, index int, first bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	joined = b.open[node]
+	if joined == nil || joined.bytes+len(heartbeat) > maxBatchBytes {
+		joined = &batch{answered: make(chan struct{})}
+		b.open[node] = joined
+		first = true
+	}
+	if b.slots[node] == nil {
+		b.slots[node] = make(chan struct{}, maxUnanswered)
 	}
-	if b.err != nil {
-		return RelayReply{}, b.err
+	index = len(joined.heartbeats)
+	joined.heartbeats = append(joined.heartbeats, heartbeat)
+	joined.bytes += len(heartbeat)
+	return joined, index, first
+}
+
+// deliver sends a batch once its window is over and the node has a slot for it.
+func (b *Batcher) deliver(node string, joined *batch) {
+	slot := b.slot(node)
+	time.Sleep(b.window)
+	slot <- struct{}{}
+	b.seal(node, joined)
+	joined.reply, joined.err = b.send(node, joined.heartbeats)
+	<-slot
+	close(joined.answered)
+}
+
+func (b *Batcher) slot(node string) chan struct{} {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.slots[node]
+}
+
+// seal lets no more heartbeats into a batch.
+func (b *Batcher) seal(node string, joined *batch) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.open[node] == joined {
+		delete(b.open, node)
 	}
-	return b.out.Answers[i], nil
 }
--- /dev/null
+++ b/internal/peer/client_test.go
@@ -0,0 +1,171 @@
+package peer
+
+import (
+	"errors"
+	"net"
+	"slices"
+	"testing"
+	"time"
+
+	"drumpick/internal/cancellation"
+	"drumpick/internal/config"
+	"drumpick/internal/watermark"
+
+	"github.com/gofiber/fiber/v2"
+)
+
+// callTimeout is ample for a call on this machine.
+const callTimeout = 5 * time.Second
+
+// serve serves the handlers until the test ends, and returns their address.
+func serve(t *testing.T, h Handlers) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	app := fiber.New(fiber.Config{DisableStartupMessage: true})
+	Mount(app, h)
+	go func() { _ = app.Listener(listener) }()
+	t.Cleanup(func() { _ = app.Shutdown() })
+	return listener.Addr().String()
+}
+
+// unreachableAddr returns an address where nobody listens.
+func unreachableAddr(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// onePeer returns a client of a controller n-1 with the given handlers.
+func onePeer(t *testing.T, h Handlers) *Peers {
+	t.Helper()
+	return NewPeers([]config.Peer{{Node: "n-1", Addr: serve(t, h)}}, callTimeout)
+}
+
+// failingStore has not answered since the start.
+type failingStore struct{ started time.Time }
+
+func (s failingStore) Health() (lastOK time.Time, failing bool, started time.Time) {
+	return time.Time{}, true, s.started
+}
+
+// statusHandler answers as n-1, whose store fails, with the cancellations of a log.
+func statusHandler(confirmed *cancellation.Log) func(StatusRequest) Status {
+	store := failingStore{started: time.Now()}
+	return func(request StatusRequest) Status { return StatusOf("n-1", store, confirmed, request) }
+}
+
+func TestStatusWithoutAnInquiryListsNoCancellations(t *testing.T) {
+	confirmed := cancellation.NewLog(time.Now().Add(-time.Minute))
+	answers, all := onePeer(t, Handlers{Status: statusHandler(confirmed)}).Status(t.Context())
+	if !all || len(answers) != 1 {
+		t.Fatalf("got %d answers, all %v, want 1, true", len(answers), all)
+	}
+	got := answers[0]
+	if got.Node != "n-1" || got.StoreAnswered || !got.StoreFailing {
+		t.Errorf("got %+v, want n-1 whose store fails and never answered", got)
+	}
+	if got.CancellationQuietMS < time.Minute.Milliseconds() || got.Cancellations != nil {
+		t.Errorf("got quiet for %d ms, %+v, want at least a minute and no list", got.CancellationQuietMS, got.Cancellations)
+	}
+}
+
+func TestStatusListsCancellationsAskedFor(t *testing.T) {
+	confirmed := cancellation.NewLog(time.Now().Add(-time.Minute))
+	confirmed.Add("j-7", time.Now())
+	status := statusHandler(confirmed)
+	peers := onePeer(t, Handlers{Status: func(request StatusRequest) Status {
+		if request.Term != 7 || request.CancellationSpanMS != 45_000 {
+			t.Errorf("asked with %+v, want term 7 and a span of 45 s", request)
+		}
+		return status(request)
+	}})
+	request := StatusRequest{Attestation: watermark.Attestation{Term: 7}, CancellationSpanMS: 45_000}
+	answers, _ := peers.QueryStatus(t.Context(), request)
+	if len(answers) != 1 {
+		t.Fatalf("got %d answers, want 1", len(answers))
+	}
+	if got := answers[0].Cancellations; got == nil || got.SpanMS != 45_000 || !slices.Equal(got.IDs, []string{"j-7"}) {
+		t.Errorf("got %+v, want j-7 in 45 s", got)
+	}
+}
+
+func TestStatusLeavesOutUnreachablePeers(t *testing.T) {
+	confirmed := cancellation.NewLog(time.Now())
+	peers := NewPeers([]config.Peer{
+		{Node: "n-1", Addr: serve(t, Handlers{Status: statusHandler(confirmed)})},
+		{Node: "n-2", Addr: unreachableAddr(t)},
+	}, callTimeout)
+	if answers, all := peers.Status(t.Context()); all || len(answers) != 1 {
+		t.Errorf("one of two is unreachable: got %d answers, all %v, want 1, false", len(answers), all)
+	}
+}
+
+func TestProgress(t *testing.T) {
+	peers := onePeer(t, Handlers{Progress: func(id string) Progress {
+		return Progress{Known: id == "j-1", Status: "running", Done: 2, Running: 3}
+	}})
+	want := Progress{Known: true, Status: "running", Done: 2, Running: 3}
+	if got, err := peers.Progress("n-1", "j-1"); err != nil || got != want {
+		t.Errorf("got %+v, %v, want %+v", got, err, want)
+	}
+	if _, err := peers.Progress("n-9", "j-1"); err == nil {
+		t.Error("progress of an unknown node is no error")
+	}
+}
+
+func TestRelayPassesOverPeersThatCannotServe(t *testing.T) {
+	peers := onePeer(t, Handlers{Relay: func(r RelayRequest) RelayReply {
+		if r.ID == "j-503" {
+			return RelayReply{Status: 503}
+		}
+		return RelayReply{Status: 200, Body: append([]byte(r.Method+" "+r.ID+" "), r.Body...)}
+	}})
+	got, ok := peers.Relay(RelayRequest{Method: "poll", ID: "j-1", Body: []byte("x")}, callTimeout)
+	if !ok || string(got.Body) != "poll j-1 x" {
+		t.Errorf("got %q, %v, want %q", got.Body, ok, "poll j-1 x")
+	}
+	if got, ok := peers.Relay(RelayRequest{Method: "poll", ID: "j-503"}, callTimeout); ok {
+		t.Errorf("a peer that cannot serve counts as an answer: %+v", got)
+	}
+}
+
+func TestRelayHeartbeat(t *testing.T) {
+	peers := onePeer(t, Handlers{RelayHeartbeat: func(r HeartbeatRequest) RelayReply {
+		return RelayReply{Status: 200, Body: r.Body}
+	}})
+	if got, err := peers.RelayHeartbeat("n-1", []byte("heartbeat")); err != nil || string(got.Body) != "heartbeat" {
+		t.Errorf("got %q, %v, want the body sent", got.Body, err)
+	}
+}
+
+func TestNotifyCancelledTellsOutcomesApart(t *testing.T) {
+	peers := NewPeers([]config.Peer{
+		{Node: "n-1", Addr: serve(t, Handlers{Cancelled: func(id string) bool { return id == "j-1" }})},
+		{Node: "n-2", Addr: unreachableAddr(t)},
+		{Node: "n-3", Addr: serve(t, Handlers{})}, // a version that does not know the call
+	}, callTimeout)
+	for name, x := range map[string]struct {
+		node, job                             string
+		wantAcknowledged, fails, notSupported bool
+	}{
+		"acknowledged":      {node: "n-1", job: "j-1", wantAcknowledged: true},
+		"not acknowledged":  {node: "n-1", job: "j-2"},
+		"unreachable":       {node: "n-2", job: "j-1", fails: true},
+		"a version without": {node: "n-3", job: "j-1", fails: true, notSupported: true},
+		"unknown node":      {node: "n-9", job: "j-1", fails: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			acknowledged, err := peers.NotifyCancelled(x.node, x.job)
+			if acknowledged != x.wantAcknowledged || (err != nil) != x.fails || errors.Is(err, ErrUnsupported) != x.notSupported {
+				t.Errorf("got %v, %v, want %+v", acknowledged, err, x)
+			}
+		})
+	}
+}
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -14,71 +14,121 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func samples() (Status, StatusRequest, Progress, HeartbeatBatch, HeartbeatBatchReply) {
-	word := watermark.Attestation{Term: 41, Seq: 3, Complete: true, Revision: 9, Reconciled: true, Node: "n-2"}
-	renewed := int64(70)
-	return Status{
+// goldenMessages has an example of each message, with every field set.
+type goldenMessages struct {
+	status        Status
+	statusRequest StatusRequest
+	progress      Progress
+	batch         HeartbeatBatch
+	batchReply    HeartbeatBatchReply
+	relayRequest  RelayRequest
+	relayReply    RelayReply
+}
+
+func newGoldenMessages() goldenMessages {
+	attestation := watermark.Attestation{Term: 41, Seq: 3, Complete: true, Revision: 9, Reconciled: true, Node: "n-2"}
+	sinceRenewalMS := int64(70)
+	return goldenMessages{
+		status: Status{
 			Node: "n-1", StoreSilentMS: 12, StoreAnswered: true, StoreFailing: true, CancellationQuietMS: 4500,
-			Cancellations: &cancellation.ConfirmedList{SpanMS: 1000, IDs: []string{"j-1"}}, Attestation: &word, Reconciled: &word, SinceRenewalMS: &renewed,
-		}, StatusRequest{Attestation: word, CancellationSpanMS: 1000},
-		Progress{Known: true, Status: "running", Done: 3, Running: 4, DependenciesClear: true, ClearAgeMS: 70},
-		HeartbeatBatch{From: "n-1", Heartbeats: [][]byte{[]byte(`{"host":"m-1"}`)}, DelayMS: 5, Zone: "a"},
-		HeartbeatBatchReply{Answers: []RelayReply{{Status: 200, Body: []byte(`{"baton":41,"orders":[]}`)}}, HeldMS: 6}
+			Cancellations: &cancellation.ConfirmedList{SpanMS: 1000, IDs: []string{"j-1"}},
+			Attestation:   &attestation, Reconciled: &attestation, SinceRenewalMS: &sinceRenewalMS,
+		},
+		statusRequest: StatusRequest{Attestation: attestation, CancellationSpanMS: 1000},
+		progress:      Progress{Known: true, Status: "running", Done: 3, Running: 4, DependenciesClear: true, ClearAgeMS: 70},
+		batch:         HeartbeatBatch{From: "n-1", Heartbeats: [][]byte{[]byte(`{"host":"m-1"}`)}, DelayMS: 5, Zone: "a"},
+		batchReply: HeartbeatBatchReply{
+			Answers: []RelayReply{{Status: 200, Body: []byte(`{"baton":41,"orders":[]}`)}},
+			HeldMS:  6,
+		},
+		relayRequest: RelayRequest{Method: MethodPoll, ID: "j-1", Body: []byte("{}")},
+		relayReply:   RelayReply{Status: 201, Body: []byte(`{"uid":"j-1","status":"pending"}`)},
+	}
 }
 
 // The messages between controllers keep their bytes. Those that the version in production
 // sends whole, production-messages.json has.
 func TestGoldenMessages(t *testing.T) {
-	status, ask, progress, bundle, bundled := samples()
-	goldentest.Run(t, "golden-messages.json", goldentest.Codec{Tag: "msgpack", Encode: msgpack.Marshal, Decode: msgpack.Unmarshal}, []goldentest.Case{
-		{Name: "status", Value: status},
-		{Name: "cancellations told", Value: *status.Cancellations},
-		{Name: "leader's word", Value: ask.Attestation},
-		{Name: "inquiry", Value: ask},
+	m := newGoldenMessages()
+	codec := goldentest.Codec{Tag: "msgpack", Encode: msgpack.Marshal, Decode: msgpack.Unmarshal}
+	goldentest.Run(t, "golden-messages.json", codec, []goldentest.Case{
+		{Name: "status", Value: m.status},
+		{Name: "cancellations told", Value: *m.status.Cancellations},
+		{Name: "leader's word", Value: m.statusRequest.Attestation},
+		{Name: "inquiry", Value: m.statusRequest},
 		{Name: "heard", Value: CancelledReply{Acknowledged: true}},
-		{Name: "progress", Value: progress},
-		{Name: "bundle", Value: bundle},
-		{Name: "bundle of answers", Value: bundled},
+		{Name: "progress", Value: m.progress},
+		{Name: "bundle", Value: m.batch},
+		{Name: "bundle of answers", Value: m.batchReply},
 	})
 	goldentest.Run(t, "golden-methods.json", goldentest.JSON, []goldentest.Case{
-		{Name: "requests of users", Direction: goldentest.Written, Value: []string{MethodSubmit, MethodPoll, MethodCancel, MethodSubmitWithDependencies}},
+		{Name: "requests of users", Direction: goldentest.Written, Value: []string{
+			MethodSubmit, MethodPoll, MethodCancel, MethodSubmitWithDependencies,
+		}},
 	})
 }
 
 // Each call goes to its path as msgpack and is answered as msgpack.
 func TestGoldenCalls(t *testing.T) {
-	status, ask, progress, bundle, bundled := samples()
-	relayed := RelayReply{Status: 201, Body: []byte(`{"uid":"j-1","status":"pending"}`)}
+	m := newGoldenMessages()
 	app := fiber.New()
 	Mount(app, Handlers{
-		Operate: func(RelayRequest) RelayReply { return relayed }, Status: func(StatusRequest) Status { return status },
-		Progress: func(string) Progress { return progress }, Relay: func(RelayRequest) RelayReply { return relayed },
-		RelayHeartbeat: func(HeartbeatRequest) RelayReply { return relayed }, RelayHeartbeats: func(HeartbeatBatch) HeartbeatBatchReply { return bundled },
-		Cancelled: func(string) bool { return true },
+		Operate:         func(RelayRequest) RelayReply { return m.relayReply },
+		Status:          func(StatusRequest) Status { return m.status },
+		Progress:        func(string) Progress { return m.progress },
+		Relay:           func(RelayRequest) RelayReply { return m.relayReply },
+		RelayHeartbeat:  func(HeartbeatRequest) RelayReply { return m.relayReply },
+		RelayHeartbeats: func(HeartbeatBatch) HeartbeatBatchReply { return m.batchReply },
+		Cancelled:       func(string) bool { return true },
 	})
 	other := goldentest.NewPeer(t)
 	other.Forward = func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
-	p := NewPeers([]config.Peer{{Node: "n-1", Addr: other.Addr}}, 10*time.Second)
+	peers := NewPeers([]config.Peer{{Node: "n-1", Addr: other.Addr}}, 10*time.Second)
 	f := goldentest.Open(t, "golden-calls.json")
-	r := RelayRequest{Method: MethodPoll, ID: "j-1", Body: []byte("{}")}
-	for name, call := range map[string]func() error{
-		"status":    func() error { _, _ = p.QueryStatus(t.Context(), ask); return nil },
-		"progress":  func() error { _, err := p.Progress("n-1", "j-1"); return err },
-		"cancelled": func() error { _, err := p.NotifyCancelled("n-1", "j-1"); return err },
-		"relay":     func() error { _, _ = p.Relay(r, time.Minute); return nil },
-		"checkin":   func() error { _, err := p.RelayHeartbeat("n-1", []byte(`{"host":"m-1"}`)); return err },
-		"checkins":  func() error { _, err := p.RelayHeartbeats("n-1", bundle, time.Minute); return err },
-		"operate":   func() error { _, err := p.Operate("n-1", r, time.Minute); return err },
-	} {
+	for name, call := range goldenCalls(t, peers, m) {
 		t.Run(name, func(t *testing.T) {
 			if err := call(); err != nil {
 				t.Fatal(err)
 			}
 			got := other.Exchanges()
 			if len(got) != 1 {
-				t.Fatalf("%d requests", len(got))
+				t.Fatalf("%d requests, want 1", len(got))
 			}
 			f.CheckExchange(t, name, got[0])
 		})
 	}
 }
+
+// goldenCalls returns each call of the client, by its name in the golden file.
+func goldenCalls(t *testing.T, peers *Peers, m goldenMessages) map[string]func() error {
+	return map[string]func() error{
+		"status": func() error {
+			_, _ = peers.QueryStatus(t.Context(), m.statusRequest) // what is left out shows in the exchanges
+			return nil
+		},
+		"progress": func() error {
+			_, err := peers.Progress("n-1", "j-1")
+			return err
+		},
+		"cancelled": func() error {
+			_, err := peers.NotifyCancelled("n-1", "j-1")
+			return err
+		},
+		"relay": func() error {
+			_, _ = peers.Relay(m.relayRequest, time.Minute) // as above
+			return nil
+		},
+		"checkin": func() error {
+			_, err := peers.RelayHeartbeat("n-1", []byte(`{"host":"m-1"}`))
+			return err
+		},
+		"checkins": func() error {
+			_, err := peers.RelayHeartbeats("n-1", m.batch, time.Minute)
+			return err
+		},
+		"operate": func() error {
+			_, err := peers.Operate("n-1", m.relayRequest, time.Minute)
+			return err
+		},
+	}
+}
--- /dev/null
+++ b/internal/peer/messages_test.go
@@ -0,0 +1,121 @@
+package peer
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+
+	"drumpick/internal/watermark"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// productionMessages reads the messages of the version in production, by name.
+func productionMessages(t *testing.T) map[string][]byte {
+	t.Helper()
+	raw, err := os.ReadFile("testdata/production-messages.json")
+	texts := map[string]string{}
+	if err == nil {
+		err = json.Unmarshal(raw, &texts)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	messages := map[string][]byte{}
+	for name, text := range texts {
+		if messages[name], err = hex.DecodeString(text); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+	}
+	return messages
+}
+
+// What the version in production sends is read as it was meant, and what this one sends
+// says the same to it: the fields that it knows have the same bytes, the new ones come
+// after them and are left out where they say nothing.
+func TestProductionMessagesAreReadAndWritten(t *testing.T) {
+	messages := productionMessages(t)
+	for name, want := range map[string]any{
+		"status":   Status{Node: "n-1", StoreSilentMS: 12, StoreAnswered: true, StoreFailing: true, CancellationQuietMS: 4500},
+		"ask":      JobRequest{ID: "j-1"},
+		"progress": Progress{Known: true, Status: "running", Done: 3, Running: 4},
+		"relay":    RelayRequest{Method: MethodSubmit, ID: "j-1", Body: []byte(`{"uid":"j-1"}`)},
+		"relayed":  RelayReply{Status: 201, Body: []byte(`{"uid":"j-1","status":"pending"}`)},
+		"checkin":  HeartbeatRequest{Body: []byte(`{"host":"m-1"}`)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			message := messages[name]
+			if len(message) == 0 {
+				t.Fatal("the message is missing")
+			}
+			got := reflect.New(reflect.TypeOf(want))
+			if err := msgpack.Unmarshal(message, got.Interface()); err != nil || !reflect.DeepEqual(got.Elem().Interface(), want) {
+				t.Errorf("read as %+v, %v, want %+v", got.Elem(), err, want)
+			}
+			if sent, err := msgpack.Marshal(want); err != nil || !reflect.DeepEqual(sent, message) {
+				t.Errorf("sent as %x, %v, want %x", sent, err, message)
+			}
+		})
+	}
+}
+
+// transcode writes a message and reads it as an earlier version does.
+func transcode(t *testing.T, message, earlier any) {
+	t.Helper()
+	raw, err := msgpack.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := msgpack.Unmarshal(raw, earlier); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The version in production reads what it knows of an answer that says more.
+func TestEarlierVersionReadsProgress(t *testing.T) {
+	type earlierProgress struct {
+		Known   bool   `msgpack:"known"`
+		Status  string `msgpack:"status"`
+		Done    int    `msgpack:"done"`
+		Running int    `msgpack:"running"`
+	}
+	var got earlierProgress
+	transcode(t, Progress{Known: true, Status: "pending", Done: 1, DependenciesClear: true, ClearAgeMS: 70}, &got)
+	if want := (earlierProgress{Known: true, Status: "pending", Done: 1}); got != want {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
+
+// A version that knows of watermarks alone reads the attestation in a request for the status.
+func TestEarlierVersionReadsAttestation(t *testing.T) {
+	want := watermark.Attestation{Term: 5, Seq: 2, Complete: true, Revision: 9}
+	var got watermark.Attestation
+	transcode(t, StatusRequest{Attestation: want, CancellationSpanMS: 1000}, &got)
+	if got != want {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
+
+// An earlier version knows no dependencies, and says so with a 400, which is no answer for
+// the user.
+func TestFinalReplies(t *testing.T) {
+	for _, x := range []struct {
+		status int
+		method string
+		want   bool
+	}{
+		{201, MethodSubmitWithDependencies, true},
+		{422, MethodSubmitWithDependencies, true},
+		{400, MethodSubmitWithDependencies, false},
+		{400, MethodSubmit, true},
+		{503, MethodSubmit, false},
+		{0, MethodPoll, false},
+	} {
+		reply := RelayReply{Status: x.status}
+		if got := reply.Final(RelayRequest{Method: x.method}); got != x.want {
+			t.Errorf("%d for %s: got %v, want %v", x.status, x.method, got, x.want)
+		}
+	}
+}
