--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -13,152 +13,218 @@
 	"pgregory.net/rapid"
 )
 
-// A story tells a router of leader n-0 (reports every 5 s, leases of 24 s) which reports
-// come through whom ("report m-1 via n-1", or "reports 40 via n-1" for m-0 to m-39) and who
-// else has passed something on ("heard n-1"), each "in" a zone where that matters.
-func TestTraces(t *testing.T) {
+const (
+	testInterval = 5 * time.Second
+	testLease    = 24 * time.Second
+	leaderNode   = "n-0"
+)
+
+// testStart is when a scenario begins.
+var testStart = time.Unix(1_000_000, 0)
+
+// A scenario tells a router of leader n-0 which heartbeats come through whom ("heartbeat m-1
+// via n-1", or "heartbeats 40 via n-1" for m-0 to m-39) and which other controller has relayed
+// something ("peer n-1"), each "in" a zone where that matters.
+func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
-		start := time.Unix(1_000_000, 0)
-		r := New("n-0", 5*time.Second, 24*time.Second)
-		return func(w []string) []string {
-			s, err := strconv.ParseFloat(w[1], 64)
-			if w[0] != "at" || err != nil {
-				t.Fatalf("bad event %v", w)
-			}
-			now := start.Add(time.Duration(s * float64(time.Second)))
-			told := func(to string) string {
-				if to == "" {
-					return "answered"
-				}
-				return "sent to " + to
+		r := New(leaderNode, testInterval, testLease)
+		return func(words []string) []string {
+			seconds, err := strconv.ParseFloat(words[1], 64)
+			if words[0] != "at" || err != nil {
+				t.Fatalf("bad event %v", words)
 			}
-			switch w[2] {
-			case "heard":
-				r.NotePeer(w[3], in(w[4:]), now)
-				return nil
-			case "report":
-				return []string{told(r.Route(w[3], in(w[6:]), w[5], now))}
-			case "reports":
-				n, _ := strconv.Atoi(w[3])
-				got := map[string]int{}
-				for i := range n {
-					got[told(r.Route(fmt.Sprint("m-", i), in(w[6:]), w[5], now))]++
-				}
-				return counts(got)
-			case "loads":
-				return counts(loads(r))
+			now := testStart.Add(time.Duration(seconds * float64(time.Second)))
+			decisions, known := runEvent(r, words[2:], now)
+			if !known {
+				t.Fatalf("unknown event %q", words[2])
 			}
-			t.Fatalf("unknown event %q", w[2])
-			return nil
+			return decisions
 		}
 	})
 }
 
-// in reads "in ZONE".
-func in(w []string) string {
-	if len(w) == 2 && w[0] == "in" {
-		return w[1]
+// runEvent runs an event of a scenario and returns what the router decides.
+func runEvent(r *Router, words []string, now time.Time) (decisions []string, known bool) {
+	switch words[0] {
+	case "peer":
+		r.NotePeer(words[1], zoneOf(words[2:]), now)
+		return nil, true
+	case "heartbeat":
+		return []string{decision(r.Route(words[1], zoneOf(words[4:]), words[3], now))}, true
+	case "heartbeats":
+		machines, _ := strconv.Atoi(words[1])
+		counts := map[string]int{}
+		for i := range machines {
+			counts[decision(r.Route(fmt.Sprint("m-", i), zoneOf(words[4:]), words[3], now))]++
+		}
+		return lines(counts), true
+	case "loads":
+		return lines(loads(r)), true
+	}
+	return nil, false
+}
+
+func decision(target string) string {
+	if target == "" {
+		return "answered"
+	}
+	return "sent to " + target
+}
+
+// zoneOf reads "in ZONE".
+func zoneOf(words []string) string {
+	if len(words) == 2 && words[0] == "in" {
+		return words[1]
 	}
 	return ""
 }
 
-func counts(n map[string]int) []string {
+func lines(counts map[string]int) []string {
 	var out []string
-	for k, v := range n {
-		out = append(out, fmt.Sprint(v, " ", k))
+	for name, n := range counts {
+		out = append(out, fmt.Sprint(n, " ", name))
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Whatever comes and goes: a worker is never sent to where it is, to the leader, or to a
-// controller that has not been heard for long; once nothing changes any more, all workers
-// are answered where they are, no controller holds far more than its share, and none has
-// room for a worker of its zone that is elsewhere.
-func TestRoutesSettle(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		const every, lease = 5 * time.Second, 24 * time.Second
-		r, now := New("n-0", every, lease), time.Unix(1_000_000, 0)
-		nodes := rapid.IntRange(1, 4).Draw(t, "others")
-		workers := rapid.IntRange(1, 60).Draw(t, "workers")
-		at := make([]string, workers)
-		zone := rapid.SampledFrom([]string{"", "a", "b"})
-		from, of := make([]string, workers), make([]string, nodes+1)
-		for i := range at {
-			at[i] = fmt.Sprint("n-", rapid.IntRange(0, nodes).Draw(t, "at"))
-			from[i] = zone.Draw(t, "zone")
+// loads returns how many workers send their heartbeats through each other controller.
+func loads(r *Router) map[string]int {
+	workers := map[string]int{}
+	for node, c := range r.controllers {
+		workers[node] = c.workers
+	}
+	return workers
+}
+
+// clusterModel is controllers that come and go, and workers that go where they are sent.
+// Controller 0 leads.
+type clusterModel struct {
+	t               *rapid.T
+	router          *Router
+	now             time.Time
+	controllerZones []string
+	up              []bool // by controller
+	lastHeard       []time.Time
+	workerZones     []string
+	assigned        []int // by worker, the controller
+}
+
+func node(controller int) string { return fmt.Sprint("n-", controller) }
+
+func newClusterModel(t *rapid.T) *clusterModel {
+	others := rapid.IntRange(1, 4).Draw(t, "other controllers")
+	workers := rapid.IntRange(1, 60).Draw(t, "workers")
+	m := &clusterModel{
+		t:         t,
+		router:    New(leaderNode, testInterval, testLease),
+		now:       testStart,
+		up:        make([]bool, others+1),
+		lastHeard: make([]time.Time, others+1),
+	}
+	zone := rapid.SampledFrom([]string{"", "a", "b"})
+	for range workers {
+		m.assigned = append(m.assigned, rapid.IntRange(0, others).Draw(t, "controller"))
+		m.workerZones = append(m.workerZones, zone.Draw(t, "zone"))
+	}
+	for range others + 1 {
+		m.controllerZones = append(m.controllerZones, zone.Draw(t, "zone of a controller"))
+	}
+	return m
+}
+
+// others is how many controllers there are beside the leader.
+func (m *clusterModel) others() int { return len(m.up) - 1 }
+
+// pass lets a heartbeat interval pass, and returns how many workers were moved.
+func (m *clusterModel) pass() (moved int) {
+	m.now = m.now.Add(testInterval)
+	for c := 1; c <= m.others(); c++ {
+		if m.up[c] {
+			m.router.NotePeer(node(c), m.controllerZones[c], m.now)
+			m.lastHeard[c] = m.now
 		}
-		for n := range of {
-			of[n] = zone.Draw(t, "zone of a controller")
+	}
+	for i := range m.assigned {
+		if m.heartbeat(i) {
+			moved++
 		}
-		up := make([]bool, nodes+1)
-		heard := make([]time.Time, nodes+1)
-		turn := func(trouble bool) (moves int) {
-			now = now.Add(every)
-			for n := 1; n <= nodes; n++ {
-				if trouble {
-					up[n] = rapid.IntRange(0, 3).Draw(t, "up") > 0
-				}
-				if up[n] {
-					r.NotePeer(fmt.Sprint("n-", n), of[n], now)
-					heard[n] = now
-				}
-			}
-			for i := range at {
-				via, _ := strconv.Atoi(strings.TrimPrefix(at[i], "n-"))
-				if via > 0 && !up[via] {
-					at[i], via = "n-0", 0 // it tries until it finds the leader
-				}
-				to := r.Route(fmt.Sprint("m-", i), from[i], at[i], now)
-				if to == "" {
-					continue
-				}
-				n, _ := strconv.Atoi(strings.TrimPrefix(to, "n-"))
-				if to == at[i] || n == 0 || now.Sub(heard[n]) > fresh*every {
-					t.Fatalf("worker %d at %s is sent to %s, heard %v ago", i, at[i], to, now.Sub(heard[n]))
-				}
-				moves++
-				at[i] = to
-			}
-			return moves
+	}
+	return moved
+}
+
+// heartbeat sends a worker's heartbeat, and reports whether the worker was moved.
+func (m *clusterModel) heartbeat(worker int) bool {
+	via := m.assigned[worker]
+	if via > 0 && !m.up[via] {
+		via = 0 // it tries until it finds the leader
+	}
+	m.assigned[worker] = via
+	target := m.router.Route(fmt.Sprint("m-", worker), m.workerZones[worker], node(via), m.now)
+	if target == "" {
+		return false
+	}
+	c, err := strconv.Atoi(strings.TrimPrefix(target, "n-"))
+	if err != nil || c == via || c == 0 || m.now.Sub(m.lastHeard[c]) > freshIntervals*testInterval {
+		m.t.Fatalf("worker %d at %s is sent to %s, heard %v ago", worker, node(via), target, m.now.Sub(m.lastHeard[c]))
+	}
+	m.assigned[worker] = c
+	return true
+}
+
+// checkBalanced checks that no controller holds far more than its share.
+func (m *clusterModel) checkBalanced() {
+	share := float64(len(m.assigned)) / float64(m.others())
+	for name, workers := range loads(m.router) {
+		if limit := share*overloadFactor*maxZoneFactor + 2; float64(workers) > limit {
+			m.t.Fatalf("%s holds %d of %d workers, of %d controllers, want at most %v", name, workers, len(m.assigned), m.others(), limit)
 		}
-		for range rapid.IntRange(0, 8).Draw(t, "troubles") {
-			turn(true)
+	}
+}
+
+// checkZones checks that no controller has room for a worker of its zone that is elsewhere.
+func (m *clusterModel) checkZones() {
+	workersOf := loads(m.router)
+	for i, zone := range m.workerZones {
+		inZone, inZoneWorkers := 0, 0
+		for c := 1; c <= m.others(); c++ {
+			if m.controllerZones[c] == zone {
+				inZone++
+				inZoneWorkers += workersOf[node(c)]
+			}
 		}
-		for n := range up {
-			up[n] = true
+		roomInZone := (inZoneWorkers+1)*m.others() <= maxZoneFactor*inZone*len(m.assigned)
+		elsewhere := m.controllerZones[m.assigned[i]] != zone
+		if zone != "" && inZone > 0 && elsewhere && roomInZone {
+			m.t.Fatalf("worker %d of zone %s is at %s, while the controllers of its zone hold %d of %d",
+				i, zone, node(m.assigned[i]), inZoneWorkers, len(m.assigned))
 		}
-		for range 60 {
-			turn(false)
+	}
+}
+
+// Whatever comes and goes: a worker is never sent to where it is, to the leader, or to a
+// controller that has not been heard from for long; once nothing changes any more, all
+// workers are answered where they are, no controller holds far more than its share, and none
+// has room for a worker of its zone that is elsewhere.
+func TestRoutesConverge(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newClusterModel(t)
+		for range rapid.IntRange(0, 8).Draw(t, "faults") {
+			for c := 1; c <= m.others(); c++ {
+				m.up[c] = rapid.IntRange(0, 3).Draw(t, "up") > 0
+			}
+			m.pass()
 		}
-		if n := turn(false); n > 0 {
-			t.Fatalf("%d workers are still sent about", n)
+		for c := range m.up {
+			m.up[c] = true
 		}
-		for name, n := range loads(r) {
-			if share := float64(workers) / float64(nodes); float64(n) > share*uneven*mostOwn+2 {
-				t.Fatalf("%s holds %d of %d workers, of %d", name, n, workers, nodes)
-			}
+		for range 60 {
+			m.pass()
 		}
-		for i, z := range from {
-			load, own := 0, 0
-			for n := 1; n <= nodes; n++ {
-				if of[n] == z {
-					load, own = load+loads(r)[fmt.Sprint("n-", n)], own+1
-				}
-			}
-			via, _ := strconv.Atoi(strings.TrimPrefix(at[i], "n-"))
-			if z != "" && own > 0 && of[via] != z && (load+1)*nodes <= mostOwn*own*workers {
-				t.Fatalf("worker %d of zone %s is at %s of zone %q, while its own hold %d of %d", i, z, at[i], of[via], load, workers)
-			}
+		if moved := m.pass(); moved > 0 {
+			t.Fatalf("%d workers are still moved, want 0", moved)
 		}
+		m.checkBalanced()
+		m.checkZones()
 	})
 }
-
-// loads tells how many workers report through each other controller.
-func loads(r *Router) map[string]int {
-	n := map[string]int{}
-	for name, x := range r.nodes {
-		n[name] = x.load
-	}
-	return n
-}
