--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,11 +1,17 @@
-// Package cloud talks to the cloud, which rents machines by the second.
+// Package cloud is the client of the cloud, where machines are rented by the second to scale
+// out and returned to scale in.
+//
+// The errors are those of package autoscaler, which decides by them. The words of the cloud's
+// protocol stand in paths and struct tags alone.
 package cloud
 
 import (
 	"context"
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"net/url"
+	"strconv"
 	"time"
 
 	"drumpick/internal/autoscaler"
@@ -15,43 +21,70 @@
 	"golang.org/x/time/rate"
 )
 
-// Client calls the cloud within its rate.
-type Client struct {
-	link    *httpclient.Client
-	limit   *rate.Limiter
-	rents   *rate.Limiter // besides: what rentals may take of it
-	timeout time.Duration
-}
-
-// Shares of the cloud's rate: all calls together, and rentals among them.
 const (
-	allShare  = 0.9
-	rentShare = 0.5
+	// requestShare is the part of the cloud's rate that all calls take together, and
+	// rentalShare the part that rentals take of it.
+	requestShare = 0.9
+	rentalShare  = 0.5
+	// maxConnections bounds the connections to the cloud.
+	maxConnections = 8
+	// pageMachines is how many machines a page of the list has.
+	pageMachines = 500
+	// noCapacity is the error by which the cloud says that it has no such machines now.
+	noCapacity = "no capacity"
 )
 
+// Client calls the cloud within its rate. It is safe for concurrent use.
+type Client struct {
+	http     *httpclient.Client
+	requests *rate.Limiter // of all calls
+	rentals  *rate.Limiter // of rentals, besides
+	timeout  time.Duration
+}
+
 // NewClient returns a client that keeps to a share of the cloud's rate. Rentals have
 // a smaller one: while the cloud refuses, they are tried again and again, and lists
-// and returns, on which a takeover waits, must not queue behind them.
+// and returns, on which a failover waits, must not queue behind them.
 func NewClient(addr string, rps float64, timeout time.Duration) *Client {
-	limiter := func(r float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(r), max(int(r), 1)) }
 	return &Client{
-		link:    httpclient.New(addr, 8, timeout/2),
-		limit:   limiter(rps * allShare),
-		rents:   limiter(rps * rentShare),
-		timeout: timeout,
+		http:     httpclient.New(addr, maxConnections, timeout/2),
+		requests: newLimiter(rps * requestShare),
+		rentals:  newLimiter(rps * rentalShare),
+		timeout:  timeout,
 	}
 }
 
-func (c *Client) call(ctx context.Context, method, uri string, body any, out any) error {
-	if err := c.limit.Wait(ctx); err != nil {
+// newLimiter returns a limiter with bursts of a second's worth, at least of one request.
+func newLimiter(rps float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(rps), max(int(rps), 1)) }
+
+// Bodies of requests and answers.
+type (
+	rentalAnswer struct {
+		Machines []string `json:"hosts"`
+	}
+	returnRequest struct {
+		Machines []string `json:"hosts"`
+	}
+	pageAnswer struct {
+		Machines []autoscaler.CloudMachine `json:"hosts"`
+		More     bool                      `json:"more"`
+	}
+	errorAnswer struct {
+		Error string `json:"error"`
+	}
+)
+
+// call sends a request and reads the answer into out, unless that is nil.
+func (c *Client) call(ctx context.Context, method, uri string, body, out any) error {
+	if err := c.requests.Wait(ctx); err != nil {
 		return err
 	}
-	status, raw, err := c.link.JSON(method, uri, body, time.Now().Add(c.timeout))
+	status, raw, err := c.http.JSON(method, uri, body, time.Now().Add(c.timeout))
 	if err != nil {
 		return fmt.Errorf("%w: %s %s: %v", autoscaler.ErrUnknownOutcome, method, uri, err)
 	}
 	switch status {
-	case 200:
+	case http.StatusOK:
 		if out == nil {
 			return nil
 		}
@@ -59,14 +92,12 @@
 			return fmt.Errorf("%w: %v", autoscaler.ErrUnexpected, err)
 		}
 		return nil
-	case 429:
+	case http.StatusTooManyRequests:
 		return autoscaler.ErrUnavailable
-	case 503:
-		var e struct {
-			Error string `json:"error"`
-		}
-		_ = json.Unmarshal(raw, &e)
-		if e.Error == "no capacity" {
+	case http.StatusServiceUnavailable:
+		var answer errorAnswer
+		_ = json.Unmarshal(raw, &answer) // without a text it is an outage
+		if answer.Error == noCapacity {
 			return autoscaler.ErrNoCapacity
 		}
 		return autoscaler.ErrUnavailable
@@ -74,60 +105,55 @@
 	return fmt.Errorf("%w: %d for %s", autoscaler.ErrUnexpected, status, uri)
 }
 
-// Types reads what the cloud offers, at current prices.
+// Types returns the types of machines that the cloud offers, at current prices.
 func (c *Client) Types(ctx context.Context) ([]records.MachineType, error) {
-	var t records.MachineTypes
-	if err := c.call(ctx, "GET", "/machine_types", nil, &t); err != nil {
+	var answer records.MachineTypes
+	if err := c.call(ctx, http.MethodGet, "/machine_types", nil, &answer); err != nil {
 		return nil, err
 	}
-	for _, x := range t.Types {
-		if x.Name == "" || x.CPUs < 0 || x.MemGB < 0 || x.GPUs < 0 || x.StartupS < 0 || len(x.Zones) == 0 {
-			return nil, fmt.Errorf("%w: machine type %q makes no sense", autoscaler.ErrUnexpected, x.Name)
+	for _, t := range answer.Types {
+		if t.Name == "" || t.CPUs < 0 || t.MemGB < 0 || t.GPUs < 0 || t.StartupS < 0 || len(t.Zones) == 0 {
+			return nil, fmt.Errorf("%w: machine type %q makes no sense", autoscaler.ErrUnexpected, t.Name)
 		}
 	}
-	if len(t.Types) == 0 {
+	if len(answer.Types) == 0 {
 		return nil, fmt.Errorf("%w: no machine types", autoscaler.ErrUnexpected)
 	}
-	return t.Types, nil
+	return answer.Types, nil
 }
 
 // Rent asks for machines and returns those rented, up to the count.
-func (c *Client) Rent(ctx context.Context, r autoscaler.RentalRequest) ([]string, error) {
-	var out struct {
-		Hosts []string `json:"hosts"`
-	}
-	if err := c.rents.Wait(ctx); err != nil {
+func (c *Client) Rent(ctx context.Context, request autoscaler.RentalRequest) ([]string, error) {
+	if err := c.rentals.Wait(ctx); err != nil {
 		return nil, err
 	}
-	err := c.call(ctx, "POST", "/machines", r, &out)
-	return out.Hosts, err
+	var answer rentalAnswer
+	err := c.call(ctx, http.MethodPost, "/machines", request, &answer)
+	return answer.Machines, err
 }
 
 // Return gives machines back; when it succeeds, they and all on them are gone.
-func (c *Client) Return(ctx context.Context, hosts []string) error {
-	return c.call(ctx, "POST", "/machines/return", map[string][]string{"hosts": hosts}, nil)
+func (c *Client) Return(ctx context.Context, machines []string) error {
+	return c.call(ctx, http.MethodPost, "/machines/return", returnRequest{Machines: machines}, nil)
 }
 
-// List reads the whole list of machines.
+// List returns all rented machines.
 func (c *Client) List(ctx context.Context) ([]autoscaler.CloudMachine, error) {
 	var all []autoscaler.CloudMachine
 	since := ""
 	for {
-		var page struct {
-			Hosts []autoscaler.CloudMachine `json:"hosts"`
-			More  bool                      `json:"more"`
-		}
-		uri := "/machines?limit=500"
+		uri := "/machines?limit=" + strconv.Itoa(pageMachines)
 		if since != "" {
 			uri += "&since=" + url.QueryEscape(since)
 		}
-		if err := c.call(ctx, "GET", uri, nil, &page); err != nil {
+		var page pageAnswer
+		if err := c.call(ctx, http.MethodGet, uri, nil, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Hosts...)
-		if !page.More || len(page.Hosts) == 0 {
+		all = append(all, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
 			return all, nil
 		}
-		since = page.Hosts[len(page.Hosts)-1].Machine
+		since = page.Machines[len(page.Machines)-1].Machine
 	}
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -1,11 +1,11 @@
 package cloud
 
 import (
-	"context"
 	"errors"
 	"fmt"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -13,56 +13,70 @@
 	"drumpick/internal/autoscaler"
 )
 
-// What each answer of the cloud lets a caller conclude. A bad answer is never
-// taken as fact.
-func TestAnswers(t *testing.T) {
-	var status int
-	var body string
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+// clientOfAnswer returns a client of a cloud that gives one answer to everything.
+func clientOfAnswer(t *testing.T, status int, body string) *Client {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		fmt.Fprint(w, body)
 	}))
-	defer srv.Close()
-	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), 1000, time.Second)
-	ctx := context.Background()
-	for _, x := range []struct {
-		status int
-		body   string
-		want   error
+	t.Cleanup(server.Close)
+	return NewClient(strings.TrimPrefix(server.URL, "http://"), 1000, time.Second)
+}
+
+// Each answer of the cloud lets a caller conclude what it says. A bad answer is never taken
+// as fact.
+func TestRentTellsAnswersApart(t *testing.T) {
+	for name, x := range map[string]struct {
+		status  int
+		body    string
+		want    []string
+		wantErr error
 	}{
-		{503, `{"error":"no capacity"}`, autoscaler.ErrNoCapacity},
-		{503, `{"error":"trouble"}`, autoscaler.ErrUnavailable},
-		{429, `{}`, autoscaler.ErrUnavailable},
-		{400, `{}`, autoscaler.ErrUnexpected},
-		{200, `{"hosts":`, autoscaler.ErrUnexpected},
+		"rented":      {200, `{"hosts":["m-1"]}`, []string{"m-1"}, nil},
+		"no capacity": {503, `{"error":"no capacity"}`, nil, autoscaler.ErrNoCapacity},
+		"outage":      {503, `{"error":"trouble"}`, nil, autoscaler.ErrUnavailable},
+		"throttled":   {429, `{}`, nil, autoscaler.ErrUnavailable},
+		"malformed":   {400, `{}`, nil, autoscaler.ErrUnexpected},
+		"cut off":     {200, `{"hosts":`, nil, autoscaler.ErrUnexpected},
 	} {
-		status, body = x.status, x.body
-		if hosts, err := c.Rent(ctx, autoscaler.RentalRequest{Name: "r-1"}); !errors.Is(err, x.want) || hosts != nil {
-			t.Errorf("%d %s: %v, %v, want %v", x.status, x.body, hosts, err, x.want)
-		}
-	}
-	for _, bad := range []string{`{"rigs":[]}`, `{"rigs":[{"label":"","sites":["a"]}]}`, `{"rigs":[{"label":"c4","vcpus":-4,"sites":["a"]}]}`, `[]`} {
-		status, body = 200, bad
-		if types, err := c.Types(ctx); err == nil {
-			t.Errorf("%s: taken for machine types %v", bad, types)
-		}
+		t.Run(name, func(t *testing.T) {
+			client := clientOfAnswer(t, x.status, x.body)
+			got, err := client.Rent(t.Context(), autoscaler.RentalRequest{Name: "r-1"})
+			if !errors.Is(err, x.wantErr) || !slices.Equal(got, x.want) || x.want == nil && got != nil {
+				t.Errorf("got %v, %v, want %v, %v", got, err, x.want, x.wantErr)
+			}
+		})
 	}
-	status, body = 200, `{"hosts":["m-1"]}`
-	if hosts, err := c.Rent(ctx, autoscaler.RentalRequest{Name: "r-2"}); err != nil || len(hosts) != 1 {
-		t.Errorf("rent: %v, %v", hosts, err)
+}
+
+func TestTypesRejectsInvalidAnswers(t *testing.T) {
+	for name, body := range map[string]string{
+		"none":           `{"rigs":[]}`,
+		"without a name": `{"rigs":[{"label":"","sites":["a"]}]}`,
+		"negative":       `{"rigs":[{"label":"c4","vcpus":-4,"sites":["a"]}]}`,
+		"another form":   `[]`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			if types, err := clientOfAnswer(t, 200, body).Types(t.Context()); err == nil {
+				t.Errorf("%s: taken for machine types %v", body, types)
+			}
+		})
 	}
 }
 
 // Rentals that are refused and tried again leave room for lists and returns, and all
 // calls together stay below the cloud's rate.
-func TestShares(t *testing.T) {
+func TestRentalsLeaveRoomForOtherCalls(t *testing.T) {
 	for _, rps := range []float64{0.5, 3, 4, 100} {
 		c := NewClient("127.0.0.1:1", rps, time.Second)
-		if all, rents := float64(c.limit.Limit()), float64(c.rents.Limit()); all >= rps || rents > 0.6*all {
-			t.Errorf("rate %v: %v for all calls, %v for rentals", rps, all, rents)
+		all, rentals := float64(c.requests.Limit()), float64(c.rentals.Limit())
+		if all >= rps || rentals > 0.6*all {
+			t.Errorf("rate %v: got %v for all calls, %v for rentals, want less than the rate and 0.6 of that", rps, all, rentals)
 		}
-		if b := c.rents.Burst(); b < 1 || b > c.limit.Burst() || float64(c.limit.Burst()) > max(2*rps, 1) {
-			t.Errorf("rate %v: bursts of %d and %d", rps, c.limit.Burst(), b)
+		allBurst, rentalBurst := c.requests.Burst(), c.rentals.Burst()
+		if rentalBurst < 1 || rentalBurst > allBurst || float64(allBurst) > max(2*rps, 1) {
+			t.Errorf("rate %v: got bursts of %d for all calls, %d for rentals", rps, allBurst, rentalBurst)
 		}
 	}
 }
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -11,45 +11,56 @@
 	"drumpick/internal/records"
 )
 
+// goldenAnswer is an answer that the cloud gives.
+type goldenAnswer struct {
+	status int
+	text   string
+}
+
+func answer(status int, text string) []goldenAnswer { return []goldenAnswer{{status, text}} }
+
 // Every request to the cloud goes out as the protocol has it, and every answer of it is read.
 func TestGoldenRequests(t *testing.T) {
 	service := goldentest.NewPeer(t)
-	c := NewClient(service.Addr, 1000, 10*time.Second)
-	ctx := t.Context()
-	type answer struct {
-		status int
-		text   string
-	}
+	client := NewClient(service.Addr, 1000, 10*time.Second)
 	request := autoscaler.RentalRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 3}
-	rent := func() (any, error) { return c.Rent(ctx, request) }
+	rent := func() (any, error) { return client.Rent(t.Context(), request) }
+	types := func() (any, error) { return client.Types(t.Context()) }
+	list := func() (any, error) { return client.List(t.Context()) }
+	returned := func() (any, error) { return nil, client.Return(t.Context(), []string{"m-1", "m-2"}) }
+	const typesText = `{"rigs":[{"label":"g8","vcpus":4,"gpus":1,"mem_gb":16,"local_gb":50,"pull_gb_per_s":0.5,` +
+		`"hourly":0.2,"low_price":0.05,"startup_s":30,"sites":["a","b"]}]}`
+	machineTypes := []records.MachineType{{
+		Name: "g8", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05,
+		StartupS: 30, Zones: []string{"a", "b"},
+	}}
+	pages := []goldenAnswer{
+		{200, `{"hosts":[{"uid":"m 1","addr":"10.1.0.232:9000","rig":"g8","site":"a","loaners":true,"status":"up","age_s":60.5}],"more":true}`},
+		{200, `{"hosts":[],"more":false}`},
+	}
+	machines := []autoscaler.CloudMachine{{
+		Machine: "m 1", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Status: "up", AgeS: 60.5,
+	}}
 	f := goldentest.Open(t, "golden-requests.json")
 	for name, x := range map[string]struct {
-		answers []answer
-		do      func() (any, error)
+		answers []goldenAnswer
+		call    func() (any, error)
 		want    any
 		err     error
 	}{
-		"machine types": {[]answer{{200, `{"rigs":[{"label":"g8","vcpus":4,"gpus":1,"mem_gb":16,"local_gb":50,"pull_gb_per_s":0.5,"hourly":0.2,"low_price":0.05,"startup_s":30,"sites":["a","b"]}]}`}},
-			func() (any, error) { return c.Types(ctx) }, []records.MachineType{{
-				Name: "g8", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a", "b"},
-			}}, nil},
-		"rent":              {[]answer{{200, `{"hosts":["m-1","m-2"]}`}}, rent, []string{"m-1", "m-2"}, nil},
-		"rent, no capacity": {[]answer{{503, `{"error":"no capacity"}`}}, rent, []string(nil), autoscaler.ErrNoCapacity},
-		"rent, outage":      {[]answer{{503, `{"error":"unavailable"}`}}, rent, []string(nil), autoscaler.ErrUnavailable},
-		"rent, throttled":   {[]answer{{429, `{}`}}, rent, []string(nil), autoscaler.ErrUnavailable},
-		"return":            {[]answer{{200, `{}`}}, func() (any, error) { return nil, c.Return(ctx, []string{"m-1", "m-2"}) }, nil, nil},
-		"list in pages": {[]answer{
-			{200, `{"hosts":[{"uid":"m 1","addr":"10.1.0.232:9000","rig":"g8","site":"a","loaners":true,"status":"up","age_s":60.5}],"more":true}`},
-			{200, `{"hosts":[],"more":false}`},
-		}, func() (any, error) { return c.List(ctx) }, []autoscaler.CloudMachine{{
-			Machine: "m 1", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Status: "up", AgeS: 60.5,
-		}}, nil},
+		"machine types":     {answer(200, typesText), types, machineTypes, nil},
+		"rent":              {answer(200, `{"hosts":["m-1","m-2"]}`), rent, []string{"m-1", "m-2"}, nil},
+		"rent, no capacity": {answer(503, `{"error":"no capacity"}`), rent, []string(nil), autoscaler.ErrNoCapacity},
+		"rent, outage":      {answer(503, `{"error":"unavailable"}`), rent, []string(nil), autoscaler.ErrUnavailable},
+		"rent, throttled":   {answer(429, `{}`), rent, []string(nil), autoscaler.ErrUnavailable},
+		"return":            {answer(200, `{}`), returned, nil, nil},
+		"list in pages":     {pages, list, machines, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, a := range x.answers {
 				service.Answer(a.status, a.text)
 			}
-			got, err := x.do()
+			got, err := x.call()
 			if !reflect.DeepEqual(got, x.want) || !errors.Is(err, x.err) {
 				t.Errorf("got %+v, %v, want %+v, %v", got, err, x.want, x.err)
 			}
