--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -1,8 +1,10 @@
-// Package workers sends direct commands to workers.
+// Package workers sends commands to workers, where a command cannot wait for the answer to
+// the worker's next heartbeat.
 package workers
 
 import (
 	"fmt"
+	"net/http"
 	"sync"
 	"time"
 
@@ -12,18 +14,29 @@
 	"github.com/mailru/easyjson"
 )
 
-// Caller sends direct commands to workers, a bounded number at a time.
+const (
+	// pathCommands is where a worker takes commands.
+	pathCommands = "/orders"
+	// connectionsPerWorker bounds the connections to one worker.
+	connectionsPerWorker = 2
+	// maxAddresses bounds the addresses that are remembered: machines come and go. It lies
+	// above the largest fleet that one leader was seen to carry; beyond it all are forgotten at
+	// once, and each is made anew at its next call, which needs a new connection in any case.
+	maxAddresses = 20_000
+)
+
+// Caller sends commands to workers, a bounded number at a time. It is safe for concurrent use.
 type Caller struct {
 	timeout time.Duration
-	slots   chan struct{}
+	slots   chan struct{} // one for each call under way
 
-	mu      sync.Mutex
-	clients map[string]*httpclient.Client
+	mu      sync.Mutex                    // guards clients
+	clients map[string]*httpclient.Client // by address
 }
 
-// NewCaller returns a caller that has at most n calls under way.
-func NewCaller(n int, timeout time.Duration) *Caller {
-	return &Caller{timeout: timeout, slots: make(chan struct{}, n), clients: map[string]*httpclient.Client{}}
+// NewCaller returns a caller that has at most maxCalls calls under way.
+func NewCaller(maxCalls int, timeout time.Duration) *Caller {
+	return &Caller{timeout: timeout, slots: make(chan struct{}, maxCalls), clients: map[string]*httpclient.Client{}}
 }
 
 // Go runs f once a slot is free, without waiting for it.
@@ -35,27 +48,28 @@
 	}()
 }
 
-// mostAddresses bounds the addresses that are remembered: machines come and go. It lies above
-// the largest fleet that one leader was seen to carry; beyond it all are forgotten at once, and
-// each is made anew at its next call, which needs a new connection in any case.
-const mostAddresses = 20_000
-
+// client returns the client of an address.
 func (c *Caller) client(addr string) *httpclient.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	hc := c.clients[addr]
-	if hc == nil {
-		if len(c.clients) >= mostAddresses {
-			for a, old := range c.clients {
-				old.Close()
-				delete(c.clients, a)
-			}
-		}
-		hc = httpclient.New(addr, 2, c.timeout/2)
-		hc.ClosePerCall = true
-		c.clients[addr] = hc
+	if known := c.clients[addr]; known != nil {
+		return known
+	}
+	if len(c.clients) >= maxAddresses {
+		c.forgetLocked()
+	}
+	client := httpclient.New(addr, connectionsPerWorker, c.timeout/2)
+	client.ClosePerCall = true
+	c.clients[addr] = client
+	return client
+}
+
+// forgetLocked forgets all addresses.
+func (c *Caller) forgetLocked() {
+	for addr, client := range c.clients {
+		client.Close()
+		delete(c.clients, addr)
 	}
-	return hc
 }
 
 // Outcome is what a worker did with the commands of a request.
@@ -73,26 +87,26 @@
 
 // SendCommands sends commands to the worker at addr. Whether it executed or rejected them,
 // its heartbeat comes back. With an error the outcome is OutcomeUnknown.
-func (c *Caller) SendCommands(addr string, d fleet.CommandRequest) (Outcome, *fleet.Heartbeat, error) {
-	status, raw, err := c.client(addr).JSON("POST", "/orders", d, time.Now().Add(c.timeout))
+func (c *Caller) SendCommands(addr string, request fleet.CommandRequest) (Outcome, *fleet.Heartbeat, error) {
+	status, body, err := c.client(addr).JSON(http.MethodPost, pathCommands, request, time.Now().Add(c.timeout))
 	if err != nil {
 		return OutcomeUnknown, nil, fmt.Errorf("worker %s: %w", addr, err)
 	}
 	var outcome Outcome
 	switch status {
-	case 200:
+	case http.StatusOK:
 		outcome = OutcomeExecuted
-	case 409:
+	case http.StatusConflict:
 		outcome = OutcomeRejected
 	default:
 		return OutcomeUnknown, nil, fmt.Errorf("worker %s: status %d", addr, status)
 	}
-	var r fleet.Heartbeat
-	if err := easyjson.Unmarshal(raw, &r); err != nil {
+	var heartbeat fleet.Heartbeat
+	if err := easyjson.Unmarshal(body, &heartbeat); err != nil {
 		return OutcomeUnknown, nil, fmt.Errorf("worker %s: %w", addr, err)
 	}
-	if err := r.Check(); err != nil {
+	if err := heartbeat.Check(); err != nil {
 		return OutcomeUnknown, nil, fmt.Errorf("worker %s: %w", addr, err)
 	}
-	return outcome, &r, nil
+	return outcome, &heartbeat, nil
 }
--- a/internal/workers/caller_test.go
+++ b/internal/workers/caller_test.go
@@ -6,66 +6,122 @@
 	"net/http"
 	"net/http/httptest"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
 	"drumpick/internal/fleet"
 )
 
-// Thousands of machines are remembered by their addresses; of ever new ones, a bounded number.
-func TestAddressesOfFleet(t *testing.T) {
-	const fleet = 4500
+func address(i int) string { return fmt.Sprintf("10.0.%d.%d:9000", i/256, i%256) }
+
+func TestAddressesOfWholeFleetAreRemembered(t *testing.T) {
+	const machines = 4500
 	c := NewCaller(2, time.Second)
-	addr := func(i int) string { return fmt.Sprintf("10.0.%d.%d:9000", i/256, i%256) }
-	first := c.client(addr(0))
-	for i := range fleet {
-		c.client(addr(i))
+	first := c.client(address(0))
+	for i := range machines {
+		c.client(address(i))
 	}
-	if c.client(addr(0)) != first || len(c.clients) != fleet {
-		t.Errorf("%d addresses of %d are remembered", len(c.clients), fleet)
+	if c.client(address(0)) != first || len(c.clients) != machines {
+		t.Errorf("%d addresses are remembered, want %d", len(c.clients), machines)
 	}
-	for i := range 3 * mostAddresses {
-		if c.client(addr(i)); len(c.clients) > mostAddresses {
-			t.Fatalf("%d addresses are remembered", len(c.clients))
+}
+
+func TestRememberedAddressesAreBounded(t *testing.T) {
+	c := NewCaller(2, time.Second)
+	for i := range 3 * maxAddresses {
+		if c.client(address(i)); len(c.clients) > maxAddresses {
+			t.Fatalf("%d addresses are remembered, want at most %d", len(c.clients), maxAddresses)
 		}
 	}
 }
 
-// Commands go out as the protocol writes them; whatever a worker answers that
-// makes no sense is an error, never a report.
-func TestOrders(t *testing.T) {
-	status, body, got := 200, "", ""
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		raw, _ := io.ReadAll(r.Body)
-		got = r.Method + " " + r.URL.Path + " " + string(raw)
-		w.WriteHeader(status)
-		fmt.Fprint(w, body)
-	}))
-	defer srv.Close()
-	c := NewCaller(2, 5*time.Second)
-	addr := strings.TrimPrefix(srv.URL, "http://")
-	grace := 4.0
-	d := fleet.CommandRequest{FencingToken: 41, Incarnation: 1, Commands: []fleet.Command{{Verb: fleet.VerbKill, Task: "j-1/0", Attempt: 2, GraceS: &grace}}}
-	for _, x := range []struct {
+// fakeWorker gives one answer to every request, and keeps the last one.
+type fakeWorker struct {
+	status int
+	body   string
+
+	mu      sync.Mutex // guards request
+	request string
+}
+
+func (w *fakeWorker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+	raw, _ := io.ReadAll(r.Body) // a request that is cut off shows in its body
+	w.mu.Lock()
+	w.request = r.Method + " " + r.URL.Path + " " + string(raw)
+	w.mu.Unlock()
+	out.WriteHeader(w.status)
+	fmt.Fprint(out, w.body)
+}
+
+func killRequest() fleet.CommandRequest {
+	graceS := 4.0
+	return fleet.CommandRequest{FencingToken: 41, Incarnation: 1, Commands: []fleet.Command{
+		{Verb: fleet.VerbKill, Task: "j-1/0", Attempt: 2, GraceS: &graceS},
+	}}
+}
+
+// Commands go out as the protocol writes them; whatever a worker answers that is not valid is
+// an error, never a heartbeat.
+func TestSendCommandsTellsAnswersApart(t *testing.T) {
+	const executed = `{"host":"m-1","stint":1,"tick":9,"baton":41,"shots":[{"shot":"j-1/0","try":2,"status":"flushing"}]}`
+	const rejected = `{"host":"m-1","stint":2,"tick":1,"baton":41,"shots":null}`
+	for name, x := range map[string]struct {
 		status int
 		body   string
 		want   Outcome
 	}{
-		{200, `{"host":"m-1","stint":1,"tick":9,"baton":41,"shots":[{"shot":"j-1/0","try":2,"status":"flushing"}]}`, OutcomeExecuted},
-		{409, `{"host":"m-1","stint":2,"tick":1,"baton":41,"shots":null}`, OutcomeRejected},
-		{200, `{"stint":1}`, OutcomeUnknown},
-		{200, `{"host":`, OutcomeUnknown},
-		{400, `{}`, OutcomeUnknown},
+		"executed":          {200, executed, OutcomeExecuted},
+		"rejected":          {409, rejected, OutcomeRejected},
+		"invalid heartbeat": {200, `{"stint":1}`, OutcomeUnknown},
+		"cut off":           {200, `{"host":`, OutcomeUnknown},
+		"malformed":         {400, `{}`, OutcomeUnknown},
 	} {
-		status, body = x.status, x.body
-		outcome, heartbeat, err := c.SendCommands(addr, d)
-		valid := x.want != OutcomeUnknown
-		if (err == nil) != valid || outcome != x.want || valid && heartbeat.Machine != "m-1" {
-			t.Errorf("%d %s: got %d, %+v, %v, want %d", x.status, x.body, outcome, heartbeat, err, x.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			worker := &fakeWorker{status: x.status, body: x.body}
+			server := httptest.NewServer(worker)
+			defer server.Close()
+			c := NewCaller(2, 5*time.Second)
+			outcome, heartbeat, err := c.SendCommands(strings.TrimPrefix(server.URL, "http://"), killRequest())
+			if outcome != x.want || (err == nil) != (x.want != OutcomeUnknown) {
+				t.Errorf("got %d, %v, want %d", outcome, err, x.want)
+			}
+			if err == nil && heartbeat.Machine != "m-1" || err != nil && heartbeat != nil {
+				t.Errorf("got %+v, %v, want the heartbeat of m-1 or an error", heartbeat, err)
+			}
+			const want = `POST /orders {"baton":41,"stint":1,"orders":[{"verb":"kill","shot":"j-1/0","try":2,"wind_down_s":4}]}`
+			worker.mu.Lock()
+			defer worker.mu.Unlock()
+			if worker.request != want {
+				t.Errorf("sent %s\nwant %s", worker.request, want)
+			}
+		})
+	}
+}
+
+// No more calls are under way than a caller has slots.
+func TestCallsUnderWayAreBounded(t *testing.T) {
+	const slots, calls = 2, 10
+	c := NewCaller(slots, time.Second)
+	var mu sync.Mutex // guards running and most
+	running, most := 0, 0
+	var wg sync.WaitGroup
+	for range calls {
+		wg.Add(1)
+		c.Go(func() {
+			defer wg.Done()
+			mu.Lock()
+			running++
+			most = max(most, running)
+			mu.Unlock()
+			time.Sleep(time.Millisecond)
+			mu.Lock()
+			running--
+			mu.Unlock()
+		})
 	}
-	want := `POST /orders {"baton":41,"stint":1,"orders":[{"verb":"kill","shot":"j-1/0","try":2,"wind_down_s":4}]}`
-	if got != want {
-		t.Errorf("sent %s\nwant %s", got, want)
+	wg.Wait()
+	if most > slots {
+		t.Errorf("%d calls were under way at once, want at most %d", most, slots)
 	}
 }
--- a/internal/workers/golden_test.go
+++ b/internal/workers/golden_test.go
@@ -9,30 +9,35 @@
 	"drumpick/internal/goldentest"
 )
 
-// A direct command goes to a worker as the protocol has it, and the worker's report is read.
-func TestGoldenOrders(t *testing.T) {
+// A command goes to a worker as the protocol has it, and the worker's heartbeat is read.
+func TestGoldenCommands(t *testing.T) {
 	worker := goldentest.NewPeer(t)
 	c := NewCaller(1, 10*time.Second)
-	warning, windDown := 12.5, 4.0
-	d := fleet.CommandRequest{FencingToken: 41, Incarnation: 1, Commands: []fleet.Command{
-		{Verb: fleet.VerbKill, Task: "j-1/0", Attempt: 2, GraceS: &windDown}, {Verb: fleet.VerbReap, Task: "j-1/1", Attempt: 3},
+	noticeS, graceS := 12.5, 4.0
+	request := fleet.CommandRequest{FencingToken: 41, Incarnation: 1, Commands: []fleet.Command{
+		{Verb: fleet.VerbKill, Task: "j-1/0", Attempt: 2, GraceS: &graceS},
+		{Verb: fleet.VerbReap, Task: "j-1/1", Attempt: 3},
 	}}
 	const text = `{"host":"m-1","addr":"10.1.0.232:9000","rig":"g8","site":"a","loaners":true,"stint":1,"tick":9,"baton":41,` +
 		`"warning_s":12.5,"version":"1.0","shots":[{"shot":"j-1/0","try":2,"status":"ended","cause":"stopped","saved":true}]}`
 	want := fleet.Heartbeat{
-		Machine: "m-1", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Incarnation: 1, Sequence: 9, FencingToken: 41,
-		PreemptionNoticeS: &warning, Version: "1.0", Tasks: []fleet.TaskStatus{{Task: "j-1/0", Attempt: 2, Status: "ended", Cause: fleet.CauseStopped, Saved: true}},
+		Machine: "m-1", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true,
+		Incarnation: 1, Sequence: 9, FencingToken: 41, PreemptionNoticeS: &noticeS, Version: "1.0",
+		Tasks: []fleet.TaskStatus{{Task: "j-1/0", Attempt: 2, Status: "ended", Cause: fleet.CauseStopped, Saved: true}},
 	}
 	f := goldentest.Open(t, "golden-orders.json")
 	for name, x := range map[string]struct {
 		status int
 		want   Outcome
-	}{"carried out": {200, OutcomeExecuted}, "not carried out": {409, OutcomeRejected}} {
+	}{
+		"carried out":     {200, OutcomeExecuted},
+		"not carried out": {409, OutcomeRejected},
+	} {
 		t.Run(name, func(t *testing.T) {
 			worker.Answer(x.status, text)
-			outcome, got, err := c.SendCommands(worker.Addr, d)
+			outcome, got, err := c.SendCommands(worker.Addr, request)
 			if err != nil || outcome != x.want || !reflect.DeepEqual(*got, want) {
-				t.Errorf("%d, %+v, %v, want %d, %+v", outcome, got, err, x.want, want)
+				t.Errorf("got %d, %+v, %v, want %d, %+v", outcome, got, err, x.want, want)
 			}
 			f.CheckExchanges(t, name, worker.Exchanges(), 1)
 		})
