--- a/internal/api/answer_order_test.go
+++ b/internal/api/answer_order_test.go
@@ -21,45 +21,45 @@
 	"pgregory.net/rapid"
 )
 
-// region is controllers of one deployment over one store, with users who ask at all of them.
-type region struct {
+// testCluster is controllers of one deployment over one store, with users who ask at all of them.
+type testCluster struct {
 	state *simulation.State
 	nodes []*api.Server
-	wild  *wild
+	wild  *faults
 }
 
-// wild draws what goes wrong, and what is wrong on purpose.
-type wild struct {
+// faults draws what goes wrong, and what is wrong on purpose.
+type faults struct {
 	mu      sync.Mutex
 	r       *rand.Rand
 	mistake string
-	leader  *core // the leader, at node 0
+	leader  *cancellingLeader // the leader, at node 0
 }
 
-func (w *wild) n(n int) int {
+func (w *faults) n(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.r.IntN(n)
 }
 
 // pause is how long something takes: mostly little.
-func (w *wild) pause() time.Duration {
+func (w *faults) pause() time.Duration {
 	if w.n(8) == 0 {
 		return time.Duration(w.n(900)) * time.Millisecond
 	}
 	return time.Duration(w.n(30)) * time.Millisecond
 }
 
-// slow is a controller's way to the store, on which requests and answers take their time and
+// faultyStore is a controller's way to the store, on which requests and answers take their time and
 // transactions' answers are lost, carried out at once or late.
-type slow struct {
+type faultyStore struct {
 	*simulation.Client
-	w   *wild
+	w   *faults
 	mu  sync.Mutex
 	old map[string]*records.KeyValue // as first read, for a mistake
 }
 
-func (s *slow) Get(ctx context.Context, key string) (*records.KeyValue, error) {
+func (s *faultyStore) Get(ctx context.Context, key string) (*records.KeyValue, error) {
 	if err := ctxtime.Sleep(ctx, s.w.pause()); err != nil {
 		return nil, records.ErrUnknownOutcome
 	}
@@ -78,7 +78,7 @@
 	return row, err
 }
 
-func (s *slow) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
+func (s *faultyStore) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
 	var rows []records.KeyValue
 	epoch, err := s.Client.List(ctx, prefix, func(r records.KeyValue) error { rows = append(rows, r); return nil })
 	if ctxtime.Sleep(ctx, s.w.pause()) != nil {
@@ -94,12 +94,12 @@
 }
 
 // late carries a transaction out a while later.
-func (s *slow) late(by time.Duration, when []records.Compare, ops []records.Op) {
+func (s *faultyStore) late(by time.Duration, when []records.Compare, ops []records.Op) {
 	time.Sleep(by)
 	_, _ = s.Client.Commit(context.Background(), when, ops)
 }
 
-func (s *slow) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
+func (s *faultyStore) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
 	if ctxtime.Sleep(ctx, s.w.pause()) != nil {
 		return 0, records.ErrUnknownOutcome
 	}
@@ -135,28 +135,28 @@
 	return s.Client.Commit(ctx, when, ops)
 }
 
-// core is a leader that runs every job a while and stores that it is done.
-type core struct {
-	leading
+// cancellingLeader is a leader that runs every job a while and stores that it is done.
+type cancellingLeader struct {
+	acceptingLeader
 	mu   sync.Mutex
 	over map[string]bool
 }
 
-func (l *core) NotifyCancelled(_ context.Context, id string) bool {
+func (l *cancellingLeader) NotifyCancelled(_ context.Context, id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.over[id] = true
 	return true
 }
 
-// mates are a controller's peers.
-type mates struct {
-	alone
-	g  *region
+// clusterPeers are a controller's peers.
+type clusterPeers struct {
+	unreachablePeers
+	g  *testCluster
 	me int
 }
 
-func (m mates) Relay(r peer.RelayRequest, _ time.Duration) (peer.RelayReply, bool) {
+func (m clusterPeers) Relay(r peer.RelayRequest, _ time.Duration) (peer.RelayReply, bool) {
 	for i, n := range m.g.nodes {
 		if i != m.me {
 			time.Sleep(m.g.wild.pause() / 4)
@@ -168,25 +168,25 @@
 	return peer.RelayReply{}, false
 }
 
-func (m mates) NotifyCancelled(_, id string) (bool, error) {
+func (m clusterPeers) NotifyCancelled(_, id string) (bool, error) {
 	time.Sleep(m.g.wild.pause() / 4)
 	return m.g.wild.leader.NotifyCancelled(context.Background(), id), nil
 }
 
-func (m mates) RelayHeartbeats(string, peer.HeartbeatBatch, time.Duration) (peer.HeartbeatBatchReply, error) {
+func (m clusterPeers) RelayHeartbeats(string, peer.HeartbeatBatch, time.Duration) (peer.HeartbeatBatchReply, error) {
 	return peer.HeartbeatBatchReply{}, errors.New("no leader")
 }
 
-func open(seed uint64, mistake string) *region {
-	g := &region{state: simulation.NewState(), wild: &wild{r: rand.New(rand.NewPCG(seed, 7)), mistake: mistake, leader: &core{over: map[string]bool{}}}}
+func open(seed uint64, mistake string) *testCluster {
+	g := &testCluster{state: simulation.NewState(), wild: &faults{r: rand.New(rand.NewPCG(seed, 7)), mistake: mistake, leader: &cancellingLeader{over: map[string]bool{}}}}
 	for i, name := range []string{"n-0", "n-1", "n-2"} {
 		cfg := &config.Config{Node: name}
 		cfg.Options.LeaderLeaseIntervals = 2
 		cfg.Deployment.Workers.HeartbeatS, cfg.Deployment.Workers.CancelS = 2, 30
 		cfg.Deployment.State.RPS, cfg.Deployment.Nodes = 20, 3 // so few that polls share reads
 		cfg.Deployment.Teams = []config.Team{{Name: "vision"}}
-		store := &slow{Client: g.state.Client(name), w: g.wild, old: map[string]*records.KeyValue{}}
-		s := api.New(cfg, store, mates{g: g, me: i}, func() string { return "n-0" }, func() api.Local {
+		store := &faultyStore{Client: g.state.Client(name), w: g.wild, old: map[string]*records.KeyValue{}}
+		s := api.New(cfg, store, clusterPeers{g: g, me: i}, func() string { return "n-0" }, func() api.Local {
 			if i == 0 {
 				return g.wild.leader
 			}
@@ -199,7 +199,7 @@
 }
 
 // finish stores that a job is done, as the leader does.
-func (g *region) finish(id string) {
+func (g *testCluster) finish(id string) {
 	c := g.state.Client("leader")
 	if row, err := c.Get(context.Background(), records.OpenKey(id)); err == nil && row != nil {
 		_, _ = c.Commit(context.Background(), []records.Compare{{Key: records.OpenKey(id), Revision: row.Revision}},
@@ -207,9 +207,9 @@
 	}
 }
 
-// day has users submit, ask, repeat and cancel three jobs at all controllers at once, and says
+// runUsers has users submit, ask, repeat and cancel three jobs at all controllers at once, and says
 // what of their answers fits into no order.
-func (g *region) day(log *linearizability.Log) error {
+func (g *testCluster) runUsers(log *linearizability.Log) error {
 	w := g.wild
 	ask := func(who int, kind, id string) string {
 		r := peer.RelayRequest{Method: map[string]string{linearizability.Submit: peer.MethodSubmit, linearizability.Poll: peer.MethodPoll, linearizability.Cancel: peer.MethodCancel}[kind], ID: id}
@@ -292,7 +292,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		var err error
-		synctest.Test(t, func(*testing.T) { err = open(seed, "").day(linearizability.New()) })
+		synctest.Test(t, func(*testing.T) { err = open(seed, "").runUsers(linearizability.New()) })
 		if err != nil {
 			rt.Fatal(err)
 		}
@@ -308,7 +308,7 @@
 		t.Run(mistake, func(t *testing.T) {
 			for seed := range uint64(60) {
 				var err error
-				synctest.Test(t, func(*testing.T) { err = open(seed, mistake).day(linearizability.New()) })
+				synctest.Test(t, func(*testing.T) { err = open(seed, mistake).runUsers(linearizability.New()) })
 				if err != nil {
 					return
 				}
--- a/internal/api/cancel_confirm_test.go
+++ b/internal/api/cancel_confirm_test.go
@@ -16,15 +16,15 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// asked answers for the leader: whether it has heard of a cancellation, or cannot be reached.
-type asked struct {
-	alone
+// cancellationPeers answers for the leader: whether it has heard of a cancellation, or cannot be reached.
+type cancellationPeers struct {
+	unreachablePeers
 	heard bool
 	err   error
 	times int
 }
 
-func (a *asked) NotifyCancelled(string, string) (bool, error) {
+func (a *cancellationPeers) NotifyCancelled(string, string) (bool, error) {
 	a.times++
 	return a.heard, a.err
 }
@@ -49,16 +49,16 @@
 	old := unknown(t)
 	for name, x := range map[string]struct {
 		leader string
-		peers  asked
+		peers  cancellationPeers
 		at     time.Duration // when it is confirmed
 		asks   int
 	}{
-		"the leader hears it":            {"n-1", asked{heard: true}, 0, 1},
-		"nobody leads":                   {"", asked{}, 0, 0},
-		"an earlier version leads":       {"n-1", asked{err: old}, 0, 1},
-		"the leader has given up":        {"n-1", asked{}, 5 * time.Second, 15},
-		"the leader is away":             {"n-1", asked{err: errors.New("no answer")}, 5 * time.Second, 15},
-		"this one is not the leader yet": {"n-0", asked{}, 5 * time.Second, 0},
+		"the leader hears it":            {"n-1", cancellationPeers{heard: true}, 0, 1},
+		"nobody leads":                   {"", cancellationPeers{}, 0, 0},
+		"an earlier version leads":       {"n-1", cancellationPeers{err: old}, 0, 1},
+		"the leader has given up":        {"n-1", cancellationPeers{}, 5 * time.Second, 15},
+		"the leader is away":             {"n-1", cancellationPeers{err: errors.New("no answer")}, 5 * time.Second, 15},
+		"this one is not the leader yet": {"n-0", cancellationPeers{}, 5 * time.Second, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -22,7 +22,7 @@
 
 // goldenLeader is a leader that knows one job and keeps the last report.
 type goldenLeader struct {
-	leading
+	acceptingLeader
 	got     fleet.Heartbeat
 	outcome fleet.HeartbeatOutcome
 	recency fleet.Recency
@@ -42,13 +42,13 @@
 	}}}
 }
 
-// referring is a controller whose peers answer for the leader that they reach.
-type referring struct {
-	alone
+// relayingPeers is a controller whose peers answer for the leader that they reach.
+type relayingPeers struct {
+	unreachablePeers
 	status int
 }
 
-func (r referring) RelayHeartbeat(string, []byte) (peer.RelayReply, error) {
+func (r relayingPeers) RelayHeartbeat(string, []byte) (peer.RelayReply, error) {
 	return peer.RelayReply{Status: r.status, Body: []byte(`{"baton":41,"orders":[]}`)}, nil
 }
 
@@ -78,7 +78,7 @@
 // Users' requests and the answers to them keep their forms, one after the other.
 func TestGoldenUsers(t *testing.T) {
 	l := &goldenLeader{}
-	s, state, ask := goldenServer(alone{}, "n-0", func() api.Local { return l })
+	s, state, ask := goldenServer(unreachablePeers{}, "n-0", func() api.Local { return l })
 	f := goldentest.Open(t, "golden-users.json")
 	check := func(name, method, uri, body string) {
 		t.Run(name, func(t *testing.T) { f.CheckExchange(t, name, goldentest.Do(t, ask, method, uri, body)) })
@@ -186,18 +186,18 @@
 		peers  api.Peers
 		body   string
 	}{
-		"at the leader":                {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, report},
-		"at a leader that is deposed":  {"n-0", &goldenLeader{outcome: fleet.HeartbeatUnavailable}, alone{}, report},
-		"late at the leader":           {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted, recency: fleet.Late}, alone{}, report},
-		"no report":                    {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, "[]"},
-		"host missing":                 {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, `{"stint":1}`},
-		"stint missing":                {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, `{"host":"m-1"}`},
-		"task of no form":              {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, `{"host":"m-1","stint":1,"shots":[{"shot":"x","status":"running"}]}`},
-		"state not known":              {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, alone{}, `{"host":"m-1","stint":1,"shots":[{"shot":"j-1/0","status":"x"}]}`},
-		"sent to the leader":           {"n-1", nil, alone{}, report},
-		"the leader is not known":      {"", nil, alone{}, report},
-		"passed on to the leader":      {"n-1", nil, referring{status: 200}, report},
-		"passed on, but not its place": {"n-1", nil, referring{status: 421}, report},
+		"at the leader":                {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, unreachablePeers{}, report},
+		"at a leader that is deposed":  {"n-0", &goldenLeader{outcome: fleet.HeartbeatUnavailable}, unreachablePeers{}, report},
+		"late at the leader":           {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted, recency: fleet.Late}, unreachablePeers{}, report},
+		"no report":                    {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, unreachablePeers{}, "[]"},
+		"host missing":                 {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, unreachablePeers{}, `{"stint":1}`},
+		"stint missing":                {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, unreachablePeers{}, `{"host":"m-1"}`},
+		"task of no form":              {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, unreachablePeers{}, `{"host":"m-1","stint":1,"shots":[{"shot":"x","status":"running"}]}`},
+		"state not known":              {"n-0", &goldenLeader{outcome: fleet.HeartbeatAccepted}, unreachablePeers{}, `{"host":"m-1","stint":1,"shots":[{"shot":"j-1/0","status":"x"}]}`},
+		"sent to the leader":           {"n-1", nil, unreachablePeers{}, report},
+		"the leader is not known":      {"", nil, unreachablePeers{}, report},
+		"passed on to the leader":      {"n-1", nil, relayingPeers{status: 200}, report},
+		"passed on, but not its place": {"n-1", nil, relayingPeers{status: 421}, report},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, _, ask := goldenServer(x.peers, x.leader, func() api.Local {
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -38,7 +38,7 @@
 		cfg.Deployment.Workers.HeartbeatS = 2
 		cfg.Deployment.State.RPS = 100
 		cfg.Deployment.Teams = []config.Team{{Name: "vision", LimitCPUs: 8}}
-		s := api.New(cfg, state.Client("n-0"), alone{}, func() string { return "n-1" }, func() api.Local { return nil })
+		s := api.New(cfg, state.Client("n-0"), unreachablePeers{}, func() string { return "n-1" }, func() api.Local { return nil })
 		types := []records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}}
 		app := fiber.New(fiber.Config{BodyLimit: 64 << 10})
 		s.Mount(app)
@@ -85,23 +85,23 @@
 	})
 }
 
-// counted is a store that counts what it is asked.
-type counted struct {
+// countingStore is a store that counts what it is asked.
+type countingStore struct {
 	*simulation.Client
 	gets, commits, lists atomic.Int64
 }
 
-func (c *counted) Get(ctx context.Context, key string) (*records.KeyValue, error) {
+func (c *countingStore) Get(ctx context.Context, key string) (*records.KeyValue, error) {
 	c.gets.Add(1)
 	return c.Client.Get(ctx, key)
 }
 
-func (c *counted) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
+func (c *countingStore) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
 	c.lists.Add(1)
 	return c.Client.List(ctx, prefix, each)
 }
 
-func (c *counted) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
+func (c *countingStore) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
 	c.commits.Add(1)
 	return c.Client.Commit(ctx, when, ops)
 }
@@ -116,8 +116,8 @@
 		cfg.Deployment.State.RPS = 100
 		cfg.Deployment.Nodes = 2
 		cfg.Deployment.Teams = []config.Team{{Name: "vision"}}
-		store := &counted{Client: simulation.NewState().Client("n-0")}
-		s := api.New(cfg, store, alone{}, func() string { return "" }, func() api.Local { return nil })
+		store := &countingStore{Client: simulation.NewState().Client("n-0")}
+		s := api.New(cfg, store, unreachablePeers{}, func() string { return "" }, func() api.Local { return nil })
 		s.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}})
 		status := make([]atomic.Int64, 600)
 		var wg sync.WaitGroup
@@ -174,8 +174,8 @@
 			rows[key] = records.KeyValue{Key: key, Value: []byte(value), Revision: uint64(i + 1)}
 		}
 		state.Fill(rows)
-		store := &counted{Client: state.Client("n-0")}
-		s := api.New(cfg, store, alone{}, func() string { return "" }, func() api.Local { return nil })
+		store := &countingStore{Client: state.Client("n-0")}
+		s := api.New(cfg, store, unreachablePeers{}, func() string { return "" }, func() api.Local { return nil })
 		var wg sync.WaitGroup
 		var first atomic.Int64
 		for i, id := range ids {
@@ -205,16 +205,16 @@
 	})
 }
 
-// leading takes every report that makes sense.
-type leading struct{ reports, tasks int }
+// acceptingLeader takes every report that makes sense.
+type acceptingLeader struct{ reports, tasks int }
 
-func (l *leading) Progress(string) (string, int, int, bool)       { return "", 0, 0, false }
-func (l *leading) DependenciesClear(string) (time.Duration, bool) { return 0, false }
-func (l *leading) ObserveDelay(time.Duration)                     {}
-func (l *leading) Recency(*fleet.Heartbeat) fleet.Recency         { return fleet.Current }
-func (l *leading) NotifyCancelled(context.Context, string) bool   { return true }
-func (l *leading) NeedsRelay(*fleet.Heartbeat) bool               { return true }
-func (l *leading) Heartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult {
+func (l *acceptingLeader) Progress(string) (string, int, int, bool)       { return "", 0, 0, false }
+func (l *acceptingLeader) DependenciesClear(string) (time.Duration, bool) { return 0, false }
+func (l *acceptingLeader) ObserveDelay(time.Duration)                     {}
+func (l *acceptingLeader) Recency(*fleet.Heartbeat) fleet.Recency         { return fleet.Current }
+func (l *acceptingLeader) NotifyCancelled(context.Context, string) bool   { return true }
+func (l *acceptingLeader) NeedsRelay(*fleet.Heartbeat) bool               { return true }
+func (l *acceptingLeader) Heartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult {
 	l.reports++
 	l.tasks += len(r.Tasks)
 	return fleet.HeartbeatResult{Outcome: fleet.HeartbeatAccepted, Response: fleet.HeartbeatResponse{FencingToken: 1, Commands: []fleet.Command{}}}
@@ -225,8 +225,8 @@
 func TestReports(t *testing.T) {
 	cfg := &config.Config{Node: "n-0"}
 	cfg.Deployment.State.RPS = 100
-	l := &leading{}
-	s := api.New(cfg, simulation.NewState().Client("n-0"), alone{}, func() string { return "n-0" }, func() api.Local { return l })
+	l := &acceptingLeader{}
+	s := api.New(cfg, simulation.NewState().Client("n-0"), unreachablePeers{}, func() string { return "n-0" }, func() api.Local { return l })
 	var tasks []string
 	for i := range 900 {
 		tasks = append(tasks, `{"shot":"j-000412/`+strconv.Itoa(i)+`","try":83886081,"status":"running"}`)
@@ -256,24 +256,24 @@
 	}
 }
 
-// alone is a controller whose peers do not answer.
-type alone struct{}
+// unreachablePeers is a controller whose peers do not answer.
+type unreachablePeers struct{}
 
-func (alone) Status(context.Context) ([]peer.Status, bool) { return nil, false }
-func (alone) Progress(string, string) (peer.Progress, error) {
+func (unreachablePeers) Status(context.Context) ([]peer.Status, bool) { return nil, false }
+func (unreachablePeers) Progress(string, string) (peer.Progress, error) {
 	return peer.Progress{}, errors.New("no answer")
 }
 
 // Cancelled: the leader hears of every cancellation.
-func (alone) NotifyCancelled(string, string) (bool, error) { return true, nil }
-func (alone) RelayHeartbeats(string, peer.HeartbeatBatch, time.Duration) (peer.HeartbeatBatchReply, error) {
+func (unreachablePeers) NotifyCancelled(string, string) (bool, error) { return true, nil }
+func (unreachablePeers) RelayHeartbeats(string, peer.HeartbeatBatch, time.Duration) (peer.HeartbeatBatchReply, error) {
 	return peer.HeartbeatBatchReply{}, errors.New("no peers")
 }
 
-func (alone) RelayHeartbeat(string, []byte) (peer.RelayReply, error) {
+func (unreachablePeers) RelayHeartbeat(string, []byte) (peer.RelayReply, error) {
 	return peer.RelayReply{}, errors.New("no answer")
 }
-func (alone) Relay(peer.RelayRequest, time.Duration) (peer.RelayReply, bool) {
+func (unreachablePeers) Relay(peer.RelayRequest, time.Duration) (peer.RelayReply, bool) {
 	return peer.RelayReply{}, false
 }
 
