--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -75,7 +75,7 @@
 	return do(ctx)
 }
 
-var errStore = answer(503, failure{"the state service does not answer now; please retry"})
+var storeUnavailable = answer(503, failure{"the state service does not answer now; please retry"})
 
 // read takes a request in, and says what is wrong with it.
 func (s *Server) read(body []byte) (request, string) {
@@ -141,7 +141,7 @@
 		var stamp uint64
 		turn, err := s.store.Get(ctx, records.KeyDrainSequence)
 		if err != nil {
-			return errStore
+			return storeUnavailable
 		}
 		if turn != nil {
 			stamp = turn.Revision
@@ -154,10 +154,10 @@
 			}
 			return nil
 		}); err != nil {
-			return errStore
+			return storeUnavailable
 		}
 		if row != nil {
-			return again(in.Spec, row)
+			return answerRepeated(in.Spec, row)
 		}
 		// Whether it can be, the leader knows; it changes nothing.
 		if out := s.plan(in); out.Status == statusUnread && ctxtime.Sleep(ctx, s.wait/20) == nil {
@@ -177,7 +177,7 @@
 			slog.Info("drain accepted", "drain", in.ID, "kind", in.Kind, "zone", in.Zone, "machines", len(in.Machines))
 			return answer(201, scheduler.DrainView{Spec: in.Spec})
 		case !errors.As(err, &conflict):
-			return errStore // it may have been stored: the retry finds out
+			return storeUnavailable // it may have been stored: the retry finds out
 		}
 	}
 }
@@ -186,8 +186,8 @@
 // beside which it is to plan another.
 const statusUnread = 425
 
-// again answers a request for a drain that is on record.
-func again(spec drain.Spec, row *records.KeyValue) peer.RelayReply {
+// answerRepeated answers a request for a drain that is on record.
+func answerRepeated(spec drain.Spec, row *records.KeyValue) peer.RelayReply {
 	var old drain.Spec
 	if err := json.Unmarshal(row.Value, &old); err != nil {
 		return answer(409, failure{"its record is unreadable: " + err.Error()})
@@ -210,7 +210,7 @@
 		row, err := s.store.Get(ctx, key)
 		switch {
 		case err != nil:
-			return errStore
+			return storeUnavailable
 		case row == nil:
 			return answer(404, failure{"there is no drain " + id})
 		}
@@ -229,10 +229,10 @@
 			slog.Info("drain stopped", "drain", id)
 			return answer(200, scheduler.DrainView{Spec: spec})
 		case !errors.As(err, &conflict):
-			return errStore
+			return storeUnavailable
 		}
 	}
-	return errStore
+	return storeUnavailable
 }
 
 // list tells of all drains on record.
@@ -245,7 +245,7 @@
 		}
 		return nil
 	}); err != nil {
-		return errStore
+		return storeUnavailable
 	}
 	out := Drains{Drains: []scheduler.DrainView{}}
 	if _, err := s.store.List(ctx, records.PrefixDrains, func(r records.KeyValue) error {
@@ -261,7 +261,7 @@
 		out.Drains = append(out.Drains, scheduler.DrainView{Spec: spec, State: states[spec.ID]})
 		return nil
 	}); err != nil {
-		return errStore
+		return storeUnavailable
 	}
 	return answer(200, out)
 }
@@ -280,7 +280,7 @@
 	row, err := s.store.Get(ctx, records.PrefixDrains+id)
 	switch {
 	case err != nil:
-		return errStore
+		return storeUnavailable
 	case row == nil:
 		return answer(404, failure{"there is no drain " + id})
 	}
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -20,29 +20,29 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// goldenLead is a leader whose answers have every field set.
-type goldenLead struct {
-	lead
+// goldenLeader is a leader whose answers have every field set.
+type goldenLeader struct {
+	fakeLeader
 	asked drain.Spec
 	force bool
 	since string
 }
 
-func (*goldenLead) Machines(string, int) ([]scheduler.MachineView, bool) {
-	m, _ := (&goldenLead{}).Machine("m-1")
+func (*goldenLeader) Machines(string, int) ([]scheduler.MachineView, bool) {
+	m, _ := (&goldenLeader{}).Machine("m-1")
 	return []scheduler.MachineView{m}, true
 }
 
-func (*goldenLead) Machine(name string) (scheduler.MachineView, bool) {
+func (*goldenLeader) Machine(name string) (scheduler.MachineView, bool) {
 	return scheduler.MachineView{
 		Name: "m-1", Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.232:9000", State: scheduler.MachineUp, AgeS: 60.5, Version: "1.0",
 		Count: 1, Tasks: []scheduler.TaskView{{Task: "j-1/0", Try: 2, State: "running", RanS: 4.5, Stops: true}},
 	}, name == "m-1"
 }
 
-func (l *goldenLead) PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
+func (l *goldenLeader) PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
 	if l.refuse != nil {
-		return l.lead.PreviewDrain(spec, force, since, limit)
+		return l.fakeLeader.PreviewDrain(spec, force, since, limit)
 	}
 	l.asked, l.force, l.since = *spec, force, since
 	return &drain.Plan{
@@ -62,12 +62,12 @@
 
 // The operators' requests and the answers to them keep their forms, one after the other.
 func TestGoldenOperators(t *testing.T) {
-	l := &goldenLead{}
+	l := &goldenLeader{}
 	state := simulation.NewState()
 	cfg := &config.Config{Node: "n-0"}
 	cfg.Deployment.State.ValueKB = 8
 	leader, leads := "n-0", true
-	s := New(cfg, state.Client("n-0"), &way{old: true}, func() string { return leader }, func() Local {
+	s := New(cfg, state.Client("n-0"), &fakePeers{unsupported: true}, func() string { return leader }, func() Local {
 		if leads {
 			return l
 		}
@@ -125,7 +125,7 @@
 	} {
 		check("start, "+name, "POST", "/operator/drains", body)
 	}
-	l.know("d-1")
+	l.readOnly("d-1")
 	l.refuse = &scheduler.NoMachineError{Text: "there is no machine m-7"}
 	check("start, unknown machine", "POST", "/operator/drains", `{"id":"d-2","machines":["m-7"]}`)
 	l.refuse = &scheduler.NoCapacityLeftError{Text: "it would leave no machine at all"}
@@ -158,7 +158,7 @@
 	var asked []peer.RelayRequest
 	cfg := &config.Config{Node: "n-0"}
 	cfg.Deployment.State.ValueKB = 8
-	s := New(cfg, nil, relayed(func(r peer.RelayRequest) { asked = append(asked, r) }), func() string { return "n-1" }, func() Local { return nil }, time.Second)
+	s := New(cfg, nil, recordingPeers(func(r peer.RelayRequest) { asked = append(asked, r) }), func() string { return "n-1" }, func() Local { return nil }, time.Second)
 	app := fiber.New()
 	s.Mount(app)
 	for _, uri := range []string{"/operator/machines?since=m-0", "/operator/machines/m-1"} {
@@ -177,10 +177,10 @@
 	}
 }
 
-// relayed takes what is passed on to the leader.
-type relayed func(peer.RelayRequest)
+// recordingPeers takes what is passed on to the leader.
+type recordingPeers func(peer.RelayRequest)
 
-func (f relayed) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
+func (f recordingPeers) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
 	f(r)
 	return peer.RelayReply{Status: 200, Body: []byte("{}")}, nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// page is how many machines an answer lists: a line of it stays well below 64 KiB. The rest
+// machinesPerPage is how many machines an answer lists: a line of it stays well below 64 KiB. The rest
 // comes in further pages.
-const page = 200
+const machinesPerPage = 200
 
 // Mount serves operators.
 func (s *Server) Mount(app *fiber.App) {
@@ -104,7 +104,7 @@
 	}
 	switch r.Method {
 	case "machines":
-		list, more := l.Machines(r.ID, page)
+		list, more := l.Machines(r.ID, machinesPerPage)
 		return answer(200, Machines{Machines: list, More: more})
 	case "machine":
 		if m, ok := l.Machine(r.ID); ok {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -23,17 +23,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// lead is a leader that knows a few machines.
-type lead struct {
-	machines []scheduler.MachineView
-	refuse   error
-	planned  []drain.Spec
-	mu       sync.Mutex
-	read     map[string]bool // drains that it knows
-	asked    func()          // what happens when it has planned one
+// fakeLeader is a leader that knows a few machines.
+type fakeLeader struct {
+	machines  []scheduler.MachineView
+	refuse    error
+	planned   []drain.Spec
+	mu        sync.Mutex
+	read      map[string]bool // drains that it knows
+	afterPlan func()          // what happens when it has planned one
 }
 
-func (l *lead) Machines(since string, limit int) ([]scheduler.MachineView, bool) {
+func (l *fakeLeader) Machines(since string, limit int) ([]scheduler.MachineView, bool) {
 	i := 0
 	for i < len(l.machines) && l.machines[i].Name <= since {
 		i++
@@ -42,7 +42,7 @@
 	return l.machines[i:end], end < len(l.machines)
 }
 
-func (l *lead) Machine(name string) (scheduler.MachineView, bool) {
+func (l *fakeLeader) Machine(name string) (scheduler.MachineView, bool) {
 	i := slices.IndexFunc(l.machines, func(m scheduler.MachineView) bool { return m.Name == name })
 	if i < 0 {
 		return scheduler.MachineView{}, false
@@ -51,22 +51,22 @@
 }
 
 // Drain knows all drains but those that it is said not to have read.
-func (l *lead) know(id string) {
+func (l *fakeLeader) readOnly(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.read = map[string]bool{id: true}
 }
 
-func (l *lead) Drain(id string) (scheduler.DrainView, bool) {
+func (l *fakeLeader) Drain(id string) (scheduler.DrainView, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return scheduler.DrainView{}, l.read[id]
 }
 
-func (l *lead) PreviewDrain(spec *drain.Spec, force bool, _ string, _ int) (*drain.Plan, error) {
+func (l *fakeLeader) PreviewDrain(spec *drain.Spec, force bool, _ string, _ int) (*drain.Plan, error) {
 	l.planned = append(l.planned, *spec)
-	if f := l.asked; f != nil {
-		l.asked = nil
+	if f := l.afterPlan; f != nil {
+		l.afterPlan = nil
 		f()
 	}
 	var none *scheduler.NoCapacityLeftError
@@ -76,14 +76,14 @@
 	return &drain.Plan{}, l.refuse
 }
 
-// way is how the others reach the leader: as msgpack's other side would answer.
-type way struct {
-	to  *Server
-	old bool // the leader knows no operators
+// fakePeers is how the others reach the leader: as msgpack's other side would answer.
+type fakePeers struct {
+	to          *Server
+	unsupported bool // the leader knows no operators
 }
 
-func (w *way) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
-	if w.old {
+func (w *fakePeers) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
+	if w.unsupported {
 		return peer.RelayReply{}, errors.New("status 404")
 	}
 	if raw, err := msgpack.Marshal(r); err != nil || len(raw) > 64<<10 {
@@ -92,31 +92,33 @@
 	return w.to.Decide(r), nil
 }
 
-type office struct {
-	t     *testing.T
-	state *simulation.State
-	lead  *lead
-	way   *way
-	apps  map[string]*fiber.App // of the leader, and of another controller
+type testCluster struct {
+	t      *testing.T
+	state  *simulation.State
+	leader *fakeLeader
+	peers  *fakePeers
+	apps   map[string]*fiber.App // of the leader, and of another controller
 }
 
-func newOffice(t *testing.T) *office { return newOfficeOf(t, config.State{ValueKB: 8}) }
+func newTestCluster(t *testing.T) *testCluster {
+	return newTestClusterWith(t, config.State{ValueKB: 8})
+}
 
-func newOfficeOf(t *testing.T, limits config.State) *office {
-	o := &office{t: t, state: simulation.NewState(), lead: &lead{}, way: &way{}, apps: map[string]*fiber.App{}}
+func newTestClusterWith(t *testing.T, limits config.State) *testCluster {
+	o := &testCluster{t: t, state: simulation.NewState(), leader: &fakeLeader{}, peers: &fakePeers{}, apps: map[string]*fiber.App{}}
 	cfg := &config.Config{Node: "n-0"}
 	cfg.Deployment.State = limits
 	for _, node := range []string{"n-0", "n-1"} {
 		cfg := *cfg
 		cfg.Node = node
-		s := New(&cfg, o.state.Client(node), o.way, func() string { return "n-0" }, func() Local {
+		s := New(&cfg, o.state.Client(node), o.peers, func() string { return "n-0" }, func() Local {
 			if node == "n-0" {
-				return o.lead
+				return o.leader
 			}
 			return nil
 		}, time.Second)
 		if node == "n-0" {
-			o.way.to = s
+			o.peers.to = s
 		}
 		o.apps[node] = fiber.New()
 		s.Mount(o.apps[node])
@@ -124,7 +126,7 @@
 	return o
 }
 
-func (o *office) ask(node, method, path, body string) (int, string) {
+func (o *testCluster) ask(node, method, path, body string) (int, string) {
 	o.t.Helper()
 	req := httptest.NewRequest(method, path, bytes.NewBufferString(body))
 	resp, err := o.apps[node].Test(req, -1)
@@ -145,7 +147,7 @@
 // What operators ask, of the leader or of another controller: the answers, and what is on
 // record afterwards.
 func TestDrains(t *testing.T) {
-	o := newOffice(t)
+	o := newTestCluster(t)
 	for _, x := range []struct {
 		node, method, path, body string
 		status                   int
@@ -176,13 +178,13 @@
 			t.Errorf("%s %.60s: %d records", x.path, x.body, n)
 		}
 	}
-	o.lead.read = map[string]bool{"d-1": true}
+	o.leader.read = map[string]bool{"d-1": true}
 	// What the leader refuses is not stored; a drain that leaves no machine, by force.
-	o.lead.refuse = &scheduler.NoMachineError{Text: "there is no machine m-7"}
+	o.leader.refuse = &scheduler.NoMachineError{Text: "there is no machine m-7"}
 	if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","machines":["m-7"]}`); status != 404 || !strings.Contains(text, "m-7") {
 		t.Errorf("unknown machine: %d %s", status, text)
 	}
-	o.lead.refuse = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
+	o.leader.refuse = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
 	if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a"}`); status != 409 || !strings.Contains(text, "plan") {
 		t.Errorf("none left: %d %s", status, text)
 	}
@@ -197,11 +199,11 @@
 // Where the store is away, or the leader is of a version without operators, it is said at
 // once, and what is on record can still be read and withdrawn.
 func TestAway(t *testing.T) {
-	o := newOffice(t)
+	o := newTestCluster(t)
 	if status, text := o.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 201 {
 		t.Fatalf("%d %s", status, text)
 	}
-	o.way.old = true
+	o.peers.unsupported = true
 	for path, want := range map[string]int{"/operator/machines": 503, "/operator/drains/d-1": 200, "/operator/drains": 200} {
 		if status, text := o.ask("n-1", "GET", path, ""); status != want {
 			t.Errorf("%s beside an earlier version: %d %s", path, status, text)
@@ -210,7 +212,7 @@
 	if status, _ := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`); status != 503 {
 		t.Errorf("a drain beside an earlier version: %d", status)
 	}
-	o.way.old = false
+	o.peers.unsupported = false
 	o.state.Outage(true)
 	for _, x := range [][3]string{
 		{"POST", "/operator/drains", `{"id":"d-2","zone":"a"}`}, {"POST", "/operator/drains/d-1/stop", ""},
@@ -228,9 +230,9 @@
 
 // Machines come in pages of which no line is too long, and one by itself with its tasks.
 func TestMachines(t *testing.T) {
-	o := newOffice(t)
+	o := newTestCluster(t)
 	for i := range 450 {
-		o.lead.machines = append(o.lead.machines, scheduler.MachineView{
+		o.leader.machines = append(o.leader.machines, scheduler.MachineView{
 			Name: fmt.Sprintf("m-%06d", i), Type: strings.Repeat("t", 50), Zone: strings.Repeat("z", 50), Addr: "10.1.0.232:9000", State: "up", Count: 4,
 		})
 	}
@@ -258,13 +260,13 @@
 // Two drains asked for in the same moment, each of which leaves enough without the other:
 // the second is planned once more, beside the first, by a leader that has read it.
 func TestTwoDrainsAtOnce(t *testing.T) {
-	o := newOffice(t)
-	o.lead.asked = func() {
+	o := newTestCluster(t)
+	o.leader.afterPlan = func() {
 		if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"b"}`); status != 201 {
 			t.Errorf("the one that is quicker: %d %s", status, text)
 		}
-		o.lead.refuse = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
-		time.AfterFunc(100*time.Millisecond, func() { o.lead.know("d-2") })
+		o.leader.refuse = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
+		time.AfterFunc(100*time.Millisecond, func() { o.leader.readOnly("d-2") })
 	}
 	if status, text := o.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 409 || !strings.Contains(text, "no machine") {
 		t.Errorf("the other one: %d %s", status, text)
@@ -289,7 +291,7 @@
 		{config.State{ValueKB: 16, Next: config.UpcomingLimits{ValueKB: kb(64)}}, 16 << 10, 1400},
 		{config.State{ValueKB: 64}, mostSpec, 4000},
 	} {
-		o := newOfficeOf(t, x.state)
+		o := newTestClusterWith(t, x.state)
 		o.state.Limit(x.state.Lowest().ValueKB, 16, 1000)
 		names := func(n int) string {
 			list := make([]string, n)
@@ -311,15 +313,15 @@
 		if x.limit == mostSpec {
 			others = 64 + 50
 		}
-		o.lead.read = map[string]bool{}
+		o.leader.read = map[string]bool{}
 		for i := range others {
 			id := fmt.Sprintf("d-%040d", i)
 			if status, text := o.ask("n-0", "POST", "/operator/drains", `{"id":"`+id+`","zone":"a"}`); status != 201 {
 				t.Fatalf("%d %s", status, text)
 			}
-			o.lead.read[id] = true
+			o.leader.read[id] = true
 		}
-		o.lead.planned = nil
+		o.leader.planned = nil
 		status, text := ask("d-1", 5000)
 		var count, fit, limit int
 		var why failure
@@ -340,7 +342,7 @@
 		if status, text := ask("d-1", fit); status != 201 {
 			t.Errorf("%+v: %d names, as many as fit: %d %.200s", x.state, fit, status, text)
 		}
-		if n := len(o.lead.planned); n != 1 || len(o.lead.planned[0].Machines) != fit {
+		if n := len(o.leader.planned); n != 1 || len(o.leader.planned[0].Machines) != fit {
 			t.Errorf("%+v: the leader planned %d drains", x.state, n)
 		}
 		if status, text := o.ask("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
@@ -351,7 +353,7 @@
 		}
 	}
 	// A record may be too large without any names.
-	o := newOfficeOf(t, config.State{ValueKB: 1})
+	o := newTestClusterWith(t, config.State{ValueKB: 1})
 	long := strings.Repeat("x", 190)
 	body := fmt.Sprintf(`{"id":"d-1","kind":"upgrade","to_version":"%s","at_once":1,"type":"%s","zone":"%s","version":"%s","machines":["%s","%s"]}`, long, long, long, long, long, long)
 	if status, text := o.ask("n-0", "POST", "/operator/drains", body); status != 400 || !strings.Contains(text, "its record takes") {
