--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -2,57 +2,55 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"log/slog"
 
 	"drumpick/internal/records"
 )
 
-// withdrawTries is how often a job is looked up that moves while it is being cancelled.
-const withdrawTries = 4
+// cancelAttempts is how often a job is looked up that changes while it is being cancelled.
+const cancelAttempts = 4
 
-// withdraw cancels a job, or tells the final state that it has.
-func (s *Server) withdraw(ctx context.Context, id string) answer {
+// cancel cancels a job, or answers with the final state that it has already.
+func (s *Server) cancel(ctx context.Context, id string) answer {
 	if !records.ValidID(id) {
-		return fail(404, "no such job")
+		return answerNoSuchJob
 	}
-	for range withdrawTries {
-		if o, ok := s.overOf(id); ok {
-			if a := s.overAnswer(ctx, id, o); a.status != 200 {
+	for range cancelAttempts {
+		if closed, ok := s.jobs.closedJob(id); ok {
+			if a := s.answerClosed(ctx, id, closed); a.outcome != outcomeOK {
 				return a
 			}
-			return answer{200, state{ID: id, Status: o.Status}}
+			return answer{outcomeOK, jobStatus{ID: id, Status: closed.Status}}
 		}
-		row, over, err := s.lookup(ctx, id)
+		job, err := s.lookup(ctx, id)
 		switch {
 		case err != nil:
-			return errAway
-		case over != nil:
+			return answerUnavailable
+		case job.closed != nil:
 			continue
-		case row == nil:
-			return fail(404, "no such job")
+		case job.open == nil:
+			return answerNoSuchJob
 		}
-		if !s.cancel(ctx, id, row, true) {
-			return errAway
+		if !s.storeCancelled(ctx, id, job.open, true) {
+			return answerUnavailable
 		}
 	}
-	return errAway
+	return answerUnavailable
 }
 
-// cancel moves an open job, of which tasks may have started or not, to the over records,
-// unless it has gone there meanwhile. It returns false when the store does not answer.
-func (s *Server) cancel(ctx context.Context, id string, row *records.KeyValue, started bool) bool {
-	var j records.Job
-	_ = json.Unmarshal(row.Value, &j)
-	o := records.ClosedJob{Status: records.StatusCancelled, Tasks: j.Tasks, Service: j.Shape == records.ShapeService}
+// storeCancelled moves an open job to the closed records as cancelled, unless it has gone there
+// meanwhile. mayHaveStarted is as in jobCache.addClosed. It returns false if the store does not answer.
+func (s *Server) storeCancelled(ctx context.Context, id string, row *records.KeyValue, mayHaveStarted bool) bool {
+	job := decodeOpen(row)
+	closed := records.ClosedJob{Status: records.StatusCancelled, Tasks: job.Tasks, Service: job.Shape == records.ShapeService}
 	_, err := s.store.Commit(ctx,
 		[]records.Compare{{Key: records.OpenKey(id), Revision: row.Revision}},
-		[]records.Op{{Delete: records.OpenKey(id)}, {Write: records.ClosedKey(id), Value: o}})
+		[]records.Op{{Delete: records.OpenKey(id)}, {Write: records.ClosedKey(id), Value: closed}})
 	var conflict *records.ConflictError
 	switch {
 	case err == nil:
-		s.remember(id, o, started)
+		s.jobs.addClosed(id, closed, mayHaveStarted)
 		slog.Info("job cancelled", "job", id)
 	case !errors.As(err, &conflict):
 		return false
--- /dev/null
+++ b/internal/api/confirmations_memory_test.go
@@ -0,0 +1,40 @@
+package api
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"drumpick/internal/config"
+	"drumpick/internal/records"
+)
+
+// However many cancellations wait for the leader's confirmation, none is evicted within a leader's
+// lease; older ones make room.
+func TestUnconfirmedCancellationsAreKeptForALease(t *testing.T) {
+	cfg := &config.Config{Node: "n-0", Options: config.DefaultOptions()}
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, CancelS: 44}
+	cfg.Deployment.State.RPS = 100
+	s := New(cfg, nil, nil, nil, nil)
+	const fresh = 100
+	old := time.Now().Add(-2 * cfg.Timing().LeaderLease)
+	for i := range maxCached {
+		id := fmt.Sprint("j-", i)
+		if s.confirmations.since[id] = old; i >= maxCached-fresh {
+			delete(s.confirmations.since, id)
+			s.jobs.addClosed(id, records.ClosedJob{Status: records.StatusCancelled}, true)
+		}
+	}
+	s.jobs.addClosed("j-99999", records.ClosedJob{Status: records.StatusCancelled}, true)
+	kept := 0
+	for id, since := range s.confirmations.since {
+		if since.After(old) {
+			kept++
+		} else {
+			t.Fatalf("%s is older than a lease and kept though the memory is full", id)
+		}
+	}
+	if kept != fresh+1 {
+		t.Errorf("%d fresh cancellations are kept, want %d", kept, fresh+1)
+	}
+}
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"log/slog"
 	"time"
 
@@ -12,275 +11,254 @@
 	"drumpick/internal/records"
 )
 
-// fate is what the jobs before a job mean for it.
-type fate int
+// dependencyVerdict is what the dependencies of a job, direct and indirect, mean for it.
+type dependencyVerdict int
 
 const (
-	undecided fate = iota // the store did not say, or not all of it in time
-	wrong                 // one was never accepted, or is none that jobs may wait for
-	cancelled             // one is cancelled
-	open                  // none is cancelled
+	dependenciesUnknown dependencyVerdict = iota // the store did not answer, or not all in time
+	dependenciesInvalid                          // one was never accepted, or is a service, which never ends
+	dependencyCancelled                          // one is cancelled
+	dependenciesClear                            // none is cancelled
 )
 
-// tooLong says why a job cannot be kept: its record is larger than a value of the
-// state service may be, now or later.
-func (s *Server) tooLong(j *records.Job) string {
-	most := int(s.cfg.Deployment.State.Lowest().ValueKB * 1024)
-	if most == 0 {
-		return ""
-	}
-	switch n := records.EncodedSize(j); {
-	case n <= most:
-		return ""
-	case len(j.Dependencies) > 0:
-		return fmt.Sprintf("the job's description with %d prereqs takes %d bytes, of %d at the most", len(j.Dependencies), n, most)
-	default:
-		return fmt.Sprintf("the job's description takes %d bytes, of %d at the most", n, most)
-	}
-}
-
-// before looks at the jobs that a submission names, and at those before them. A name
-// that is not on record was never accepted: records are kept for good.
-func (s *Server) before(ctx context.Context, j *records.Job) (fate, string) {
-	w := s.walk()
-	result := open
-	for _, id := range j.Dependencies {
-		o, known := s.overOf(id)
-		var row *records.KeyValue
-		read := time.Now()
-		if !known {
-			r, over, err := s.lookup(ctx, id)
-			switch {
-			case err != nil:
-				slog.Debug("prerequisite not read", "job", j.ID, "prereq", id, "err", err)
-				return undecided, ""
-			case r == nil && over == nil:
-				return wrong, "prereqs names a job that was never accepted: " + id
-			case over != nil:
-				o, known = *over, true
-			default:
-				row = r
-			}
-		}
-		var p records.Job
-		if row != nil {
-			_ = json.Unmarshal(row.Value, &p)
-		}
-		if o.Service || p.Shape == records.ShapeService {
-			return wrong, "prereqs names a service: " + id
+// checkDependencies checks the jobs that a submission names as dependencies, and theirs. If they are
+// invalid it returns why.
+func (s *Server) checkDependencies(ctx context.Context, job *records.Job) (dependencyVerdict, string) {
+	walker := s.newWalker()
+	result := dependenciesClear
+	for _, id := range job.Dependencies {
+		readAt := time.Now()
+		dependency, err := s.lookupCached(ctx, id)
+		switch {
+		case err != nil:
+			slog.Debug("dependency not read", "job", job.ID, "dependency", id, "err", err)
+			return dependenciesUnknown, ""
+		case dependency.absent():
+			// Records are kept for good: what is not stored was never accepted.
+			return dependenciesInvalid, "prereqs names a job that was never accepted: " + id
 		}
+		open := decodeOpen(dependency.open)
+		closed := dependency.closed
 		switch {
-		case o.Status == records.StatusCancelled:
-			result = cancelled
-		case !known && result == open:
-			if f := w.through(ctx, id, p.Dependencies, read, s.progress); f != open {
-				result = f
-			}
+		case closed != nil && closed.Service || open.Shape == records.ShapeService:
+			return dependenciesInvalid, "prereqs names a service: " + id
+		case closed != nil && closed.Status == records.StatusCancelled:
+			result = dependencyCancelled
+		case closed == nil && result == dependenciesClear:
+			result = walker.check(ctx, id, open.Dependencies, readAt, s.progress)
 		}
-		if result == undecided {
-			return undecided, ""
+		if result == dependenciesUnknown {
+			return dependenciesUnknown, ""
 		}
 	}
 	return result, ""
 }
 
-func (s *Server) overOf(id string) (records.ClosedJob, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	o, ok := s.over[id]
-	return o, ok
+// lookupCached is like lookup, but takes a final state from the cache.
+func (s *Server) lookupCached(ctx context.Context, id string) (storedJob, error) {
+	if closed, ok := s.jobs.closedJob(id); ok {
+		return storedJob{closed: &closed}, nil
+	}
+	return s.lookup(ctx, id)
 }
 
-// chained makes sure, before an open job is called open, that none before it, however
-// far, is cancelled; if one is, it stores that the job is cancelled with it. Mostly the
-// leader knows. Guards against a user who is told that a job waits while one before it
-// was cancelled long ago: the leader that would cancel it may be gone, and none there.
-func (s *Server) chained(ctx context.Context, id string, row *records.KeyValue, read time.Time, p peer.Progress) (answer, bool) {
-	needs := needsOf(row)
-	if len(needs) == 0 {
+// answerBlocked makes sure, before an open job is reported as open, that none of its dependencies,
+// direct or indirect, is cancelled. If one is, it stores that the job is cancelled as well, and
+// answers that. Mostly the leader knows. Without this, a user could be told that a job waits long
+// after a dependency of it was cancelled, while there is no leader to cancel it.
+func (s *Server) answerBlocked(ctx context.Context, id string, row *records.KeyValue, readAt time.Time, p peer.Progress) (answer, bool) {
+	dependencies := storedDependencies(row)
+	if len(dependencies) == 0 {
 		return answer{}, false
 	}
-	switch s.walk().through(ctx, id, needs, read, func(x string) peer.Progress {
-		if x == id {
+	progressOf := func(other string) peer.Progress {
+		if other == id {
 			return p
 		}
 		return peer.Progress{}
-	}) {
-	case open:
+	}
+	switch s.newWalker().check(ctx, id, dependencies, readAt, progressOf) {
+	case dependenciesClear:
 		return answer{}, false
-	case cancelled:
-		if s.cancel(ctx, id, row, false) {
-			if a, ok := s.remembered(ctx, id); ok {
-				return a, true
-			}
-			if _, over, err := s.lookup(ctx, id); err == nil && over != nil {
-				return s.overAnswer(ctx, id, *over), true
-			}
+	case dependencyCancelled:
+		if a, ok := s.cancelBlocked(ctx, id, row); ok {
+			return a, true
 		}
 	}
-	return errAway, true
+	return answerUnavailable, true
 }
 
-// walker looks at the jobs before a job.
-type walker struct {
-	s    *Server
-	lead time.Duration // for how long what was found holds
+// cancelBlocked stores that a job is cancelled because a dependency of it is, and answers with its
+// final state.
+func (s *Server) cancelBlocked(ctx context.Context, id string, row *records.KeyValue) (answer, bool) {
+	if !s.storeCancelled(ctx, id, row, false) {
+		return answer{}, false
+	}
+	if a, ok := s.answerFromCache(ctx, id); ok {
+		return a, true
+	}
+	if job, err := s.lookup(ctx, id); err == nil && job.closed != nil {
+		return s.answerClosed(ctx, id, *job.closed), true
+	}
+	return answer{}, false
 }
 
-// walk starts a look. What was found holds for half of the time that a cancellation may
-// take: where a job was cancelled since, its user was told since.
-func (s *Server) walk() *walker {
-	return &walker{s, config.Seconds(s.cfg.Deployment.Workers.CancelS) / 2}
+// dependencyWalker checks the dependencies of a job, direct and indirect, depth first. What it finds is
+// cached, so that a long chain is checked over several polls: the dependencies of a job never
+// change, so the next poll begins with the first of them.
+type dependencyWalker struct {
+	server *Server
+	maxAge time.Duration // how long a finding that nothing is cancelled holds
 }
 
-// known gives the time up to which an open job and all before it are remembered as not
-// cancelled, if that is recent enough.
-func (w *walker) known(id string) (time.Time, bool) {
-	w.s.mu.Lock()
-	defer w.s.mu.Unlock()
-	at := w.s.clear[id]
-	return at, time.Since(at) < w.lead
+// newWalker returns a walker. Its findings hold for half of the time that a cancellation may take to
+// end a job's tasks: whoever cancelled a dependency since then was answered since then.
+func (s *Server) newWalker() *dependencyWalker {
+	return &dependencyWalker{s, config.Seconds(s.cfg.Deployment.Workers.CancelS) / 2}
 }
 
-func (w *walker) note(id string, at time.Time) {
-	w.s.mu.Lock()
-	defer w.s.mu.Unlock()
-	if at.After(w.s.clear[id]) {
-		forgetHalf(w.s.clear)
-		w.s.clear[id] = at
-	}
+// pathStep is an open job on the path from the job that is checked to a dependency.
+type pathStep struct {
+	id          string
+	unchecked   []string  // direct dependencies that are still to be checked
+	clearAt     time.Time // up to then neither it nor what was checked below it was cancelled
+	askedLeader bool
+	recordRead  bool // its record has been read after clearAt
 }
 
-// step is an open job on the way.
-type step struct {
-	id    string
-	needs []string  // what is still to be looked at
-	at    time.Time // up to then neither it nor what was looked at before it was cancelled
-	asked bool      // the leader has been asked
-	read  bool      // its record has been read since
-}
+// dependencyPath is the path from the job that is checked to the dependency in hand.
+type dependencyPath []pathStep
 
-// through looks at all jobs before an open one, from there backwards; at is from before
-// its record was read. What has been found is remembered, so that a long chain is looked
-// at in several polls: which jobs another needs never changes, so the next poll begins
-// with the first ones. The leader's word is taken where it is at hand.
-func (w *walker) through(ctx context.Context, id string, needs []string, at time.Time, leader func(id string) peer.Progress) fate {
-	path := []step{{id: id, needs: needs, at: at, read: true}}
-	// found goes back to the job from which one was come to.
-	found := func(at time.Time) {
-		path = path[:len(path)-1]
-		if n := len(path); n > 0 && at.Before(path[n-1].at) {
-			path[n-1].at = at
-		}
+func (p dependencyPath) last() *pathStep { return &p[len(p)-1] }
+
+// leave goes back to the job before the last one, whose dependencies are all clear up to a time.
+func (p *dependencyPath) leave(clearAt time.Time) {
+	*p = (*p)[:len(*p)-1]
+	if len(*p) > 0 && clearAt.Before(p.last().clearAt) {
+		p.last().clearAt = clearAt
 	}
+}
+
+// check checks all dependencies of an open job; readAt is from before its record was read. The
+// leader's knowledge, by progress, is used where it is at hand.
+func (w *dependencyWalker) check(
+	ctx context.Context, id string, dependencies []string, readAt time.Time, progress func(id string) peer.Progress,
+) dependencyVerdict {
+	path := dependencyPath{{id: id, unchecked: dependencies, clearAt: readAt, recordRead: true}}
 	for len(path) > 0 {
-		x := &path[len(path)-1]
-		if at, ok := w.known(x.id); ok {
-			found(at)
-			continue
+		switch w.step(ctx, &path, progress) {
+		case dependenciesUnknown:
+			return dependenciesUnknown
+		case dependencyCancelled:
+			w.server.dependencies.setCancelled(path)
+			return dependencyCancelled
 		}
-		if w.doomed(x.id) {
-			return w.doom(path)
-		}
-		if len(x.needs) == 0 {
-			if !x.read {
-				switch fate, _ := w.read(ctx, x.id); fate {
-				case undecided:
-					return undecided
-				case cancelled:
-					return w.doom(path)
-				}
-			}
-			w.note(x.id, x.at)
-			found(x.at)
-			continue
+	}
+	return dependenciesClear
+}
+
+// step goes on by one job: it leaves the last one on the path if that is found clear, or takes up one
+// of its dependencies. dependenciesClear means that nothing was found that ends the check.
+func (w *dependencyWalker) step(ctx context.Context, path *dependencyPath, progress func(id string) peer.Progress) dependencyVerdict {
+	cache := w.server.dependencies
+	job := path.last()
+	if clearAt, ok := cache.clearWithin(job.id, w.maxAge); ok {
+		path.leave(clearAt)
+		return dependenciesClear
+	}
+	if cache.hasCancelled(job.id) {
+		return dependencyCancelled
+	}
+	if len(job.unchecked) == 0 {
+		return w.finish(ctx, path)
+	}
+	if !job.askedLeader {
+		job.askedLeader = true
+		p := progress(job.id)
+		if age := time.Duration(p.ClearAgeMS) * time.Millisecond; p.Known && p.DependenciesClear && age < w.maxAge {
+			cache.setClear(job.id, time.Now().Add(-age))
+			return dependenciesClear
 		}
-		if !x.asked {
-			x.asked = true
-			p := leader(x.id)
-			if age := time.Duration(p.ClearAgeMS) * time.Millisecond; p.Known && p.DependenciesClear && age < w.lead {
-				w.note(x.id, time.Now().Add(-age))
-				continue
-			}
+	}
+	return w.descend(ctx, path)
+}
+
+// finish leaves the last job on the path, all of whose dependencies are clear, after it has made sure
+// that the job itself is not cancelled.
+func (w *dependencyWalker) finish(ctx context.Context, path *dependencyPath) dependencyVerdict {
+	job := path.last()
+	if !job.recordRead {
+		if verdict, _ := w.read(ctx, job.id); verdict != dependenciesClear {
+			return verdict
 		}
-		next := step{id: x.needs[0], at: time.Now()}
-		x.needs = x.needs[1:]
-		if o, over := w.s.overOf(next.id); over {
-			if o.Status == records.StatusCancelled {
-				return w.doom(path)
-			}
-			continue
+	}
+	clearAt := job.clearAt
+	w.server.dependencies.setClear(job.id, clearAt)
+	path.leave(clearAt)
+	return dependenciesClear
+}
+
+// descend takes up the next dependency of the last job on the path. One with a final state needs no
+// check of its own dependencies.
+func (w *dependencyWalker) descend(ctx context.Context, path *dependencyPath) dependencyVerdict {
+	job := path.last()
+	next := pathStep{id: job.unchecked[0], clearAt: time.Now()}
+	job.unchecked = job.unchecked[1:]
+	if closed, ok := w.server.jobs.closedJob(next.id); ok {
+		if closed.Status == records.StatusCancelled {
+			return dependencyCancelled
 		}
-		if next.needs = w.needs(next.id); len(next.needs) == 0 {
-			fate, done := open, false
-			if fate, done = w.read(ctx, next.id); done {
-				continue
-			}
-			switch fate {
-			case undecided:
-				return undecided
-			case cancelled:
-				return w.doom(path)
-			}
-			next.needs, next.read = w.needs(next.id), true
+		return dependenciesClear
+	}
+	next.unchecked = w.server.dependencies.directOf(next.id)
+	if len(next.unchecked) == 0 {
+		verdict, done := w.read(ctx, next.id)
+		if done || verdict != dependenciesClear {
+			return verdict
 		}
-		path = append(path, next)
+		next.unchecked, next.recordRead = w.server.dependencies.directOf(next.id), true
 	}
-	return open
+	*path = append(*path, next)
+	return dependenciesClear
 }
 
-// read reads how a job stands that others name, and remembers what it needs.
-func (w *walker) read(ctx context.Context, id string) (f fate, done bool) {
-	if !w.s.reads.Allow() {
-		return undecided, false
+// read reads whether a dependency is cancelled, and caches its own dependencies if it is open. done
+// reports whether its tasks are all done, so that nothing below it matters.
+func (w *dependencyWalker) read(ctx context.Context, id string) (verdict dependencyVerdict, done bool) {
+	if !w.server.reads.Allow() {
+		return dependenciesUnknown, false
 	}
-	row, final, err := w.s.lookup(ctx, id)
+	job, err := w.server.lookup(ctx, id)
 	switch {
-	case err != nil || row == nil && final == nil:
-		slog.Debug("job before another not read", "job", id, "err", err)
-		return undecided, false
-	case final != nil && final.Status == records.StatusCancelled:
-		return cancelled, false
-	case final != nil:
-		return open, true
+	case err != nil || job.absent():
+		slog.Debug("dependency not read", "dependency", id, "err", err)
+		return dependenciesUnknown, false
+	case job.closed != nil && job.closed.Status == records.StatusCancelled:
+		return dependencyCancelled, false
+	case job.closed != nil:
+		return dependenciesClear, true
 	}
-	if needs := needsOf(row); len(needs) > 0 {
-		w.s.mu.Lock()
-		forgetHalf(w.s.needs)
-		w.s.needs[id] = needs
-		w.s.mu.Unlock()
+	if dependencies := storedDependencies(job.open); len(dependencies) > 0 {
+		w.server.dependencies.setDirect(id, dependencies)
 	}
-	return open, false
-}
-
-func (w *walker) needs(id string) []string {
-	w.s.mu.Lock()
-	defer w.s.mu.Unlock()
-	return w.s.needs[id]
-}
-
-func (w *walker) doomed(id string) bool {
-	w.s.mu.Lock()
-	defer w.s.mu.Unlock()
-	return w.s.doomed[id]
+	return dependenciesClear, false
 }
 
-// doom remembers of all jobs on the way that one before them is cancelled.
-func (w *walker) doom(path []step) fate {
-	w.s.mu.Lock()
-	defer w.s.mu.Unlock()
-	forgetHalf(w.s.doomed)
-	for _, x := range path {
-		w.s.doomed[x.id] = true
+// storedDependencies returns the direct dependencies of an open job by its record.
+func storedDependencies(row *records.KeyValue) []string {
+	var job struct {
+		Dependencies []string `json:"prereqs"`
 	}
-	return cancelled
+	_ = json.Unmarshal(row.Value, &job)
+	return job.Dependencies
 }
 
-// needsOf reads the jobs that an open job's record names.
-func needsOf(row *records.KeyValue) []string {
-	var j struct {
-		Prereqs []string `json:"prereqs"`
+// decodeOpen decodes an open job's record; the job of no record is empty. What of a record cannot be
+// read stays empty as well.
+func decodeOpen(row *records.KeyValue) records.Job {
+	var job records.Job
+	if row != nil {
+		_ = json.Unmarshal(row.Value, &job)
 	}
-	_ = json.Unmarshal(row.Value, &j)
-	return j.Prereqs
+	return job
 }
--- /dev/null
+++ b/internal/api/dependency_cache.go
@@ -0,0 +1,75 @@
+package api
+
+import (
+	"sync"
+	"time"
+)
+
+// dependencyCache holds what was found out about the dependencies of open jobs.
+type dependencyCache struct {
+	mu             sync.Mutex
+	clearAt        map[string]time.Time // up to then neither this open job nor any dependency of it was cancelled
+	direct         map[string][]string  // direct dependencies of a job; they never change
+	afterCancelled map[string]bool      // jobs that have a cancelled dependency, direct or indirect
+}
+
+func newDependencyCache() *dependencyCache {
+	return &dependencyCache{clearAt: map[string]time.Time{}, direct: map[string][]string{}, afterCancelled: map[string]bool{}}
+}
+
+// clearWithin returns the time up to which an open job and all its dependencies are known not to
+// be cancelled, and whether that is less than maxAge ago.
+func (c *dependencyCache) clearWithin(id string, maxAge time.Duration) (time.Time, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	at := c.clearAt[id]
+	return at, time.Since(at) < maxAge
+}
+
+// setClear records that up to the given time neither a job nor any dependency of it was cancelled.
+func (c *dependencyCache) setClear(id string, at time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if at.After(c.clearAt[id]) {
+		evictHalf(c.clearAt)
+		c.clearAt[id] = at
+	}
+}
+
+// forgetClear drops what is known to be clear, after a job was cancelled that any may depend on.
+func (c *dependencyCache) forgetClear() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	clear(c.clearAt)
+}
+
+// directOf returns the direct dependencies of a job, as far as they are known.
+func (c *dependencyCache) directOf(id string) []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.direct[id]
+}
+
+func (c *dependencyCache) setDirect(id string, dependencies []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	evictHalf(c.direct)
+	c.direct[id] = dependencies
+}
+
+// hasCancelled reports whether a job is known to have a cancelled dependency.
+func (c *dependencyCache) hasCancelled(id string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.afterCancelled[id]
+}
+
+// setCancelled records of all jobs on a path that a dependency of them is cancelled.
+func (c *dependencyCache) setCancelled(path []pathStep) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	evictHalf(c.afterCancelled)
+	for _, step := range path {
+		c.afterCancelled[step.id] = true
+	}
+}
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -1,7 +1,6 @@
 package api
 
 import (
-	"encoding/json"
 	"time"
 
 	"drumpick/internal/fleet"
@@ -11,76 +10,78 @@
 	"github.com/mailru/easyjson"
 )
 
-// checkin takes a worker's report. Only the leader decides on it; another
-// controller passes it on where the worker cannot reach the leader, and
-// otherwise sends the worker there.
-func (s *Server) checkin(c *fiber.Ctx) error {
-	out := s.Heartbeat(c.Body())
-	c.Set("Content-Type", "application/json")
-	return c.Status(out.Status).Send(out.Body)
+// referral is the body of an answer that sends a worker to another controller; an empty one
+// leaves the worker to try the next.
+type referral struct {
+	Leader string `json:"conductor,omitempty"`
 }
 
-// Heartbeat answers a report that a worker sent to this controller.
+// handleCheckin takes a worker's heartbeat.
+func (s *Server) handleCheckin(c *fiber.Ctx) error { return sendJSON(c, s.Heartbeat(c.Body())) }
+
+// Heartbeat answers a heartbeat that a worker sent to this controller. Only the leader decides on it;
+// another controller relays it where it can, and otherwise sends the worker to the leader.
 func (s *Server) Heartbeat(body []byte) peer.RelayReply {
 	if s.local() != nil {
-		return s.report(body, s.cfg.Node)
+		return s.decideHeartbeat(body, s.cfg.Node)
 	}
 	node := s.leader()
 	if node == s.cfg.Node {
 		node = ""
 	}
-	if s.relays.takes(s.cfg.Options.HeartbeatRelay, node) {
-		out, err := s.relays.gather.Send(node, body)
+	if s.relay.accepts(s.cfg.Options.HeartbeatRelay, node) {
+		out, err := s.relay.batcher.Send(node, body)
 		switch {
 		case err == nil:
 			return out
-		case s.relays.takes(true, node):
-			return asJSON(421, referral{})
+		case s.relay.accepts(true, node):
+			return asJSON(fiber.StatusMisdirectedRequest, referral{})
 		}
-	} else if node != "" && !s.relays.away(s.cfg.Options.HeartbeatRelay, node) {
-		if out, err := s.peers.RelayHeartbeat(node, body); err == nil && out.Status == 200 {
+	} else if node != "" && !s.relay.unresponsive(s.cfg.Options.HeartbeatRelay, node) {
+		if out, err := s.peers.RelayHeartbeat(node, body); err == nil && out.Status == fiber.StatusOK {
 			return out
 		}
 	}
-	return asJSON(421, referral{Conductor: node})
+	return asJSON(fiber.StatusMisdirectedRequest, referral{Leader: node})
 }
 
-// RelayedHeartbeat answers a report that a peer passed on. The 200 that the worker gets
-// in the end renews its lease from when it sent the report, so it makes no
-// difference for what the leader may conclude from its silence.
+// RelayedHeartbeat answers a single heartbeat that a peer passed on. The 200 that the worker gets in
+// the end renews its lease from when it sent the heartbeat, so the way makes no difference for
+// what the leader may conclude from its silence.
 func (s *Server) RelayedHeartbeat(in peer.HeartbeatRequest) peer.RelayReply {
-	return s.report(in.Body, "")
+	return s.decideHeartbeat(in.Body, "")
 }
 
-// report answers a report that came through a controller; "" stands for one that passes
-// reports on only where the worker cannot reach the leader.
-func (s *Server) report(body []byte, via string) peer.RelayReply {
+// decideHeartbeat answers a heartbeat as the leader. via is the controller that it came through; ""
+// stands for one that relays heartbeats only where the worker cannot reach the leader.
+func (s *Server) decideHeartbeat(body []byte, via string) peer.RelayReply {
 	l := s.local()
 	if l == nil {
-		return asJSON(421, referral{})
+		return asJSON(fiber.StatusMisdirectedRequest, referral{})
 	}
 	var r fleet.Heartbeat
 	if err := easyjson.Unmarshal(body, &r); err != nil {
-		return asJSON(400, failure{"not a report: " + err.Error()})
+		return asJSON(fiber.StatusBadRequest, errorBody{"not a report: " + err.Error()})
 	}
 	if err := r.Check(); err != nil {
-		return asJSON(400, failure{err.Error()})
+		return asJSON(fiber.StatusBadRequest, errorBody{err.Error()})
 	}
 	if via == "" && !l.NeedsRelay(&r) {
-		return asJSON(421, referral{})
+		return asJSON(fiber.StatusMisdirectedRequest, referral{})
 	}
-	// Guards against late copies that send workers to and fro which are somewhere else.
+	// Without this, late copies of heartbeats would send workers to and fro that report elsewhere by
+	// now.
 	recency := l.Recency(&r)
 	if recency == fleet.Late {
-		return asJSON(503, referral{})
+		return asJSON(fiber.StatusServiceUnavailable, referral{})
 	}
 	r.Via = via
 	if recency == fleet.Current {
-		if to := s.relays.route(s.cfg, l, r.Machine, r.Zone, via, time.Now()); to != "" {
-			return asJSON(421, referral{Conductor: to})
+		if node := s.routes.route(s.cfg, l, r.Machine, r.Zone, via, time.Now()); node != "" {
+			return asJSON(fiber.StatusMisdirectedRequest, referral{Leader: node})
 		}
 	}
-	// Noted before it is answered: a lease counts from when the report was sent.
+	// Noted before it is answered: a lease counts from when the heartbeat was sent.
 	s.renewed.Store(time.Now())
 	return heartbeatReply(l.Heartbeat(&r))
 }
@@ -96,17 +97,3 @@
 		return asJSON(503, referral{})
 	}
 }
-
-func asJSON(status int, v any) peer.RelayReply {
-	var raw []byte
-	var err error
-	if m, ok := v.(easyjson.Marshaler); ok {
-		raw, err = easyjson.Marshal(m)
-	} else {
-		raw, err = json.Marshal(v)
-	}
-	if err != nil {
-		return peer.RelayReply{Status: 503}
-	}
-	return peer.RelayReply{Status: status, Body: raw}
-}
--- /dev/null
+++ b/internal/api/poll.go
@@ -0,0 +1,124 @@
+package api
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"time"
+
+	"drumpick/internal/peer"
+	"drumpick/internal/records"
+)
+
+// poll answers how a job stands: from the cache if it has a final state that is known here, from a
+// shared list of the open jobs if polls come too fast, and from single reads otherwise.
+func (s *Server) poll(ctx context.Context, id string) answer {
+	if !records.ValidID(id) {
+		return answerNoSuchJob
+	}
+	if a, ok := s.answerFromCache(ctx, id); ok {
+		return a
+	}
+	readAt := time.Now()
+	if s.coalescer.active(readAt) {
+		return s.pollShared(ctx, id)
+	}
+	if !s.reads.Allow() {
+		s.coalescer.activate(readAt)
+		return s.pollShared(ctx, id)
+	}
+	job, err := s.lookup(ctx, id)
+	switch {
+	case errors.Is(err, records.ErrThrottled):
+		s.coalescer.activate(time.Now())
+		return s.pollShared(ctx, id)
+	case err != nil:
+		slog.Debug("poll failed", "job", id, "err", err)
+		return answerUnavailable
+	case job.closed != nil:
+		return s.answerClosed(ctx, id, *job.closed)
+	case job.open == nil:
+		return answerNoSuchJob
+	}
+	p := s.progress(id)
+	if a, closed := s.answerBlocked(ctx, id, job.open, readAt, p); closed {
+		return a
+	}
+	return answerOpen(id, p)
+}
+
+// storedJob is a job as the store has it: open, closed, or neither if there is no such job.
+type storedJob struct {
+	open   *records.KeyValue
+	closed *records.ClosedJob
+}
+
+func (j storedJob) absent() bool { return j.open == nil && j.closed == nil }
+
+// lookup reads a job from the store.
+func (s *Server) lookup(ctx context.Context, id string) (storedJob, error) {
+	// A job moves from the open to the closed records in one transaction; read in this order, a
+	// move in between is met at its new place. Closed records stay for good: where there is none
+	// now, there was none when the open record was found absent, so there was no such job then.
+	row, err := s.store.Get(ctx, records.OpenKey(id))
+	if err != nil || row != nil {
+		return storedJob{open: row}, err
+	}
+	closed, err := s.readClosed(ctx, id)
+	return storedJob{closed: closed}, err
+}
+
+// readClosed reads a job's final state and caches it; it returns nil where there is none.
+func (s *Server) readClosed(ctx context.Context, id string) (*records.ClosedJob, error) {
+	row, err := s.store.Get(ctx, records.ClosedKey(id))
+	if err != nil || row == nil {
+		return nil, err
+	}
+	var job records.ClosedJob
+	if err := json.Unmarshal(row.Value, &job); err != nil {
+		return nil, err
+	}
+	s.jobs.addClosed(id, job, true)
+	return &job, nil
+}
+
+// answerFromCache answers about a job whose final state is known here.
+func (s *Server) answerFromCache(ctx context.Context, id string) (answer, bool) {
+	job, ok := s.jobs.closedJob(id)
+	if !ok {
+		return answer{}, false
+	}
+	return s.answerClosed(ctx, id, job), true
+}
+
+// answerClosed answers about a job that has a final state.
+func (s *Server) answerClosed(ctx context.Context, id string, job records.ClosedJob) answer {
+	done, running := 0, 0
+	switch {
+	case job.Status == records.StatusDone:
+		done = job.Tasks
+	case !s.confirmCancelled(ctx, id):
+		return answerUnavailable
+	}
+	return answer{outcomeOK, jobStatus{ID: id, Status: job.Status, Done: &done, Running: &running}}
+}
+
+// progress returns how far an open job is, for display only: where the leader does not answer, the
+// job is simply pending.
+func (s *Server) progress(id string) peer.Progress {
+	if l := s.local(); l != nil {
+		if status, done, running, ok := l.Progress(id); ok {
+			age, isClear := l.DependenciesClear(id)
+			return peer.Progress{
+				Known: true, Status: status, Done: done, Running: running,
+				DependenciesClear: isClear, ClearAgeMS: age.Milliseconds(),
+			}
+		}
+	} else if node := s.leader(); node != "" && node != s.cfg.Node {
+		if p, err := s.peers.Progress(node, id); err == nil && p.Known {
+			return p
+		}
+	}
+	return peer.Progress{Status: records.StatusPending}
+}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,18 +1,17 @@
-// Package intake is the users' side: submit, poll, withdraw, ready. Any
-// controller serves it from the store.
+// Package api serves the HTTP interface of users and workers: submit, poll and cancel jobs,
+// readiness, and workers' heartbeats. Every controller serves it. Requests about jobs are
+// answered from the store, whether or not this controller leads; heartbeats are decided on by
+// the leader and relayed to it by the others.
 package api
 
 import (
 	"context"
-	"errors"
-	"log/slog"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"drumpick/internal/cancellation"
 	"drumpick/internal/config"
-	"drumpick/internal/ctxtime"
 	"drumpick/internal/fleet"
 	"drumpick/internal/peer"
 	"drumpick/internal/records"
@@ -22,139 +21,113 @@
 	"golang.org/x/time/rate"
 )
 
-// Store is what intake needs of the state service.
+// Store is the part of the key-value store's client that this package uses.
 type Store interface {
 	Get(ctx context.Context, key string) (*records.KeyValue, error)
 	List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error)
 	Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error)
+	// Health returns when a call last succeeded, whether calls fail now, and when the client started.
 	Health() (lastOK time.Time, failing bool, started time.Time)
-	// Reached is when the service last answered anything, a refusal included.
+	// LastResponse returns when the store last answered anything, a refusal included.
 	LastResponse() time.Time
 }
 
-// Peers is what intake needs of the other controllers.
+// Peers reaches the other controllers.
 type Peers interface {
+	// Status asks all of them for their status; all reports whether each one answered.
 	Status(ctx context.Context) (answers []peer.Status, all bool)
+	// Progress asks a node, as the leader, for the progress of a job.
 	Progress(node, id string) (peer.Progress, error)
+	// Relay has some peer answer a user's request; it returns false if none could.
 	Relay(r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, bool)
+	// RelayHeartbeat passes a single heartbeat on to a node.
 	RelayHeartbeat(node string, body []byte) (peer.RelayReply, error)
+	// RelayHeartbeats passes a batch of heartbeats on to a node.
 	RelayHeartbeats(node string, in peer.HeartbeatBatch, timeout time.Duration) (peer.HeartbeatBatchReply, error)
-	// Cancelled tells the node that leads of a cancellation; heard says that it starts none of
-	// the job's tasks from then on.
+	// NotifyCancelled notifies a node, as the leader, of a cancelled job. heard reports whether it
+	// starts none of the job's tasks from then on.
 	NotifyCancelled(node, id string) (heard bool, err error)
 }
 
-// Local is this process's leader side, when it leads.
+// Local is the leader that runs in this process.
 type Local interface {
 	Progress(id string) (status string, done, running int, ok bool)
-	// Clear says whether no job before this one was cancelled so long ago.
+	// DependenciesClear reports whether no dependency of a job, direct or indirect, was cancelled
+	// up to the given time ago.
 	DependenciesClear(id string) (age time.Duration, ok bool)
 	Heartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult
-	// Recency tells how a report stands to what is known of its machine.
+	// Recency compares a heartbeat with what is known of its machine.
 	Recency(r *fleet.Heartbeat) fleet.Recency
-	// Cancel takes in that a job is cancelled, by the store's word, and says whether none of its
-	// tasks is sent from then on.
+	// NotifyCancelled takes in that a job is stored as cancelled, and reports whether none of its
+	// tasks is sent to a worker from then on.
 	NotifyCancelled(ctx context.Context, id string) bool
-	// Late notes by how much something waited before the leader got to it.
+	// ObserveDelay records how long something waited before the leader got to it.
 	ObserveDelay(d time.Duration)
-	// Unreachable says whether a worker that came to a peer cannot reach us.
+	// NeedsRelay reports whether a worker whose heartbeat came through a peer cannot reach the
+	// leader directly.
 	NeedsRelay(r *fleet.Heartbeat) bool
 }
 
-// Server answers users and workers.
+// Server answers users and workers. The state that each of its duties keeps has a type, and a
+// lock, of its own.
 type Server struct {
 	cfg    *config.Config
 	store  Store
 	peers  Peers
 	leader func() string // node that leads, "" when unknown
 	local  func() Local  // nil when this process does not lead
-	reads  *rate.Limiter // what polls may take of the store's request rate
-
-	told    *cancellation.Log
-	crowd   crowd
-	relays  relays
-	renewed atomic.Value // time.Time: when a report was last answered here as leader, or the start
-
-	mu    sync.Mutex
-	types []records.MachineType
-	over  map[string]records.ClosedJob // final states never change
-	// unheard are cancelled jobs of which it is not known whether the leader has heard, with when
-	// that they are cancelled was first known here.
-	unheard map[string]time.Time
-	clear   map[string]time.Time // until then neither this open job nor one before it was cancelled
-	needs   map[string][]string  // jobs that an accepted one needs
-	doomed  map[string]bool      // jobs with a cancelled one before them
-	known   map[string]bool      // jobs that were accepted, as far as remembered
-	repeat  time.Time            // when a job last came that another controller had accepted
-	served  bool                 // the store serves another controller, but not this one
-	asked   bool                 // the others were asked since the store failed this one
-	alone   bool                 // neither the store nor any other controller answers
-}
+	reads  *rate.Limiter // single reads of the store that polls may cause
+
+	types         machineTypes
+	jobs          *jobCache
+	dependencies  *dependencyCache
+	confirmations *confirmations
+	coalescer     pollCoalescer
+	availability  peerAvailability
+	relay         heartbeatRelay
+	routes        relayRoutes
+	renewed       atomic.Value // time.Time: when a heartbeat was last answered here as leader, or the start
+}
+
+// pollShare is the share of the store's request rate that polls may take with a single read
+// each. Without this limit, polls for unknown jobs, or by the thousand, would leave the renewal of
+// the leader's lease and submissions without an answer. Polls beyond it share a list
+// (shared_poll.go).
+const pollShare = 0.6
 
 // New returns a server.
 func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Local) *Server {
-	share := cfg.Deployment.State.Lowest().RPS * pollShare
+	pollRPS := cfg.Deployment.State.Lowest().RPS * pollShare
+	unconfirmed := newConfirmations(cfg.Timing().LeaderLease)
+	dependencies := newDependencyCache()
 	s := &Server{
 		cfg: cfg, store: store, peers: peers, leader: leader, local: local,
-		reads: rate.NewLimiter(rate.Limit(share/float64(max(cfg.Deployment.Nodes, 1))), max(int(share), 1)),
-		over:  map[string]records.ClosedJob{}, known: map[string]bool{}, clear: map[string]time.Time{}, unheard: map[string]time.Time{},
-		needs: map[string][]string{}, doomed: map[string]bool{}, told: cancellation.NewLog(time.Now()),
+		reads:         rate.NewLimiter(rate.Limit(pollRPS/float64(max(cfg.Deployment.Nodes, 1))), max(int(pollRPS), 1)),
+		jobs:          newJobCache(cancellation.NewLog(time.Now()), dependencies, unconfirmed),
+		dependencies:  dependencies,
+		confirmations: unconfirmed,
 	}
 	s.renewed.Store(time.Now())
-	s.relays.gather = peer.NewBatcher(cfg.HeartbeatInterval()/windowShare, s.passOn)
+	s.relay.batcher = peer.NewBatcher(cfg.HeartbeatInterval()/batchWindowFraction, s.relayBatch)
 	return s
 }
 
-// pollShare is the share of the store's request rate that polls may take with a read each.
-// Guards against polls, for unknown jobs or by the thousand, that leave the leader's lease
-// and submissions without an answer: beyond it many share a read (crowd.go).
-const pollShare = 0.6
+// SetTypes sets the machine types that jobs may ask for.
+func (s *Server) SetTypes(types []records.MachineType) { s.types.set(types) }
 
-// SetTypes tells which machine types there are.
-func (s *Server) SetTypes(t []records.MachineType) {
-	s.mu.Lock()
-	s.types = t
-	s.mu.Unlock()
-}
+// HasTypes reports whether the machine types are known.
+func (s *Server) HasTypes() bool { return len(s.types.get()) > 0 }
 
-// HasTypes says whether the machine types are known.
-func (s *Server) HasTypes() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.types) > 0
-}
+// Cancellations returns the log of cancellations that users were notified of here.
+func (s *Server) Cancellations() *cancellation.Log { return s.jobs.cancellations }
 
-// Cancellations is what users were told here of cancellations.
-func (s *Server) Cancellations() *cancellation.Log { return s.told }
-
-// SinceRenewal is how long ago this controller may last have renewed a worker's lease, or this
-// process started.
+// SinceRenewal returns how long ago this controller may last have renewed a worker's lease, or
+// this process started.
 func (s *Server) SinceRenewal() time.Duration {
 	return time.Since(s.renewed.Load().(time.Time))
 }
 
-// answer is what a user is told.
-type answer struct {
-	status int
-	body   any
-}
-
-type state struct {
-	ID      string `json:"uid"`
-	Status  string `json:"status"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
-}
-
-type failure struct {
-	Error string `json:"error"`
-}
-
-func fail(status int, text string) answer { return answer{status, failure{text}} }
-
-var errAway = fail(503, "the service cannot decide now; please retry")
-
-// Mount serves users and workers.
+// Mount registers the routes of users and workers.
 func (s *Server) Mount(app *fiber.App) {
 	app.Post("/work", func(c *fiber.Ctx) error {
 		return s.reply(c, peer.RelayRequest{Method: peer.MethodSubmit, Body: c.Body()})
@@ -167,194 +140,46 @@
 	})
 	app.Get("/ready", func(c *fiber.Ctx) error {
 		if s.Ready() {
-			return c.SendStatus(200)
+			return c.SendStatus(fiber.StatusOK)
 		}
-		c.Set("Retry-After", retryAfter(1))
-		return c.SendStatus(503)
+		c.Set(fiber.HeaderRetryAfter, retryAfterS)
+		return c.SendStatus(fiber.StatusServiceUnavailable)
 	})
-	app.Post("/checkin", s.checkin)
+	app.Post("/checkin", s.handleCheckin)
 }
 
-// reply answers a user. Where the store refuses this controller, a peer that is
-// served answers in its place; where none is, the user is told at once to retry.
+// retryAfterS is the pause in seconds that users are told to make when a request cannot be taken
+// now: the shortest one that they keep.
+const retryAfterS = "1"
+
+// reply answers a user.
 func (s *Server) reply(c *fiber.Ctx, r peer.RelayRequest) error {
 	out := s.Answer(r)
-	if out.Status == 503 {
-		c.Set("Retry-After", retryAfter(1))
-	}
-	c.Set("Content-Type", "application/json")
-	return c.Status(out.Status).Send(out.Body)
-}
-
-// Answer decides what a user is told. While it is open whether the store refuses
-// this controller alone, peers are tried too: they say at once if they cannot.
-func (s *Server) Answer(r peer.RelayRequest) peer.RelayReply {
-	if s.isAlone() {
-		// Whatever is not known here nobody can be asked: users are told at once, and go on
-		// to another controller.
-		return s.answerWithin(r, 0)
+	if out.Status == fiber.StatusServiceUnavailable {
+		c.Set(fiber.HeaderRetryAfter, retryAfterS)
 	}
-	_, failing, _ := s.store.Health()
-	served, asked := s.peerServed()
-	if r.Method == peer.MethodSubmit && failing {
-		switch j, _, err := parse(r.Body); {
-		case err != nil:
-			return s.answerWithin(r, s.budget())
-		case j.Dependencies != nil:
-			r.Method = peer.MethodSubmitWithDependencies
-		}
-	}
-	if failing && served {
-		if out, ok := s.peers.Relay(r, s.budget()/2); ok {
-			return out
-		}
-	}
-	out := s.answerWithin(r, s.budget())
-	if _, failing, _ = s.store.Health(); out.Status == 503 && failing && !asked {
-		if other, ok := s.peers.Relay(r, s.budget()/2); ok {
-			return other
-		}
-	}
-	return out
-}
-
-func (s *Server) answerWithin(r peer.RelayRequest, budget time.Duration) peer.RelayReply {
-	ctx, cancel := context.WithTimeout(context.Background(), budget)
-	defer cancel()
-	a := s.serve(ctx, r)
-	return asJSON(a.status, a.body)
+	return sendJSON(c, out)
 }
 
-// userPatience is how long users wait for the answer to a poll (PROTOCOL).
-const userPatience = 2 * time.Second
-
-// budget bounds the work on one request.
-func (s *Server) budget() time.Duration { return userPatience * 3 / 4 }
-
-// Relay answers a request that a peer passed on.
-func (s *Server) Relay(r peer.RelayRequest) peer.RelayReply { return s.answerWithin(r, s.budget()/2) }
-
-func (s *Server) serve(ctx context.Context, r peer.RelayRequest) answer {
-	switch r.Method {
-	case peer.MethodSubmit, peer.MethodSubmitWithDependencies:
-		return s.submit(ctx, r.Body)
-	case peer.MethodPoll:
-		return s.poll(ctx, r.ID)
-	case peer.MethodCancel:
-		return s.withdraw(ctx, r.ID)
-	}
-	return fail(400, "unknown request")
-}
-
-func (s *Server) poll(ctx context.Context, id string) answer {
-	if !records.ValidID(id) {
-		return fail(404, "no such job")
-	}
-	if a, ok := s.remembered(ctx, id); ok {
-		return a
-	}
-	read := time.Now()
-	if s.crowd.here(read) {
-		return s.pollShared(ctx, id)
-	}
-	if !s.reads.Allow() {
-		s.crowd.more(read)
-		return s.pollShared(ctx, id)
-	}
-	row, over, err := s.lookup(ctx, id)
-	switch {
-	case errors.Is(err, records.ErrThrottled):
-		s.crowd.more(time.Now())
-		return s.pollShared(ctx, id)
-	case err != nil:
-		slog.Debug("poll failed", "job", id, "err", err)
-		return errAway
-	case over != nil:
-		return s.overAnswer(ctx, id, *over)
-	case row == nil:
-		return fail(404, "no such job")
-	}
-	p := s.progress(id)
-	if a, over := s.chained(ctx, id, row, read, p); over {
-		return a
-	}
-	return openAnswer(id, p)
-}
-
-func openAnswer(id string, p peer.Progress) answer {
-	return answer{200, state{ID: id, Status: p.Status, Done: &p.Done, Running: &p.Running}}
-}
-
-// progress is for display only: where the leader is not at hand, an open job
-// is simply pending.
-func (s *Server) progress(id string) peer.Progress {
-	if l := s.local(); l != nil {
-		if status, done, running, ok := l.Progress(id); ok {
-			age, isClear := l.DependenciesClear(id)
-			return peer.Progress{Known: true, Status: status, Done: done, Running: running, DependenciesClear: isClear, ClearAgeMS: age.Milliseconds()}
-		}
-	} else if node := s.leader(); node != "" && node != s.cfg.Node {
-		if p, err := s.peers.Progress(node, id); err == nil && p.Known {
-			return p
-		}
-	}
-	return peer.Progress{Status: records.StatusPending}
-}
-
-// Ready says whether this controller can take requests. It cannot when the
-// store refuses it alone; in an outage that all share, it stays ready, since
-// no other controller would serve better.
-func (s *Server) Ready() bool {
-	lastOK, failing, started := s.store.Health()
-	if lastOK.IsZero() {
-		lastOK = started
-	}
-	if !failing || time.Since(lastOK) < s.cfg.HeartbeatInterval()/2 {
-		return true
-	}
-	served, _ := s.peerServed()
-	return !served && !s.isAlone()
-}
-
-// isAlone says whether this controller is cut off: in an outage that all share the store
-// refuses, or others say that they fare no better.
-func (s *Server) isAlone() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.alone
+func sendJSON(c *fiber.Ctx, out peer.RelayReply) error {
+	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
+	return c.Status(out.Status).Send(out.Body)
 }
 
-// peerServed says whether the store was last seen to serve some other
-// controller, and whether they were asked since the store failed this one.
-func (s *Server) peerServed() (served, asked bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.served, s.asked
+// machineTypes holds the machine types that jobs may ask for.
+type machineTypes struct {
+	mu    sync.Mutex
+	types []records.MachineType // replaced as a whole; its elements never change
 }
 
-// Watch asks the other controllers, while the store fails this one, whether it
-// serves them. It works in the background, so that no user waits for a
-// controller that is cut off.
-func (s *Server) Watch(ctx context.Context) {
-	report := s.cfg.HeartbeatInterval()
-	for ctxtime.Sleep(ctx, report/4) == nil {
-		served, alone := false, false
-		_, failing, _ := s.store.Health()
-		if failing {
-			answers, all := s.peers.Status(ctx)
-			alone = !all && len(answers) == 0 && time.Since(s.store.LastResponse()) > report/2
-			for _, a := range answers {
-				// An open watch outlasts the start of an outage without failing,
-				// so only a recent answer counts.
-				served = served || !a.StoreFailing && time.Duration(a.StoreSilentMS)*time.Millisecond < report*3/2
-			}
-		}
-		s.mu.Lock()
-		s.served, s.asked, s.alone = served, failing, alone
-		s.mu.Unlock()
-	}
+func (m *machineTypes) set(types []records.MachineType) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.types = types
 }
 
-type referral struct {
-	Conductor string `json:"conductor,omitempty"`
+func (m *machineTypes) get() []records.MachineType {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.types
 }
--- a/internal/api/shared_poll.go
+++ b/internal/api/shared_poll.go
@@ -16,112 +16,132 @@
 
 var sharedLists = metrics.NewCounter("drumpick_polls_shared_lists_total")
 
-// crowd answers polls that come faster than single reads are allowed: one list of the open
-// jobs serves all that came before it began. Guards against users who ask at the same beat,
-// one of whom always comes when the reads are used up: whoever is answered by chance is
-// answered never, at some number of jobs, and a job that nobody answers about is forgotten.
-type crowd struct {
-	mu    sync.Mutex
-	until time.Time // polls are answered so until then
-	next  *shared   // the list that has not begun
-	last  time.Time // when one last began
+// pollCoalescer answers polls that come faster than single reads are allowed: one list of the
+// open jobs serves all polls that came before it began. Without this, users who poll at the same
+// interval starve each other: one of them always comes when the reads are used up, is never
+// answered, and, with enough jobs, gives its job up.
+type pollCoalescer struct {
+	mu          sync.Mutex
+	activeUntil time.Time // polls share lists until then
+	next        *openList // the list that has not begun
+	lastBegan   time.Time // when a list last began
 }
 
-// shared is one list and who waits for it.
-type shared struct {
+// openList is one list of the open jobs, which several polls wait for. Its other fields may be
+// read once done is closed.
+type openList struct {
 	done chan struct{}
-	open map[string]*records.KeyValue
+	jobs map[string]*records.KeyValue
 	err  error
 }
 
-// listsShare is the part of users' patience, one in so many, between two lists.
-const listsShare = 2
+// listsPerTimeout is how many lists begin at most while a user waits for an answer.
+const listsPerTimeout = 2
 
-// here says whether polls come too fast for single reads; more notes that one has.
-func (c *crowd) here(now time.Time) bool {
+// active reports whether polls share lists now.
+func (c *pollCoalescer) active(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Before(c.until)
+	return now.Before(c.activeUntil)
 }
 
-func (c *crowd) more(now time.Time) {
+// activate has polls share lists for a while, since they come too fast for single reads.
+func (c *pollCoalescer) activate(now time.Time) {
 	c.mu.Lock()
-	c.until = now.Add(userPatience)
-	c.mu.Unlock()
+	defer c.mu.Unlock()
+	c.activeUntil = now.Add(userTimeout)
 }
 
-// join waits for the next list, begun after this call, and returns it.
-func (s *Server) join(ctx context.Context) (*shared, error) {
-	c := &s.crowd
+// join returns the next list. first reports whether nobody has joined it before: then the caller has
+// to start it, after the wait.
+func (c *pollCoalescer) join() (list *openList, wait time.Duration, first bool) {
 	c.mu.Lock()
-	l := c.next
-	if l == nil {
-		l = &shared{done: make(chan struct{})}
-		c.next = l
-		wait := max(time.Until(c.last.Add(userPatience/listsShare)), 0)
-		go s.list(l, wait)
+	defer c.mu.Unlock()
+	if c.next != nil {
+		return c.next, 0, false
+	}
+	c.next = &openList{done: make(chan struct{})}
+	return c.next, max(time.Until(c.lastBegan.Add(userTimeout/listsPerTimeout)), 0), true
+}
+
+// begin closes the next list to further polls: they join the one after it.
+func (c *pollCoalescer) begin() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.next, c.lastBegan = nil, time.Now()
+}
+
+// awaitList waits for a list of the open jobs that begins after this call.
+func (s *Server) awaitList(ctx context.Context) (*openList, error) {
+	list, wait, first := s.coalescer.join()
+	if first {
+		go s.listOpen(list, wait)
 	}
-	c.mu.Unlock()
 	select {
-	case <-l.done:
-		return l, l.err
+	case <-list.done:
+		return list, list.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// list reads the open jobs, a moment from now, for all who have joined by then.
-func (s *Server) list(l *shared, wait time.Duration) {
-	defer close(l.done)
-	ctx, cancel := context.WithTimeout(context.Background(), wait+s.budget())
+// listOpen reads the open jobs after a wait, for all polls that have joined by then. It ends by its
+// own timeout, as no single poll owns it.
+func (s *Server) listOpen(list *openList, wait time.Duration) {
+	defer close(list.done)
+	ctx, cancel := context.WithTimeout(context.Background(), wait+requestTimeout())
 	defer cancel()
 	_ = ctxtime.Sleep(ctx, wait)
-	s.crowd.mu.Lock()
-	s.crowd.next, s.crowd.last = nil, time.Now()
-	s.crowd.mu.Unlock()
+	s.coalescer.begin()
 	sharedLists.Inc()
-	l.open = map[string]*records.KeyValue{}
-	_, l.err = s.store.List(ctx, records.PrefixOpen, func(r records.KeyValue) error {
-		l.open[strings.TrimPrefix(r.Key, records.PrefixOpen)] = &r
+	list.jobs = map[string]*records.KeyValue{}
+	_, list.err = s.store.List(ctx, records.PrefixOpen, func(row records.KeyValue) error {
+		list.jobs[strings.TrimPrefix(row.Key, records.PrefixOpen)] = &row
 		return nil
 	})
-	if l.err != nil {
-		slog.Debug("open jobs not listed for polls", "err", l.err)
+	if list.err != nil {
+		slog.Debug("open jobs not listed", "err", list.err)
 	}
 }
 
-// pollShared answers a poll from such a list. What is not in it is over, or there is no such
-// job: its final state is read, in turn.
+// pollShared answers a poll from a shared list. A job that is not in it has a final state, or does
+// not exist: the final state is read singly, in turn.
 func (s *Server) pollShared(ctx context.Context, id string) answer {
-	read := time.Now()
-	l, err := s.join(ctx)
+	readAt := time.Now()
+	list, err := s.awaitList(ctx)
 	if err != nil {
-		return errAway
+		return answerUnavailable
 	}
-	if row := l.open[id]; row != nil {
-		p := peer.Progress{Status: records.StatusPending}
-		if needs := needsOf(row); len(needs) > 0 || s.local() != nil {
-			p = s.progress(id)
-		}
-		if a, over := s.chained(ctx, id, row, read, p); over {
-			return a
-		}
-		return openAnswer(id, p)
+	if row := list.jobs[id]; row != nil {
+		return s.answerListed(ctx, id, row, readAt)
 	}
-	if a, ok := s.remembered(ctx, id); ok {
+	if a, ok := s.answerFromCache(ctx, id); ok {
 		return a
 	}
 	if s.reads.Wait(ctx) != nil {
-		return errAway
+		return answerUnavailable
 	}
-	o, err := s.readOver(ctx, id)
+	closed, err := s.readClosed(ctx, id)
 	switch {
 	case err != nil:
-		return errAway
-	case o == nil:
-		// Absent among the open ones first, and then among those that are over: there
-		// is no such job.
-		return fail(404, "no such job")
+		return answerUnavailable
+	case closed == nil:
+		// It was absent among the open jobs first, and among the closed ones after that: there is
+		// no such job.
+		return answerNoSuchJob
+	}
+	return s.answerClosed(ctx, id, *closed)
+}
+
+// answerListed answers about a job that a shared list has as open. Its progress is asked for only
+// where that takes no call, or bears on the answer.
+func (s *Server) answerListed(ctx context.Context, id string, row *records.KeyValue, readAt time.Time) answer {
+	p := peer.Progress{Status: records.StatusPending}
+	if len(storedDependencies(row)) > 0 || s.local() != nil {
+		p = s.progress(id)
+	}
+	if a, closed := s.answerBlocked(ctx, id, row, readAt, p); closed {
+		return a
 	}
-	return s.overAnswer(ctx, id, *o)
+	return answerOpen(id, p)
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -10,146 +10,161 @@
 	"drumpick/internal/records"
 )
 
-// submit accepts a job, or tells why not.
+// submit accepts a job, or answers why not. Its stages: parse the request, check that the job can
+// run, look for an earlier submission of it, check its dependencies, store it.
 func (s *Server) submit(ctx context.Context, body []byte) answer {
-	j, why, err := parse(body)
+	sub, err := parseSubmission(body)
 	if err != nil {
-		return fail(400, err.Error())
+		return failed(outcomeInvalid, err.Error())
 	}
-	if a, ok := s.remembered(ctx, j.ID); ok {
+	job := &sub.job
+	if a, ok := s.answerFromCache(ctx, job.ID); ok {
 		return a
 	}
-	s.mu.Lock()
-	types := s.types
-	s.mu.Unlock()
-	j.AcceptedMS = time.Now().UnixMilli()
-	switch {
-	case len(types) == 0:
-		why = "machine types are not known yet"
-	case why == "":
-		if why = impossible(&j, s.cfg.Deployment.Teams, types); why == "" {
-			why = s.tooLong(&j)
-		}
-	}
-	if why != "" {
-		return s.refuse(ctx, j.ID, len(types) > 0, why)
+	types := s.types.get()
+	job.AcceptedMS = time.Now().UnixMilli()
+	if why := s.checkSubmission(&sub, types); why != nil {
+		return s.reject(ctx, job.ID, why)
 	}
-	if a, known := s.answerKnown(ctx, &j); known {
+	if a, known := s.answerDuplicate(ctx, job); known {
 		return a
 	}
-	put, status, a := s.recordOf(ctx, &j)
-	if a != nil {
-		return *a
+	record, refusal := s.recordOf(ctx, job)
+	if refusal != nil {
+		return *refusal
+	}
+	return s.accept(ctx, job, record)
+}
+
+// rejection is why a job is not accepted.
+type rejection struct {
+	reason string
+	final  bool // it never will be; otherwise the user should retry
+}
+
+// checkSubmission returns why a job can never run or be stored, or cannot be judged yet; nil if it
+// can run.
+func (s *Server) checkSubmission(sub *submission, types []records.MachineType) *rejection {
+	if len(types) == 0 {
+		return &rejection{reason: "machine types are not known yet"}
+	}
+	reason := sub.dependencyError
+	if reason == "" {
+		reason = infeasible(&sub.job, s.cfg.Deployment.Teams, types)
+	}
+	if reason == "" {
+		reason = s.tooLarge(&sub.job)
+	}
+	if reason == "" {
+		return nil
 	}
-	return s.accept(ctx, &j, put, status)
+	return &rejection{reason: reason, final: true}
 }
 
-// refuse answers a submission that is not taken. A job that is known already is answered as such, whatever
-// has changed since it was accepted; where nothing is final yet, the user comes again.
-func (s *Server) refuse(ctx context.Context, id string, final bool, why string) answer {
+// reject answers a submission that is not accepted. A job that is known already is answered as
+// such, whatever has changed since it was accepted.
+func (s *Server) reject(ctx context.Context, id string, why *rejection) answer {
 	a := s.poll(ctx, id)
 	switch {
-	case a.status == 200, a.status == 503:
+	case a.outcome == outcomeOK, a.outcome == outcomeUnavailable:
 		return a
-	case !final:
-		return fail(503, why)
+	case !why.final:
+		return failed(outcomeUnavailable, why.reason)
 	}
-	return fail(422, why)
+	return failed(outcomeRejected, why.reason)
 }
 
-// answerKnown answers a submission that repeats an earlier one, as far as that is known or likely. A commit that
-// fails would count as a change all the same, and the store takes few.
-func (s *Server) answerKnown(ctx context.Context, j *records.Job) (a answer, known bool) {
+// answerDuplicate answers a submission that repeats an earlier one, as far as that is known or
+// likely. A commit that fails counts against the store's write rate all the same, and that is low.
+func (s *Server) answerDuplicate(ctx context.Context, job *records.Job) (a answer, known bool) {
 	switch {
-	case s.isKnown(j.ID):
-		a = s.poll(ctx, j.ID)
-		return a, a.status != 404
-	case !s.repeatsAbout():
+	case s.jobs.isAccepted(job.ID):
+		a = s.poll(ctx, job.ID)
+		return a, a.outcome != outcomeNotFound
+	case !s.expectDuplicates():
 		return a, false
 	}
-	row, err := s.store.Get(ctx, records.OpenKey(j.ID))
+	row, err := s.store.Get(ctx, records.OpenKey(job.ID))
 	switch {
 	case err != nil:
-		return errAway, true
+		return answerUnavailable, true
 	case row == nil:
 		return a, false
 	}
-	s.setKnown(j.ID)
-	if len(j.Dependencies) > 0 {
-		return s.poll(ctx, j.ID), true
+	s.jobs.addAccepted(job.ID)
+	if len(job.Dependencies) > 0 {
+		return s.poll(ctx, job.ID), true
 	}
-	return openAnswer(j.ID, peer.Progress{Status: records.StatusPending}), true
+	return answerOpen(job.ID, peer.Progress{Status: records.StatusPending}), true
 }
 
-// recordOf works out what to store of a new job: its open record, or, where one before it is cancelled, that it is
-// as well. An answer instead says why nothing is stored.
-func (s *Server) recordOf(ctx context.Context, j *records.Job) (put records.Op, status string, a *answer) {
-	put, status = records.Op{Write: records.OpenKey(j.ID), Value: *j}, records.StatusPending
-	if len(j.Dependencies) == 0 {
-		return put, status, nil
-	}
-	switch fate, why := s.before(ctx, j); fate {
-	case undecided:
-		return put, status, &errAway
-	case wrong:
-		known := s.poll(ctx, j.ID)
-		if known.status == 404 {
-			known = fail(422, why)
+// duplicateIntervals is for how many heartbeat intervals more duplicates are expected after one.
+const duplicateIntervals = 4
+
+// expectDuplicates reports whether a job came here lately that another controller had accepted: then
+// the store is asked for a job before it is committed. Without this, users who submit each job to
+// every controller would waste the store's write rate on commits of which all but one fail.
+func (s *Server) expectDuplicates() bool {
+	return s.jobs.duplicateWithin(duplicateIntervals * s.cfg.HeartbeatInterval())
+}
+
+// newRecord is what is stored of a new job, and the job's status by it.
+type newRecord struct {
+	write  records.Op
+	status string
+}
+
+// recordOf returns what to store of a new job: its open record, or, where one of its dependencies is
+// cancelled, that the job is as well. If nothing is to be stored it returns the answer instead.
+func (s *Server) recordOf(ctx context.Context, job *records.Job) (newRecord, *answer) {
+	open := newRecord{records.Op{Write: records.OpenKey(job.ID), Value: *job}, records.StatusPending}
+	if len(job.Dependencies) == 0 {
+		return open, nil
+	}
+	switch verdict, reason := s.checkDependencies(ctx, job); verdict {
+	case dependenciesUnknown:
+		return newRecord{}, &answerUnavailable
+	case dependenciesInvalid:
+		a := s.poll(ctx, job.ID)
+		if a.outcome == outcomeNotFound {
+			a = failed(outcomeRejected, reason)
 		}
-		return put, status, &known
-	case cancelled:
-		// It is accepted all the same, and cancelled with the one before it.
-		status = records.StatusCancelled
-		put = records.Op{Write: records.ClosedKey(j.ID), Value: records.ClosedJob{Status: status, Tasks: j.Tasks}}
+		return newRecord{}, &a
+	case dependencyCancelled:
+		// The job is accepted all the same, and cancelled with its dependency.
+		closed := records.ClosedJob{Status: records.StatusCancelled, Tasks: job.Tasks}
+		return newRecord{records.Op{Write: records.ClosedKey(job.ID), Value: closed}, closed.Status}, nil
 	}
-	return put, status, nil
+	return open, nil
 }
 
-// acceptTries is how often a job is stored anew that was met as stored, and then found to be unknown.
-const acceptTries = 3
+// acceptAttempts is how often a job is stored anew that the store reported as stored, and that was
+// not found then.
+const acceptAttempts = 3
 
 // accept stores a new job, unless it turns out to be known.
-func (s *Server) accept(ctx context.Context, j *records.Job, put records.Op, status string) answer {
-	absent := []records.Compare{{Key: records.OpenKey(j.ID)}, {Key: records.ClosedKey(j.ID)}}
-	for range acceptTries {
-		_, err := s.store.Commit(ctx, absent, []records.Op{put})
+func (s *Server) accept(ctx context.Context, job *records.Job, record newRecord) answer {
+	absent := []records.Compare{{Key: records.OpenKey(job.ID)}, {Key: records.ClosedKey(job.ID)}}
+	for range acceptAttempts {
+		_, err := s.store.Commit(ctx, absent, []records.Op{record.write})
 		var conflict *records.ConflictError
 		switch {
 		case err == nil:
-			s.setKnown(j.ID)
-			slog.Info("job accepted", "job", j.ID, "class", j.Class, "tasks", j.Tasks, "status", status)
-			return answer{201, state{ID: j.ID, Status: status}}
+			s.jobs.addAccepted(job.ID)
+			slog.Info("job accepted", "job", job.ID, "class", job.Class, "tasks", job.Tasks, "status", record.status)
+			return answer{outcomeCreated, jobStatus{ID: job.ID, Status: record.status}}
 		case errors.As(err, &conflict):
-			s.setKnown(j.ID)
-			s.repeated()
-			if a := s.poll(ctx, j.ID); a.status != 404 {
+			s.jobs.addAccepted(job.ID)
+			s.jobs.noteDuplicate()
+			if a := s.poll(ctx, job.ID); a.outcome != outcomeNotFound {
 				return a
 			}
 		default:
-			// Unanswered it may have been accepted, or may yet be: the retry,
-			// under the same id, finds out.
-			slog.Debug("submission not stored", "job", j.ID, "err", err)
-			return errAway
+			// Without an answer the job may have been stored, or may yet be: the retry, under the
+			// same id, finds out.
+			slog.Debug("job not stored", "job", job.ID, "err", err)
+			return answerUnavailable
 		}
 	}
-	return errAway
+	return answerUnavailable
 }
-
-// repeated notes that a job came here which another controller had accepted.
-func (s *Server) repeated() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.repeat = time.Now()
-}
-
-// repeatsAbout says whether that was lately: then it is looked first whether there is such a job.
-// Guards against users who repeat each submission at every controller: but for one all these commits
-// fail, and take the changes a second that others need.
-func (s *Server) repeatsAbout() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return time.Since(s.repeat) < repeatsFor*s.cfg.HeartbeatInterval()
-}
-
-// repeatsFor is for how many report intervals more repeats are expected after one.
-const repeatsFor = 4
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -4,16 +4,14 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
 	"slices"
 
 	"drumpick/internal/config"
 	"drumpick/internal/records"
 )
 
-// submission is a job as users send it. Pointers tell a missing field from a
-// zero one.
-type submission struct {
+// submissionFields is a job as users send it. Pointers tell a missing field from a zero one.
+type submissionFields struct {
 	ID          *string  `json:"uid"`
 	Class       *string  `json:"jobclass"`
 	Team        *string  `json:"owner"`
@@ -35,111 +33,164 @@
 	SaveS       *float64 `json:"flush_s"`
 	DeadlineS   *float64 `json:"due_s"`
 
-	Prereqs json.RawMessage `json:"prereqs"`
+	Dependencies json.RawMessage `json:"prereqs"`
 }
 
-// Bounds of what a submission may say.
+// submission is a well-formed job as submitted.
+type submission struct {
+	job records.Job
+	// dependencyError is what is wrong with the list of dependencies, "" if nothing. Other errors
+	// make a request invalid; this one only rejects a job that is not known yet.
+	dependencyError string
+}
+
+// Limits of what a submission may contain.
 const (
-	mostTasks  = 100_000
-	mostText   = 200
-	mostTypes  = 256
-	mostAmount = 1e9
+	maxTasks  = 100_000
+	maxText   = 200 // bytes
+	maxTypes  = 256
+	maxAmount = 1e9
+)
+
+var (
+	shapes     = []string{records.ShapeArray, records.ShapeGang, records.ShapeService}
+	priorities = []string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}
 )
 
-// parse reads and checks a submission; every error is a 400. What is wrong with the
-// jobs that it names is a 422, and decided only where the job is not known yet.
-func parse(body []byte) (j records.Job, why string, err error) {
-	var s submission
-	if j, err = parseJob(body, &s); err == nil {
-		j.Dependencies, why = needs(s.Prereqs, j.ID)
+// parseSubmission reads a submission and checks its form; an error names the field at fault.
+func parseSubmission(body []byte) (submission, error) {
+	fields, err := decodeSubmission(body)
+	if err != nil {
+		return submission{}, err
+	}
+	var sub submission
+	for _, stage := range []func(*submissionFields, *records.Job) error{copyTexts, copyAmounts, copyFlags, checkValues} {
+		if err := stage(fields, &sub.job); err != nil {
+			return submission{}, err
+		}
 	}
-	return j, why, err
+	sub.job.Tasks, sub.job.Types, sub.job.Zone, sub.job.DeadlineS = *fields.Tasks, fields.Types, fields.Zone, fields.DeadlineS
+	sub.job.Dependencies, sub.dependencyError = parseDependencies(fields.Dependencies, sub.job.ID)
+	return sub, nil
 }
 
-func parseJob(body []byte, s *submission) (records.Job, error) {
-	var j records.Job
-	if err := json.Unmarshal(body, s); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) && wrong.Field != "" {
-			return j, errors.New(wrong.Field + " has the wrong type or is out of range")
+func decodeSubmission(body []byte) (*submissionFields, error) {
+	var fields submissionFields
+	if err := json.Unmarshal(body, &fields); err != nil {
+		var wrongType *json.UnmarshalTypeError
+		if errors.As(err, &wrongType) && wrongType.Field != "" {
+			return nil, errors.New(wrongType.Field + " has the wrong type or is out of range")
 		}
-		return j, errors.New("the body is not a JSON object")
+		return nil, errors.New("the body is not a JSON object")
 	}
-	texts := []struct {
+	return &fields, nil
+}
+
+func errMissing(field string) error { return errors.New(field + " is missing") }
+
+// copyTexts copies the required texts.
+func copyTexts(fields *submissionFields, job *records.Job) error {
+	for _, f := range []struct {
 		name string
-		v    *string
+		from *string
 		to   *string
 	}{
-		{"uid", s.ID, &j.ID}, {"jobclass", s.Class, &j.Class}, {"owner", s.Team, &j.Team},
-		{"shape", s.Shape, &j.Shape}, {"urgency", s.Priority, &j.Priority}, {"build", s.Image, &j.Image},
-	}
-	for _, f := range texts {
-		if f.v == nil {
-			return j, errors.New(f.name + " is missing")
+		{"uid", fields.ID, &job.ID},
+		{"jobclass", fields.Class, &job.Class},
+		{"owner", fields.Team, &job.Team},
+		{"shape", fields.Shape, &job.Shape},
+		{"urgency", fields.Priority, &job.Priority},
+		{"build", fields.Image, &job.Image},
+	} {
+		if f.from == nil {
+			return errMissing(f.name)
 		}
-		if len(*f.v) == 0 || len(*f.v) > mostText {
-			return j, errors.New(f.name + " is empty or too long")
+		if isEmptyOrLong(*f.from) {
+			return errors.New(f.name + " is empty or too long")
 		}
-		*f.to = *f.v
+		*f.to = *f.from
 	}
-	amounts := []struct {
+	return nil
+}
+
+// copyAmounts copies the required amounts.
+func copyAmounts(fields *submissionFields, job *records.Job) error {
+	for _, f := range []struct {
 		name string
-		v    *float64
+		from *float64
 		to   *float64
 	}{
-		{"vcpus", s.CPUs, &j.CPUs}, {"gpus", s.GPUs, &j.GPUs}, {"mem_gb", s.MemGB, &j.MemGB},
-		{"size_gb", s.ImageGB, &j.ImageGB}, {"guess_s", s.EstimateS, &j.EstimateS},
-		{"snapshot_s", s.CheckpointS, &j.CheckpointS}, {"flush_s", s.SaveS, &j.SaveS},
-	}
-	for _, f := range amounts {
-		if f.v == nil {
-			return j, errors.New(f.name + " is missing")
+		{"vcpus", fields.CPUs, &job.CPUs},
+		{"gpus", fields.GPUs, &job.GPUs},
+		{"mem_gb", fields.MemGB, &job.MemGB},
+		{"size_gb", fields.ImageGB, &job.ImageGB},
+		{"guess_s", fields.EstimateS, &job.EstimateS},
+		{"snapshot_s", fields.CheckpointS, &job.CheckpointS},
+		{"flush_s", fields.SaveS, &job.SaveS},
+	} {
+		if f.from == nil {
+			return errMissing(f.name)
 		}
-		if !(*f.v >= 0 && *f.v <= mostAmount) {
-			return j, errors.New(f.name + " is out of range")
+		if !isAmount(*f.from) {
+			return errors.New(f.name + " is out of range")
 		}
-		*f.to = *f.v
+		*f.to = *f.from
 	}
-	flags := []struct {
+	return nil
+}
+
+// copyFlags copies the required flags.
+func copyFlags(fields *submissionFields, job *records.Job) error {
+	for _, f := range []struct {
 		name string
-		v    *bool
+		from *bool
 		to   *bool
-	}{{"one_zone", s.OneZone, &j.OneZone}, {"apart", s.Apart, &j.SpreadZones}, {"loaners", s.Spot, &j.Spot}}
-	for _, f := range flags {
-		if f.v == nil {
-			return j, errors.New(f.name + " is missing")
+	}{
+		{"one_zone", fields.OneZone, &job.OneZone},
+		{"apart", fields.Apart, &job.SpreadZones},
+		{"loaners", fields.Spot, &job.Spot},
+	} {
+		if f.from == nil {
+			return errMissing(f.name)
 		}
-		*f.to = *f.v
+		*f.to = *f.from
 	}
+	return nil
+}
+
+// checkValues checks the copied texts, and the fields that are not copied yet.
+func checkValues(fields *submissionFields, job *records.Job) error {
 	switch {
-	case !records.ValidID(j.ID):
-		return j, errors.New("uid has another form")
-	case !slices.Contains([]string{records.ShapeArray, records.ShapeGang, records.ShapeService}, j.Shape):
-		return j, errors.New("shape is not known")
-	case !slices.Contains([]string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}, j.Priority):
-		return j, errors.New("urgency is not known")
-	case s.Tasks == nil:
-		return j, errors.New("shots is missing")
-	case *s.Tasks < 1 || *s.Tasks > mostTasks:
-		return j, errors.New("shots is out of range")
-	case s.Types != nil && (len(s.Types) == 0 || len(s.Types) > mostTypes):
-		return j, errors.New("rigs is empty or too long")
-	case s.Zone != nil && (*s.Zone == "" || len(*s.Zone) > mostText):
-		return j, errors.New("site is empty or too long")
-	case s.DeadlineS != nil && !(*s.DeadlineS >= 0 && *s.DeadlineS <= mostAmount):
-		return j, errors.New("due_s is out of range")
-	}
-	for _, t := range s.Types {
-		if t == "" || len(t) > mostText {
-			return j, errors.New("rigs holds a name that is empty or too long")
-		}
+	case !records.ValidID(job.ID):
+		return errors.New("uid has another form")
+	case !slices.Contains(shapes, job.Shape):
+		return errors.New("shape is not known")
+	case !slices.Contains(priorities, job.Priority):
+		return errors.New("urgency is not known")
+	case fields.Tasks == nil:
+		return errMissing("shots")
+	case *fields.Tasks < 1 || *fields.Tasks > maxTasks:
+		return errors.New("shots is out of range")
+	case fields.Types != nil && (len(fields.Types) == 0 || len(fields.Types) > maxTypes):
+		return errors.New("rigs is empty or too long")
+	case fields.Zone != nil && isEmptyOrLong(*fields.Zone):
+		return errors.New("site is empty or too long")
+	case fields.DeadlineS != nil && !isAmount(*fields.DeadlineS):
+		return errors.New("due_s is out of range")
+	case slices.ContainsFunc(fields.Types, isEmptyOrLong):
+		return errors.New("rigs holds a name that is empty or too long")
 	}
-	j.Tasks, j.Types, j.Zone, j.DeadlineS = *s.Tasks, s.Types, s.Zone, s.DeadlineS
-	return j, nil
+	return nil
 }
 
-// needs reads the jobs that a submission names; why says what is wrong with the list.
-func needs(raw json.RawMessage, id string) (ids []string, why string) {
+func isEmptyOrLong(text string) bool { return text == "" || len(text) > maxText }
+
+// isAmount reports whether a number is a valid amount; NaN is not.
+func isAmount(v float64) bool { return v >= 0 && v <= maxAmount }
+
+// parseDependencies reads the jobs that a submission names as its dependencies, each once, or returns
+// what is wrong with the list.
+func parseDependencies(raw json.RawMessage, id string) (ids []string, reason string) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil, ""
 	}
@@ -148,49 +199,73 @@
 		return nil, "prereqs is not a list of job ids"
 	}
 	for _, v := range list {
-		s, ok := v.(string)
+		dependency, ok := v.(string)
 		switch {
-		case !ok || !records.ValidID(s):
+		case !ok || !records.ValidID(dependency):
 			return nil, fmt.Sprintf("prereqs holds what is no job id: %.100q", fmt.Sprint(v))
-		case s == id:
-			return nil, "prereqs names the job itself: " + s
-		case !slices.Contains(ids, s):
-			ids = append(ids, s)
+		case dependency == id:
+			return nil, "prereqs names the job itself: " + dependency
+		case !slices.Contains(ids, dependency):
+			ids = append(ids, dependency)
 		}
 	}
 	return ids, ""
 }
 
-// impossible says why a job can never run, "" when it can.
-func impossible(j *records.Job, teams []config.Team, types []records.MachineType) string {
-	i := slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == j.Team })
+// tolerance absorbs rounding where amounts are compared.
+const tolerance = 1e-9
+
+// infeasible returns why a job can never run, "" when it can.
+func infeasible(job *records.Job, teams []config.Team, types []records.MachineType) string {
+	i := slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == job.Team })
 	if i < 0 {
 		return "unknown team"
 	}
-	n := 1.0
-	if j.Shape != records.ShapeArray {
-		n = float64(j.Tasks)
-	}
-	t := teams[i]
-	if t.LimitCPUs > 0 && n*j.CPUs > t.LimitCPUs+1e-9 || t.LimitGPUs > 0 && n*j.GPUs > t.LimitGPUs+1e-9 {
+	if exceedsLimit(job, teams[i]) {
 		return "needs more than the team's limit"
 	}
-	for _, mt := range types {
-		if j.Types != nil && !slices.Contains(j.Types, mt.Name) {
-			continue
-		}
-		if j.Zone != nil && !slices.Contains(mt.Zones, *j.Zone) {
-			continue
-		}
-		if j.CPUs <= mt.CPUs+1e-9 && j.GPUs <= mt.GPUs+1e-9 && j.MemGB <= mt.MemGB+1e-9 {
-			return ""
-		}
+	if !slices.ContainsFunc(types, func(t records.MachineType) bool { return allows(job, t) && fits(job, t) }) {
+		return "a task fits no allowed machine type"
 	}
-	return "a task fits no allowed machine type"
+	return ""
 }
 
-// retryAfter is what users are told when a request cannot be taken now: the
-// shortest pause that they keep.
-func retryAfter(pause float64) string {
-	return fmt.Sprint(int(math.Ceil(max(pause, 1))))
+// exceedsLimit reports whether what a job must run at once exceeds its team's limits: one task of an
+// array, all tasks of other jobs.
+func exceedsLimit(job *records.Job, team config.Team) bool {
+	atOnce := 1.0
+	if job.Shape != records.ShapeArray {
+		atOnce = float64(job.Tasks)
+	}
+	return team.LimitCPUs > 0 && atOnce*job.CPUs > team.LimitCPUs+tolerance ||
+		team.LimitGPUs > 0 && atOnce*job.GPUs > team.LimitGPUs+tolerance
+}
+
+// allows reports whether a job may run on machines of a type, by its name and zones.
+func allows(job *records.Job, t records.MachineType) bool {
+	return (job.Types == nil || slices.Contains(job.Types, t.Name)) &&
+		(job.Zone == nil || slices.Contains(t.Zones, *job.Zone))
+}
+
+// fits reports whether an empty machine of a type has room for a task.
+func fits(job *records.Job, t records.MachineType) bool {
+	return job.CPUs <= t.CPUs+tolerance && job.GPUs <= t.GPUs+tolerance && job.MemGB <= t.MemGB+tolerance
+}
+
+// tooLarge returns why a job cannot be stored: its record is larger than a value of the store may be,
+// now or after an announced change of limits; "" if it can.
+func (s *Server) tooLarge(job *records.Job) string {
+	limit := int(s.cfg.Deployment.State.Lowest().ValueKB * 1024)
+	if limit == 0 {
+		return ""
+	}
+	size := records.EncodedSize(job)
+	switch {
+	case size <= limit:
+		return ""
+	case len(job.Dependencies) > 0:
+		return fmt.Sprintf("the job's description with %d prereqs takes %d bytes, of %d at the most", len(job.Dependencies), size, limit)
+	default:
+		return fmt.Sprintf("the job's description takes %d bytes, of %d at the most", size, limit)
+	}
 }
