--- a/internal/api/answer.go
+++ b/internal/api/answer.go
@@ -46,7 +46,7 @@
 }
 
 // reply encodes the answer.
-func (a answer) reply() peer.RelayReply { return asJSON(a.outcome.httpStatus(), a.body) }
+func (a answer) reply() peer.RelayReply { return encodeReply(a.outcome.httpStatus(), a.body) }
 
 // jobStatus is the body of an answer about a job.
 type jobStatus struct {
@@ -74,8 +74,8 @@
 	return answer{outcomeOK, jobStatus{ID: id, Status: p.Status, Done: &p.Done, Running: &p.Running}}
 }
 
-// asJSON encodes a body as JSON.
-func asJSON(status int, v any) peer.RelayReply {
+// encodeReply encodes a body as JSON.
+func encodeReply(status int, v any) peer.RelayReply {
 	var raw []byte
 	var err error
 	if m, ok := v.(easyjson.Marshaler); ok {
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -35,14 +35,14 @@
 		case err == nil:
 			return out
 		case s.relay.accepts(true, node):
-			return asJSON(fiber.StatusMisdirectedRequest, referral{})
+			return encodeReply(fiber.StatusMisdirectedRequest, referral{})
 		}
 	} else if node != "" && !s.relay.unresponsive(s.cfg.Options.HeartbeatRelay, node) {
 		if out, err := s.peers.RelayHeartbeat(node, body); err == nil && out.Status == fiber.StatusOK {
 			return out
 		}
 	}
-	return asJSON(fiber.StatusMisdirectedRequest, referral{Leader: node})
+	return encodeReply(fiber.StatusMisdirectedRequest, referral{Leader: node})
 }
 
 // RelayedHeartbeat answers a single heartbeat that a peer passed on. The 200 that the worker gets in
@@ -57,32 +57,32 @@
 func (s *Server) decideHeartbeat(body []byte, via string) peer.RelayReply {
 	l := s.local()
 	if l == nil {
-		return asJSON(fiber.StatusMisdirectedRequest, referral{})
+		return encodeReply(fiber.StatusMisdirectedRequest, referral{})
 	}
 	var r fleet.Heartbeat
 	if err := easyjson.Unmarshal(body, &r); err != nil {
-		return asJSON(fiber.StatusBadRequest, errorBody{"not a report: " + err.Error()})
+		return encodeReply(fiber.StatusBadRequest, errorBody{"not a report: " + err.Error()})
 	}
 	if err := r.Check(); err != nil {
-		return asJSON(fiber.StatusBadRequest, errorBody{err.Error()})
+		return encodeReply(fiber.StatusBadRequest, errorBody{err.Error()})
 	}
 	if via == "" && !l.NeedsRelay(&r) {
-		return asJSON(fiber.StatusMisdirectedRequest, referral{})
+		return encodeReply(fiber.StatusMisdirectedRequest, referral{})
 	}
 	// Without this, late copies of heartbeats would send workers to and fro that report elsewhere by
 	// now.
 	recency := l.Recency(&r)
 	if recency == fleet.Late {
-		return asJSON(fiber.StatusServiceUnavailable, referral{})
+		return encodeReply(fiber.StatusServiceUnavailable, referral{})
 	}
 	r.Via = via
 	if recency == fleet.Current {
 		if node := s.routes.route(s.cfg, l, r.Machine, r.Zone, via, time.Now()); node != "" {
-			return asJSON(fiber.StatusMisdirectedRequest, referral{Leader: node})
+			return encodeReply(fiber.StatusMisdirectedRequest, referral{Leader: node})
 		}
 	}
 	// Noted before it is answered: a lease counts from when the heartbeat was sent.
-	s.renewed.Store(time.Now())
+	s.lastRenewal.Store(time.Now())
 	return heartbeatReply(l.Heartbeat(&r))
 }
 
@@ -90,10 +90,10 @@
 func heartbeatReply(result fleet.HeartbeatResult) peer.RelayReply {
 	switch result.Outcome {
 	case fleet.HeartbeatAccepted:
-		return asJSON(200, result.Response)
+		return encodeReply(200, result.Response)
 	case fleet.HeartbeatRedirected:
-		return asJSON(421, referral{})
+		return encodeReply(421, referral{})
 	default:
-		return asJSON(503, referral{})
+		return encodeReply(503, referral{})
 	}
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -86,7 +86,7 @@
 	availability  peerAvailability
 	relay         heartbeatRelay
 	routes        relayRoutes
-	renewed       atomic.Value // time.Time: when a heartbeat was last answered here as leader, or the start
+	lastRenewal   atomic.Value // time.Time: when a heartbeat was last answered here as leader, or the start
 }
 
 // pollShare is the share of the store's request rate that polls may take with a single read
@@ -107,7 +107,7 @@
 		dependencies:  dependencies,
 		confirmations: unconfirmed,
 	}
-	s.renewed.Store(time.Now())
+	s.lastRenewal.Store(time.Now())
 	s.relay.batcher = peer.NewBatcher(cfg.HeartbeatInterval()/batchWindowFraction, s.relayBatch)
 	return s
 }
@@ -124,7 +124,7 @@
 // SinceRenewal returns how long ago this controller may last have renewed a worker's lease, or
 // this process started.
 func (s *Server) SinceRenewal() time.Duration {
-	return time.Since(s.renewed.Load().(time.Time))
+	return time.Since(s.lastRenewal.Load().(time.Time))
 }
 
 // Mount registers the routes of users and workers.
