--- a/internal/api/answer_order_test.go
+++ b/internal/api/answer_order_test.go
@@ -23,56 +23,56 @@
 
 // testCluster is controllers of one deployment over one store, with users who ask at all of them.
 type testCluster struct {
-	state *simulation.State
-	nodes []*api.Server
-	wild  *faults
+	store  *simulation.State
+	nodes  []*api.Server
+	faults *faults
 }
 
 // faults draws what goes wrong, and what is wrong on purpose.
 type faults struct {
 	mu      sync.Mutex
-	r       *rand.Rand
+	random  *rand.Rand
 	mistake string
 	leader  *cancellingLeader // the leader, at node 0
 }
 
-func (w *faults) n(n int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.r.IntN(n)
+func (f *faults) intn(n int) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.random.IntN(n)
 }
 
-// pause is how long something takes: mostly little.
-func (w *faults) pause() time.Duration {
-	if w.n(8) == 0 {
-		return time.Duration(w.n(900)) * time.Millisecond
+// delay is how long something takes: mostly little.
+func (f *faults) delay() time.Duration {
+	if f.intn(8) == 0 {
+		return time.Duration(f.intn(900)) * time.Millisecond
 	}
-	return time.Duration(w.n(30)) * time.Millisecond
+	return time.Duration(f.intn(30)) * time.Millisecond
 }
 
 // faultyStore is a controller's way to the store, on which requests and answers take their time and
 // transactions' answers are lost, carried out at once or late.
 type faultyStore struct {
 	*simulation.Client
-	w   *faults
-	mu  sync.Mutex
-	old map[string]*records.KeyValue // as first read, for a mistake
+	faults    *faults
+	mu        sync.Mutex
+	firstRead map[string]*records.KeyValue // as first read, for a mistake
 }
 
 func (s *faultyStore) Get(ctx context.Context, key string) (*records.KeyValue, error) {
-	if err := ctxtime.Sleep(ctx, s.w.pause()); err != nil {
+	if err := ctxtime.Sleep(ctx, s.faults.delay()); err != nil {
 		return nil, records.ErrUnknownOutcome
 	}
 	row, err := s.Client.Get(ctx, key)
-	if err == nil && s.w.mistake == "a read from memory" {
+	if err == nil && s.faults.mistake == "a read from memory" {
 		s.mu.Lock()
-		if was, ok := s.old[key]; ok {
+		if was, ok := s.firstRead[key]; ok {
 			row = was
 		}
-		s.old[key] = row
+		s.firstRead[key] = row
 		s.mu.Unlock()
 	}
-	if sleep := ctxtime.Sleep(ctx, s.w.pause()); sleep != nil {
+	if sleep := ctxtime.Sleep(ctx, s.faults.delay()); sleep != nil {
 		return nil, records.ErrUnknownOutcome
 	}
 	return row, err
@@ -81,11 +81,11 @@
 func (s *faultyStore) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
 	var rows []records.KeyValue
 	epoch, err := s.Client.List(ctx, prefix, func(r records.KeyValue) error { rows = append(rows, r); return nil })
-	if ctxtime.Sleep(ctx, s.w.pause()) != nil {
+	if ctxtime.Sleep(ctx, s.faults.delay()) != nil {
 		return 0, records.ErrUnknownOutcome
 	}
 	for _, r := range rows {
-		if s.w.mistake == "a list with gaps" && s.w.n(3) == 0 {
+		if s.faults.mistake == "a list with gaps" && s.faults.intn(3) == 0 {
 			continue
 		}
 		_ = each(r)
@@ -93,17 +93,17 @@
 	return epoch, err
 }
 
-// late carries a transaction out a while later.
-func (s *faultyStore) late(by time.Duration, when []records.Compare, ops []records.Op) {
+// commitLater carries a transaction out a while later.
+func (s *faultyStore) commitLater(by time.Duration, when []records.Compare, ops []records.Op) {
 	time.Sleep(by)
 	_, _ = s.Client.Commit(context.Background(), when, ops)
 }
 
 func (s *faultyStore) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
-	if ctxtime.Sleep(ctx, s.w.pause()) != nil {
+	if ctxtime.Sleep(ctx, s.faults.delay()) != nil {
 		return 0, records.ErrUnknownOutcome
 	}
-	switch s.w.mistake {
+	switch s.faults.mistake {
 	case "a commit without conditions":
 		when = nil
 	case "a conflict taken for success":
@@ -114,22 +114,22 @@
 		}
 		return epoch, err
 	case "told before it is stored":
-		go s.late(400*time.Millisecond, when, ops)
+		go s.commitLater(400*time.Millisecond, when, ops)
 		return 1, nil
 	case "no answer taken for success":
-		if s.w.n(3) == 0 {
+		if s.faults.intn(3) == 0 {
 			return 1, nil // it got lost on the way
 		}
 	}
 	late := time.Duration(-1)
-	switch s.w.n(6) {
+	switch s.faults.intn(6) {
 	case 0:
 		late = 0
 	case 1:
-		late = time.Duration(s.w.n(4000)) * time.Millisecond
+		late = time.Duration(s.faults.intn(4000)) * time.Millisecond
 	}
 	if late >= 0 {
-		go s.late(late, when, ops)
+		go s.commitLater(late, when, ops)
 		return 0, records.ErrUnknownOutcome
 	}
 	return s.Client.Commit(ctx, when, ops)
@@ -138,28 +138,28 @@
 // cancellingLeader is a leader that runs every job a while and stores that it is done.
 type cancellingLeader struct {
 	acceptingLeader
-	mu   sync.Mutex
-	over map[string]bool
+	mu        sync.Mutex
+	cancelled map[string]bool
 }
 
 func (l *cancellingLeader) NotifyCancelled(_ context.Context, id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over[id] = true
+	l.cancelled[id] = true
 	return true
 }
 
 // clusterPeers are a controller's peers.
 type clusterPeers struct {
 	unreachablePeers
-	g  *testCluster
-	me int
+	cluster *testCluster
+	self    int
 }
 
 func (m clusterPeers) Relay(r peer.RelayRequest, _ time.Duration) (peer.RelayReply, bool) {
-	for i, n := range m.g.nodes {
-		if i != m.me {
-			time.Sleep(m.g.wild.pause() / 4)
+	for i, n := range m.cluster.nodes {
+		if i != m.self {
+			time.Sleep(m.cluster.faults.delay() / 4)
 			if out := n.Relay(r); out.Final(r) {
 				return out, true
 			}
@@ -169,8 +169,8 @@
 }
 
 func (m clusterPeers) NotifyCancelled(_, id string) (bool, error) {
-	time.Sleep(m.g.wild.pause() / 4)
-	return m.g.wild.leader.NotifyCancelled(context.Background(), id), nil
+	time.Sleep(m.cluster.faults.delay() / 4)
+	return m.cluster.faults.leader.NotifyCancelled(context.Background(), id), nil
 }
 
 func (m clusterPeers) RelayHeartbeats(string, peer.HeartbeatBatch, time.Duration) (peer.HeartbeatBatchReply, error) {
@@ -178,17 +178,17 @@
 }
 
 func open(seed uint64, mistake string) *testCluster {
-	g := &testCluster{state: simulation.NewState(), wild: &faults{r: rand.New(rand.NewPCG(seed, 7)), mistake: mistake, leader: &cancellingLeader{over: map[string]bool{}}}}
+	g := &testCluster{store: simulation.NewState(), faults: &faults{random: rand.New(rand.NewPCG(seed, 7)), mistake: mistake, leader: &cancellingLeader{cancelled: map[string]bool{}}}}
 	for i, name := range []string{"n-0", "n-1", "n-2"} {
 		cfg := &config.Config{Node: name}
 		cfg.Options.LeaderLeaseIntervals = 2
 		cfg.Deployment.Workers.HeartbeatS, cfg.Deployment.Workers.CancelS = 2, 30
 		cfg.Deployment.State.RPS, cfg.Deployment.Nodes = 20, 3 // so few that polls share reads
 		cfg.Deployment.Teams = []config.Team{{Name: "vision"}}
-		store := &faultyStore{Client: g.state.Client(name), w: g.wild, old: map[string]*records.KeyValue{}}
-		s := api.New(cfg, store, clusterPeers{g: g, me: i}, func() string { return "n-0" }, func() api.Local {
+		store := &faultyStore{Client: g.store.Client(name), faults: g.faults, firstRead: map[string]*records.KeyValue{}}
+		s := api.New(cfg, store, clusterPeers{cluster: g, self: i}, func() string { return "n-0" }, func() api.Local {
 			if i == 0 {
-				return g.wild.leader
+				return g.faults.leader
 			}
 			return nil
 		})
@@ -198,9 +198,9 @@
 	return g
 }
 
-// finish stores that a job is done, as the leader does.
-func (g *testCluster) finish(id string) {
-	c := g.state.Client("leader")
+// finishJob stores that a job is done, as the leader does.
+func (cluster *testCluster) finishJob(id string) {
+	c := cluster.store.Client("leader")
 	if row, err := c.Get(context.Background(), records.OpenKey(id)); err == nil && row != nil {
 		_, _ = c.Commit(context.Background(), []records.Compare{{Key: records.OpenKey(id), Revision: row.Revision}},
 			[]records.Op{{Delete: records.OpenKey(id)}, {Write: records.ClosedKey(id), Value: records.ClosedJob{Status: records.StatusDone, Tasks: 4}}})
@@ -209,14 +209,14 @@
 
 // runUsers has users submit, ask, repeat and cancel three jobs at all controllers at once, and says
 // what of their answers fits into no order.
-func (g *testCluster) runUsers(log *linearizability.Log) error {
-	w := g.wild
+func (cluster *testCluster) runUsers(log *linearizability.Log) error {
+	w := cluster.faults
 	ask := func(who int, kind, id string) string {
 		r := peer.RelayRequest{Method: map[string]string{linearizability.Submit: peer.MethodSubmit, linearizability.Poll: peer.MethodPoll, linearizability.Cancel: peer.MethodCancel}[kind], ID: id}
 		if kind == linearizability.Submit {
-			r.Body = []byte(edit(job, `uid="`+id+`"`))
+			r.Body = []byte(editField(validJob, `uid="`+id+`"`))
 		}
-		asked, n := time.Now(), g.nodes[w.n(3)]
+		asked, n := time.Now(), cluster.nodes[w.intn(3)]
 		out := n.Answer(r)
 		var s struct{ Status string }
 		_ = json.Unmarshal(out.Body, &s)
@@ -237,9 +237,9 @@
 	for who := range 9 {
 		wg.Go(func() {
 			id := "j-" + string(rune('1'+who%3))
-			time.Sleep(time.Duration(w.n(40)) * time.Millisecond)
+			time.Sleep(time.Duration(w.intn(40)) * time.Millisecond)
 			for range 5 {
-				switch w.n(5) {
+				switch w.intn(5) {
 				case 0, 1:
 					ask(who, linearizability.Submit, id)
 				case 2:
@@ -250,15 +250,15 @@
 				for range 2 {
 					ask(who, linearizability.Poll, id)
 				}
-				time.Sleep(time.Duration(w.n(300)) * time.Millisecond)
+				time.Sleep(time.Duration(w.intn(300)) * time.Millisecond)
 			}
 		})
 	}
 	wg.Go(func() {
-		time.Sleep(time.Duration(w.n(2500)) * time.Millisecond)
-		g.finish("j-1")
+		time.Sleep(time.Duration(w.intn(2500)) * time.Millisecond)
+		cluster.finishJob("j-1")
 	})
-	if g.wild.mistake == "an open answer from memory" || g.wild.mistake == "not known, from memory" {
+	if cluster.faults.mistake == "an open answer from memory" || cluster.faults.mistake == "not known, from memory" {
 		// A controller that answers as it did the first time.
 		first := map[string]string{}
 		wg.Go(func() {
@@ -267,7 +267,7 @@
 				asked := time.Now()
 				if first[id] == "" {
 					first[id] = ask(20, linearizability.Poll, id)
-				} else if open := first[id] != linearizability.NotFound; open == (g.wild.mistake == "an open answer from memory") {
+				} else if open := first[id] != linearizability.NotFound; open == (cluster.faults.mistake == "an open answer from memory") {
 					log.Note(20, id, linearizability.Poll, first[id], asked)
 				}
 				time.Sleep(150 * time.Millisecond)
@@ -277,7 +277,7 @@
 	wg.Wait()
 	time.Sleep(10 * time.Second) // what is late is in by then
 	for _, id := range []string{"j-1", "j-2", "j-3"} {
-		g.finish(id)
+		cluster.finishJob(id)
 		for try := 0; try < 20 && ask(30, linearizability.Poll, id) == ""; try++ {
 			time.Sleep(time.Second)
 		}
@@ -288,7 +288,7 @@
 // What users are told of a job, at whichever controller, in whatever order answers come, fits into
 // one order of what can have happened to it, with transactions that get no answer and are carried out
 // at once or late, reads that take long, and shared ones under crowds.
-func TestAnswersInOrder(t *testing.T) {
+func TestAnswersAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		var err error
@@ -300,7 +300,7 @@
 }
 
 // Each mistake made on purpose is found within a few days.
-func TestAnswersOutOfOrder(t *testing.T) {
+func TestInjectedMistakesAreDetected(t *testing.T) {
 	for _, mistake := range []string{
 		"a read from memory", "a list with gaps", "a commit without conditions", "a conflict taken for success",
 		"told before it is stored", "no answer taken for success", "an open answer from memory", "not known, from memory",
--- a/internal/api/confirmations_test.go
+++ b/internal/api/confirmations_test.go
@@ -21,16 +21,16 @@
 	unreachablePeers
 	heard bool
 	err   error
-	times int
+	calls int
 }
 
 func (a *cancellationPeers) NotifyCancelled(string, string) (bool, error) {
-	a.times++
+	a.calls++
 	return a.heard, a.err
 }
 
-// unknown is how a version answers that does not know the question.
-func unknown(t *testing.T) error {
+// unsupportedError is how a version answers that does not know the question.
+func unsupportedError(t *testing.T) error {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -45,8 +45,8 @@
 
 // Nobody is told that a job is cancelled before the leader has heard it, by no way: the answer, a
 // poll or a repeat; but for as long as its grant may last at the most, and once told it stays told.
-func TestConfirmed(t *testing.T) {
-	old := unknown(t)
+func TestCancellationIsReportedOnceLeaderKnows(t *testing.T) {
+	old := unsupportedError(t)
 	for name, x := range map[string]struct {
 		leader string
 		peers  cancellationPeers
@@ -70,7 +70,7 @@
 				peers := x.peers
 				s := api.New(cfg, simulation.NewState().Client("n-0"), &peers, func() string { return x.leader }, func() api.Local { return nil })
 				s.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}})
-				ways := []peer.RelayRequest{{Method: peer.MethodCancel, ID: "j-1"}, {Method: peer.MethodPoll, ID: "j-1"}, {Method: peer.MethodSubmit, Body: []byte(job)}}
+				ways := []peer.RelayRequest{{Method: peer.MethodCancel, ID: "j-1"}, {Method: peer.MethodPoll, ID: "j-1"}, {Method: peer.MethodSubmit, Body: []byte(validJob)}}
 				if out := s.Answer(ways[2]); out.Status != 201 {
 					t.Fatalf("submission: %d", out.Status)
 				}
@@ -87,8 +87,8 @@
 					}
 					time.Sleep(time.Second - time.Since(began)%time.Second)
 				}
-				if peers.times != x.asks {
-					t.Errorf("the leader was asked %d times, want %d", peers.times, x.asks)
+				if peers.calls != x.asks {
+					t.Errorf("the leader was asked %d times, want %d", peers.calls, x.asks)
 				}
 			})
 		})
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -86,7 +86,7 @@
 	edited := func(changes ...string) string {
 		body := goldenJob
 		for _, c := range changes {
-			body = edit(body, c)
+			body = editField(body, c)
 		}
 		return body
 	}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -24,14 +24,14 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-const job = `{"uid":"j-1","jobclass":"train","owner":"vision","shape":"batch","urgency":"urgent","shots":4,
+const validJob = `{"uid":"j-1","jobclass":"train","owner":"vision","shape":"batch","urgency":"urgent","shots":4,
  "vcpus":1.0,"gpus":0.0,"mem_gb":2.0,"build":"img","size_gb":1.0,"rigs":null,"site":null,"one_zone":false,
  "apart":false,"loaners":true,"guess_s":10.0,"snapshot_s":0.0,"flush_s":0.0,"due_s":null}`
 
 // A story sends requests: "submit", with changes to a good job such as
 // "-uid" (left out) or "shots=0"; "raw BODY"; "GET /path"; "POST /path"; and
 // changes what the service knows: "types", "outage on", "team vision 4".
-func TestTraces(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		state := simulation.NewState()
 		cfg := &config.Config{Node: "n-0"}
@@ -70,9 +70,9 @@
 				state.Outage(w[1] == "on")
 				return nil
 			case "submit":
-				body := job
+				body := validJob
 				for _, change := range w[1:] {
-					body = edit(body, strings.Replace(change, "IMG", strings.Repeat("img", 40), 1))
+					body = editField(body, strings.Replace(change, "IMG", strings.Repeat("img", 40), 1))
 				}
 				return send("POST", "/work", body)
 			case "raw":
@@ -109,7 +109,7 @@
 // A flood takes its share of the store and no more: thousands of polls for jobs that
 // there are none of are told at once to come back, a job submitted again and again
 // is committed once, and a submission in the midst is accepted.
-func TestFlood(t *testing.T) {
+func TestPollFloodLeavesRoomForSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Node: "n-0"}
 		cfg.Deployment.Workers.HeartbeatS = 2
@@ -131,12 +131,12 @@
 		if absent == 0 || later == 0 || absent+later != 3000 || store.gets.Load() > 400 {
 			t.Errorf("3000 polls: %d told that there is none, %d to come back, %d reads", absent, later, store.gets.Load())
 		}
-		if got := s.Answer(peer.RelayRequest{Method: "submit", Body: []byte(job)}).Status; got != 201 {
+		if got := s.Answer(peer.RelayRequest{Method: "submit", Body: []byte(validJob)}).Status; got != 201 {
 			t.Errorf("a submission among them: %d", got)
 		}
 		time.Sleep(time.Minute)
 		for range 50 {
-			if got := s.Answer(peer.RelayRequest{Method: "submit", Body: []byte(job)}).Status; got != 200 {
+			if got := s.Answer(peer.RelayRequest{Method: "submit", Body: []byte(validJob)}).Status; got != 200 {
 				t.Errorf("submitted again: %d", got)
 			}
 		}
@@ -156,7 +156,7 @@
 // than its share of single reads. Guards against a job that is asked about in vain each time,
 // as its beat comes when the reads are used up: each has an answer within 75 s, and mostly
 // the first time.
-func TestCrowd(t *testing.T) {
+func TestEveryPollIsAnsweredInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Node: "n-0"}
 		cfg.Deployment.Workers.HeartbeatS = 1.5
@@ -222,7 +222,7 @@
 
 // Garbled reports are refused before the leader sees them; a very long one is taken,
 // whichever way it comes.
-func TestReports(t *testing.T) {
+func TestMalformedHeartbeatsAreRefused(t *testing.T) {
 	cfg := &config.Config{Node: "n-0"}
 	cfg.Deployment.State.RPS = 100
 	l := &acceptingLeader{}
@@ -277,8 +277,8 @@
 	return peer.RelayReply{}, false
 }
 
-// edit changes one field of a job given as text.
-func edit(body, change string) string {
+// editField changes one field of a job given as text.
+func editField(body, change string) string {
 	name, value, set := strings.Cut(strings.TrimPrefix(change, "-"), "=")
 	i := strings.Index(body, `"`+name+`":`)
 	if i < 0 {
