--- a/internal/api/confirmations_test.go
+++ b/internal/api/confirmations_test.go
@@ -16,7 +16,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// cancellationPeers answers for the leader: whether it has heard of a cancellation, or cannot be reached.
+// cancellationPeers answers NotifyCancelled as set, and counts the calls.
 type cancellationPeers struct {
 	unreachablePeers
 	heard bool
@@ -29,8 +29,9 @@
 	return a.heard, a.err
 }
 
-// unsupportedError is how a version answers that does not know the question.
+// unsupportedError returns the error of NotifyCancelled to a version that does not support it.
 func unsupportedError(t *testing.T) error {
+	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,14 +44,15 @@
 	return err
 }
 
-// Nobody is told that a job is cancelled before the leader has heard it, by no way: the answer, a
-// poll or a repeat; but for as long as its grant may last at the most, and once told it stays told.
+// No user is told that a job is cancelled before the leader knows: neither by the answer to the
+// cancellation, nor by a poll or a repeated submission. This lasts no longer than the leader's lease, and
+// what was confirmed stays confirmed.
 func TestCancellationIsReportedOnceLeaderKnows(t *testing.T) {
 	old := unsupportedError(t)
 	for name, x := range map[string]struct {
 		leader string
 		peers  cancellationPeers
-		at     time.Duration // when it is confirmed
+		at     time.Duration // when it is confirmed, after the submission
 		asks   int
 	}{
 		"the leader hears it":            {"n-1", cancellationPeers{heard: true}, 0, 1},
@@ -64,7 +66,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				cfg := &config.Config{Node: "n-0"}
 				cfg.Options.LeaderLeaseIntervals = 2
-				cfg.Deployment.Workers.HeartbeatS = 2 // a grant of 4 s
+				cfg.Deployment.Workers.HeartbeatS = 2 // a lease of 4 s
 				cfg.Deployment.State.RPS = 100
 				cfg.Deployment.Teams = []config.Team{{Name: "vision"}}
 				peers := x.peers
@@ -88,7 +90,7 @@
 					time.Sleep(time.Second - time.Since(began)%time.Second)
 				}
 				if peers.calls != x.asks {
-					t.Errorf("the leader was asked %d times, want %d", peers.calls, x.asks)
+					t.Errorf("the leader was notified %d times, want %d", peers.calls, x.asks)
 				}
 			})
 		})
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -20,7 +20,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// goldenLeader is a leader that knows one job and keeps the last report.
+// goldenLeader is a leader that knows one job and keeps the last heartbeat.
 type goldenLeader struct {
 	acceptingLeader
 	got     fleet.Heartbeat
@@ -42,7 +42,7 @@
 	}}}
 }
 
-// relayingPeers is a controller whose peers answer for the leader that they reach.
+// relayingPeers are peers that reach the leader and return its answer.
 type relayingPeers struct {
 	unreachablePeers
 	status int
@@ -75,7 +75,7 @@
 	return s, state, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
 }
 
-// Users' requests and the answers to them keep their forms, one after the other.
+// Users' requests and the answers to them keep their wire format.
 func TestGoldenUsers(t *testing.T) {
 	l := &goldenLeader{}
 	s, state, ask := goldenServer(unreachablePeers{}, "n-0", func() api.Local { return l })
@@ -175,7 +175,7 @@
 	return string(raw)
 }
 
-// Workers' reports and the answers to them keep their forms, at the leader and elsewhere.
+// Workers' heartbeats and the answers to them keep their wire format, at the leader and elsewhere.
 func TestGoldenWorkers(t *testing.T) {
 	const report = `{"host":"m-000231","addr":"10.1.0.232:9000","rig":"g8","site":"a","loaners":true,"stint":1,"tick":88,"baton":41,` +
 		`"warning_s":12.5,"version":"1.0","shots":[{"shot":"j-412/3","try":2,"status":"ended","cause":"done","saved":true}]}`
@@ -212,7 +212,7 @@
 			}
 			x.leads.got.Via = ""
 			if unset := goldentest.Unset(x.leads.got, "json"); len(unset) > 0 {
-				t.Errorf("the report of the test leaves %v unset", unset)
+				t.Errorf("the heartbeat of the test leaves %v unset", unset)
 			}
 		})
 	}
--- a/internal/api/answer_order_test.go
+++ b/internal/api/linearizability_test.go
@@ -21,14 +21,14 @@
 	"pgregory.net/rapid"
 )
 
-// testCluster is controllers of one deployment over one store, with users who ask at all of them.
+// testCluster is three controllers of one deployment over one store.
 type testCluster struct {
 	store  *simulation.State
 	nodes  []*api.Server
 	faults *faults
 }
 
-// faults draws what goes wrong, and what is wrong on purpose.
+// faults draws delays and failures, and names the mistake that is injected, if any.
 type faults struct {
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -42,7 +42,7 @@
 	return f.random.IntN(n)
 }
 
-// delay is how long something takes: mostly little.
+// delay returns how long something takes: mostly little, sometimes nearly a second.
 func (f *faults) delay() time.Duration {
 	if f.intn(8) == 0 {
 		return time.Duration(f.intn(900)) * time.Millisecond
@@ -50,13 +50,13 @@
 	return time.Duration(f.intn(30)) * time.Millisecond
 }
 
-// faultyStore is a controller's way to the store, on which requests and answers take their time and
-// transactions' answers are lost, carried out at once or late.
+// faultyStore delays requests and responses, and loses the responses of some transactions, which
+// are carried out at once or late.
 type faultyStore struct {
 	*simulation.Client
 	faults    *faults
 	mu        sync.Mutex
-	firstRead map[string]*records.KeyValue // as first read, for a mistake
+	firstRead map[string]*records.KeyValue // by key, for an injected mistake
 }
 
 func (s *faultyStore) Get(ctx context.Context, key string) (*records.KeyValue, error) {
@@ -135,7 +135,7 @@
 	return s.Client.Commit(ctx, when, ops)
 }
 
-// cancellingLeader is a leader that runs every job a while and stores that it is done.
+// cancellingLeader is a leader that knows of every cancellation that it was notified of.
 type cancellingLeader struct {
 	acceptingLeader
 	mu        sync.Mutex
@@ -149,7 +149,7 @@
 	return true
 }
 
-// clusterPeers are a controller's peers.
+// clusterPeers are a controller's peers in a test cluster.
 type clusterPeers struct {
 	unreachablePeers
 	cluster *testCluster
@@ -177,28 +177,31 @@
 	return peer.HeartbeatBatchReply{}, errors.New("no leader")
 }
 
-func open(seed uint64, mistake string) *testCluster {
-	g := &testCluster{store: simulation.NewState(), faults: &faults{random: rand.New(rand.NewPCG(seed, 7)), mistake: mistake, leader: &cancellingLeader{cancelled: map[string]bool{}}}}
+// newTestCluster returns a cluster whose first node leads.
+func newTestCluster(seed uint64, mistake string) *testCluster {
+	cluster := &testCluster{store: simulation.NewState(), faults: &faults{
+		random: rand.New(rand.NewPCG(seed, 7)), mistake: mistake, leader: &cancellingLeader{cancelled: map[string]bool{}},
+	}}
 	for i, name := range []string{"n-0", "n-1", "n-2"} {
 		cfg := &config.Config{Node: name}
 		cfg.Options.LeaderLeaseIntervals = 2
 		cfg.Deployment.Workers.HeartbeatS, cfg.Deployment.Workers.CancelS = 2, 30
 		cfg.Deployment.State.RPS, cfg.Deployment.Nodes = 20, 3 // so few that polls share reads
 		cfg.Deployment.Teams = []config.Team{{Name: "vision"}}
-		store := &faultyStore{Client: g.store.Client(name), faults: g.faults, firstRead: map[string]*records.KeyValue{}}
-		s := api.New(cfg, store, clusterPeers{cluster: g, self: i}, func() string { return "n-0" }, func() api.Local {
+		store := &faultyStore{Client: cluster.store.Client(name), faults: cluster.faults, firstRead: map[string]*records.KeyValue{}}
+		s := api.New(cfg, store, clusterPeers{cluster: cluster, self: i}, func() string { return "n-0" }, func() api.Local {
 			if i == 0 {
-				return g.faults.leader
+				return cluster.faults.leader
 			}
 			return nil
 		})
 		s.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}})
-		g.nodes = append(g.nodes, s)
+		cluster.nodes = append(cluster.nodes, s)
 	}
-	return g
+	return cluster
 }
 
-// finishJob stores that a job is done, as the leader does.
+// finishJob stores that a job is done, as the leader would.
 func (cluster *testCluster) finishJob(id string) {
 	c := cluster.store.Client("leader")
 	if row, err := c.Get(context.Background(), records.OpenKey(id)); err == nil && row != nil {
@@ -207,99 +210,119 @@
 	}
 }
 
-// runUsers has users submit, ask, repeat and cancel three jobs at all controllers at once, and says
-// what of their answers fits into no order.
-func (cluster *testCluster) runUsers(log *linearizability.Log) error {
-	w := cluster.faults
-	ask := func(who int, kind, id string) string {
-		r := peer.RelayRequest{Method: map[string]string{linearizability.Submit: peer.MethodSubmit, linearizability.Poll: peer.MethodPoll, linearizability.Cancel: peer.MethodCancel}[kind], ID: id}
-		if kind == linearizability.Submit {
-			r.Body = []byte(editField(validJob, `uid="`+id+`"`))
+// requestMethods are the methods of the requests that the log has by kind.
+var requestMethods = map[string]string{
+	linearizability.Submit: peer.MethodSubmit,
+	linearizability.Poll:   peer.MethodPoll,
+	linearizability.Cancel: peer.MethodCancel,
+}
+
+// ask sends a user's request to some controller, logs the answer and returns the status that it
+// tells, "" if none.
+func (cluster *testCluster) ask(log *linearizability.Log, user int, kind, id string) string {
+	r := peer.RelayRequest{Method: requestMethods[kind], ID: id}
+	if kind == linearizability.Submit {
+		r.Body = []byte(editField(validJob, `uid="`+id+`"`))
+	}
+	asked, node := time.Now(), cluster.nodes[cluster.faults.intn(3)]
+	out := node.Answer(r)
+	var s struct{ Status string }
+	_ = json.Unmarshal(out.Body, &s)
+	switch {
+	case out.Status == 404:
+		s.Status = linearizability.NotFound
+	case out.Status >= 300:
+		s.Status = "" // it may yet be carried out
+	case kind == linearizability.Submit && out.Status == 200 && s.Status == "":
+		s.Status = records.StatusPending
+	}
+	if s.Status != "" || kind != linearizability.Poll {
+		log.Note(user, id, kind, s.Status, asked)
+	}
+	return s.Status
+}
+
+// jobOf is the one of three jobs that a user asks about.
+func jobOf(user int) string { return "j-" + string(rune('1'+user%3)) }
+
+// runUser submits, polls and resubmits one job; some users cancel it as well.
+func (cluster *testCluster) runUser(log *linearizability.Log, user int) {
+	f, id := cluster.faults, jobOf(user)
+	time.Sleep(time.Duration(f.intn(40)) * time.Millisecond)
+	for range 5 {
+		switch f.intn(5) {
+		case 0, 1:
+			cluster.ask(log, user, linearizability.Submit, id)
+		case 2:
+			if user%3 == 1 {
+				cluster.ask(log, user, linearizability.Cancel, id)
+			}
 		}
-		asked, n := time.Now(), cluster.nodes[w.intn(3)]
-		out := n.Answer(r)
-		var s struct{ Status string }
-		_ = json.Unmarshal(out.Body, &s)
-		switch {
-		case out.Status == 404:
-			s.Status = linearizability.NotFound
-		case out.Status >= 300:
-			s.Status = "" // it may yet be carried out
-		case kind == linearizability.Submit && out.Status == 200 && s.Status == "":
-			s.Status = records.StatusPending
+		for range 2 {
+			cluster.ask(log, user, linearizability.Poll, id)
 		}
-		if s.Status != "" || kind != linearizability.Poll {
-			log.Note(who, id, kind, s.Status, asked)
+		time.Sleep(time.Duration(f.intn(300)) * time.Millisecond)
+	}
+}
+
+// answerStale logs the answers of a controller that answers as it did the first time: about jobs that
+// were open then, or about jobs that were not known.
+func (cluster *testCluster) answerStale(log *linearizability.Log, open bool) {
+	const user = 20
+	first := map[string]string{}
+	for k := range 40 {
+		id := jobOf(k)
+		asked := time.Now()
+		if first[id] == "" {
+			first[id] = cluster.ask(log, user, linearizability.Poll, id)
+		} else if wasOpen := first[id] != linearizability.NotFound; wasOpen == open {
+			log.Note(user, id, linearizability.Poll, first[id], asked)
 		}
-		return s.Status
+		time.Sleep(150 * time.Millisecond)
 	}
+}
+
+// runUsers has users submit, poll, resubmit and cancel three jobs at all controllers at once, and
+// returns an error if no order of events explains their answers.
+func (cluster *testCluster) runUsers(log *linearizability.Log) error {
+	f := cluster.faults
 	var wg sync.WaitGroup
-	for who := range 9 {
-		wg.Go(func() {
-			id := "j-" + string(rune('1'+who%3))
-			time.Sleep(time.Duration(w.intn(40)) * time.Millisecond)
-			for range 5 {
-				switch w.intn(5) {
-				case 0, 1:
-					ask(who, linearizability.Submit, id)
-				case 2:
-					if who%3 == 1 {
-						ask(who, linearizability.Cancel, id)
-					}
-				}
-				for range 2 {
-					ask(who, linearizability.Poll, id)
-				}
-				time.Sleep(time.Duration(w.intn(300)) * time.Millisecond)
-			}
-		})
+	for user := range 9 {
+		wg.Go(func() { cluster.runUser(log, user) })
 	}
 	wg.Go(func() {
-		time.Sleep(time.Duration(w.intn(2500)) * time.Millisecond)
+		time.Sleep(time.Duration(f.intn(2500)) * time.Millisecond)
 		cluster.finishJob("j-1")
 	})
-	if cluster.faults.mistake == "an open answer from memory" || cluster.faults.mistake == "not known, from memory" {
-		// A controller that answers as it did the first time.
-		first := map[string]string{}
-		wg.Go(func() {
-			for k := range 40 {
-				id := "j-" + string(rune('1'+k%3))
-				asked := time.Now()
-				if first[id] == "" {
-					first[id] = ask(20, linearizability.Poll, id)
-				} else if open := first[id] != linearizability.NotFound; open == (cluster.faults.mistake == "an open answer from memory") {
-					log.Note(20, id, linearizability.Poll, first[id], asked)
-				}
-				time.Sleep(150 * time.Millisecond)
-			}
-		})
+	if f.mistake == "an open answer from memory" || f.mistake == "not known, from memory" {
+		wg.Go(func() { cluster.answerStale(log, f.mistake == "an open answer from memory") })
 	}
 	wg.Wait()
 	time.Sleep(10 * time.Second) // what is late is in by then
 	for _, id := range []string{"j-1", "j-2", "j-3"} {
 		cluster.finishJob(id)
-		for try := 0; try < 20 && ask(30, linearizability.Poll, id) == ""; try++ {
+		for try := 0; try < 20 && cluster.ask(log, 30, linearizability.Poll, id) == ""; try++ {
 			time.Sleep(time.Second)
 		}
 	}
 	return log.CheckOrder()
 }
 
-// What users are told of a job, at whichever controller, in whatever order answers come, fits into
-// one order of what can have happened to it, with transactions that get no answer and are carried out
-// at once or late, reads that take long, and shared ones under crowds.
+// What users are answered about a job, by whichever controller and in whatever order, is
+// linearizable, although transactions get no response and are carried out at once or late, reads
+// take long, and polls share lists.
 func TestAnswersAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		var err error
-		synctest.Test(t, func(*testing.T) { err = open(seed, "").runUsers(linearizability.New()) })
+		synctest.Test(t, func(*testing.T) { err = newTestCluster(seed, "").runUsers(linearizability.New()) })
 		if err != nil {
 			rt.Fatal(err)
 		}
 	})
 }
 
-// Each mistake made on purpose is found within a few days.
+// Each mistake that is injected is detected within a few runs.
 func TestInjectedMistakesAreDetected(t *testing.T) {
 	for _, mistake := range []string{
 		"a read from memory", "a list with gaps", "a commit without conditions", "a conflict taken for success",
@@ -308,12 +331,12 @@
 		t.Run(mistake, func(t *testing.T) {
 			for seed := range uint64(60) {
 				var err error
-				synctest.Test(t, func(*testing.T) { err = open(seed, mistake).runUsers(linearizability.New()) })
+				synctest.Test(t, func(*testing.T) { err = newTestCluster(seed, mistake).runUsers(linearizability.New()) })
 				if err != nil {
 					return
 				}
 			}
-			t.Error("not found in 60 days")
+			t.Error("not detected in 60 runs")
 		})
 	}
 }
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -28,9 +28,9 @@
  "vcpus":1.0,"gpus":0.0,"mem_gb":2.0,"build":"img","size_gb":1.0,"rigs":null,"site":null,"one_zone":false,
  "apart":false,"loaners":true,"guess_s":10.0,"snapshot_s":0.0,"flush_s":0.0,"due_s":null}`
 
-// A story sends requests: "submit", with changes to a good job such as
-// "-uid" (left out) or "shots=0"; "raw BODY"; "GET /path"; "POST /path"; and
-// changes what the service knows: "types", "outage on", "team vision 4".
+// A scenario sends requests: "submit", with changes to a valid job such as "-uid" (left out) or
+// "shots=0"; "raw BODY"; "GET /path"; "POST /path"; and changes what the service knows: "types",
+// "outage on", "team", "small".
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		state := simulation.NewState()
@@ -85,7 +85,7 @@
 	})
 }
 
-// countingStore is a store that counts what it is asked.
+// countingStore is a store that counts requests.
 type countingStore struct {
 	*simulation.Client
 	gets, commits, lists atomic.Int64
@@ -106,9 +106,9 @@
 	return c.Client.Commit(ctx, when, ops)
 }
 
-// A flood takes its share of the store and no more: thousands of polls for jobs that
-// there are none of are told at once to come back, a job submitted again and again
-// is committed once, and a submission in the midst is accepted.
+// A flood of polls takes no more than its share of the store: thousands of polls for unknown jobs are
+// asked at once to retry, a job that is submitted many times is committed once, and a submission
+// during the flood is accepted.
 func TestPollFloodLeavesRoomForSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Node: "n-0"}
@@ -129,7 +129,7 @@
 		wg.Wait()
 		absent, later := status[404].Load(), status[503].Load()
 		if absent == 0 || later == 0 || absent+later != 3000 || store.gets.Load() > 400 {
-			t.Errorf("3000 polls: %d told that there is none, %d to come back, %d reads", absent, later, store.gets.Load())
+			t.Errorf("3000 polls: %d not found, %d to retry, %d reads", absent, later, store.gets.Load())
 		}
 		if got := s.Answer(peer.RelayRequest{Method: "submit", Body: []byte(validJob)}).Status; got != 201 {
 			t.Errorf("a submission among them: %d", got)
@@ -151,11 +151,10 @@
 	})
 }
 
-// After an outage all controllers are back and remember nothing, and the users of 300 open
-// jobs and 60 that are over ask one of seven controllers every 5 s, each at its beat: far more
-// than its share of single reads. Guards against a job that is asked about in vain each time,
-// as its beat comes when the reads are used up: each has an answer within 75 s, and mostly
-// the first time.
+// After an outage all controllers are back with empty caches, and the users of 300 open jobs and 60
+// closed ones poll one of seven controllers every 5 s, each at its own phase: far more than its share
+// of single reads. Each is answered within 75 s, mostly the first time. Without shared lists, a job
+// whose polls come when the reads are used up would never be answered.
 func TestEveryPollIsAnsweredInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Node: "n-0"}
@@ -205,7 +204,7 @@
 	})
 }
 
-// acceptingLeader takes every report that makes sense.
+// acceptingLeader accepts every well-formed heartbeat, and counts them and their tasks.
 type acceptingLeader struct{ reports, tasks int }
 
 func (l *acceptingLeader) Progress(string) (string, int, int, bool)       { return "", 0, 0, false }
@@ -220,8 +219,8 @@
 	return fleet.HeartbeatResult{Outcome: fleet.HeartbeatAccepted, Response: fleet.HeartbeatResponse{FencingToken: 1, Commands: []fleet.Command{}}}
 }
 
-// Garbled reports are refused before the leader sees them; a very long one is taken,
-// whichever way it comes.
+// Malformed heartbeats are refused before the leader sees them; a very long one is accepted,
+// directly or through a peer.
 func TestMalformedHeartbeatsAreRefused(t *testing.T) {
 	cfg := &config.Config{Node: "n-0"}
 	cfg.Deployment.State.RPS = 100
@@ -233,7 +232,7 @@
 	}
 	long := `{"host":"m-1","stint":1,"tick":1,"baton":1,"shots":[` + strings.Join(tasks, ",") + `]}`
 	if len(long) < 50<<10 {
-		t.Fatalf("the long report takes only %d bytes", len(long))
+		t.Fatalf("the long heartbeat takes only %d bytes", len(long))
 	}
 	for _, x := range []struct {
 		body string
@@ -252,11 +251,11 @@
 		}
 	}
 	if l.reports != 4 || l.tasks != 1800 {
-		t.Errorf("the leader saw %d reports with %d tasks", l.reports, l.tasks)
+		t.Errorf("the leader got %d heartbeats with %d tasks, want 4 with 1800", l.reports, l.tasks)
 	}
 }
 
-// unreachablePeers is a controller whose peers do not answer.
+// unreachablePeers are peers that do not answer.
 type unreachablePeers struct{}
 
 func (unreachablePeers) Status(context.Context) ([]peer.Status, bool) { return nil, false }
@@ -264,7 +263,7 @@
 	return peer.Progress{}, errors.New("no answer")
 }
 
-// Cancelled: the leader hears of every cancellation.
+// NotifyCancelled succeeds all the same: the leader knows of every cancellation.
 func (unreachablePeers) NotifyCancelled(string, string) (bool, error) { return true, nil }
 func (unreachablePeers) RelayHeartbeats(string, peer.HeartbeatBatch, time.Duration) (peer.HeartbeatBatchReply, error) {
 	return peer.HeartbeatBatchReply{}, errors.New("no peers")
@@ -277,7 +276,7 @@
 	return peer.RelayReply{}, false
 }
 
-// editField changes one field of a job given as text.
+// editField changes one field of a job given as JSON text.
 func editField(body, change string) string {
 	name, value, set := strings.Cut(strings.TrimPrefix(change, "-"), "=")
 	i := strings.Index(body, `"`+name+`":`)
