--- a/internal/api/confirmations_test.go
+++ b/internal/api/confirmations_test.go
@@ -72,13 +72,17 @@
 				peers := x.peers
 				s := api.New(cfg, simulation.NewState().Client("n-0"), &peers, func() string { return x.leader }, func() api.Local { return nil })
 				s.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}})
-				ways := []peer.RelayRequest{{Method: peer.MethodCancel, ID: "j-1"}, {Method: peer.MethodPoll, ID: "j-1"}, {Method: peer.MethodSubmit, Body: []byte(validJob)}}
-				if out := s.Answer(ways[2]); out.Status != 201 {
+				requests := []peer.RelayRequest{
+					{Method: peer.MethodCancel, ID: "j-1"},
+					{Method: peer.MethodPoll, ID: "j-1"},
+					{Method: peer.MethodSubmit, Body: []byte(validJob)},
+				}
+				if out := s.Answer(requests[2]); out.Status != 201 {
 					t.Fatalf("submission: %d", out.Status)
 				}
 				began := time.Now()
 				for time.Since(began) < 10*time.Second {
-					for _, r := range ways {
+					for _, r := range requests {
 						want := 200
 						if time.Since(began) < x.at-500*time.Millisecond {
 							want = 503
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -60,7 +60,11 @@
 	`"vcpus":1.5,"gpus":1,"mem_gb":2.5,"build":"img","size_gb":3.5,"rigs":["c4"],"site":"a","one_zone":true,` +
 	`"apart":true,"loaners":true,"guess_s":10,"snapshot_s":5,"flush_s":2.5,"due_s":300,"prereqs":["j-7"]}`
 
-func goldenServer(peers api.Peers, leader string, local func() api.Local) (*api.Server, *simulation.State, func(*http.Request) (*http.Response, error)) {
+// goldenServer returns a server over a store that has one closed job, and a function that sends it
+// requests.
+func goldenServer(
+	peers api.Peers, leader string, local func() api.Local,
+) (*api.Server, *simulation.State, func(*http.Request) (*http.Response, error)) {
 	state := simulation.NewState()
 	state.Fill(map[string]records.KeyValue{
 		records.ClosedKey("j-7"): {Key: records.ClosedKey("j-7"), Value: []byte(`{"status":"done","shots":2}`), Revision: 1},
--- a/internal/api/linearizability_test.go
+++ b/internal/api/linearizability_test.go
@@ -205,8 +205,10 @@
 func (cluster *testCluster) finishJob(id string) {
 	c := cluster.store.Client("leader")
 	if row, err := c.Get(context.Background(), records.OpenKey(id)); err == nil && row != nil {
-		_, _ = c.Commit(context.Background(), []records.Compare{{Key: records.OpenKey(id), Revision: row.Revision}},
-			[]records.Op{{Delete: records.OpenKey(id)}, {Write: records.ClosedKey(id), Value: records.ClosedJob{Status: records.StatusDone, Tasks: 4}}})
+		closed := records.ClosedJob{Status: records.StatusDone, Tasks: 4}
+		_, _ = c.Commit(context.Background(),
+			[]records.Compare{{Key: records.OpenKey(id), Revision: row.Revision}},
+			[]records.Op{{Delete: records.OpenKey(id)}, {Write: records.ClosedKey(id), Value: closed}})
 	}
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,9 +1,10 @@
-// Package operator is the operators' interface, beside the users' one: machines and what
-// is to be done with them. Any controller serves it. What only the leader knows, it asks
-// the leader; what is on record, it reads and writes itself.
+// Package operator serves the HTTP interface of operators, beside the one of users: machines, and
+// drains of them. Every controller serves it. What only the leader knows is asked of the leader;
+// records of drains are read and written in the store by any controller.
 package operator
 
 import (
+	"context"
 	"encoding/json"
 	"log/slog"
 	"net/url"
@@ -12,22 +13,36 @@
 	"drumpick/internal/config"
 	"drumpick/internal/drain"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 	"drumpick/internal/scheduler"
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/gofiber/fiber/v2/utils"
 )
 
-// Peers is the way to the leader.
+// Store is the part of the key-value store's client that this package uses.
+type Store interface {
+	Get(ctx context.Context, key string) (*records.KeyValue, error)
+	List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error)
+	Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error)
+}
+
+// Peers reaches the leader.
 type Peers interface {
+	// Operate asks a node, as the leader, a question of an operator.
 	Operate(node string, r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, error)
 }
 
-// Local is this process's leader side, when it leads.
+// Local is the leader that runs in this process.
 type Local interface {
+	// Machines returns a page of machines, those whose names sort behind since, and whether there
+	// are more.
 	Machines(since string, limit int) ([]scheduler.MachineView, bool)
 	Machine(name string) (scheduler.MachineView, bool)
-	Drain(id string) (scheduler.DrainView, bool)
+	// Drain returns a drain; ok is false if the leader has not read it from the store.
+	Drain(id string) (view scheduler.DrainView, ok bool)
+	// PreviewDrain returns a page of what a drain would do, behind the machine since; it changes
+	// nothing.
 	PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error)
 }
 
@@ -38,83 +53,94 @@
 	peers      Peers
 	leader     func() string // node that leads, "" when unknown
 	local      func() Local  // nil when this process does not lead
-	wait       time.Duration
-	valueBytes int
+	timeout    time.Duration // bounds the work on a request
+	valueBytes int           // size of a value that the store takes now and later
 }
 
-// New returns a server; wait bounds a request.
-func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Local, wait time.Duration) *Server {
+// New returns a server; timeout bounds the work on a request.
+func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Local, timeout time.Duration) *Server {
 	return &Server{
-		node: cfg.Node, store: store, peers: peers, leader: leader, local: local, wait: wait,
+		node: cfg.Node, store: store, peers: peers, leader: leader, local: local, timeout: timeout,
 		valueBytes: int(cfg.Deployment.State.Lowest().ValueKB * 1024),
 	}
 }
 
-// machinesPerPage is how many machines an answer lists: a line of it stays well below 64 KiB. The rest
+// Questions that only the leader can answer, as controllers send them to each other.
+const (
+	methodMachines  = "machines" // a page of machines, behind the one of the ID
+	methodMachine   = "machine"
+	methodDrain     = "drain"
+	methodPlanDrain = "plan"
+)
+
+// machinesPerPage is how many machines an answer lists, so that it stays well below 64 KiB. The rest
 // comes in further pages.
 const machinesPerPage = 200
 
-// Mount serves operators.
+// Mount registers the routes of operators.
 func (s *Server) Mount(app *fiber.App) {
 	s.mountDrains(app)
 	app.Get("/operator/machines", func(c *fiber.Ctx) error {
-		return s.reply(c, peer.RelayRequest{Method: "machines", ID: utils.CopyString(c.Query("since"))})
+		return send(c, s.Answer(peer.RelayRequest{Method: methodMachines, ID: utils.CopyString(c.Query("since"))}))
 	})
 	app.Get("/operator/machines/:name", func(c *fiber.Ctx) error {
 		name, err := url.PathUnescape(c.Params("name"))
 		if err != nil {
-			return send(c, answer(400, failure{"the machine's name is not readable"}))
+			return send(c, failed(fiber.StatusBadRequest, "the machine's name is not readable"))
 		}
-		return s.reply(c, peer.RelayRequest{Method: "machine", ID: utils.CopyString(name)})
+		return send(c, s.Answer(peer.RelayRequest{Method: methodMachine, ID: utils.CopyString(name)}))
 	})
 }
 
-func (s *Server) reply(c *fiber.Ctx, r peer.RelayRequest) error { return send(c, s.Answer(r)) }
-
 func send(c *fiber.Ctx, out peer.RelayReply) error {
-	if out.Status == 503 {
-		c.Set("Retry-After", "1")
+	if out.Status == fiber.StatusServiceUnavailable {
+		c.Set(fiber.HeaderRetryAfter, "1")
 	}
-	c.Set("Content-Type", "application/json")
+	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
 	return c.Status(out.Status).Send(out.Body)
 }
 
-// Answer answers what the leader must, here or there.
+// Answer answers a question that only the leader can answer, by this process or through a peer.
 func (s *Server) Answer(r peer.RelayRequest) peer.RelayReply {
 	if s.local() != nil {
 		return s.Decide(r)
 	}
 	node := s.leader()
 	if node == "" || node == s.node {
-		return answer(503, failure{"no controller leads now; please retry"})
+		return failed(fiber.StatusServiceUnavailable, "no controller leads now; please retry")
 	}
-	out, err := s.peers.Operate(node, r, s.wait)
+	out, err := s.peers.Operate(node, r, s.timeout)
 	if err != nil {
-		slog.Debug("the leader does not answer an operator's question", "node", node, "err", err)
-		return answer(503, failure{"the leader does not answer, or is of an earlier version; please retry"})
+		slog.Debug("leader does not answer operators", "node", node, "method", r.Method, "err", err)
+		return failed(fiber.StatusServiceUnavailable, "the leader does not answer, or is of an earlier version; please retry")
 	}
 	return out
 }
 
-// Decide answers as the leader.
+// Decide answers a question as the leader.
 func (s *Server) Decide(r peer.RelayRequest) peer.RelayReply {
 	l := s.local()
 	if l == nil {
-		return answer(503, failure{"this controller does not lead any more; please retry"})
+		return failed(fiber.StatusServiceUnavailable, "this controller does not lead any more; please retry")
 	}
 	switch r.Method {
-	case "machines":
-		list, more := l.Machines(r.ID, machinesPerPage)
-		return answer(200, Machines{Machines: list, More: more})
-	case "machine":
+	case methodMachines:
+		machines, more := l.Machines(r.ID, machinesPerPage)
+		return succeeded(Machines{Machines: machines, More: more})
+	case methodMachine:
 		if m, ok := l.Machine(r.ID); ok {
-			return answer(200, m)
+			return succeeded(m)
 		}
-		return answer(404, failure{"there is no machine " + r.ID})
-	case "plan", "drain":
-		return decideDrain(l, r)
+		return failed(fiber.StatusNotFound, "there is no machine "+r.ID)
+	case methodDrain:
+		if view, ok := l.Drain(r.ID); ok {
+			return succeeded(view)
+		}
+		return noSuchDrain(r.ID)
+	case methodPlanDrain:
+		return decidePlan(l, r.Body)
 	}
-	return answer(400, failure{"unknown question"})
+	return failed(fiber.StatusBadRequest, "unknown question")
 }
 
 // Machines is a page of machines; the next one is asked for with the last name.
@@ -123,14 +149,22 @@
 	More     bool                    `json:"more"`
 }
 
+// failure is the body of an answer that carries an error.
 type failure struct {
 	Error string `json:"error"`
 }
 
+// storeUnavailable is the answer where the store does not answer.
+var storeUnavailable = failed(fiber.StatusServiceUnavailable, "the state service does not answer now; please retry")
+
+func succeeded(v any) peer.RelayReply { return answer(fiber.StatusOK, v) }
+
+func failed(status int, reason string) peer.RelayReply { return answer(status, failure{reason}) }
+
 func answer(status int, v any) peer.RelayReply {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		return peer.RelayReply{Status: 503}
+		return peer.RelayReply{Status: fiber.StatusServiceUnavailable}
 	}
 	return peer.RelayReply{Status: status, Body: raw}
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -289,7 +289,7 @@
 		{config.State{ValueKB: 8}, 8 << 10, 700},
 		{config.State{ValueKB: 8, Next: config.UpcomingLimits{ValueKB: kb(2)}}, 2 << 10, 150},
 		{config.State{ValueKB: 16, Next: config.UpcomingLimits{ValueKB: kb(64)}}, 16 << 10, 1400},
-		{config.State{ValueKB: 64}, mostSpec, 4000},
+		{config.State{ValueKB: 64}, maxSpecBytes, 4000},
 	} {
 		o := newTestClusterWith(t, x.state)
 		o.state.Limit(x.state.Lowest().ValueKB, 16, 1000)
@@ -310,7 +310,7 @@
 		// Beside as many drains as are on record at most, of the longest ids, where the size of
 		// a request is what bounds.
 		others := 0
-		if x.limit == mostSpec {
+		if x.limit == maxSpecBytes {
 			others = 64 + 50
 		}
 		o.leader.read = map[string]bool{}
