--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -23,9 +23,9 @@
 // goldenLeader is a leader whose answers have every field set.
 type goldenLeader struct {
 	fakeLeader
-	asked drain.Spec
-	force bool
-	since string
+	plannedSpec drain.Spec
+	force       bool
+	since       string
 }
 
 func (*goldenLeader) Machines(string, int) ([]scheduler.MachineView, bool) {
@@ -41,10 +41,10 @@
 }
 
 func (l *goldenLeader) PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
-	if l.refuse != nil {
+	if l.planErr != nil {
 		return l.fakeLeader.PreviewDrain(spec, force, since, limit)
 	}
-	l.asked, l.force, l.since = *spec, force, since
+	l.plannedSpec, l.force, l.since = *spec, force, since
 	return &drain.Plan{
 		Machines: []drain.MachinePlan{{Machine: "m-1", Zone: "a", EmptyS: 4.5, Tasks: []drain.TaskPlan{{Task: "j-1/0", Class: "train", Action: drain.Move, Why: "w"}}}},
 		More:     true, Classes: map[string]*drain.ClassPlan{"train": {Late: 1}}, All: drain.Summary{Machines: 1}, Warnings: []string{"w"},
@@ -57,8 +57,8 @@
 	`"window":{"rule":"FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0","zone":"Europe/Warsaw","for_s":7200,"lead_s":600,"starts":"2026-01-31T22:00"},` +
 	`"force":true,"since":"m-0","seen":["d-0"]}`
 
-// began is the part of a record that differs from run to run.
-var began = regexp.MustCompile(`"began_ms":\d+`)
+// beganMS is the part of a record that differs from run to run.
+var beganMS = regexp.MustCompile(`"began_ms":\d+`)
 
 // The operators' requests and the answers to them keep their forms, one after the other.
 func TestGoldenOperators(t *testing.T) {
@@ -79,13 +79,13 @@
 	check := func(name, method, uri, body string) {
 		t.Run(name, func(t *testing.T) {
 			x := goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, method, uri, body)
-			x.Answer = began.ReplaceAll(x.Answer, []byte(`"began_ms":1`))
+			x.Answer = beganMS.ReplaceAll(x.Answer, []byte(`"began_ms":1`))
 			f.CheckExchange(t, name, x)
 		})
 	}
 	stored := func(name, key string) {
 		t.Run(name, func(t *testing.T) {
-			f.Check(t, name, began.ReplaceAll([]byte(state.Value(key)), []byte(`"began_ms":1`)), true)
+			f.Check(t, name, beganMS.ReplaceAll([]byte(state.Value(key)), []byte(`"began_ms":1`)), true)
 		})
 	}
 	check("machines", "GET", "/operator/machines?since=m-0", "")
@@ -93,8 +93,8 @@
 	check("unknown machine", "GET", "/operator/machines/m-9", "")
 	check("no drains", "GET", "/operator/drains", "")
 	check("plan", "POST", "/operator/drains/plan", strings.Replace(goldenDrain, `"seen":["d-0"]`, `"seen":[]`, 1))
-	if !l.force || l.since != "m-0" || l.asked.ID != "d-1" || l.asked.Window == nil {
-		t.Errorf("the leader is asked for %+v, force %v, since %q", l.asked, l.force, l.since)
+	if !l.force || l.since != "m-0" || l.plannedSpec.ID != "d-1" || l.plannedSpec.Window == nil {
+		t.Errorf("the leader is asked for %+v, force %v, since %q", l.plannedSpec, l.force, l.since)
 	}
 	check("plan beside a drain that the leader has not read", "POST", "/operator/drains/plan", goldenDrain)
 	check("start", "POST", "/operator/drains", goldenDrain)
@@ -126,9 +126,9 @@
 		check("start, "+name, "POST", "/operator/drains", body)
 	}
 	l.readOnly("d-1")
-	l.refuse = &scheduler.NoMachineError{Text: "there is no machine m-7"}
+	l.planErr = &scheduler.NoMachineError{Text: "there is no machine m-7"}
 	check("start, unknown machine", "POST", "/operator/drains", `{"id":"d-2","machines":["m-7"]}`)
-	l.refuse = &scheduler.NoCapacityLeftError{Text: "it would leave no machine at all"}
+	l.planErr = &scheduler.NoCapacityLeftError{Text: "it would leave no machine at all"}
 	check("start, none left", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`)
 	state.Fill(map[string]records.KeyValue{"drains/d-8": {Key: "drains/d-8", Revision: 100, Value: []byte(`{"id":"d-8","zone":7}`)}})
 	check("stop, unreadable record", "POST", "/operator/drains/d-8/stop", "{}")
@@ -168,7 +168,7 @@
 	f := goldentest.Open(t, "golden-passed-on.json")
 	for _, r := range asked {
 		t.Run(r.Method, func(t *testing.T) {
-			raw, err := json.Marshal(map[string]string{"method": r.Method, "id": r.ID, "body": began.ReplaceAllString(string(r.Body), `"began_ms":1`)})
+			raw, err := json.Marshal(map[string]string{"method": r.Method, "id": r.ID, "body": beganMS.ReplaceAllString(string(r.Body), `"began_ms":1`)})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -25,12 +25,12 @@
 
 // fakeLeader is a leader that knows a few machines.
 type fakeLeader struct {
-	machines  []scheduler.MachineView
-	refuse    error
-	planned   []drain.Spec
-	mu        sync.Mutex
-	read      map[string]bool // drains that it knows
-	afterPlan func()          // what happens when it has planned one
+	machines   []scheduler.MachineView
+	planErr    error
+	planned    []drain.Spec
+	mu         sync.Mutex
+	readDrains map[string]bool // drains that it knows
+	afterPlan  func()          // what happens when it has planned one
 }
 
 func (l *fakeLeader) Machines(since string, limit int) ([]scheduler.MachineView, bool) {
@@ -54,13 +54,13 @@
 func (l *fakeLeader) readOnly(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.read = map[string]bool{id: true}
+	l.readDrains = map[string]bool{id: true}
 }
 
 func (l *fakeLeader) Drain(id string) (scheduler.DrainView, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return scheduler.DrainView{}, l.read[id]
+	return scheduler.DrainView{}, l.readDrains[id]
 }
 
 func (l *fakeLeader) PreviewDrain(spec *drain.Spec, force bool, _ string, _ int) (*drain.Plan, error) {
@@ -70,16 +70,16 @@
 		f()
 	}
 	var none *scheduler.NoCapacityLeftError
-	if force && errors.As(l.refuse, &none) {
+	if force && errors.As(l.planErr, &none) {
 		return &drain.Plan{}, nil
 	}
-	return &drain.Plan{}, l.refuse
+	return &drain.Plan{}, l.planErr
 }
 
 // fakePeers is how the others reach the leader: as msgpack's other side would answer.
 type fakePeers struct {
-	to          *Server
-	unsupported bool // the leader knows no operators
+	leaderServer *Server
+	unsupported  bool // the leader knows no operators
 }
 
 func (w *fakePeers) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
@@ -89,7 +89,7 @@
 	if raw, err := msgpack.Marshal(r); err != nil || len(raw) > 64<<10 {
 		return peer.RelayReply{}, fmt.Errorf("status 413: %d bytes, %w", len(raw), err)
 	}
-	return w.to.Decide(r), nil
+	return w.leaderServer.Decide(r), nil
 }
 
 type testCluster struct {
@@ -118,7 +118,7 @@
 			return nil
 		}, time.Second)
 		if node == "n-0" {
-			o.peers.to = s
+			o.peers.leaderServer = s
 		}
 		o.apps[node] = fiber.New()
 		s.Mount(o.apps[node])
@@ -126,27 +126,27 @@
 	return o
 }
 
-func (o *testCluster) ask(node, method, path, body string) (int, string) {
-	o.t.Helper()
+func (c *testCluster) ask(node, method, path, body string) (int, string) {
+	c.t.Helper()
 	req := httptest.NewRequest(method, path, bytes.NewBufferString(body))
-	resp, err := o.apps[node].Test(req, -1)
+	resp, err := c.apps[node].Test(req, -1)
 	if err != nil {
-		o.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		o.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
-		o.t.Errorf("%s %s: 503 without Retry-After", method, path)
+		c.t.Errorf("%s %s: 503 without Retry-After", method, path)
 	}
 	return resp.StatusCode, string(raw)
 }
 
 // What operators ask, of the leader or of another controller: the answers, and what is on
 // record afterwards.
-func TestDrains(t *testing.T) {
+func TestDrainRequests(t *testing.T) {
 	o := newTestCluster(t)
 	for _, x := range []struct {
 		node, method, path, body string
@@ -178,13 +178,13 @@
 			t.Errorf("%s %.60s: %d records", x.path, x.body, n)
 		}
 	}
-	o.leader.read = map[string]bool{"d-1": true}
+	o.leader.readDrains = map[string]bool{"d-1": true}
 	// What the leader refuses is not stored; a drain that leaves no machine, by force.
-	o.leader.refuse = &scheduler.NoMachineError{Text: "there is no machine m-7"}
+	o.leader.planErr = &scheduler.NoMachineError{Text: "there is no machine m-7"}
 	if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","machines":["m-7"]}`); status != 404 || !strings.Contains(text, "m-7") {
 		t.Errorf("unknown machine: %d %s", status, text)
 	}
-	o.leader.refuse = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
+	o.leader.planErr = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
 	if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a"}`); status != 409 || !strings.Contains(text, "plan") {
 		t.Errorf("none left: %d %s", status, text)
 	}
@@ -198,7 +198,7 @@
 
 // Where the store is away, or the leader is of a version without operators, it is said at
 // once, and what is on record can still be read and withdrawn.
-func TestAway(t *testing.T) {
+func TestStoreOrLeaderUnavailable(t *testing.T) {
 	o := newTestCluster(t)
 	if status, text := o.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 201 {
 		t.Fatalf("%d %s", status, text)
@@ -229,7 +229,7 @@
 }
 
 // Machines come in pages of which no line is too long, and one by itself with its tasks.
-func TestMachines(t *testing.T) {
+func TestMachinesArePaged(t *testing.T) {
 	o := newTestCluster(t)
 	for i := range 450 {
 		o.leader.machines = append(o.leader.machines, scheduler.MachineView{
@@ -259,13 +259,13 @@
 
 // Two drains asked for in the same moment, each of which leaves enough without the other:
 // the second is planned once more, beside the first, by a leader that has read it.
-func TestTwoDrainsAtOnce(t *testing.T) {
+func TestConcurrentDrainsArePlannedTogether(t *testing.T) {
 	o := newTestCluster(t)
 	o.leader.afterPlan = func() {
 		if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"b"}`); status != 201 {
 			t.Errorf("the one that is quicker: %d %s", status, text)
 		}
-		o.leader.refuse = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
+		o.leader.planErr = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
 		time.AfterFunc(100*time.Millisecond, func() { o.leader.readOnly("d-2") })
 	}
 	if status, text := o.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 409 || !strings.Contains(text, "no machine") {
@@ -279,7 +279,7 @@
 // A drain names as many machines as its record holds, by the lowest value size of the settings
 // and the protocol's size of a request; one more is refused with how many fit and what to say
 // instead. The largest that fits can be planned through another controller, and withdrawn.
-func TestNamesThatFit(t *testing.T) {
+func TestDrainNamesAsManyMachinesAsItsRecordHolds(t *testing.T) {
 	kb := func(v float64) *float64 { return &v }
 	for _, x := range []struct {
 		state   config.State
@@ -313,13 +313,13 @@
 		if x.limit == maxSpecBytes {
 			others = 64 + 50
 		}
-		o.leader.read = map[string]bool{}
+		o.leader.readDrains = map[string]bool{}
 		for i := range others {
 			id := fmt.Sprintf("d-%040d", i)
 			if status, text := o.ask("n-0", "POST", "/operator/drains", `{"id":"`+id+`","zone":"a"}`); status != 201 {
 				t.Fatalf("%d %s", status, text)
 			}
-			o.leader.read[id] = true
+			o.leader.readDrains[id] = true
 		}
 		o.leader.planned = nil
 		status, text := ask("d-1", 5000)
