--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -20,7 +20,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// goldenLeader is a leader whose answers have every field set.
+// goldenLeader is a leader whose answers have every field set, and that keeps what it is asked.
 type goldenLeader struct {
 	fakeLeader
 	plannedSpec drain.Spec
@@ -46,21 +46,25 @@
 	}
 	l.plannedSpec, l.force, l.since = *spec, force, since
 	return &drain.Plan{
-		Machines: []drain.MachinePlan{{Machine: "m-1", Zone: "a", EmptyS: 4.5, Tasks: []drain.TaskPlan{{Task: "j-1/0", Class: "train", Action: drain.Move, Why: "w"}}}},
-		More:     true, Classes: map[string]*drain.ClassPlan{"train": {Late: 1}}, All: drain.Summary{Machines: 1}, Warnings: []string{"w"},
+		Machines: []drain.MachinePlan{{
+			Machine: "m-1", Zone: "a", EmptyS: 4.5,
+			Tasks: []drain.TaskPlan{{Task: "j-1/0", Class: "train", Action: drain.Move, Why: "w"}},
+		}},
+		More: true, Classes: map[string]*drain.ClassPlan{"train": {Late: 1}}, All: drain.Summary{Machines: 1}, Warnings: []string{"w"},
 	}, nil
 }
 
 // goldenDrain is a request with every field that an upgrade may have.
 const goldenDrain = `{"id":"d-1","kind":"upgrade","machines":["m-1"],"type":"g8","zone":"a","older_than_s":60,"version":"1.0",` +
 	`"then":"return","to_version":"1.1","at_once":2,"keep_up":3,` +
-	`"window":{"rule":"FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0","zone":"Europe/Warsaw","for_s":7200,"lead_s":600,"starts":"2026-01-31T22:00"},` +
+	`"window":{"rule":"FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0","zone":"Europe/Warsaw",` +
+	`"for_s":7200,"lead_s":600,"starts":"2026-01-31T22:00"},` +
 	`"force":true,"since":"m-0","seen":["d-0"]}`
 
 // beganMS is the part of a record that differs from run to run.
 var beganMS = regexp.MustCompile(`"began_ms":\d+`)
 
-// The operators' requests and the answers to them keep their forms, one after the other.
+// Operators' requests and the answers to them keep their wire format.
 func TestGoldenOperators(t *testing.T) {
 	l := &goldenLeader{}
 	state := simulation.NewState()
@@ -102,7 +106,10 @@
 	stored("stored turn", "drainturn")
 	check("start again", "POST", "/operator/drains", goldenDrain)
 	check("start another under the same id", "POST", "/operator/drains", `{"id":"d-1","zone":"b"}`)
-	state.Fill(map[string]records.KeyValue{"drainstate/d-1": {Key: "drainstate/d-1", Revision: 99, Value: []byte(`{"phase":"upgrading","in_hand":["m-1"],"left":2,"plan":{},"seen":{}}`)}})
+	state.Fill(map[string]records.KeyValue{"drainstate/d-1": {
+		Key: "drainstate/d-1", Revision: 99,
+		Value: []byte(`{"phase":"upgrading","in_hand":["m-1"],"left":2,"plan":{},"seen":{}}`),
+	}})
 	check("list", "GET", "/operator/drains", "")
 	check("show", "GET", "/operator/drains/d-1", "")
 	check("show an unknown one", "GET", "/operator/drains/d-9", "")
@@ -140,7 +147,7 @@
 	check("outage", "GET", "/operator/drains", "")
 }
 
-// What is passed on to the leader keeps its form as well.
+// What controllers pass on to the leader keeps its wire format as well.
 func TestGoldenQuestions(t *testing.T) {
 	var in request
 	d := json.NewDecoder(bytes.NewBufferString(goldenDrain))
@@ -152,23 +159,29 @@
 	goldentest.Run(t, "golden-questions.json", goldentest.JSON, []goldentest.Case{
 		{Name: "drain", Value: in},
 		{Name: "failure", Direction: goldentest.Written, Value: failure{"why"}},
-		{Name: "page of machines", Unset: true, Direction: goldentest.Written, Value: Machines{Machines: []scheduler.MachineView{{Name: "m-1"}}, More: true}},
+		{
+			Name: "page of machines", Unset: true, Direction: goldentest.Written,
+			Value: Machines{Machines: []scheduler.MachineView{{Name: "m-1"}}, More: true},
+		},
 		{Name: "drains", Unset: true, Direction: goldentest.Written, Value: Drains{Drains: []scheduler.DrainView{{Spec: drain.Spec{ID: "d-1"}}}}},
 	})
 	var asked []peer.RelayRequest
 	cfg := &config.Config{Node: "n-0"}
 	cfg.Deployment.State.ValueKB = 8
-	s := New(cfg, nil, recordingPeers(func(r peer.RelayRequest) { asked = append(asked, r) }), func() string { return "n-1" }, func() Local { return nil }, time.Second)
+	peers := recordingPeers(func(r peer.RelayRequest) { asked = append(asked, r) })
+	s := New(cfg, nil, peers, func() string { return "n-1" }, func() Local { return nil }, time.Second)
 	app := fiber.New()
 	s.Mount(app)
+	ask := func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
 	for _, uri := range []string{"/operator/machines?since=m-0", "/operator/machines/m-1"} {
-		goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, "GET", uri, "")
+		goldentest.Do(t, ask, "GET", uri, "")
 	}
-	goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, "POST", "/operator/drains/plan", `{"id":"d-1","zone":"a"}`)
+	goldentest.Do(t, ask, "POST", "/operator/drains/plan", `{"id":"d-1","zone":"a"}`)
 	f := goldentest.Open(t, "golden-passed-on.json")
 	for _, r := range asked {
 		t.Run(r.Method, func(t *testing.T) {
-			raw, err := json.Marshal(map[string]string{"method": r.Method, "id": r.ID, "body": beganMS.ReplaceAllString(string(r.Body), `"began_ms":1`)})
+			body := beganMS.ReplaceAllString(string(r.Body), `"began_ms":1`)
+			raw, err := json.Marshal(map[string]string{"method": r.Method, "id": r.ID, "body": body})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -177,7 +190,7 @@
 	}
 }
 
-// recordingPeers takes what is passed on to the leader.
+// recordingPeers records what is passed on to the leader.
 type recordingPeers func(peer.RelayRequest)
 
 func (f recordingPeers) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -23,14 +23,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// fakeLeader is a leader that knows a few machines.
+// fakeLeader is a leader that knows the machines and drains that it is given.
 type fakeLeader struct {
 	machines   []scheduler.MachineView
 	planErr    error
 	planned    []drain.Spec
 	mu         sync.Mutex
-	readDrains map[string]bool // drains that it knows
-	afterPlan  func()          // what happens when it has planned one
+	readDrains map[string]bool // drains that it has read
+	afterPlan  func()          // runs once, after the next plan
 }
 
 func (l *fakeLeader) Machines(since string, limit int) ([]scheduler.MachineView, bool) {
@@ -50,7 +50,7 @@
 	return l.machines[i], true
 }
 
-// Drain knows all drains but those that it is said not to have read.
+// readOnly has the leader know a single drain.
 func (l *fakeLeader) readOnly(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,10 +76,10 @@
 	return &drain.Plan{}, l.planErr
 }
 
-// fakePeers is how the others reach the leader: as msgpack's other side would answer.
+// fakePeers reaches the leader's server with requests that fit the limit of a message.
 type fakePeers struct {
 	leaderServer *Server
-	unsupported  bool // the leader knows no operators
+	unsupported  bool // the leader is of a version without the operators' API
 }
 
 func (w *fakePeers) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
@@ -92,38 +92,44 @@
 	return w.leaderServer.Decide(r), nil
 }
 
+// testCluster is a leader and another controller over one store.
 type testCluster struct {
 	t      *testing.T
 	state  *simulation.State
 	leader *fakeLeader
 	peers  *fakePeers
-	apps   map[string]*fiber.App // of the leader, and of another controller
+	apps   map[string]*fiber.App // by node: n-0 leads, n-1 does not
 }
 
 func newTestCluster(t *testing.T) *testCluster {
+	t.Helper()
 	return newTestClusterWith(t, config.State{ValueKB: 8})
 }
 
+// newTestClusterWith returns a cluster with the given limits of the store.
 func newTestClusterWith(t *testing.T, limits config.State) *testCluster {
-	o := &testCluster{t: t, state: simulation.NewState(), leader: &fakeLeader{}, peers: &fakePeers{}, apps: map[string]*fiber.App{}}
+	t.Helper()
+	cluster := &testCluster{
+		t: t, state: simulation.NewState(), leader: &fakeLeader{}, peers: &fakePeers{}, apps: map[string]*fiber.App{},
+	}
 	cfg := &config.Config{Node: "n-0"}
 	cfg.Deployment.State = limits
 	for _, node := range []string{"n-0", "n-1"} {
 		cfg := *cfg
 		cfg.Node = node
-		s := New(&cfg, o.state.Client(node), o.peers, func() string { return "n-0" }, func() Local {
+		s := New(&cfg, cluster.state.Client(node), cluster.peers, func() string { return "n-0" }, func() Local {
 			if node == "n-0" {
-				return o.leader
+				return cluster.leader
 			}
 			return nil
 		}, time.Second)
 		if node == "n-0" {
-			o.peers.leaderServer = s
+			cluster.peers.leaderServer = s
 		}
-		o.apps[node] = fiber.New()
-		s.Mount(o.apps[node])
+		cluster.apps[node] = fiber.New()
+		s.Mount(cluster.apps[node])
 	}
-	return o
+	return cluster
 }
 
 func (c *testCluster) ask(node, method, path, body string) (int, string) {
@@ -144,10 +150,10 @@
 	return resp.StatusCode, string(raw)
 }
 
-// What operators ask, of the leader or of another controller: the answers, and what is on
-// record afterwards.
+// Requests about drains, to the leader or another controller, are answered and stored alike.
 func TestDrainRequests(t *testing.T) {
-	o := newTestCluster(t)
+	cluster := newTestCluster(t)
+	longNames := fmt.Sprintf(`{"id":"d-2","machines":[%q%s]}`, "m", strings.Repeat(`,"`+strings.Repeat("x", 180)+`"`, 60))
 	for _, x := range []struct {
 		node, method, path, body string
 		status                   int
@@ -161,7 +167,7 @@
 		{"n-0", "POST", "/operator/drains", `{"id":"d-2","kind":"upgrade","to_version":"2"}`, 400, "at_once", 1},
 		{"n-0", "POST", "/operator/drains", `{"id":"d-2","zone":7}`, 400, "zone: has the wrong type", 1},
 		{"n-0", "POST", "/operator/drains", `[]`, 400, "not a JSON object", 1},
-		{"n-0", "POST", "/operator/drains", fmt.Sprintf(`{"id":"d-2","machines":[%q%s]}`, "m", strings.Repeat(`,"`+strings.Repeat("x", 180)+`"`, 60)), 400, "machines: 61 names, and only the first 45 fit", 1},
+		{"n-0", "POST", "/operator/drains", longNames, 400, "machines: 61 names, and only the first 45 fit", 1},
 		{"n-1", "POST", "/operator/drains/plan", `{"id":"d-3","zone":"a"}`, 200, `"machines"`, 1},
 		{"n-1", "GET", "/operator/drains", "", 200, `"id":"d-1"`, 1},
 		{"n-1", "GET", "/operator/drains/d-1", "", 200, `"zone":"a"`, 1},
@@ -170,75 +176,78 @@
 		{"n-1", "POST", "/operator/drains/d-1/stop", "", 200, `"stopped":true`, 1},
 		{"n-0", "POST", "/operator/drains/d-1/stop", "", 200, `"stopped":true`, 1},
 	} {
-		status, text := o.ask(x.node, x.method, x.path, x.body)
+		status, text := cluster.ask(x.node, x.method, x.path, x.body)
 		if status != x.status || !strings.Contains(text, x.want) {
 			t.Errorf("%s %s %.60s: %d %s, want %d %s", x.method, x.path, x.body, status, text, x.status, x.want)
 		}
-		if n := len(o.state.Keys("drains/")); n != x.records {
-			t.Errorf("%s %.60s: %d records", x.path, x.body, n)
+		if n := len(cluster.state.Keys("drains/")); n != x.records {
+			t.Errorf("%s %.60s: %d records, want %d", x.path, x.body, n, x.records)
 		}
 	}
-	o.leader.readDrains = map[string]bool{"d-1": true}
-	// What the leader refuses is not stored; a drain that leaves no machine, by force.
-	o.leader.planErr = &scheduler.NoMachineError{Text: "there is no machine m-7"}
-	if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","machines":["m-7"]}`); status != 404 || !strings.Contains(text, "m-7") {
-		t.Errorf("unknown machine: %d %s", status, text)
+	cluster.leader.readDrains = map[string]bool{"d-1": true}
+	// What the leader refuses is not stored; with force, a drain that leaves no machine is.
+	cluster.leader.planErr = &scheduler.NoMachineError{Text: "there is no machine m-7"}
+	status, text := cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","machines":["m-7"]}`)
+	if status != 404 || !strings.Contains(text, "m-7") {
+		t.Errorf("unknown machine: %d %s, want 404", status, text)
 	}
-	o.leader.planErr = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
-	if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a"}`); status != 409 || !strings.Contains(text, "plan") {
-		t.Errorf("none left: %d %s", status, text)
+	cluster.leader.planErr = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
+	status, text = cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a"}`)
+	if status != 409 || !strings.Contains(text, "plan") {
+		t.Errorf("none left: %d %s, want 409", status, text)
 	}
-	if n := len(o.state.Keys("drains/")); n != 1 {
-		t.Errorf("%d records after refusals", n)
+	if n := len(cluster.state.Keys("drains/")); n != 1 {
+		t.Errorf("%d records after refusals, want 1", n)
 	}
-	if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a","force":true}`); status != 201 {
-		t.Errorf("forced: %d %s", status, text)
+	if status, text := cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a","force":true}`); status != 201 {
+		t.Errorf("forced: %d %s, want 201", status, text)
 	}
 }
 
-// Where the store is away, or the leader is of a version without operators, it is said at
-// once, and what is on record can still be read and withdrawn.
+// If the store does not answer, or the leader is of a version without the operators' API, requests
+// fail at once, and stored drains can still be read and stopped where the store answers.
 func TestStoreOrLeaderUnavailable(t *testing.T) {
-	o := newTestCluster(t)
-	if status, text := o.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 201 {
+	cluster := newTestCluster(t)
+	if status, text := cluster.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 201 {
 		t.Fatalf("%d %s", status, text)
 	}
-	o.peers.unsupported = true
+	cluster.peers.unsupported = true
 	for path, want := range map[string]int{"/operator/machines": 503, "/operator/drains/d-1": 200, "/operator/drains": 200} {
-		if status, text := o.ask("n-1", "GET", path, ""); status != want {
-			t.Errorf("%s beside an earlier version: %d %s", path, status, text)
+		if status, text := cluster.ask("n-1", "GET", path, ""); status != want {
+			t.Errorf("%s beside an earlier version: %d %s, want %d", path, status, text, want)
 		}
 	}
-	if status, _ := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`); status != 503 {
-		t.Errorf("a drain beside an earlier version: %d", status)
+	if status, _ := cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`); status != 503 {
+		t.Errorf("a drain beside an earlier version: %d, want 503", status)
 	}
-	o.peers.unsupported = false
-	o.state.Outage(true)
+	cluster.peers.unsupported = false
+	cluster.state.Outage(true)
 	for _, x := range [][3]string{
 		{"POST", "/operator/drains", `{"id":"d-2","zone":"a"}`}, {"POST", "/operator/drains/d-1/stop", ""},
 		{"GET", "/operator/drains", ""}, {"GET", "/operator/drains/d-1", ""},
 	} {
-		if status, text := o.ask("n-0", x[0], x[1], x[2]); status != 503 {
-			t.Errorf("%s %s in an outage: %d %s", x[0], x[1], status, text)
+		if status, text := cluster.ask("n-0", x[0], x[1], x[2]); status != 503 {
+			t.Errorf("%s %s in an outage: %d %s, want 503", x[0], x[1], status, text)
 		}
 	}
-	o.state.Outage(false)
-	if status, text := o.ask("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
-		t.Errorf("withdrawn afterwards: %d %s", status, text)
+	cluster.state.Outage(false)
+	if status, text := cluster.ask("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
+		t.Errorf("stopped afterwards: %d %s, want 200", status, text)
 	}
 }
 
-// Machines come in pages of which no line is too long, and one by itself with its tasks.
+// Machines are listed in pages that fit the limit of a message, and can be asked for singly.
 func TestMachinesArePaged(t *testing.T) {
-	o := newTestCluster(t)
+	cluster := newTestCluster(t)
 	for i := range 450 {
-		o.leader.machines = append(o.leader.machines, scheduler.MachineView{
-			Name: fmt.Sprintf("m-%06d", i), Type: strings.Repeat("t", 50), Zone: strings.Repeat("z", 50), Addr: "10.1.0.232:9000", State: "up", Count: 4,
+		cluster.leader.machines = append(cluster.leader.machines, scheduler.MachineView{
+			Name: fmt.Sprintf("m-%06d", i), Type: strings.Repeat("t", 50), Zone: strings.Repeat("z", 50),
+			Addr: "10.1.0.232:9000", State: "up", Count: 4,
 		})
 	}
 	seen, since := 0, ""
 	for more := true; more; {
-		status, text := o.ask("n-1", "GET", "/operator/machines?since="+since, "")
+		status, text := cluster.ask("n-1", "GET", "/operator/machines?since="+since, "")
 		var page Machines
 		if err := json.Unmarshal([]byte(text), &page); err != nil || status != 200 || len(text) > 64<<10 {
 			t.Fatalf("%d, %d bytes, %v", status, len(text), err)
@@ -247,38 +256,39 @@
 		since, more = page.Machines[len(page.Machines)-1].Name, page.More
 	}
 	if seen != 450 {
-		t.Errorf("%d machines in all pages", seen)
+		t.Errorf("%d machines in all pages, want 450", seen)
 	}
-	if status, text := o.ask("n-1", "GET", "/operator/machines/m-000007", ""); status != 200 || !strings.Contains(text, "m-000007") {
+	if status, text := cluster.ask("n-1", "GET", "/operator/machines/m-000007", ""); status != 200 || !strings.Contains(text, "m-000007") {
 		t.Errorf("%d %s", status, text)
 	}
-	if status, _ := o.ask("n-0", "GET", "/operator/machines/none", ""); status != 404 {
-		t.Errorf("an unknown machine: %d", status)
+	if status, _ := cluster.ask("n-0", "GET", "/operator/machines/none", ""); status != 404 {
+		t.Errorf("an unknown machine: %d, want 404", status)
 	}
 }
 
-// Two drains asked for in the same moment, each of which leaves enough without the other:
+// Of two drains asked for at the same moment, each of which leaves enough machines without the other,
 // the second is planned once more, beside the first, by a leader that has read it.
 func TestConcurrentDrainsArePlannedTogether(t *testing.T) {
-	o := newTestCluster(t)
-	o.leader.afterPlan = func() {
-		if status, text := o.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"b"}`); status != 201 {
-			t.Errorf("the one that is quicker: %d %s", status, text)
+	cluster := newTestCluster(t)
+	cluster.leader.afterPlan = func() {
+		if status, text := cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"b"}`); status != 201 {
+			t.Errorf("the first to be stored: %d %s, want 201", status, text)
 		}
-		o.leader.planErr = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
-		time.AfterFunc(100*time.Millisecond, func() { o.leader.readOnly("d-2") })
+		cluster.leader.planErr = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
+		time.AfterFunc(100*time.Millisecond, func() { cluster.leader.readOnly("d-2") })
 	}
-	if status, text := o.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 409 || !strings.Contains(text, "no machine") {
-		t.Errorf("the other one: %d %s", status, text)
+	status, text := cluster.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`)
+	if status != 409 || !strings.Contains(text, "no machine") {
+		t.Errorf("the second: %d %s, want 409", status, text)
 	}
-	if keys := o.state.Keys("drains/"); len(keys) != 1 || keys[0] != "drains/d-2" {
-		t.Errorf("on record: %v", keys)
+	if keys := cluster.state.Keys("drains/"); len(keys) != 1 || keys[0] != "drains/d-2" {
+		t.Errorf("stored: %v, want drains/d-2 alone", keys)
 	}
 }
 
-// A drain names as many machines as its record holds, by the lowest value size of the settings
-// and the protocol's size of a request; one more is refused with how many fit and what to say
-// instead. The largest that fits can be planned through another controller, and withdrawn.
+// A drain names as many machines as its record holds, by the lowest value size of the settings and the
+// protocol's limit of a request; one more is refused with how many fit and what to use instead. The
+// largest drain that fits can be planned through another controller, and stopped.
 func TestDrainNamesAsManyMachinesAsItsRecordHolds(t *testing.T) {
 	kb := func(v float64) *float64 { return &v }
 	for _, x := range []struct {
@@ -291,8 +301,8 @@
 		{config.State{ValueKB: 16, Next: config.UpcomingLimits{ValueKB: kb(64)}}, 16 << 10, 1400},
 		{config.State{ValueKB: 64}, maxSpecBytes, 4000},
 	} {
-		o := newTestClusterWith(t, x.state)
-		o.state.Limit(x.state.Lowest().ValueKB, 16, 1000)
+		cluster := newTestClusterWith(t, x.state)
+		cluster.state.Limit(x.state.Lowest().ValueKB, 16, 1000)
 		names := func(n int) string {
 			list := make([]string, n)
 			for i := range list {
@@ -305,30 +315,31 @@
 			return string(raw)
 		}
 		ask := func(id string, n int) (int, string) {
-			return o.ask("n-1", "POST", "/operator/drains", `{"id":"`+id+`","machines":`+names(n)+`}`)
+			return cluster.ask("n-1", "POST", "/operator/drains", `{"id":"`+id+`","machines":`+names(n)+`}`)
 		}
-		// Beside as many drains as are on record at most, of the longest ids, where the size of
-		// a request is what bounds.
+		// Beside as many other drains as are stored at most, of the longest ids, where the limit of a
+		// request is what bounds.
 		others := 0
 		if x.limit == maxSpecBytes {
 			others = 64 + 50
 		}
-		o.leader.readDrains = map[string]bool{}
+		cluster.leader.readDrains = map[string]bool{}
 		for i := range others {
 			id := fmt.Sprintf("d-%040d", i)
-			if status, text := o.ask("n-0", "POST", "/operator/drains", `{"id":"`+id+`","zone":"a"}`); status != 201 {
+			if status, text := cluster.ask("n-0", "POST", "/operator/drains", `{"id":"`+id+`","zone":"a"}`); status != 201 {
 				t.Fatalf("%d %s", status, text)
 			}
-			o.leader.readDrains[id] = true
+			cluster.leader.readDrains[id] = true
 		}
-		o.leader.planned = nil
+		cluster.leader.planned = nil
 		status, text := ask("d-1", 5000)
 		var count, fit, limit int
 		var why failure
 		if err := json.Unmarshal([]byte(text), &why); err != nil || status != 400 {
 			t.Fatalf("%+v: 5,000 names: %d %.200s", x.state, status, text)
 		}
-		if _, err := fmt.Sscanf(why.Error, "machines: %d names, and only the first %d fit a record of %d bytes;", &count, &fit, &limit); err != nil || count != 5000 || limit != x.limit || fit < x.atLeast {
+		_, err := fmt.Sscanf(why.Error, "machines: %d names, and only the first %d fit a record of %d bytes;", &count, &fit, &limit)
+		if err != nil || count != 5000 || limit != x.limit || fit < x.atLeast {
 			t.Fatalf("%+v: %q: %v", x.state, why.Error, err)
 		}
 		for _, selector := range []string{"type", "zone", "older_than_s", "version"} {
@@ -336,27 +347,29 @@
 				t.Errorf("%q does not name %s", why.Error, selector)
 			}
 		}
-		if status, text := ask("d-1", fit+1); status != 400 || !strings.Contains(text, fmt.Sprintf("%d names, and only the first %d fit", fit+1, fit)) {
-			t.Errorf("%+v: one more than fit: %d %.200s", x.state, status, text)
+		wantReason := fmt.Sprintf("%d names, and only the first %d fit", fit+1, fit)
+		if status, text := ask("d-1", fit+1); status != 400 || !strings.Contains(text, wantReason) {
+			t.Errorf("%+v: one more than fit: %d %.200s, want 400", x.state, status, text)
 		}
 		if status, text := ask("d-1", fit); status != 201 {
-			t.Errorf("%+v: %d names, as many as fit: %d %.200s", x.state, fit, status, text)
+			t.Errorf("%+v: %d names, as many as fit: %d %.200s, want 201", x.state, fit, status, text)
 		}
-		if n := len(o.leader.planned); n != 1 || len(o.leader.planned[0].Machines) != fit {
-			t.Errorf("%+v: the leader planned %d drains", x.state, n)
+		if n := len(cluster.leader.planned); n != 1 || len(cluster.leader.planned[0].Machines) != fit {
+			t.Errorf("%+v: the leader planned %d drains, want 1 with %d names", x.state, n, fit)
 		}
-		if status, text := o.ask("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
-			t.Errorf("%+v: withdrawn: %d %.200s", x.state, status, text)
+		if status, text := cluster.ask("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
+			t.Errorf("%+v: stopped: %d %.200s, want 200", x.state, status, text)
 		}
-		if len(o.state.Refused) > 0 {
-			t.Errorf("%+v: the state service refused %v", x.state, o.state.Refused)
+		if len(cluster.state.Refused) > 0 {
+			t.Errorf("%+v: the state service refused %v", x.state, cluster.state.Refused)
 		}
 	}
 	// A record may be too large without any names.
-	o := newTestClusterWith(t, config.State{ValueKB: 1})
+	cluster := newTestClusterWith(t, config.State{ValueKB: 1})
 	long := strings.Repeat("x", 190)
-	body := fmt.Sprintf(`{"id":"d-1","kind":"upgrade","to_version":"%s","at_once":1,"type":"%s","zone":"%s","version":"%s","machines":["%s","%s"]}`, long, long, long, long, long, long)
-	if status, text := o.ask("n-0", "POST", "/operator/drains", body); status != 400 || !strings.Contains(text, "its record takes") {
-		t.Errorf("long texts: %d %s", status, text)
+	body := fmt.Sprintf(`{"id":"d-1","kind":"upgrade","at_once":1,"to_version":%[1]q,`+
+		`"type":%[1]q,"zone":%[1]q,"version":%[1]q,"machines":[%[1]q,%[1]q]}`, long)
+	if status, text := cluster.ask("n-0", "POST", "/operator/drains", body); status != 400 || !strings.Contains(text, "its record takes") {
+		t.Errorf("long texts: %d %s, want 400", status, text)
 	}
 }
