--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,305 +1,146 @@
-// Package config reads what the platform hands over (TOML) and what operators
-// set themselves (INI), and refuses what would make a controller misbehave.
+// Package config reads the settings that the platform hands over (TOML) and the options that
+// operators set (INI). It refuses what would make a controller misbehave, with an error of one line
+// that names the key.
+//
+// The names of fields are the terms of the code; the names of keys, which were there first, stand in
+// the tags alone. Fields that end in S are in seconds, in MS in milliseconds, in KB in KiB and in MB in
+// MiB; RPS is requests per second.
 package config
 
-import (
-	"errors"
-	"fmt"
-	"math"
-	"net"
-	"os"
-	"strings"
-	"time"
+import "time"
 
-	"github.com/pelletier/go-toml/v2"
-)
-
-// Config is the platform's settings file.
+// Config is the platform's settings file, with the operators' options.
 type Config struct {
-	Node       string     `toml:"node_name"`
-	Zone       string     `toml:"zone"`
-	UserAddr   string     `toml:"bind"`
-	PeerAddr   string     `toml:"back"`
-	Peers      []Peer     `toml:"seeds"`
-	External   External   `toml:"external"`
-	Deployment Deployment `toml:"facts"`
-	Options    Options    `toml:"-"`
+	Node       string     `toml:"node_name"` // name of this controller, unique in the deployment
+	Zone       string     `toml:"zone"`      // zone that this controller runs in
+	UserAddr   string     `toml:"bind"`      // host:port on which users, workers and health checks are served
+	PeerAddr   string     `toml:"back"`      // host:port on which other controllers and metrics are served
+	Peers      []Peer     `toml:"seeds"`     // the other controllers
+	External   External   `toml:"external"`  // addresses of other services
+	Deployment Deployment `toml:"facts"`     // figures of the deployment, the same for all controllers
+	Options    Options    `toml:"-"`         // read from a file of its own
 }
 
 // Peer is another controller.
 type Peer struct {
-	Node string `toml:"node_name"`
-	Zone string `toml:"zone"`
-	Addr string `toml:"peer_addr"`
+	Node string `toml:"node_name"` // its name
+	Zone string `toml:"zone"`      // zone that it runs in
+	Addr string `toml:"peer_addr"` // host:port of its PeerAddr
 }
 
-// External names the outside services by address.
+// External holds the addresses of other services, each as host:port.
 type External struct {
-	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+	Cloud string `toml:"cloud"` // the cloud's API
+	State string `toml:"state"` // the key-value store
 }
 
-// Deployment are the figures of the deployment.
+// Deployment holds the figures of a deployment.
 type Deployment struct {
-	Nodes       int         `toml:"nodes"`
-	Zones       []string    `toml:"zones"`
-	TimeBoundMS float64     `toml:"time_bound_ms"`
-	Teams       []Team      `toml:"teams"`
-	Objectives  []Objective `toml:"objectives"`
-	Workers     Workers     `toml:"workers"`
-	State       State       `toml:"state"`
-	Cloud       Cloud       `toml:"cloud"`
-	Resources   Resources   `toml:"resources"`
-}
-
-// Team has a guarantee (cpus, gpus) and a limit (*_max); 0 means none.
+	Nodes       int         `toml:"nodes"`         // number of controllers; if not set, one more than Peers
+	Zones       []string    `toml:"zones"`         // zones in which gangs that need a single zone may be placed
+	TimeBoundMS float64     `toml:"time_bound_ms"` // by how much the time of day of a machine may be off
+	Teams       []Team      `toml:"teams"`         // teams that may submit jobs
+	Objectives  []Objective `toml:"objectives"`    // service-level objectives of classes of jobs
+	Workers     Workers     `toml:"workers"`       // intervals and time-outs that workers keep
+	State       State       `toml:"state"`         // limits of the key-value store
+	Cloud       Cloud       `toml:"cloud"`         // limits of the cloud's API
+	Resources   Resources   `toml:"resources"`     // what a controller may use of its machine
+}
+
+// Team has a guaranteed share of the machines and a limit. Amounts are of all its running tasks
+// together; 0 means no guarantee, or no limit.
 type Team struct {
-	Name           string  `toml:"name"`
-	GuaranteedCPUs float64 `toml:"cpus"`
-	LimitCPUs      float64 `toml:"cpus_max"`
-	GuaranteedGPUs float64 `toml:"gpus"`
-	LimitGPUs      float64 `toml:"gpus_max"`
+	Name           string  `toml:"name"`     // as jobs name it
+	GuaranteedCPUs float64 `toml:"cpus"`     // CPUs that it gets if it asks for them
+	LimitCPUs      float64 `toml:"cpus_max"` // CPUs that it gets at most
+	GuaranteedGPUs float64 `toml:"gpus"`     // GPUs that it gets if it asks for them
+	LimitGPUs      float64 `toml:"gpus_max"` // GPUs that it gets at most
 }
 
-// Kinds of objectives that say when: the others do not bear on the order of work.
+// Kinds of objectives that bear on the order of work; the settings may hold others.
 const (
-	KindWait     = "wait"
-	KindDeadline = "deadline"
-	// KindGuarantee is for work within a guarantee, of whatever class.
+	KindWait     = "wait"     // tasks start within WithinS
+	KindDeadline = "deadline" // jobs end within Times their deadline
+	// KindGuarantee is for work within a team's guarantee, of whatever class: it starts within WithinS.
 	KindGuarantee = "guarantee"
 )
 
-// Objective is what users expect of a class of jobs.
+// Objective is a service-level objective of a class of jobs.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"`
+	Kind    string  `toml:"kind"`     // what is measured, such as KindWait
+	Class   string  `toml:"class"`    // class of the jobs that it holds for
+	WithinS float64 `toml:"within_s"` // time that is allowed, in seconds
+	Share   float64 `toml:"share"`    // share of the cases that have to meet it, 0 to 1
+	Times   float64 `toml:"times"`    // factor on a job's deadline
 }
 
-// Workers holds the timing that workers keep.
+// Workers holds the intervals and time-outs that workers keep, in seconds.
 type Workers struct {
-	HeartbeatS float64 `toml:"report_s"`
-	LeaseS     float64 `toml:"lease_s"`
-	GangWaitS  float64 `toml:"gang_wait_s"`
-	GangPeerS  float64 `toml:"gang_peer_s"`
-	CancelS    float64 `toml:"cancel_s"`
+	HeartbeatS float64 `toml:"report_s"`    // interval between the heartbeats of a worker
+	LeaseS     float64 `toml:"lease_s"`     // a worker's lease: without an answer for so long it ends its tasks
+	GangWaitS  float64 `toml:"gang_wait_s"` // how long a task waits for the rest of its gang to start
+	GangPeerS  float64 `toml:"gang_peer_s"` // within which the tasks of a gang notice that one is gone
+	CancelS    float64 `toml:"cancel_s"`    // within which all tasks of a cancelled job must be gone
 }
 
-// State holds the limits of the state service.
+// State holds the limits of the key-value store.
 type State struct {
-	RPS      float64        `toml:"rps"`
-	WriteRPS float64        `toml:"write_rps"`
-	ValueKB  float64        `toml:"value_kb"`
-	TxnOps   int            `toml:"txn_ops"`
-	Next     UpcomingLimits `toml:"next"`
+	RPS      float64        `toml:"rps"`       // requests per second of all controllers
+	WriteRPS float64        `toml:"write_rps"` // puts and deletes per second of all controllers
+	ValueKB  float64        `toml:"value_kb"`  // size of a value, in KiB
+	TxnOps   int            `toml:"txn_ops"`   // puts and deletes in a transaction
+	Next     UpcomingLimits `toml:"next"`      // limits that will hold later
 }
 
-// UpcomingLimits holds the limits that the state service will have from some moment on,
-// without notice; nil where a limit stays.
+// UpcomingLimits holds the limits that the key-value store will have from some moment on, without
+// notice; nil where a limit stays. The units are those of State.
 type UpcomingLimits struct {
-	RPS      *float64 `toml:"rps"`
-	WriteRPS *float64 `toml:"write_rps"`
-	ValueKB  *float64 `toml:"value_kb"`
-	TxnOps   *int     `toml:"txn_ops"`
+	RPS      *float64 `toml:"rps"`       // requests per second
+	WriteRPS *float64 `toml:"write_rps"` // puts and deletes per second
+	ValueKB  *float64 `toml:"value_kb"`  // size of a value, in KiB
+	TxnOps   *int     `toml:"txn_ops"`   // puts and deletes in a transaction
 }
 
-// Lowest gives the limits that hold now and later: what keeps to them is taken
-// whenever the service changes over.
+// Lowest returns the lower of the present and the upcoming limits: what keeps to them is accepted
+// before and after the store changes over.
 func (s State) Lowest() State {
-	l := State{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
-	for _, f := range []struct{ to, next *float64 }{
-		{&l.RPS, s.Next.RPS}, {&l.WriteRPS, s.Next.WriteRPS}, {&l.ValueKB, s.Next.ValueKB},
+	lowest := State{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
+	for _, limit := range []struct{ lowest, next *float64 }{
+		{&lowest.RPS, s.Next.RPS},
+		{&lowest.WriteRPS, s.Next.WriteRPS},
+		{&lowest.ValueKB, s.Next.ValueKB},
 	} {
-		if f.next != nil {
-			*f.to = min(*f.to, *f.next)
+		if limit.next != nil {
+			*limit.lowest = min(*limit.lowest, *limit.next)
 		}
 	}
 	if n := s.Next.TxnOps; n != nil {
-		l.TxnOps = min(l.TxnOps, *n)
+		lowest.TxnOps = min(lowest.TxnOps, *n)
 	}
-	return l
+	return lowest
 }
 
-// Cloud holds the limits of the cloud's interface.
+// Cloud holds the limits of the cloud's API.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	RPS      float64 `toml:"rps"`        // requests per second of all controllers
+	ListLagS float64 `toml:"list_lag_s"` // by how much its list of machines lags behind, in seconds
 }
 
 // Resources is what one controller may use of its machine.
 type Resources struct {
-	Cores   float64 `toml:"cores"`
-	RAMMB   float64 `toml:"ram_mb"`
-	FDLimit int     `toml:"fd_limit"`
+	Cores   float64 `toml:"cores"`    // processors
+	RAMMB   float64 `toml:"ram_mb"`   // memory, in MiB
+	FDLimit int     `toml:"fd_limit"` // open file descriptors
 }
 
-// Seconds turns a figure of the settings into a duration.
+// Seconds converts a figure of the settings to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Drift is by how much steady clocks of two machines may differ over d.
-func Drift(d time.Duration) time.Duration { return d / 1000 }
-
-// Load reads and checks a settings file.
-func Load(path string) (*Config, error) {
-	raw, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	c, err := Parse(raw)
-	if err != nil {
-		return nil, fmt.Errorf("settings %s: %w", path, err)
-	}
-	return c, nil
-}
-
-// Parse reads and checks settings from text.
-func Parse(raw []byte) (*Config, error) {
-	c := &Config{Options: DefaultOptions()}
-	if err := toml.Unmarshal(raw, c); err != nil {
-		var de *toml.DecodeError
-		if errors.As(err, &de) {
-			row, col := de.Position()
-			return nil, fmt.Errorf("line %d, column %d: %s: %s", row, col, strings.Join(de.Key(), "."), de.Error())
-		}
-		return nil, err
-	}
-	if err := c.check(); err != nil {
-		return nil, err
-	}
-	return c, nil
-}
-
-func (c *Config) check() error {
-	if c.Node == "" {
-		return errors.New("node_name is missing")
-	}
-	if c.Zone == "" {
-		return errors.New("zone is missing")
-	}
-	for _, a := range []struct{ field, addr string }{
-		{"bind", c.UserAddr}, {"back", c.PeerAddr},
-		{"external.cloud", c.External.Cloud}, {"external.state", c.External.State},
-	} {
-		if err := checkAddr(a.field, a.addr); err != nil {
-			return err
-		}
-	}
-	if err := c.checkSeeds(); err != nil {
-		return err
-	}
-	if c.Deployment.Nodes == 0 {
-		c.Deployment.Nodes = len(c.Peers) + 1
-	}
-	if len(c.Deployment.Zones) == 0 {
-		return errors.New("facts.zones is missing")
-	}
-	if err := c.Deployment.checkFigures(); err != nil {
-		return err
-	}
-	return c.Deployment.checkTeams()
-}
-
-// checkSeeds checks the other controllers.
-func (c *Config) checkSeeds() error {
-	names := map[string]bool{c.Node: true}
-	for i, s := range c.Peers {
-		if s.Node == "" {
-			return fmt.Errorf("seeds[%d].node_name is missing", i)
-		}
-		if names[s.Node] {
-			return fmt.Errorf("seeds[%d].node_name %q appears twice", i, s.Node)
-		}
-		names[s.Node] = true
-		if err := checkAddr(fmt.Sprintf("seeds[%d].peer_addr", i), s.Addr); err != nil {
-			return err
-		}
-	}
-	return nil
-}
+// maxDriftRatio is one in so many by which the monotonic clocks of two machines may differ.
+const maxDriftRatio = 1000
 
-// checkFigures checks that all figures are within their ranges, and go together.
-func (f *Deployment) checkFigures() error {
-	type figure struct {
-		field    string
-		v        float64
-		min, max float64
-	}
-	figures := []figure{
-		{"facts.nodes", float64(f.Nodes), 1, 1000},
-		{"facts.time_bound_ms", f.TimeBoundMS, 0, 3600e3},
-		{"facts.workers.report_s", f.Workers.HeartbeatS, 0.01, 3600},
-		{"facts.workers.lease_s", f.Workers.LeaseS, 0.1, 86400},
-		{"facts.workers.gang_wait_s", f.Workers.GangWaitS, 0.1, 86400},
-		{"facts.workers.gang_peer_s", f.Workers.GangPeerS, 0.1, 86400},
-		{"facts.workers.cancel_s", f.Workers.CancelS, 0.1, 86400},
-		{"facts.state.rps", f.State.RPS, 1, 1e9},
-		{"facts.state.write_rps", f.State.WriteRPS, 0.5, 1e9},
-		{"facts.state.value_kb", f.State.ValueKB, 1, 64},
-		{"facts.state.txn_ops", float64(f.State.TxnOps), 2, 1e6},
-		{"facts.cloud.rps", f.Cloud.RPS, 0.1, 1e9},
-		{"facts.cloud.list_lag_s", f.Cloud.ListLagS, 0, 3600},
-		{"facts.resources.cores", f.Resources.Cores, 0.001, 4096},
-		{"facts.resources.ram_mb", f.Resources.RAMMB, 24, 1e9},
-		{"facts.resources.fd_limit", float64(f.Resources.FDLimit), 32, 1e9},
-	}
-	for _, n := range []struct {
-		field    string
-		v        *float64
-		min, max float64
-	}{
-		{"facts.state.next.rps", f.State.Next.RPS, 1, 1e9},
-		{"facts.state.next.write_rps", f.State.Next.WriteRPS, 0.5, 1e9},
-		{"facts.state.next.value_kb", f.State.Next.ValueKB, 1, 64},
-	} {
-		if n.v != nil {
-			figures = append(figures, figure{n.field, *n.v, n.min, n.max})
-		}
-	}
-	if n := f.State.Next.TxnOps; n != nil {
-		figures = append(figures, figure{"facts.state.next.txn_ops", float64(*n), 2, 1e6})
-	}
-	for _, n := range figures {
-		if math.IsNaN(n.v) || n.v < n.min || n.v > n.max {
-			return fmt.Errorf("%s is missing or out of range: %v is not within %v to %v", n.field, n.v, n.min, n.max)
-		}
-	}
-	if f.Workers.LeaseS <= f.Workers.HeartbeatS {
-		return fmt.Errorf("facts.workers.lease_s (%v) must exceed facts.workers.report_s (%v)", f.Workers.LeaseS, f.Workers.HeartbeatS)
-	}
-	if f.Workers.CancelS <= f.Workers.LeaseS {
-		return fmt.Errorf("facts.workers.cancel_s (%v) must exceed facts.workers.lease_s (%v)", f.Workers.CancelS, f.Workers.LeaseS)
-	}
-	return nil
-}
-
-// checkTeams checks the teams.
-func (f *Deployment) checkTeams() error {
-	teams := map[string]bool{}
-	for i, t := range f.Teams {
-		if t.Name == "" || teams[t.Name] {
-			return fmt.Errorf("facts.teams[%d].name is missing or appears twice", i)
-		}
-		teams[t.Name] = true
-		for _, v := range []float64{t.GuaranteedCPUs, t.LimitCPUs, t.GuaranteedGPUs, t.LimitGPUs} {
-			if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-				return fmt.Errorf("facts.teams[%d] (%s): amounts must be finite and not negative", i, t.Name)
-			}
-		}
-	}
-	return nil
-}
-
-func checkAddr(field, addr string) error {
-	if addr == "" {
-		return fmt.Errorf("%s is missing", field)
-	}
-	if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-		return fmt.Errorf("%s: %q is not host:port", field, addr)
-	}
-	return nil
-}
+// Drift returns by how much the monotonic clocks of two machines may differ over d.
+func Drift(d time.Duration) time.Duration { return d / maxDriftRatio }
 
-// HeartbeatInterval is the interval between a worker's reports.
+// HeartbeatInterval returns the interval between a worker's heartbeats.
 func (c *Config) HeartbeatInterval() time.Duration { return Seconds(c.Deployment.Workers.HeartbeatS) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,13 +1,15 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
-const good = `
+// validSettings are settings without any mistake.
+const validSettings = `
 node_name = "n-0"
 zone = "a"
 bind = "10.0.0.1:80"
@@ -46,18 +48,18 @@
 `
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good))
+	c, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Node != "n-0" || c.Deployment.Nodes != 2 || c.Deployment.Workers.CancelS != 32 || c.Options != DefaultOptions() {
-		t.Errorf("parsed as %+v", c)
+		t.Errorf("parsed as %+v, want the values of the text, 2 nodes and the default options", c)
 	}
 }
 
-// The limits announced for later: what is absent stays as it is, and what keeps
-// to the lowest is taken before and after.
-func TestNextLimits(t *testing.T) {
+// Upcoming limits that are absent stay as they are; what keeps to the lowest limits is accepted before and
+// after the change.
+func TestLowestLimits(t *testing.T) {
 	now := State{RPS: 150, WriteRPS: 20, ValueKB: 8, TxnOps: 16}
 	for _, x := range []struct {
 		text string
@@ -69,7 +71,7 @@
 		{"[facts.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 5\nlater = 1\n", State{RPS: 150, WriteRPS: 15, ValueKB: 2, TxnOps: 5}},
 		{"[facts.state.next]\nrps = 100.0\nvalue_kb = 16.0\n", State{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16}},
 	} {
-		c, err := Parse([]byte(strings.Replace(good, "[facts.cloud]", x.text+"[facts.cloud]", 1)))
+		c, err := Parse([]byte(strings.Replace(validSettings, "[facts.cloud]", x.text+"[facts.cloud]", 1)))
 		if err != nil {
 			t.Fatalf("%s: %v", x.text, err)
 		}
@@ -79,32 +81,32 @@
 	}
 }
 
-// Every mistake is one clear error that names the field.
-func TestMistakes(t *testing.T) {
-	for _, x := range []struct{ from, to, want string }{
-		{`node_name = "n-0"`, ``, "node_name is missing"},
-		{`zone = "a"`, `zone = ""`, "zone is missing"},
-		{`bind = "10.0.0.1:80"`, `bind = "nowhere"`, "bind"},
-		{`state = "10.2.0.1:23"`, ``, "external.state is missing"},
-		{`node_name = "n-1"`, `node_name = "n-0"`, "appears twice"},
-		{`zones = ["a", "b"]`, `zones = []`, "facts.zones"},
-		{`report_s = 2.0`, `report_s = 0.0`, "facts.workers.report_s"},
-		{`report_s = 2.0`, `report_s = nan`, "facts.workers.report_s"},
-		{`lease_s = 12.0`, `lease_s = 1.0`, "facts.workers.lease_s"},
-		{`cancel_s = 32.0`, `cancel_s = 12.0`, "facts.workers.cancel_s"},
-		{`txn_ops = 16`, `txn_ops = 1`, "facts.state.txn_ops"},
-		{`write_rps = 20.0`, `write_rps = -1.0`, "facts.state.write_rps"},
-		{`[facts.cloud]`, "[facts.state.next]\nvalue_kb = 0.0\n[facts.cloud]", "facts.state.next.value_kb"},
-		{`[facts.cloud]`, "[facts.state.next]\ntxn_ops = 1\n[facts.cloud]", "facts.state.next.txn_ops"},
-		{`[facts.cloud]`, "[facts.state.next]\nwrite_rps = nan\n[facts.cloud]", "facts.state.next.write_rps"},
-		{`[facts.cloud]`, "[facts.state.next]\nrps = -3.0\n[facts.cloud]", "facts.state.next.rps"},
-		{`[facts.cloud]`, "[facts.state.next]\ntxn_ops = \"few\"\n[facts.cloud]", "txn_ops"},
-		{`ram_mb = 125.0`, `ram_mb = "much"`, "ram_mb"},
-		{`name = "team"`, "name = \"team\"\ncpus_max = -1.0", "facts.teams[0]"},
-		{`[facts]`, `[facts`, "line"},
+// Every mistake is one error of one line that names the key, to readers and to programs.
+func TestInvalidSettingsNameTheKey(t *testing.T) {
+	for _, x := range []struct{ from, to, want, key string }{
+		{`node_name = "n-0"`, ``, "node_name is missing", "node_name"},
+		{`zone = "a"`, `zone = ""`, "zone is missing", "zone"},
+		{`bind = "10.0.0.1:80"`, `bind = "nowhere"`, "bind", "bind"},
+		{`state = "10.2.0.1:23"`, ``, "external.state is missing", "external.state"},
+		{`node_name = "n-1"`, `node_name = "n-0"`, "appears twice", "seeds[0].node_name"},
+		{`zones = ["a", "b"]`, `zones = []`, "facts.zones", "facts.zones"},
+		{`report_s = 2.0`, `report_s = 0.0`, "facts.workers.report_s", "facts.workers.report_s"},
+		{`report_s = 2.0`, `report_s = nan`, "facts.workers.report_s", "facts.workers.report_s"},
+		{`lease_s = 12.0`, `lease_s = 1.0`, "facts.workers.lease_s", "facts.workers.lease_s"},
+		{`cancel_s = 32.0`, `cancel_s = 12.0`, "facts.workers.cancel_s", "facts.workers.cancel_s"},
+		{`txn_ops = 16`, `txn_ops = 1`, "facts.state.txn_ops", "facts.state.txn_ops"},
+		{`write_rps = 20.0`, `write_rps = -1.0`, "facts.state.write_rps", "facts.state.write_rps"},
+		{`[facts.cloud]`, "[facts.state.next]\nvalue_kb = 0.0\n[facts.cloud]", "facts.state.next.value_kb", "facts.state.next.value_kb"},
+		{`[facts.cloud]`, "[facts.state.next]\ntxn_ops = 1\n[facts.cloud]", "facts.state.next.txn_ops", "facts.state.next.txn_ops"},
+		{`[facts.cloud]`, "[facts.state.next]\nwrite_rps = nan\n[facts.cloud]", "facts.state.next.write_rps", "facts.state.next.write_rps"},
+		{`[facts.cloud]`, "[facts.state.next]\nrps = -3.0\n[facts.cloud]", "facts.state.next.rps", "facts.state.next.rps"},
+		{`[facts.cloud]`, "[facts.state.next]\ntxn_ops = \"few\"\n[facts.cloud]", "txn_ops", "facts.state.next.txn_ops"},
+		{`ram_mb = 125.0`, `ram_mb = "much"`, "ram_mb", "facts.resources.ram_mb"},
+		{`name = "team"`, "name = \"team\"\ncpus_max = -1.0", "facts.teams[0]", "facts.teams[0]"},
+		{`[facts]`, `[facts`, "line", ""},
 	} {
-		text := strings.Replace(good, x.from, x.to, 1)
-		if text == good {
+		text := strings.Replace(validSettings, x.from, x.to, 1)
+		if text == validSettings {
 			t.Fatalf("%q is not in the settings", x.from)
 		}
 		_, err := Parse([]byte(text))
@@ -113,17 +115,24 @@
 		} else if strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s -> %s: more than one line: %v", x.from, x.to, err)
 		}
+		var settingErr *Error
+		if !errors.As(err, &settingErr) {
+			t.Errorf("%s -> %s: got %T, want an *Error", x.from, x.to, err)
+		} else if settingErr.Key != x.key {
+			t.Errorf("%s -> %s: got the key %q, want %q", x.from, x.to, settingErr.Key, x.key)
+		}
 	}
 }
 
-func TestOptions(t *testing.T) {
-	for _, x := range []struct{ text, want string }{
-		{"", ""},
-		{"[rounds]\nround_reports = 3\n[forecast]\nalpha_up = -0.1\nwindow = 4\n", ""},
-		{"[forecast]\nalpha_up = 0.5\n", "alpha_up"},
-		{"[forecast]\nalpha_down = NaN\n", "alpha_down"},
-		{"[forecast]\nwindow = none\n", "window"},
-		{"[rounds]\nlength = 3\n", "[rounds] length is not known"},
+// Options that are not set keep their defaults; every mistake is an error that names the key.
+func TestLoadOptions(t *testing.T) {
+	for _, x := range []struct{ text, want, key string }{
+		{"", "", ""},
+		{"[rounds]\nround_reports = 3\n[forecast]\nalpha_up = -0.1\nwindow = 4\n", "", ""},
+		{"[forecast]\nalpha_up = 0.5\n", "alpha_up", "forecast.alpha_up"},
+		{"[forecast]\nalpha_down = NaN\n", "alpha_down", "forecast.alpha_down"},
+		{"[forecast]\nwindow = none\n", "window", "forecast.window"},
+		{"[rounds]\nlength = 3\n", "[rounds] length is not known", "rounds.length"},
 	} {
 		path := filepath.Join(t.TempDir(), "drumpick.ini")
 		if err := os.WriteFile(path, []byte(x.text), 0o600); err != nil {
@@ -136,10 +145,14 @@
 		case x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want)):
 			t.Errorf("%q: %v, want an error with %q", x.text, err, x.want)
 		case x.want == "" && x.text != "" && (o.RoundIntervals != 3 || o.AlphaUp != -0.1 || o.Window != 4 || o.AlphaDown != 0.7):
-			t.Errorf("%q: read as %+v", x.text, o)
+			t.Errorf("%q: read as %+v, want round 3, alpha -0.1 and 0.7, window 4", x.text, o)
+		}
+		var settingErr *Error
+		if x.key != "" && (!errors.As(err, &settingErr) || settingErr.Key != x.key) {
+			t.Errorf("%q: got %#v, want an *Error with the key %q", x.text, err, x.key)
 		}
 	}
 	if _, err := LoadOptions(filepath.Join(t.TempDir(), "none.ini")); err == nil {
-		t.Error("a missing file is not an error")
+		t.Error("a missing file: got no error, want one")
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Every key of the settings is read into the configuration, and written alike: the local
-// region writes the settings of its controllers.
+// Every key of the settings is read into the configuration, and written alike: the local cluster
+// writes the settings of its controllers.
 func TestGoldenSettings(t *testing.T) {
 	rps, writeRPS, valueKB, txnOps := 11.5, 12.5, 13.5, 14
 	want := Config{
@@ -54,18 +54,19 @@
 	}
 }
 
-// Kinds of objectives stand in the settings.
+// Kinds of objectives keep their names, as settings hold them.
 func TestGoldenObjectives(t *testing.T) {
 	goldentest.Run(t, "golden-objectives.json", goldentest.JSON, []goldentest.Case{
 		{Name: "kinds", Direction: goldentest.Written, Value: []string{KindWait, KindDeadline, KindGuarantee}},
 	})
 }
 
-// Every key of the operators' file is read into an option of its own.
+// Every key of the operators' file is read into an option of its own, whatever else is set.
 func TestGoldenOptions(t *testing.T) {
 	want := Options{
 		RoundIntervals: 3.5, AlphaUp: -0.3, AlphaDown: 0.6, Window: 9, Percentile: 91, LeaderLeaseIntervals: 4.5, IdleStartups: 5.5,
-		CapacityBackoffStartups: 6.5, Operators: true, Watermarks: true, LeaseExpiryProofs: true, HeartbeatRelay: true, LoadShedding: true, Guarantees: true,
+		CapacityBackoffStartups: 6.5, Operators: true, Watermarks: true, LeaseExpiryProofs: true,
+		HeartbeatRelay: true, LoadShedding: true, Guarantees: true,
 		Reservations: true, BeginS: 7.5, ZoneHealth: true,
 	}
 	got, defaults := reflect.ValueOf(want), reflect.ValueOf(DefaultOptions())
--- /dev/null
+++ b/internal/config/load.go
@@ -0,0 +1,50 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// Load reads and validates a settings file.
+func Load(path string) (*Config, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	c, err := Parse(raw)
+	if err != nil {
+		return nil, fmt.Errorf("settings %s: %w", path, err)
+	}
+	return c, nil
+}
+
+// Parse reads and validates settings from text. Its options are the defaults.
+func Parse(raw []byte) (*Config, error) {
+	c := &Config{Options: DefaultOptions()}
+	if err := toml.Unmarshal(raw, c); err != nil {
+		return nil, decodeError(err)
+	}
+	if err := c.validate(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// decodeError names the place of a decoder's error, which otherwise is not in its text.
+func decodeError(err error) error {
+	var decode *toml.DecodeError
+	if !errors.As(err, &decode) {
+		return err
+	}
+	row, column := decode.Position()
+	key := strings.Join(decode.Key(), ".")
+	return &Error{
+		Key:     key,
+		Message: fmt.Sprintf("line %d, column %d: %s: %s", row, column, key, decode.Error()),
+		Err:     err,
+	}
+}
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -6,29 +6,50 @@
 	"gopkg.in/ini.v1"
 )
 
-// Options are the operators' own settings (INI). All are ratios or factors,
-// so that one file suits deployments of any size.
+// Options are the operators' own settings (INI). All but one are ratios, factors or switches, so that
+// one file suits deployments of any size.
 type Options struct {
-	RoundIntervals          float64 // length of a round, in worker report intervals
-	AlphaUp                 float64 // FUSD factor while use rises, -1 to 0
-	AlphaDown               float64 // FUSD factor while use falls, 0 to 1
-	Window                  int     // reports in FUSD's window
-	Percentile              float64 // percentile of the window taken as observed use
-	LeaderLeaseIntervals    float64 // life of the leader's grant, in worker report intervals
-	IdleStartups            float64 // an empty machine is kept this many startup times
-	CapacityBackoffStartups float64 // pause after "no capacity", in startup times
-	Operators               bool    // operators are served beside users
-	Watermarks              bool    // the store says how far jobs were sent, for takeovers
-	LeaseExpiryProofs       bool    // a takeover knows that leases have ended by who may have renewed them
-	HeartbeatRelay          bool    // controllers pass workers' reports on to the leader
-	LoadShedding            bool    // a leader that falls behind leaves starts out
-	Guarantees              bool    // work within a guarantee that can begin in time goes first, and finds room
-	Reservations            bool    // room is saved for what needs much of it at once
-	BeginS                  float64 // s within which any job is to begin, if there is room for it at all
-	ZoneHealth              bool    // machines of a zone that is cut off are waited for
+	// RoundIntervals is the length of a scheduling round, in heartbeat intervals.
+	RoundIntervals float64
+	// AlphaUp is the smoothing factor of the FUSD forecast while use rises, -1 to 0.
+	AlphaUp float64
+	// AlphaDown is the smoothing factor of the FUSD forecast while use falls, 0 to 1.
+	AlphaDown float64
+	// Window is the number of heartbeats in the window of the FUSD forecast.
+	Window int
+	// Percentile is the percentile of the window that is taken as observed use, 1 to 100.
+	Percentile float64
+	// LeaderLeaseIntervals is the life of the leader's lease, in heartbeat intervals.
+	LeaderLeaseIntervals float64
+	// IdleStartups is how long an empty machine is kept, in startup times of its type.
+	IdleStartups float64
+	// CapacityBackoffStartups is the pause after the cloud had no capacity, in startup times.
+	CapacityBackoffStartups float64
+	// Operators serves the operators' API beside the users' one.
+	Operators bool
+	// Watermarks stores how far jobs were dispatched, so that a new leader need not wait for all
+	// machines before it starts the rest.
+	Watermarks bool
+	// LeaseExpiryProofs has a new leader conclude that the leases of silent machines have expired, from
+	// those controllers that may have renewed them. It needs Watermarks.
+	LeaseExpiryProofs bool
+	// HeartbeatRelay has controllers relay workers' heartbeats to the leader in batches.
+	HeartbeatRelay bool
+	// LoadShedding has a leader that falls behind leave out task starts and scale-out.
+	LoadShedding bool
+	// Guarantees puts work within a team's guarantee that can still start in time first, and makes
+	// room for it by preemption.
+	Guarantees bool
+	// Reservations keeps room free for jobs that need much of it at once.
+	Reservations bool
+	// BeginS is the time in seconds within which any job is to start, if there is room for it at all.
+	BeginS float64
+	// ZoneHealth has the scheduler wait for the machines of a zone that is cut off, rather than give
+	// them up.
+	ZoneHealth bool
 }
 
-// DefaultOptions are used for whatever the INI file does not set.
+// DefaultOptions returns the options that hold where the INI file sets nothing.
 func DefaultOptions() Options {
 	return Options{
 		RoundIntervals: 2, AlphaUp: -0.2, AlphaDown: 0.7, Window: 8, Percentile: 90,
@@ -36,75 +57,130 @@
 	}
 }
 
-// LoadOptions reads the operators' INI file over the defaults.
+// optionKey is a key of the INI file with its section.
+type optionKey struct{ section, name string }
+
+// invalid returns the error for a key of the INI file.
+func (k optionKey) invalid(format string, args ...any) error {
+	return invalid(k.section+"."+k.name, "[%s] %s %s", k.section, k.name, fmt.Sprintf(format, args...))
+}
+
+// numberOption is an option that is a number, with its range.
+type numberOption struct {
+	optionKey
+	value    *float64
+	min, max float64
+}
+
+// switchOption is an option that is on or off.
+type switchOption struct {
+	optionKey
+	value *bool
+}
+
+// windowKey is the only option that is a whole number, and maxWindow its upper bound.
+var windowKey = optionKey{"forecast", "window"}
+
+const maxWindow = 1000
+
+func (o *Options) numbers() []numberOption {
+	return []numberOption{
+		{optionKey{"rounds", "round_reports"}, &o.RoundIntervals, 1, 1000},
+		{optionKey{"forecast", "alpha_up"}, &o.AlphaUp, -1, 0},
+		{optionKey{"forecast", "alpha_down"}, &o.AlphaDown, 0, 0.999},
+		{optionKey{"forecast", "percentile"}, &o.Percentile, 1, 100},
+		{optionKey{"leader", "grant_reports"}, &o.LeaderLeaseIntervals, 1, 20},
+		{optionKey{"rental", "idle_startups"}, &o.IdleStartups, 0, 100},
+		{optionKey{"largest", "begin_s"}, &o.BeginS, 1, 86400},
+		{optionKey{"rental", "refused_startups"}, &o.CapacityBackoffStartups, 0.05, 100},
+	}
+}
+
+func (o *Options) switches() []switchOption {
+	return []switchOption{
+		{optionKey{"operator", "enabled"}, &o.Operators},
+		{optionKey{"takeover", "marks"}, &o.Watermarks},
+		{optionKey{"takeover", "lapses"}, &o.LeaseExpiryProofs},
+		{optionKey{"relay", "enabled"}, &o.HeartbeatRelay},
+		{optionKey{"overload", "shed"}, &o.LoadShedding},
+		{optionKey{"zones", "dark"}, &o.ZoneHealth},
+		{optionKey{"guarantees", "enabled"}, &o.Guarantees},
+		{optionKey{"largest", "enabled"}, &o.Reservations},
+	}
+}
+
+// LoadOptions reads the operators' INI file over the defaults. A key that is not known is an error.
 func LoadOptions(path string) (Options, error) {
 	o := DefaultOptions()
-	f, err := ini.Load(path)
+	file, err := ini.Load(path)
 	if err != nil {
 		return o, fmt.Errorf("options: %w", err)
 	}
-	known := map[string]bool{}
-	for _, e := range []struct {
-		section, key string
-		v            *float64
-		min, max     float64
-	}{
-		{"rounds", "round_reports", &o.RoundIntervals, 1, 1000},
-		{"forecast", "alpha_up", &o.AlphaUp, -1, 0},
-		{"forecast", "alpha_down", &o.AlphaDown, 0, 0.999},
-		{"forecast", "percentile", &o.Percentile, 1, 100},
-		{"leader", "grant_reports", &o.LeaderLeaseIntervals, 1, 20},
-		{"rental", "idle_startups", &o.IdleStartups, 0, 100},
-		{"largest", "begin_s", &o.BeginS, 1, 86400},
-		{"rental", "refused_startups", &o.CapacityBackoffStartups, 0.05, 100},
-	} {
-		known[e.section+"."+e.key] = true
-		if !f.Section(e.section).HasKey(e.key) {
+	for _, read := range []func(*ini.File) error{o.readNumbers, o.readWindow, o.readSwitches, o.rejectUnknown} {
+		if err := read(file); err != nil {
+			return o, fmt.Errorf("options %s: %w", path, err)
+		}
+	}
+	return o, nil
+}
+
+func (o *Options) readNumbers(file *ini.File) error {
+	for _, option := range o.numbers() {
+		section := file.Section(option.section)
+		if !section.HasKey(option.name) {
 			continue
 		}
-		v, err := f.Section(e.section).Key(e.key).Float64()
-		if err != nil || !(v >= e.min && v <= e.max) {
-			return o, fmt.Errorf("options %s: [%s] %s must be a number from %v to %v", path, e.section, e.key, e.min, e.max)
+		v, err := section.Key(option.name).Float64()
+		if err != nil || !(v >= option.min && v <= option.max) { // NaN is in no range
+			return option.invalid("must be a number from %v to %v", option.min, option.max)
 		}
-		*e.v = v
+		*option.value = v
 	}
-	known["forecast.window"] = true
-	if k := f.Section("forecast"); k.HasKey("window") {
-		v, err := k.Key("window").Int()
-		if err != nil || v < 1 || v > 1000 {
-			return o, fmt.Errorf("options %s: [forecast] window must be a whole number from 1 to 1000", path)
-		}
-		o.Window = v
+	return nil
+}
+
+func (o *Options) readWindow(file *ini.File) error {
+	section := file.Section(windowKey.section)
+	if !section.HasKey(windowKey.name) {
+		return nil
+	}
+	v, err := section.Key(windowKey.name).Int()
+	if err != nil || v < 1 || v > maxWindow {
+		return windowKey.invalid("must be a whole number from 1 to %d", maxWindow)
 	}
-	for _, e := range []struct {
-		section, key string
-		v            *bool
-	}{
-		{"operator", "enabled", &o.Operators},
-		{"takeover", "marks", &o.Watermarks},
-		{"takeover", "lapses", &o.LeaseExpiryProofs},
-		{"relay", "enabled", &o.HeartbeatRelay},
-		{"overload", "shed", &o.LoadShedding},
-		{"zones", "dark", &o.ZoneHealth},
-		{"guarantees", "enabled", &o.Guarantees},
-		{"largest", "enabled", &o.Reservations},
-	} {
-		known[e.section+"."+e.key] = true
-		if !f.Section(e.section).HasKey(e.key) {
+	o.Window = v
+	return nil
+}
+
+func (o *Options) readSwitches(file *ini.File) error {
+	for _, option := range o.switches() {
+		section := file.Section(option.section)
+		if !section.HasKey(option.name) {
 			continue
 		}
-		v, err := f.Section(e.section).Key(e.key).Bool()
+		v, err := section.Key(option.name).Bool()
 		if err != nil {
-			return o, fmt.Errorf("options %s: [%s] %s must be true or false", path, e.section, e.key)
+			return option.invalid("must be true or false")
 		}
-		*e.v = v
+		*option.value = v
 	}
-	for _, s := range f.Sections() {
-		for _, k := range s.Keys() {
-			if !known[s.Name()+"."+k.Name()] {
-				return o, fmt.Errorf("options %s: [%s] %s is not known", path, s.Name(), k.Name())
+	return nil
+}
+
+func (o *Options) rejectUnknown(file *ini.File) error {
+	known := map[optionKey]bool{windowKey: true}
+	for _, option := range o.numbers() {
+		known[option.optionKey] = true
+	}
+	for _, option := range o.switches() {
+		known[option.optionKey] = true
+	}
+	for _, section := range file.Sections() {
+		for _, key := range section.Keys() {
+			if k := (optionKey{section.Name(), key.Name()}); !known[k] {
+				return k.invalid("is not known")
 			}
 		}
 	}
-	return o, nil
+	return nil
 }
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -5,55 +5,68 @@
 	"time"
 )
 
-// Timing holds what calls are given and how long a leader's grant lives. All are ratios to
-// the interval in which workers report, bounded where users or workers wait.
+// Timing holds the time-outs of calls and the life of the leader's lease. All are ratios to the
+// heartbeat interval, bounded where users or workers wait.
 type Timing struct {
-	HeartbeatInterval  time.Duration // in which workers report
-	LeaderLease        time.Duration // life of the leader's grant
-	Store              time.Duration // for a call to the state service
-	Peer               time.Duration // for a call to another controller
-	Cloud              time.Duration // for a call to the cloud
-	Worker             time.Duration // for a direct command
-	UnconfirmedRenewal time.Duration // for which leases are renewed without contact to the store
+	HeartbeatInterval  time.Duration // between the heartbeats of a worker
+	LeaderLease        time.Duration // life of the leader's lease
+	Store              time.Duration // time-out of a call to the key-value store
+	Peer               time.Duration // time-out of a call to another controller
+	Cloud              time.Duration // time-out of a call to the cloud
+	Worker             time.Duration // time-out of a direct command to a worker
+	UnconfirmedRenewal time.Duration // how long a leader renews workers' leases without contact to the store
 }
 
-// Timing derives them from the settings.
+// Timing derives the timing from the settings.
 func (c *Config) Timing() Timing {
-	r, w := c.HeartbeatInterval(), c.Deployment.Workers
+	interval, workers := c.HeartbeatInterval(), c.Deployment.Workers
 	return Timing{
-		HeartbeatInterval: r, LeaderLease: time.Duration(float64(r) * c.Options.LeaderLeaseIntervals),
-		Store: min(r/2, time.Second), Peer: min(r/4, time.Second/2), Cloud: 2 * r, Worker: r,
-		UnconfirmedRenewal: Seconds(w.CancelS - w.LeaseS),
+		HeartbeatInterval:  interval,
+		LeaderLease:        time.Duration(float64(interval) * c.Options.LeaderLeaseIntervals),
+		Store:              min(interval/2, time.Second),
+		Peer:               min(interval/4, time.Second/2),
+		Cloud:              2 * interval,
+		Worker:             interval,
+		UnconfirmedRenewal: Seconds(workers.CancelS - workers.LeaseS),
 	}
 }
 
 const (
-	// slowStore is what the state service may take now and then.
-	slowStore = 300 * time.Millisecond
-	// nextNode is how long a worker waits for an answer, and before it tries the next node.
-	nextNode = 5 * time.Second
+	// slowStoreCall is what a call to the key-value store may take now and then.
+	slowStoreCall = 300 * time.Millisecond
+	// lostHeartbeat is how long a worker waits for an answer, and then before it tries the next node.
+	lostHeartbeat = 5 * time.Second
 )
 
-// Warnings lists settings each of which is in range and that hold together badly: nothing
-// breaks a rule by them, but work is lost or an aim missed for nothing. Guards against a
-// deployment with other intervals that is found wanting only in its first outage.
+// Warnings lists settings each of which is in range and that hold together badly: nothing breaks a
+// rule by them, but work is lost or an objective missed for nothing. Without them, a deployment with
+// other intervals would be found wanting only in its first outage.
 func (c *Config) Warnings() []string {
-	t, w := c.Timing(), c.Deployment.Workers
-	lease := Seconds(w.LeaseS)
-	var out []string
-	doubt := func(is bool, format string, args ...any) {
-		if is {
-			out = append(out, fmt.Sprintf(format, args...))
-		}
+	timing, workers := c.Timing(), c.Deployment.Workers
+	lease := Seconds(workers.LeaseS)
+	var warnings []string
+	warn := func(format string, args ...any) { warnings = append(warnings, fmt.Sprintf(format, args...)) }
+	if timing.LeaderLease+2*timing.HeartbeatInterval > lease {
+		warn("facts.workers.lease_s (%v): a leader that fails is replaced after %v and heard by all machines %v later; "+
+			"their leases may end before", workers.LeaseS, timing.LeaderLease, 2*timing.HeartbeatInterval)
+	}
+	if lostHeartbeat+timing.HeartbeatInterval > lease {
+		warn("facts.workers.lease_s (%v): one report without an answer costs a worker %v; its lease may end",
+			workers.LeaseS, lostHeartbeat+timing.HeartbeatInterval)
+	}
+	if timing.UnconfirmedRenewal < 2*timing.HeartbeatInterval {
+		warn("facts.workers.cancel_s (%v): a leader out of touch with the store renews leases for %v only",
+			workers.CancelS, timing.UnconfirmedRenewal)
+	}
+	if timing.Store < slowStoreCall {
+		warn("facts.workers.report_s (%v): calls to the state service are given %v, and it may take %v",
+			workers.HeartbeatS, timing.Store, slowStoreCall)
 	}
-	doubt(t.LeaderLease+2*t.HeartbeatInterval > lease, "facts.workers.lease_s (%v): a leader that fails is replaced after %v and heard by all machines %v later; their leases may end before", w.LeaseS, t.LeaderLease, 2*t.HeartbeatInterval)
-	doubt(nextNode+t.HeartbeatInterval > lease, "facts.workers.lease_s (%v): one report without an answer costs a worker %v; its lease may end", w.LeaseS, nextNode+t.HeartbeatInterval)
-	doubt(t.UnconfirmedRenewal < 2*t.HeartbeatInterval, "facts.workers.cancel_s (%v): a leader out of touch with the store renews leases for %v only", w.CancelS, t.UnconfirmedRenewal)
-	doubt(t.Store < slowStore, "facts.workers.report_s (%v): calls to the state service are given %v, and it may take %v", w.HeartbeatS, t.Store, slowStore)
 	for i, o := range c.Deployment.Objectives {
-		if o.Kind == KindGuarantee {
-			doubt(Seconds(o.WithinS) <= 3*t.HeartbeatInterval, "facts.objectives[%d].within_s (%v): nobody can be stopped for work within a guarantee in less than three report intervals", i, o.WithinS)
+		if o.Kind == KindGuarantee && Seconds(o.WithinS) <= 3*timing.HeartbeatInterval {
+			warn("facts.objectives[%d].within_s (%v): nobody can be stopped for work within a guarantee in less than three report intervals",
+				i, o.WithinS)
 		}
 	}
-	return out
+	return warnings
 }
--- a/internal/config/timing_test.go
+++ b/internal/config/timing_test.go
@@ -23,7 +23,9 @@
 				c.Deployment.Objectives = []Objective{{Kind: KindGuarantee, WithinS: a["aim"]}}
 			}
 			d := c.Timing()
-			return append([]string{fmt.Sprintf("grant %v; calls: store %v, peer %v, cloud %v, worker %v; without the store %v", d.LeaderLease, d.Store, d.Peer, d.Cloud, d.Worker, d.UnconfirmedRenewal)}, c.Warnings()...)
+			line := fmt.Sprintf("grant %v; calls: store %v, peer %v, cloud %v, worker %v; without the store %v",
+				d.LeaderLease, d.Store, d.Peer, d.Cloud, d.Worker, d.UnconfirmedRenewal)
+			return append([]string{line}, c.Warnings()...)
 		}
 	})
 }
