--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -10,6 +10,7 @@
 	"drumpick/internal/goldentest"
 )
 
+// goldenSamples returns values with every field set.
 func goldenSamples() (Job, Machine, Drain, DrainView, DrainPlan) {
 	zone, due := "a", 300.5
 	sum := drain.Summary{Machines: 1, Finish: 2, Move: 3, Lose: 4, Wait: 5, Blocked: 6, LostS: 7.5, Vanished: 8, EmptyS: 9.5}
@@ -37,7 +38,7 @@
 		}
 }
 
-// What programs of others send and read through this package keeps its forms.
+// What programs of others send and read through this package keeps its wire format.
 func TestGoldenForms(t *testing.T) {
 	job, machine, d, view, plan := goldenSamples()
 	goldentest.Run(t, "golden-forms.json", goldentest.JSON, []goldentest.Case{
--- a/client/operator.go
+++ b/client/operator.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"net/url"
 	"strconv"
 	"time"
@@ -9,30 +10,30 @@
 	"drumpick/internal/drain"
 )
 
-// Machine is a machine as its leader sees it.
+// Machine is a machine as the leader sees it.
 type Machine struct {
 	Name    string  `json:"name"`
-	Type    string  `json:"type"`
-	Zone    string  `json:"zone"`
-	Spot    bool    `json:"spot"`
-	Addr    string  `json:"addr"`
-	State   string  `json:"state"`
-	AgeS    float64 `json:"age_s,omitempty"`
-	Version string  `json:"version,omitempty"`
-	Count   int     `json:"tasks"`
-	Tasks   []Task  `json:"on_it,omitempty"`
+	Type    string  `json:"type"`              // machine type
+	Zone    string  `json:"zone"`              // zone that it is in
+	Spot    bool    `json:"spot"`              // a spot machine, which the cloud may take back
+	Addr    string  `json:"addr"`              // host:port of its worker
+	State   string  `json:"state"`             // such as "up"
+	AgeS    float64 `json:"age_s,omitempty"`   // seconds since it was requested from the cloud
+	Version string  `json:"version,omitempty"` // version of its worker
+	Count   int     `json:"tasks"`             // number of tasks on it
+	Tasks   []Task  `json:"on_it,omitempty"`   // the tasks, where a machine is asked for by itself
 }
 
-// Task is an attempt on a machine.
+// Task is an attempt of a task on a machine.
 type Task struct {
-	Task  string  `json:"task"`
-	Try   uint64  `json:"attempt"`
-	State string  `json:"state"`
-	RanS  float64 `json:"ran_s"`
-	Stops bool    `json:"stops,omitempty"`
+	Task  string  `json:"task"`            // job ID and index, such as "j-1/0"
+	Try   uint64  `json:"attempt"`         // number of the attempt
+	State string  `json:"state"`           // such as "running"
+	RanS  float64 `json:"ran_s"`           // seconds that it has run
+	Stops bool    `json:"stops,omitempty"` // it is being stopped
 }
 
-// Machines lists all machines, by name.
+// Machines returns all machines, ordered by name.
 func (c *Client) Machines(ctx context.Context) ([]Machine, error) {
 	all := []Machine{}
 	for since, more := "", true; more; {
@@ -40,7 +41,7 @@
 			Machines []Machine `json:"machines"`
 			More     bool      `json:"more"`
 		}
-		if err := c.ask(ctx, "GET", "/operator/machines?since="+url.QueryEscape(since), nil, "machines", &page); err != nil {
+		if err := c.call(ctx, http.MethodGet, "/operator/machines?since="+url.QueryEscape(since), nil, "machines", &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
@@ -51,56 +52,59 @@
 	return all, nil
 }
 
-// Machine tells of one machine with what is on it.
+// Machine returns one machine with its tasks.
 func (c *Client) Machine(ctx context.Context, name string) (Machine, error) {
 	var m Machine
-	return m, c.ask(ctx, "GET", "/operator/machines/"+url.PathEscape(name), nil, "machine "+name, &m)
+	return m, c.call(ctx, http.MethodGet, "/operator/machines/"+url.PathEscape(name), nil, "machine "+name, &m)
 }
 
-// Kinds of drains, and what becomes of empty machines.
+// Kinds of drains.
 const (
-	DrainCordon  = drain.Cordon
-	DrainEmpty   = drain.Empty
-	DrainUpgrade = drain.Upgrade
+	DrainCordon  = drain.Cordon  // no new tasks; running ones go on
+	DrainEmpty   = drain.Empty   // no new tasks; running ones end or are moved
+	DrainUpgrade = drain.Upgrade // as DrainEmpty, some machines at a time, until each has another version
+)
 
-	ThenKeep   = drain.Keep
-	ThenReturn = drain.Return
+// What becomes of empty machines.
+const (
+	ThenKeep   = drain.Keep   // they stay, empty
+	ThenReturn = drain.Return // they are returned to the cloud
 )
 
 type (
-	// Window is when a drain recurs.
+	// Window is the recurring window in which a drain holds.
 	Window = drain.Window
-	// DrainSummary is a drain and how it stands, as lists have it.
+	// DrainSummary holds the sums of what a drain does to tasks.
 	DrainSummary = drain.Summary
-	// DrainState is how a drain stands.
+	// DrainState is the progress of a drain.
 	DrainState = drain.State
 	// DrainPlan is what a drain would do.
 	DrainPlan = drain.Plan
 )
 
-// Drain says which machines are to be emptied, and how. Of what is said of machines all
-// must hold. Times of day are milliseconds since 1970, lengths seconds.
+// Drain is a request to drain machines. A machine is meant if it meets all of the selectors that are
+// set. Times of day are milliseconds since 1970, durations seconds.
 type Drain struct {
 	drain.Spec
-	Force bool   `json:"force,omitempty"` // though no machine is left for some jobs
-	Since string `json:"since,omitempty"` // of a plan: behind this machine
+	Force bool   `json:"force,omitempty"` // start it although it leaves no machine for some jobs
+	Since string `json:"since,omitempty"` // plan only: return the page behind this machine
 }
 
-// DrainView is a drain with how it stands, nil where no leader has seen it yet.
+// DrainView is a drain with its progress.
 type DrainView struct {
 	Drain drain.Spec  `json:"drain"`
-	State *DrainState `json:"state,omitempty"`
+	State *DrainState `json:"state,omitempty"` // nil where no leader has seen the drain yet
 }
 
-// NewDrainID makes an id that no other drain has; later ones sort behind earlier ones.
+// NewDrainID returns an ID that no other drain has; later ones sort behind earlier ones.
 func NewDrainID() string { return "d-" + strconv.FormatInt(time.Now().UnixMilli(), 10) }
 
-// PlanDrain asks what a drain would do; it changes nothing.
+// PlanDrain returns what a drain would do; it changes nothing.
 func (c *Client) PlanDrain(ctx context.Context, d Drain) (DrainPlan, error) {
 	var all DrainPlan
 	for more := true; more; {
 		var page DrainPlan
-		if err := c.ask(ctx, "POST", "/operator/drains/plan", d, "drain", &page); err != nil {
+		if err := c.call(ctx, http.MethodPost, "/operator/drains/plan", d, "drain", &page); err != nil {
 			return all, err
 		}
 		page.Machines = append(all.Machines, page.Machines...)
@@ -112,29 +116,28 @@
 	return all, nil
 }
 
-// StartDrain puts a drain on record, again and again until it is answered; repeated under
-// its id it is no error.
+// StartDrain starts a drain, until a controller answers. To start it again, under its ID, is no error.
 func (c *Client) StartDrain(ctx context.Context, d Drain) (DrainView, error) {
 	var v DrainView
-	return v, c.ask(ctx, "POST", "/operator/drains", d, "drain "+d.ID, &v)
+	return v, c.call(ctx, http.MethodPost, "/operator/drains", d, "drain "+d.ID, &v)
 }
 
-// Drains lists the drains on record.
+// Drains returns all drains, stopped ones included.
 func (c *Client) Drains(ctx context.Context) ([]DrainView, error) {
 	var out struct {
 		Drains []DrainView `json:"drains"`
 	}
-	return out.Drains, c.ask(ctx, "GET", "/operator/drains", nil, "drains", &out)
+	return out.Drains, c.call(ctx, http.MethodGet, "/operator/drains", nil, "drains", &out)
 }
 
-// Drain tells how a drain stands.
+// Drain returns one drain with its progress.
 func (c *Client) Drain(ctx context.Context, id string) (DrainView, error) {
 	var v DrainView
-	return v, c.ask(ctx, "GET", "/operator/drains/"+url.PathEscape(id), nil, "drain "+id, &v)
+	return v, c.call(ctx, http.MethodGet, "/operator/drains/"+url.PathEscape(id), nil, "drain "+id, &v)
 }
 
-// StopDrain withdraws a drain: its machines take tasks again.
+// StopDrain stops a drain: its machines take tasks again.
 func (c *Client) StopDrain(ctx context.Context, id string) (DrainView, error) {
 	var v DrainView
-	return v, c.ask(ctx, "POST", "/operator/drains/"+url.PathEscape(id)+"/stop", struct{}{}, "drain "+id, &v)
+	return v, c.call(ctx, http.MethodPost, "/operator/drains/"+url.PathEscape(id)+"/stop", struct{}{}, "drain "+id, &v)
 }
