--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -29,40 +29,40 @@
 )
 
 // addClaim makes room on a machine, for one task, a job's own.
-func (c *Scheduler) addClaim(j *Job, m *fleet.Machine, now time.Time) {
+func (s *Scheduler) addClaim(j *Job, m *fleet.Machine, now time.Time) {
 	m.Bin.Reserve(j.request)
 	if j.claims = append(j.claims, claim{m, now}); len(j.claims) == 1 {
-		c.claimOwners = append(c.claimOwners, j)
+		s.claimOwners = append(s.claimOwners, j)
 	}
-	if c.currentTurns != nil {
-		c.currentTurns.keepSeparate(j)
+	if s.currentTurns != nil {
+		s.currentTurns.keepSeparate(j)
 	}
 }
 
 // claimFreedPlace makes the place that a task of a broken gang leaves the gang's own: it has
 // to begin anew, and what else went there would be stopped a moment later.
-func (c *Scheduler) claimFreedPlace(j *Job, a *fleet.Attempt) {
+func (s *Scheduler) claimFreedPlace(j *Job, a *fleet.Attempt) {
 	if j.gangBroken && a.Machine.Bin.Open() && a.State() != fleet.Planned {
-		c.addClaim(j, a.Machine, c.now)
+		s.addClaim(j, a.Machine, s.now)
 	}
 }
 
 // dropClaim gives up a claim.
-func (c *Scheduler) dropClaim(j *Job, i int) {
+func (s *Scheduler) dropClaim(j *Job, i int) {
 	j.claims[i].machine.Bin.Reserve(packing.Resources{}.Sub(j.request))
 	j.claims = slices.Delete(j.claims, i, i+1)
-	c.placementStale = true
+	s.placementStale = true
 }
 
 // dropAllClaims gives up all claims of a job.
-func (c *Scheduler) dropAllClaims(j *Job) {
+func (s *Scheduler) dropAllClaims(j *Job) {
 	for len(j.claims) > 0 {
-		c.dropClaim(j, len(j.claims)-1)
+		s.dropClaim(j, len(j.claims)-1)
 	}
 }
 
 // suspendClaims lets a job see its own room as free; lay puts the claims back.
-func (c *Scheduler) suspendClaims(j *Job) []claim {
+func (s *Scheduler) suspendClaims(j *Job) []claim {
 	mine := j.claims
 	for _, cl := range mine {
 		cl.machine.Bin.Reserve(packing.Resources{}.Sub(j.request))
@@ -71,7 +71,7 @@
 	return mine
 }
 
-func (c *Scheduler) restoreClaims(j *Job, mine []claim) {
+func (s *Scheduler) restoreClaims(j *Job, mine []claim) {
 	for _, cl := range mine {
 		cl.machine.Bin.Reserve(j.request)
 	}
@@ -80,18 +80,18 @@
 
 // useClaims starts tasks of a job that need not start together in room of its own, as
 // far as it is free.
-func (c *Scheduler) useClaims(j *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
+func (s *Scheduler) useClaims(j *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
 	limited := j.limited
 	for i := 0; i < len(j.claims); {
 		t, m := j.nextTask(), j.claims[i].machine
-		if t < 0 || limited && !c.withinLimit(j, used[j.Team]) {
+		if t < 0 || limited && !s.withinLimit(j, used[j.Team]) {
 			return
 		}
 		if !m.Bin.Cap.Sub(m.Bin.Used()).Fits(j.request) {
 			i++
 			continue
 		}
-		c.dropClaim(j, i)
+		s.dropClaim(j, i)
 		if zones != nil {
 			zones[m.Zone]-- // it was counted as the claim's
 			if !j.zoneAllowed(m.Zone, zones) {
@@ -101,7 +101,7 @@
 		}
 		it := &packing.Item{ID: j.ID, Req: j.request, PreferLabels: j.preferLabels}
 		m.Bin.Add(it)
-		c.planAttempt(j, t, c.newAttemptNumber(), m, it, now)
+		s.planAttempt(j, t, s.newAttemptNumber(), m, it, now)
 		j.takeTask(t)
 		if limited {
 			used[j.Team] = used[j.Team].Add(j.taskQuota())
@@ -111,49 +111,49 @@
 
 // reviewClaims gives up claims whose job or machine is out of the question, that are
 // more than the job has tasks for, and those whose room was there in vain for a time.
-func (c *Scheduler) reviewClaims(now time.Time) {
-	owners := c.claimOwners
-	c.claimOwners = c.claimOwners[:0]
+func (s *Scheduler) reviewClaims(now time.Time) {
+	owners := s.claimOwners
+	s.claimOwners = s.claimOwners[:0]
 	for _, j := range owners {
-		if c.reviewJobClaims(j, now); len(j.claims) > 0 && !slices.Contains(c.claimOwners, j) {
-			c.claimOwners = append(c.claimOwners, j)
+		if s.reviewJobClaims(j, now); len(j.claims) > 0 && !slices.Contains(s.claimOwners, j) {
+			s.claimOwners = append(s.claimOwners, j)
 		}
 	}
-	clear(owners[len(c.claimOwners):])
+	clear(owners[len(s.claimOwners):])
 }
 
-func (c *Scheduler) reviewJobClaims(j *Job, now time.Time) {
+func (s *Scheduler) reviewJobClaims(j *Job, now time.Time) {
 	if len(j.claims) == 0 {
 		return
 	}
-	if !j.gangBroken && !c.startable(j, now) {
-		c.dropAllClaims(j)
+	if !j.gangBroken && !s.startable(j, now) {
+		s.dropAllClaims(j)
 		return
 	}
 	for i := len(j.claims) - 1; i >= 0; i-- {
 		if m := j.claims[i].machine; m.Removed() || !m.Bin.Open() {
-			c.dropClaim(j, i)
+			s.dropClaim(j, i)
 		}
 	}
-	for wants := c.claimable(j); len(j.claims) > wants; {
-		c.dropClaim(j, len(j.claims)-1)
+	for wants := s.claimable(j); len(j.claims) > wants; {
+		s.dropClaim(j, len(j.claims)-1)
 	}
-	coming := c.claimedRoomFreeing(j)
+	coming := s.claimedRoomFreeing(j)
 	for i := len(j.claims) - 1; i >= 0; i-- {
 		switch cl := &j.claims[i]; {
 		case coming || j.reservedZone != "":
 			cl.since = now
-		case now.Sub(cl.since) > claimIntervals*c.settings.HeartbeatInterval:
-			slog.Debug("room was kept in vain", "job", j.ID, "machine", cl.machine.Host, "term", c.term)
-			j.noClaimsBefore = now.Add(claimPauseIntervals * c.settings.HeartbeatInterval)
-			c.dropClaim(j, i)
+		case now.Sub(cl.since) > claimIntervals*s.settings.HeartbeatInterval:
+			slog.Debug("room was kept in vain", "job", j.ID, "machine", cl.machine.Host, "term", s.term)
+			j.noClaimsBefore = now.Add(claimPauseIntervals * s.settings.HeartbeatInterval)
+			s.dropClaim(j, i)
 		}
 	}
 }
 
 // claimable is for how many of a job's tasks room may be its own: those that wait, and those that
 // move, up to as many as it has claims for.
-func (c *Scheduler) claimable(j *Job) int {
+func (s *Scheduler) claimable(j *Job) int {
 	n := j.pending()
 	if n >= len(j.claims) {
 		return n
@@ -168,7 +168,7 @@
 
 // claimedRoomFreeing says whether room of a job's own is on its way: somebody there is being stopped, or one
 // of its own tasks that is to move there.
-func (c *Scheduler) claimedRoomFreeing(j *Job) bool {
+func (s *Scheduler) claimedRoomFreeing(j *Job) bool {
 	if j.gangBroken {
 		return true
 	}
@@ -201,11 +201,11 @@
 }
 
 // missingClaims is for how many more of a job's tasks room could be made its own.
-func (c *Scheduler) missingClaims(j *Job, now time.Time) int {
+func (s *Scheduler) missingClaims(j *Job, now time.Time) int {
 	if now.Before(j.noClaimsBefore) {
 		return 0
 	}
-	n := c.waitingWithinLimit(j)
+	n := s.waitingWithinLimit(j)
 	if j.Shape == records.ShapeGang {
 		if n < j.pending() || j.gangAttempt == 0 && len(j.attempts)+len(j.duplicates) > 0 {
 			return 0 // it could not start whole
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -11,15 +11,15 @@
 )
 
 // addDependencies takes a job into the graph.
-func (c *Scheduler) addDependencies(j *Job) {
+func (s *Scheduler) addDependencies(j *Job) {
 	n := dependency.Job{
 		ID: j.ID, Dependencies: j.Dependencies, Rank: priorityRank[j.Priority],
 		// Between the end of one job and the start of the next lies a report.
-		Estimate: c.settings.HeartbeatInterval + c.fetchTime(j) + time.Duration(j.EstimateS*likelyRuns*float64(time.Second)),
+		Estimate: s.settings.HeartbeatInterval + s.fetchTime(j) + time.Duration(j.EstimateS*likelyRuns*float64(time.Second)),
 	}
 	if j.DeadlineS != nil {
 		times := 1.0
-		for _, o := range c.settings.Objectives {
+		for _, o := range s.settings.Objectives {
 			if o.Class == j.Class && o.Kind == config.KindDeadline {
 				times = max(times, o.Times)
 			}
@@ -27,8 +27,8 @@
 		n.Deadline = j.deadlineAt(*j.DeadlineS)
 		n.LatestEnd = j.deadlineAt(*j.DeadlineS * times)
 	}
-	c.dependencies.Add(n)
-	c.applyDependencyChanges()
+	s.dependencies.Add(n)
+	s.applyDependencyChanges()
 }
 
 // deadlineAt is a time of day, by seconds from the job's acceptance.
@@ -45,36 +45,36 @@
 func (j *Job) blockedSeconds() float64 { return j.releasedAt.Sub(j.Accepted).Seconds() }
 
 // applyDependencyChanges takes over what has changed in the graph.
-func (c *Scheduler) applyDependencyChanges() {
-	for _, id := range c.dependencies.Changed() {
-		j := c.jobs[id]
+func (s *Scheduler) applyDependencyChanges() {
+	for _, id := range s.dependencies.Changed() {
+		j := s.jobs[id]
 		if j == nil {
 			continue
 		}
-		j.blocked, j.urgency = c.dependencies.Blocked(id), c.dependencies.Urgency(id)
+		j.blocked, j.urgency = s.dependencies.Blocked(id), s.dependencies.Urgency(id)
 		// A version that knew of no chains wrote no time: then it counts from the
 		// acceptance, as for any job.
 		j.releasedAt, j.notStartedBefore = j.Accepted, j.Revision
-		if at := c.dependencies.Released(id); !j.blocked && !at.IsZero() {
+		if at := s.dependencies.Released(id); !j.blocked && !at.IsZero() {
 			j.releasedAt = j.Accepted.Add(max(at.Sub(time.UnixMilli(j.AcceptedMS)), 0))
-			c.slo.ResetWait(j.ID, j.releasedAt)
+			s.slo.ResetWait(j.ID, j.releasedAt)
 		}
 		if !j.blocked {
-			j.notStartedBefore = max(j.Revision, c.dependencies.NotBefore(id))
+			j.notStartedBefore = max(j.Revision, s.dependencies.NotBefore(id))
 		}
-		if j.notStartedBefore > c.term {
-			c.clearUncertain(j) // nobody can have started any of it before
+		if j.notStartedBefore > s.term {
+			s.clearUncertain(j) // nobody can have started any of it before
 		}
-		j.targets = c.completionTargets(j)
-		c.choosePreferences(j)
-		c.queueStale, c.placementStale = true, true
+		j.targets = s.completionTargets(j)
+		s.choosePreferences(j)
+		s.queueStale, s.placementStale = true, true
 	}
 }
 
 // choosePreferences sets which machines a job's tasks prefer. What is urgent for a chain's sake and
 // cannot save goes where the cloud does not take machines, even before its image: one
 // task lost of many begins anew, and all jobs behind wait for it.
-func (c *Scheduler) choosePreferences(j *Job) {
+func (s *Scheduler) choosePreferences(j *Job) {
 	j.preferLabels = []string{fleet.ImageLabel(j.Image), fleet.SpotLabel}
 	linked := len(j.Dependencies) > 0 || j.urgency.Rank < priorityRank[j.Priority]
 	if linked && j.urgency.Rank < priorityRank[records.PriorityStandard] && j.CheckpointS == 0 {
@@ -84,22 +84,22 @@
 
 // NoteClosed notes what the store says for good of a job, when it was done, and at which
 // revision that was stored.
-func (c *Scheduler) NoteClosed(id string, o records.ClosedJob, stamp uint64) {
+func (s *Scheduler) NoteClosed(id string, o records.ClosedJob, stamp uint64) {
 	var at time.Time
 	if o.AtMS > 0 {
 		at = time.UnixMilli(o.AtMS)
 	}
 	switch o.Status {
 	case records.StatusDone:
-		c.dependencies.SetFinal(id, dependency.Done, at, stamp)
+		s.dependencies.SetFinal(id, dependency.Done, at, stamp)
 	case records.StatusCancelled:
-		c.dependencies.SetFinal(id, dependency.Cancelled, at, stamp)
+		s.dependencies.SetFinal(id, dependency.Cancelled, at, stamp)
 	}
-	c.CloseJob(id)
+	s.CloseJob(id)
 }
 
 // closeJobWrite moves a job to the over records.
-func (c *Scheduler) closeJobWrite(j *Job, o records.ClosedJob) PendingWrite {
+func (s *Scheduler) closeJobWrite(j *Job, o records.ClosedJob) PendingWrite {
 	j.closing = true
 	o.Tasks = j.Tasks
 	return PendingWrite{
@@ -110,23 +110,23 @@
 		Compares: []records.Compare{{Key: records.OpenKey(j.ID), Revision: j.Revision}}, OwnKey: records.OpenKey(j.ID),
 		OnStored: func(stamp uint64) {
 			slog.Debug("job over", "job", j.ID, "class", j.Class, "status", o.Status, "after", j.Dependencies,
-				"waited_s", j.blockedSeconds(), "took_s", time.Since(j.releasedAt).Seconds(), "due_s", j.secondsUntil(j.urgency.Deadline), "term", c.term)
-			c.NoteClosed(j.ID, o, stamp)
+				"waited_s", j.blockedSeconds(), "took_s", time.Since(j.releasedAt).Seconds(), "due_s", j.secondsUntil(j.urgency.Deadline), "term", s.term)
+			s.NoteClosed(j.ID, o, stamp)
 		},
 		// Guards against taking a job for cancelled that is done: its open record is
 		// gone because its user cancelled it, or because this very write went through
 		// before and its answer was lost. Only the over record tells; until it is
 		// read, nothing behind the job starts or is cancelled.
-		OnConflict: func() { c.CloseJob(j.ID) },
+		OnConflict: func() { s.CloseJob(j.ID) },
 	}
 }
 
 // UnreadDependencies lists the jobs of which it is not known what has become of them, and that open
 // ones name.
-func (c *Scheduler) UnreadDependencies() []string { return c.dependencies.Unread() }
+func (s *Scheduler) UnreadDependencies() []string { return s.dependencies.Unread() }
 
 // HasCascade says whether any job is to be cancelled with one before it.
-func (c *Scheduler) HasCascade() bool { return len(c.dependencies.ToCancel()) > 0 }
+func (s *Scheduler) HasCascade() bool { return len(s.dependencies.ToCancel()) > 0 }
 
 // DependenciesClear says whether no job before this one is known to be cancelled.
-func (c *Scheduler) DependenciesClear(id string) bool { return c.dependencies.Clear(id) }
+func (s *Scheduler) DependenciesClear(id string) bool { return s.dependencies.Clear(id) }
--- a/internal/scheduler/drain_preview.go
+++ b/internal/scheduler/drain_preview.go
@@ -30,14 +30,14 @@
 
 // PreviewDrain tells what a drain would do, were it started now; it changes nothing. Without
 // force, one that would leave the jobs of a class without any machine is an error.
-func (c *Scheduler) PreviewDrain(spec *drain.Spec, force bool, now time.Time) (*drain.Plan, error) {
+func (s *Scheduler) PreviewDrain(spec *drain.Spec, force bool, now time.Time) (*drain.Plan, error) {
 	for _, name := range spec.Machines {
-		if c.fleet.Machines[name] == nil {
+		if s.fleet.Machines[name] == nil {
 			return nil, &NoMachineError{"there is no machine " + name}
 		}
 	}
 	active := 0
-	for _, d := range c.drains {
+	for _, d := range s.drains {
 		if !d.spec.Stopped && !(d.spec.Kind == drain.Upgrade && d.state.Over()) {
 			active++
 		}
@@ -45,13 +45,13 @@
 	if active >= mostDrains {
 		return nil, &NoCapacityLeftError{fmt.Sprintf("%d drains are in force; stop some first", active)}
 	}
-	if spec.Zone != "" && !slices.Contains(c.settings.Zones, spec.Zone) {
+	if spec.Zone != "" && !slices.Contains(s.settings.Zones, spec.Zone) {
 		return nil, &NoMachineError{"there is no zone " + spec.Zone}
 	}
-	if _, ok := c.types[spec.Type]; spec.Type != "" && !ok && len(c.types) > 0 {
+	if _, ok := s.types[spec.Type]; spec.Type != "" && !ok && len(s.types) > 0 {
 		return nil, &NoMachineError{"there is no machine type " + spec.Type}
 	}
-	p := c.planOf(spec, nil, now, func(m *fleet.Machine) bool { return true })
+	p := s.planOf(spec, nil, now, func(m *fleet.Machine) bool { return true })
 	if p.All.Machines == 0 {
 		if spec.Window == nil && len(spec.Machines) > 0 || spec.Version != "" && spec.Window == nil || spec.Kind == drain.Upgrade && spec.Window == nil {
 			return nil, &NoMachineError{"no machine is meant: nothing fits all that is said"}
@@ -59,14 +59,14 @@
 		p.Warnings = append(p.Warnings, "no machine that is there now is meant")
 	}
 	if !force && spec.Kind != drain.Upgrade {
-		if err := c.noneLeft(spec, now); err != nil {
+		if err := s.noneLeft(spec, now); err != nil {
 			return nil, err
 		}
 	}
 	if spec.Kind == drain.Upgrade && spec.KeepUp > 0 {
 		zones := map[string]int{}
-		for _, m := range c.fleet.Sorted() {
-			if c.acceptsTasks(m, now) {
+		for _, m := range s.fleet.Sorted() {
+			if s.acceptsTasks(m, now) {
 				zones[m.Zone]++
 			}
 		}
@@ -86,11 +86,11 @@
 }
 
 // noneLeft finds jobs that could run nowhere any more.
-func (c *Scheduler) noneLeft(spec *drain.Spec, now time.Time) error {
-	look := &placeFinder{scheduler: c, now: now, permits: map[*Job]bool{}, barred: spec.Bars,
+func (s *Scheduler) noneLeft(spec *drain.Spec, now time.Time) error {
+	look := &placeFinder{scheduler: s, now: now, permits: map[*Job]bool{}, barred: spec.Bars,
 		isLeaving: func(m *fleet.Machine) bool { return spec.Selects(drainView(m, now)) }}
 	classes := map[string]bool{}
-	for _, j := range c.jobs {
+	for _, j := range s.jobs {
 		if !j.closed && !look.allowedAnywhere(j, nil) {
 			classes[j.Class] = true
 		}
@@ -103,7 +103,7 @@
 		slices.Sort(names)
 		return &NoCapacityLeftError{"it would leave no machine for jobs of " + strings.Join(names, ", ")}
 	}
-	if len(c.types) > 0 && !look.allowedAnywhere(&Job{Job: records.Job{Spot: true}}, nil) {
+	if len(s.types) > 0 && !look.allowedAnywhere(&Job{Job: records.Job{Spot: true}}, nil) {
 		return &NoCapacityLeftError{"it would leave no machine at all"}
 	}
 	return nil
@@ -112,7 +112,7 @@
 // planOf works out what becomes of each task on the machines that a drain means. Tasks
 // that move take the room that others would, so each has its place set aside while it
 // looks. list says of which machines the tasks are told.
-func (c *Scheduler) planOf(spec *drain.Spec, d *activeDrain, now time.Time, list func(*fleet.Machine) bool) *drain.Plan {
+func (s *Scheduler) planOf(spec *drain.Spec, d *activeDrain, now time.Time, list func(*fleet.Machine) bool) *drain.Plan {
 	p := &drain.Plan{Classes: map[string]*drain.ClassPlan{}, Machines: []drain.MachinePlan{}}
 	var left *time.Duration
 	if _, by, _ := spec.Holds(now); !by.IsZero() {
@@ -122,7 +122,7 @@
 	means := func(m *fleet.Machine) bool {
 		return !m.Returning && !m.LeaseExpired && spec.Selects(drainView(m, now)) && !(spec.Kind == drain.Upgrade && m.Version == spec.To)
 	}
-	look := &placeFinder{scheduler: c, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}, barred: spec.Bars,
+	look := &placeFinder{scheduler: s, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}, barred: spec.Bars,
 		// Machines of an upgrade go one after the other: the rest is there for them.
 		isLeaving: func(m *fleet.Machine) bool { return spec.Kind != drain.Upgrade && means(m) }}
 	type owed struct {
@@ -132,20 +132,20 @@
 	var taken []owed
 	late := map[*Job]float64{}
 	lateAnyway := map[*Job]bool{}
-	for _, m := range c.fleet.Sorted() {
+	for _, m := range s.fleet.Sorted() {
 		if !means(m) {
 			continue
 		}
 		p.All.Machines++
 		mp := drain.MachinePlan{Machine: m.Host, Zone: m.Zone}
 		for _, a := range m.Attempts() {
-			j := c.jobOf(a)
+			j := s.jobOf(a)
 			if j == nil || a.State() == fleet.Ended || a.State() == fleet.Planned || spec.Kind == drain.Cordon {
 				continue
 			}
-			t := c.drainTask(j, a, now)
+			t := s.drainTask(j, a, now)
 			var to *fleet.Machine
-			zones := c.zoneCounts(j)
+			zones := s.zoneCounts(j)
 			for _, o := range j.attempts {
 				if zones != nil && means(o.Machine) {
 					zones[o.Machine.Zone]-- // they all leave
@@ -157,7 +157,7 @@
 					t.Place = drain.Room
 				}
 			}
-			dec := drain.Decide(t, left, c.settings.HeartbeatInterval)
+			dec := drain.Decide(t, left, s.settings.HeartbeatInterval)
 			tp := drain.TaskPlan{Task: a.Task.String(), Class: j.Class, Action: dec.Action, Why: dec.Why, LostS: dec.Lost.Seconds()}
 			delay := time.Duration(0)
 			switch dec.Action {
--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -84,25 +84,25 @@
 }
 
 // ReplaceDrains takes in all drains that there are; others are gone.
-func (c *Scheduler) ReplaceDrains(found map[string]drain.Spec) {
+func (s *Scheduler) ReplaceDrains(found map[string]drain.Spec) {
 	var gone []string
-	for _, d := range c.drains {
+	for _, d := range s.drains {
 		if _, ok := found[d.spec.ID]; !ok {
 			gone = append(gone, d.spec.ID)
 		}
 	}
 	for _, id := range gone {
-		c.RemoveDrain(id)
+		s.RemoveDrain(id)
 	}
 	for _, spec := range found {
-		c.SetDrain(spec, nil, 0)
+		s.SetDrain(spec, nil, 0)
 	}
 }
 
 // PreviewDrainPage tells what a drain would do: of machines behind since with up to limit tasks,
 // and in all.
-func (c *Scheduler) PreviewDrainPage(spec *drain.Spec, force bool, since string, limit int, now time.Time) (*drain.Plan, error) {
-	p, err := c.PreviewDrain(spec, force, now)
+func (s *Scheduler) PreviewDrainPage(spec *drain.Spec, force bool, since string, limit int, now time.Time) (*drain.Plan, error) {
+	p, err := s.PreviewDrain(spec, force, now)
 	if err != nil {
 		return nil, err
 	}
@@ -124,8 +124,8 @@
 }
 
 // DrainView tells how a drain stands.
-func (c *Scheduler) DrainView(id string) (DrainView, bool) {
-	for _, d := range c.drains {
+func (s *Scheduler) DrainView(id string) (DrainView, bool) {
+	for _, d := range s.drains {
 		if d.spec.ID == id {
 			state := d.state
 			return DrainView{d.spec, &state}, true
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -40,8 +40,8 @@
 
 // SetDrain takes in what operators asked for, as it is on record; state is nil where there
 // is none of it yet.
-func (c *Scheduler) SetDrain(spec drain.Spec, state *drain.State, stamp uint64) {
-	i, found := slices.BinarySearchFunc(c.drains, spec.ID, func(d *activeDrain, id string) int { return strings.Compare(d.spec.ID, id) })
+func (s *Scheduler) SetDrain(spec drain.Spec, state *drain.State, stamp uint64) {
+	i, found := slices.BinarySearchFunc(s.drains, spec.ID, func(d *activeDrain, id string) int { return strings.Compare(d.spec.ID, id) })
 	if !found {
 		d := &activeDrain{machines: map[string]bool{}}
 		if state != nil {
@@ -50,21 +50,21 @@
 				d.machines[name] = true
 			}
 		}
-		c.drains = slices.Insert(c.drains, i, d)
+		s.drains = slices.Insert(s.drains, i, d)
 	}
-	c.drains[i].spec = spec
-	c.lastDrainPass = time.Time{}
+	s.drains[i].spec = spec
+	s.lastDrainPass = time.Time{}
 }
 
 // RemoveDrain forgets a drain whose record is gone.
-func (c *Scheduler) RemoveDrain(id string) {
-	c.drains = slices.DeleteFunc(c.drains, func(d *activeDrain) bool {
+func (s *Scheduler) RemoveDrain(id string) {
+	s.drains = slices.DeleteFunc(s.drains, func(d *activeDrain) bool {
 		if d.spec.ID != id {
 			return false
 		}
-		for _, m := range c.fleet.Sorted() {
+		for _, m := range s.fleet.Sorted() {
 			if m.Cordon == d {
-				c.uncordon(m, time.Time{})
+				s.uncordon(m, time.Time{})
 			}
 		}
 		return true
@@ -81,81 +81,81 @@
 }
 
 // barredByDrain says whether no machine of a type is to be rented in a zone: it would be drained.
-func (c *Scheduler) barredByDrain(typ, zone string) bool {
-	return slices.ContainsFunc(c.drains, func(d *activeDrain) bool { return d.holds && d.spec.Bars(typ, zone) })
+func (s *Scheduler) barredByDrain(typ, zone string) bool {
+	return slices.ContainsFunc(s.drains, func(d *activeDrain) bool { return d.holds && d.spec.Bars(typ, zone) })
 }
 
 // isEmptying says whether a machine is being emptied for an operator.
-func (c *Scheduler) isEmptying(m *fleet.Machine) bool {
+func (s *Scheduler) isEmptying(m *fleet.Machine) bool {
 	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.spec.Kind != drain.Cordon
 }
 
 // awaitedByOperator says whether a machine is empty and kept for an operator, who may well have switched
 // it off: then its silence is no reason to give it back, for a long time.
-func (c *Scheduler) awaitedByOperator(m *fleet.Machine, now time.Time) bool {
+func (s *Scheduler) awaitedByOperator(m *fleet.Machine, now time.Time) bool {
 	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.spec.Kind != drain.Cordon && d.spec.Then == drain.Keep && m.Reconciled && !m.Failed && m.Empty() &&
-		now.Sub(m.LastStatus) < operatorWaitLeases*c.settings.Lease
+		now.Sub(m.LastStatus) < operatorWaitLeases*s.settings.Lease
 }
 
 // operatorWaitLeases is for how many leases a machine that is kept may be silent.
 const operatorWaitLeases = 50
 
 // returnsWhenEmpty says whether an empty cordoned machine is to be given back.
-func (c *Scheduler) returnsWhenEmpty(m *fleet.Machine) bool {
+func (s *Scheduler) returnsWhenEmpty(m *fleet.Machine) bool {
 	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.spec.Kind != drain.Cordon && d.spec.Then == drain.Return
 }
 
 // runDrains brings machines into the state that operators asked for.
-func (c *Scheduler) runDrains(now time.Time) {
-	c.lastDrainPass, c.drainsActive = now, false
-	c.refreshAccepting(now)
+func (s *Scheduler) runDrains(now time.Time) {
+	s.lastDrainPass, s.drainsActive = now, false
+	s.refreshAccepting(now)
 	wanted := map[*fleet.Machine]*activeDrain{}
-	for _, d := range c.drains {
+	for _, d := range s.drains {
 		d.holds, d.deadline, _ = d.spec.Holds(now)
-		c.drainsActive = c.drainsActive || d.holds && !d.state.Over()
+		s.drainsActive = s.drainsActive || d.holds && !d.state.Over()
 		if d.holds && !d.state.Over() || d.spec.Kind != drain.Upgrade && d.holds {
-			c.selectForDrain(d, wanted, now)
+			s.selectForDrain(d, wanted, now)
 		}
 	}
-	for _, m := range c.fleet.Sorted() {
+	for _, m := range s.fleet.Sorted() {
 		switch d := wanted[m]; {
 		case d == nil && m.Cordon != nil:
-			c.uncordon(m, now)
+			s.uncordon(m, now)
 		case d != nil && m.Cordon != d:
-			c.cordon(m, d)
+			s.cordon(m, d)
 		}
 	}
-	for _, j := range c.queue(now) {
+	for _, j := range s.queue(now) {
 		if j.Shape != records.ShapeService {
 			j.relocating, j.remainingZones = 0, nil
 		}
 	}
-	look := &placeFinder{scheduler: c, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}}
-	for _, m := range c.fleet.Sorted() {
+	look := &placeFinder{scheduler: s, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}}
+	for _, m := range s.fleet.Sorted() {
 		if d, ok := m.Cordon.(*activeDrain); ok && d.spec.Kind != drain.Cordon {
-			c.emptyMachine(m, d, look)
+			s.emptyMachine(m, d, look)
 		}
 	}
-	for _, d := range c.drains {
-		c.standing(d, now)
+	for _, d := range s.drains {
+		s.standing(d, now)
 	}
 }
 
 // selectForDrain finds the machines that a drain wants now.
-func (c *Scheduler) selectForDrain(d *activeDrain, wanted map[*fleet.Machine]*activeDrain, now time.Time) {
+func (s *Scheduler) selectForDrain(d *activeDrain, wanted map[*fleet.Machine]*activeDrain, now time.Time) {
 	if d.spec.Kind != drain.Upgrade {
-		for _, m := range c.fleet.Sorted() {
-			if !m.Returning && (!m.LeaseExpired || c.awaitedByOperator(m, now)) && d.spec.Selects(drainView(m, now)) && takesPrecedence(d, wanted[m]) {
+		for _, m := range s.fleet.Sorted() {
+			if !m.Returning && (!m.LeaseExpired || s.awaitedByOperator(m, now)) && d.spec.Selects(drainView(m, now)) && takesPrecedence(d, wanted[m]) {
 				wanted[m] = d
 			}
 		}
 		return
 	}
 	known := map[machineOffer][]string{}
-	all := c.candidates(d, known, now)
+	all := s.candidates(d, known, now)
 	if d.state.Roll == nil {
 		r := drain.Begin(&d.spec, all)
 		d.state.Roll = &r
@@ -163,23 +163,23 @@
 	was := d.state.Roll.Back
 	d.state.Roll.Judge(all)
 	if d.state.Roll.Back && !was {
-		slog.Warn("upgrade is rolled back", "drain", d.spec.ID, "why", d.state.Roll.Why, "to", d.state.Roll.Want, "term", c.term)
+		slog.Warn("upgrade is rolled back", "drain", d.spec.ID, "why", d.state.Roll.Why, "to", d.state.Roll.Want, "term", s.term)
 	}
 	zones, classes := map[string]int{}, map[string]int{}
-	for _, m := range c.fleet.Sorted() {
-		if m.Cordon != nil || wanted[m] != nil || !c.acceptsTasks(m, now) {
+	for _, m := range s.fleet.Sorted() {
+		if m.Cordon != nil || wanted[m] != nil || !s.acceptsTasks(m, now) {
 			continue
 		}
 		zones[m.Zone]++
-		for _, class := range c.classesOf(m, known) {
+		for _, class := range s.classesOf(m, known) {
 			classes[class]++
 		}
 	}
-	hand := d.state.Roll.Next(&d.spec, all, zones, classes, soakIntervals*c.settings.HeartbeatInterval)
+	hand := d.state.Roll.Next(&d.spec, all, zones, classes, soakIntervals*s.settings.HeartbeatInterval)
 	slices.Sort(hand)
 	d.state.Hand, d.state.Blocked = hand, d.state.Roll.Blocked
 	for _, name := range hand {
-		if m := c.fleet.Machines[name]; takesPrecedence(d, wanted[m]) {
+		if m := s.fleet.Machines[name]; takesPrecedence(d, wanted[m]) {
 			wanted[m] = d
 		}
 	}
@@ -204,38 +204,38 @@
 	return other.spec.Kind == drain.Cordon && d.spec.Kind != drain.Cordon
 }
 
-func (c *Scheduler) cordon(m *fleet.Machine, d *activeDrain) {
-	slog.Info("draining machine", "machine", m.Host, "drain", d.spec.ID, "kind", d.spec.Kind, "term", c.term)
+func (s *Scheduler) cordon(m *fleet.Machine, d *activeDrain) {
+	slog.Info("draining machine", "machine", m.Host, "drain", d.spec.ID, "kind", d.spec.Kind, "term", s.term)
 	m.Cordon = d
 	d.machines[m.Host] = true
 	m.Bin.SetOpen(false)
-	c.cancelPlanned(m)
-	c.placementStale = true
+	s.cancelPlanned(m)
+	s.placementStale = true
 }
 
 // uncordon brings a machine back into service. What was told to stop still does.
-func (c *Scheduler) uncordon(m *fleet.Machine, now time.Time) {
-	slog.Info("machine is back in service", "machine", m.Host, "version", m.Version, "term", c.term)
+func (s *Scheduler) uncordon(m *fleet.Machine, now time.Time) {
+	slog.Info("machine is back in service", "machine", m.Host, "version", m.Version, "term", s.term)
 	m.Cordon = nil
 	m.EmptySince = now
-	c.placementStale = true
-	c.lastReopen = time.Time{}
+	s.placementStale = true
+	s.lastReopen = time.Time{}
 }
 
 // candidates are the machines that an upgrade means.
-func (c *Scheduler) candidates(d *activeDrain, known map[machineOffer][]string, now time.Time) []drain.Candidate {
+func (s *Scheduler) candidates(d *activeDrain, known map[machineOffer][]string, now time.Time) []drain.Candidate {
 	var all []drain.Candidate
 	hand := map[string]bool{}
 	for _, name := range d.state.Hand {
 		hand[name] = true
 	}
-	for _, m := range c.fleet.Sorted() {
+	for _, m := range s.fleet.Sorted() {
 		v := drainView(m, now)
-		if !m.Up || m.LeaseExpired && !c.awaitedByOperator(m, now) || m.Returning || !m.PreemptionAt.IsZero() || !d.spec.Selects(v) || d.isReplacement(m) {
+		if !m.Up || m.LeaseExpired && !s.awaitedByOperator(m, now) || m.Returning || !m.PreemptionAt.IsZero() || !d.spec.Selects(v) || d.isReplacement(m) {
 			continue
 		}
 		x := drain.Candidate{
-			Machine: v, Empty: m.Empty(), Up: m.Cordon == nil && c.acceptsTasks(m, now), Proven: m.Proven, Failed: m.Faulty, Classes: c.classesOf(m, known),
+			Machine: v, Empty: m.Empty(), Up: m.Cordon == nil && s.acceptsTasks(m, now), Proven: m.Proven, Failed: m.Faulty, Classes: s.classesOf(m, known),
 			// A new leader finds in hand what the one before had.
 			InHand: m.Cordon == d || m.Cordon == nil && hand[m.Host],
 		}
@@ -243,8 +243,8 @@
 			x.Fresh = now.Sub(m.VersionSince)
 		}
 		for _, a := range m.Attempts() {
-			if j := c.jobOf(a); j != nil && a.State() != fleet.Ended {
-				x.Cost += time.Duration(c.remainingSeconds(j, a, now) * float64(time.Second))
+			if j := s.jobOf(a); j != nil && a.State() != fleet.Ended {
+				x.Cost += time.Duration(s.remainingSeconds(j, a, now) * float64(time.Second))
 			}
 		}
 		all = append(all, x)
@@ -254,14 +254,14 @@
 
 // classesOf lists the classes of open jobs that may run on a machine; machines of a type,
 // zone and kind share the answer of one look, which known holds.
-func (c *Scheduler) classesOf(m *fleet.Machine, known map[machineOffer][]string) []string {
+func (s *Scheduler) classesOf(m *fleet.Machine, known map[machineOffer][]string) []string {
 	o := machineOffer{m.Type, m.Zone, m.Spot}
 	if list, ok := known[o]; ok {
 		return list
 	}
 	seen := map[string]bool{}
-	for _, j := range c.sortedJobs {
-		if !seen[j.Class] && j.permits(m.Type, m.Zone, m.Spot) && c.capacity(m.Type).Fits(j.request) {
+	for _, j := range s.sortedJobs {
+		if !seen[j.Class] && j.permits(m.Type, m.Zone, m.Spot) && s.capacity(m.Type).Fits(j.request) {
 			seen[j.Class] = true
 		}
 	}
@@ -270,14 +270,14 @@
 }
 
 // drainTask is what a decision about an attempt depends on, but for where else it could go.
-func (c *Scheduler) drainTask(j *Job, a *fleet.Attempt, now time.Time) drain.Task {
+func (s *Scheduler) drainTask(j *Job, a *fleet.Attempt, now time.Time) drain.Task {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	_, ran := a.Durations(now)
 	t := drain.Task{
 		Running: a.State() == fleet.Running, Waiting: a.State() == fleet.Waiting || a.State() == fleet.Pulling && j.Shape == records.ShapeGang,
 		Stopping: a.Stopping(), Group: j.Shape == records.ShapeGang, Service: j.Shape == records.ShapeService,
-		Urgent: j.urgency.Rank <= priorityRank[records.PriorityUrgent], Remaining: seconds(c.remainingSeconds(j, a, now)),
-		Ran: ran, Saves: j.CheckpointS > 0, Save: seconds(j.SaveS), Restart: c.settings.HeartbeatInterval + c.fetchTime(j),
+		Urgent: j.urgency.Rank <= priorityRank[records.PriorityUrgent], Remaining: seconds(s.remainingSeconds(j, a, now)),
+		Ran: ran, Saves: j.CheckpointS > 0, Save: seconds(j.SaveS), Restart: s.settings.HeartbeatInterval + s.fetchTime(j),
 	}
 	if t.Service {
 		t.Remaining = 0
@@ -287,7 +287,7 @@
 			}
 		}
 	}
-	if slack, ok := c.slack(j, t.Remaining, now); ok {
+	if slack, ok := s.slack(j, t.Remaining, now); ok {
 		t.Slack = &slack
 	}
 	return t
@@ -295,7 +295,7 @@
 
 // slack is how much time a job has beyond what a task of it still needs; false where
 // nothing is due any more.
-func (c *Scheduler) slack(j *Job, remaining time.Duration, now time.Time) (time.Duration, bool) {
+func (s *Scheduler) slack(j *Job, remaining time.Duration, now time.Time) (time.Duration, bool) {
 	age := now.Sub(j.releasedAt)
 	for _, t := range j.targets {
 		if due := time.Duration(t * float64(time.Second)); age+remaining <= due {
@@ -306,7 +306,7 @@
 }
 
 // emptyMachine does with each task of a machine what is decided about it.
-func (c *Scheduler) emptyMachine(m *fleet.Machine, d *activeDrain, look *placeFinder) {
+func (s *Scheduler) emptyMachine(m *fleet.Machine, d *activeDrain, look *placeFinder) {
 	now := look.now
 	var left *time.Duration
 	if !d.deadline.IsZero() {
@@ -314,16 +314,16 @@
 		left = &l
 	}
 	for _, a := range slices.Clone(m.Attempts()) {
-		j := c.jobOf(a)
+		j := s.jobOf(a)
 		if j == nil || a.Stopping() || a.State() == fleet.Ended || a.State() == fleet.Planned || a.State() == fleet.Sent || a.Duplicate {
 			continue // on its way out, or not known well enough yet
 		}
 		if j.Shape == records.ShapeGang {
-			c.emptyGang(j, left, look)
+			s.emptyGang(j, left, look)
 			continue
 		}
-		t := c.drainTask(j, a, now)
-		to, zones := (*fleet.Machine)(nil), c.zoneCounts(j)
+		t := s.drainTask(j, a, now)
+		to, zones := (*fleet.Machine)(nil), s.zoneCounts(j)
 		if zones != nil {
 			zones[m.Zone]-- // it leaves
 		}
@@ -332,7 +332,7 @@
 				t.Place = drain.Room
 			}
 		}
-		dec := drain.Decide(t, left, c.settings.HeartbeatInterval)
+		dec := drain.Decide(t, left, s.settings.HeartbeatInterval)
 		if t.Service && left == nil {
 			continue // replicas move in rounds, one of a job at a time
 		}
@@ -342,27 +342,27 @@
 			j.remainingZones = zones
 		case drain.Move, drain.Lose:
 			if to != nil {
-				c.addClaim(j, to, now)
+				s.addClaim(j, to, now)
 			}
-			c.stopForDrain(j, a, dec, now)
+			s.stopForDrain(j, a, dec, now)
 		}
 	}
 }
 
 // stopForDrain stops a task for a drain's sake.
-func (c *Scheduler) stopForDrain(j *Job, a *fleet.Attempt, dec drain.Decision, now time.Time) {
-	slog.Info("task leaves its machine", "task", a.Task.String(), "machine", a.Machine.Host, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", c.term)
+func (s *Scheduler) stopForDrain(j *Job, a *fleet.Attempt, dec drain.Decision, now time.Time) {
+	slog.Info("task leaves its machine", "task", a.Task.String(), "machine", a.Machine.Host, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", s.term)
 	drainedTasks.Inc()
 	grace := 0.0
 	if j.CheckpointS > 0 {
 		grace = j.SaveS
 	}
-	c.stop(a, stopDrained, grace, now)
+	s.stop(a, stopDrained, grace, now)
 }
 
 // emptyGang decides about a gang as a whole, of which some tasks are on machines that are
 // being emptied.
-func (c *Scheduler) emptyGang(j *Job, left *time.Duration, look *placeFinder) {
+func (s *Scheduler) emptyGang(j *Job, left *time.Duration, look *placeFinder) {
 	now := look.now
 	if j.gangBroken {
 		return
@@ -373,7 +373,7 @@
 		switch {
 		case a.Stopping():
 			return
-		case c.isEmptying(a.Machine):
+		case s.isEmptying(a.Machine):
 			leaving = append(leaving, a)
 		default:
 			staying[a.Machine.Zone]++
@@ -383,7 +383,7 @@
 		return
 	}
 	slices.SortFunc(leaving, func(a, b *fleet.Attempt) int { return cmp.Compare(a.Task.N, b.Task.N) })
-	t := c.drainTask(j, leaving[0], now)
+	t := s.drainTask(j, leaving[0], now)
 	for _, a := range j.attempts {
 		t.Waiting = t.Waiting || a.State() != fleet.Running
 		_, ran := a.Durations(now)
@@ -398,7 +398,7 @@
 			t.Place = drain.Room // all of it, away from where the others could have stayed
 		}
 	}
-	dec := drain.Decide(t, left, c.settings.HeartbeatInterval)
+	dec := drain.Decide(t, left, s.settings.HeartbeatInterval)
 	switch dec.Action {
 	case drain.Wait:
 		j.relocating += len(leaving)
@@ -406,11 +406,11 @@
 			j.remainingZones = staying
 		}
 	case drain.Move, drain.Lose:
-		slog.Info("gang leaves its machines", "job", j.ID, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", c.term)
-		c.stopGang(j, now)
+		slog.Info("gang leaves its machines", "job", j.ID, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", s.term)
+		s.stopGang(j, now)
 		if t.Place == drain.Room {
 			for _, m := range to {
-				c.addClaim(j, m, now)
+				s.addClaim(j, m, now)
 			}
 		}
 	}
@@ -448,63 +448,63 @@
 }
 
 // standing works out how a drain stands, for people.
-func (c *Scheduler) standing(d *activeDrain, now time.Time) {
-	s := &d.state
-	if s.Phase == drain.Stopped || s.Over() && d.spec.Kind == drain.Upgrade && !d.spec.Stopped {
+func (s *Scheduler) standing(d *activeDrain, now time.Time) {
+	state := &d.state
+	if state.Phase == drain.Stopped || state.Over() && d.spec.Kind == drain.Upgrade && !d.spec.Stopped {
 		return
 	}
-	s.Term = c.term
-	if s.BeganMS == 0 && d.holds {
-		s.BeganMS = now.UnixMilli()
-		s.Plan = c.planOf(&d.spec, d, now, nil).All
+	state.Term = s.term
+	if state.BeganMS == 0 && d.holds {
+		state.BeganMS = now.UnixMilli()
+		state.Plan = s.planOf(&d.spec, d, now, nil).All
 	}
 	left, have, want := 0, 0, 0
-	for _, m := range c.fleet.Sorted() {
+	for _, m := range s.fleet.Sorted() {
 		if m.Cordon == d && !m.Empty() {
 			left++
 		}
-		if d.spec.Kind == drain.Upgrade && m.Up && (!m.LeaseExpired || c.awaitedByOperator(m, now)) && !m.Returning && d.spec.Selects(drainView(m, now)) && !d.isReplacement(m) && s.Roll != nil {
-			if want++; m.Version == s.Roll.Want {
+		if d.spec.Kind == drain.Upgrade && m.Up && (!m.LeaseExpired || s.awaitedByOperator(m, now)) && !m.Returning && d.spec.Selects(drainView(m, now)) && !d.isReplacement(m) && state.Roll != nil {
+			if want++; m.Version == state.Roll.Want {
 				have++
 			}
 		}
 	}
-	s.Seen.Machines = len(d.machines)
-	phase := s.Phase
+	state.Seen.Machines = len(d.machines)
+	phase := state.Phase
 	switch {
 	case d.spec.Stopped:
-		s.Phase, s.Left, s.Blocked, s.Hand = drain.Stopped, 0, "", nil
+		state.Phase, state.Left, state.Blocked, state.Hand = drain.Stopped, 0, "", nil
 	case !d.holds:
-		s.Phase, s.Left = drain.Waiting, 0
-	case d.spec.Kind == drain.Upgrade && s.Roll.Back && s.Roll.From == "", d.spec.Kind == drain.Upgrade && s.Roll.Back && have == want && c.reconciled:
-		s.Phase, s.Left, s.Hand = drain.RolledBack, want-have, nil
-	case d.spec.Kind == drain.Upgrade && s.Roll.Back:
-		s.Phase, s.Left = drain.RollingBack, want-have
-	case d.spec.Kind == drain.Upgrade && have == want && (want > 0 || len(d.machines) > 0) && c.reconciled && c.soaked(d, now):
-		s.Phase, s.Left, s.Hand = drain.Done, 0, nil
+		state.Phase, state.Left = drain.Waiting, 0
+	case d.spec.Kind == drain.Upgrade && state.Roll.Back && state.Roll.From == "", d.spec.Kind == drain.Upgrade && state.Roll.Back && have == want && s.reconciled:
+		state.Phase, state.Left, state.Hand = drain.RolledBack, want-have, nil
+	case d.spec.Kind == drain.Upgrade && state.Roll.Back:
+		state.Phase, state.Left = drain.RollingBack, want-have
+	case d.spec.Kind == drain.Upgrade && have == want && (want > 0 || len(d.machines) > 0) && s.reconciled && s.soaked(d, now):
+		state.Phase, state.Left, state.Hand = drain.Done, 0, nil
 	case d.spec.Kind == drain.Upgrade:
-		s.Phase, s.Left = drain.Upgrading, want-have
-	case left > 0 || !c.reconciled || d.spec.Kind == drain.Cordon:
-		s.Phase, s.Left = drain.Draining, left
+		state.Phase, state.Left = drain.Upgrading, want-have
+	case left > 0 || !s.reconciled || d.spec.Kind == drain.Cordon:
+		state.Phase, state.Left = drain.Draining, left
 	default:
-		if s.Seen.EmptyS == 0 && len(d.machines) > 0 {
-			s.Seen.EmptyS = max(now.Sub(time.UnixMilli(s.BeganMS)).Seconds(), 0.001)
+		if state.Seen.EmptyS == 0 && len(d.machines) > 0 {
+			state.Seen.EmptyS = max(now.Sub(time.UnixMilli(state.BeganMS)).Seconds(), 0.001)
 		}
-		s.Phase, s.Left = drain.Drained, 0
+		state.Phase, state.Left = drain.Drained, 0
 	}
-	if s.Phase != phase {
-		slog.Info("drain", "drain", d.spec.ID, "phase", s.Phase, "left", s.Left, "term", c.term)
-		if s.Over() {
-			s.EndedMS = now.UnixMilli()
+	if state.Phase != phase {
+		slog.Info("drain", "drain", d.spec.ID, "phase", state.Phase, "left", state.Left, "term", s.term)
+		if state.Over() {
+			state.EndedMS = now.UnixMilli()
 		}
 	}
 }
 
 // soaked says whether every machine with a new version has shown that it works, or had the
 // time to.
-func (c *Scheduler) soaked(d *activeDrain, now time.Time) bool {
-	for _, m := range c.fleet.Sorted() {
-		if m.Version == d.state.Roll.Want && !m.VersionSince.IsZero() && !m.Proven && now.Sub(m.VersionSince) < soakIntervals*c.settings.HeartbeatInterval {
+func (s *Scheduler) soaked(d *activeDrain, now time.Time) bool {
+	for _, m := range s.fleet.Sorted() {
+		if m.Version == d.state.Roll.Want && !m.VersionSince.IsZero() && !m.Proven && now.Sub(m.VersionSince) < soakIntervals*s.settings.HeartbeatInterval {
 			return false
 		}
 	}
--- a/internal/scheduler/driver.go
+++ b/internal/scheduler/driver.go
@@ -12,11 +12,11 @@
 const TicksPerHeartbeat = 8
 
 // Counts tells how many open jobs and machines are known.
-func (c *Scheduler) Counts() (jobs, machines int) { return len(c.jobs), len(c.fleet.Sorted()) }
+func (s *Scheduler) Counts() (jobs, machines int) { return len(s.jobs), len(s.fleet.Sorted()) }
 
 // Reconciled says whether every machine that an earlier term may have used has been heard, or
 // is gone.
-func (c *Scheduler) Reconciled() bool { return c.reconciled }
+func (s *Scheduler) Reconciled() bool { return s.reconciled }
 
 // UnreconciledMachine is a machine that has to show the term, by its address and the session of its
 // worker that is known.
@@ -26,9 +26,9 @@
 }
 
 // Unreconciled lists those that have not.
-func (c *Scheduler) Unreconciled() []UnreconciledMachine {
+func (s *Scheduler) Unreconciled() []UnreconciledMachine {
 	var list []UnreconciledMachine
-	for _, m := range c.fleet.Sorted() {
+	for _, m := range s.fleet.Sorted() {
 		if m.AwaitsReconciliation() && m.Addr != "" {
 			list = append(list, UnreconciledMachine{m.Addr, max(m.Incarnation, 1)})
 		}
@@ -37,32 +37,32 @@
 }
 
 // Replan places tasks if anything has changed since that was last done.
-func (c *Scheduler) Replan(now time.Time) {
-	if c.placementStale {
-		c.placeWaiting(now)
+func (s *Scheduler) Replan(now time.Time) {
+	if s.placementStale {
+		s.placeWaiting(now)
 	}
 }
 
 // CloseMissing closes the jobs that a list of all open ones lacks, read at a revision.
-func (c *Scheduler) CloseMissing(listed func(id string) bool, epoch uint64) {
-	for id, j := range c.jobs {
+func (s *Scheduler) CloseMissing(listed func(id string) bool, epoch uint64) {
+	for id, j := range s.jobs {
 		// A job newer than the list is not in it.
 		if !listed(id) && j.Revision <= epoch {
-			c.CloseJob(id)
+			s.CloseJob(id)
 		}
 	}
 }
 
 // ObserveDelay notes by how much anything waited before it was got to.
-func (c *Scheduler) ObserveDelay(d time.Duration) { c.delay = max(c.delay, d) }
+func (s *Scheduler) ObserveDelay(d time.Duration) { s.delay = max(s.delay, d) }
 
 // SetRelaxed says whether tasks beyond marks may be sent now.
-func (c *Scheduler) SetRelaxed(on bool) { c.watermarks.relaxed = on }
+func (s *Scheduler) SetRelaxed(on bool) { s.watermarks.relaxed = on }
 
 // WatermarksStored says whether every task that may have been sent is below a mark in the store.
-func (c *Scheduler) WatermarksStored() bool {
-	stored := c.watermarks.complete
-	for _, j := range c.jobs {
+func (s *Scheduler) WatermarksStored() bool {
+	stored := s.watermarks.complete
+	for _, j := range s.jobs {
 		stored = stored && j.watermark.Stored >= j.watermark.Requested
 	}
 	return stored
@@ -70,8 +70,8 @@
 
 // IsLatest says whether a report, by its session and number, is the last that we know of a
 // machine.
-func (c *Scheduler) IsLatest(m *fleet.Machine, session, tick uint64) bool {
-	return c.fleet.Machines[m.Host] == m && m.Incarnation == session && m.Sequence == tick
+func (s *Scheduler) IsLatest(m *fleet.Machine, session, tick uint64) bool {
+	return s.fleet.Machines[m.Host] == m && m.Incarnation == session && m.Sequence == tick
 }
 
 // UrgentCommands is orders that a machine is to hear at once, not at its next report.
@@ -81,16 +81,16 @@
 }
 
 // TakeUrgentCommands takes what is to be sent so.
-func (c *Scheduler) TakeUrgentCommands() []UrgentCommands {
+func (s *Scheduler) TakeUrgentCommands() []UrgentCommands {
 	var calls, deaf []UrgentCommands
-	for host := range c.urgentMachines {
-		m := c.fleet.Machines[host]
-		delete(c.urgentMachines, host)
+	for host := range s.urgentMachines {
+		m := s.fleet.Machines[host]
+		delete(s.urgentMachines, host)
 		if m == nil || m.Addr == "" || !m.Up {
 			continue
 		}
 		if orders := m.PendingCommands(); len(orders) > 0 {
-			call := UrgentCommands{m.Addr, fleet.CommandRequest{FencingToken: c.term, Incarnation: m.Incarnation, Commands: orders}}
+			call := UrgentCommands{m.Addr, fleet.CommandRequest{FencingToken: s.term, Incarnation: m.Incarnation, Commands: orders}}
 			if m.Unreachable() {
 				deaf = append(deaf, call)
 			} else {
--- a/internal/scheduler/finished_tasks.go
+++ b/internal/scheduler/finished_tasks.go
@@ -43,8 +43,8 @@
 func (s *Settings) perChunk() int { return (s.ChunkTasks + s.PartTasks - 1) / s.PartTasks }
 
 // part tells to which part a task belongs.
-func (c *Scheduler) part(n int) int {
-	return n/c.settings.ChunkTasks*c.settings.perChunk() + n%c.settings.ChunkTasks/c.settings.PartTasks
+func (s *Scheduler) part(n int) int {
+	return n/s.settings.ChunkTasks*s.settings.perChunk() + n%s.settings.ChunkTasks/s.settings.PartTasks
 }
 
 // span gives the chunk of a part, and where in it the part begins and ends.
--- a/internal/scheduler/held_machines.go
+++ b/internal/scheduler/held_machines.go
@@ -18,28 +18,28 @@
 // these a kept machine takes only what has its turn before. Guards against large
 // tasks that never start because small ones of later turns fill every gap before a
 // machine is empty. Those that will have room soonest are kept.
-func (c *Scheduler) holdMachines(now time.Time) {
+func (s *Scheduler) holdMachines(now time.Time) {
 	was := map[*fleet.Machine]bool{}
-	for _, m := range c.fleet.Sorted() {
+	for _, m := range s.fleet.Sorted() {
 		if m.ReservedFor != nil {
 			was[m] = true
 			m.ReservedFor = nil
 			m.Bin.SetLabel(heldLabel, false)
 		}
 	}
-	c.holders = c.holders[:0]
-	if !c.reconciled {
+	s.holders = s.holders[:0]
+	if !s.reconciled {
 		return
 	}
 	var waiting []*Job
 	smallest := 1.0
-	for _, j := range c.queue(now) {
-		if j.Shape != records.ShapeGang && c.startable(j, now) && j.nextTask() >= 0 {
+	for _, j := range s.queue(now) {
+		if j.Shape != records.ShapeGang && s.startable(j, now) && j.nextTask() >= 0 {
 			waiting = append(waiting, j)
-			smallest = min(smallest, c.smallestShare(j))
+			smallest = min(smallest, s.smallestShare(j))
 		}
 	}
-	left := max(int(float64(c.countAccepting())*heldMachineShare), 1)
+	left := max(int(float64(s.countAccepting())*heldMachineShare), 1)
 	type soon struct {
 		m  *fleet.Machine
 		in float64
@@ -50,16 +50,16 @@
 		if left == 0 {
 			return
 		}
-		if j.placementClass == 0 || c.smallestShare(j) <= smallest+1e-9 || j.limited {
+		if j.placementClass == 0 || s.smallestShare(j) <= smallest+1e-9 || j.limited {
 			continue
 		}
 		if listed != j.placementClass {
 			listed, list = j.placementClass, list[:0]
-			for _, m := range c.fleet.Sorted() {
+			for _, m := range s.fleet.Sorted() {
 				if !m.Bin.Open() || m.ReservedFor != nil || !j.permits(m.Type, m.Zone, m.Spot) || !m.Bin.Cap.Fits(j.request) {
 					continue
 				}
-				in := c.secondsUntilRoom(j, m, now)
+				in := s.secondsUntilRoom(j, m, now)
 				if was[m] {
 					in /= 2 // what has begun to empty goes on
 				}
@@ -73,7 +73,7 @@
 			x.m.Bin.SetLabel(heldLabel, true)
 		}
 		if n > 0 {
-			c.holders = append(c.holders, j)
+			s.holders = append(s.holders, j)
 		}
 		list = list[n:]
 		left -= n
@@ -82,9 +82,9 @@
 
 // secondsUntilRoom guesses, in seconds, when a machine will have room for a task of the job
 // if it is given nothing else.
-func (c *Scheduler) secondsUntilRoom(j *Job, m *fleet.Machine, now time.Time) float64 {
+func (s *Scheduler) secondsUntilRoom(j *Job, m *fleet.Machine, now time.Time) float64 {
 	free := m.Bin.Cap.Sub(m.Bin.Used())
-	ends := c.endings(m, now)
+	ends := s.endings(m, now)
 	for _, e := range ends {
 		if free.Fits(j.request) {
 			return e.seconds
@@ -104,15 +104,15 @@
 }
 
 // endings lists, the soonest first, when what is on a machine ends.
-func (c *Scheduler) endings(m *fleet.Machine, now time.Time) []ending {
+func (s *Scheduler) endings(m *fleet.Machine, now time.Time) []ending {
 	ends := make([]ending, 0, 16) // a machine holds few
 	for _, a := range m.Attempts() {
 		if a.Item == nil {
 			continue
 		}
 		in := 0.0
-		if aj := c.jobOf(a); aj != nil {
-			in = c.remainingSeconds(aj, a, now)
+		if aj := s.jobOf(a); aj != nil {
+			in = s.remainingSeconds(aj, a, now)
 		}
 		ends = append(ends, ending{in, a.Item.Req})
 	}
@@ -127,9 +127,9 @@
 // there is none or one of them is over. Whoever is served after it finds every kept machine
 // spared, which need not be asked of each: on 1,300 machines that was most of what the
 // placing cost.
-func (c *Scheduler) lastHoldingJob() *Job {
+func (s *Scheduler) lastHoldingJob() *Job {
 	var last *Job
-	for _, k := range c.holders {
+	for _, k := range s.holders {
 		if k.closed {
 			return nil
 		}
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -330,8 +330,8 @@
 }
 
 // HasUnstoredJobs says whether a job is complete but not yet stored as done.
-func (c *Scheduler) HasUnstoredJobs() bool {
-	for j := range c.complete {
+func (s *Scheduler) HasUnstoredJobs() bool {
+	for j := range s.complete {
 		if !j.closing {
 			return true
 		}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -18,20 +18,20 @@
 // that can be on none of those still unheard of, and none of a job that needs the whole
 // picture: all tasks of jobs accepted, or released by one that was stored as done, under
 // this term, and of older jobs what is beyond their marks.
-func (c *Scheduler) startable(j *Job, now time.Time) bool {
+func (s *Scheduler) startable(j *Job, now time.Time) bool {
 	if j.closed || j.blocked || j.closing || j.gangBroken || now.Before(j.retryAt) {
 		return false
 	}
-	if c.reconciled {
+	if s.reconciled {
 		return true
 	}
 	return (j.uncertain == nil || j.Shape != records.ShapeGang) && !j.limited && !j.OneZone && !j.SpreadZones
 }
 
 // acceptsTasks says whether a machine may be given new tasks.
-func (c *Scheduler) acceptsTasks(m *fleet.Machine, now time.Time) bool {
+func (s *Scheduler) acceptsTasks(m *fleet.Machine, now time.Time) bool {
 	return m.Up && m.Reconciled && inService(m) && m.PreemptionAt.IsZero() &&
-		now.Sub(m.LastStatus) < 3*c.settings.HeartbeatInterval && !now.Before(m.FullUntil)
+		now.Sub(m.LastStatus) < 3*s.settings.HeartbeatInterval && !now.Before(m.FullUntil)
 }
 
 // inService says whether a machine takes new tasks, or will when it is up.
@@ -49,13 +49,13 @@
 }
 
 // couldHost says whether a machine may be given tasks of the job, once it has room.
-func (c *Scheduler) couldHost(j *Job, m *fleet.Machine, now time.Time) bool {
-	return c.acceptsTasks(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.request)
+func (s *Scheduler) couldHost(j *Job, m *fleet.Machine, now time.Time) bool {
+	return s.acceptsTasks(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.request)
 }
 
 // tasksByZone counts the job's tasks by zone, on machines and, with planned, meant for them
 // or for room that is its own.
-func (c *Scheduler) tasksByZone(j *Job, planned bool) map[string]int {
+func (s *Scheduler) tasksByZone(j *Job, planned bool) map[string]int {
 	n := map[string]int{}
 	for _, a := range j.attempts {
 		if a.MayBePresent() || planned && a.State() == fleet.Planned {
@@ -68,7 +68,7 @@
 		}
 	}
 	if len(j.duplicates) > 0 {
-		for _, a := range c.fleet.OfJob(j.ID) {
+		for _, a := range s.fleet.OfJob(j.ID) {
 			if a.Duplicate && a.MayBePresent() {
 				n[a.Machine.Zone]++
 			}
@@ -90,17 +90,17 @@
 }
 
 // placeWaiting inserts waiting tasks into bins, in queue order.
-func (c *Scheduler) placeWaiting(now time.Time) {
-	c.placementStale = false
-	c.refreshAccepting(now)
-	p := &placement{scheduler: c, now: now, used: map[string]quota.Amount{}, noRoom: make([]*Job, len(c.placementClasses)+1)}
-	c.queue(now)
-	c.lastHolder = c.lastHoldingJob()
-	c.reviewClaims(now)
-	c.reserveRoom(now)
-	turns := c.order.begin(c.claimOwners)
-	c.currentTurns = turns
-	defer func() { c.currentTurns = nil }()
+func (s *Scheduler) placeWaiting(now time.Time) {
+	s.placementStale = false
+	s.refreshAccepting(now)
+	p := &placement{scheduler: s, now: now, used: map[string]quota.Amount{}, noRoom: make([]*Job, len(s.placementClasses)+1)}
+	s.queue(now)
+	s.lastHolder = s.lastHoldingJob()
+	s.reviewClaims(now)
+	s.reserveRoom(now)
+	turns := s.order.begin(s.claimOwners)
+	s.currentTurns = turns
+	defer func() { s.currentTurns = nil }()
 	for t, more := turns.next(); more; t, more = turns.next() {
 		if t.job.hasNoWaiting() {
 			turns.deactivate()
@@ -168,21 +168,21 @@
 
 // placeTasks places as many tasks of a job as possible, only on machines with a
 // mark unless it is "". It returns false when some had no room.
-func (c *Scheduler) placeTasks(j *Job, only string, used map[string]quota.Amount, zones map[string]int, now time.Time) bool {
+func (s *Scheduler) placeTasks(j *Job, only string, used map[string]quota.Amount, zones map[string]int, now time.Time) bool {
 	limited := j.limited
 	for {
 		t := j.nextTask()
 		if t < 0 {
 			return true
 		}
-		if limited && !c.withinLimit(j, used[j.Team]) {
+		if limited && !s.withinLimit(j, used[j.Team]) {
 			return true
 		}
-		m, moves := c.insertTask(j, t, 0, only, zones, "", now)
+		m, moves := s.insertTask(j, t, 0, only, zones, "", now)
 		if m == nil {
 			return false
 		}
-		c.executeMoves(moves, now)
+		s.executeMoves(moves, now)
 		j.takeTask(t)
 		if limited {
 			used[j.Team] = used[j.Team].Add(j.taskQuota())
@@ -194,33 +194,33 @@
 }
 
 // zoneCounts counts a job's tasks by zone where that decides about others; nil elsewhere.
-func (c *Scheduler) zoneCounts(j *Job) map[string]int {
+func (s *Scheduler) zoneCounts(j *Job) map[string]int {
 	if j.OneZone || j.SpreadZones {
-		return c.tasksByZone(j, true)
+		return s.tasksByZone(j, true)
 	}
 	return nil
 }
 
 // zoneChoices are the zones in which a job is to be tried one after the other; "" is
 // all of them together.
-func (c *Scheduler) zoneChoices(j *Job, zones map[string]int) []string {
+func (s *Scheduler) zoneChoices(j *Job, zones map[string]int) []string {
 	if j.OneZone && len(zones) == 0 {
-		return c.settings.Zones
+		return s.settings.Zones
 	}
 	return []string{""}
 }
 
 // placeGang places a whole gang or nothing of it. Tasks that replace members
 // which never arrived take the gang's attempt number.
-func (c *Scheduler) placeGang(j *Job, used map[string]quota.Amount, now time.Time) bool {
+func (s *Scheduler) placeGang(j *Job, used map[string]quota.Amount, now time.Time) bool {
 	if j.gangAttempt == 0 && len(j.attempts)+len(j.duplicates) > 0 {
 		return false
 	}
-	zones := c.zoneCounts(j)
-	for _, zone := range c.zoneChoices(j, zones) {
-		try, mark := j.gangAttempt, c.sequence
+	zones := s.zoneCounts(j)
+	for _, zone := range s.zoneChoices(j, zones) {
+		try, mark := j.gangAttempt, s.sequence
 		if try == 0 {
-			try = c.newAttemptNumber()
+			try = s.newAttemptNumber()
 		}
 		zn := map[string]int{}
 		for z, n := range zones {
@@ -238,11 +238,11 @@
 			if t < 0 {
 				break
 			}
-			if j.limited && !c.withinLimit(j, sum) {
+			if j.limited && !s.withinLimit(j, sum) {
 				ok = false
 				break
 			}
-			m, asked := c.insertTask(j, t, try, "", zn, zone, now)
+			m, asked := s.insertTask(j, t, try, "", zn, zone, now)
 			if m == nil {
 				ok = false
 				break
@@ -256,16 +256,16 @@
 		if ok {
 			j.gangAttempt = try
 			used[j.Team] = sum
-			c.executeMoves(moves, now)
+			s.executeMoves(moves, now)
 			return true
 		}
 		// Nobody is moved for a gang that does not start.
 		for _, a := range placed {
 			a.Machine.Forget(a)
 			delete(j.attempts, a.Task.N)
-			c.retryTask(j, a.Task.N)
+			s.retryTask(j, a.Task.N)
 		}
-		c.sequence = mark // nothing was sent under the number
+		s.sequence = mark // nothing was sent under the number
 	}
 	return false
 }
@@ -273,9 +273,9 @@
 // insertTask finds a bin for one task by VISBP's insert, over the machine types
 // that the job allows, cheapest first, and lists the moves that it asks for. Try 0
 // stands for a new attempt number.
-func (c *Scheduler) insertTask(j *Job, t int, try uint64, only string, zones map[string]int, zone string, now time.Time) (*fleet.Machine, []packing.Move) {
+func (s *Scheduler) insertTask(j *Job, t int, try uint64, only string, zones map[string]int, zone string, now time.Time) (*fleet.Machine, []packing.Move) {
 	it := &packing.Item{ID: j.ID, Req: j.request, PreferLabels: j.preferLabels, RequireLabel: only}
-	if c.lastHolder != nil && servedBefore(c.lastHolder, j) {
+	if s.lastHolder != nil && servedBefore(s.lastHolder, j) {
 		it.ExcludeLabel = heldLabel
 	}
 	ok := func(b *packing.Bin) bool {
@@ -283,12 +283,12 @@
 		return j.permits(m.Type, m.Zone, m.Spot) && (zones == nil || j.zoneAllowed(m.Zone, zones)) &&
 			(zone == "" || m.Zone == zone) && !isHeldForEarlier(m, j)
 	}
-	for _, name := range c.typeNames {
-		s := c.spaces[name]
-		if s == nil {
+	for _, name := range s.typeNames {
+		space := s.spaces[name]
+		if space == nil {
 			continue
 		}
-		b, moves, rule := c.insertAmongType(s, name, j, it, ok)
+		b, moves, rule := s.insertAmongType(space, name, j, it, ok)
 		if b == nil {
 			continue
 		}
@@ -296,12 +296,12 @@
 		m := b.Owner.(*fleet.Machine)
 		undoMoves(moves)
 		if try == 0 {
-			try = c.newAttemptNumber()
+			try = s.newAttemptNumber()
 		}
-		a := c.planAttempt(j, t, try, m, it, now)
-		c.plannedAttempts = append(c.plannedAttempts, a)
+		a := s.planAttempt(j, t, try, m, it, now)
+		s.plannedAttempts = append(s.plannedAttempts, a)
 		if rule == packing.FirstFit {
-			slog.Debug("first fit", "task", a.Task.String(), "machine", m.Host, "term", c.term)
+			slog.Debug("first fit", "task", a.Task.String(), "machine", m.Host, "term", s.term)
 		}
 		return m, moves
 	}
@@ -311,21 +311,21 @@
 // insertAmongType inserts among the machines of one type. Where ordinary ones were too few for
 // others lately, what may use cheap ones goes there first. Guards against ordinary machines
 // that gangs wait for and that are filled with tasks beside empty cheap ones.
-func (c *Scheduler) insertAmongType(s *packing.Space, typ string, j *Job, it *packing.Item, ok func(*packing.Bin) bool) (*packing.Bin, []packing.Move, packing.Rule) {
-	if j.Spot && c.shortageLately(typ, c.now) {
-		if b, moves, rule := s.Insert(it, func(b *packing.Bin) bool { return b.Owner.(*fleet.Machine).Spot && ok(b) }); b != nil {
+func (s *Scheduler) insertAmongType(space *packing.Space, typ string, j *Job, it *packing.Item, ok func(*packing.Bin) bool) (*packing.Bin, []packing.Move, packing.Rule) {
+	if j.Spot && s.shortageLately(typ, s.now) {
+		if b, moves, rule := space.Insert(it, func(b *packing.Bin) bool { return b.Owner.(*fleet.Machine).Spot && ok(b) }); b != nil {
 			return b, moves, rule
 		}
 	}
-	return s.Insert(it, ok)
+	return space.Insert(it, ok)
 }
 
 // planAttempt notes a task as meant for a machine, whose bin has its item already.
-func (c *Scheduler) planAttempt(j *Job, t int, try uint64, m *fleet.Machine, it *packing.Item, now time.Time) *fleet.Attempt {
-	a := c.fleet.Plan(m, fleet.TaskID{Job: j.ID, N: t}, try, it, now)
+func (s *Scheduler) planAttempt(j *Job, t int, try uint64, m *fleet.Machine, it *packing.Item, now time.Time) *fleet.Attempt {
+	a := s.fleet.Plan(m, fleet.TaskID{Job: j.ID, N: t}, try, it, now)
 	a.Job, j.attempts[t] = j, a
 	j.start.placedAt = now
-	c.raiseWatermark(j, t)
+	s.raiseWatermark(j, t)
 	m.EmptySince = time.Time{}
 	return a
 }
@@ -335,62 +335,62 @@
 // left, a task would otherwise wait for the report of just the machine it was planned
 // for. Nothing gets a worse place: no fetch that it would have been spared, no machine
 // that may be taken instead of one that may not, no empty machine instead of one in use.
-func (c *Scheduler) takeOverPlans(m *fleet.Machine, now time.Time) {
+func (s *Scheduler) takeOverPlans(m *fleet.Machine, now time.Time) {
 	if !m.Bin.Open() || !m.Bin.AllowsJoin() {
 		return
 	}
-	keep := c.plannedAttempts[:0]
-	for _, a := range c.plannedAttempts {
+	keep := s.plannedAttempts[:0]
+	for _, a := range s.plannedAttempts {
 		if a.State() != fleet.Planned || a.Item == nil {
 			continue // sent, or given up
 		}
-		j := c.jobOf(a)
+		j := s.jobOf(a)
 		// Guards against a task that lacks its mark and goes to the first machine that
 		// reports: it would wait there for the next report.
-		if j == nil || a.Machine == m || !c.belowWatermark(a) || !j.unconstrained() || !m.Bin.CanJoin(j.request) || !j.permits(m.Type, m.Zone, m.Spot) ||
-			m.Type != a.Machine.Type || m.Spot && !a.Machine.Spot || !m.Spot && a.Machine.Spot && c.shortageLately(m.Type, now) || isHeldForEarlier(m, j) || m.Empty() && len(a.Machine.Bin.Items()) > 1 ||
-			c.fetchTime(j) > 0 && !m.Bin.HasLabel(j.imageReadyLabel) && a.Machine.Bin.HasLabel(j.imageReadyLabel) {
+		if j == nil || a.Machine == m || !s.belowWatermark(a) || !j.unconstrained() || !m.Bin.CanJoin(j.request) || !j.permits(m.Type, m.Zone, m.Spot) ||
+			m.Type != a.Machine.Type || m.Spot && !a.Machine.Spot || !m.Spot && a.Machine.Spot && s.shortageLately(m.Type, now) || isHeldForEarlier(m, j) || m.Empty() && len(a.Machine.Bin.Items()) > 1 ||
+			s.fetchTime(j) > 0 && !m.Bin.HasLabel(j.imageReadyLabel) && a.Machine.Bin.HasLabel(j.imageReadyLabel) {
 			keep = append(keep, a)
 			continue
 		}
 		a.Machine.Forget(a)
 		it := &packing.Item{ID: j.ID, Req: j.request, PreferLabels: j.preferLabels}
 		m.Bin.Add(it)
-		c.planAttempt(j, a.Task.N, a.Number, m, it, now)
+		s.planAttempt(j, a.Task.N, a.Number, m, it, now)
 	}
-	clear(c.plannedAttempts[len(keep):])
-	c.plannedAttempts = keep
+	clear(s.plannedAttempts[len(keep):])
+	s.plannedAttempts = keep
 }
 
 // useImage notes that a machine has a job's image, or fetches it.
-func (c *Scheduler) useImage(m *fleet.Machine, j *Job) {
-	m.UseImage(j.Image, j.ImageGB, c.types[m.Type].CacheGB)
+func (s *Scheduler) useImage(m *fleet.Machine, j *Job) {
+	m.UseImage(j.Image, j.ImageGB, s.types[m.Type].CacheGB)
 }
 
 // refreshAccepting looks anew at which machines take tasks. What a report changes is seen
 // at once; what time alone changes, a few times in a report interval.
-func (c *Scheduler) refreshAccepting(now time.Time) {
-	c.now = now
-	if now.Sub(c.lastReopen) < c.settings.HeartbeatInterval/8 {
+func (s *Scheduler) refreshAccepting(now time.Time) {
+	s.now = now
+	if now.Sub(s.lastReopen) < s.settings.HeartbeatInterval/8 {
 		return
 	}
-	c.lastReopen = now
-	for _, m := range c.fleet.Sorted() {
-		m.Bin.SetOpen(c.acceptsTasks(m, now))
+	s.lastReopen = now
+	for _, m := range s.fleet.Sorted() {
+		m.Bin.SetOpen(s.acceptsTasks(m, now))
 	}
 }
 
 // movable says whether an attempt may be moved merely to fill or empty a bin:
 // tasks started under a round ago, each once. Gangs never move, and replicas move only
 // in rounds, one at a time.
-func (c *Scheduler) movable(j *Job, a *fleet.Attempt, now time.Time) bool {
+func (s *Scheduler) movable(j *Job, a *fleet.Attempt, now time.Time) bool {
 	if j == nil || a.Stopping() || a.Duplicate || j.Shape != records.ShapeArray {
 		return false
 	}
 	if _, before := j.moved[a.Task.N]; before && a.State() != fleet.Planned {
 		return false
 	}
-	return a.State() == fleet.Planned || a.MayBePresent() && a.State() != fleet.Sent && now.Sub(a.Since) < c.settings.RoundInterval
+	return a.State() == fleet.Planned || a.MayBePresent() && a.State() != fleet.Sent && now.Sub(a.Since) < s.settings.RoundInterval
 }
 
 // undoMoves undoes what listed moves did to the bins, which keep what is really there.
@@ -408,7 +408,7 @@
 // executeMoves turns listed moves into plans and stops. What was only planned moves at
 // once; what is on a machine is stopped there, and starts elsewhere once it is gone,
 // where the room is its job's own until then.
-func (c *Scheduler) executeMoves(moves []packing.Move, now time.Time) {
+func (s *Scheduler) executeMoves(moves []packing.Move, now time.Time) {
 	for _, mv := range moves {
 		for _, it := range mv.Items {
 			from := mv.From.Owner.(*fleet.Machine)
@@ -418,42 +418,42 @@
 			}
 			if a.State() == fleet.Planned {
 				from.Forget(a)
-				c.releaseAttempt(a)
+				s.releaseAttempt(a)
 				continue
 			}
-			j := c.jobs[a.Task.Job]
+			j := s.jobs[a.Task.Job]
 			if j.moved == nil {
 				j.moved = map[int]struct{}{}
 			}
 			j.moved[a.Task.N] = struct{}{}
 			movesTotal.Inc()
-			slog.Info("moving task", "task", a.Task.String(), "machine", from.Host, "term", c.term)
+			slog.Info("moving task", "task", a.Task.String(), "machine", from.Host, "term", s.term)
 			if mv.To != nil && mv.To.Fits(j.request) {
-				c.addClaim(j, mv.To.Owner.(*fleet.Machine), now)
+				s.addClaim(j, mv.To.Owner.(*fleet.Machine), now)
 			}
-			c.stop(a, stopMoved, j.SaveS, now)
+			s.stop(a, stopMoved, j.SaveS, now)
 		}
 	}
 }
 
 // mayDispatch checks every rule once more, just before a run is written. It looks
 // at what is on machines, runs in flight included, not at what was planned.
-func (c *Scheduler) mayDispatch(a *fleet.Attempt, now time.Time) bool {
-	j, m := c.jobOf(a), a.Machine
-	if j == nil || a.State() != fleet.Planned || !c.startable(j, now) || !c.acceptsTasks(m, now) || !m.Recorded {
+func (s *Scheduler) mayDispatch(a *fleet.Attempt, now time.Time) bool {
+	j, m := s.jobOf(a), a.Machine
+	if j == nil || a.State() != fleet.Planned || !s.startable(j, now) || !s.acceptsTasks(m, now) || !m.Recorded {
 		return false
 	}
 	n := a.Task.N
-	if n >= j.Tasks || has(j.done, n) || j.attempts[n] != a || j.duplicates[n] > 0 || j.isUncertain(n) || !c.belowWatermark(a) {
+	if n >= j.Tasks || has(j.done, n) || j.attempts[n] != a || j.duplicates[n] > 0 || j.isUncertain(n) || !s.belowWatermark(a) {
 		return false
 	}
 	if !j.permits(m.Type, m.Zone, m.Spot) {
 		return false
 	}
-	if (j.OneZone || j.SpreadZones) && !j.zoneAllowed(m.Zone, c.tasksByZone(j, false)) {
+	if (j.OneZone || j.SpreadZones) && !j.zoneAllowed(m.Zone, s.tasksByZone(j, false)) {
 		return false
 	}
-	if j.limited && !c.withinLimit(j, c.quotaUsage.InUse(j.Team)) {
+	if j.limited && !s.withinLimit(j, s.quotaUsage.InUse(j.Team)) {
 		return false
 	}
 	var sum packing.Resources
@@ -466,28 +466,28 @@
 }
 
 // PlanMachine plans what a machine that is being answered is to start.
-func (c *Scheduler) PlanMachine(m *fleet.Machine, now time.Time) {
-	if c.placementStale && c.overload.Level() == overload.Normal {
-		c.placeWaiting(now)
+func (s *Scheduler) PlanMachine(m *fleet.Machine, now time.Time) {
+	if s.placementStale && s.overload.Level() == overload.Normal {
+		s.placeWaiting(now)
 	}
 	if m.Recorded {
-		c.takeOverPlans(m, now)
+		s.takeOverPlans(m, now)
 	}
 }
 
 // Respond compiles what a worker is told in answer to its report, of what was planned.
 // Runs go out here and nowhere else: such a response is dropped when it is late, a direct
 // command is not.
-func (c *Scheduler) Respond(m *fleet.Machine, canRun bool, now time.Time) fleet.HeartbeatResponse {
+func (s *Scheduler) Respond(m *fleet.Machine, canRun bool, now time.Time) fleet.HeartbeatResponse {
 	for _, a := range m.Attempts() {
 		if a.State() == fleet.Ended && a.Cause == fleet.CauseDone && !a.Reap {
-			j := c.jobOf(a)
+			j := s.jobOf(a)
 			// A result may be forgotten only once the store has it.
 			a.Reap = j == nil || has(j.stored, a.Task.N)
 		}
 	}
-	resp := fleet.HeartbeatResponse{FencingToken: c.term, Commands: m.PendingCommands()}
-	delete(c.urgentMachines, m.Host)
+	resp := fleet.HeartbeatResponse{FencingToken: s.term, Commands: m.PendingCommands()}
+	delete(s.urgentMachines, m.Host)
 	if !canRun {
 		return resp
 	}
@@ -495,26 +495,26 @@
 		if a.State() != fleet.Planned {
 			continue
 		}
-		if j := c.jobOf(a); j != nil && c.shedsStart(j) {
+		if j := s.jobOf(a); j != nil && s.shedsStart(j) {
 			continue
 		}
-		if !c.mayDispatch(a, now) {
-			if (!m.Recorded || !c.belowWatermark(a)) && c.acceptsTasks(m, now) {
+		if !s.mayDispatch(a, now) {
+			if (!m.Recorded || !s.belowWatermark(a)) && s.acceptsTasks(m, now) {
 				continue // its record is on the way
 			}
 			m.Forget(a)
-			c.releaseAttempt(a)
+			s.releaseAttempt(a)
 			continue
 		}
 		a.Send(now)
-		j := c.jobs[a.Task.Job]
+		j := s.jobs[a.Task.Job]
 		runsTotal.Inc()
 		startSeconds.Update(now.Sub(j.releasedAt).Seconds())
-		c.useImage(m, j)
+		s.useImage(m, j)
 		resp.Commands = append(resp.Commands, fleet.Command{Verb: fleet.VerbRun, Task: a.Task.String(), Attempt: a.Number})
 	}
 	if len(resp.Commands) > 0 {
-		slog.Debug("orders", "machine", m.Host, "orders", len(resp.Commands), "term", c.term)
+		slog.Debug("orders", "machine", m.Host, "orders", len(resp.Commands), "term", s.term)
 	}
 	return resp
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -57,14 +57,14 @@
 // tasks in the middle of their fetches. Nobody is stopped for what could not start all
 // the same: a gang gets all its places or none. Jobs alike share one look at the
 // machines: without that, a queue of urgent jobs costs a look at every task for each.
-func (c *Scheduler) preempt(now time.Time) {
-	if !c.reconciled {
+func (s *Scheduler) preempt(now time.Time) {
+	if !s.reconciled {
 		return
 	}
 	var claimants []*Job
 	owing := false
-	for _, j := range c.queue(now) {
-		if c.startable(j, now) && j.nextTask() >= 0 && (priorityRank[j.Priority] <= 1 || j.protected && c.benefitsFromPreemption(j, now)) {
+	for _, j := range s.queue(now) {
+		if s.startable(j, now) && j.nextTask() >= 0 && (priorityRank[j.Priority] <= 1 || j.protected && s.benefitsFromPreemption(j, now)) {
 			claimants = append(claimants, j)
 			owing = owing || j.protected
 		}
@@ -72,18 +72,18 @@
 	if len(claimants) == 0 {
 		return
 	}
-	s := &preemptionSearch{scheduler: c, now: now, excess: map[string]quota.Amount{}, versions: map[*fleet.Machine]int{}, options: map[victimKey][]*machineOption{}}
+	search := &preemptionSearch{scheduler: s, now: now, excess: map[string]quota.Amount{}, versions: map[*fleet.Machine]int{}, options: map[victimKey][]*machineOption{}}
 	if owing {
-		for name, t := range c.settings.Teams {
-			s.excess[name] = c.quotaUsage.NotStopping(name).Sub(quota.Amount{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs})
+		for name, t := range s.settings.Teams {
+			search.excess[name] = s.quotaUsage.NotStopping(name).Sub(quota.Amount{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs})
 		}
 	}
-	ending := c.freedRoom.previousSpan(now, c.settings.HeartbeatInterval)
+	ending := s.freedRoom.previousSpan(now, s.settings.HeartbeatInterval)
 	for _, j := range claimants {
-		n := c.missingClaims(j, now)
+		n := s.missingClaims(j, now)
 		if j.Shape == records.ShapeGang {
 			if n > 0 {
-				s.makeRoomForGang(j, n)
+				search.makeRoomForGang(j, n)
 			}
 			continue
 		}
@@ -92,7 +92,7 @@
 			n--
 		}
 		if n > 0 {
-			s.makeRoomForTasks(j, n)
+			search.makeRoomForTasks(j, n)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 
 // lostWork is the machine time that stopping an attempt throws away, as a share of
 // a machine. Tasks about to finish are left alone.
-func (c *Scheduler) lostWork(j *Job, a *fleet.Attempt, now time.Time) (float64, bool) {
+func (s *Scheduler) lostWork(j *Job, a *fleet.Attempt, now time.Time) (float64, bool) {
 	share := a.Machine.Bin.Cap.Share(j.request)
 	if a.RunSince.IsZero() {
 		return share * 0.5, true
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -16,31 +16,31 @@
 }
 
 // queue returns the open jobs in the order in which they are served.
-func (c *Scheduler) queue(now time.Time) []*Job {
-	if c.queueStale {
-		c.queueStale = false
-		c.sortedJobs = c.sortedJobs[:0]
-		for _, j := range c.jobs {
+func (s *Scheduler) queue(now time.Time) []*Job {
+	if s.queueStale {
+		s.queueStale = false
+		s.sortedJobs = s.sortedJobs[:0]
+		for _, j := range s.jobs {
 			// A job that waits for others is in no order, and thereby in no guarantee,
 			// reservation, rental plan or preemption.
 			if !j.blocked {
-				c.sortedJobs = append(c.sortedJobs, j)
+				s.sortedJobs = append(s.sortedJobs, j)
 			}
 		}
-		sort.Slice(c.sortedJobs, func(a, b int) bool {
-			x, y := c.sortedJobs[a], c.sortedJobs[b]
+		sort.Slice(s.sortedJobs, func(a, b int) bool {
+			x, y := s.sortedJobs[a], s.sortedJobs[b]
 			if !x.releasedAt.Equal(y.releasedAt) {
 				return x.releasedAt.Before(y.releasedAt)
 			}
 			return x.ID < y.ID
 		})
-		c.assignGuarantees(now)
-		c.assignTurns(now)
-		sort.SliceStable(c.sortedJobs, func(a, b int) bool { return servedBefore(c.sortedJobs[a], c.sortedJobs[b]) })
-		c.order = newPlacingOrder(c.sortedJobs, c.fetchTime)
-		c.listReservationCandidates()
+		s.assignGuarantees(now)
+		s.assignTurns(now)
+		sort.SliceStable(s.sortedJobs, func(a, b int) bool { return servedBefore(s.sortedJobs[a], s.sortedJobs[b]) })
+		s.order = newPlacingOrder(s.sortedJobs, s.fetchTime)
+		s.listReservationCandidates()
 	}
-	return c.sortedJobs
+	return s.sortedJobs
 }
 
 // servedBefore says whether a job is served before another.
@@ -73,10 +73,10 @@
 
 // fetchTime is how long a machine that suits a job, and has room for its tasks at all, takes to
 // fetch its image.
-func (c *Scheduler) fetchTime(j *Job) time.Duration {
+func (s *Scheduler) fetchTime(j *Job) time.Duration {
 	rate := 0.0
-	for name, t := range c.types {
-		if j.allowsType(name) && c.capacity(name).Fits(j.request) {
+	for name, t := range s.types {
+		if j.allowsType(name) && s.capacity(name).Fits(j.request) {
 			rate = max(rate, t.FetchGBps)
 		}
 	}
@@ -92,14 +92,14 @@
 // machines busy, some times over. So work with little time passes work with much,
 // short jobs pass long ones, and every job's turn comes. A job that can no longer
 // meet any objective lets those pass that can, until it is very late.
-func (c *Scheduler) assignTurns(now time.Time) {
+func (s *Scheduler) assignTurns(now time.Time) {
 	up := 0
-	for _, m := range c.fleet.Sorted() {
+	for _, m := range s.fleet.Sorted() {
 		if m.Up && !m.LeaseExpired && !m.Returning {
 			up++
 		}
 	}
-	for _, j := range c.sortedJobs {
+	for _, j := range s.sortedJobs {
 		j.rank = 2 * min(j.urgency.Rank, priorityRank[records.PriorityStandard])
 		age := now.Sub(j.releasedAt).Seconds()
 		last := j.targets[len(j.targets)-1]
@@ -113,7 +113,7 @@
 		if age+j.EstimateS*surelyRuns > last && age+j.blockedSeconds() < veryLate*(last+j.blockedSeconds()) {
 			j.rank++
 		}
-		work := float64(j.Tasks-j.doneCount) * j.EstimateS * c.smallestShare(j)
+		work := float64(j.Tasks-j.doneCount) * j.EstimateS * s.smallestShare(j)
 		off := slackShare*max(next-j.EstimateS*likelyRuns, 0) + turnWeight*work/float64(max(up, 1))
 		j.turnAt = j.releasedAt.Add(time.Duration(off * float64(time.Second)))
 	}
@@ -122,9 +122,9 @@
 // completionTargets lists, in seconds from its base, when a job should be complete by its
 // class's objectives and for the sake of the jobs behind it, the soonest first. The
 // deadline counts from the acceptance, however long the job waited.
-func (c *Scheduler) completionTargets(j *Job) []float64 {
+func (s *Scheduler) completionTargets(j *Job) []float64 {
 	var ts []float64
-	for _, o := range c.settings.Objectives {
+	for _, o := range s.settings.Objectives {
 		switch {
 		case o.Class != j.Class:
 		case o.Kind == config.KindDeadline && j.DeadlineS != nil:
@@ -142,7 +142,7 @@
 		ts = append(ts, j.secondsUntil(due), j.secondsUntil(j.urgency.LatestEnd))
 	}
 	if len(ts) == 0 {
-		ts = append(ts, noTarget*c.settings.HeartbeatInterval.Seconds())
+		ts = append(ts, noTarget*s.settings.HeartbeatInterval.Seconds())
 	}
 	slices.Sort(ts)
 	return ts
@@ -164,9 +164,9 @@
 )
 
 // smallestShare is what a task takes of the machine type that suits it best.
-func (c *Scheduler) smallestShare(j *Job) float64 {
+func (s *Scheduler) smallestShare(j *Job) float64 {
 	share := 1.0
-	for name, t := range c.types {
+	for name, t := range s.types {
 		if j.allowsType(name) {
 			share = min(share, packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB}.Share(j.request))
 		}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -19,16 +19,16 @@
 
 // updateCharge brings the account up to date with an attempt. The fleet's table calls it for every
 // change of the attempt; a change of its job (it comes, or is over) is the other reason.
-func (c *Scheduler) updateCharge(a *fleet.Attempt) {
-	next := c.chargeOf(a)
-	c.quotaUsage.Replace(a.Charge, next)
+func (s *Scheduler) updateCharge(a *fleet.Attempt) {
+	next := s.chargeOf(a)
+	s.quotaUsage.Replace(a.Charge, next)
 	a.Charge = next
 }
 
 // chargeOf is what an attempt counts for: all that may be on a machine, and apart from that
 // what is planned. Where its job is over or not known it counts for every team, as what it
 // takes until it is proven gone.
-func (c *Scheduler) chargeOf(a *fleet.Attempt) quota.Charge {
+func (s *Scheduler) chargeOf(a *fleet.Attempt) quota.Charge {
 	var charge quota.Charge
 	switch {
 	case !a.OnMachine() || a.State() == fleet.Ended:
@@ -40,7 +40,7 @@
 	default:
 		charge.Phase = quota.Present
 	}
-	if j := c.jobOf(a); j != nil {
+	if j := s.jobOf(a); j != nil {
 		charge.Team, charge.Size = j.Team, j.taskQuota()
 		return charge
 	}
@@ -53,19 +53,19 @@
 
 // withinLimit says whether one more task of the job is within its team's limit, beside what is
 // used.
-func (c *Scheduler) withinLimit(j *Job, used quota.Amount) bool {
+func (s *Scheduler) withinLimit(j *Job, used quota.Amount) bool {
 	t := j.team
 	sum := used.Add(j.taskQuota())
 	return (t.LimitCPUs == 0 || sum.CPUs <= t.LimitCPUs+quotaSlack) && (t.LimitGPUs == 0 || sum.GPUs <= t.LimitGPUs+quotaSlack)
 }
 
 // waitingWithinLimit is how many of a job's tasks wait and are within its team's limit.
-func (c *Scheduler) waitingWithinLimit(j *Job) int {
+func (s *Scheduler) waitingWithinLimit(j *Job) int {
 	n := j.pending() + j.relocating
 	if !j.limited {
 		return n
 	}
-	t, used := j.team, c.quotaUsage.Committed(j.Team)
+	t, used := j.team, s.quotaUsage.Committed(j.Team)
 	if t.LimitCPUs > 0 && j.CPUs > 0 {
 		n = min(n, int((t.LimitCPUs-used.CPUs)/j.CPUs+quotaSlack))
 	}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -25,66 +25,66 @@
 )
 
 // Reconcile takes in a worker's report or answer. It tells whether it was stale.
-func (c *Scheduler) Reconcile(r *fleet.Heartbeat, isReport bool, now time.Time) (*fleet.Machine, bool) {
+func (s *Scheduler) Reconcile(r *fleet.Heartbeat, isReport bool, now time.Time) (*fleet.Machine, bool) {
 	reportsTotal.Inc()
 	// Guards against a late copy that brings a machine up which was given back.
-	if c.fleet.Machines[r.Machine] == nil && c.Recency(r, now) == fleet.Late {
+	if s.fleet.Machines[r.Machine] == nil && s.Recency(r, now) == fleet.Late {
 		return nil, true
 	}
-	wasDeaf := c.isUnreachable(r.Machine)
-	return c.applyOutcome(c.fleet.Apply(r, isReport, now), wasDeaf, now)
+	wasDeaf := s.isUnreachable(r.Machine)
+	return s.applyOutcome(s.fleet.Apply(r, isReport, now), wasDeaf, now)
 }
 
 // applyOutcome draws the conclusions from what a body changed.
-func (c *Scheduler) applyOutcome(out fleet.Outcome, wasDeaf bool, now time.Time) (*fleet.Machine, bool) {
+func (s *Scheduler) applyOutcome(out fleet.Outcome, wasDeaf bool, now time.Time) (*fleet.Machine, bool) {
 	m := out.Machine
 	if out.Stale {
 		return m, true
 	}
 	if is := m.Unreachable(); is != wasDeaf {
-		c.placementStale = true
-		slog.Info("whether a machine hears", "machine", m.Host, "zone", m.Zone, "hears", !is, "term", c.term)
+		s.placementStale = true
+		slog.Info("whether a machine hears", "machine", m.Host, "zone", m.Zone, "hears", !is, "term", s.term)
 	}
 	if out.FirstStatus {
-		c.assignBin(m)
+		s.assignBin(m)
 		m.EmptySince = now
-		c.placementStale = true
-		slog.Info("machine up", "machine", m.Host, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "term", c.term)
+		s.placementStale = true
+		slog.Info("machine up", "machine", m.Host, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "term", s.term)
 	}
 	for _, a := range out.Gone {
-		c.attemptLost(a, now)
+		s.attemptLost(a, now)
 	}
 	for _, a := range out.New {
-		c.adopt(m, a)
+		s.adopt(m, a)
 		if a.State() == fleet.Ended {
-			c.attemptEnded(a, now)
+			s.attemptEnded(a, now)
 		}
 	}
 	for _, a := range out.Running {
-		if j := c.jobOf(a); j != nil {
-			c.useImage(m, j)
+		if j := s.jobOf(a); j != nil {
+			s.useImage(m, j)
 			m.Bin.SetLabel(j.imageReadyLabel, true)
-			c.noteRunning(j, a, now)
+			s.noteRunning(j, a, now)
 		}
 	}
 	for _, a := range out.Ended {
-		c.attemptEnded(a, now)
+		s.attemptEnded(a, now)
 	}
 	if out.Reconciled {
-		c.placementStale = true
+		s.placementStale = true
 	}
-	if m.Reconciled && !c.reconciled {
-		c.clearUncertainOn(m)
+	if m.Reconciled && !s.reconciled {
+		s.clearUncertainOn(m)
 	}
 	if out.Upgraded {
-		slog.Info("worker has another version", "machine", m.Host, "version", m.Version, "term", c.term)
-		c.lastDrainPass = time.Time{} // it may come back into service
+		slog.Info("worker has another version", "machine", m.Host, "version", m.Version, "term", s.term)
+		s.lastDrainPass = time.Time{} // it may come back into service
 	}
-	if !c.reconciled {
-		c.CheckReconciled(now)
+	if !s.reconciled {
+		s.CheckReconciled(now)
 	}
 	if !m.PreemptionAt.IsZero() {
-		c.handlePreemptionNotice(m, now)
+		s.handlePreemptionNotice(m, now)
 	}
 	if m.Empty() {
 		if m.EmptySince.IsZero() {
@@ -93,27 +93,27 @@
 	} else {
 		m.EmptySince = time.Time{}
 	}
-	c.placementStale = c.placementStale || out.Changed
-	m.Bin.SetOpen(c.acceptsTasks(m, now))
+	s.placementStale = s.placementStale || out.Changed
+	m.Bin.SetOpen(s.acceptsTasks(m, now))
 	return m, false
 }
 
 // CheckReconciled notes when every machine that an earlier term may have used has been heard, or is
 // gone.
-func (c *Scheduler) CheckReconciled(now time.Time) {
-	if c.fleet.Unreconciled() {
+func (s *Scheduler) CheckReconciled(now time.Time) {
+	if s.fleet.Unreconciled() {
 		return
 	}
-	c.reconciled, c.placementStale = true, true
-	c.clearAllUncertain()
-	slog.Info("all machines settled", "term", c.term, "after", now.Sub(c.termStart).Round(time.Millisecond))
-	for _, j := range c.jobs {
+	s.reconciled, s.placementStale = true, true
+	s.clearAllUncertain()
+	slog.Info("all machines settled", "term", s.term, "after", now.Sub(s.termStart).Round(time.Millisecond))
+	for _, j := range s.jobs {
 		// A gang that already ran and lost a member under an earlier term cannot
 		// be completed any more; one that still waits can, with its own attempt.
 		if j.Shape == records.ShapeGang && j.gangAttempt != 0 && len(j.attempts) < j.Tasks {
 			for _, a := range j.attempts {
 				if a.State() == fleet.Running || a.State() == fleet.Flushing {
-					c.stopGang(j, now)
+					s.stopGang(j, now)
 					break
 				}
 			}
@@ -122,8 +122,8 @@
 }
 
 // adopt takes in an attempt that a worker holds and this term did not start.
-func (c *Scheduler) adopt(m *fleet.Machine, a *fleet.Attempt) {
-	j := c.jobs[a.Task.Job]
+func (s *Scheduler) adopt(m *fleet.Machine, a *fleet.Attempt) {
+	j := s.jobs[a.Task.Job]
 	a.Duplicate = true
 	if j == nil || a.Task.N >= j.Tasks {
 		if a.State() == fleet.Ended {
@@ -131,7 +131,7 @@
 		} else {
 			// Its size is unknown: hold the whole machine until it is gone.
 			m.Adopt(a, &packing.Item{ID: a.Task.String(), Req: m.Bin.Cap})
-			c.stop(a, stopJobClosed, 0, time.Time{})
+			s.stop(a, stopJobClosed, 0, time.Time{})
 		}
 		return
 	}
@@ -140,13 +140,13 @@
 	}
 	if a.Item == nil {
 		m.Adopt(a, &packing.Item{ID: a.Task.String(), Req: j.request})
-		c.useImage(m, j)
+		s.useImage(m, j)
 	}
 	// A machine that nobody knew of and that has tasks is a late copy from one that was given
 	// back, or was never on record as it should have been: its tasks count, and go.
 	fits := !m.Unverified && j.attempts[a.Task.N] == nil && !has(j.done, a.Task.N) &&
 		(j.Shape != records.ShapeGang || j.gangAttempt == 0 || j.gangAttempt == a.Number)
-	if fits && a.Number>>24 != c.term {
+	if fits && a.Number>>24 != s.term {
 		a.Duplicate = false
 		j.attempts[a.Task.N], j.adoptedUntried = a, true
 		if j.Shape == records.ShapeGang {
@@ -156,25 +156,25 @@
 	}
 	// A second attempt of the same task: it goes, and until then it counts.
 	j.duplicates[a.Task.N]++
-	c.stop(a, stopDuplicate, 0, time.Time{})
+	s.stop(a, stopDuplicate, 0, time.Time{})
 }
 
 // attemptLost handles an attempt that is no longer on its machine and left no result.
-func (c *Scheduler) attemptLost(a *fleet.Attempt, now time.Time) {
-	j := c.jobs[a.Task.Job]
+func (s *Scheduler) attemptLost(a *fleet.Attempt, now time.Time) {
+	j := s.jobs[a.Task.Job]
 	lostTotal.Inc()
 	drained(a, now)
-	slog.Debug("attempt gone", "task", a.Task.String(), "machine", a.Machine.Host, "state", a.State().String(), "fate", c.countWastedStart(a), "term", c.term)
+	slog.Debug("attempt gone", "task", a.Task.String(), "machine", a.Machine.Host, "state", a.State().String(), "fate", s.countWastedStart(a), "term", s.term)
 	if j != nil && j.Shape == records.ShapeGang && j.attempts[a.Task.N] == a && a.State() != fleet.Sent {
-		defer func() { c.stopGang(j, now); c.claimFreedPlace(j, a) }()
+		defer func() { s.stopGang(j, now); s.claimFreedPlace(j, a) }()
 	}
-	c.releaseAttempt(a)
+	s.releaseAttempt(a)
 }
 
 // attemptEnded handles an exit.
-func (c *Scheduler) attemptEnded(a *fleet.Attempt, now time.Time) {
-	j, m := c.jobs[a.Task.Job], a.Machine
-	c.placementStale = true
+func (s *Scheduler) attemptEnded(a *fleet.Attempt, now time.Time) {
+	j, m := s.jobs[a.Task.Job], a.Machine
+	s.placementStale = true
 	if j == nil || a.Task.N >= j.Tasks {
 		a.Reap = true
 		return
@@ -184,25 +184,25 @@
 	fetched, ran := a.Durations(now)
 	became := "done"
 	if a.Cause != fleet.CauseDone {
-		became = c.countWastedStart(a)
+		became = s.countWastedStart(a)
 	}
 	slog.Debug("task ended", "task", a.Task.String(), "machine", m.Host, "cause", a.Cause, "fate", became, "saved", a.Saved,
-		"fetch_s", fetched.Seconds(), "run_s", ran.Seconds(), "term", c.term)
+		"fetch_s", fetched.Seconds(), "run_s", ran.Seconds(), "term", s.term)
 	switch a.Cause {
 	case fleet.CauseDone:
-		c.freedRoom.add(j.request, now, c.settings.HeartbeatInterval)
+		s.freedRoom.add(j.request, now, s.settings.HeartbeatInterval)
 		clear(m.ErrorJobs)
 		m.Proven = true
-		c.markDone(j, a.Task.N)
+		s.markDone(j, a.Task.N)
 		for _, other := range j.attempts {
 			if other != a && (other.Task == a.Task || j.Shape == records.ShapeGang && other.Number != a.Number) {
-				c.end(other) // its result is there already
+				s.end(other) // its result is there already
 			}
 		}
 		for host := range j.errorMachines {
 			// The job can run, so what failed it is the machine.
-			if bad := c.fleet.Machines[host]; bad != nil && bad != m {
-				c.markFaulty(bad)
+			if bad := s.fleet.Machines[host]; bad != nil && bad != m {
+				s.markFaulty(bad)
 			}
 		}
 		clear(j.errorMachines)
@@ -212,24 +212,24 @@
 		}
 	case fleet.CauseError:
 		a.Reap = true
-		c.attemptFailed(j, m, now)
+		s.attemptFailed(j, m, now)
 	case fleet.CauseFull:
 		a.Reap = true
 		// The worker knows better than we do what is free.
-		m.FullUntil = now.Add(2 * c.settings.HeartbeatInterval)
+		m.FullUntil = now.Add(2 * s.settings.HeartbeatInterval)
 	case fleet.CauseNoSuch:
 		a.Reap = true
-		c.delayRetry(j, now)
+		s.delayRetry(j, now)
 	default:
 		a.Reap = true
 	}
 	held := j.attempts[a.Task.N] == a
-	c.releaseAttempt(a)
+	s.releaseAttempt(a)
 	if j.Shape == records.ShapeGang && held && a.Cause != fleet.CauseDone {
 		first := !j.gangBroken // afterwards release keeps the places
-		c.stopGang(j, now)
+		s.stopGang(j, now)
 		if first {
-			c.claimFreedPlace(j, a)
+			s.claimFreedPlace(j, a)
 		}
 	}
 }
@@ -245,100 +245,100 @@
 }
 
 // attemptFailed weighs an error: the machine may be faulty, or the job.
-func (c *Scheduler) attemptFailed(j *Job, m *fleet.Machine, now time.Time) {
+func (s *Scheduler) attemptFailed(j *Job, m *fleet.Machine, now time.Time) {
 	m.ErrorJobs[j.ID]++
 	j.errorMachines[m.Host] = true
 	fine := j.doneCount > 0
 	for _, a := range j.attempts {
-		if a.Machine != m && a.State() == fleet.Running && now.Sub(a.RunSince) > 2*c.settings.HeartbeatInterval {
+		if a.Machine != m && a.State() == fleet.Running && now.Sub(a.RunSince) > 2*s.settings.HeartbeatInterval {
 			fine = true
 		}
 	}
 	switch {
 	case fine || len(m.ErrorJobs) >= 2:
-		c.markFaulty(m)
+		s.markFaulty(m)
 	case len(j.errorMachines) >= 3:
 		// It fails wherever it goes: the machines are not to blame.
-		c.delayRetry(j, now)
+		s.delayRetry(j, now)
 		for host := range j.errorMachines {
-			if x := c.fleet.Machines[host]; x != nil {
+			if x := s.fleet.Machines[host]; x != nil {
 				delete(x.ErrorJobs, j.ID)
 				x.FullUntil = time.Time{}
-				x.Bin.SetOpen(c.acceptsTasks(x, now))
+				x.Bin.SetOpen(s.acceptsTasks(x, now))
 			}
 		}
 		clear(j.errorMachines)
 	default:
-		m.FullUntil = now.Add(5 * c.settings.HeartbeatInterval)
+		m.FullUntil = now.Add(5 * s.settings.HeartbeatInterval)
 	}
 }
 
-func (c *Scheduler) markFaulty(m *fleet.Machine) {
+func (s *Scheduler) markFaulty(m *fleet.Machine) {
 	if !m.Faulty {
-		slog.Info("machine is faulty", "machine", m.Host, "errors", len(m.ErrorJobs), "term", c.term)
+		slog.Info("machine is faulty", "machine", m.Host, "errors", len(m.ErrorJobs), "term", s.term)
 	}
 	m.Faulty, m.Draining = true, true
 	m.Bin.SetOpen(false)
-	c.cancelPlanned(m)
-	c.lastDrainPass = time.Time{} // an upgrade may have to be rolled back
-	for _, d := range c.drains {
-		if d.upgrades() && d.spec.Selects(drainView(m, c.now)) && m.Version == d.state.Roll.Want && m.Cordon == nil {
+	s.cancelPlanned(m)
+	s.lastDrainPass = time.Time{} // an upgrade may have to be rolled back
+	for _, d := range s.drains {
+		if d.upgrades() && d.spec.Selects(drainView(m, s.now)) && m.Version == d.state.Roll.Want && m.Cordon == nil {
 			m.Cordon = d // it stays, to get its earlier version back
 		}
 	}
 }
 
-func (c *Scheduler) delayRetry(j *Job, now time.Time) {
-	j.backoff = min(max(2*j.backoff, 4*c.settings.HeartbeatInterval), 60*c.settings.HeartbeatInterval)
+func (s *Scheduler) delayRetry(j *Job, now time.Time) {
+	j.backoff = min(max(2*j.backoff, 4*s.settings.HeartbeatInterval), 60*s.settings.HeartbeatInterval)
 	j.retryAt = now.Add(j.backoff)
-	slog.Info("job fails everywhere, retrying later", "job", j.ID, "pause", j.backoff, "term", c.term)
+	slog.Info("job fails everywhere, retrying later", "job", j.ID, "pause", j.backoff, "term", s.term)
 }
 
 // cancelPlanned takes back what was meant for a machine and not yet sent.
-func (c *Scheduler) cancelPlanned(m *fleet.Machine) {
+func (s *Scheduler) cancelPlanned(m *fleet.Machine) {
 	for _, a := range slices.Clone(m.Attempts()) {
 		if a.State() == fleet.Planned {
 			m.Forget(a)
-			c.releaseAttempt(a)
+			s.releaseAttempt(a)
 		}
 	}
 }
 
 // handlePreemptionNotice empties a machine that the cloud is about to take: nothing new, and
 // what can save is told to while there is time.
-func (c *Scheduler) handlePreemptionNotice(m *fleet.Machine, now time.Time) {
-	c.cancelPlanned(m)
+func (s *Scheduler) handlePreemptionNotice(m *fleet.Machine, now time.Time) {
+	s.cancelPlanned(m)
 	m.Draining = true
 	for _, a := range m.Attempts() {
-		j := c.jobs[a.Task.Job]
+		j := s.jobs[a.Task.Job]
 		if j == nil || a.Stopping() || a.State() != fleet.Running && a.State() != fleet.Waiting {
 			continue
 		}
 		left := m.PreemptionAt.Sub(now).Seconds()
 		if j.Shape == records.ShapeGang {
 			if j.CheckpointS > 0 && left > j.SaveS {
-				c.stopGang(j, now)
+				s.stopGang(j, now)
 			}
 			continue
 		}
 		if j.Shape == records.ShapeService {
 			continue // dealt with in rounds: a replica moves while another runs
 		}
-		switch remains := c.remainingSeconds(j, a, now); {
+		switch remains := s.remainingSeconds(j, a, now); {
 		case j.CheckpointS > 0:
 			if left > j.SaveS && remains > left {
-				c.stop(a, stopPreemptionNotice, j.SaveS, now)
+				s.stop(a, stopPreemptionNotice, j.SaveS, now)
 			}
 		case remains > left:
 			// What it has done is lost with the machine in any case; stopped now, it
 			// starts elsewhere now, and not when the machine is known to be gone.
-			c.stop(a, stopPreemptionNotice, 0, now)
+			s.stop(a, stopPreemptionNotice, 0, now)
 		}
 	}
 }
 
 // remainingSeconds guesses, in seconds, how long an attempt still runs.
-func (c *Scheduler) remainingSeconds(j *Job, a *fleet.Attempt, now time.Time) float64 {
+func (s *Scheduler) remainingSeconds(j *Job, a *fleet.Attempt, now time.Time) float64 {
 	if a.RunSince.IsZero() {
 		return j.EstimateS
 	}
@@ -346,17 +346,17 @@
 }
 
 // stopGang stops every task of a gang so that a new attempt can start whole.
-func (c *Scheduler) stopGang(j *Job, now time.Time) {
+func (s *Scheduler) stopGang(j *Job, now time.Time) {
 	if j.closed || j.doneCount == j.Tasks {
 		return
 	}
 	j.gangBroken = len(j.attempts) > 0
 	for _, a := range j.attempts {
 		if a.State() == fleet.Planned {
-			defer func() { a.Machine.Forget(a); c.releaseAttempt(a) }()
+			defer func() { a.Machine.Forget(a); s.releaseAttempt(a) }()
 			continue
 		}
-		c.stop(a, stopGangMember, j.SaveS, now)
+		s.stop(a, stopGangMember, j.SaveS, now)
 	}
 	if !j.gangBroken {
 		j.gangAttempt = 0
@@ -369,13 +369,13 @@
 // again, or was heard here and has fallen silent, has tried. Guards against a
 // leader that only the workers cannot reach: it would take every machine for lost.
 // Now and then a worker is sent here again to find out whether the way is open.
-func (c *Scheduler) NeedsRelay(host string, now time.Time) bool {
-	m := c.fleet.Machines[host]
+func (s *Scheduler) NeedsRelay(host string, now time.Time) bool {
+	m := s.fleet.Machines[host]
 	if m == nil {
 		return false
 	}
-	if !m.RelayedAt.IsZero() && now.Sub(m.RelayedAt) < c.settings.Lease {
-		if !m.RelayedSince.IsZero() && now.Sub(m.RelayedSince) > 4*c.settings.Lease {
+	if !m.RelayedAt.IsZero() && now.Sub(m.RelayedAt) < s.settings.Lease {
+		if !m.RelayedSince.IsZero() && now.Sub(m.RelayedSince) > 4*s.settings.Lease {
 			m.RelayedSince = time.Time{}
 			return false
 		}
@@ -386,84 +386,84 @@
 		return true
 	}
 	m.RelayedAt, m.RelayedSince = now, time.Time{}
-	return m.Up && now.Sub(m.LastStatus) > c.settings.HeartbeatInterval*3/2
+	return m.Up && now.Sub(m.LastStatus) > s.settings.HeartbeatInterval*3/2
 }
 
 // NoteAnswered notes that a 200 was written to a report that came through a controller.
-func (c *Scheduler) NoteAnswered(m *fleet.Machine, via string, now time.Time) { m.Answered(via, now) }
+func (s *Scheduler) NoteAnswered(m *fleet.Machine, via string, now time.Time) { m.Answered(via, now) }
 
 // Recency tells how a report stands to what is known. One that is late, or from a machine that
 // was given back, is nothing to conclude from, not even where its worker reports.
-func (c *Scheduler) Recency(r *fleet.Heartbeat, now time.Time) fleet.Recency {
-	if c.fleet.Machines[r.Machine] == nil {
-		if _, gone := c.autoscaling.returnedAt[r.Machine]; gone {
+func (s *Scheduler) Recency(r *fleet.Heartbeat, now time.Time) fleet.Recency {
+	if s.fleet.Machines[r.Machine] == nil {
+		if _, gone := s.autoscaling.returnedAt[r.Machine]; gone {
 			return fleet.Late
 		}
 		return fleet.Current
 	}
-	return c.fleet.Recency(r, now)
+	return s.fleet.Recency(r, now)
 }
 
 // RenewOvertaken answers a report that an answer to a direct command has overtaken: its worker's lease is
 // renewed, and what is harmless late is told again. ok is false where the report is late, or its
 // machine is not on record, so that the next leader would not know whom it may hold.
-func (c *Scheduler) RenewOvertaken(m *fleet.Machine, r *fleet.Heartbeat, now time.Time) (resp fleet.HeartbeatResponse, ok bool) {
+func (s *Scheduler) RenewOvertaken(m *fleet.Machine, r *fleet.Heartbeat, now time.Time) (resp fleet.HeartbeatResponse, ok bool) {
 	if m == nil || !m.Recorded || !m.Overtaken(r, now) {
 		return resp, false
 	}
 	m.Renewed(now)
-	return fleet.HeartbeatResponse{FencingToken: c.term, Commands: m.PendingCommands()}, true
+	return fleet.HeartbeatResponse{FencingToken: s.term, Commands: m.PendingCommands()}, true
 }
 
 // Probes lists machines that are to be asked what they have.
-func (c *Scheduler) Probes(now time.Time) []fleet.Probe {
-	return c.fleet.Probes(c.settings.HeartbeatInterval, now)
+func (s *Scheduler) Probes(now time.Time) []fleet.Probe {
+	return s.fleet.Probes(s.settings.HeartbeatInterval, now)
 }
 
 // ApplyProbe takes in what one says that was asked.
-func (c *Scheduler) ApplyProbe(q fleet.Probe, r *fleet.Heartbeat, now time.Time) {
-	wasDeaf := c.isUnreachable(q.Host)
-	out, anew := c.fleet.ApplyProbe(q, r, now)
+func (s *Scheduler) ApplyProbe(q fleet.Probe, r *fleet.Heartbeat, now time.Time) {
+	wasDeaf := s.isUnreachable(q.Host)
+	out, anew := s.fleet.ApplyProbe(q, r, now)
 	if anew {
-		slog.Info("machine has started anew", "machine", q.Host, "stint", r.Incarnation, "tick", r.Sequence, "gone", len(out.Gone), "term", c.term)
+		slog.Info("machine has started anew", "machine", q.Host, "stint", r.Incarnation, "tick", r.Sequence, "gone", len(out.Gone), "term", s.term)
 	}
-	c.applyOutcome(out, wasDeaf, now)
+	s.applyOutcome(out, wasDeaf, now)
 }
 
 // ExpireLeases gives up machines whose lease has ended.
-func (c *Scheduler) ExpireLeases(now time.Time) {
-	for _, a := range c.fleet.ExpireLeases(now) {
+func (s *Scheduler) ExpireLeases(now time.Time) {
+	for _, a := range s.fleet.ExpireLeases(now) {
 		a.Machine.Bin.SetOpen(false)
-		c.attemptLost(a, now)
-		c.placementStale = true
+		s.attemptLost(a, now)
+		s.placementStale = true
 	}
 }
 
 // ExpireEarlierLeases takes in that no lease which an earlier term gave is left, and says of how many
 // machines, unheard of, that ends the doubt.
-func (c *Scheduler) ExpireEarlierLeases(now time.Time) int {
-	n, gone := c.fleet.ExpireEarlierLeases()
+func (s *Scheduler) ExpireEarlierLeases(now time.Time) int {
+	n, gone := s.fleet.ExpireEarlierLeases()
 	for _, a := range gone {
-		c.attemptLost(a, now)
+		s.attemptLost(a, now)
 	}
-	c.placementStale = true
-	if !c.reconciled {
-		c.CheckReconciled(now)
+	s.placementStale = true
+	if !s.reconciled {
+		s.CheckReconciled(now)
 	}
 	return n
 }
 
 // RemoveMachine forgets a machine that is surely gone.
-func (c *Scheduler) RemoveMachine(host string, now time.Time) {
-	if m := c.fleet.Machines[host]; m != nil && c.spaces[m.Type] != nil {
-		c.spaces[m.Type].Drop(m.Bin)
+func (s *Scheduler) RemoveMachine(host string, now time.Time) {
+	if m := s.fleet.Machines[host]; m != nil && s.spaces[m.Type] != nil {
+		s.spaces[m.Type].Drop(m.Bin)
 	}
-	for _, a := range c.fleet.Remove(host) {
-		c.attemptLost(a, now)
+	for _, a := range s.fleet.Remove(host) {
+		s.attemptLost(a, now)
 	}
-	c.placementStale = true
-	c.removedMachines = append(c.removedMachines, host)
-	if !c.reconciled {
-		c.CheckReconciled(now)
+	s.placementStale = true
+	s.removedMachines = append(s.removedMachines, host)
+	if !s.reconciled {
+		s.CheckReconciled(now)
 	}
 }
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -16,20 +16,20 @@
 // in which they must begin, in one zone for each. It goes before all placing: section 3.4's insert takes
 // items one by one, and a gang that needs twelve bins at once finds eleven at the most beside
 // a queue of smaller ones that never ends.
-func (c *Scheduler) reserveRoom(now time.Time) {
-	if c.settings.ReservationBound <= 0 || !c.reconciled {
+func (s *Scheduler) reserveRoom(now time.Time) {
+	if s.settings.ReservationBound <= 0 || !s.reconciled {
 		return
 	}
 	var due []*Job
-	c.queue(now)
-	for _, j := range c.reservationCandidates {
-		if c.needsReservation(j, now) {
+	s.queue(now)
+	for _, j := range s.reservationCandidates {
+		if s.needsReservation(j, now) {
 			due = append(due, j)
 		}
 	}
 	missed := func(j *Job) bool {
 		w := now.Sub(j.waitStart())
-		return w > c.settings.ReservationBound && w < 2*c.settings.ReservationBound
+		return w > s.settings.ReservationBound && w < 2*s.settings.ReservationBound
 	}
 	slices.SortStableFunc(due, func(a, b *Job) int {
 		if missed(a) != missed(b) {
@@ -40,33 +40,33 @@
 	ahead := map[string]int{}
 	for _, j := range due {
 		if j.Shape != records.ShapeGang {
-			c.reserveOnePlace(j, now)
+			s.reserveOnePlace(j, now)
 			continue
 		}
 		if j.reservedZone == "" {
 			if now.Before(j.reserveNotBefore) {
 				continue // it was a look at every task
 			}
-			j.reserveNotBefore = now.Add(c.settings.HeartbeatInterval / 4)
-			zone, in := c.chooseReservationZone(j, ahead, now)
-			if zone == "" || !reservation.Due(now.Sub(j.waitStart()), time.Duration(in*float64(time.Second)), c.settings.ReservationBound) {
+			j.reserveNotBefore = now.Add(s.settings.HeartbeatInterval / 4)
+			zone, in := s.chooseReservationZone(j, ahead, now)
+			if zone == "" || !reservation.Due(now.Sub(j.waitStart()), time.Duration(in*float64(time.Second)), s.settings.ReservationBound) {
 				continue
 			}
 			j.reservedZone = zone
-			slog.Debug("saves room", "job", j.ID, "tasks", j.Tasks, "zone", j.reservedZone, "waited_s", now.Sub(j.waitStart()).Seconds(), "in_s", in, "term", c.term)
+			slog.Debug("saves room", "job", j.ID, "tasks", j.Tasks, "zone", j.reservedZone, "waited_s", now.Sub(j.waitStart()).Seconds(), "in_s", in, "term", s.term)
 		}
 		zone := j.reservedZone
-		ahead[zone] += c.reservePlaces(j, ahead[zone] > 0, now)
+		ahead[zone] += s.reservePlaces(j, ahead[zone] > 0, now)
 	}
 }
 
 // listReservationCandidates lists, in the order of the queue, the jobs for which room may have to be saved until
 // the order is worked out anew: gangs, which may begin anew, and arrays of which nothing has begun.
-func (c *Scheduler) listReservationCandidates() {
-	c.reservationCandidates = c.reservationCandidates[:0]
-	for _, j := range c.sortedJobs {
+func (s *Scheduler) listReservationCandidates() {
+	s.reservationCandidates = s.reservationCandidates[:0]
+	for _, j := range s.sortedJobs {
 		if j.Shape == records.ShapeGang || j.Shape == records.ShapeArray && j.doneCount == 0 && !j.start.reported {
-			c.reservationCandidates = append(c.reservationCandidates, j)
+			s.reservationCandidates = append(s.reservationCandidates, j)
 		} else {
 			j.reservedZone = ""
 		}
@@ -83,15 +83,15 @@
 
 // needsReservation says whether room is to be saved for a job by now: for a gang all its places, for an
 // array the first.
-func (c *Scheduler) needsReservation(j *Job, now time.Time) bool {
+func (s *Scheduler) needsReservation(j *Job, now time.Time) bool {
 	waited := now.Sub(j.waitStart())
-	is := waited >= reservation.EarliestWait(c.settings.ReservationBound) && len(j.attempts)+len(j.duplicates) == 0 && c.startable(j, now) && j.nextTask() >= 0
+	is := waited >= reservation.EarliestWait(s.settings.ReservationBound) && len(j.attempts)+len(j.duplicates) == 0 && s.startable(j, now) && j.nextTask() >= 0
 	switch {
 	case !is:
 	case j.Shape == records.ShapeGang:
-		is = j.gangAttempt == 0 && c.waitingWithinLimit(j) >= j.pending()
+		is = j.gangAttempt == 0 && s.waitingWithinLimit(j) >= j.pending()
 	default:
-		is = j.Shape == records.ShapeArray && j.doneCount == 0 && !j.start.reported && reservation.Due(waited, 0, c.settings.ReservationBound) && c.waitingWithinLimit(j) > 0
+		is = j.Shape == records.ShapeArray && j.doneCount == 0 && !j.start.reported && reservation.Due(waited, 0, s.settings.ReservationBound) && s.waitingWithinLimit(j) > 0
 	}
 	if !is {
 		j.reservedZone = ""
@@ -100,17 +100,17 @@
 }
 
 // chooseReservationZone chooses the zone where a job's places fall free soonest.
-func (c *Scheduler) chooseReservationZone(j *Job, ahead map[string]int, now time.Time) (zone string, in float64) {
+func (s *Scheduler) chooseReservationZone(j *Job, ahead map[string]int, now time.Time) (zone string, in float64) {
 	byZone := map[string][]float64{}
-	for _, m := range c.fleet.Sorted() {
-		if !c.couldHost(j, m, now) {
+	for _, m := range s.fleet.Sorted() {
+		if !s.couldHost(j, m, now) {
 			continue
 		}
 		zone := m.Zone
 		if !j.OneZone {
 			zone = reservation.AllZones
 		}
-		byZone[zone] = append(byZone[zone], c.secondsUntilPlaces(j, m, now)...)
+		byZone[zone] = append(byZone[zone], s.secondsUntilPlaces(j, m, now)...)
 	}
 	var zones []reservation.Zone
 	for name, in := range byZone {
@@ -121,10 +121,10 @@
 
 // secondsUntilPlaces guesses when a machine has room for one, two and more tasks of a job, in seconds,
 // if it is given nothing else.
-func (c *Scheduler) secondsUntilPlaces(j *Job, m *fleet.Machine, now time.Time) []float64 {
+func (s *Scheduler) secondsUntilPlaces(j *Job, m *fleet.Machine, now time.Time) []float64 {
 	var ins []float64
 	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
-	for _, e := range append([]ending{{}}, c.endings(m, now)...) {
+	for _, e := range append([]ending{{}}, s.endings(m, now)...) {
 		for free = free.Add(e.room); free.Fits(j.request); free = free.Sub(j.request) {
 			ins = append(ins, e.seconds)
 		}
@@ -137,23 +137,23 @@
 // many are not free yet. What has begun to empty goes on, unless another place is free first.
 // Guards against machines of which small tasks always take the part that is free: none of them
 // is ever free as a whole.
-func (c *Scheduler) reservePlaces(j *Job, ahead bool, now time.Time) (lacks int) {
+func (s *Scheduler) reservePlaces(j *Job, ahead bool, now time.Time) (lacks int) {
 	was := map[*fleet.Machine]bool{}
 	for _, cl := range j.claims {
 		was[cl.machine] = true
 	}
-	c.suspendClaims(j)
+	s.suspendClaims(j)
 	n := j.pending()
 	type place struct {
 		m  *fleet.Machine
 		in float64
 	}
 	var list []place
-	for _, m := range c.fleet.Sorted() {
-		if j.reservedZone != reservation.AllZones && m.Zone != j.reservedZone || !c.couldHost(j, m, now) {
+	for _, m := range s.fleet.Sorted() {
+		if j.reservedZone != reservation.AllZones && m.Zone != j.reservedZone || !s.couldHost(j, m, now) {
 			continue
 		}
-		for _, in := range c.secondsUntilPlaces(j, m, now) {
+		for _, in := range s.secondsUntilPlaces(j, m, now) {
 			if in > 0 && was[m] {
 				in /= 2
 			}
@@ -168,35 +168,35 @@
 	}
 	list = list[:n]
 	need := time.Duration(list[n-1].in * float64(time.Second))
-	urgent := !ahead && reservation.Urgent(now.Sub(j.waitStart()), need, c.settings.ReservationBound)
+	urgent := !ahead && reservation.Urgent(now.Sub(j.waitStart()), need, s.settings.ReservationBound)
 	for _, p := range list {
 		if p.in > 0 {
 			lacks++
 		}
 		if p.in <= 0 || urgent {
-			c.addClaim(j, p.m, now)
+			s.addClaim(j, p.m, now)
 		}
 	}
 	return lacks
 }
 
 // reserveOnePlace makes the place that is free soonest the own of an array of which no task has begun.
-func (c *Scheduler) reserveOnePlace(j *Job, now time.Time) {
+func (s *Scheduler) reserveOnePlace(j *Job, now time.Time) {
 	j.reservedZone = reservation.AllZones
 	if len(j.claims) > 0 {
 		return
 	}
 	var best *fleet.Machine
 	soonest := 0.0
-	for _, m := range c.fleet.Sorted() {
-		if !c.couldHost(j, m, now) || m.Bin.Reserved() != (packing.Resources{}) {
+	for _, m := range s.fleet.Sorted() {
+		if !s.couldHost(j, m, now) || m.Bin.Reserved() != (packing.Resources{}) {
 			continue
 		}
-		if in := c.secondsUntilRoom(j, m, now); best == nil || in < soonest {
+		if in := s.secondsUntilRoom(j, m, now); best == nil || in < soonest {
 			best, soonest = m, in
 		}
 	}
 	if best != nil {
-		c.addClaim(j, best, now)
+		s.addClaim(j, best, now)
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -154,15 +154,15 @@
 }
 
 // classNumber gives each likeness a number of its own, from 1.
-func (c *Scheduler) classNumber(f placementKey) int {
-	if c.placementClasses[f] == 0 {
-		c.placementClasses[f] = len(c.placementClasses) + 1
+func (s *Scheduler) classNumber(f placementKey) int {
+	if s.placementClasses[f] == 0 {
+		s.placementClasses[f] = len(s.placementClasses) + 1
 	}
-	return c.placementClasses[f]
+	return s.placementClasses[f]
 }
 
 // assignPlacementClass gives a job the numbers that it shares with jobs alike.
-func (c *Scheduler) assignPlacementClass(j *Job) {
+func (s *Scheduler) assignPlacementClass(j *Job) {
 	if !j.unconstrained() {
 		return
 	}
@@ -170,16 +170,16 @@
 	if j.Job.Zone != nil {
 		f.zone = *j.Job.Zone
 	}
-	j.placementClass = c.classNumber(f)
+	j.placementClass = s.classNumber(f)
 	f.image = j.Image
-	j.imageClass = c.classNumber(f)
+	j.imageClass = s.classNumber(f)
 }
 
 // jobOf returns the open job of an attempt, nil if there is none.
-func (c *Scheduler) jobOf(a *fleet.Attempt) *Job {
+func (s *Scheduler) jobOf(a *fleet.Attempt) *Job {
 	j, ok := a.Job.(*Job)
 	if !ok {
-		if j = c.jobs[a.Task.Job]; j == nil {
+		if j = s.jobs[a.Task.Job]; j == nil {
 			return nil
 		}
 		a.Job = j
@@ -259,16 +259,16 @@
 }
 
 // SetTypes takes in the machine types that the cloud offers.
-func (c *Scheduler) SetTypes(types []records.MachineType) {
+func (s *Scheduler) SetTypes(types []records.MachineType) {
 	for _, t := range types {
-		c.types[t.Name] = t
+		s.types[t.Name] = t
 	}
-	c.typeNames = c.typeNames[:0]
-	for n := range c.types {
-		c.typeNames = append(c.typeNames, n)
+	s.typeNames = s.typeNames[:0]
+	for n := range s.types {
+		s.typeNames = append(s.typeNames, n)
 	}
-	sort.Slice(c.typeNames, func(i, j int) bool {
-		a, b := c.types[c.typeNames[i]], c.types[c.typeNames[j]]
+	sort.Slice(s.typeNames, func(i, j int) bool {
+		a, b := s.types[s.typeNames[i]], s.types[s.typeNames[j]]
 		if (a.GPUs > 0) != (b.GPUs > 0) {
 			return b.GPUs > 0 // GPU types pack apart and come last
 		}
@@ -277,24 +277,24 @@
 		}
 		return a.Name < b.Name
 	})
-	for _, m := range c.fleet.Machines {
-		c.assignBin(m)
+	for _, m := range s.fleet.Machines {
+		s.assignBin(m)
 	}
-	c.placementStale = true
+	s.placementStale = true
 }
 
 // assignBin gives a machine's bin the capacity of its type, and its place among them.
-func (c *Scheduler) assignBin(m *fleet.Machine) {
-	t, ok := c.types[m.Type]
+func (s *Scheduler) assignBin(m *fleet.Machine) {
+	t, ok := s.types[m.Type]
 	if !ok {
 		return
 	}
 	m.Bin.SetCap(packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB})
-	s := c.spaces[m.Type]
-	if s == nil {
-		s = &packing.Space{Ranked: true, Movable: func(it *packing.Item) bool {
+	space := s.spaces[m.Type]
+	if space == nil {
+		space = &packing.Space{Ranked: true, Movable: func(it *packing.Item) bool {
 			a, ok := it.Owner.(*fleet.Attempt)
-			return ok && c.movable(c.jobOf(a), a, c.now)
+			return ok && s.movable(s.jobOf(a), a, s.now)
 		}, Suits: func(it *packing.Item, to *packing.Bin) bool {
 			// Guards against moves that throw a fetch away to begin another: what was
 			// only planned moves freely, what is on a machine to where its image is.
@@ -306,19 +306,19 @@
 			if slices.ContainsFunc(to.Owner.(*fleet.Machine).Attempts(), isLeaving) {
 				return false
 			}
-			j := c.jobOf(a)
-			return j != nil && (c.fetchTime(j) == 0 || to.HasLabel(j.imageReadyLabel))
+			j := s.jobOf(a)
+			return j != nil && (s.fetchTime(j) == 0 || to.HasLabel(j.imageReadyLabel))
 		}}
-		c.spaces[m.Type] = s
+		s.spaces[m.Type] = space
 	}
-	if !s.Has(m.Bin) {
-		s.Add(m.Bin)
+	if !space.Has(m.Bin) {
+		space.Add(m.Bin)
 	}
 }
 
 // AddJob takes in an open job.
-func (c *Scheduler) AddJob(rec records.Job, stamp uint64, now, wall time.Time) *Job {
-	if j := c.jobs[rec.ID]; j != nil {
+func (s *Scheduler) AddJob(rec records.Job, stamp uint64, now, wall time.Time) *Job {
+	if j := s.jobs[rec.ID]; j != nil {
 		return j
 	}
 	words := (rec.Tasks + 63) / 64
@@ -334,92 +334,92 @@
 	j.Accepted = now.Add(-age)
 	j.releasedAt, j.notStartedBefore = j.Accepted, stamp
 	j.start.learnedAt = now
-	if len(c.placementClasses) > 4*len(c.jobs)+64 {
+	if len(s.placementClasses) > 4*len(s.jobs)+64 {
 		// Most numbers are of jobs long over.
-		clear(c.placementClasses)
-		for _, o := range c.jobs {
-			c.assignPlacementClass(o)
+		clear(s.placementClasses)
+		for _, o := range s.jobs {
+			s.assignPlacementClass(o)
 		}
 	}
-	c.assignPlacementClass(j)
-	j.setTeam(c.settings.Teams[j.Team])
-	c.jobs[rec.ID] = j
-	c.queueStale, c.placementStale = true, true
-	c.slo.JobArrived(j.ID, j.Class, j.Team, float64(j.Tasks)*max(j.request.CPU, j.request.GPU), j.releasedAt)
-	c.addDependencies(j)
-	c.markUncertain(j)
-	c.raiseForNewJob(j)
-	for _, a := range c.fleet.OfJob(rec.ID) {
-		c.updateCharge(a) // until now its owner was not known
+	s.assignPlacementClass(j)
+	j.setTeam(s.settings.Teams[j.Team])
+	s.jobs[rec.ID] = j
+	s.queueStale, s.placementStale = true, true
+	s.slo.JobArrived(j.ID, j.Class, j.Team, float64(j.Tasks)*max(j.request.CPU, j.request.GPU), j.releasedAt)
+	s.addDependencies(j)
+	s.markUncertain(j)
+	s.raiseForNewJob(j)
+	for _, a := range s.fleet.OfJob(rec.ID) {
+		s.updateCharge(a) // until now its owner was not known
 	}
 	return j
 }
 
 // LoadDone takes in stored ranges of finished tasks.
-func (c *Scheduler) LoadDone(id string, chunk int, ranges string) error {
-	j := c.jobs[id]
+func (s *Scheduler) LoadDone(id string, chunk int, ranges string) error {
+	j := s.jobs[id]
 	if j == nil {
 		return nil
 	}
-	c.slo.JobBegan(id, c.termStart)
-	base := chunk * c.settings.ChunkTasks
+	s.slo.JobBegan(id, s.termStart)
+	base := chunk * s.settings.ChunkTasks
 	return records.ParseRanges(ranges, func(i int) {
 		if n := base + i; n < j.Tasks {
 			j.stored[n/64] |= 1 << (n % 64)
 			if j.Shape == records.ShapeGang {
-				c.markDone(j, n) // and so its mates, which may not be stored
+				s.markDone(j, n) // and so its mates, which may not be stored
 			} else if !has(j.done, n) {
-				c.noteDone(j, n)
+				s.noteDone(j, n)
 			}
 		}
 	})
 }
 
 // noteDone notes that a task is done which was not.
-func (c *Scheduler) noteDone(j *Job, n int) {
+func (s *Scheduler) noteDone(j *Job, n int) {
 	j.done[n/64] |= 1 << (n % 64)
 	if j.doneCount++; j.doneCount == j.Tasks {
-		c.complete[j] = struct{}{}
+		s.complete[j] = struct{}{}
 	}
 }
 
 // LoadMachine takes in a machine that an earlier term may have used.
-func (c *Scheduler) LoadMachine(host string, h records.Machine, now time.Time) {
-	m := c.fleet.GetOrCreate(host, h.Addr, h.Type, h.Zone, h.Spot)
+func (s *Scheduler) LoadMachine(host string, h records.Machine, now time.Time) {
+	m := s.fleet.GetOrCreate(host, h.Addr, h.Type, h.Zone, h.Spot)
 	m.Recorded, m.Inherited = true, true
 	m.Incarnation = max(m.Incarnation, h.Incarnation)
 	m.SilentSince = now
-	c.autoscaling.lastListed[host] = now // it was up before, so a list from later on must have it
-	c.assignBin(m)
+	s.autoscaling.lastListed[host] = now // it was up before, so a list from later on must have it
+	s.assignBin(m)
 }
 
 // CloseJob notes that a job is over, whichever way; whatever still runs of it is
 // stopped.
-func (c *Scheduler) CloseJob(id string) {
-	c.dependencies.Close(id)
-	c.applyDependencyChanges()
-	j := c.jobs[id]
+func (s *Scheduler) CloseJob(id string) {
+	s.dependencies.Close(id)
+	s.applyDependencyChanges()
+	j := s.jobs[id]
 	if j == nil {
 		return
 	}
 	j.closed = true
-	c.slo.JobClosed(id, j.doneCount == j.Tasks, c.now)
-	c.dropAllClaims(j)
-	delete(c.jobs, id)
-	delete(c.complete, j)
-	c.closedJobs = append(c.closedJobs, id)
-	c.queueStale, c.placementStale = true, true
-	for _, a := range c.fleet.OfJob(id) {
-		c.updateCharge(a)
-		c.end(a)
+	s.slo.JobClosed(id, j.doneCount == j.Tasks, s.now)
+	s.dropAllClaims(j)
+	delete(s.jobs, id)
+	delete(s.complete, j)
+	s.closedJobs = append(s.closedJobs, id)
+	s.queueStale, s.placementStale = true, true
+	for _, a := range s.fleet.OfJob(id) {
+		s.updateCharge(a)
+		s.end(a)
 	}
 }
 
 // LastDispatched is when a task of a job, which may be over by now, was last sent to a machine that has
 // not shown it yet; zero: none is on its way.
-func (c *Scheduler) LastDispatched(id string) time.Time {
+func (s *Scheduler) LastDispatched(id string) time.Time {
 	var last time.Time
-	for _, a := range c.fleet.OfJob(id) {
+	for _, a := range s.fleet.OfJob(id) {
 		if a.State() == fleet.Sent && a.Since.After(last) {
 			last = a.Since
 		}
@@ -428,40 +428,40 @@
 }
 
 // end withdraws an attempt whose job is over.
-func (c *Scheduler) end(a *fleet.Attempt) {
+func (s *Scheduler) end(a *fleet.Attempt) {
 	switch a.State() {
 	case fleet.Planned:
 		a.Machine.Forget(a)
 	case fleet.Ended:
 		a.Reap = true
 	default:
-		c.stop(a, stopJobClosed, 0, time.Time{})
+		s.stop(a, stopJobClosed, 0, time.Time{})
 	}
 }
 
 // stop marks an attempt to be killed, and why: the first reason stays. The kill is repeated
 // until its exit shows.
-func (c *Scheduler) stop(a *fleet.Attempt, why string, grace float64, now time.Time) {
+func (s *Scheduler) stop(a *fleet.Attempt, why string, grace float64, now time.Time) {
 	if !a.RequestStop(why, grace, now) {
 		return
 	}
-	c.urgentMachines[a.Machine.Host] = true
+	s.urgentMachines[a.Machine.Host] = true
 }
 
-func (c *Scheduler) newAttemptNumber() uint64 {
-	c.sequence++
-	return c.term<<24 | c.sequence
+func (s *Scheduler) newAttemptNumber() uint64 {
+	s.sequence++
+	return s.term<<24 | s.sequence
 }
 
 // NextRequestName gives a rental request a name that no other term or request has.
-func (c *Scheduler) NextRequestName() (term, seq uint64) {
-	c.sequence++
-	return c.term, c.sequence
+func (s *Scheduler) NextRequestName() (term, seq uint64) {
+	s.sequence++
+	return s.term, s.sequence
 }
 
 // Progress tells how a job stands, for display.
-func (c *Scheduler) Progress(id string) (status string, done, running int, ok bool) {
-	j := c.jobs[id]
+func (s *Scheduler) Progress(id string) (status string, done, running int, ok bool) {
+	j := s.jobs[id]
 	if j == nil {
 		return "", 0, 0, false
 	}
@@ -477,7 +477,7 @@
 	return status, j.doneCount, running, true
 }
 
-func (c *Scheduler) markDone(j *Job, n int) {
+func (s *Scheduler) markDone(j *Job, n int) {
 	if n >= j.Tasks || has(j.done, n) || j.Shape == records.ShapeService {
 		return
 	}
@@ -490,8 +490,8 @@
 	}
 	for n := first; n <= last; n++ {
 		if !has(j.done, n) {
-			c.noteDone(j, n)
-			j.dirtyParts[c.part(n)] = true
+			s.noteDone(j, n)
+			j.dirtyParts[s.part(n)] = true
 		}
 	}
 }
@@ -557,9 +557,9 @@
 func (j *Job) hasNoWaiting() bool { return len(j.retries) == 0 && j.nextUntried >= j.Tasks }
 
 // retryTask puts a task back into the queue.
-func (c *Scheduler) retryTask(j *Job, t int) {
+func (s *Scheduler) retryTask(j *Job, t int) {
 	j.pushRetry(t)
-	c.order.activate(j)
+	s.order.activate(j)
 }
 
 // pushRetry and pop keep the list of tasks to be tried again free of repeats: a task
@@ -587,22 +587,22 @@
 }
 
 // releaseAttempt gives a task back to the queue once its attempt is gone.
-func (c *Scheduler) releaseAttempt(a *fleet.Attempt) {
-	j := c.jobs[a.Task.Job]
-	c.placementStale = true
+func (s *Scheduler) releaseAttempt(a *fleet.Attempt) {
+	j := s.jobs[a.Task.Job]
+	s.placementStale = true
 	if j == nil {
 		return
 	}
 	if j.attempts[a.Task.N] == a {
 		delete(j.attempts, a.Task.N)
 		if a.Task.N < j.nextUntried && !has(j.done, a.Task.N) {
-			c.retryTask(j, a.Task.N)
+			s.retryTask(j, a.Task.N)
 		}
 		if j.Shape == records.ShapeGang {
-			c.claimFreedPlace(j, a)
+			s.claimFreedPlace(j, a)
 			if len(j.attempts) == 0 {
 				if j.start.reported {
-					j.gangBrokenAt = c.now
+					j.gangBrokenAt = s.now
 				}
 				j.gangAttempt, j.gangBroken = 0, false
 			}
@@ -613,7 +613,7 @@
 		if j.duplicates[a.Task.N]--; j.duplicates[a.Task.N] <= 0 {
 			delete(j.duplicates, a.Task.N)
 			if a.Task.N < j.nextUntried && j.attempts[a.Task.N] == nil && !has(j.done, a.Task.N) {
-				c.retryTask(j, a.Task.N)
+				s.retryTask(j, a.Task.N)
 			}
 		}
 	}
--- a/internal/scheduler/slo.go
+++ b/internal/scheduler/slo.go
@@ -22,31 +22,31 @@
 
 // reportSLO tells, now and then, who is served: one line for each class, team and class's
 // largest, and a warning where less than half of them may end up without.
-func (c *Scheduler) reportSLO(now time.Time) {
-	if now.Sub(c.lastSLOReport) < c.settings.BeginWithin/sloReportsPerBound {
+func (s *Scheduler) reportSLO(now time.Time) {
+	if now.Sub(s.lastSLOReport) < s.settings.BeginWithin/sloReportsPerBound {
 		return
 	}
-	c.lastSLOReport = now
-	for _, l := range c.slo.Summarize(c.settings.BeginWithin, now) {
+	s.lastSLOReport = now
+	for _, l := range s.slo.Summarize(s.settings.BeginWithin, now) {
 		for what, n := range map[string]int{"came": l.Arrived, "begun": l.Begun, "done": l.Done, "late": l.Late} {
 			// Guards against metrics without end: users make classes up, settings do not.
-			if l.Dimension != slo.ByTeam && !c.hasObjective(l.Name) {
+			if l.Dimension != slo.ByTeam && !s.hasObjective(l.Name) {
 				break
 			}
 			metrics.GetOrCreateGauge(`drumpick_served_jobs{by="`+l.Dimension+`",name="`+label(l.Name)+`",what="`+what+`"}`, nil).Set(float64(n))
 		}
 		level := slog.LevelInfo
-		if l.ShareInTime() < sloWarnShare || l.Waiting != "" && float64(l.LongestWait) > waitWarn*float64(c.settings.BeginWithin) {
+		if l.ShareInTime() < sloWarnShare || l.Waiting != "" && float64(l.LongestWait) > waitWarn*float64(s.settings.BeginWithin) {
 			level = slog.LevelWarn
 		}
 		slog.Log(context.Background(), level, "served", "by", l.Dimension, "name", l.Name, "came", l.Arrived, "begun", l.Begun, "done", l.Done, "late", l.Late,
-			"longest_s", l.LongestWait.Round(time.Second).Seconds(), "waiting", l.Waiting, "term", c.term)
+			"longest_s", l.LongestWait.Round(time.Second).Seconds(), "waiting", l.Waiting, "term", s.term)
 	}
 }
 
 // hasObjective says whether an objective speaks of a class.
-func (c *Scheduler) hasObjective(class string) bool {
-	return slices.ContainsFunc(c.settings.Objectives, func(o config.Objective) bool { return o.Class == class })
+func (s *Scheduler) hasObjective(class string) bool {
+	return slices.ContainsFunc(s.settings.Objectives, func(o config.Objective) bool { return o.Class == class })
 }
 
 // label keeps what users make up from breaking the metrics' names.
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -80,12 +80,12 @@
 
 // noteRunning notes that a task was seen to run, and tells once, when its job has begun, for
 // what it waited until then: a guarantee that is missed by seconds is missed by one of these.
-func (c *Scheduler) noteRunning(j *Job, a *fleet.Attempt, now time.Time) {
+func (s *Scheduler) noteRunning(j *Job, a *fleet.Attempt, now time.Time) {
 	if !j.hasBegun() {
 		return
 	}
-	c.slo.JobBegan(j.ID, now)
-	if j.start.reported || j.attempts[a.Task.N] != a || a.Number>>24 != c.term {
+	s.slo.JobBegan(j.ID, now)
+	if j.start.reported || j.attempts[a.Task.N] != a || a.Number>>24 != s.term {
 		return
 	}
 	j.start.reported = true
@@ -95,5 +95,5 @@
 	}
 	slog.Debug("job began", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "entitled", j.start.entitled,
 		"wait_s", now.Sub(j.releasedAt).Seconds(), "longest", w.longestPart(), "heard_s", w.heard.Seconds(), "room_s", w.room.Seconds(),
-		"report_s", w.report.Seconds(), "fetch_s", w.fetch.Seconds(), "mates_s", w.gang.Seconds(), "machine", w.machine.Host, "type", w.machine.Type, "term", c.term)
+		"report_s", w.report.Seconds(), "fetch_s", w.fetch.Seconds(), "mates_s", w.gang.Seconds(), "machine", w.machine.Host, "type", w.machine.Type, "term", s.term)
 }
--- a/internal/scheduler/stop_reasons.go
+++ b/internal/scheduler/stop_reasons.go
@@ -38,7 +38,7 @@
 // countWastedStart counts a start that did not end in a result. Guards against work that is thrown
 // away by choices of ours that each look small: on crowded days it was a third of the
 // starts of a class before it was counted.
-func (c *Scheduler) countWastedStart(a *fleet.Attempt) string {
+func (s *Scheduler) countWastedStart(a *fleet.Attempt) string {
 	f := outcomeName(a)
 	if a.State() != fleet.Planned && a.StopReason != stopJobClosed {
 		metrics.GetOrCreateCounter(`drumpick_starts_in_vain_total{fate="` + f + `"}`).Inc()
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -46,7 +46,7 @@
 	MachineDrained      = "drained"  // and nothing is on it any more
 )
 
-func (c *Scheduler) machineState(m *fleet.Machine, now time.Time) string {
+func (s *Scheduler) machineState(m *fleet.Machine, now time.Time) string {
 	switch {
 	case m.Returning:
 		return MachineReturning
@@ -54,13 +54,13 @@
 		return MachineUnreconciled
 	case !m.Up && !m.EarlierLeasesExpired:
 		return MachineBooting
-	case m.LeaseExpired || now.Sub(m.LastStatus) > 3*c.settings.HeartbeatInterval:
+	case m.LeaseExpired || now.Sub(m.LastStatus) > 3*s.settings.HeartbeatInterval:
 		return MachineSilent
 	case m.Unreachable():
 		return MachineUnreachable
-	case c.isEmptying(m) && m.Empty():
+	case s.isEmptying(m) && m.Empty():
 		return MachineDrained
-	case c.isEmptying(m):
+	case s.isEmptying(m):
 		return MachineEmptying
 	case m.Faulty:
 		return MachineFaulty
@@ -72,8 +72,8 @@
 	return MachineUp
 }
 
-func (c *Scheduler) view(m *fleet.Machine, now time.Time) MachineView {
-	v := MachineView{Name: m.Host, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Addr: m.Addr, Version: m.Version, State: c.machineState(m, now)}
+func (s *Scheduler) view(m *fleet.Machine, now time.Time) MachineView {
+	v := MachineView{Name: m.Host, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Addr: m.Addr, Version: m.Version, State: s.machineState(m, now)}
 	if !m.Rented.IsZero() {
 		v.AgeS = now.Sub(m.Rented).Seconds()
 	}
@@ -87,26 +87,26 @@
 
 // ListMachines lists up to limit machines by name, behind since, without their tasks; more
 // says that there are others behind them.
-func (c *Scheduler) ListMachines(since string, limit int, now time.Time) (list []MachineView, more bool) {
-	all := c.fleet.Sorted()
+func (s *Scheduler) ListMachines(since string, limit int, now time.Time) (list []MachineView, more bool) {
+	all := s.fleet.Sorted()
 	i, found := slices.BinarySearchFunc(all, since, func(m *fleet.Machine, name string) int { return strings.Compare(m.Host, name) })
 	if found {
 		i++
 	}
 	end := min(i+limit, len(all))
 	for _, m := range all[i:end] {
-		list = append(list, c.view(m, now))
+		list = append(list, s.view(m, now))
 	}
 	return list, end < len(all)
 }
 
 // DescribeMachine tells of one machine with all that is on it.
-func (c *Scheduler) DescribeMachine(name string, now time.Time) (MachineView, bool) {
-	m := c.fleet.Machines[name]
+func (s *Scheduler) DescribeMachine(name string, now time.Time) (MachineView, bool) {
+	m := s.fleet.Machines[name]
 	if m == nil {
 		return MachineView{}, false
 	}
-	v := c.view(m, now)
+	v := s.view(m, now)
 	for _, a := range m.Attempts() {
 		t := TaskView{Task: a.Task.String(), Try: a.Number, State: a.State().String(), Stops: a.Stopping()}
 		if a.State() != fleet.Ended {
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -32,8 +32,8 @@
 }
 
 // markUncertain takes all tasks of a job as in doubt, if an earlier leader can have sent any.
-func (c *Scheduler) markUncertain(j *Job) {
-	if c.reconciled || j.notStartedBefore > c.term {
+func (s *Scheduler) markUncertain(j *Job) {
+	if s.reconciled || j.notStartedBefore > s.term {
 		return
 	}
 	j.uncertain = make([]uint64, len(j.done))
@@ -45,13 +45,13 @@
 
 // clearUncertain takes no task of a job as in doubt any more: where a machine holds one, that is
 // known.
-func (c *Scheduler) clearUncertain(j *Job) {
+func (s *Scheduler) clearUncertain(j *Job) {
 	if j.uncertain == nil {
 		return
 	}
 	was := j.uncertain
-	j.uncertain, j.adoptedUntried, c.placementStale = nil, true, true
-	c.order.activate(j)
+	j.uncertain, j.adoptedUntried, s.placementStale = nil, true, true
+	s.order.activate(j)
 	if len(j.retries) == 0 {
 		j.nextUntried = 0 // what is held, done or astray is passed over
 		return
@@ -65,15 +65,15 @@
 
 // LoadWatermarks takes in the marks that the store has, by job. Where they are whole, only what
 // is below them is in doubt: the rest was never sent.
-func (c *Scheduler) LoadWatermarks(stored map[string]int, whole bool) {
-	for id, j := range c.jobs {
+func (s *Scheduler) LoadWatermarks(stored map[string]int, whole bool) {
+	for id, j := range s.jobs {
 		n := min(stored[id], j.Tasks)
 		j.watermark.NoteStored(n)
 		if !whole || j.uncertain == nil {
 			continue
 		}
 		j.nextUntried = n
-		c.order.activate(j)
+		s.order.activate(j)
 		if n == 0 {
 			j.uncertain = nil
 			continue
@@ -82,17 +82,17 @@
 			j.uncertain[t/64] &^= 1 << (t % 64)
 		}
 	}
-	c.watermarks.complete = whole
-	c.placementStale = true
+	s.watermarks.complete = whole
+	s.placementStale = true
 }
 
 // clearUncertainOn clears the doubt about what a machine shows that obeys this term: what is there now
 // had not ended when the last leader stopped, so it was sent to no other. Guards against what only
 // a copy of an earlier report has shown, and is still to be asked about: the machine may have
 // started anew since, and the task have been sent to another that is unheard of.
-func (c *Scheduler) clearUncertainOn(m *fleet.Machine) {
+func (s *Scheduler) clearUncertainOn(m *fleet.Machine) {
 	for _, a := range m.Attempts() {
-		j := c.jobOf(a)
+		j := s.jobOf(a)
 		if j != nil && j.isUncertain(a.Task.N) && a.MayBePresent() && m.LastReported(a) && j.attempts[a.Task.N] == a {
 			j.uncertain[a.Task.N/64] &^= 1 << (a.Task.N % 64)
 		}
@@ -101,59 +101,59 @@
 
 // clearAllUncertain ends all doubt, as every machine has been heard, and marks what is on them: an
 // earlier leader may have kept no marks.
-func (c *Scheduler) clearAllUncertain() {
-	for _, j := range c.jobs {
-		c.clearUncertain(j)
+func (s *Scheduler) clearAllUncertain() {
+	for _, j := range s.jobs {
+		s.clearUncertain(j)
 		for t, a := range j.attempts {
 			if a.MayBePresent() {
-				c.raiseWatermark(j, t)
+				s.raiseWatermark(j, t)
 			}
 		}
 		for t := range j.duplicates {
-			c.raiseWatermark(j, t)
+			s.raiseWatermark(j, t)
 		}
 	}
-	c.watermarks.complete = c.settings.Watermarks
+	s.watermarks.complete = s.settings.Watermarks
 }
 
 // raiseWatermark asks for a mark beyond a task.
-func (c *Scheduler) raiseWatermark(j *Job, t int) {
-	if !c.settings.Watermarks {
+func (s *Scheduler) raiseWatermark(j *Job, t int) {
+	if !s.settings.Watermarks {
 		return
 	}
 	if j.Shape == records.ShapeGang {
 		t = j.Tasks - 1 // all of it is sent or none
 	}
 	if j.watermark.Raise(t, j.Tasks) {
-		c.watermarks.raised[j] = struct{}{}
+		s.watermarks.raised[j] = struct{}{}
 	}
 }
 
 // raiseForNewJob marks what of a new job will be wanted at once when its turn comes: urgent jobs'
 // first tasks, and small jobs and those that wait for others whole. Guards against a
 // chain each step of which waits for the store.
-func (c *Scheduler) raiseForNewJob(j *Job) {
+func (s *Scheduler) raiseForNewJob(j *Job) {
 	switch {
 	case len(j.Dependencies) > 0 || j.Tasks <= 2*watermark.RaiseDivisor:
-		c.raiseWatermark(j, j.Tasks-1)
+		s.raiseWatermark(j, j.Tasks-1)
 	case priorityRank[j.Priority] <= priorityRank[records.PriorityUrgent]:
-		c.raiseWatermark(j, 0)
+		s.raiseWatermark(j, 0)
 	}
 }
 
 // belowWatermark says whether a task that is planned may be sent as far as marks go.
-func (c *Scheduler) belowWatermark(a *fleet.Attempt) bool {
-	if !c.settings.Watermarks || c.watermarks.relaxed {
+func (s *Scheduler) belowWatermark(a *fleet.Attempt) bool {
+	if !s.settings.Watermarks || s.watermarks.relaxed {
 		return true
 	}
-	j := c.jobOf(a)
+	j := s.jobOf(a)
 	return j == nil || j.watermark.Covers(a.Task.N)
 }
 
 // AwaitsWatermark says whether anything planned for a machine waits for its mark.
-func (c *Scheduler) AwaitsWatermark(m *fleet.Machine) bool {
+func (s *Scheduler) AwaitsWatermark(m *fleet.Machine) bool {
 	for _, a := range m.Attempts() {
-		if a.State() == fleet.Planned && !c.belowWatermark(a) {
+		if a.State() == fleet.Planned && !s.belowWatermark(a) {
 			return true
 		}
 	}
@@ -165,9 +165,9 @@
 const aheadShare = 1.0 / 2
 
 // countAccepting counts the machines that take tasks.
-func (c *Scheduler) countAccepting() int {
+func (s *Scheduler) countAccepting() int {
 	n := 0
-	for _, m := range c.fleet.Sorted() {
+	for _, m := range s.fleet.Sorted() {
 		if m.Bin.Open() {
 			n++
 		}
@@ -177,26 +177,26 @@
 
 // raiseWatermarksAhead raises the marks of the jobs that are served next, so that a task that finds room
 // in the answer to a report need not wait for the store.
-func (c *Scheduler) raiseWatermarksAhead(now time.Time) {
-	if !c.settings.Watermarks {
+func (s *Scheduler) raiseWatermarksAhead(now time.Time) {
+	if !s.settings.Watermarks {
 		return
 	}
-	budget := int(float64(c.countAccepting()) * aheadShare)
-	for _, j := range c.queue(now) {
+	budget := int(float64(s.countAccepting()) * aheadShare)
+	for _, j := range s.queue(now) {
 		if budget <= 0 {
 			return
 		}
 		left := j.Tasks - j.nextUntried
-		if left <= 0 || j.blocked || !c.startable(j, now) {
+		if left <= 0 || j.blocked || !s.startable(j, now) {
 			continue
 		}
 		if j.Shape == records.ShapeGang {
-			c.raiseWatermark(j, 0)
+			s.raiseWatermark(j, 0)
 			budget -= left
 			continue
 		}
 		if want := min(left, budget); j.watermark.Requested-j.nextUntried < want {
-			c.raiseWatermark(j, j.nextUntried+want-1)
+			s.raiseWatermark(j, j.nextUntried+want-1)
 		}
 		budget -= left
 	}
