--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -63,48 +63,48 @@
 
 // suspendClaims lets a job see its own room as free; lay puts the claims back.
 func (s *Scheduler) suspendClaims(j *Job) []claim {
-	mine := j.claims
-	for _, cl := range mine {
+	suspended := j.claims
+	for _, cl := range suspended {
 		cl.machine.Bin.Reserve(packing.Resources{}.Sub(j.request))
 	}
 	j.claims = nil
-	return mine
+	return suspended
 }
 
-func (s *Scheduler) restoreClaims(j *Job, mine []claim) {
-	for _, cl := range mine {
+func (s *Scheduler) restoreClaims(j *Job, suspended []claim) {
+	for _, cl := range suspended {
 		cl.machine.Bin.Reserve(j.request)
 	}
-	j.claims = mine
+	j.claims = suspended
 }
 
 // useClaims starts tasks of a job that need not start together in room of its own, as
 // far as it is free.
-func (s *Scheduler) useClaims(j *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
-	limited := j.limited
-	for i := 0; i < len(j.claims); {
-		t, m := j.nextTask(), j.claims[i].machine
-		if t < 0 || limited && !s.withinLimit(j, used[j.Team]) {
+func (s *Scheduler) useClaims(job *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
+	limited := job.limited
+	for i := 0; i < len(job.claims); {
+		t, machine := job.nextTask(), job.claims[i].machine
+		if t < 0 || limited && !s.withinLimit(job, used[job.Team]) {
 			return
 		}
-		if !m.Bin.Cap.Sub(m.Bin.Used()).Fits(j.request) {
+		if !machine.Bin.Cap.Sub(machine.Bin.Used()).Fits(job.request) {
 			i++
 			continue
 		}
-		s.dropClaim(j, i)
+		s.dropClaim(job, i)
 		if zones != nil {
-			zones[m.Zone]-- // it was counted as the claim's
-			if !j.zoneAllowed(m.Zone, zones) {
+			zones[machine.Zone]-- // it was counted as the claim's
+			if !job.zoneAllowed(machine.Zone, zones) {
 				continue
 			}
-			zones[m.Zone]++
+			zones[machine.Zone]++
 		}
-		it := &packing.Item{ID: j.ID, Req: j.request, PreferLabels: j.preferLabels}
-		m.Bin.Add(it)
-		s.planAttempt(j, t, s.newAttemptNumber(), m, it, now)
-		j.takeTask(t)
+		item := &packing.Item{ID: job.ID, Req: job.request, PreferLabels: job.preferLabels}
+		machine.Bin.Add(item)
+		s.planAttempt(job, t, s.newAttemptNumber(), machine, item, now)
+		job.takeTask(t)
 		if limited {
-			used[j.Team] = used[j.Team].Add(j.taskQuota())
+			used[job.Team] = used[job.Team].Add(job.taskQuota())
 		}
 	}
 }
@@ -122,44 +122,44 @@
 	clear(owners[len(s.claimOwners):])
 }
 
-func (s *Scheduler) reviewJobClaims(j *Job, now time.Time) {
-	if len(j.claims) == 0 {
+func (s *Scheduler) reviewJobClaims(job *Job, now time.Time) {
+	if len(job.claims) == 0 {
 		return
 	}
-	if !j.gangBroken && !s.startable(j, now) {
-		s.dropAllClaims(j)
+	if !job.gangBroken && !s.startable(job, now) {
+		s.dropAllClaims(job)
 		return
 	}
-	for i := len(j.claims) - 1; i >= 0; i-- {
-		if m := j.claims[i].machine; m.Removed() || !m.Bin.Open() {
-			s.dropClaim(j, i)
+	for i := len(job.claims) - 1; i >= 0; i-- {
+		if machine := job.claims[i].machine; machine.Removed() || !machine.Bin.Open() {
+			s.dropClaim(job, i)
 		}
 	}
-	for wants := s.claimable(j); len(j.claims) > wants; {
-		s.dropClaim(j, len(j.claims)-1)
-	}
-	coming := s.claimedRoomFreeing(j)
-	for i := len(j.claims) - 1; i >= 0; i-- {
-		switch cl := &j.claims[i]; {
-		case coming || j.reservedZone != "":
-			cl.since = now
-		case now.Sub(cl.since) > claimIntervals*s.settings.HeartbeatInterval:
-			slog.Debug("room was kept in vain", "job", j.ID, "machine", cl.machine.Host, "term", s.term)
-			j.noClaimsBefore = now.Add(claimPauseIntervals * s.settings.HeartbeatInterval)
-			s.dropClaim(j, i)
+	for wanted := s.claimable(job); len(job.claims) > wanted; {
+		s.dropClaim(job, len(job.claims)-1)
+	}
+	freeing := s.claimedRoomFreeing(job)
+	for i := len(job.claims) - 1; i >= 0; i-- {
+		switch claimed := &job.claims[i]; {
+		case freeing || job.reservedZone != "":
+			claimed.since = now
+		case now.Sub(claimed.since) > claimIntervals*s.settings.HeartbeatInterval:
+			slog.Debug("room was kept in vain", "job", job.ID, "machine", claimed.machine.Host, "term", s.term)
+			job.noClaimsBefore = now.Add(claimPauseIntervals * s.settings.HeartbeatInterval)
+			s.dropClaim(job, i)
 		}
 	}
 }
 
 // claimable is for how many of a job's tasks room may be its own: those that wait, and those that
 // move, up to as many as it has claims for.
-func (s *Scheduler) claimable(j *Job) int {
-	n := j.pending()
-	if n >= len(j.claims) {
+func (s *Scheduler) claimable(job *Job) int {
+	n := job.pending()
+	if n >= len(job.claims) {
 		return n
 	}
-	for _, a := range j.attempts {
-		if a.Stopping() {
+	for _, attempt := range job.attempts {
+		if attempt.Stopping() {
 			n++
 		}
 	}
@@ -168,17 +168,17 @@
 
 // claimedRoomFreeing says whether room of a job's own is on its way: somebody there is being stopped, or one
 // of its own tasks that is to move there.
-func (s *Scheduler) claimedRoomFreeing(j *Job) bool {
-	if j.gangBroken {
+func (s *Scheduler) claimedRoomFreeing(job *Job) bool {
+	if job.gangBroken {
 		return true
 	}
-	for _, cl := range j.claims {
+	for _, cl := range job.claims {
 		if slices.ContainsFunc(cl.machine.Attempts(), isLeaving) {
 			return true
 		}
 	}
-	for _, a := range j.attempts {
-		if a.Stopping() {
+	for _, attempt := range job.attempts {
+		if attempt.Stopping() {
 			return true
 		}
 	}
@@ -201,18 +201,18 @@
 }
 
 // missingClaims is for how many more of a job's tasks room could be made its own.
-func (s *Scheduler) missingClaims(j *Job, now time.Time) int {
-	if now.Before(j.noClaimsBefore) {
+func (s *Scheduler) missingClaims(job *Job, now time.Time) int {
+	if now.Before(job.noClaimsBefore) {
 		return 0
 	}
-	n := s.waitingWithinLimit(j)
-	if j.Shape == records.ShapeGang {
-		if n < j.pending() || j.gangAttempt == 0 && len(j.attempts)+len(j.duplicates) > 0 {
+	n := s.waitingWithinLimit(job)
+	if job.Shape == records.ShapeGang {
+		if n < job.pending() || job.gangAttempt == 0 && len(job.attempts)+len(job.duplicates) > 0 {
 			return 0 // it could not start whole
 		}
-		return n - len(j.claims)
+		return n - len(job.claims)
 	}
-	return min(n-len(j.claims), maxClaimsPerPass)
+	return min(n-len(job.claims), maxClaimsPerPass)
 }
 
 // maxClaimsPerPass bounds the work for one job in one look. It does not bound the machines on which
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -11,21 +11,21 @@
 )
 
 // addDependencies takes a job into the graph.
-func (s *Scheduler) addDependencies(j *Job) {
+func (s *Scheduler) addDependencies(job *Job) {
 	n := dependency.Job{
-		ID: j.ID, Dependencies: j.Dependencies, Rank: priorityRank[j.Priority],
+		ID: job.ID, Dependencies: job.Dependencies, Rank: priorityRank[job.Priority],
 		// Between the end of one job and the start of the next lies a report.
-		Estimate: s.settings.HeartbeatInterval + s.fetchTime(j) + time.Duration(j.EstimateS*likelyRuns*float64(time.Second)),
+		Estimate: s.settings.HeartbeatInterval + s.fetchTime(job) + time.Duration(job.EstimateS*likelyRuns*float64(time.Second)),
 	}
-	if j.DeadlineS != nil {
+	if job.DeadlineS != nil {
 		times := 1.0
 		for _, o := range s.settings.Objectives {
-			if o.Class == j.Class && o.Kind == config.KindDeadline {
+			if o.Class == job.Class && o.Kind == config.KindDeadline {
 				times = max(times, o.Times)
 			}
 		}
-		n.Deadline = j.deadlineAt(*j.DeadlineS)
-		n.LatestEnd = j.deadlineAt(*j.DeadlineS * times)
+		n.Deadline = job.deadlineAt(*job.DeadlineS)
+		n.LatestEnd = job.deadlineAt(*job.DeadlineS * times)
 	}
 	s.dependencies.Add(n)
 	s.applyDependencyChanges()
@@ -47,26 +47,26 @@
 // applyDependencyChanges takes over what has changed in the graph.
 func (s *Scheduler) applyDependencyChanges() {
 	for _, id := range s.dependencies.Changed() {
-		j := s.jobs[id]
-		if j == nil {
+		job := s.jobs[id]
+		if job == nil {
 			continue
 		}
-		j.blocked, j.urgency = s.dependencies.Blocked(id), s.dependencies.Urgency(id)
+		job.blocked, job.urgency = s.dependencies.Blocked(id), s.dependencies.Urgency(id)
 		// A version that knew of no chains wrote no time: then it counts from the
 		// acceptance, as for any job.
-		j.releasedAt, j.notStartedBefore = j.Accepted, j.Revision
-		if at := s.dependencies.Released(id); !j.blocked && !at.IsZero() {
-			j.releasedAt = j.Accepted.Add(max(at.Sub(time.UnixMilli(j.AcceptedMS)), 0))
-			s.slo.ResetWait(j.ID, j.releasedAt)
+		job.releasedAt, job.notStartedBefore = job.Accepted, job.Revision
+		if at := s.dependencies.Released(id); !job.blocked && !at.IsZero() {
+			job.releasedAt = job.Accepted.Add(max(at.Sub(time.UnixMilli(job.AcceptedMS)), 0))
+			s.slo.ResetWait(job.ID, job.releasedAt)
 		}
-		if !j.blocked {
-			j.notStartedBefore = max(j.Revision, s.dependencies.NotBefore(id))
+		if !job.blocked {
+			job.notStartedBefore = max(job.Revision, s.dependencies.NotBefore(id))
 		}
-		if j.notStartedBefore > s.term {
-			s.clearUncertain(j) // nobody can have started any of it before
+		if job.notStartedBefore > s.term {
+			s.clearUncertain(job) // nobody can have started any of it before
 		}
-		j.targets = s.completionTargets(j)
-		s.choosePreferences(j)
+		job.targets = s.completionTargets(job)
+		s.choosePreferences(job)
 		s.queueStale, s.placementStale = true, true
 	}
 }
@@ -84,40 +84,40 @@
 
 // NoteClosed notes what the store says for good of a job, when it was done, and at which
 // revision that was stored.
-func (s *Scheduler) NoteClosed(id string, o records.ClosedJob, stamp uint64) {
+func (s *Scheduler) NoteClosed(id string, closed records.ClosedJob, revision uint64) {
 	var at time.Time
-	if o.AtMS > 0 {
-		at = time.UnixMilli(o.AtMS)
+	if closed.AtMS > 0 {
+		at = time.UnixMilli(closed.AtMS)
 	}
-	switch o.Status {
+	switch closed.Status {
 	case records.StatusDone:
-		s.dependencies.SetFinal(id, dependency.Done, at, stamp)
+		s.dependencies.SetFinal(id, dependency.Done, at, revision)
 	case records.StatusCancelled:
-		s.dependencies.SetFinal(id, dependency.Cancelled, at, stamp)
+		s.dependencies.SetFinal(id, dependency.Cancelled, at, revision)
 	}
 	s.CloseJob(id)
 }
 
 // closeJobWrite moves a job to the over records.
-func (s *Scheduler) closeJobWrite(j *Job, o records.ClosedJob) PendingWrite {
-	j.closing = true
-	o.Tasks = j.Tasks
+func (s *Scheduler) closeJobWrite(job *Job, o records.ClosedJob) PendingWrite {
+	job.closing = true
+	o.Tasks = job.Tasks
 	return PendingWrite{
 		Ops: []records.Op{
-			{Delete: records.OpenKey(j.ID)},
-			{Write: records.ClosedKey(j.ID), Value: o},
+			{Delete: records.OpenKey(job.ID)},
+			{Write: records.ClosedKey(job.ID), Value: o},
 		},
-		Compares: []records.Compare{{Key: records.OpenKey(j.ID), Revision: j.Revision}}, OwnKey: records.OpenKey(j.ID),
+		Compares: []records.Compare{{Key: records.OpenKey(job.ID), Revision: job.Revision}}, OwnKey: records.OpenKey(job.ID),
 		OnStored: func(stamp uint64) {
-			slog.Debug("job over", "job", j.ID, "class", j.Class, "status", o.Status, "after", j.Dependencies,
-				"waited_s", j.blockedSeconds(), "took_s", time.Since(j.releasedAt).Seconds(), "due_s", j.secondsUntil(j.urgency.Deadline), "term", s.term)
-			s.NoteClosed(j.ID, o, stamp)
+			slog.Debug("job over", "job", job.ID, "class", job.Class, "status", o.Status, "after", job.Dependencies,
+				"waited_s", job.blockedSeconds(), "took_s", time.Since(job.releasedAt).Seconds(), "due_s", job.secondsUntil(job.urgency.Deadline), "term", s.term)
+			s.NoteClosed(job.ID, o, stamp)
 		},
 		// Guards against taking a job for cancelled that is done: its open record is
 		// gone because its user cancelled it, or because this very write went through
 		// before and its answer was lost. Only the over record tells; until it is
 		// read, nothing behind the job starts or is cancelled.
-		OnConflict: func() { s.CloseJob(j.ID) },
+		OnConflict: func() { s.CloseJob(job.ID) },
 	}
 }
 
--- a/internal/scheduler/driver.go
+++ b/internal/scheduler/driver.go
@@ -44,10 +44,10 @@
 }
 
 // CloseMissing closes the jobs that a list of all open ones lacks, read at a revision.
-func (s *Scheduler) CloseMissing(listed func(id string) bool, epoch uint64) {
+func (s *Scheduler) CloseMissing(listed func(id string) bool, revision uint64) {
 	for id, j := range s.jobs {
 		// A job newer than the list is not in it.
-		if !listed(id) && j.Revision <= epoch {
+		if !listed(id) && j.Revision <= revision {
 			s.CloseJob(id)
 		}
 	}
@@ -70,8 +70,8 @@
 
 // IsLatest says whether a report, by its session and number, is the last that we know of a
 // machine.
-func (s *Scheduler) IsLatest(m *fleet.Machine, session, tick uint64) bool {
-	return s.fleet.Machines[m.Host] == m && m.Incarnation == session && m.Sequence == tick
+func (s *Scheduler) IsLatest(m *fleet.Machine, incarnation, sequence uint64) bool {
+	return s.fleet.Machines[m.Host] == m && m.Incarnation == incarnation && m.Sequence == sequence
 }
 
 // UrgentCommands is orders that a machine is to hear at once, not at its next report.
@@ -82,22 +82,22 @@
 
 // TakeUrgentCommands takes what is to be sent so.
 func (s *Scheduler) TakeUrgentCommands() []UrgentCommands {
-	var calls, deaf []UrgentCommands
+	var calls, unreachable []UrgentCommands
 	for host := range s.urgentMachines {
-		m := s.fleet.Machines[host]
+		machine := s.fleet.Machines[host]
 		delete(s.urgentMachines, host)
-		if m == nil || m.Addr == "" || !m.Up {
+		if machine == nil || machine.Addr == "" || !machine.Up {
 			continue
 		}
-		if orders := m.PendingCommands(); len(orders) > 0 {
-			call := UrgentCommands{m.Addr, fleet.CommandRequest{FencingToken: s.term, Incarnation: m.Incarnation, Commands: orders}}
-			if m.Unreachable() {
-				deaf = append(deaf, call)
+		if commands := machine.PendingCommands(); len(commands) > 0 {
+			call := UrgentCommands{machine.Addr, fleet.CommandRequest{FencingToken: s.term, Incarnation: machine.Incarnation, Commands: commands}}
+			if machine.Unreachable() {
+				unreachable = append(unreachable, call)
 			} else {
 				calls = append(calls, call)
 			}
 		}
 	}
 	// Guards against calls that hang and keep others waiting.
-	return append(calls, deaf...)
+	return append(calls, unreachable...)
 }
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -54,13 +54,13 @@
 // displaced counts the tasks of a job that stand on ordinary machines which others lacked
 // lately, though cheap ones would do: cheap machines are rented for as many, so that those
 // who come next leave the ordinary ones alone.
-func (s *Scheduler) displaced(j *Job, now time.Time) int {
-	if !s.settings.Guarantees || !j.Spot || j.Shape != records.ShapeArray {
+func (s *Scheduler) displaced(job *Job, now time.Time) int {
+	if !s.settings.Guarantees || !job.Spot || job.Shape != records.ShapeArray {
 		return 0
 	}
 	n := 0
-	for _, a := range j.attempts {
-		if m := a.Machine; !m.Spot && a.State() != fleet.Ended && s.shortageLately(m.Type, now) {
+	for _, attempt := range job.attempts {
+		if machine := attempt.Machine; !machine.Spot && attempt.State() != fleet.Ended && s.shortageLately(machine.Type, now) {
 			n++
 		}
 	}
--- a/internal/scheduler/held_machines.go
+++ b/internal/scheduler/held_machines.go
@@ -19,12 +19,12 @@
 // tasks that never start because small ones of later turns fill every gap before a
 // machine is empty. Those that will have room soonest are kept.
 func (s *Scheduler) holdMachines(now time.Time) {
-	was := map[*fleet.Machine]bool{}
-	for _, m := range s.fleet.Sorted() {
-		if m.ReservedFor != nil {
-			was[m] = true
-			m.ReservedFor = nil
-			m.Bin.SetLabel(heldLabel, false)
+	heldBefore := map[*fleet.Machine]bool{}
+	for _, machine := range s.fleet.Sorted() {
+		if machine.ReservedFor != nil {
+			heldBefore[machine] = true
+			machine.ReservedFor = nil
+			machine.Bin.SetLabel(heldLabel, false)
 		}
 	}
 	s.holders = s.holders[:0]
@@ -33,47 +33,47 @@
 	}
 	var waiting []*Job
 	smallest := 1.0
-	for _, j := range s.queue(now) {
-		if j.Shape != records.ShapeGang && s.startable(j, now) && j.nextTask() >= 0 {
-			waiting = append(waiting, j)
-			smallest = min(smallest, s.smallestShare(j))
+	for _, job := range s.queue(now) {
+		if job.Shape != records.ShapeGang && s.startable(job, now) && job.nextTask() >= 0 {
+			waiting = append(waiting, job)
+			smallest = min(smallest, s.smallestShare(job))
 		}
 	}
 	left := max(int(float64(s.countAccepting())*heldMachineShare), 1)
 	type soon struct {
-		m  *fleet.Machine
-		in float64
+		machine *fleet.Machine
+		seconds float64
 	}
 	var list []soon
 	listed := 0 // whose machines the list has, by the number of jobs alike
-	for _, j := range waiting {
+	for _, job := range waiting {
 		if left == 0 {
 			return
 		}
-		if j.placementClass == 0 || s.smallestShare(j) <= smallest+1e-9 || j.limited {
+		if job.placementClass == 0 || s.smallestShare(job) <= smallest+1e-9 || job.limited {
 			continue
 		}
-		if listed != j.placementClass {
-			listed, list = j.placementClass, list[:0]
-			for _, m := range s.fleet.Sorted() {
-				if !m.Bin.Open() || m.ReservedFor != nil || !j.permits(m.Type, m.Zone, m.Spot) || !m.Bin.Cap.Fits(j.request) {
+		if listed != job.placementClass {
+			listed, list = job.placementClass, list[:0]
+			for _, machine := range s.fleet.Sorted() {
+				if !machine.Bin.Open() || machine.ReservedFor != nil || !job.permits(machine.Type, machine.Zone, machine.Spot) || !machine.Bin.Cap.Fits(job.request) {
 					continue
 				}
-				in := s.secondsUntilRoom(j, m, now)
-				if was[m] {
-					in /= 2 // what has begun to empty goes on
+				seconds := s.secondsUntilRoom(job, machine, now)
+				if heldBefore[machine] {
+					seconds /= 2 // what has begun to empty goes on
 				}
-				list = append(list, soon{m, in})
+				list = append(list, soon{machine, seconds})
 			}
-			slices.SortStableFunc(list, func(a, b soon) int { return cmp.Compare(a.in, b.in) })
+			slices.SortStableFunc(list, func(attempt, b soon) int { return cmp.Compare(attempt.seconds, b.seconds) })
 		}
-		n := min(j.pending(), left, len(list))
-		for _, x := range list[:n] {
-			x.m.ReservedFor = j
-			x.m.Bin.SetLabel(heldLabel, true)
+		n := min(job.pending(), left, len(list))
+		for _, candidate := range list[:n] {
+			candidate.machine.ReservedFor = job
+			candidate.machine.Bin.SetLabel(heldLabel, true)
 		}
 		if n > 0 {
-			s.holders = append(s.holders, j)
+			s.holders = append(s.holders, job)
 		}
 		list = list[n:]
 		left -= n
@@ -82,11 +82,11 @@
 
 // secondsUntilRoom guesses, in seconds, when a machine will have room for a task of the job
 // if it is given nothing else.
-func (s *Scheduler) secondsUntilRoom(j *Job, m *fleet.Machine, now time.Time) float64 {
-	free := m.Bin.Cap.Sub(m.Bin.Used())
-	ends := s.endings(m, now)
+func (s *Scheduler) secondsUntilRoom(job *Job, machine *fleet.Machine, now time.Time) float64 {
+	free := machine.Bin.Cap.Sub(machine.Bin.Used())
+	ends := s.endings(machine, now)
 	for _, e := range ends {
-		if free.Fits(j.request) {
+		if free.Fits(job.request) {
 			return e.seconds
 		}
 		free = free.Add(e.room)
@@ -104,19 +104,19 @@
 }
 
 // endings lists, the soonest first, when what is on a machine ends.
-func (s *Scheduler) endings(m *fleet.Machine, now time.Time) []ending {
+func (s *Scheduler) endings(machine *fleet.Machine, now time.Time) []ending {
 	ends := make([]ending, 0, 16) // a machine holds few
-	for _, a := range m.Attempts() {
-		if a.Item == nil {
+	for _, attempt := range machine.Attempts() {
+		if attempt.Item == nil {
 			continue
 		}
-		in := 0.0
-		if aj := s.jobOf(a); aj != nil {
-			in = s.remainingSeconds(aj, a, now)
+		seconds := 0.0
+		if aj := s.jobOf(attempt); aj != nil {
+			seconds = s.remainingSeconds(aj, attempt, now)
 		}
-		ends = append(ends, ending{in, a.Item.Req})
+		ends = append(ends, ending{seconds, attempt.Item.Req})
 	}
-	slices.SortFunc(ends, func(a, b ending) int { return cmp.Compare(a.seconds, b.seconds) })
+	slices.SortFunc(ends, func(attempt, b ending) int { return cmp.Compare(attempt.seconds, b.seconds) })
 	return ends
 }
 
@@ -129,12 +129,12 @@
 // placing cost.
 func (s *Scheduler) lastHoldingJob() *Job {
 	var last *Job
-	for _, k := range s.holders {
-		if k.closed {
+	for _, holder := range s.holders {
+		if holder.closed {
 			return nil
 		}
-		if last == nil || servedBefore(last, k) {
-			last = k
+		if last == nil || servedBefore(last, holder) {
+			last = holder
 		}
 	}
 	return last
@@ -142,6 +142,6 @@
 
 // isHeldForEarlier says whether a machine is kept for a job whose turn is before another's.
 func isHeldForEarlier(m *fleet.Machine, j *Job) bool {
-	k, ok := m.ReservedFor.(*Job)
-	return ok && k != j && !k.closed && servedBefore(k, j)
+	holder, ok := m.ReservedFor.(*Job)
+	return ok && holder != j && !holder.closed && servedBefore(holder, j)
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -55,26 +55,26 @@
 
 // tasksByZone counts the job's tasks by zone, on machines and, with planned, meant for them
 // or for room that is its own.
-func (s *Scheduler) tasksByZone(j *Job, planned bool) map[string]int {
-	n := map[string]int{}
-	for _, a := range j.attempts {
-		if a.MayBePresent() || planned && a.State() == fleet.Planned {
-			n[a.Machine.Zone]++
+func (s *Scheduler) tasksByZone(job *Job, planned bool) map[string]int {
+	counts := map[string]int{}
+	for _, attempt := range job.attempts {
+		if attempt.MayBePresent() || planned && attempt.State() == fleet.Planned {
+			counts[attempt.Machine.Zone]++
 		}
 	}
 	if planned {
-		for _, cl := range j.claims {
-			n[cl.machine.Zone]++
+		for _, claimed := range job.claims {
+			counts[claimed.machine.Zone]++
 		}
 	}
-	if len(j.duplicates) > 0 {
-		for _, a := range s.fleet.OfJob(j.ID) {
-			if a.Duplicate && a.MayBePresent() {
-				n[a.Machine.Zone]++
+	if len(job.duplicates) > 0 {
+		for _, attempt := range s.fleet.OfJob(job.ID) {
+			if attempt.Duplicate && attempt.MayBePresent() {
+				counts[attempt.Machine.Zone]++
 			}
 		}
 	}
-	return n
+	return counts
 }
 
 // zoneAllowed checks one_zone and apart against a count by zone.
@@ -93,7 +93,7 @@
 func (s *Scheduler) placeWaiting(now time.Time) {
 	s.placementStale = false
 	s.refreshAccepting(now)
-	p := &placement{scheduler: s, now: now, used: map[string]quota.Amount{}, noRoom: make([]*Job, len(s.placementClasses)+1)}
+	pass := &placement{scheduler: s, now: now, used: map[string]quota.Amount{}, noRoom: make([]*Job, len(s.placementClasses)+1)}
 	s.queue(now)
 	s.lastHolder = s.lastHoldingJob()
 	s.reviewClaims(now)
@@ -101,16 +101,16 @@
 	turns := s.order.begin(s.claimOwners)
 	s.currentTurns = turns
 	defer func() { s.currentTurns = nil }()
-	for t, more := turns.next(); more; t, more = turns.next() {
-		if t.job.hasNoWaiting() {
+	for turn, more := turns.next(); more; turn, more = turns.next() {
+		if turn.job.hasNoWaiting() {
 			turns.deactivate()
 			continue
 		}
-		hopeless := p.cannotFit(t)
-		if hopeless {
+		noRoom := pass.cannotFit(turn)
+		if noRoom {
 			turns.skipAlike()
 		}
-		p.placeJob(t, hopeless)
+		pass.placeJob(turn, noRoom)
 	}
 }
 
@@ -125,70 +125,70 @@
 // cannotFit says whether a turn's job finds no room as one like it, which is served before it, found
 // none. Guards against one that comes first only as it has less to fetch, and finds
 // but machines that are kept for the sake of another: that one may use them.
-func (p *placement) cannotFit(t placingTurn) bool {
-	first := p.noRoom[t.placementClass()]
-	return t.placementClass() > 0 && first != nil && !servedBefore(t.job, first)
+func (p *placement) cannotFit(turn placingTurn) bool {
+	first := p.noRoom[turn.placementClass()]
+	return turn.placementClass() > 0 && first != nil && !servedBefore(turn.job, first)
 }
 
 // placeJob places the tasks of a job whose turn it is.
-func (p *placement) placeJob(t placingTurn, hopeless bool) {
-	c, j, only := p.scheduler, t.job, ""
-	if t.ready {
-		only = j.imageReadyLabel
+func (p *placement) placeJob(turn placingTurn, noRoom bool) {
+	c, job, requiredLabel := p.scheduler, turn.job, ""
+	if turn.ready {
+		requiredLabel = job.imageReadyLabel
 	}
-	if hopeless && len(j.claims) == 0 || !c.startable(j, p.now) || j.nextTask() < 0 {
+	if noRoom && len(job.claims) == 0 || !c.startable(job, p.now) || job.nextTask() < 0 {
 		return
 	}
-	if _, known := p.used[j.Team]; !known && j.limited {
-		p.used[j.Team] = c.quotaUsage.Committed(j.Team)
+	if _, known := p.used[job.Team]; !known && job.limited {
+		p.used[job.Team] = c.quotaUsage.Committed(job.Team)
 	}
 	var ok bool
-	if j.Shape == records.ShapeGang {
-		mine := c.suspendClaims(j)
-		if ok = c.placeGang(j, p.used, p.now); !ok {
-			c.restoreClaims(j, mine)
+	if job.Shape == records.ShapeGang {
+		suspended := c.suspendClaims(job)
+		if ok = c.placeGang(job, p.used, p.now); !ok {
+			c.restoreClaims(job, suspended)
 		}
 	} else {
-		zones := c.zoneCounts(j)
-		c.useClaims(j, p.used, zones, p.now)
-		ok = hopeless || c.placeTasks(j, only, p.used, zones, p.now)
+		zones := c.zoneCounts(job)
+		c.useClaims(job, p.used, zones, p.now)
+		ok = noRoom || c.placeTasks(job, requiredLabel, p.used, zones, p.now)
 	}
 	if ok {
 		return
 	}
-	if only == "" {
-		c.noteShortage(j, p.used[j.Team], p.now)
+	if requiredLabel == "" {
+		c.noteShortage(job, p.used[job.Team], p.now)
 	}
 	// What ordinary machines lacked is noted by the first that finds no room, so that has to be one
 	// whose team has a guarantee.
-	if j.Spot || !j.limited || fairshare.HasGuarantee(j.team) {
-		p.noRoom[t.placementClass()] = j
+	if job.Spot || !job.limited || fairshare.HasGuarantee(job.team) {
+		p.noRoom[turn.placementClass()] = job
 	}
 }
 
 // placeTasks places as many tasks of a job as possible, only on machines with a
 // mark unless it is "". It returns false when some had no room.
-func (s *Scheduler) placeTasks(j *Job, only string, used map[string]quota.Amount, zones map[string]int, now time.Time) bool {
-	limited := j.limited
+func (s *Scheduler) placeTasks(job *Job, requiredLabel string, used map[string]quota.Amount, zones map[string]int, now time.Time) bool {
+	limited := job.limited
 	for {
-		t := j.nextTask()
+		t := job.nextTask()
 		if t < 0 {
 			return true
 		}
-		if limited && !s.withinLimit(j, used[j.Team]) {
+		if limited && !s.withinLimit(job, used[job.Team]) {
 			return true
 		}
-		m, moves := s.insertTask(j, t, 0, only, zones, "", now)
-		if m == nil {
+		machine, moves := s.insertTask(job, t, 0, requiredLabel, zones, "", now)
+		if machine == nil {
 			return false
 		}
 		s.executeMoves(moves, now)
-		j.takeTask(t)
+		job.takeTask(t)
 		if limited {
-			used[j.Team] = used[j.Team].Add(j.taskQuota())
+			used[job.Team] = used[job.Team].Add(job.taskQuota())
 		}
 		if zones != nil {
-			zones[m.Zone]++
+			zones[machine.Zone]++
 		}
 	}
 }
@@ -212,60 +212,60 @@
 
 // placeGang places a whole gang or nothing of it. Tasks that replace members
 // which never arrived take the gang's attempt number.
-func (s *Scheduler) placeGang(j *Job, used map[string]quota.Amount, now time.Time) bool {
-	if j.gangAttempt == 0 && len(j.attempts)+len(j.duplicates) > 0 {
+func (s *Scheduler) placeGang(job *Job, used map[string]quota.Amount, now time.Time) bool {
+	if job.gangAttempt == 0 && len(job.attempts)+len(job.duplicates) > 0 {
 		return false
 	}
-	zones := s.zoneCounts(j)
-	for _, zone := range s.zoneChoices(j, zones) {
-		try, mark := j.gangAttempt, s.sequence
-		if try == 0 {
-			try = s.newAttemptNumber()
+	zones := s.zoneCounts(job)
+	for _, zone := range s.zoneChoices(job, zones) {
+		attemptNumber, sequenceBefore := job.gangAttempt, s.sequence
+		if attemptNumber == 0 {
+			attemptNumber = s.newAttemptNumber()
 		}
-		zn := map[string]int{}
+		zonesThen := map[string]int{}
 		for z, n := range zones {
-			zn[z] = n
+			zonesThen[z] = n
 		}
 		if zone != "" {
-			zn[zone] = 0
+			zonesThen[zone] = 0
 		}
-		sum := used[j.Team]
+		usedThen := used[job.Team]
 		var placed []*fleet.Attempt
 		var moves []packing.Move
 		ok := true
 		for ok {
-			t := j.nextTask()
+			t := job.nextTask()
 			if t < 0 {
 				break
 			}
-			if j.limited && !s.withinLimit(j, sum) {
+			if job.limited && !s.withinLimit(job, usedThen) {
 				ok = false
 				break
 			}
-			m, asked := s.insertTask(j, t, try, "", zn, zone, now)
-			if m == nil {
+			machine, taskMoves := s.insertTask(job, t, attemptNumber, "", zonesThen, zone, now)
+			if machine == nil {
 				ok = false
 				break
 			}
-			moves = append(moves, asked...)
-			j.takeTask(t)
-			placed = append(placed, j.attempts[t])
-			sum = sum.Add(j.taskQuota())
-			zn[m.Zone]++
+			moves = append(moves, taskMoves...)
+			job.takeTask(t)
+			placed = append(placed, job.attempts[t])
+			usedThen = usedThen.Add(job.taskQuota())
+			zonesThen[machine.Zone]++
 		}
 		if ok {
-			j.gangAttempt = try
-			used[j.Team] = sum
+			job.gangAttempt = attemptNumber
+			used[job.Team] = usedThen
 			s.executeMoves(moves, now)
 			return true
 		}
 		// Nobody is moved for a gang that does not start.
-		for _, a := range placed {
-			a.Machine.Forget(a)
-			delete(j.attempts, a.Task.N)
-			s.retryTask(j, a.Task.N)
+		for _, attempt := range placed {
+			attempt.Machine.Forget(attempt)
+			delete(job.attempts, attempt.Task.N)
+			s.retryTask(job, attempt.Task.N)
 		}
-		s.sequence = mark // nothing was sent under the number
+		s.sequence = sequenceBefore // nothing was sent under the number
 	}
 	return false
 }
@@ -273,37 +273,37 @@
 // insertTask finds a bin for one task by VISBP's insert, over the machine types
 // that the job allows, cheapest first, and lists the moves that it asks for. Try 0
 // stands for a new attempt number.
-func (s *Scheduler) insertTask(j *Job, t int, try uint64, only string, zones map[string]int, zone string, now time.Time) (*fleet.Machine, []packing.Move) {
-	it := &packing.Item{ID: j.ID, Req: j.request, PreferLabels: j.preferLabels, RequireLabel: only}
-	if s.lastHolder != nil && servedBefore(s.lastHolder, j) {
-		it.ExcludeLabel = heldLabel
+func (s *Scheduler) insertTask(job *Job, t int, attemptNumber uint64, requiredLabel string, zones map[string]int, zone string, now time.Time) (*fleet.Machine, []packing.Move) {
+	item := &packing.Item{ID: job.ID, Req: job.request, PreferLabels: job.preferLabels, RequireLabel: requiredLabel}
+	if s.lastHolder != nil && servedBefore(s.lastHolder, job) {
+		item.ExcludeLabel = heldLabel
 	}
-	ok := func(b *packing.Bin) bool {
-		m := b.Owner.(*fleet.Machine)
-		return j.permits(m.Type, m.Zone, m.Spot) && (zones == nil || j.zoneAllowed(m.Zone, zones)) &&
-			(zone == "" || m.Zone == zone) && !isHeldForEarlier(m, j)
+	allowed := func(b *packing.Bin) bool {
+		machine := b.Owner.(*fleet.Machine)
+		return job.permits(machine.Type, machine.Zone, machine.Spot) && (zones == nil || job.zoneAllowed(machine.Zone, zones)) &&
+			(zone == "" || machine.Zone == zone) && !isHeldForEarlier(machine, job)
 	}
 	for _, name := range s.typeNames {
 		space := s.spaces[name]
 		if space == nil {
 			continue
 		}
-		b, moves, rule := s.insertAmongType(space, name, j, it, ok)
+		b, moves, rule := s.insertAmongType(space, name, job, item, allowed)
 		if b == nil {
 			continue
 		}
-		it.ExcludeLabel = ""
-		m := b.Owner.(*fleet.Machine)
+		item.ExcludeLabel = ""
+		machine := b.Owner.(*fleet.Machine)
 		undoMoves(moves)
-		if try == 0 {
-			try = s.newAttemptNumber()
+		if attemptNumber == 0 {
+			attemptNumber = s.newAttemptNumber()
 		}
-		a := s.planAttempt(j, t, try, m, it, now)
-		s.plannedAttempts = append(s.plannedAttempts, a)
+		attempt := s.planAttempt(job, t, attemptNumber, machine, item, now)
+		s.plannedAttempts = append(s.plannedAttempts, attempt)
 		if rule == packing.FirstFit {
-			slog.Debug("first fit", "task", a.Task.String(), "machine", m.Host, "term", s.term)
+			slog.Debug("first fit", "task", attempt.Task.String(), "machine", machine.Host, "term", s.term)
 		}
-		return m, moves
+		return machine, moves
 	}
 	return nil, nil
 }
@@ -311,18 +311,18 @@
 // insertAmongType inserts among the machines of one type. Where ordinary ones were too few for
 // others lately, what may use cheap ones goes there first. Guards against ordinary machines
 // that gangs wait for and that are filled with tasks beside empty cheap ones.
-func (s *Scheduler) insertAmongType(space *packing.Space, typ string, j *Job, it *packing.Item, ok func(*packing.Bin) bool) (*packing.Bin, []packing.Move, packing.Rule) {
-	if j.Spot && s.shortageLately(typ, s.now) {
-		if b, moves, rule := space.Insert(it, func(b *packing.Bin) bool { return b.Owner.(*fleet.Machine).Spot && ok(b) }); b != nil {
+func (s *Scheduler) insertAmongType(space *packing.Space, machineType string, j *Job, it *packing.Item, allowed func(*packing.Bin) bool) (*packing.Bin, []packing.Move, packing.Rule) {
+	if j.Spot && s.shortageLately(machineType, s.now) {
+		if b, moves, rule := space.Insert(it, func(b *packing.Bin) bool { return b.Owner.(*fleet.Machine).Spot && allowed(b) }); b != nil {
 			return b, moves, rule
 		}
 	}
-	return space.Insert(it, ok)
+	return space.Insert(it, allowed)
 }
 
 // planAttempt notes a task as meant for a machine, whose bin has its item already.
-func (s *Scheduler) planAttempt(j *Job, t int, try uint64, m *fleet.Machine, it *packing.Item, now time.Time) *fleet.Attempt {
-	a := s.fleet.Plan(m, fleet.TaskID{Job: j.ID, N: t}, try, it, now)
+func (s *Scheduler) planAttempt(j *Job, t int, attemptNumber uint64, m *fleet.Machine, it *packing.Item, now time.Time) *fleet.Attempt {
+	a := s.fleet.Plan(m, fleet.TaskID{Job: j.ID, N: t}, attemptNumber, it, now)
 	a.Job, j.attempts[t] = j, a
 	j.start.placedAt = now
 	s.raiseWatermark(j, t)
@@ -335,28 +335,28 @@
 // left, a task would otherwise wait for the report of just the machine it was planned
 // for. Nothing gets a worse place: no fetch that it would have been spared, no machine
 // that may be taken instead of one that may not, no empty machine instead of one in use.
-func (s *Scheduler) takeOverPlans(m *fleet.Machine, now time.Time) {
-	if !m.Bin.Open() || !m.Bin.AllowsJoin() {
+func (s *Scheduler) takeOverPlans(machine *fleet.Machine, now time.Time) {
+	if !machine.Bin.Open() || !machine.Bin.AllowsJoin() {
 		return
 	}
 	keep := s.plannedAttempts[:0]
-	for _, a := range s.plannedAttempts {
-		if a.State() != fleet.Planned || a.Item == nil {
+	for _, attempt := range s.plannedAttempts {
+		if attempt.State() != fleet.Planned || attempt.Item == nil {
 			continue // sent, or given up
 		}
-		j := s.jobOf(a)
+		job := s.jobOf(attempt)
 		// Guards against a task that lacks its mark and goes to the first machine that
 		// reports: it would wait there for the next report.
-		if j == nil || a.Machine == m || !s.belowWatermark(a) || !j.unconstrained() || !m.Bin.CanJoin(j.request) || !j.permits(m.Type, m.Zone, m.Spot) ||
-			m.Type != a.Machine.Type || m.Spot && !a.Machine.Spot || !m.Spot && a.Machine.Spot && s.shortageLately(m.Type, now) || isHeldForEarlier(m, j) || m.Empty() && len(a.Machine.Bin.Items()) > 1 ||
-			s.fetchTime(j) > 0 && !m.Bin.HasLabel(j.imageReadyLabel) && a.Machine.Bin.HasLabel(j.imageReadyLabel) {
-			keep = append(keep, a)
+		if job == nil || attempt.Machine == machine || !s.belowWatermark(attempt) || !job.unconstrained() || !machine.Bin.CanJoin(job.request) || !job.permits(machine.Type, machine.Zone, machine.Spot) ||
+			machine.Type != attempt.Machine.Type || machine.Spot && !attempt.Machine.Spot || !machine.Spot && attempt.Machine.Spot && s.shortageLately(machine.Type, now) || isHeldForEarlier(machine, job) || machine.Empty() && len(attempt.Machine.Bin.Items()) > 1 ||
+			s.fetchTime(job) > 0 && !machine.Bin.HasLabel(job.imageReadyLabel) && attempt.Machine.Bin.HasLabel(job.imageReadyLabel) {
+			keep = append(keep, attempt)
 			continue
 		}
-		a.Machine.Forget(a)
-		it := &packing.Item{ID: j.ID, Req: j.request, PreferLabels: j.preferLabels}
-		m.Bin.Add(it)
-		s.planAttempt(j, a.Task.N, a.Number, m, it, now)
+		attempt.Machine.Forget(attempt)
+		item := &packing.Item{ID: job.ID, Req: job.request, PreferLabels: job.preferLabels}
+		machine.Bin.Add(item)
+		s.planAttempt(job, attempt.Task.N, attempt.Number, machine, item, now)
 	}
 	clear(s.plannedAttempts[len(keep):])
 	s.plannedAttempts = keep
@@ -395,12 +395,12 @@
 
 // undoMoves undoes what listed moves did to the bins, which keep what is really there.
 func undoMoves(moves []packing.Move) {
-	for _, mv := range slices.Backward(moves) {
-		for _, it := range mv.Items {
-			if mv.To != nil {
-				mv.To.Remove(it)
+	for _, move := range slices.Backward(moves) {
+		for _, it := range move.Items {
+			if move.To != nil {
+				move.To.Remove(it)
 			}
-			mv.From.Add(it)
+			move.From.Add(it)
 		}
 	}
 }
@@ -409,60 +409,60 @@
 // once; what is on a machine is stopped there, and starts elsewhere once it is gone,
 // where the room is its job's own until then.
 func (s *Scheduler) executeMoves(moves []packing.Move, now time.Time) {
-	for _, mv := range moves {
-		for _, it := range mv.Items {
-			from := mv.From.Owner.(*fleet.Machine)
-			a, ok := it.Owner.(*fleet.Attempt)
-			if !ok || a.Stopping() {
+	for _, move := range moves {
+		for _, item := range move.Items {
+			from := move.From.Owner.(*fleet.Machine)
+			attempt, ok := item.Owner.(*fleet.Attempt)
+			if !ok || attempt.Stopping() {
 				continue
 			}
-			if a.State() == fleet.Planned {
-				from.Forget(a)
-				s.releaseAttempt(a)
+			if attempt.State() == fleet.Planned {
+				from.Forget(attempt)
+				s.releaseAttempt(attempt)
 				continue
 			}
-			j := s.jobs[a.Task.Job]
-			if j.moved == nil {
-				j.moved = map[int]struct{}{}
+			job := s.jobs[attempt.Task.Job]
+			if job.moved == nil {
+				job.moved = map[int]struct{}{}
 			}
-			j.moved[a.Task.N] = struct{}{}
+			job.moved[attempt.Task.N] = struct{}{}
 			movesTotal.Inc()
-			slog.Info("moving task", "task", a.Task.String(), "machine", from.Host, "term", s.term)
-			if mv.To != nil && mv.To.Fits(j.request) {
-				s.addClaim(j, mv.To.Owner.(*fleet.Machine), now)
+			slog.Info("moving task", "task", attempt.Task.String(), "machine", from.Host, "term", s.term)
+			if move.To != nil && move.To.Fits(job.request) {
+				s.addClaim(job, move.To.Owner.(*fleet.Machine), now)
 			}
-			s.stop(a, stopMoved, j.SaveS, now)
+			s.stop(attempt, stopMoved, job.SaveS, now)
 		}
 	}
 }
 
 // mayDispatch checks every rule once more, just before a run is written. It looks
 // at what is on machines, runs in flight included, not at what was planned.
-func (s *Scheduler) mayDispatch(a *fleet.Attempt, now time.Time) bool {
-	j, m := s.jobOf(a), a.Machine
-	if j == nil || a.State() != fleet.Planned || !s.startable(j, now) || !s.acceptsTasks(m, now) || !m.Recorded {
+func (s *Scheduler) mayDispatch(attempt *fleet.Attempt, now time.Time) bool {
+	job, machine := s.jobOf(attempt), attempt.Machine
+	if job == nil || attempt.State() != fleet.Planned || !s.startable(job, now) || !s.acceptsTasks(machine, now) || !machine.Recorded {
 		return false
 	}
-	n := a.Task.N
-	if n >= j.Tasks || has(j.done, n) || j.attempts[n] != a || j.duplicates[n] > 0 || j.isUncertain(n) || !s.belowWatermark(a) {
+	task := attempt.Task.N
+	if task >= job.Tasks || has(job.done, task) || job.attempts[task] != attempt || job.duplicates[task] > 0 || job.isUncertain(task) || !s.belowWatermark(attempt) {
 		return false
 	}
-	if !j.permits(m.Type, m.Zone, m.Spot) {
+	if !job.permits(machine.Type, machine.Zone, machine.Spot) {
 		return false
 	}
-	if (j.OneZone || j.SpreadZones) && !j.zoneAllowed(m.Zone, s.tasksByZone(j, false)) {
+	if (job.OneZone || job.SpreadZones) && !job.zoneAllowed(machine.Zone, s.tasksByZone(job, false)) {
 		return false
 	}
-	if j.limited && !s.withinLimit(j, s.quotaUsage.InUse(j.Team)) {
+	if job.limited && !s.withinLimit(job, s.quotaUsage.InUse(job.Team)) {
 		return false
 	}
-	var sum packing.Resources
-	for _, x := range m.Attempts() {
-		if x.MayBePresent() && x.Item != nil {
-			sum = sum.Add(x.Item.Req)
+	var present packing.Resources
+	for _, other := range machine.Attempts() {
+		if other.MayBePresent() && other.Item != nil {
+			present = present.Add(other.Item.Req)
 		}
 	}
-	return m.Bin.Cap.Sub(sum).Fits(j.request)
+	return machine.Bin.Cap.Sub(present).Fits(job.request)
 }
 
 // PlanMachine plans what a machine that is being answered is to start.
@@ -478,43 +478,43 @@
 // Respond compiles what a worker is told in answer to its report, of what was planned.
 // Runs go out here and nowhere else: such a response is dropped when it is late, a direct
 // command is not.
-func (s *Scheduler) Respond(m *fleet.Machine, canRun bool, now time.Time) fleet.HeartbeatResponse {
-	for _, a := range m.Attempts() {
-		if a.State() == fleet.Ended && a.Cause == fleet.CauseDone && !a.Reap {
-			j := s.jobOf(a)
+func (s *Scheduler) Respond(machine *fleet.Machine, canRun bool, now time.Time) fleet.HeartbeatResponse {
+	for _, attempt := range machine.Attempts() {
+		if attempt.State() == fleet.Ended && attempt.Cause == fleet.CauseDone && !attempt.Reap {
+			job := s.jobOf(attempt)
 			// A result may be forgotten only once the store has it.
-			a.Reap = j == nil || has(j.stored, a.Task.N)
+			attempt.Reap = job == nil || has(job.stored, attempt.Task.N)
 		}
 	}
-	resp := fleet.HeartbeatResponse{FencingToken: s.term, Commands: m.PendingCommands()}
-	delete(s.urgentMachines, m.Host)
+	resp := fleet.HeartbeatResponse{FencingToken: s.term, Commands: machine.PendingCommands()}
+	delete(s.urgentMachines, machine.Host)
 	if !canRun {
 		return resp
 	}
-	for _, a := range slices.Clone(m.Attempts()) {
-		if a.State() != fleet.Planned {
+	for _, attempt := range slices.Clone(machine.Attempts()) {
+		if attempt.State() != fleet.Planned {
 			continue
 		}
-		if j := s.jobOf(a); j != nil && s.shedsStart(j) {
+		if job := s.jobOf(attempt); job != nil && s.shedsStart(job) {
 			continue
 		}
-		if !s.mayDispatch(a, now) {
-			if (!m.Recorded || !s.belowWatermark(a)) && s.acceptsTasks(m, now) {
+		if !s.mayDispatch(attempt, now) {
+			if (!machine.Recorded || !s.belowWatermark(attempt)) && s.acceptsTasks(machine, now) {
 				continue // its record is on the way
 			}
-			m.Forget(a)
-			s.releaseAttempt(a)
+			machine.Forget(attempt)
+			s.releaseAttempt(attempt)
 			continue
 		}
-		a.Send(now)
-		j := s.jobs[a.Task.Job]
+		attempt.Send(now)
+		job := s.jobs[attempt.Task.Job]
 		runsTotal.Inc()
-		startSeconds.Update(now.Sub(j.releasedAt).Seconds())
-		s.useImage(m, j)
-		resp.Commands = append(resp.Commands, fleet.Command{Verb: fleet.VerbRun, Task: a.Task.String(), Attempt: a.Number})
+		startSeconds.Update(now.Sub(job.releasedAt).Seconds())
+		s.useImage(machine, job)
+		resp.Commands = append(resp.Commands, fleet.Command{Verb: fleet.VerbRun, Task: attempt.Task.String(), Attempt: attempt.Number})
 	}
 	if len(resp.Commands) > 0 {
-		slog.Debug("orders", "machine", m.Host, "orders", len(resp.Commands), "term", s.term)
+		slog.Debug("orders", "machine", machine.Host, "orders", len(resp.Commands), "term", s.term)
 	}
 	return resp
 }
--- a/internal/scheduler/placing_order.go
+++ b/internal/scheduler/placing_order.go
@@ -74,17 +74,17 @@
 // can take as long as the tasks, and each machine fetches each for itself.
 func newPlacingOrder(jobs []*Job, fetchTime func(*Job) time.Duration) *placingOrder {
 	o := &placingOrder{groups: map[turnGroup]positions{}, turnsOf: make(map[*Job][]int, len(jobs))}
-	for _, j := range jobs {
-		fetch := 2 * fetchTime(j)
-		if fetch > 0 && j.Shape != records.ShapeGang {
-			o.turns = append(o.turns, placingTurn{j, j.turnAt, true})
+	for _, job := range jobs {
+		fetch := 2 * fetchTime(job)
+		if fetch > 0 && job.Shape != records.ShapeGang {
+			o.turns = append(o.turns, placingTurn{job, job.turnAt, true})
 		}
-		o.turns = append(o.turns, placingTurn{j, j.turnAt.Add(fetch), false})
+		o.turns = append(o.turns, placingTurn{job, job.turnAt.Add(fetch), false})
 	}
-	sort.SliceStable(o.turns, func(a, b int) bool {
-		x, y := o.turns[a], o.turns[b]
-		if d := precedence(x.job, y.job); d != 0 {
-			return d < 0
+	sort.SliceStable(o.turns, func(attempt, b int) bool {
+		x, y := o.turns[attempt], o.turns[b]
+		if drain := precedence(x.job, y.job); drain != 0 {
+			return drain < 0
 		}
 		return x.at.Before(y.at)
 	})
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -62,108 +62,108 @@
 		return
 	}
 	var claimants []*Job
-	owing := false
-	for _, j := range s.queue(now) {
-		if s.startable(j, now) && j.nextTask() >= 0 && (priorityRank[j.Priority] <= 1 || j.protected && s.benefitsFromPreemption(j, now)) {
-			claimants = append(claimants, j)
-			owing = owing || j.protected
+	anyProtected := false
+	for _, job := range s.queue(now) {
+		if s.startable(job, now) && job.nextTask() >= 0 && (priorityRank[job.Priority] <= 1 || job.protected && s.benefitsFromPreemption(job, now)) {
+			claimants = append(claimants, job)
+			anyProtected = anyProtected || job.protected
 		}
 	}
 	if len(claimants) == 0 {
 		return
 	}
 	search := &preemptionSearch{scheduler: s, now: now, excess: map[string]quota.Amount{}, versions: map[*fleet.Machine]int{}, options: map[victimKey][]*machineOption{}}
-	if owing {
+	if anyProtected {
 		for name, t := range s.settings.Teams {
 			search.excess[name] = s.quotaUsage.NotStopping(name).Sub(quota.Amount{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs})
 		}
 	}
 	ending := s.freedRoom.previousSpan(now, s.settings.HeartbeatInterval)
-	for _, j := range claimants {
-		n := s.missingClaims(j, now)
-		if j.Shape == records.ShapeGang {
-			if n > 0 {
-				search.makeRoomForGang(j, n)
+	for _, job := range claimants {
+		missing := s.missingClaims(job, now)
+		if job.Shape == records.ShapeGang {
+			if missing > 0 {
+				search.makeRoomForGang(job, missing)
 			}
 			continue
 		}
-		for n > 0 && ending.Fits(j.request) && j.request != (packing.Resources{}) {
-			ending = ending.Sub(j.request)
-			n--
+		for missing > 0 && ending.Fits(job.request) && job.request != (packing.Resources{}) {
+			ending = ending.Sub(job.request)
+			missing--
 		}
-		if n > 0 {
-			search.makeRoomForTasks(j, n)
+		if missing > 0 {
+			search.makeRoomForTasks(job, missing)
 		}
 	}
 }
 
 // makeRoomForTasks makes room for up to n tasks of a job that need not start together.
-func (s *preemptionSearch) makeRoomForTasks(j *Job, n int) {
-	k := victimKey{placementClass: j.placementClass, rank: j.urgency.Rank, guaranteed: j.protected}
-	if j.protected {
-		k.team = j.Team
+func (s *preemptionSearch) makeRoomForTasks(job *Job, n int) {
+	k := victimKey{placementClass: job.placementClass, rank: job.urgency.Rank, guaranteed: job.protected}
+	if job.protected {
+		k.team = job.Team
 	}
 	list, ok := s.options[k]
-	if j.placementClass == 0 || !ok {
-		list = s.listOptions(j, "")
+	if job.placementClass == 0 || !ok {
+		list = s.listOptions(job, "")
 		s.options[k] = list
 	}
 	excess := maps.Clone(s.excess)
-	chosen, _ := s.choosePlaces(j, n, list, s.scheduler.zoneCounts(j), excess)
-	s.execute(j, chosen, excess)
+	chosen, _ := s.choosePlaces(job, n, list, s.scheduler.zoneCounts(job), excess)
+	s.execute(job, chosen, excess)
 }
 
 // makeRoomForGang makes room for all n tasks that a gang lacks, or for none.
-func (s *preemptionSearch) makeRoomForGang(j *Job, n int) {
-	zones := s.scheduler.zoneCounts(j)
-	for _, zone := range s.scheduler.zoneChoices(j, zones) {
+func (s *preemptionSearch) makeRoomForGang(job *Job, n int) {
+	zones := s.scheduler.zoneCounts(job)
+	for _, zone := range s.scheduler.zoneChoices(job, zones) {
 		excess := maps.Clone(s.excess)
-		chosen, left := s.choosePlaces(j, n, s.listOptions(j, zone), maps.Clone(zones), excess)
+		chosen, left := s.choosePlaces(job, n, s.listOptions(job, zone), maps.Clone(zones), excess)
 		if left == 0 {
-			s.execute(j, chosen, excess)
+			s.execute(job, chosen, excess)
 			return
 		}
 	}
-	j.noClaimsBefore = s.now.Add(s.scheduler.settings.HeartbeatInterval) // it was a look at every task, for nothing
+	job.noClaimsBefore = s.now.Add(s.scheduler.settings.HeartbeatInterval) // it was a look at every task, for nothing
 }
 
 // listOptions lists those that a job may use, in a zone or, with "", in all.
-func (s *preemptionSearch) listOptions(j *Job, zone string) []*machineOption {
+func (s *preemptionSearch) listOptions(job *Job, zone string) []*machineOption {
 	var list []*machineOption
 	for _, m := range s.scheduler.fleet.Sorted() {
-		if s.scheduler.couldHost(j, m, s.now) &&
-			(zone == "" || m.Zone == zone) && !isHeldForEarlier(m, j) {
-			v := &machineOption{machine: m}
-			s.evaluate(j, v)
-			list = append(list, v)
+		if s.scheduler.couldHost(job, m, s.now) &&
+			(zone == "" || m.Zone == zone) && !isHeldForEarlier(m, job) {
+			option := &machineOption{machine: m}
+			s.evaluate(job, option)
+			list = append(list, option)
 		}
 	}
 	return list
 }
 
 // evaluate works a machine out as it is.
-func (s *preemptionSearch) evaluate(j *Job, v *machineOption) {
-	v.free, v.victims, v.version = expectedRoom(v.machine), nil, s.versions[v.machine]
-	s.chooseVictims(j, v, s.excess)
+func (s *preemptionSearch) evaluate(j *Job, option *machineOption) {
+	option.free, option.victims, option.version = expectedRoom(option.machine), nil, s.versions[option.machine]
+	s.chooseVictims(j, option, s.excess)
 	// Room that is free now and nobody's own is for placing; only a gang, whose places
 	// are not all free at once, makes that its own as well.
-	if v.feasible && j.Shape != records.ShapeGang && v.machine.Bin.Fits(j.request) {
-		v.feasible = false
+	if option.feasible && j.Shape != records.ShapeGang && option.machine.Bin.Fits(j.request) {
+		option.feasible = false
 	}
 }
 
 // choosePlaces chooses places for up to n tasks where least work is lost, and says how many
 // it did not find.
-func (s *preemptionSearch) choosePlaces(j *Job, n int, list []*machineOption, zones map[string]int, excess map[string]quota.Amount) ([]preemptionChoice, int) {
+func (s *preemptionSearch) choosePlaces(job *Job, n int, list []*machineOption, zones map[string]int, excess map[string]quota.Amount) ([]preemptionChoice, int) {
 	var chosen []preemptionChoice
 	for n > 0 {
 		var best *machineOption
-		for _, v := range list {
-			if v.version != s.versions[v.machine] {
-				s.evaluate(j, v)
+		for _, option := range list {
+			if option.version != s.versions[option.machine] {
+				s.evaluate(job, option)
 			}
-			if v.feasible && (best == nil || v.loss < best.loss) && (zones == nil || j.zoneAllowed(v.machine.Zone, zones)) {
-				best = v
+			if option.feasible && (best == nil || option.loss < best.loss) && (zones == nil || job.zoneAllowed(option.machine.Zone, zones)) {
+				best = option
 			}
 		}
 		if best == nil {
@@ -171,117 +171,117 @@
 		}
 		// It may have been worked out for a job alike, or before others were chosen.
 		was := best.loss
-		if s.chooseVictims(j, best, excess); !best.feasible || best.loss > was {
+		if s.chooseVictims(job, best, excess); !best.feasible || best.loss > was {
 			continue
 		}
-		take := preemptionChoice{machine: best.machine, victims: best.nextVictims}
-		for _, a := range best.nextVictims {
-			best.free = best.free.Add(a.Item.Req)
-			aj := s.scheduler.jobOf(a)
-			excess[aj.Team] = excess[aj.Team].Sub(aj.taskQuota())
+		choice := preemptionChoice{machine: best.machine, victims: best.nextVictims}
+		for _, attempt := range best.nextVictims {
+			best.free = best.free.Add(attempt.Item.Req)
+			victimJob := s.scheduler.jobOf(attempt)
+			excess[victimJob.Team] = excess[victimJob.Team].Sub(victimJob.taskQuota())
 		}
 		best.victims = append(best.victims, best.nextVictims...)
-		for n > 0 && best.free.Fits(j.request) && (zones == nil || j.zoneAllowed(best.machine.Zone, zones)) {
-			best.free = best.free.Sub(j.request)
-			take.tasks++
+		for n > 0 && best.free.Fits(job.request) && (zones == nil || job.zoneAllowed(best.machine.Zone, zones)) {
+			best.free = best.free.Sub(job.request)
+			choice.tasks++
 			n--
 			if zones != nil {
 				zones[best.machine.Zone]++
 			}
 		}
-		chosen = append(chosen, take)
-		s.chooseVictims(j, best, excess)
+		chosen = append(chosen, choice)
+		s.chooseVictims(job, best, excess)
 	}
 	return chosen, n
 }
 
 // execute stops whom it takes and makes the room the job's own.
-func (s *preemptionSearch) execute(j *Job, chosen []preemptionChoice, excess map[string]quota.Amount) {
-	for _, x := range chosen {
-		for _, a := range x.victims {
-			why, save, aj := stopForGuarantee, 0.0, s.scheduler.jobOf(a)
-			if aj.CheckpointS > 0 {
-				save = aj.SaveS
+func (s *preemptionSearch) execute(job *Job, chosen []preemptionChoice, excess map[string]quota.Amount) {
+	for _, choice := range chosen {
+		for _, attempt := range choice.victims {
+			why, save, victimJob := stopForGuarantee, 0.0, s.scheduler.jobOf(attempt)
+			if victimJob.CheckpointS > 0 {
+				save = victimJob.SaveS
 			}
-			if aj.urgency.Rank > j.urgency.Rank {
+			if victimJob.urgency.Rank > job.urgency.Rank {
 				why = stopPreempted
 			}
-			if j.preempted == nil {
-				j.preempted = map[fleet.TaskID]struct{}{}
+			if job.preempted == nil {
+				job.preempted = map[fleet.TaskID]struct{}{}
 			}
-			j.preempted[a.Task] = struct{}{}
+			job.preempted[attempt.Task] = struct{}{}
 			preemptedTotal.Inc()
-			slog.Debug("stopped for another", "task", a.Task.String(), "machine", x.machine.Host, "job", j.ID, "term", s.scheduler.term)
-			s.scheduler.stop(a, why, save, s.now)
+			slog.Debug("stopped for another", "task", attempt.Task.String(), "machine", choice.machine.Host, "job", job.ID, "term", s.scheduler.term)
+			s.scheduler.stop(attempt, why, save, s.now)
 		}
-		for range x.tasks {
-			s.scheduler.addClaim(j, x.machine, s.now)
+		for range choice.tasks {
+			s.scheduler.addClaim(job, choice.machine, s.now)
 		}
-		s.versions[x.machine]++
+		s.versions[choice.machine]++
 	}
 	s.excess = excess
 }
 
 // chooseVictims finds what must be stopped on a machine to make room for one more task of a
 // job with the least loss of work. Nobody is stopped twice for the same job.
-func (s *preemptionSearch) chooseVictims(j *Job, v *machineOption, excess map[string]quota.Amount) {
-	v.nextVictims, v.loss, v.feasible = nil, 0, true
-	free, over := v.free, excess
-	for !free.Fits(j.request) {
+func (s *preemptionSearch) chooseVictims(job *Job, option *machineOption, excess map[string]quota.Amount) {
+	option.nextVictims, option.loss, option.feasible = nil, 0, true
+	free, excessThen := option.free, excess
+	for !free.Fits(job.request) {
 		var best *fleet.Attempt
 		least := 0.0
-		for _, a := range v.machine.Attempts() {
-			if !s.mayPreempt(j, a, over) || slices.Contains(v.victims, a) || slices.Contains(v.nextVictims, a) {
+		for _, attempt := range option.machine.Attempts() {
+			if !s.mayPreempt(job, attempt, excessThen) || slices.Contains(option.victims, attempt) || slices.Contains(option.nextVictims, attempt) {
 				continue
 			}
-			if l, ok := s.scheduler.lostWork(s.scheduler.jobOf(a), a, s.now); ok && (best == nil || l < least) {
-				best, least = a, l
+			if loss, ok := s.scheduler.lostWork(s.scheduler.jobOf(attempt), attempt, s.now); ok && (best == nil || loss < least) {
+				best, least = attempt, loss
 			}
 		}
 		if best == nil {
-			v.nextVictims, v.loss, v.feasible = nil, 0, false
+			option.nextVictims, option.loss, option.feasible = nil, 0, false
 			return
 		}
-		if len(v.nextVictims) == 0 {
-			over = maps.Clone(excess)
+		if len(option.nextVictims) == 0 {
+			excessThen = maps.Clone(excess)
 		}
-		bj := s.scheduler.jobOf(best)
-		over[bj.Team] = over[bj.Team].Sub(bj.taskQuota())
-		v.nextVictims = append(v.nextVictims, best)
+		victimJob := s.scheduler.jobOf(best)
+		excessThen[victimJob.Team] = excessThen[victimJob.Team].Sub(victimJob.taskQuota())
+		option.nextVictims = append(option.nextVictims, best)
 		free = free.Add(best.Item.Req)
-		v.loss += least
+		option.loss += least
 	}
 }
 
 // mayPreempt says whether an attempt may be stopped for the sake of a job: it has lower
 // priority, or its team runs more than it is guaranteed and the job's is owed that.
-func (s *preemptionSearch) mayPreempt(j *Job, a *fleet.Attempt, excess map[string]quota.Amount) bool {
-	if a.Stopping() || !a.MayBePresent() || a.State() == fleet.Sent || a.Item == nil {
+func (s *preemptionSearch) mayPreempt(job *Job, attempt *fleet.Attempt, excess map[string]quota.Amount) bool {
+	if attempt.Stopping() || !attempt.MayBePresent() || attempt.State() == fleet.Sent || attempt.Item == nil {
 		return false
 	}
-	aj := s.scheduler.jobOf(a)
-	if aj == nil || aj.Shape != records.ShapeArray || aj.protected {
+	victimJob := s.scheduler.jobOf(attempt)
+	if victimJob == nil || victimJob.Shape != records.ShapeArray || victimJob.protected {
 		return false
 	}
-	if _, before := j.preempted[a.Task]; before {
+	if _, before := job.preempted[attempt.Task]; before {
 		return false
 	}
-	over := excess[aj.Team]
-	return aj.urgency.Rank > j.urgency.Rank || j.protected && aj.Team != j.Team && (over.CPUs > quotaSlack || over.GPUs > quotaSlack)
+	excessThere := excess[victimJob.Team]
+	return victimJob.urgency.Rank > job.urgency.Rank || job.protected && victimJob.Team != job.Team && (excessThere.CPUs > quotaSlack || excessThere.GPUs > quotaSlack)
 }
 
 // lostWork is the machine time that stopping an attempt throws away, as a share of
 // a machine. Tasks about to finish are left alone.
-func (s *Scheduler) lostWork(j *Job, a *fleet.Attempt, now time.Time) (float64, bool) {
-	share := a.Machine.Bin.Cap.Share(j.request)
-	if a.RunSince.IsZero() {
+func (s *Scheduler) lostWork(job *Job, attempt *fleet.Attempt, now time.Time) (float64, bool) {
+	share := attempt.Machine.Bin.Cap.Share(job.request)
+	if attempt.RunSince.IsZero() {
 		return share * 0.5, true
 	}
-	ran := now.Sub(a.RunSince).Seconds()
-	if j.CheckpointS > 0 {
-		return share * j.SaveS, true
+	ran := now.Sub(attempt.RunSince).Seconds()
+	if job.CheckpointS > 0 {
+		return share * job.SaveS, true
 	}
-	if ran > j.EstimateS/2 {
+	if ran > job.EstimateS/2 {
 		return 0, false
 	}
 	return share * ran, true
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -20,15 +20,15 @@
 	if s.queueStale {
 		s.queueStale = false
 		s.sortedJobs = s.sortedJobs[:0]
-		for _, j := range s.jobs {
+		for _, job := range s.jobs {
 			// A job that waits for others is in no order, and thereby in no guarantee,
 			// reservation, rental plan or preemption.
-			if !j.blocked {
-				s.sortedJobs = append(s.sortedJobs, j)
+			if !job.blocked {
+				s.sortedJobs = append(s.sortedJobs, job)
 			}
 		}
-		sort.Slice(s.sortedJobs, func(a, b int) bool {
-			x, y := s.sortedJobs[a], s.sortedJobs[b]
+		sort.Slice(s.sortedJobs, func(attempt, b int) bool {
+			x, y := s.sortedJobs[attempt], s.sortedJobs[b]
 			if !x.releasedAt.Equal(y.releasedAt) {
 				return x.releasedAt.Before(y.releasedAt)
 			}
@@ -36,7 +36,7 @@
 		})
 		s.assignGuarantees(now)
 		s.assignTurns(now)
-		sort.SliceStable(s.sortedJobs, func(a, b int) bool { return servedBefore(s.sortedJobs[a], s.sortedJobs[b]) })
+		sort.SliceStable(s.sortedJobs, func(attempt, b int) bool { return servedBefore(s.sortedJobs[attempt], s.sortedJobs[b]) })
 		s.order = newPlacingOrder(s.sortedJobs, s.fetchTime)
 		s.listReservationCandidates()
 	}
@@ -73,17 +73,17 @@
 
 // fetchTime is how long a machine that suits a job, and has room for its tasks at all, takes to
 // fetch its image.
-func (s *Scheduler) fetchTime(j *Job) time.Duration {
+func (s *Scheduler) fetchTime(job *Job) time.Duration {
 	rate := 0.0
 	for name, t := range s.types {
-		if j.allowsType(name) && s.capacity(name).Fits(j.request) {
+		if job.allowsType(name) && s.capacity(name).Fits(job.request) {
 			rate = max(rate, t.FetchGBps)
 		}
 	}
 	if rate <= 0 {
 		return 0
 	}
-	return time.Duration(j.ImageGB / rate * float64(time.Second))
+	return time.Duration(job.ImageGB / rate * float64(time.Second))
 }
 
 // assignTurns orders the jobs. Critical and urgent work goes before the rest; within
@@ -93,59 +93,59 @@
 // short jobs pass long ones, and every job's turn comes. A job that can no longer
 // meet any objective lets those pass that can, until it is very late.
 func (s *Scheduler) assignTurns(now time.Time) {
-	up := 0
-	for _, m := range s.fleet.Sorted() {
-		if m.Up && !m.LeaseExpired && !m.Returning {
-			up++
+	machinesUp := 0
+	for _, machine := range s.fleet.Sorted() {
+		if machine.Up && !machine.LeaseExpired && !machine.Returning {
+			machinesUp++
 		}
 	}
-	for _, j := range s.sortedJobs {
-		j.rank = 2 * min(j.urgency.Rank, priorityRank[records.PriorityStandard])
-		age := now.Sub(j.releasedAt).Seconds()
-		last := j.targets[len(j.targets)-1]
+	for _, job := range s.sortedJobs {
+		job.rank = 2 * min(job.urgency.Rank, priorityRank[records.PriorityStandard])
+		age := now.Sub(job.releasedAt).Seconds()
+		last := job.targets[len(job.targets)-1]
 		next := last
-		for _, t := range j.targets {
-			if age+j.EstimateS*surelyRuns <= t {
+		for _, t := range job.targets {
+			if age+job.EstimateS*surelyRuns <= t {
 				next = t
 				break
 			}
 		}
-		if age+j.EstimateS*surelyRuns > last && age+j.blockedSeconds() < veryLate*(last+j.blockedSeconds()) {
-			j.rank++
+		if age+job.EstimateS*surelyRuns > last && age+job.blockedSeconds() < veryLate*(last+job.blockedSeconds()) {
+			job.rank++
 		}
-		work := float64(j.Tasks-j.doneCount) * j.EstimateS * s.smallestShare(j)
-		off := slackShare*max(next-j.EstimateS*likelyRuns, 0) + turnWeight*work/float64(max(up, 1))
-		j.turnAt = j.releasedAt.Add(time.Duration(off * float64(time.Second)))
+		work := float64(job.Tasks-job.doneCount) * job.EstimateS * s.smallestShare(job)
+		delay := slackShare*max(next-job.EstimateS*likelyRuns, 0) + turnWeight*work/float64(max(machinesUp, 1))
+		job.turnAt = job.releasedAt.Add(time.Duration(delay * float64(time.Second)))
 	}
 }
 
 // completionTargets lists, in seconds from its base, when a job should be complete by its
 // class's objectives and for the sake of the jobs behind it, the soonest first. The
 // deadline counts from the acceptance, however long the job waited.
-func (s *Scheduler) completionTargets(j *Job) []float64 {
-	var ts []float64
-	for _, o := range s.settings.Objectives {
+func (s *Scheduler) completionTargets(job *Job) []float64 {
+	var targets []float64
+	for _, objective := range s.settings.Objectives {
 		switch {
-		case o.Class != j.Class:
-		case o.Kind == config.KindDeadline && j.DeadlineS != nil:
-			ts = append(ts, *j.DeadlineS*max(o.Times, 1)-j.blockedSeconds())
-		case o.Kind == config.KindWait:
-			ts = append(ts, o.WithinS+j.EstimateS)
-		case o.WithinS > 0:
-			ts = append(ts, o.WithinS)
+		case objective.Class != job.Class:
+		case objective.Kind == config.KindDeadline && job.DeadlineS != nil:
+			targets = append(targets, *job.DeadlineS*max(objective.Times, 1)-job.blockedSeconds())
+		case objective.Kind == config.KindWait:
+			targets = append(targets, objective.WithinS+job.EstimateS)
+		case objective.WithinS > 0:
+			targets = append(targets, objective.WithinS)
 		}
 	}
-	if j.DeadlineS != nil && len(ts) == 0 {
-		ts = append(ts, *j.DeadlineS-j.blockedSeconds())
+	if job.DeadlineS != nil && len(targets) == 0 {
+		targets = append(targets, *job.DeadlineS-job.blockedSeconds())
 	}
-	if due := j.urgency.Deadline; !due.IsZero() && (j.DeadlineS == nil || due.Before(j.deadlineAt(*j.DeadlineS))) {
-		ts = append(ts, j.secondsUntil(due), j.secondsUntil(j.urgency.LatestEnd))
+	if due := job.urgency.Deadline; !due.IsZero() && (job.DeadlineS == nil || due.Before(job.deadlineAt(*job.DeadlineS))) {
+		targets = append(targets, job.secondsUntil(due), job.secondsUntil(job.urgency.LatestEnd))
 	}
-	if len(ts) == 0 {
-		ts = append(ts, noTarget*s.settings.HeartbeatInterval.Seconds())
+	if len(targets) == 0 {
+		targets = append(targets, noTarget*s.settings.HeartbeatInterval.Seconds())
 	}
-	slices.Sort(ts)
-	return ts
+	slices.Sort(targets)
+	return targets
 }
 
 const (
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -28,25 +28,25 @@
 // chargeOf is what an attempt counts for: all that may be on a machine, and apart from that
 // what is planned. Where its job is over or not known it counts for every team, as what it
 // takes until it is proven gone.
-func (s *Scheduler) chargeOf(a *fleet.Attempt) quota.Charge {
+func (s *Scheduler) chargeOf(attempt *fleet.Attempt) quota.Charge {
 	var charge quota.Charge
 	switch {
-	case !a.OnMachine() || a.State() == fleet.Ended:
+	case !attempt.OnMachine() || attempt.State() == fleet.Ended:
 		return charge
-	case a.State() == fleet.Planned:
+	case attempt.State() == fleet.Planned:
 		charge.Phase = quota.Planned
-	case a.Stopping():
+	case attempt.Stopping():
 		charge.Phase = quota.Stopping
 	default:
 		charge.Phase = quota.Present
 	}
-	if j := s.jobOf(a); j != nil {
-		charge.Team, charge.Size = j.Team, j.taskQuota()
+	if job := s.jobOf(attempt); job != nil {
+		charge.Team, charge.Size = job.Team, job.taskQuota()
 		return charge
 	}
 	charge.Shared = true
-	if a.Item != nil {
-		charge.Size = quota.Amount{CPUs: a.Item.Req.CPU, GPUs: a.Item.Req.GPU}
+	if attempt.Item != nil {
+		charge.Size = quota.Amount{CPUs: attempt.Item.Req.CPU, GPUs: attempt.Item.Req.GPU}
 	}
 	return charge
 }
@@ -54,23 +54,23 @@
 // withinLimit says whether one more task of the job is within its team's limit, beside what is
 // used.
 func (s *Scheduler) withinLimit(j *Job, used quota.Amount) bool {
-	t := j.team
+	team := j.team
 	sum := used.Add(j.taskQuota())
-	return (t.LimitCPUs == 0 || sum.CPUs <= t.LimitCPUs+quotaSlack) && (t.LimitGPUs == 0 || sum.GPUs <= t.LimitGPUs+quotaSlack)
+	return (team.LimitCPUs == 0 || sum.CPUs <= team.LimitCPUs+quotaSlack) && (team.LimitGPUs == 0 || sum.GPUs <= team.LimitGPUs+quotaSlack)
 }
 
 // waitingWithinLimit is how many of a job's tasks wait and are within its team's limit.
-func (s *Scheduler) waitingWithinLimit(j *Job) int {
-	n := j.pending() + j.relocating
-	if !j.limited {
+func (s *Scheduler) waitingWithinLimit(job *Job) int {
+	n := job.pending() + job.relocating
+	if !job.limited {
 		return n
 	}
-	t, used := j.team, s.quotaUsage.Committed(j.Team)
-	if t.LimitCPUs > 0 && j.CPUs > 0 {
-		n = min(n, int((t.LimitCPUs-used.CPUs)/j.CPUs+quotaSlack))
+	t, used := job.team, s.quotaUsage.Committed(job.Team)
+	if t.LimitCPUs > 0 && job.CPUs > 0 {
+		n = min(n, int((t.LimitCPUs-used.CPUs)/job.CPUs+quotaSlack))
 	}
-	if t.LimitGPUs > 0 && j.GPUs > 0 {
-		n = min(n, int((t.LimitGPUs-used.GPUs)/j.GPUs+quotaSlack))
+	if t.LimitGPUs > 0 && job.GPUs > 0 {
+		n = min(n, int((t.LimitGPUs-used.GPUs)/job.GPUs+quotaSlack))
 	}
 	return n
 }
--- a/internal/scheduler/rebalance.go
+++ b/internal/scheduler/rebalance.go
@@ -17,19 +17,19 @@
 		return
 	}
 	s.reportSLO(now)
-	for _, m := range s.fleet.Sorted() {
-		if m.Draining || m.Returning || m.LeaseExpired || m.Unreachable() {
-			s.cancelPlanned(m)
+	for _, machine := range s.fleet.Sorted() {
+		if machine.Draining || machine.Returning || machine.LeaseExpired || machine.Unreachable() {
+			s.cancelPlanned(machine)
 			continue
 		}
 		// A machine that went quiet keeps what it runs, but nothing is planned for it.
-		if now.Sub(m.LastStatus) > 3*s.settings.HeartbeatInterval {
-			s.cancelPlanned(m)
+		if now.Sub(machine.LastStatus) > 3*s.settings.HeartbeatInterval {
+			s.cancelPlanned(machine)
 		}
 	}
-	for _, j := range s.jobs {
-		if !j.retryAt.IsZero() && !now.Before(j.retryAt) {
-			j.retryAt = time.Time{}
+	for _, job := range s.jobs {
+		if !job.retryAt.IsZero() && !now.Before(job.retryAt) {
+			job.retryAt = time.Time{}
 			s.placementStale = true
 		}
 	}
@@ -56,15 +56,15 @@
 	if !s.settings.LoadShedding {
 		return
 	}
-	up := 0
-	for _, m := range s.fleet.Sorted() {
-		if m.Up && !m.LeaseExpired {
-			up++
+	machinesUp := 0
+	for _, machine := range s.fleet.Sorted() {
+		if machine.Up && !machine.LeaseExpired {
+			machinesUp++
 		}
 	}
 	gap, s.delay = max(gap, s.settings.HeartbeatInterval/TicksPerHeartbeat+s.delay), 0
-	if s.overload.Observe(gap, up, now) {
-		slog.Info("how the leader keeps up", "level", s.overload.Level().String(), "late", s.overload.Lag().Round(time.Millisecond), "machines", up, "term", s.term)
+	if s.overload.Observe(gap, machinesUp, now) {
+		slog.Info("how the leader keeps up", "level", s.overload.Level().String(), "late", s.overload.Lag().Round(time.Millisecond), "machines", machinesUp, "term", s.term)
 	}
 	lagSeconds.Set(s.overload.Lag().Seconds())
 }
@@ -85,28 +85,28 @@
 	s.lastRebalance = now
 	s.queueStale = true
 	s.refreshAccepting(now)
-	for _, m := range s.fleet.Sorted() {
-		reserved := m.Bin.Cap.Share(m.Bin.Used())
-		m.Bin.Load = m.Forecast.Predicted(reserved)
+	for _, machine := range s.fleet.Sorted() {
+		reserved := machine.Bin.Cap.Share(machine.Bin.Used())
+		machine.Bin.Load = machine.Forecast.Predicted(reserved)
 	}
-	for _, m := range s.fleet.Sorted() {
-		space := s.spaces[m.Type]
+	for _, machine := range s.fleet.Sorted() {
+		space := s.spaces[machine.Type]
 		if space == nil || !s.reconciled {
 			continue
 		}
-		if m.Bin.Hot() {
-			slog.Info("hot machine", "machine", m.Host, "predicted", m.Bin.Load, "reserved", m.Bin.Cap.Share(m.Bin.Used()), "term", s.term)
+		if machine.Bin.Hot() {
+			slog.Info("hot machine", "machine", machine.Host, "predicted", machine.Bin.Load, "reserved", machine.Bin.Cap.Share(machine.Bin.Used()), "term", s.term)
 		}
-		if m.Bin.Hot() || len(m.Changed) > 0 && m.Bin.Gap() >= packing.Third-1e-9 && !m.Empty() && m.Bin.Reserved() == (packing.Resources{}) {
-			old := packing.Tiny
-			for _, k := range m.Changed {
-				old = max(old, k)
+		if machine.Bin.Hot() || len(machine.Changed) > 0 && machine.Bin.Gap() >= packing.Third-1e-9 && !machine.Empty() && machine.Bin.Reserved() == (packing.Resources{}) {
+			lowest := packing.Tiny
+			for _, k := range machine.Changed {
+				lowest = max(lowest, k)
 			}
-			moves := space.Change(m.Bin, old, packing.Tiny, nil)
+			moves := space.Change(machine.Bin, lowest, packing.Tiny, nil)
 			undoMoves(moves)
 			s.executeMoves(moves, now)
 		}
-		m.Changed = m.Changed[:0]
+		machine.Changed = machine.Changed[:0]
 	}
 	s.moveReplicas(now)
 }
@@ -125,52 +125,52 @@
 // moveReplicas moves replicas off machines that are to be emptied, one of a job
 // at a time, and only while another one runs and there is a place for it.
 func (s *Scheduler) moveReplicas(now time.Time) {
-	for _, j := range s.queue(now) {
-		if j.Shape != records.ShapeService {
+	for _, job := range s.queue(now) {
+		if job.Shape != records.ShapeService {
 			continue
 		}
-		j.relocating = 0
+		job.relocating = 0
 		running := 0
-		var leave *fleet.Attempt
-		for _, a := range j.attempts {
-			if a.Stopping() {
-				leave = nil
+		var leaving *fleet.Attempt
+		for _, attempt := range job.attempts {
+			if attempt.Stopping() {
+				leaving = nil
 				running = 0
 				break
 			}
-			if a.State() == fleet.Running {
+			if attempt.State() == fleet.Running {
 				running++
-				if (a.Machine.Draining || s.isEmptying(a.Machine)) && (leave == nil || a.Task.N < leave.Task.N) {
-					leave = a
+				if (attempt.Machine.Draining || s.isEmptying(attempt.Machine)) && (leaving == nil || attempt.Task.N < leaving.Task.N) {
+					leaving = attempt
 				}
 			}
 		}
-		if leave == nil || running < 2 {
+		if leaving == nil || running < 2 {
 			continue
 		}
 		// Guards against a replica that is stopped for a machine's sake and then waits
 		// for room while its machine could have gone on with it.
-		if to := s.roomForReplica(j, leave, now); to != nil {
-			s.addClaim(j, to, now)
-			s.stop(leave, stopMoved, j.SaveS, now)
+		if to := s.roomForReplica(job, leaving, now); to != nil {
+			s.addClaim(job, to, now)
+			s.stop(leaving, stopMoved, job.SaveS, now)
 		} else {
-			j.relocating = 1
+			job.relocating = 1
 		}
 	}
 }
 
 // roomForReplica finds a machine with room for a replica that leaves another one, where
 // fewest of its job are.
-func (s *Scheduler) roomForReplica(j *Job, leave *fleet.Attempt, now time.Time) *fleet.Machine {
-	zones := s.tasksByZone(j, true)
-	if zones[leave.Machine.Zone]--; zones[leave.Machine.Zone] == 0 {
-		delete(zones, leave.Machine.Zone)
+func (s *Scheduler) roomForReplica(job *Job, leaving *fleet.Attempt, now time.Time) *fleet.Machine {
+	zones := s.tasksByZone(job, true)
+	if zones[leaving.Machine.Zone]--; zones[leaving.Machine.Zone] == 0 {
+		delete(zones, leaving.Machine.Zone)
 	}
 	var best *fleet.Machine
-	for _, m := range s.fleet.Sorted() {
-		if s.acceptsTasks(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Fits(j.request) && j.zoneAllowed(m.Zone, zones) &&
-			!isHeldForEarlier(m, j) && (best == nil || zones[m.Zone] < zones[best.Zone]) {
-			best = m
+	for _, machine := range s.fleet.Sorted() {
+		if s.acceptsTasks(machine, now) && job.permits(machine.Type, machine.Zone, machine.Spot) && machine.Bin.Fits(job.request) && job.zoneAllowed(machine.Zone, zones) &&
+			!isHeldForEarlier(machine, job) && (best == nil || zones[machine.Zone] < zones[best.Zone]) {
+			best = machine
 		}
 	}
 	return best
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -25,77 +25,77 @@
 )
 
 // Reconcile takes in a worker's report or answer. It tells whether it was stale.
-func (s *Scheduler) Reconcile(r *fleet.Heartbeat, isReport bool, now time.Time) (*fleet.Machine, bool) {
+func (s *Scheduler) Reconcile(heartbeat *fleet.Heartbeat, isHeartbeat bool, now time.Time) (*fleet.Machine, bool) {
 	reportsTotal.Inc()
 	// Guards against a late copy that brings a machine up which was given back.
-	if s.fleet.Machines[r.Machine] == nil && s.Recency(r, now) == fleet.Late {
+	if s.fleet.Machines[heartbeat.Machine] == nil && s.Recency(heartbeat, now) == fleet.Late {
 		return nil, true
 	}
-	wasDeaf := s.isUnreachable(r.Machine)
-	return s.applyOutcome(s.fleet.Apply(r, isReport, now), wasDeaf, now)
+	wasUnreachable := s.isUnreachable(heartbeat.Machine)
+	return s.applyOutcome(s.fleet.Apply(heartbeat, isHeartbeat, now), wasUnreachable, now)
 }
 
 // applyOutcome draws the conclusions from what a body changed.
-func (s *Scheduler) applyOutcome(out fleet.Outcome, wasDeaf bool, now time.Time) (*fleet.Machine, bool) {
-	m := out.Machine
-	if out.Stale {
-		return m, true
+func (s *Scheduler) applyOutcome(outcome fleet.Outcome, wasUnreachable bool, now time.Time) (*fleet.Machine, bool) {
+	machine := outcome.Machine
+	if outcome.Stale {
+		return machine, true
 	}
-	if is := m.Unreachable(); is != wasDeaf {
+	if is := machine.Unreachable(); is != wasUnreachable {
 		s.placementStale = true
-		slog.Info("whether a machine hears", "machine", m.Host, "zone", m.Zone, "hears", !is, "term", s.term)
+		slog.Info("whether a machine hears", "machine", machine.Host, "zone", machine.Zone, "hears", !is, "term", s.term)
 	}
-	if out.FirstStatus {
-		s.assignBin(m)
-		m.EmptySince = now
+	if outcome.FirstStatus {
+		s.assignBin(machine)
+		machine.EmptySince = now
 		s.placementStale = true
-		slog.Info("machine up", "machine", m.Host, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "term", s.term)
+		slog.Info("machine up", "machine", machine.Host, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot, "term", s.term)
 	}
-	for _, a := range out.Gone {
-		s.attemptLost(a, now)
+	for _, attempt := range outcome.Gone {
+		s.attemptLost(attempt, now)
 	}
-	for _, a := range out.New {
-		s.adopt(m, a)
-		if a.State() == fleet.Ended {
-			s.attemptEnded(a, now)
+	for _, attempt := range outcome.New {
+		s.adopt(machine, attempt)
+		if attempt.State() == fleet.Ended {
+			s.attemptEnded(attempt, now)
 		}
 	}
-	for _, a := range out.Running {
-		if j := s.jobOf(a); j != nil {
-			s.useImage(m, j)
-			m.Bin.SetLabel(j.imageReadyLabel, true)
-			s.noteRunning(j, a, now)
+	for _, attempt := range outcome.Running {
+		if job := s.jobOf(attempt); job != nil {
+			s.useImage(machine, job)
+			machine.Bin.SetLabel(job.imageReadyLabel, true)
+			s.noteRunning(job, attempt, now)
 		}
 	}
-	for _, a := range out.Ended {
-		s.attemptEnded(a, now)
+	for _, attempt := range outcome.Ended {
+		s.attemptEnded(attempt, now)
 	}
-	if out.Reconciled {
+	if outcome.Reconciled {
 		s.placementStale = true
 	}
-	if m.Reconciled && !s.reconciled {
-		s.clearUncertainOn(m)
+	if machine.Reconciled && !s.reconciled {
+		s.clearUncertainOn(machine)
 	}
-	if out.Upgraded {
-		slog.Info("worker has another version", "machine", m.Host, "version", m.Version, "term", s.term)
+	if outcome.Upgraded {
+		slog.Info("worker has another version", "machine", machine.Host, "version", machine.Version, "term", s.term)
 		s.lastDrainPass = time.Time{} // it may come back into service
 	}
 	if !s.reconciled {
 		s.CheckReconciled(now)
 	}
-	if !m.PreemptionAt.IsZero() {
-		s.handlePreemptionNotice(m, now)
+	if !machine.PreemptionAt.IsZero() {
+		s.handlePreemptionNotice(machine, now)
 	}
-	if m.Empty() {
-		if m.EmptySince.IsZero() {
-			m.EmptySince = now
+	if machine.Empty() {
+		if machine.EmptySince.IsZero() {
+			machine.EmptySince = now
 		}
 	} else {
-		m.EmptySince = time.Time{}
+		machine.EmptySince = time.Time{}
 	}
-	s.placementStale = s.placementStale || out.Changed
-	m.Bin.SetOpen(s.acceptsTasks(m, now))
-	return m, false
+	s.placementStale = s.placementStale || outcome.Changed
+	machine.Bin.SetOpen(s.acceptsTasks(machine, now))
+	return machine, false
 }
 
 // CheckReconciled notes when every machine that an earlier term may have used has been heard, or is
@@ -107,13 +107,13 @@
 	s.reconciled, s.placementStale = true, true
 	s.clearAllUncertain()
 	slog.Info("all machines settled", "term", s.term, "after", now.Sub(s.termStart).Round(time.Millisecond))
-	for _, j := range s.jobs {
+	for _, job := range s.jobs {
 		// A gang that already ran and lost a member under an earlier term cannot
 		// be completed any more; one that still waits can, with its own attempt.
-		if j.Shape == records.ShapeGang && j.gangAttempt != 0 && len(j.attempts) < j.Tasks {
-			for _, a := range j.attempts {
-				if a.State() == fleet.Running || a.State() == fleet.Flushing {
-					s.stopGang(j, now)
+		if job.Shape == records.ShapeGang && job.gangAttempt != 0 && len(job.attempts) < job.Tasks {
+			for _, attempt := range job.attempts {
+				if attempt.State() == fleet.Running || attempt.State() == fleet.Flushing {
+					s.stopGang(job, now)
 					break
 				}
 			}
@@ -122,41 +122,41 @@
 }
 
 // adopt takes in an attempt that a worker holds and this term did not start.
-func (s *Scheduler) adopt(m *fleet.Machine, a *fleet.Attempt) {
-	j := s.jobs[a.Task.Job]
-	a.Duplicate = true
-	if j == nil || a.Task.N >= j.Tasks {
-		if a.State() == fleet.Ended {
-			a.Reap = true
+func (s *Scheduler) adopt(machine *fleet.Machine, attempt *fleet.Attempt) {
+	job := s.jobs[attempt.Task.Job]
+	attempt.Duplicate = true
+	if job == nil || attempt.Task.N >= job.Tasks {
+		if attempt.State() == fleet.Ended {
+			attempt.Reap = true
 		} else {
 			// Its size is unknown: hold the whole machine until it is gone.
-			m.Adopt(a, &packing.Item{ID: a.Task.String(), Req: m.Bin.Cap})
-			s.stop(a, stopJobClosed, 0, time.Time{})
+			machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Req: machine.Bin.Cap})
+			s.stop(attempt, stopJobClosed, 0, time.Time{})
 		}
 		return
 	}
-	if a.State() == fleet.Ended {
+	if attempt.State() == fleet.Ended {
 		return
 	}
-	if a.Item == nil {
-		m.Adopt(a, &packing.Item{ID: a.Task.String(), Req: j.request})
-		s.useImage(m, j)
+	if attempt.Item == nil {
+		machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Req: job.request})
+		s.useImage(machine, job)
 	}
 	// A machine that nobody knew of and that has tasks is a late copy from one that was given
 	// back, or was never on record as it should have been: its tasks count, and go.
-	fits := !m.Unverified && j.attempts[a.Task.N] == nil && !has(j.done, a.Task.N) &&
-		(j.Shape != records.ShapeGang || j.gangAttempt == 0 || j.gangAttempt == a.Number)
-	if fits && a.Number>>24 != s.term {
-		a.Duplicate = false
-		j.attempts[a.Task.N], j.adoptedUntried = a, true
-		if j.Shape == records.ShapeGang {
-			j.gangAttempt = a.Number
+	isTheAttempt := !machine.Unverified && job.attempts[attempt.Task.N] == nil && !has(job.done, attempt.Task.N) &&
+		(job.Shape != records.ShapeGang || job.gangAttempt == 0 || job.gangAttempt == attempt.Number)
+	if isTheAttempt && attempt.Number>>24 != s.term {
+		attempt.Duplicate = false
+		job.attempts[attempt.Task.N], job.adoptedUntried = attempt, true
+		if job.Shape == records.ShapeGang {
+			job.gangAttempt = attempt.Number
 		}
 		return
 	}
 	// A second attempt of the same task: it goes, and until then it counts.
-	j.duplicates[a.Task.N]++
-	s.stop(a, stopDuplicate, 0, time.Time{})
+	job.duplicates[attempt.Task.N]++
+	s.stop(attempt, stopDuplicate, 0, time.Time{})
 }
 
 // attemptLost handles an attempt that is no longer on its machine and left no result.
@@ -172,64 +172,64 @@
 }
 
 // attemptEnded handles an exit.
-func (s *Scheduler) attemptEnded(a *fleet.Attempt, now time.Time) {
-	j, m := s.jobs[a.Task.Job], a.Machine
+func (s *Scheduler) attemptEnded(attempt *fleet.Attempt, now time.Time) {
+	job, machine := s.jobs[attempt.Task.Job], attempt.Machine
 	s.placementStale = true
-	if j == nil || a.Task.N >= j.Tasks {
-		a.Reap = true
+	if job == nil || attempt.Task.N >= job.Tasks {
+		attempt.Reap = true
 		return
 	}
-	drained(a, now)
-	metrics.GetOrCreateCounter(`drumpick_tasks_ended_total{cause="` + causeLabel(a.Cause) + `"}`).Inc()
-	fetched, ran := a.Durations(now)
-	became := "done"
-	if a.Cause != fleet.CauseDone {
-		became = s.countWastedStart(a)
-	}
-	slog.Debug("task ended", "task", a.Task.String(), "machine", m.Host, "cause", a.Cause, "fate", became, "saved", a.Saved,
-		"fetch_s", fetched.Seconds(), "run_s", ran.Seconds(), "term", s.term)
-	switch a.Cause {
+	drained(attempt, now)
+	metrics.GetOrCreateCounter(`drumpick_tasks_ended_total{cause="` + causeLabel(attempt.Cause) + `"}`).Inc()
+	fetchTime, runTime := attempt.Durations(now)
+	outcome := "done"
+	if attempt.Cause != fleet.CauseDone {
+		outcome = s.countWastedStart(attempt)
+	}
+	slog.Debug("task ended", "task", attempt.Task.String(), "machine", machine.Host, "cause", attempt.Cause, "fate", outcome, "saved", attempt.Saved,
+		"fetch_s", fetchTime.Seconds(), "run_s", runTime.Seconds(), "term", s.term)
+	switch attempt.Cause {
 	case fleet.CauseDone:
-		s.freedRoom.add(j.request, now, s.settings.HeartbeatInterval)
-		clear(m.ErrorJobs)
-		m.Proven = true
-		s.markDone(j, a.Task.N)
-		for _, other := range j.attempts {
-			if other != a && (other.Task == a.Task || j.Shape == records.ShapeGang && other.Number != a.Number) {
+		s.freedRoom.add(job.request, now, s.settings.HeartbeatInterval)
+		clear(machine.ErrorJobs)
+		machine.Proven = true
+		s.markDone(job, attempt.Task.N)
+		for _, other := range job.attempts {
+			if other != attempt && (other.Task == attempt.Task || job.Shape == records.ShapeGang && other.Number != attempt.Number) {
 				s.end(other) // its result is there already
 			}
 		}
-		for host := range j.errorMachines {
+		for host := range job.errorMachines {
 			// The job can run, so what failed it is the machine.
-			if bad := s.fleet.Machines[host]; bad != nil && bad != m {
+			if bad := s.fleet.Machines[host]; bad != nil && bad != machine {
 				s.markFaulty(bad)
 			}
 		}
-		clear(j.errorMachines)
-		j.backoff = 0
-		if j.Shape == records.ShapeService {
-			a.Reap = true
+		clear(job.errorMachines)
+		job.backoff = 0
+		if job.Shape == records.ShapeService {
+			attempt.Reap = true
 		}
 	case fleet.CauseError:
-		a.Reap = true
-		s.attemptFailed(j, m, now)
+		attempt.Reap = true
+		s.attemptFailed(job, machine, now)
 	case fleet.CauseFull:
-		a.Reap = true
+		attempt.Reap = true
 		// The worker knows better than we do what is free.
-		m.FullUntil = now.Add(2 * s.settings.HeartbeatInterval)
+		machine.FullUntil = now.Add(2 * s.settings.HeartbeatInterval)
 	case fleet.CauseNoSuch:
-		a.Reap = true
-		s.delayRetry(j, now)
+		attempt.Reap = true
+		s.delayRetry(job, now)
 	default:
-		a.Reap = true
+		attempt.Reap = true
 	}
-	held := j.attempts[a.Task.N] == a
-	s.releaseAttempt(a)
-	if j.Shape == records.ShapeGang && held && a.Cause != fleet.CauseDone {
-		first := !j.gangBroken // afterwards release keeps the places
-		s.stopGang(j, now)
+	held := job.attempts[attempt.Task.N] == attempt
+	s.releaseAttempt(attempt)
+	if job.Shape == records.ShapeGang && held && attempt.Cause != fleet.CauseDone {
+		first := !job.gangBroken // afterwards release keeps the places
+		s.stopGang(job, now)
 		if first {
-			s.claimFreedPlace(j, a)
+			s.claimFreedPlace(job, attempt)
 		}
 	}
 }
@@ -245,45 +245,45 @@
 }
 
 // attemptFailed weighs an error: the machine may be faulty, or the job.
-func (s *Scheduler) attemptFailed(j *Job, m *fleet.Machine, now time.Time) {
-	m.ErrorJobs[j.ID]++
-	j.errorMachines[m.Host] = true
-	fine := j.doneCount > 0
-	for _, a := range j.attempts {
-		if a.Machine != m && a.State() == fleet.Running && now.Sub(a.RunSince) > 2*s.settings.HeartbeatInterval {
-			fine = true
+func (s *Scheduler) attemptFailed(job *Job, machine *fleet.Machine, now time.Time) {
+	machine.ErrorJobs[job.ID]++
+	job.errorMachines[machine.Host] = true
+	jobRunsElsewhere := job.doneCount > 0
+	for _, attempt := range job.attempts {
+		if attempt.Machine != machine && attempt.State() == fleet.Running && now.Sub(attempt.RunSince) > 2*s.settings.HeartbeatInterval {
+			jobRunsElsewhere = true
 		}
 	}
 	switch {
-	case fine || len(m.ErrorJobs) >= 2:
-		s.markFaulty(m)
-	case len(j.errorMachines) >= 3:
+	case jobRunsElsewhere || len(machine.ErrorJobs) >= 2:
+		s.markFaulty(machine)
+	case len(job.errorMachines) >= 3:
 		// It fails wherever it goes: the machines are not to blame.
-		s.delayRetry(j, now)
-		for host := range j.errorMachines {
-			if x := s.fleet.Machines[host]; x != nil {
-				delete(x.ErrorJobs, j.ID)
-				x.FullUntil = time.Time{}
-				x.Bin.SetOpen(s.acceptsTasks(x, now))
+		s.delayRetry(job, now)
+		for host := range job.errorMachines {
+			if blamed := s.fleet.Machines[host]; blamed != nil {
+				delete(blamed.ErrorJobs, job.ID)
+				blamed.FullUntil = time.Time{}
+				blamed.Bin.SetOpen(s.acceptsTasks(blamed, now))
 			}
 		}
-		clear(j.errorMachines)
+		clear(job.errorMachines)
 	default:
-		m.FullUntil = now.Add(5 * s.settings.HeartbeatInterval)
+		machine.FullUntil = now.Add(5 * s.settings.HeartbeatInterval)
 	}
 }
 
-func (s *Scheduler) markFaulty(m *fleet.Machine) {
-	if !m.Faulty {
-		slog.Info("machine is faulty", "machine", m.Host, "errors", len(m.ErrorJobs), "term", s.term)
+func (s *Scheduler) markFaulty(machine *fleet.Machine) {
+	if !machine.Faulty {
+		slog.Info("machine is faulty", "machine", machine.Host, "errors", len(machine.ErrorJobs), "term", s.term)
 	}
-	m.Faulty, m.Draining = true, true
-	m.Bin.SetOpen(false)
-	s.cancelPlanned(m)
+	machine.Faulty, machine.Draining = true, true
+	machine.Bin.SetOpen(false)
+	s.cancelPlanned(machine)
 	s.lastDrainPass = time.Time{} // an upgrade may have to be rolled back
-	for _, d := range s.drains {
-		if d.upgrades() && d.spec.Selects(drainView(m, s.now)) && m.Version == d.state.Roll.Want && m.Cordon == nil {
-			m.Cordon = d // it stays, to get its earlier version back
+	for _, drain := range s.drains {
+		if drain.upgrades() && drain.spec.Selects(drainView(machine, s.now)) && machine.Version == drain.state.Roll.Want && machine.Cordon == nil {
+			machine.Cordon = drain // it stays, to get its earlier version back
 		}
 	}
 }
@@ -306,33 +306,33 @@
 
 // handlePreemptionNotice empties a machine that the cloud is about to take: nothing new, and
 // what can save is told to while there is time.
-func (s *Scheduler) handlePreemptionNotice(m *fleet.Machine, now time.Time) {
-	s.cancelPlanned(m)
-	m.Draining = true
-	for _, a := range m.Attempts() {
-		j := s.jobs[a.Task.Job]
-		if j == nil || a.Stopping() || a.State() != fleet.Running && a.State() != fleet.Waiting {
+func (s *Scheduler) handlePreemptionNotice(machine *fleet.Machine, now time.Time) {
+	s.cancelPlanned(machine)
+	machine.Draining = true
+	for _, attempt := range machine.Attempts() {
+		job := s.jobs[attempt.Task.Job]
+		if job == nil || attempt.Stopping() || attempt.State() != fleet.Running && attempt.State() != fleet.Waiting {
 			continue
 		}
-		left := m.PreemptionAt.Sub(now).Seconds()
-		if j.Shape == records.ShapeGang {
-			if j.CheckpointS > 0 && left > j.SaveS {
-				s.stopGang(j, now)
+		left := machine.PreemptionAt.Sub(now).Seconds()
+		if job.Shape == records.ShapeGang {
+			if job.CheckpointS > 0 && left > job.SaveS {
+				s.stopGang(job, now)
 			}
 			continue
 		}
-		if j.Shape == records.ShapeService {
+		if job.Shape == records.ShapeService {
 			continue // dealt with in rounds: a replica moves while another runs
 		}
-		switch remains := s.remainingSeconds(j, a, now); {
-		case j.CheckpointS > 0:
-			if left > j.SaveS && remains > left {
-				s.stop(a, stopPreemptionNotice, j.SaveS, now)
+		switch remains := s.remainingSeconds(job, attempt, now); {
+		case job.CheckpointS > 0:
+			if left > job.SaveS && remains > left {
+				s.stop(attempt, stopPreemptionNotice, job.SaveS, now)
 			}
 		case remains > left:
 			// What it has done is lost with the machine in any case; stopped now, it
 			// starts elsewhere now, and not when the machine is known to be gone.
-			s.stop(a, stopPreemptionNotice, 0, now)
+			s.stop(attempt, stopPreemptionNotice, 0, now)
 		}
 	}
 }
@@ -346,20 +346,20 @@
 }
 
 // stopGang stops every task of a gang so that a new attempt can start whole.
-func (s *Scheduler) stopGang(j *Job, now time.Time) {
-	if j.closed || j.doneCount == j.Tasks {
+func (s *Scheduler) stopGang(job *Job, now time.Time) {
+	if job.closed || job.doneCount == job.Tasks {
 		return
 	}
-	j.gangBroken = len(j.attempts) > 0
-	for _, a := range j.attempts {
-		if a.State() == fleet.Planned {
-			defer func() { a.Machine.Forget(a); s.releaseAttempt(a) }()
+	job.gangBroken = len(job.attempts) > 0
+	for _, attempt := range job.attempts {
+		if attempt.State() == fleet.Planned {
+			defer func() { attempt.Machine.Forget(attempt); s.releaseAttempt(attempt) }()
 			continue
 		}
-		s.stop(a, stopGangMember, j.SaveS, now)
+		s.stop(attempt, stopGangMember, job.SaveS, now)
 	}
-	if !j.gangBroken {
-		j.gangAttempt = 0
+	if !job.gangBroken {
+		job.gangAttempt = 0
 	}
 }
 
@@ -370,23 +370,23 @@
 // leader that only the workers cannot reach: it would take every machine for lost.
 // Now and then a worker is sent here again to find out whether the way is open.
 func (s *Scheduler) NeedsRelay(host string, now time.Time) bool {
-	m := s.fleet.Machines[host]
-	if m == nil {
+	machine := s.fleet.Machines[host]
+	if machine == nil {
 		return false
 	}
-	if !m.RelayedAt.IsZero() && now.Sub(m.RelayedAt) < s.settings.Lease {
-		if !m.RelayedSince.IsZero() && now.Sub(m.RelayedSince) > 4*s.settings.Lease {
-			m.RelayedSince = time.Time{}
+	if !machine.RelayedAt.IsZero() && now.Sub(machine.RelayedAt) < s.settings.Lease {
+		if !machine.RelayedSince.IsZero() && now.Sub(machine.RelayedSince) > 4*s.settings.Lease {
+			machine.RelayedSince = time.Time{}
 			return false
 		}
-		if m.RelayedSince.IsZero() {
-			m.RelayedSince = now
+		if machine.RelayedSince.IsZero() {
+			machine.RelayedSince = now
 		}
-		m.RelayedAt = now
+		machine.RelayedAt = now
 		return true
 	}
-	m.RelayedAt, m.RelayedSince = now, time.Time{}
-	return m.Up && now.Sub(m.LastStatus) > s.settings.HeartbeatInterval*3/2
+	machine.RelayedAt, machine.RelayedSince = now, time.Time{}
+	return machine.Up && now.Sub(machine.LastStatus) > s.settings.HeartbeatInterval*3/2
 }
 
 // NoteAnswered notes that a 200 was written to a report that came through a controller.
@@ -394,21 +394,21 @@
 
 // Recency tells how a report stands to what is known. One that is late, or from a machine that
 // was given back, is nothing to conclude from, not even where its worker reports.
-func (s *Scheduler) Recency(r *fleet.Heartbeat, now time.Time) fleet.Recency {
-	if s.fleet.Machines[r.Machine] == nil {
-		if _, gone := s.autoscaling.returnedAt[r.Machine]; gone {
+func (s *Scheduler) Recency(heartbeat *fleet.Heartbeat, now time.Time) fleet.Recency {
+	if s.fleet.Machines[heartbeat.Machine] == nil {
+		if _, gone := s.autoscaling.returnedAt[heartbeat.Machine]; gone {
 			return fleet.Late
 		}
 		return fleet.Current
 	}
-	return s.fleet.Recency(r, now)
+	return s.fleet.Recency(heartbeat, now)
 }
 
 // RenewOvertaken answers a report that an answer to a direct command has overtaken: its worker's lease is
 // renewed, and what is harmless late is told again. ok is false where the report is late, or its
 // machine is not on record, so that the next leader would not know whom it may hold.
-func (s *Scheduler) RenewOvertaken(m *fleet.Machine, r *fleet.Heartbeat, now time.Time) (resp fleet.HeartbeatResponse, ok bool) {
-	if m == nil || !m.Recorded || !m.Overtaken(r, now) {
+func (s *Scheduler) RenewOvertaken(m *fleet.Machine, heartbeat *fleet.Heartbeat, now time.Time) (resp fleet.HeartbeatResponse, ok bool) {
+	if m == nil || !m.Recorded || !m.Overtaken(heartbeat, now) {
 		return resp, false
 	}
 	m.Renewed(now)
@@ -421,13 +421,13 @@
 }
 
 // ApplyProbe takes in what one says that was asked.
-func (s *Scheduler) ApplyProbe(q fleet.Probe, r *fleet.Heartbeat, now time.Time) {
-	wasDeaf := s.isUnreachable(q.Host)
-	out, anew := s.fleet.ApplyProbe(q, r, now)
-	if anew {
-		slog.Info("machine has started anew", "machine", q.Host, "stint", r.Incarnation, "tick", r.Sequence, "gone", len(out.Gone), "term", s.term)
+func (s *Scheduler) ApplyProbe(probe fleet.Probe, heartbeat *fleet.Heartbeat, now time.Time) {
+	wasUnreachable := s.isUnreachable(probe.Host)
+	outcome, restarted := s.fleet.ApplyProbe(probe, heartbeat, now)
+	if restarted {
+		slog.Info("machine has started anew", "machine", probe.Host, "stint", heartbeat.Incarnation, "tick", heartbeat.Sequence, "gone", len(outcome.Gone), "term", s.term)
 	}
-	s.applyOutcome(out, wasDeaf, now)
+	s.applyOutcome(outcome, wasUnreachable, now)
 }
 
 // ExpireLeases gives up machines whose lease has ended.
@@ -443,8 +443,8 @@
 // machines, unheard of, that ends the doubt.
 func (s *Scheduler) ExpireEarlierLeases(now time.Time) int {
 	n, gone := s.fleet.ExpireEarlierLeases()
-	for _, a := range gone {
-		s.attemptLost(a, now)
+	for _, attempt := range gone {
+		s.attemptLost(attempt, now)
 	}
 	s.placementStale = true
 	if !s.reconciled {
@@ -455,11 +455,11 @@
 
 // RemoveMachine forgets a machine that is surely gone.
 func (s *Scheduler) RemoveMachine(host string, now time.Time) {
-	if m := s.fleet.Machines[host]; m != nil && s.spaces[m.Type] != nil {
-		s.spaces[m.Type].Drop(m.Bin)
+	if machine := s.fleet.Machines[host]; machine != nil && s.spaces[machine.Type] != nil {
+		s.spaces[machine.Type].Drop(machine.Bin)
 	}
-	for _, a := range s.fleet.Remove(host) {
-		s.attemptLost(a, now)
+	for _, attempt := range s.fleet.Remove(host) {
+		s.attemptLost(attempt, now)
 	}
 	s.placementStale = true
 	s.removedMachines = append(s.removedMachines, host)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -22,41 +22,41 @@
 	}
 	var due []*Job
 	s.queue(now)
-	for _, j := range s.reservationCandidates {
-		if s.needsReservation(j, now) {
-			due = append(due, j)
+	for _, job := range s.reservationCandidates {
+		if s.needsReservation(job, now) {
+			due = append(due, job)
 		}
 	}
-	missed := func(j *Job) bool {
-		w := now.Sub(j.waitStart())
+	missed := func(job *Job) bool {
+		w := now.Sub(job.waitStart())
 		return w > s.settings.ReservationBound && w < 2*s.settings.ReservationBound
 	}
-	slices.SortStableFunc(due, func(a, b *Job) int {
-		if missed(a) != missed(b) {
-			return firstIf(!missed(a))
+	slices.SortStableFunc(due, func(attempt, b *Job) int {
+		if missed(attempt) != missed(b) {
+			return firstIf(!missed(attempt))
 		}
-		return a.waitStart().Compare(b.waitStart())
+		return attempt.waitStart().Compare(b.waitStart())
 	})
 	ahead := map[string]int{}
-	for _, j := range due {
-		if j.Shape != records.ShapeGang {
-			s.reserveOnePlace(j, now)
+	for _, job := range due {
+		if job.Shape != records.ShapeGang {
+			s.reserveOnePlace(job, now)
 			continue
 		}
-		if j.reservedZone == "" {
-			if now.Before(j.reserveNotBefore) {
+		if job.reservedZone == "" {
+			if now.Before(job.reserveNotBefore) {
 				continue // it was a look at every task
 			}
-			j.reserveNotBefore = now.Add(s.settings.HeartbeatInterval / 4)
-			zone, in := s.chooseReservationZone(j, ahead, now)
-			if zone == "" || !reservation.Due(now.Sub(j.waitStart()), time.Duration(in*float64(time.Second)), s.settings.ReservationBound) {
+			job.reserveNotBefore = now.Add(s.settings.HeartbeatInterval / 4)
+			zone, seconds := s.chooseReservationZone(job, ahead, now)
+			if zone == "" || !reservation.Due(now.Sub(job.waitStart()), time.Duration(seconds*float64(time.Second)), s.settings.ReservationBound) {
 				continue
 			}
-			j.reservedZone = zone
-			slog.Debug("saves room", "job", j.ID, "tasks", j.Tasks, "zone", j.reservedZone, "waited_s", now.Sub(j.waitStart()).Seconds(), "in_s", in, "term", s.term)
+			job.reservedZone = zone
+			slog.Debug("saves room", "job", job.ID, "tasks", job.Tasks, "zone", job.reservedZone, "waited_s", now.Sub(job.waitStart()).Seconds(), "in_s", seconds, "term", s.term)
 		}
-		zone := j.reservedZone
-		ahead[zone] += s.reservePlaces(j, ahead[zone] > 0, now)
+		zone := job.reservedZone
+		ahead[zone] += s.reservePlaces(job, ahead[zone] > 0, now)
 	}
 }
 
@@ -83,53 +83,53 @@
 
 // needsReservation says whether room is to be saved for a job by now: for a gang all its places, for an
 // array the first.
-func (s *Scheduler) needsReservation(j *Job, now time.Time) bool {
-	waited := now.Sub(j.waitStart())
-	is := waited >= reservation.EarliestWait(s.settings.ReservationBound) && len(j.attempts)+len(j.duplicates) == 0 && s.startable(j, now) && j.nextTask() >= 0
+func (s *Scheduler) needsReservation(job *Job, now time.Time) bool {
+	waited := now.Sub(job.waitStart())
+	needed := waited >= reservation.EarliestWait(s.settings.ReservationBound) && len(job.attempts)+len(job.duplicates) == 0 && s.startable(job, now) && job.nextTask() >= 0
 	switch {
-	case !is:
-	case j.Shape == records.ShapeGang:
-		is = j.gangAttempt == 0 && s.waitingWithinLimit(j) >= j.pending()
+	case !needed:
+	case job.Shape == records.ShapeGang:
+		needed = job.gangAttempt == 0 && s.waitingWithinLimit(job) >= job.pending()
 	default:
-		is = j.Shape == records.ShapeArray && j.doneCount == 0 && !j.start.reported && reservation.Due(waited, 0, s.settings.ReservationBound) && s.waitingWithinLimit(j) > 0
+		needed = job.Shape == records.ShapeArray && job.doneCount == 0 && !job.start.reported && reservation.Due(waited, 0, s.settings.ReservationBound) && s.waitingWithinLimit(job) > 0
 	}
-	if !is {
-		j.reservedZone = ""
+	if !needed {
+		job.reservedZone = ""
 	}
-	return is
+	return needed
 }
 
 // chooseReservationZone chooses the zone where a job's places fall free soonest.
-func (s *Scheduler) chooseReservationZone(j *Job, ahead map[string]int, now time.Time) (zone string, in float64) {
+func (s *Scheduler) chooseReservationZone(job *Job, ahead map[string]int, now time.Time) (zone string, in float64) {
 	byZone := map[string][]float64{}
-	for _, m := range s.fleet.Sorted() {
-		if !s.couldHost(j, m, now) {
+	for _, machine := range s.fleet.Sorted() {
+		if !s.couldHost(job, machine, now) {
 			continue
 		}
-		zone := m.Zone
-		if !j.OneZone {
+		zone := machine.Zone
+		if !job.OneZone {
 			zone = reservation.AllZones
 		}
-		byZone[zone] = append(byZone[zone], s.secondsUntilPlaces(j, m, now)...)
+		byZone[zone] = append(byZone[zone], s.secondsUntilPlaces(job, machine, now)...)
 	}
 	var zones []reservation.Zone
 	for name, in := range byZone {
 		zones = append(zones, reservation.Zone{Name: name, FreeAfterS: in, Committed: ahead[name]})
 	}
-	return reservation.ChooseZone(zones, j.pending())
+	return reservation.ChooseZone(zones, job.pending())
 }
 
 // secondsUntilPlaces guesses when a machine has room for one, two and more tasks of a job, in seconds,
 // if it is given nothing else.
 func (s *Scheduler) secondsUntilPlaces(j *Job, m *fleet.Machine, now time.Time) []float64 {
-	var ins []float64
+	var seconds []float64
 	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
 	for _, e := range append([]ending{{}}, s.endings(m, now)...) {
 		for free = free.Add(e.room); free.Fits(j.request); free = free.Sub(j.request) {
-			ins = append(ins, e.seconds)
+			seconds = append(seconds, e.seconds)
 		}
 	}
-	return ins
+	return seconds
 }
 
 // reservePlaces makes places in the chosen zone the job's own, as many as it has tasks: what is free,
@@ -137,66 +137,66 @@
 // many are not free yet. What has begun to empty goes on, unless another place is free first.
 // Guards against machines of which small tasks always take the part that is free: none of them
 // is ever free as a whole.
-func (s *Scheduler) reservePlaces(j *Job, ahead bool, now time.Time) (lacks int) {
-	was := map[*fleet.Machine]bool{}
-	for _, cl := range j.claims {
-		was[cl.machine] = true
+func (s *Scheduler) reservePlaces(job *Job, ahead bool, now time.Time) (lacks int) {
+	claimedBefore := map[*fleet.Machine]bool{}
+	for _, cl := range job.claims {
+		claimedBefore[cl.machine] = true
 	}
-	s.suspendClaims(j)
-	n := j.pending()
+	s.suspendClaims(job)
+	n := job.pending()
 	type place struct {
-		m  *fleet.Machine
-		in float64
+		machine *fleet.Machine
+		seconds float64
 	}
 	var list []place
-	for _, m := range s.fleet.Sorted() {
-		if j.reservedZone != reservation.AllZones && m.Zone != j.reservedZone || !s.couldHost(j, m, now) {
+	for _, machine := range s.fleet.Sorted() {
+		if job.reservedZone != reservation.AllZones && machine.Zone != job.reservedZone || !s.couldHost(job, machine, now) {
 			continue
 		}
-		for _, in := range s.secondsUntilPlaces(j, m, now) {
-			if in > 0 && was[m] {
-				in /= 2
+		for _, seconds := range s.secondsUntilPlaces(job, machine, now) {
+			if seconds > 0 && claimedBefore[machine] {
+				seconds /= 2
 			}
-			list = append(list, place{m, in})
+			list = append(list, place{machine, seconds})
 		}
 	}
-	slices.SortStableFunc(list, func(a, b place) int { return cmp.Compare(a.in, b.in) })
+	slices.SortStableFunc(list, func(attempt, b place) int { return cmp.Compare(attempt.seconds, b.seconds) })
 	if len(list) < n || n == 0 {
 		// Guards against a gang that waits for a zone whose machines are gone.
-		j.reservedZone = ""
+		job.reservedZone = ""
 		return 0
 	}
 	list = list[:n]
-	need := time.Duration(list[n-1].in * float64(time.Second))
-	urgent := !ahead && reservation.Urgent(now.Sub(j.waitStart()), need, s.settings.ReservationBound)
-	for _, p := range list {
-		if p.in > 0 {
+	need := time.Duration(list[n-1].seconds * float64(time.Second))
+	urgent := !ahead && reservation.Urgent(now.Sub(job.waitStart()), need, s.settings.ReservationBound)
+	for _, candidate := range list {
+		if candidate.seconds > 0 {
 			lacks++
 		}
-		if p.in <= 0 || urgent {
-			s.addClaim(j, p.m, now)
+		if candidate.seconds <= 0 || urgent {
+			s.addClaim(job, candidate.machine, now)
 		}
 	}
 	return lacks
 }
 
 // reserveOnePlace makes the place that is free soonest the own of an array of which no task has begun.
-func (s *Scheduler) reserveOnePlace(j *Job, now time.Time) {
-	j.reservedZone = reservation.AllZones
-	if len(j.claims) > 0 {
+func (s *Scheduler) reserveOnePlace(job *Job, now time.Time) {
+	job.reservedZone = reservation.AllZones
+	if len(job.claims) > 0 {
 		return
 	}
 	var best *fleet.Machine
 	soonest := 0.0
-	for _, m := range s.fleet.Sorted() {
-		if !s.couldHost(j, m, now) || m.Bin.Reserved() != (packing.Resources{}) {
+	for _, machine := range s.fleet.Sorted() {
+		if !s.couldHost(job, machine, now) || machine.Bin.Reserved() != (packing.Resources{}) {
 			continue
 		}
-		if in := s.secondsUntilRoom(j, m, now); best == nil || in < soonest {
-			best, soonest = m, in
+		if seconds := s.secondsUntilRoom(job, machine, now); best == nil || seconds < soonest {
+			best, soonest = machine, seconds
 		}
 	}
 	if best != nil {
-		s.addClaim(j, best, now)
+		s.addClaim(job, best, now)
 	}
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -162,32 +162,32 @@
 }
 
 // assignPlacementClass gives a job the numbers that it shares with jobs alike.
-func (s *Scheduler) assignPlacementClass(j *Job) {
-	if !j.unconstrained() {
+func (s *Scheduler) assignPlacementClass(job *Job) {
+	if !job.unconstrained() {
 		return
 	}
-	f := placementKey{request: j.request, spot: j.Spot}
-	if j.Job.Zone != nil {
-		f.zone = *j.Job.Zone
+	f := placementKey{request: job.request, spot: job.Spot}
+	if job.Job.Zone != nil {
+		f.zone = *job.Job.Zone
 	}
-	j.placementClass = s.classNumber(f)
-	f.image = j.Image
-	j.imageClass = s.classNumber(f)
+	job.placementClass = s.classNumber(f)
+	f.image = job.Image
+	job.imageClass = s.classNumber(f)
 }
 
 // jobOf returns the open job of an attempt, nil if there is none.
-func (s *Scheduler) jobOf(a *fleet.Attempt) *Job {
-	j, ok := a.Job.(*Job)
+func (s *Scheduler) jobOf(attempt *fleet.Attempt) *Job {
+	job, ok := attempt.Job.(*Job)
 	if !ok {
-		if j = s.jobs[a.Task.Job]; j == nil {
+		if job = s.jobs[attempt.Task.Job]; job == nil {
 			return nil
 		}
-		a.Job = j
+		attempt.Job = job
 	}
-	if j.closed {
+	if job.closed {
 		return nil
 	}
-	return j
+	return job
 }
 
 func has(set []uint64, i int) bool { return set[i/64]>>(i%64)&1 == 1 }
@@ -267,73 +267,73 @@
 	for n := range s.types {
 		s.typeNames = append(s.typeNames, n)
 	}
-	sort.Slice(s.typeNames, func(i, j int) bool {
-		a, b := s.types[s.typeNames[i]], s.types[s.typeNames[j]]
-		if (a.GPUs > 0) != (b.GPUs > 0) {
+	sort.Slice(s.typeNames, func(i, job int) bool {
+		attempt, b := s.types[s.typeNames[i]], s.types[s.typeNames[job]]
+		if (attempt.GPUs > 0) != (b.GPUs > 0) {
 			return b.GPUs > 0 // GPU types pack apart and come last
 		}
-		if a.Price != b.Price {
-			return a.Price < b.Price
+		if attempt.Price != b.Price {
+			return attempt.Price < b.Price
 		}
-		return a.Name < b.Name
+		return attempt.Name < b.Name
 	})
-	for _, m := range s.fleet.Machines {
-		s.assignBin(m)
+	for _, machine := range s.fleet.Machines {
+		s.assignBin(machine)
 	}
 	s.placementStale = true
 }
 
 // assignBin gives a machine's bin the capacity of its type, and its place among them.
-func (s *Scheduler) assignBin(m *fleet.Machine) {
-	t, ok := s.types[m.Type]
+func (s *Scheduler) assignBin(machine *fleet.Machine) {
+	t, ok := s.types[machine.Type]
 	if !ok {
 		return
 	}
-	m.Bin.SetCap(packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB})
-	space := s.spaces[m.Type]
+	machine.Bin.SetCap(packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB})
+	space := s.spaces[machine.Type]
 	if space == nil {
-		space = &packing.Space{Ranked: true, Movable: func(it *packing.Item) bool {
-			a, ok := it.Owner.(*fleet.Attempt)
-			return ok && s.movable(s.jobOf(a), a, s.now)
-		}, Suits: func(it *packing.Item, to *packing.Bin) bool {
+		space = &packing.Space{Ranked: true, Movable: func(item *packing.Item) bool {
+			attempt, ok := item.Owner.(*fleet.Attempt)
+			return ok && s.movable(s.jobOf(attempt), attempt, s.now)
+		}, Suits: func(item *packing.Item, to *packing.Bin) bool {
 			// Guards against moves that throw a fetch away to begin another: what was
 			// only planned moves freely, what is on a machine to where its image is.
-			a, ok := it.Owner.(*fleet.Attempt)
-			if !ok || a.State() == fleet.Planned {
+			attempt, ok := item.Owner.(*fleet.Attempt)
+			if !ok || attempt.State() == fleet.Planned {
 				return true
 			}
 			// Guards against two machines that empty into each other.
 			if slices.ContainsFunc(to.Owner.(*fleet.Machine).Attempts(), isLeaving) {
 				return false
 			}
-			j := s.jobOf(a)
-			return j != nil && (s.fetchTime(j) == 0 || to.HasLabel(j.imageReadyLabel))
+			job := s.jobOf(attempt)
+			return job != nil && (s.fetchTime(job) == 0 || to.HasLabel(job.imageReadyLabel))
 		}}
-		s.spaces[m.Type] = space
+		s.spaces[machine.Type] = space
 	}
-	if !space.Has(m.Bin) {
-		space.Add(m.Bin)
+	if !space.Has(machine.Bin) {
+		space.Add(machine.Bin)
 	}
 }
 
 // AddJob takes in an open job.
-func (s *Scheduler) AddJob(rec records.Job, stamp uint64, now, wall time.Time) *Job {
-	if j := s.jobs[rec.ID]; j != nil {
-		return j
-	}
-	words := (rec.Tasks + 63) / 64
-	j := &Job{
-		Job: rec, Revision: stamp,
-		request:         packing.Resources{CPU: rec.CPUs, GPU: rec.GPUs, Mem: rec.MemGB},
-		imageReadyLabel: fleet.ImageReadyLabel(rec.Image),
+func (s *Scheduler) AddJob(record records.Job, revision uint64, now, wall time.Time) *Job {
+	if job := s.jobs[record.ID]; job != nil {
+		return job
+	}
+	words := (record.Tasks + 63) / 64
+	job := &Job{
+		Job: record, Revision: revision,
+		request:         packing.Resources{CPU: record.CPUs, GPU: record.GPUs, Mem: record.MemGB},
+		imageReadyLabel: fleet.ImageReadyLabel(record.Image),
 		done:            make([]uint64, words), stored: make([]uint64, words), retryListed: make([]uint64, words),
 		dirtyParts: map[int]bool{}, attempts: map[int]*fleet.Attempt{}, duplicates: map[int]int{},
 		errorMachines: map[string]bool{},
 	}
-	age := max(wall.Sub(time.UnixMilli(rec.AcceptedMS)), 0)
-	j.Accepted = now.Add(-age)
-	j.releasedAt, j.notStartedBefore = j.Accepted, stamp
-	j.start.learnedAt = now
+	age := max(wall.Sub(time.UnixMilli(record.AcceptedMS)), 0)
+	job.Accepted = now.Add(-age)
+	job.releasedAt, job.notStartedBefore = job.Accepted, revision
+	job.start.learnedAt = now
 	if len(s.placementClasses) > 4*len(s.jobs)+64 {
 		// Most numbers are of jobs long over.
 		clear(s.placementClasses)
@@ -341,35 +341,35 @@
 			s.assignPlacementClass(o)
 		}
 	}
-	s.assignPlacementClass(j)
-	j.setTeam(s.settings.Teams[j.Team])
-	s.jobs[rec.ID] = j
+	s.assignPlacementClass(job)
+	job.setTeam(s.settings.Teams[job.Team])
+	s.jobs[record.ID] = job
 	s.queueStale, s.placementStale = true, true
-	s.slo.JobArrived(j.ID, j.Class, j.Team, float64(j.Tasks)*max(j.request.CPU, j.request.GPU), j.releasedAt)
-	s.addDependencies(j)
-	s.markUncertain(j)
-	s.raiseForNewJob(j)
-	for _, a := range s.fleet.OfJob(rec.ID) {
-		s.updateCharge(a) // until now its owner was not known
-	}
-	return j
+	s.slo.JobArrived(job.ID, job.Class, job.Team, float64(job.Tasks)*max(job.request.CPU, job.request.GPU), job.releasedAt)
+	s.addDependencies(job)
+	s.markUncertain(job)
+	s.raiseForNewJob(job)
+	for _, attempt := range s.fleet.OfJob(record.ID) {
+		s.updateCharge(attempt) // until now its owner was not known
+	}
+	return job
 }
 
 // LoadDone takes in stored ranges of finished tasks.
 func (s *Scheduler) LoadDone(id string, chunk int, ranges string) error {
-	j := s.jobs[id]
-	if j == nil {
+	job := s.jobs[id]
+	if job == nil {
 		return nil
 	}
 	s.slo.JobBegan(id, s.termStart)
 	base := chunk * s.settings.ChunkTasks
 	return records.ParseRanges(ranges, func(i int) {
-		if n := base + i; n < j.Tasks {
-			j.stored[n/64] |= 1 << (n % 64)
-			if j.Shape == records.ShapeGang {
-				s.markDone(j, n) // and so its mates, which may not be stored
-			} else if !has(j.done, n) {
-				s.noteDone(j, n)
+		if task := base + i; task < job.Tasks {
+			job.stored[task/64] |= 1 << (task % 64)
+			if job.Shape == records.ShapeGang {
+				s.markDone(job, task) // and so its mates, which may not be stored
+			} else if !has(job.done, task) {
+				s.noteDone(job, task)
 			}
 		}
 	})
@@ -384,10 +384,10 @@
 }
 
 // LoadMachine takes in a machine that an earlier term may have used.
-func (s *Scheduler) LoadMachine(host string, h records.Machine, now time.Time) {
-	m := s.fleet.GetOrCreate(host, h.Addr, h.Type, h.Zone, h.Spot)
+func (s *Scheduler) LoadMachine(host string, record records.Machine, now time.Time) {
+	m := s.fleet.GetOrCreate(host, record.Addr, record.Type, record.Zone, record.Spot)
 	m.Recorded, m.Inherited = true, true
-	m.Incarnation = max(m.Incarnation, h.Incarnation)
+	m.Incarnation = max(m.Incarnation, record.Incarnation)
 	m.SilentSince = now
 	s.autoscaling.lastListed[host] = now // it was up before, so a list from later on must have it
 	s.assignBin(m)
@@ -398,20 +398,20 @@
 func (s *Scheduler) CloseJob(id string) {
 	s.dependencies.Close(id)
 	s.applyDependencyChanges()
-	j := s.jobs[id]
-	if j == nil {
+	job := s.jobs[id]
+	if job == nil {
 		return
 	}
-	j.closed = true
-	s.slo.JobClosed(id, j.doneCount == j.Tasks, s.now)
-	s.dropAllClaims(j)
+	job.closed = true
+	s.slo.JobClosed(id, job.doneCount == job.Tasks, s.now)
+	s.dropAllClaims(job)
 	delete(s.jobs, id)
-	delete(s.complete, j)
+	delete(s.complete, job)
 	s.closedJobs = append(s.closedJobs, id)
 	s.queueStale, s.placementStale = true, true
-	for _, a := range s.fleet.OfJob(id) {
-		s.updateCharge(a)
-		s.end(a)
+	for _, attempt := range s.fleet.OfJob(id) {
+		s.updateCharge(attempt)
+		s.end(attempt)
 	}
 }
 
@@ -441,8 +441,8 @@
 
 // stop marks an attempt to be killed, and why: the first reason stays. The kill is repeated
 // until its exit shows.
-func (s *Scheduler) stop(a *fleet.Attempt, why string, grace float64, now time.Time) {
-	if !a.RequestStop(why, grace, now) {
+func (s *Scheduler) stop(a *fleet.Attempt, reason string, grace float64, now time.Time) {
+	if !a.RequestStop(reason, grace, now) {
 		return
 	}
 	s.urgentMachines[a.Machine.Host] = true
@@ -461,12 +461,12 @@
 
 // Progress tells how a job stands, for display.
 func (s *Scheduler) Progress(id string) (status string, done, running int, ok bool) {
-	j := s.jobs[id]
-	if j == nil {
+	job := s.jobs[id]
+	if job == nil {
 		return "", 0, 0, false
 	}
-	for _, a := range j.attempts {
-		if a.State() == fleet.Running || a.State() == fleet.Flushing {
+	for _, attempt := range job.attempts {
+		if attempt.State() == fleet.Running || attempt.State() == fleet.Flushing {
 			running++
 		}
 	}
@@ -474,24 +474,24 @@
 	if running > 0 {
 		status = records.StatusRunning
 	}
-	return status, j.doneCount, running, true
+	return status, job.doneCount, running, true
 }
 
-func (s *Scheduler) markDone(j *Job, n int) {
-	if n >= j.Tasks || has(j.done, n) || j.Shape == records.ShapeService {
+func (s *Scheduler) markDone(job *Job, n int) {
+	if n >= job.Tasks || has(job.done, n) || job.Shape == records.ShapeService {
 		return
 	}
 	first, last := n, n
-	if j.Shape == records.ShapeGang {
+	if job.Shape == records.ShapeGang {
 		// A gang completes together (PROTOCOL). Guards against one of which some results reached
 		// the last leader, or reach us from one machine and not from another that is gone: the
 		// rest would begin alone, wait for mates in vain, and the job would never be done.
-		first, last = 0, j.Tasks-1
+		first, last = 0, job.Tasks-1
 	}
 	for n := first; n <= last; n++ {
-		if !has(j.done, n) {
-			s.noteDone(j, n)
-			j.dirtyParts[s.part(n)] = true
+		if !has(job.done, n) {
+			s.noteDone(job, n)
+			job.dirtyParts[s.part(n)] = true
 		}
 	}
 }
@@ -587,33 +587,33 @@
 }
 
 // releaseAttempt gives a task back to the queue once its attempt is gone.
-func (s *Scheduler) releaseAttempt(a *fleet.Attempt) {
-	j := s.jobs[a.Task.Job]
+func (s *Scheduler) releaseAttempt(attempt *fleet.Attempt) {
+	job := s.jobs[attempt.Task.Job]
 	s.placementStale = true
-	if j == nil {
+	if job == nil {
 		return
 	}
-	if j.attempts[a.Task.N] == a {
-		delete(j.attempts, a.Task.N)
-		if a.Task.N < j.nextUntried && !has(j.done, a.Task.N) {
-			s.retryTask(j, a.Task.N)
+	if job.attempts[attempt.Task.N] == attempt {
+		delete(job.attempts, attempt.Task.N)
+		if attempt.Task.N < job.nextUntried && !has(job.done, attempt.Task.N) {
+			s.retryTask(job, attempt.Task.N)
 		}
-		if j.Shape == records.ShapeGang {
-			s.claimFreedPlace(j, a)
-			if len(j.attempts) == 0 {
-				if j.start.reported {
-					j.gangBrokenAt = s.now
+		if job.Shape == records.ShapeGang {
+			s.claimFreedPlace(job, attempt)
+			if len(job.attempts) == 0 {
+				if job.start.reported {
+					job.gangBrokenAt = s.now
 				}
-				j.gangAttempt, j.gangBroken = 0, false
+				job.gangAttempt, job.gangBroken = 0, false
 			}
 		}
 		return
 	}
-	if a.Duplicate && a.Task.N < j.Tasks {
-		if j.duplicates[a.Task.N]--; j.duplicates[a.Task.N] <= 0 {
-			delete(j.duplicates, a.Task.N)
-			if a.Task.N < j.nextUntried && j.attempts[a.Task.N] == nil && !has(j.done, a.Task.N) {
-				s.retryTask(j, a.Task.N)
+	if attempt.Duplicate && attempt.Task.N < job.Tasks {
+		if job.duplicates[attempt.Task.N]--; job.duplicates[attempt.Task.N] <= 0 {
+			delete(job.duplicates, attempt.Task.N)
+			if attempt.Task.N < job.nextUntried && job.attempts[attempt.Task.N] == nil && !has(job.done, attempt.Task.N) {
+				s.retryTask(job, attempt.Task.N)
 			}
 		}
 	}
--- a/internal/scheduler/slo.go
+++ b/internal/scheduler/slo.go
@@ -27,20 +27,20 @@
 		return
 	}
 	s.lastSLOReport = now
-	for _, l := range s.slo.Summarize(s.settings.BeginWithin, now) {
-		for what, n := range map[string]int{"came": l.Arrived, "begun": l.Begun, "done": l.Done, "late": l.Late} {
+	for _, line := range s.slo.Summarize(s.settings.BeginWithin, now) {
+		for what, n := range map[string]int{"came": line.Arrived, "begun": line.Begun, "done": line.Done, "late": line.Late} {
 			// Guards against metrics without end: users make classes up, settings do not.
-			if l.Dimension != slo.ByTeam && !s.hasObjective(l.Name) {
+			if line.Dimension != slo.ByTeam && !s.hasObjective(line.Name) {
 				break
 			}
-			metrics.GetOrCreateGauge(`drumpick_served_jobs{by="`+l.Dimension+`",name="`+label(l.Name)+`",what="`+what+`"}`, nil).Set(float64(n))
+			metrics.GetOrCreateGauge(`drumpick_served_jobs{by="`+line.Dimension+`",name="`+label(line.Name)+`",what="`+what+`"}`, nil).Set(float64(n))
 		}
 		level := slog.LevelInfo
-		if l.ShareInTime() < sloWarnShare || l.Waiting != "" && float64(l.LongestWait) > waitWarn*float64(s.settings.BeginWithin) {
+		if line.ShareInTime() < sloWarnShare || line.Waiting != "" && float64(line.LongestWait) > waitWarn*float64(s.settings.BeginWithin) {
 			level = slog.LevelWarn
 		}
-		slog.Log(context.Background(), level, "served", "by", l.Dimension, "name", l.Name, "came", l.Arrived, "begun", l.Begun, "done", l.Done, "late", l.Late,
-			"longest_s", l.LongestWait.Round(time.Second).Seconds(), "waiting", l.Waiting, "term", s.term)
+		slog.Log(context.Background(), level, "served", "by", line.Dimension, "name", line.Name, "came", line.Arrived, "begun", line.Begun, "done", line.Done, "late", line.Late,
+			"longest_s", line.LongestWait.Round(time.Second).Seconds(), "waiting", line.Waiting, "term", s.term)
 	}
 }
 
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -31,27 +31,27 @@
 func (w waitBreakdown) longestPart() string {
 	by, most := "heard", w.heard
 	for _, x := range []struct {
-		by string
-		d  time.Duration
+		by    string
+		drain time.Duration
 	}{{"room", w.room}, {"report", w.report}, {"fetch", w.fetch}, {"mates", w.gang}} {
-		if x.d > most {
-			by, most = x.by, x.d
+		if x.drain > most {
+			by, most = x.by, x.drain
 		}
 	}
 	return by
 }
 
 // waitBreakdown works out for what a job waited whose task a is the last one seen to run.
-func (j *Job) waitBreakdown(a *fleet.Attempt, now time.Time) waitBreakdown {
-	placed, sent, ready := j.start.placedAt, a.Since, a.ReadySince
-	w := waitBreakdown{machine: a.Machine}
+func (j *Job) waitBreakdown(attempt *fleet.Attempt, now time.Time) waitBreakdown {
+	placed, sent, ready := j.start.placedAt, attempt.Since, attempt.ReadySince
+	wait := waitBreakdown{machine: attempt.Machine}
 	if j.Shape == records.ShapeGang {
-		for _, x := range j.attempts {
-			if x.Since.After(sent) {
-				sent = x.Since
+		for _, other := range j.attempts {
+			if other.Since.After(sent) {
+				sent = other.Since
 			}
-			if x.ReadySince.After(ready) {
-				ready, w.machine = x.ReadySince, x.Machine
+			if other.ReadySince.After(ready) {
+				ready, wait.machine = other.ReadySince, other.Machine
 			}
 		}
 	}
@@ -59,9 +59,9 @@
 	if placed.After(sent) {
 		placed = sent
 	}
-	w.heard, w.room = j.start.learnedAt.Sub(j.releasedAt), placed.Sub(j.start.learnedAt)
-	w.report, w.fetch, w.gang = sent.Sub(placed), ready.Sub(sent), now.Sub(ready)
-	return w
+	wait.heard, wait.room = j.start.learnedAt.Sub(j.releasedAt), placed.Sub(j.start.learnedAt)
+	wait.report, wait.fetch, wait.gang = sent.Sub(placed), ready.Sub(sent), now.Sub(ready)
+	return wait
 }
 
 // hasBegun says whether a job of which a task was just seen to run has begun: a gang has when
@@ -80,20 +80,20 @@
 
 // noteRunning notes that a task was seen to run, and tells once, when its job has begun, for
 // what it waited until then: a guarantee that is missed by seconds is missed by one of these.
-func (s *Scheduler) noteRunning(j *Job, a *fleet.Attempt, now time.Time) {
-	if !j.hasBegun() {
+func (s *Scheduler) noteRunning(job *Job, attempt *fleet.Attempt, now time.Time) {
+	if !job.hasBegun() {
 		return
 	}
-	s.slo.JobBegan(j.ID, now)
-	if j.start.reported || j.attempts[a.Task.N] != a || a.Number>>24 != s.term {
+	s.slo.JobBegan(job.ID, now)
+	if job.start.reported || job.attempts[attempt.Task.N] != attempt || attempt.Number>>24 != s.term {
 		return
 	}
-	j.start.reported = true
-	w := j.waitBreakdown(a, now)
-	if j.start.entitled {
-		metrics.GetOrCreateHistogram(`drumpick_guarantee_wait_seconds{longest="` + w.longestPart() + `"}`).Update(now.Sub(j.releasedAt).Seconds())
+	job.start.reported = true
+	wait := job.waitBreakdown(attempt, now)
+	if job.start.entitled {
+		metrics.GetOrCreateHistogram(`drumpick_guarantee_wait_seconds{longest="` + wait.longestPart() + `"}`).Update(now.Sub(job.releasedAt).Seconds())
 	}
-	slog.Debug("job began", "job", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks, "entitled", j.start.entitled,
-		"wait_s", now.Sub(j.releasedAt).Seconds(), "longest", w.longestPart(), "heard_s", w.heard.Seconds(), "room_s", w.room.Seconds(),
-		"report_s", w.report.Seconds(), "fetch_s", w.fetch.Seconds(), "mates_s", w.gang.Seconds(), "machine", w.machine.Host, "type", w.machine.Type, "term", s.term)
+	slog.Debug("job began", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks, "entitled", job.start.entitled,
+		"wait_s", now.Sub(job.releasedAt).Seconds(), "longest", wait.longestPart(), "heard_s", wait.heard.Seconds(), "room_s", wait.room.Seconds(),
+		"report_s", wait.report.Seconds(), "fetch_s", wait.fetch.Seconds(), "mates_s", wait.gang.Seconds(), "machine", wait.machine.Host, "type", wait.machine.Type, "term", s.term)
 }
--- a/internal/scheduler/stop_reasons.go
+++ b/internal/scheduler/stop_reasons.go
@@ -21,15 +21,15 @@
 // outcomeName names what became of a start that did not end in a result: why we stopped it, else
 // how it ended by itself. Of what is gone without a word, "lease" is a machine that was
 // silent for its lease, "unsent" a run that never arrived, "lost" all else.
-func outcomeName(a *fleet.Attempt) string {
+func outcomeName(attempt *fleet.Attempt) string {
 	switch {
-	case a.Stopping() && a.StopReason != "":
-		return a.StopReason
-	case a.State() == fleet.Ended:
-		return causeLabel(a.Cause)
-	case a.Machine.LeaseExpired && !a.Machine.Failed:
+	case attempt.Stopping() && attempt.StopReason != "":
+		return attempt.StopReason
+	case attempt.State() == fleet.Ended:
+		return causeLabel(attempt.Cause)
+	case attempt.Machine.LeaseExpired && !attempt.Machine.Failed:
 		return "lease"
-	case a.State() == fleet.Sent:
+	case attempt.State() == fleet.Sent:
 		return "unsent"
 	}
 	return "lost"
@@ -39,9 +39,9 @@
 // away by choices of ours that each look small: on crowded days it was a third of the
 // starts of a class before it was counted.
 func (s *Scheduler) countWastedStart(a *fleet.Attempt) string {
-	f := outcomeName(a)
+	outcome := outcomeName(a)
 	if a.State() != fleet.Planned && a.StopReason != stopJobClosed {
-		metrics.GetOrCreateCounter(`drumpick_starts_in_vain_total{fate="` + f + `"}`).Inc()
+		metrics.GetOrCreateCounter(`drumpick_starts_in_vain_total{fate="` + outcome + `"}`).Inc()
 	}
-	return f
+	return outcome
 }
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -46,74 +46,74 @@
 	MachineDrained      = "drained"  // and nothing is on it any more
 )
 
-func (s *Scheduler) machineState(m *fleet.Machine, now time.Time) string {
+func (s *Scheduler) machineState(machine *fleet.Machine, now time.Time) string {
 	switch {
-	case m.Returning:
+	case machine.Returning:
 		return MachineReturning
-	case m.AwaitsReconciliation():
+	case machine.AwaitsReconciliation():
 		return MachineUnreconciled
-	case !m.Up && !m.EarlierLeasesExpired:
+	case !machine.Up && !machine.EarlierLeasesExpired:
 		return MachineBooting
-	case m.LeaseExpired || now.Sub(m.LastStatus) > 3*s.settings.HeartbeatInterval:
+	case machine.LeaseExpired || now.Sub(machine.LastStatus) > 3*s.settings.HeartbeatInterval:
 		return MachineSilent
-	case m.Unreachable():
+	case machine.Unreachable():
 		return MachineUnreachable
-	case s.isEmptying(m) && m.Empty():
+	case s.isEmptying(machine) && machine.Empty():
 		return MachineDrained
-	case s.isEmptying(m):
+	case s.isEmptying(machine):
 		return MachineEmptying
-	case m.Faulty:
+	case machine.Faulty:
 		return MachineFaulty
-	case m.Cordon != nil:
+	case machine.Cordon != nil:
 		return MachineCordoned
-	case !m.PreemptionAt.IsZero():
+	case !machine.PreemptionAt.IsZero():
 		return MachinePreempting
 	}
 	return MachineUp
 }
 
-func (s *Scheduler) view(m *fleet.Machine, now time.Time) MachineView {
-	v := MachineView{Name: m.Host, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Addr: m.Addr, Version: m.Version, State: s.machineState(m, now)}
-	if !m.Rented.IsZero() {
-		v.AgeS = now.Sub(m.Rented).Seconds()
+func (s *Scheduler) view(machine *fleet.Machine, now time.Time) MachineView {
+	view := MachineView{Name: machine.Host, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Addr: machine.Addr, Version: machine.Version, State: s.machineState(machine, now)}
+	if !machine.Rented.IsZero() {
+		view.AgeS = now.Sub(machine.Rented).Seconds()
 	}
-	for _, a := range m.Attempts() {
-		if a.State() != fleet.Ended {
-			v.Count++
+	for _, attempt := range machine.Attempts() {
+		if attempt.State() != fleet.Ended {
+			view.Count++
 		}
 	}
-	return v
+	return view
 }
 
 // ListMachines lists up to limit machines by name, behind since, without their tasks; more
 // says that there are others behind them.
 func (s *Scheduler) ListMachines(since string, limit int, now time.Time) (list []MachineView, more bool) {
 	all := s.fleet.Sorted()
-	i, found := slices.BinarySearchFunc(all, since, func(m *fleet.Machine, name string) int { return strings.Compare(m.Host, name) })
+	i, found := slices.BinarySearchFunc(all, since, func(machine *fleet.Machine, name string) int { return strings.Compare(machine.Host, name) })
 	if found {
 		i++
 	}
 	end := min(i+limit, len(all))
-	for _, m := range all[i:end] {
-		list = append(list, s.view(m, now))
+	for _, machine := range all[i:end] {
+		list = append(list, s.view(machine, now))
 	}
 	return list, end < len(all)
 }
 
 // DescribeMachine tells of one machine with all that is on it.
 func (s *Scheduler) DescribeMachine(name string, now time.Time) (MachineView, bool) {
-	m := s.fleet.Machines[name]
-	if m == nil {
+	machine := s.fleet.Machines[name]
+	if machine == nil {
 		return MachineView{}, false
 	}
-	v := s.view(m, now)
-	for _, a := range m.Attempts() {
-		t := TaskView{Task: a.Task.String(), Try: a.Number, State: a.State().String(), Stops: a.Stopping()}
-		if a.State() != fleet.Ended {
-			_, ran := a.Durations(now)
-			t.RanS = ran.Seconds()
+	view := s.view(machine, now)
+	for _, attempt := range machine.Attempts() {
+		task := TaskView{Task: attempt.Task.String(), Try: attempt.Number, State: attempt.State().String(), Stops: attempt.Stopping()}
+		if attempt.State() != fleet.Ended {
+			_, ran := attempt.Durations(now)
+			task.RanS = ran.Seconds()
 		}
-		v.Tasks = append(v.Tasks, t)
+		view.Tasks = append(view.Tasks, task)
 	}
-	return v, true
+	return view, true
 }
--- a/internal/scheduler/zone_health.go
+++ b/internal/scheduler/zone_health.go
@@ -19,37 +19,37 @@
 		return
 	}
 	counts := map[string]zonehealth.Count{}
-	for _, m := range s.fleet.Sorted() {
-		if !m.Up && !m.Inherited || m.Failed || m.Returning {
+	for _, machine := range s.fleet.Sorted() {
+		if !machine.Up && !machine.Inherited || machine.Failed || machine.Returning {
 			continue
 		}
-		n := counts[m.Zone]
+		n := counts[machine.Zone]
 		n.Machines++
-		if s.isQuiet(m, now) {
+		if s.isQuiet(machine, now) {
 			n.Silent++
 		}
-		counts[m.Zone] = n
+		counts[machine.Zone] = n
 	}
-	dark, light := s.zoneHealth.Observe(counts, now)
-	for _, z := range dark {
-		slog.Warn("zone is dark: its machines are silent and those of others are not", "zone", z, "machines", counts[z].Machines, "silent", counts[z].Silent, "term", s.term)
+	suspected, recovered := s.zoneHealth.Observe(counts, now)
+	for _, zone := range suspected {
+		slog.Warn("zone is dark: its machines are silent and those of others are not", "zone", zone, "machines", counts[zone].Machines, "silent", counts[zone].Silent, "term", s.term)
 	}
-	for _, z := range light {
-		slog.Info("zone is no longer taken for dark", "zone", z, "machines", counts[z].Machines, "silent", counts[z].Silent, "term", s.term)
+	for _, zone := range recovered {
+		slog.Info("zone is no longer taken for dark", "zone", zone, "machines", counts[zone].Machines, "silent", counts[zone].Silent, "term", s.term)
 	}
 }
 
 // replaceableElsewhere says whether there is room, as far as known, for a machine in the place of
 // another one where it would be heard. What was refused of late is: as long as work waits
 // it is asked for again and again.
-func (s *Scheduler) replaceableElsewhere(m *fleet.Machine, now time.Time) bool {
-	t := s.types[m.Type]
-	late := now.Add(-2 * s.startupTime(m.Type))
+func (s *Scheduler) replaceableElsewhere(machine *fleet.Machine, now time.Time) bool {
+	t := s.types[machine.Type]
+	late := now.Add(-2 * s.startupTime(machine.Type))
 	for _, z := range t.Zones {
 		if s.zoneHealth.Suspected(z) {
 			continue
 		}
-		if late.After(s.autoscaling.refusedUntil[machineOffer{m.Type, z, false}]) || t.SpotPrice > 0 && late.After(s.autoscaling.refusedUntil[machineOffer{m.Type, z, true}]) {
+		if late.After(s.autoscaling.refusedUntil[machineOffer{machine.Type, z, false}]) || t.SpotPrice > 0 && late.After(s.autoscaling.refusedUntil[machineOffer{machine.Type, z, true}]) {
 			return true
 		}
 	}
