--- a/internal/scheduler/held_machines.go
+++ b/internal/scheduler/held_machines.go
@@ -65,7 +65,7 @@
 				}
 				list = append(list, soon{machine, seconds})
 			}
-			slices.SortStableFunc(list, func(attempt, b soon) int { return cmp.Compare(attempt.seconds, b.seconds) })
+			slices.SortStableFunc(list, func(a, b soon) int { return cmp.Compare(a.seconds, b.seconds) })
 		}
 		n := min(job.pending(), left, len(list))
 		for _, candidate := range list[:n] {
@@ -116,7 +116,7 @@
 		}
 		ends = append(ends, ending{seconds, attempt.Item.Req})
 	}
-	slices.SortFunc(ends, func(attempt, b ending) int { return cmp.Compare(attempt.seconds, b.seconds) })
+	slices.SortFunc(ends, func(a, b ending) int { return cmp.Compare(a.seconds, b.seconds) })
 	return ends
 }
 
--- /dev/null
+++ b/internal/scheduler/job.go
@@ -0,0 +1,130 @@
+package scheduler
+
+import (
+	"time"
+
+	"drumpick/internal/config"
+	"drumpick/internal/dependency"
+	"drumpick/internal/fleet"
+	"drumpick/internal/packing"
+	"drumpick/internal/records"
+	"drumpick/internal/watermark"
+)
+
+// Job is an open job.
+type Job struct {
+	records.Job
+	Revision uint64 // of its record
+	Accepted time.Time
+
+	request          packing.Resources // of one task
+	preferLabels     []string          // labels of machines that suit it, the weightiest first
+	imageReadyLabel  string            // label of machines that have its image
+	placementClass   int               // shared by jobs whose tasks fit the same machines; 0: shared with none
+	imageClass       int               // the same for jobs that also share the image
+	team             config.Team       // what the settings say of its team
+	limited          bool              // the team has a limit
+	releasedAt       time.Time         // from when its waiting time counts: its acceptance, or the end of its last dependency
+	notStartedBefore uint64            // the revision before which none of its tasks can have been started
+	blocked          bool              // by a dependency that is not known to be stored as done
+	urgency          dependency.Urgency
+
+	// Progress.
+	done, stored []uint64 // bit sets of finished tasks, and of those the store has
+	doneCount    int
+	dirtyParts   map[int]bool // parts of the finished tasks that are to be stored
+	closed       bool         // no longer open
+	closing      bool         // its move to the closed records is being stored
+
+	// Tasks that wait, and attempts. A task has at most one attempt of its own; further attempts of
+	// the same task on other machines are duplicates, which are being stopped.
+	waitingTasks
+	attempts   map[int]*fleet.Attempt
+	duplicates map[int]int
+	watermark  watermark.Mark // how far into it tasks may have been sent
+	uncertain  []uint64       // bit set of tasks that may be on machines not heard since the failover; nil: none
+
+	// Failures.
+	errorMachines map[string]bool // machines where it failed
+	retryAt       time.Time       // no task starts before
+	backoff       time.Duration
+
+	// Gangs.
+	gangAttempt  uint64    // attempt number shared by all its tasks; 0: none
+	gangBroken   bool      // its attempt is being stopped as a whole
+	gangBrokenAt time.Time // when a gang that had begun lost its last place
+
+	// Room.
+	claims           []claim                   // room on machines that only this job may use
+	noClaimsBefore   time.Time                 // no room is claimed before
+	reservedZone     string                    // the zone where room is reserved for it
+	reserveNotBefore time.Time                 // whether a reservation is due is not examined before
+	preempted        map[fleet.TaskID]struct{} // tasks that were preempted for it
+	moved            map[int]struct{}          // tasks of its own that were moved to fill or empty a bin
+	relocating       int                       // tasks that have to leave their machines and find no others
+	remainingZones   map[string]int            // of a job bound to zones: its tasks by zone without those; else nil
+
+	// Order.
+	guaranteed     bool      // its room is within its team's guarantee
+	protected      bool      // it may preempt for that, and is preempted by nobody
+	canBeginInTime bool      // it can still begin within the guarantee's time
+	targets        []float64 // when it should be complete, in seconds from its release
+	rank           int       // of its priority, the highest being 0; odd ranks are late
+	turnAt         time.Time // its place among jobs of its rank
+
+	start startStages // how far its first start has come
+}
+
+// unconstrained reports whether where a task may go depends on nothing but its size, zone and kind
+// of machine.
+func (j *Job) unconstrained() bool {
+	return len(j.Types) == 0 && !j.OneZone && !j.SpreadZones && j.Shape != records.ShapeGang
+}
+
+// placementKey is all that decides whether an unconstrained job's task has room.
+type placementKey struct {
+	request packing.Resources
+	zone    string
+	spot    bool
+	image   string // of jobs that are to start where it is; otherwise ""
+}
+
+// classNumber returns the number of a placement key, from 1.
+func (s *Scheduler) classNumber(f placementKey) int {
+	if s.placementClasses[f] == 0 {
+		s.placementClasses[f] = len(s.placementClasses) + 1
+	}
+	return s.placementClasses[f]
+}
+
+// assignPlacementClass gives a job the class numbers that it shares with equal jobs.
+func (s *Scheduler) assignPlacementClass(job *Job) {
+	if !job.unconstrained() {
+		return
+	}
+	f := placementKey{request: job.request, spot: job.Spot}
+	if job.Job.Zone != nil {
+		f.zone = *job.Job.Zone
+	}
+	job.placementClass = s.classNumber(f)
+	f.image = job.Image
+	job.imageClass = s.classNumber(f)
+}
+
+// jobOf returns the open job of an attempt, nil if there is none.
+func (s *Scheduler) jobOf(attempt *fleet.Attempt) *Job {
+	job, ok := attempt.Job.(*Job)
+	if !ok {
+		if job = s.jobs[attempt.Task.Job]; job == nil {
+			return nil
+		}
+		attempt.Job = job
+	}
+	if job.closed {
+		return nil
+	}
+	return job
+}
+
+// has reports whether a bit set contains i.
+func has(set []uint64, i int) bool { return set[i/64]>>(i%64)&1 == 1 }
--- a/internal/scheduler/placing_order.go
+++ b/internal/scheduler/placing_order.go
@@ -81,8 +81,8 @@
 		}
 		o.turns = append(o.turns, placingTurn{job, job.turnAt.Add(fetch), false})
 	}
-	sort.SliceStable(o.turns, func(attempt, b int) bool {
-		x, y := o.turns[attempt], o.turns[b]
+	sort.SliceStable(o.turns, func(a, b int) bool {
+		x, y := o.turns[a], o.turns[b]
 		if drain := precedence(x.job, y.job); drain != 0 {
 			return drain < 0
 		}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -27,8 +27,8 @@
 				s.sortedJobs = append(s.sortedJobs, job)
 			}
 		}
-		sort.Slice(s.sortedJobs, func(attempt, b int) bool {
-			x, y := s.sortedJobs[attempt], s.sortedJobs[b]
+		sort.Slice(s.sortedJobs, func(a, b int) bool {
+			x, y := s.sortedJobs[a], s.sortedJobs[b]
 			if !x.releasedAt.Equal(y.releasedAt) {
 				return x.releasedAt.Before(y.releasedAt)
 			}
@@ -36,7 +36,7 @@
 		})
 		s.assignGuarantees(now)
 		s.assignTurns(now)
-		sort.SliceStable(s.sortedJobs, func(attempt, b int) bool { return servedBefore(s.sortedJobs[attempt], s.sortedJobs[b]) })
+		sort.SliceStable(s.sortedJobs, func(a, b int) bool { return servedBefore(s.sortedJobs[a], s.sortedJobs[b]) })
 		s.order = newPlacingOrder(s.sortedJobs, s.fetchTime)
 		s.listReservationCandidates()
 	}
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -31,11 +31,11 @@
 		w := now.Sub(job.waitStart())
 		return w > s.settings.ReservationBound && w < 2*s.settings.ReservationBound
 	}
-	slices.SortStableFunc(due, func(attempt, b *Job) int {
-		if missed(attempt) != missed(b) {
-			return firstIf(!missed(attempt))
+	slices.SortStableFunc(due, func(a, b *Job) int {
+		if missed(a) != missed(b) {
+			return firstIf(!missed(a))
 		}
-		return attempt.waitStart().Compare(b.waitStart())
+		return a.waitStart().Compare(b.waitStart())
 	})
 	ahead := map[string]int{}
 	for _, job := range due {
@@ -160,7 +160,7 @@
 			list = append(list, place{machine, seconds})
 		}
 	}
-	slices.SortStableFunc(list, func(attempt, b place) int { return cmp.Compare(attempt.seconds, b.seconds) })
+	slices.SortStableFunc(list, func(a, b place) int { return cmp.Compare(a.seconds, b.seconds) })
 	if len(list) < n || n == 0 {
 		// Guards against a gang that waits for a zone whose machines are gone.
 		job.reservedZone = ""
