--- /dev/null
+++ b/internal/scheduler/eligibility.go
@@ -0,0 +1,116 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"drumpick/internal/fleet"
+	"drumpick/internal/records"
+)
+
+// startable reports whether any task of the job may be started now. After a failover, until every
+// machine that may hold tasks has been heard, only tasks may start that can be on none of those still
+// unheard of, and none of a job for which all of its tasks or its team's must be known: all tasks of
+// jobs accepted under this term, or released under it by a dependency that was stored as done, and of
+// older jobs what is beyond their watermarks.
+func (s *Scheduler) startable(j *Job, now time.Time) bool {
+	if j.closed || j.blocked || j.closing || j.gangBroken || now.Before(j.retryAt) {
+		return false
+	}
+	if s.reconciled {
+		return true
+	}
+	return (j.uncertain == nil || j.Shape != records.ShapeGang) && !j.limited && !j.OneZone && !j.SpreadZones
+}
+
+// acceptsTasks reports whether a machine may be given new tasks.
+func (s *Scheduler) acceptsTasks(m *fleet.Machine, now time.Time) bool {
+	return m.Up && m.Reconciled && inService(m) && m.PreemptionAt.IsZero() &&
+		now.Sub(m.LastStatus) < 3*s.settings.HeartbeatInterval && !now.Before(m.FullUntil)
+}
+
+// inService reports whether a machine takes new tasks, or will when it is up.
+func inService(m *fleet.Machine) bool {
+	return !m.Returning && !m.LeaseExpired && !m.Draining && m.Cordon == nil && !m.Unreachable()
+}
+
+// refreshAccepting examines again which machines accept tasks. What a heartbeat changes is seen at
+// once; what time alone changes is seen a few times in a heartbeat interval.
+func (s *Scheduler) refreshAccepting(now time.Time) {
+	s.now = now
+	if now.Sub(s.lastReopen) < s.settings.HeartbeatInterval/8 {
+		return
+	}
+	s.lastReopen = now
+	for _, m := range s.fleet.Sorted() {
+		m.Bin.SetOpen(s.acceptsTasks(m, now))
+	}
+}
+
+// permits reports whether the job's own constraints allow a machine.
+func (j *Job) permits(typ, zone string, spot bool) bool {
+	return (!spot || j.Spot) && (j.Job.Zone == nil || *j.Job.Zone == zone) && j.allowsType(typ)
+}
+
+// allowsType reports whether the job's own constraints allow a machine type.
+func (j *Job) allowsType(typ string) bool {
+	return len(j.Types) == 0 || slices.Contains(j.Types, typ)
+}
+
+// couldHost reports whether a machine may be given tasks of the job, once it has room.
+func (s *Scheduler) couldHost(j *Job, m *fleet.Machine, now time.Time) bool {
+	return s.acceptsTasks(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.request)
+}
+
+// tasksByZone counts the job's tasks on machines by zone; with planned, also those planned for
+// machines and the job's claims.
+func (s *Scheduler) tasksByZone(job *Job, planned bool) map[string]int {
+	counts := map[string]int{}
+	for _, attempt := range job.attempts {
+		if attempt.MayBePresent() || planned && attempt.State() == fleet.Planned {
+			counts[attempt.Machine.Zone]++
+		}
+	}
+	if planned {
+		for _, claimed := range job.claims {
+			counts[claimed.machine.Zone]++
+		}
+	}
+	if len(job.duplicates) > 0 {
+		for _, attempt := range s.fleet.OfJob(job.ID) {
+			if attempt.Duplicate && attempt.MayBePresent() {
+				counts[attempt.Machine.Zone]++
+			}
+		}
+	}
+	return counts
+}
+
+// zoneAllowed checks one_zone and spread_zones against a count of the job's tasks by zone.
+func (j *Job) zoneAllowed(zone string, n map[string]int) bool {
+	if j.OneZone {
+		for z, k := range n {
+			if z != zone && k > 0 {
+				return false
+			}
+		}
+	}
+	return !j.SpreadZones || n[zone]+1 <= (j.Tasks+1)/2
+}
+
+// zoneCounts counts a job's tasks by zone if these decide where others may go; nil otherwise.
+func (s *Scheduler) zoneCounts(j *Job) map[string]int {
+	if j.OneZone || j.SpreadZones {
+		return s.tasksByZone(j, true)
+	}
+	return nil
+}
+
+// zoneChoices returns the zones in which a job is to be tried one after the other; "" stands for all
+// of them together.
+func (s *Scheduler) zoneChoices(j *Job, zones map[string]int) []string {
+	if j.OneZone && len(zones) == 0 {
+		return s.settings.Zones
+	}
+	return []string{""}
+}
--- /dev/null
+++ b/internal/scheduler/gangs.go
@@ -0,0 +1,71 @@
+package scheduler
+
+import (
+	"maps"
+	"time"
+
+	"drumpick/internal/fleet"
+	"drumpick/internal/packing"
+	"drumpick/internal/quota"
+)
+
+// placeGang places a whole gang or nothing of it. Tasks that replace members which never arrived take
+// the gang's attempt number.
+func (s *Scheduler) placeGang(job *Job, used map[string]quota.Amount, now time.Time) bool {
+	if job.gangAttempt == 0 && len(job.attempts)+len(job.duplicates) > 0 {
+		return false
+	}
+	zones := s.zoneCounts(job)
+	for _, zone := range s.zoneChoices(job, zones) {
+		if s.placeGangIn(job, zone, zones, used, now) {
+			return true
+		}
+	}
+	return false
+}
+
+// placeGangIn places a whole gang or nothing of it in one zone, or with "" in all of them.
+func (s *Scheduler) placeGangIn(job *Job, zone string, zonesBefore map[string]int, used map[string]quota.Amount, now time.Time) bool {
+	number, sequenceBefore := job.gangAttempt, s.sequence
+	if number == 0 {
+		number = s.newAttemptNumber()
+	}
+	zones := map[string]int{}
+	maps.Copy(zones, zonesBefore)
+	if zone != "" {
+		zones[zone] = 0
+	}
+	usedThen := used[job.Team]
+	var placed []*fleet.Attempt
+	var moves []packing.Move
+	for {
+		task := job.nextTask()
+		if task < 0 {
+			job.gangAttempt = number
+			used[job.Team] = usedThen
+			s.executeMoves(moves, now)
+			return true
+		}
+		if job.limited && !s.withinLimit(job, usedThen) {
+			break
+		}
+		in := insertion{job: job, task: task, attemptNumber: number, zones: zones, zone: zone}
+		machine, taskMoves := s.insertTask(in, now)
+		if machine == nil {
+			break
+		}
+		moves = append(moves, taskMoves...)
+		job.takeTask(task)
+		placed = append(placed, job.attempts[task])
+		usedThen = usedThen.Add(job.taskQuota())
+		zones[machine.Zone]++
+	}
+	// No task is moved for a gang that does not start.
+	for _, attempt := range placed {
+		attempt.Machine.Forget(attempt)
+		delete(job.attempts, attempt.Task.N)
+		s.retryTask(job, attempt.Task.N)
+	}
+	s.sequence = sequenceBefore // nothing was sent under the number
+	return false
+}
--- /dev/null
+++ b/internal/scheduler/tick.go
@@ -0,0 +1,95 @@
+package scheduler
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"drumpick/internal/overload"
+	"drumpick/internal/records"
+)
+
+// Tick does what time alone brings about. Without canRun only leases expire.
+func (s *Scheduler) Tick(now time.Time, canRun bool) {
+	s.ExpireLeases(now)
+	if !canRun {
+		return
+	}
+	s.reportSLO(now)
+	s.cancelStalePlans(now)
+	s.endBackoffs(now)
+	if len(s.drains) > 0 && now.Sub(s.lastDrainPass) >= s.settings.HeartbeatInterval {
+		s.runDrains(now)
+	}
+	if now.Sub(s.lastRebalance) >= s.settings.RoundInterval && s.overload.Level() < overload.Overloaded {
+		s.rebalance(now)
+	}
+	if s.placementStale {
+		s.placeWaiting(now)
+	}
+	if s.overload.Level() == overload.Normal {
+		s.preempt(now)
+		s.holdMachines(now)
+	}
+	s.raiseWatermarksAhead(now)
+}
+
+// cancelStalePlans gives up what is planned for machines that take no new tasks. A machine that fell
+// silent keeps what it runs, but nothing stays planned for it.
+func (s *Scheduler) cancelStalePlans(now time.Time) {
+	for _, machine := range s.fleet.Sorted() {
+		silent := now.Sub(machine.LastStatus) > 3*s.settings.HeartbeatInterval
+		if machine.Draining || machine.Returning || machine.LeaseExpired || machine.Unreachable() || silent {
+			s.cancelPlanned(machine)
+		}
+	}
+}
+
+// endBackoffs lets jobs start again whose time to wait after failures is over.
+func (s *Scheduler) endBackoffs(now time.Time) {
+	for _, job := range s.jobs {
+		if !job.retryAt.IsZero() && !now.Before(job.retryAt) {
+			job.retryAt = time.Time{}
+			s.placementStale = true
+		}
+	}
+}
+
+// ObserveTick notes that a tick came gap after it was asked for. Where anything waited longer than
+// that, its wait counts instead, since a timer that is due goes before all else. While the leader
+// falls behind, starts are left out first, then plans; lease expiries, exits and cancellations never.
+func (s *Scheduler) ObserveTick(gap time.Duration, now time.Time) {
+	if !s.settings.LoadShedding {
+		return
+	}
+	machinesUp := 0
+	for _, m := range s.fleet.Sorted() {
+		if m.Up && !m.LeaseExpired {
+			machinesUp++
+		}
+	}
+	gap, s.delay = max(gap, s.settings.HeartbeatInterval/TicksPerHeartbeat+s.delay), 0
+	if s.overload.Observe(gap, machinesUp, now) {
+		slog.Log(context.Background(), overloadLogLevel(s.overload.Level()), "overload level changed", "level", s.overload.Level().String(),
+			"lag", s.overload.Lag().Round(time.Millisecond), "machines", machinesUp, "term", s.term)
+	}
+	lagSeconds.Set(s.overload.Lag().Seconds())
+}
+
+func overloadLogLevel(level overload.Level) slog.Level {
+	if level == overload.Normal {
+		return slog.LevelInfo
+	}
+	return slog.LevelWarn
+}
+
+// shedsStart reports whether a start waits until the leader keeps up again.
+func (s *Scheduler) shedsStart(j *Job) bool {
+	switch s.overload.Level() {
+	case overload.Overloaded:
+		return true
+	case overload.Degraded:
+		return priorityRank[j.Priority] > priorityRank[records.PriorityUrgent] && !j.guaranteed
+	}
+	return false
+}
