--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -1,12 +1,123 @@
 package scheduler
 
 import (
+	"log/slog"
+	"slices"
 	"time"
 
 	"drumpick/internal/fleet"
 	"drumpick/internal/records"
+
+	"github.com/VictoriaMetrics/metrics"
 )
 
+// attemptLost handles an attempt that is no longer on its machine and left no result.
+func (s *Scheduler) attemptLost(attempt *fleet.Attempt, now time.Time) {
+	job := s.jobs[attempt.Task.Job]
+	lostTotal.Inc()
+	drained(attempt, now)
+	slog.Debug("attempt lost", "task", attempt.Task.String(), "machine", attempt.Machine.Host, "state", attempt.State().String(),
+		"outcome", s.countWastedStart(attempt), "term", s.term)
+	breaksGang := job != nil && job.Shape == records.ShapeGang && job.attempts[attempt.Task.N] == attempt && attempt.State() != fleet.Sent
+	s.releaseAttempt(attempt)
+	if breaksGang {
+		s.stopGang(job, now)
+		s.claimFreedPlace(job, attempt)
+	}
+}
+
+// attemptEnded handles an attempt that a worker shows as ended.
+func (s *Scheduler) attemptEnded(attempt *fleet.Attempt, now time.Time) {
+	job := s.jobs[attempt.Task.Job]
+	s.placementStale = true
+	if job == nil || attempt.Task.N >= job.Tasks {
+		attempt.Reap = true
+		return
+	}
+	drained(attempt, now)
+	s.reportEnded(attempt, now)
+	s.applyCause(job, attempt, now)
+	wasHeld := job.attempts[attempt.Task.N] == attempt
+	s.releaseAttempt(attempt)
+	if job.Shape == records.ShapeGang && wasHeld && attempt.Cause != fleet.CauseDone {
+		first := !job.gangBroken // afterwards releaseAttempt claims the freed places
+		s.stopGang(job, now)
+		if first {
+			s.claimFreedPlace(job, attempt)
+		}
+	}
+}
+
+// reportEnded counts and logs the end of an attempt.
+func (s *Scheduler) reportEnded(attempt *fleet.Attempt, now time.Time) {
+	metrics.GetOrCreateCounter(`drumpick_tasks_ended_total{cause="` + causeLabel(attempt.Cause) + `"}`).Inc()
+	fetchTime, runTime := attempt.Durations(now)
+	outcome := "done"
+	if attempt.Cause != fleet.CauseDone {
+		outcome = s.countWastedStart(attempt)
+	}
+	slog.Debug("task ended", "task", attempt.Task.String(), "machine", attempt.Machine.Host, "cause", attempt.Cause,
+		"outcome", outcome, "saved", attempt.Saved, "fetch_s", fetchTime.Seconds(), "run_s", runTime.Seconds(), "term", s.term)
+}
+
+// fullIntervals is for how many heartbeat intervals a machine gets no tasks that had no room for one.
+const fullIntervals = 2
+
+// applyCause draws the conclusions from why an attempt ended. The worker may forget it at once, but a
+// result only once the store has it.
+func (s *Scheduler) applyCause(job *Job, attempt *fleet.Attempt, now time.Time) {
+	machine := attempt.Machine
+	if attempt.Cause == fleet.CauseDone {
+		s.taskCompleted(job, attempt, now)
+		return
+	}
+	attempt.Reap = true
+	switch attempt.Cause {
+	case fleet.CauseError:
+		s.attemptFailed(job, machine, now)
+	case fleet.CauseFull:
+		// The worker knows better than this term what is free.
+		machine.FullUntil = now.Add(fullIntervals * s.settings.HeartbeatInterval)
+	case fleet.CauseNoSuch:
+		s.delayRetry(job, now)
+	}
+}
+
+// taskCompleted handles an attempt that ended with a result.
+func (s *Scheduler) taskCompleted(job *Job, attempt *fleet.Attempt, now time.Time) {
+	machine := attempt.Machine
+	s.freedRoom.add(job.request, now, s.settings.HeartbeatInterval)
+	clear(machine.ErrorJobs)
+	machine.Proven = true
+	s.markDone(job, attempt.Task.N)
+	for _, other := range job.attempts {
+		if other != attempt && (other.Task == attempt.Task || job.Shape == records.ShapeGang && other.Number != attempt.Number) {
+			s.end(other) // its result is there already
+		}
+	}
+	for host := range job.errorMachines {
+		// The job can run, so what failed it is the machine.
+		if failed := s.fleet.Machines[host]; failed != nil && failed != machine {
+			s.markFaulty(failed)
+		}
+	}
+	clear(job.errorMachines)
+	job.backoff = 0
+	if job.Shape == records.ShapeService {
+		attempt.Reap = true
+	}
+}
+
+// causeLabel keeps causes that a worker makes up out of the metrics' labels.
+func causeLabel(cause string) string {
+	switch cause {
+	case fleet.CauseDone, fleet.CauseStopped, fleet.CauseMatesGone, fleet.CauseAlone,
+		fleet.CauseError, fleet.CauseFull, fleet.CauseBusy, fleet.CauseNoSuch:
+		return cause
+	}
+	return "other"
+}
+
 // end withdraws an attempt whose job is closed or done.
 func (s *Scheduler) end(a *fleet.Attempt) {
 	switch a.State() {
@@ -70,3 +181,21 @@
 		s.retryTask(job, task)
 	}
 }
+
+// cancelPlanned gives up what was planned for a machine and not yet sent.
+func (s *Scheduler) cancelPlanned(m *fleet.Machine) {
+	for _, a := range slices.Clone(m.Attempts()) {
+		if a.State() == fleet.Planned {
+			m.Forget(a)
+			s.releaseAttempt(a)
+		}
+	}
+}
+
+// remainingSeconds estimates, in seconds, how long an attempt still runs.
+func (s *Scheduler) remainingSeconds(j *Job, a *fleet.Attempt, now time.Time) float64 {
+	if a.RunSince.IsZero() {
+		return j.EstimateS
+	}
+	return max(j.EstimateS-now.Sub(a.RunSince).Seconds(), j.EstimateS/10)
+}
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -69,3 +69,26 @@
 	s.sequence = sequenceBefore // nothing was sent under the number
 	return false
 }
+
+// stopGang stops every task of a gang so that a new attempt can start as a whole.
+func (s *Scheduler) stopGang(job *Job, now time.Time) {
+	if job.closed || job.doneCount == job.Tasks {
+		return
+	}
+	job.gangBroken = len(job.attempts) > 0
+	var planned []*fleet.Attempt
+	for _, attempt := range job.attempts {
+		if attempt.State() == fleet.Planned {
+			planned = append(planned, attempt)
+			continue
+		}
+		s.stop(attempt, stopGangMember, job.SaveS, now)
+	}
+	if !job.gangBroken {
+		job.gangAttempt = 0
+	}
+	for _, attempt := range planned {
+		attempt.Machine.Forget(attempt)
+		s.releaseAttempt(attempt)
+	}
+}
