--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -11,24 +11,28 @@
 	"drumpick/internal/records"
 )
 
-// claim is room on a machine that is one job's own: somebody was stopped there for its
-// sake, or it is kept free until the rest of a gang's places are. Guards against room
-// that goes back to the very tasks that were stopped to make it, which are then stopped
-// again: where a gang needs several machines, the first to be free could take none of
-// its tasks yet, and would take any other's.
+// claim is room for one task on a machine that only one job may use: somebody was stopped there for
+// it, or it is kept free until the rest of a gang's places are. Without claims, room would go back to
+// the very tasks that were stopped to make it, which would then be stopped again: where a gang needs
+// several machines, the first to be free could take none of its tasks yet, and would take any other's.
 type claim struct {
 	machine *fleet.Machine
 	since   time.Time // when it was made, or the room was last seen to be on its way
 }
 
-// claimIntervals is how long, in report intervals, room that is there is kept for a job
-// that does not start in it, and claimRest how long the job then claims no other.
+// claimIntervals is how long, in heartbeat intervals, room that is there is kept for a job that does
+// not start in it, and claimPauseIntervals how long the job then claims no other.
 const (
 	claimIntervals      = 2
 	claimPauseIntervals = 4
 )
 
-// addClaim makes room on a machine, for one task, a job's own.
+// maxClaimsPerPass bounds the work for one job in one pass. It does not bound the machines on which a
+// job has claims: the next pass claims as many more, until all tasks that wait have one. A gang, which
+// starts as a whole or not at all, is examined as a whole.
+const maxClaimsPerPass = 64
+
+// addClaim claims room on a machine for one task of a job.
 func (s *Scheduler) addClaim(j *Job, m *fleet.Machine, now time.Time) {
 	m.Bin.Reserve(j.request)
 	if j.claims = append(j.claims, claim{m, now}); len(j.claims) == 1 {
@@ -39,8 +43,8 @@
 	}
 }
 
-// claimFreedPlace makes the place that a task of a broken gang leaves the gang's own: it has
-// to begin anew, and what else went there would be stopped a moment later.
+// claimFreedPlace claims for a broken gang the place that one of its tasks leaves: the gang has to
+// start again, and what else went there would be stopped a moment later.
 func (s *Scheduler) claimFreedPlace(j *Job, a *fleet.Attempt) {
 	if j.gangBroken && a.Machine.Bin.Open() && a.State() != fleet.Planned {
 		s.addClaim(j, a.Machine, s.now)
@@ -61,7 +65,7 @@
 	}
 }
 
-// suspendClaims lets a job see its own room as free; lay puts the claims back.
+// suspendClaims takes back all claims of a job while it is placed, and returns them.
 func (s *Scheduler) suspendClaims(j *Job) []claim {
 	suspended := j.claims
 	for _, cl := range suspended {
@@ -71,6 +75,7 @@
 	return suspended
 }
 
+// restoreClaims makes suspended claims again.
 func (s *Scheduler) restoreClaims(j *Job, suspended []claim) {
 	for _, cl := range suspended {
 		cl.machine.Bin.Reserve(j.request)
@@ -78,8 +83,8 @@
 	j.claims = suspended
 }
 
-// useClaims starts tasks of a job that need not start together in room of its own, as
-// far as it is free.
+// useClaims starts tasks of a job that need not start together in the room that it has claimed, as far
+// as that is free.
 func (s *Scheduler) useClaims(job *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
 	limited := job.limited
 	for i := 0; i < len(job.claims); {
@@ -109,8 +114,8 @@
 	}
 }
 
-// reviewClaims gives up claims whose job or machine is out of the question, that are
-// more than the job has tasks for, and those whose room was there in vain for a time.
+// reviewClaims drops claims whose job or machine is no longer available, that are more than the job
+// has tasks for, and those whose room was there unused for a time.
 func (s *Scheduler) reviewClaims(now time.Time) {
 	owners := s.claimOwners
 	s.claimOwners = s.claimOwners[:0]
@@ -144,15 +149,15 @@
 		case freeing || job.reservedZone != "":
 			claimed.since = now
 		case now.Sub(claimed.since) > claimIntervals*s.settings.HeartbeatInterval:
-			slog.Debug("room was kept in vain", "job", job.ID, "machine", claimed.machine.Host, "term", s.term)
+			slog.Debug("claim expired", "job", job.ID, "machine", claimed.machine.Host, "term", s.term)
 			job.noClaimsBefore = now.Add(claimPauseIntervals * s.settings.HeartbeatInterval)
 			s.dropClaim(job, i)
 		}
 	}
 }
 
-// claimable is for how many of a job's tasks room may be its own: those that wait, and those that
-// move, up to as many as it has claims for.
+// claimable is for how many of a job's tasks there may be claims: those that wait, and those that
+// move, up to as many as it has claims.
 func (s *Scheduler) claimable(job *Job) int {
 	n := job.pending()
 	if n >= len(job.claims) {
@@ -166,8 +171,8 @@
 	return n
 }
 
-// claimedRoomFreeing says whether room of a job's own is on its way: somebody there is being stopped, or one
-// of its own tasks that is to move there.
+// claimedRoomFreeing reports whether claimed room is about to become free: an attempt is being stopped
+// there, or one of the job's own tasks is that is to move there.
 func (s *Scheduler) claimedRoomFreeing(job *Job) bool {
 	if job.gangBroken {
 		return true
@@ -185,11 +190,11 @@
 	return false
 }
 
-// isLeaving says whether an attempt is being stopped, and its room on its way.
+// isLeaving reports whether an attempt is being stopped, so that its room is about to become free.
 func isLeaving(a *fleet.Attempt) bool { return a.Stopping() && a.MayBePresent() && a.Item != nil }
 
-// expectedRoom is the room that a machine has or will have, once what is being stopped there
-// is gone, beyond what is anybody's own.
+// expectedRoom is the room that a machine has or will have, once what is being stopped there is gone,
+// beyond what is claimed.
 func expectedRoom(m *fleet.Machine) packing.Resources {
 	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
 	for _, a := range m.Attempts() {
@@ -200,7 +205,7 @@
 	return free
 }
 
-// missingClaims is for how many more of a job's tasks room could be made its own.
+// missingClaims is for how many more of a job's tasks room could be claimed.
 func (s *Scheduler) missingClaims(job *Job, now time.Time) int {
 	if now.Before(job.noClaimsBefore) {
 		return 0
@@ -208,14 +213,9 @@
 	n := s.waitingWithinLimit(job)
 	if job.Shape == records.ShapeGang {
 		if n < job.pending() || job.gangAttempt == 0 && len(job.attempts)+len(job.duplicates) > 0 {
-			return 0 // it could not start whole
+			return 0 // it could not start as a whole
 		}
 		return n - len(job.claims)
 	}
 	return min(n-len(job.claims), maxClaimsPerPass)
 }
-
-// maxClaimsPerPass bounds the work for one job in one look. It does not bound the machines on which
-// a job has room of its own: the next look claims as many more, until all that wait have some.
-// A gang, which starts whole or not at all, is looked at whole.
-const maxClaimsPerPass = 64
--- a/internal/scheduler/held_machines.go
+++ b/internal/scheduler/held_machines.go
@@ -1,51 +1,32 @@
 package scheduler
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/packing"
 	"drumpick/internal/records"
 )
 
-// heldMachineShare bounds how many of the machines may be emptying for larger tasks, one at least:
-// each stands half empty for as long as its last small task runs.
+// heldMachineShare bounds how many of the machines may be emptying for larger tasks, one at least: each
+// stands half empty for as long as its last small task runs.
 const heldMachineShare = 1.0 / 8
 
-// holdMachines sets machines aside for tasks that are larger than others which wait: from
-// these a kept machine takes only what has its turn before. Guards against large
-// tasks that never start because small ones of later turns fill every gap before a
-// machine is empty. Those that will have room soonest are kept.
+// heldLabel is the label of bins whose machines are held.
+const heldLabel = "kept"
+
+// holdMachines holds machines for waiting tasks that are larger than others that wait: a held machine
+// takes only tasks of jobs that are served before the one it is held for. Without this, large tasks
+// would never start, because small ones of later turns fill every gap before a machine is empty. The
+// machines that will have room soonest are held.
 func (s *Scheduler) holdMachines(now time.Time) {
-	heldBefore := map[*fleet.Machine]bool{}
-	for _, machine := range s.fleet.Sorted() {
-		if machine.ReservedFor != nil {
-			heldBefore[machine] = true
-			machine.ReservedFor = nil
-			machine.Bin.SetLabel(heldLabel, false)
-		}
-	}
-	s.holders = s.holders[:0]
+	heldBefore := s.unholdMachines()
 	if !s.reconciled {
 		return
 	}
-	var waiting []*Job
-	smallest := 1.0
-	for _, job := range s.queue(now) {
-		if job.Shape != records.ShapeGang && s.startable(job, now) && job.nextTask() >= 0 {
-			waiting = append(waiting, job)
-			smallest = min(smallest, s.smallestShare(job))
-		}
-	}
+	waiting, smallest := s.waitingForHeld(now)
 	left := max(int(float64(s.countAccepting())*heldMachineShare), 1)
-	type soon struct {
-		machine *fleet.Machine
-		seconds float64
-	}
-	var list []soon
-	listed := 0 // whose machines the list has, by the number of jobs alike
+	var list []machineWait
+	listed := 0 // the placement class whose machines are listed
 	for _, job := range waiting {
 		if left == 0 {
 			return
@@ -54,18 +35,7 @@
 			continue
 		}
 		if listed != job.placementClass {
-			listed, list = job.placementClass, list[:0]
-			for _, machine := range s.fleet.Sorted() {
-				if !machine.Bin.Open() || machine.ReservedFor != nil || !job.permits(machine.Type, machine.Zone, machine.Spot) || !machine.Bin.Cap.Fits(job.request) {
-					continue
-				}
-				seconds := s.secondsUntilRoom(job, machine, now)
-				if heldBefore[machine] {
-					seconds /= 2 // what has begun to empty goes on
-				}
-				list = append(list, soon{machine, seconds})
-			}
-			slices.SortStableFunc(list, func(a, b soon) int { return cmp.Compare(a.seconds, b.seconds) })
+			listed, list = job.placementClass, s.machinesToHold(job, heldBefore, list[:0], now)
 		}
 		n := min(job.pending(), left, len(list))
 		for _, candidate := range list[:n] {
@@ -80,53 +50,54 @@
 	}
 }
 
-// secondsUntilRoom guesses, in seconds, when a machine will have room for a task of the job
-// if it is given nothing else.
-func (s *Scheduler) secondsUntilRoom(job *Job, machine *fleet.Machine, now time.Time) float64 {
-	free := machine.Bin.Cap.Sub(machine.Bin.Used())
-	ends := s.endings(machine, now)
-	for _, e := range ends {
-		if free.Fits(job.request) {
-			return e.seconds
+// unholdMachines holds no machine any more, and returns those that were held.
+func (s *Scheduler) unholdMachines() map[*fleet.Machine]bool {
+	held := map[*fleet.Machine]bool{}
+	for _, machine := range s.fleet.Sorted() {
+		if machine.ReservedFor != nil {
+			held[machine] = true
+			machine.ReservedFor = nil
+			machine.Bin.SetLabel(heldLabel, false)
 		}
-		free = free.Add(e.room)
 	}
-	if len(ends) == 0 {
-		return 0
-	}
-	return ends[len(ends)-1].seconds
+	s.holders = s.holders[:0]
+	return held
 }
 
-// ending is room that a task gives back when it ends, by its estimate in so many seconds.
-type ending struct {
-	seconds float64
-	room    packing.Resources
+// waitingForHeld returns the jobs other than gangs that wait, in the order in which they are served,
+// and the smallest share of a machine that a task of theirs takes.
+func (s *Scheduler) waitingForHeld(now time.Time) (waiting []*Job, smallest float64) {
+	smallest = 1.0
+	for _, job := range s.queue(now) {
+		if job.Shape != records.ShapeGang && s.startable(job, now) && job.nextTask() >= 0 {
+			waiting = append(waiting, job)
+			smallest = min(smallest, s.smallestShare(job))
+		}
+	}
+	return waiting, smallest
 }
 
-// endings lists, the soonest first, when what is on a machine ends.
-func (s *Scheduler) endings(machine *fleet.Machine, now time.Time) []ending {
-	ends := make([]ending, 0, 16) // a machine holds few
-	for _, attempt := range machine.Attempts() {
-		if attempt.Item == nil {
+// machinesToHold lists in list the machines that may be held for a job, those that will have room
+// soonest first.
+func (s *Scheduler) machinesToHold(job *Job, heldBefore map[*fleet.Machine]bool, list []machineWait, now time.Time) []machineWait {
+	for _, machine := range s.fleet.Sorted() {
+		if !machine.Bin.Open() || machine.ReservedFor != nil || !job.permits(machine.Type, machine.Zone, machine.Spot) ||
+			!machine.Bin.Cap.Fits(job.request) {
 			continue
 		}
-		seconds := 0.0
-		if aj := s.jobOf(attempt); aj != nil {
-			seconds = s.remainingSeconds(aj, attempt, now)
+		seconds := s.secondsUntilRoom(job, machine, now)
+		if heldBefore[machine] {
+			seconds /= 2 // a machine that has begun to empty goes on
 		}
-		ends = append(ends, ending{seconds, attempt.Item.Req})
+		list = append(list, machineWait{machine, seconds})
 	}
-	slices.SortFunc(ends, func(a, b ending) int { return cmp.Compare(a.seconds, b.seconds) })
-	return ends
+	sortBySeconds(list)
+	return list
 }
 
-// heldLabel is the mark of bins whose machines are kept.
-const heldLabel = "kept"
-
-// lastHoldingJob is the one served last of the jobs for whose sake machines are kept, nil if
-// there is none or one of them is over. Whoever is served after it finds every kept machine
-// spared, which need not be asked of each: on 1,300 machines that was most of what the
-// placing cost.
+// lastHoldingJob returns the one served last of the jobs for which machines are held, nil if there is
+// none or one of them is closed. Whoever is served after it may use no held machine, which need not be
+// asked of each machine: on 1,300 machines that was most of what placement cost.
 func (s *Scheduler) lastHoldingJob() *Job {
 	var last *Job
 	for _, holder := range s.holders {
@@ -140,7 +111,7 @@
 	return last
 }
 
-// isHeldForEarlier says whether a machine is kept for a job whose turn is before another's.
+// isHeldForEarlier reports whether a machine is held for a job that is served before another.
 func isHeldForEarlier(m *fleet.Machine, j *Job) bool {
 	holder, ok := m.ReservedFor.(*Job)
 	return ok && holder != j && !holder.closed && servedBefore(holder, j)
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"cmp"
 	"log/slog"
 	"slices"
 	"time"
@@ -12,24 +11,41 @@
 	"drumpick/internal/reservation"
 )
 
-// reserveRoom makes what has fallen free the own of gangs that have waited for long, in the order
-// in which they must begin, in one zone for each. It goes before all placing: section 3.4's insert takes
-// items one by one, and a gang that needs twelve bins at once finds eleven at the most beside
-// a queue of smaller ones that never ends.
+// reserveRoom claims what has become free for gangs that have waited for long, in the order in which
+// they must begin, in one zone for each, and one place each for arrays. It runs before all placing: the
+// packing inserts items one by one, and a gang that needs twelve bins at once finds eleven at the most
+// beside a queue of smaller ones that never ends.
 func (s *Scheduler) reserveRoom(now time.Time) {
 	if s.settings.ReservationBound <= 0 || !s.reconciled {
 		return
 	}
-	var due []*Job
 	s.queue(now)
+	committed := map[string]int{} // places that earlier reservations still lack, by zone
+	for _, job := range s.dueReservations(now) {
+		if job.Shape != records.ShapeGang {
+			s.reserveOnePlace(job, now)
+			continue
+		}
+		if job.reservedZone == "" && !s.beginReservation(job, committed, now) {
+			continue
+		}
+		zone := job.reservedZone
+		committed[zone] += s.reservePlaces(job, committed[zone] > 0, now)
+	}
+}
+
+// dueReservations returns the jobs that need a reservation by now, the longest waiting first. Those that
+// missed the bound come last, until they have waited twice as long.
+func (s *Scheduler) dueReservations(now time.Time) []*Job {
+	var due []*Job
 	for _, job := range s.reservationCandidates {
 		if s.needsReservation(job, now) {
 			due = append(due, job)
 		}
 	}
 	missed := func(job *Job) bool {
-		w := now.Sub(job.waitStart())
-		return w > s.settings.ReservationBound && w < 2*s.settings.ReservationBound
+		waited := now.Sub(job.waitStart())
+		return waited > s.settings.ReservationBound && waited < 2*s.settings.ReservationBound
 	}
 	slices.SortStableFunc(due, func(a, b *Job) int {
 		if missed(a) != missed(b) {
@@ -37,31 +53,29 @@
 		}
 		return a.waitStart().Compare(b.waitStart())
 	})
-	ahead := map[string]int{}
-	for _, job := range due {
-		if job.Shape != records.ShapeGang {
-			s.reserveOnePlace(job, now)
-			continue
-		}
-		if job.reservedZone == "" {
-			if now.Before(job.reserveNotBefore) {
-				continue // it was a look at every task
-			}
-			job.reserveNotBefore = now.Add(s.settings.HeartbeatInterval / 4)
-			zone, seconds := s.chooseReservationZone(job, ahead, now)
-			if zone == "" || !reservation.Due(now.Sub(job.waitStart()), time.Duration(seconds*float64(time.Second)), s.settings.ReservationBound) {
-				continue
-			}
-			job.reservedZone = zone
-			slog.Debug("saves room", "job", job.ID, "tasks", job.Tasks, "zone", job.reservedZone, "waited_s", now.Sub(job.waitStart()).Seconds(), "in_s", seconds, "term", s.term)
-		}
-		zone := job.reservedZone
-		ahead[zone] += s.reservePlaces(job, ahead[zone] > 0, now)
+	return due
+}
+
+// beginReservation chooses the zone of a gang's reservation once that is due, and reports whether it
+// has one.
+func (s *Scheduler) beginReservation(job *Job, committed map[string]int, now time.Time) bool {
+	if now.Before(job.reserveNotBefore) {
+		return false
+	}
+	// Examining every task is expensive, so it is not repeated at once.
+	job.reserveNotBefore = now.Add(s.settings.HeartbeatInterval / 4)
+	waited := now.Sub(job.waitStart())
+	zone, seconds := s.chooseReservationZone(job, committed, now)
+	if zone == "" || !reservation.Due(waited, time.Duration(seconds*float64(time.Second)), s.settings.ReservationBound) {
+		return false
 	}
+	job.reservedZone = zone
+	slog.Debug("room reserved", "job", job.ID, "tasks", job.Tasks, "zone", zone, "waited_s", waited.Seconds(), "in_s", seconds, "term", s.term)
+	return true
 }
 
-// listReservationCandidates lists, in the order of the queue, the jobs for which room may have to be saved until
-// the order is worked out anew: gangs, which may begin anew, and arrays of which nothing has begun.
+// listReservationCandidates lists, in the order of the queue, the jobs that may need a reservation
+// until the order is worked out again: gangs, which may begin again, and arrays that have not begun.
 func (s *Scheduler) listReservationCandidates() {
 	s.reservationCandidates = s.reservationCandidates[:0]
 	for _, j := range s.sortedJobs {
@@ -73,7 +87,7 @@
 	}
 }
 
-// waitStart is from when a job's wait for its begin counts.
+// waitStart is from when a job's wait for its start counts.
 func (j *Job) waitStart() time.Time {
 	if j.gangBrokenAt.After(j.releasedAt) {
 		return j.gangBrokenAt
@@ -81,25 +95,32 @@
 	return j.releasedAt
 }
 
-// needsReservation says whether room is to be saved for a job by now: for a gang all its places, for an
-// array the first.
+// needsReservation reports whether room is to be reserved for a job by now: for a gang all its places,
+// for an array the first.
 func (s *Scheduler) needsReservation(job *Job, now time.Time) bool {
+	if s.reservationDue(job, now) {
+		return true
+	}
+	job.reservedZone = ""
+	return false
+}
+
+func (s *Scheduler) reservationDue(job *Job, now time.Time) bool {
 	waited := now.Sub(job.waitStart())
-	needed := waited >= reservation.EarliestWait(s.settings.ReservationBound) && len(job.attempts)+len(job.duplicates) == 0 && s.startable(job, now) && job.nextTask() >= 0
 	switch {
-	case !needed:
+	case waited < reservation.EarliestWait(s.settings.ReservationBound):
+		return false
+	case len(job.attempts)+len(job.duplicates) > 0, !s.startable(job, now), job.nextTask() < 0:
+		return false
 	case job.Shape == records.ShapeGang:
-		needed = job.gangAttempt == 0 && s.waitingWithinLimit(job) >= job.pending()
-	default:
-		needed = job.Shape == records.ShapeArray && job.doneCount == 0 && !job.start.reported && reservation.Due(waited, 0, s.settings.ReservationBound) && s.waitingWithinLimit(job) > 0
-	}
-	if !needed {
-		job.reservedZone = ""
+		return job.gangAttempt == 0 && s.waitingWithinLimit(job) >= job.pending()
+	case job.Shape != records.ShapeArray, job.doneCount > 0, job.start.reported:
+		return false
 	}
-	return needed
+	return reservation.Due(waited, 0, s.settings.ReservationBound) && s.waitingWithinLimit(job) > 0
 }
 
-// chooseReservationZone chooses the zone where a job's places fall free soonest.
+// chooseReservationZone chooses the zone where a job's places become free soonest.
 func (s *Scheduler) chooseReservationZone(job *Job, ahead map[string]int, now time.Time) (zone string, in float64) {
 	byZone := map[string][]float64{}
 	for _, machine := range s.fleet.Sorted() {
@@ -119,36 +140,42 @@
 	return reservation.ChooseZone(zones, job.pending())
 }
 
-// secondsUntilPlaces guesses when a machine has room for one, two and more tasks of a job, in seconds,
-// if it is given nothing else.
-func (s *Scheduler) secondsUntilPlaces(j *Job, m *fleet.Machine, now time.Time) []float64 {
-	var seconds []float64
-	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
-	for _, e := range append([]ending{{}}, s.endings(m, now)...) {
-		for free = free.Add(e.room); free.Fits(j.request); free = free.Sub(j.request) {
-			seconds = append(seconds, e.seconds)
+// reservePlaces claims places in the chosen zone, as many as the job has tasks: what is free, and for
+// the rest, once it is urgent and no reservation is ahead of this one, what becomes free soonest. It
+// returns how many are not free yet. A machine that has begun to empty goes on, unless another place
+// is free first: without this, machines of which small tasks always take the part that is free would
+// never be free as a whole.
+func (s *Scheduler) reservePlaces(job *Job, ahead bool, now time.Time) (lacking int) {
+	places := s.placesInZone(job, now)
+	n := job.pending()
+	if len(places) < n || n == 0 {
+		// Without this, a gang would wait for a zone whose machines are gone.
+		job.reservedZone = ""
+		return 0
+	}
+	places = places[:n]
+	need := time.Duration(places[n-1].seconds * float64(time.Second))
+	urgent := !ahead && reservation.Urgent(now.Sub(job.waitStart()), need, s.settings.ReservationBound)
+	for _, place := range places {
+		if place.seconds > 0 {
+			lacking++
+		}
+		if place.seconds <= 0 || urgent {
+			s.addClaim(job, place.machine, now)
 		}
 	}
-	return seconds
+	return lacking
 }
 
-// reservePlaces makes places in the chosen zone the job's own, as many as it has tasks: what is free,
-// and for the rest, once it is urgent and nobody is ahead, what falls free soonest. It says how
-// many are not free yet. What has begun to empty goes on, unless another place is free first.
-// Guards against machines of which small tasks always take the part that is free: none of them
-// is ever free as a whole.
-func (s *Scheduler) reservePlaces(job *Job, ahead bool, now time.Time) (lacks int) {
+// placesInZone gives up a job's claims and lists the places in the zone of its reservation, the soonest
+// first.
+func (s *Scheduler) placesInZone(job *Job, now time.Time) []machineWait {
 	claimedBefore := map[*fleet.Machine]bool{}
-	for _, cl := range job.claims {
-		claimedBefore[cl.machine] = true
+	for _, c := range job.claims {
+		claimedBefore[c.machine] = true
 	}
 	s.suspendClaims(job)
-	n := job.pending()
-	type place struct {
-		machine *fleet.Machine
-		seconds float64
-	}
-	var list []place
+	var places []machineWait
 	for _, machine := range s.fleet.Sorted() {
 		if job.reservedZone != reservation.AllZones && machine.Zone != job.reservedZone || !s.couldHost(job, machine, now) {
 			continue
@@ -157,30 +184,14 @@
 			if seconds > 0 && claimedBefore[machine] {
 				seconds /= 2
 			}
-			list = append(list, place{machine, seconds})
-		}
-	}
-	slices.SortStableFunc(list, func(a, b place) int { return cmp.Compare(a.seconds, b.seconds) })
-	if len(list) < n || n == 0 {
-		// Guards against a gang that waits for a zone whose machines are gone.
-		job.reservedZone = ""
-		return 0
-	}
-	list = list[:n]
-	need := time.Duration(list[n-1].seconds * float64(time.Second))
-	urgent := !ahead && reservation.Urgent(now.Sub(job.waitStart()), need, s.settings.ReservationBound)
-	for _, candidate := range list {
-		if candidate.seconds > 0 {
-			lacks++
-		}
-		if candidate.seconds <= 0 || urgent {
-			s.addClaim(job, candidate.machine, now)
+			places = append(places, machineWait{machine, seconds})
 		}
 	}
-	return lacks
+	sortBySeconds(places)
+	return places
 }
 
-// reserveOnePlace makes the place that is free soonest the own of an array of which no task has begun.
+// reserveOnePlace claims the place that is free soonest for an array that has not begun.
 func (s *Scheduler) reserveOnePlace(job *Job, now time.Time) {
 	job.reservedZone = reservation.AllZones
 	if len(job.claims) > 0 {
--- a/internal/scheduler/zone_health.go
+++ b/internal/scheduler/zone_health.go
@@ -8,12 +8,13 @@
 	"drumpick/internal/zonehealth"
 )
 
-// isQuiet says whether a machine has been silent for so long that its zone may be the cause.
+// isQuiet reports whether a machine has been silent for so long that an outage of its zone may be the
+// cause.
 func (s *Scheduler) isQuiet(m *fleet.Machine, now time.Time) bool {
 	return float64(now.Sub(m.LastHeard())) > zonehealth.SilentAfterIntervals*float64(s.settings.HeartbeatInterval)
 }
 
-// observeZones looks at which zones are cut off.
+// observeZones examines in which zones an outage has to be suspected.
 func (s *Scheduler) observeZones(now time.Time) {
 	if !s.settings.ZoneHealth {
 		return
@@ -32,24 +33,27 @@
 	}
 	suspected, recovered := s.zoneHealth.Observe(counts, now)
 	for _, zone := range suspected {
-		slog.Warn("zone is dark: its machines are silent and those of others are not", "zone", zone, "machines", counts[zone].Machines, "silent", counts[zone].Silent, "term", s.term)
+		slog.Warn("zone outage suspected", "zone", zone, "machines", counts[zone].Machines, "silent", counts[zone].Silent, "term", s.term)
 	}
 	for _, zone := range recovered {
-		slog.Info("zone is no longer taken for dark", "zone", zone, "machines", counts[zone].Machines, "silent", counts[zone].Silent, "term", s.term)
+		slog.Info("zone outage over", "zone", zone, "machines", counts[zone].Machines, "silent", counts[zone].Silent, "term", s.term)
 	}
 }
 
-// replaceableElsewhere says whether there is room, as far as known, for a machine in the place of
-// another one where it would be heard. What was refused of late is: as long as work waits
-// it is asked for again and again.
+// replaceableElsewhere reports whether a replacement of a machine could be had, as far as known, in a
+// zone without a suspected outage. Capacity that was refused lately counts too: as long as work waits
+// it is requested again and again.
 func (s *Scheduler) replaceableElsewhere(machine *fleet.Machine, now time.Time) bool {
-	t := s.types[machine.Type]
+	machineType := s.types[machine.Type]
 	late := now.Add(-2 * s.startupTime(machine.Type))
-	for _, z := range t.Zones {
-		if s.zoneHealth.Suspected(z) {
+	refusedLately := func(zone string, spot bool) bool {
+		return !late.After(s.autoscaling.refusedUntil[machineOffer{machine.Type, zone, spot}])
+	}
+	for _, zone := range machineType.Zones {
+		if s.zoneHealth.Suspected(zone) {
 			continue
 		}
-		if late.After(s.autoscaling.refusedUntil[machineOffer{machine.Type, z, false}]) || t.SpotPrice > 0 && late.After(s.autoscaling.refusedUntil[machineOffer{machine.Type, z, true}]) {
+		if !refusedLately(zone, false) || machineType.SpotPrice > 0 && !refusedLately(zone, true) {
 			return true
 		}
 	}
