--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -10,41 +10,47 @@
 	"drumpick/internal/records"
 )
 
-// addDependencies takes a job into the graph.
+// addDependencies adds a job to the graph.
 func (s *Scheduler) addDependencies(job *Job) {
-	n := dependency.Job{
+	node := dependency.Job{
 		ID: job.ID, Dependencies: job.Dependencies, Rank: priorityRank[job.Priority],
-		// Between the end of one job and the start of the next lies a report.
+		// Between the end of one job and the start of the next lies a heartbeat.
 		Estimate: s.settings.HeartbeatInterval + s.fetchTime(job) + time.Duration(job.EstimateS*likelyRuns*float64(time.Second)),
 	}
 	if job.DeadlineS != nil {
-		times := 1.0
-		for _, o := range s.settings.Objectives {
-			if o.Class == job.Class && o.Kind == config.KindDeadline {
-				times = max(times, o.Times)
-			}
-		}
-		n.Deadline = job.deadlineAt(*job.DeadlineS)
-		n.LatestEnd = job.deadlineAt(*job.DeadlineS * times)
+		node.Deadline = job.deadlineAt(*job.DeadlineS)
+		node.LatestEnd = job.deadlineAt(*job.DeadlineS * s.latestDeadlineTimes(job.Class))
 	}
-	s.dependencies.Add(n)
+	s.dependencies.Add(node)
 	s.applyDependencyChanges()
 }
 
-// deadlineAt is a time of day, by seconds from the job's acceptance.
+// latestDeadlineTimes returns how many times its deadline a job of a class may take by the laxest
+// objective, once at least.
+func (s *Scheduler) latestDeadlineTimes(class string) float64 {
+	times := 1.0
+	for _, o := range s.settings.Objectives {
+		if o.Class == class && o.Kind == config.KindDeadline {
+			times = max(times, o.Times)
+		}
+	}
+	return times
+}
+
+// deadlineAt converts seconds from the job's acceptance to a time of day.
 func (j *Job) deadlineAt(s float64) time.Time {
 	return time.UnixMilli(j.AcceptedMS).Add(time.Duration(s * float64(time.Second)))
 }
 
-// secondsUntil is the reverse: seconds from the job's base to a time of day.
+// secondsUntil converts a time of day to seconds from the job's release.
 func (j *Job) secondsUntil(t time.Time) float64 {
 	return t.Sub(time.UnixMilli(j.AcceptedMS)).Seconds() - j.blockedSeconds()
 }
 
-// blockedSeconds is for how many seconds, from its acceptance, a job waited for others.
+// blockedSeconds is for how many seconds, from its acceptance, a job waited for its dependencies.
 func (j *Job) blockedSeconds() float64 { return j.releasedAt.Sub(j.Accepted).Seconds() }
 
-// applyDependencyChanges takes over what has changed in the graph.
+// applyDependencyChanges applies to the jobs what has changed in the graph.
 func (s *Scheduler) applyDependencyChanges() {
 	for _, id := range s.dependencies.Changed() {
 		job := s.jobs[id]
@@ -52,8 +58,8 @@
 			continue
 		}
 		job.blocked, job.urgency = s.dependencies.Blocked(id), s.dependencies.Urgency(id)
-		// A version that knew of no chains wrote no time: then it counts from the
-		// acceptance, as for any job.
+		// A version that knew of no dependencies wrote no time: then it counts from the acceptance, as for
+		// any job.
 		job.releasedAt, job.notStartedBefore = job.Accepted, job.Revision
 		if at := s.dependencies.Released(id); !job.blocked && !at.IsZero() {
 			job.releasedAt = job.Accepted.Add(max(at.Sub(time.UnixMilli(job.AcceptedMS)), 0))
@@ -63,7 +69,7 @@
 			job.notStartedBefore = max(job.Revision, s.dependencies.NotBefore(id))
 		}
 		if job.notStartedBefore > s.term {
-			s.clearUncertain(job) // nobody can have started any of it before
+			s.clearUncertain(job) // no earlier term can have started any of it
 		}
 		job.targets = s.completionTargets(job)
 		s.choosePreferences(job)
@@ -71,9 +77,9 @@
 	}
 }
 
-// choosePreferences sets which machines a job's tasks prefer. What is urgent for a chain's sake and
-// cannot save goes where the cloud does not take machines, even before its image: one
-// task lost of many begins anew, and all jobs behind wait for it.
+// choosePreferences sets which machines a job's tasks prefer. What is urgent for its dependents' sake
+// and saves no checkpoints goes where the cloud does not take machines back, even before where its
+// image is: one lost task of many starts again, and all dependents wait for it.
 func (s *Scheduler) choosePreferences(j *Job) {
 	j.preferLabels = []string{fleet.ImageLabel(j.Image), fleet.SpotLabel}
 	linked := len(j.Dependencies) > 0 || j.urgency.Rank < priorityRank[j.Priority]
@@ -82,8 +88,7 @@
 	}
 }
 
-// NoteClosed notes what the store says for good of a job, when it was done, and at which
-// revision that was stored.
+// NoteClosed notes that a job is closed for good, as its record says, and the revision of that record.
 func (s *Scheduler) NoteClosed(id string, closed records.ClosedJob, revision uint64) {
 	var at time.Time
 	if closed.AtMS > 0 {
@@ -98,35 +103,45 @@
 	s.CloseJob(id)
 }
 
-// closeJobWrite moves a job to the over records.
-func (s *Scheduler) closeJobWrite(job *Job, o records.ClosedJob) PendingWrite {
+// closeJobWrite returns the write that moves a job to the closed records.
+func (s *Scheduler) closeJobWrite(job *Job, closed records.ClosedJob) PendingWrite {
 	job.closing = true
-	o.Tasks = job.Tasks
+	closed.Tasks = job.Tasks
 	return PendingWrite{
 		Ops: []records.Op{
 			{Delete: records.OpenKey(job.ID)},
-			{Write: records.ClosedKey(job.ID), Value: o},
+			{Write: records.ClosedKey(job.ID), Value: closed},
 		},
-		Compares: []records.Compare{{Key: records.OpenKey(job.ID), Revision: job.Revision}}, OwnKey: records.OpenKey(job.ID),
-		OnStored: func(stamp uint64) {
-			slog.Debug("job over", "job", job.ID, "class", job.Class, "status", o.Status, "after", job.Dependencies,
-				"waited_s", job.blockedSeconds(), "took_s", time.Since(job.releasedAt).Seconds(), "due_s", job.secondsUntil(job.urgency.Deadline), "term", s.term)
-			s.NoteClosed(job.ID, o, stamp)
+		Compares: []records.Compare{{Key: records.OpenKey(job.ID), Revision: job.Revision}},
+		OwnKey:   records.OpenKey(job.ID),
+		OnStored: func(revision uint64) {
+			s.logClosed(job, closed)
+			s.NoteClosed(job.ID, closed, revision)
 		},
-		// Guards against taking a job for cancelled that is done: its open record is
-		// gone because its user cancelled it, or because this very write went through
-		// before and its answer was lost. Only the over record tells; until it is
-		// read, nothing behind the job starts or is cancelled.
+		// The open record is gone because the user cancelled the job, or because this very write went
+		// through before and its answer was lost. Only the closed record tells which; until it is read,
+		// no dependent starts or is cancelled. Without this, a job that is done could be taken for
+		// cancelled.
 		OnConflict: func() { s.CloseJob(job.ID) },
 	}
 }
 
-// UnreadDependencies lists the jobs of which it is not known what has become of them, and that open
-// ones name.
+func (s *Scheduler) logClosed(job *Job, closed records.ClosedJob) {
+	message := "job done"
+	if closed.Status == records.StatusCancelled {
+		message = "job cancelled"
+	}
+	slog.Debug(message, "job", job.ID, "class", job.Class, "dependencies", job.Dependencies,
+		"waited_s", job.blockedSeconds(), "took_s", time.Since(job.releasedAt).Seconds(),
+		"due_s", job.secondsUntil(job.urgency.Deadline), "term", s.term)
+}
+
+// UnreadDependencies lists the jobs that open jobs depend on and of which it is not known whether they
+// are done or cancelled.
 func (s *Scheduler) UnreadDependencies() []string { return s.dependencies.Unread() }
 
-// HasCascade says whether any job is to be cancelled with one before it.
+// HasCascade reports whether any job is to be cancelled because one it depends on was.
 func (s *Scheduler) HasCascade() bool { return len(s.dependencies.ToCancel()) > 0 }
 
-// DependenciesClear says whether no job before this one is known to be cancelled.
+// DependenciesClear reports whether no job that this one depends on is known to be cancelled.
 func (s *Scheduler) DependenciesClear(id string) bool { return s.dependencies.Clear(id) }
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,9 +1,9 @@
 // Package scheduler decides which task runs where and when, which tasks are stopped, which machines
 // are scaled out and which are returned.
 //
-// A Scheduler is the state of one term of leadership. It does no I/O, starts no goroutine and reads
-// no clock: it is plain data that events change, with the time passed in. Package leader drives it
-// for one term, under a lock of its own, and carries out what it decides.
+// A Scheduler is the state of one term of leadership. It does no I/O, starts no goroutine and reads no
+// clock (but for one figure that it logs): it is plain data that events change, with the time passed
+// in. Package leader drives it for one term, under a lock of its own, and carries out what it decides.
 //
 // A heartbeat goes through five stages:
 //
--- a/internal/scheduler/driver.go
+++ b/internal/scheduler/driver.go
@@ -6,26 +6,24 @@
 	"drumpick/internal/fleet"
 )
 
-// What the driver of a term (package lead) asks and tells beside events and decisions.
-
-// TicksPerHeartbeat is the part of a report interval, one in so many, between two ticks.
+// TicksPerHeartbeat is how many ticks there are in a heartbeat interval.
 const TicksPerHeartbeat = 8
 
-// Counts tells how many open jobs and machines are known.
+// Counts returns how many open jobs and machines are known.
 func (s *Scheduler) Counts() (jobs, machines int) { return len(s.jobs), len(s.fleet.Sorted()) }
 
-// Reconciled says whether every machine that an earlier term may have used has been heard, or
-// is gone.
+// Reconciled reports whether every machine that an earlier term may have used has been heard, or is
+// gone.
 func (s *Scheduler) Reconciled() bool { return s.reconciled }
 
-// UnreconciledMachine is a machine that has to show the term, by its address and the session of its
-// worker that is known.
+// UnreconciledMachine is a machine that has not shown that it knows this term: its address, and the
+// known incarnation of its worker.
 type UnreconciledMachine struct {
 	Addr        string
 	Incarnation uint64
 }
 
-// Unreconciled lists those that have not.
+// Unreconciled lists the machines that are not reconciled and can be asked.
 func (s *Scheduler) Unreconciled() []UnreconciledMachine {
 	var list []UnreconciledMachine
 	for _, m := range s.fleet.Sorted() {
@@ -36,14 +34,14 @@
 	return list
 }
 
-// Replan places tasks if anything has changed since that was last done.
+// Replan places tasks if anything has changed since the last placement pass.
 func (s *Scheduler) Replan(now time.Time) {
 	if s.placementStale {
 		s.placeWaiting(now)
 	}
 }
 
-// CloseMissing closes the jobs that a list of all open ones lacks, read at a revision.
+// CloseMissing closes the jobs that a list of all open jobs, read at a revision, does not contain.
 func (s *Scheduler) CloseMissing(listed func(id string) bool, revision uint64) {
 	for id, j := range s.jobs {
 		// A job newer than the list is not in it.
@@ -53,13 +51,13 @@
 	}
 }
 
-// ObserveDelay notes by how much anything waited before it was got to.
+// ObserveDelay notes how long anything waited before the leader came to it.
 func (s *Scheduler) ObserveDelay(d time.Duration) { s.delay = max(s.delay, d) }
 
-// SetRelaxed says whether tasks beyond marks may be sent now.
+// SetRelaxed sets whether tasks beyond watermarks may be sent now.
 func (s *Scheduler) SetRelaxed(on bool) { s.watermarks.relaxed = on }
 
-// WatermarksStored says whether every task that may have been sent is below a mark in the store.
+// WatermarksStored reports whether every task that may have been sent is below a stored watermark.
 func (s *Scheduler) WatermarksStored() bool {
 	stored := s.watermarks.complete
 	for _, j := range s.jobs {
@@ -68,19 +66,19 @@
 	return stored
 }
 
-// IsLatest says whether a report, by its session and number, is the last that we know of a
-// machine.
+// IsLatest reports whether a heartbeat, by its incarnation and sequence number, is the latest known of
+// a machine.
 func (s *Scheduler) IsLatest(m *fleet.Machine, incarnation, sequence uint64) bool {
 	return s.fleet.Machines[m.Host] == m && m.Incarnation == incarnation && m.Sequence == sequence
 }
 
-// UrgentCommands is orders that a machine is to hear at once, not at its next report.
+// UrgentCommands are commands that a machine is to get at once, not with its next heartbeat.
 type UrgentCommands struct {
 	Addr string
 	Body fleet.CommandRequest
 }
 
-// TakeUrgentCommands takes what is to be sent so.
+// TakeUrgentCommands takes the commands that are to be sent at once.
 func (s *Scheduler) TakeUrgentCommands() []UrgentCommands {
 	var calls, unreachable []UrgentCommands
 	for host := range s.urgentMachines {
@@ -90,7 +88,8 @@
 			continue
 		}
 		if commands := machine.PendingCommands(); len(commands) > 0 {
-			call := UrgentCommands{machine.Addr, fleet.CommandRequest{FencingToken: s.term, Incarnation: machine.Incarnation, Commands: commands}}
+			body := fleet.CommandRequest{FencingToken: s.term, Incarnation: machine.Incarnation, Commands: commands}
+			call := UrgentCommands{machine.Addr, body}
 			if machine.Unreachable() {
 				unreachable = append(unreachable, call)
 			} else {
@@ -98,6 +97,6 @@
 			}
 		}
 	}
-	// Guards against calls that hang and keep others waiting.
+	// Calls to unreachable machines may hang: they come last, so that they keep no others waiting.
 	return append(calls, unreachable...)
 }
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -9,32 +9,41 @@
 	"drumpick/internal/records"
 )
 
-// assignGuarantees marks the jobs that fit, together with their team's earlier unfinished ones,
-// into what their team is guaranteed, and those of them that can still begin in time.
+// assignGuarantees marks the jobs that fit, together with their team's earlier unfinished ones, into
+// what their team is guaranteed, and those of them that can still begin in time.
 func (s *Scheduler) assignGuarantees(now time.Time) {
 	account := fairshare.NewAccount(s.settings.Teams, s.settings.Guarantees)
-	for _, j := range s.sortedJobs {
-		j.guaranteed, j.protected = account.Charge(j.Team, j.Tasks-j.doneCount, j.request)
-		j.canBeginInTime = j.guaranteed && s.settings.Guarantees && fairshare.CanBeginInTime(s.settings.GuaranteeWithin, now.Sub(j.releasedAt), s.settings.HeartbeatInterval, s.fetchTime(j))
-		if !j.start.known {
-			j.start.known, j.start.entitled = true, j.guaranteed
+	for _, job := range s.sortedJobs {
+		job.guaranteed, job.protected = account.Charge(job.Team, job.Tasks-job.doneCount, job.request)
+		job.canBeginInTime = job.guaranteed && s.settings.Guarantees && s.canBeginInTime(job, s.settings.HeartbeatInterval, now)
+		if !job.start.known {
+			job.start.known, job.start.entitled = true, job.guaranteed
 		}
 	}
 }
 
-// preemptionIntervals is how long, in report intervals, it takes until what was stopped has saved,
-// its end was heard and the run went out.
+// canBeginInTime reports whether a job can begin within the guarantee's time if it gets its room after
+// a delay.
+func (s *Scheduler) canBeginInTime(job *Job, delay time.Duration, now time.Time) bool {
+	return fairshare.CanBeginInTime(s.settings.GuaranteeWithin, now.Sub(job.releasedAt), delay, s.fetchTime(job))
+}
+
+// preemptionIntervals is how long, in heartbeat intervals, it takes until a preempted task has saved a
+// checkpoint, its exit was heard and the run command went out.
 const preemptionIntervals = 3
 
-// benefitsFromPreemption says whether a job within a guarantee can still begin in time once others were
-// stopped for it. Guards against tasks that are stopped again and again for gangs which are
-// late all the same: on crowded days that was more than a third of the starts of their class.
-func (s *Scheduler) benefitsFromPreemption(j *Job, now time.Time) bool {
-	return !s.settings.Guarantees || s.settings.GuaranteeWithin == 0 || fairshare.CanBeginInTime(s.settings.GuaranteeWithin, now.Sub(j.releasedAt), preemptionIntervals*s.settings.HeartbeatInterval, s.fetchTime(j))
+// benefitsFromPreemption reports whether a job within a guarantee can still begin in time once others
+// were preempted for it. Without this, tasks would be stopped again and again for gangs which are late
+// all the same: on crowded days that was more than a third of the starts of their class.
+func (s *Scheduler) benefitsFromPreemption(job *Job, now time.Time) bool {
+	if !s.settings.Guarantees || s.settings.GuaranteeWithin == 0 {
+		return true
+	}
+	return s.canBeginInTime(job, preemptionIntervals*s.settings.HeartbeatInterval, now)
 }
 
-// noteShortage notes that a job of a team with a guarantee found no room, and may use ordinary
-// machines alone. What its team's limit holds back lacks none.
+// noteShortage notes that a job of a team with a guarantee found no room, and may use on-demand
+// machines only. A job that its team's limit holds back lacks none.
 func (s *Scheduler) noteShortage(j *Job, used quota.Amount, now time.Time) {
 	if !s.settings.Guarantees || j.Spot || !fairshare.HasGuarantee(j.team) || j.limited && !s.withinLimit(j, used) {
 		return
@@ -46,14 +55,14 @@
 	}
 }
 
-// shortageLately says whether ordinary machines of a type were too few within a startup time.
+// shortageLately reports whether on-demand machines of a type were too few within a startup time.
 func (s *Scheduler) shortageLately(typ string, now time.Time) bool {
 	return s.onDemandShortage.ShortageWithin(typ, s.startupTime(typ), now)
 }
 
-// displaced counts the tasks of a job that stand on ordinary machines which others lacked
-// lately, though cheap ones would do: cheap machines are rented for as many, so that those
-// who come next leave the ordinary ones alone.
+// displaced counts the tasks of a job that are on on-demand machines which others lacked lately, though
+// spot machines would do: as many spot machines are scaled out, so that those who come next leave the
+// on-demand machines alone.
 func (s *Scheduler) displaced(job *Job, now time.Time) int {
 	if !s.settings.Guarantees || !job.Spot || job.Shape != records.ShapeArray {
 		return 0
--- a/internal/scheduler/placing_order.go
+++ b/internal/scheduler/placing_order.go
@@ -9,16 +9,14 @@
 	"drumpick/internal/records"
 )
 
-// placingTurn is a job's place in the order of placing: on machines that have its image,
-// or on any.
+// placingTurn is a job's place in the placing order: on machines that have its image ready, or on any.
 type placingTurn struct {
 	job   *Job
 	at    time.Time
 	ready bool
 }
 
-// placementClass is the number that the turn shares with those that find no room where it finds none;
-// 0: there are none.
+// placementClass is the class of turns that find no room where this one finds none; 0: there are none.
 func (t placingTurn) placementClass() int {
 	if t.ready {
 		return t.job.imageClass
@@ -26,7 +24,7 @@
 	return t.job.placementClass
 }
 
-// positions is a set of places in the order of placing.
+// positions is a set of places in the placing order.
 type positions []uint64
 
 func newPositions(n int) positions { return make(positions, (n+63)/64) }
@@ -35,7 +33,7 @@
 
 func (p positions) remove(i int) { p[i/64] &^= 1 << (i % 64) }
 
-// next is the first of them from a place on; -1: there is none.
+// next returns the first of them from a place on; -1: there is none.
 func (p positions) next(from int) int {
 	if from>>6 >= len(p) {
 		return -1
@@ -51,9 +49,9 @@
 	}
 }
 
-// placingOrder is the order in which jobs are placed, worked out for all jobs now and then. In
-// between it is kept which of them have tasks to start, so that a placing passes over the others
-// without a look at each.
+// placingOrder is the order in which jobs are placed, worked out for all jobs now and then. In between
+// it notes which of them have tasks to start, so that a placement pass skips the others without a look
+// at each.
 type placingOrder struct {
 	turns   []placingTurn
 	active  positions               // of jobs that may have tasks to start
@@ -61,17 +59,16 @@
 	turnsOf map[*Job][]int          // where a job's turns are
 }
 
-// turnGroup are turns that follow each other in the order of placing as they do in that of their
-// jobs, and share their likeness.
+// turnGroup identifies turns that are in the same order as their jobs, and whose jobs are equal.
 type turnGroup struct {
 	imageClass int
 	ready      bool
 }
 
-// newPlacingOrder orders the jobs for placing. Where its image has to be fetched first, a
-// job's turn comes later by as long as the fetch takes: the place would stand idle
-// for that time, while a job that came that much later can use it at once. Images
-// can take as long as the tasks, and each machine fetches each for itself.
+// newPlacingOrder orders the jobs for placement. Where its image has to be fetched first, a job's turn
+// comes later, by twice as long as the fetch takes: the place would stand idle for that time, while a
+// job that arrived that much later can use it at once. Fetches can take as long as the tasks, and each
+// machine fetches each image for itself.
 func newPlacingOrder(jobs []*Job, fetchTime func(*Job) time.Duration) *placingOrder {
 	o := &placingOrder{groups: map[turnGroup]positions{}, turnsOf: make(map[*Job][]int, len(jobs))}
 	for _, job := range jobs {
@@ -111,7 +108,7 @@
 	}
 }
 
-// placingTurns goes through the turns of one placing.
+// placingTurns iterates over the turns of one placement pass.
 type placingTurns struct {
 	order     *placingOrder
 	remaining positions
@@ -119,8 +116,8 @@
 	at        int
 }
 
-// begin starts to go through the turns of jobs that may have tasks to start. Those of some jobs are
-// looked at each for itself.
+// begin starts to iterate over the turns of jobs that may have tasks to start. Those of some jobs are
+// never skipped as equal to others.
 func (o *placingOrder) begin(each []*Job) *placingTurns {
 	p := &placingTurns{order: o, remaining: slices.Clone(o.active), separate: newPositions(len(o.turns)), at: -1}
 	for _, j := range each {
@@ -129,7 +126,7 @@
 	return p
 }
 
-// next is the next turn; false: there is none.
+// next returns the next turn; false: there is none.
 func (p *placingTurns) next() (placingTurn, bool) {
 	if p.at = p.remaining.next(p.at + 1); p.at < 0 {
 		return placingTurn{}, false
@@ -137,10 +134,10 @@
 	return p.order.turns[p.at], true
 }
 
-// deactivate passes over the turn's job until it is woken.
+// deactivate skips the turn's job until it is activated.
 func (p *placingTurns) deactivate() { p.order.active.remove(p.at) }
 
-// skipAlike passes over all turns like the last one that are to come.
+// skipAlike skips all coming turns that are equal to the last one.
 func (p *placingTurns) skipAlike() {
 	t := p.order.turns[p.at]
 	for w, same := range p.order.groups[turnGroup{t.job.imageClass, t.ready}] {
@@ -148,7 +145,7 @@
 	}
 }
 
-// keepSeparate has the turns of a job that are to come looked at each for itself from now on.
+// keepSeparate has the coming turns of a job no longer skipped as equal to others.
 func (p *placingTurns) keepSeparate(j *Job) {
 	for _, i := range p.order.turnsOf[j] {
 		if p.separate.put(i); i > p.at {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -15,14 +15,13 @@
 	records.PriorityCritical: 0, records.PriorityUrgent: 1, records.PriorityStandard: 2, records.PriorityLow: 3,
 }
 
-// queue returns the open jobs in the order in which they are served.
+// queue returns the open jobs that are not blocked, in the order in which they are served.
 func (s *Scheduler) queue(now time.Time) []*Job {
 	if s.queueStale {
 		s.queueStale = false
 		s.sortedJobs = s.sortedJobs[:0]
 		for _, job := range s.jobs {
-			// A job that waits for others is in no order, and thereby in no guarantee,
-			// reservation, rental plan or preemption.
+			// A blocked job is in no order, and thereby in no guarantee, reservation, scale-out or preemption.
 			if !job.blocked {
 				s.sortedJobs = append(s.sortedJobs, job)
 			}
@@ -36,14 +35,16 @@
 		})
 		s.assignGuarantees(now)
 		s.assignTurns(now)
-		sort.SliceStable(s.sortedJobs, func(a, b int) bool { return servedBefore(s.sortedJobs[a], s.sortedJobs[b]) })
+		sort.SliceStable(s.sortedJobs, func(a, b int) bool {
+			return servedBefore(s.sortedJobs[a], s.sortedJobs[b])
+		})
 		s.order = newPlacingOrder(s.sortedJobs, s.fetchTime)
 		s.listReservationCandidates()
 	}
 	return s.sortedJobs
 }
 
-// servedBefore says whether a job is served before another.
+// servedBefore reports whether a job is served before another.
 func servedBefore(x, y *Job) bool {
 	if d := precedence(x, y); d != 0 {
 		return d < 0
@@ -51,8 +52,8 @@
 	return x.turnAt.Before(y.turnAt)
 }
 
-// precedence orders jobs by what goes before any turn: what is owed its room, of this what
-// can still begin in time, and rank.
+// precedence orders jobs by what counts before any turn: those within a guarantee, of these those that
+// can still begin in time, then rank.
 func precedence(x, y *Job) int {
 	switch {
 	case x.guaranteed != y.guaranteed:
@@ -63,7 +64,7 @@
 	return cmp.Compare(x.rank, y.rank)
 }
 
-// firstIf is the order of two of whom one goes first.
+// firstIf is the order of two jobs of which the first goes first if is holds.
 func firstIf(is bool) int {
 	if is {
 		return -1
@@ -71,8 +72,8 @@
 	return 1
 }
 
-// fetchTime is how long a machine that suits a job, and has room for its tasks at all, takes to
-// fetch its image.
+// fetchTime is how long the fastest machine that suits a job, and has room for its tasks at all, takes
+// to fetch its image.
 func (s *Scheduler) fetchTime(job *Job) time.Duration {
 	rate := 0.0
 	for name, t := range s.types {
@@ -86,12 +87,11 @@
 	return time.Duration(job.ImageGB / rate * float64(time.Second))
 }
 
-// assignTurns orders the jobs. Critical and urgent work goes before the rest; within
-// that, a job's turn is its acceptance, put off by a share of the time that its
-// class's next objective leaves it, and by as much as its own work would keep all
-// machines busy, some times over. So work with little time passes work with much,
-// short jobs pass long ones, and every job's turn comes. A job that can no longer
-// meet any objective lets those pass that can, until it is very late.
+// assignTurns orders the jobs. Critical and urgent work goes before the rest; within that, a job's turn
+// is its release, put off by a share of the time that its class's next objective leaves it, and by a
+// multiple of the time for which its own work would keep all machines busy. So work with little time
+// passes work with much, short jobs pass long ones, and every job's turn comes. A job that can no
+// longer meet any objective lets those pass that can, until it is very late.
 func (s *Scheduler) assignTurns(now time.Time) {
 	machinesUp := 0
 	for _, machine := range s.fleet.Sorted() {
@@ -102,15 +102,9 @@
 	for _, job := range s.sortedJobs {
 		job.rank = 2 * min(job.urgency.Rank, priorityRank[records.PriorityStandard])
 		age := now.Sub(job.releasedAt).Seconds()
-		last := job.targets[len(job.targets)-1]
-		next := last
-		for _, t := range job.targets {
-			if age+job.EstimateS*surelyRuns <= t {
-				next = t
-				break
-			}
-		}
-		if age+job.EstimateS*surelyRuns > last && age+job.blockedSeconds() < veryLate*(last+job.blockedSeconds()) {
+		next, last := job.nextTarget(age)
+		isLate := age+job.EstimateS*surelyRuns > last
+		if isLate && age+job.blockedSeconds() < veryLate*(last+job.blockedSeconds()) {
 			job.rank++
 		}
 		work := float64(job.Tasks-job.doneCount) * job.EstimateS * s.smallestShare(job)
@@ -119,9 +113,21 @@
 	}
 }
 
-// completionTargets lists, in seconds from its base, when a job should be complete by its
-// class's objectives and for the sake of the jobs behind it, the soonest first. The
-// deadline counts from the acceptance, however long the job waited.
+// nextTarget returns the first target that a job of an age, in seconds, can still meet, and its last
+// one.
+func (j *Job) nextTarget(age float64) (next, last float64) {
+	last = j.targets[len(j.targets)-1]
+	for _, target := range j.targets {
+		if age+j.EstimateS*surelyRuns <= target {
+			return target, last
+		}
+	}
+	return last, last
+}
+
+// completionTargets lists, in seconds from its release, when a job should be complete by its class's
+// objectives and for the sake of its dependents, the soonest first. The deadline counts from the
+// acceptance, however long the job was blocked.
 func (s *Scheduler) completionTargets(job *Job) []float64 {
 	var targets []float64
 	for _, objective := range s.settings.Objectives {
@@ -149,7 +155,7 @@
 }
 
 const (
-	// turnWeight is how often over its own work puts a job's turn off.
+	// turnWeight is how many times the time for its own work puts a job's turn off.
 	turnWeight = 3
 	// slackShare is the share of the time left by the next objective that does.
 	slackShare = 0.5
@@ -157,13 +163,13 @@
 	likelyRuns = 1.5
 	// surelyRuns is the share of the owner's estimate that a task surely runs.
 	surelyRuns = 0.5
-	// veryLate is when, in times of its last objective, a late job waits no longer.
+	// veryLate is after how many times its last target a late job no longer lets others pass.
 	veryLate = 3
-	// noTarget stands in, in report intervals, for classes without an objective.
+	// noTarget is the target, in heartbeat intervals, for classes without an objective.
 	noTarget = 100
 )
 
-// smallestShare is what a task takes of the machine type that suits it best.
+// smallestShare is the share that a task takes of the machine type that suits it best.
 func (s *Scheduler) smallestShare(j *Job) float64 {
 	share := 1.0
 	for name, t := range s.types {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -6,10 +6,10 @@
 	"drumpick/internal/quota"
 )
 
-// quotaSlack forgives the rounding of decimal amounts where a quota is compared.
+// quotaSlack tolerates the rounding of decimal amounts where a quota is compared.
 const quotaSlack = 1e-9
 
-// setTeam gives the job what the settings say of its team.
+// setTeam sets what the settings say of the job's team.
 func (j *Job) setTeam(t config.Team) {
 	j.team, j.limited = t, t.LimitCPUs > 0 || t.LimitGPUs > 0
 }
@@ -17,17 +17,17 @@
 // taskQuota is what one task of the job counts for.
 func (j *Job) taskQuota() quota.Amount { return quota.Amount{CPUs: j.request.CPU, GPUs: j.request.GPU} }
 
-// updateCharge brings the account up to date with an attempt. The fleet's table calls it for every
-// change of the attempt; a change of its job (it comes, or is over) is the other reason.
+// updateCharge brings the account up to date with an attempt. The machine table calls it for every
+// change of the attempt; a change of its job (which is added, or closed) is the other reason.
 func (s *Scheduler) updateCharge(a *fleet.Attempt) {
 	next := s.chargeOf(a)
 	s.quotaUsage.Replace(a.Charge, next)
 	a.Charge = next
 }
 
-// chargeOf is what an attempt counts for: all that may be on a machine, and apart from that
-// what is planned. Where its job is over or not known it counts for every team, as what it
-// takes until it is proven gone.
+// chargeOf is what an attempt counts for: all that may be on a machine, and apart from that what is
+// planned. Where its job is closed or not known it counts for every team, as what it takes until it is
+// proven gone.
 func (s *Scheduler) chargeOf(attempt *fleet.Attempt) quota.Charge {
 	var charge quota.Charge
 	switch {
@@ -51,15 +51,15 @@
 	return charge
 }
 
-// withinLimit says whether one more task of the job is within its team's limit, beside what is
-// used.
-func (s *Scheduler) withinLimit(j *Job, used quota.Amount) bool {
-	team := j.team
-	sum := used.Add(j.taskQuota())
-	return (team.LimitCPUs == 0 || sum.CPUs <= team.LimitCPUs+quotaSlack) && (team.LimitGPUs == 0 || sum.GPUs <= team.LimitGPUs+quotaSlack)
+// withinLimit reports whether one more task of the job is within its team's limit, beside what is used.
+func (s *Scheduler) withinLimit(job *Job, used quota.Amount) bool {
+	team := job.team
+	sum := used.Add(job.taskQuota())
+	return (team.LimitCPUs == 0 || sum.CPUs <= team.LimitCPUs+quotaSlack) &&
+		(team.LimitGPUs == 0 || sum.GPUs <= team.LimitGPUs+quotaSlack)
 }
 
-// waitingWithinLimit is how many of a job's tasks wait and are within its team's limit.
+// waitingWithinLimit is how many of a job's waiting tasks are within its team's limit.
 func (s *Scheduler) waitingWithinLimit(job *Job) int {
 	n := job.pending() + job.relocating
 	if !job.limited {
--- a/internal/scheduler/slo.go
+++ b/internal/scheduler/slo.go
@@ -13,43 +13,50 @@
 )
 
 const (
-	// sloReportsPerBound is how often, in the bound on a job's begin, it is looked at who is served.
+	// sloReportsPerBound is how many service-level reports there are within the bound on a job's start.
 	sloReportsPerBound = 4
-	// sloWarnShare is the share served in time below which, and the share of the bound waited
-	// beyond which, that is a warning: before a half, and the bound, are missed.
-	sloWarnShare, waitWarn = 0.6, 0.75
+	// sloWarnShare is the share of jobs begun in time below which a report is a warning, and
+	// waitWarnShare the share of the bound that a job waited beyond which it is: before a half of the
+	// jobs, or the bound, is missed.
+	sloWarnShare, waitWarnShare = 0.6, 0.75
 )
 
-// reportSLO tells, now and then, who is served: one line for each class, team and class's
-// largest, and a warning where less than half of them may end up without.
+// reportSLO reports, now and then, how many jobs began in time: one line for each class, for each team
+// and for each class's largest jobs, as a warning where less than half of them may end up without.
 func (s *Scheduler) reportSLO(now time.Time) {
-	if now.Sub(s.lastSLOReport) < s.settings.BeginWithin/sloReportsPerBound {
+	bound := s.settings.BeginWithin
+	if now.Sub(s.lastSLOReport) < bound/sloReportsPerBound {
 		return
 	}
 	s.lastSLOReport = now
-	for _, line := range s.slo.Summarize(s.settings.BeginWithin, now) {
-		for what, n := range map[string]int{"came": line.Arrived, "begun": line.Begun, "done": line.Done, "late": line.Late} {
-			// Guards against metrics without end: users make classes up, settings do not.
-			if line.Dimension != slo.ByTeam && !s.hasObjective(line.Name) {
-				break
-			}
-			metrics.GetOrCreateGauge(`drumpick_served_jobs{by="`+line.Dimension+`",name="`+label(line.Name)+`",what="`+what+`"}`, nil).Set(float64(n))
+	for _, line := range s.slo.Summarize(bound, now) {
+		// Users make classes up, settings do not: without this, there would be metrics without end.
+		if line.Dimension == slo.ByTeam || s.hasObjective(line.Name) {
+			setServedGauges(line)
 		}
 		level := slog.LevelInfo
-		if line.ShareInTime() < sloWarnShare || line.Waiting != "" && float64(line.LongestWait) > waitWarn*float64(s.settings.BeginWithin) {
+		if line.ShareInTime() < sloWarnShare || line.Waiting != "" && float64(line.LongestWait) > waitWarnShare*float64(bound) {
 			level = slog.LevelWarn
 		}
-		slog.Log(context.Background(), level, "served", "by", line.Dimension, "name", line.Name, "came", line.Arrived, "begun", line.Begun, "done", line.Done, "late", line.Late,
+		slog.Log(context.Background(), level, "service level", "by", line.Dimension, "name", line.Name,
+			"arrived", line.Arrived, "begun", line.Begun, "done", line.Done, "late", line.Late,
 			"longest_s", line.LongestWait.Round(time.Second).Seconds(), "waiting", line.Waiting, "term", s.term)
 	}
 }
 
-// hasObjective says whether an objective speaks of a class.
+func setServedGauges(line slo.Summary) {
+	for what, n := range map[string]int{"came": line.Arrived, "begun": line.Begun, "done": line.Done, "late": line.Late} {
+		name := `drumpick_served_jobs{by="` + line.Dimension + `",name="` + label(line.Name) + `",what="` + what + `"}`
+		metrics.GetOrCreateGauge(name, nil).Set(float64(n))
+	}
+}
+
+// hasObjective reports whether an objective applies to a class.
 func (s *Scheduler) hasObjective(class string) bool {
 	return slices.ContainsFunc(s.settings.Objectives, func(o config.Objective) bool { return o.Class == class })
 }
 
-// label keeps what users make up from breaking the metrics' names.
+// label keeps names that users make up from breaking the metrics' labels.
 func label(name string) string {
 	out := []rune(name)
 	for i, r := range out {
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -10,13 +10,13 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// startStages is when a job that begins came how far; of a gang, its last task. What is tried
-// again counts from its last try: the time before went by waiting for room.
+// startStages is when a job that begins reached which stage; of a gang, its last task. What is tried
+// again counts from its last try: the time before was spent waiting for room.
 type startStages struct {
 	learnedAt, placedAt time.Time
-	entitled            bool // it was within its team's guarantee when it was first placed in order
+	entitled            bool // it was within its team's guarantee when it was first put in order
 	known               bool // whether it was is known
-	reported            bool
+	reported            bool // its start has been reported
 }
 
 // waitBreakdown is how long a job waited for what, until it began.
@@ -25,9 +25,9 @@
 	machine                          *fleet.Machine // where its image came last
 }
 
-// longestPart names what a job waited for longest: to be heard of by the leader, for room, for
-// marks and the report that takes the run along, for its image, or for the rest of the gang
-// to be seen running.
+// longestPart names what a job waited for longest: for the leader to learn of it, for room, for
+// watermarks and the heartbeat in answer to which the run command went out, for its image, or for the
+// rest of the gang to be seen running. The names are label values of a metric.
 func (w waitBreakdown) longestPart() string {
 	by, most := "heard", w.heard
 	for _, x := range []struct {
@@ -41,7 +41,7 @@
 	return by
 }
 
-// waitBreakdown works out for what a job waited whose task a is the last one seen to run.
+// waitBreakdown works out what a job waited for, of which attempt is the last one seen to run.
 func (j *Job) waitBreakdown(attempt *fleet.Attempt, now time.Time) waitBreakdown {
 	placed, sent, ready := j.start.placedAt, attempt.Since, attempt.ReadySince
 	wait := waitBreakdown{machine: attempt.Machine}
@@ -55,7 +55,7 @@
 			}
 		}
 	}
-	// Guards against a job whose other tasks were placed since the first that runs was sent.
+	// Other tasks of the job may have been placed since the first that runs was sent.
 	if placed.After(sent) {
 		placed = sent
 	}
@@ -64,8 +64,8 @@
 	return wait
 }
 
-// hasBegun says whether a job of which a task was just seen to run has begun: a gang has when
-// all its tasks run.
+// hasBegun reports whether a job of which a task was just seen to run has begun: a gang has when all
+// its tasks run.
 func (j *Job) hasBegun() bool {
 	if j.Shape != records.ShapeGang {
 		return true
@@ -78,8 +78,8 @@
 	return len(j.attempts) == j.Tasks
 }
 
-// noteRunning notes that a task was seen to run, and tells once, when its job has begun, for
-// what it waited until then: a guarantee that is missed by seconds is missed by one of these.
+// noteRunning notes that a task was seen to run, and reports once, when its job has begun, what it
+// waited for until then: a guarantee that is missed by seconds is missed by one of these.
 func (s *Scheduler) noteRunning(job *Job, attempt *fleet.Attempt, now time.Time) {
 	if !job.hasBegun() {
 		return
@@ -90,10 +90,12 @@
 	}
 	job.start.reported = true
 	wait := job.waitBreakdown(attempt, now)
+	waitS, longest := now.Sub(job.releasedAt).Seconds(), wait.longestPart()
 	if job.start.entitled {
-		metrics.GetOrCreateHistogram(`drumpick_guarantee_wait_seconds{longest="` + wait.longestPart() + `"}`).Update(now.Sub(job.releasedAt).Seconds())
+		metrics.GetOrCreateHistogram(`drumpick_guarantee_wait_seconds{longest="` + longest + `"}`).Update(waitS)
 	}
-	slog.Debug("job began", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks, "entitled", job.start.entitled,
-		"wait_s", now.Sub(job.releasedAt).Seconds(), "longest", wait.longestPart(), "heard_s", wait.heard.Seconds(), "room_s", wait.room.Seconds(),
-		"report_s", wait.report.Seconds(), "fetch_s", wait.fetch.Seconds(), "mates_s", wait.gang.Seconds(), "machine", wait.machine.Host, "type", wait.machine.Type, "term", s.term)
+	slog.Debug("job started", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks, "entitled", job.start.entitled,
+		"wait_s", waitS, "longest", longest, "heard_s", wait.heard.Seconds(), "room_s", wait.room.Seconds(),
+		"report_s", wait.report.Seconds(), "fetch_s", wait.fetch.Seconds(), "mates_s", wait.gang.Seconds(),
+		"machine", wait.machine.Host, "type", wait.machine.Type, "term", s.term)
 }
--- a/internal/scheduler/start_latency_test.go
+++ b/internal/scheduler/start_latency_test.go
@@ -35,7 +35,7 @@
 	}
 	var told []string
 	for _, line := range strings.Split(log.String(), "\n") {
-		if _, rest, ok := strings.Cut(line, `msg="job began" `); ok {
+		if _, rest, ok := strings.Cut(line, `msg="job started" `); ok {
 			told = append(told, rest)
 		}
 	}
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -22,7 +22,7 @@
 	Tasks   []TaskView `json:"on_it,omitempty"`
 }
 
-// TaskView is an attempt on a machine.
+// TaskView is an attempt on a machine as operators see it.
 type TaskView struct {
 	Task  string  `json:"task"`
 	Try   uint64  `json:"attempt"`
@@ -35,15 +35,15 @@
 const (
 	MachineBooting      = "booting"
 	MachineUp           = "up"
-	MachineUnreconciled = "unsettled" // not heard since the takeover
+	MachineUnreconciled = "unsettled" // not heard since the failover
 	MachineSilent       = "silent"
-	MachineUnreachable  = "deaf"    // reports, but nothing that is sent reaches it
-	MachinePreempting   = "noticed" // the cloud is about to take it
+	MachineUnreachable  = "deaf"    // sends heartbeats, but nothing that is sent reaches it
+	MachinePreempting   = "noticed" // the cloud is about to take it back
 	MachineFaulty       = "faulty"
 	MachineReturning    = "returning"
 	MachineCordoned     = "cordoned" // takes no new tasks: an operator's drain
-	MachineEmptying     = "draining" // and what runs there leaves
-	MachineDrained      = "drained"  // and nothing is on it any more
+	MachineEmptying     = "draining" // cordoned, and what runs there leaves
+	MachineDrained      = "drained"  // cordoned, and nothing is on it any more
 )
 
 func (s *Scheduler) machineState(machine *fleet.Machine, now time.Time) string {
@@ -73,7 +73,10 @@
 }
 
 func (s *Scheduler) view(machine *fleet.Machine, now time.Time) MachineView {
-	view := MachineView{Name: machine.Host, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Addr: machine.Addr, Version: machine.Version, State: s.machineState(machine, now)}
+	view := MachineView{
+		Name: machine.Host, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Addr: machine.Addr,
+		Version: machine.Version, State: s.machineState(machine, now),
+	}
 	if !machine.Rented.IsZero() {
 		view.AgeS = now.Sub(machine.Rented).Seconds()
 	}
@@ -85,11 +88,12 @@
 	return view
 }
 
-// ListMachines lists up to limit machines by name, behind since, without their tasks; more
-// says that there are others behind them.
+// ListMachines lists up to limit machines by name, after since, without their tasks; more reports
+// whether others follow.
 func (s *Scheduler) ListMachines(since string, limit int, now time.Time) (list []MachineView, more bool) {
 	all := s.fleet.Sorted()
-	i, found := slices.BinarySearchFunc(all, since, func(machine *fleet.Machine, name string) int { return strings.Compare(machine.Host, name) })
+	byName := func(machine *fleet.Machine, name string) int { return strings.Compare(machine.Host, name) }
+	i, found := slices.BinarySearchFunc(all, since, byName)
 	if found {
 		i++
 	}
@@ -100,7 +104,7 @@
 	return list, end < len(all)
 }
 
-// DescribeMachine tells of one machine with all that is on it.
+// DescribeMachine describes one machine with all that is on it.
 func (s *Scheduler) DescribeMachine(name string, now time.Time) (MachineView, bool) {
 	machine := s.fleet.Machines[name]
 	if machine == nil {
