--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -27,7 +27,7 @@
 			Name: "m-1", Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.232:9000", State: "up", AgeS: 60.5, Version: "1.0", Count: 1,
 			Tasks: []Task{{Task: "j-1/0", Try: 2, State: "running", RanS: 4.5, Stops: true}},
 		}, Drain{Spec: spec, Force: true, Since: "m-0"}, DrainView{Drain: spec, State: &DrainState{
-			Phase: drain.Upgrading, Roll: &drain.Roll{Want: "1.1", From: "1.0", Back: true, Why: "w", Blocked: "b"}, Hand: []string{"m-1"},
+			Phase: drain.Upgrading, Rollout: &drain.Rollout{Want: "1.1", From: "1.0", Back: true, Why: "w", Blocked: "b"}, OutOfService: []string{"m-1"},
 			Left: 2, Blocked: "b", Plan: sum, Seen: sum, BeganMS: 946684801000, EndedMS: 946684802000, Term: 41,
 		}}, DrainPlan{
 			Machines: []drain.MachinePlan{{Machine: "m-1", Zone: "a", EmptyS: 4.5, Others: 5, Tasks: []drain.TaskPlan{{
--- a/cmd/drumpickctl/drains.go
+++ b/cmd/drumpickctl/drains.go
@@ -187,7 +187,7 @@
 			case drain.Drained, drain.Done, drain.Stopped:
 				return v, nil
 			case drain.RolledBack:
-				return v, &exitError{exitFailed, fmt.Errorf("drain %s was rolled back: %s", v.Drain.ID, v.State.Roll.Why)}
+				return v, &exitError{exitFailed, fmt.Errorf("drain %s was rolled back: %s", v.Drain.ID, v.State.Rollout.Why)}
 			}
 		}
 		select {
@@ -260,10 +260,10 @@
 	if s == nil {
 		return
 	}
-	row("in hand", short(s.Hand))
+	row("in hand", short(s.OutOfService))
 	row("waits", s.Blocked)
-	if s.Roll != nil && s.Roll.Back {
-		row("rolled back", s.Roll.Why+", to version "+s.Roll.Want)
+	if s.Rollout != nil && s.Rollout.Back {
+		row("rolled back", s.Rollout.Why+", to version "+s.Rollout.Want)
 	}
 	fmt.Fprintln(w, "\n\tMACHINES\tFINISH\tMOVE\tBEGIN ANEW\tWAIT\tBLOCKED\tVANISHED\tWORK LOST\tEMPTY AFTER")
 	for _, x := range []struct {
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -15,7 +15,7 @@
 // Unread: how the job stands is not known (yet); nothing may start behind it.
 // Done and Cancelled are final, and mean that the store says so.
 const (
-	Unread State = iota
+	Unknown State = iota
 	Open
 	Done
 	Cancelled
@@ -75,7 +75,7 @@
 // there are no cycles; a job that is known already is left as it is.
 func (g *Graph) Add(j Job) {
 	n := g.node(j.ID)
-	if n.state != Unread || n.needs != nil {
+	if n.state != Unknown || n.needs != nil {
 		return
 	}
 	delete(g.unread, j.ID)
@@ -84,7 +84,7 @@
 		p := g.node(id)
 		n.needs = append(n.needs, p)
 		p.behind = append(p.behind, n)
-		if p.state == Unread {
+		if p.state == Unknown {
 			g.unread[id] = true
 		}
 	}
@@ -106,7 +106,7 @@
 // Close notes that a job is no longer open, whatever has become of it.
 func (g *Graph) Close(id string) {
 	if n := g.nodes[id]; n != nil && n.state == Open {
-		n.state = Unread
+		n.state = Unknown
 		g.leave(n)
 		if g.nodes[id] != nil {
 			g.unread[id] = true
@@ -225,8 +225,8 @@
 	return n != nil && n.waits()
 }
 
-// Released tells when the last job that a job needs was done, as far as known.
-func (g *Graph) Released(id string) time.Time {
+// ReleasedAt tells when the last job that a job needs was done, as far as known.
+func (g *Graph) ReleasedAt(id string) time.Time {
 	var last time.Time
 	if n := g.nodes[id]; n != nil {
 		for _, p := range n.needs {
@@ -238,9 +238,9 @@
 	return last
 }
 
-// NotBefore is the revision before which a job cannot have been started: the last of those
+// EarliestStartRevision is the revision before which a job cannot have been started: the last of those
 // at which a job that it needs was stored as done, as far as known.
-func (g *Graph) NotBefore(id string) uint64 {
+func (g *Graph) EarliestStartRevision(id string) uint64 {
 	last := uint64(0)
 	if n := g.nodes[id]; n != nil {
 		for _, p := range n.needs {
@@ -258,9 +258,9 @@
 	return Urgency{}
 }
 
-// Clear says that of all jobs before an open one, however far, none is cancelled or
+// Unobstructed says that of all jobs before an open one, however far, none is cancelled or
 // not known. A job that is done has none such before it.
-func (g *Graph) Clear(id string) bool {
+func (g *Graph) Unobstructed(id string) bool {
 	n := g.nodes[id]
 	if n == nil || n.state != Open || n.doomed {
 		return false
@@ -281,9 +281,9 @@
 	return true
 }
 
-// Unread lists the jobs that open ones name and of which it is not known how they
+// UnknownJobs lists the jobs that open ones name and of which it is not known how they
 // stand, by name.
-func (g *Graph) Unread() []string {
+func (g *Graph) UnknownJobs() []string {
 	ids := make([]string, 0, len(g.unread))
 	for id := range g.unread {
 		ids = append(ids, id)
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -62,7 +62,7 @@
 				if g.Blocked(id) {
 					line = id + " waits"
 				}
-				if at := g.Released(id); !at.IsZero() {
+				if at := g.ReleasedAt(id); !at.IsZero() {
 					line += fmt.Sprint(", last job before it done at ", at.Unix())
 				}
 				terms := g.Urgency(id)
@@ -73,7 +73,7 @@
 				if !terms.LatestEnd.IsZero() {
 					line += fmt.Sprint(", at the latest ", terms.LatestEnd.Unix())
 				}
-				if w[0] == "show" && !g.Clear(id) {
+				if w[0] == "show" && !g.Unobstructed(id) {
 					line += ", not clear"
 				}
 				out = append(out, line)
@@ -81,7 +81,7 @@
 			if d := g.ToCancel(); len(d) > 0 {
 				out = append(out, "to be cancelled: "+strings.Join(d, " "))
 			}
-			if u := g.Unread(); len(u) > 0 {
+			if u := g.UnknownJobs(); len(u) > 0 {
 				out = append(out, "to be read: "+strings.Join(u, " "))
 			}
 			return out
@@ -168,15 +168,15 @@
 					waits = waits || all[p].state != Done
 					named[p] = true
 				}
-				if g.Blocked(id) != waits || said[id] != doomed(id) || g.Clear(id) == doomed(id) {
-					t.Fatalf("%s: waits %v, doomed %v, clear %v; plainly %v, %v", id, g.Blocked(id), said[id], g.Clear(id), waits, doomed(id))
+				if g.Blocked(id) != waits || said[id] != doomed(id) || g.Unobstructed(id) == doomed(id) {
+					t.Fatalf("%s: waits %v, doomed %v, clear %v; plainly %v, %v", id, g.Blocked(id), said[id], g.Unobstructed(id), waits, doomed(id))
 				}
 				if got, want := g.Urgency(id), terms(id); got != want {
 					t.Fatalf("%s: %v, plainly %v", id, got, want)
 				}
 			}
-			if len(g.nodes) != len(named) || len(g.Unread()) != 0 {
-				t.Fatalf("%d jobs held, %d are open or named; to be read %v", len(g.nodes), len(named), g.Unread())
+			if len(g.nodes) != len(named) || len(g.UnknownJobs()) != 0 {
+				t.Fatalf("%d jobs held, %d are open or named; to be read %v", len(g.nodes), len(named), g.UnknownJobs())
 			}
 		}
 	}
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -40,7 +40,7 @@
 	Finish  Action = "finishes" // ends where it is
 	Move    Action = "moves"    // is stopped now, saving where it can, and goes on elsewhere
 	Wait    Action = "waits"    // for its gang, for room elsewhere, or for another replica
-	Lose    Action = "begins anew elsewhere"
+	Restart Action = "begins anew elsewhere"
 	Blocked Action = "blocked" // nowhere else may it run
 )
 
@@ -98,7 +98,7 @@
 	case pressed && (last || t.Place == Room && time.Duration(float64(t.Remaining)/likely) > *left):
 		// By any guess it does not end in time: what it has done is lost either way, and
 		// stopped now it begins elsewhere now.
-		return Decision{Action: Lose, Why: "cannot save and would not end in time", Lost: t.Ran}
+		return Decision{Action: Restart, Why: "cannot save and would not end in time", Lost: t.Ran}
 	case pressed:
 		return Decision{Action: Finish, Why: "may just end in time"}
 	case !t.Saves:
@@ -131,7 +131,7 @@
 		return Decision{Action: Move, Why: why + "; saves"}
 	}
 	if t.Running && !t.Service && t.Ran > 0 {
-		return Decision{Action: Lose, Why: why, Lost: t.Ran}
+		return Decision{Action: Restart, Why: why, Lost: t.Ran}
 	}
 	return Decision{Action: Move, Why: why}
 }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -52,7 +52,7 @@
 			left = &l
 		}
 		d := Decide(x, left, margin)
-		leaves := d.Action == Move || d.Action == Lose
+		leaves := d.Action == Move || d.Action == Restart
 		over := left != nil && *left <= margin
 		inTime := left == nil || time.Duration(float64(x.Remaining)*likely) <= *left && !x.Service
 		switch {
@@ -60,11 +60,11 @@
 			t.Fatal("no reason")
 		case over && !leaves:
 			t.Fatalf("the time is over, and it %s", d.Action)
-		case d.Lost > 0 && (d.Action != Lose || d.Lost != x.Ran):
+		case d.Lost > 0 && (d.Action != Restart || d.Lost != x.Ran):
 			t.Fatalf("%s, and %v of %v are lost", d.Action, d.Lost, x.Ran)
 		case d.Lost > 0 && inTime && !over:
 			t.Fatalf("thrown away, though it would end in time: %+v", d)
-		case d.Action == Lose && x.Saves && !over:
+		case d.Action == Restart && x.Saves && !over:
 			t.Fatal("thrown away, though it can save")
 		case d.Action == Move && !over && x.Running && !x.Saves && !x.Service:
 			t.Fatal("moved, though it cannot save")
@@ -220,7 +220,7 @@
 		}
 		text := strings.Join(got, " ")
 		s := Spec{Kind: Empty, Window: &x.w}
-		if holds, by, _ := s.Holds(at); holds && !by.IsZero() {
+		if holds, by, _ := s.InForce(at); holds && !by.IsZero() {
 			text = "holds until empty at " + by.UTC().Format("01-02T15:04") + ", " + text
 		} else if holds {
 			text = "holds, " + text
--- a/internal/drain/golden_test.go
+++ b/internal/drain/golden_test.go
@@ -16,7 +16,7 @@
 		Window: &Window{Rule: "FREQ=WEEKLY;BYDAY=SU", Zone: "Europe/Warsaw", ForS: 7200, LeadS: 600, Starts: "2026-01-31T22:00"},
 	}
 	state := State{
-		Phase: Upgrading, Roll: &Roll{Want: "1.1", From: "1.0", Back: true, Why: "w", Blocked: "b"}, Hand: []string{"m-1"}, Left: 2,
+		Phase: Upgrading, Rollout: &Rollout{Want: "1.1", From: "1.0", Back: true, Why: "w", Blocked: "b"}, OutOfService: []string{"m-1"}, Left: 2,
 		Blocked: "b", Plan: sum, Seen: sum, BeganMS: 946684801000, EndedMS: 946684802000, Term: 41,
 	}
 	task := TaskPlan{Task: "j-1/0", Class: "train", Action: Move, Why: "w", UntilS: 1.5, LostS: 2.5, LateS: 3.5}
@@ -29,7 +29,7 @@
 		{Name: "drain", Value: spec},
 		{Name: "window", Value: *spec.Window},
 		{Name: "state", Value: state},
-		{Name: "roll", Value: *state.Roll},
+		{Name: "roll", Value: *state.Rollout},
 		{Name: "plan", Value: plan},
 		{Name: "plan of a class", Value: *plan.Classes["train"]},
 		{Name: "plan of a machine", Value: plan.Machines[0]},
@@ -37,6 +37,6 @@
 		{Name: "kinds", Direction: goldentest.Written, Value: []string{Cordon, Empty, Upgrade}},
 		{Name: "empty machines", Direction: goldentest.Written, Value: []string{Keep, Return}},
 		{Name: "phases", Direction: goldentest.Written, Value: []string{Waiting, Draining, Drained, Upgrading, RollingBack, Done, RolledBack, Stopped}},
-		{Name: "actions", Direction: goldentest.Written, Value: []Action{Finish, Move, Wait, Lose, Blocked}},
+		{Name: "actions", Direction: goldentest.Written, Value: []Action{Finish, Move, Wait, Restart, Blocked}},
 	})
 }
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -142,15 +142,15 @@
 		(s.Version == "" || s.Version == m.Version || s.Kind == Upgrade && m.Version == s.To)
 }
 
-// Bars says whether machines of a type in a zone, yet to be rented, would be drained as
+// BarsScaleOut says whether machines of a type in a zone, yet to be rented, would be drained as
 // well: then none is rented there.
-func (s *Spec) Bars(typ, zone string) bool {
+func (s *Spec) BarsScaleOut(typ, zone string) bool {
 	return s.Kind != Upgrade && len(s.Machines) == 0 && s.OlderS == 0 && s.Version == "" && s.Selects(Machine{Type: typ, Zone: zone})
 }
 
-// Holds tells whether a drain is in force at a time of day, by when its machines must be
+// InForce tells whether a drain is in force at a time of day, by when its machines must be
 // empty, zero for no such time, and when this changes next, zero for never.
-func (s *Spec) Holds(at time.Time) (holds bool, by, next time.Time) {
+func (s *Spec) InForce(at time.Time) (holds bool, by, next time.Time) {
 	if s.Stopped {
 		return false, by, next
 	}
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -34,7 +34,7 @@
 		s.Finish++
 	case Move:
 		s.Move++
-	case Lose:
+	case Restart:
 		s.Lose++
 	case Wait:
 		s.Wait++
@@ -46,32 +46,32 @@
 
 // State is how a drain stands, as its leader stores it.
 type State struct {
-	Phase   string   `json:"phase"`
-	Roll    *Roll    `json:"roll,omitempty"`
-	Hand    []string `json:"in_hand,omitempty"` // machines of an upgrade that are out of service
-	Left    int      `json:"left"`              // machines that are not empty, or lack the version
-	Blocked string   `json:"blocked,omitempty"`
-	Plan    Summary  `json:"plan"` // as it was when the drain began
-	Seen    Summary  `json:"seen"` // what happened
-	BeganMS int64    `json:"began_ms,omitempty"`
-	EndedMS int64    `json:"ended_ms,omitempty"`
-	Term    uint64   `json:"term,omitempty"`
+	Phase        string   `json:"phase"`
+	Rollout      *Rollout `json:"roll,omitempty"`
+	OutOfService []string `json:"in_hand,omitempty"` // machines of an upgrade that are out of service
+	Left         int      `json:"left"`              // machines that are not empty, or lack the version
+	Blocked      string   `json:"blocked,omitempty"`
+	Plan         Summary  `json:"plan"` // as it was when the drain began
+	Seen         Summary  `json:"seen"` // what happened
+	BeganMS      int64    `json:"began_ms,omitempty"`
+	EndedMS      int64    `json:"ended_ms,omitempty"`
+	Term         uint64   `json:"term,omitempty"`
 }
 
-// Over says whether nothing more is to be done.
-func (s *State) Over() bool { return s.Phase == Done || s.Phase == RolledBack || s.Phase == Stopped }
+// Closed says whether nothing more is to be done.
+func (s *State) Closed() bool { return s.Phase == Done || s.Phase == RolledBack || s.Phase == Stopped }
 
 // Same says whether two states tell people the same.
 func (s *State) Same(o *State) bool {
 	a, b := *s, *o
-	ra, rb := Roll{}, Roll{}
-	if a.Roll != nil {
-		ra = *a.Roll
+	ra, rb := Rollout{}, Rollout{}
+	if a.Rollout != nil {
+		ra = *a.Rollout
 	}
-	if b.Roll != nil {
-		rb = *b.Roll
+	if b.Rollout != nil {
+		rb = *b.Rollout
 	}
-	return a.Phase == b.Phase && ra == rb && slices.Equal(a.Hand, b.Hand) && a.Left == b.Left && a.Blocked == b.Blocked &&
+	return a.Phase == b.Phase && ra == rb && slices.Equal(a.OutOfService, b.OutOfService) && a.Left == b.Left && a.Blocked == b.Blocked &&
 		a.Plan == b.Plan && a.Seen == b.Seen && a.BeganMS == b.BeganMS && a.EndedMS == b.EndedMS
 }
 
--- a/internal/drain/upgrade.go
+++ b/internal/drain/upgrade.go
@@ -19,8 +19,8 @@
 	Classes []string      // of jobs that may run on it
 }
 
-// Roll is the state of an upgrade that must outlive a leader.
-type Roll struct {
+// Rollout is the state of an upgrade that must outlive a leader.
+type Rollout struct {
 	Want    string `json:"want"`           // version that machines are to have
 	From    string `json:"from,omitempty"` // version that most had at the start, to go back to
 	Back    bool   `json:"back,omitempty"` // it is being rolled back
@@ -29,9 +29,9 @@
 }
 
 // Begin tells how an upgrade starts: from the version that most machines have.
-func Begin(s *Spec, all []Candidate) Roll {
+func Begin(s *Spec, all []Candidate) Rollout {
 	count := map[string]int{}
-	r := Roll{Want: s.To}
+	r := Rollout{Want: s.To}
 	for _, m := range all {
 		if m.Version == "" || m.Version == s.To {
 			continue
@@ -45,7 +45,7 @@
 
 // Judge decides whether an upgrade is rolled back: where machines of the new version fail
 // tasks that others run, and no more of them than those have shown that it works.
-func (r *Roll) Judge(all []Candidate) {
+func (r *Rollout) Judge(all []Candidate) {
 	if r.Back {
 		return
 	}
@@ -74,7 +74,7 @@
 // version but has not shown that it works, as still in hand: so a bad version is seen on
 // few machines. up counts the machines in service by zone, and by class where jobs are
 // open, those in hand left out.
-func (r *Roll) Next(s *Spec, all []Candidate, zones, classes map[string]int, soak time.Duration) []string {
+func (r *Rollout) Next(s *Spec, all []Candidate, zones, classes map[string]int, soak time.Duration) []string {
 	r.Blocked = ""
 	var hand []string
 	room := s.AtOnce
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -152,7 +152,7 @@
 		list = append(list, a)
 	}
 	slices.SortFunc(list, func(a, b *Attempt) int {
-		return cmp.Or(strings.Compare(a.Machine.Host, b.Machine.Host), cmp.Compare(a.ordinal, b.ordinal))
+		return cmp.Or(strings.Compare(a.Machine.Name, b.Machine.Name), cmp.Compare(a.ordinal, b.ordinal))
 	})
 	return list
 }
--- a/internal/fleet/staleness.go
+++ b/internal/fleet/staleness.go
@@ -121,10 +121,10 @@
 // Probe is a machine to be asked how it stands, by a command without orders. An answer,
 // unlike a report, cannot be a copy of anything from before it was asked.
 type Probe struct {
-	Host, Addr  string
-	Incarnation uint64
-	asked       time.Time
-	body        uint64
+	Machine, Addr string
+	Incarnation   uint64
+	asked         time.Time
+	body          uint64
 }
 
 // Probes lists the machines that are to be asked: those whose reports lack what they
@@ -138,7 +138,7 @@
 			continue
 		}
 		d.asked = now
-		q := Probe{Host: m.Host, Addr: m.Addr, Incarnation: m.Incarnation, asked: now, body: m.body}
+		q := Probe{Machine: m.Name, Addr: m.Addr, Incarnation: m.Incarnation, asked: now, body: m.body}
 		if behind {
 			q.Addr, q.Incarnation = d.addr, d.session
 		}
@@ -155,8 +155,8 @@
 // machine has started anew, or what was known came from a copy: either way it has what the
 // answer shows and nothing else, but for runs that may still be on their way. anew says so.
 func (t *Table) ApplyProbe(q Probe, r *Heartbeat, now time.Time) (out Outcome, anew bool) {
-	m := t.Machines[q.Host]
-	if m == nil || r.Machine != q.Host {
+	m := t.Machines[q.Machine]
+	if m == nil || r.Machine != q.Machine {
 		return Outcome{Stale: true}, false
 	}
 	if m.IsStale(r) {
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -11,11 +11,11 @@
 
 // Machine is one rented machine.
 type Machine struct {
-	Host, Addr, Type, Zone string
+	Name, Addr, Type, Zone string
 	Spot                   bool
 
 	Incarnation, Sequence, FencingToken uint64
-	Rented                              time.Time // when its rental was asked for, as far as known
+	RequestedAt                         time.Time // when its rental was asked for, as far as known
 	Up                                  bool      // has reported to us, or answered
 	LastStatus                          time.Time // when any newer body came in
 	LastRenewal                         time.Time // when the last 200 to a report was written
@@ -141,7 +141,7 @@
 func (t *Table) Sorted() []*Machine { return t.sorted }
 
 func (t *Table) find(host string) (int, bool) {
-	return slices.BinarySearchFunc(t.sorted, host, func(m *Machine, h string) int { return strings.Compare(m.Host, h) })
+	return slices.BinarySearchFunc(t.sorted, host, func(m *Machine, h string) int { return strings.Compare(m.Name, h) })
 }
 
 // GetOrCreate returns the machine of a name, making it when it is new. A machine
@@ -151,7 +151,7 @@
 	m := t.Machines[host]
 	if m == nil {
 		m = &Machine{
-			table: t, Host: host, Addr: addr, Type: typ, Zone: zone, Spot: spot,
+			table: t, Name: host, Addr: addr, Type: typ, Zone: zone, Spot: spot,
 			ErrorJobs: map[string]int{},
 			Bin:       packing.NewBin(host, packing.Resources{}), Forecast: forecast.New(t.Forecast),
 		}
@@ -198,7 +198,7 @@
 	if a.Item == nil {
 		return
 	}
-	size := m.Bin.Cap.Share(a.Item.Req)
+	size := m.Bin.Capacity.Share(a.Item.Request)
 	m.Bin.Remove(a.Item)
 	if len(m.Changed) < 2*packing.MaxChangeMoves {
 		m.Changed = append(m.Changed, packing.Classify(size))
--- a/internal/localcluster/drain_test.go
+++ b/internal/localcluster/drain_test.go
@@ -252,7 +252,7 @@
 		if err != nil || v.State == nil {
 			return
 		}
-		for _, name := range v.State.Hand {
+		for _, name := range v.State.OutOfService {
 			if m, err := p.r.Client().Machine(t.Context(), name); err == nil && m.State == "drained" && m.Version != "2.0" {
 				if p.r.Upgrade(name, "2.0") == nil {
 					upgraded++
@@ -326,13 +326,13 @@
 		if v, err = p.r.Client().Drain(t.Context(), id); err != nil || v.State == nil {
 			return false
 		}
-		for _, name := range v.State.Hand {
+		for _, name := range v.State.OutOfService {
 			m, err := p.r.Client().Machine(t.Context(), name)
-			if err == nil && m.State == "drained" && v.State.Roll != nil && m.Version != v.State.Roll.Want {
-				if v.State.Roll.Want == "2.0" {
+			if err == nil && m.State == "drained" && v.State.Rollout != nil && m.Version != v.State.Rollout.Want {
+				if v.State.Rollout.Want == "2.0" {
 					bad[name] = true
 				}
-				_ = p.r.Upgrade(name, v.State.Roll.Want)
+				_ = p.r.Upgrade(name, v.State.Rollout.Want)
 			}
 		}
 		return v.State.Phase == "rolled back"
@@ -340,8 +340,8 @@
 	if len(bad) > 2 {
 		t.Errorf("%d machines got the bad version", len(bad))
 	}
-	if !strings.Contains(v.State.Roll.Why, "2.0") || v.State.Roll.From != "1.0" {
-		t.Errorf("%+v", v.State.Roll)
+	if !strings.Contains(v.State.Rollout.Why, "2.0") || v.State.Rollout.From != "1.0" {
+		t.Errorf("%+v", v.State.Rollout)
 	}
 	p.check()
 }
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -217,7 +217,7 @@
 		spec.Machines = spec.Machines[:min(len(spec.Machines), maxListedNames)]
 		state := states[spec.ID]
 		if state != nil {
-			state.Hand = state.Hand[:min(len(state.Hand), maxListedNames)]
+			state.OutOfService = state.OutOfService[:min(len(state.OutOfService), maxListedNames)]
 		}
 		out.Drains = append(out.Drains, scheduler.DrainView{Spec: spec, State: state})
 		return nil
--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -85,8 +85,8 @@
 // Lag is how late the timer has been lately.
 func (g *Detector) Lag() time.Duration { return g.late }
 
-// RentalHeadroom tells how many machines more a leader should rent that has so many, at most n.
-func (g *Detector) RentalHeadroom(have, n int) int {
+// ScaleOutHeadroom tells how many machines more a leader should rent that has so many, at most n.
+func (g *Detector) ScaleOutHeadroom(have, n int) int {
 	if g.level > Normal {
 		return 0
 	}
--- a/internal/overload/detector_test.go
+++ b/internal/overload/detector_test.go
@@ -79,11 +79,11 @@
 		g.Observe(every+late, up, now)
 		return g.Level()
 	}
-	if look(100*time.Millisecond, 1000) != Normal || g.RentalHeadroom(1000, 50) != 50 {
-		t.Errorf("a little late: %v, room for %d", g.Level(), g.RentalHeadroom(1000, 50))
+	if look(100*time.Millisecond, 1000) != Normal || g.ScaleOutHeadroom(1000, 50) != 50 {
+		t.Errorf("a little late: %v, room for %d", g.Level(), g.ScaleOutHeadroom(1000, 50))
 	}
-	if look(800*time.Millisecond, 1000) != Degraded || g.RentalHeadroom(1000, 50) != 0 {
-		t.Errorf("late: %v, room for %d", g.Level(), g.RentalHeadroom(1000, 50))
+	if look(800*time.Millisecond, 1000) != Degraded || g.ScaleOutHeadroom(1000, 50) != 0 {
+		t.Errorf("late: %v, room for %d", g.Level(), g.ScaleOutHeadroom(1000, 50))
 	}
 	if look(3*time.Second, 1100) != Overloaded {
 		t.Errorf("very late: %v", g.Level())
@@ -91,14 +91,14 @@
 	for range 30 {
 		look(0, 1000)
 	}
-	if g.Level() != Normal || g.RentalHeadroom(980, 50) < 20 || g.RentalHeadroom(980, 50) == 50 {
-		t.Errorf("a while later: %v, room for %d beside 980", g.Level(), g.RentalHeadroom(980, 50))
+	if g.Level() != Normal || g.ScaleOutHeadroom(980, 50) < 20 || g.ScaleOutHeadroom(980, 50) == 50 {
+		t.Errorf("a while later: %v, room for %d beside 980", g.Level(), g.ScaleOutHeadroom(980, 50))
 	}
 	for range 400 {
 		look(0, 1000)
 	}
-	if g.RentalHeadroom(1000, 50) != 50 {
-		t.Errorf("long after: room for %d beside 1000", g.RentalHeadroom(1000, 50))
+	if g.ScaleOutHeadroom(1000, 50) != 50 {
+		t.Errorf("long after: room for %d beside 1000", g.ScaleOutHeadroom(1000, 50))
 	}
 	for range 8 {
 		look(800*time.Millisecond, 1000)
@@ -106,7 +106,7 @@
 	for range 400 {
 		look(0, 100)
 	}
-	if g.RentalHeadroom(100, 5000) != 5000 {
-		t.Errorf("with a tenth of the machines: room for %d", g.RentalHeadroom(100, 5000))
+	if g.ScaleOutHeadroom(100, 5000) != 5000 {
+		t.Errorf("with a tenth of the machines: room for %d", g.ScaleOutHeadroom(100, 5000))
 	}
 }
--- a/internal/packing/space.go
+++ b/internal/packing/space.go
@@ -190,7 +190,7 @@
 
 // moved notes that what a bin holds has changed.
 func (b *Bin) moved() {
-	b.free, b.gap = b.Cap.Sub(b.used).Sub(b.owed), 1-b.Cap.Share(b.used.Add(b.owed))
+	b.free, b.gap = b.Capacity.Sub(b.used).Sub(b.owed), 1-b.Capacity.Share(b.used.Add(b.owed))
 	if b.space == nil {
 		return
 	}
@@ -216,13 +216,13 @@
 
 // search finds the best open bin of the given kinds that an item fits into.
 func (s *Space) search(it *Item, is kinds, ok func(*Bin) bool) *Bin {
-	fits := func(b *Bin) bool { return b.Fits(it.Req) && (ok == nil || ok(b)) }
+	fits := func(b *Bin) bool { return b.Fits(it.Request) && (ok == nil || ok(b)) }
 	only := s.marked[it.RequireLabel]
 	if it.RequireLabel != "" && only == nil {
 		return nil
 	}
 	not := s.marked[it.ExcludeLabel] // "" marks nothing
-	from := step(least(s.Bins[0].Cap, it.Req) - 1e-6)
+	from := step(least(s.Bins[0].Capacity, it.Request) - 1e-6)
 	var room [steps + 1]kinds // by step, the kinds of which there are bins
 	var all kinds
 	for g := from; g <= steps; g++ {
--- a/internal/packing/visbp.go
+++ b/internal/packing/visbp.go
@@ -78,7 +78,7 @@
 // Item is a task on a machine or about to be.
 type Item struct {
 	ID           string
-	Req          Resources
+	Request      Resources
 	Movable      bool     // may be moved merely to fill or empty a bin, unless its space knows better
 	PreferLabels []string // marks of bins to prefer, the weightiest first
 	RequireLabel string   // a mark that the bin must have; then it goes by the paper's rules or nowhere
@@ -89,18 +89,18 @@
 
 // Bin is a machine.
 type Bin struct {
-	ID    string
-	Cap   Resources
-	Load  float64 // predicted use; 0 where nothing is predicted
-	Owner any     // whose bin it is; nothing to the packing
-	open  bool
-	used  Resources
-	owed  Resources // room that is spoken for by items that are not here yet
-	free  Resources // what that leaves
-	gap   float64
-	items []*Item
-	count [4]int
-	marks []string
+	ID       string
+	Capacity Resources
+	Load     float64 // predicted use; 0 where nothing is predicted
+	Owner    any     // whose bin it is; nothing to the packing
+	open     bool
+	used     Resources
+	owed     Resources // room that is spoken for by items that are not here yet
+	free     Resources // what that leaves
+	gap      float64
+	items    []*Item
+	count    [4]int
+	marks    []string
 
 	space *Space // where it is indexed; nil: nowhere
 	pos   int    // its place there
@@ -109,7 +109,7 @@
 
 // NewBin returns an empty bin that takes items.
 func NewBin(id string, capacity Resources) *Bin {
-	b := &Bin{ID: id, Cap: capacity, open: true}
+	b := &Bin{ID: id, Capacity: capacity, open: true}
 	b.moved()
 	return b
 }
@@ -130,13 +130,13 @@
 
 // SetCap gives the bin another capacity, which may change what its items are.
 func (b *Bin) SetCap(c Resources) {
-	if b.Cap == c {
+	if b.Capacity == c {
 		return
 	}
-	b.Cap = c
+	b.Capacity = c
 	b.count = [4]int{}
 	for _, it := range b.items {
-		it.kind = Classify(c.Share(it.Req))
+		it.kind = Classify(c.Share(it.Request))
 		b.count[it.kind]++
 	}
 	b.moved()
@@ -192,14 +192,14 @@
 func (b *Bin) Gap() float64 { return b.gap }
 
 // Hot says whether the bin holds, or is predicted to use, more than it has.
-func (b *Bin) Hot() bool { return b.Cap.Share(b.used) > 1+eps || b.Load > 1+eps }
+func (b *Bin) Hot() bool { return b.Capacity.Share(b.used) > 1+eps || b.Load > 1+eps }
 
 // Add puts an item into the bin without asking any rule.
 func (b *Bin) Add(it *Item) {
-	it.kind = Classify(b.Cap.Share(it.Req))
+	it.kind = Classify(b.Capacity.Share(it.Request))
 	b.items = append(b.items, it)
 	b.count[it.kind]++
-	b.used = b.used.Add(it.Req)
+	b.used = b.used.Add(it.Request)
 	b.moved()
 }
 
@@ -209,7 +209,7 @@
 		if x == it {
 			b.items = append(b.items[:i], b.items[i+1:]...)
 			b.count[it.kind]--
-			b.used = b.used.Sub(it.Req)
+			b.used = b.used.Sub(it.Request)
 			if len(b.items) == 0 {
 				b.used = Resources{}
 			}
@@ -238,7 +238,7 @@
 	if !b.open || !b.Fits(req) {
 		return false
 	}
-	switch Classify(b.Cap.Share(req)) {
+	switch Classify(b.Capacity.Share(req)) {
 	case Tiny:
 		return b.empty() || b.tBin() || b.lOrLT()
 	case Small:
@@ -258,12 +258,12 @@
 			continue
 		}
 		for i := range gs {
-			if b.Cap.Share(sizes[i].Add(it.Req)) <= Third+eps {
-				gs[i], sizes[i] = append(gs[i], it), sizes[i].Add(it.Req)
+			if b.Capacity.Share(sizes[i].Add(it.Request)) <= Third+eps {
+				gs[i], sizes[i] = append(gs[i], it), sizes[i].Add(it.Request)
 				continue next
 			}
 		}
-		gs, sizes = append(gs, []*Item{it}), append(sizes, it.Req)
+		gs, sizes = append(gs, []*Item{it}), append(sizes, it.Request)
 	}
 	return gs
 }
@@ -318,7 +318,7 @@
 	if len(o.s.Bins) == 0 {
 		return nil, NoBin
 	}
-	kind := Classify(o.s.Bins[0].Cap.Share(it.Req))
+	kind := Classify(o.s.Bins[0].Capacity.Share(it.Request))
 	rules := [][]kinds{Tiny: {isULLT, isUT}, Small: {isS}, Large: nil, Big: nil}[kind]
 	for _, r := range rules {
 		if b := o.best(it, r); b != nil {
@@ -352,7 +352,7 @@
 		if !o.s.movable(it) || to != nil && o.s.Suits != nil && !o.s.Suits(it, to) {
 			return false
 		}
-		sum = sum.Add(it.Req)
+		sum = sum.Add(it.Request)
 	}
 	if !o.room() || to == from || (to != nil && (!to.open || !to.Fits(sum) || (o.ok != nil && !o.ok(to)))) {
 		return false
@@ -423,9 +423,9 @@
 		if !o.room() || !b.Hot() {
 			return
 		}
-		before := b.Cap.Share(b.used)
+		before := b.Capacity.Share(b.used)
 		if o.fillWith(g, b) {
-			b.Load -= before - b.Cap.Share(b.used)
+			b.Load -= before - b.Capacity.Share(b.used)
 		}
 	}
 }
--- a/internal/packing/visbp_test.go
+++ b/internal/packing/visbp_test.go
@@ -54,7 +54,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				it := &Item{ID: w[1], Req: Resources{CPU: size}, Movable: len(w) < 4}
+				it := &Item{ID: w[1], Request: Resources{CPU: size}, Movable: len(w) < 4}
 				b, moves, rule := s.Insert(it, nil)
 				if b == nil {
 					return []string{"no bin"}
@@ -93,7 +93,7 @@
 	for range 4000 {
 		if r.IntN(2) == 0 {
 			req := Resources{CPU: float64(1+r.IntN(16)) / 4, Mem: float64(r.IntN(16))}
-			b, moves, _ := s.Insert(&Item{Req: req, Movable: r.IntN(2) == 0}, nil)
+			b, moves, _ := s.Insert(&Item{Request: req, Movable: r.IntN(2) == 0}, nil)
 			if len(moves) > MaxInsertMoves {
 				t.Fatalf("insert lists %d moves", len(moves))
 			}
@@ -112,8 +112,8 @@
 		n := 0
 		for _, b := range s.Bins {
 			n += len(b.items)
-			if b.Cap.Share(b.used) > 1+1e-6 {
-				t.Fatalf("bin %s holds %v of %v", b.ID, b.used, b.Cap)
+			if b.Capacity.Share(b.used) > 1+1e-6 {
+				t.Fatalf("bin %s holds %v of %v", b.ID, b.used, b.Capacity)
 			}
 		}
 		if n != total {
@@ -127,7 +127,7 @@
 	var found *Bin
 	var rank float64
 	for _, b := range s.Bins {
-		if !b.open || is>>b.kindOf()&1 == 0 || !b.Fits(it.Req) || (ok != nil && !ok(b)) ||
+		if !b.open || is>>b.kindOf()&1 == 0 || !b.Fits(it.Request) || (ok != nil && !ok(b)) ||
 			it.RequireLabel != "" && !b.HasLabel(it.RequireLabel) || it.ExcludeLabel != "" && b.HasLabel(it.ExcludeLabel) {
 			continue
 		}
@@ -173,7 +173,7 @@
 					b.Remove(b.items[r.IntN(len(b.items))])
 				}
 			default:
-				it := &Item{Req: Resources{CPU: float64(r.IntN(17)) / 4, GPU: float64(r.IntN(2) * r.IntN(2)), Mem: float64(r.IntN(17))}}
+				it := &Item{Request: Resources{CPU: float64(r.IntN(17)) / 4, GPU: float64(r.IntN(2) * r.IntN(2)), Mem: float64(r.IntN(17))}}
 				it.PreferLabels = names[r.IntN(2):][:r.IntN(2)+1]
 				if r.IntN(4) == 0 {
 					it.RequireLabel = names[r.IntN(2)]
@@ -217,7 +217,7 @@
 // What may join a bin without a move: what insert puts there by the paper's rules, or to
 // fill up a bin of tiny items, and nothing else.
 func TestJoins(t *testing.T) {
-	item := func(share float64) *Item { return &Item{Req: Resources{CPU: share * 12, Mem: 1}} }
+	item := func(share float64) *Item { return &Item{Request: Resources{CPU: share * 12, Mem: 1}} }
 	for _, x := range []struct {
 		in   []float64
 		add  float64
@@ -232,7 +232,7 @@
 		for _, share := range x.in {
 			b.Add(item(share))
 		}
-		if got := b.CanJoin(item(x.add).Req); got != x.want {
+		if got := b.CanJoin(item(x.add).Request); got != x.want {
 			t.Errorf("%v joins %v: %v", x.add, x.in, got)
 		}
 		s := &Space{OnlyPaper: true}
@@ -243,7 +243,7 @@
 	}
 	b := NewBin("b", Resources{CPU: 12, Mem: 100})
 	b.SetOpen(false)
-	if b.CanJoin(item(0.25).Req) {
+	if b.CanJoin(item(0.25).Request) {
 		t.Error("a closed bin is joined")
 	}
 }
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -16,7 +16,7 @@
 	job := s.jobs[attempt.Task.Job]
 	lostTotal.Inc()
 	drained(attempt, now)
-	slog.Debug("attempt lost", "task", attempt.Task.String(), "machine", attempt.Machine.Host, "state", attempt.State().String(),
+	slog.Debug("attempt lost", "task", attempt.Task.String(), "machine", attempt.Machine.Name, "state", attempt.State().String(),
 		"outcome", s.countWastedStart(attempt), "term", s.term)
 	breaksGang := job != nil && job.Shape == records.ShapeGang && job.attempts[attempt.Task.N] == attempt && attempt.State() != fleet.Sent
 	s.releaseAttempt(attempt)
@@ -56,7 +56,7 @@
 	if attempt.Cause != fleet.CauseDone {
 		outcome = s.countWastedStart(attempt)
 	}
-	slog.Debug("task ended", "task", attempt.Task.String(), "machine", attempt.Machine.Host, "cause", attempt.Cause,
+	slog.Debug("task ended", "task", attempt.Task.String(), "machine", attempt.Machine.Name, "cause", attempt.Cause,
 		"outcome", outcome, "saved", attempt.Saved, "fetch_s", fetchTime.Seconds(), "run_s", runTime.Seconds(), "term", s.term)
 }
 
@@ -136,7 +136,7 @@
 	if !a.RequestStop(reason, grace, now) {
 		return
 	}
-	s.urgentMachines[a.Machine.Host] = true
+	s.urgentMachines[a.Machine.Name] = true
 }
 
 // releaseAttempt gives a task back to the queue once its attempt is gone.
--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -134,7 +134,7 @@
 		for _, k := range have {
 			all += k
 		}
-		n = s.overload.RentalHeadroom(all, n)
+		n = s.overload.ScaleOutHeadroom(all, n)
 		have[o.machineType] += max(n, 0)
 		if n <= 0 || asked[o] {
 			continue
@@ -151,7 +151,7 @@
 // job's tasks at all.
 func (s *Scheduler) anyPermits(j *Job, counts map[machineOffer]int) bool {
 	for _, m := range s.fleet.Sorted() {
-		if inService(m) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.request) {
+		if inService(m) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Capacity.Fits(j.request) {
 			return true
 		}
 	}
@@ -189,7 +189,7 @@
 	for _, m := range s.fleet.Sorted() {
 		for _, a := range m.Attempts() {
 			if j := s.jobOf(a); j != nil && a.Item != nil && j.Shape == records.ShapeArray {
-				sum[m.Type] += s.remainingSeconds(j, a, now) * m.Bin.Cap.Share(a.Item.Req)
+				sum[m.Type] += s.remainingSeconds(j, a, now) * m.Bin.Capacity.Share(a.Item.Request)
 			}
 		}
 	}
@@ -199,7 +199,7 @@
 // planJob packs n waiting tasks of a job into machines that are booting, and opens
 // new bins for the rest, as many at once as hold nothing but these tasks.
 func (s *Scheduler) planJob(p *rentalPlan, j *Job, n int, now time.Time) {
-	it := func() *packing.Item { return &packing.Item{ID: j.ID, Req: j.request} }
+	it := func() *packing.Item { return &packing.Item{ID: j.ID, Request: j.request} }
 	note := func(typ string, n int) {
 		if j.Shape == records.ShapeArray {
 			p.machineSeconds[typ] += float64(n) * j.EstimateS * s.capacity(typ).Share(j.request)
@@ -262,7 +262,7 @@
 	s.Add(b)
 	// What takes next to nothing never fills a machine: mostAlone will do.
 	for n < maxItemsPerEmptyBin {
-		if in, _, _ := s.Insert(&packing.Item{Req: req}, nil); in == nil {
+		if in, _, _ := s.Insert(&packing.Item{Request: req}, nil); in == nil {
 			break
 		}
 		n++
@@ -318,8 +318,8 @@
 		}
 		m := s.fleet.GetOrCreate(h, "", r.Type, r.Zone, r.Spot)
 		m.Unverified = false
-		if m.Rented.IsZero() {
-			m.Rented = now
+		if m.RequestedAt.IsZero() {
+			m.RequestedAt = now
 		}
 		s.assignBin(m)
 	}
@@ -379,14 +379,14 @@
 	}
 	for _, m := range s.fleet.Sorted() {
 		if m.Returning && len(hosts) < autoscaler.MaxReturnNames {
-			hosts = append(hosts, m.Host) // an earlier try had no answer
+			hosts = append(hosts, m.Name) // an earlier try had no answer
 			continue
 		}
 		if len(hosts) < autoscaler.MaxReturnNames && s.shouldReturn(m, now) {
 			m.Returning = true
 			m.Bin.SetOpen(false)
-			hosts = append(hosts, m.Host)
-			slog.Info("giving back", "machine", m.Host, "bad", m.Faulty, "lost", m.LeaseExpired, "up", m.Up, "term", s.term)
+			hosts = append(hosts, m.Name)
+			slog.Info("giving back", "machine", m.Name, "bad", m.Faulty, "lost", m.LeaseExpired, "up", m.Up, "term", s.term)
 		}
 	}
 	return hosts
@@ -456,7 +456,7 @@
 	case m.UnansweredProbesFor(now) > s.settings.Lease:
 		return true // no answer, and what it has is not known: its return is proof
 	case !m.Up:
-		return !m.Rented.IsZero() && now.Sub(m.Rented) > 3*startup+s.settings.HeartbeatInterval
+		return !m.RequestedAt.IsZero() && now.Sub(m.RequestedAt) > 3*startup+s.settings.HeartbeatInterval
 	case !m.Empty():
 		return false
 	case m.Cordon != nil:
@@ -473,7 +473,7 @@
 			hold = time.Duration(float64(hold) * t.SpotPrice / t.Price)
 		}
 	}
-	if !m.Rented.IsZero() && now.Sub(m.Rented) < autoscaler.MinCharge {
+	if !m.RequestedAt.IsZero() && now.Sub(m.RequestedAt) < autoscaler.MinCharge {
 		return false // it is paid for
 	}
 	if m.Spot && s.shortageLately(m.Type, now) {
@@ -531,22 +531,22 @@
 			m.Addr = l.Addr
 		}
 		// Until then the list may have one that an earlier leader gave back.
-		if asked.Sub(s.termStart) <= 2*s.settings.ListLag && !m.Up && !m.Inherited && m.Rented.IsZero() {
+		if asked.Sub(s.termStart) <= 2*s.settings.ListLag && !m.Up && !m.Inherited && m.RequestedAt.IsZero() {
 			m.Unverified = true
 		} else if asked.Sub(s.termStart) > 2*s.settings.ListLag {
 			m.Unverified = false
 		}
-		if m.Rented.IsZero() {
-			m.Rented = now.Add(-time.Duration(l.AgeS * float64(time.Second)))
+		if m.RequestedAt.IsZero() {
+			m.RequestedAt = now.Add(-time.Duration(l.AgeS * float64(time.Second)))
 		}
 	}
 	// A list tells how things were up to twice the lag before it was asked for. A
 	// machine that was there before that time, and is missing, is gone.
 	for _, m := range s.fleet.Sorted() {
-		if last, ok := s.autoscaling.lastListed[m.Host]; ok && !here[m.Host] && asked.Sub(last) > s.settings.ListLag*5/2+s.settings.HeartbeatInterval/4 {
-			slog.Info("machine gone", "machine", m.Host, "term", s.term)
-			s.autoscaling.returnedAt[m.Host] = now
-			s.RemoveMachine(m.Host, now)
+		if last, ok := s.autoscaling.lastListed[m.Name]; ok && !here[m.Name] && asked.Sub(last) > s.settings.ListLag*5/2+s.settings.HeartbeatInterval/4 {
+			slog.Info("machine gone", "machine", m.Name, "term", s.term)
+			s.autoscaling.returnedAt[m.Name] = now
+			s.RemoveMachine(m.Name, now)
 		}
 	}
 	for h, t := range s.autoscaling.returnedAt {
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -92,7 +92,7 @@
 		if t < 0 || limited && !s.withinLimit(job, used[job.Team]) {
 			return
 		}
-		if !machine.Bin.Cap.Sub(machine.Bin.Used()).Fits(job.request) {
+		if !machine.Bin.Capacity.Sub(machine.Bin.Used()).Fits(job.request) {
 			i++
 			continue
 		}
@@ -104,7 +104,7 @@
 			}
 			zones[machine.Zone]++
 		}
-		item := &packing.Item{ID: job.ID, Req: job.request, PreferLabels: job.preferLabels}
+		item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferLabels}
 		machine.Bin.Add(item)
 		s.planAttempt(job, t, s.newAttemptNumber(), machine, item, now)
 		job.takeTask(t)
@@ -149,7 +149,7 @@
 		case freeing || job.reservedZone != "":
 			claimed.since = now
 		case now.Sub(claimed.since) > claimIntervals*s.settings.HeartbeatInterval:
-			slog.Debug("claim expired", "job", job.ID, "machine", claimed.machine.Host, "term", s.term)
+			slog.Debug("claim expired", "job", job.ID, "machine", claimed.machine.Name, "term", s.term)
 			job.noClaimsBefore = now.Add(claimPauseIntervals * s.settings.HeartbeatInterval)
 			s.dropClaim(job, i)
 		}
@@ -196,10 +196,10 @@
 // expectedRoom is the room that a machine has or will have, once what is being stopped there is gone,
 // beyond what is claimed.
 func expectedRoom(m *fleet.Machine) packing.Resources {
-	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
+	free := m.Bin.Capacity.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
 	for _, a := range m.Attempts() {
 		if isLeaving(a) {
-			free = free.Add(a.Item.Req)
+			free = free.Add(a.Item.Request)
 		}
 	}
 	return free
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -61,12 +61,12 @@
 		// A version that knew of no dependencies wrote no time: then it counts from the acceptance, as for
 		// any job.
 		job.releasedAt, job.notStartedBefore = job.Accepted, job.Revision
-		if at := s.dependencies.Released(id); !job.blocked && !at.IsZero() {
+		if at := s.dependencies.ReleasedAt(id); !job.blocked && !at.IsZero() {
 			job.releasedAt = job.Accepted.Add(max(at.Sub(time.UnixMilli(job.AcceptedMS)), 0))
 			s.slo.ResetWait(job.ID, job.releasedAt)
 		}
 		if !job.blocked {
-			job.notStartedBefore = max(job.Revision, s.dependencies.NotBefore(id))
+			job.notStartedBefore = max(job.Revision, s.dependencies.EarliestStartRevision(id))
 		}
 		if job.notStartedBefore > s.term {
 			s.clearUncertain(job) // no earlier term can have started any of it
@@ -138,10 +138,10 @@
 
 // UnreadDependencies lists the jobs that open jobs depend on and of which it is not known whether they
 // are done or cancelled.
-func (s *Scheduler) UnreadDependencies() []string { return s.dependencies.Unread() }
+func (s *Scheduler) UnreadDependencies() []string { return s.dependencies.UnknownJobs() }
 
 // HasCascade reports whether any job is to be cancelled because one it depends on was.
 func (s *Scheduler) HasCascade() bool { return len(s.dependencies.ToCancel()) > 0 }
 
 // DependenciesClear reports whether no job that this one depends on is known to be cancelled.
-func (s *Scheduler) DependenciesClear(id string) bool { return s.dependencies.Clear(id) }
+func (s *Scheduler) DependenciesClear(id string) bool { return s.dependencies.Unobstructed(id) }
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		attempt.Machine.Forget(attempt)
-		item := &packing.Item{ID: job.ID, Req: job.request, PreferLabels: job.preferLabels}
+		item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferLabels}
 		machine.Bin.Add(item)
 		s.planAttempt(job, attempt.Task.N, attempt.Number, machine, item, now)
 	}
@@ -84,7 +84,7 @@
 		}
 	}
 	response := fleet.HeartbeatResponse{FencingToken: s.term, Commands: machine.PendingCommands()}
-	delete(s.urgentMachines, machine.Host)
+	delete(s.urgentMachines, machine.Name)
 	if !canRun {
 		return response
 	}
@@ -95,7 +95,7 @@
 		}
 	}
 	if len(response.Commands) > 0 {
-		slog.Debug("commands sent", "machine", machine.Host, "commands", len(response.Commands), "term", s.term)
+		slog.Debug("commands sent", "machine", machine.Name, "commands", len(response.Commands), "term", s.term)
 	}
 	return response
 }
@@ -145,8 +145,8 @@
 	var present packing.Resources
 	for _, other := range machine.Attempts() {
 		if other.MayBePresent() && other.Item != nil {
-			present = present.Add(other.Item.Req)
+			present = present.Add(other.Item.Request)
 		}
 	}
-	return machine.Bin.Cap.Sub(present).Fits(job.request)
+	return machine.Bin.Capacity.Sub(present).Fits(job.request)
 }
--- a/internal/scheduler/drain_preview.go
+++ b/internal/scheduler/drain_preview.go
@@ -38,7 +38,7 @@
 	}
 	active := 0
 	for _, d := range s.drains {
-		if !d.spec.Stopped && !(d.spec.Kind == drain.Upgrade && d.state.Over()) {
+		if !d.spec.Stopped && !(d.spec.Kind == drain.Upgrade && d.state.Closed()) {
 			active++
 		}
 	}
@@ -87,7 +87,7 @@
 
 // noneLeft finds jobs that could run nowhere any more.
 func (s *Scheduler) noneLeft(spec *drain.Spec, now time.Time) error {
-	look := &placeFinder{scheduler: s, now: now, permits: map[*Job]bool{}, barred: spec.Bars,
+	look := &placeFinder{scheduler: s, now: now, permits: map[*Job]bool{}, barred: spec.BarsScaleOut,
 		isLeaving: func(m *fleet.Machine) bool { return spec.Selects(drainView(m, now)) }}
 	classes := map[string]bool{}
 	for _, j := range s.jobs {
@@ -115,14 +115,14 @@
 func (s *Scheduler) planOf(spec *drain.Spec, d *activeDrain, now time.Time, list func(*fleet.Machine) bool) *drain.Plan {
 	p := &drain.Plan{Classes: map[string]*drain.ClassPlan{}, Machines: []drain.MachinePlan{}}
 	var left *time.Duration
-	if _, by, _ := spec.Holds(now); !by.IsZero() {
+	if _, by, _ := spec.InForce(now); !by.IsZero() {
 		l := by.Sub(now)
 		left = &l
 	}
 	means := func(m *fleet.Machine) bool {
 		return !m.Returning && !m.LeaseExpired && spec.Selects(drainView(m, now)) && !(spec.Kind == drain.Upgrade && m.Version == spec.To)
 	}
-	look := &placeFinder{scheduler: s, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}, barred: spec.Bars,
+	look := &placeFinder{scheduler: s, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}, barred: spec.BarsScaleOut,
 		// Machines of an upgrade go one after the other: the rest is there for them.
 		isLeaving: func(m *fleet.Machine) bool { return spec.Kind != drain.Upgrade && means(m) }}
 	type owed struct {
@@ -137,7 +137,7 @@
 			continue
 		}
 		p.All.Machines++
-		mp := drain.MachinePlan{Machine: m.Host, Zone: m.Zone}
+		mp := drain.MachinePlan{Machine: m.Name, Zone: m.Zone}
 		for _, a := range m.Attempts() {
 			j := s.jobOf(a)
 			if j == nil || a.State() == fleet.Ended || a.State() == fleet.Planned || spec.Kind == drain.Cordon {
@@ -161,7 +161,7 @@
 			tp := drain.TaskPlan{Task: a.Task.String(), Class: j.Class, Action: dec.Action, Why: dec.Why, LostS: dec.Lost.Seconds()}
 			delay := time.Duration(0)
 			switch dec.Action {
-			case drain.Move, drain.Lose:
+			case drain.Move, drain.Restart:
 				tp.UntilS = t.Save.Seconds()
 				delay = t.Save + t.Restart + dec.Lost
 				if to != nil && !t.Stopping {
--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -32,7 +32,7 @@
 func (r *Persistence) takeDrains(ws *[]PendingWrite, fits func(ops, bytes int) bool, now time.Time) bool {
 	ended := 0
 	for _, d := range r.core.drains {
-		if d.spec.Stopped || d.state.Over() {
+		if d.spec.Stopped || d.state.Closed() {
 			ended++
 		}
 	}
@@ -45,8 +45,8 @@
 		// It does not bound the machines in hand, which this leader knows. What does not fit
 		// is worked out again by the next leader, which takes empty machines first: those are
 		// mostly the ones in hand.
-		for len(state.Hand) > 0 && records.EncodedSize(state) > r.valueBytes {
-			state.Hand = state.Hand[:len(state.Hand)/2]
+		for len(state.OutOfService) > 0 && records.EncodedSize(state) > r.valueBytes {
+			state.OutOfService = state.OutOfService[:len(state.OutOfService)/2]
 		}
 		if !fits(1, records.EncodedSize(state)) {
 			return false
@@ -67,7 +67,7 @@
 		if ended <= mostEnded {
 			break
 		}
-		if !(d.spec.Stopped || d.state.Over()) || !d.known || !d.state.Same(&d.stored) {
+		if !(d.spec.Stopped || d.state.Closed()) || !d.known || !d.state.Same(&d.stored) {
 			continue
 		}
 		if !fits(2, 500) {
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -28,14 +28,14 @@
 }
 
 func (d *activeDrain) upgrades() bool {
-	return d.holds && d.spec.Kind == drain.Upgrade && d.state.Roll != nil && !d.state.Over()
+	return d.holds && d.spec.Kind == drain.Upgrade && d.state.Rollout != nil && !d.state.Closed()
 }
 
 // isReplacement says whether a machine was rented for one that an upgrade gave back. It has the
 // version that the cloud gives; to replace it again, for as long as that is not the wanted
 // one, would never end.
 func (d *activeDrain) isReplacement(m *fleet.Machine) bool {
-	return d.spec.Then == drain.Return && !m.Rented.IsZero() && m.Rented.After(time.UnixMilli(d.spec.BeganMS))
+	return d.spec.Then == drain.Return && !m.RequestedAt.IsZero() && m.RequestedAt.After(time.UnixMilli(d.spec.BeganMS))
 }
 
 // SetDrain takes in what operators asked for, as it is on record; state is nil where there
@@ -46,7 +46,7 @@
 		d := &activeDrain{machines: map[string]bool{}}
 		if state != nil {
 			d.state, d.stored, d.known, d.revision = *state, *state, true, stamp
-			for _, name := range state.Hand {
+			for _, name := range state.OutOfService {
 				d.machines[name] = true
 			}
 		}
@@ -73,16 +73,16 @@
 
 // drainView is what a drain sees of a machine.
 func drainView(m *fleet.Machine, now time.Time) drain.Machine {
-	v := drain.Machine{Name: m.Host, Type: m.Type, Zone: m.Zone, Version: m.Version}
-	if !m.Rented.IsZero() && !now.IsZero() {
-		v.Age = now.Sub(m.Rented)
+	v := drain.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Version: m.Version}
+	if !m.RequestedAt.IsZero() && !now.IsZero() {
+		v.Age = now.Sub(m.RequestedAt)
 	}
 	return v
 }
 
 // barredByDrain says whether no machine of a type is to be rented in a zone: it would be drained.
 func (s *Scheduler) barredByDrain(typ, zone string) bool {
-	return slices.ContainsFunc(s.drains, func(d *activeDrain) bool { return d.holds && d.spec.Bars(typ, zone) })
+	return slices.ContainsFunc(s.drains, func(d *activeDrain) bool { return d.holds && d.spec.BarsScaleOut(typ, zone) })
 }
 
 // isEmptying says whether a machine is being emptied for an operator.
@@ -114,9 +114,9 @@
 	s.refreshAccepting(now)
 	wanted := map[*fleet.Machine]*activeDrain{}
 	for _, d := range s.drains {
-		d.holds, d.deadline, _ = d.spec.Holds(now)
-		s.drainsActive = s.drainsActive || d.holds && !d.state.Over()
-		if d.holds && !d.state.Over() || d.spec.Kind != drain.Upgrade && d.holds {
+		d.holds, d.deadline, _ = d.spec.InForce(now)
+		s.drainsActive = s.drainsActive || d.holds && !d.state.Closed()
+		if d.holds && !d.state.Closed() || d.spec.Kind != drain.Upgrade && d.holds {
 			s.selectForDrain(d, wanted, now)
 		}
 	}
@@ -156,14 +156,14 @@
 	}
 	known := map[machineOffer][]string{}
 	all := s.candidates(d, known, now)
-	if d.state.Roll == nil {
+	if d.state.Rollout == nil {
 		r := drain.Begin(&d.spec, all)
-		d.state.Roll = &r
+		d.state.Rollout = &r
 	}
-	was := d.state.Roll.Back
-	d.state.Roll.Judge(all)
-	if d.state.Roll.Back && !was {
-		slog.Warn("upgrade is rolled back", "drain", d.spec.ID, "why", d.state.Roll.Why, "to", d.state.Roll.Want, "term", s.term)
+	was := d.state.Rollout.Back
+	d.state.Rollout.Judge(all)
+	if d.state.Rollout.Back && !was {
+		slog.Warn("upgrade is rolled back", "drain", d.spec.ID, "why", d.state.Rollout.Why, "to", d.state.Rollout.Want, "term", s.term)
 	}
 	zones, classes := map[string]int{}, map[string]int{}
 	for _, m := range s.fleet.Sorted() {
@@ -175,9 +175,9 @@
 			classes[class]++
 		}
 	}
-	hand := d.state.Roll.Next(&d.spec, all, zones, classes, soakIntervals*s.settings.HeartbeatInterval)
+	hand := d.state.Rollout.Next(&d.spec, all, zones, classes, soakIntervals*s.settings.HeartbeatInterval)
 	slices.Sort(hand)
-	d.state.Hand, d.state.Blocked = hand, d.state.Roll.Blocked
+	d.state.OutOfService, d.state.Blocked = hand, d.state.Rollout.Blocked
 	for _, name := range hand {
 		if m := s.fleet.Machines[name]; takesPrecedence(d, wanted[m]) {
 			wanted[m] = d
@@ -205,9 +205,9 @@
 }
 
 func (s *Scheduler) cordon(m *fleet.Machine, d *activeDrain) {
-	slog.Info("draining machine", "machine", m.Host, "drain", d.spec.ID, "kind", d.spec.Kind, "term", s.term)
+	slog.Info("draining machine", "machine", m.Name, "drain", d.spec.ID, "kind", d.spec.Kind, "term", s.term)
 	m.Cordon = d
-	d.machines[m.Host] = true
+	d.machines[m.Name] = true
 	m.Bin.SetOpen(false)
 	s.cancelPlanned(m)
 	s.placementStale = true
@@ -215,7 +215,7 @@
 
 // uncordon brings a machine back into service. What was told to stop still does.
 func (s *Scheduler) uncordon(m *fleet.Machine, now time.Time) {
-	slog.Info("machine is back in service", "machine", m.Host, "version", m.Version, "term", s.term)
+	slog.Info("machine is back in service", "machine", m.Name, "version", m.Version, "term", s.term)
 	m.Cordon = nil
 	m.EmptySince = now
 	s.placementStale = true
@@ -226,7 +226,7 @@
 func (s *Scheduler) candidates(d *activeDrain, known map[machineOffer][]string, now time.Time) []drain.Candidate {
 	var all []drain.Candidate
 	hand := map[string]bool{}
-	for _, name := range d.state.Hand {
+	for _, name := range d.state.OutOfService {
 		hand[name] = true
 	}
 	for _, m := range s.fleet.Sorted() {
@@ -237,7 +237,7 @@
 		x := drain.Candidate{
 			Machine: v, Empty: m.Empty(), Up: m.Cordon == nil && s.acceptsTasks(m, now), Proven: m.Proven, Failed: m.Faulty, Classes: s.classesOf(m, known),
 			// A new leader finds in hand what the one before had.
-			InHand: m.Cordon == d || m.Cordon == nil && hand[m.Host],
+			InHand: m.Cordon == d || m.Cordon == nil && hand[m.Name],
 		}
 		if !m.VersionSince.IsZero() {
 			x.Fresh = now.Sub(m.VersionSince)
@@ -340,7 +340,7 @@
 		case drain.Wait:
 			j.relocating++ // others are rented ahead where that is worth it
 			j.remainingZones = zones
-		case drain.Move, drain.Lose:
+		case drain.Move, drain.Restart:
 			if to != nil {
 				s.addClaim(j, to, now)
 			}
@@ -351,7 +351,7 @@
 
 // stopForDrain stops a task for a drain's sake.
 func (s *Scheduler) stopForDrain(j *Job, a *fleet.Attempt, dec drain.Decision, now time.Time) {
-	slog.Info("task leaves its machine", "task", a.Task.String(), "machine", a.Machine.Host, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", s.term)
+	slog.Info("task leaves its machine", "task", a.Task.String(), "machine", a.Machine.Name, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", s.term)
 	drainedTasks.Inc()
 	grace := 0.0
 	if j.CheckpointS > 0 {
@@ -405,7 +405,7 @@
 		if j.OneZone || j.SpreadZones {
 			j.remainingZones = staying
 		}
-	case drain.Move, drain.Lose:
+	case drain.Move, drain.Restart:
 		slog.Info("gang leaves its machines", "job", j.ID, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", s.term)
 		s.stopGang(j, now)
 		if t.Place == drain.Room {
@@ -450,7 +450,7 @@
 // standing works out how a drain stands, for people.
 func (s *Scheduler) standing(d *activeDrain, now time.Time) {
 	state := &d.state
-	if state.Phase == drain.Stopped || state.Over() && d.spec.Kind == drain.Upgrade && !d.spec.Stopped {
+	if state.Phase == drain.Stopped || state.Closed() && d.spec.Kind == drain.Upgrade && !d.spec.Stopped {
 		return
 	}
 	state.Term = s.term
@@ -463,8 +463,8 @@
 		if m.Cordon == d && !m.Empty() {
 			left++
 		}
-		if d.spec.Kind == drain.Upgrade && m.Up && (!m.LeaseExpired || s.awaitedByOperator(m, now)) && !m.Returning && d.spec.Selects(drainView(m, now)) && !d.isReplacement(m) && state.Roll != nil {
-			if want++; m.Version == state.Roll.Want {
+		if d.spec.Kind == drain.Upgrade && m.Up && (!m.LeaseExpired || s.awaitedByOperator(m, now)) && !m.Returning && d.spec.Selects(drainView(m, now)) && !d.isReplacement(m) && state.Rollout != nil {
+			if want++; m.Version == state.Rollout.Want {
 				have++
 			}
 		}
@@ -473,15 +473,15 @@
 	phase := state.Phase
 	switch {
 	case d.spec.Stopped:
-		state.Phase, state.Left, state.Blocked, state.Hand = drain.Stopped, 0, "", nil
+		state.Phase, state.Left, state.Blocked, state.OutOfService = drain.Stopped, 0, "", nil
 	case !d.holds:
 		state.Phase, state.Left = drain.Waiting, 0
-	case d.spec.Kind == drain.Upgrade && state.Roll.Back && state.Roll.From == "", d.spec.Kind == drain.Upgrade && state.Roll.Back && have == want && s.reconciled:
-		state.Phase, state.Left, state.Hand = drain.RolledBack, want-have, nil
-	case d.spec.Kind == drain.Upgrade && state.Roll.Back:
+	case d.spec.Kind == drain.Upgrade && state.Rollout.Back && state.Rollout.From == "", d.spec.Kind == drain.Upgrade && state.Rollout.Back && have == want && s.reconciled:
+		state.Phase, state.Left, state.OutOfService = drain.RolledBack, want-have, nil
+	case d.spec.Kind == drain.Upgrade && state.Rollout.Back:
 		state.Phase, state.Left = drain.RollingBack, want-have
 	case d.spec.Kind == drain.Upgrade && have == want && (want > 0 || len(d.machines) > 0) && s.reconciled && s.soaked(d, now):
-		state.Phase, state.Left, state.Hand = drain.Done, 0, nil
+		state.Phase, state.Left, state.OutOfService = drain.Done, 0, nil
 	case d.spec.Kind == drain.Upgrade:
 		state.Phase, state.Left = drain.Upgrading, want-have
 	case left > 0 || !s.reconciled || d.spec.Kind == drain.Cordon:
@@ -494,7 +494,7 @@
 	}
 	if state.Phase != phase {
 		slog.Info("drain", "drain", d.spec.ID, "phase", state.Phase, "left", state.Left, "term", s.term)
-		if state.Over() {
+		if state.Closed() {
 			state.EndedMS = now.UnixMilli()
 		}
 	}
@@ -504,7 +504,7 @@
 // time to.
 func (s *Scheduler) soaked(d *activeDrain, now time.Time) bool {
 	for _, m := range s.fleet.Sorted() {
-		if m.Version == d.state.Roll.Want && !m.VersionSince.IsZero() && !m.Proven && now.Sub(m.VersionSince) < soakIntervals*s.settings.HeartbeatInterval {
+		if m.Version == d.state.Rollout.Want && !m.VersionSince.IsZero() && !m.Proven && now.Sub(m.VersionSince) < soakIntervals*s.settings.HeartbeatInterval {
 			return false
 		}
 	}
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -130,7 +130,7 @@
 		}
 		for _, h := range y.hosts {
 			if m := y.c.fleet.Machines[h.report.Machine]; m.Bin.Reserved().CPU > 0 || m.Cordon != nil {
-				t.Errorf("%s owes %+v, drained %v", m.Host, m.Bin.Reserved(), m.Cordon != nil)
+				t.Errorf("%s owes %+v, drained %v", m.Name, m.Bin.Reserved(), m.Cordon != nil)
 			}
 		}
 	})
--- a/internal/scheduler/driver.go
+++ b/internal/scheduler/driver.go
@@ -69,7 +69,7 @@
 // IsLatest reports whether a heartbeat, by its incarnation and sequence number, is the latest known of
 // a machine.
 func (s *Scheduler) IsLatest(m *fleet.Machine, incarnation, sequence uint64) bool {
-	return s.fleet.Machines[m.Host] == m && m.Incarnation == incarnation && m.Sequence == sequence
+	return s.fleet.Machines[m.Name] == m && m.Incarnation == incarnation && m.Sequence == sequence
 }
 
 // UrgentCommands are commands that a machine is to get at once, not with its next heartbeat.
--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -59,7 +59,7 @@
 
 // couldHost reports whether a machine may be given tasks of the job, once it has room.
 func (s *Scheduler) couldHost(j *Job, m *fleet.Machine, now time.Time) bool {
-	return s.acceptsTasks(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.request)
+	return s.acceptsTasks(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Capacity.Fits(j.request)
 }
 
 // tasksByZone counts the job's tasks on machines by zone; with planned, also those planned for
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -27,7 +27,7 @@
 // attemptFailed decides after an error whether the machine is faulty, or the job.
 func (s *Scheduler) attemptFailed(job *Job, machine *fleet.Machine, now time.Time) {
 	machine.ErrorJobs[job.ID]++
-	job.errorMachines[machine.Host] = true
+	job.errorMachines[machine.Name] = true
 	switch {
 	case s.runsElsewhere(job, machine, now) || len(machine.ErrorJobs) >= faultyJobs:
 		s.markFaulty(machine)
@@ -64,14 +64,14 @@
 // markFaulty cordons a machine that fails tasks which run elsewhere. It is returned once it is empty.
 func (s *Scheduler) markFaulty(machine *fleet.Machine) {
 	if !machine.Faulty {
-		slog.Warn("machine faulty", "machine", machine.Host, "errors", len(machine.ErrorJobs), "term", s.term)
+		slog.Warn("machine faulty", "machine", machine.Name, "errors", len(machine.ErrorJobs), "term", s.term)
 	}
 	machine.Faulty, machine.Draining = true, true
 	machine.Bin.SetOpen(false)
 	s.cancelPlanned(machine)
 	s.lastDrainPass = time.Time{} // an upgrade may have to be rolled back
 	for _, d := range s.drains {
-		if d.upgrades() && d.spec.Selects(drainView(machine, s.now)) && machine.Version == d.state.Roll.Want && machine.Cordon == nil {
+		if d.upgrades() && d.spec.Selects(drainView(machine, s.now)) && machine.Version == d.state.Rollout.Want && machine.Cordon == nil {
 			machine.Cordon = d // it stays, to get its earlier version back
 		}
 	}
--- a/internal/scheduler/held_machines.go
+++ b/internal/scheduler/held_machines.go
@@ -82,7 +82,7 @@
 func (s *Scheduler) machinesToHold(job *Job, heldBefore map[*fleet.Machine]bool, list []machineWait, now time.Time) []machineWait {
 	for _, machine := range s.fleet.Sorted() {
 		if !machine.Bin.Open() || machine.ReservedFor != nil || !job.permits(machine.Type, machine.Zone, machine.Spot) ||
-			!machine.Bin.Cap.Fits(job.request) {
+			!machine.Bin.Capacity.Fits(job.request) {
 			continue
 		}
 		seconds := s.secondsUntilRoom(job, machine, now)
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -64,8 +64,8 @@
 			cordoned++
 		}
 	}
-	if len(v.State.Hand) != fleetSize || cordoned != fleetSize {
-		t.Errorf("%d machines in hand, %d drained, %d at once are asked for", len(v.State.Hand), cordoned, fleetSize)
+	if len(v.State.OutOfService) != fleetSize || cordoned != fleetSize {
+		t.Errorf("%d machines in hand, %d drained, %d at once are asked for", len(v.State.OutOfService), cordoned, fleetSize)
 	}
 }
 
@@ -84,8 +84,8 @@
 	c.SetDrain(spec, nil, 0)
 	c.runDrains(now)
 	for _, m := range c.fleet.Sorted() {
-		if drained := m.Cordon != nil; drained != slices.Contains(names[:fleetSize], m.Host) {
-			t.Fatalf("%s drained: %v", m.Host, drained)
+		if drained := m.Cordon != nil; drained != slices.Contains(names[:fleetSize], m.Name) {
+			t.Fatalf("%s drained: %v", m.Name, drained)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	b.Run("look", func(b *testing.B) {
 		c, now := floor(b, fleetSize)
 		for _, m := range c.fleet.Sorted() {
-			spec.Machines = append(spec.Machines, m.Host)
+			spec.Machines = append(spec.Machines, m.Name)
 		}
 		c.SetDrain(spec, nil, 0)
 		for b.Loop() {
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -62,7 +62,7 @@
 	}
 	job.moved[attempt.Task.N] = struct{}{}
 	movesTotal.Inc()
-	slog.Info("task moved", "task", attempt.Task.String(), "machine", from.Host, "term", s.term)
+	slog.Info("task moved", "task", attempt.Task.String(), "machine", from.Name, "term", s.term)
 	if move.To != nil && move.To.Fits(job.request) {
 		s.addClaim(job, move.To.Owner.(*fleet.Machine), now)
 	}
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -202,10 +202,10 @@
 		h := records.Machine{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation}
 		raw, err := json.Marshal(h)
 		if err != nil {
-			slog.Error("unwritable record", "machine", m.Host, "err", err)
+			slog.Error("unwritable record", "machine", m.Name, "err", err)
 			continue
 		}
-		r.hosts.Put(m.Host, raw, len(raw))
+		r.hosts.Put(m.Name, raw, len(raw))
 	}
 	for _, host := range c.removedMachines {
 		if c.fleet.Machines[host] == nil {
--- a/internal/scheduler/place_finder.go
+++ b/internal/scheduler/place_finder.go
@@ -31,7 +31,7 @@
 	c := p.scheduler
 	in := func(zone string) bool { return zones == nil || j.zoneAllowed(zone, zones) }
 	for _, m := range c.fleet.Sorted() {
-		if !m.Returning && !m.LeaseExpired && m.Cordon == nil && (p.isLeaving == nil || !p.isLeaving(m)) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Cap.Fits(j.request) && in(m.Zone) {
+		if !m.Returning && !m.LeaseExpired && m.Cordon == nil && (p.isLeaving == nil || !p.isLeaving(m)) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Capacity.Fits(j.request) && in(m.Zone) {
 			ok = true
 			break
 		}
@@ -53,7 +53,7 @@
 	if j.placementClass > 0 && p.noRoom[j.placementClass] {
 		return nil
 	}
-	it := &packing.Item{ID: j.ID, Req: j.request, PreferLabels: j.preferLabels}
+	it := &packing.Item{ID: j.ID, Request: j.request, PreferLabels: j.preferLabels}
 	ok := func(b *packing.Bin) bool {
 		m := b.Owner.(*fleet.Machine)
 		return m.Cordon == nil && (p.isLeaving == nil || !p.isLeaving(m)) && j.permits(m.Type, m.Zone, m.Spot) &&
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -154,7 +154,7 @@
 // returns nil if there is no room.
 func (s *Scheduler) insertTask(in insertion, now time.Time) (*fleet.Machine, []packing.Move) {
 	job := in.job
-	item := &packing.Item{ID: job.ID, Req: job.request, PreferLabels: job.preferLabels, RequireLabel: in.requiredLabel}
+	item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferLabels, RequireLabel: in.requiredLabel}
 	if s.lastHolder != nil && servedBefore(s.lastHolder, job) {
 		item.ExcludeLabel = heldLabel
 	}
@@ -178,7 +178,7 @@
 		attempt := s.planAttempt(job, in.task, number, machine, item, now)
 		s.plannedAttempts = append(s.plannedAttempts, attempt)
 		if rule == packing.FirstFit {
-			slog.Debug("task placed by first fit", "task", attempt.Task.String(), "machine", machine.Host, "term", s.term)
+			slog.Debug("task placed by first fit", "task", attempt.Task.String(), "machine", machine.Name, "term", s.term)
 		}
 		return machine, moves
 	}
--- a/internal/scheduler/preemption_search.go
+++ b/internal/scheduler/preemption_search.go
@@ -136,7 +136,7 @@
 		}
 		choice := preemptionChoice{machine: best.machine, victims: best.nextVictims}
 		for _, attempt := range best.nextVictims {
-			best.free = best.free.Add(attempt.Item.Req)
+			best.free = best.free.Add(attempt.Item.Request)
 			victimJob := s.scheduler.jobOf(attempt)
 			excess[victimJob.Team] = excess[victimJob.Team].Sub(victimJob.taskQuota())
 		}
@@ -203,7 +203,7 @@
 	}
 	job.preempted[victim.Task] = struct{}{}
 	preemptedTotal.Inc()
-	slog.Debug("task preempted", "task", victim.Task.String(), "machine", victim.Machine.Host, "preemptor", job.ID,
+	slog.Debug("task preempted", "task", victim.Task.String(), "machine", victim.Machine.Name, "preemptor", job.ID,
 		"reason", reason, "term", s.scheduler.term)
 	s.scheduler.stop(victim, reason, graceS, s.now)
 }
--- a/internal/scheduler/preemption_victims.go
+++ b/internal/scheduler/preemption_victims.go
@@ -27,7 +27,7 @@
 		victimJob := s.scheduler.jobOf(victim)
 		excessThen[victimJob.Team] = excessThen[victimJob.Team].Sub(victimJob.taskQuota())
 		option.nextVictims = append(option.nextVictims, victim)
-		free = free.Add(victim.Item.Req)
+		free = free.Add(victim.Item.Request)
 		option.loss += loss
 	}
 }
@@ -72,7 +72,7 @@
 // lostWork is the machine time that stopping an attempt throws away, as a share of a machine. It
 // returns false for tasks that are about to finish, which are left alone.
 func (s *Scheduler) lostWork(job *Job, attempt *fleet.Attempt, now time.Time) (float64, bool) {
-	share := attempt.Machine.Bin.Cap.Share(job.request)
+	share := attempt.Machine.Bin.Capacity.Share(job.request)
 	if attempt.RunSince.IsZero() {
 		return share * 0.5, true
 	}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -46,7 +46,7 @@
 	}
 	charge.Shared = true
 	if attempt.Item != nil {
-		charge.Size = quota.Amount{CPUs: attempt.Item.Req.CPU, GPUs: attempt.Item.Req.GPU}
+		charge.Size = quota.Amount{CPUs: attempt.Item.Request.CPU, GPUs: attempt.Item.Request.GPU}
 	}
 	return charge
 }
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -27,7 +27,7 @@
 			if j := c.jobOf(a); j != nil {
 				size, shared, mine = quota.Amount{CPUs: j.CPUs, GPUs: j.GPUs}, false, j.Team == team
 			} else if a.Item != nil {
-				size = quota.Amount{CPUs: a.Item.Req.CPU, GPUs: a.Item.Req.GPU}
+				size = quota.Amount{CPUs: a.Item.Request.CPU, GPUs: a.Item.Request.GPU}
 			}
 			if !shared && !mine {
 				continue
@@ -159,7 +159,7 @@
 	s.c.SetTypes([]records.MachineType{before.types["c4"]})
 	for _, m := range before.fleet.Sorted() {
 		if m.Recorded {
-			s.c.LoadMachine(m.Host, records.Machine{Addr: m.Addr, Type: m.Type, Zone: m.Zone}, s.now)
+			s.c.LoadMachine(m.Name, records.Machine{Addr: m.Addr, Type: m.Type, Zone: m.Zone}, s.now)
 		}
 	}
 	for _, j := range s.came {
@@ -250,7 +250,7 @@
 			checkKept(t, s.c, event)
 		}
 		for _, m := range s.c.fleet.Sorted() {
-			s.c.RemoveMachine(m.Host, s.now)
+			s.c.RemoveMachine(m.Name, s.now)
 		}
 		checkUsage(t, s.c, "the loss of all machines")
 		if !s.c.quotaUsage.Empty() {
--- a/internal/scheduler/rebalance.go
+++ b/internal/scheduler/rebalance.go
@@ -15,7 +15,7 @@
 	s.queueStale = true
 	s.refreshAccepting(now)
 	for _, machine := range s.fleet.Sorted() {
-		reserved := machine.Bin.Cap.Share(machine.Bin.Used())
+		reserved := machine.Bin.Capacity.Share(machine.Bin.Used())
 		machine.Bin.Load = machine.Forecast.Predicted(reserved)
 	}
 	for _, machine := range s.fleet.Sorted() {
@@ -24,8 +24,8 @@
 			continue
 		}
 		if machine.Bin.Hot() {
-			slog.Info("machine hot", "machine", machine.Host, "predicted", machine.Bin.Load,
-				"reserved", machine.Bin.Cap.Share(machine.Bin.Used()), "term", s.term)
+			slog.Info("machine hot", "machine", machine.Name, "predicted", machine.Bin.Load,
+				"reserved", machine.Bin.Capacity.Share(machine.Bin.Used()), "term", s.term)
 		}
 		gapes := len(machine.Changed) > 0 && machine.Bin.Gap() >= packing.Third-1e-9 && !machine.Empty() &&
 			machine.Bin.Reserved() == (packing.Resources{})
@@ -48,8 +48,8 @@
 	var sum packing.Resources
 	for _, a := range m.Attempts() {
 		if a.Item != nil && (a.State() == fleet.Running || a.State() == fleet.Flushing || a.State() == fleet.Waiting) {
-			sum = sum.Add(a.Item.Req)
+			sum = sum.Add(a.Item.Request)
 		}
 	}
-	m.Forecast.Observe(m.Bin.Cap.Share(sum))
+	m.Forecast.Observe(m.Bin.Capacity.Share(sum))
 }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -57,7 +57,7 @@
 	if unreachable {
 		message = "machine unreachable"
 	}
-	slog.Info(message, "machine", machine.Host, "zone", machine.Zone, "term", s.term)
+	slog.Info(message, "machine", machine.Name, "zone", machine.Zone, "term", s.term)
 }
 
 // machineUp takes a machine into service that sent its first status.
@@ -65,7 +65,7 @@
 	s.assignBin(machine)
 	machine.EmptySince = now
 	s.placementStale = true
-	slog.Info("machine up", "machine", machine.Host, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot, "term", s.term)
+	slog.Info("machine up", "machine", machine.Name, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot, "term", s.term)
 }
 
 // accountAttempts accounts for the attempts that a status showed new, running, ended or gone.
@@ -103,7 +103,7 @@
 		s.clearUncertainOn(machine)
 	}
 	if outcome.Upgraded {
-		slog.Info("worker version changed", "machine", machine.Host, "version", machine.Version, "term", s.term)
+		slog.Info("worker version changed", "machine", machine.Name, "version", machine.Version, "term", s.term)
 		s.lastDrainPass = time.Time{} // it may come back into service
 	}
 	if !s.reconciled {
@@ -153,7 +153,7 @@
 		return
 	}
 	if attempt.Item == nil {
-		machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Req: job.request})
+		machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Request: job.request})
 		s.useImage(machine, job)
 	}
 	// A machine that nobody knew of and that has tasks is a late copy from one that was returned, or
@@ -180,7 +180,7 @@
 		return
 	}
 	// Its size is unknown: it counts as the whole machine until it is gone.
-	machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Req: machine.Bin.Cap})
+	machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Request: machine.Bin.Capacity})
 	s.stop(attempt, stopJobClosed, 0, time.Time{})
 }
 
@@ -191,10 +191,10 @@
 
 // ApplyProbe applies the status that a machine answered a probe with.
 func (s *Scheduler) ApplyProbe(probe fleet.Probe, heartbeat *fleet.Heartbeat, now time.Time) {
-	wasUnreachable := s.isUnreachable(probe.Host)
+	wasUnreachable := s.isUnreachable(probe.Machine)
 	outcome, restarted := s.fleet.ApplyProbe(probe, heartbeat, now)
 	if restarted {
-		slog.Info("machine restarted", "machine", probe.Host, "incarnation", heartbeat.Incarnation, "sequence", heartbeat.Sequence,
+		slog.Info("machine restarted", "machine", probe.Machine, "incarnation", heartbeat.Incarnation, "sequence", heartbeat.Sequence,
 			"gone", len(outcome.Gone), "term", s.term)
 	}
 	s.applyOutcome(outcome, wasUnreachable, now)
--- a/internal/scheduler/room_forecast.go
+++ b/internal/scheduler/room_forecast.go
@@ -22,7 +22,7 @@
 // secondsUntilRoom estimates, in seconds, when a machine will have room for a task of the job if it is
 // given nothing else.
 func (s *Scheduler) secondsUntilRoom(job *Job, machine *fleet.Machine, now time.Time) float64 {
-	free := machine.Bin.Cap.Sub(machine.Bin.Used())
+	free := machine.Bin.Capacity.Sub(machine.Bin.Used())
 	ends := s.endings(machine, now)
 	for _, e := range ends {
 		if free.Fits(job.request) {
@@ -40,7 +40,7 @@
 // job if it is given nothing else.
 func (s *Scheduler) secondsUntilPlaces(j *Job, m *fleet.Machine, now time.Time) []float64 {
 	var seconds []float64
-	free := m.Bin.Cap.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
+	free := m.Bin.Capacity.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
 	for _, e := range append([]ending{{}}, s.endings(m, now)...) {
 		for free = free.Add(e.room); free.Fits(j.request); free = free.Sub(j.request) {
 			seconds = append(seconds, e.seconds)
@@ -66,7 +66,7 @@
 		if aj := s.jobOf(attempt); aj != nil {
 			seconds = s.remainingSeconds(aj, attempt, now)
 		}
-		ends = append(ends, ending{seconds, attempt.Item.Req})
+		ends = append(ends, ending{seconds, attempt.Item.Request})
 	}
 	slices.SortFunc(ends, func(a, b ending) int { return cmp.Compare(a.seconds, b.seconds) })
 	return ends
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -165,7 +165,7 @@
 	if job == nil {
 		return nil
 	}
-	s.slo.JobBegan(id, s.termStart)
+	s.slo.JobStarted(id, s.termStart)
 	base := chunk * s.settings.ChunkTasks
 	return records.ParseRanges(ranges, func(i int) {
 		if task := base + i; task < job.Tasks {
--- a/internal/scheduler/slo.go
+++ b/internal/scheduler/slo.go
@@ -39,13 +39,13 @@
 			level = slog.LevelWarn
 		}
 		slog.Log(context.Background(), level, "service level", "by", line.Dimension, "name", line.Name,
-			"arrived", line.Arrived, "begun", line.Begun, "done", line.Done, "late", line.Late,
+			"arrived", line.Arrived, "begun", line.Started, "done", line.Done, "late", line.Late,
 			"longest_s", line.LongestWait.Round(time.Second).Seconds(), "waiting", line.Waiting, "term", s.term)
 	}
 }
 
 func setServedGauges(line slo.Summary) {
-	for what, n := range map[string]int{"came": line.Arrived, "begun": line.Begun, "done": line.Done, "late": line.Late} {
+	for what, n := range map[string]int{"came": line.Arrived, "begun": line.Started, "done": line.Done, "late": line.Late} {
 		name := `drumpick_served_jobs{by="` + line.Dimension + `",name="` + label(line.Name) + `",what="` + what + `"}`
 		metrics.GetOrCreateGauge(name, nil).Set(float64(n))
 	}
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -84,7 +84,7 @@
 	if !job.hasBegun() {
 		return
 	}
-	s.slo.JobBegan(job.ID, now)
+	s.slo.JobStarted(job.ID, now)
 	if job.start.reported || job.attempts[attempt.Task.N] != attempt || attempt.Number>>24 != s.term {
 		return
 	}
@@ -97,5 +97,5 @@
 	slog.Debug("job started", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks, "entitled", job.start.entitled,
 		"wait_s", waitS, "longest", longest, "heard_s", wait.heard.Seconds(), "room_s", wait.room.Seconds(),
 		"report_s", wait.report.Seconds(), "fetch_s", wait.fetch.Seconds(), "mates_s", wait.gang.Seconds(),
-		"machine", wait.machine.Host, "type", wait.machine.Type, "term", s.term)
+		"machine", wait.machine.Name, "type", wait.machine.Type, "term", s.term)
 }
--- a/internal/scheduler/trace_test.go
+++ b/internal/scheduler/trace_test.go
@@ -224,8 +224,8 @@
 		s.asked = map[string]fleet.Probe{}
 		var out []string
 		for _, q := range c.Probes(s.now) {
-			s.asked[q.Host] = q
-			out = append(out, fmt.Sprintf("ask %s what it has", q.Host))
+			s.asked[q.Machine] = q
+			out = append(out, fmt.Sprintf("ask %s what it has", q.Machine))
 		}
 		return or2(out, "ask nobody")
 	case "report", "late-report", "body", "answer":
@@ -307,11 +307,11 @@
 		for _, d := range c.drains {
 			st := d.state
 			line := fmt.Sprintf("%s %s, %d left, seen: %d finished, %d moved, %d lost, %d vanished", d.spec.ID, st.Phase, st.Left, st.Seen.Finish, st.Seen.Move, st.Seen.Lose, st.Seen.Vanished)
-			if len(st.Hand) > 0 {
-				line += ", in hand " + strings.Join(st.Hand, " ")
+			if len(st.OutOfService) > 0 {
+				line += ", in hand " + strings.Join(st.OutOfService, " ")
 			}
-			if st.Roll != nil && st.Roll.Back {
-				line += ", back to " + st.Roll.Want
+			if st.Rollout != nil && st.Rollout.Back {
+				line += ", back to " + st.Rollout.Want
 			}
 			if st.Blocked != "" {
 				line += ", waits: " + st.Blocked
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -74,11 +74,11 @@
 
 func (s *Scheduler) view(machine *fleet.Machine, now time.Time) MachineView {
 	view := MachineView{
-		Name: machine.Host, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Addr: machine.Addr,
+		Name: machine.Name, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Addr: machine.Addr,
 		Version: machine.Version, State: s.machineState(machine, now),
 	}
-	if !machine.Rented.IsZero() {
-		view.AgeS = now.Sub(machine.Rented).Seconds()
+	if !machine.RequestedAt.IsZero() {
+		view.AgeS = now.Sub(machine.RequestedAt).Seconds()
 	}
 	for _, attempt := range machine.Attempts() {
 		if attempt.State() != fleet.Ended {
@@ -92,7 +92,7 @@
 // whether others follow.
 func (s *Scheduler) ListMachines(since string, limit int, now time.Time) (list []MachineView, more bool) {
 	all := s.fleet.Sorted()
-	byName := func(machine *fleet.Machine, name string) int { return strings.Compare(machine.Host, name) }
+	byName := func(machine *fleet.Machine, name string) int { return strings.Compare(machine.Name, name) }
 	i, found := slices.BinarySearchFunc(all, since, byName)
 	if found {
 		i++
--- a/internal/slo/tracker.go
+++ b/internal/slo/tracker.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// JobBegan notes that a job has begun: a gang with all its tasks, an array with its first.
-func (a *Tracker) JobBegan(id string, at time.Time) {
+// JobStarted notes that a job has begun: a gang with all its tasks, an array with its first.
+func (a *Tracker) JobStarted(id string, at time.Time) {
 	if j := a.jobs[id]; j != nil && j.began.IsZero() {
 		j.began = at
 	}
@@ -86,7 +86,7 @@
 	}
 	j.over, j.done = true, done
 	if done {
-		a.JobBegan(id, at)
+		a.JobStarted(id, at)
 	}
 }
 
@@ -99,11 +99,11 @@
 
 // Summary is how a class, a team or a class's largest were served. Cancelled jobs are in none.
 type Summary struct {
-	Dimension, Name      string
-	Arrived, Begun, Done int
-	Due, Late            int           // of those who came a bound ago or began: all, and those who did not begin within it
-	LongestWait          time.Duration // wait, of those who have not begun up to now
-	Waiting              string        // who waits longest of those who have not begun; "" if none does
+	Dimension, Name        string
+	Arrived, Started, Done int
+	Due, Late              int           // of those who came a bound ago or began: all, and those who did not begin within it
+	LongestWait            time.Duration // wait, of those who have not begun up to now
+	Waiting                string        // who waits longest of those who have not begun; "" if none does
 }
 
 // ShareInTime is the share of those due that began in time; 1 where nobody is due.
@@ -159,7 +159,7 @@
 	l.Arrived++
 	waited := now.Sub(j.came)
 	if !j.began.IsZero() {
-		l.Begun++
+		l.Started++
 		waited = j.began.Sub(j.came)
 	}
 	if j.done {
--- a/internal/slo/tracker_test.go
+++ b/internal/slo/tracker_test.go
@@ -15,17 +15,17 @@
 	for i := range 20 {
 		id := fmt.Sprint("small-", i)
 		a.JobArrived(id, "scan", "desk", 2, at(i))
-		a.JobBegan(id, at(i+5))
+		a.JobStarted(id, at(i+5))
 	}
 	a.JobArrived("big-1", "scan", "desk", 12, at(3))
 	a.JobArrived("big-2", "scan", "night", 12, at(4))
-	a.JobBegan("big-2", at(200))
+	a.JobStarted("big-2", at(200))
 	a.JobArrived("gone", "scan", "desk", 50, at(4))
 	a.JobClosed("gone", false, at(9)) // cancelled: it counts nowhere
 	a.JobClosed("small-0", true, at(60))
 	got := map[string]string{}
 	for _, l := range a.Summarize(100*time.Second, at(300)) {
-		got[l.Dimension+" "+l.Name] = fmt.Sprintf("%d came, %d begun, %d done, %.2f in time, longest %v, waits %s", l.Arrived, l.Begun, l.Done, l.ShareInTime(), l.LongestWait, l.Waiting)
+		got[l.Dimension+" "+l.Name] = fmt.Sprintf("%d came, %d begun, %d done, %.2f in time, longest %v, waits %s", l.Arrived, l.Started, l.Done, l.ShareInTime(), l.LongestWait, l.Waiting)
 	}
 	for what, want := range map[string]string{
 		"class scan":   "22 came, 21 begun, 1 done, 0.91 in time, longest 4m57s, waits big-1",
@@ -79,7 +79,7 @@
 				waits[id] = true
 				continue
 			}
-			a.JobBegan(id, now)
+			a.JobStarted(id, now)
 			a.JobClosed(id, i%2 == 0, now)
 		}
 		over := 0
@@ -100,7 +100,7 @@
 			}
 		}
 		for _, l := range a.Summarize(time.Minute, now) {
-			if l.Begun > l.Arrived || l.Done > l.Begun || l.Late > l.Due || l.Due > l.Arrived {
+			if l.Started > l.Arrived || l.Done > l.Started || l.Late > l.Due || l.Due > l.Arrived {
 				t.Fatalf("%+v does not add up", l)
 			}
 		}
