--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -13,44 +13,46 @@
 // Attempt is one start of a task on one machine.
 type Attempt struct {
 	Task         TaskID
-	Number       uint64
+	Number       uint64 // names the attempt among those of its task, also to the worker
 	Machine      *Machine
-	Cause        string
-	Saved        bool
-	SentSequence uint64 // tick of the report whose response carried the run
-	Since        time.Time
-	RunSince     time.Time // when it was first seen running
-	ReadySince   time.Time // when it was first seen with its image there
-	StopAt       time.Time
-	StopReason   string        // it was stopped; for whoever stops, nothing to the table
-	Reap         bool          // may be removed from the worker's memory
-	Item         *packing.Item // its place in the machine's bin; nil once it has ended
-	Duplicate    bool          // not an attempt that we count as the task's own
-	Job          any           // whose task it is, for whoever plans; nothing to the table
-	Charge       quota.Charge  // what it counts for, for whoever keeps the account; nothing to the table
-
-	state   State
-	listed  bool    // on its machine's list
-	stop    bool    // was told to stop
-	grace   float64 // seconds given to save
-	body    uint64  // the machine's body that last had it
-	ordinal uint64  // rises with each attempt of the table
+	Cause        string // why it ended, one of the Cause constants; "" before
+	Saved        bool   // it saved a checkpoint before it ended
+	SentSequence uint64 // Machine.Sequence when its run command was sent
+
+	Since      time.Time // when it was planned, then sent, or found on the machine
+	RunSince   time.Time // when it was first seen running
+	ReadySince time.Time // when it was first seen with its image there
+	StopAt     time.Time // when it was first requested to stop
+	StopReason string    // why; for whoever requests it, the table never reads it
+
+	Reap      bool          // the worker may forget it
+	Item      *packing.Item // its place in the machine's bin; nil once it has ended
+	Duplicate bool          // a duplicate attempt: not the one that counts as its task's
+	Job       any           // whose task it is; the planner's, and the table never reads it
+	Charge    quota.Charge  // what it counts for in the quota account; the table never reads it
+
+	state      State
+	listed     bool    // it is on its machine's list
+	stopping   bool    // it was requested to stop
+	graceS     float64 // seconds that it is given to save a checkpoint
+	lastSeenIn uint64  // Machine.statusCount of the last status that had it
+	ordinal    uint64  // rises with each attempt of the table
 }
 
-// State is where the attempt stands.
+// State returns the state of the attempt.
 func (a *Attempt) State() State { return a.state }
 
-// OnMachine says whether the attempt is on its machine's list: it came, and was not forgotten.
+// OnMachine reports whether the attempt is on its machine's list: it was added, and not forgotten.
 func (a *Attempt) OnMachine() bool { return a.listed }
 
-// Stopping says whether the attempt was told to stop.
-func (a *Attempt) Stopping() bool { return a.stop }
+// Stopping reports whether the attempt was requested to stop.
+func (a *Attempt) Stopping() bool { return a.stopping }
 
-// MayBePresent says whether the attempt may be on its machine: everything that was
-// ever sent and has not been seen to end, runs in flight included.
+// MayBePresent reports whether the attempt may be on its machine: everything that was
+// ever sent and has not been seen to end, run commands in flight included.
 func (a *Attempt) MayBePresent() bool { return a.state != Planned && a.state != Ended }
 
-// Durations tells how long the attempt waited on its machine and how long it has run; one
+// Durations returns how long the attempt waited on its machine and how long it has run; one
 // that never ran has waited all the time.
 func (a *Attempt) Durations(now time.Time) (waited, ran time.Duration) {
 	if a.RunSince.IsZero() {
@@ -59,74 +61,76 @@
 	return a.RunSince.Sub(a.Since), now.Sub(a.RunSince)
 }
 
-// Send notes that the run of a planned attempt goes out in the answer to its machine's last
-// report.
+// Send notes that the run command of a planned attempt is sent in the response to its machine's
+// last heartbeat.
 func (a *Attempt) Send(now time.Time) {
 	a.SentSequence, a.Since = a.Machine.Sequence, now
 	a.setState(Sent)
 }
 
-// RequestStop has the attempt killed, with so many seconds to save, until its exit shows. The
-// first reason stays, and grace only rises; false: nothing has changed.
-func (a *Attempt) RequestStop(why string, grace float64, now time.Time) bool {
-	if a.stop && grace >= a.grace {
+// RequestStop has the attempt killed, with graceS seconds to save a checkpoint, until a status shows
+// its end. The first reason stays, and the grace period only rises. It reports whether anything has
+// changed.
+func (a *Attempt) RequestStop(reason string, graceS float64, now time.Time) bool {
+	if a.stopping && graceS >= a.graceS {
 		return false
 	}
-	if !a.stop {
-		a.StopAt, a.StopReason = now, why
+	if !a.stopping {
+		a.StopAt, a.StopReason = now, reason
 	}
-	a.stop, a.grace = true, grace
+	a.stopping, a.graceS = true, graceS
 	a.changed()
 	return true
 }
 
 // setState is the only place where the state of an attempt changes.
-func (a *Attempt) setState(to State) {
-	if a.state == to {
+func (a *Attempt) setState(state State) {
+	if a.state == state {
 		return
 	}
-	a.state = to
+	a.state = state
 	a.changed()
 }
 
 // setItem gives the attempt its place in the machine's bin, or none.
-func (a *Attempt) setItem(it *packing.Item) {
-	a.Item = it
+func (a *Attempt) setItem(item *packing.Item) {
+	a.Item = item
 	a.changed()
 }
 
-// changed tells whoever listens to the table.
+// changed calls the table's listener, if there is one.
 func (a *Attempt) changed() {
-	if listen := a.Machine.table.OnChange; listen != nil {
-		listen(a)
+	if onChange := a.Machine.table.OnChange; onChange != nil {
+		onChange(a)
 	}
 }
 
-// list puts an attempt on its machine's list.
-func (m *Machine) list(a *Attempt) {
+// add puts an attempt on its machine's list and into the index by job.
+func (m *Machine) add(a *Attempt) {
 	t := m.table
-	t.attempts++
-	a.listed, a.ordinal = true, t.attempts
-	m.order = append(m.order, a)
-	of := t.byJob[a.Task.Job]
-	if of == nil {
-		of = map[*Attempt]struct{}{}
-		t.byJob[a.Task.Job] = of
+	t.attemptsAdded++
+	a.listed, a.ordinal = true, t.attemptsAdded
+	m.attempts = append(m.attempts, a)
+	ofJob := t.byJob[a.Task.Job]
+	if ofJob == nil {
+		ofJob = map[*Attempt]struct{}{}
+		t.byJob[a.Task.Job] = ofJob
 	}
-	of[a] = struct{}{}
+	ofJob[a] = struct{}{}
 	a.changed()
 }
 
-// Forget removes an attempt and gives its room back.
+// Forget removes an attempt and releases its room.
 func (m *Machine) Forget(a *Attempt) {
-	m.free(a)
-	i := slices.Index(m.order, a)
+	m.releaseItem(a)
+	i := slices.Index(m.attempts, a)
 	if i < 0 {
 		return
 	}
-	m.order = slices.Delete(m.order, i, i+1)
-	of := m.table.byJob[a.Task.Job]
-	if delete(of, a); len(of) == 0 {
+	m.attempts = slices.Delete(m.attempts, i, i+1)
+	ofJob := m.table.byJob[a.Task.Job]
+	delete(ofJob, a)
+	if len(ofJob) == 0 {
 		delete(m.table.byJob, a.Task.Job)
 	}
 	a.listed = false
@@ -136,7 +140,7 @@
 // forgetAll removes all attempts of a machine, and returns those that had not ended.
 func (m *Machine) forgetAll() []*Attempt {
 	var gone []*Attempt
-	for _, a := range slices.Clone(m.order) {
+	for _, a := range slices.Clone(m.attempts) {
 		m.Forget(a)
 		if a.state != Ended {
 			gone = append(gone, a)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -8,32 +8,32 @@
 	"github.com/mailru/easyjson"
 )
 
-// The worker protocol keeps its forms: reports, answers to them and direct commands.
+// The worker protocol keeps its forms: heartbeats, responses to them and direct commands.
 func TestGolden(t *testing.T) {
 	fast := goldentest.Codec{
 		Tag:    "json",
 		Encode: func(v any) ([]byte, error) { return easyjson.Marshal(v.(easyjson.Marshaler)) },
 		Decode: func(raw []byte, v any) error { return easyjson.Unmarshal(raw, v.(easyjson.Unmarshaler)) },
 	}
-	warning, windDown := 12.5, 4.0
-	orders := []Command{{Verb: VerbKill, Task: "j-412/3", Attempt: 2, GraceS: &windDown}}
-	reports := []goldentest.Case{
+	noticeS, graceS := 12.5, 4.0
+	commands := []Command{{Verb: VerbKill, Task: "j-412/3", Attempt: 2, GraceS: &graceS}}
+	heartbeats := []goldentest.Case{
 		{Name: "report", Value: Heartbeat{
 			Machine: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Incarnation: 1, Sequence: 88, FencingToken: 41,
-			PreemptionNoticeS: &warning, Version: "1.0",
+			PreemptionNoticeS: &noticeS, Version: "1.0",
 			Tasks: []TaskStatus{{Task: "j-412/3", Attempt: 2, Status: Ended.String(), Cause: CauseDone, Saved: true}},
 		}},
 		{Name: "task in a report", Value: TaskStatus{Task: "j-412/3", Attempt: 2, Status: Ended.String(), Cause: CauseDone, Saved: true}},
-		{Name: "answer", Value: HeartbeatResponse{FencingToken: 41, Commands: orders}},
+		{Name: "answer", Value: HeartbeatResponse{FencingToken: 41, Commands: commands}},
 		{Name: "answer without orders", Unset: true, Value: HeartbeatResponse{FencingToken: 41, Commands: []Command{}}},
-		{Name: "order", Value: orders[0]},
+		{Name: "order", Value: commands[0]},
 	}
-	// Both write and read the same: controllers use the one, and the workers of the local
-	// region the other, also for GET /status.
-	t.Run("easyjson", func(t *testing.T) { goldentest.Run(t, "golden-reports.json", fast, reports) })
-	t.Run("standard library", func(t *testing.T) { goldentest.Run(t, "golden-reports.json", goldentest.JSON, reports) })
+	// Both codecs write and read the same: controllers use the one, and the workers of the local
+	// cluster the other, also for GET /status.
+	t.Run("easyjson", func(t *testing.T) { goldentest.Run(t, "golden-reports.json", fast, heartbeats) })
+	t.Run("standard library", func(t *testing.T) { goldentest.Run(t, "golden-reports.json", goldentest.JSON, heartbeats) })
 	goldentest.Run(t, "golden-orders.json", goldentest.JSON, []goldentest.Case{
-		{Name: "direct command", Value: CommandRequest{FencingToken: 41, Incarnation: 1, Commands: orders}},
+		{Name: "direct command", Value: CommandRequest{FencingToken: 41, Incarnation: 1, Commands: commands}},
 		{Name: "verbs", Direction: goldentest.Written, Value: []string{VerbRun, VerbKill, VerbReap}},
 		{Name: "causes", Direction: goldentest.Written, Value: []string{
 			CauseDone, CauseStopped, CauseMatesGone, CauseAlone, CauseError, CauseFull, CauseBusy, CauseNoSuch,
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -2,57 +2,68 @@
 
 import "time"
 
-// hearing is what shows whether that which is sent to a machine reaches it. A machine whose
-// reports arrive while answers and commands do not is not silent: it would be given starts
-// for ever, and a gang would wait for it each time anew.
-type hearing struct {
-	asked  bool      // a report was answered with 200, and no newer one has come since
-	via    string    // the controller through which
-	at     time.Time // when
-	misses int       // answers in a row that show no trace
-	since  time.Time // when the first of them was missed
+// reachability is the evidence of whether what is sent to a machine reaches it. A machine whose
+// heartbeats arrive while responses and commands to it do not is not silent: without this record it
+// would be sent task starts for ever, and a gang would wait for it each time anew.
+type reachability struct {
+	answered    bool      // a heartbeat was answered with 200, and no newer one has come since
+	via         string    // the controller that relayed the answer
+	answeredAt  time.Time // when that answer was sent
+	missed      int       // answers in a row that seem not to have arrived
+	missedSince time.Time // when the first of these was noticed
 }
 
-// fewMisses is how many answers in a row may leave no trace: one is lost with each connection
-// that ends, and with a controller that a worker leaves.
-const fewMisses = 2
+// unreachableAfter is how many answers in a row must be missed for a machine to count as unreachable:
+// a single one is lost with each connection that ends, and with each controller that a worker leaves.
+const unreachableAfter = 2
 
-// away is how soon a worker that was given no answer can be back at the same controller: it
-// waits for 4 s, and tries the next a second later (PROTOCOL). Less is a margin, and the case of
-// two controllers.
-const away = 2 * (4 + 1) * time.Second * 9 / 10
+// soonestReturn is how soon a worker that was given no answer can be back at the same controller. It
+// waits for 4 s, and tries the next controller a second later (PROTOCOL); there are at least two. A
+// tenth less is a margin.
+const soonestReturn = 2 * (4 + 1) * time.Second * 9 / 10
 
-// hear weighs what a body shows of the last answer. A worker stays with the controller that
-// answered it: the next report in a row through the same one has heard, and so has one that
-// comes through it sooner than it could be back. (Its number need not be the next: whoever
-// asks a worker how it stands raises that.) So has one that shows what only an answer or a
-// command can have brought, and whoever answers a command.
-func (m *Machine) hear(r *Heartbeat, isReport bool, term uint64, now time.Time) {
-	h := &m.hearing
-	heard := !isReport || m.FencingToken < term && r.FencingToken == term
-	stays := h.asked && h.via != "" && r.Via == h.via && r.Incarnation == m.Incarnation && (r.Sequence == m.Sequence+1 || now.Sub(h.at) < away)
-	known := h.asked && h.via != "" && r.Via != "" // whether it stayed
+// observeReachability concludes from a status whether the last answer has arrived. It has when
+//   - the status answers a command,
+//   - it shows what only an answer or a command can have brought: our term, or an attempt just sent, or
+//   - nothing was sent that it should show, and it comes through the same controller, as a worker
+//     stays with the one that answered it.
+//
+// To have stayed, a heartbeat must either be the next one in sequence or come sooner than the
+// worker could be back after an attempt elsewhere. Its sequence number need not be the next, as a
+// probe of the worker raises that.
+func (m *Machine) observeReachability(r *Heartbeat, isHeartbeat bool, term uint64, now time.Time) {
+	last := &m.reachability
+	arrived := !isHeartbeat || m.FencingToken < term && r.FencingToken == term
 	sent := false
-	for _, a := range m.order {
+	for _, a := range m.attempts {
 		if a.state == Sent {
 			sent = true
-			heard = heard || r.has(a)
+			arrived = arrived || r.lists(a)
 		}
 	}
+	knowsController := last.answered && last.via != "" && r.Via != ""
 	switch {
-	case heard, stays && !sent:
-		*h = hearing{}
-	case h.asked && (known || sent || r.FencingToken < term):
-		if h.misses == 0 {
-			h.since = now
+	case arrived, m.stayed(r, now) && !sent:
+		*last = reachability{}
+	case last.answered && (knowsController || sent || r.FencingToken < term):
+		if last.missed == 0 {
+			last.missedSince = now
 		}
-		h.misses++
+		last.missed++
 	}
-	h.asked = false
+	last.answered = false
 }
 
-// has says whether a report shows an attempt.
-func (r *Heartbeat) has(a *Attempt) bool {
+// stayed reports whether a heartbeat shows that its worker has stayed with the controller that answered
+// the one before.
+func (m *Machine) stayed(r *Heartbeat, now time.Time) bool {
+	last := &m.reachability
+	return last.answered && last.via != "" && r.Via == last.via && r.Incarnation == m.Incarnation &&
+		(r.Sequence == m.Sequence+1 || now.Sub(last.answeredAt) < soonestReturn)
+}
+
+// lists reports whether a status lists an attempt.
+func (r *Heartbeat) lists(a *Attempt) bool {
 	for i := range r.Tasks {
 		if r.Tasks[i].Attempt == a.Number && r.Tasks[i].Task == a.Task.String() {
 			return true
@@ -61,24 +72,24 @@
 	return false
 }
 
-// Answered notes that a 200 was written to the machine's last report, through a controller.
+// Answered notes that the machine's last heartbeat was answered with 200, through a controller.
 func (m *Machine) Answered(via string, now time.Time) {
 	m.LastRenewal = now
-	m.hearing.asked, m.hearing.via, m.hearing.at = true, via, now
+	m.reachability.answered, m.reachability.via, m.reachability.answeredAt = true, via, now
 }
 
-// Renewed notes that a 200 was written to a report from which nothing is concluded, also not
-// whether its machine hears.
+// Renewed notes that a heartbeat was answered with 200 from which nothing is concluded, also not
+// whether its machine is reachable.
 func (m *Machine) Renewed(now time.Time) { m.LastRenewal = now }
 
-// Unreachable says whether nothing that was sent to the machine has reached it lately, though it
-// reports. It takes no starts then, and takes them again with the first sign of hearing.
-func (m *Machine) Unreachable() bool { return m.hearing.misses >= fewMisses }
+// Unreachable reports whether nothing that was sent to the machine has reached it lately, though its
+// heartbeats come. It takes no task starts then, until the first sign that an answer has arrived.
+func (m *Machine) Unreachable() bool { return m.reachability.missed >= unreachableAfter }
 
-// UnreachableFor is since when that has been so.
+// UnreachableFor is for how long the machine has been unreachable; 0 if it is not.
 func (m *Machine) UnreachableFor(now time.Time) time.Duration {
 	if !m.Unreachable() {
 		return 0
 	}
-	return now.Sub(m.hearing.since)
+	return now.Sub(m.reachability.missedSince)
 }
--- /dev/null
+++ b/internal/fleet/task_id.go
@@ -0,0 +1,25 @@
+package fleet
+
+import (
+	"strconv"
+	"strings"
+)
+
+// TaskID identifies a task: number N of a job.
+type TaskID struct {
+	Job string // id of the job
+	N   int    // from 0
+}
+
+// String returns the form that ParseTask reads.
+func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.N) }
+
+// ParseTask parses the form "j-000412/3".
+func ParseTask(s string) (TaskID, bool) {
+	job, n, ok := strings.Cut(s, "/")
+	i, err := strconv.Atoi(n)
+	if !ok || err != nil || i < 0 || job == "" {
+		return TaskID{}, false
+	}
+	return TaskID{Job: job, N: i}, true
+}
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -1,6 +1,10 @@
-// Package fleet keeps what is known of machines and of the attempts on them:
-// reports, orders, leases, and settling after a takeover. The table is plain
+// Package fleet keeps what a leader knows of machines and of the attempts on them: the statuses that
+// workers send, commands to them, leases, and reconciliation after a failover. The table is plain
 // data without clock or I/O; its owner passes the time in and holds the lock.
+//
+// A status reaches the table as a Heartbeat: either a worker sent it by itself, or it answers a direct
+// command or a status request. Only a heartbeat can be a late copy, and only an answer can overtake a
+// response under way; staleness.go and probe.go tell what follows from that.
 package fleet
 
 //go:generate go run github.com/mailru/easyjson/easyjson -no_std_marshalers wire.go
@@ -8,12 +12,14 @@
 import (
 	"errors"
 	"fmt"
-	"strconv"
-	"strings"
 )
 
-// Heartbeat is what a worker says of itself, in a report or as an answer. A leader reads
-// hundreds a second, so it and what is in it have readers and writers of their own
+// This file is the edge of the worker protocol. Its tags, verbs, causes and the errors that workers
+// get keep the protocol's words ("rig" for a machine type, "baton" for a fencing token, "shots" for
+// tasks, "orders" for commands); nothing else in the package does.
+
+// Heartbeat is a worker's status, sent as a heartbeat or as an answer. A leader reads
+// hundreds a second, so it and its parts have readers and writers of their own
 // (easyjson).
 //
 //easyjson:json
@@ -25,16 +31,16 @@
 	Spot              bool         `json:"loaners"`
 	Incarnation       uint64       `json:"stint"`
 	Sequence          uint64       `json:"tick"`
-	FencingToken      uint64       `json:"baton"`
-	PreemptionNoticeS *float64     `json:"warning_s"`
+	FencingToken      uint64       `json:"baton"`             // the newest that it has obeyed; 0: none
+	PreemptionNoticeS *float64     `json:"warning_s"`         // seconds until the cloud takes the machine; nil: no notice
 	Version           string       `json:"version,omitempty"` // of the worker; optional
 	Tasks             []TaskStatus `json:"shots"`
 	// Via is the controller that the worker sent it to; "" where that is not known.
 	Via string `json:"-"`
 }
 
-// Check names the first field that is missing or makes no sense. Guards against a report of
-// which one part cannot be read: what it seems to lack would be taken for gone.
+// Check returns an error that names the first field which is missing or not valid. A status with one
+// unreadable part must be refused as a whole: what it seems to lack would be taken for gone.
 func (r *Heartbeat) Check() error {
 	switch {
 	case r.Machine == "":
@@ -54,99 +60,57 @@
 	return nil
 }
 
-// TaskStatus is one attempt in a report.
+// TaskStatus is the status of one attempt.
 //
 //easyjson:json
 type TaskStatus struct {
-	Task    string `json:"shot"`
-	Attempt uint64 `json:"try"`
-	Status  string `json:"status"`
-	Cause   string `json:"cause"`
-	Saved   bool   `json:"saved"`
+	Task    string `json:"shot"`   // a TaskID as text
+	Attempt uint64 `json:"try"`    // the attempt's number
+	Status  string `json:"status"` // a State as text, from Pulling on
+	Cause   string `json:"cause"`  // of the end, one of the Cause constants
+	Saved   bool   `json:"saved"`  // a checkpoint was saved
 }
 
 // Command is one command to a worker.
 //
 //easyjson:json
 type Command struct {
-	Verb    string   `json:"verb"`
-	Task    string   `json:"shot"`
-	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"wind_down_s,omitempty"`
+	Verb    string   `json:"verb"`                  // one of the Verb constants
+	Task    string   `json:"shot"`                  // a TaskID as text
+	Attempt uint64   `json:"try"`                   // the attempt's number
+	GraceS  *float64 `json:"wind_down_s,omitempty"` // of a kill, seconds to save a checkpoint
 }
 
-// HeartbeatResponse answers a report.
+// HeartbeatResponse answers a heartbeat.
 //
 //easyjson:json
 type HeartbeatResponse struct {
-	FencingToken uint64    `json:"baton"`
+	FencingToken uint64    `json:"baton"` // the leader's term
 	Commands     []Command `json:"orders"`
 }
 
-// CommandRequest is the body of a POST /orders.
+// CommandRequest is the request body of a direct command, POST /orders.
 type CommandRequest struct {
-	FencingToken uint64    `json:"baton"`
-	Incarnation  uint64    `json:"stint"`
+	FencingToken uint64    `json:"baton"` // the leader's term
+	Incarnation  uint64    `json:"stint"` // that the commands are meant for
 	Commands     []Command `json:"orders"`
 }
 
-// Verbs and causes in the protocol's words.
+// Verbs of commands.
 const (
 	VerbRun  = "run"
 	VerbKill = "kill"
 	VerbReap = "reap"
-
-	CauseDone      = "done"
-	CauseStopped   = "stopped"
-	CauseMatesGone = "mates_gone"
-	CauseAlone     = "alone"
-	CauseError     = "error"
-	CauseFull      = "full"
-	CauseBusy      = "busy"
-	CauseNoSuch    = "no_such"
 )
 
-// TaskID names a task: number N of a job.
-type TaskID struct {
-	Job string
-	N   int
-}
-
-func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.N) }
-
-// ParseTask reads the form "j-000412/3".
-func ParseTask(s string) (TaskID, bool) {
-	job, n, ok := strings.Cut(s, "/")
-	i, err := strconv.Atoi(n)
-	if !ok || err != nil || i < 0 || job == "" {
-		return TaskID{}, false
-	}
-	return TaskID{Job: job, N: i}, true
-}
-
-// State is where an attempt stands.
-type State uint8
-
-// States: the first two are ours, the others are what workers report.
+// Causes of an attempt's end.
 const (
-	Planned State = iota // chosen for a machine, nothing said yet
-	Sent                 // run is in a response; it may or may not be carried out
-	Pulling
-	Waiting
-	Running
-	Flushing
-	Ended
+	CauseDone      = "done"
+	CauseStopped   = "stopped"    // by a kill
+	CauseMatesGone = "mates_gone" // another task of its gang is gone
+	CauseAlone     = "alone"      // its gang was not complete in time
+	CauseError     = "error"
+	CauseFull      = "full"    // never started: the machine has no room
+	CauseBusy      = "busy"    // never started: another attempt of the task is on the machine
+	CauseNoSuch    = "no_such" // never started: no such task is known
 )
-
-var stateNames = [...]string{"planned", "sent", "pulling", "waiting", "running", "flushing", "ended"}
-
-func (s State) String() string { return stateNames[s] }
-
-func parseState(s string) (State, bool) {
-	for i := Pulling; i <= Ended; i++ {
-		if stateNames[i] == s {
-			return i, true
-		}
-	}
-	return 0, false
-}
