--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -1,8 +1,8 @@
-// Package means tells a leader how far it falls behind, and what it may still take on. A
-// leader that has more to hear than its share of a processor allows answers late; workers
-// then ask again elsewhere, leases end, lost work begins anew, and all of that is more to
-// hear: it does not get out of it by itself. What it can leave out at once are starts: a
-// task costs it most when it starts and when it ends, and a machine that waits costs next
+// Package overload detects how far a leader falls behind, and decides what it sheds. A
+// leader that has more heartbeats to process than its share of a processor allows answers
+// late; workers then retry elsewhere, leases expire, lost work starts anew, and all of that is
+// more to process: it does not recover by itself. What it can shed at once are task starts: a
+// task costs the leader most when it starts and when it ends, and an idle machine costs next
 // to nothing.
 //
 // The package is pure: no I/O, no clock.
@@ -10,88 +10,107 @@
 
 import "time"
 
-// Level is what a leader leaves out.
+// Level is how much load a leader sheds. Leases, ends of tasks and cancellations are never shed.
 type Level uint8
 
-// Easy: nothing. Behind: starts of work that is not urgent, and plans for each report.
-// Drowning: all starts. Leases, exits and cancellations are never left out.
+// Levels of overload, from least to most.
 const (
-	Normal Level = iota
-	Degraded
-	Overloaded
+	Normal     Level = iota // nothing is shed
+	Degraded                // starts of work that is not urgent, and planning at each heartbeat
+	Overloaded              // all task starts
 )
 
-func (l Level) String() string { return [...]string{"easy", "behind", "drowning"}[l] }
+// levelNames are what operators see.
+var levelNames = [...]string{"easy", "behind", "drowning"}
 
-// Detector watches how late a leader is: its own timer, and what waits for it.
+// String returns the level as operators see it.
+func (l Level) String() string { return levelNames[l] }
+
+// Detector follows how late a leader is: how late its periodic timer fires.
 type Detector struct {
-	report time.Duration
-	every  time.Duration // between two looks
-	late   time.Duration // the worst of late, forgotten by and by
-	level  Level
-	most   int // machines that it can hear, by what it saw; 0: not known
-	since  time.Time
+	heartbeatInterval time.Duration
+	observeInterval   time.Duration // between two observations when the timer is on time
+
+	lag   time.Duration // the worst lateness, which decays with each observation
+	level Level
+
+	maxMachines int       // how many machines the leader can serve, by what was seen; 0: not known
+	stableSince time.Time // since when nothing was shed, or when maxMachines last grew
 }
 
-// New returns a governor for workers that report every so often, looked at as often as
-// every says.
-func New(report, every time.Duration) *Detector { return &Detector{report: report, every: every} }
+// New returns a detector for workers that send a heartbeat every heartbeatInterval, and that is
+// called every observeInterval.
+func New(heartbeatInterval, observeInterval time.Duration) *Detector {
+	return &Detector{heartbeatInterval: heartbeatInterval, observeInterval: observeInterval}
+}
 
 const (
-	// behindShare and drowningShare are the parts of a report interval, one in so many, by
-	// which a timer is late. Workers wait for an answer for most of one.
-	behindShare   = 8
-	drowningShare = 3
-	// forget is the share of the worst lateness that is left at the next look.
-	forget = 1.0 / 2
-	// restReports is for how many report intervals all has to be easy before more
-	// machines than were heard then are tried, and growShare by how many at a time.
-	restReports = 4
-	growShare   = 1.0 / 32
+	// degradedDivisor and overloadedDivisor are by which part of a heartbeat interval, one in so
+	// many, the timer has to be late for the level. Workers wait for a response for most of one.
+	degradedDivisor   = 8
+	overloadedDivisor = 3
+	// lagDecay is the share of the worst lateness that is left at the next observation.
+	lagDecay = 1.0 / 2
+	// restIntervals is for how many heartbeat intervals the level has to be normal before more
+	// machines than were served then are tried, and growthShare by how many at a time.
+	restIntervals = 4
+	growthShare   = 1.0 / 32
 )
 
-// Observe takes in that a look came gap after the last one, with so many machines up. It says
-// whether the level has changed.
-func (g *Detector) Observe(gap time.Duration, up int, now time.Time) bool {
-	was := g.level
-	g.late = max(gap-g.every, time.Duration(float64(g.late)*forget))
+// Observe notes that it is called gap after the last time, with upMachines machines up. It
+// reports whether the level has changed.
+func (d *Detector) Observe(gap time.Duration, upMachines int, now time.Time) bool {
+	before := d.level
+	d.updateLevel(gap)
+	d.updateMaxMachines(upMachines, now)
+	return d.level != before
+}
+
+// updateLevel sets the level by the lateness. Between the bounds of two levels it stays as it is, so
+// that it does not change back and forth.
+func (d *Detector) updateLevel(gap time.Duration) {
+	d.lag = max(gap-d.observeInterval, time.Duration(float64(d.lag)*lagDecay))
 	switch {
-	case g.late > g.report/drowningShare:
-		g.level = Overloaded
-	case g.late > g.report/behindShare:
-		g.level = Degraded
-	case g.late < g.report/(2*behindShare):
-		g.level = Normal
+	case d.lag > d.heartbeatInterval/overloadedDivisor:
+		d.level = Overloaded
+	case d.lag > d.heartbeatInterval/degradedDivisor:
+		d.level = Degraded
+	case d.lag < d.heartbeatInterval/(2*degradedDivisor):
+		d.level = Normal
 	}
+}
+
+// updateMaxMachines lowers the limit of machines to those that were too many, and raises it again step
+// by step while nothing is shed.
+func (d *Detector) updateMaxMachines(upMachines int, now time.Time) {
 	switch {
-	case g.level > Normal:
-		if g.most == 0 || up < g.most {
-			g.most = up
+	case d.level > Normal:
+		if d.maxMachines == 0 || upMachines < d.maxMachines {
+			d.maxMachines = upMachines
 		}
-		g.since = now
-	case g.most > 0 && now.Sub(g.since) > restReports*g.report:
-		g.most += int(float64(g.most)*growShare) + 1
-		g.since = g.since.Add(g.report)
-		if g.most > 2*up {
-			g.most = 0 // there are far fewer: what was seen then says nothing any more
+		d.stableSince = now
+	case d.maxMachines > 0 && now.Sub(d.stableSince) > restIntervals*d.heartbeatInterval:
+		d.maxMachines += int(float64(d.maxMachines)*growthShare) + 1
+		d.stableSince = d.stableSince.Add(d.heartbeatInterval)
+		if d.maxMachines > 2*upMachines {
+			d.maxMachines = 0 // far fewer are up than the limit allows: it says nothing any more
 		}
 	}
-	return g.level != was
 }
 
-// Level is what to leave out now.
-func (g *Detector) Level() Level { return g.level }
+// Level returns the present level.
+func (d *Detector) Level() Level { return d.level }
 
 // Lag is how late the timer has been lately.
-func (g *Detector) Lag() time.Duration { return g.late }
+func (d *Detector) Lag() time.Duration { return d.lag }
 
-// ScaleOutHeadroom tells how many machines more a leader should rent that has so many, at most n.
-func (g *Detector) ScaleOutHeadroom(have, n int) int {
-	if g.level > Normal {
+// ScaleOutHeadroom returns how many more machines, of wanted, a leader that has so many should request.
+func (d *Detector) ScaleOutHeadroom(machines, wanted int) int {
+	if d.level > Normal {
 		return 0
 	}
-	if g.most == 0 {
-		return n
+	if d.maxMachines == 0 {
+		return wanted
 	}
-	return max(min(n, g.most-have), 0)
+	return max(min(wanted, d.maxMachines-machines), 0)
 }
--- a/internal/zonehealth/monitor.go
+++ b/internal/zonehealth/monitor.go
@@ -1,8 +1,8 @@
-// Package zones tells a leader which zones are dark: nearly all machines of the zone are
-// silent while those of others are heard. Silence of one machine most likely means that it
-// died, and it is given back at once, which proves that its tasks are gone. Silence of a
-// whole zone most likely means a cut that ends: its machines work on under their leases,
-// and what is rented in their place in the same zone is as silent as they are.
+// Package zonehealth detects outages of whole zones: nearly all machines of a zone are
+// silent while those of the other zones are heard. A single silent machine most likely
+// died, and it is returned at once, which proves that its tasks are gone. A silent zone
+// is most likely cut off from the network for a while: its machines work on under their
+// leases, and machines requested in their place in the same zone would be as silent as they are.
 //
 // The package is pure: no I/O, no clock.
 package zonehealth
@@ -12,113 +12,140 @@
 	"time"
 )
 
-// Count is what is known of a zone's machines that have been up: how many there are, and
-// how many of these are silent.
-type Count struct{ Machines, Silent int }
+// Count is what is known of a zone's machines that have been up.
+type Count struct {
+	Machines int // how many there are
+	Silent   int // how many of these are silent
+}
+
+// heard is how many machines are not silent.
+func (c Count) heard() int { return c.Machines - c.Silent }
 
-// Monitor follows the zones of a term. Its owner holds the lock.
+// Monitor follows the zones during a term. Its owner holds the lock.
 type Monitor struct {
 	lease time.Duration
 	zones map[string]*zone
 }
 
+// zone is the state of one zone.
 type zone struct {
-	dark  bool
-	since time.Time // when it fell dark
-	light time.Time // when it was last light again
+	suspected bool      // an outage is suspected
+	since     time.Time // when it was first suspected
+	recovered time.Time // when the last outage was over; zero: there was none, or one is suspected
 }
 
-// New returns a watch for workers with leases of such a length.
+// New returns a monitor of zones whose workers have leases of the given length.
 func New(lease time.Duration) *Monitor { return &Monitor{lease: lease, zones: map[string]*zone{}} }
 
 const (
-	// fewest is how many machines a zone needs to be judged by them.
-	fewest = 3
-	// darkShare of a zone's machines are silent when it falls dark, and at most lightShare
-	// of those of all others: else the trouble is more likely ours.
-	darkShare  = 3.0 / 4
-	lightShare = 1.0 / 4
-	// backShare of its machines are heard when it is light again.
-	backShare = 1.0 / 2
+	// minMachines is how many machines a zone, and all others together, need for a judgement.
+	minMachines = 3
+	// suspectShare of a zone's machines have to be silent for an outage to be suspected, and at
+	// most othersShare of those of all other zones: else the fault is more likely on our side.
+	suspectShare = 3.0 / 4
+	othersShare  = 1.0 / 4
+	// recoveredShare of its machines have to be heard for the outage to be over.
+	recoveredShare = 1.0 / 2
 	// graceLeases is how long the last of its machines are given to come back after that.
 	graceLeases = 1.0 / 2
-	// mostLeases is for how long a zone is believed to be merely cut off.
-	mostLeases = 6
+	// maxLeases is for how long a zone is believed to be merely cut off.
+	maxLeases = 6
 )
 
-// SilentAfterIntervals is after how many report intervals without a word a machine counts as silent
-// here: one report may be lost or late. It is less than what any decision on a machine by
-// itself waits for. Guards against a zone whose machines are given back one by one, each
-// being one of a few silent ones, as their last reports were not at the same moment.
+// SilentAfterIntervals is after how many heartbeat intervals without a heartbeat a machine counts as
+// silent here: one may be lost or late. It is less than what any decision on a single machine
+// waits for. Otherwise the machines of a zone that is cut off would be returned one by one, each
+// being one of a few silent ones, as their last heartbeats were not at the same moment.
 const SilentAfterIntervals = 1.5
 
-// Observe takes in how the zones stand, and tells which have fallen dark or are light again,
-// by name.
-func (w *Monitor) Observe(counts map[string]Count, now time.Time) (dark, light []string) {
-	machines, silent := 0, 0
+// Observe updates the state of all zones. It returns the zones in which an outage is suspected
+// from now on, and those in which it is over, both by name.
+func (m *Monitor) Observe(counts map[string]Count, now time.Time) (suspected, recovered []string) {
+	total := Count{}
 	for _, c := range counts {
-		machines += c.Machines
-		silent += c.Silent
+		total.Machines += c.Machines
+		total.Silent += c.Silent
 	}
 	for name, c := range counts {
-		z := w.zones[name]
+		z := m.zones[name]
 		if z == nil {
 			z = &zone{}
-			w.zones[name] = z
+			m.zones[name] = z
 		}
-		others, quiet := machines-c.Machines, silent-c.Silent
+		others := Count{Machines: total.Machines - c.Machines, Silent: total.Silent - c.Silent}
 		switch {
-		case !z.dark:
-			if c.Machines >= fewest && others >= fewest &&
-				float64(c.Silent) >= darkShare*float64(c.Machines) && float64(quiet) <= lightShare*float64(others) {
-				*z = zone{dark: true, since: now}
-				dark = append(dark, name)
+		case !z.suspected:
+			if looksCutOff(c, others) {
+				*z = zone{suspected: true, since: now}
+				suspected = append(suspected, name)
 			}
-		case float64(c.Machines-c.Silent) >= backShare*float64(c.Machines) && c.Machines > 0,
-			now.Sub(z.since) > mostLeases*w.lease:
-			*z = zone{light: now}
-			light = append(light, name)
+		case isBack(c), m.suspectedTooLong(z, now):
+			*z = zone{recovered: now}
+			recovered = append(recovered, name)
 		}
 	}
-	// A zone of which no machine is left tells nothing, until one is rented there.
-	for name, z := range w.zones {
-		if _, ok := counts[name]; !ok && z.dark && now.Sub(z.since) > mostLeases*w.lease {
-			*z = zone{light: now}
-			light = append(light, name)
+	// Nothing can be observed of a zone without machines, until one is requested there.
+	for name, z := range m.zones {
+		if _, ok := counts[name]; !ok && z.suspected && m.suspectedTooLong(z, now) {
+			*z = zone{recovered: now}
+			recovered = append(recovered, name)
 		}
 	}
-	slices.Sort(dark)
-	slices.Sort(light)
-	return dark, light
+	slices.Sort(suspected)
+	slices.Sort(recovered)
+	return suspected, recovered
+}
+
+// looksCutOff reports whether nearly all machines of a zone are silent while those of the others
+// are heard.
+func looksCutOff(c, others Count) bool {
+	return c.Machines >= minMachines && others.Machines >= minMachines &&
+		float64(c.Silent) >= suspectShare*float64(c.Machines) &&
+		float64(others.Silent) <= othersShare*float64(others.Machines)
+}
+
+// isBack reports whether enough machines of a zone are heard for its outage to be over.
+func isBack(c Count) bool {
+	return c.Machines > 0 && float64(c.heard()) >= recoveredShare*float64(c.Machines)
 }
 
-// Suspected says whether a zone is dark.
-func (w *Monitor) Suspected(name string) bool { z := w.zones[name]; return z != nil && z.dark }
+// suspectedTooLong reports whether an outage lasts longer than a zone is believed to be merely cut off.
+func (m *Monitor) suspectedTooLong(z *zone, now time.Time) bool {
+	return now.Sub(z.since) > maxLeases*m.lease
+}
 
-// AnySuspected says whether any zone is dark. As long as one is, what else is silent may be so for
-// its sake: a worker can have its way through it.
-func (w *Monitor) AnySuspected() bool {
-	for _, z := range w.zones {
-		if z.dark {
+// Suspected reports whether an outage of a zone is suspected.
+func (m *Monitor) Suspected(name string) bool {
+	z := m.zones[name]
+	return z != nil && z.suspected
+}
+
+// AnySuspected reports whether an outage of any zone is suspected. As long as one is, machines elsewhere
+// may be silent because of it: the route of a worker's heartbeats can lead through that zone.
+func (m *Monitor) AnySuspected() bool {
+	for _, z := range m.zones {
+		if z.suspected {
 			return true
 		}
 	}
 	return false
 }
 
-// KeepWaiting says whether a machine of a zone that is dark, or was a moment ago, is still waited
-// for, silent for so long that its tasks are gone, where replace is what another one takes to
-// do its work, and elsewhere whether there is room for another one where it would be heard.
+// KeepWaiting reports whether to keep waiting for a machine that has been silent for so long that its
+// tasks are gone: its zone has a suspected outage, or had one a moment ago. replace is how long a
+// replacement takes to do its work, and elsewhere whether there is room for one in a zone where it
+// would be heard.
+//
 // Waiting as long as the replacement takes costs at most twice what either choice costs at
-// best, however long the cut lasts; where there is no replacement, waiting costs nothing but
+// best, however long the outage lasts; where no replacement is possible, waiting costs nothing but
 // money.
-func (w *Monitor) KeepWaiting(name string, silent, replace time.Duration, elsewhere bool, now time.Time) bool {
-	z := w.zones[name]
+func (m *Monitor) KeepWaiting(name string, silent, replace time.Duration, elsewhere bool, now time.Time) bool {
+	z := m.zones[name]
 	switch {
 	case z == nil:
 		return false
-	case z.dark:
-		return !elsewhere || silent <= w.lease+replace
+	case z.suspected:
+		return !elsewhere || silent <= m.lease+replace
 	}
-	return !z.light.IsZero() && now.Sub(z.light) <= time.Duration(graceLeases*float64(w.lease))
+	return !z.recovered.IsZero() && now.Sub(z.recovered) <= time.Duration(graceLeases*float64(m.lease))
 }
