--- a/internal/fairshare/shortage.go
+++ b/internal/fairshare/shortage.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// ShortageTracker knows of which types of machine the ordinary ones, which the cloud does not take
-// back, were too few for work of teams with a guarantee that may use no others.
+// ShortageTracker remembers for which machine types there were too few on-demand machines, which the
+// cloud does not preempt, for jobs of teams with a guarantee that may use no others.
 type ShortageTracker struct {
-	last map[string]time.Time // when such work last found no room, by type
+	last map[string]time.Time // when such a job last found no room, by machine type
 }
 
-// NewShortageTracker knows of none.
+// NewShortageTracker returns a tracker that has seen no shortage.
 func NewShortageTracker() *ShortageTracker { return &ShortageTracker{last: map[string]time.Time{}} }
 
-// NoteShortage notes work that found no room on ordinary machines of a type.
+// NoteShortage notes a job that found no room on on-demand machines of a type.
 func (s *ShortageTracker) NoteShortage(typ string, now time.Time) { s.last[typ] = now }
 
-// ShortageWithin says whether such work found no room within a span.
+// ShortageWithin reports whether such a job found no room within a span of time up to now.
 func (s *ShortageTracker) ShortageWithin(typ string, span time.Duration, now time.Time) bool {
 	last, ok := s.last[typ]
 	return ok && now.Sub(last) < span
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -1,13 +1,16 @@
-// Package usage accounts for the resources that teams use. The account follows the events
+// Package quota accounts for the resources that teams use. The account follows the events
 // that change it: every attempt has one charge, and a change of the attempt replaces that
-// charge by another. A quota is then read from the account in time that depends on how many
-// sizes of task a team has, not on how many attempts or machines there are.
+// charge by another. What a team uses is then read from the account in time that depends on how many
+// sizes of task the team has, not on how many attempts or machines there are.
 //
 // The package is pure: no I/O, no clock.
 package quota
 
-// Amount is what quotas are stated in: CPUs and GPUs, in units of one. Memory has no quota.
-type Amount struct{ CPUs, GPUs float64 }
+// Amount is what quotas are stated in. Memory has no quota.
+type Amount struct {
+	CPUs float64
+	GPUs float64
+}
 
 // Add returns a + b.
 func (a Amount) Add(b Amount) Amount { return a.plus(1, b) }
@@ -15,7 +18,7 @@
 // Sub returns a - b.
 func (a Amount) Sub(b Amount) Amount { return a.plus(-1, b) }
 
-// plus returns the amount with n times another one.
+// plus returns a + n·size.
 func (a Amount) plus(n int, size Amount) Amount {
 	return Amount{a.CPUs + float64(n)*size.CPUs, a.GPUs + float64(n)*size.GPUs}
 }
@@ -28,8 +31,9 @@
 	None     Phase = iota
 	Planned        // chosen for a machine, and nothing was sent
 	Present        // may be on its machine
-	Stopping       // may be on its machine, and was told to stop
-	phases   = iota
+	Stopping       // may be on its machine, and was requested to stop
+
+	phases = iota // how many there are
 )
 
 // Charge is what one attempt counts for. The zero Charge counts for nothing.
@@ -37,48 +41,50 @@
 	Phase  Phase
 	Shared bool   // the owner is not known, so that it counts for every team
 	Team   string // the owner, unless it is shared
-	Size   Amount
+	Size   Amount // of the attempt's task
 }
 
-// Account holds the sums of all charges. Its counts are integers by size: sums of decimal
-// amounts would drift as charges come and go, and never be zero again.
+// Account holds the sums of all charges. It is not for concurrent use.
 type Account struct {
-	teams  map[string]*counts
-	shared counts
+	teams  map[string]*phaseCounts
+	shared phaseCounts
 }
 
-// counts are charges by phase.
-type counts [phases]bySize
+// phaseCounts counts charges by phase and size.
+type phaseCounts [phases]sizeCounts
 
-// bySize counts charges by size, and knows their sum unless they changed since it was last asked.
-type bySize struct {
+// sizeCounts counts charges by size, and keeps their sum until they change. The counts are
+// integers: a running sum of decimal amounts would drift as charges come and go, and never be
+// zero again.
+type sizeCounts struct {
 	counts  map[Amount]int
-	sum     Amount
-	changed bool
+	sum     Amount // of all charges, unless they changed
+	changed bool   // since the sum was made
 }
 
-func (b *bySize) add(size Amount, n int) {
-	if b.counts == nil {
-		b.counts = map[Amount]int{}
+func (s *sizeCounts) add(size Amount, n int) {
+	if s.counts == nil {
+		s.counts = map[Amount]int{}
 	}
-	if b.counts[size] += n; b.counts[size] == 0 {
-		delete(b.counts, size)
+	s.counts[size] += n
+	if s.counts[size] == 0 {
+		delete(s.counts, size)
 	}
-	b.changed = true
+	s.changed = true
 }
 
-func (b *bySize) total() Amount {
-	if b.changed {
-		b.sum, b.changed = Amount{}, false
-		for size, n := range b.counts {
-			b.sum = b.sum.plus(n, size)
+func (s *sizeCounts) total() Amount {
+	if s.changed {
+		s.sum, s.changed = Amount{}, false
+		for size, n := range s.counts {
+			s.sum = s.sum.plus(n, size)
 		}
 	}
-	return b.sum
+	return s.sum
 }
 
 // NewAccount returns an account without charges.
-func NewAccount() *Account { return &Account{teams: map[string]*counts{}} }
+func NewAccount() *Account { return &Account{teams: map[string]*phaseCounts{}} }
 
 // Replace takes one charge out of the account and puts another one in.
 func (a *Account) Replace(old, next Charge) {
@@ -89,57 +95,69 @@
 	a.add(next, 1)
 }
 
-func (a *Account) add(c Charge, n int) {
-	if c.Phase == None {
+// add counts a charge n times more.
+func (a *Account) add(charge Charge, n int) {
+	if charge.Phase == None {
 		return
 	}
-	of := &a.shared
-	if !c.Shared {
-		if of = a.teams[c.Team]; of == nil {
-			of = &counts{}
-			a.teams[c.Team] = of
-		}
+	a.owner(charge)[charge.Phase].add(charge.Size, n)
+}
+
+// owner returns the counts that a charge belongs to.
+func (a *Account) owner(charge Charge) *phaseCounts {
+	if charge.Shared {
+		return &a.shared
+	}
+	counts := a.teams[charge.Team]
+	if counts == nil {
+		counts = &phaseCounts{}
+		a.teams[charge.Team] = counts
 	}
-	of[c.Phase].add(c.Size, n)
+	return counts
 }
 
-// sum adds the charges of some phases to an amount.
-func (c *counts) sum(to Amount, of ...Phase) Amount {
+// addTo adds the charges of some phases to an amount.
+func (c *phaseCounts) addTo(amount Amount, of ...Phase) Amount {
 	if c == nil {
-		return to
+		return amount
 	}
 	for _, phase := range of {
-		to = to.Add(c[phase].total())
+		amount = amount.Add(c[phase].total())
 	}
-	return to
+	return amount
 }
 
-// InUse is what may be on machines of a team's attempts, with all that is shared.
+// InUse is what a team's attempts use that may be on machines, together with all that is shared.
 func (a *Account) InUse(team string) Amount {
-	return a.teams[team].sum(a.shared.sum(Amount{}, Present, Stopping), Present, Stopping)
+	return a.sum(team, Present, Stopping)
 }
 
 // Committed is what is in use and what is planned.
 func (a *Account) Committed(team string) Amount {
-	return a.teams[team].sum(a.shared.sum(Amount{}, Planned, Present, Stopping), Planned, Present, Stopping)
+	return a.sum(team, Planned, Present, Stopping)
+}
+
+// sum adds up the charges of some phases: the shared ones, then the team's.
+func (a *Account) sum(team string, of ...Phase) Amount {
+	return a.teams[team].addTo(a.shared.addTo(Amount{}, of...), of...)
 }
 
-// NotStopping is what is in use of a team's own attempts that were not told to stop.
+// NotStopping is what is in use by a team's own attempts that were not requested to stop.
 func (a *Account) NotStopping(team string) Amount {
-	return a.teams[team].sum(Amount{}, Present)
+	return a.teams[team].addTo(Amount{}, Present)
 }
 
-// Empty says whether nothing is charged to anybody.
+// Empty reports whether nothing is charged to anybody.
 func (a *Account) Empty() bool {
-	for _, team := range a.teams {
-		if !team.empty() {
+	for _, counts := range a.teams {
+		if !counts.empty() {
 			return false
 		}
 	}
 	return a.shared.empty()
 }
 
-func (c *counts) empty() bool {
+func (c *phaseCounts) empty() bool {
 	for i := range c {
 		if len(c[i].counts) > 0 {
 			return false
