--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -24,53 +24,53 @@
 // Refused is the status of a report to a controller that does not run.
 const Refused = -1
 
-// World holds the cloud and its machines, and watches over the rules.
-type World struct {
-	HeartbeatInterval, Lease, Startup, Cancel time.Duration
-	GangWait, GangPeer                        time.Duration // 0: gangs start and go on whoever is missing
-	Nodes                                     []string
-	Types                                     []records.MachineType
-	Jobs                                      func(id string) (records.Job, bool) // what users submitted
-	Teams                                     []config.Team                       // with their limits; may be nil
-	Heartbeat                                 HeartbeatFunc
-	RunFor                                    func(task string) time.Duration
-	Capacity                                  int    // machines to be had in a zone, cheap and ordinary ones each
-	Version                                   string // of new machines' workers
+// Environment holds the cloud and its machines, and watches over the rules.
+type Environment struct {
+	HeartbeatInterval, Lease, BootTime, CancelLimit time.Duration
+	GangStartTimeout, GangPeerTimeout               time.Duration // 0: gangs start and go on whoever is missing
+	Nodes                                           []string
+	Types                                           []records.MachineType
+	LookupJob                                       func(id string) (records.Job, bool) // what users submitted
+	Teams                                           []config.Team                       // with their limits; may be nil
+	Heartbeat                                       HeartbeatFunc
+	RunTime                                         func(task string) time.Duration
+	ZoneCapacity                                    int    // machines to be had in a zone, cheap and ordinary ones each
+	WorkerVersion                                   string // of new machines' workers
 	// InFlight is for how long a start may be on its way to a machine: one that arrives later after a
 	// cancellation was confirmed was sent after it.
-	InFlight time.Duration
+	MaxCommandDelay time.Duration
 	// Fails says whether a task fails on a machine; nil: none does.
-	Fails func(m *Machine, task string) bool
+	TaskFails func(m *Machine, task string) bool
 	// Open, where it is set, opens a machine's address when it is up; close ends it.
-	Open func(m *Machine) (addr string, closeAddr func(), err error)
+	Listen func(m *Machine) (addr string, closeAddr func(), err error)
 	// Remote says that machines are rented here and run elsewhere: Open starts them there.
-	Remote bool
+	RemoteMachines bool
 	// FirstNode is where a machine's worker reports first; nil: at the first controller.
 	FirstNode func(host string) int
 
-	mu        sync.Mutex
-	ctx       context.Context
-	seq       int
-	bookings  map[string][]string
-	machines  map[string]*Machine
-	cancelled map[string]time.Time
-	asked     map[string]bool                  // users have asked to cancel them, answered or not
-	accepted  map[string]time.Time             // when a user was first told so
-	final     map[string]fate                  // the final state that a user was told
-	finished  map[string]map[string]bool       // tasks that have completed, by job
-	saved     map[string]time.Duration         // progress that is safe, by task or, of gangs, by job
-	cut       map[string]bool                  // zones that nobody reaches
-	closed    map[string]bool                  // zones that no direct commands reach
-	byJob     map[string]map[*attempt]*Machine // tasks that have not ended
-	ran       []TaskRun
-	bills     []RentalCost
-	starts    int
-	lapses    int           // leases of workers that ended
-	wasted    time.Duration // work that is to be done again
-	held      func() (command, answer time.Duration)
-	boots     func() time.Duration // how long each machine takes to come up; nil: Startup
-	longest   time.Duration        // a cancelled job's task was seen on its machine
-	broken    []string
+	mu                 sync.Mutex
+	ctx                context.Context
+	machineCount       int
+	rentals            map[string][]string
+	machines           map[string]*Machine
+	cancelledAt        map[string]time.Time
+	cancelRequested    map[string]bool                  // users have asked to cancel them, answered or not
+	acceptedAt         map[string]time.Time             // when a user was first told so
+	finalStates        map[string]finalState            // the final state that a user was told
+	completed          map[string]map[string]bool       // tasks that have completed, by job
+	savedProgress      map[string]time.Duration         // progress that is safe, by task or, of gangs, by job
+	partitioned        map[string]bool                  // zones that nobody reaches
+	commandsBlocked    map[string]bool                  // zones that no direct commands reach
+	attempts           map[string]map[*attempt]*Machine // tasks that have not ended
+	runs               []TaskRun
+	costs              []RentalCost
+	starts             int
+	leaseExpiries      int           // leases of workers that ended
+	lostWork           time.Duration // work that is to be done again
+	commandDelay       func() (command, answer time.Duration)
+	bootTime           func() time.Duration // how long each machine takes to come up; nil: Startup
+	longestAfterCancel time.Duration        // a cancelled job's task was seen on its machine
+	violations         []string
 }
 
 // TaskRun is a task's time on a machine that is over.
@@ -95,58 +95,58 @@
 	Cost    float64   `json:"cost"`
 }
 
-// NewWorld returns a world without machines, alive until ctx ends.
-func NewWorld(ctx context.Context) *World {
-	return &World{
-		ctx: ctx, bookings: map[string][]string{}, machines: map[string]*Machine{},
-		cancelled: map[string]time.Time{}, asked: map[string]bool{}, accepted: map[string]time.Time{}, final: map[string]fate{}, finished: map[string]map[string]bool{},
-		saved: map[string]time.Duration{}, cut: map[string]bool{}, closed: map[string]bool{},
-		byJob: map[string]map[*attempt]*Machine{},
+// NewEnvironment returns a world without machines, alive until ctx ends.
+func NewEnvironment(ctx context.Context) *Environment {
+	return &Environment{
+		ctx: ctx, rentals: map[string][]string{}, machines: map[string]*Machine{},
+		cancelledAt: map[string]time.Time{}, cancelRequested: map[string]bool{}, acceptedAt: map[string]time.Time{}, finalStates: map[string]finalState{}, completed: map[string]map[string]bool{},
+		savedProgress: map[string]time.Duration{}, partitioned: map[string]bool{}, commandsBlocked: map[string]bool{},
+		attempts: map[string]map[*attempt]*Machine{},
 	}
 }
 
 // Starts tells how many starts there were.
-func (w *World) Starts() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.starts
+func (env *Environment) Starts() int {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.starts
 }
 
 // LeaseExpiries tells how many leases of workers have ended.
-func (w *World) LeaseExpiries() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.lapses
+func (env *Environment) LeaseExpiries() int {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.leaseExpiries
 }
 
 // firstNode is the controller where a machine's worker reports first.
-func (w *World) firstNode(m *Machine) int {
-	if w.FirstNode == nil {
+func (env *Environment) firstNode(m *Machine) int {
+	if env.FirstNode == nil {
 		return 0
 	}
-	return w.FirstNode(m.Host)
+	return env.FirstNode(m.Name)
 }
 
-// Longest is for how long, at the most, a task of a cancelled job was seen on its machine.
-func (w *World) Longest() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.longest
+// LongestAfterCancel is for how long, at the most, a task of a cancelled job was seen on its machine.
+func (env *Environment) LongestAfterCancel() time.Duration {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.longestAfterCancel
 }
 
-// Wasted is the run time of tasks that has to be done again, so far.
-func (w *World) Wasted() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.wasted
+// LostWork is the run time of tasks that has to be done again, so far.
+func (env *Environment) LostWork() time.Duration {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.lostWork
 }
 
 // Running tells how many tasks run.
-func (w *World) Running() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (env *Environment) Running() int {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	n := 0
-	for _, m := range w.machines {
+	for _, m := range env.machines {
 		for _, s := range m.tasks {
 			if s.status == "running" && !m.gone {
 				n++
@@ -157,29 +157,29 @@
 }
 
 // Machines lists the machines that are up, by name.
-func (w *World) Machines() []*Machine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (env *Environment) Machines() []*Machine {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	var ms []*Machine
-	for _, m := range w.machines {
+	for _, m := range env.machines {
 		if m.up && !m.gone {
 			ms = append(ms, m)
 		}
 	}
-	sort.Slice(ms, func(i, j int) bool { return ms[i].Host < ms[j].Host })
+	sort.Slice(ms, func(i, j int) bool { return ms[i].Name < ms[j].Name })
 	return ms
 }
 
 // CloudClient is the cloud as a controller sees it.
 type CloudClient struct {
-	W *World
+	Environment *Environment
 	// Alive says whether the controller still runs.
 	Alive func() bool
 	// Lose makes that many rentals execute without an answer.
-	Lose int
+	LoseAnswers int
 }
 
-func (c *CloudClient) pass(ctx context.Context) error {
+func (c *CloudClient) admit(ctx context.Context) error {
 	if err := ctxtime.Sleep(ctx, 20*latency); err != nil {
 		return err
 	}
@@ -191,30 +191,30 @@
 
 // Types lists what there is to rent.
 func (c *CloudClient) Types(ctx context.Context) ([]records.MachineType, error) {
-	return append([]records.MachineType(nil), c.W.Types...), c.pass(ctx)
+	return append([]records.MachineType(nil), c.Environment.Types...), c.admit(ctx)
 }
 
 // Rent starts machines.
 func (c *CloudClient) Rent(ctx context.Context, r autoscaler.RentalRequest) ([]string, error) {
-	if err := c.pass(ctx); err != nil {
+	if err := c.admit(ctx); err != nil {
 		return nil, err
 	}
-	hosts, err := c.W.rent(r)
-	if err == nil && c.Lose > 0 {
-		c.Lose--
+	hosts, err := c.Environment.rent(r)
+	if err == nil && c.LoseAnswers > 0 {
+		c.LoseAnswers--
 		return nil, autoscaler.ErrUnknownOutcome
 	}
 	return hosts, err
 }
 
-func (w *World) rent(r autoscaler.RentalRequest) ([]string, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if hosts, known := w.bookings[r.Name]; known {
+func (env *Environment) rent(r autoscaler.RentalRequest) ([]string, error) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if hosts, known := env.rentals[r.Name]; known {
 		return hosts, nil
 	}
-	free := w.Capacity
-	for _, m := range w.machines {
+	free := env.ZoneCapacity
+	for _, m := range env.machines {
 		if !m.gone && m.Zone == r.Zone && m.Spot == r.Spot {
 			free--
 		}
@@ -224,55 +224,55 @@
 	}
 	var hosts []string
 	for range min(r.Count, free) {
-		w.seq++
-		hosts = append(hosts, w.add(fmt.Sprintf("m-%06d", w.seq), r).Host)
+		env.machineCount++
+		hosts = append(hosts, env.addLocked(fmt.Sprintf("m-%06d", env.machineCount), r).Name)
 	}
-	w.bookings[r.Name] = hosts
+	env.rentals[r.Name] = hosts
 	return hosts, nil
 }
 
-// add starts a machine, with the world locked.
-func (w *World) add(host string, r autoscaler.RentalRequest) *Machine {
-	m := newMachine(w, host, r)
-	w.machines[host] = m
+// addLocked starts a machine, with the world locked.
+func (env *Environment) addLocked(host string, r autoscaler.RentalRequest) *Machine {
+	m := newMachine(env, host, r)
+	env.machines[host] = m
 	go m.run()
 	return m
 }
 
-// Host starts a machine that was rented elsewhere (Remote).
-func (w *World) Host(host string, r autoscaler.RentalRequest) *Machine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.add(host, r)
+// AddMachine starts a machine that was rented elsewhere (Remote).
+func (env *Environment) AddMachine(host string, r autoscaler.RentalRequest) *Machine {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.addLocked(host, r)
 }
 
 // Machine returns a machine by name; nil: there is none.
-func (w *World) Machine(host string) *Machine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.machines[host]
+func (env *Environment) Machine(host string) *Machine {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.machines[host]
 }
 
 // Return ends machines.
 func (c *CloudClient) Return(ctx context.Context, hosts []string) error {
-	if err := c.pass(ctx); err != nil {
+	if err := c.admit(ctx); err != nil {
 		return err
 	}
-	c.W.takeBack(hosts)
+	c.Environment.returnMachines(hosts)
 	return nil
 }
 
-// takeBack ends machines; when it returns, what was on them is gone.
-func (w *World) takeBack(hosts []string) {
+// returnMachines ends machines; when it returns, what was on them is gone.
+func (env *Environment) returnMachines(hosts []string) {
 	var ends []func()
-	w.mu.Lock()
+	env.mu.Lock()
 	for _, h := range hosts {
-		if m := w.machines[h]; m != nil {
-			ends = append(ends, m.end())
-			delete(w.machines, h)
+		if m := env.machines[h]; m != nil {
+			ends = append(ends, m.removeLocked())
+			delete(env.machines, h)
 		}
 	}
-	w.mu.Unlock()
+	env.mu.Unlock()
 	var closing sync.WaitGroup
 	for _, end := range ends {
 		closing.Go(end)
@@ -282,18 +282,18 @@
 
 // List lists the machines.
 func (c *CloudClient) List(ctx context.Context) ([]autoscaler.CloudMachine, error) {
-	if err := c.pass(ctx); err != nil {
+	if err := c.admit(ctx); err != nil {
 		return nil, err
 	}
-	return c.W.Listed(), nil
+	return c.Environment.CloudMachines(), nil
 }
 
-// Listed lists the machines as the cloud knows them.
-func (w *World) Listed() []autoscaler.CloudMachine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// CloudMachines lists the machines as the cloud knows them.
+func (env *Environment) CloudMachines() []autoscaler.CloudMachine {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	var out []autoscaler.CloudMachine
-	for _, m := range w.machines {
+	for _, m := range env.machines {
 		st := "running"
 		if !m.up {
 			st = "booting"
@@ -301,7 +301,7 @@
 		if m.gone {
 			st = "failed"
 		}
-		out = append(out, autoscaler.CloudMachine{Machine: m.Host, Addr: m.addr, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot, Status: st, AgeS: time.Since(m.rented).Seconds()})
+		out = append(out, autoscaler.CloudMachine{Machine: m.Name, Addr: m.addr, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot, Status: st, AgeS: time.Since(m.rented).Seconds()})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Machine < out[j].Machine })
 	return out
@@ -309,56 +309,56 @@
 
 // Upgrade gives a machine's worker another version: it ends with all that it runs, and
 // comes back in a new session, as an operator would have it.
-func (w *World) Upgrade(host, version string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	m := w.machines[host]
+func (env *Environment) Upgrade(host, version string) bool {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	m := env.machines[host]
 	if m == nil || m.gone || !m.up {
 		return false
 	}
-	m.forget(time.Now())
+	m.loseTasksLocked(time.Now())
 	m.Version = version
-	m.session++
-	m.lastSent = time.Now()
+	m.incarnation++
+	m.leaseStart = time.Now()
 	m.wake()
 	return true
 }
 
-// BootIn says how long each machine takes to come up from now on, nil: Startup. It returns what
+// SetBootTime says how long each machine takes to come up from now on, nil: Startup. It returns what
 // said so before.
-func (w *World) BootIn(by func() time.Duration) (before func() time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	before, w.boots = w.boots, by
+func (env *Environment) SetBootTime(by func() time.Duration) (before func() time.Duration) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	before, env.bootTime = env.bootTime, by
 	return before
 }
 
-// Hold says by how much each direct command is held up on its way, and then its answer; nobody
+// SetCommandDelay says by how much each direct command is held up on its way, and then its answer; nobody
 // waits for either longer than a report interval. nil: none is.
-func (w *World) Hold(by func() (command, answer time.Duration)) {
-	w.mu.Lock()
-	w.held = by
-	w.mu.Unlock()
+func (env *Environment) SetCommandDelay(by func() (command, answer time.Duration)) {
+	env.mu.Lock()
+	env.commandDelay = by
+	env.mu.Unlock()
 }
 
 // PartitionZone makes a zone's machines unreachable, or reachable again.
-func (w *World) PartitionZone(zone string, on bool) {
-	w.mu.Lock()
-	w.cut[zone] = on
-	w.mu.Unlock()
+func (env *Environment) PartitionZone(zone string, on bool) {
+	env.mu.Lock()
+	env.partitioned[zone] = on
+	env.mu.Unlock()
 }
 
-// CloseZone keeps direct commands from a zone's machines, or lets them pass again.
-func (w *World) CloseZone(zone string, on bool) {
-	w.mu.Lock()
-	w.closed[zone] = on
-	w.mu.Unlock()
+// BlockCommands keeps direct commands from a zone's machines, or lets them pass again.
+func (env *Environment) BlockCommands(zone string, on bool) {
+	env.mu.Lock()
+	env.commandsBlocked[zone] = on
+	env.mu.Unlock()
 }
 
 // FailZone takes the power from all machines of a zone, and says how many there were.
-func (w *World) FailZone(zone string) int {
+func (env *Environment) FailZone(zone string) int {
 	n := 0
-	for _, m := range w.Machines() {
+	for _, m := range env.Machines() {
 		if m.Zone == zone {
 			m.Die()
 			n++
@@ -369,32 +369,32 @@
 
 // History lists what ran, the order being that of the ends, and what machines cost so
 // far at nominal prices.
-func (w *World) History() ([]TaskRun, []RentalCost) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	bills := slices.Clone(w.bills)
-	for _, m := range w.machines {
+func (env *Environment) History() ([]TaskRun, []RentalCost) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	bills := slices.Clone(env.costs)
+	for _, m := range env.machines {
 		if !m.gone {
-			bills = append(bills, m.bill(time.Time{}))
+			bills = append(bills, m.cost(time.Time{}))
 		}
 	}
 	sort.Slice(bills, func(i, j int) bool { return bills[i].Machine < bills[j].Machine })
-	return slices.Clone(w.ran), bills
+	return slices.Clone(env.runs), bills
 }
 
 // Go and Orders are the way to the workers.
-func (w *World) Go(f func()) { go f() }
+func (env *Environment) Go(f func()) { go f() }
 
 // SendCommands gives direct commands to a worker.
-func (w *World) SendCommands(addr string, d fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
-	_ = ctxtime.Sleep(w.ctx, latency)
-	w.mu.Lock()
-	m := w.machines[addr]
-	closed := m != nil && (w.closed[m.Zone] || m.deaf)
-	held := w.held
-	w.mu.Unlock()
+func (env *Environment) SendCommands(addr string, d fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
+	_ = ctxtime.Sleep(env.ctx, latency)
+	env.mu.Lock()
+	m := env.machines[addr]
+	closed := m != nil && (env.commandsBlocked[m.Zone] || m.inboundLost)
+	held := env.commandDelay
+	env.mu.Unlock()
 	if closed {
-		_ = ctxtime.Sleep(w.ctx, w.HeartbeatInterval) // it hangs until the caller gives up
+		_ = ctxtime.Sleep(env.ctx, env.HeartbeatInterval) // it hangs until the caller gives up
 	}
 	if m == nil || closed {
 		return workers.OutcomeUnknown, nil, errors.New("no answer")
@@ -403,15 +403,15 @@
 		return m.ExecuteCommands(d)
 	}
 	command, answer := held()
-	if command >= w.HeartbeatInterval {
+	if command >= env.HeartbeatInterval {
 		time.AfterFunc(command, func() { _, _, _ = m.ExecuteCommands(d) })
-		_ = ctxtime.Sleep(w.ctx, w.HeartbeatInterval)
+		_ = ctxtime.Sleep(env.ctx, env.HeartbeatInterval)
 		return workers.OutcomeUnknown, nil, errors.New("no answer in time")
 	}
-	_ = ctxtime.Sleep(w.ctx, command)
+	_ = ctxtime.Sleep(env.ctx, command)
 	outcome, r, err := m.ExecuteCommands(d)
-	_ = ctxtime.Sleep(w.ctx, min(answer, w.HeartbeatInterval))
-	if answer >= w.HeartbeatInterval {
+	_ = ctxtime.Sleep(env.ctx, min(answer, env.HeartbeatInterval))
+	if answer >= env.HeartbeatInterval {
 		return workers.OutcomeUnknown, nil, errors.New("no answer in time")
 	}
 	return outcome, r, err
--- a/internal/simulation/zone_outage_test.go
+++ b/internal/simulation/zone_outage_test.go
@@ -11,37 +11,37 @@
 
 // What becomes of a zone's machines while it is cut off.
 
-// zoneCut plays a cut of a zone that holds half the machines, and tells how many of its
+// runZonePartition plays a cut of a zone that holds half the machines, and tells how many of its
 // machines are still the same some seconds later, of how many, and how many tasks were
 // lost.
-func zoneCut(t *testing.T, seconds float64, dark bool) (same, of, lost int) {
-	playWith(t, func(c *cluster) {
+func runZonePartition(t *testing.T, seconds float64, dark bool) (same, of, lost int) {
+	runScenarioWith(t, func(c *cluster) {
 		c.cfg.Options.ZoneHealth = dark
-		c.world.Capacity = 6
+		c.env.ZoneCapacity = 6
 	}, func(c *cluster) {
-		c.world.RunFor = func(task string) time.Duration { return 10 * mixed(task) }
+		c.env.RunTime = func(task string) time.Duration { return 10 * mixedRunTime(task) }
 		sleep(2)
 		c.submit(0, records.Job{ID: "j-1", Tasks: 96, EstimateS: 90})
 		sleep(40)
 		before := map[string]bool{}
-		for _, m := range c.world.Machines() {
+		for _, m := range c.env.Machines() {
 			if m.Zone == "b" {
-				before[m.Host] = true
+				before[m.Name] = true
 			}
 		}
-		c.world.PartitionZone("b", true)
+		c.env.PartitionZone("b", true)
 		sleep(seconds)
-		c.world.PartitionZone("b", false)
+		c.env.PartitionZone("b", false)
 		sleep(8)
-		for _, m := range c.world.Machines() {
-			if before[m.Host] {
+		for _, m := range c.env.Machines() {
+			if before[m.Name] {
 				same++
 			}
 		}
 		of = len(before)
 		sleep(300)
 		c.wantDone(0, "j-1")
-		ran, _ := c.world.History()
+		ran, _ := c.env.History()
 		for _, r := range ran {
 			if r.Cause == "lost" || r.Cause == fleet.CauseAlone {
 				lost++
@@ -54,14 +54,14 @@
 // A zone that is cut off for less than a lease loses nothing: its machines are not given
 // back one by one as each becomes one of few that have been silent for long. Beyond a lease
 // its tasks start elsewhere, and its machines are there when it is back.
-func TestZoneCutOff(t *testing.T) {
+func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
 		seconds float64
 		dark    bool
 		keeps   bool
 	}{{7, true, true}, {20, true, true}, {20, false, false}} {
-		same, of, lost := zoneCut(t, x.seconds, x.dark)
+		same, of, lost := runZonePartition(t, x.seconds, x.dark)
 		told := fmt.Sprintf("cut for %v s, dark zones %v: %d machines of %d are left, %d tasks lost", x.seconds, x.dark, same, of, lost)
 		// One or two may be given back as idle: some work was done elsewhere meanwhile.
 		if of < 12 || x.keeps != (same >= of-2) {
