--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -1,7 +1,7 @@
 //go:build race
 
-package standin
+package simulation
 
-// raced makes the stories of many machines a fifth as large under the race detector, which
+// raceEnabled makes the stories of many machines a fifth as large under the race detector, which
 // makes them many times as slow.
-const raced = true
+const raceEnabled = true
