--- a/cmd/drumpickctl/ctl_test.go
+++ b/cmd/drumpickctl/ctl_test.go
@@ -24,7 +24,7 @@
 	}
 	r, err := localcluster.Start(t.Context(), localcluster.Options{
 		Data: dir, Controller: built, Zones: []string{"north"}, Controllers: 1, Machines: 4, LogLevel: "info",
-		RunFor: func(string) time.Duration { return 50 * time.Millisecond },
+		RunTime: func(string) time.Duration { return 50 * time.Millisecond },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/drumpickctl/demo.go
+++ b/cmd/drumpickctl/demo.go
@@ -67,7 +67,7 @@
 			}
 		}
 		// What a cancelled service left running is gone within the region's bound.
-		for r.World.Running() > 0 {
+		for r.Environment.Running() > 0 {
 			if err := ctxtime.Sleep(cmd.Context(), 100*time.Millisecond); err != nil {
 				return err
 			}
@@ -76,8 +76,8 @@
 		if err := f.print(out, demoResult(jobs, states, h, began), func(w io.Writer) { showDemo(w, jobs, states, h, began) }); err != nil {
 			return err
 		}
-		if len(h.Broken) > 0 {
-			return errors.New("rules of the protocol were broken: " + strings.Join(h.Broken, "; "))
+		if len(h.Violations) > 0 {
+			return errors.New("rules of the protocol were broken: " + strings.Join(h.Violations, "; "))
 		}
 		return nil
 	})
@@ -107,7 +107,7 @@
 	for i, j := range jobs {
 		out := jobResult{Name: j.Name, ID: j.ID, Status: states[i].Status, Tasks: j.Tasks}
 		machines, zones := map[string]bool{}, map[string]bool{}
-		for _, ran := range h.Ran {
+		for _, ran := range h.Runs {
 			if !strings.HasPrefix(ran.Task, j.ID+"/") {
 				continue
 			}
@@ -122,7 +122,7 @@
 		out.Machines, out.Zones = slices.Sorted(maps.Keys(machines)), slices.Sorted(maps.Keys(zones))
 		res.Jobs = append(res.Jobs, out)
 	}
-	for _, b := range h.Bills {
+	for _, b := range h.Costs {
 		res.Cost += b.Cost
 	}
 	return res
@@ -140,9 +140,9 @@
 			short(j.Machines), strings.Join(j.Zones, " "))
 	}
 	fmt.Fprintln(w, "\nMACHINE\tTYPE\tZONE\tKIND\tTASKS\tCOST")
-	for _, b := range h.Bills {
+	for _, b := range h.Costs {
 		n := 0
-		for _, ran := range h.Ran {
+		for _, ran := range h.Runs {
 			if ran.Machine == b.Machine {
 				n++
 			}
@@ -150,7 +150,7 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4f\n", b.Machine, b.Type, b.Zone, kind(b.Spot), n, b.Cost)
 	}
 	fmt.Fprintf(w, "\n%d starts on %d machines in %.0fs, cost %.4f; rules broken: %d\n",
-		len(h.Ran), len(h.Bills), time.Since(began).Seconds(), res.Cost, len(h.Broken))
+		len(h.Runs), len(h.Costs), time.Since(began).Seconds(), res.Cost, len(h.Violations))
 }
 
 // short lists a few names.
--- a/cmd/drumpickctl/golden_test.go
+++ b/cmd/drumpickctl/golden_test.go
@@ -74,13 +74,13 @@
 func TestGoldenLocal(t *testing.T) {
 	at := time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC)
 	history := localcluster.History{
-		Ran:    []simulation.TaskRun{{Task: "j-1/0", Machine: "m-1", Zone: "a", Started: at, Running: at.Add(time.Second), Ended: at.Add(time.Minute), Cause: "done"}},
-		Bills:  []simulation.RentalCost{{Machine: "m-1", Type: "g8", Zone: "a", Spot: true, From: at, To: at.Add(time.Minute), Cost: 0.5}},
-		Broken: []string{"b"},
+		Runs:       []simulation.TaskRun{{Task: "j-1/0", Machine: "m-1", Zone: "a", Started: at, Running: at.Add(time.Second), Ended: at.Add(time.Minute), Cause: "done"}},
+		Costs:      []simulation.RentalCost{{Machine: "m-1", Type: "g8", Zone: "a", Spot: true, From: at, To: at.Add(time.Minute), Cost: 0.5}},
+		Violations: []string{"b"},
 	}
 	goldentest.Run(t, "golden-local.json", goldentest.JSON, []goldentest.Case{
-		{Name: "up", Value: localcluster.Info{PID: 1, Control: "c:1", State: "s:1", Cloud: "c:2", Controllers: []localcluster.Controller{
-			{Name: "controller-1", Zone: "a", Bind: "b:1", Back: "b:2", Config: "c.toml", Log: "c.log"},
+		{Name: "up", Value: localcluster.Info{PID: 1, ControlAddr: "c:1", StoreAddr: "s:1", CloudAddr: "c:2", Controllers: []localcluster.Controller{
+			{Name: "controller-1", Zone: "a", UserAddr: "b:1", PeerAddr: "b:2", ConfigPath: "c.toml", LogPath: "c.log"},
 		}}},
 		{Name: "demo", Value: result{Cost: 0.5, Ran: history, Jobs: []jobResult{{
 			Name: "n", ID: "j-1", Status: "done", Tasks: 1, Starts: 2, FirstS: 3.5, LastS: 4.5, Machines: []string{"m-1"}, Zones: []string{"a"},
--- a/cmd/drumpickctl/local.go
+++ b/cmd/drumpickctl/local.go
@@ -81,9 +81,9 @@
 }
 
 func showRegion(w io.Writer, data string, i localcluster.Info) {
-	fmt.Fprintf(w, "state service\t%s\ncloud\t%s\n", i.State, i.Cloud)
+	fmt.Fprintf(w, "state service\t%s\ncloud\t%s\n", i.StoreAddr, i.CloudAddr)
 	for _, c := range i.Controllers {
-		fmt.Fprintf(w, "%s\t%s\tin %s\tsettings %s\tlog %s\n", c.Name, c.Bind, c.Zone, c.Config, c.Log)
+		fmt.Fprintf(w, "%s\t%s\tin %s\tsettings %s\tlog %s\n", c.Name, c.UserAddr, c.Zone, c.ConfigPath, c.LogPath)
 	}
 	fmt.Fprintf(w, "\nin another terminal\tdrumpickctl --data %s submit FILE\n", data)
 }
--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -81,14 +81,14 @@
 	perZone := (workers + len(c.zones) - 1) / len(c.zones)
 	c.region, err = localcluster.Start(ctx, localcluster.Options{
 		Data: dir, Controller: programs.Daemon, Arguments: []string{"--options", programs.Options}, Zones: c.zones, Controllers: size.Controllers,
-		Machines: perZone, LogLevel: "info", Deployment: size.facts(index, c.zones), Types: size.types(c.zones), State: c.state.Service, Workers: c.place,
+		Machines: perZone, LogLevel: "info", Deployment: size.facts(index, c.zones), MachineTypes: size.types(c.zones), StoreAddr: c.state.Service, StartWorker: c.place,
 	})
 	if err != nil {
 		return nil, err
 	}
 	c.users = c.region.Client()
 	for _, n := range c.region.Info.Controllers {
-		alone, err := client.New(n.Bind)
+		alone, err := client.New(n.UserAddr)
 		if err != nil {
 			return nil, err
 		}
@@ -96,7 +96,7 @@
 	}
 	setup := Setup{Types: size.types(c.zones)}
 	for _, n := range c.region.Info.Controllers {
-		setup.Nodes = append(setup.Nodes, Node{n.Name, n.Bind})
+		setup.Nodes = append(setup.Nodes, Node{n.Name, n.UserAddr})
 	}
 	for _, h := range c.hosts {
 		if err = h.ask("POST", "/setup", setup, nil); err != nil {
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -86,7 +86,7 @@
 func (f *faults) anyCell() *cell { return f.cells[f.rand.IntN(len(f.cells))] }
 
 func (f *faults) failOne(context.Context) {
-	if ms := f.anyCell().region.World.Machines(); len(ms) > 0 {
+	if ms := f.anyCell().region.Environment.Machines(); len(ms) > 0 {
 		ms[f.rand.IntN(len(ms))].Die()
 		f.did.Failures++
 	}
@@ -94,7 +94,7 @@
 
 func (f *faults) restartOne(context.Context) {
 	c := f.anyCell()
-	if ms := c.region.World.Machines(); len(ms) > 0 {
+	if ms := c.region.Environment.Machines(); len(ms) > 0 {
 		c.reboot(ms[f.rand.IntN(len(ms))].Name)
 		f.did.Restarts++
 	}
@@ -106,7 +106,7 @@
 	zone := c.zones[f.rand.IntN(len(c.zones))]
 	left := max(rackWorkers*f.size.Workers/plannedWorkers, 1)
 	f.did.Racks++
-	for _, m := range c.region.World.Machines() {
+	for _, m := range c.region.Environment.Machines() {
 		if m.Zone == zone && left > 0 {
 			left--
 			f.did.Failures++
@@ -118,7 +118,7 @@
 func (f *faults) failZone(context.Context) {
 	c := f.anyCell()
 	f.did.Zones++
-	f.did.Failures += c.region.World.FailZone(c.zones[f.rand.IntN(len(c.zones))])
+	f.did.Failures += c.region.Environment.FailZone(c.zones[f.rand.IntN(len(c.zones))])
 }
 
 // takeoverPatience bounds how long a takeover is followed.
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -182,7 +182,7 @@
 func (r *run) up() int {
 	n := 0
 	for _, c := range r.cells {
-		n += len(c.region.World.Machines())
+		n += len(c.region.Environment.Machines())
 	}
 	return n
 }
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -37,35 +37,35 @@
 	Machines    int    // to be had in a zone, cheap and ordinary ones each
 	LogLevel    string // of the controllers
 	// RunFor, where set, says how long tasks run; otherwise near their estimate.
-	RunFor func(task string) time.Duration
+	RunTime func(task string) time.Duration
 	// Facts, where set, replace the figures that the region runs by.
 	Deployment *config.Deployment
 	// Types, where set, are the machines to be had.
-	Types []records.MachineType
+	MachineTypes []records.MachineType
 	// State, where set, is the address of a state service that runs already.
-	State string
+	StoreAddr string
 	// Workers, where set, opens a machine's address, and has its worker run elsewhere.
-	Workers func(m *simulation.Machine) (addr string, end func(), err error)
+	StartWorker func(m *simulation.Machine) (addr string, end func(), err error)
 }
 
-// facts are the figures that the region runs by.
-func (o Options) facts() config.Deployment {
+// deployment are the figures that the region runs by.
+func (o Options) deployment() config.Deployment {
 	if o.Deployment != nil {
 		return *o.Deployment
 	}
-	return facts(o.Zones, o.Controllers)
+	return defaultDeployment(o.Zones, o.Controllers)
 }
 
 // Cluster is a deployment that runs.
 type Cluster struct {
-	Info  Info
-	State *simulation.Store
-	World *simulation.Environment
+	Info        Info
+	Store       *simulation.Store
+	Environment *simulation.Environment
 
 	options     Options
 	ctx         context.Context
 	cancel      context.CancelFunc
-	disk        *disk
+	storeFile   *storeFile
 	apps        []*fiber.App
 	controllers []*process
 }
@@ -73,27 +73,27 @@
 // Info is how to reach a region, as its directory tells it.
 type Info struct {
 	PID         int          `json:"pid"`
-	Control     string       `json:"control"` // of the region itself
-	State       string       `json:"state"`
-	Cloud       string       `json:"cloud"`
+	ControlAddr string       `json:"control"` // of the region itself
+	StoreAddr   string       `json:"state"`
+	CloudAddr   string       `json:"cloud"`
 	Controllers []Controller `json:"controllers"`
 }
 
 // Controller is one of a region's controllers.
 type Controller struct {
-	Name   string `json:"name"`
-	Zone   string `json:"zone"`
-	Bind   string `json:"bind"`
-	Back   string `json:"back"`
-	Config string `json:"config"`
-	Log    string `json:"log"`
+	Name       string `json:"name"`
+	Zone       string `json:"zone"`
+	UserAddr   string `json:"bind"`
+	PeerAddr   string `json:"back"`
+	ConfigPath string `json:"config"`
+	LogPath    string `json:"log"`
 }
 
 // Addrs are the controllers' addresses for users.
 func (i Info) Addrs() []string {
 	var addrs []string
 	for _, c := range i.Controllers {
-		addrs = append(addrs, c.Bind)
+		addrs = append(addrs, c.UserAddr)
 	}
 	return addrs
 }
@@ -113,11 +113,11 @@
 	return i, nil
 }
 
-// upTries is how often a region is started anew where another program took one of its
+// startTries is how often a region is started anew where another program took one of its
 // ports in between, which a controller's log tells.
 const (
-	upTries   = 3
-	portTaken = "address already in use"
+	startTries = 3
+	portTaken  = "address already in use"
 )
 
 // Start starts a region and waits until every controller can take requests.
@@ -126,8 +126,8 @@
 		return nil, err
 	}
 	var failed error
-	for range upTries {
-		r, err := up(ctx, o)
+	for range startTries {
+		r, err := startOnce(ctx, o)
 		if err == nil || !strings.Contains(err.Error(), portTaken) {
 			return r, err
 		}
@@ -136,37 +136,37 @@
 	return nil, failed
 }
 
-func up(ctx context.Context, o Options) (_ *Cluster, err error) {
+func startOnce(ctx context.Context, o Options) (_ *Cluster, err error) {
 	run, cancel := context.WithCancel(context.Background())
-	r := &Cluster{options: o, ctx: run, cancel: cancel, State: simulation.NewStore(), World: simulation.NewEnvironment(run)}
-	r.World.MaxCommandDelay = workerPatience
+	r := &Cluster{options: o, ctx: run, cancel: cancel, Store: simulation.NewStore(), Environment: simulation.NewEnvironment(run)}
+	r.Environment.MaxCommandDelay = workerPatience
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, r.Stop())
 		}
 	}()
-	if r.Info.State = o.State; o.State == "" {
-		if err = r.openState(run); err != nil {
+	if r.Info.StoreAddr = o.StoreAddr; o.StoreAddr == "" {
+		if err = r.serveStore(run); err != nil {
 			return nil, err
 		}
 	}
-	r.build()
-	if r.Info.Cloud, err = r.serve(func(app *fiber.App) { simulation.ServeCloud(app, r.World) }); err != nil {
+	r.configureEnvironment()
+	if r.Info.CloudAddr, err = r.serve(func(app *fiber.App) { simulation.ServeCloud(app, r.Environment) }); err != nil {
 		return nil, err
 	}
-	if r.Info.Control, err = r.serve(r.control); err != nil {
+	if r.Info.ControlAddr, err = r.serve(r.mountControl); err != nil {
 		return nil, err
 	}
-	if err = r.settle(); err != nil {
+	if err = r.configureControllers(); err != nil {
 		return nil, err
 	}
-	if err = r.launch(); err != nil {
+	if err = r.startControllers(); err != nil {
 		return nil, err
 	}
-	if o.State == "" {
-		go r.judge()
+	if o.StoreAddr == "" {
+		go r.trackCancellations()
 	}
-	if err = r.ready(ctx); err != nil {
+	if err = r.waitReady(ctx); err != nil {
 		return nil, err
 	}
 	r.Info.PID = os.Getpid()
@@ -181,7 +181,7 @@
 // where it is set, is told of each request.
 func ServeState(ctx context.Context, path string, count fiber.Handler) (addr string, err error) {
 	state := simulation.NewStore()
-	d, err := openDisk(path, state)
+	d, err := openStoreFile(path, state)
 	if err != nil {
 		return "", err
 	}
@@ -190,7 +190,7 @@
 		if count != nil {
 			app.Use(count)
 		}
-		simulation.ServeStore(ctx, app, state, d.durable)
+		simulation.ServeStore(ctx, app, state, d.waitDurable)
 	}); err != nil {
 		return "", errors.Join(err, d.close())
 	}
@@ -198,40 +198,40 @@
 	return addr, nil
 }
 
-// openState serves the state service, kept in a file.
-func (r *Cluster) openState(ctx context.Context) (err error) {
-	if r.disk, err = openDisk(filepath.Join(r.options.Data, "state.db"), r.State); err != nil {
+// serveStore serves the state service, kept in a file.
+func (r *Cluster) serveStore(ctx context.Context) (err error) {
+	if r.storeFile, err = openStoreFile(filepath.Join(r.options.Data, "state.db"), r.Store); err != nil {
 		return err
 	}
-	r.Info.State, err = r.serve(func(app *fiber.App) { simulation.ServeStore(ctx, app, r.State, r.disk.durable) })
+	r.Info.StoreAddr, err = r.serve(func(app *fiber.App) { simulation.ServeStore(ctx, app, r.Store, r.storeFile.waitDurable) })
 	return err
 }
 
-// build sets the world up: its machines, what they are told, and what they run.
-func (r *Cluster) build() {
-	w, o := r.World, r.options
-	f := o.facts()
+// configureEnvironment sets the world up: its machines, what they are told, and what they run.
+func (r *Cluster) configureEnvironment() {
+	w, o := r.Environment, r.options
+	f := o.deployment()
 	w.HeartbeatInterval, w.Lease, w.BootTime, w.CancelLimit = config.Seconds(f.Workers.HeartbeatS), config.Seconds(f.Workers.LeaseS), config.Seconds(startupS), config.Seconds(f.Workers.CancelS)
 	w.GangStartTimeout, w.GangPeerTimeout = config.Seconds(f.Workers.GangWaitS), config.Seconds(f.Workers.GangPeerS)
 	w.ZoneCapacity, w.WorkerVersion = o.Machines, "1.0"
 	w.Types = []records.MachineType{{
 		Name: "c4", CPUs: 4, MemGB: 16, CacheGB: 50, FetchGBps: 1, Price: 0.2, SpotPrice: 0.05, StartupS: startupS, Zones: o.Zones,
 	}}
-	if o.Types != nil {
-		w.Types = o.Types
+	if o.MachineTypes != nil {
+		w.Types = o.MachineTypes
 	}
-	w.LookupJob = r.job
-	w.RunTime = o.RunFor
+	w.LookupJob = r.openJob
+	w.RunTime = o.RunTime
 	if w.RunTime == nil {
 		w.RunTime = func(task string) time.Duration {
 			id, _, _ := strings.Cut(task, "/")
-			j, _ := r.job(id)
+			j, _ := r.openJob(id)
 			h := fnv.New32a()
 			h.Write([]byte(task))
 			return config.Seconds(j.EstimateS * (0.7 + 0.6*float64(h.Sum32()%1000)/1000))
 		}
 	}
-	if w.Listen = o.Workers; w.Listen != nil {
+	if w.Listen = o.StartWorker; w.Listen != nil {
 		w.RemoteMachines = true
 		return
 	}
@@ -247,10 +247,10 @@
 	}
 }
 
-// job reads an open job, as workers fetch what users uploaded.
-func (r *Cluster) job(id string) (records.Job, bool) {
+// openJob reads an open job, as workers fetch what users uploaded.
+func (r *Cluster) openJob(id string) (records.Job, bool) {
 	var j records.Job
-	value := r.State.Value(records.OpenKey(id))
+	value := r.Store.Value(records.OpenKey(id))
 	return j, value != "" && json.Unmarshal([]byte(value), &j) == nil
 }
 
@@ -273,8 +273,8 @@
 	return ln.Addr().String(), nil
 }
 
-// settle chooses the controllers' ports and writes their settings.
-func (r *Cluster) settle() error {
+// configureControllers chooses the controllers' ports and writes their settings.
+func (r *Cluster) configureControllers() error {
 	o := r.options
 	var held []net.Listener // until all are chosen, so that none is chosen twice
 	defer func() {
@@ -293,31 +293,31 @@
 	for i := range o.Controllers {
 		c := Controller{Name: fmt.Sprintf("controller-%d", i+1), Zone: o.Zones[i%len(o.Zones)]}
 		var err error
-		if c.Bind, err = port(); err != nil {
+		if c.UserAddr, err = port(); err != nil {
 			return err
 		}
-		if c.Back, err = port(); err != nil {
+		if c.PeerAddr, err = port(); err != nil {
 			return err
 		}
-		c.Log = filepath.Join(o.Data, c.Name+".log")
+		c.LogPath = filepath.Join(o.Data, c.Name+".log")
 		r.Info.Controllers = append(r.Info.Controllers, c)
 	}
-	if err := os.WriteFile(filepath.Join(o.Data, "drumpick.ini"), []byte(options), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(o.Data, "drumpick.ini"), []byte(operatorOptions), 0o600); err != nil {
 		return err
 	}
 	for i := range r.Info.Controllers {
 		c := &r.Info.Controllers[i]
 		cfg := &config.Config{
-			Node: c.Name, Zone: c.Zone, UserAddr: c.Bind, PeerAddr: c.Back,
-			External: config.External{Cloud: r.Info.Cloud, State: r.Info.State}, Deployment: o.facts(),
+			Node: c.Name, Zone: c.Zone, UserAddr: c.UserAddr, PeerAddr: c.PeerAddr,
+			External: config.External{Cloud: r.Info.CloudAddr, State: r.Info.StoreAddr}, Deployment: o.deployment(),
 		}
 		for _, other := range r.Info.Controllers {
 			if other.Name != c.Name {
-				cfg.Peers = append(cfg.Peers, config.Peer{Node: other.Name, Zone: other.Zone, Addr: other.Back})
+				cfg.Peers = append(cfg.Peers, config.Peer{Node: other.Name, Zone: other.Zone, Addr: other.PeerAddr})
 			}
 		}
 		var err error
-		if c.Config, err = writeSettings(o.Data, cfg); err != nil {
+		if c.ConfigPath, err = writeSettings(o.Data, cfg); err != nil {
 			return err
 		}
 	}
@@ -325,39 +325,39 @@
 }
 
 // Arguments are a controller's command line with a given program.
-func (r *Cluster) arguments(c Controller, daemon string, more []string) []string {
+func (r *Cluster) commandLine(c Controller, daemon string, more []string) []string {
 	args := append([]string{daemon}, more...)
-	return append(args, "--config", c.Config)
+	return append(args, "--config", c.ConfigPath)
 }
 
-// launch starts the controllers, and the workers' way to them.
-func (r *Cluster) launch() error {
+// startControllers starts the controllers, and the workers' way to them.
+func (r *Cluster) startControllers() error {
 	o := r.options
 	if o.Arguments == nil {
 		o.Arguments = []string{"--options", filepath.Join(o.Data, "drumpick.ini")}
 	}
 	var links []*httpclient.Client
 	for _, c := range r.Info.Controllers {
-		r.World.Nodes = append(r.World.Nodes, c.Name)
-		links = append(links, httpclient.New(c.Bind, 1000, time.Second/2))
+		r.Environment.Nodes = append(r.Environment.Nodes, c.Name)
+		links = append(links, httpclient.New(c.UserAddr, 1000, time.Second/2))
 		p := &process{
-			Name: c.Name, args: r.arguments(c, o.Controller, o.Arguments), env: []string{"LOG_LEVEL=" + o.LogLevel}, log: c.Log,
-			again: config.Seconds(o.facts().Workers.HeartbeatS), ended: make(chan struct{}), quit: make(chan struct{}),
+			name: c.Name, args: r.commandLine(c, o.Controller, o.Arguments), env: []string{"LOG_LEVEL=" + o.LogLevel}, logPath: c.LogPath,
+			restartDelay: config.Seconds(o.deployment().Workers.HeartbeatS), ended: make(chan struct{}), quit: make(chan struct{}),
 		}
 		r.controllers = append(r.controllers, p)
 		go p.run()
 	}
-	r.World.Heartbeat = simulation.HeartbeatOverHTTP(func(_ string, node int, body []byte) (int, []byte, error) {
+	r.Environment.Heartbeat = simulation.HeartbeatOverHTTP(func(_ string, node int, body []byte) (int, []byte, error) {
 		// Workers give an answer four seconds (PROTOCOL), in the region's proportions less.
-		return links[node].Do("POST", "/checkin", "application/json", body, time.Now().Add(config.Seconds(2*reportS)))
+		return links[node].Do("POST", "/checkin", "application/json", body, time.Now().Add(config.Seconds(2*heartbeatS)))
 	})
 	return nil
 }
 
-// ready waits until every controller can take requests.
-func (r *Cluster) ready(ctx context.Context) error {
+// waitReady waits until every controller can take requests.
+func (r *Cluster) waitReady(ctx context.Context) error {
 	for i, c := range r.Info.Controllers {
-		probe := httpclient.New(c.Bind, 1, time.Second)
+		probe := httpclient.New(c.UserAddr, 1, time.Second)
 		for {
 			if status, _, err := probe.Do("GET", "/ready", "", nil, time.Now().Add(time.Second)); err == nil && status == 200 {
 				break
@@ -377,20 +377,20 @@
 // workerPatience is how long after a report its answer is still carried out (PROTOCOL).
 const workerPatience = 4 * time.Second
 
-// judge tells the world which jobs users may know to be cancelled, so that it can check
+// trackCancellations tells the world which jobs users may know to be cancelled, so that it can check
 // that their tasks go.
-func (r *Cluster) judge() {
+func (r *Cluster) trackCancellations() {
 	var since uint64
 	for r.ctx.Err() == nil {
-		for _, row := range r.State.List(records.PrefixClosed) {
+		for _, row := range r.Store.List(records.PrefixClosed) {
 			var o records.ClosedJob
 			if row.Revision > since && json.Unmarshal(row.Value, &o) == nil && o.Status == records.StatusCancelled {
-				r.World.CancelConfirmed(strings.TrimPrefix(row.Key, records.PrefixClosed))
+				r.Environment.CancelConfirmed(strings.TrimPrefix(row.Key, records.PrefixClosed))
 			}
 			since = max(since, row.Revision)
 		}
-		r.World.CheckCancelled()
-		if ctxtime.Sleep(r.ctx, config.Seconds(reportS)) != nil {
+		r.Environment.CheckCancelled()
+		if ctxtime.Sleep(r.ctx, config.Seconds(heartbeatS)) != nil {
 			return
 		}
 	}
@@ -402,7 +402,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("a region without controllers: %v", err))
 	}
-	c.Every = config.Seconds(reportS)
+	c.Every = config.Seconds(heartbeatS)
 	return c
 }
 
@@ -412,15 +412,15 @@
 		p.stop()
 	}
 	r.cancel()
-	for _, m := range r.World.Machines() {
+	for _, m := range r.Environment.Machines() {
 		m.Die()
 	}
 	var errs []error
 	for _, app := range r.apps {
 		errs = append(errs, app.ShutdownWithTimeout(time.Second))
 	}
-	if r.disk != nil {
-		errs = append(errs, r.disk.close())
+	if r.storeFile != nil {
+		errs = append(errs, r.storeFile.close())
 	}
 	if i, err := Find(r.options.Data); err == nil && i.PID == os.Getpid() {
 		errs = append(errs, os.Remove(filepath.Join(r.options.Data, infoFile)))
@@ -430,7 +430,7 @@
 }
 
 func (r *Cluster) process(name string) *process {
-	i := slices.IndexFunc(r.controllers, func(p *process) bool { return p.Name == name })
+	i := slices.IndexFunc(r.controllers, func(p *process) bool { return p.name == name })
 	if i < 0 {
 		return nil
 	}
@@ -452,7 +452,7 @@
 		p.kill()
 		return nil
 	}
-	for _, m := range r.World.Machines() {
+	for _, m := range r.Environment.Machines() {
 		if m.Name == name {
 			m.Die()
 			return nil
@@ -470,7 +470,7 @@
 		return fmt.Errorf("%q is no controller", name)
 	}
 	p.mu.Lock()
-	p.next = r.arguments(r.Info.Controllers[i], daemon, arguments)
+	p.nextArgs = r.commandLine(r.Info.Controllers[i], daemon, arguments)
 	p.mu.Unlock()
 	p.kill()
 	return nil
@@ -479,13 +479,13 @@
 // Upgrade gives a machine's worker another version, as somebody does who looks after the
 // machine: whatever runs there is lost, so it should be drained.
 func (r *Cluster) Upgrade(machine, version string) error {
-	if !r.World.Upgrade(machine, version) {
+	if !r.Environment.Upgrade(machine, version) {
 		return fmt.Errorf("there is no machine %q that is up", machine)
 	}
 	return nil
 }
 
-func (r *Cluster) zone(name string) error {
+func (r *Cluster) checkZone(name string) error {
 	if !slices.Contains(r.options.Zones, name) {
 		return fmt.Errorf("there is no zone %q, only %s", name, strings.Join(r.options.Zones, ", "))
 	}
@@ -494,17 +494,17 @@
 
 // PartitionZone keeps the machines of a zone from being reached for a time.
 func (r *Cluster) PartitionZone(zone string, span time.Duration) error {
-	if err := r.zone(zone); err != nil {
+	if err := r.checkZone(zone); err != nil {
 		return err
 	}
-	r.World.PartitionZone(zone, true)
-	time.AfterFunc(span, func() { r.World.PartitionZone(zone, false) })
+	r.Environment.PartitionZone(zone, true)
+	time.AfterFunc(span, func() { r.Environment.PartitionZone(zone, false) })
 	return nil
 }
 
 // FailZone takes the power from a zone: its machines are gone, its controllers crash.
 func (r *Cluster) FailZone(zone string) (int, error) {
-	if err := r.zone(zone); err != nil {
+	if err := r.checkZone(zone); err != nil {
 		return 0, err
 	}
 	for _, c := range r.Info.Controllers {
@@ -512,5 +512,5 @@
 			r.process(c.Name).kill()
 		}
 	}
-	return r.World.FailZone(zone), nil
+	return r.Environment.FailZone(zone), nil
 }
--- a/internal/localcluster/control.go
+++ b/internal/localcluster/control.go
@@ -15,29 +15,29 @@
 
 // History is what happened in a region so far.
 type History struct {
-	Ran    []simulation.TaskRun    `json:"ran"`
-	Bills  []simulation.RentalCost `json:"bills"`
-	Broken []string                `json:"broken"` // rules of the protocol that were broken
+	Runs       []simulation.TaskRun    `json:"ran"`
+	Costs      []simulation.RentalCost `json:"bills"`
+	Violations []string                `json:"broken"` // rules of the protocol that were broken
 }
 
 // History tells what ran and what it cost.
 func (r *Cluster) History() History {
-	ran, bills := r.World.History()
-	return History{ran, bills, r.World.Violations()}
+	ran, bills := r.Environment.History()
+	return History{ran, bills, r.Environment.Violations()}
 }
 
-type done struct {
+type controlResult struct {
 	Done  string `json:"done,omitempty"`
 	Error string `json:"error,omitempty"`
 }
 
-// control serves whoever causes trouble by hand.
-func (r *Cluster) control(app *fiber.App) {
+// mountControl serves whoever causes trouble by hand.
+func (r *Cluster) mountControl(app *fiber.App) {
 	reply := func(c *fiber.Ctx, text string, err error) error {
 		if err != nil {
-			return c.Status(404).JSON(done{Error: err.Error()})
+			return c.Status(404).JSON(controlResult{Error: err.Error()})
 		}
-		return c.JSON(done{Done: text})
+		return c.JSON(controlResult{Done: text})
 	}
 	name := func(c *fiber.Ctx) string {
 		n, err := url.PathUnescape(utils.CopyString(c.Params("name")))
@@ -50,14 +50,14 @@
 	app.Post("/cut/:name", func(c *fiber.Ctx) error {
 		span, err := time.ParseDuration(c.Query("for", "10s"))
 		if err != nil || span <= 0 {
-			return c.Status(400).JSON(done{Error: "for is no length of time such as 10s"})
+			return c.Status(400).JSON(controlResult{Error: "for is no length of time such as 10s"})
 		}
 		return reply(c, fmt.Sprintf("nobody reaches the machines of %s for %v", name(c), span), r.PartitionZone(name(c), span))
 	})
 	app.Post("/upgrade/:name", func(c *fiber.Ctx) error {
 		version := utils.CopyString(c.Query("to"))
 		if version == "" {
-			return c.Status(400).JSON(done{Error: "to is missing: which version"})
+			return c.Status(400).JSON(controlResult{Error: "to is missing: which version"})
 		}
 		return reply(c, name(c)+" comes back with version "+version, r.Upgrade(name(c), version))
 	})
@@ -68,14 +68,14 @@
 	app.Get("/history", func(c *fiber.Ctx) error { return c.JSON(r.History()) })
 }
 
-// Ask sends a command to a region that runs in another process.
-func (i Info) Ask(method, path string, out any) error {
-	status, raw, err := httpclient.New(i.Control, 1, time.Second).Do(method, path, "application/json", nil, time.Now().Add(10*time.Second))
+// Request sends a command to a region that runs in another process.
+func (i Info) Request(method, path string, out any) error {
+	status, raw, err := httpclient.New(i.ControlAddr, 1, time.Second).Do(method, path, "application/json", nil, time.Now().Add(10*time.Second))
 	if err != nil {
-		return fmt.Errorf("the local region does not answer at %s: %w", i.Control, err)
+		return fmt.Errorf("the local region does not answer at %s: %w", i.ControlAddr, err)
 	}
 	if status != 200 {
-		var d done
+		var d controlResult
 		_ = json.Unmarshal(raw, &d)
 		return fmt.Errorf("%s", d.Error)
 	}
@@ -84,7 +84,7 @@
 
 // Command has a region do something, and returns what it says.
 func (i Info) Command(path string) (string, error) {
-	var d done
-	err := i.Ask("POST", path, &d)
+	var d controlResult
+	err := i.Request("POST", path, &d)
 	return d.Done, err
 }
--- a/internal/localcluster/drain_test.go
+++ b/internal/localcluster/drain_test.go
@@ -16,8 +16,8 @@
 
 // The hard cases of drains, with real controllers.
 
-// start starts a drain and returns its id.
-func (p *place) start(d drain.Spec) string {
+// startDrain starts a drain and returns its id.
+func (p *testCluster) startDrain(d drain.Spec) string {
 	p.t.Helper()
 	if d.ID == "" {
 		d.ID = client.NewDrainID()
@@ -25,28 +25,28 @@
 	if d.Kind == "" {
 		d.Kind = client.DrainEmpty
 	}
-	if _, err := p.r.Client().StartDrain(p.t.Context(), client.Drain{Spec: d, Force: p.force}); err != nil {
+	if _, err := p.cluster.Client().StartDrain(p.t.Context(), client.Drain{Spec: d, Force: p.forceDrains}); err != nil {
 		p.t.Fatalf("drain: %v", err)
 	}
 	return d.ID
 }
 
-// stands waits until a drain is in a phase.
-func (p *place) stands(id, phase string) client.DrainView {
+// waitForPhase waits until a drain is in a phase.
+func (p *testCluster) waitForPhase(id, phase string) client.DrainView {
 	p.t.Helper()
 	var v client.DrainView
-	p.until(id+" to be "+phase, func() bool {
+	p.waitFor(id+" to be "+phase, func() bool {
 		var err error
-		v, err = p.r.Client().Drain(p.t.Context(), id)
+		v, err = p.cluster.Client().Drain(p.t.Context(), id)
 		return err == nil && v.State != nil && v.State.Phase == phase
 	})
 	return v
 }
 
-// on tells where a job's tasks run.
-func (p *place) on(id string) map[string]string {
+// machinesOf tells where a job's tasks run.
+func (p *testCluster) machinesOf(id string) map[string]string {
 	where := map[string]string{}
-	for _, m := range p.r.World.Machines() {
+	for _, m := range p.cluster.Environment.Machines() {
 		r, err := m.Status()
 		if err != nil {
 			continue
@@ -60,10 +60,10 @@
 	return where
 }
 
-// ran lists the ended attempts of a job.
-func (p *place) ran(id string) []simulation.TaskRun {
+// endedRuns lists the ended attempts of a job.
+func (p *testCluster) endedRuns(id string) []simulation.TaskRun {
 	var all []simulation.TaskRun
-	for _, x := range p.r.History().Ran {
+	for _, x := range p.cluster.History().Runs {
 		if strings.HasPrefix(x.Task, id+"/") {
 			all = append(all, x)
 		}
@@ -71,32 +71,32 @@
 	return all
 }
 
-func (p *place) running(id string, n int) map[string]string {
+func (p *testCluster) waitRunning(id string, n int) map[string]string {
 	p.t.Helper()
 	var where map[string]string
-	p.until(id+" to run", func() bool { where = p.on(id); return len(where) >= n })
+	p.waitFor(id+" to run", func() bool { where = p.machinesOf(id); return len(where) >= n })
 	return where
 }
 
-// urgent is a task that cannot save.
-func urgent(j *client.Job) { j.Priority, j.Team, j.Spot = client.Urgent, "desk", false }
+// makeUrgent is a task that cannot save.
+func makeUrgent(j *client.Job) { j.Priority, j.Team, j.Spot = client.Urgent, "desk", false }
 
-// saves is work that can.
-func saves(j *client.Job) { j.CheckpointS, j.SaveS, j.CPUs = 2, 0.5, 2 }
+// makeCheckpointing is work that can.
+func makeCheckpointing(j *client.Job) { j.CheckpointS, j.SaveS, j.CPUs = 2, 0.5, 2 }
 
 // A drain begins while an urgent task that cannot save is half done, and a leader is
 // killed after the drain was stored and before it is obeyed: the task ends where it is,
 // what saves moves, and the next leader goes on.
-func TestDrainHalfDone(t *testing.T) {
+func TestDrainContinuesAfterLeaderIsKilled(t *testing.T) {
 	t.Parallel()
-	p := open(t, 3, nil)
-	p.user(1, job("j-1", 1, 8, urgent), 0)
-	p.user(2, job("j-2", 4, 12, saves), 0)
-	here := p.running("j-1", 1)["j-1/0"]
-	p.running("j-2", 4)
+	p := startTestCluster(t, 3, nil)
+	p.followJob(1, batchJob("j-1", 1, 8, makeUrgent), 0)
+	p.followJob(2, batchJob("j-2", 4, 12, makeCheckpointing), 0)
+	here := p.waitRunning("j-1", 1)["j-1/0"]
+	p.waitRunning("j-2", 4)
 	// A machine with savers, too.
 	there := ""
-	for _, host := range p.on("j-2") {
+	for _, host := range p.machinesOf("j-2") {
 		if host != here {
 			there = host
 		}
@@ -105,85 +105,85 @@
 	if there != "" {
 		names = append(names, there)
 	}
-	id := p.start(drain.Spec{Machines: names})
-	if err := p.r.Kill(p.leader()); err != nil {
+	id := p.startDrain(drain.Spec{Machines: names})
+	if err := p.cluster.Kill(p.leader()); err != nil {
 		t.Fatal(err)
 	}
-	v := p.stands(id, "drained")
-	if ran := p.ran("j-1"); len(ran) != 1 || ran[0].Machine != here || ran[0].Cause != "done" {
+	v := p.waitForPhase(id, "drained")
+	if ran := p.endedRuns("j-1"); len(ran) != 1 || ran[0].Machine != here || ran[0].Cause != "done" {
 		t.Errorf("the urgent task did not end where it was: %+v", ran)
 	}
 	if v.State.Seen.LostS > 0 {
 		t.Errorf("work was lost: %+v", v.State.Seen)
 	}
 	moved := false
-	for host := range p.on("j-2") {
+	for host := range p.machinesOf("j-2") {
 		moved = moved || host == there
 	}
 	if moved {
 		t.Errorf("tasks are still on %s", there)
 	}
-	if _, err := p.r.Client().StopDrain(t.Context(), id); err != nil {
+	if _, err := p.cluster.Client().StopDrain(t.Context(), id); err != nil {
 		t.Fatal(err)
 	}
-	p.stands(id, "stopped")
-	p.check()
+	p.waitForPhase(id, "stopped")
+	p.checkAnswers()
 }
 
 // Machines vanish in mid-drain, the leader is killed in mid-move, then all controllers are:
 // nothing runs twice, and everything ends.
-func TestDrainVanishes(t *testing.T) {
+func TestDrainSurvivesLossOfMachinesAndControllers(t *testing.T) {
 	t.Parallel()
-	p := open(t, 4, nil)
-	p.user(1, job("j-1", 6, 6, saves), 0)
-	p.user(2, job("j-2", 4, 4, nil), 0)
-	p.running("j-1", 4)
-	id := p.start(drain.Spec{Zone: "north", ByMS: time.Now().Add(12 * time.Second).UnixMilli()})
-	p.until("a machine to be in hand", func() bool {
-		v, err := p.r.Client().Drain(t.Context(), id)
+	p := startTestCluster(t, 4, nil)
+	p.followJob(1, batchJob("j-1", 6, 6, makeCheckpointing), 0)
+	p.followJob(2, batchJob("j-2", 4, 4, nil), 0)
+	p.waitRunning("j-1", 4)
+	id := p.startDrain(drain.Spec{Zone: "north", ByMS: time.Now().Add(12 * time.Second).UnixMilli()})
+	p.waitFor("a machine to be in hand", func() bool {
+		v, err := p.cluster.Client().Drain(t.Context(), id)
 		return err == nil && v.State != nil && v.State.Seen.Machines > 0
 	})
-	for _, m := range p.r.World.Machines() {
+	for _, m := range p.cluster.Environment.Machines() {
 		if m.Zone == "north" {
 			m.Die()
 			break
 		}
 	}
-	p.until("a move", func() bool {
-		for _, x := range p.ran("j-1") {
+	p.waitFor("a move", func() bool {
+		for _, x := range p.endedRuns("j-1") {
 			if x.Cause == "stopped" || x.Cause == "lost" {
 				return true
 			}
 		}
-		v, err := p.r.Client().Drain(t.Context(), id)
+		v, err := p.cluster.Client().Drain(t.Context(), id)
 		return err == nil && v.State.Phase == "drained"
 	})
-	_ = p.r.Kill(p.leader())
-	p.until("another leader", func() bool { _, err := p.r.Client().Machines(t.Context()); return err == nil })
-	for _, c := range p.r.Info.Controllers {
-		_ = p.r.Kill(c.Name)
+	_ = p.cluster.Kill(p.leader())
+	p.waitFor("another leader", func() bool { _, err := p.cluster.Client().Machines(t.Context()); return err == nil })
+	for _, c := range p.cluster.Info.Controllers {
+		_ = p.cluster.Kill(c.Name)
 	}
-	p.stands(id, "drained")
-	p.check()
+	p.waitForPhase(id, "drained")
+	p.checkAnswers()
 }
 
 // A gang of which one machine drains goes as a whole, saving, and starts whole elsewhere.
-func TestDrainGang(t *testing.T) {
+func TestDrainMovesGangAsWhole(t *testing.T) {
 	t.Parallel()
-	p := open(t, 5, nil)
-	p.user(1, job("j-1", 2, 12, func(j *client.Job) {
+	p := startTestCluster(t, 5, nil)
+	p.followJob(1, batchJob("j-1", 2, 12, func(j *client.Job) {
 		j.Shape, j.CPUs, j.OneZone, j.Team, j.CheckpointS, j.SaveS = client.Group, 3, true, "desk", 2, 0.5
 	}), 0)
-	where := p.running("j-1", 2)
+	where := p.waitRunning("j-1", 2)
 	host := where["j-1/0"]
-	id := p.start(drain.Spec{Machines: []string{host}})
-	p.until("the gang to run elsewhere", func() bool {
-		now := p.on("j-1")
+	id := p.startDrain(drain.Spec{Machines: []string{host}})
+	p.waitFor("the gang to run elsewhere", func() bool {
+		now := p.machinesOf("j-1")
 		return len(now) == 2 && now["j-1/0"] != host && now["j-1/1"] != host
 	})
-	p.stands(id, "drained")
+	p.waitForPhase(id, "drained")
 	tries := map[string]bool{}
-	for _, x := range p.ran("j-1") {
+	for _, x := range p.endedRuns("j-1") {
 		if x.Cause != "stopped" {
 			t.Errorf("a member ended otherwise: %+v", x)
 		}
@@ -192,118 +192,118 @@
 	if len(tries) != 2 {
 		t.Errorf("the gang did not go as a whole: %v", tries)
 	}
-	p.check()
+	p.checkAnswers()
 }
 
 // Drains of both zones: the second would leave no machine and is refused, changing
 // nothing; forced, everything stands still until one is withdrawn, and then ends.
-func TestDrainBothZones(t *testing.T) {
+func TestDrainOfLastZoneIsRefusedUnlessForced(t *testing.T) {
 	t.Parallel()
-	p := open(t, 6, nil)
-	p.user(1, job("j-1", 4, 5, saves), 0)
-	p.running("j-1", 2)
-	north := p.start(drain.Spec{Zone: "north", ByMS: time.Now().Add(4 * time.Second).UnixMilli()})
-	p.until("the leader to hold it", func() bool {
-		v, err := p.r.Client().Drain(t.Context(), north)
+	p := startTestCluster(t, 6, nil)
+	p.followJob(1, batchJob("j-1", 4, 5, makeCheckpointing), 0)
+	p.waitRunning("j-1", 2)
+	north := p.startDrain(drain.Spec{Zone: "north", ByMS: time.Now().Add(4 * time.Second).UnixMilli()})
+	p.waitFor("the leader to hold it", func() bool {
+		v, err := p.cluster.Client().Drain(t.Context(), north)
 		return err == nil && v.State != nil && v.State.Phase != ""
 	})
 	south := drain.Spec{ID: "d-2", Kind: client.DrainEmpty, Zone: "south", ByMS: time.Now().Add(4 * time.Second).UnixMilli()}
-	if _, err := p.r.Client().StartDrain(t.Context(), client.Drain{Spec: south}); err == nil || !strings.Contains(err.Error(), "no machine for jobs of any") {
+	if _, err := p.cluster.Client().StartDrain(t.Context(), client.Drain{Spec: south}); err == nil || !strings.Contains(err.Error(), "no machine for jobs of any") {
 		t.Errorf("the second zone: %v", err)
 	}
-	if all, err := p.r.Client().Drains(t.Context()); err != nil || len(all) != 1 {
+	if all, err := p.cluster.Client().Drains(t.Context()); err != nil || len(all) != 1 {
 		t.Errorf("after the refusal: %+v, %v", all, err)
 	}
-	p.force, south.ByMS = true, time.Now().Add(4*time.Second).UnixMilli()
-	p.start(south)
-	p.stands(north, "drained")
-	p.stands("d-2", "drained")
-	p.until("all to stand still", func() bool { return p.r.World.Running() == 0 })
-	starts := p.r.World.Starts()
-	p.user(2, job("j-2", 1, 1, nil), 0)
-	p.until("the job to be known", func() bool {
-		st, err := p.r.Client().Get(t.Context(), "j-2")
+	p.forceDrains, south.ByMS = true, time.Now().Add(4*time.Second).UnixMilli()
+	p.startDrain(south)
+	p.waitForPhase(north, "drained")
+	p.waitForPhase("d-2", "drained")
+	p.waitFor("all to stand still", func() bool { return p.cluster.Environment.Running() == 0 })
+	starts := p.cluster.Environment.Starts()
+	p.followJob(2, batchJob("j-2", 1, 1, nil), 0)
+	p.waitFor("the job to be known", func() bool {
+		st, err := p.cluster.Client().Get(t.Context(), "j-2")
 		return err == nil && st.Status == client.Pending
 	})
-	if n := p.r.World.Starts(); n != starts {
+	if n := p.cluster.Environment.Starts(); n != starts {
 		t.Errorf("%d starts while all is drained", n-starts)
 	}
 	for range 2 { // withdrawn twice is withdrawn
-		if _, err := p.r.Client().StopDrain(t.Context(), north); err != nil {
+		if _, err := p.cluster.Client().StopDrain(t.Context(), north); err != nil {
 			t.Error(err)
 		}
 	}
-	p.check()
+	p.checkAnswers()
 }
 
 // An upgrade rolls machines over one after the other; a zone is cut off meanwhile for longer
 // than a lease, and its workers come back, upgraded by hand, with tasks that are elsewhere
 // by then. The version in production, which knows of no drains, takes over for a while.
-func TestUpgradeRolls(t *testing.T) {
+func TestRollingUpgradeAcrossPartitionAndOlderVersion(t *testing.T) {
 	t.Parallel()
-	p := open(t, 7, func(o *Options) { o.Machines = 2 })
-	p.user(1, job("j-1", 24, 3, saves), 0)
-	p.running("j-1", 4)
-	id := p.start(drain.Spec{Kind: client.DrainUpgrade, To: "2.0", AtOnce: 2, KeepUp: 1})
+	p := startTestCluster(t, 7, func(o *Options) { o.Machines = 2 })
+	p.followJob(1, batchJob("j-1", 24, 3, makeCheckpointing), 0)
+	p.waitRunning("j-1", 4)
+	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, To: "2.0", AtOnce: 2, KeepUp: 1})
 	// Somebody upgrades what is empty and in hand.
 	upgraded := 0
 	tend := func() {
-		v, err := p.r.Client().Drain(t.Context(), id)
+		v, err := p.cluster.Client().Drain(t.Context(), id)
 		if err != nil || v.State == nil {
 			return
 		}
 		for _, name := range v.State.OutOfService {
-			if m, err := p.r.Client().Machine(t.Context(), name); err == nil && m.State == "drained" && m.Version != "2.0" {
-				if p.r.Upgrade(name, "2.0") == nil {
+			if m, err := p.cluster.Client().Machine(t.Context(), name); err == nil && m.State == "drained" && m.Version != "2.0" {
+				if p.cluster.Upgrade(name, "2.0") == nil {
 					upgraded++
 				}
 			}
 		}
 	}
-	p.until("the first machines to be upgraded", func() bool { tend(); return upgraded > 0 })
-	p.r.World.PartitionZone("north", true)
-	p.until("the zone's tasks to run elsewhere or have ended", func() bool {
-		st, err := p.r.Client().Get(t.Context(), "j-1")
-		return len(p.lost()) > 0 || err == nil && st.Over()
+	p.waitFor("the first machines to be upgraded", func() bool { tend(); return upgraded > 0 })
+	p.cluster.Environment.PartitionZone("north", true)
+	p.waitFor("the zone's tasks to run elsewhere or have ended", func() bool {
+		st, err := p.cluster.Client().Get(t.Context(), "j-1")
+		return len(p.lostRuns()) > 0 || err == nil && st.Over()
 	})
-	for _, m := range p.r.World.Machines() {
+	for _, m := range p.cluster.Environment.Machines() {
 		if m.Zone == "north" && m.Version == "1.0" {
-			_ = p.r.Upgrade(m.Name, "2.0")
+			_ = p.cluster.Upgrade(m.Name, "2.0")
 		}
 	}
-	p.r.World.PartitionZone("north", false)
-	old, err := production(t)
+	p.cluster.Environment.PartitionZone("north", false)
+	old, err := buildProductionVersion(t)
 	if err != nil {
 		t.Logf("without the version in production: %v", err)
 	} else {
-		for _, c := range p.r.Info.Controllers {
-			if err := p.r.Replace(c.Name, old, nil); err != nil {
+		for _, c := range p.cluster.Info.Controllers {
+			if err := p.cluster.Replace(c.Name, old, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 		leader := ""
-		p.until("it to lead", func() bool { leader = p.leader(); return leader != "" && p.logged("leading", old != "") })
-		for _, c := range p.r.Info.Controllers {
-			_ = p.r.Replace(c.Name, p.r.options.Controller, []string{"--options", filepath.Join(p.r.options.Data, "drumpick.ini")})
+		p.waitFor("it to lead", func() bool { leader = p.leader(); return leader != "" && p.logged("leading", old != "") })
+		for _, c := range p.cluster.Info.Controllers {
+			_ = p.cluster.Replace(c.Name, p.cluster.options.Controller, []string{"--options", filepath.Join(p.cluster.options.Data, "drumpick.ini")})
 		}
 	}
-	p.until("all to have the version", func() bool {
+	p.waitFor("all to have the version", func() bool {
 		tend()
-		v, err := p.r.Client().Drain(t.Context(), id)
+		v, err := p.cluster.Client().Drain(t.Context(), id)
 		return err == nil && v.State != nil && v.State.Phase == "done"
 	})
-	for _, m := range p.r.World.Machines() {
+	for _, m := range p.cluster.Environment.Machines() {
 		if r, err := m.Status(); err == nil && r.Version != "2.0" {
 			t.Errorf("%s has version %s", m.Name, r.Version)
 		}
 	}
-	p.check()
+	p.checkAnswers()
 }
 
-// lost lists attempts whose machine lost them.
-func (p *place) lost() []simulation.TaskRun {
+// lostRuns lists attempts whose machine lost them.
+func (p *testCluster) lostRuns() []simulation.TaskRun {
 	var all []simulation.TaskRun
-	for _, x := range p.r.History().Ran {
+	for _, x := range p.cluster.History().Runs {
 		if x.Cause == "lost" {
 			all = append(all, x)
 		}
@@ -312,27 +312,27 @@
 }
 
 // A version that fails what others run is rolled back, on few machines.
-func TestUpgradeRollsBack(t *testing.T) {
+func TestFailingVersionIsRolledBack(t *testing.T) {
 	t.Parallel()
-	p := open(t, 8, func(o *Options) { o.Machines = 3 })
-	p.r.World.TaskFails = func(m *simulation.Machine, _ string) bool { return m.Version == "2.0" }
-	p.user(1, job("j-1", 60, 2, nil), 0)
-	p.running("j-1", 4)
-	id := p.start(drain.Spec{Kind: client.DrainUpgrade, To: "2.0", AtOnce: 1})
+	p := startTestCluster(t, 8, func(o *Options) { o.Machines = 3 })
+	p.cluster.Environment.TaskFails = func(m *simulation.Machine, _ string) bool { return m.Version == "2.0" }
+	p.followJob(1, batchJob("j-1", 60, 2, nil), 0)
+	p.waitRunning("j-1", 4)
+	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, To: "2.0", AtOnce: 1})
 	bad := map[string]bool{}
 	var v client.DrainView
-	p.until("it to be rolled back", func() bool {
+	p.waitFor("it to be rolled back", func() bool {
 		var err error
-		if v, err = p.r.Client().Drain(t.Context(), id); err != nil || v.State == nil {
+		if v, err = p.cluster.Client().Drain(t.Context(), id); err != nil || v.State == nil {
 			return false
 		}
 		for _, name := range v.State.OutOfService {
-			m, err := p.r.Client().Machine(t.Context(), name)
+			m, err := p.cluster.Client().Machine(t.Context(), name)
 			if err == nil && m.State == "drained" && v.State.Rollout != nil && m.Version != v.State.Rollout.Want {
 				if v.State.Rollout.Want == "2.0" {
 					bad[name] = true
 				}
-				_ = p.r.Upgrade(name, v.State.Rollout.Want)
+				_ = p.cluster.Upgrade(name, v.State.Rollout.Want)
 			}
 		}
 		return v.State.Phase == "rolled back"
@@ -343,13 +343,13 @@
 	if !strings.Contains(v.State.Rollout.Why, "2.0") || v.State.Rollout.From != "1.0" {
 		t.Errorf("%+v", v.State.Rollout)
 	}
-	p.check()
+	p.checkAnswers()
 }
 
 // logged says whether a controller has logged something since its last start.
-func (p *place) logged(text string, want bool) bool {
-	for _, c := range p.r.Info.Controllers {
-		raw, _ := os.ReadFile(c.Log)
+func (p *testCluster) logged(text string, want bool) bool {
+	for _, c := range p.cluster.Info.Controllers {
+		raw, _ := os.ReadFile(c.LogPath)
 		log := string(raw)
 		if i := strings.LastIndex(log, "msg=started"); i >= 0 && want && strings.Contains(log[i:], "version=0.1.0") && strings.Contains(log[i:], text) {
 			return true
@@ -358,8 +358,8 @@
 	return false
 }
 
-// production builds the version in production from the repository's history.
-func production(t *testing.T) (string, error) {
+// buildProductionVersion builds the version in production from the repository's history.
+func buildProductionVersion(t *testing.T) (string, error) {
 	root := filepath.Join("..", "..")
 	raw, err := os.ReadFile(filepath.Join(root, "deploy", "service.toml"))
 	if err != nil {
--- a/internal/localcluster/golden_test.go
+++ b/internal/localcluster/golden_test.go
@@ -12,9 +12,9 @@
 
 // The control of a local region, which other processes ask, keeps its forms.
 func TestGoldenControl(t *testing.T) {
-	r := &Cluster{World: simulation.NewEnvironment(t.Context()), options: Options{Zones: []string{"a"}}}
+	r := &Cluster{Environment: simulation.NewEnvironment(t.Context()), options: Options{Zones: []string{"a"}}}
 	app := fiber.New()
-	r.control(app)
+	r.mountControl(app)
 	f := goldentest.Open(t, "golden-control.json")
 	for _, x := range []struct{ name, method, uri string }{
 		{"cut", "POST", "/cut/a?for=1ms"},
--- a/internal/localcluster/loopback_test.go
+++ b/internal/localcluster/loopback_test.go
@@ -26,7 +26,7 @@
 // afterwards all that users were told. They wait for conditions, never for a time; what
 // bounds them is the limit of the whole test run.
 
-var buildOnce = sync.OnceValues(func() (string, error) {
+var buildController = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "drumpick-test-")
 	if err != nil {
 		return "", err
@@ -41,26 +41,26 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := buildOnce(); err == nil {
+	if path, err := buildController(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
-// place is a region with users that write down what they are told.
-type place struct {
-	t    *testing.T
-	r    *Cluster
-	log  *linearizability.Log
-	rand *rand.Rand
-	wg   sync.WaitGroup
+// testCluster is a region with users that write down what they are told.
+type testCluster struct {
+	t       *testing.T
+	cluster *Cluster
+	log     *linearizability.Log
+	rand    *rand.Rand
+	wg      sync.WaitGroup
 	// force starts drains that leave no machine.
-	force bool
+	forceDrains bool
 }
 
-func open(t *testing.T, seed uint64, change func(*Options)) *place {
+func startTestCluster(t *testing.T, seed uint64, change func(*Options)) *testCluster {
 	t.Helper()
-	daemon, err := buildOnce()
+	daemon, err := buildController()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,19 +72,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &place{t: t, r: r, log: linearizability.New(), rand: rand.New(rand.NewPCG(seed, 1))}
+	p := &testCluster{t: t, cluster: r, log: linearizability.New(), rand: rand.New(rand.NewPCG(seed, 1))}
 	t.Cleanup(func() {
 		if err := r.Stop(); err != nil {
 			t.Error(err)
 		}
 		for _, c := range r.controllers {
 			if c.cmd != nil && c.cmd.ProcessState == nil {
-				t.Errorf("%s is left behind", c.Name)
+				t.Errorf("%s is left behind", c.name)
 			}
 		}
 		if t.Failed() {
 			for _, c := range r.Info.Controllers {
-				raw, _ := os.ReadFile(c.Log)
+				raw, _ := os.ReadFile(c.LogPath)
 				lines := strings.Split(string(raw), "\n")
 				t.Logf("%s, the end of its log:\n%s", c.Name, strings.Join(lines[max(0, len(lines)-60):], "\n"))
 			}
@@ -93,8 +93,8 @@
 	return p
 }
 
-// job is a batch of small tasks; change makes it another.
-func job(id string, tasks int, seconds float64, change func(*client.Job)) client.Job {
+// batchJob is a batch of small tasks; change makes it another.
+func batchJob(id string, tasks int, seconds float64, change func(*client.Job)) client.Job {
 	j := client.Job{
 		ID: id, Class: "any", Team: "archive", Shape: client.Batch, Priority: client.Standard, Tasks: tasks,
 		CPUs: 1, MemGB: 2, Image: "img", ImageGB: 0.1, Spot: true, EstimateS: seconds,
@@ -105,12 +105,12 @@
 	return j
 }
 
-// user submits a job and follows it to its end, writing all answers down.
-func (p *place) user(who int, j client.Job, cancelAfter int) {
+// followJob submits a job and follows it to its end, writing all answers down.
+func (p *testCluster) followJob(who int, j client.Job, cancelAfter int) {
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
-		c := p.r.Client()
+		c := p.cluster.Client()
 		c.Patience.Poll, c.Patience.Submit, c.Patience.Pause = time.Second, 2*time.Second, 100*time.Millisecond
 		ctx := p.t.Context()
 		ask := func(kind string, do func() (client.Status, error)) client.Status {
@@ -146,8 +146,8 @@
 	}()
 }
 
-// until waits for a condition.
-func (p *place) until(what string, is func() bool) {
+// waitFor waits for a condition.
+func (p *testCluster) waitFor(what string, is func() bool) {
 	p.t.Helper()
 	for !is() {
 		select {
@@ -158,21 +158,21 @@
 	}
 }
 
-// check waits for the users' last answers and holds everything against the rules.
-func (p *place) check() {
+// checkAnswers waits for the users' last answers and holds everything against the rules.
+func (p *testCluster) checkAnswers() {
 	p.t.Helper()
 	p.wg.Wait()
 	if err := p.log.Check(); err != nil {
 		p.t.Error(err)
 	}
-	for _, b := range p.r.World.Violations() {
+	for _, b := range p.cluster.Environment.Violations() {
 		p.t.Error("rule broken: " + b)
 	}
 }
 
-func (p *place) leader() string {
-	value := p.r.State.Value("leader")
-	for _, c := range p.r.Info.Controllers {
+func (p *testCluster) leader() string {
+	value := p.cluster.Store.Value("leader")
+	for _, c := range p.cluster.Info.Controllers {
 		if strings.Contains(value, `"`+c.Name+`"`) {
 			return c.Name
 		}
@@ -182,48 +182,48 @@
 
 // Controllers, machines and a zone's power fail while users submit, cancel and poll: each
 // job ends with one final answer, and no rule is broken.
-func TestFailures(t *testing.T) {
+func TestEachJobEndsWithOneAnswerAcrossFailures(t *testing.T) {
 	t.Parallel()
-	p := open(t, 1, nil)
+	p := startTestCluster(t, 1, nil)
 	for i := range 6 {
-		p.user(i, job(fmt.Sprint("j-", 100+i), 4, 2, nil), 0)
+		p.followJob(i, batchJob(fmt.Sprint("j-", 100+i), 4, 2, nil), 0)
 	}
-	p.user(6, job("j-200", 3, 3, func(j *client.Job) { j.Shape, j.CPUs, j.OneZone, j.Team = client.Group, 2, true, "desk" }), 0)
-	p.user(7, job("j-201", 2, 0, func(j *client.Job) { j.Shape, j.Apart = client.Service, true }), 12)
-	p.user(8, job("j-202", 8, 5, nil), 6)
-	p.until("first starts", func() bool { return p.r.World.Starts() > 4 })
+	p.followJob(6, batchJob("j-200", 3, 3, func(j *client.Job) { j.Shape, j.CPUs, j.OneZone, j.Team = client.Group, 2, true, "desk" }), 0)
+	p.followJob(7, batchJob("j-201", 2, 0, func(j *client.Job) { j.Shape, j.Apart = client.Service, true }), 12)
+	p.followJob(8, batchJob("j-202", 8, 5, nil), 6)
+	p.waitFor("first starts", func() bool { return p.cluster.Environment.Starts() > 4 })
 	for round := range 3 {
 		switch victim := p.rand.IntN(3); {
 		case round == 0:
-			_ = p.r.Kill(p.leader())
+			_ = p.cluster.Kill(p.leader())
 		case victim == 0:
-			_, _ = p.r.FailZone(p.r.options.Zones[p.rand.IntN(2)])
+			_, _ = p.cluster.FailZone(p.cluster.options.Zones[p.rand.IntN(2)])
 		case victim == 1:
-			for _, c := range p.r.Info.Controllers {
-				_ = p.r.Kill(c.Name)
+			for _, c := range p.cluster.Info.Controllers {
+				_ = p.cluster.Kill(c.Name)
 			}
 		default:
-			if ms := p.r.World.Machines(); len(ms) > 0 {
+			if ms := p.cluster.Environment.Machines(); len(ms) > 0 {
 				ms[p.rand.IntN(len(ms))].Die()
 			}
 		}
-		starts := p.r.World.Starts()
-		p.user(20+round, job(fmt.Sprint("j-", 300+round), 3, 1, nil), 0)
-		p.until("starts after the trouble", func() bool { return p.r.World.Starts() > starts })
+		starts := p.cluster.Environment.Starts()
+		p.followJob(20+round, batchJob(fmt.Sprint("j-", 300+round), 3, 1, nil), 0)
+		p.waitFor("starts after the trouble", func() bool { return p.cluster.Environment.Starts() > starts })
 	}
-	p.check()
+	p.checkAnswers()
 }
 
 // The records outlive the region: what was accepted before its end runs after its next
 // start, and what was over is known.
-func TestRecordsStay(t *testing.T) {
+func TestRecordsOutliveRestart(t *testing.T) {
 	t.Parallel()
 	data := t.TempDir()
 	here := func(o *Options) { o.Data, o.Controllers = data, 1 }
-	p := open(t, 1, here)
-	c := p.r.Client()
+	p := startTestCluster(t, 1, here)
+	c := p.cluster.Client()
 	ctx := t.Context()
-	for _, j := range []client.Job{job("j-1", 1, 0.5, nil), job("j-2", 2, 600, nil), job("j-3", 1, 600, nil)} {
+	for _, j := range []client.Job{batchJob("j-1", 1, 0.5, nil), batchJob("j-2", 2, 600, nil), batchJob("j-3", 1, 600, nil)} {
 		submitNew(t, c, j)
 	}
 	if st, err := c.Cancel(ctx, "j-3"); err != nil || st.Status != client.Cancelled {
@@ -233,16 +233,16 @@
 	if st, err := c.Wait(ctx, "j-1", nil); err != nil || st.Status != client.Done {
 		t.Fatalf("%+v, %v", st, err)
 	}
-	if _, err := Start(ctx, Options{Data: data, Controller: p.r.options.Controller, Zones: []string{"north"}, Controllers: 1}); err == nil {
+	if _, err := Start(ctx, Options{Data: data, Controller: p.cluster.options.Controller, Zones: []string{"north"}, Controllers: 1}); err == nil {
 		t.Error("a second region on the same directory")
 	}
-	if err := p.r.Stop(); err != nil {
+	if err := p.cluster.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	p.r.controllers, p.r.apps, p.r.disk = nil, nil, nil
+	p.cluster.controllers, p.cluster.apps, p.cluster.storeFile = nil, nil, nil
 
-	again := open(t, 1, func(o *Options) { here(o); o.RunFor = func(string) time.Duration { return 100 * time.Millisecond } })
-	c = again.r.Client()
+	again := startTestCluster(t, 1, func(o *Options) { here(o); o.RunTime = func(string) time.Duration { return 100 * time.Millisecond } })
+	c = again.cluster.Client()
 	for id, want := range map[string]string{"j-1": client.Done, "j-3": client.Cancelled} {
 		if st, err := c.Get(ctx, id); err != nil || st.Status != want {
 			t.Errorf("%s: %+v, %v, want %s", id, st, err, want)
@@ -252,7 +252,7 @@
 	if st, err := c.Wait(ctx, "j-2", nil); err != nil || st.Status != client.Done {
 		t.Errorf("j-2: %+v, %v", st, err)
 	}
-	if _, created, err := c.Submit(ctx, job("j-1", 1, 0.5, nil)); err != nil || created {
+	if _, created, err := c.Submit(ctx, batchJob("j-1", 1, 0.5, nil)); err != nil || created {
 		t.Errorf("submitted again: %v, %v", created, err)
 	}
 }
@@ -295,9 +295,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := open(t, 1, func(o *Options) { o.State, o.Controllers = addr, 1 })
-	c := p.r.Client()
-	j := job("j-1", 1, 600, nil)
+	p := startTestCluster(t, 1, func(o *Options) { o.StoreAddr, o.Controllers = addr, 1 })
+	c := p.cluster.Client()
+	j := batchJob("j-1", 1, 600, nil)
 	if st, err := c.Get(t.Context(), j.ID); !errors.Is(err, client.ErrNotFound) {
 		t.Fatalf("before the submission: got %+v, %v, want %v", st, err, client.ErrNotFound)
 	}
@@ -313,7 +313,7 @@
 }
 
 // A program that cannot run is an error that says where to look, and nothing stays behind.
-func TestBadDaemon(t *testing.T) {
+func TestControllerThatCannotRunIsReported(t *testing.T) {
 	t.Parallel()
 	bad, err := exec.LookPath("false")
 	if err != nil {
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// starter starts processes from one thread that lives as long as the region: they are to
+// processStarter starts processes from one thread that lives as long as the region: they are to
 // be killed when their parent ends, however it ends, and the system takes the end of
 // the thread that started them for that.
-var starter = sync.OnceValue(func() chan func() {
+var processStarter = sync.OnceValue(func() chan func() {
 	work := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -31,26 +31,26 @@
 	// A group of its own: a Ctrl-C at the terminal is for the region to act on.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	failed := make(chan error)
-	starter() <- func() { failed <- cmd.Start() }
+	processStarter() <- func() { failed <- cmd.Start() }
 	return <-failed
 }
 
 // process is a controller that is started again whenever it ends.
 type process struct {
-	Name  string
-	args  []string
-	env   []string
-	log   string
-	again time.Duration // between an end and the next start
+	name         string
+	args         []string
+	env          []string
+	logPath      string
+	restartDelay time.Duration // between an end and the next start
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	next   []string // its arguments from the next start on, where set
-	starts int
-	down   bool // is not started again for now
-	ended  chan struct{}
-	quit   chan struct{}
-	early  error // it ended at once, repeatedly
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	nextArgs   []string // its arguments from the next start on, where set
+	starts     int
+	down       bool // is not started again for now
+	ended      chan struct{}
+	quit       chan struct{}
+	startError error // it ended at once, repeatedly
 }
 
 // run keeps the process up until stop.
@@ -58,14 +58,14 @@
 	defer close(p.ended)
 	quick := 0
 	for {
-		out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+		out, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
-			p.fail(err)
+			p.setFailure(err)
 			return
 		}
 		p.mu.Lock()
-		if p.next != nil {
-			p.args, p.next = p.next, nil
+		if p.nextArgs != nil {
+			p.args, p.nextArgs = p.nextArgs, nil
 		}
 		cmd := exec.Command(p.args[0], p.args[1:]...)
 		p.mu.Unlock()
@@ -73,7 +73,7 @@
 		began := time.Now()
 		if err := StartProcess(cmd); err != nil {
 			out.Close()
-			p.fail(err)
+			p.setFailure(err)
 			return
 		}
 		p.mu.Lock()
@@ -82,17 +82,17 @@
 		err = cmd.Wait()
 		out.Close()
 		var exit *exec.ExitError
-		if killed := errors.As(err, &exit) && !exit.Exited(); killed || time.Since(began) > p.again {
+		if killed := errors.As(err, &exit) && !exit.Exited(); killed || time.Since(began) > p.restartDelay {
 			quick = 0
 		} else if quick++; quick == 3 {
-			p.fail(fmt.Errorf("%s ends at once (%v): %s (see %s)", p.Name, err, lastLine(p.log), p.log))
+			p.setFailure(fmt.Errorf("%s ends at once (%v): %s (see %s)", p.name, err, lastLine(p.logPath), p.logPath))
 			return
 		}
 		for {
 			select {
 			case <-p.quit:
 				return
-			case <-time.After(p.again):
+			case <-time.After(p.restartDelay):
 			}
 			p.mu.Lock()
 			down := p.down
@@ -114,16 +114,16 @@
 	return lines[len(lines)-1]
 }
 
-func (p *process) fail(err error) {
+func (p *process) setFailure(err error) {
 	p.mu.Lock()
-	p.early = err
+	p.startError = err
 	p.mu.Unlock()
 }
 
 func (p *process) failure() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.early
+	return p.startError
 }
 
 // pid is the process that runs now; 0: none does.
--- a/internal/localcluster/settings.go
+++ b/internal/localcluster/settings.go
@@ -13,18 +13,18 @@
 // The region's times, in seconds: as short as workers may report, the others in the
 // proportions of the users' deployments.
 const (
-	reportS  = 1.0
-	leaseS   = 6.0
-	cancelS  = 16.0
-	startupS = 2.0
+	heartbeatS = 1.0
+	leaseS     = 6.0
+	cancelS    = 16.0
+	startupS   = 2.0
 )
 
 // fdLimit gives a controller three quarters of so many connections for workers and users:
 // enough for 4,000 workers, one connection each. It is a bound, and reserves nothing.
 const fdLimit = 6000
 
-// facts are the region's figures.
-func facts(zones []string, controllers int) config.Deployment {
+// defaultDeployment are the region's figures.
+func defaultDeployment(zones []string, controllers int) config.Deployment {
 	return config.Deployment{
 		Nodes: controllers, Zones: zones, TimeBoundMS: 100,
 		Teams: []config.Team{
@@ -35,7 +35,7 @@
 			{Kind: config.KindWait, Class: "export", WithinS: 10, Share: 0.9},
 			{Kind: "finished", Class: "index", WithinS: 60, Share: 0.9},
 		},
-		Workers:   config.Workers{HeartbeatS: reportS, LeaseS: leaseS, GangWaitS: 15, GangPeerS: 3, CancelS: cancelS},
+		Workers:   config.Workers{HeartbeatS: heartbeatS, LeaseS: leaseS, GangWaitS: 15, GangPeerS: 3, CancelS: cancelS},
 		State:     config.State{RPS: 1000, WriteRPS: 200, ValueKB: 16, TxnOps: 16},
 		Cloud:     config.Cloud{RPS: 20, ListLagS: 0.5},
 		Resources: config.Resources{Cores: 1, RAMMB: 256, FDLimit: fdLimit},
@@ -55,5 +55,5 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// options is the operators' file of every controller.
-const options = "[operator]\nenabled = true\n"
+// operatorOptions is the operators' file of every controller.
+const operatorOptions = "[operator]\nenabled = true\n"
--- a/internal/localcluster/store_file.go
+++ b/internal/localcluster/store_file.go
@@ -13,50 +13,50 @@
 	"go.etcd.io/bbolt"
 )
 
-// disk keeps the state service's records in a file. Changes are written in order, as many
+// storeFile keeps the state service's records in a file. Changes are written in order, as many
 // at once as have come meanwhile; whoever tells of one waits until it is written.
-type disk struct {
+type storeFile struct {
 	db *bbolt.DB
 
-	mu      sync.Mutex
-	pending []simulation.Change
-	epoch   uint64 // of the last change taken in
-	written uint64 // up to which all is in the file
-	failed  error
-	more    chan struct{} // holds one token while something is pending
-	news    chan struct{} // closed, and replaced, when something was written
-	quit    chan struct{}
-	done    chan struct{}
-	closed  bool // what comes now is lost, as with a process that has ended
+	mu       sync.Mutex
+	pending  []simulation.Change
+	revision uint64 // of the last change taken in
+	written  uint64 // up to which all is in the file
+	err      error
+	wakeup   chan struct{} // holds one token while something is pending
+	progress chan struct{} // closed, and replaced, when something was written
+	quit     chan struct{}
+	done     chan struct{}
+	closed   bool // what comes now is lost, as with a process that has ended
 }
 
-var bucketRows, bucketGrants, bucketMeta = []byte("rows"), []byte("grants"), []byte("meta")
+var bucketEntries, bucketLeases, bucketMeta = []byte("rows"), []byte("grants"), []byte("meta")
 
-// openDisk opens the file and puts what it holds into the service.
-func openDisk(path string, s *simulation.Store) (*disk, error) {
+// openStoreFile opens the file and puts what it holds into the service.
+func openStoreFile(path string, s *simulation.Store) (*storeFile, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
 		return nil, fmt.Errorf("state service: %s: %w (is another region running on it?)", path, err)
 	}
-	d := &disk{db: db, more: make(chan struct{}, 1), news: make(chan struct{}), quit: make(chan struct{}), done: make(chan struct{})}
+	d := &storeFile{db: db, wakeup: make(chan struct{}, 1), progress: make(chan struct{}), quit: make(chan struct{}), done: make(chan struct{})}
 	var rows []records.KeyValue
 	var hold uint64
 	lives := map[uint64]time.Duration{}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{bucketRows, bucketGrants, bucketMeta} {
+		for _, name := range [][]byte{bucketEntries, bucketLeases, bucketMeta} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
 		}
 		meta := tx.Bucket(bucketMeta)
-		d.epoch, hold = number(meta.Get([]byte("epoch"))), number(meta.Get([]byte("hold")))
-		if err := tx.Bucket(bucketGrants).ForEach(func(k, v []byte) error {
-			lives[number(k)] = time.Duration(number(v))
+		d.revision, hold = decodeNumber(meta.Get([]byte("epoch"))), decodeNumber(meta.Get([]byte("hold")))
+		if err := tx.Bucket(bucketLeases).ForEach(func(k, v []byte) error {
+			lives[decodeNumber(k)] = time.Duration(decodeNumber(v))
 			return nil
 		}); err != nil {
 			return err
 		}
-		return tx.Bucket(bucketRows).ForEach(func(k, v []byte) error {
+		return tx.Bucket(bucketEntries).ForEach(func(k, v []byte) error {
 			var r records.KeyValue
 			if err := json.Unmarshal(v, &r); err != nil {
 				return fmt.Errorf("record %s: %w", k, err)
@@ -69,42 +69,42 @@
 		db.Close()
 		return nil, fmt.Errorf("state service: %s: %w", path, err)
 	}
-	d.written = d.epoch
-	s.Restore(rows, d.epoch, hold, lives)
-	s.OnChange = d.keep
+	d.written = d.revision
+	s.Restore(rows, d.revision, hold, lives)
+	s.OnChange = d.enqueue
 	go d.run()
 	return d, nil
 }
 
-func number(raw []byte) uint64 {
+func decodeNumber(raw []byte) uint64 {
 	if len(raw) != 8 {
 		return 0
 	}
 	return binary.BigEndian.Uint64(raw)
 }
 
-func bytesOf(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
+func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// keep takes a change in; it is called in order, and does not wait.
-func (d *disk) keep(c simulation.Change) {
-	d.mu.Lock()
-	if !d.closed {
-		d.pending = append(d.pending, c)
-		d.epoch = c.Revision
+// enqueue takes a change in; it is called in order, and does not wait.
+func (f *storeFile) enqueue(c simulation.Change) {
+	f.mu.Lock()
+	if !f.closed {
+		f.pending = append(f.pending, c)
+		f.revision = c.Revision
 	}
-	d.mu.Unlock()
+	f.mu.Unlock()
 	select {
-	case d.more <- struct{}{}:
+	case f.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// durable waits until all up to a revision is written.
-func (d *disk) durable(epoch uint64) {
+// waitDurable waits until all up to a revision is written.
+func (f *storeFile) waitDurable(epoch uint64) {
 	for {
-		d.mu.Lock()
-		there, news := d.written >= epoch || d.failed != nil || d.closed && epoch > d.epoch, d.news
-		d.mu.Unlock()
+		f.mu.Lock()
+		there, news := f.written >= epoch || f.err != nil || f.closed && epoch > f.revision, f.progress
+		f.mu.Unlock()
 		if there {
 			return
 		}
@@ -112,34 +112,34 @@
 	}
 }
 
-func (d *disk) run() {
-	defer close(d.done)
+func (f *storeFile) run() {
+	defer close(f.done)
 	for {
 		select {
-		case <-d.more:
-		case <-d.quit:
+		case <-f.wakeup:
+		case <-f.quit:
 			return
 		}
-		d.mu.Lock()
-		batch := d.pending
-		d.pending = nil
-		d.mu.Unlock()
+		f.mu.Lock()
+		batch := f.pending
+		f.pending = nil
+		f.mu.Unlock()
 		if len(batch) == 0 {
 			continue
 		}
-		err := d.db.Update(func(tx *bbolt.Tx) error { return write(tx, batch) })
-		d.mu.Lock()
-		if d.written = batch[len(batch)-1].Revision; err != nil {
-			d.failed = err
+		err := f.db.Update(func(tx *bbolt.Tx) error { return write(tx, batch) })
+		f.mu.Lock()
+		if f.written = batch[len(batch)-1].Revision; err != nil {
+			f.err = err
 		}
-		close(d.news)
-		d.news = make(chan struct{})
-		d.mu.Unlock()
+		close(f.progress)
+		f.progress = make(chan struct{})
+		f.mu.Unlock()
 	}
 }
 
 func write(tx *bbolt.Tx, batch []simulation.Change) error {
-	rows, grants, meta := tx.Bucket(bucketRows), tx.Bucket(bucketGrants), tx.Bucket(bucketMeta)
+	rows, grants, meta := tx.Bucket(bucketEntries), tx.Bucket(bucketLeases), tx.Bucket(bucketMeta)
 	for _, c := range batch {
 		for _, r := range c.Writes {
 			raw, err := json.Marshal(r)
@@ -156,33 +156,33 @@
 			}
 		}
 		if c.LeaseID != 0 {
-			if err := grants.Put(bytesOf(c.LeaseID), bytesOf(uint64(c.TTL))); err != nil {
+			if err := grants.Put(encodeNumber(c.LeaseID), encodeNumber(uint64(c.TTL))); err != nil {
 				return err
 			}
-			if err := meta.Put([]byte("hold"), bytesOf(c.LeaseID)); err != nil {
+			if err := meta.Put([]byte("hold"), encodeNumber(c.LeaseID)); err != nil {
 				return err
 			}
 		}
 		if c.RevokedLease != 0 {
-			if err := grants.Delete(bytesOf(c.RevokedLease)); err != nil {
+			if err := grants.Delete(encodeNumber(c.RevokedLease)); err != nil {
 				return err
 			}
 		}
 	}
-	return meta.Put([]byte("epoch"), bytesOf(batch[len(batch)-1].Revision))
+	return meta.Put([]byte("epoch"), encodeNumber(batch[len(batch)-1].Revision))
 }
 
 // close writes what is pending and closes the file.
-func (d *disk) close() error {
-	d.mu.Lock()
-	d.closed = true
-	last := d.epoch
-	d.mu.Unlock()
-	d.durable(last)
-	close(d.quit)
-	<-d.done
-	if err := d.db.Close(); err != nil {
+func (f *storeFile) close() error {
+	f.mu.Lock()
+	f.closed = true
+	last := f.revision
+	f.mu.Unlock()
+	f.waitDurable(last)
+	close(f.quit)
+	<-f.done
+	if err := f.db.Close(); err != nil {
 		return err
 	}
-	return d.failed
+	return f.err
 }
