--- /dev/null
+++ b/internal/simulation/store.go
@@ -0,0 +1,290 @@
+package simulation
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"sort"
+	"strings"
+	"sync"
+	"time"
+
+	"drumpick/internal/records"
+
+	"golang.org/x/time/rate"
+)
+
+// Store is an in-memory key-value store with the protocol's semantics: compare-and-swap transactions, leases and
+// watches. Faults of the whole store are injected here, those of one controller's connection in Client.
+type Store struct {
+	// OnChange, where it is set, is called with every change, in order and with the lock held.
+	OnChange func(Change)
+	// Writes counts the operations of all transactions that passed the limits.
+	Writes int
+	// TooLarge describes the transactions that were refused for good because of their size.
+	TooLarge []string
+	// ThrottledWrites counts the transactions that were refused for the write rate.
+	ThrottledWrites int
+
+	mu                sync.Mutex // guards all fields
+	revision          uint64
+	entries           map[string]records.KeyValue
+	log               []records.Event
+	compactedRevision uint64 // changes up to this revision are not in the log
+	leases            map[uint64]*lease
+	lastLease         uint64
+	changed           chan struct{} // closed, and replaced, at every change
+
+	outage         bool            // all clients are refused
+	refusedClients map[string]bool // clients that are refused alone
+
+	maxValueKB   float64 // 0: no limit
+	maxTxnOps    int     // 0: no limit
+	writeLimiter *rate.Limiter
+}
+
+// Change is what a revision changed, for whoever persists it.
+type Change struct {
+	Revision     uint64
+	Writes       []records.KeyValue
+	Deletes      []string // keys
+	LeaseID      uint64   // the lease that was granted
+	TTL          time.Duration
+	RevokedLease uint64 // a lease that has ended
+}
+
+// NewStore returns an empty store.
+func NewStore() *Store {
+	return &Store{
+		entries: map[string]records.KeyValue{}, leases: map[uint64]*lease{},
+		refusedClients: map[string]bool{}, changed: make(chan struct{}),
+	}
+}
+
+// SetOutage starts or ends an outage for all clients. Afterwards every lease has its full time again.
+func (s *Store) SetOutage(on bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.outage = on
+	for id, l := range s.leases {
+		if on {
+			l.timer.Stop()
+		} else {
+			s.armLocked(id, l)
+		}
+	}
+}
+
+// SetRefused makes the store refuse one client alone, or serve it again.
+func (s *Store) SetRefused(client string, on bool) {
+	s.mu.Lock()
+	s.refusedClients[client] = on
+	s.mu.Unlock()
+}
+
+// refuses reports whether the store refuses a client now.
+func (s *Store) refuses(client string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.refusesLocked(client)
+}
+
+func (s *Store) refusesLocked(client string) bool { return s.outage || s.refusedClients[client] }
+
+// SetLimits sets the largest value and transaction and the write rate from now on. What is stored stays.
+func (s *Store) SetLimits(valueKB float64, txnOps int, writeRPS float64) {
+	s.mu.Lock()
+	s.maxValueKB, s.maxTxnOps = valueKB, txnOps
+	s.writeLimiter = rate.NewLimiter(rate.Limit(writeRPS), int(writeRPS))
+	s.mu.Unlock()
+}
+
+// Load puts in what another run left, without what was attached to a lease.
+func (s *Store) Load(entries map[string]records.KeyValue) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for key, kv := range entries {
+		if kv.LeaseID == 0 {
+			s.entries[key] = kv
+		}
+		s.revision = max(s.revision, kv.Revision)
+	}
+}
+
+// Restore puts in what the store itself had persisted when it ended. All leases have their full time again.
+func (s *Store) Restore(entries []records.KeyValue, revision, lastLease uint64, ttls map[uint64]time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, kv := range entries {
+		s.entries[kv.Key] = kv
+	}
+	s.revision, s.lastLease, s.compactedRevision = revision, lastLease, revision
+	for id, ttl := range ttls {
+		l := &lease{ttl: ttl}
+		s.leases[id] = l
+		s.armLocked(id, l)
+	}
+}
+
+// Revision returns the revision of the last change.
+func (s *Store) Revision() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.revision
+}
+
+// get reads a key. It also returns the store's revision.
+func (s *Store) get(key string) (kv records.KeyValue, revision uint64, found bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	kv, found = s.entries[key]
+	return kv, s.revision, found
+}
+
+// Value returns a key's value as text, "" when absent.
+func (s *Store) Value(key string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return string(s.entries[key].Value)
+}
+
+// List returns the entries under a prefix, sorted by key, as of one moment.
+func (s *Store) List(prefix string) []records.KeyValue {
+	entries, _, _ := s.page(prefix, "", math.MaxInt, math.MaxInt)
+	return entries
+}
+
+// Keys returns the sorted keys under a prefix.
+func (s *Store) Keys(prefix string) []string {
+	var keys []string
+	for _, kv := range s.List(prefix) {
+		keys = append(keys, kv.Key)
+	}
+	return keys
+}
+
+const (
+	// maxPageBytes is what an answer to a list holds; the rest comes in further pages.
+	maxPageBytes = 512 << 10
+	// entryOverheadBytes is what an entry takes on a page beside its key and value.
+	entryOverheadBytes = 64
+)
+
+// page returns the entries under a prefix whose keys come after since: at most limit of them, and no more than
+// maxBytes unless the first alone is larger. It reports whether there are more, and the store's revision.
+func (s *Store) page(prefix, since string, limit, maxBytes int) (entries []records.KeyValue, more bool, revision uint64) {
+	s.mu.Lock()
+	revision = s.revision
+	for key, kv := range s.entries {
+		if strings.HasPrefix(key, prefix) && key > since {
+			entries = append(entries, kv)
+		}
+	}
+	s.mu.Unlock()
+	sort.Slice(entries, func(i, j int) bool { return entries[i].Key < entries[j].Key })
+	size := 0
+	for i, kv := range entries {
+		size += len(kv.Value) + len(kv.Key) + entryOverheadBytes
+		if i >= limit || i > 0 && size > maxBytes {
+			return entries[:i], true, revision
+		}
+	}
+	return entries, false, revision
+}
+
+// commit applies a transaction as the protocol says. The order of the checks matters: what is refused for its
+// size or for the write rate is not compared, and a transaction whose comparison fails counts as written.
+func (s *Store) commit(compares []records.Compare, ops []records.Op) (uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.admitLocked(compares, ops); err != nil {
+		return 0, err
+	}
+	s.Writes += len(ops)
+	if err := s.compareLocked(compares); err != nil {
+		return 0, err
+	}
+	s.revision++
+	change, err := s.applyLocked(ops)
+	if err != nil {
+		return 0, err
+	}
+	s.recordChangeLocked(change)
+	s.wakeWatchersLocked()
+	return s.revision, nil
+}
+
+// compareFactor is how many comparisons a transaction may have for each operation of the limit.
+const compareFactor = 4
+
+// admitLocked checks a transaction's leases and the store's limits.
+func (s *Store) admitLocked(compares []records.Compare, ops []records.Op) error {
+	for _, op := range ops {
+		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
+			return records.ErrLeaseExpired
+		}
+	}
+	if s.maxTxnOps > 0 && (len(ops) > s.maxTxnOps || len(compares) > compareFactor*s.maxTxnOps) {
+		s.TooLarge = append(s.TooLarge, fmt.Sprint(len(ops), " changes"))
+		return fmt.Errorf("%w: too many changes", records.ErrInvalid)
+	}
+	for _, op := range ops {
+		if n := records.EncodedSize(op.Value); op.Write != "" && s.maxValueKB > 0 && float64(n) > s.maxValueKB*1024 {
+			s.TooLarge = append(s.TooLarge, fmt.Sprint(op.Write, " of ", n, " bytes"))
+			return fmt.Errorf("%w: too large a value", records.ErrInvalid)
+		}
+	}
+	if s.writeLimiter != nil && !s.writeLimiter.AllowN(time.Now(), len(ops)) {
+		s.ThrottledWrites++
+		return records.ErrThrottled
+	}
+	return nil
+}
+
+// compareLocked checks a transaction's comparisons, and returns a records.ConflictError with all that fail.
+func (s *Store) compareLocked(compares []records.Compare) error {
+	var failed []string
+	for _, c := range compares {
+		if s.entries[c.Key].Revision != c.Revision {
+			failed = append(failed, c.Key)
+		}
+	}
+	if failed != nil {
+		return &records.ConflictError{Failed: failed, Revision: s.revision}
+	}
+	return nil
+}
+
+// applyLocked carries out a transaction's operations at the current revision.
+func (s *Store) applyLocked(ops []records.Op) (Change, error) {
+	var change Change
+	for _, op := range ops {
+		if op.Delete != "" {
+			delete(s.entries, op.Delete)
+			s.log = append(s.log, records.Event{Delete: op.Delete, Revision: s.revision})
+			change.Deletes = append(change.Deletes, op.Delete)
+			continue
+		}
+		raw, err := json.Marshal(op.Value)
+		if err != nil {
+			return Change{}, err
+		}
+		kv := records.KeyValue{Key: op.Write, Value: raw, Revision: s.revision, LeaseID: op.LeaseID}
+		s.entries[op.Write] = kv
+		s.log = append(s.log, records.Event{Write: op.Write, Value: raw, Revision: s.revision})
+		change.Writes = append(change.Writes, kv)
+	}
+	return change, nil
+}
+
+// recordChangeLocked hands a change to whoever persists it, and compacts the log.
+func (s *Store) recordChangeLocked(c Change) {
+	if s.OnChange != nil {
+		c.Revision = s.revision
+		s.OnChange(c)
+	}
+	if n := len(s.log); n > 2*maxWatchEvents {
+		s.log = append([]records.Event(nil), s.log[n-maxWatchEvents:]...)
+		s.compactedRevision = s.log[0].Revision
+	}
+}
--- /dev/null
+++ b/internal/simulation/store_lease.go
@@ -0,0 +1,76 @@
+package simulation
+
+import (
+	"time"
+
+	"drumpick/internal/records"
+)
+
+// lease is a lease of the store. Keys that are attached to it go when it ends.
+type lease struct {
+	ttl   time.Duration
+	timer *time.Timer
+}
+
+// grantLease grants a lease and returns its id.
+func (s *Store) grantLease(ttl time.Duration) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastLease++
+	l := &lease{ttl: ttl}
+	s.leases[s.lastLease] = l
+	s.armLocked(s.lastLease, l)
+	s.recordChangeLocked(Change{LeaseID: s.lastLease, TTL: ttl})
+	return s.lastLease
+}
+
+// renewLease renews a lease, and reports whether there is one.
+func (s *Store) renewLease(id uint64) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.leases[id]
+	if l != nil {
+		s.armLocked(id, l)
+	}
+	return l != nil
+}
+
+// revokeLease ends a lease at once.
+func (s *Store) revokeLease(id uint64) {
+	s.mu.Lock()
+	s.endLeaseLocked(id)
+	s.mu.Unlock()
+}
+
+// armLocked gives a lease its full time. During an outage no lease ends.
+func (s *Store) armLocked(id uint64, l *lease) {
+	if l.timer != nil {
+		l.timer.Stop()
+	}
+	l.timer = time.AfterFunc(l.ttl, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if s.leases[id] == l && !s.outage {
+			s.endLeaseLocked(id)
+		}
+	})
+}
+
+// endLeaseLocked removes a lease and the keys attached to it.
+func (s *Store) endLeaseLocked(id uint64) {
+	if l := s.leases[id]; l != nil {
+		l.timer.Stop()
+	}
+	delete(s.leases, id)
+	change := Change{RevokedLease: id}
+	for key, kv := range s.entries {
+		if kv.LeaseID == id {
+			s.revision++
+			delete(s.entries, key)
+			s.log = append(s.log, records.Event{Delete: key, Revision: s.revision})
+			change.Deletes = append(change.Deletes, key)
+		}
+	}
+	s.recordChangeLocked(change)
+	s.wakeWatchersLocked()
+}
--- /dev/null
+++ b/internal/simulation/store_watch.go
@@ -0,0 +1,67 @@
+package simulation
+
+import (
+	"context"
+	"sort"
+	"strings"
+	"time"
+
+	"drumpick/internal/records"
+)
+
+// maxWatchEvents is how many changes a watch can go back. It bounds no entries: a watch that is further behind is
+// told so, and lists the entries anew.
+const maxWatchEvents = 10_000
+
+// watch waits for a change under a prefix after a revision, and returns the changes and the revision they lead to.
+// Open watches stay open through an outage. disconnected is asked at every change of the store.
+func (s *Store) watch(
+	ctx context.Context, client, prefix string, since uint64, wait time.Duration, disconnected func() bool,
+) ([]records.Event, uint64, error) {
+	end := time.Now().Add(wait)
+	for {
+		s.mu.Lock()
+		events := s.eventsLocked(prefix, since)
+		revision, changed := s.revision, s.changed
+		refused, compacted := s.refusesLocked(client), since < s.compactedRevision
+		s.mu.Unlock()
+		left := time.Until(end)
+		switch {
+		case disconnected():
+			return nil, since, records.ErrUnknownOutcome
+		case refused:
+			left = max(left, latency)
+		case compacted:
+			return nil, since, records.ErrCompacted
+		case len(events) > 0 || left <= 0:
+			return events, revision, nil
+		}
+		timer := time.NewTimer(left)
+		select {
+		case <-ctx.Done():
+			timer.Stop()
+			return nil, since, ctx.Err()
+		case <-changed:
+		case <-timer.C:
+		}
+		timer.Stop()
+	}
+}
+
+// eventsLocked returns the logged changes under a prefix after a revision.
+func (s *Store) eventsLocked(prefix string, since uint64) []records.Event {
+	var events []records.Event
+	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].Revision > since })
+	for _, e := range s.log[first:] {
+		if e.Write != "" && strings.HasPrefix(e.Write, prefix) || e.Delete != "" && strings.HasPrefix(e.Delete, prefix) {
+			events = append(events, e)
+		}
+	}
+	return events
+}
+
+// wakeWatchersLocked lets all open watches look again.
+func (s *Store) wakeWatchersLocked() {
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
