--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -9,24 +9,65 @@
 	"drumpick/internal/records"
 )
 
+// Statuses of attempts, as workers report them.
+const (
+	statusPulling  = "pulling" // the image is fetched
+	statusWaiting  = "waiting" // for the other tasks of the gang
+	statusRunning  = "running"
+	statusFlushing = "flushing" // progress is saved before the end
+	statusEnded    = "ended"
+)
+
 // attempt is one start of a task on a machine.
 type attempt struct {
-	task             string
-	taskID           fleet.TaskID
-	job              records.Job
-	number           uint64
+	task   string
+	taskID fleet.TaskID
+	job    records.Job
+	number uint64
+
 	status           string
-	cause            string
-	saved            bool
-	startedAt        time.Time     // when it came
-	statusSince      time.Time     // of the status
-	runningSince     time.Time     // when it first ran; zero: it has not
+	cause            string // why it ended
+	saved            bool   // its progress was saved at its end
+	startedAt        time.Time
+	statusSince      time.Time
 	statusEnds       time.Time     // when the status ends by itself; zero: it does not
+	runningSince     time.Time     // zero: it has not run
 	initialProgress  time.Duration // when it began to run
-	peerMissingSince time.Time     // since when a mate is missing
+	peerMissingSince time.Time     // zero: no task of the gang is missing
+}
+
+// checkpointKey is what a task's saved progress is kept under: its name or, of gangs, its job's.
+func (a *attempt) checkpointKey() string {
+	if a.job.Shape == records.ShapeGang {
+		return a.taskID.Job
+	}
+	return a.task
+}
+
+// progressAt returns the task's progress at a time.
+func (a *attempt) progressAt(now time.Time) time.Duration {
+	if a.status != statusRunning {
+		return a.initialProgress
+	}
+	return a.initialProgress + now.Sub(a.statusSince)
+}
+
+// checkpointAt returns the progress that a task has saved by itself until a time.
+func (a *attempt) checkpointAt(now time.Time) time.Duration {
+	if a.job.CheckpointS <= 0 {
+		return 0
+	}
+	every := a.job.CheckpointS
+	return time.Duration(math.Floor(a.progressAt(now).Seconds()/every) * every * float64(time.Second))
+}
+
+// saveProgressLocked keeps an attempt's progress for the next attempts.
+func (env *Environment) saveProgressLocked(a *attempt, progress time.Duration) {
+	key := a.checkpointKey()
+	env.savedProgress[key] = max(env.savedProgress[key], progress)
 }
 
-// advanceLocked moves the machine on to the present: lease, and what ends by itself.
+// advanceLocked moves the machine on to the present: its lease, and the statuses that end by themselves.
 func (m *Machine) advanceLocked() {
 	now := time.Now()
 	if now.Sub(m.leaseStart) > m.env.Lease {
@@ -35,230 +76,214 @@
 		m.incarnation++
 		m.leaseStart = now
 	}
-	for _, s := range m.tasks {
-		group := s.job.Shape == records.ShapeGang
+	for _, a := range m.tasks {
+		gang := a.job.Shape == records.ShapeGang
 		switch {
-		case s.status == "pulling" && !now.Before(s.statusEnds):
-			m.imageReadyLocked(s)
-		case s.status == "waiting" && !s.statusEnds.IsZero() && !now.Before(s.statusEnds):
-			m.endLocked(s, fleet.CauseAlone)
-		case s.status == "running" && group && m.peersMissingLocked(s, now):
-			m.env.saveProgressLocked(s, s.checkpointAt(now))
-			m.endLocked(s, fleet.CauseMatesGone)
-		case s.status == "running" && !s.statusEnds.IsZero() && !now.Before(s.statusEnds):
-			m.completeLocked(s)
-		case s.status == "flushing" && !now.Before(s.statusEnds):
-			s.saved = true
-			m.endLocked(s, fleet.CauseStopped)
+		case a.status == statusPulling && !now.Before(a.statusEnds):
+			m.imageReadyLocked(a)
+		case a.status == statusWaiting && !a.statusEnds.IsZero() && !now.Before(a.statusEnds):
+			m.endLocked(a, fleet.CauseAlone)
+		case a.status == statusRunning && gang && m.peersMissingLocked(a, now):
+			m.env.saveProgressLocked(a, a.checkpointAt(now))
+			m.endLocked(a, fleet.CauseMatesGone)
+		case a.status == statusRunning && !a.statusEnds.IsZero() && !now.Before(a.statusEnds):
+			m.completeLocked(a)
+		case a.status == statusFlushing && !now.Before(a.statusEnds):
+			a.saved = true
+			m.endLocked(a, fleet.CauseStopped)
 		}
 	}
 }
 
-// imageReadyLocked goes on when the image is there.
-func (m *Machine) imageReadyLocked(s *attempt) {
+// executeLocked carries out a controller's commands.
+func (m *Machine) executeLocked(commands []fleet.Command) {
+	m.advanceLocked()
+	for _, c := range commands {
+		key := fmt.Sprintf("%s:%d", c.Task, c.Attempt)
+		a := m.tasks[key]
+		switch c.Verb {
+		case fleet.VerbRun:
+			if a == nil {
+				m.startLocked(key, c)
+			}
+		case fleet.VerbKill:
+			if a != nil && a.status != statusEnded {
+				m.killLocked(a, c)
+			}
+		case fleet.VerbReap:
+			if a != nil && a.status == statusEnded {
+				delete(m.tasks, key)
+			}
+		}
+	}
+}
+
+// startLocked takes an attempt in, and checks the rules while it does.
+func (m *Machine) startLocked(key string, c fleet.Command) {
+	env := m.env
+	id, _ := fleet.ParseTask(c.Task)
 	now := time.Now()
-	s.statusSince, s.statusEnds = now, time.Time{}
-	if m.env.completed[s.taskID.Job][s.task] {
-		m.endLocked(s, fleet.CauseDone) // its result is kept
-		return
+	job, known := env.LookupJob(id.Job)
+	a := &attempt{
+		task: c.Task, taskID: id, job: job, number: c.Attempt,
+		status: statusPulling, startedAt: now, statusSince: now,
 	}
-	if s.job.Shape != records.ShapeGang || m.env.GangStartTimeout == 0 {
-		m.runLocked(s, now)
+	m.tasks[key] = a
+	if cause := m.refusalLocked(a, known); cause != "" {
+		m.endLocked(a, cause)
 		return
 	}
-	s.status, s.statusEnds = "waiting", now.Add(m.env.GangStartTimeout)
-	mates := m.env.gangPeersLocked(s)
-	if len(mates) < s.job.Tasks {
-		return
+	if env.attempts[id.Job] == nil {
+		env.attempts[id.Job] = map[*attempt]*Machine{}
 	}
-	for _, x := range mates {
-		if x.attempt.status != "waiting" {
-			return
+	env.attempts[id.Job][a] = m
+	env.starts++
+	env.checkStartLocked(m, c, job)
+	if _, ok := m.imageReadyAt[job.Image]; !ok {
+		var fetch time.Duration
+		if m.typ.FetchGBps > 0 {
+			fetch = time.Duration(job.ImageGB / m.typ.FetchGBps * float64(time.Second))
 		}
+		m.imageReadyAt[job.Image] = now.Add(fetch)
 	}
-	for _, x := range mates {
-		x.machine.runLocked(x.attempt, now)
-		x.machine.wake()
+	if a.statusEnds = m.imageReadyAt[job.Image]; !now.Before(a.statusEnds) {
+		m.imageReadyLocked(a)
 	}
+	m.wake()
 }
 
-// runLocked lets a task run on from what is safe.
-func (m *Machine) runLocked(s *attempt, now time.Time) {
-	s.status, s.statusSince, s.statusEnds = "running", now, time.Time{}
-	s.runningSince = now
-	s.initialProgress = m.env.savedProgress[s.checkpointKey()]
-	if s.job.Shape != records.ShapeService {
-		s.statusEnds = now.Add(max(m.env.RunTime(s.task)-s.initialProgress, 0))
-	}
-}
+// epsilon absorbs rounding in sums of resources.
+const epsilon = 1e-9
 
-// completeLocked ends a task that is done, and with it its whole gang.
-func (m *Machine) completeLocked(s *attempt) {
-	if m.env.TaskFails != nil && m.env.TaskFails(m, s.task) {
-		m.endLocked(s, fleet.CauseError)
-		return
-	}
-	all := []gangPeer{{m, s}}
-	if s.job.Shape == records.ShapeGang && m.env.GangStartTimeout > 0 {
-		all = m.env.gangPeersLocked(s)
-	}
-	if m.env.completed[s.taskID.Job] == nil {
-		m.env.completed[s.taskID.Job] = map[string]bool{}
-	}
-	if s.job.Shape == records.ShapeGang {
-		// When one task is done every one is, also where gangs go on whoever is missing.
-		for n := range s.job.Tasks {
-			m.env.completed[s.taskID.Job][fleet.TaskID{Job: s.taskID.Job, N: n}.String()] = true
+// refusalLocked returns why the worker does not take an attempt, "" if it does.
+func (m *Machine) refusalLocked(a *attempt, jobKnown bool) (cause string) {
+	cpus, mem := a.job.CPUs, a.job.MemGB
+	for _, other := range m.tasks {
+		if other == a || other.status == statusEnded {
+			continue
 		}
+		if other.task == a.task {
+			return fleet.CauseBusy
+		}
+		cpus, mem = cpus+other.job.CPUs, mem+other.job.MemGB
 	}
-	for _, x := range all {
-		m.env.completed[s.taskID.Job][x.attempt.task] = true
-		x.machine.endLocked(x.attempt, fleet.CauseDone)
+	switch {
+	case !jobKnown:
+		return fleet.CauseNoSuch
+	case cpus > m.typ.CPUs+epsilon || m.typ.MemGB > 0 && mem > m.typ.MemGB+epsilon:
+		return fleet.CauseFull
 	}
+	return ""
 }
 
-// peersMissingLocked says whether a gang has been without one of its tasks for too long.
-func (m *Machine) peersMissingLocked(s *attempt, now time.Time) bool {
-	if m.env.GangPeerTimeout == 0 || len(m.env.gangPeersLocked(s)) == s.job.Tasks {
-		s.peerMissingSince = time.Time{}
-		return false
+// imageReadyLocked goes on with an attempt whose image is there.
+func (m *Machine) imageReadyLocked(a *attempt) {
+	now := time.Now()
+	a.statusSince, a.statusEnds = now, time.Time{}
+	if m.env.completed[a.taskID.Job][a.task] {
+		m.endLocked(a, fleet.CauseDone) // its result is kept
+		return
 	}
-	if s.peerMissingSince.IsZero() {
-		s.peerMissingSince = now
+	if a.job.Shape != records.ShapeGang || m.env.GangStartTimeout == 0 {
+		m.runLocked(a, now)
+		return
 	}
-	return now.Sub(s.peerMissingSince) >= m.env.GangPeerTimeout
-}
-
-type gangPeer struct {
-	machine *Machine
-	attempt *attempt
+	a.status, a.statusEnds = statusWaiting, now.Add(m.env.GangStartTimeout)
+	m.env.startGangLocked(a, now)
 }
 
-// gangPeersLocked are the tasks of an attempt that are on machines and have not ended.
-func (env *Environment) gangPeersLocked(s *attempt) []gangPeer {
-	var all []gangPeer
-	for x, m := range env.attempts[s.taskID.Job] {
-		if x.number == s.number && !m.gone && !m.hung {
-			all = append(all, gangPeer{m, x})
-		}
+// runLocked lets an attempt run on from the saved progress.
+func (m *Machine) runLocked(a *attempt, now time.Time) {
+	a.status, a.statusSince, a.statusEnds = statusRunning, now, time.Time{}
+	a.runningSince = now
+	a.initialProgress = m.env.savedProgress[a.checkpointKey()]
+	if a.job.Shape != records.ShapeService {
+		a.statusEnds = now.Add(max(m.env.RunTime(a.task)-a.initialProgress, 0))
 	}
-	return all
 }
 
-// checkpointKey names what a task's safe progress is kept under.
-func (a *attempt) checkpointKey() string {
-	if a.job.Shape == records.ShapeGang {
-		return a.taskID.Job
+// completeLocked ends an attempt whose task is done, and with it its whole gang.
+func (m *Machine) completeLocked(a *attempt) {
+	env, job := m.env, a.taskID.Job
+	if env.TaskFails != nil && env.TaskFails(m, a.task) {
+		m.endLocked(a, fleet.CauseError)
+		return
 	}
-	return a.task
-}
-
-// progressAt is how far a task has come.
-func (a *attempt) progressAt(now time.Time) time.Duration {
-	if a.status != "running" {
-		return a.initialProgress
+	gang := a.job.Shape == records.ShapeGang
+	done := []gangPeer{{m, a}}
+	if gang && env.GangStartTimeout > 0 {
+		done = env.gangPeersLocked(a)
 	}
-	return a.initialProgress + now.Sub(a.statusSince)
-}
-
-// checkpointAt is the progress that a task has saved by itself.
-func (a *attempt) checkpointAt(now time.Time) time.Duration {
-	if a.job.CheckpointS <= 0 {
-		return 0
+	if env.completed[job] == nil {
+		env.completed[job] = map[string]bool{}
 	}
-	every := a.job.CheckpointS
-	return time.Duration(math.Floor(a.progressAt(now).Seconds()/every) * every * float64(time.Second))
-}
-
-func (env *Environment) saveProgressLocked(s *attempt, to time.Duration) {
-	env.savedProgress[s.checkpointKey()] = max(env.savedProgress[s.checkpointKey()], to)
-}
-
-func (m *Machine) executeLocked(orders []fleet.Command) {
-	m.advanceLocked()
-	for _, o := range orders {
-		k := fmt.Sprintf("%s:%d", o.Task, o.Attempt)
-		s := m.tasks[k]
-		switch o.Verb {
-		case fleet.VerbRun:
-			if s == nil {
-				m.startLocked(k, o)
-			}
-		case fleet.VerbKill:
-			if s != nil && s.status != "ended" {
-				m.killLocked(s, o)
-			}
-		case fleet.VerbReap:
-			if s != nil && s.status == "ended" {
-				delete(m.tasks, k)
-			}
+	if gang {
+		// When one task is done every one is, also where gangs go on whoever is missing.
+		for n := range a.job.Tasks {
+			env.completed[job][fleet.TaskID{Job: job, N: n}.String()] = true
 		}
 	}
+	for _, p := range done {
+		env.completed[job][p.attempt.task] = true
+		p.machine.endLocked(p.attempt, fleet.CauseDone)
+	}
 }
 
-// killLocked stops a task, which saves where it can and is given the time.
-func (m *Machine) killLocked(s *attempt, o fleet.Command) {
+// killLocked stops an attempt, which saves its progress where it can and is given the time.
+func (m *Machine) killLocked(a *attempt, c fleet.Command) {
 	now, grace := time.Now(), 0.0
-	if o.GraceS != nil {
-		grace = *o.GraceS
+	if c.GraceS != nil {
+		grace = *c.GraceS
 	}
-	switch saves := s.job.CheckpointS > 0; {
-	case s.status == "flushing" && grace > 0:
-	case s.status == "running" && saves && grace >= s.job.SaveS:
-		m.env.saveProgressLocked(s, s.progressAt(now))
-		s.status, s.statusSince, s.statusEnds = "flushing", now, now.Add(time.Duration(s.job.SaveS*float64(time.Second)))
-		if s.job.SaveS == 0 {
-			s.saved = true
-			m.endLocked(s, fleet.CauseStopped)
+	switch canSave := a.job.CheckpointS > 0; {
+	case a.status == statusFlushing && grace > 0:
+	case a.status == statusRunning && canSave && grace >= a.job.SaveS:
+		m.env.saveProgressLocked(a, a.progressAt(now))
+		a.status, a.statusSince = statusFlushing, now
+		a.statusEnds = now.Add(time.Duration(a.job.SaveS * float64(time.Second)))
+		if a.job.SaveS == 0 {
+			a.saved = true
+			m.endLocked(a, fleet.CauseStopped)
 		}
 	default:
-		if s.status == "running" {
-			m.env.saveProgressLocked(s, s.checkpointAt(now))
+		if a.status == statusRunning {
+			m.env.saveProgressLocked(a, a.checkpointAt(now))
 		}
-		m.endLocked(s, fleet.CauseStopped)
+		m.endLocked(a, fleet.CauseStopped)
 	}
 }
 
-// startLocked takes a task in, and checks the rules while it does.
-func (m *Machine) startLocked(k string, o fleet.Command) {
-	w := m.env
-	id, _ := fleet.ParseTask(o.Task)
-	now := time.Now()
-	job, ok := w.LookupJob(id.Job)
-	s := &attempt{task: o.Task, taskID: id, job: job, number: o.Attempt, startedAt: now, statusSince: now, status: "pulling"}
-	m.tasks[k] = s
-	cpus, mem := job.CPUs, job.MemGB
-	for _, x := range m.tasks {
-		if x != s && x.status != "ended" {
-			if cpus, mem = cpus+x.job.CPUs, mem+x.job.MemGB; x.task == s.task {
-				m.endLocked(s, fleet.CauseBusy)
-				return
+// loseTasksLocked drops every attempt, as lost at a time.
+func (m *Machine) loseTasksLocked(at time.Time) {
+	for _, a := range m.tasks {
+		if a.status != statusEnded {
+			if a.status == statusRunning {
+				m.env.saveProgressLocked(a, a.checkpointAt(time.Now()))
 			}
+			m.endAtLocked(a, causeLost, at)
 		}
 	}
-	switch {
-	case !ok:
-		m.endLocked(s, fleet.CauseNoSuch)
-		return
-	case cpus > m.typ.CPUs+1e-9 || m.typ.MemGB > 0 && mem > m.typ.MemGB+1e-9:
-		m.endLocked(s, fleet.CauseFull)
-		return
-	}
-	if w.attempts[id.Job] == nil {
-		w.attempts[id.Job] = map[*attempt]*Machine{}
+	clear(m.tasks)
+}
+
+// endLocked ends an attempt now.
+func (m *Machine) endLocked(a *attempt, cause string) { m.endAtLocked(a, cause, time.Now()) }
+
+// endAtLocked ends an attempt that was over at a time.
+func (m *Machine) endAtLocked(a *attempt, cause string, at time.Time) {
+	env := m.env
+	if cause != fleet.CauseDone && a.job.Shape != records.ShapeService {
+		env.lostWork += max(a.progressAt(time.Now())-env.savedProgress[a.checkpointKey()], 0)
 	}
-	w.attempts[id.Job][s] = m
-	w.starts++
-	w.checkStartLocked(m, o, job)
-	if _, ok := m.imageReadyAt[job.Image]; !ok {
-		var fetch time.Duration
-		if m.typ.FetchGBps > 0 {
-			fetch = time.Duration(job.ImageGB / m.typ.FetchGBps * float64(time.Second))
+	a.status, a.cause, a.statusSince, a.statusEnds = statusEnded, cause, at, time.Time{}
+	if live := env.attempts[a.taskID.Job]; live != nil {
+		if delete(live, a); len(live) == 0 {
+			delete(env.attempts, a.taskID.Job)
 		}
-		m.imageReadyAt[job.Image] = now.Add(fetch)
-	}
-	if s.statusEnds = m.imageReadyAt[job.Image]; !now.Before(s.statusEnds) {
-		m.imageReadyLocked(s)
 	}
+	env.runs = append(env.runs, TaskRun{
+		Task: a.task, Machine: m.Name, Zone: m.Zone,
+		Started: a.startedAt, Running: a.runningSince, Ended: a.statusSince, Cause: cause,
+	})
 	m.wake()
 }
--- /dev/null
+++ b/internal/simulation/cloud.go
@@ -0,0 +1,159 @@
+package simulation
+
+import (
+	"context"
+	"fmt"
+	"sort"
+	"sync"
+	"time"
+
+	"drumpick/internal/autoscaler"
+	"drumpick/internal/ctxtime"
+	"drumpick/internal/records"
+)
+
+// CloudClient is the cloud as a controller sees it.
+type CloudClient struct {
+	Environment *Environment
+	// Alive reports whether the controller still runs.
+	Alive func() bool
+	// LoseAnswers makes that many rentals be carried out without an answer.
+	LoseAnswers int
+}
+
+// cloudLatency is how long a call to the cloud takes.
+const cloudLatency = 20 * latency
+
+// admit lets a call through to the cloud, after its latency.
+func (c *CloudClient) admit(ctx context.Context) error {
+	if err := ctxtime.Sleep(ctx, cloudLatency); err != nil {
+		return err
+	}
+	if !c.Alive() {
+		return autoscaler.ErrUnknownOutcome
+	}
+	return nil
+}
+
+// Types returns the machine types that can be rented.
+func (c *CloudClient) Types(ctx context.Context) ([]records.MachineType, error) {
+	return append([]records.MachineType(nil), c.Environment.Types...), c.admit(ctx)
+}
+
+// Rent starts machines, and returns their names.
+func (c *CloudClient) Rent(ctx context.Context, r autoscaler.RentalRequest) ([]string, error) {
+	if err := c.admit(ctx); err != nil {
+		return nil, err
+	}
+	machines, err := c.Environment.rent(r)
+	if err == nil && c.LoseAnswers > 0 {
+		c.LoseAnswers--
+		return nil, autoscaler.ErrUnknownOutcome
+	}
+	return machines, err
+}
+
+// Return ends machines.
+func (c *CloudClient) Return(ctx context.Context, machines []string) error {
+	if err := c.admit(ctx); err != nil {
+		return err
+	}
+	c.Environment.returnMachines(machines)
+	return nil
+}
+
+// List returns the machines as the cloud knows them.
+func (c *CloudClient) List(ctx context.Context) ([]autoscaler.CloudMachine, error) {
+	if err := c.admit(ctx); err != nil {
+		return nil, err
+	}
+	return c.Environment.CloudMachines(), nil
+}
+
+// rent starts as many of the requested machines as there are, and returns their names. A repeated request is
+// answered as the first one.
+func (env *Environment) rent(r autoscaler.RentalRequest) ([]string, error) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if machines, known := env.rentals[r.Name]; known {
+		return machines, nil
+	}
+	free := env.ZoneCapacity
+	for _, m := range env.machines {
+		if !m.gone && m.Zone == r.Zone && m.Spot == r.Spot {
+			free--
+		}
+	}
+	if free <= 0 {
+		return nil, autoscaler.ErrNoCapacity
+	}
+	var machines []string
+	for range min(r.Count, free) {
+		env.machineCount++
+		machines = append(machines, env.addLocked(fmt.Sprintf("m-%06d", env.machineCount), r).Name)
+	}
+	env.rentals[r.Name] = machines
+	return machines, nil
+}
+
+// AddMachine starts a machine that was rented elsewhere (RemoteMachines).
+func (env *Environment) AddMachine(name string, r autoscaler.RentalRequest) *Machine {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.addLocked(name, r)
+}
+
+// addLocked starts a machine.
+func (env *Environment) addLocked(name string, r autoscaler.RentalRequest) *Machine {
+	m := newMachine(env, name, r)
+	env.machines[name] = m
+	go m.run()
+	return m
+}
+
+// returnMachines ends machines. When it returns, what was on them is gone.
+func (env *Environment) returnMachines(machines []string) {
+	var closeAddrs []func()
+	env.mu.Lock()
+	for _, name := range machines {
+		if m := env.machines[name]; m != nil {
+			closeAddrs = append(closeAddrs, m.removeLocked())
+			delete(env.machines, name)
+		}
+	}
+	env.mu.Unlock()
+	var closing sync.WaitGroup
+	for _, closeAddr := range closeAddrs {
+		closing.Go(closeAddr)
+	}
+	closing.Wait()
+}
+
+// Statuses of machines as the cloud lists them.
+const (
+	cloudBooting = "booting"
+	cloudRunning = "running"
+	cloudFailed  = "failed"
+)
+
+// CloudMachines returns the machines as the cloud knows them, sorted by name.
+func (env *Environment) CloudMachines() []autoscaler.CloudMachine {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	var list []autoscaler.CloudMachine
+	for _, m := range env.machines {
+		status := cloudRunning
+		if !m.up {
+			status = cloudBooting
+		}
+		if m.gone {
+			status = cloudFailed
+		}
+		list = append(list, autoscaler.CloudMachine{
+			Machine: m.Name, Addr: m.addr, Type: m.typ.Name, Zone: m.Zone, Spot: m.Spot,
+			Status: status, AgeS: time.Since(m.rented).Seconds(),
+		})
+	}
+	sort.Slice(list, func(i, j int) bool { return list[i].Machine < list[j].Machine })
+	return list
+}
--- /dev/null
+++ b/internal/simulation/gang.go
@@ -0,0 +1,49 @@
+package simulation
+
+import "time"
+
+// gangPeer is an attempt of a gang's task, and the machine it is on.
+type gangPeer struct {
+	machine *Machine
+	attempt *attempt
+}
+
+// gangPeersLocked returns the tasks of a gang's attempt, itself included, that are on machines and have not ended.
+func (env *Environment) gangPeersLocked(a *attempt) []gangPeer {
+	var peers []gangPeer
+	for other, m := range env.attempts[a.taskID.Job] {
+		if other.number == a.number && !m.gone && !m.hung {
+			peers = append(peers, gangPeer{m, other})
+		}
+	}
+	return peers
+}
+
+// startGangLocked lets a gang's attempt run if all of its tasks wait for that.
+func (env *Environment) startGangLocked(a *attempt, now time.Time) {
+	peers := env.gangPeersLocked(a)
+	if len(peers) < a.job.Tasks {
+		return
+	}
+	for _, p := range peers {
+		if p.attempt.status != statusWaiting {
+			return
+		}
+	}
+	for _, p := range peers {
+		p.machine.runLocked(p.attempt, now)
+		p.machine.wake()
+	}
+}
+
+// peersMissingLocked reports whether a gang has been without one of its tasks for too long.
+func (m *Machine) peersMissingLocked(a *attempt, now time.Time) bool {
+	if m.env.GangPeerTimeout == 0 || len(m.env.gangPeersLocked(a)) == a.job.Tasks {
+		a.peerMissingSince = time.Time{}
+		return false
+	}
+	if a.peerMissingSince.IsZero() {
+		a.peerMissingSince = now
+	}
+	return now.Sub(a.peerMissingSince) >= m.env.GangPeerTimeout
+}
--- /dev/null
+++ b/internal/simulation/history.go
@@ -0,0 +1,90 @@
+package simulation
+
+import (
+	"slices"
+	"sort"
+	"time"
+)
+
+// TaskRun is an attempt of a task that has ended.
+type TaskRun struct {
+	Task    string    `json:"task"`
+	Machine string    `json:"machine"`
+	Zone    string    `json:"zone"`
+	Started time.Time `json:"from"`
+	Running time.Time `json:"running,omitzero"` // when it ran; zero: it never did
+	Ended   time.Time `json:"to"`
+	Cause   string    `json:"cause"` // as workers report it; causeLost with the machine
+}
+
+// causeLost is the cause of an attempt whose machine or lease is gone; no worker reports it.
+const causeLost = "lost"
+
+// RentalCost is what a machine costs.
+type RentalCost struct {
+	Machine string    `json:"machine"`
+	Type    string    `json:"type"`
+	Zone    string    `json:"zone"`
+	Spot    bool      `json:"spot"`
+	From    time.Time `json:"from"`
+	To      time.Time `json:"to"` // zero while it is rented
+	Cost    float64   `json:"cost"`
+}
+
+// History returns the attempts that have ended, in the order of their ends, and what machines cost so far at
+// nominal prices.
+func (env *Environment) History() ([]TaskRun, []RentalCost) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	costs := slices.Clone(env.costs)
+	for _, m := range env.machines {
+		if !m.gone {
+			costs = append(costs, m.cost(time.Time{}))
+		}
+	}
+	sort.Slice(costs, func(i, j int) bool { return costs[i].Machine < costs[j].Machine })
+	return slices.Clone(env.runs), costs
+}
+
+// Starts returns how many attempts were started.
+func (env *Environment) Starts() int {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.starts
+}
+
+// Running returns how many tasks run.
+func (env *Environment) Running() int {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	n := 0
+	for _, m := range env.machines {
+		for _, a := range m.tasks {
+			if a.status == statusRunning && !m.gone {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// LeaseExpiries returns how many leases of workers have ended.
+func (env *Environment) LeaseExpiries() int {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.leaseExpiries
+}
+
+// LongestAfterCancel returns for how long, at the most, a task of a cancelled job was seen on its machine.
+func (env *Environment) LongestAfterCancel() time.Duration {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.longestAfterCancel
+}
+
+// LostWork returns the run time of tasks that has to be done again, so far.
+func (env *Environment) LostWork() time.Duration {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.lostWork
+}
--- /dev/null
+++ b/internal/simulation/serve_store.go
@@ -0,0 +1,184 @@
+package simulation
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"drumpick/internal/records"
+
+	"github.com/gofiber/fiber/v2"
+	"github.com/gofiber/fiber/v2/utils"
+)
+
+// errorBody is the body of an answer that reports an error.
+type errorBody struct {
+	Error string `json:"error"`
+}
+
+// watchEvent is a change as a watch reports it.
+type watchEvent struct {
+	Write    string          `json:"write,omitempty"`
+	Delete   string          `json:"delete,omitempty"`
+	Value    json.RawMessage `json:"value,omitempty"`
+	Revision uint64          `json:"stamp"`
+}
+
+// Bounds of what requests to the store may ask for.
+const (
+	defaultListLimit, maxListLimit = 1000, 1000
+	minLeaseMS, maxLeaseMS         = 100, 600_000
+	maxWatchWaitMS                 = 60_000
+)
+
+// storeServer serves a store over HTTP.
+type storeServer struct {
+	ctx     context.Context // open watches end with it
+	store   *Store
+	durable func(revision uint64)
+}
+
+// ServeStore serves the store's interface. durable waits until all up to a revision is persisted; no answer tells
+// of a change before that. nil: changes are as good as persisted at once. Open watches end with ctx.
+func ServeStore(ctx context.Context, app *fiber.App, s *Store, durable func(revision uint64)) {
+	server := &storeServer{ctx: ctx, store: s, durable: durable}
+	app.Use("/store", server.refuseInOutage)
+	app.Use("/commit", server.refuseInOutage)
+	app.Use("/grants", server.refuseInOutage)
+	app.Get("/store", server.list)
+	app.Get("/store/*", server.get)
+	app.Post("/commit", server.commit)
+	app.Post("/grants", server.grantLease)
+	app.Post("/grants/:id/extend", server.renewLease)
+	app.Delete("/grants/:id", server.revokeLease)
+	app.Get("/watch", server.watch)
+}
+
+// answer answers once all that it may tell of is persisted.
+func (s *storeServer) answer(c *fiber.Ctx, status int, body any) error {
+	if s.durable != nil {
+		s.durable(s.store.Revision())
+	}
+	return c.Status(status).JSON(body)
+}
+
+// refuseInOutage refuses requests during an outage. Watches are not among them: they stay open.
+func (s *storeServer) refuseInOutage(c *fiber.Ctx) error {
+	if s.store.refuses("") {
+		return c.Status(http.StatusServiceUnavailable).JSON(errorBody{"outage"})
+	}
+	return c.Next()
+}
+
+func (s *storeServer) list(c *fiber.Ctx) error {
+	limit := min(max(c.QueryInt("limit", defaultListLimit), 1), maxListLimit)
+	entries, more, revision := s.store.page(c.Query("under"), c.Query("since"), limit, maxPageBytes)
+	if entries == nil {
+		entries = []records.KeyValue{}
+	}
+	return s.answer(c, http.StatusOK, fiber.Map{"rows": entries, "more": more, "epoch": revision})
+}
+
+func (s *storeServer) get(c *fiber.Ctx) error {
+	kv, revision, ok := s.store.get(c.Params("*"))
+	if !ok {
+		return s.answer(c, http.StatusNotFound, fiber.Map{"epoch": revision})
+	}
+	return s.answer(c, http.StatusOK, kv)
+}
+
+// commitRequest is a transaction as it is sent.
+type commitRequest struct {
+	Compares []records.Compare `json:"when"`
+	Ops      []struct {
+		Write   string          `json:"write"`
+		Value   json.RawMessage `json:"value"`
+		LeaseID uint64          `json:"hold"`
+		Delete  string          `json:"delete"`
+	} `json:"writes"`
+}
+
+var errMalformedOp = errors.New("a change is either a write with a value or a delete")
+
+// operations returns the operations of a request, which outlive its buffer.
+func (r *commitRequest) operations() ([]records.Op, error) {
+	var ops []records.Op
+	for _, op := range r.Ops {
+		if (op.Write == "") == (op.Delete == "") || op.Write != "" && len(op.Value) == 0 {
+			return nil, errMalformedOp
+		}
+		value := json.RawMessage(utils.CopyBytes(op.Value))
+		ops = append(ops, records.Op{Write: op.Write, Value: value, LeaseID: op.LeaseID, Delete: op.Delete})
+	}
+	return ops, nil
+}
+
+func (s *storeServer) commit(c *fiber.Ctx) error {
+	var in commitRequest
+	if err := json.Unmarshal(c.Body(), &in); err != nil {
+		return c.Status(http.StatusBadRequest).JSON(errorBody{err.Error()})
+	}
+	ops, err := in.operations()
+	if err != nil {
+		return c.Status(http.StatusBadRequest).JSON(errorBody{err.Error()})
+	}
+	revision, err := s.store.commit(in.Compares, ops)
+	var conflict *records.ConflictError
+	switch {
+	case err == nil:
+		return s.answer(c, http.StatusOK, fiber.Map{"epoch": revision})
+	case errors.As(err, &conflict):
+		return s.answer(c, http.StatusConflict, conflict)
+	case errors.Is(err, records.ErrThrottled):
+		return c.SendStatus(http.StatusTooManyRequests)
+	case errors.Is(err, records.ErrLeaseExpired):
+		return c.Status(http.StatusBadRequest).JSON(errorBody{"no such lease"})
+	}
+	return c.Status(http.StatusBadRequest).JSON(errorBody{err.Error()})
+}
+
+func (s *storeServer) grantLease(c *fiber.Ctx) error {
+	var in struct {
+		TTL int64 `json:"life_ms"`
+	}
+	if json.Unmarshal(c.Body(), &in) != nil || in.TTL < minLeaseMS || in.TTL > maxLeaseMS {
+		return c.Status(http.StatusBadRequest).JSON(errorBody{"life_ms is not within 100 to 600000"})
+	}
+	id := s.store.grantLease(time.Duration(in.TTL) * time.Millisecond)
+	return s.answer(c, http.StatusOK, fiber.Map{"hold": id})
+}
+
+func (s *storeServer) renewLease(c *fiber.Ctx) error {
+	id, _ := strconv.ParseUint(c.Params("id"), 10, 64)
+	if !s.store.renewLease(id) {
+		return c.Status(http.StatusNotFound).JSON(errorBody{"no such lease"})
+	}
+	return c.JSON(fiber.Map{})
+}
+
+func (s *storeServer) revokeLease(c *fiber.Ctx) error {
+	id, _ := strconv.ParseUint(c.Params("id"), 10, 64)
+	s.store.revokeLease(id)
+	return s.answer(c, http.StatusOK, fiber.Map{})
+}
+
+func (s *storeServer) watch(c *fiber.Ctx) error {
+	since, _ := strconv.ParseUint(c.Query("since"), 10, 64)
+	wait := time.Duration(min(max(c.QueryInt("wait_ms"), 0), maxWatchWaitMS)) * time.Millisecond
+	disconnected := func() bool { return false }
+	events, revision, err := s.store.watch(s.ctx, "", c.Query("under"), since, wait, disconnected)
+	if errors.Is(err, records.ErrCompacted) {
+		return c.Status(http.StatusGone).JSON(errorBody{"too old"})
+	}
+	if err != nil {
+		return c.Status(http.StatusServiceUnavailable).JSON(errorBody{"ending"})
+	}
+	log := make([]watchEvent, len(events))
+	for i, e := range events {
+		log[i] = watchEvent{Write: e.Write, Delete: e.Delete, Value: e.Value, Revision: e.Revision}
+	}
+	return s.answer(c, http.StatusOK, fiber.Map{"epoch": revision, "log": log})
+}
--- /dev/null
+++ b/internal/simulation/serve_worker.go
@@ -0,0 +1,82 @@
+package simulation
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"drumpick/internal/fleet"
+	"drumpick/internal/workers"
+
+	"github.com/gofiber/fiber/v2"
+)
+
+// ServeWorker serves a machine's own address. A machine that cannot be reached does not answer: the connection is
+// closed.
+func ServeWorker(app *fiber.App, m *Machine) {
+	ServeWorkers(app, func(*fiber.Ctx) *Machine { return m })
+}
+
+// ServeWorkers serves the addresses of machines. machineOf finds the one that a request is for, nil: none that is
+// there any more.
+func ServeWorkers(app *fiber.App, machineOf func(c *fiber.Ctx) *Machine) {
+	app.Post("/orders", func(c *fiber.Ctx) error {
+		var r fleet.CommandRequest
+		if json.Unmarshal(c.Body(), &r) != nil || r.Incarnation == 0 {
+			return c.Status(http.StatusBadRequest).JSON(errorBody{"baton or stint is missing"})
+		}
+		m := machineOf(c)
+		if m == nil {
+			return closeSilently(c)
+		}
+		outcome, heartbeat, err := m.ExecuteCommands(r)
+		if err != nil {
+			return closeSilently(c)
+		}
+		if outcome == workers.OutcomeRejected {
+			return c.Status(http.StatusConflict).JSON(heartbeat)
+		}
+		return c.JSON(heartbeat)
+	})
+	app.Get("/status", func(c *fiber.Ctx) error {
+		m := machineOf(c)
+		if m == nil {
+			return closeSilently(c)
+		}
+		heartbeat, err := m.Status()
+		if err != nil {
+			return closeSilently(c)
+		}
+		return c.JSON(heartbeat)
+	})
+}
+
+// closeSilently closes a request's connection without an answer.
+func closeSilently(c *fiber.Ctx) error {
+	c.Context().Conn().Close()
+	return nil
+}
+
+// HeartbeatOverHTTP returns a HeartbeatFunc that sends heartbeats as HTTP bodies.
+func HeartbeatOverHTTP(
+	send func(machine string, node int, body []byte) (status int, answer []byte, err error),
+) HeartbeatFunc {
+	return func(node int, r *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
+		raw, err := json.Marshal(r)
+		if err != nil {
+			panic(fmt.Sprintf("heartbeat that cannot be encoded: %v", err))
+		}
+		status, answer, err := send(r.Machine, node, raw)
+		if err != nil {
+			return 0, fleet.HeartbeatResponse{}, ""
+		}
+		var out struct {
+			fleet.HeartbeatResponse
+			Leader string `json:"conductor"`
+		}
+		if json.Unmarshal(answer, &out) != nil && status == http.StatusOK {
+			return 0, fleet.HeartbeatResponse{}, ""
+		}
+		return status, out.HeartbeatResponse, out.Leader
+	}
+}
