--- /dev/null
+++ b/internal/simulation/outage_test.go
@@ -0,0 +1,171 @@
+package simulation
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"drumpick/internal/records"
+)
+
+// Note 18: an outage of the store longer than its leases and the workers' leases costs no running work, since all
+// controllers confirm that no user can have been told of a cancellation; and since none of them can lead, waiting
+// tasks go on starting.
+func TestLongStoreOutageKeepsRunningTasks(t *testing.T) {
+	runScenario(t, func(c *cluster) {
+		c.env.RunTime = func(task string) time.Duration {
+			if strings.HasPrefix(task, "j-1/") {
+				return 90 * time.Second
+			}
+			return 10 * time.Second
+		}
+		sleep(2)
+		c.submit(0, records.Job{ID: "j-1", Tasks: 4, EstimateS: 90})
+		c.submit(1, records.Job{ID: "j-2", Tasks: 40, EstimateS: 1})
+		sleep(29)
+		starts := c.env.Starts()
+		c.store.SetOutage(true)
+		sleep(50)
+		if status, _ := c.ask(0, "poll", "j-1"); status != 503 {
+			t.Errorf("poll in an outage: %d, want 503", status)
+		}
+		if !c.node(0).server.Ready() {
+			t.Error("not ready in an outage that all share")
+		}
+		if c.env.Starts() < starts+8 {
+			t.Errorf("%d starts before the outage, %d with it: waiting tasks stood still", starts, c.env.Starts())
+		}
+		c.store.SetOutage(false)
+		sleep(130)
+		c.wantDone(1, "j-1")
+		c.wantDone(2, "j-2")
+		if c.env.Starts() != 44 {
+			t.Errorf("%d starts for 44 tasks", c.env.Starts())
+		}
+	})
+}
+
+// Beyond its lease a leader starts nothing when a peer may lead: here one is cut off from it and the store refuses
+// the leader alone.
+func TestLeaderWithoutLeaseOrPeersStartsNothing(t *testing.T) {
+	runScenario(t, func(c *cluster) {
+		c.env.RunTime = func(string) time.Duration { return 5 * time.Second }
+		sleep(2)
+		c.submit(0, records.Job{ID: "j-1", Tasks: 200, EstimateS: 2})
+		sleep(30)
+		old := c.leaderIndex()
+		c.store.SetOutage(true)
+		c.killNode((old + 1) % 3)
+		sleep(6)
+		starts := c.env.Starts()
+		sleep(10)
+		if now := c.env.Starts(); now != starts {
+			t.Errorf("%d tasks were started without a lease or an attesting peer", now-starts)
+		}
+		c.store.SetOutage(false)
+		sleep(10)
+		if c.env.Starts() == starts {
+			t.Error("nothing started after the outage")
+		}
+	})
+}
+
+// Note 18: one controller restarts in the outage, so it cannot attest for the time before: leases expire in time for
+// any cancellation.
+func TestOutageWithoutObserverExpiresLeases(t *testing.T) {
+	runScenario(t, func(c *cluster) {
+		c.env.RunTime = func(string) time.Duration { return 200 * time.Second }
+		sleep(2)
+		c.submit(0, records.Job{ID: "j-1", Tasks: 4, EstimateS: 200})
+		sleep(32)
+		other := (c.leaderIndex() + 1) % 3
+		// The cancellation reaches the store and its user, but the leader learns of nothing any more.
+		c.store.SetRefused(strings.Fields(nodeNames)[c.leaderIndex()], true)
+		if _, st := c.ask(other, "withdraw", "j-1"); st != "cancelled" {
+			t.Fatalf("withdraw: %q", st)
+		}
+		c.store.SetOutage(true)
+		c.killNode(other)
+		sleep(1)
+		c.startNode(other)
+		sleep(31)
+		c.wantRunning(0)
+		c.env.CheckCancelled()
+		c.store.SetOutage(false)
+	})
+}
+
+// At the end of an outage somebody is served first. The leader, served a moment later, goes on leading: stepping down
+// would cost a lease and a failover.
+func TestLeaderServedLastAfterOutageKeepsLeading(t *testing.T) {
+	runScenario(t, func(c *cluster) {
+		sleep(2)
+		c.submit(0, records.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
+		sleep(32)
+		old := c.leaderIndex()
+		c.store.SetOutage(true)
+		sleep(10)
+		c.store.SetRefused(strings.Fields(nodeNames)[old], true)
+		c.store.SetOutage(false)
+		sleep(0.9)
+		c.store.SetRefused(strings.Fields(nodeNames)[old], false)
+		for range 10 {
+			sleep(1)
+			if now := c.leaderIndex(); now != old {
+				t.Fatalf("node %d leads after the outage, node %d did before", now, old)
+			}
+		}
+		sleep(60)
+		c.wantDone(old, "j-1")
+	})
+}
+
+// Note 19: a leader that the store refuses alone steps down, and users are served through the others.
+func TestLeaderRefusedAloneStepsDown(t *testing.T) {
+	runScenario(t, func(c *cluster) {
+		sleep(2)
+		c.submit(0, records.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
+		sleep(32)
+		starts := c.env.Starts()
+		old := c.leaderIndex()
+		c.store.SetRefused(strings.Fields(nodeNames)[old], true)
+		sleep(12)
+		if now := c.leaderIndex(); now < 0 || now == old {
+			t.Fatalf("node %d leads, though the store refuses node %d", now, old)
+		}
+		if c.node(old).server.Ready() {
+			t.Error("ready, though others would serve and this one cannot")
+		}
+		if status, st := c.ask(old, "poll", "j-1"); status != 200 {
+			t.Errorf("poll at the refused node: %d %s", status, st)
+		}
+		if got := c.submit(old, records.Job{ID: "j-2", Tasks: 1, EstimateS: 30}); got != 201 {
+			t.Errorf("submission at the refused node: %d", got)
+		}
+		sleep(60)
+		c.wantDone((old+1)%3, "j-1")
+		if c.env.Starts() > starts+1 {
+			t.Errorf("%d tasks were started again", c.env.Starts()-starts-1)
+		}
+	})
+}
+
+// Commits whose answers are lost, and that are applied late, neither lose nor double anything.
+func TestCommitsWithLostAnswersLoseAndDoubleNothing(t *testing.T) {
+	runScenario(t, func(c *cluster) {
+		sleep(2)
+		n := c.node(1)
+		n.client.LoseAnswers(1, time.Second)
+		if got := c.submit(1, records.Job{ID: "j-1", Tasks: 2, EstimateS: 30}); got != 503 {
+			t.Errorf("unanswered submission: %d, want 503", got)
+		}
+		sleep(2)
+		if got := c.submit(1, records.Job{ID: "j-1", Tasks: 2, EstimateS: 30}); got != 200 {
+			t.Errorf("its retry: %d, want 200", got)
+		}
+		sleep(20)
+		c.node(c.leaderIndex()).client.LoseAnswers(5, 3*time.Second)
+		sleep(60)
+		c.wantDone(0, "j-1")
+	})
+}
--- /dev/null
+++ b/internal/simulation/restart_test.go
@@ -0,0 +1,71 @@
+package simulation
+
+import (
+	"testing"
+
+	"drumpick/internal/records"
+)
+
+// The leader dies with its tasks running: they run on, and nothing starts twice.
+func TestFailoverKeepsRunningTasks(t *testing.T) {
+	runScenario(t, func(c *cluster) {
+		sleep(2)
+		c.submit(0, records.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
+		sleep(32)
+		old := c.leaderIndex()
+		starts := c.env.Starts()
+		c.killNode(old)
+		sleep(8)
+		if now := c.leaderIndex(); now < 0 || now == old {
+			t.Fatalf("node %d leads after node %d died", now, old)
+		}
+		sleep(40)
+		c.wantDone((old+1)%3, "j-1")
+		if c.env.Starts() != starts {
+			t.Errorf("%d tasks were started again", c.env.Starts()-starts)
+		}
+	})
+}
+
+// All controllers die at once. Within the workers' lease, nothing is lost.
+func TestRestartOfAllControllersKeepsRunningTasks(t *testing.T) {
+	runScenario(t, func(c *cluster) {
+		sleep(2)
+		c.submit(0, records.Job{ID: "j-1", Tasks: 6, EstimateS: 30})
+		sleep(32)
+		starts := c.env.Starts()
+		for i := range 3 {
+			c.killNode(i)
+		}
+		sleep(3)
+		for i := range 3 {
+			c.startNode(i)
+		}
+		sleep(50)
+		c.wantDone(0, "j-1")
+		if c.env.Starts() != starts {
+			t.Errorf("%d tasks were started again", c.env.Starts()-starts)
+		}
+	})
+}
+
+// Notes 8, 10: a machine that hangs through a failover may resume with its tasks; they start elsewhere only once it
+// has been returned.
+func TestMachineHangingThroughFailoverRunsNothingTwice(t *testing.T) {
+	runScenario(t, func(c *cluster) {
+		sleep(2)
+		c.submit(0, records.Job{ID: "j-1", Tasks: 8, EstimateS: 30})
+		sleep(32)
+		ms := c.env.Machines()
+		ms[0].Hang(true)
+		c.killNode(c.leaderIndex())
+		sleep(9)
+		ms[0].Hang(false)
+		sleep(100)
+		for i := range 3 {
+			if c.node(i) != nil {
+				c.wantDone(i, "j-1")
+			}
+		}
+	})
+}
