--- a/internal/simulation/cancel_confirm_test.go
+++ b/internal/simulation/cancel_confirm_test.go
@@ -8,12 +8,12 @@
 	"drumpick/internal/records"
 )
 
-// From when a user is told that a job is cancelled none of its tasks starts (the world notes each
-// as started_cancelled), however late the leader's watch of the store tells it: short tasks follow
+// From when a user is told that a job is cancelled none of its tasks starts (the environment notes each
+// as started_cancelled), however late the leader's watch of the store brings it: short tasks follow
 // each other on few machines while one after the other of the jobs is cancelled elsewhere. The
 // code as it was broke that where the store refuses the leader alone and where it has neither store nor peers.
 func TestNoStartOnceConfirmed(t *testing.T) {
-	for name, story := range map[string]func(c *cluster, leader int, cancel func()){
+	for name, scenario := range map[string]func(c *cluster, leader int, cancel func()){
 		"the store is slow to the leader": func(c *cluster, leader int, cancel func()) {
 			c.node(leader).client.SetDelay(700 * time.Millisecond)
 			for range 4 {
@@ -60,7 +60,7 @@
 				}
 				sleep(35)
 				leader, next := c.leaderIndex(), 0
-				story(c, leader, func() {
+				scenario(c, leader, func() {
 					// As users do, until it is confirmed; then the next.
 					if next < jobs {
 						if _, st := c.ask((leader+1+next%2)%3, peer.MethodCancel, id(next+1)); st == records.StatusCancelled {
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -27,7 +27,7 @@
 }
 
 // cancelUntilConfirmed has a user cancel a job, and ask again as users do until that is confirmed. A leader
-// that cannot be told of it, as it is gone, holds that up for no longer than its grant may last.
+// that cannot be notified of it, as it is gone, holds that up for no longer than its lease may last.
 func (c *cluster) cancelUntilConfirmed(i int, id string) {
 	c.t.Helper()
 	began := time.Now()
@@ -131,7 +131,7 @@
 // No leader is there, and none may come: whoever is polled finds out itself, and stores
 // it. A long chain is looked at too.
 func TestDependentsAreCancelledWithoutLeader(t *testing.T) {
-	// The leader's grant lasts longer than the others hold a cancellation back for it, so that it
+	// The leader's lease lasts longer than the others hold a cancellation back for it, so that it
 	// is confirmed while nobody leads.
 	runScenarioWith(t, func(c *cluster) { c.leaderLease = 12 * time.Second }, func(c *cluster) {
 		sleep(2)
@@ -191,8 +191,8 @@
 }
 
 // The leader's own `done` goes through, but its answer is lost: the job is done, and
-// those behind it go on. Guards against taking the missing open record for a
-// cancellation, which would cancel a chain that nobody cancelled.
+// those behind it go on. This prevents taking the missing open record for a
+// cancellation, which would cancel dependents that nobody cancelled.
 func TestJobDoneWithLostAnswerIsNotCancelled(t *testing.T) {
 	for _, late := range []time.Duration{0, 3 * time.Second} {
 		runScenario(t, func(c *cluster) {
@@ -213,10 +213,10 @@
 	}
 }
 
-// A user cancels at the moment when the job gets done: either the user hears `done`, and
+// A user cancels at the moment when the job gets done: either the user is told `done`, and
 // what is behind goes on, or `cancelled`, and it does not.
 func TestCancelRacingCompletionGivesOneFinalState(t *testing.T) {
-	heard := map[string]int{}
+	answers := map[string]int{}
 	var end time.Duration // when the task ends, as the first day shows
 	for k := range 25 {
 		runScenario(t, func(c *cluster) {
@@ -236,7 +236,7 @@
 			}
 			time.Sleep(end - time.Since(began) + time.Duration(k-12)*5*time.Millisecond)
 			_, st := c.ask(c.upNodeFrom(k), "withdraw", "j-1")
-			heard[st]++
+			answers[st]++
 			if k%2 == 0 {
 				c.killNode(c.leaderIndex())
 			}
@@ -254,8 +254,8 @@
 			}
 		})
 	}
-	if heard["done"] == 0 || heard["cancelled"] == 0 {
-		t.Errorf("one of both never happened: %v", heard)
+	if answers["done"] == 0 || answers["cancelled"] == 0 {
+		t.Errorf("one of both never happened: %v", answers)
 	}
 }
 
@@ -318,7 +318,7 @@
 }
 
 // What the version in production left is taken over: finished tasks are not run again,
-// machines on record are not forgotten, old final states serve as prerequisites. Its
+// machines on record are not forgotten, old final states serve as dependencies. Its
 // large values are emptied before the limits fall, and at every moment it could read
 // all that was finished before.
 func TestRecordsOfOlderVersionAreReconciled(t *testing.T) {
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -10,7 +10,7 @@
 	"drumpick/internal/records"
 )
 
-// What a new leader may start before it has heard every machine.
+// What a new leader may start before it has reached every machine.
 
 // mixedRunTime is how long tasks run: 4 to 11 seconds, so that some end at any time.
 func mixedRunTime(task string) time.Duration {
@@ -19,12 +19,12 @@
 	return time.Duration(4+h.Sum32()%8) * time.Second
 }
 
-// failoverWithSilentZone plays a takeover at which the machines of one zone stay unheard, with work waiting
-// that was never sent, and tells how many tasks started within two report intervals of the
+// failoverWithSilentZone runs a failover at which the machines of one zone stay silent, with work waiting
+// that was never sent, and returns how many tasks started within two heartbeat intervals of the
 // new leader's first.
 func failoverWithSilentZone(t *testing.T, prepare func(*cluster), fall func(c *cluster)) (started int) {
 	runScenarioWith(t, func(c *cluster) {
-		// No lease ends in the story, so that nothing starts again for that.
+		// No lease ends in the scenario, so that nothing starts again for that.
 		c.cfg.Deployment.Workers.LeaseS, c.cfg.Deployment.Workers.CancelS = 30, 50
 		c.env.Lease, c.env.CancelLimit, c.env.ZoneCapacity = 30*time.Second, 50*time.Second, 4
 		prepare(c)
@@ -58,20 +58,20 @@
 }
 
 // The leader dies while a zone is cut off: what was never sent starts at once on the other
-// zone's machines. Guards against machines that empty themselves beside a full queue until
-// the silent ones have been given back.
+// zone's machines. Without this, machines run empty beside a full queue until the
+// silent ones have been returned.
 func TestFailoverStartsWhatWasNeverDispatched(t *testing.T) {
 	t.Parallel()
 	dies := func(c *cluster) { c.killNode(c.leaderIndex()) }
 	if n := failoverWithSilentZone(t, func(*cluster) {}, dies); n < 10 {
-		t.Errorf("%d tasks started within two report intervals, want 10 or more", n)
+		t.Errorf("%d tasks started within two heartbeat intervals, want 10 or more", n)
 	}
 	if n := failoverWithSilentZone(t, func(c *cluster) { c.cfg.Options.Watermarks = false }, dies); n > 0 {
-		t.Errorf("%d tasks started without marks: the story shows nothing", n)
+		t.Errorf("%d tasks started without watermarks: the scenario shows nothing", n)
 	}
 }
 
-// All controllers die at once, so that none is a witness: the record in the store serves
+// All controllers die at once, so that none is an observer: the record in the store serves
 // the process that comes back on the last leader's node in time.
 func TestStoredWatermarksServeAfterAllControllersDied(t *testing.T) {
 	t.Parallel()
@@ -86,14 +86,14 @@
 		}
 	}
 	if n := failoverWithSilentZone(t, func(*cluster) {}, fall(1)); n == 0 {
-		t.Error("nothing started within two report intervals")
+		t.Error("nothing started within two heartbeat intervals")
 	}
 	if n := failoverWithSilentZone(t, func(*cluster) {}, fall(9)); n > 0 {
 		t.Errorf("%d tasks started by a record that is too old", n)
 	}
 }
 
-// A controller of a version without marks led in between, and may have sent anything.
+// A controller of a version without watermarks led in between, and may have sent anything.
 func TestWatermarksAreNotUsedAfterOlderVersionLed(t *testing.T) {
 	t.Parallel()
 	if n := failoverWithSilentZone(t, func(c *cluster) { c.olderVersion[1] = true }, func(c *cluster) {
@@ -106,7 +106,7 @@
 		sleep(1)
 		c.killNode(1)
 	}); n > 0 {
-		t.Errorf("%d tasks started beside unheard machines that another version may have used", n)
+		t.Errorf("%d tasks started beside silent machines that another version may have used", n)
 	}
 }
 
--- a/internal/simulation/fault_pair_list_test.go
+++ b/internal/simulation/fault_pair_list_test.go
@@ -9,13 +9,13 @@
 	"drumpick/internal/records"
 )
 
-// faultPairs are the meetings of troubles of docs/meetings.md, in its order, each brought about once
+// faultPairs are the pairs of faults of docs/meetings.md, in its order, each brought about once
 // with what varies drawn from r.
 var faultPairs = []struct {
-	name  string
-	bring func(c *cluster, r *rand.Rand)
+	name   string
+	inject func(c *cluster, r *rand.Rand)
 }{
-	{"cancelled through another, then dark", func(c *cluster, r *rand.Rand) {
+	{"cancelled through another controller, then an outage", func(c *cluster, r *rand.Rand) {
 		l := max(c.leaderIndex(), 0)
 		c.store.SetRefused(c.env.Nodes[l], true)
 		sleep(3 * r.Float64())
@@ -63,15 +63,15 @@
 			}
 		}
 	}},
-	{"machines out of reach or deaf at a takeover", func(c *cluster, r *rand.Rand) {
+	{"machines partitioned or unreachable at a failover", func(c *cluster, r *rand.Rand) {
 		z := []string{"a", "b"}[r.IntN(2)]
-		deaf := r.IntN(2) == 0
+		unreachable := r.IntN(2) == 0
 		for _, m := range c.env.Machines() {
-			if deaf && m.Zone == z {
+			if unreachable && m.Zone == z {
 				m.SetUnreachable(true)
 			}
 		}
-		c.env.PartitionZone(z, !deaf)
+		c.env.PartitionZone(z, !unreachable)
 		sleep(float64(r.IntN(4)))
 		l := max(c.leaderIndex(), 0)
 		c.killNode(l)
@@ -82,17 +82,17 @@
 			m.SetUnreachable(false)
 		}
 	}},
-	{"new troubles and old", func(c *cluster, r *rand.Rand) {
+	{"process and network faults together", func(c *cluster, r *rand.Rand) {
 		randomProcessFault(c, r)
 		randomFault(c, r)
 	}},
-	{"hand over and back", func(c *cluster, r *rand.Rand) {
+	{"leadership changes back and forth", func(c *cluster, r *rand.Rand) {
 		for range 3 {
 			c.restart(c.leaderIndex(), r.Float64())
 			sleep(float64(r.IntN(6)))
 		}
 	}},
-	// The users' seven.
+	// The seven that the users asked for.
 	{"asked everywhere, and a controller is refused, slow or old", func(c *cluster, r *rand.Rand) {
 		c.pollAggressively(r.Uint64())
 		i := r.IntN(3)
@@ -116,9 +116,9 @@
 		c.store.SetRefused(c.env.Nodes[i], false)
 	}},
 	{"carried out at once, and the answer lost", func(c *cluster, r *rand.Rand) {
-		often := randomLateWrites(r.Uint64())
+		pick := randomLateWrites(r.Uint64())
 		c.lateWrites(func() (time.Duration, bool) {
-			_, lost := often()
+			_, lost := pick()
 			return 0, lost
 		})
 		for range 3 {
@@ -156,7 +156,7 @@
 		<-hung
 		c.env.PartitionZone("b", false)
 	}},
-	{"cancelled while work changes hands", func(c *cluster, r *rand.Rand) {
+	{"cancelled during a failover", func(c *cluster, r *rand.Rand) {
 		l := max(c.leaderIndex(), 0)
 		before := r.IntN(2) == 0
 		if before {
@@ -175,7 +175,7 @@
 		c.startNode(l)
 	}},
 	{"machines up at once, writes late, and the leader ends", func(c *cluster, r *rand.Rand) {
-		was := c.env.SetBootTime(func() time.Duration { return time.Second })
+		previous := c.env.SetBootTime(func() time.Duration { return time.Second })
 		c.lateWrites(randomLateWrites(r.Uint64()))
 		for _, m := range c.env.Machines() {
 			if r.IntN(2) == 0 {
@@ -187,9 +187,9 @@
 			sleep(1 + 4*r.Float64())
 		}
 		c.restart(c.leaderIndex(), float64(r.IntN(6)))
-		c.env.SetBootTime(was)
+		c.env.SetBootTime(previous)
 	}},
-	{"old reports at every controller as a new leader begins", func(c *cluster, r *rand.Rand) {
+	{"old heartbeats at every controller as a new leader begins", func(c *cluster, r *rand.Rand) {
 		c.keepCopies(r.Uint64())
 		sleep(float64(2 + r.IntN(10)))
 		for _, m := range c.env.Machines() {
@@ -231,7 +231,7 @@
 		c.store.SetOutage(false)
 		sleep(5)
 	}},
-	// The rest of the page.
+	// The others.
 	{"more work than room over slow links", func(c *cluster, r *rand.Rand) {
 		c.mu.Lock()
 		for k := range 3 {
@@ -360,7 +360,7 @@
 		c.env.BlockCommands(z, false)
 		c.connectMachines()
 	}},
-	{"workers reach nobody, and direct commands reach them", func(c *cluster, r *rand.Rand) {
+	{"workers reach no controller, and direct commands reach them", func(c *cluster, r *rand.Rand) {
 		for _, m := range c.env.Machines() {
 			m.SetIsolated(r.IntN(3) > 0)
 		}
@@ -418,8 +418,7 @@
 	}
 }
 
-// hangMachines has up to n machines with tasks hang for so many seconds; the channel is closed when they
-// go on.
+// hangMachines has up to n machines with tasks hang for so many seconds. The channel is closed when they go on.
 func (c *cluster) hangMachines(r *rand.Rand, n, s int) <-chan struct{} {
 	var ms []*Machine
 	for _, m := range c.env.Machines() {
@@ -442,13 +441,14 @@
 	return over
 }
 
+// connectMachines lets all workers send heartbeats again.
 func (c *cluster) connectMachines() {
 	for _, m := range c.env.Machines() {
 		m.SetIsolated(false)
 	}
 }
 
-// isCompleted says whether all of a job's tasks have completed.
+// isCompleted reports whether all of a job's tasks have completed.
 func (c *cluster) isCompleted(j records.Job) bool {
 	c.env.mu.Lock()
 	defer c.env.mu.Unlock()
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -15,9 +15,9 @@
 	"drumpick/internal/records"
 )
 
-// Where two troubles meet (docs/meetings.md has a row for each, and the tests of the others).
+// What must hold where two faults meet (docs/meetings.md has a row for each pair, and names the tests of the others).
 
-var faultPairSeeds = flag.Uint64("meetings", 6, "days of random meetings to play")
+var faultPairSeeds = flag.Uint64("fault-pairs", 6, "days of random fault pairs to run")
 
 // Jobs of two and three tasks end far apart across changes of leader, with transactions that
 // are carried out late: done only when all are, nothing done is run again while its result is
@@ -55,7 +55,7 @@
 							t.Fatalf("node %d is down", i)
 						}
 						for n := range 8 {
-							c.ask(i, "poll", fmt.Sprint("j-", n+1)) // Told checks what comes
+							c.ask(i, "poll", fmt.Sprint("j-", n+1)) // the environment checks the answers
 						}
 					}
 				}
@@ -70,10 +70,10 @@
 	}
 }
 
-// A leader ends while machines with long tasks cannot be reached, or do not hear what the new
+// A leader ends while machines with long tasks cannot be reached, or are not reached by what the new
 // one answers; they come back before their lease ends or after, to any controller.
 func TestMachinesUnreachableAcrossFailover(t *testing.T) {
-	for _, how := range []string{"cut", "deaf", "hang"} {
+	for _, how := range []string{"partitioned", "unreachable", "hanging"} {
 		for _, span := range []float64{6, 10, 20, 45} {
 			t.Run(fmt.Sprint(how, " for ", span, " s"), func(t *testing.T) {
 				t.Parallel()
@@ -87,12 +87,12 @@
 					sleep(36)
 					set := func(on bool) {
 						switch how {
-						case "cut":
+						case "partitioned":
 							c.env.PartitionZone("b", on)
 						default:
 							for _, m := range c.env.Machines() {
 								if m.Zone != "b" {
-								} else if how == "deaf" {
+								} else if how == "unreachable" {
 									m.SetUnreachable(on)
 								} else {
 									m.Hang(on)
@@ -177,14 +177,14 @@
 	}
 }
 
-// A day of random meetings: two or three troubles at a time, drawn from a seed, with users who
-// submit and cancel all along. -meetings 200 plays many.
+// A day of random fault pairs: two or three faults at a time, drawn from a seed, with users who
+// submit and cancel all along. -fault-pairs 200 runs many.
 func TestRandomFaultPairs(t *testing.T) {
 	for seed := range *faultPairSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			runFaultPairs(t, rand.New(rand.NewPCG(seed, 36)), 12, func(c *cluster, r *rand.Rand) {
-				faultPairs[r.IntN(len(faultPairs))].bring(c, r)
+				faultPairs[r.IntN(len(faultPairs))].inject(c, r)
 				for k := range 3 {
 					if c.node(k) == nil && r.IntN(2) == 0 {
 						c.startNode(k)
@@ -196,7 +196,7 @@
 	}
 }
 
-// Each meeting of docs/meetings.md by itself, three times in a day. -meetings 60 plays ten seeds
+// Each fault pair of docs/meetings.md by itself, three times in a day. -fault-pairs 60 runs ten seeds
 // of each.
 func TestEachFaultPair(t *testing.T) {
 	for i, m := range faultPairs {
@@ -204,7 +204,7 @@
 			t.Run(fmt.Sprint(m.name, " ", seed), func(t *testing.T) {
 				t.Parallel()
 				runFaultPairs(t, rand.New(rand.NewPCG(seed, 100+uint64(i))), 3, func(c *cluster, r *rand.Rand) {
-					m.bring(c, r)
+					m.inject(c, r)
 					for k := range 3 {
 						if c.node(k) == nil {
 							c.startNode(k)
@@ -217,9 +217,9 @@
 	}
 }
 
-// runFaultPairs plays a day with troubles that are brought about several times, and then none:
+// runFaultPairs runs a day with faults that are brought about several times, and then none:
 // every job that was accepted is known, done, and was not left waiting beside room.
-func runFaultPairs(t *testing.T, r *rand.Rand, times int, bring func(c *cluster, r *rand.Rand)) {
+func runFaultPairs(t *testing.T, r *rand.Rand, times int, inject func(c *cluster, r *rand.Rand)) {
 	runScenarioWith(t, func(c *cluster) {
 		c.env.ZoneCapacity = 8
 		c.env.GangStartTimeout, c.env.GangPeerTimeout = 30*time.Second, 5*time.Second
@@ -250,7 +250,7 @@
 			for range 1 + r.IntN(2) {
 				randomJob(c, r)
 			}
-			bring(c, r)
+			inject(c, r)
 		}
 		endFaults(c)
 		sleep(20)
@@ -262,7 +262,7 @@
 			}
 		}
 		if status := c.submit(0, records.Job{ID: "j-9999", Tasks: 4, EstimateS: 8}); status != 201 {
-			t.Errorf("a job after all troubles: %d", status)
+			t.Errorf("a job after all faults: %d", status)
 		}
 		sleep(600)
 		c.wantAllKnown()
@@ -402,8 +402,12 @@
 // nobody else uses.
 func (c *cluster) submitInvalid(i int, j records.Job) {
 	for k, change := range []func(m map[string]any){
-		func(m map[string]any) { delete(m, "vcpus") }, func(m map[string]any) { delete(m, "guess_s") }, func(m map[string]any) { m["shots"] = "2" },
-		func(m map[string]any) { m["vcpus"] = 99.0 }, func(m map[string]any) { m["owner"] = "nobody" }, func(m map[string]any) { m["rigs"] = []string{"none"} },
+		func(m map[string]any) { delete(m, "vcpus") },
+		func(m map[string]any) { delete(m, "guess_s") },
+		func(m map[string]any) { m["shots"] = "2" },
+		func(m map[string]any) { m["vcpus"] = 99.0 },
+		func(m map[string]any) { m["owner"] = "nobody" },
+		func(m map[string]any) { m["rigs"] = []string{"none"} },
 	} {
 		var m map[string]any
 		raw, _ := json.Marshal(j)
@@ -417,7 +421,7 @@
 	}
 }
 
-// keepCopies keeps copies of a third of the reports for the next leader.
+// keepCopies keeps copies of a third of the heartbeats for the next leader.
 func (c *cluster) keepCopies(seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 4))
 	c.mu.Lock()
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -13,14 +13,12 @@
 	"drumpick/internal/scheduler"
 )
 
-// The troubles of docs/troubles.md, each in stories of its own, and at the end of each what is
+// The faults of docs/troubles.md, each in scenarios of its own, and at the end of each what is
 // checked at the end of a day: every accepted job is known to every controller.
 
 // isolate cuts a controller off from the store and the other controllers, but not from workers.
 func (c *cluster) isolate(i int, on bool) {
-	c.mu.Lock()
-	c.isolated[i] = on
-	c.mu.Unlock()
+	c.setIsolated(i, on)
 	hang := time.Duration(0)
 	if on {
 		hang = time.Second
@@ -64,7 +62,7 @@
 	}
 }
 
-// leaderMachines tells how the leader sees the machines.
+// leaderMachines returns the machines as the leader sees them; nil: nobody leads.
 func (c *cluster) leaderMachines() []scheduler.MachineView {
 	i := c.leaderIndex()
 	if i < 0 {
@@ -74,7 +72,7 @@
 	return list
 }
 
-// wantNoVanishedMachines wants every machine that the leader or the store knows to be there, or given back.
+// wantNoVanishedMachines wants every machine that the leader or the store knows to be there, or returned.
 func (c *cluster) wantNoVanishedMachines() {
 	c.t.Helper()
 	here := map[string]bool{}
@@ -88,10 +86,10 @@
 	}
 }
 
-// A machine that speaks and does not hear: it gets no starts once that shows, a gang begins
-// elsewhere, it is given back if it stays so and used again if it hears.
+// A machine whose heartbeats arrive while nothing reaches it: it gets no starts once that shows, a gang begins
+// elsewhere, it is returned if it stays so and used again if it is reached.
 func TestMachineThatReceivesNothing(t *testing.T) {
-	spell := func(c *cluster, ms []*Machine, s float64) {
+	unreachableFor := func(c *cluster, ms []*Machine, s float64) {
 		for _, m := range ms {
 			m.SetUnreachable(true)
 		}
@@ -100,14 +98,14 @@
 			m.SetUnreachable(false)
 		}
 	}
-	for name, story := range map[string]func(c *cluster){
+	for name, scenario := range map[string]func(c *cluster){
 		"holds a gang": func(c *cluster) {
 			c.submit(0, records.Job{ID: "j-1", Shape: "group", Tasks: 6, CPUs: 4, EstimateS: 30})
 			sleep(35)
 			c.env.Machines()[0].SetUnreachable(true)
 			sleep(90)
 		},
-		"from its boot": func(c *cluster) {
+		"from its boot on": func(c *cluster) {
 			c.submit(0, records.Job{ID: "j-1", Shape: "group", Tasks: 6, CPUs: 4, EstimateS: 30})
 			for len(c.env.Machines()) == 0 {
 				sleep(0.01)
@@ -118,15 +116,16 @@
 				c.t.Errorf("the gang has not begun: %d starts", started)
 			}
 		},
-		"across a takeover": func(c *cluster) {
+		"across a failover": func(c *cluster) {
 			c.submit(0, records.Job{ID: "j-1", Tasks: 12, CPUs: 2, EstimateS: 30})
 			c.submit(0, records.Job{ID: "j-2", Team: "limited", Tasks: 12, CPUs: 2, EstimateS: 30})
 			sleep(33)
 			c.env.Machines()[0].SetUnreachable(true)
 			c.killNode(c.leaderIndex())
 			sleep(20)
-			if lists := c.leaderMachines(); !slices.ContainsFunc(lists, func(v scheduler.MachineView) bool { return v.State == scheduler.MachineUp }) {
-				c.t.Error("no machine is up 20 s after the takeover")
+			isUp := func(v scheduler.MachineView) bool { return v.State == scheduler.MachineUp }
+			if !slices.ContainsFunc(c.leaderMachines(), isUp) {
+				c.t.Error("no machine is up 20 s after the failover")
 			}
 			sleep(90)
 		},
@@ -140,17 +139,17 @@
 			}
 			c.ask(0, "withdraw", "j-2")
 			c.expectedDone = c.expectedDone[:1]
-			spell(c, ms, 31)
+			unreachableFor(c, ms, 31)
 			sleep(90)
 		},
-		"hears again after 5 s": func(c *cluster) {
+		"reachable again after 5 s": func(c *cluster) {
 			c.submit(0, records.Job{ID: "j-1", Tasks: 60, CPUs: 2, EstimateS: 30})
 			sleep(33)
-			spell(c, c.env.Machines()[:2], 5)
+			unreachableFor(c, c.env.Machines()[:2], 5)
 			sleep(15)
 			for _, v := range c.leaderMachines() {
 				if v.State == scheduler.MachineUnreachable {
-					c.t.Errorf("%s hears and is taken for deaf", v.Name)
+					c.t.Errorf("%s is reachable and is taken for unreachable", v.Name)
 				}
 			}
 			sleep(120)
@@ -158,7 +157,7 @@
 		"a zone for two leases": func(c *cluster) {
 			c.submit(0, records.Job{ID: "j-1", Tasks: 60, CPUs: 2, EstimateS: 30})
 			sleep(33)
-			spell(c, slices.DeleteFunc(c.env.Machines(), func(m *Machine) bool { return m.Zone != "a" }), 24)
+			unreachableFor(c, slices.DeleteFunc(c.env.Machines(), func(m *Machine) bool { return m.Zone != "a" }), 24)
 			sleep(200)
 		},
 	} {
@@ -169,7 +168,7 @@
 				c.cfg.Deployment.Teams = append(c.cfg.Deployment.Teams, config.Team{Name: "limited", LimitCPUs: 100})
 			}, func(c *cluster) {
 				sleep(2)
-				story(c)
+				scenario(c)
 				c.wantAllKnown()
 				c.wantNoVanishedMachines()
 			})
@@ -177,8 +176,8 @@
 	}
 }
 
-// Copies of reports come late, to the same and to other controllers: by 2 s to four leases,
-// beside a takeover, machines given back, leases that end and a restart of all. No machine
+// Copies of heartbeats come late, to the same and to other controllers: by 2 s to four leases,
+// beside a failover, machines returned, leases that end and a restart of all. No machine
 // comes into being by them, and nothing runs twice.
 func TestLateHeartbeatCopiesChangeNothing(t *testing.T) {
 	for _, x := range []struct {
@@ -211,8 +210,8 @@
 					c.startNode(i)
 				}
 				sleep(60)
-				// Until then machines are empty and have been given back, and the copies
-				// of their reports go on coming. A new leader does not know them.
+				// Until then machines are empty and have been returned, and the copies
+				// of their heartbeats go on coming. A new leader does not know them.
 				sleep(20)
 				c.submit(0, records.Job{ID: "j-9", Tasks: 4, CPUs: 4, EstimateS: 8})
 				c.killNode(c.leaderIndex())
@@ -249,10 +248,10 @@
 						sleep(3)
 						began := time.Now()
 						if status, _ := c.ask(cut, "poll", "j-1"); status != 503 || time.Since(began) > time.Second/4 {
-							t.Errorf("a poll at the island: %d after %v", status, time.Since(began))
+							t.Errorf("a poll at the isolated controller: %d after %v", status, time.Since(began))
 						}
 						if c.node(cut).server.Ready() {
-							t.Error("the island is ready")
+							t.Error("the isolated controller is ready")
 						}
 					}
 					c.ask((cut+1)%3, "withdraw", "j-2")
@@ -296,7 +295,7 @@
 			c.startNode(i)
 		}
 	}
-	for name, story := range map[string]func(c *cluster){
+	for name, scenario := range map[string]func(c *cluster){
 		"the leader":        func(c *cluster) { back(c, 0.05, c.leaderIndex()) },
 		"the leader, later": func(c *cluster) { back(c, 0.9, c.leaderIndex()) },
 		"the leader with a commit under way": func(c *cluster) {
@@ -331,7 +330,7 @@
 				c.submit(0, records.Job{ID: "j-1", Tasks: 40, CPUs: 2, EstimateS: 30})
 				c.submit(1, records.Job{ID: "j-2", Shape: "group", Tasks: 4, CPUs: 2, EstimateS: 30})
 				sleep(33)
-				story(c)
+				scenario(c)
 				c.submit(2, records.Job{ID: "j-3", Tasks: 4, EstimateS: 30})
 				sleep(200)
 				c.wantAllKnown()
@@ -342,7 +341,7 @@
 }
 
 // rebootMachines has machines back at once with their counters at the start, and wants them in use
-// again within a few reports.
+// again within a few heartbeats.
 func rebootMachines(c *cluster, ms []*Machine) {
 	for _, m := range ms {
 		m.Reboot()
@@ -362,7 +361,7 @@
 	}
 }
 
-// New troubles and old ones together, in any order: no rule breaks, and every job is known
+// Faults of processes and of the network together, in any order: no rule breaks, and every job is known
 // and done in the end.
 func TestRandomProcessAndNetworkFaultsBreakNoRule(t *testing.T) {
 	for seed := range uint64(12) {
@@ -376,7 +375,11 @@
 				jobs := 0
 				for range 10 {
 					for i := range 3 {
-						if c.node(i) != nil && c.submit(i, records.Job{ID: fmt.Sprint("j-", jobs+1), Tasks: 10 + r.IntN(40), CPUs: float64(1 + r.IntN(4)), EstimateS: 8}) == 201 {
+						if c.node(i) == nil {
+							continue
+						}
+						j := records.Job{ID: id(jobs + 1), Tasks: 10 + r.IntN(40), CPUs: float64(1 + r.IntN(4)), EstimateS: 8}
+						if c.submit(i, j) == 201 {
 							jobs++
 							break
 						}
@@ -434,7 +437,7 @@
 	}
 }
 
-// endFaults ends all troubles.
+// endFaults ends all faults.
 func endFaults(c *cluster) {
 	c.mu.Lock()
 	clear(c.isolated)
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -12,15 +12,18 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// The state service and the cloud of the local region answer in the forms of the protocol.
+// The local cluster's store and cloud answer in the forms of the protocol.
 func TestGoldenServices(t *testing.T) {
 	state := NewStore()
 	state.Load(map[string]records.KeyValue{"types": {Key: "types", Value: []byte(`{"rigs":[]}`), Revision: 7}})
-	w := NewEnvironment(t.Context())
-	w.Types = []records.MachineType{{Name: "g8", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"}}}
+	env := NewEnvironment(t.Context())
+	env.Types = []records.MachineType{{
+		Name: "g8", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5,
+		Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"},
+	}}
 	app := fiber.New()
 	ServeStore(t.Context(), app, state, nil)
-	ServeCloud(app, w)
+	ServeCloud(app, env)
 	f := goldentest.Open(t, "golden-services.json")
 	for _, x := range []struct{ name, method, uri, body string }{
 		{"read", "GET", "/store/types", ""},
@@ -42,16 +45,20 @@
 		{"return, malformed", "POST", "/machines/return", `{"hosts":7}`},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			f.CheckExchange(t, x.name, goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, x.method, x.uri, x.body))
+			send := func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
+			f.CheckExchange(t, x.name, goldentest.Do(t, send, x.method, x.uri, x.body))
 		})
 	}
 }
 
-// What the local region tells of its past.
+// A local cluster's history keeps its form.
 func TestGoldenHistory(t *testing.T) {
 	at := time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC)
 	goldentest.Run(t, "golden-history.json", goldentest.JSON, []goldentest.Case{
-		{Name: "attempt", Value: TaskRun{Task: "j-1/0", Machine: "m-1", Zone: "a", Started: at, Running: at.Add(time.Second), Ended: at.Add(time.Minute), Cause: "done"}},
+		{Name: "attempt", Value: TaskRun{
+			Task: "j-1/0", Machine: "m-1", Zone: "a",
+			Started: at, Running: at.Add(time.Second), Ended: at.Add(time.Minute), Cause: "done",
+		}},
 		{Name: "bill", Value: RentalCost{Machine: "m-1", Type: "g8", Zone: "a", Spot: true, From: at, To: at.Add(time.Minute), Cost: 0.5}},
 	})
 }
--- a/internal/simulation/heartbeat_network_test.go
+++ b/internal/simulation/heartbeat_network_test.go
@@ -10,6 +10,13 @@
 
 // How workers' heartbeats reach controllers.
 
+// setUnreachable keeps all workers from a node, or lets them reach it again.
+func (c *cluster) setUnreachable(i int, on bool) {
+	c.mu.Lock()
+	c.unreachable[i] = on
+	c.mu.Unlock()
+}
+
 // isUnreachable reports whether workers cannot reach a node.
 func (c *cluster) isUnreachable(i int) bool {
 	c.mu.Lock()
--- a/internal/simulation/heartbeat_relay_test.go
+++ b/internal/simulation/heartbeat_relay_test.go
@@ -8,9 +8,9 @@
 	"drumpick/internal/records"
 )
 
-// What becomes of workers' reports when controllers pass them on.
+// What becomes of workers' heartbeats that controllers relay.
 
-// heartbeatsDuring tells how many reports came to each node while a story went on for a time.
+// heartbeatsDuring returns how many heartbeats came to each node while a scenario went on for a time.
 func (c *cluster) heartbeatsDuring(s float64) (n []int) {
 	c.mu.Lock()
 	before := slices.Clone(c.heartbeatCounts)
@@ -24,13 +24,13 @@
 	return n
 }
 
-func runRelayScenario(t *testing.T, prepare, story func(c *cluster)) {
+func runRelayScenario(t *testing.T, prepare, scenario func(c *cluster)) {
 	runScenarioWith(t, func(c *cluster) { prepare(c); c.env.ZoneCapacity = 6 }, func(c *cluster) {
 		c.env.RunTime = func(string) time.Duration { return 90 * time.Second }
 		sleep(2)
 		c.submit(0, records.Job{ID: "j-1", Tasks: 48, EstimateS: 90})
 		sleep(36)
-		story(c)
+		scenario(c)
 		sleep(150)
 		for i := range 3 {
 			if c.node(i) != nil {
@@ -40,14 +40,14 @@
 	})
 }
 
-// Workers report to the others, about as many to each, and the leader hears of them all.
+// Workers send their heartbeats to the followers, about as many to each, and the leader learns of them all.
 func TestHeartbeatsAreRelayedEvenly(t *testing.T) {
 	runRelayScenario(t, func(*cluster) {}, func(c *cluster) {
 		l := c.leaderIndex()
 		n := c.heartbeatsDuring(12)
 		a, b := n[(l+1)%3], n[(l+2)%3]
 		if n[l] > 0 || a == 0 || b == 0 || a > 2*b || b > 2*a {
-			t.Errorf("reports by node, %d leading: %v", l, n)
+			t.Errorf("heartbeats by node, %d leading: %v", l, n)
 		}
 		if starts := c.env.Starts(); starts != 48 {
 			t.Errorf("%d starts for 48 tasks", starts)
@@ -55,8 +55,8 @@
 	})
 }
 
-// One that passes reports on dies: its workers find their way, and nothing is lost. When it
-// is back, it takes its share again.
+// A follower that relays heartbeats dies: its workers find another controller, and nothing is lost. When it is back,
+// it takes its share again.
 func TestWorkersLeaveDeadRelay(t *testing.T) {
 	runRelayScenario(t, func(*cluster) {}, func(c *cluster) {
 		l := c.leaderIndex()
@@ -64,12 +64,12 @@
 		c.killNode(other)
 		sleep(8)
 		if n := c.heartbeatsDuring(8); n[other] > 0 || n[(l+2)%3] == 0 {
-			t.Errorf("reports by node, %d leading, %d dead: %v", l, other, n)
+			t.Errorf("heartbeats by node, %d leading, %d dead: %v", l, other, n)
 		}
 		c.startNode(other)
 		sleep(30)
 		if n := c.heartbeatsDuring(8); n[other] == 0 {
-			t.Errorf("reports by node, %d leading, %d back: %v", l, other, n)
+			t.Errorf("heartbeats by node, %d leading, %d back: %v", l, other, n)
 		}
 		if starts := c.env.Starts(); starts != 48 {
 			t.Errorf("%d starts for 48 tasks", starts)
@@ -77,27 +77,23 @@
 	})
 }
 
-// No controller reaches another: workers report to the leader itself, and no lease ends.
+// No controller reaches the leader: workers send their heartbeats to the leader itself, and no lease ends.
 func TestIsolatedLeaderReceivesHeartbeats(t *testing.T) {
 	runRelayScenario(t, func(*cluster) {}, func(c *cluster) {
 		l := c.leaderIndex()
-		c.mu.Lock()
-		c.isolated[l] = true
-		c.mu.Unlock()
+		c.setIsolated(l, true)
 		sleep(8)
 		if n := c.heartbeatsDuring(8); n[l] == 0 {
-			t.Errorf("reports by node, %d leading and alone: %v", l, n)
+			t.Errorf("heartbeats by node, %d leading and isolated: %v", l, n)
 		}
-		c.mu.Lock()
-		c.isolated[l] = false
-		c.mu.Unlock()
+		c.setIsolated(l, false)
 		if starts := c.env.Starts(); starts != 48 {
 			t.Errorf("%d starts for 48 tasks", starts)
 		}
 	})
 }
 
-// A version that passes nothing on leads, or stands beside: workers are sent to the leader.
+// A version that relays nothing leads, or follows: workers are sent to the leader.
 func TestVersionWithoutRelayStillHearsWorkers(t *testing.T) {
 	runRelayScenario(t, func(c *cluster) { c.olderVersion = map[int]bool{0: true, 1: true, 2: true} }, func(c *cluster) {
 		c.mu.Lock()
@@ -114,7 +110,7 @@
 		l := c.leaderIndex()
 		sleep(6)
 		if n := c.heartbeatsDuring(12); n[l] == 0 {
-			t.Errorf("reports by node, %d leading: %v", l, n)
+			t.Errorf("heartbeats by node, %d leading: %v", l, n)
 		}
 		if starts := c.env.Starts(); starts != 48 {
 			t.Errorf("%d starts for 48 tasks", starts)
--- a/internal/simulation/idle_check_test.go
+++ b/internal/simulation/idle_check_test.go
@@ -10,12 +10,11 @@
 
 	"drumpick/internal/autoscaler"
 	"drumpick/internal/config"
-	"drumpick/internal/fleet"
 	"drumpick/internal/records"
 )
 
-// maxIdle is how long a job may wait beside a machine that fits and has room, once all
-// troubles are over and while its team is under its limit.
+// maxIdle is how long a job may wait beside a machine that fits and has room, once all faults are over and while its
+// team is under its limit.
 const maxIdle = 90 * time.Second
 
 // idleCheck holds a deployment against that.
@@ -24,15 +23,15 @@
 	idleSince map[string]time.Time // by job, since when it waits so
 }
 
-// check takes a look at all jobs; troubled: there is a trouble, and what was seen before counts
+// check looks at all jobs; faulty: there is a fault, and what was seen before counts
 // for nothing.
-func (x *idleCheck) check(troubled bool) {
+func (x *idleCheck) check(faulty bool) {
 	x.env.mu.Lock()
 	defer x.env.mu.Unlock()
-	if troubled || x.idleSince == nil {
+	if faulty || x.idleSince == nil {
 		x.idleSince = map[string]time.Time{}
 	}
-	if troubled {
+	if faulty {
 		return
 	}
 	for id := range x.env.acceptedAt {
@@ -52,7 +51,7 @@
 }
 
 // idleBesideLocked names a machine with room for what waits of a job, "" if nothing does or there is none.
-// A gang needs room for all that waits. The world is locked.
+// A gang needs room for all that waits. The environment is locked.
 func (env *Environment) idleBesideLocked(id string) string {
 	j, ok := env.LookupJob(id)
 	if _, over := env.finalStates[id]; !ok || over || env.cancelRequested[id] || env.TaskFails != nil {
@@ -116,7 +115,7 @@
 	return nil
 }
 
-// anyFault says whether any trouble of the stand-ins is switched on. Late copies of reports are none: no
+// anyFault reports whether any fault of the simulation is switched on. Late copies of reports are none: no
 // job waits longer for them.
 func (c *cluster) anyFault() bool {
 	c.store.mu.Lock()
@@ -152,14 +151,14 @@
 }
 
 // The check is broken on purpose: a job that nobody starts beside an empty machine is named after
-// 90 s and not before, and one without room, over its team's limit, or in a trouble is not.
+// 90 s and not before, and one without room, over its team's limit, or in a fault is not.
 func TestIdleCheckReportsOnlyIdleJobs(t *testing.T) {
 	zone := "b"
 	for name, x := range map[string]struct {
-		job      records.Job
-		busy     float64 // CPUs taken by another job on the only machine, in zone a
-		troubled bool
-		want     int
+		job    records.Job
+		busy   float64 // CPUs taken by another job on the only machine, in zone a
+		faulty bool
+		want   int
 	}{
 		"waits":                 {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, want: 1},
 		"room for one of three": {job: records.Job{Tasks: 3, CPUs: 2, Spot: true}, busy: 2, want: 1},
@@ -170,15 +169,14 @@
 		"another zone":          {job: records.Job{Zone: &zone, Tasks: 2, CPUs: 2, Spot: true}},
 		"ordinary machines":     {job: records.Job{Tasks: 2, CPUs: 2}},
 		"waits for another":     {job: records.Job{Tasks: 2, CPUs: 2, Spot: true, Dependencies: []string{"j-0"}}},
-		"in a trouble":          {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, troubled: true},
+		"during a fault":        {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, faulty: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, end := context.WithCancel(context.Background())
 				defer end()
-				w := NewEnvironment(ctx)
-				w.HeartbeatInterval, w.Lease, w.BootTime, w.CancelLimit, w.ZoneCapacity, w.Nodes = 2*time.Second, time.Hour, time.Second, time.Hour, 1, []string{"n-0"}
-				w.Types = []records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16}}
+				w := newEnvironmentWithoutControllers(ctx)
+				w.CancelLimit, w.ZoneCapacity = time.Hour, 1
 				w.Teams = []config.Team{{Name: "limited", LimitCPUs: 3}, {Name: ""}}
 				if x.job.ID = "j-1"; x.job.Shape == "" {
 					x.job.Shape = records.ShapeArray
@@ -186,21 +184,17 @@
 				w.LookupJob = func(id string) (records.Job, bool) {
 					return map[string]records.Job{"j-0": {ID: "j-0", Team: "limited", Tasks: 1, CPUs: x.busy, Spot: true}, "j-1": x.job}[id], true
 				}
-				w.RunTime = func(string) time.Duration { return time.Hour }
-				w.Heartbeat = func(int, *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
-					return 503, fleet.HeartbeatResponse{}, ""
-				}
 				if _, err := w.rent(autoscaler.RentalRequest{Name: "r", Type: "c4", Zone: "a", Count: 1, Spot: true}); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(2 * time.Second)
 				if x.busy > 0 {
-					_, _, _ = w.SendCommands("m-000001", fleet.CommandRequest{FencingToken: 1, Incarnation: 1, Commands: []fleet.Command{{Verb: fleet.VerbRun, Task: "j-0/0", Attempt: 1}}})
+					_, _, _ = w.SendCommands("m-000001", runCommand("j-0/0", 1))
 				}
 				w.NoteSubmission("j-1", 201, time.Now())
 				idle := &idleCheck{env: w}
 				for s := range 100 {
-					idle.check(x.troubled)
+					idle.check(x.faulty)
 					if got := len(w.Violations()); got > 0 && s <= 90 {
 						t.Fatalf("after %d s: %v", s, w.Violations())
 					}
--- a/internal/simulation/jobs_test.go
+++ b/internal/simulation/jobs_test.go
@@ -140,16 +140,12 @@
 		sleep(32)
 		up := len(c.env.Machines())
 		l := c.leaderIndex()
-		c.mu.Lock()
-		c.unreachable[l] = true
-		c.mu.Unlock()
+		c.setUnreachable(l, true)
 		sleep(25)
 		if now := len(c.env.Machines()); now < up {
 			t.Errorf("%d machines of %d are left", now, up)
 		}
-		c.mu.Lock()
-		c.unreachable[l] = false
-		c.mu.Unlock()
+		c.setUnreachable(l, false)
 		sleep(40)
 		c.wantDone(0, "j-1")
 		if c.env.Starts() != 8 {
--- a/internal/simulation/late_writes_test.go
+++ b/internal/simulation/late_writes_test.go
@@ -11,7 +11,7 @@
 )
 
 // recordCheck holds what a leader has on record, at every change of the store, against what the
-// next one would need: no machine with tasks is missing, no mark of an open job falls, no
+// next one would need: no machine with tasks is missing, no watermark of an open job falls, no
 // finished task is forgotten, and what was deleted does not come back.
 type recordCheck struct {
 	cluster    *cluster
@@ -74,7 +74,7 @@
 	})
 	for id, n := range r.watermarks {
 		if _, open := r.cluster.store.entries[records.OpenKey(id)]; open && marks[id] < n {
-			r.fail("the mark of %s fell from %d to %d", id, n, marks[id])
+			r.fail("the watermark of %s fell from %d to %d", id, n, marks[id])
 		}
 	}
 	for id, n := range r.done {
@@ -100,7 +100,7 @@
 
 // Transactions without an answer are carried out seconds later, after newer ones of the same
 // controller, while machines come and go and leaders end beside a zone that nobody reaches.
-// As it was, all of a term's writes had the leader's key as their only condition: a late one
+// As it was, all of a term's writes compared nothing but the leader's key: a late one
 // took back what newer ones had put in.
 func TestLateWritesTakeNothingBack(t *testing.T) {
 	for seed := range uint64(6) {
--- a/internal/simulation/lease_expiry_test.go
+++ b/internal/simulation/lease_expiry_test.go
@@ -11,12 +11,14 @@
 	"drumpick/internal/scheduler"
 )
 
-// When a new leader may take the tasks of machines that it has not heard for gone.
+// When a new leader may take the tasks of machines that it has not reached for gone.
 
-// failoverBesidePartition plays a takeover beside a zone that stays cut off for long, with machines that have
-// no other zone to go to. It tells how many seconds after the leader's end all older work
+// failoverBesidePartition runs a failover beside a zone that stays cut off for long, with machines that have
+// no other zone to go to. It returns how many seconds after the leader's end all older work
 // went on, and how many machines of the zone were still there then; -1 if it did not.
-func failoverBesidePartition(t *testing.T, prepare func(c *cluster), fall func(c *cluster, leader int, old *leader.Leader)) (after float64, left int) {
+func failoverBesidePartition(
+	t *testing.T, prepare func(c *cluster), fall func(c *cluster, leader int, old *leader.Leader),
+) (after float64, left int) {
 	after = -1
 	runScenarioWith(t, func(c *cluster) {
 		c.cfg.Options.ZoneHealth = true
@@ -40,7 +42,7 @@
 			}
 		}
 		if !settled {
-			t.Error("the first leader was not settled: the story shows nothing")
+			t.Error("the first leader was not reconciled: the scenario shows nothing")
 		}
 		c.env.PartitionZone("b", false)
 		c.env.BlockCommands("b", false)
@@ -72,7 +74,7 @@
 	return nil
 }
 
-// isReconciled says whether a leader has no machine left to hear.
+// isReconciled reports whether a leader has no machine left to reach.
 func isReconciled(l *leader.Leader) bool {
 	all, _ := l.Machines("", 1000)
 	for _, m := range all {
@@ -85,7 +87,7 @@
 
 // The leader's process ends beside a cut zone and starts again: it answers nobody any more,
 // and a lease after its end the zone's tasks are gone, though none of its machines is.
-// Where it stays away it may be answering workers for all one knows: the machines are given
+// Where it stays away it may be answering workers for all that is known: the machines are given
 // back.
 func TestLeasesExpireBesidePartitionedZone(t *testing.T) {
 	t.Parallel()
@@ -108,7 +110,8 @@
 	if after < 12 || left > 2 {
 		t.Errorf("with the last leader's node away: %v s, %d machines left", after, left)
 	}
-	after, left = failoverBesidePartition(t, func(c *cluster) { c.olderVersion[0], c.olderVersion[1], c.olderVersion[2] = true, true, true }, fall(true))
+	olderEverywhere := func(c *cluster) { c.olderVersion[0], c.olderVersion[1], c.olderVersion[2] = true, true, true }
+	after, left = failoverBesidePartition(t, olderEverywhere, fall(true))
 	if after < 12 || left > 2 {
 		t.Errorf("with an earlier version everywhere: %v s, %d machines left", after, left)
 	}
@@ -116,7 +119,7 @@
 
 // The last leader is cut off together with a zone whose workers it goes on answering. Its
 // leases last for longer than those of a leader that has ended; no task of theirs starts
-// elsewhere before they are over, or the machines given back.
+// elsewhere before they are over, or the machines returned.
 func TestLeasesLastInPartitionedZoneWithLeader(t *testing.T) {
 	t.Parallel()
 	for _, more := range []bool{false, true} {
@@ -130,7 +133,7 @@
 				if !more {
 					return
 				}
-				// A second leader follows, and ends; it has never been settled.
+				// A second leader follows, and ends; it has never been reconciled.
 				for range 100 {
 					if sleep(0.2); c.leaderOtherThan(old) != nil {
 						break
--- a/internal/simulation/many_machines_test.go
+++ b/internal/simulation/many_machines_test.go
@@ -53,9 +53,9 @@
 	return out
 }
 
-// runManyMachines plays a story on all machines, which tells the least work that could be lost, and
+// runManyMachines runs a scenario on all machines, which returns the least work that could be lost, and
 // checks what was.
-func runManyMachines(t *testing.T, prepare func(c *cluster), story func(c *cluster, ms []*Machine) (least time.Duration)) {
+func runManyMachines(t *testing.T, prepare func(c *cluster), scenario func(c *cluster, ms []*Machine) (least time.Duration)) {
 	t.Helper()
 	runScenarioWith(t, func(c *cluster) {
 		c.cfg.Deployment.Workers.HeartbeatS, c.cfg.Deployment.Workers.LeaseS, c.cfg.Deployment.Workers.CancelS = 5, 26, 46
@@ -78,7 +78,7 @@
 			t.Errorf("%d machines are up, want %d", len(ms), manyMachines())
 		}
 		before := c.env.LostWork()
-		least := story(c, ms)
+		least := scenario(c, ms)
 		sleep(250)
 		for n := range manyJobs {
 			for i := range 3 {
@@ -113,7 +113,7 @@
 	})
 }
 
-// The store is away, and the leader with it for a moment: when both are back all report at
+// The store is away, and the leader with it for a moment: when both are back all send heartbeats at
 // once, and nothing is lost.
 func TestAllMachinesReportAfterStoreOutage(t *testing.T) {
 	t.Parallel()
@@ -203,7 +203,7 @@
 	})
 }
 
-// A version without marks, passing nothing on, leads for a while, and a zone is cut off for
+// A version without watermarks, relaying nothing, leads for a while, and a zone is cut off for
 // less than a lease when it ends.
 func TestZonePartitionAfterOlderVersionLed(t *testing.T) {
 	t.Parallel()
@@ -225,7 +225,7 @@
 	})
 }
 
-// One that is a witness of the marks ends and comes back, then is cut from the others, and
+// An observer of the watermarks ends and comes back, then is cut from the others, and
 // the leader ends.
 func TestRestartedObserverIsIsolatedBeforeFailover(t *testing.T) {
 	t.Parallel()
@@ -236,15 +236,11 @@
 		sleep(2)
 		c.startNode(w)
 		sleep(6)
-		c.mu.Lock()
-		c.isolated[w] = true
-		c.mu.Unlock()
+		c.setIsolated(w, true)
 		sleep(4)
 		c.killNode(l)
 		sleep(8)
-		c.mu.Lock()
-		c.isolated[w] = false
-		c.mu.Unlock()
+		c.setIsolated(w, false)
 		return 0
 	})
 }
--- a/internal/simulation/peer_network_test.go
+++ b/internal/simulation/peer_network_test.go
@@ -14,6 +14,13 @@
 	self    int
 }
 
+// setIsolated cuts a node off from the others, or connects it again.
+func (c *cluster) setIsolated(i int, on bool) {
+	c.mu.Lock()
+	c.isolated[i] = on
+	c.mu.Unlock()
+}
+
 // arePartitioned reports whether two nodes cannot reach each other.
 func (c *cluster) arePartitioned(i, k int) bool {
 	c.mu.Lock()
@@ -45,7 +52,8 @@
 			out = append(out, peer.StatusOf(n.name, n.client, n.server.Cancellations(), peer.StatusRequest{}))
 			continue
 		}
-		s := peer.StatusOf(n.name, n.client, n.server.Cancellations(), ask).WithAttestations(&n.observer, ask.Attestation, n.server.SinceRenewal())
+		s := peer.StatusOf(n.name, n.client, n.server.Cancellations(), ask)
+		s = s.WithAttestations(&n.observer, ask.Attestation, n.server.SinceRenewal())
 		out = append(out, s)
 	}
 	return out, len(out) == len(f.cluster.nodes)-1
@@ -91,7 +99,10 @@
 			}
 			status, done, running, ok := l.Progress(id)
 			age, isClear := l.DependenciesClear(id)
-			return peer.Progress{Known: ok, Status: status, Done: done, Running: running, DependenciesClear: isClear, ClearAgeMS: age.Milliseconds()}, nil
+			return peer.Progress{
+				Known: ok, Status: status, Done: done, Running: running,
+				DependenciesClear: isClear, ClearAgeMS: age.Milliseconds(),
+			}, nil
 		}
 	}
 	return peer.Progress{}, errors.New("no answer")
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -14,6 +15,27 @@
 	"drumpick/internal/records"
 )
 
+// newEnvironmentWithoutControllers returns an environment whose workers get no answer from controllers.
+func newEnvironmentWithoutControllers(ctx context.Context) *Environment {
+	env := NewEnvironment(ctx)
+	env.HeartbeatInterval, env.Lease, env.BootTime = 2*time.Second, time.Hour, time.Second
+	env.Nodes = []string{"n-0"}
+	env.Types = []records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16}}
+	env.RunTime = func(string) time.Duration { return time.Hour }
+	env.Heartbeat = func(int, *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
+		return http.StatusServiceUnavailable, fleet.HeartbeatResponse{}, ""
+	}
+	return env
+}
+
+// runCommand returns the direct command that starts an attempt.
+func runCommand(task string, attempt uint64) fleet.CommandRequest {
+	return fleet.CommandRequest{
+		FencingToken: 1, Incarnation: 1,
+		Commands: []fleet.Command{{Verb: fleet.VerbRun, Task: task, Attempt: attempt}},
+	}
+}
+
 // Each rule of the protocol is broken on purpose and seen: a check that cannot fail is none.
 func TestEachRuleIsReportedWhenBroken(t *testing.T) {
 	zone := "b"
@@ -21,14 +43,15 @@
 	jobs := map[string]records.Job{}
 	for _, j := range []records.Job{
 		{ID: "j-1", Tasks: 4, CPUs: 1}, {ID: "j-2", Tasks: 2, CPUs: 1, Zone: &zone}, {ID: "j-3", Tasks: 2, CPUs: 1, Types: []string{"other"}},
-		{ID: "j-4", Tasks: 2, CPUs: 1, OneZone: true}, {ID: "j-5", Tasks: 3, CPUs: 1, SpreadZones: true}, {ID: "j-6", Tasks: 4, CPUs: 2, Team: "limited"},
+		{ID: "j-4", Tasks: 2, CPUs: 1, OneZone: true},
+		{ID: "j-5", Tasks: 3, CPUs: 1, SpreadZones: true}, {ID: "j-6", Tasks: 4, CPUs: 2, Team: "limited"},
 		{ID: "j-7", Tasks: 1, CPUs: 1, Dependencies: []string{"j-1"}}, {ID: "j-8", Tasks: 2, CPUs: 1},
 		{ID: "j-10", Tasks: 1, CPUs: 5, Team: "limited"},
 	} {
 		j.Shape, j.Spot = records.ShapeArray, j.ID != "j-8"
 		jobs[j.ID] = j
 	}
-	for want, breaks := range map[string]func(w *Environment, run func(host, task string, try uint64)){
+	for want, breaks := range map[string]func(w *Environment, run func(machine, task string, attempt uint64)){
 		"ran_twice": func(_ *Environment, run func(string, string, uint64)) {
 			run("m-000001", "j-1/0", 1)
 			run("m-000002", "j-1/0", 2)
@@ -122,25 +145,18 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, end := context.WithCancel(context.Background())
 				defer end()
-				w := NewEnvironment(ctx)
-				w.HeartbeatInterval, w.Lease, w.BootTime, w.CancelLimit = 2*time.Second, time.Hour, time.Second, 30*time.Second
-				w.ZoneCapacity, w.Nodes = 9, []string{"n-0"}
-				w.Types = []records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16}}
+				w := newEnvironmentWithoutControllers(ctx)
+				w.CancelLimit, w.ZoneCapacity = 30*time.Second, 9
 				w.Teams = []config.Team{{Name: "limited", LimitCPUs: 4}, {Name: ""}}
 				w.LookupJob = func(id string) (records.Job, bool) { j, ok := jobs[id]; return j, ok }
-				w.RunTime = func(string) time.Duration { return time.Hour }
-				w.Heartbeat = func(int, *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
-					return 503, fleet.HeartbeatResponse{}, ""
-				}
 				for i, z := range []string{"a", "b", "a"} {
 					if _, err := w.rent(autoscaler.RentalRequest{Name: fmt.Sprint(i), Type: "c4", Zone: z, Count: 1, Spot: i == 2}); err != nil {
 						t.Fatal(err)
 					}
 				}
 				time.Sleep(2 * time.Second)
-				breaks(w, func(host, task string, try uint64) {
-					_, _, err := w.SendCommands(host, fleet.CommandRequest{FencingToken: 1, Incarnation: 1, Commands: []fleet.Command{{Verb: fleet.VerbRun, Task: task, Attempt: try}}})
-					if err != nil {
+				breaks(w, func(machine, task string, attempt uint64) {
+					if _, _, err := w.SendCommands(machine, runCommand(task, attempt)); err != nil {
 						t.Error(err)
 					}
 				})
--- a/internal/simulation/seven_controllers_test.go
+++ b/internal/simulation/seven_controllers_test.go
@@ -8,8 +8,8 @@
 	"drumpick/internal/records"
 )
 
-// Seven controllers, reports every 1.5 s and gangs that hold half of a machine: all
-// controllers are restarted one after the other, one takes most of a report interval to
+// Seven controllers, heartbeats every 1.5 s and gangs that hold half of a machine: all
+// controllers are restarted one after the other, one takes most of a heartbeat interval to
 // answer, and the store is away for longer than a lease. Nothing of it may cost a gang its
 // work: no lease of a machine ends, and every task starts once.
 func TestSevenControllersKeepGangsRunning(t *testing.T) {
@@ -26,7 +26,11 @@
 		submit := func(n int) {
 			size := 2 + 2*(n%3)
 			tasks += size
-			if got := c.submit(n%nodes, records.Job{ID: fmt.Sprint("j-", n), Shape: records.ShapeGang, Tasks: size, CPUs: 2, EstimateS: 150, CheckpointS: 60, SaveS: 4, OneZone: true}); got != 201 {
+			j := records.Job{
+				ID: fmt.Sprint("j-", n), Shape: records.ShapeGang, Tasks: size, CPUs: 2,
+				EstimateS: 150, CheckpointS: 60, SaveS: 4, OneZone: true,
+			}
+			if got := c.submit(n%nodes, j); got != 201 {
 				t.Errorf("gang %d: status %d", n, got)
 			}
 		}
--- a/internal/simulation/single_task_jobs_test.go
+++ b/internal/simulation/single_task_jobs_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"fmt"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -15,9 +16,9 @@
 // in between nothing is forgotten or left over either.
 func TestSingleTaskJobsStayWithinStoreLimits(t *testing.T) {
 	for _, x := range []struct {
-		name     string
-		troubles bool
-	}{{"calm", false}, {"a takeover and an outage", true}} {
+		name   string
+		faults bool
+	}{{"calm", false}, {"a failover and an outage", true}} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
 			runScenarioWith(t, func(c *cluster) { c.paced = true }, func(c *cluster) {
@@ -30,36 +31,22 @@
 				for k := range jobs {
 					go func() {
 						began := time.Now()
-						for try, status := k, 0; status != 200 && status != 201; try++ {
-							if status = c.submit(try%3, records.Job{ID: id(k + 1), Tasks: 1, CPUs: 1, EstimateS: 8}); status != 200 && status != 201 {
-								sleep(1)
-							}
-						}
-						for took, was := time.Since(began).Milliseconds(), slowest.Load(); took > was && !slowest.CompareAndSwap(was, took); was = slowest.Load() {
-						}
+						c.submitUntilTaken(k, records.Job{ID: id(k + 1), Tasks: 1, CPUs: 1, EstimateS: 8})
+						storeMax(&slowest, time.Since(began).Milliseconds())
 						if k%4 == 0 {
 							sleep(float64(k % 11))
-							for try := k; ; try++ {
-								status, st := c.ask(try%3, peer.MethodCancel, id(k+1))
-								if st == records.StatusCancelled {
-									c.expectCancelled(id(k + 1))
-								}
-								if status == 200 {
-									break
-								}
-								sleep(1)
-							}
+							c.cancelUntilAnswered(k, id(k+1))
 						}
 					}()
 					switch {
-					case x.troubles && k == 200:
+					case x.faults && k == 200:
 						l = c.leaderIndex()
 						c.killNode(l)
-					case x.troubles && k == 260:
+					case x.faults && k == 260:
 						c.startNode(l)
-					case x.troubles && k == 400:
+					case x.faults && k == 400:
 						c.store.SetOutage(true)
-					case x.troubles && k == 460:
+					case x.faults && k == 460:
 						c.store.SetOutage(false)
 					}
 					backlog = max(backlog, c.unstoredJobs())
@@ -69,12 +56,14 @@
 				c.wantAllKnown()
 				c.wantNoVanishedMachines()
 				perJob := float64(c.store.Writes) / jobs
-				t.Logf("%.2f changes a job, throttled %d times, slowest acceptance %d ms, at most %d ended jobs unstored", perJob, c.store.ThrottledWrites, slowest.Load(), backlog)
+				measured := fmt.Sprintf("throttled %d times, slowest acceptance %d ms, at most %d ended jobs unstored",
+					c.store.ThrottledWrites, slowest.Load(), backlog)
+				t.Logf("%.2f changes a job, %s", perJob, measured)
 				if perJob > 4 {
-					t.Errorf("%.2f changes a job", perJob)
+					t.Errorf("%.2f changes a job, want at most 4", perJob)
 				}
-				if !x.troubles && (c.store.ThrottledWrites > 5 || slowest.Load() > 1000 || backlog > 24) {
-					t.Errorf("throttled %d times, slowest acceptance %d ms, at most %d ended jobs unstored", c.store.ThrottledWrites, slowest.Load(), backlog)
+				if !x.faults && (c.store.ThrottledWrites > 5 || slowest.Load() > 1000 || backlog > 24) {
+					t.Errorf("%s, want at most 5 times, 1000 ms and 24 jobs", measured)
 				}
 				if keys := append(c.store.Keys(records.PrefixOpen), c.store.Keys(records.PrefixDone)...); len(keys) > 0 {
 					t.Errorf("left in the store: %v", keys)
@@ -84,6 +73,36 @@
 	}
 }
 
+// submitUntilTaken submits a job every second, at one node after the other, until one takes it.
+func (c *cluster) submitUntilTaken(first int, j records.Job) {
+	for try := first; ; try++ {
+		if status := c.submit(try%3, j); status == 200 || status == 201 {
+			return
+		}
+		sleep(1)
+	}
+}
+
+// cancelUntilAnswered cancels a job every second, at one node after the other, until one answers.
+func (c *cluster) cancelUntilAnswered(first int, id string) {
+	for try := first; ; try++ {
+		status, st := c.ask(try%3, peer.MethodCancel, id)
+		if st == records.StatusCancelled {
+			c.expectCancelled(id)
+		}
+		if status == 200 {
+			return
+		}
+		sleep(1)
+	}
+}
+
+// storeMax raises v to n, unless it is as high already.
+func storeMax(v *atomic.Int64, n int64) {
+	for was := v.Load(); n > was && !v.CompareAndSwap(was, n); was = v.Load() {
+	}
+}
+
 // unstoredJobs counts the open jobs whose tasks have all ended.
 func (c *cluster) unstoredJobs() int {
 	n := 0
--- a/internal/simulation/status_order_test.go
+++ b/internal/simulation/status_order_test.go
@@ -7,11 +7,11 @@
 	"drumpick/internal/records"
 )
 
-// The controllers are slow to take reports in, and the leader changes: the new one asks all
-// machines directly, and each answer overtakes the report that its worker has just sent. A
-// report that is refused for that sends its worker on to the next controller, the machine is
-// asked again since it has not reported, and the next answer overtakes the next report. No
-// lease ends: every task starts once. (Before such reports were answered: 30 of 30 runs lost
+// The controllers are slow to take heartbeats in, and the leader changes: the new one asks all
+// machines directly, and each answer overtakes the heartbeat that its worker has just sent. A
+// heartbeat that is refused for that sends its worker on to the next controller, the machine is
+// asked again since it has sent none, and the next answer overtakes the next heartbeat. No
+// lease ends: every task starts once. (Before such heartbeats were answered: 30 of 30 runs lost
 // leases.)
 func TestStatusAnswersOvertakingHeartbeatsExpireNoLease(t *testing.T) {
 	runScenarioWith(t, func(c *cluster) {
--- a/internal/simulation/store_outage_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -7,9 +7,9 @@
 	"drumpick/internal/records"
 )
 
-// The gap: the store refuses the leader alone, another controller confirms cancellations, and
-// then the store is down for all, for longer than a cancellation may take, while workers report
-// to the old leader. The cancelled jobs' tasks are gone in time in every story; where the other
+// The store refuses the leader alone, another controller confirms cancellations, and
+// then the store is down for all, for longer than a cancellation may take, while workers send their
+// heartbeats to the old leader. The cancelled jobs' tasks are gone in time in every scenario; where the other
 // controllers can tell which these are, nothing else is lost.
 
 type refusalScenario struct {
@@ -48,9 +48,7 @@
 
 // partition cuts a controller off from the others, or no more.
 func (g *refusalScenario) partition(i int, on bool) {
-	g.cluster.mu.Lock()
-	g.cluster.isolated[i] = on
-	g.cluster.mu.Unlock()
+	g.cluster.setIsolated(i, on)
 }
 
 func (g *refusalScenario) refuse(i int, on bool) {
@@ -80,10 +78,10 @@
 	}
 }
 
-// TestCancellationConfirmedBeforeOutageTakesEffect plays them. As it was, the first cancellation told while the leader was refused cost
+// Scenarios of an outage after a confirmed cancellation. As it was, the first cancellation told while the leader was refused cost
 // all work its leases; and the tasks of what was cancelled ran on until these ended.
 func TestCancellationConfirmedBeforeOutageTakesEffect(t *testing.T) {
-	stories := map[string]struct {
+	scenarios := map[string]struct {
 		nodes int
 		cost  bool // work may be lost: somebody who may have told is away
 		play  func(g *refusalScenario)
@@ -104,7 +102,7 @@
 			g.cluster.store.SetOutage(true)
 			g.wantGoneAfter(8, "j-1")
 		}},
-		"the outage comes just before the grant ends": {play: func(g *refusalScenario) {
+		"the outage comes just before the leader's lease ends": {play: func(g *refusalScenario) {
 			g.refuse(g.leader, true)
 			g.cancel(g.other, "j-1")
 			// As it was, the leader stepped down as soon as it was sure that others are served.
@@ -207,7 +205,7 @@
 			g.cluster.store.SetOutage(true)
 			g.wantGoneAfter(8, "j-3", "j-4")
 		}},
-		"a service and a chain": {play: func(g *refusalScenario) {
+		"a service and dependent jobs": {play: func(g *refusalScenario) {
 			g.refuseThenOutage(0, "j-5", "j-6")
 			g.wantGoneAfter(8, "j-5", "j-6")
 			g.cluster.store.SetOutage(false)
@@ -234,7 +232,7 @@
 			g.cluster.env.BlockCommands("a", false)
 			g.cluster.env.BlockCommands("b", false)
 		}},
-		"workers hear nothing": {cost: true, play: func(g *refusalScenario) {
+		"nothing reaches the workers": {cost: true, play: func(g *refusalScenario) {
 			for _, m := range g.cluster.env.Machines() {
 				m.SetUnreachable(true)
 			}
@@ -265,12 +263,12 @@
 			g.cluster.store.SetOutage(true)
 			g.wantGoneAfter(8, "j-1", "j-2", "j-3")
 		}},
-		"the old leader is an island for workers, the new one confirms": {cost: true, play: func(g *refusalScenario) {
+		"the old leader is isolated with workers, the new one confirms": {cost: true, play: func(g *refusalScenario) {
 			g.partition(g.leader, true)
 			g.refuse(g.leader, true)
 			sleep(7)
 			if now := g.cluster.node(g.other).election.Leader(); now == g.cluster.env.Nodes[g.leader] {
-				g.cluster.t.Error("nobody else leads: the story shows nothing")
+				g.cluster.t.Error("nobody else leads: the scenario shows nothing")
 			}
 			g.cancel(g.other, "j-1")
 			g.cluster.store.SetOutage(true)
@@ -278,7 +276,7 @@
 			g.partition(g.leader, false)
 		}},
 	}
-	for name, s := range stories {
+	for name, s := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			nodes := max(s.nodes, 3)
@@ -308,7 +306,7 @@
 				g := &refusalScenario{cluster: c, leader: c.leaderIndex(), starts: c.env.Starts()}
 				g.other = (g.leader + 1) % nodes
 				if c.env.Running() < 50 {
-					t.Errorf("%d tasks are running: the story shows nothing", c.env.Running())
+					t.Errorf("%d tasks are running: the scenario shows nothing", c.env.Running())
 				}
 				s.play(g)
 				if !s.cost {
--- a/internal/simulation/teams_test.go
+++ b/internal/simulation/teams_test.go
@@ -10,20 +10,21 @@
 )
 
 // Many teams with quotas, all at their limits: what they use is accounted for as attempts come
-// and go, and no trouble may make a team use more than its limit, or wait beside room below it.
+// and go, and no fault may make a team use more than its limit, or wait beside room below it.
 
 const manyTeams = 48
 
-// runTeamsAtLimit plays a story with three controllers in which each team has ten times as much work as
-// its limit lets run. At the end every job has its one answer. (Stories hold several troubles each: under the
+// runTeamsAtLimit runs a scenario with three controllers in which each team has ten times as much work as
+// its limit lets run. At the end every job has its one answer. (Scenarios hold several faults each: under the
 // race detector a process takes no more than some tens of thousands of timers.)
-func runTeamsAtLimit(t *testing.T, prepare, story func(c *cluster)) {
+func runTeamsAtLimit(t *testing.T, prepare, scenario func(c *cluster)) {
 	t.Helper()
 	const limit, jobs = 2, manyTeams
 	runScenarioWith(t, func(c *cluster) {
 		c.cfg.Deployment.Teams = nil
 		for i := range manyTeams {
-			c.cfg.Deployment.Teams = append(c.cfg.Deployment.Teams, config.Team{Name: fmt.Sprint("team-", i), GuaranteedCPUs: limit / 2, LimitCPUs: limit})
+			team := config.Team{Name: fmt.Sprint("team-", i), GuaranteedCPUs: limit / 2, LimitCPUs: limit}
+			c.cfg.Deployment.Teams = append(c.cfg.Deployment.Teams, team)
 		}
 		c.cfg.Options.Guarantees = true
 		c.env.ZoneCapacity = 8 // of a zone and kind: 32 machines of 4 CPUs, and 96 CPUs may be used
@@ -35,7 +36,7 @@
 			c.submit(n%3, records.Job{ID: fmt.Sprint("j-", n), Team: fmt.Sprint("team-", n), Tasks: 10 * limit, EstimateS: 10})
 		}
 		sleep(28)
-		story(c)
+		scenario(c)
 		sleep(140)
 		for n := range jobs {
 			id := fmt.Sprint("j-", n)
@@ -95,7 +96,7 @@
 	})
 }
 
-// The store is away; a version without marks leads in between; a third of the machines dies, and another is taken.
+// The store is away; a version without watermarks leads in between; a third of the machines dies, and another is taken.
 func TestTeamsAtLimitAcrossVersionsAndMachineLosses(t *testing.T) {
 	runTeamsAtLimit(t, func(c *cluster) { c.olderVersion[1] = true }, func(c *cluster) {
 		c.store.SetOutage(true)
--- a/internal/simulation/workload_test.go
+++ b/internal/simulation/workload_test.go
@@ -61,7 +61,8 @@
 				}
 				s.submitUntilAccepted(records.Job{
 					Class: k.class, Team: "team", Shape: records.ShapeArray, Priority: k.priority, Tasks: k.tasks, CPUs: k.cpus, MemGB: 1,
-					Image: fmt.Sprint(k.class, r.IntN(6)), ImageGB: 0.5, Spot: true, EstimateS: k.seconds, CheckpointS: k.saves, SaveS: k.flush, DeadlineS: &k.due,
+					Image: fmt.Sprint(k.class, r.IntN(6)), ImageGB: 0.5, Spot: true,
+					EstimateS: k.seconds, CheckpointS: k.saves, SaveS: k.flush, DeadlineS: &k.due,
 				}, k.due)
 			}
 		}()
@@ -101,7 +102,7 @@
 	}
 }
 
-// missedShare tells, of the jobs of a class, which share missed what was due.
+// missedShare returns which share of the jobs of a class missed their deadline, and how many jobs there are.
 func (s *workload) missedShare(class string) (share float64, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,13 +118,13 @@
 	return float64(late) / float64(max(n, 1)), n
 }
 
-// busyMachines tells how many machines that a drain means hold tasks.
-func (s *workload) busyMachines(means func(*Machine) bool) int {
+// busyMachines returns how many of the machines that a drain selects hold tasks.
+func (s *workload) busyMachines(selected func(*Machine) bool) int {
 	s.env.mu.Lock()
 	defer s.env.mu.Unlock()
 	n := 0
 	for _, m := range s.env.machines {
-		if m.gone || !means(m) {
+		if m.gone || !selected(m) {
 			continue
 		}
 		for _, x := range m.tasks {
@@ -136,8 +137,10 @@
 	return n
 }
 
-// runWorkload plays a shift.
-func runWorkload(t *testing.T, seed uint64, machines int, seconds float64, share float64, prepare func(*cluster), story func(s *workload)) {
+// runWorkload runs a scenario beside a steady load.
+func runWorkload(
+	t *testing.T, seed uint64, machines int, seconds, share float64, prepare func(*cluster), scenario func(s *workload),
+) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	runScenarioWith(t, func(c *cluster) {
 		c.cfg.Options.Operators = true
@@ -152,7 +155,8 @@
 			prepare(c)
 		}
 	}, func(c *cluster) {
-		s := &workload{cluster: c, seed: seed, jobs: map[string]*postedJob{}, until: time.Now().Add(time.Duration(seconds * float64(time.Second)))}
+		until := time.Now().Add(time.Duration(seconds * float64(time.Second)))
+		s := &workload{cluster: c, seed: seed, jobs: map[string]*postedJob{}, until: until}
 		c.env.RunTime = func(task string) time.Duration {
 			id, _, _ := strings.Cut(task, "/")
 			c.mu.Lock()
@@ -161,7 +165,7 @@
 		}
 		go s.recordCompletions()
 		s.load(machines, share)
-		story(s)
+		scenario(s)
 	})
 }
 
@@ -218,7 +222,8 @@
 				}
 			})
 		}
-		t.Logf("| %d | %s | %.0f | %.0f | %.3f | %.3f | %.3f | %.2f |", *measure, way, empty, lost, late["export"], late["index"], late["cleanup"], cost)
+		t.Logf("| %d | %s | %.0f | %.0f | %.3f | %.3f | %.3f | %.2f |",
+			*measure, way, empty, lost, late["export"], late["index"], late["cleanup"], cost)
 	}
 }
 
@@ -233,7 +238,7 @@
 	}
 }
 
-// TestMeasureUpgrade rolls all machines over to another version, a tenth at a time, and tells
+// TestMeasureUpgrade rolls all machines over to another version, a tenth at a time, and logs
 // how long it took, how many changes the store took for it, and what was lost.
 //
 //	go test ./internal/simulation -run MeasureUpgrade -measure 3000 -v -timeout 1h
@@ -250,7 +255,10 @@
 		rate := float64(s.writes()-writes) / 100
 		up := len(s.env.Machines())
 		before, began, writes := s.env.LostWork(), time.Now(), s.writes()
-		s.startDrain(drain.Spec{ID: "d-1", Kind: drain.Upgrade, To: "2", AtOnce: max(up/10, 1), KeepUp: up / 4, BeganMS: began.UnixMilli(), Then: drain.Keep})
+		s.startDrain(drain.Spec{
+			ID: "d-1", Kind: drain.Upgrade, To: "2", AtOnce: max(up/10, 1), KeepUp: up / 4,
+			BeganMS: began.UnixMilli(), Then: drain.Keep,
+		})
 		for time.Since(began) < 4*time.Hour {
 			sleep(5)
 			left := 0
@@ -269,7 +277,8 @@
 		took := time.Since(began).Seconds()
 		s.until = time.Now()
 		l, _ := s.missedShare("export")
-		t.Logf("| %d | %.0f | %.1f | %.1f | %.0f | %.3f |", up, took, rate, float64(s.writes()-writes)/took, (s.env.LostWork() - before).Seconds(), l)
+		during, lost := float64(s.writes()-writes)/took, (s.env.LostWork() - before).Seconds()
+		t.Logf("| %d | %.0f | %.1f | %.1f | %.0f | %.3f |", up, took, rate, during, lost, l)
 	})
 	t.Logf("%v of this machine's time", time.Since(start).Round(time.Second))
 }
@@ -291,7 +300,7 @@
 	return true
 }
 
-// isDrained says whether the leader has a machine in hand.
+// isDrained reports whether the leader has drained a machine.
 func (s *workload) isDrained(host string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/zone_outage_test.go
+++ b/internal/simulation/zone_outage_test.go
@@ -11,12 +11,12 @@
 
 // What becomes of a zone's machines while it is cut off.
 
-// runZonePartition plays a cut of a zone that holds half the machines, and tells how many of its
+// runZonePartition runs a cut of a zone that holds half the machines, and returns how many of its
 // machines are still the same some seconds later, of how many, and how many tasks were
 // lost.
-func runZonePartition(t *testing.T, seconds float64, dark bool) (same, of, lost int) {
+func runZonePartition(t *testing.T, seconds float64, zoneHealth bool) (same, of, lost int) {
 	runScenarioWith(t, func(c *cluster) {
-		c.cfg.Options.ZoneHealth = dark
+		c.cfg.Options.ZoneHealth = zoneHealth
 		c.env.ZoneCapacity = 6
 	}, func(c *cluster) {
 		c.env.RunTime = func(task string) time.Duration { return 10 * mixedRunTime(task) }
@@ -57,18 +57,18 @@
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
-		seconds float64
-		dark    bool
-		keeps   bool
+		seconds    float64
+		zoneHealth bool
+		keeps      bool
 	}{{7, true, true}, {20, true, true}, {20, false, false}} {
-		same, of, lost := runZonePartition(t, x.seconds, x.dark)
-		told := fmt.Sprintf("cut for %v s, dark zones %v: %d machines of %d are left, %d tasks lost", x.seconds, x.dark, same, of, lost)
-		// One or two may be given back as idle: some work was done elsewhere meanwhile.
+		same, of, lost := runZonePartition(t, x.seconds, x.zoneHealth)
+		result := fmt.Sprintf("cut for %v s, zone health %v: %d machines of %d are left, %d tasks lost", x.seconds, x.zoneHealth, same, of, lost)
+		// One or two may be returned as idle: some work was done elsewhere meanwhile.
 		if of < 12 || x.keeps != (same >= of-2) {
-			t.Error(told)
+			t.Error(result)
 		}
 		if x.seconds < 12 && lost > 0 {
-			t.Error(told)
+			t.Error(result)
 		}
 	}
 }
