--- a/cmd/drumpick-scale/main.go
+++ b/cmd/drumpick-scale/main.go
@@ -115,7 +115,7 @@
 	f.BoolVar(&size.Faults.Leader, "leader", false, "a leader is killed")
 	f.BoolVar(&paired, "paired", false, "play it without teams before")
 	f.StringVar(&file, "out", "", "`file` for the result as JSON")
-	f.StringVar(&programs.Daemon, "daemon", "target/drumpick", "the controllers' `program`, built as deploy/service.toml says")
+	f.StringVar(&programs.Controller, "daemon", "target/drumpick", "the controllers' `program`, built as deploy/service.toml says")
 	f.StringVar(&programs.Options, "options", "deploy/drumpick.ini", "the controllers' operators' settings `file`")
 	return cmd
 }
@@ -125,8 +125,8 @@
 	if p.Self, err = os.Executable(); err != nil {
 		return err
 	}
-	if _, err := os.Stat(p.Daemon); err != nil {
-		return &loadtest.UsageError{Flag: "daemon", Reason: fmt.Sprintf("there is no program %s; build it with go build -o %s ./cmd/drumpick", p.Daemon, p.Daemon)}
+	if _, err := os.Stat(p.Controller); err != nil {
+		return &loadtest.UsageError{Flag: "daemon", Reason: fmt.Sprintf("there is no program %s; build it with go build -o %s ./cmd/drumpick", p.Controller, p.Controller)}
 	}
 	if _, err := os.Stat(p.Options); err != nil {
 		return &loadtest.UsageError{Flag: "options", Reason: fmt.Sprintf("there is no file %s", p.Options)}
@@ -144,8 +144,8 @@
 			return err
 		}
 	}
-	if len(r.Breaches) > 0 {
-		return fmt.Errorf("%w: %s: %s (%d in all)", errBroken, r.Breaches[0].Rule, r.Breaches[0].What, len(r.Breaches))
+	if len(r.Violations) > 0 {
+		return fmt.Errorf("%w: %s: %s (%d in all)", errBroken, r.Violations[0].Rule, r.Violations[0].What, len(r.Violations))
 	}
 	return nil
 }
--- a/cmd/drumpick-scale/main_test.go
+++ b/cmd/drumpick-scale/main_test.go
@@ -63,8 +63,8 @@
 	if r.Jobs == 0 || r.Finished != r.Jobs {
 		t.Errorf("%d of %d jobs have a final answer", r.Finished, r.Jobs)
 	}
-	if len(r.Happened.Failovers) != 1 {
-		t.Errorf("takeovers: %v, want one", r.Happened.Failovers)
+	if len(r.InjectedFaults.Failovers) != 1 {
+		t.Errorf("takeovers: %v, want one", r.InjectedFaults.Failovers)
 	}
 	for _, role := range []string{"leader", "follower", "state service", "hollow workers", "real worker"} {
 		if u := r.Usage[role]; u.Processes == 0 || u.MemoryMB <= 0 {
--- a/cmd/drumpickctl/demo.go
+++ b/cmd/drumpickctl/demo.go
@@ -25,7 +25,7 @@
 
 // demo runs the sample jobs on a region of their own.
 func (f *flags) demo(cmd *cobra.Command, o localcluster.Options) error {
-	data := f.region
+	data := f.dataDir
 	if data == "" {
 		dir, err := os.MkdirTemp("", "drumpick-demo-")
 		if err != nil {
@@ -34,7 +34,7 @@
 		defer os.RemoveAll(dir)
 		data = dir
 	}
-	return f.withRegion(cmd, o, data, func(r *localcluster.Cluster) error {
+	return f.withCluster(cmd, o, data, func(r *localcluster.Cluster) error {
 		out, errs := cmd.OutOrStdout(), cmd.ErrOrStderr()
 		fmt.Fprintf(errs, "three controllers, a state service and a cloud run on loopback; submitting sample jobs\n")
 		jobs, err := jobspec.Read("sample.yaml", bytes.NewReader(sample), client.NewID)
--- a/cmd/drumpickctl/drains.go
+++ b/cmd/drumpickctl/drains.go
@@ -18,7 +18,7 @@
 
 // drainFlags are how a drain is said on the command line.
 type drainFlags struct {
-	d            client.Drain
+	spec         client.Drain
 	cordon       bool
 	older, in    time.Duration
 	by           string
@@ -30,18 +30,18 @@
 
 func (x *drainFlags) add(cmd *cobra.Command) {
 	fl := cmd.Flags()
-	fl.StringVar(&x.d.ID, "id", "", "`id` of the drain, d- and digits (else a new one); repeated under it nothing happens twice")
-	fl.StringVar(&x.d.Type, "type", "", "machines of a `type`")
-	fl.StringVar(&x.d.Zone, "zone", "", "machines of a `zone`")
+	fl.StringVar(&x.spec.ID, "id", "", "`id` of the drain, d- and digits (else a new one); repeated under it nothing happens twice")
+	fl.StringVar(&x.spec.Type, "type", "", "machines of a `type`")
+	fl.StringVar(&x.spec.Zone, "zone", "", "machines of a `zone`")
 	fl.DurationVar(&x.older, "older-than", 0, "machines rented at least so long ago")
-	fl.StringVar(&x.d.Version, "worker-version", "", "machines whose worker has a `version`")
+	fl.StringVar(&x.spec.Version, "worker-version", "", "machines whose worker has a `version`")
 	fl.BoolVar(&x.cordon, "cordon", false, "mark only: no new tasks, what runs goes on")
 	fl.StringVar(&x.by, "by", "", "`time` by which they must be empty, as 2006-01-02T15:04 here, or RFC 3339")
 	fl.DurationVar(&x.in, "in", 0, "the same, from now on")
-	fl.StringVar(&x.d.Then, "then", client.ThenKeep, "`keep` empty machines, or return them to the cloud")
+	fl.StringVar(&x.spec.Then, "then", client.ThenKeep, "`keep` empty machines, or return them to the cloud")
 	fl.StringVar(&x.upgrade, "upgrade-to", "", "roll machines over to a worker's `version`")
-	fl.IntVar(&x.d.AtOnce, "at-once", 0, "of an upgrade: how many machines are out of service at a time (1)")
-	fl.IntVar(&x.d.KeepUp, "keep-up", 0, "of an upgrade: how many stay in service in each zone, and for each class")
+	fl.IntVar(&x.spec.AtOnce, "at-once", 0, "of an upgrade: how many machines are out of service at a time (1)")
+	fl.IntVar(&x.spec.KeepUp, "keep-up", 0, "of an upgrade: how many stay in service in each zone, and for each class")
 	fl.StringVar(&x.rule, "window", "", "hold only in windows, by an RFC 5545 `RRULE` such as FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0")
 	fl.StringVar(&x.zone, "window-zone", "", "time `zone` of the windows, such as Europe/Warsaw (else TZ)")
 	fl.StringVar(&x.starts, "window-starts", "", "first window, as 2006-01-02T15:04 in that zone; the rule counts from it")
@@ -50,8 +50,8 @@
 }
 
 // drain puts what was said together.
-func (x *drainFlags) said(names []string, now time.Time) (client.Drain, error) {
-	d := x.d
+func (x *drainFlags) drain(names []string, now time.Time) (client.Drain, error) {
+	d := x.spec
 	d.Machines, d.Kind, d.OlderS = names, client.DrainEmpty, x.older.Seconds()
 	if d.ID == "" {
 		d.ID = client.NewDrainID()
@@ -101,7 +101,7 @@
 	plan := &cobra.Command{
 		Use: "plan [MACHINE...]", Short: "Tell what a drain would do to each task and class; changes nothing",
 		RunE: func(cmd *cobra.Command, names []string) error {
-			d, err := x.said(names, time.Now())
+			d, err := x.drain(names, time.Now())
 			if err != nil {
 				return err
 			}
@@ -122,7 +122,7 @@
 	start := &cobra.Command{
 		Use: "start [MACHINE...]", Short: "Start a drain, of machines by name, type, zone, age or version",
 		RunE: func(cmd *cobra.Command, names []string) error {
-			d, err := y.said(names, time.Now())
+			d, err := y.drain(names, time.Now())
 			if err != nil {
 				return err
 			}
--- a/cmd/drumpickctl/local.go
+++ b/cmd/drumpickctl/local.go
@@ -23,8 +23,8 @@
 	up := &cobra.Command{
 		Use: "up", Short: "Start a local region and stay until Ctrl-C", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.withRegion(cmd, o, f.data(), func(r *localcluster.Cluster) error {
-				if err := f.print(cmd.OutOrStdout(), r.Info, func(w io.Writer) { showRegion(w, f.data(), r.Info) }); err != nil {
+			return f.withCluster(cmd, o, f.data(), func(r *localcluster.Cluster) error {
+				if err := f.print(cmd.OutOrStdout(), r.Info, func(w io.Writer) { showCluster(w, f.data(), r.Info) }); err != nil {
 					return err
 				}
 				<-cmd.Context().Done()
@@ -42,23 +42,23 @@
 		c.Flags().StringVar(&o.LogLevel, "log", o.LogLevel, "the controllers' LOG_LEVEL")
 	}
 	cmd.AddCommand(up, demo,
-		f.trouble("kill NAME", "Kill a controller, which comes back, or a machine, which does not", "/kill/", nil),
-		f.trouble("storm ZONE", "Take the power from a zone: its machines are gone, its controllers crash", "/storm/", nil),
+		f.faultCommand("kill NAME", "Kill a controller, which comes back, or a machine, which does not", "/kill/", nil),
+		f.faultCommand("storm ZONE", "Take the power from a zone: its machines are gone, its controllers crash", "/storm/", nil),
 	)
 	var span time.Duration
-	cut := f.trouble("cut ZONE", "Keep a zone's machines from being reached for a time", "/cut/", func() string { return "?for=" + span.String() })
+	cut := f.faultCommand("cut ZONE", "Keep a zone's machines from being reached for a time", "/cut/", func() string { return "?for=" + span.String() })
 	cut.Flags().DurationVar(&span, "for", 10*time.Second, "how long")
 	cmd.AddCommand(cut)
 	var version string
-	upgrade := f.trouble("upgrade MACHINE", "Give a machine's worker another version; what runs there is lost", "/upgrade/", func() string { return "?to=" + url.QueryEscape(version) })
+	upgrade := f.faultCommand("upgrade MACHINE", "Give a machine's worker another version; what runs there is lost", "/upgrade/", func() string { return "?to=" + url.QueryEscape(version) })
 	upgrade.Flags().StringVar(&version, "to", "", "which `version`")
 	_ = upgrade.MarkFlagRequired("to")
 	cmd.AddCommand(upgrade)
 	return cmd
 }
 
-// trouble is a command that a running region carries out.
-func (f *flags) trouble(use, short, path string, query func() string) *cobra.Command {
+// faultCommand is a command that a running region carries out.
+func (f *flags) faultCommand(use, short, path string, query func() string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -80,7 +80,7 @@
 	}
 }
 
-func showRegion(w io.Writer, data string, i localcluster.Info) {
+func showCluster(w io.Writer, data string, i localcluster.Info) {
 	fmt.Fprintf(w, "state service\t%s\ncloud\t%s\n", i.StoreAddr, i.CloudAddr)
 	for _, c := range i.Controllers {
 		fmt.Fprintf(w, "%s\t%s\tin %s\tsettings %s\tlog %s\n", c.Name, c.UserAddr, c.Zone, c.ConfigPath, c.LogPath)
@@ -88,8 +88,8 @@
 	fmt.Fprintf(w, "\nin another terminal\tdrumpickctl --data %s submit FILE\n", data)
 }
 
-// withRegion runs a region while do does something, and leaves no process behind.
-func (f *flags) withRegion(cmd *cobra.Command, o localcluster.Options, data string, do func(*localcluster.Cluster) error) error {
+// withCluster runs a region while do does something, and leaves no process behind.
+func (f *flags) withCluster(cmd *cobra.Command, o localcluster.Options, data string, do func(*localcluster.Cluster) error) error {
 	o.Data = data
 	var err error
 	if o.Controller, err = daemon(cmd.Context(), o.Controller, data, cmd.ErrOrStderr()); err != nil {
--- a/cmd/drumpickctl/main.go
+++ b/cmd/drumpickctl/main.go
@@ -93,7 +93,7 @@
 // flags are those of every command.
 type flags struct {
 	servers []string
-	region  string
+	dataDir string
 	output  string
 	verbose bool
 }
@@ -119,7 +119,7 @@
 	}
 	p := root.PersistentFlags()
 	p.StringSliceVarP(&f.servers, "server", "s", nil, "`host:port` of a controller, several with commas (DRUMPICK_SERVERS; else the local region)")
-	p.StringVar(&f.region, "data", "", "`directory` of the local region (DRUMPICK_DATA)")
+	p.StringVar(&f.dataDir, "data", "", "`directory` of the local region (DRUMPICK_DATA)")
 	p.StringVarP(&f.output, "output", "o", "table", "`table` for people or json for programs")
 	p.BoolVarP(&f.verbose, "verbose", "v", false, "say more on standard error")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exitError{exitUsage, err} })
@@ -155,8 +155,8 @@
 // data is the local region's directory.
 func (f *flags) data() string {
 	switch {
-	case f.region != "":
-		return f.region
+	case f.dataDir != "":
+		return f.dataDir
 	case os.Getenv("DRUMPICK_DATA") != "":
 		return os.Getenv("DRUMPICK_DATA")
 	}
--- a/internal/jobspec/jobspec.go
+++ b/internal/jobspec/jobspec.go
@@ -40,8 +40,8 @@
 	return s
 })
 
-// job is a job as people write it. Amounts are per task, times in seconds.
-type job struct {
+// fileJob is a job as people write it. Amounts are per task, times in seconds.
+type fileJob struct {
 	ID          string   `yaml:"id"`
 	Name        string   `yaml:"name"` // for needs of other jobs in the same file
 	Class       string   `yaml:"class"`
@@ -92,12 +92,12 @@
 		if len(doc.Content) == 0 || doc.Content[0].Tag == "!!null" {
 			continue
 		}
-		nodes, err := split(doc.Content[0])
+		nodes, err := jobNodes(doc.Content[0])
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 		for _, n := range nodes {
-			j, err := one(n, newID, ids)
+			j, err := readJob(n, newID, ids)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", file, err)
 			}
@@ -110,11 +110,11 @@
 	return jobs, nil
 }
 
-// split finds the jobs of a document.
-func split(n *yaml.Node) ([]*yaml.Node, error) {
+// jobNodes finds the jobs of a document.
+func jobNodes(n *yaml.Node) ([]*yaml.Node, error) {
 	list := n
 	if n.Kind == yaml.MappingNode {
-		if list = field(n, "jobs"); list == nil {
+		if list = fieldOf(n, "jobs"); list == nil {
 			return []*yaml.Node{n}, nil
 		}
 		if len(n.Content) != 2 {
@@ -127,7 +127,7 @@
 	return list.Content, nil
 }
 
-func field(n *yaml.Node, name string) *yaml.Node {
+func fieldOf(n *yaml.Node, name string) *yaml.Node {
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		if n.Content[i].Value == name {
 			return n.Content[i+1]
@@ -136,11 +136,11 @@
 	return nil
 }
 
-func one(n *yaml.Node, newID func() string, ids map[string]string) (NamedJob, error) {
-	if err := check(n); err != nil {
+func readJob(n *yaml.Node, newID func() string, ids map[string]string) (NamedJob, error) {
+	if err := validate(n); err != nil {
 		return NamedJob{}, err
 	}
-	j := job{Shape: client.Batch, Priority: client.Standard, Tasks: 1}
+	j := fileJob{Shape: client.Batch, Priority: client.Standard, Tasks: 1}
 	if err := n.Decode(&j); err != nil {
 		return NamedJob{}, fmt.Errorf("line %d: %w", n.Line, err)
 	}
@@ -152,7 +152,7 @@
 		id, ok := ids[need]
 		if !ok {
 			if !strings.HasPrefix(need, "j-") {
-				return NamedJob{}, fmt.Errorf("line %d: needs: no job further up has the name %q", field(n, "needs").Line, need)
+				return NamedJob{}, fmt.Errorf("line %d: needs: no job further up has the name %q", fieldOf(n, "needs").Line, need)
 			}
 			id = need
 		}
@@ -160,7 +160,7 @@
 	}
 	if j.Name != "" {
 		if _, twice := ids[j.Name]; twice {
-			return NamedJob{}, fmt.Errorf("line %d: name: %q is the name of a job further up", field(n, "name").Line, j.Name)
+			return NamedJob{}, fmt.Errorf("line %d: name: %q is the name of a job further up", fieldOf(n, "name").Line, j.Name)
 		}
 		ids[j.Name] = j.ID
 	}
@@ -174,8 +174,8 @@
 
 var english = message.NewPrinter(language.English)
 
-// check holds a job against the schema, and names the line and field of what is wrong.
-func check(n *yaml.Node) error {
+// validate holds a job against the schema, and names the line and field of what is wrong.
+func validate(n *yaml.Node) error {
 	var plain any
 	if err := n.Decode(&plain); err != nil {
 		return fmt.Errorf("line %d: %w", n.Line, err)
@@ -198,7 +198,7 @@
 	}
 	at, where := n, ""
 	for _, step := range wrong.InstanceLocation {
-		if next := field(at, step); at.Kind == yaml.MappingNode && next != nil {
+		if next := fieldOf(at, step); at.Kind == yaml.MappingNode && next != nil {
 			at, where = next, step
 		}
 	}
@@ -206,7 +206,7 @@
 		where += ": "
 	}
 	if extra, ok := wrong.ErrorKind.(*kind.AdditionalProperties); ok {
-		if f := field(at, extra.Properties[0]); f != nil {
+		if f := fieldOf(at, extra.Properties[0]); f != nil {
 			at = f
 		}
 		return fmt.Errorf("line %d: %s is no field of a job", at.Line, extra.Properties[0])
--- a/internal/linearizability/log.go
+++ b/internal/linearizability/log.go
@@ -21,8 +21,8 @@
 	Cancel = "cancel"
 )
 
-// unknown stands for an answer that never came: the request may have been carried out.
-const unknown = ""
+// noAnswer stands for an answer that never came: the request may have been carried out.
+const noAnswer = ""
 
 // NotFound is the answer that there is no such job.
 const NotFound = "not found"
@@ -37,18 +37,18 @@
 // New returns an empty log.
 func New() *Log { return &Log{start: time.Now()} }
 
-type question struct{ job, kind string }
+type request struct{ job, kind string }
 
 // Note records an answer, "" for none, to a question asked at some time by a client.
 func (l *Log) Note(who int, job, kind, answer string, asked time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	end := time.Since(l.start).Nanoseconds()
-	if answer == unknown {
+	if answer == noAnswer {
 		end = 1 << 62 // it may yet be carried out
 	}
 	l.ops = append(l.ops, porcupine.Operation{
-		ClientId: who, Input: question{job, kind}, Output: answer, Call: asked.Sub(l.start).Nanoseconds(), Return: end,
+		ClientId: who, Input: request{job, kind}, Output: answer, Call: asked.Sub(l.start).Nanoseconds(), Return: end,
 	})
 }
 
@@ -60,9 +60,9 @@
 	cancelled
 )
 
-// next tells which states a job may be in after an answer, from one state. Jobs become done
+// nextStates tells which states a job may be in after an answer, from one state. Jobs become done
 // by themselves; the counts of tasks, and running or pending, are for display.
-func next(from int, kind, answer string) []any {
+func nextStates(from int, kind, answer string) []any {
 	var to []any
 	add := func(states ...int) {
 		for _, s := range states {
@@ -71,11 +71,11 @@
 	}
 	over := map[string]int{client.Done: done, client.Cancelled: cancelled}[answer]
 	switch {
-	case answer == unknown && kind == Submit && from == absent:
+	case answer == noAnswer && kind == Submit && from == absent:
 		add(absent, open)
-	case answer == unknown && kind == Cancel && from == open:
+	case answer == noAnswer && kind == Cancel && from == open:
 		add(open, cancelled, done)
-	case answer == unknown:
+	case answer == noAnswer:
 		add(from)
 	case answer == NotFound:
 		if from == absent && kind != Submit {
@@ -103,7 +103,7 @@
 		byJob := map[string][]porcupine.Operation{}
 		var jobs []string
 		for _, o := range ops {
-			j := o.Input.(question).job
+			j := o.Input.(request).job
 			if byJob[j] == nil {
 				jobs = append(jobs, j)
 			}
@@ -117,7 +117,7 @@
 		return parts
 	},
 	Init:              func() []any { return []any{absent} },
-	Step:              func(state, in, out any) []any { return next(state.(int), in.(question).kind, out.(string)) },
+	Step:              func(state, in, out any) []any { return nextStates(state.(int), in.(request).kind, out.(string)) },
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%v: %v", in, out) },
 }).ToModel()
 
@@ -128,7 +128,7 @@
 	defer l.mu.Unlock()
 	final := map[string]string{}
 	for _, o := range l.ops {
-		q, answer := o.Input.(question), o.Output.(string)
+		q, answer := o.Input.(request), o.Output.(string)
 		if answer == client.Done || answer == client.Cancelled {
 			if old, ok := final[q.job]; ok && old != answer {
 				return fmt.Errorf("job %s has two final answers, %s and %s", q.job, old, answer)
@@ -137,7 +137,7 @@
 		}
 	}
 	for _, o := range l.ops {
-		if q := o.Input.(question); q.kind == Submit && o.Output != unknown && final[q.job] == "" {
+		if q := o.Input.(request); q.kind == Submit && o.Output != noAnswer && final[q.job] == "" {
 			return fmt.Errorf("job %s was accepted and has no final answer", q.job)
 		}
 	}
@@ -154,7 +154,7 @@
 func (l *Log) order() error {
 	for _, part := range model.Partition(l.ops) {
 		if !porcupine.CheckOperations(model, part) {
-			return fmt.Errorf("the answers about job %s fit into no order: %s", part[0].Input.(question).job, describe(part))
+			return fmt.Errorf("the answers about job %s fit into no order: %s", part[0].Input.(request).job, describe(part))
 		}
 	}
 	return nil
@@ -165,7 +165,7 @@
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
 	text := ""
 	for _, o := range ops {
-		text += fmt.Sprintf("\n  %.3fs to %.3fs %s: %q", float64(o.Call)/1e9, float64(o.Return)/1e9, o.Input.(question).kind, o.Output)
+		text += fmt.Sprintf("\n  %.3fs to %.3fs %s: %q", float64(o.Call)/1e9, float64(o.Return)/1e9, o.Input.(request).kind, o.Output)
 	}
 	return text
 }
--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -20,32 +20,32 @@
 
 // Programs are what a run starts.
 type Programs struct {
-	Self    string // this program
-	Daemon  string // the controllers'
-	Options string // the operators' settings of the controllers
+	Self       string // this program
+	Controller string // the controllers'
+	Options    string // the operators' settings of the controllers
 }
 
-// cell is one region: its own state service, cloud, controllers and workers.
-type cell struct {
-	size   Size
-	index  int
-	zones  []string
-	state  *child
-	hosts  []*host // processes of workers
-	region *localcluster.Cluster
-	users  *client.Client
-	each   []*client.Client   // of one controller each
-	store  *httpclient.Client // to the state service
+// region is one region: its own state service, cloud, controllers and workers.
+type region struct {
+	size          Size
+	index         int
+	zones         []string
+	store         *child
+	processes     []*workerProcess // processes of workers
+	cluster       *localcluster.Cluster
+	client        *client.Client
+	perController []*client.Client   // of one controller each
+	storeClient   *httpclient.Client // to the state service
 
-	mu    sync.Mutex
-	where map[string]*host // of machines
+	mu         sync.Mutex
+	placements map[string]*workerProcess // of machines
 }
 
-// host is a process of workers and how many machines it runs.
-type host struct {
+// workerProcess is a process of workers and how many machines it runs.
+type workerProcess struct {
 	*child
 	real     bool
-	most     int
+	capacity int
 	machines int
 }
 
@@ -58,9 +58,9 @@
 	return zones
 }
 
-// openCell starts a region's processes, and waits until every controller takes requests.
-func openCell(ctx context.Context, size Size, index int, programs Programs, data string) (_ *cell, err error) {
-	c := &cell{size: size, index: index, zones: size.zoneNames(index), where: map[string]*host{}}
+// openRegion starts a region's processes, and waits until every controller takes requests.
+func openRegion(ctx context.Context, size Size, index int, programs Programs, data string) (_ *region, err error) {
+	c := &region{size: size, index: index, zones: size.zoneNames(index), placements: map[string]*workerProcess{}}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, c.close())
@@ -70,35 +70,35 @@
 	if err = os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	if c.state, err = startChild(programs.Self, filepath.Join(dir, "state.log"), "serve", RoleState, "--data", dir); err != nil {
+	if c.store, err = startChild(programs.Self, filepath.Join(dir, "state.log"), "serve", RoleState, "--data", dir); err != nil {
 		return nil, err
 	}
-	c.store = httpclient.New(c.state.Service, 4, time.Second)
+	c.storeClient = httpclient.New(c.store.Service, 4, time.Second)
 	workers, apart := size.share(size.Workers, index), size.share(size.RealWorkers, index)
-	if err = c.startHosts(programs.Self, dir, apart, workers-apart); err != nil {
+	if err = c.startProcesses(programs.Self, dir, apart, workers-apart); err != nil {
 		return nil, err
 	}
 	perZone := (workers + len(c.zones) - 1) / len(c.zones)
-	c.region, err = localcluster.Start(ctx, localcluster.Options{
-		Data: dir, Controller: programs.Daemon, Arguments: []string{"--options", programs.Options}, Zones: c.zones, Controllers: size.Controllers,
-		Machines: perZone, LogLevel: "info", Deployment: size.facts(index, c.zones), MachineTypes: size.types(c.zones), StoreAddr: c.state.Service, StartWorker: c.place,
+	c.cluster, err = localcluster.Start(ctx, localcluster.Options{
+		Data: dir, Controller: programs.Controller, Arguments: []string{"--options", programs.Options}, Zones: c.zones, Controllers: size.Controllers,
+		Machines: perZone, LogLevel: "info", Deployment: size.deployment(index, c.zones), MachineTypes: size.machineTypes(c.zones), StoreAddr: c.store.Service, StartWorker: c.startMachine,
 	})
 	if err != nil {
 		return nil, err
 	}
-	c.users = c.region.Client()
-	for _, n := range c.region.Info.Controllers {
+	c.client = c.cluster.Client()
+	for _, n := range c.cluster.Info.Controllers {
 		alone, err := client.New(n.UserAddr)
 		if err != nil {
 			return nil, err
 		}
-		c.each = append(c.each, alone)
+		c.perController = append(c.perController, alone)
 	}
-	setup := Setup{Types: size.types(c.zones)}
-	for _, n := range c.region.Info.Controllers {
+	setup := Setup{Types: size.machineTypes(c.zones)}
+	for _, n := range c.cluster.Info.Controllers {
 		setup.Nodes = append(setup.Nodes, Node{n.Name, n.UserAddr})
 	}
-	for _, h := range c.hosts {
+	for _, h := range c.processes {
 		if err = h.ask("POST", "/setup", setup, nil); err != nil {
 			return nil, err
 		}
@@ -106,14 +106,14 @@
 	return c, nil
 }
 
-// startHosts starts the processes of workers: one for each real one, and as many as the hollow ones need.
-func (c *cell) startHosts(program, dir string, apart, hollow int) error {
+// startProcesses starts the processes of workers: one for each real one, and as many as the hollow ones need.
+func (r *region) startProcesses(program, dir string, apart, hollow int) error {
 	for i := range apart {
 		h, err := startChild(program, filepath.Join(dir, fmt.Sprintf("real-%d.log", i+1)), "serve", RoleWorkers)
 		if err != nil {
 			return err
 		}
-		c.hosts = append(c.hosts, &host{child: h, real: true, most: 1})
+		r.processes = append(r.processes, &workerProcess{child: h, real: true, capacity: 1})
 	}
 	for i := range (hollow + workersPerProcess - 1) / workersPerProcess {
 		h, err := startChild(program, filepath.Join(dir, fmt.Sprintf("hollow-%d.log", i+1)), "serve", RoleWorkers)
@@ -121,62 +121,62 @@
 			return err
 		}
 		// One more than their share: zones hold equal parts, rounded up.
-		c.hosts = append(c.hosts, &host{child: h, most: workersPerProcess + len(c.zones)})
+		r.processes = append(r.processes, &workerProcess{child: h, capacity: workersPerProcess + len(r.zones)})
 	}
 	return nil
 }
 
 var errFull = errors.New("no process has room for another worker")
 
-// place starts a rented machine in the process that has the fewest, the real ones first.
-func (c *cell) place(m *simulation.Machine) (string, func(), error) {
-	c.mu.Lock()
-	var to *host
-	for _, h := range c.hosts {
-		if h.machines < h.most && (to == nil || h.real && !to.real || h.real == to.real && h.machines < to.machines) {
+// startMachine starts a rented machine in the process that has the fewest, the real ones first.
+func (r *region) startMachine(m *simulation.Machine) (string, func(), error) {
+	r.mu.Lock()
+	var to *workerProcess
+	for _, h := range r.processes {
+		if h.machines < h.capacity && (to == nil || h.real && !to.real || h.real == to.real && h.machines < to.machines) {
 			to = h
 		}
 	}
 	if to == nil {
-		c.mu.Unlock()
+		r.mu.Unlock()
 		return "", nil, errFull
 	}
 	to.machines++
-	c.where[m.Name] = to
-	c.mu.Unlock()
+	r.placements[m.Name] = to
+	r.mu.Unlock()
 	var at Placed
 	err := to.ask("POST", "/machines", Placement{m.Name, autoscaler.RentalRequest{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}, &at)
 	if err != nil {
-		c.gone(m.Name)
+		r.forgetMachine(m.Name)
 		return "", nil, err
 	}
 	return at.Addr, func() {
-		_ = to.ask("POST", "/machines/end", Placement{Host: m.Name}, nil) // what can't be reached has ended
-		c.gone(m.Name)
+		_ = to.ask("POST", "/machines/end", Placement{Machine: m.Name}, nil) // what can't be reached has ended
+		r.forgetMachine(m.Name)
 	}, nil
 }
 
-func (c *cell) gone(machine string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if h := c.where[machine]; h != nil {
+func (r *region) forgetMachine(machine string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if h := r.placements[machine]; h != nil {
 		h.machines--
-		delete(c.where, machine)
+		delete(r.placements, machine)
 	}
 }
 
 // reboot restarts a machine: what runs there is lost, and it is back at once.
-func (c *cell) reboot(machine string) {
-	c.mu.Lock()
-	h := c.where[machine]
-	c.mu.Unlock()
+func (r *region) reboot(machine string) {
+	r.mu.Lock()
+	h := r.placements[machine]
+	r.mu.Unlock()
 	if h != nil {
-		_ = h.ask("POST", "/machines/reboot", Placement{Host: machine}, nil)
+		_ = h.ask("POST", "/machines/reboot", Placement{Machine: machine}, nil)
 	}
 }
 
 // upload gives the workers jobs' descriptions, as users do.
-func (c *cell) upload(jobs ...client.Job) error {
+func (r *region) upload(jobs ...client.Job) error {
 	described := make([]records.Job, 0, len(jobs))
 	for _, j := range jobs {
 		raw, err := json.Marshal(j)
@@ -189,7 +189,7 @@
 		}
 		described = append(described, record)
 	}
-	for _, h := range c.hosts {
+	for _, h := range r.processes {
 		if err := h.ask("POST", "/jobs", described, nil); err != nil {
 			return err
 		}
@@ -204,8 +204,8 @@
 }
 
 // leader reads from the state service who leads.
-func (c *cell) leader() leadership {
-	status, raw, err := c.store.Do("GET", "/store/"+records.KeyLeader, "", nil, time.Now().Add(time.Second))
+func (r *region) leader() leadership {
+	status, raw, err := r.storeClient.Do("GET", "/store/"+records.KeyLeader, "", nil, time.Now().Add(time.Second))
 	if err != nil || status != 200 {
 		return leadership{}
 	}
@@ -217,11 +217,11 @@
 	return leadership{l.Node, row.Revision}
 }
 
-// finals asks each controller how a job stands.
-func (c *cell) finals(ctx context.Context, id string) []Final {
+// finalStates asks each controller how a job stands.
+func (r *region) finalStates(ctx context.Context, id string) []Final {
 	var all []Final
-	for i, controller := range c.region.Info.Controllers {
-		st, err := c.each[i].Get(ctx, id)
+	for i, controller := range r.cluster.Info.Controllers {
+		st, err := r.perController[i].Get(ctx, id)
 		if err != nil {
 			st.Status = err.Error()
 		}
@@ -231,9 +231,9 @@
 }
 
 // history gathers what all workers ran.
-func (c *cell) history() ([]simulation.TaskRun, error) {
+func (r *region) history() ([]simulation.TaskRun, error) {
 	var all []simulation.TaskRun
-	for _, h := range c.hosts {
+	for _, h := range r.processes {
 		var ran []simulation.TaskRun
 		if err := h.ask("GET", "/history", nil, &ran); err != nil {
 			return nil, err
@@ -244,8 +244,8 @@
 }
 
 // counts adds up what the workers' processes count.
-func (c *cell) counts() (sum WorkerCounts, err error) {
-	for _, h := range c.hosts {
+func (r *region) counts() (sum WorkerCounts, err error) {
+	for _, h := range r.processes {
 		var n WorkerCounts
 		if err := h.ask("GET", "/counts", nil, &n); err != nil {
 			return sum, err
@@ -257,23 +257,23 @@
 
 func (w WorkerCounts) plus(n WorkerCounts) WorkerCounts {
 	return WorkerCounts{
-		Machines: w.Machines + n.Machines, Running: w.Running + n.Running, Starts: w.Starts + n.Starts, Lapses: w.Lapses + n.Lapses,
-		Reports: w.Reports.Plus(n.Reports), Refused: w.Refused + n.Refused, Orders: w.Orders.Plus(n.Orders),
+		Machines: w.Machines + n.Machines, Running: w.Running + n.Running, Starts: w.Starts + n.Starts, LeaseExpiries: w.LeaseExpiries + n.LeaseExpiries,
+		Heartbeats: w.Heartbeats.Plus(n.Heartbeats), RejectedHeartbeats: w.RejectedHeartbeats + n.RejectedHeartbeats, Commands: w.Commands.Plus(n.Commands),
 	}
 }
 
 // sample reads what the region's processes take now.
-func (c *cell) sample(m *meter) {
-	leader := c.leader().node
-	for _, n := range c.region.Info.Controllers {
+func (r *region) sample(m *meter) {
+	leader := r.leader().node
+	for _, n := range r.cluster.Info.Controllers {
 		role := roleFollower
 		if n.Name == leader {
 			role = roleLeader
 		}
-		m.sample(role, c.region.PID(n.Name))
+		m.sample(role, r.cluster.PID(n.Name))
 	}
-	m.sample(roleState, c.state.pid())
-	for _, h := range c.hosts {
+	m.sample(roleState, r.store.pid())
+	for _, h := range r.processes {
 		role := roleHollow
 		if h.real {
 			role = roleReal
@@ -283,16 +283,16 @@
 }
 
 // close ends all of the region's processes.
-func (c *cell) close() error {
+func (r *region) close() error {
 	var err error
-	if c.region != nil {
-		err = c.region.Stop()
+	if r.cluster != nil {
+		err = r.cluster.Stop()
 	}
-	for _, h := range c.hosts {
+	for _, h := range r.processes {
 		h.stop()
 	}
-	if c.state != nil {
-		c.state.stop()
+	if r.store != nil {
+		r.store.stop()
 	}
 	return err
 }
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -11,9 +11,9 @@
 
 // Failover is how a region came through the end of its leader.
 type Failover struct {
-	Region   int     `json:"region"`
-	LeaderS  float64 `json:"leader_s"`  // until another led
-	SettledS float64 `json:"settled_s"` // until a task started again under it
+	Region      int     `json:"region"`
+	LeaderS     float64 `json:"leader_s"`  // until another led
+	FirstStartS float64 `json:"settled_s"` // until a task started again under it
 }
 
 // InjectedFaults counts what went wrong on purpose.
@@ -34,10 +34,10 @@
 
 // faults causes what the size asks for while a run is measured.
 type faults struct {
-	size  Size
-	cells []*cell
-	rand  *rand.Rand
-	did   InjectedFaults
+	size     Size
+	regions  []*region
+	rand     *rand.Rand
+	injected InjectedFaults
 }
 
 // event is one fault and when it happens.
@@ -83,69 +83,69 @@
 	}
 }
 
-func (f *faults) anyCell() *cell { return f.cells[f.rand.IntN(len(f.cells))] }
+func (f *faults) anyRegion() *region { return f.regions[f.rand.IntN(len(f.regions))] }
 
 func (f *faults) failOne(context.Context) {
-	if ms := f.anyCell().region.Environment.Machines(); len(ms) > 0 {
+	if ms := f.anyRegion().cluster.Environment.Machines(); len(ms) > 0 {
 		ms[f.rand.IntN(len(ms))].Die()
-		f.did.Failures++
+		f.injected.Failures++
 	}
 }
 
 func (f *faults) restartOne(context.Context) {
-	c := f.anyCell()
-	if ms := c.region.Environment.Machines(); len(ms) > 0 {
+	c := f.anyRegion()
+	if ms := c.cluster.Environment.Machines(); len(ms) > 0 {
 		c.reboot(ms[f.rand.IntN(len(ms))].Name)
-		f.did.Restarts++
+		f.injected.Restarts++
 	}
 }
 
 // failRack takes the power from the workers behind one switch: neighbours in a zone.
 func (f *faults) failRack(context.Context) {
-	c := f.anyCell()
+	c := f.anyRegion()
 	zone := c.zones[f.rand.IntN(len(c.zones))]
 	left := max(rackWorkers*f.size.Workers/plannedWorkers, 1)
-	f.did.Racks++
-	for _, m := range c.region.Environment.Machines() {
+	f.injected.Racks++
+	for _, m := range c.cluster.Environment.Machines() {
 		if m.Zone == zone && left > 0 {
 			left--
-			f.did.Failures++
+			f.injected.Failures++
 			m.Die()
 		}
 	}
 }
 
 func (f *faults) failZone(context.Context) {
-	c := f.anyCell()
-	f.did.Zones++
-	f.did.Failures += c.region.Environment.FailZone(c.zones[f.rand.IntN(len(c.zones))])
+	c := f.anyRegion()
+	f.injected.Zones++
+	f.injected.Failures += c.cluster.Environment.FailZone(c.zones[f.rand.IntN(len(c.zones))])
 }
 
-// takeoverPatience bounds how long a takeover is followed.
-const takeoverPatience = 60 * time.Second
+// failoverTimeout bounds how long a takeover is followed.
+const failoverTimeout = 60 * time.Second
 
 // killLeader ends a region's leader, and times how the next one takes over.
 func (f *faults) killLeader(ctx context.Context) {
-	c := f.anyCell()
+	c := f.anyRegion()
 	old := c.leader()
-	if old.term == 0 || c.region.Kill(old.node) != nil {
+	if old.term == 0 || c.cluster.Kill(old.node) != nil {
 		return
 	}
 	began := time.Now()
 	took := Failover{Region: c.index}
-	for time.Since(began) < takeoverPatience && ctxtime.Sleep(ctx, 20*time.Millisecond) == nil {
+	for time.Since(began) < failoverTimeout && ctxtime.Sleep(ctx, 20*time.Millisecond) == nil {
 		if now := c.leader(); now.term > old.term {
 			took.LeaderS = time.Since(began).Seconds()
 			break
 		}
 	}
 	before, err := c.counts()
-	for err == nil && time.Since(began) < takeoverPatience && ctxtime.Sleep(ctx, 50*time.Millisecond) == nil {
+	for err == nil && time.Since(began) < failoverTimeout && ctxtime.Sleep(ctx, 50*time.Millisecond) == nil {
 		now, err := c.counts()
 		if err == nil && now.Starts > before.Starts {
-			took.SettledS = time.Since(began).Seconds()
+			took.FirstStartS = time.Since(began).Seconds()
 			break
 		}
 	}
-	f.did.Failovers = append(f.did.Failovers, took)
+	f.injected.Failovers = append(f.injected.Failovers, took)
 }
--- a/internal/loadtest/golden_test.go
+++ b/internal/loadtest/golden_test.go
@@ -20,27 +20,27 @@
 			Faults: Faults{Compress: 1.5, Rack: true, Zone: true, Leader: true}, StoreRPS: 12.5, StoreWrites: 13.5},
 		Measured: 14.5, Workers: 15, Running: 16, Starts: Rates{Mean: 17.5, Peak: 18.5},
 		Usage:   map[string]Usage{"controller": {Processes: 1, Cores: 2.5, PeakCores: 3.5, MemoryMB: 4.5}},
-		Traffic: map[string]Traffic{"reports": traffic}, Waits: map[string]Waits{"train": waits}, ToRun: waits, InTime: 19.5, Lapses: 20,
-		Lost: 21, Refused: 22, Jobs: 23, Finished: 24, Unanswered: 25,
-		Happened: InjectedFaults{Failures: 1, Restarts: 2, Racks: 3, Zones: 4, Failovers: []Failover{{Region: 1, LeaderS: 2.5, SettledS: 3.5}}},
-		Breaches: []Violation{{Rule: "r", What: "w"}},
+		Traffic: map[string]Traffic{"reports": traffic}, Waits: map[string]Waits{"train": waits}, CommandToRunning: waits, UrgentInTime: 19.5, LeaseExpiries: 20,
+		LostStarts: 21, RejectedHeartbeats: 22, Jobs: 23, Finished: 24, Unanswered: 25,
+		InjectedFaults: InjectedFaults{Failures: 1, Restarts: 2, Racks: 3, Zones: 4, Failovers: []Failover{{Region: 1, LeaderS: 2.5, FirstStartS: 3.5}}},
+		Violations:     []Violation{{Rule: "r", What: "w"}},
 	}
 	// All but the run before, which is a result itself.
 	if unset := goldentest.Unset(r, "json"); len(unset) != 1 {
 		t.Errorf("the value of the test leaves %v unset", unset)
 	}
 	both := r
-	both.Without = &r
+	both.WithoutTeams = &r
 	goldentest.Run(t, "golden-results.json", goldentest.JSON, []goldentest.Case{
 		{Name: "result", Value: both, Unset: true},
 		{Name: "result, empty", Value: Result{}, Unset: true},
-		{Name: "what happened", Value: r.Happened},
+		{Name: "what happened", Value: r.InjectedFaults},
 		{Name: "setup", Value: Setup{Nodes: []Node{{Name: "n-1", Addr: "a:1"}}, Types: []records.MachineType{{
 			Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"},
 		}}}},
-		{Name: "placement", Value: Placement{Host: "m-1", Rent: autoscaler.RentalRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 3}}},
+		{Name: "placement", Value: Placement{Machine: "m-1", Rental: autoscaler.RentalRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 3}}},
 		{Name: "placed", Value: Placed{Addr: "a:1"}},
-		{Name: "counts of workers", Value: WorkerCounts{Machines: 1, Running: 2, Starts: 3, Lapses: 4, Reports: traffic, Refused: 5, Orders: traffic}},
-		{Name: "child", Value: hello{Addr: "a:1", Service: "a:2"}},
+		{Name: "counts of workers", Value: WorkerCounts{Machines: 1, Running: 2, Starts: 3, LeaseExpiries: 4, Heartbeats: traffic, RejectedHeartbeats: 5, Commands: traffic}},
+		{Name: "child", Value: childAddrs{Addr: "a:1", Service: "a:2"}},
 	})
 }
--- a/internal/loadtest/hollow_workers.go
+++ b/internal/loadtest/hollow_workers.go
@@ -35,8 +35,8 @@
 
 // Placement is a machine that was rented and is to run in this process.
 type Placement struct {
-	Host string                   `json:"host"`
-	Rent autoscaler.RentalRequest `json:"rent"`
+	Machine string                   `json:"host"`
+	Rental  autoscaler.RentalRequest `json:"rent"`
 }
 
 // Placed is where such a machine's worker takes direct commands.
@@ -76,19 +76,19 @@
 
 // WorkerCounts is what a process of workers counts.
 type WorkerCounts struct {
-	Machines int     `json:"machines"`
-	Running  int     `json:"running"`
-	Starts   int     `json:"starts"`
-	Lapses   int     `json:"lapses"` // leases that ended
-	Reports  Traffic `json:"reports"`
-	Refused  uint64  `json:"refused"` // reports not answered with 200
-	Orders   Traffic `json:"orders"`  // direct commands
+	Machines           int     `json:"machines"`
+	Running            int     `json:"running"`
+	Starts             int     `json:"starts"`
+	LeaseExpiries      int     `json:"lapses"` // leases that ended
+	Heartbeats         Traffic `json:"reports"`
+	RejectedHeartbeats uint64  `json:"refused"` // reports not answered with 200
+	Commands           Traffic `json:"orders"`  // direct commands
 }
 
 // HollowWorkers runs workers whose tasks are timers: machines of the stand-in world, each behind a socket of
 // its own and with a connection of its own to a controller.
 type HollowWorkers struct {
-	world   *simulation.Environment
+	env     *simulation.Environment
 	ctx     context.Context
 	workers *fasthttp.Server
 
@@ -98,8 +98,8 @@
 	links map[string]*connection         // by machine
 	nodes []Node
 
-	reports, orders tally
-	refused         atomic.Uint64
+	heartbeats, commands tally
+	rejectedHeartbeats   atomic.Uint64
 }
 
 // connection is a worker's connection to the controller where it reports.
@@ -114,21 +114,21 @@
 // NewHollowWorkers returns a process of workers without any.
 func NewHollowWorkers(ctx context.Context) *HollowWorkers {
 	h := &HollowWorkers{
-		world: simulation.NewEnvironment(ctx), ctx: ctx, jobs: map[string]records.Job{}, at: map[string]*simulation.Machine{}, links: map[string]*connection{},
+		env: simulation.NewEnvironment(ctx), ctx: ctx, jobs: map[string]records.Job{}, at: map[string]*simulation.Machine{}, links: map[string]*connection{},
 	}
-	w := h.world
-	w.HeartbeatInterval, w.Lease, w.CancelLimit = config.Seconds(reportS), config.Seconds(leaseS), config.Seconds(cancelS)
+	w := h.env
+	w.HeartbeatInterval, w.Lease, w.CancelLimit = config.Seconds(heartbeatS), config.Seconds(leaseS), config.Seconds(cancelS)
 	w.GangStartTimeout, w.GangPeerTimeout = config.Seconds(gangWaitS), config.Seconds(gangPeerS)
 	w.MaxCommandDelay = inFlight
 	w.LookupJob = h.job
-	w.RunTime = h.runFor
+	w.RunTime = h.runTime
 	w.Listen = h.open
-	w.Heartbeat = simulation.HeartbeatOverHTTP(h.report)
+	w.Heartbeat = simulation.HeartbeatOverHTTP(h.sendHeartbeat)
 	w.FirstNode = h.firstNode
 	commands := newApp()
 	commands.Use(func(c *fiber.Ctx) error {
 		err := c.Next()
-		h.orders.add(len(c.Response().Body()), len(c.Body()))
+		h.commands.add(len(c.Response().Body()), len(c.Body()))
 		return err
 	})
 	simulation.ServeWorkers(commands, func(c *fiber.Ctx) *simulation.Machine {
@@ -154,8 +154,8 @@
 	return j, ok
 }
 
-// runFor is how long a task runs: near its owner's estimate, by its name.
-func (h *HollowWorkers) runFor(task string) time.Duration {
+// runTime is how long a task runs: near its owner's estimate, by its name.
+func (h *HollowWorkers) runTime(task string) time.Duration {
 	j, _ := h.job(jobOf(task))
 	sum := fnv.New32a()
 	sum.Write([]byte(task))
@@ -195,8 +195,8 @@
 	}, nil
 }
 
-// linkTo is a worker's connection to a controller; the one to another is closed.
-func (h *HollowWorkers) linkTo(host string, node int) *httpclient.Client {
+// connect is a worker's connection to a controller; the one to another is closed.
+func (h *HollowWorkers) connect(host string, node int) *httpclient.Client {
 	h.mu.Lock()
 	was := h.links[host]
 	if was != nil && was.node == node {
@@ -212,12 +212,12 @@
 	return now.link
 }
 
-// report sends a worker's report to a controller.
-func (h *HollowWorkers) report(host string, node int, body []byte) (int, []byte, error) {
-	status, answer, err := h.linkTo(host, node).Do("POST", "/checkin", "application/json", body, time.Now().Add(workerPatience))
-	h.reports.add(len(body), len(answer))
+// sendHeartbeat sends a worker's report to a controller.
+func (h *HollowWorkers) sendHeartbeat(host string, node int, body []byte) (int, []byte, error) {
+	status, answer, err := h.connect(host, node).Do("POST", "/checkin", "application/json", body, time.Now().Add(workerPatience))
+	h.heartbeats.add(len(body), len(answer))
 	if status != 200 {
-		h.refused.Add(1)
+		h.rejectedHeartbeats.Add(1)
 	}
 	return status, answer, err
 }
@@ -226,15 +226,15 @@
 	h.mu.Lock()
 	h.nodes = s.Nodes
 	h.mu.Unlock()
-	h.world.Types = s.Types
+	h.env.Types = s.Types
 	for _, n := range s.Nodes {
-		h.world.Nodes = append(h.world.Nodes, n.Name)
+		h.env.Nodes = append(h.env.Nodes, n.Name)
 	}
 }
 
 // place starts a rented machine and waits until it takes commands.
 func (h *HollowWorkers) place(p Placement) (Placed, error) {
-	m := h.world.AddMachine(p.Host, p.Rent)
+	m := h.env.AddMachine(p.Machine, p.Rental)
 	for until := time.Now().Add(askTime); time.Now().Before(until); {
 		if addr := m.Addr(); addr != "" {
 			return Placed{addr}, nil
@@ -244,23 +244,23 @@
 		}
 	}
 	m.Die()
-	return Placed{}, fmt.Errorf("machine %s does not come up", p.Host)
+	return Placed{}, fmt.Errorf("machine %s does not come up", p.Machine)
 }
 
 func (h *HollowWorkers) counts() WorkerCounts {
 	return WorkerCounts{
-		Machines: len(h.world.Machines()), Running: h.world.Running(), Starts: h.world.Starts(), Lapses: h.world.LeaseExpiries(),
-		Reports: h.reports.read(), Refused: h.refused.Load(), Orders: h.orders.read(),
+		Machines: len(h.env.Machines()), Running: h.env.Running(), Starts: h.env.Starts(), LeaseExpiries: h.env.LeaseExpiries(),
+		Heartbeats: h.heartbeats.read(), RejectedHeartbeats: h.rejectedHeartbeats.Load(), Commands: h.commands.read(),
 	}
 }
 
 // Mount serves whoever runs the process.
 func (h *HollowWorkers) Mount(app *fiber.App) {
 	app.Post("/setup", func(c *fiber.Ctx) error {
-		return taking(c, func(s Setup) (any, error) { h.setUp(s); return fiber.Map{}, nil })
+		return handle(c, func(s Setup) (any, error) { h.setUp(s); return fiber.Map{}, nil })
 	})
 	app.Post("/jobs", func(c *fiber.Ctx) error {
-		return taking(c, func(jobs []records.Job) (any, error) {
+		return handle(c, func(jobs []records.Job) (any, error) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			for _, j := range jobs {
@@ -270,24 +270,24 @@
 		})
 	})
 	app.Post("/machines", func(c *fiber.Ctx) error {
-		return taking(c, func(p Placement) (any, error) { return h.place(p) })
+		return handle(c, func(p Placement) (any, error) { return h.place(p) })
 	})
-	app.Post("/machines/end", h.with((*simulation.Machine).Die))
-	app.Post("/machines/reboot", h.with((*simulation.Machine).Reboot))
+	app.Post("/machines/end", h.forMachine((*simulation.Machine).Die))
+	app.Post("/machines/reboot", h.forMachine((*simulation.Machine).Reboot))
 	app.Get("/counts", func(c *fiber.Ctx) error { return c.JSON(h.counts()) })
 	app.Get("/history", func(c *fiber.Ctx) error {
-		ran, _ := h.world.History()
+		ran, _ := h.env.History()
 		return c.JSON(ran)
 	})
 }
 
-// with serves what is done to a machine by name.
-func (h *HollowWorkers) with(do func(*simulation.Machine)) fiber.Handler {
+// forMachine serves what is done to a machine by name.
+func (h *HollowWorkers) forMachine(do func(*simulation.Machine)) fiber.Handler {
 	return func(c *fiber.Ctx) error {
-		return taking(c, func(p Placement) (any, error) {
-			m := h.world.Machine(p.Host)
+		return handle(c, func(p Placement) (any, error) {
+			m := h.env.Machine(p.Machine)
 			if m == nil {
-				return nil, fmt.Errorf("there is no machine %q here", p.Host)
+				return nil, fmt.Errorf("there is no machine %q here", p.Machine)
 			}
 			do(m)
 			return fiber.Map{}, nil
@@ -295,8 +295,8 @@
 	}
 }
 
-// taking reads a request's body and answers with what is made of it.
-func taking[T any](c *fiber.Ctx, do func(T) (any, error)) error {
+// handle reads a request's body and answers with what is made of it.
+func handle[T any](c *fiber.Ctx, do func(T) (any, error)) error {
 	var in T
 	if err := json.Unmarshal(c.Body(), &in); err != nil {
 		return c.Status(400).SendString(err.Error())
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -14,31 +14,31 @@
 
 // Classes of the load, and what is expected of urgent work.
 const (
-	classUrgent = "urgent"
-	classBulk   = "bulk"
-	urgentS     = 2.8 // within which urgent work is to begin
+	classUrgent  = "urgent"
+	classBulk    = "bulk"
+	urgentStartS = 2.8 // within which urgent work is to begin
 )
 
 // The shape of the load. What is not urgent comes in arrays; nothing saves its progress.
 const (
-	urgentShare   = 0.04 // of all starts
-	urgentTaskS   = 5.0
-	urgentJobs    = 1.0  // a second, over all regions
-	bulkJobs      = 2.0  // a second, over all regions
-	cancelShare   = 0.02 // of the bulk jobs
-	pollEvery     = 5 * time.Second
-	images        = 16
-	submitEvery   = 100 * time.Millisecond
-	mostRequests  = 64 // of users that are under way at once
-	drainPatience = 90 * time.Second
+	urgentShare       = 0.04 // of all starts
+	urgentTaskS       = 5.0
+	urgentJobs        = 1.0  // a second, over all regions
+	bulkJobs          = 2.0  // a second, over all regions
+	cancelShare       = 0.02 // of the bulk jobs
+	pollEvery         = 5 * time.Second
+	images            = 16
+	submitEvery       = 100 * time.Millisecond
+	maxRequests       = 64 // of users that are under way at once
+	completionTimeout = 90 * time.Second
 )
 
 // users submit the load of a run, follow their jobs, and cancel some.
 type users struct {
-	ctx   context.Context // ends with the run: nobody asks the next one's controllers
-	size  Size
-	cells []*cell
-	rand  *rand.Rand
+	ctx     context.Context // ends with the run: nobody asks the next one's controllers
+	size    Size
+	regions []*region
+	rand    *rand.Rand
 
 	mu   sync.Mutex
 	jobs map[string]*UserJob
@@ -51,10 +51,10 @@
 	unanswered                  int // submissions that nobody took in time
 }
 
-func newUsers(ctx context.Context, size Size, cells []*cell) *users {
+func newUsers(ctx context.Context, size Size, cells []*region) *users {
 	return &users{
-		ctx: ctx, size: size, cells: cells, rand: rand.New(rand.NewPCG(uint64(size.Workers), uint64(size.Tasks))),
-		jobs: map[string]*UserJob{}, open: map[string]bool{}, busy: make(chan struct{}, mostRequests),
+		ctx: ctx, size: size, regions: cells, rand: rand.New(rand.NewPCG(uint64(size.Workers), uint64(size.Tasks))),
+		jobs: map[string]*UserJob{}, open: map[string]bool{}, busy: make(chan struct{}, maxRequests),
 	}
 }
 
@@ -101,9 +101,9 @@
 	u.seq++
 	n := u.seq
 	u.mu.Unlock()
-	region := n % len(u.cells)
+	region := n % len(u.regions)
 	j := &UserJob{Region: region, Submitted: time.Now(), Job: client.Job{
-		ID: fmt.Sprintf("j-%06d", n), Class: s.class, Team: teamName(n / len(u.cells) % max(u.size.Teams, 1)), Shape: client.Batch, Priority: s.priority,
+		ID: fmt.Sprintf("j-%06d", n), Class: s.class, Team: teamName(n / len(u.regions) % max(u.size.Teams, 1)), Shape: client.Batch, Priority: s.priority,
 		Tasks: tasks, CPUs: 1, MemGB: taskMemGB, Image: fmt.Sprint("image-", u.rand.IntN(images)), ImageGB: imageGB, Spot: true, EstimateS: s.runs,
 	}}
 	cancelled := s.class == classBulk && u.rand.Float64() < cancelShare
@@ -111,12 +111,12 @@
 	u.jobs[j.ID] = j
 	u.mu.Unlock()
 	u.do(func() {
-		c := u.cells[region]
+		c := u.regions[region]
 		if err := c.upload(j.Job); err != nil {
 			u.failed(err)
 			return
 		}
-		st, _, err := c.users.Submit(ctx, j.Job)
+		st, _, err := c.client.Submit(ctx, j.Job)
 		u.submissions.add(submissionBytes, answerBytes)
 		u.mu.Lock()
 		defer u.mu.Unlock()
@@ -157,11 +157,11 @@
 // cancel has a user call a job off.
 func (u *users) cancel(j *UserJob) {
 	u.mu.Lock()
-	j.Withdrawn = true
+	j.CancelRequested = true
 	u.mu.Unlock()
 	ctx, stop := context.WithTimeout(u.ctx, time.Minute)
 	defer stop()
-	st, err := u.cells[j.Region].users.Cancel(ctx, j.ID)
+	st, err := u.regions[j.Region].client.Cancel(ctx, j.ID)
 	u.cancels.add(0, answerBytes)
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -194,7 +194,7 @@
 }
 
 func (u *users) poll(ctx context.Context, j *UserJob) {
-	st, err := u.cells[j.Region].users.Get(ctx, j.ID)
+	st, err := u.regions[j.Region].client.Get(ctx, j.ID)
 	u.polls.add(0, answerBytes)
 	if err != nil || !st.Over() {
 		return
@@ -214,7 +214,7 @@
 // finish waits until every job is over, or for as long as that may take, and asks each controller for the final
 // state of each.
 func (u *users) finish(ctx context.Context) {
-	until := time.Now().Add(3*u.size.taskTime() + drainPatience)
+	until := time.Now().Add(3*u.size.taskTime() + completionTimeout)
 	for u.left() > 0 && time.Now().Before(until) && ctxtime.Sleep(ctx, time.Second) == nil {
 	}
 	u.mu.Lock()
@@ -231,8 +231,8 @@
 		asked.Add(1)
 		u.do(func() {
 			defer asked.Done()
-			c := u.cells[j.Region]
-			j.Finals = c.finals(ctx, j.ID)
+			c := u.regions[j.Region]
+			j.Finals = c.finalStates(ctx, j.ID)
 		})
 	}
 	asked.Wait()
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -27,17 +27,17 @@
 	RoleState   = "state"
 )
 
-// hello is the line by which a child says where it is reached.
-type hello struct {
+// childAddrs is the line by which a child says where it is reached.
+type childAddrs struct {
 	Addr    string `json:"addr"`    // of whoever runs it
 	Service string `json:"service"` // that it serves to controllers
 }
 
 // child is a process of this program.
 type child struct {
-	cmd  *exec.Cmd
-	link *httpclient.Client
-	hello
+	cmd    *exec.Cmd
+	client *httpclient.Client
+	childAddrs
 }
 
 // startTime bounds how long a child may take to say where it is reached.
@@ -63,7 +63,7 @@
 	go func() {
 		line, err := bufio.NewReader(out).ReadBytes('\n')
 		if err == nil {
-			err = json.Unmarshal(line, &c.hello)
+			err = json.Unmarshal(line, &c.childAddrs)
 		}
 		said <- err
 		_, _ = io.Copy(io.Discard, out)
@@ -77,7 +77,7 @@
 		c.stop()
 		return nil, fmt.Errorf("%s: %w (see %s)", strings.Join(arguments, " "), err, logFile)
 	}
-	c.link = httpclient.New(c.Addr, 64, time.Second)
+	c.client = httpclient.New(c.Addr, 64, time.Second)
 	return c, nil
 }
 
@@ -94,7 +94,7 @@
 
 // ask sends a request to the child and reads the answer into out, unless that is nil.
 func (c *child) ask(method, path string, in, out any) error {
-	status, raw, err := c.link.JSON(method, path, in, time.Now().Add(askTime))
+	status, raw, err := c.client.JSON(method, path, in, time.Now().Add(askTime))
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", method, path, err)
 	}
@@ -112,13 +112,13 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	app := newApp()
-	var said hello
+	var said childAddrs
 	switch role {
 	case RoleWorkers:
 		NewHollowWorkers(ctx).Mount(app)
 	case RoleState:
-		requests := newStateCounts()
-		addr, err := localcluster.ServeState(ctx, filepath.Join(data, "state.db"), requests.count)
+		requests := newStoreCounts()
+		addr, err := localcluster.ServeStore(ctx, filepath.Join(data, "state.db"), requests.count)
 		if err != nil {
 			return err
 		}
--- a/internal/loadtest/regression.go
+++ b/internal/loadtest/regression.go
@@ -19,9 +19,9 @@
 	ByTeams   = "teams"
 )
 
-// fewest is how many sizes a fit needs: with fewer, a term that grows faster than its cause can't be told from
+// minSizes is how many sizes a fit needs: with fewer, a term that grows faster than its cause can't be told from
 // a slope.
-const fewest = 4
+const minSizes = 4
 
 // The planned size.
 var planned = map[string]float64{ByWorkers: plannedWorkers, ByRate: plannedRate, ByTeams: plannedTeams}
@@ -62,8 +62,8 @@
 		all[kind+", KB a second"] = float64(t.Sent+t.Received) / r.Measured / 1000
 	}
 	all["starts a second"] = r.Starts.Mean
-	if r.Without != nil {
-		for cost, value := range r.Without.costs() {
+	if r.WithoutTeams != nil {
+		for cost, value := range r.WithoutTeams.costs() {
 			all[cost+", no teams"] = value
 		}
 	}
@@ -100,8 +100,8 @@
 		f.Sizes = append(f.Sizes, r.sizeBy(by))
 		distinct[r.sizeBy(by)] = true
 	}
-	if len(distinct) < fewest {
-		return nil, &UsageError{"by", fmt.Sprintf("%d files have %d sizes by %s, and a fit needs %d", len(files), len(distinct), by, fewest)}
+	if len(distinct) < minSizes {
+		return nil, &UsageError{"by", fmt.Sprintf("%d files have %d sizes by %s, and a fit needs %d", len(files), len(distinct), by, minSizes)}
 	}
 	f.Beyond = f.Planned > f.Sizes[len(f.Sizes)-1]
 	f.fitAll(results)
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -18,29 +18,29 @@
 
 // Result is what a run measured.
 type Result struct {
-	Version    string             `json:"version"` // of the sources, by their commit
-	At         time.Time          `json:"at"`
-	Cores      int                `json:"cores"` // of the machine
-	Size       Size               `json:"size"`
-	Measured   float64            `json:"measured_s"`
-	Workers    int                `json:"workers"` // that were up at the end of it
-	Running    int                `json:"running"` // tasks, the most at a time
-	Starts     Rates              `json:"starts"`
-	Usage      map[string]Usage   `json:"usage"`    // by role
-	Traffic    map[string]Traffic `json:"traffic"`  // by kind
-	Waits      map[string]Waits   `json:"waits"`    // from submission to a task's start, by class
-	ToRun      Waits              `json:"to_run"`   // from the order to running
-	InTime     float64            `json:"in_time"`  // share of urgent tasks begun in time
-	Lapses     int                `json:"lapses"`   // leases of workers that ended
-	Lost       int                `json:"lost"`     // starts of jobs that were not cancelled that came to nothing
-	Refused    uint64             `json:"refused"`  // reports not answered with 200
-	Jobs       int                `json:"jobs"`     // accepted
-	Finished   int                `json:"finished"` // of these, over at the end
-	Unanswered int                `json:"unanswered"`
-	Happened   InjectedFaults     `json:"happened"`
+	Version            string             `json:"version"` // of the sources, by their commit
+	At                 time.Time          `json:"at"`
+	Cores              int                `json:"cores"` // of the machine
+	Size               Size               `json:"size"`
+	Measured           float64            `json:"measured_s"`
+	Workers            int                `json:"workers"` // that were up at the end of it
+	Running            int                `json:"running"` // tasks, the most at a time
+	Starts             Rates              `json:"starts"`
+	Usage              map[string]Usage   `json:"usage"`    // by role
+	Traffic            map[string]Traffic `json:"traffic"`  // by kind
+	Waits              map[string]Waits   `json:"waits"`    // from submission to a task's start, by class
+	CommandToRunning   Waits              `json:"to_run"`   // from the order to running
+	UrgentInTime       float64            `json:"in_time"`  // share of urgent tasks begun in time
+	LeaseExpiries      int                `json:"lapses"`   // leases of workers that ended
+	LostStarts         int                `json:"lost"`     // starts of jobs that were not cancelled that came to nothing
+	RejectedHeartbeats uint64             `json:"refused"`  // reports not answered with 200
+	Jobs               int                `json:"jobs"`     // accepted
+	Finished           int                `json:"finished"` // of these, over at the end
+	Unanswered         int                `json:"unanswered"`
+	InjectedFaults     InjectedFaults     `json:"happened"`
 	// Without is the same size without teams, played just before in the same run.
-	Without  *Result     `json:"without,omitempty"`
-	Breaches []Violation `json:"breaches"`
+	WithoutTeams *Result     `json:"without,omitempty"`
+	Violations   []Violation `json:"breaches"`
 }
 
 // Rates are starts a second.
@@ -94,8 +94,8 @@
 		if !x.Running.IsZero() {
 			record(toRun, x.Running.Sub(x.Started))
 		}
-		if j := jobs[jobOf(x.Task)]; x.Cause != fleet.CauseDone && (j == nil || !j.Withdrawn) {
-			r.Lost++
+		if j := jobs[jobOf(x.Task)]; x.Cause != fleet.CauseDone && (j == nil || !j.CancelRequested) {
+			r.LostStarts++
 		}
 	}
 	for task, at := range first {
@@ -106,7 +106,7 @@
 		wait := at.Sub(j.Submitted)
 		record(waits[j.Class], wait)
 		if j.Class == classUrgent {
-			if urgent++; wait.Seconds() <= urgentS {
+			if urgent++; wait.Seconds() <= urgentStartS {
 				inTime++
 			}
 		}
@@ -115,8 +115,8 @@
 	for class, h := range waits {
 		r.Waits[class] = waitsOf(h)
 	}
-	r.ToRun = waitsOf(toRun)
-	r.InTime = float64(inTime) / float64(max(urgent, 1))
+	r.CommandToRunning = waitsOf(toRun)
+	r.UrgentInTime = float64(inTime) / float64(max(urgent, 1))
 	r.Starts.Mean = float64(starts) / to.Sub(from).Seconds()
 	for _, n := range perSecond {
 		r.Starts.Peak = max(r.Starts.Peak, float64(n))
@@ -150,8 +150,8 @@
 
 // Print writes the result as a table for people.
 func (r *Result) Print(out io.Writer) error {
-	if r.Without != nil {
-		if err := r.Without.Print(out); err != nil {
+	if r.WithoutTeams != nil {
+		if err := r.WithoutTeams.Print(out); err != nil {
 			return err
 		}
 		fmt.Fprintln(out)
@@ -164,13 +164,13 @@
 		x := r.Waits[class]
 		fmt.Fprintf(w, "%s: submission to start\tp50 %.2f, p95 %.2f, p99 %.2f, max %.2f s of %d\n", class, x.P50, x.P95, x.P99, x.Max, x.Count)
 	}
-	fmt.Fprintf(w, "urgent within %g s\t%.3f\n", urgentS, r.InTime)
-	fmt.Fprintf(w, "order to running\tp50 %.2f, p95 %.2f, max %.2f s\n", r.ToRun.P50, r.ToRun.P95, r.ToRun.Max)
-	fmt.Fprintf(w, "leases lost\t%d; starts that came to nothing %d; reports not answered with 200: %d\n", r.Lapses, r.Lost, r.Refused)
+	fmt.Fprintf(w, "urgent within %g s\t%.3f\n", urgentStartS, r.UrgentInTime)
+	fmt.Fprintf(w, "order to running\tp50 %.2f, p95 %.2f, max %.2f s\n", r.CommandToRunning.P50, r.CommandToRunning.P95, r.CommandToRunning.Max)
+	fmt.Fprintf(w, "leases lost\t%d; starts that came to nothing %d; reports not answered with 200: %d\n", r.LeaseExpiries, r.LostStarts, r.RejectedHeartbeats)
 	fmt.Fprintf(w, "jobs\t%d accepted, %d over at the end, %d submissions unanswered\n", r.Jobs, r.Finished, r.Unanswered)
-	fmt.Fprintf(w, "went wrong on purpose\t%d machines failed, %d restarted, %d racks, %d zones\n", r.Happened.Failures, r.Happened.Restarts, r.Happened.Racks, r.Happened.Zones)
-	for _, t := range r.Happened.Failovers {
-		fmt.Fprintf(w, "takeover in region %d\tled after %.1f s, started again after %.1f s\n", t.Region+1, t.LeaderS, t.SettledS)
+	fmt.Fprintf(w, "went wrong on purpose\t%d machines failed, %d restarted, %d racks, %d zones\n", r.InjectedFaults.Failures, r.InjectedFaults.Restarts, r.InjectedFaults.Racks, r.InjectedFaults.Zones)
+	for _, t := range r.InjectedFaults.Failovers {
+		fmt.Fprintf(w, "takeover in region %d\tled after %.1f s, started again after %.1f s\n", t.Region+1, t.LeaderS, t.FirstStartS)
 	}
 	fmt.Fprintln(w, "\nrole\tprocesses\tcores, mean\tpeak\tMB")
 	for _, role := range slices.Sorted(maps.Keys(r.Usage)) {
@@ -182,7 +182,7 @@
 		t := r.Traffic[kind]
 		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\n", kind, float64(t.Messages)/r.Measured, float64(t.Sent)/r.Measured/1000, float64(t.Received)/r.Measured/1000)
 	}
-	for _, b := range r.Breaches[:min(len(r.Breaches), 10)] {
+	for _, b := range r.Violations[:min(len(r.Violations), 10)] {
 		fmt.Fprintf(w, "RULE BROKEN\t%s: %s\n", b.Rule, b.What)
 	}
 	return w.Flush()
--- a/internal/loadtest/rules.go
+++ b/internal/loadtest/rules.go
@@ -15,12 +15,12 @@
 // UserJob is what the users know of a job.
 type UserJob struct {
 	client.Job
-	Region    int
-	Submitted time.Time // when it was first sent
-	Accepted  time.Time // when its acceptance was told; zero: it never was
-	Withdrawn bool      // somebody asked to cancel it
-	Cancelled time.Time // when its cancellation was told; zero: it was not
-	Finals    []Final   // at the end, by each controller
+	Region          int
+	Submitted       time.Time // when it was first sent
+	Accepted        time.Time // when its acceptance was told; zero: it never was
+	CancelRequested bool      // somebody asked to cancel it
+	Cancelled       time.Time // when its cancellation was told; zero: it was not
+	Finals          []Final   // at the end, by each controller
 }
 
 // Final is what a controller says of a job at the end.
@@ -186,7 +186,7 @@
 			all = append(all, Violation{"went_back", fmt.Sprintf("%s is %s at %s and %s at %s", j.ID, j.Finals[0].Status, j.Finals[0].Controller, f.Status, f.Controller)})
 		case f.Status == client.Done && done < j.Tasks:
 			all = append(all, Violation{"not_done", fmt.Sprintf("%s is called done at %s with %d of %d tasks done", j.ID, f.Controller, done, j.Tasks)})
-		case f.Status == client.Cancelled && !j.Withdrawn:
+		case f.Status == client.Cancelled && !j.CancelRequested:
 			all = append(all, Violation{"went_back", fmt.Sprintf("%s is called cancelled at %s, and nobody cancelled it", j.ID, f.Controller)})
 		}
 	}
--- a/internal/loadtest/rules_test.go
+++ b/internal/loadtest/rules_test.go
@@ -14,7 +14,7 @@
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	job := func(id string, tasks int, cancelled time.Time, status string) *UserJob {
 		return &UserJob{
-			Job: client.Job{ID: id, Team: "a", Tasks: tasks, CPUs: 1}, Submitted: at(0), Accepted: at(0), Withdrawn: !cancelled.IsZero(), Cancelled: cancelled,
+			Job: client.Job{ID: id, Team: "a", Tasks: tasks, CPUs: 1}, Submitted: at(0), Accepted: at(0), CancelRequested: !cancelled.IsZero(), Cancelled: cancelled,
 			Finals: []Final{{"controller-1", status}, {"controller-2", status}},
 		}
 	}
@@ -49,7 +49,7 @@
 		{"forgotten", func(h *History) { h.Jobs["j-1"].Finals[1].Status = "not found" }},
 		{"unfinished", func(h *History) { h.Jobs["j-1"].Finals[1].Status = client.Running }},
 		{"went_back", func(h *History) { h.Jobs["j-2"].Finals[0].Status = client.Done; h.Jobs["j-2"].Tasks = 0 }},
-		{"went_back", func(h *History) { h.Jobs["j-2"].Withdrawn = false }},
+		{"went_back", func(h *History) { h.Jobs["j-2"].CancelRequested = false }},
 		{"not_done", func(h *History) { h.Ran[2].Cause = "lost" }},
 		{"nothing_ran", func(h *History) { h.Ran = nil; clear(h.Jobs) }},
 	} {
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -19,7 +19,7 @@
 // run is a run under way.
 type run struct {
 	size  Size
-	cells []*cell
+	cells []*region
 	users *users
 	meter *meter
 	log   io.Writer
@@ -54,8 +54,8 @@
 	if err != nil {
 		return nil, err
 	}
-	with.Without = without
-	with.Breaches = append(without.Breaches, with.Breaches...)
+	with.WithoutTeams = without
+	with.Violations = append(without.Violations, with.Violations...)
 	return with, nil
 }
 
@@ -78,7 +78,7 @@
 		err = errors.Join(err, os.RemoveAll(data))
 	}()
 	for i := range size.Regions {
-		c, err := openCell(ctx, size, i, programs, data)
+		c, err := openRegion(ctx, size, i, programs, data)
 		if err != nil {
 			return nil, err
 		}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	trouble := &faults{size: r.size, cells: r.cells, rand: rand.New(rand.NewPCG(1, uint64(r.size.Workers)))}
+	trouble := &faults{size: r.size, regions: r.cells, rand: rand.New(rand.NewPCG(1, uint64(r.size.Workers)))}
 	troubled := make(chan struct{})
 	began := time.Now()
 	go func() { defer close(troubled); trouble.run(ctx) }()
@@ -119,10 +119,10 @@
 	}
 	result.Traffic = after.traffic(before)
 	result.Workers, result.Running = after.workers.Machines, r.running
-	result.Lapses, result.Refused = after.workers.Lapses-before.workers.Lapses, after.workers.Refused-before.workers.Refused
+	result.LeaseExpiries, result.RejectedHeartbeats = after.workers.LeaseExpiries-before.workers.LeaseExpiries, after.workers.RejectedHeartbeats-before.workers.RejectedHeartbeats
 	stopSubmitting()
 	<-troubled
-	result.Happened = trouble.did
+	result.InjectedFaults = trouble.injected
 	fmt.Fprintf(r.log, "waiting for %d jobs to end\n", r.users.left())
 	r.users.finish(ctx)
 	if err := ctx.Err(); err != nil {
@@ -154,12 +154,12 @@
 	h := &History{Ran: ran, Jobs: r.users.jobs, Cancel: config.Seconds(cancelS)}
 	for _, c := range r.cells {
 		of := Limits{}
-		for _, t := range r.size.facts(c.index, c.zones).Teams {
+		for _, t := range r.size.deployment(c.index, c.zones).Teams {
 			of[t.Name] = t.LimitCPUs
 		}
 		h.Limits = append(h.Limits, of)
 	}
-	result.Breaches = h.Check()
+	result.Violations = h.Check()
 	return r.users.fail
 }
 
@@ -171,7 +171,7 @@
 		if up := r.up(); up > most {
 			most, rose = up, time.Now()
 		}
-		all := most >= int(allUp*float64(r.size.Workers)) || most > 0 && time.Since(rose) > noMoreReports*config.Seconds(reportS)
+		all := most >= int(allUp*float64(r.size.Workers)) || most > 0 && time.Since(rose) > noMoreReports*config.Seconds(heartbeatS)
 		return all && time.Since(began) >= r.size.taskTime()+rampTime || time.Since(began) > bootPatience
 	})
 	r.meter, r.running = newMeter(), 0
@@ -182,7 +182,7 @@
 func (r *run) up() int {
 	n := 0
 	for _, c := range r.cells {
-		n += len(c.region.Environment.Machines())
+		n += len(c.cluster.Environment.Machines())
 	}
 	return n
 }
@@ -226,7 +226,7 @@
 		}
 		all.workers = all.workers.plus(workers)
 		var state map[string]Traffic
-		if err := c.state.ask("GET", "/counts", nil, &state); err != nil {
+		if err := c.store.ask("GET", "/counts", nil, &state); err != nil {
 			return all, err
 		}
 		for kind, t := range state {
@@ -239,7 +239,7 @@
 // traffic is what came since an earlier count, by kind.
 func (c counted) traffic(before counted) map[string]Traffic {
 	all := map[string]Traffic{
-		"report": c.workers.Reports.Minus(before.workers.Reports), "order": c.workers.Orders.Minus(before.workers.Orders),
+		"report": c.workers.Heartbeats.Minus(before.workers.Heartbeats), "order": c.workers.Commands.Minus(before.workers.Commands),
 		"submission": c.submissions.Minus(before.submissions), "poll": c.polls.Minus(before.polls), "cancellation": c.cancels.Minus(before.cancels),
 	}
 	for kind, t := range c.state {
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -48,10 +48,10 @@
 // Limits of one run on one machine. They leave room for 7,600 workers in three regions; a size
 // beyond them is refused with the reason.
 const (
-	// MostProcesses is how many processes a run may start.
-	MostProcesses = 40
-	// mostMemoryMB is how much they may hold together.
-	mostMemoryMB = 10 << 10
+	// MaxProcesses is how many processes a run may start.
+	MaxProcesses = 40
+	// maxMemoryMB is how much they may hold together.
+	maxMemoryMB = 10 << 10
 	// workersPerProcess is how many hollow workers share a process.
 	workersPerProcess = 1900
 )
@@ -113,11 +113,11 @@
 	case s.taskTime() < time.Second:
 		return &UsageError{"rate", fmt.Sprintf("%d tasks at %g starts a second run for %v, less than 1s", s.Tasks, s.Rate, s.taskTime())}
 	}
-	if n := s.processes(); n > MostProcesses {
-		return &UsageError{"workers", fmt.Sprintf("it takes %d processes with these controllers, regions and real workers, and %d are the most", n, MostProcesses)}
+	if n := s.processes(); n > MaxProcesses {
+		return &UsageError{"workers", fmt.Sprintf("it takes %d processes with these controllers, regions and real workers, and %d are the most", n, MaxProcesses)}
 	}
-	if mb := s.memoryMB(); mb > mostMemoryMB {
-		return &UsageError{"workers", fmt.Sprintf("it takes some %.0f MB, and %d MB are the most", mb, mostMemoryMB)}
+	if mb := s.memoryMB(); mb > maxMemoryMB {
+		return &UsageError{"workers", fmt.Sprintf("it takes some %.0f MB, and %d MB are the most", mb, maxMemoryMB)}
 	}
 	return nil
 }
@@ -160,12 +160,12 @@
 
 // Times of the workers, in seconds: those of the large deployments.
 const (
-	reportS    = 5.0
+	heartbeatS = 5.0
 	leaseS     = 24.0
 	cancelS    = 44.0
 	gangWaitS  = 35.0
 	gangPeerS  = 8.0
-	startupS   = 2.0
+	bootS      = 2.0
 	fetchGBps  = 1.0
 	cacheGB    = 100.0
 	imageGB    = 0.5
@@ -181,15 +181,15 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
 
-// facts are the settings of one region's controllers.
-func (s *Size) facts(region int, zones []string) *config.Deployment {
+// deployment are the settings of one region's controllers.
+func (s *Size) deployment(region int, zones []string) *config.Deployment {
 	f := &config.Deployment{
 		Nodes: s.Controllers, Zones: zones, TimeBoundMS: 100,
 		Objectives: []config.Objective{
-			{Kind: config.KindWait, Class: classUrgent, WithinS: urgentS, Share: 0.95},
+			{Kind: config.KindWait, Class: classUrgent, WithinS: urgentStartS, Share: 0.95},
 			{Kind: "finished", Class: classBulk, WithinS: 20 * s.taskTime().Seconds(), Share: 0.9},
 		},
-		Workers:   config.Workers{HeartbeatS: reportS, LeaseS: leaseS, GangWaitS: gangWaitS, GangPeerS: gangPeerS, CancelS: cancelS},
+		Workers:   config.Workers{HeartbeatS: heartbeatS, LeaseS: leaseS, GangWaitS: gangWaitS, GangPeerS: gangPeerS, CancelS: cancelS},
 		State:     config.State{RPS: s.StoreRPS, WriteRPS: s.StoreWrites, ValueKB: 64, TxnOps: 64},
 		Cloud:     config.Cloud{RPS: 20, ListLagS: 3},
 		Resources: config.Resources{Cores: 1, RAMMB: 4096, FDLimit: 16000},
@@ -206,11 +206,11 @@
 	return f
 }
 
-// types are the machines to be had in a region.
-func (s *Size) types(zones []string) []records.MachineType {
+// machineTypes are the machines to be had in a region.
+func (s *Size) machineTypes(zones []string) []records.MachineType {
 	cpus := float64(s.tasksPerWorker())
 	return []records.MachineType{{
 		Name: "c", CPUs: cpus, MemGB: max(machineMem, cpus*taskMemGB), CacheGB: cacheGB, FetchGBps: fetchGBps,
-		Price: 0.2, SpotPrice: 0.05, StartupS: startupS, Zones: zones,
+		Price: 0.2, SpotPrice: 0.05, StartupS: bootS, Zones: zones,
 	}}
 }
--- a/internal/loadtest/store_counts.go
+++ b/internal/loadtest/store_counts.go
@@ -11,11 +11,11 @@
 	kindRead, kindList, kindWrite, kindCompare, kindWatch, kindLease = "read", "list", "write", "compare", "watch", "lease"
 )
 
-// stateCounts counts the requests to a state service by kind.
-type stateCounts struct{ kinds map[string]*tally }
+// storeCounts counts the requests to a state service by kind.
+type storeCounts struct{ kinds map[string]*tally }
 
-func newStateCounts() *stateCounts {
-	s := &stateCounts{kinds: map[string]*tally{}}
+func newStoreCounts() *storeCounts {
+	s := &storeCounts{kinds: map[string]*tally{}}
 	for _, kind := range []string{kindRead, kindList, kindWrite, kindCompare, kindWatch, kindLease} {
 		s.kinds[kind] = &tally{}
 	}
@@ -40,14 +40,14 @@
 }
 
 // count counts one request, once it is answered.
-func (s *stateCounts) count(c *fiber.Ctx) error {
+func (s *storeCounts) count(c *fiber.Ctx) error {
 	kind := kindOf(c.Method(), c.Path(), c.Body())
 	err := c.Next()
 	s.kinds[kind].add(len(c.Response().Body()), len(c.Body()))
 	return err
 }
 
-func (s *stateCounts) read() map[string]Traffic {
+func (s *storeCounts) read() map[string]Traffic {
 	all := map[string]Traffic{}
 	for kind, t := range s.kinds {
 		all[kind] = t.read()
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -177,9 +177,9 @@
 	return r, err
 }
 
-// ServeState serves a state service kept in a file, at an address of its own, until ctx ends. count,
+// ServeStore serves a state service kept in a file, at an address of its own, until ctx ends. count,
 // where it is set, is told of each request.
-func ServeState(ctx context.Context, path string, count fiber.Handler) (addr string, err error) {
+func ServeStore(ctx context.Context, path string, count fiber.Handler) (addr string, err error) {
 	state := simulation.NewStore()
 	d, err := openStoreFile(path, state)
 	if err != nil {
--- a/internal/localcluster/loopback_test.go
+++ b/internal/localcluster/loopback_test.go
@@ -291,7 +291,7 @@
 		}
 		return err
 	}
-	addr, err := ServeState(t.Context(), filepath.Join(t.TempDir(), "state.db"), delayFirst)
+	addr, err := ServeStore(t.Context(), filepath.Join(t.TempDir(), "state.db"), delayFirst)
 	if err != nil {
 		t.Fatal(err)
 	}
