--- /dev/null
+++ b/internal/scheduler/scenario_test.go
@@ -0,0 +1,159 @@
+package scheduler
+
+import (
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"drumpick/internal/autoscaler"
+	"drumpick/internal/config"
+	"drumpick/internal/fleet"
+	"drumpick/internal/records"
+	"drumpick/internal/scenario"
+)
+
+// The scenarios of testdata are replayed to a Scheduler of term 5 (unless "term" says otherwise) with
+// heartbeats every 2 s, a lease of 12 s and zones a and b.
+func TestScenarios(t *testing.T) {
+	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
+		return newReplay(t).event
+	})
+}
+
+// replay replays the events of one scenario.
+type replay struct {
+	t         *testing.T
+	start     time.Time
+	now       time.Time
+	term      uint64
+	scheduler *Scheduler // from the first event on that is no setting
+
+	sequences map[string]uint64                   // last sequence number of each machine
+	requests  map[string]autoscaler.RentalRequest // scale-out requests by name
+	probes    map[string]fleet.Probe              // the machines probed last
+
+	// Settings.
+	teams      []config.Team
+	objectives []config.Objective
+	types      []records.MachineType
+	watermarks bool
+	zoneHealth bool
+	guarantees bool
+	beginS     float64
+}
+
+func newReplay(t *testing.T) *replay {
+	start := time.Unix(1_000_000, 0)
+	return &replay{
+		t: t, start: start, now: start, term: 5,
+		sequences: map[string]uint64{}, requests: map[string]autoscaler.RentalRequest{},
+	}
+}
+
+// open returns the scheduler, which begins with the first event that is no setting.
+func (r *replay) open() *Scheduler {
+	if r.scheduler != nil {
+		return r.scheduler
+	}
+	cfg := &config.Config{Options: config.DefaultOptions()}
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
+	cfg.Deployment.State.ValueKB = 8
+	cfg.Deployment.Cloud.ListLagS = 3
+	cfg.Deployment.Zones = []string{"a", "b"}
+	cfg.Deployment.Teams = append(r.teams, config.Team{Name: "team"})
+	cfg.Deployment.Objectives = r.objectives
+	cfg.Options.Watermarks, cfg.Options.ZoneHealth, cfg.Options.Guarantees = r.watermarks, r.zoneHealth, r.guarantees
+	cfg.Options.Reservations, cfg.Options.BeginS = r.beginS > 0, r.beginS
+	r.scheduler = New(SettingsOf(cfg), r.term, r.now)
+	r.scheduler.SetTypes(append(r.types, records.MachineType{
+		Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.2, Zones: []string{"a", "b"},
+	}))
+	return r.scheduler
+}
+
+// event replays one line, "at SECONDS EVENT ...", with seconds from the scenario's start, and returns
+// the decisions.
+func (r *replay) event(words []string) []string {
+	r.t.Helper()
+	if words[0] != "at" || len(words) < 3 {
+		r.t.Fatalf("bad event %v", words)
+	}
+	r.now = r.start.Add(time.Duration(r.number(words[1], 0) * float64(time.Second)))
+	name := words[2]
+	in := eventInput{words: words[3:], args: keyValues(words[3:])}
+	if set := settingEvents[name]; set != nil {
+		set(r, in)
+		return nil
+	}
+	handle := schedulerEvents[name]
+	if handle == nil {
+		r.t.Fatalf("unknown event %q", name)
+	}
+	return handle(r, r.open(), in)
+}
+
+// eventInput is what follows an event's name: words, of which those like "key=value" are arguments too.
+type eventInput struct {
+	words []string
+	args  map[string]string
+}
+
+func keyValues(words []string) map[string]string {
+	m := map[string]string{}
+	for _, w := range words {
+		key, value, _ := strings.Cut(w, "=")
+		m[key] = value
+	}
+	return m
+}
+
+func (r *replay) number(text string, otherwise float64) float64 {
+	r.t.Helper()
+	if text == "" {
+		return otherwise
+	}
+	f, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		r.t.Fatalf("bad number %q", text)
+	}
+	return f
+}
+
+func textOr(text, otherwise string) string {
+	if text == "" {
+		return otherwise
+	}
+	return text
+}
+
+func linesOr(lines []string, otherwise string) []string {
+	if len(lines) == 0 {
+		return []string{otherwise}
+	}
+	return lines
+}
+
+// settingEvents are the events that set up the scheduler, before any other.
+var settingEvents = map[string]func(*replay, eventInput){
+	"term":        func(r *replay, in eventInput) { r.term = uint64(r.number(in.words[0], 0)) },
+	"watermarks":  func(r *replay, _ eventInput) { r.watermarks = true },
+	"zone-health": func(r *replay, _ eventInput) { r.zoneHealth = true },
+	"guarantees":  func(r *replay, _ eventInput) { r.guarantees = true },
+	"begin":       func(r *replay, in eventInput) { r.beginS = r.number(in.words[0], 0) },
+	"type": func(r *replay, in eventInput) {
+		r.types = append(r.types, records.MachineType{
+			Name: in.words[0], CPUs: r.number(in.args["cpus"], 4), GPUs: r.number(in.args["gpus"], 0), MemGB: 16,
+			Price: r.number(in.args["price"], 1), SpotPrice: r.number(in.args["spot_price"], 0),
+			StartupS: r.number(in.args["startup"], 20), CacheGB: 40, FetchGBps: r.number(in.args["rate"], 0.2), Zones: []string{"a", "b"},
+		})
+	},
+	"team": func(r *replay, in eventInput) {
+		r.teams = append(r.teams, config.Team{
+			Name: in.words[0], GuaranteedCPUs: r.number(in.args["cpus"], 0), LimitCPUs: r.number(in.args["limit"], 0),
+		})
+	},
+	"objective": func(r *replay, in eventInput) {
+		r.objectives = append(r.objectives, config.Objective{Kind: in.words[0], Class: in.words[1], WithinS: r.number(in.words[2], 0)})
+	},
+}
--- /dev/null
+++ b/internal/scheduler/scenario_workers_test.go
@@ -0,0 +1,125 @@
+package scheduler
+
+import (
+	"fmt"
+	"sort"
+	"strings"
+
+	"drumpick/internal/fleet"
+)
+
+// heartbeat replays a machine's heartbeat and returns the commands of the answer:
+// "heartbeat m-1 incarnation=1 j-1/0:ATTEMPT=running ...". A machine is scaled out before it is heard,
+// unless the scenario says that it is unknown.
+func (r *replay) heartbeat(s *Scheduler, in eventInput) []string {
+	h := r.readHeartbeat(in)
+	if _, returned := s.autoscaling.returnedAt[h.Machine]; !returned && in.args["unknown"] == "" {
+		s.fleet.GetOrCreate(h.Machine, "", h.Type, h.Zone, h.Spot)
+	}
+	return r.answer(s, h, in.args["run"] != "no")
+}
+
+// lateHeartbeat replays a heartbeat that arrives late, maybe of a machine that is not known.
+func (r *replay) lateHeartbeat(s *Scheduler, in eventInput) []string {
+	return r.answer(s, r.readHeartbeat(in), in.args["run"] != "no")
+}
+
+func (r *replay) answer(s *Scheduler, h *fleet.Heartbeat, canRun bool) []string {
+	machine, stale := s.Reconcile(h, true, r.now)
+	if stale {
+		response, renewed := s.RenewOvertaken(machine, h, r.now)
+		if renewed {
+			return append([]string{"overtaken by an answer: its lease is renewed, nothing is concluded"}, commandLines(response.Commands)...)
+		}
+		return []string{"older than what is known: not answered with 200"}
+	}
+	if canRun {
+		s.PlanMachine(machine, r.now)
+	}
+	response := s.Respond(machine, canRun, r.now)
+	s.NoteAnswered(machine, h.Via, r.now)
+	return commandLines(response.Commands)
+}
+
+// status replays the status in a worker's answer to a direct command.
+func (r *replay) status(s *Scheduler, in eventInput) []string {
+	if _, stale := s.Reconcile(r.readHeartbeat(in), false, r.now); stale {
+		return []string{"older than what is known: not answered with 200"}
+	}
+	return r.urgentCommands()
+}
+
+// probeAnswer replays a machine's answer to the last probe.
+func (r *replay) probeAnswer(s *Scheduler, in eventInput) []string {
+	h := r.readHeartbeat(in)
+	s.ApplyProbe(r.probes[h.Machine], h, r.now)
+	return r.urgentCommands()
+}
+
+// readHeartbeat reads a heartbeat or a status. Sequence numbers rise by themselves unless given.
+func (r *replay) readHeartbeat(in eventInput) *fleet.Heartbeat {
+	name, a := in.words[0], in.args
+	h := &fleet.Heartbeat{
+		Machine: name, Addr: name + ":1", Type: textOr(a["type"], "c4"), Zone: textOr(a["zone"], "a"), Spot: a["spot"] != "",
+		Version: a["version"], Incarnation: uint64(r.number(a["incarnation"], 1)),
+		FencingToken: uint64(r.number(a["token"], float64(r.term))), Via: a["via"],
+	}
+	if notice := a["preemption_notice"]; notice != "" {
+		seconds := r.number(notice, 0)
+		h.PreemptionNoticeS = &seconds
+	}
+	if a["sequence"] != "" {
+		h.Sequence = uint64(r.number(a["sequence"], 0))
+	} else {
+		r.sequences[name]++
+		h.Sequence = r.sequences[name]
+	}
+	for _, word := range in.words[1:] {
+		key, value, _ := strings.Cut(word, "=")
+		task, attempt, ok := strings.Cut(key, ":")
+		if !ok {
+			continue
+		}
+		status := fleet.TaskStatus{Task: task, Attempt: r.attemptNumber(attempt)}
+		status.Status, status.Cause, _ = strings.Cut(value, ":")
+		status.Cause, status.Saved = strings.CutSuffix(status.Cause, "+saved")
+		h.Tasks = append(h.Tasks, status)
+	}
+	return h
+}
+
+// attemptNumber reads "5.2": the second attempt number of term 5.
+func (r *replay) attemptNumber(text string) uint64 {
+	term, n, _ := strings.Cut(text, ".")
+	return uint64(r.number(term, 0))<<24 | uint64(r.number(n, 0))
+}
+
+func commandLines(commands []fleet.Command) []string {
+	lines := []string{}
+	for _, c := range commands {
+		line := fmt.Sprintf("%s %s:%d.%d", c.Verb, c.Task, c.Attempt>>24, c.Attempt&(1<<24-1))
+		if c.GraceS != nil {
+			line += fmt.Sprintf(" with %gs to save", *c.GraceS)
+		}
+		lines = append(lines, line)
+	}
+	return linesOr(lines, "no orders")
+}
+
+// urgentCommands takes the commands that are to be sent at once.
+func (r *replay) urgentCommands() []string {
+	var lines, names []string
+	for name := range r.scheduler.urgentMachines {
+		names = append(names, name)
+	}
+	sort.Strings(names)
+	for _, name := range names {
+		if machine := r.scheduler.fleet.Machines[name]; machine != nil {
+			for _, line := range commandLines(machine.PendingCommands()) {
+				lines = append(lines, "at once to "+name+": "+line)
+			}
+		}
+		delete(r.scheduler.urgentMachines, name)
+	}
+	return lines
+}
--- a/internal/scheduler/start_latency_test.go
+++ b/internal/scheduler/start_latency_test.go
@@ -5,7 +5,6 @@
 	"log/slog"
 	"strings"
 	"testing"
-	"time"
 
 	"drumpick/internal/config"
 )
@@ -17,21 +16,22 @@
 	was := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	defer slog.SetDefault(was)
-	s := &story{t: t, start: time.Unix(1_000_000, 0), term: 5, ticks: map[string]uint64{}, teams: []config.Team{{Name: "owner", GuaranteedCPUs: 8}}}
+	r := newReplay(t)
+	r.teams = []config.Team{{Name: "owner", GuaranteedCPUs: 8}}
 	for _, line := range strings.Split(strings.TrimSpace(`
-at 0 settle
-at 0 job j-1 shape=group tasks=2 cpus=4 team=owner gb=1
-at 1 report m-1 baton=0
+at 0 check-reconciled
+at 0 job j-1 shape=group tasks=2 cpus=4 team=owner image_gb=1
+at 1 heartbeat m-1 token=0
 at 1 recorded m-1
-at 6 report m-2 baton=0
+at 6 heartbeat m-2 token=0
 at 6 recorded m-2
-at 7 report m-1
-at 7.5 report m-2
-at 8 report m-1 j-1/0:5.1=waiting
-at 15.5 report m-2 j-1/1:5.1=running
-at 16 report m-1 j-1/0:5.1=running
-at 17 report m-2 j-1/1:5.1=running`), "\n") {
-		s.event(strings.Fields(line))
+at 7 heartbeat m-1
+at 7.5 heartbeat m-2
+at 8 heartbeat m-1 j-1/0:5.1=waiting
+at 15.5 heartbeat m-2 j-1/1:5.1=running
+at 16 heartbeat m-1 j-1/0:5.1=running
+at 17 heartbeat m-2 j-1/1:5.1=running`), "\n") {
+		r.event(strings.Fields(line))
 	}
 	var told []string
 	for _, line := range strings.Split(log.String(), "\n") {
