--- a/internal/scheduler/claims_test.go
+++ b/internal/scheduler/claims_test.go
@@ -17,7 +17,7 @@
 )
 
 // Properties are tried on the same cases every time.
-func sameCases(t *testing.T) {
+func useFixedSeed(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
@@ -224,7 +224,7 @@
 // than the room that the askers' tasks can take, nobody is stopped for what does not
 // start, and everything ends.
 func TestRoomIsKept(t *testing.T) {
-	sameCases(t)
+	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(2, 5).Draw(t, "machines by zone")
 		var teams []config.Team
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -18,7 +18,7 @@
 // that was to be empty by a time is, without such a time no running task that cannot save
 // is stopped, and in the end everything is done and nothing is owed.
 func TestDrainsKeepRules(t *testing.T) {
-	sameCases(t)
+	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		const machines = 6
 		cfg := &config.Config{Options: config.DefaultOptions()}
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -241,7 +241,7 @@
 // ones and copies, lapses, cancellations, takeovers, machines gone and back, gangs, services,
 // unknown jobs, drains, preemption. Once all machines are gone nothing is left in it.
 func TestAccountEqualsScan(t *testing.T) {
-	sameCases(t)
+	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		s := newUsageStory(t)
 		for range rapid.IntRange(20, 200).Draw(t, "events") {
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -63,7 +63,7 @@
 // The largest begin within the bound that docs/largest.md states, whatever small work comes:
 // three quarters of the bound, and for each gang that is due the longest run of what is there.
 func TestTheLargestBegin(t *testing.T) {
-	sameCases(t)
+	useFixedSeed(t)
 	checks(t, 25)
 	rapid.Check(t, func(t *rapid.T) {
 		begin := float64(rapid.IntRange(40, 80).Draw(t, "begin"))
