--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -18,27 +18,27 @@
 
 var benchMachines = flag.Int("machines", 450, "machines of the benchmarks")
 
-// site is a deployment of full size, for benchmarks: machines that report by turns
+// benchFleet is a deployment of full size, for benchmarks: machines that report by turns
 // and run what they are told, jobs that come as others end.
-type site struct {
-	core  *Scheduler
-	now   time.Time
-	r     *rand.Rand
-	hosts []*fleet.Heartbeat
-	jobs  int
-	at    int
-	teams int  // that submit by turns
-	full  bool // time is passed by whoever plays it
-	chain bool // every job needs the two before it of its kind, as far as they are open
+type benchFleet struct {
+	scheduler     *Scheduler
+	now           time.Time
+	random        *rand.Rand
+	heartbeats    []*fleet.Heartbeat
+	submitted     int
+	next          int
+	teams         int  // that submit by turns
+	externalClock bool // time is passed by whoever plays it
+	dependencies  bool // every job needs the two before it of its kind, as far as they are open
 }
 
-func newSite(b *testing.B, machines int, chain bool) *site {
-	return newSharedSite(b, machines, 1, 5, chain)
+func newBenchFleet(b *testing.B, machines int, dependencies bool) *benchFleet {
+	return newSharedBenchFleet(b, machines, 1, 5, dependencies)
 }
 
-// newSharedSite is shared by teams, each with a guarantee and a limit if there are several, as many
+// newSharedBenchFleet is shared by teams, each with a guarantee and a limit if there are several, as many
 // together as the users plan for. Every machine reports so many times before it is measured.
-func newSharedSite(b *testing.B, machines, teams, reports int, chain bool) *site {
+func newSharedBenchFleet(b *testing.B, machines, teams, reports int, dependencies bool) *benchFleet {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	if teams > 1 {
@@ -48,7 +48,7 @@
 	cfg.Deployment.State.ValueKB = 8
 	cfg.Deployment.Cloud.ListLagS = 3
 	cfg.Deployment.Zones = []string{"a", "b"}
-	s := &site{now: time.Unix(1_000_000, 0), r: rand.New(rand.NewPCG(1, 2)), chain: chain, teams: teams}
+	f := &benchFleet{now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(1, 2)), dependencies: dependencies, teams: teams}
 	for i := range teams {
 		team := config.Team{Name: teamName(i)}
 		if teams > 1 {
@@ -57,73 +57,73 @@
 		}
 		cfg.Deployment.Teams = append(cfg.Deployment.Teams, team)
 	}
-	s.core = New(SettingsOf(cfg), 5, s.now)
-	s.core.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 1, Zones: []string{"a", "b"}}})
-	s.core.CheckReconciled(s.now)
-	s.core.autoscaling.listRead = true
+	f.scheduler = New(SettingsOf(cfg), 5, f.now)
+	f.scheduler.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 1, Zones: []string{"a", "b"}}})
+	f.scheduler.CheckReconciled(f.now)
+	f.scheduler.autoscaling.listRead = true
 	for range max(100, machines/10) {
-		s.submit()
+		f.submit()
 	}
 	for i := range machines {
 		h := fmt.Sprintf("m-%06d", i)
-		s.hosts = append(s.hosts, &fleet.Heartbeat{Machine: h, Addr: h + ":1", Type: "c4", Zone: "a", Spot: true, Incarnation: 1, FencingToken: 5})
-		s.report()
-		s.core.fleet.Machines[h].Recorded = true
+		f.heartbeats = append(f.heartbeats, &fleet.Heartbeat{Machine: h, Addr: h + ":1", Type: "c4", Zone: "a", Spot: true, Incarnation: 1, FencingToken: 5})
+		f.heartbeat()
+		f.scheduler.fleet.Machines[h].Recorded = true
 	}
 	for range reports * machines {
-		s.report()
+		f.heartbeat()
 	}
 	b.ResetTimer()
-	return s
+	return f
 }
 
 func teamName(i int) string { return fmt.Sprint("team-", i) }
 
-func (s *site) submit() {
-	s.jobs++
+func (f *benchFleet) submit() {
+	f.submitted++
 	j := records.Job{
-		ID: fmt.Sprintf("j-%06d", s.jobs), Team: teamName(s.jobs % s.teams), Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 20 + s.r.IntN(200),
-		CPUs: 1, MemGB: 3.6, Image: fmt.Sprint("img-", s.r.IntN(16)), ImageGB: 1, EstimateS: 18, Spot: true, AcceptedMS: s.now.UnixMilli(),
+		ID: fmt.Sprintf("j-%06d", f.submitted), Team: teamName(f.submitted % f.teams), Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 20 + f.random.IntN(200),
+		CPUs: 1, MemGB: 3.6, Image: fmt.Sprint("img-", f.random.IntN(16)), ImageGB: 1, EstimateS: 18, Spot: true, AcceptedMS: f.now.UnixMilli(),
 	}
-	switch s.jobs % 4 {
+	switch f.submitted % 4 {
 	case 1:
 		j.Priority, j.MemGB = records.PriorityUrgent, 3.8
 	case 2:
 		j.Priority, j.CPUs, j.MemGB, j.CheckpointS, j.SaveS = records.PriorityLow, 4, 15, 30, 5
 	}
-	if s.chain {
+	if f.dependencies {
 		for _, back := range []int{4, 8} {
-			if id := fmt.Sprintf("j-%06d", s.jobs-back); s.core.jobs[id] != nil {
+			if id := fmt.Sprintf("j-%06d", f.submitted-back); f.scheduler.jobs[id] != nil {
 				j.Dependencies = append(j.Dependencies, id)
 			}
 		}
-		due := float64(s.r.IntN(600))
+		due := float64(f.random.IntN(600))
 		j.DeadlineS = &due
 	}
-	s.core.AddJob(j, 10, s.now, s.now)
+	f.scheduler.AddJob(j, 10, f.now, f.now)
 }
 
-// report lets the next machine end some of its tasks, report and obey.
-func (s *site) report() {
-	s.at = (s.at + 1) % len(s.hosts)
-	if !s.full {
-		s.now = s.now.Add(4 * time.Millisecond)
+// heartbeat lets the next machine end some of its tasks, report and obey.
+func (f *benchFleet) heartbeat() {
+	f.next = (f.next + 1) % len(f.heartbeats)
+	if !f.externalClock {
+		f.now = f.now.Add(4 * time.Millisecond)
 	}
-	r := s.hosts[s.at]
+	r := f.heartbeats[f.next]
 	r.Sequence++
 	for i := range r.Tasks {
-		if t := &r.Tasks[i]; t.Status != "ended" && s.r.IntN(10) == 0 {
+		if t := &r.Tasks[i]; t.Status != "ended" && f.random.IntN(10) == 0 {
 			t.Status, t.Cause = "ended", fleet.CauseDone
 		}
 	}
-	m, stale := s.core.Reconcile(r, true, s.now)
+	m, stale := f.scheduler.Reconcile(r, true, f.now)
 	if stale {
 		panic("a report is taken for stale")
 	}
-	s.core.ObserveUse(m)
-	s.core.PlanMachine(m, s.now)
-	resp := s.core.Respond(m, true, s.now)
-	s.core.NoteAnswered(m, "", s.now)
+	f.scheduler.ObserveUse(m)
+	f.scheduler.PlanMachine(m, f.now)
+	resp := f.scheduler.Respond(m, true, f.now)
+	f.scheduler.NoteAnswered(m, "", f.now)
 	for _, o := range resp.Commands {
 		switch o.Verb {
 		case fleet.VerbRun:
@@ -137,30 +137,30 @@
 			}
 		}
 	}
-	for id, j := range s.core.jobs {
+	for id, j := range f.scheduler.jobs {
 		copy(j.stored, j.done)
 		if j.doneCount == j.Tasks && !j.closing {
-			s.core.NoteClosed(id, records.ClosedJob{Status: records.StatusDone, AtMS: s.now.UnixMilli()}, 20)
-			s.submit()
+			f.scheduler.NoteClosed(id, records.ClosedJob{Status: records.StatusDone, AtMS: f.now.UnixMilli()}, 20)
+			f.submit()
 		}
 		break // another one each time
 	}
 }
 
 // tick lets time pass for machines that all report.
-func (s *site) tick() {
-	s.now = s.now.Add(250 * time.Millisecond)
-	for _, m := range s.core.fleet.Machines {
-		m.LastStatus = s.now
-		m.LastRenewal = s.now
+func (f *benchFleet) tick() {
+	f.now = f.now.Add(250 * time.Millisecond)
+	for _, m := range f.scheduler.fleet.Machines {
+		m.LastStatus = f.now
+		m.LastRenewal = f.now
 	}
-	s.core.Tick(s.now, true)
+	f.scheduler.Tick(f.now, true)
 }
 
-func BenchmarkReport(b *testing.B) {
-	s := newSite(b, *benchMachines, false)
+func BenchmarkHeartbeat(b *testing.B) {
+	f := newBenchFleet(b, *benchMachines, false)
 	for b.Loop() {
-		s.report()
+		f.heartbeat()
 	}
 }
 
@@ -170,9 +170,9 @@
 	for _, machines := range []int{1000, 4000, 8000} {
 		for _, teams := range []int{1, 8, 48} {
 			b.Run(fmt.Sprintf("machines=%d/teams=%d", machines, teams), func(b *testing.B) {
-				s := newSharedSite(b, machines, teams, 1, false)
+				f := newSharedBenchFleet(b, machines, teams, 1, false)
 				for b.Loop() {
-					s.report()
+					f.heartbeat()
 				}
 			})
 		}
@@ -184,9 +184,9 @@
 	for _, machines := range []int{1000, 4000, 8000} {
 		for _, teams := range []int{1, 48} {
 			b.Run(fmt.Sprintf("machines=%d/teams=%d", machines, teams), func(b *testing.B) {
-				s := newSharedSite(b, machines, teams, 1, false)
+				f := newSharedBenchFleet(b, machines, teams, 1, false)
 				for b.Loop() {
-					s.tick()
+					f.tick()
 				}
 			})
 		}
@@ -195,24 +195,24 @@
 
 // interval plays one report interval: every machine reports once, ticks come in between, and once a
 // second it is decided what to rent and to give back. It returns how many tasks started.
-func (s *site) interval() (starts int) {
+func (f *benchFleet) interval() (starts int) {
 	const step = 5 * time.Second
 	before := runsTotal.Get()
-	began := s.now
-	for i := range s.hosts {
-		s.now = began.Add(step * time.Duration(i) / time.Duration(len(s.hosts)))
-		if i%(len(s.hosts)/TicksPerHeartbeat+1) == 0 {
-			s.core.Tick(s.now, true)
-			s.core.TakeUrgentCommands()
+	began := f.now
+	for i := range f.heartbeats {
+		f.now = began.Add(step * time.Duration(i) / time.Duration(len(f.heartbeats)))
+		if i%(len(f.heartbeats)/TicksPerHeartbeat+1) == 0 {
+			f.scheduler.Tick(f.now, true)
+			f.scheduler.TakeUrgentCommands()
 		}
-		if i%(len(s.hosts)/5+1) == 0 {
-			s.core.PlanRentals(s.now)
-			clear(s.core.autoscaling.inflight)
-			s.core.MachinesToReturn(s.now)
+		if i%(len(f.heartbeats)/5+1) == 0 {
+			f.scheduler.PlanRentals(f.now)
+			clear(f.scheduler.autoscaling.inflight)
+			f.scheduler.MachinesToReturn(f.now)
 		}
-		s.report()
+		f.heartbeat()
 	}
-	s.now = began.Add(step)
+	f.now = began.Add(step)
 	return int(runsTotal.Get() - before)
 }
 
@@ -222,11 +222,11 @@
 	for _, machines := range []int{1264, 3792, 7584} {
 		for _, teams := range []int{1, 48} {
 			b.Run(fmt.Sprintf("machines=%d/teams=%d", machines, teams), func(b *testing.B) {
-				s := newSharedSite(b, machines, teams, 1, false)
-				s.full = true
+				f := newSharedBenchFleet(b, machines, teams, 1, false)
+				f.externalClock = true
 				starts := 0
 				for b.Loop() {
-					starts += s.interval()
+					starts += f.interval()
 				}
 				b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(max(starts, 1)), "us/start")
 				b.ReportMetric(float64(starts)/float64(b.N), "starts/op")
@@ -235,41 +235,41 @@
 	}
 }
 
-func BenchmarkReportChains(b *testing.B) {
-	s := newSite(b, *benchMachines, true)
+func BenchmarkHeartbeatDependencies(b *testing.B) {
+	f := newBenchFleet(b, *benchMachines, true)
 	for b.Loop() {
-		s.report()
+		f.heartbeat()
 	}
 }
 
-func BenchmarkTickChains(b *testing.B) {
-	s := newSite(b, *benchMachines, true)
+func BenchmarkTickDependencies(b *testing.B) {
+	f := newBenchFleet(b, *benchMachines, true)
 	for b.Loop() {
-		s.tick()
+		f.tick()
 	}
 }
 
 func BenchmarkTick(b *testing.B) {
-	s := newSite(b, *benchMachines, false)
+	f := newBenchFleet(b, *benchMachines, false)
 	for b.Loop() {
-		s.tick()
+		f.tick()
 	}
 }
 
-func BenchmarkWants(b *testing.B) {
-	s := newSite(b, 200, false)
+func BenchmarkPlanRentals(b *testing.B) {
+	f := newBenchFleet(b, 200, false)
 	for b.Loop() {
-		s.core.PlanRentals(s.now)
-		clear(s.core.autoscaling.inflight)
+		f.scheduler.PlanRentals(f.now)
+		clear(f.scheduler.autoscaling.inflight)
 	}
 }
 
 // BenchmarkWire is what a report costs beside its decisions: its body read, its answer
 // written.
 func BenchmarkWire(b *testing.B) {
-	s := newSite(b, *benchMachines, false)
-	bodies := make([][]byte, len(s.hosts))
-	for i, h := range s.hosts {
+	f := newBenchFleet(b, *benchMachines, false)
+	bodies := make([][]byte, len(f.heartbeats))
+	for i, h := range f.heartbeats {
 		bodies[i], _ = json.Marshal(h)
 	}
 	answer := fleet.HeartbeatResponse{FencingToken: 5, Commands: []fleet.Command{{Verb: fleet.VerbRun, Task: "j-000412/4", Attempt: 5<<24 + 77}, {Verb: fleet.VerbReap, Task: "j-000398/0", Attempt: 5 << 24}}}
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -11,14 +11,14 @@
 
 // What is remembered of jobs goes with them: thousands of jobs of ever other sizes
 // and images, a few at a time, leave nothing behind, and jobs alike stay alike.
-func TestNothingGrows(t *testing.T) {
+func TestClosedJobsLeaveNothing(t *testing.T) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
 	cfg.Deployment.State.ValueKB = 8
 	now := time.Unix(1_000_000, 0)
-	c := New(SettingsOf(cfg), 5, now)
+	s := New(SettingsOf(cfg), 5, now)
 	add := func(id, image string, cpus float64) *Job {
-		return c.AddJob(records.Job{ID: id, Shape: records.ShapeArray, Tasks: 10, CPUs: cpus, Image: image}, 10, now, now)
+		return s.AddJob(records.Job{ID: id, Shape: records.ShapeArray, Tasks: 10, CPUs: cpus, Image: image}, 10, now, now)
 	}
 	for i := range 5000 {
 		a := add(fmt.Sprint("j-1", i), fmt.Sprint("img-", i), float64(i)/1000)
@@ -28,11 +28,11 @@
 			t.Fatalf("job %d: numbers %d %d, %d %d, %d %d", i, a.placementClass, a.imageClass, b.placementClass, b.imageClass, other.placementClass, other.imageClass)
 		}
 		for _, j := range []*Job{a, b, other} {
-			c.CloseJob(j.ID)
+			s.CloseJob(j.ID)
 		}
-		c.closedJobs = c.closedJobs[:0] // the flush takes them
-		if len(c.placementClasses) > 100 || len(c.jobs) > 0 {
-			t.Fatalf("after job %d: %d likenesses, %d jobs", i, len(c.placementClasses), len(c.jobs))
+		s.closedJobs = s.closedJobs[:0] // the flush takes them
+		if len(s.placementClasses) > 100 || len(s.jobs) > 0 {
+			t.Fatalf("after job %d: %d likenesses, %d jobs", i, len(s.placementClasses), len(s.jobs))
 		}
 	}
 }
--- a/internal/scheduler/claims_test.go
+++ b/internal/scheduler/claims_test.go
@@ -30,28 +30,28 @@
 
 // fakeFleet is a few machines that do what a Core tells them, in made-up time.
 type fakeFleet struct {
-	t     *rapid.T
-	c     *Scheduler
-	now   time.Time
-	hosts []*fakeMachine
-	jobs  map[string]records.Job
-	runs  map[string]time.Duration // by job
-	began map[string]bool          // jobs that have started
-	asked map[string]time.Time     // when a task was first stopped for the others
-	died  time.Time                // when a worker last died
+	t            *rapid.T
+	scheduler    *Scheduler
+	now          time.Time
+	machines     []*fakeMachine
+	jobs         map[string]records.Job
+	runTimes     map[string]time.Duration // by job
+	begun        map[string]bool          // jobs that have started
+	preemptedAt  map[string]time.Time     // when a task was first stopped for the others
+	workerDiedAt time.Time                // when a worker last died
 }
 
 type fakeMachine struct {
-	report   fleet.Heartbeat
-	attempts []*fakeAttempt
+	heartbeat fleet.Heartbeat
+	attempts  []*fakeAttempt
 }
 
 type fakeAttempt struct {
 	fleet.TaskStatus
-	job      string
-	ends     time.Time // when it completes, or has saved
-	stopping bool
-	left     time.Duration // what it still had before it when it was stopped
+	job       string
+	ends      time.Time // when it completes, or has saved
+	stopping  bool
+	remaining time.Duration // what it still had before it when it was stopped
 }
 
 const fakeCPUs = 4
@@ -61,160 +61,162 @@
 	cfg := &config.Config{Options: options}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
 	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b"}, teams
-	y := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]records.Job{}, runs: map[string]time.Duration{}, asked: map[string]time.Time{}, began: map[string]bool{}}
-	y.c = New(SettingsOf(cfg), 5, y.now)
-	y.c.SetTypes([]records.MachineType{{Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: []string{"a", "b"}}})
-	y.c.CheckReconciled(y.now)
+	f := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]records.Job{}, runTimes: map[string]time.Duration{}, preemptedAt: map[string]time.Time{}, begun: map[string]bool{}}
+	f.scheduler = New(SettingsOf(cfg), 5, f.now)
+	f.scheduler.SetTypes([]records.MachineType{{Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: []string{"a", "b"}}})
+	f.scheduler.CheckReconciled(f.now)
 	for i := range 2 * slots {
 		host := fmt.Sprintf("m-%02d", i)
-		y.hosts = append(y.hosts, &fakeMachine{report: fleet.Heartbeat{Machine: host, Addr: host, Type: "c4", Zone: string("ab"[i%2]), Incarnation: 1, FencingToken: 5}})
+		f.machines = append(f.machines, &fakeMachine{heartbeat: fleet.Heartbeat{Machine: host, Addr: host, Type: "c4", Zone: string("ab"[i%2]), Incarnation: 1, FencingToken: 5}})
 	}
-	return y
+	return f
 }
 
 // step lets half a second pass, and every machine report once in a report interval.
-func (y *fakeFleet) step(i int) {
-	y.now = y.now.Add(500 * time.Millisecond)
-	y.c.Tick(y.now, true)
-	for host := range y.c.urgentMachines {
+func (f *fakeFleet) step(i int) {
+	f.now = f.now.Add(500 * time.Millisecond)
+	f.scheduler.Tick(f.now, true)
+	for host := range f.scheduler.urgentMachines {
 		// Kills go out at once.
-		for _, h := range y.hosts {
-			if h.report.Machine == host {
-				y.obey(h, y.c.fleet.Machines[host].PendingCommands())
+		for _, machine := range f.machines {
+			if machine.heartbeat.Machine == host {
+				f.obey(machine, f.scheduler.fleet.Machines[host].PendingCommands())
 			}
 		}
-		delete(y.c.urgentMachines, host)
+		delete(f.scheduler.urgentMachines, host)
 	}
-	for n, h := range y.hosts {
-		y.advance(h)
+	for n, machine := range f.machines {
+		f.advance(machine)
 		if (i+n)%4 == 0 {
-			y.checkin(h)
+			f.heartbeat(machine)
 		}
 	}
-	y.check()
+	f.checkRules()
 }
 
-func (y *fakeFleet) checkin(h *fakeMachine) {
-	h.report.Sequence++
-	h.report.Tasks = h.report.Tasks[:0]
-	for _, s := range h.attempts {
-		h.report.Tasks = append(h.report.Tasks, s.TaskStatus)
+func (f *fakeFleet) heartbeat(machine *fakeMachine) {
+	machine.heartbeat.Sequence++
+	machine.heartbeat.Tasks = machine.heartbeat.Tasks[:0]
+	for _, attempt := range machine.attempts {
+		machine.heartbeat.Tasks = append(machine.heartbeat.Tasks, attempt.TaskStatus)
 	}
-	r := h.report
-	m, stale := y.c.Reconcile(&r, true, y.now)
+	copied := machine.heartbeat
+	known, stale := f.scheduler.Reconcile(&copied, true, f.now)
 	if stale {
-		y.t.Fatalf("a report in order is called stale")
+		f.t.Fatalf("a report in order is called stale")
 	}
-	m.Recorded = true
-	y.c.PlanMachine(m, y.now)
-	resp := y.c.Respond(m, true, y.now)
-	y.c.NoteAnswered(m, "", y.now)
-	y.obey(h, resp.Commands)
-	for _, j := range y.c.jobs {
+	known.Recorded = true
+	f.scheduler.PlanMachine(known, f.now)
+	resp := f.scheduler.Respond(known, true, f.now)
+	f.scheduler.NoteAnswered(known, "", f.now)
+	f.obey(machine, resp.Commands)
+	for _, j := range f.scheduler.jobs {
 		copy(j.stored, j.done)
 		if j.doneCount == j.Tasks {
-			y.c.NoteClosed(j.ID, records.ClosedJob{Status: records.StatusDone}, 99)
+			f.scheduler.NoteClosed(j.ID, records.ClosedJob{Status: records.StatusDone}, 99)
 		}
 	}
 }
 
-func (y *fakeFleet) obey(h *fakeMachine, orders []fleet.Command) {
-	for _, o := range orders {
-		i := slices.IndexFunc(h.attempts, func(s *fakeAttempt) bool { return s.Task == o.Task && s.Attempt == o.Attempt })
+func (f *fakeFleet) obey(machine *fakeMachine, commands []fleet.Command) {
+	for _, command := range commands {
+		i := slices.IndexFunc(machine.attempts, func(attempt *fakeAttempt) bool {
+			return attempt.Task == command.Task && attempt.Attempt == command.Attempt
+		})
 		switch {
-		case o.Verb == fleet.VerbRun && i < 0:
-			id, _ := fleet.ParseTask(o.Task)
-			s := &fakeAttempt{TaskStatus: fleet.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: "running"}, job: id.Job, ends: y.now.Add(y.runs[id.Job])}
-			if y.jobs[id.Job].Shape == records.ShapeGang {
-				s.Status = "waiting"
+		case command.Verb == fleet.VerbRun && i < 0:
+			id, _ := fleet.ParseTask(command.Task)
+			attempt := &fakeAttempt{TaskStatus: fleet.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: "running"}, job: id.Job, ends: f.now.Add(f.runTimes[id.Job])}
+			if f.jobs[id.Job].Shape == records.ShapeGang {
+				attempt.Status = "waiting"
 			}
-			h.attempts = append(h.attempts, s)
-		case o.Verb == fleet.VerbKill && i >= 0 && h.attempts[i].Status != "ended" && !h.attempts[i].stopping:
-			s := h.attempts[i]
-			s.left = s.ends.Sub(y.now)
-			s.stopping, s.Status = true, "flushing"
-			s.ends = y.now.Add(time.Duration(*o.GraceS * float64(time.Second)))
-		case o.Verb == fleet.VerbReap && i >= 0:
-			h.attempts = slices.Delete(h.attempts, i, i+1)
+			machine.attempts = append(machine.attempts, attempt)
+		case command.Verb == fleet.VerbKill && i >= 0 && machine.attempts[i].Status != "ended" && !machine.attempts[i].stopping:
+			attempt := machine.attempts[i]
+			attempt.remaining = attempt.ends.Sub(f.now)
+			attempt.stopping, attempt.Status = true, "flushing"
+			attempt.ends = f.now.Add(time.Duration(*command.GraceS * float64(time.Second)))
+		case command.Verb == fleet.VerbReap && i >= 0:
+			machine.attempts = slices.Delete(machine.attempts, i, i+1)
 		}
 	}
 }
 
 // advance ends what is over, and starts gangs that are complete.
-func (y *fakeFleet) advance(h *fakeMachine) {
-	for _, s := range h.attempts {
-		if s.Status == "waiting" && len(y.find(func(o *fakeAttempt) bool { return o.job == s.job && o.Attempt == s.Attempt })) == y.jobs[s.job].Tasks {
-			for _, o := range y.find(func(o *fakeAttempt) bool { return o.job == s.job && o.Attempt == s.Attempt }) {
-				o.Status, o.ends = "running", y.now.Add(y.runs[s.job])
+func (f *fakeFleet) advance(machine *fakeMachine) {
+	for _, attempt := range machine.attempts {
+		if attempt.Status == "waiting" && len(f.find(func(member *fakeAttempt) bool { return member.job == attempt.job && member.Attempt == attempt.Attempt })) == f.jobs[attempt.job].Tasks {
+			for _, member := range f.find(func(member *fakeAttempt) bool { return member.job == attempt.job && member.Attempt == attempt.Attempt }) {
+				member.Status, member.ends = "running", f.now.Add(f.runTimes[attempt.job])
 			}
 		}
-		if (s.Status == "running" || s.Status == "flushing") && !y.now.Before(s.ends) {
-			s.Cause = "done"
-			if s.stopping {
-				s.Cause = "stopped"
+		if (attempt.Status == "running" || attempt.Status == "flushing") && !f.now.Before(attempt.ends) {
+			attempt.Cause = "done"
+			if attempt.stopping {
+				attempt.Cause = "stopped"
 			}
-			s.Status = "ended"
+			attempt.Status = "ended"
 		}
 	}
 }
 
-func (y *fakeFleet) find(is func(*fakeAttempt) bool) []*fakeAttempt {
+func (f *fakeFleet) find(is func(*fakeAttempt) bool) []*fakeAttempt {
 	var all []*fakeAttempt
-	for _, h := range y.hosts {
-		for _, s := range h.attempts {
-			if is(s) {
-				all = append(all, s)
+	for _, machine := range f.machines {
+		for _, attempt := range machine.attempts {
+			if is(attempt) {
+				all = append(all, attempt)
 			}
 		}
 	}
 	return all
 }
 
-// check looks at the rules: room, one place for each task, limits, zones.
-func (y *fakeFleet) check() {
-	on := map[string]string{}
-	use := map[string]float64{}
+// checkRules looks at the rules: room, one place for each task, limits, zones.
+func (f *fakeFleet) checkRules() {
+	machineOf := map[string]string{}
+	cpusOf := map[string]float64{}
 	zones := map[string]string{}
-	for _, h := range y.hosts {
+	for _, machine := range f.machines {
 		cpus := 0.0
-		for _, s := range h.attempts {
-			if s.Status == "ended" {
+		for _, attempt := range machine.attempts {
+			if attempt.Status == "ended" {
 				continue
 			}
-			j := y.jobs[s.job]
+			j := f.jobs[attempt.job]
 			cpus += j.CPUs
-			use[j.Team] += j.CPUs
-			if at, twice := on[s.Task]; twice {
-				y.t.Fatalf("%s is on %s and %s", s.Task, at, h.report.Machine)
+			cpusOf[j.Team] += j.CPUs
+			if at, twice := machineOf[attempt.Task]; twice {
+				f.t.Fatalf("%s is on %s and %s", attempt.Task, at, machine.heartbeat.Machine)
 			}
-			on[s.Task] = h.report.Machine
-			if z := zones[s.job]; j.OneZone && z != "" && z != h.report.Zone {
-				y.t.Fatalf("%s is in zones %s and %s", s.job, z, h.report.Zone)
+			machineOf[attempt.Task] = machine.heartbeat.Machine
+			if z := zones[attempt.job]; j.OneZone && z != "" && z != machine.heartbeat.Zone {
+				f.t.Fatalf("%s is in zones %s and %s", attempt.job, z, machine.heartbeat.Zone)
 			}
-			zones[s.job] = h.report.Zone
+			zones[attempt.job] = machine.heartbeat.Zone
 		}
 		if cpus > fakeCPUs {
-			y.t.Fatalf("%s holds tasks of %g CPUs", h.report.Machine, cpus)
+			f.t.Fatalf("%s holds tasks of %g CPUs", machine.heartbeat.Machine, cpus)
 		}
 	}
-	for id, j := range y.c.jobs {
+	for id, j := range f.scheduler.jobs {
 		if _, runs := zones[id]; runs {
-			y.began[id] = true
+			f.begun[id] = true
 		}
-		if y.began[id] || len(j.preempted) == 0 || j.limited {
+		if f.begun[id] || len(j.preempted) == 0 || j.limited {
 			continue
 		}
 		// What is stopped saves for up to 4 s, then its machine reports, then the other one.
-		if _, ok := y.asked[id]; !ok {
-			y.asked[id] = y.now
+		if _, ok := f.preemptedAt[id]; !ok {
+			f.preemptedAt[id] = f.now
 		}
-		if since := y.asked[id]; y.now.Sub(since) > 10*time.Second && y.died.Before(since) {
-			y.t.Fatalf("%s has not started %v after %d tasks were stopped for it", id, y.now.Sub(since), len(j.preempted))
+		if since := f.preemptedAt[id]; f.now.Sub(since) > 10*time.Second && f.workerDiedAt.Before(since) {
+			f.t.Fatalf("%s has not started %v after %d tasks were stopped for it", id, f.now.Sub(since), len(j.preempted))
 		}
 	}
-	for team, cpus := range use {
-		if limit := y.c.settings.Teams[team].LimitCPUs; limit > 0 && cpus > limit {
-			y.t.Fatalf("%s uses %g CPUs of %g", team, cpus, limit)
+	for team, cpus := range cpusOf {
+		if limit := f.scheduler.settings.Teams[team].LimitCPUs; limit > 0 && cpus > limit {
+			f.t.Fatalf("%s uses %g CPUs of %g", team, cpus, limit)
 		}
 	}
 }
@@ -223,7 +225,7 @@
 // asks for room has each task stopped at most once for its sake, no more is stopped in all
 // than the room that the askers' tasks can take, nobody is stopped for what does not
 // start, and everything ends.
-func TestRoomIsKept(t *testing.T) {
+func TestPreemptedRoomIsClaimed(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(2, 5).Draw(t, "machines by zone")
@@ -235,10 +237,10 @@
 			}
 			teams = append(teams, team)
 		}
-		y := newFakeFleet(t, config.DefaultOptions(), teams, slots)
-		all := 0   // tasks
-		asked := 0 // what the tasks of jobs that may ask for room could take, in smallest tasks
-		var comes []records.Job
+		f := newFakeFleet(t, config.DefaultOptions(), teams, slots)
+		tasks := 0     // tasks
+		claimable := 0 // what the tasks of jobs that may ask for room could take, in smallest tasks
+		var coming []records.Job
 		for i := range rapid.IntRange(2, 7).Draw(t, "jobs") {
 			j := records.Job{
 				ID: fmt.Sprint("j-", i), Team: rapid.SampledFrom(teams).Draw(t, "team").Name, Image: "img", MemGB: 1, Shape: records.ShapeArray,
@@ -253,44 +255,44 @@
 			if rapid.Bool().Draw(t, "saves") {
 				j.CheckpointS, j.SaveS = 10, float64(rapid.IntRange(0, 4).Draw(t, "flush"))
 			}
-			y.jobs[j.ID], y.runs[j.ID] = j, time.Duration(j.EstimateS*rapid.Float64Range(0.5, 1.5).Draw(t, "of the estimate")*float64(time.Second))
-			asked += j.Tasks * int(j.CPUs)
-			all += j.Tasks
-			comes = append(comes, j)
+			f.jobs[j.ID], f.runTimes[j.ID] = j, time.Duration(j.EstimateS*rapid.Float64Range(0.5, 1.5).Draw(t, "of the estimate")*float64(time.Second))
+			claimable += j.Tasks * int(j.CPUs)
+			tasks += j.Tasks
+			coming = append(coming, j)
 		}
 		dies := rapid.IntRange(0, 200).Draw(t, "a worker dies at step")
 		stops, moves := preemptedTotal.Get(), movesTotal.Get()
-		for i := 0; i < 4000 && (i < 400 || len(y.c.jobs) > 0); i++ {
-			if i%20 == 0 && len(comes) > 0 {
-				comes[0].AcceptedMS = y.now.UnixMilli()
-				y.c.AddJob(comes[0], 10, y.now, y.now)
-				comes = comes[1:]
+		for i := 0; i < 4000 && (i < 400 || len(f.scheduler.jobs) > 0); i++ {
+			if i%20 == 0 && len(coming) > 0 {
+				coming[0].AcceptedMS = f.now.UnixMilli()
+				f.scheduler.AddJob(coming[0], 10, f.now, f.now)
+				coming = coming[1:]
 			}
-			if h := y.hosts[0]; i == dies && dies > 0 {
-				h.report.Incarnation, h.report.Sequence = h.report.Incarnation+1, 0
-				y.died = y.now
-				for _, s := range h.attempts { // and a gang is asked for anew
-					asked += y.jobs[s.job].Tasks * int(y.jobs[s.job].CPUs)
+			if machine := f.machines[0]; i == dies && dies > 0 {
+				machine.heartbeat.Incarnation, machine.heartbeat.Sequence = machine.heartbeat.Incarnation+1, 0
+				f.workerDiedAt = f.now
+				for _, attempt := range machine.attempts { // and a gang is asked for anew
+					claimable += f.jobs[attempt.job].Tasks * int(f.jobs[attempt.job].CPUs)
 				}
-				h.attempts = nil
+				machine.attempts = nil
 			}
-			y.step(i)
+			f.step(i)
 		}
-		if len(y.c.jobs) > 0 {
-			for id := range y.c.jobs {
-				st, done, running, _ := y.c.Progress(id)
+		if len(f.scheduler.jobs) > 0 {
+			for id := range f.scheduler.jobs {
+				st, done, running, _ := f.scheduler.Progress(id)
 				t.Errorf("%s never ended: %s, %d done, %d running", id, st, done, running)
 			}
 		}
-		if n := int(preemptedTotal.Get() - stops); n > asked {
-			t.Errorf("%d tasks were stopped to make room for what could take %d at the most", n, asked)
+		if n := int(preemptedTotal.Get() - stops); n > claimable {
+			t.Errorf("%d tasks were stopped to make room for what could take %d at the most", n, claimable)
 		}
-		if n := int(movesTotal.Get() - moves); n > all {
-			t.Errorf("%d moves of %d tasks", n, all)
+		if n := int(movesTotal.Get() - moves); n > tasks {
+			t.Errorf("%d moves of %d tasks", n, tasks)
 		}
-		for _, h := range y.hosts {
-			if owed := y.c.fleet.Machines[h.report.Machine].Bin.Reserved(); len(y.c.jobs) == 0 && owed.CPU > 0 {
-				t.Errorf("%s still owes room: %+v", h.report.Machine, owed)
+		for _, machine := range f.machines {
+			if reserved := f.scheduler.fleet.Machines[machine.heartbeat.Machine].Bin.Reserved(); len(f.scheduler.jobs) == 0 && reserved.CPU > 0 {
+				t.Errorf("%s still owes room: %+v", machine.heartbeat.Machine, reserved)
 			}
 		}
 	})
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -24,13 +24,13 @@
 		cfg := &config.Config{Options: config.DefaultOptions()}
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
 		cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b"}, []config.Team{{Name: "team"}}
-		y := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]records.Job{}, runs: map[string]time.Duration{}, asked: map[string]time.Time{}, began: map[string]bool{}}
-		y.c = New(SettingsOf(cfg), 5, y.now)
-		y.c.SetTypes([]records.MachineType{{Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: cfg.Deployment.Zones}})
-		y.c.CheckReconciled(y.now)
+		y := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]records.Job{}, runTimes: map[string]time.Duration{}, preemptedAt: map[string]time.Time{}, begun: map[string]bool{}}
+		y.scheduler = New(SettingsOf(cfg), 5, y.now)
+		y.scheduler.SetTypes([]records.MachineType{{Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: cfg.Deployment.Zones}})
+		y.scheduler.CheckReconciled(y.now)
 		for i := range machines {
 			host := fmt.Sprintf("m-%02d", i)
-			y.hosts = append(y.hosts, &fakeMachine{report: fleet.Heartbeat{Machine: host, Addr: host, Type: "c4", Zone: string("ab"[i%2]), Incarnation: 1, FencingToken: 5}})
+			y.machines = append(y.machines, &fakeMachine{heartbeat: fleet.Heartbeat{Machine: host, Addr: host, Type: "c4", Zone: string("ab"[i%2]), Incarnation: 1, FencingToken: 5}})
 		}
 		var comes []records.Job
 		for i := range rapid.IntRange(1, 5).Draw(t, "jobs") {
@@ -44,7 +44,7 @@
 			if rapid.Bool().Draw(t, "saves") {
 				j.CheckpointS, j.SaveS = 10, float64(rapid.IntRange(0, 4).Draw(t, "flush"))
 			}
-			y.jobs[j.ID], y.runs[j.ID] = j, time.Duration(j.EstimateS*float64(time.Second))
+			y.jobs[j.ID], y.runTimes[j.ID] = j, time.Duration(j.EstimateS*float64(time.Second))
 			comes = append(comes, j)
 		}
 		type wish struct {
@@ -73,63 +73,63 @@
 		for _, w := range wishes {
 			pressed = pressed || w.spec.ByMS != 0
 		}
-		for i := 0; i < 4000 && (i < 420 || len(y.c.jobs) > 0); i++ {
+		for i := 0; i < 4000 && (i < 420 || len(y.scheduler.jobs) > 0); i++ {
 			if i%20 == 0 && len(comes) > 0 {
 				comes[0].AcceptedMS = y.now.UnixMilli()
-				y.c.AddJob(comes[0], 10, y.now, y.now)
+				y.scheduler.AddJob(comes[0], 10, y.now, y.now)
 				comes = comes[1:]
 			}
 			for _, w := range wishes {
 				switch i {
 				case w.from:
-					y.c.SetDrain(w.spec, nil, 0)
+					y.scheduler.SetDrain(w.spec, nil, 0)
 				case w.to:
 					w.spec.Stopped = true
-					y.c.SetDrain(w.spec, nil, 0)
+					y.scheduler.SetDrain(w.spec, nil, 0)
 				}
 			}
 			was := map[*fakeAttempt]bool{}
-			for _, h := range y.hosts {
+			for _, h := range y.machines {
 				for _, s := range h.attempts {
 					was[s] = true
 				}
 			}
 			cordoned := map[string]bool{}
-			for _, h := range y.hosts {
-				if m := y.c.fleet.Machines[h.report.Machine]; m != nil && m.Cordon != nil {
-					cordoned[h.report.Machine] = true
+			for _, h := range y.machines {
+				if m := y.scheduler.fleet.Machines[h.heartbeat.Machine]; m != nil && m.Cordon != nil {
+					cordoned[h.heartbeat.Machine] = true
 				}
 			}
 			y.step(i)
-			for _, h := range y.hosts {
-				m := y.c.fleet.Machines[h.report.Machine]
+			for _, h := range y.machines {
+				m := y.scheduler.fleet.Machines[h.heartbeat.Machine]
 				if m == nil {
 					continue // has not reported yet
 				}
 				for _, s := range h.attempts {
-					if cordoned[h.report.Machine] && m.Cordon != nil && !was[s] {
-						t.Fatalf("%s started on %s, which is drained", s.Task, h.report.Machine)
+					if cordoned[h.heartbeat.Machine] && m.Cordon != nil && !was[s] {
+						t.Fatalf("%s started on %s, which is drained", s.Task, h.heartbeat.Machine)
 					}
-					if j := y.jobs[s.job]; !pressed && s.stopping && j.CheckpointS == 0 && y.c.isEmptying(m) && j.Shape == records.ShapeArray && s.moved(y) {
-						t.Fatalf("%s, which cannot save, was stopped on %s", s.Task, h.report.Machine)
+					if j := y.jobs[s.job]; !pressed && s.stopping && j.CheckpointS == 0 && y.scheduler.isEmptying(m) && j.Shape == records.ShapeArray && s.moved(y) {
+						t.Fatalf("%s, which cannot save, was stopped on %s", s.Task, h.heartbeat.Machine)
 					}
 				}
 				d, ok := m.Cordon.(*activeDrain)
 				if ok && !d.deadline.IsZero() && y.now.Sub(d.deadline) > 10*time.Second {
 					for _, s := range h.attempts {
 						if s.Status != "ended" {
-							t.Fatalf("%s is still on %s, %v after it was to be empty", s.Task, h.report.Machine, y.now.Sub(d.deadline))
+							t.Fatalf("%s is still on %s, %v after it was to be empty", s.Task, h.heartbeat.Machine, y.now.Sub(d.deadline))
 						}
 					}
 				}
 			}
 		}
-		for id := range y.c.jobs {
-			st, done, running, _ := y.c.Progress(id)
+		for id := range y.scheduler.jobs {
+			st, done, running, _ := y.scheduler.Progress(id)
 			t.Errorf("%s never ended: %s, %d done, %d running", id, st, done, running)
 		}
-		for _, h := range y.hosts {
-			if m := y.c.fleet.Machines[h.report.Machine]; m.Bin.Reserved().CPU > 0 || m.Cordon != nil {
+		for _, h := range y.machines {
+			if m := y.scheduler.fleet.Machines[h.heartbeat.Machine]; m.Bin.Reserved().CPU > 0 || m.Cordon != nil {
 				t.Errorf("%s owes %+v, drained %v", m.Name, m.Bin.Reserved(), m.Cordon != nil)
 			}
 		}
@@ -139,6 +139,6 @@
 // moved says whether a task that was stopped had been running for longer than a move made
 // only to fill or empty a bin would take.
 func (s *fakeAttempt) moved(y *fakeFleet) bool {
-	ran := y.runs[s.job] - s.left
-	return ran > 2*y.c.settings.RoundInterval
+	ran := y.runTimes[s.job] - s.remaining
+	return ran > 2*y.scheduler.settings.RoundInterval
 }
--- a/internal/scheduler/placing_order_test.go
+++ b/internal/scheduler/placing_order_test.go
@@ -11,7 +11,7 @@
 // A placing goes through the turns in order, and passes over those alike once one of them is hopeless, but for jobs
 // that have room of their own, also where they get it meanwhile. A job that was put to sleep is looked at again once it
 // is woken.
-func TestPlacingTurns(t *testing.T) {
+func TestPlacingOrderSkipsEqualJobs(t *testing.T) {
 	job := func(id string, twins int) *Job {
 		return &Job{Job: records.Job{ID: id, Tasks: 1}, placementClass: 1, imageClass: twins, turnAt: time.Unix(int64(id[0]), 0)}
 	}
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -13,17 +13,17 @@
 	"pgregory.net/rapid"
 )
 
-// crowded is a fleet on which small work of a later turn always waits, and gangs that need all
+// startTimesUnderLoad is a fleet on which small work of a later turn always waits, and gangs that need all
 // of a zone come in between. It tells when each began, counted from when it came.
-func crowded(t *rapid.T, begin float64, slots int, gangs []int, runs []int) map[string]time.Duration {
+func startTimesUnderLoad(t *rapid.T, begin float64, slots int, gangs []int, runs []int) map[string]time.Duration {
 	options := config.DefaultOptions()
 	options.Reservations, options.BeginS = begin > 0, max(begin, 1)
-	y := newFakeFleet(t, options, []config.Team{{Name: "team"}}, slots)
+	f := newFakeFleet(t, options, []config.Team{{Name: "team"}}, slots)
 	add := func(id, shape string, tasks int, cpus float64, run int) {
 		j := records.Job{ID: id, Team: "team", Image: "img", MemGB: 1, Shape: shape, Priority: records.PriorityStandard, CPUs: cpus, Tasks: tasks,
-			OneZone: shape == records.ShapeGang, EstimateS: float64(run), AcceptedMS: y.now.UnixMilli()}
-		y.jobs[id], y.runs[id] = j, time.Duration(run)*time.Second
-		y.c.AddJob(j, 10, y.now, y.now)
+			OneZone: shape == records.ShapeGang, EstimateS: float64(run), AcceptedMS: f.now.UnixMilli()}
+		f.jobs[id], f.runTimes[id] = j, time.Duration(run)*time.Second
+		f.scheduler.AddJob(j, 10, f.now, f.now)
 	}
 	came, began := map[string]time.Time{}, map[string]time.Duration{}
 	for i := range 600 { // half seconds
@@ -35,21 +35,21 @@
 		for n, at := range gangs {
 			if id := fmt.Sprint("j-9", n); i == at {
 				add(id, records.ShapeGang, slots, fakeCPUs, 10)
-				came[id] = y.now
+				came[id] = f.now
 			}
 		}
-		y.step(i)
+		f.step(i)
 		for id, at := range came {
-			if _, known := began[id]; !known && y.began[id] {
-				began[id] = y.now.Sub(at)
+			if _, known := began[id]; !known && f.begun[id] {
+				began[id] = f.now.Sub(at)
 			}
 		}
 	}
 	return began
 }
 
-// checks sets how many cases a property is tried on.
-func checks(t *testing.T, n int) {
+// setRapidChecks sets how many cases a property is tried on.
+func setRapidChecks(t *testing.T, n int) {
 	old := flag.Lookup("rapid.checks").Value.String()
 	set := func(v string) {
 		if err := flag.Set("rapid.checks", v); err != nil {
@@ -62,14 +62,14 @@
 
 // The largest begin within the bound that docs/largest.md states, whatever small work comes:
 // three quarters of the bound, and for each gang that is due the longest run of what is there.
-func TestTheLargestBegin(t *testing.T) {
+func TestLargestJobsBeginWithinBound(t *testing.T) {
 	useFixedSeed(t)
-	checks(t, 25)
+	setRapidChecks(t, 25)
 	rapid.Check(t, func(t *rapid.T) {
 		begin := float64(rapid.IntRange(40, 80).Draw(t, "begin"))
 		runs := rapid.SliceOfN(rapid.IntRange(4, 16), 3, 8).Draw(t, "runs")
 		gangs := rapid.SliceOfN(rapid.IntRange(40, 120), 1, 3).Draw(t, "gangs")
-		began := crowded(t, begin, rapid.IntRange(3, 5).Draw(t, "slots"), gangs, runs)
+		began := startTimesUnderLoad(t, begin, rapid.IntRange(3, 5).Draw(t, "slots"), gangs, runs)
 		const longest, toHear = 16 * time.Second, 8 * time.Second
 		most := time.Duration(begin*0.75*float64(time.Second)) + time.Duration(len(gangs)+1)*longest + toHear
 		for n := range gangs {
@@ -79,9 +79,9 @@
 		}
 	})
 	// Without room saved none would: the property shows something.
-	checks(t, 1)
+	setRapidChecks(t, 1)
 	rapid.Check(t, func(t *rapid.T) {
-		if began := crowded(t, 0, 4, []int{60}, []int{5, 9, 16}); len(began) > 0 {
+		if began := startTimesUnderLoad(t, 0, 4, []int{60}, []int{5, 9, 16}); len(began) > 0 {
 			t.Errorf("the gang begins all the same: %v", began)
 		}
 	})
--- a/internal/scheduler/start_latency_test.go
+++ b/internal/scheduler/start_latency_test.go
@@ -11,7 +11,7 @@
 
 // For what each job waited before it began is told once, when all of a gang runs, and
 // counts from the last try: an attempt that came to nothing was time without room.
-func TestWhatAJobWaitedFor(t *testing.T) {
+func TestStartLatencyIsReportedOnce(t *testing.T) {
 	var log bytes.Buffer
 	was := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
