--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -1,6 +1,9 @@
-// Package chain keeps the graph of prerequisites: which jobs wait for others, are
-// released, or are cancelled with one before them, and what priority and latest
-// finish the jobs behind impose on those before. It is pure: no I/O, no clock.
+// Package dependency keeps the graph of dependencies among jobs: which jobs are blocked by others, are
+// released, or are cancelled as a dependency is, and what priority and latest finish
+// the dependents impose on a job. It is pure: no I/O, no clock.
+//
+// A job that is done or cancelled is forgotten once no open job names it. A job that an open one
+// names, but of which nothing is known, blocks its dependents until its owner has read its state.
 package dependency
 
 import (
@@ -12,13 +15,12 @@
 // State is what is known of a job.
 type State uint8
 
-// Unread: how the job stands is not known (yet); nothing may start behind it.
-// Done and Cancelled are final, and mean that the store says so.
+// States. Done and Cancelled are final, and mean that the store says so.
 const (
-	Unknown State = iota
-	Open
-	Done
-	Cancelled
+	Unknown   State = iota // not known, or not known yet; no dependent may start
+	Open                   // accepted, and neither done nor cancelled
+	Done                   // all its tasks have succeeded
+	Cancelled              // by a user, or as a dependency was
 )
 
 // Job is an open job as the graph sees it.
@@ -27,41 +29,49 @@
 	Dependencies []string      // jobs that have to be done before
 	Rank         int           // of its own priority, 0 being the highest
 	Deadline     time.Time     // when it should be complete; zero: no deadline
-	LatestEnd    time.Time     // when it should be complete at the very latest
+	LatestEnd    time.Time     // when it should be complete at the very latest; zero: no such time
 	Estimate     time.Duration // from its release to its end, by its owner's estimate
 }
 
-// Urgency are what a job is worth, itself or for the sake of those behind it.
+// Urgency is how urgent a job is, for its own sake or that of its dependents. Its fields mean the same as
+// those of Job.
 type Urgency struct {
 	Rank                int
 	Deadline, LatestEnd time.Time
 }
 
+// urgency returns the urgency of a job for its own sake.
+func (j *Job) urgency() Urgency {
+	return Urgency{Rank: j.Rank, Deadline: j.Deadline, LatestEnd: j.LatestEnd}
+}
+
+// node is a job of the graph.
 type node struct {
-	job     Job
-	state   State
-	doomed  bool      // a job before it is cancelled
-	at      time.Time // when it was done; zero: not known
-	stamp   uint64    // revision at which that was stored; 0: not known
-	needs   []*node
-	behind  []*node // open jobs that need it
-	terms   Urgency
-	waiting bool
+	job          Job // only its ID, while nothing else is known
+	state        State
+	cascades     bool      // it is open and to be cancelled, as a dependency is
+	blocked      bool      // it is open and waits for a dependency
+	doneAt       time.Time // zero: not known
+	revision     uint64    // at which its final state was stored; 0: not known
+	dependencies []*node
+	dependents   []*node // open jobs that depend on it
+	urgency      Urgency // of an open job, for its own sake and that of its dependents
 }
 
-// Graph holds the open jobs and those that open jobs name.
+// Graph holds the open jobs and those that open jobs depend on. It is not for concurrent use.
 type Graph struct {
 	nodes   map[string]*node
-	unread  map[string]bool
-	doomed  []string
-	changed map[string]bool
+	unknown map[string]bool // see UnknownJobs
+	cascade []string        // see ToCancel; may hold jobs that have been closed since
+	changed map[string]bool // see Changed
 }
 
 // New returns an empty graph.
 func New() *Graph {
-	return &Graph{nodes: map[string]*node{}, unread: map[string]bool{}, changed: map[string]bool{}}
+	return &Graph{nodes: map[string]*node{}, unknown: map[string]bool{}, changed: map[string]bool{}}
 }
 
+// node returns the node of a job, and adds one of which nothing is known if there is none.
 func (g *Graph) node(id string) *node {
 	n := g.nodes[id]
 	if n == nil {
@@ -71,113 +81,118 @@
 	return n
 }
 
-// Add takes in an open job. Only jobs that were accepted before can be named, so
+// Add adds an open job. Only jobs that were accepted before can be named, so
 // there are no cycles; a job that is known already is left as it is.
-func (g *Graph) Add(j Job) {
-	n := g.node(j.ID)
-	if n.state != Unknown || n.needs != nil {
+func (g *Graph) Add(job Job) {
+	n := g.node(job.ID)
+	if n.state != Unknown || n.dependencies != nil {
 		return
 	}
-	delete(g.unread, j.ID)
-	n.job, n.state = j, Open
-	for _, id := range j.Dependencies {
-		p := g.node(id)
-		n.needs = append(n.needs, p)
-		p.behind = append(p.behind, n)
-		if p.state == Unknown {
-			g.unread[id] = true
+	delete(g.unknown, job.ID)
+	n.job, n.state = job, Open
+	for _, id := range job.Dependencies {
+		dependency := g.node(id)
+		n.dependencies = append(n.dependencies, dependency)
+		dependency.dependents = append(dependency.dependents, n)
+		if dependency.state == Unknown {
+			g.unknown[id] = true
 		}
 	}
-	n.terms = Urgency{Rank: j.Rank, Deadline: j.Deadline, LatestEnd: j.LatestEnd}
-	n.waiting = n.waits()
-	g.changed[j.ID] = true
-	for _, b := range n.behind { // it was named before it was known
-		g.update(b)
+	n.urgency = job.urgency()
+	n.blocked = n.needsOthers()
+	g.changed[job.ID] = true
+	for _, dependent := range n.dependents { // named it before it was known
+		g.updateBlocked(dependent)
 	}
-	g.pull(n)
-	for _, p := range n.needs {
-		g.pull(p)
-		if p.state == Cancelled || p.doomed {
-			g.doom(n)
+	g.propagateUrgency(n)
+	for _, dependency := range n.dependencies {
+		g.propagateUrgency(dependency)
+		if dependency.state == Cancelled || dependency.cascades {
+			g.cancelWithDependents(n)
 		}
 	}
 }
 
-// Close notes that a job is no longer open, whatever has become of it.
+// Close notes that a job is no longer open, whatever has become of it: its state is unknown until
+// SetFinal is called.
 func (g *Graph) Close(id string) {
 	if n := g.nodes[id]; n != nil && n.state == Open {
 		n.state = Unknown
-		g.leave(n)
+		g.unlink(n)
 		if g.nodes[id] != nil {
-			g.unread[id] = true
+			g.unknown[id] = true
 		}
 	}
 }
 
-// SetFinal notes what the store says for good: a job is done, at the time given if that is
-// known, or cancelled. The revision of that record says what came before it.
-func (g *Graph) SetFinal(id string, s State, at time.Time, stamp uint64) {
+// SetFinal notes the final state of a job, Done or Cancelled, that the store has recorded. doneAt is when
+// it was done, if that is known. revision is that of the record, from which EarliestStartRevision
+// follows for its dependents.
+func (g *Graph) SetFinal(id string, state State, doneAt time.Time, revision uint64) {
 	n := g.nodes[id]
 	if n == nil || n.state == Done || n.state == Cancelled {
 		return
 	}
-	delete(g.unread, id)
-	n.state, n.at, n.stamp = s, at, stamp
-	g.leave(n)
-	for _, b := range slices.Clone(n.behind) {
-		g.update(b)
-		if s == Cancelled {
-			g.doom(b)
+	delete(g.unknown, id)
+	n.state, n.doneAt, n.revision = state, doneAt, revision
+	g.unlink(n)
+	for _, dependent := range slices.Clone(n.dependents) {
+		g.updateBlocked(dependent)
+		if state == Cancelled {
+			g.cancelWithDependents(dependent)
 		}
 	}
 }
 
-// leave takes a job that is no longer open from behind those it needed.
-func (g *Graph) leave(n *node) {
-	for _, p := range n.needs {
-		if i := slices.Index(p.behind, n); i >= 0 {
-			p.behind = slices.Delete(p.behind, i, i+1)
+// unlink removes a job that is no longer open from the dependents of its dependencies.
+func (g *Graph) unlink(n *node) {
+	for _, dependency := range n.dependencies {
+		if i := slices.Index(dependency.dependents, n); i >= 0 {
+			dependency.dependents = slices.Delete(dependency.dependents, i, i+1)
 		}
-		if p.state == Open {
-			g.pull(p)
+		if dependency.state == Open {
+			g.propagateUrgency(dependency)
 		}
-		g.drop(p)
+		g.forgetUnused(dependency)
 	}
-	n.needs = nil
-	n.doomed, n.waiting = false, false
-	g.drop(n)
+	n.dependencies = nil
+	n.cascades, n.blocked = false, false
+	g.forgetUnused(n)
 }
 
-// drop forgets a job that is over and that no open job names.
-func (g *Graph) drop(n *node) {
-	if n.state != Open && len(n.behind) == 0 {
+// forgetUnused forgets a job that is not open and that no open job names.
+func (g *Graph) forgetUnused(n *node) {
+	if n.state != Open && len(n.dependents) == 0 {
 		delete(g.nodes, n.job.ID)
-		delete(g.unread, n.job.ID)
+		delete(g.unknown, n.job.ID)
 		delete(g.changed, n.job.ID)
 	}
 }
 
-func (n *node) waits() bool {
-	return slices.ContainsFunc(n.needs, func(p *node) bool { return p.state != Done })
+// needsOthers reports whether any dependency is not known to be stored as done.
+func (n *node) needsOthers() bool {
+	return slices.ContainsFunc(n.dependencies, func(dependency *node) bool { return dependency.state != Done })
 }
 
-// update works out anew whether a job waits.
-func (g *Graph) update(n *node) {
-	if w := n.waits(); w != n.waiting {
-		n.waiting = w
+// updateBlocked computes anew whether a job is blocked.
+func (g *Graph) updateBlocked(n *node) {
+	if blocked := n.needsOthers(); blocked != n.blocked {
+		n.blocked = blocked
 		g.changed[n.job.ID] = true
 	}
 }
 
-// doom marks a job, and all behind it, as cancelled with one before it; the
-// nearest come first.
-func (g *Graph) doom(n *node) {
-	for list := []*node{n}; len(list) > 0; list = list[1:] {
-		if x := list[0]; x.state == Open && !x.doomed {
-			x.doomed = true
-			g.doomed = append(g.doomed, x.job.ID)
-			list = append(list, x.behind...)
+// cancelWithDependents marks a job, and all its dependents however far, as to be cancelled, since a
+// dependency is; the nearest come first.
+func (g *Graph) cancelWithDependents(first *node) {
+	for queue := []*node{first}; len(queue) > 0; queue = queue[1:] {
+		n := queue[0]
+		if n.state != Open || n.cascades {
+			continue
 		}
+		n.cascades = true
+		g.cascade = append(g.cascade, n.job.ID)
+		queue = append(queue, n.dependents...)
 	}
 }
 
@@ -189,130 +204,131 @@
 	return a
 }
 
-func before(t time.Time, d time.Duration) time.Time {
+// minus subtracts a duration from a time; zero stays no time.
+func minus(t time.Time, d time.Duration) time.Time {
 	if t.IsZero() {
 		return t
 	}
 	return t.Add(-d)
 }
 
-// pull works out anew what the jobs behind impose on a job, and so on backwards, as
-// far as it changes anything.
-func (g *Graph) pull(n *node) {
-	for list := []*node{n}; len(list) > 0; {
-		x := list[len(list)-1]
-		list = list[:len(list)-1]
-		if x.state != Open {
+// propagateUrgency computes anew how urgent a job is by its dependents, and does the same for its
+// dependencies, as far as anything changes.
+func (g *Graph) propagateUrgency(first *node) {
+	for stack := []*node{first}; len(stack) > 0; {
+		n := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
+		if n.state != Open {
 			continue
 		}
-		t := Urgency{Rank: x.job.Rank, Deadline: x.job.Deadline, LatestEnd: x.job.LatestEnd}
-		for _, b := range x.behind {
-			t.Rank = min(t.Rank, b.terms.Rank)
-			t.Deadline = earliest(t.Deadline, before(b.terms.Deadline, b.job.Estimate))
-			t.LatestEnd = earliest(t.LatestEnd, before(b.terms.LatestEnd, b.job.Estimate))
+		urgency := n.job.urgency()
+		for _, dependent := range n.dependents {
+			urgency.Rank = min(urgency.Rank, dependent.urgency.Rank)
+			urgency.Deadline = earliest(urgency.Deadline, minus(dependent.urgency.Deadline, dependent.job.Estimate))
+			urgency.LatestEnd = earliest(urgency.LatestEnd, minus(dependent.urgency.LatestEnd, dependent.job.Estimate))
 		}
-		if t != x.terms {
-			x.terms = t
-			g.changed[x.job.ID] = true
-			list = append(list, x.needs...)
+		if urgency != n.urgency {
+			n.urgency = urgency
+			g.changed[n.job.ID] = true
+			stack = append(stack, n.dependencies...)
 		}
 	}
 }
 
-// Blocked says whether a job needs one that is not known to be stored as done.
+// Blocked reports whether a job depends on one that is not known to be stored as done.
 func (g *Graph) Blocked(id string) bool {
 	n := g.nodes[id]
-	return n != nil && n.waits()
+	return n != nil && n.needsOthers()
 }
 
-// ReleasedAt tells when the last job that a job needs was done, as far as known.
+// ReleasedAt returns when the last dependency of a job was done, as far as known; zero if none is.
 func (g *Graph) ReleasedAt(id string) time.Time {
 	var last time.Time
 	if n := g.nodes[id]; n != nil {
-		for _, p := range n.needs {
-			if p.at.After(last) {
-				last = p.at
+		for _, dependency := range n.dependencies {
+			if dependency.doneAt.After(last) {
+				last = dependency.doneAt
 			}
 		}
 	}
 	return last
 }
 
-// EarliestStartRevision is the revision before which a job cannot have been started: the last of those
-// at which a job that it needs was stored as done, as far as known.
+// EarliestStartRevision returns the revision before which a job cannot have been started: the last of
+// those at which a dependency was stored as done, as far as known.
 func (g *Graph) EarliestStartRevision(id string) uint64 {
 	last := uint64(0)
 	if n := g.nodes[id]; n != nil {
-		for _, p := range n.needs {
-			last = max(last, p.stamp)
+		for _, dependency := range n.dependencies {
+			last = max(last, dependency.revision)
 		}
 	}
 	return last
 }
 
-// Urgency tells what an open job is worth for its own sake and that of those behind it.
+// Urgency returns how urgent an open job is for its own sake and that of its dependents.
 func (g *Graph) Urgency(id string) Urgency {
 	if n := g.nodes[id]; n != nil {
-		return n.terms
+		return n.urgency
 	}
 	return Urgency{}
 }
 
-// Unobstructed says that of all jobs before an open one, however far, none is cancelled or
-// not known. A job that is done has none such before it.
+// Unobstructed reports whether of all dependencies of an open job, however far, none is cancelled or
+// unknown. A dependency that is done has none such of its own.
 func (g *Graph) Unobstructed(id string) bool {
 	n := g.nodes[id]
-	if n == nil || n.state != Open || n.doomed {
+	if n == nil || n.state != Open || n.cascades {
 		return false
 	}
 	seen := map[*node]bool{}
-	for list := slices.Clone(n.needs); len(list) > 0; {
-		p := list[len(list)-1]
-		list = list[:len(list)-1]
+	for stack := slices.Clone(n.dependencies); len(stack) > 0; {
+		dependency := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
 		switch {
-		case seen[p] || p.state == Done:
-		case p.state != Open || p.doomed:
+		case seen[dependency] || dependency.state == Done:
+		case dependency.state != Open || dependency.cascades:
 			return false
 		default:
-			seen[p] = true
-			list = append(list, p.needs...)
+			seen[dependency] = true
+			stack = append(stack, dependency.dependencies...)
 		}
 	}
 	return true
 }
 
-// UnknownJobs lists the jobs that open ones name and of which it is not known how they
-// stand, by name.
+// UnknownJobs lists the jobs that open ones depend on and whose state is not known, by id.
 func (g *Graph) UnknownJobs() []string {
-	ids := make([]string, 0, len(g.unread))
-	for id := range g.unread {
-		ids = append(ids, id)
-	}
-	slices.SortFunc(ids, strings.Compare)
-	return ids
+	return sortedIDs(g.unknown)
 }
 
-// ToCancel lists the open jobs that are to be cancelled with one before them, the
+// ToCancel lists the open jobs that are to be cancelled because a dependency is, the
 // nearest to it first.
 func (g *Graph) ToCancel() []string {
-	g.doomed = slices.DeleteFunc(g.doomed, func(id string) bool {
+	g.cascade = slices.DeleteFunc(g.cascade, func(id string) bool {
 		n := g.nodes[id]
-		return n == nil || !n.doomed
+		return n == nil || !n.cascades
 	})
-	return slices.Clone(g.doomed)
+	return slices.Clone(g.cascade)
 }
 
-// Changed lists the jobs that wait, are released, or are worth something else since
-// it was last asked, by name.
+// Changed lists the jobs that were blocked, released, or became more or less urgent since
+// it was last called, by id.
 func (g *Graph) Changed() []string {
 	if len(g.changed) == 0 {
 		return nil
 	}
-	ids := make([]string, 0, len(g.changed))
-	for id := range g.changed {
+	ids := sortedIDs(g.changed)
+	clear(g.changed)
+	return ids
+}
+
+// sortedIDs returns the members of a set in order. It is never nil.
+func sortedIDs(set map[string]bool) []string {
+	ids := make([]string, 0, len(set))
+	for id := range set {
 		ids = append(ids, id)
 	}
-	clear(g.changed)
 	slices.SortFunc(ids, strings.Compare)
 	return ids
 }
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -11,178 +12,219 @@
 	"drumpick/internal/scenario"
 )
 
-// A story adds jobs ("add j-2 needs=j-1 rank=3 due=100 last=150 takes=20"), ends them
+// A scenario adds jobs ("add j-2 needs=j-1 rank=3 due=100 last=150 takes=20"), ends them
 // ("done j-1 at=30", "cancelled j-1", "closed j-1") and asks ("show j-1 ...").
 // Every event is followed by what it changed.
-func TestTraces(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		g := New()
-		at := func(s string) time.Time {
-			n, err := strconv.Atoi(s)
-			if err != nil {
-				return time.Time{}
+		return func(words []string) []string {
+			event, ids := words[0], words[1:]
+			arguments := map[string]string{}
+			for _, word := range ids {
+				key, value, _ := strings.Cut(word, "=")
+				arguments[key] = value
 			}
-			return time.Unix(int64(n), 0)
-		}
-		return func(w []string) []string {
-			a := map[string]string{}
-			for _, x := range w[1:] {
-				k, v, _ := strings.Cut(x, "=")
-				a[k] = v
-			}
-			switch w[0] {
+			switch event {
 			case "add":
-				j := Job{ID: w[1], Rank: 3, Deadline: at(a["due"]), LatestEnd: at(a["last"])}
-				if a["needs"] != "" {
-					j.Dependencies = strings.Split(a["needs"], ",")
-				}
-				if a["rank"] != "" {
-					j.Rank, _ = strconv.Atoi(a["rank"])
-				}
-				n, _ := strconv.Atoi(a["takes"])
-				j.Estimate = time.Duration(n) * time.Second
-				g.Add(j)
+				g.Add(parseJob(ids[0], arguments))
 			case "done":
-				g.SetFinal(w[1], Done, at(a["at"]), 1)
+				g.SetFinal(ids[0], Done, parseTime(arguments["at"]), 1)
 			case "cancelled":
-				g.SetFinal(w[1], Cancelled, time.Time{}, 1)
+				g.SetFinal(ids[0], Cancelled, time.Time{}, 1)
 			case "closed":
-				g.Close(w[1])
+				g.Close(ids[0])
 			case "show":
 			default:
-				t.Fatalf("unknown event %v", w)
-			}
-			var out []string
-			show := g.Changed()
-			if w[0] == "show" {
-				show = w[1:]
-			}
-			for _, id := range show {
-				line := id + " may start"
-				if g.Blocked(id) {
-					line = id + " waits"
-				}
-				if at := g.ReleasedAt(id); !at.IsZero() {
-					line += fmt.Sprint(", last job before it done at ", at.Unix())
-				}
-				terms := g.Urgency(id)
-				line += fmt.Sprint(", rank ", terms.Rank)
-				if !terms.Deadline.IsZero() {
-					line += fmt.Sprint(", due ", terms.Deadline.Unix())
-				}
-				if !terms.LatestEnd.IsZero() {
-					line += fmt.Sprint(", at the latest ", terms.LatestEnd.Unix())
-				}
-				if w[0] == "show" && !g.Unobstructed(id) {
-					line += ", not clear"
-				}
-				out = append(out, line)
-			}
-			if d := g.ToCancel(); len(d) > 0 {
-				out = append(out, "to be cancelled: "+strings.Join(d, " "))
+				t.Fatalf("unknown event %v", words)
 			}
-			if u := g.UnknownJobs(); len(u) > 0 {
-				out = append(out, "to be read: "+strings.Join(u, " "))
+			changed := g.Changed()
+			if event != "show" {
+				ids = changed
 			}
-			return out
+			return describe(g, ids, event == "show")
 		}
 	})
 }
 
-// Whatever comes in whatever order, the graph says what a plain look at all jobs says,
-// and it forgets what nobody names.
-func TestAgainstPlain(t *testing.T) {
-	r := rand.New(rand.NewPCG(5, 6))
-	for range 15 {
-		g := New()
-		type job struct {
-			Job
-			state State
+// parseTime parses a time of a scenario, in seconds; zero if there is none.
+func parseTime(s string) time.Time {
+	n, err := strconv.Atoi(s)
+	if err != nil {
+		return time.Time{}
+	}
+	return time.Unix(int64(n), 0)
+}
+
+// parseJob returns the job that an event of a scenario adds.
+func parseJob(id string, arguments map[string]string) Job {
+	j := Job{ID: id, Rank: 3, Deadline: parseTime(arguments["due"]), LatestEnd: parseTime(arguments["last"])}
+	if arguments["needs"] != "" {
+		j.Dependencies = strings.Split(arguments["needs"], ",")
+	}
+	if arguments["rank"] != "" {
+		j.Rank, _ = strconv.Atoi(arguments["rank"])
+	}
+	seconds, _ := strconv.Atoi(arguments["takes"])
+	j.Estimate = time.Duration(seconds) * time.Second
+	return j
+}
+
+// describe returns a line for each of the jobs, and for what the graph asks of its owner.
+func describe(g *Graph, ids []string, withObstructed bool) []string {
+	var lines []string
+	for _, id := range ids {
+		line := id + " may start"
+		if g.Blocked(id) {
+			line = id + " waits"
+		}
+		if at := g.ReleasedAt(id); !at.IsZero() {
+			line += fmt.Sprint(", last job before it done at ", at.Unix())
+		}
+		urgency := g.Urgency(id)
+		line += fmt.Sprint(", rank ", urgency.Rank)
+		if !urgency.Deadline.IsZero() {
+			line += fmt.Sprint(", due ", urgency.Deadline.Unix())
+		}
+		if !urgency.LatestEnd.IsZero() {
+			line += fmt.Sprint(", at the latest ", urgency.LatestEnd.Unix())
+		}
+		if withObstructed && !g.Unobstructed(id) {
+			line += ", not clear"
+		}
+		lines = append(lines, line)
+	}
+	if ids := g.ToCancel(); len(ids) > 0 {
+		lines = append(lines, "to be cancelled: "+strings.Join(ids, " "))
+	}
+	if ids := g.UnknownJobs(); len(ids) > 0 {
+		lines = append(lines, "to be read: "+strings.Join(ids, " "))
+	}
+	return lines
+}
+
+// referenceJob is a job of the reference model.
+type referenceJob struct {
+	Job
+	state State
+}
+
+// reference is a model of the graph that computes every answer from all jobs.
+type reference map[string]*referenceJob
+
+func (r reference) blocked(id string) bool {
+	for _, dependency := range r[id].Dependencies {
+		if r[dependency].state != Done {
+			return true
+		}
+	}
+	return false
+}
+
+// cascades reports whether any dependency of a job, however far, is cancelled.
+func (r reference) cascades(id string) bool {
+	for _, dependency := range r[id].Dependencies {
+		if state := r[dependency].state; state == Cancelled || state == Open && r.cascades(dependency) {
+			return true
+		}
+	}
+	return false
+}
+
+func (r reference) urgency(id string) Urgency {
+	urgency := Urgency{Rank: r[id].Rank, Deadline: r[id].Deadline}
+	for _, j := range r {
+		if j.state == Open && slices.Contains(j.Dependencies, id) {
+			imposed := r.urgency(j.ID)
+			urgency.Rank = min(urgency.Rank, imposed.Rank)
+			urgency.Deadline = earliest(urgency.Deadline, minus(imposed.Deadline, j.Estimate))
+		}
+	}
+	return urgency
+}
+
+// drawJob returns a job that depends on up to three of the others.
+func drawJob(random *rand.Rand, id string, others []string) Job {
+	j := Job{ID: id, Rank: random.IntN(4), Estimate: time.Duration(random.IntN(9)) * time.Second}
+	if random.IntN(3) == 0 {
+		j.Deadline = time.Unix(int64(1000+random.IntN(900)), 0)
+	}
+	for range random.IntN(4) {
+		if len(others) == 0 {
+			continue
 		}
-		all := map[string]*job{}
+		if other := others[random.IntN(len(others))]; !slices.Contains(j.Dependencies, other) {
+			j.Dependencies = append(j.Dependencies, other)
+		}
+	}
+	return j
+}
+
+// Whatever jobs are added and closed in whatever order, the graph answers what a scan of all jobs does,
+// and it forgets the jobs that no open one names.
+func TestGraphEqualsReference(t *testing.T) {
+	random := rand.New(rand.NewPCG(5, 6))
+	for range 15 {
+		g, all := New(), reference{}
 		var ids []string
 		for step := range 120 {
-			if r.IntN(3) > 0 || len(ids) == 0 {
-				j := &job{Job: Job{ID: fmt.Sprint("j-", step), Rank: r.IntN(4), Estimate: time.Duration(r.IntN(9)) * time.Second}, state: Open}
-				if r.IntN(3) == 0 {
-					j.Deadline = time.Unix(int64(1000+r.IntN(900)), 0)
-				}
-				for range r.IntN(4) {
-					if len(ids) > 0 {
-						if id := ids[r.IntN(len(ids))]; !strings.Contains(strings.Join(j.Dependencies, " ")+" ", id+" ") {
-							j.Dependencies = append(j.Dependencies, id)
-						}
-					}
-				}
-				all[j.ID] = j
+			if random.IntN(3) > 0 || len(ids) == 0 {
+				j := drawJob(random, fmt.Sprint("j-", step), ids)
+				all[j.ID] = &referenceJob{Job: j, state: Open}
 				ids = append(ids, j.ID)
-				g.Add(j.Job)
-				for _, id := range j.Dependencies { // what is over is read
-					if s := all[id].state; s == Done || s == Cancelled {
-						g.SetFinal(id, s, time.Time{}, 1)
+				g.Add(j)
+				for _, id := range j.Dependencies { // the owner reads those that are closed
+					if state := all[id].state; state == Done || state == Cancelled {
+						g.SetFinal(id, state, time.Time{}, 1)
 					}
 				}
-			} else if j := all[ids[r.IntN(len(ids))]]; j.state == Open {
+			} else if j := all[ids[random.IntN(len(ids))]]; j.state == Open {
 				j.state = Cancelled
-				if !g.Blocked(j.ID) && r.IntN(3) > 0 {
+				if !g.Blocked(j.ID) && random.IntN(3) > 0 {
 					j.state = Done
 				}
-				if r.IntN(2) == 0 {
+				if random.IntN(2) == 0 {
 					g.Close(j.ID)
 				}
 				g.SetFinal(j.ID, j.state, time.Time{}, 1)
 			}
-			var doomed func(id string) bool
-			doomed = func(id string) bool {
-				for _, p := range all[id].Dependencies {
-					if all[p].state == Cancelled || all[p].state == Open && doomed(p) {
-						return true
-					}
-				}
-				return false
-			}
-			var terms func(id string) Urgency
-			terms = func(id string) Urgency {
-				t := Urgency{Rank: all[id].Rank, Deadline: all[id].Deadline}
-				for _, b := range all {
-					if b.state == Open && strings.Contains(strings.Join(b.Dependencies, " ")+" ", id+" ") {
-						x := terms(b.ID)
-						t.Rank = min(t.Rank, x.Rank)
-						t.Deadline = earliest(t.Deadline, before(x.Deadline, b.Estimate))
-					}
-				}
-				return t
-			}
-			said := map[string]bool{}
-			for _, id := range g.ToCancel() {
-				said[id] = true
-			}
-			named := map[string]bool{}
-			for id, j := range all {
-				if j.state != Open {
-					continue
-				}
-				named[id] = true
-				waits := false
-				for _, p := range j.Dependencies {
-					waits = waits || all[p].state != Done
-					named[p] = true
-				}
-				if g.Blocked(id) != waits || said[id] != doomed(id) || g.Unobstructed(id) == doomed(id) {
-					t.Fatalf("%s: waits %v, doomed %v, clear %v; plainly %v, %v", id, g.Blocked(id), said[id], g.Unobstructed(id), waits, doomed(id))
-				}
-				if got, want := g.Urgency(id), terms(id); got != want {
-					t.Fatalf("%s: %v, plainly %v", id, got, want)
-				}
-			}
-			if len(g.nodes) != len(named) || len(g.UnknownJobs()) != 0 {
-				t.Fatalf("%d jobs held, %d are open or named; to be read %v", len(g.nodes), len(named), g.UnknownJobs())
-			}
+			compareToReference(t, g, all)
 		}
 	}
 }
 
-// A job with an earlier deadline comes behind a chain of a thousand, and goes again: the
+func compareToReference(t *testing.T, g *Graph, all reference) {
+	t.Helper()
+	toCancel := g.ToCancel()
+	named := map[string]bool{}
+	for id, j := range all {
+		if j.state != Open {
+			continue
+		}
+		named[id] = true
+		for _, dependency := range j.Dependencies {
+			named[dependency] = true
+		}
+		if got, want := g.Blocked(id), all.blocked(id); got != want {
+			t.Fatalf("%s is blocked: %v, want %v", id, got, want)
+		}
+		cascades := all.cascades(id)
+		if got := slices.Contains(toCancel, id); got != cascades {
+			t.Fatalf("%s is to be cancelled: %v, want %v", id, got, cascades)
+		}
+		if got := g.Unobstructed(id); got == cascades {
+			t.Fatalf("%s is unobstructed: %v, want %v", id, got, !cascades)
+		}
+		if got, want := g.Urgency(id), all.urgency(id); got != want {
+			t.Fatalf("urgency of %s: %v, want %v", id, got, want)
+		}
+	}
+	if len(g.nodes) != len(named) || len(g.UnknownJobs()) != 0 {
+		t.Fatalf("%d jobs are held, want the %d that are open or named; unknown are %v, want none", len(g.nodes), len(named), g.UnknownJobs())
+	}
+}
+
+// A job with an earlier deadline is added as the last of a chain of a thousand, and cancelled again: the
 // most that one job changes.
 func BenchmarkLongChain(b *testing.B) {
 	g := New()
@@ -204,17 +246,17 @@
 	}
 }
 
-// A job of five behind four others comes and is done, among a thousand such.
+// A job that depends on four others is added with them, and all are done, among a thousand such.
 func BenchmarkPipelines(b *testing.B) {
 	g := New()
 	add := func(n int) {
-		var needs []string
+		var dependencies []string
 		for k := range 4 {
 			id := fmt.Sprint("j-", n, "-", k)
 			g.Add(Job{ID: id, Estimate: time.Second})
-			needs = append(needs, id)
+			dependencies = append(dependencies, id)
 		}
-		g.Add(Job{ID: fmt.Sprint("j-", n, "-4"), Dependencies: needs, Deadline: time.Unix(10000, 0)})
+		g.Add(Job{ID: fmt.Sprint("j-", n, "-4"), Dependencies: dependencies, Deadline: time.Unix(10000, 0)})
 	}
 	for n := range 1000 {
 		add(n)
