--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -16,7 +16,7 @@
 	sum := drain.Summary{Machines: 1, Finish: 2, Move: 3, Lose: 4, Wait: 5, Blocked: 6, LostS: 7.5, Vanished: 8, EmptyS: 9.5}
 	spec := drain.Spec{
 		ID: "d-1", Kind: DrainUpgrade, Machines: []string{"m-1"}, Type: "c4", Zone: "a", OlderS: 60, Version: "1.0", ByMS: 946684802000,
-		Then: ThenReturn, To: "1.1", AtOnce: 2, KeepUp: 3, BeganMS: 946684801000, Stopped: true,
+		WhenEmpty: ThenReturn, TargetVersion: "1.1", AtOnce: 2, MinInService: 3, BeganMS: 946684801000, Stopped: true,
 		Window: &Window{Rule: "FREQ=WEEKLY;BYDAY=SU", Zone: "Europe/Warsaw", ForS: 7200, LeadS: 600, Starts: "2026-01-31T22:00"},
 	}
 	return Job{
@@ -27,11 +27,11 @@
 			Name: "m-1", Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.232:9000", State: "up", AgeS: 60.5, Version: "1.0", Count: 1,
 			Tasks: []Task{{Task: "j-1/0", Try: 2, State: "running", RanS: 4.5, Stops: true}},
 		}, Drain{Spec: spec, Force: true, Since: "m-0"}, DrainView{Drain: spec, State: &DrainState{
-			Phase: drain.Upgrading, Rollout: &drain.Rollout{Want: "1.1", From: "1.0", Back: true, Why: "w", Blocked: "b"}, OutOfService: []string{"m-1"},
-			Left: 2, Blocked: "b", Plan: sum, Seen: sum, BeganMS: 946684801000, EndedMS: 946684802000, Term: 41,
+			Phase: drain.Upgrading, Rollout: &drain.Rollout{Target: "1.1", From: "1.0", RolledBack: true, Reason: "w", Blocked: "b"}, OutOfService: []string{"m-1"},
+			Left: 2, Blocked: "b", Plan: sum, Actual: sum, BeganMS: 946684801000, EndedMS: 946684802000, Term: 41,
 		}}, DrainPlan{
 			Machines: []drain.MachinePlan{{Machine: "m-1", Zone: "a", EmptyS: 4.5, Others: 5, Tasks: []drain.TaskPlan{{
-				Task: "j-1/0", Class: "train", Action: drain.Move, Why: "w", UntilS: 1.5, LostS: 2.5, LateS: 3.5,
+				Task: "j-1/0", Class: "train", Action: drain.Move, Reason: "w", UntilS: 1.5, LostS: 2.5, LateS: 3.5,
 			}}}}, More: true,
 			Classes: map[string]*drain.ClassPlan{"train": {Summary: sum, Late: 1, LateNow: 2}}, All: sum,
 			Windows: []string{"2026-01-31T22:00:00+01:00"}, Warnings: []string{"w"},
--- a/cmd/drumpickctl/drains.go
+++ b/cmd/drumpickctl/drains.go
@@ -38,10 +38,10 @@
 	fl.BoolVar(&x.cordon, "cordon", false, "mark only: no new tasks, what runs goes on")
 	fl.StringVar(&x.by, "by", "", "`time` by which they must be empty, as 2006-01-02T15:04 here, or RFC 3339")
 	fl.DurationVar(&x.in, "in", 0, "the same, from now on")
-	fl.StringVar(&x.spec.Then, "then", client.ThenKeep, "`keep` empty machines, or return them to the cloud")
+	fl.StringVar(&x.spec.WhenEmpty, "then", client.ThenKeep, "`keep` empty machines, or return them to the cloud")
 	fl.StringVar(&x.upgrade, "upgrade-to", "", "roll machines over to a worker's `version`")
 	fl.IntVar(&x.spec.AtOnce, "at-once", 0, "of an upgrade: how many machines are out of service at a time (1)")
-	fl.IntVar(&x.spec.KeepUp, "keep-up", 0, "of an upgrade: how many stay in service in each zone, and for each class")
+	fl.IntVar(&x.spec.MinInService, "keep-up", 0, "of an upgrade: how many stay in service in each zone, and for each class")
 	fl.StringVar(&x.rule, "window", "", "hold only in windows, by an RFC 5545 `RRULE` such as FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0")
 	fl.StringVar(&x.zone, "window-zone", "", "time `zone` of the windows, such as Europe/Warsaw (else TZ)")
 	fl.StringVar(&x.starts, "window-starts", "", "first window, as 2006-01-02T15:04 in that zone; the rule counts from it")
@@ -62,7 +62,7 @@
 	case x.cordon:
 		d.Kind = client.DrainCordon
 	case x.upgrade != "":
-		d.Kind, d.To = client.DrainUpgrade, x.upgrade
+		d.Kind, d.TargetVersion = client.DrainUpgrade, x.upgrade
 		if d.AtOnce == 0 {
 			d.AtOnce = 1
 		}
@@ -187,7 +187,7 @@
 			case drain.Drained, drain.Done, drain.Stopped:
 				return v, nil
 			case drain.RolledBack:
-				return v, &exitError{exitFailed, fmt.Errorf("drain %s was rolled back: %s", v.Drain.ID, v.State.Rollout.Why)}
+				return v, &exitError{exitFailed, fmt.Errorf("drain %s was rolled back: %s", v.Drain.ID, v.State.Rollout.Reason)}
 			}
 		}
 		select {
@@ -221,7 +221,7 @@
 	if len(d.Machines) > 0 {
 		words = append(words, short(d.Machines))
 	}
-	for _, x := range [][2]string{{"type ", d.Type}, {"zone ", d.Zone}, {"version ", d.Version}, {"to version ", d.To}} {
+	for _, x := range [][2]string{{"type ", d.Type}, {"zone ", d.Zone}, {"version ", d.Version}, {"to version ", d.TargetVersion}} {
 		if x[1] != "" {
 			words = append(words, x[0]+x[1])
 		}
@@ -249,9 +249,9 @@
 	if d.Window != nil {
 		row("window", fmt.Sprintf("%s in %s, for %v", d.Window.Rule, d.Window.Zone, time.Duration(d.Window.ForS*float64(time.Second))))
 	}
-	row("then", d.Then)
+	row("then", d.WhenEmpty)
 	if d.Kind == client.DrainUpgrade {
-		row("at once", fmt.Sprintf("%d, %d stay in service in each zone and for each class", d.AtOnce, d.KeepUp))
+		row("at once", fmt.Sprintf("%d, %d stay in service in each zone and for each class", d.AtOnce, d.MinInService))
 	}
 	row("began", clock(d.BeganMS))
 	row("phase", phase)
@@ -262,14 +262,14 @@
 	}
 	row("in hand", short(s.OutOfService))
 	row("waits", s.Blocked)
-	if s.Rollout != nil && s.Rollout.Back {
-		row("rolled back", s.Rollout.Why+", to version "+s.Rollout.Want)
+	if s.Rollout != nil && s.Rollout.RolledBack {
+		row("rolled back", s.Rollout.Reason+", to version "+s.Rollout.Target)
 	}
 	fmt.Fprintln(w, "\n\tMACHINES\tFINISH\tMOVE\tBEGIN ANEW\tWAIT\tBLOCKED\tVANISHED\tWORK LOST\tEMPTY AFTER")
 	for _, x := range []struct {
 		name string
 		s    client.DrainSummary
-	}{{"planned", s.Plan}, {"seen", s.Seen}} {
+	}{{"planned", s.Plan}, {"seen", s.Actual}} {
 		fmt.Fprintf(w, "%s\t%s\n", x.name, counts(x.s))
 	}
 }
@@ -289,7 +289,7 @@
 			fmt.Fprintf(w, "%s\t%s\t-\t\tis empty\n", m.Machine, m.Zone)
 		}
 		for _, t := range m.Tasks {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0fs\t%.0fs\t%.0fs\t%s\n", m.Machine, m.Zone, t.Task, t.Class, t.Action, t.UntilS, t.LostS, t.LateS, t.Why)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0fs\t%.0fs\t%.0fs\t%s\n", m.Machine, m.Zone, t.Task, t.Class, t.Action, t.UntilS, t.LostS, t.LateS, t.Reason)
 		}
 	}
 	for _, m := range p.Machines {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -29,17 +29,17 @@
 	sameCases(t)
 	rapid.Check(t, func(t *rapid.T) {
 		x := Task{
-			Running: rapid.Bool().Draw(t, "running"), Group: rapid.Bool().Draw(t, "gang"), Service: rapid.Bool().Draw(t, "replica"),
+			Running: rapid.Bool().Draw(t, "running"), Gang: rapid.Bool().Draw(t, "gang"), Service: rapid.Bool().Draw(t, "replica"),
 			Urgent: rapid.Bool().Draw(t, "urgent"), Remaining: seconds(t, 300, "remaining"), Saves: rapid.Bool().Draw(t, "saves"),
-			Restart: seconds(t, 20, "restart"), Others: rapid.IntRange(0, 2).Draw(t, "others"), Place: Place(rapid.IntRange(0, 2).Draw(t, "place")),
+			RestartDuration: seconds(t, 20, "restart"), OtherReplicas: rapid.IntRange(0, 2).Draw(t, "others"), Place: Place(rapid.IntRange(0, 2).Draw(t, "place")),
 		}
-		x.Group = x.Group && !x.Service
+		x.Gang = x.Gang && !x.Service
 		if x.Running {
 			x.Ran = seconds(t, 300, "ran")
 		}
-		x.Waiting = x.Group && !x.Running
+		x.Waiting = x.Gang && !x.Running
 		if x.Saves {
-			x.Save = seconds(t, 10, "save")
+			x.SaveDuration = seconds(t, 10, "save")
 		}
 		if rapid.Bool().Draw(t, "due") {
 			s := seconds(t, 100, "slack")
@@ -56,7 +56,7 @@
 		over := left != nil && *left <= margin
 		inTime := left == nil || time.Duration(float64(x.Remaining)*likely) <= *left && !x.Service
 		switch {
-		case d.Why == "":
+		case d.Reason == "":
 			t.Fatal("no reason")
 		case over && !leaves:
 			t.Fatalf("the time is over, and it %s", d.Action)
@@ -70,9 +70,9 @@
 			t.Fatal("moved, though it cannot save")
 		case leaves && left == nil && x.Place != Room:
 			t.Fatal("stopped without a place elsewhere, though nothing presses")
-		case leaves && left == nil && x.Service && x.Running && x.Others == 0:
+		case leaves && left == nil && x.Service && x.Running && x.OtherReplicas == 0:
 			t.Fatal("the last replica is stopped")
-		case leaves && inTime && !over && x.Running && !x.Service && x.Urgent && x.Slack != nil && *x.Slack == 0 && x.Save+x.Restart > 0:
+		case leaves && inTime && !over && x.Running && !x.Service && x.Urgent && x.Slack != nil && *x.Slack == 0 && x.SaveDuration+x.RestartDuration > 0:
 			t.Fatal("urgent work with no time left is moved")
 		case d.Action == Blocked && x.Place != Nowhere:
 			t.Fatal("blocked, though there is a place")
@@ -86,7 +86,7 @@
 func TestRollEnds(t *testing.T) {
 	sameCases(t)
 	rapid.Check(t, func(t *rapid.T) {
-		s := &Spec{Kind: Upgrade, To: "2", AtOnce: rapid.IntRange(1, 4).Draw(t, "at once"), KeepUp: rapid.IntRange(0, 3).Draw(t, "keep up")}
+		s := &Spec{Kind: Upgrade, TargetVersion: "2", AtOnce: rapid.IntRange(1, 4).Draw(t, "at once"), MinInService: rapid.IntRange(0, 3).Draw(t, "keep up")}
 		share := rapid.SampledFrom([]int{0, 0, 30, 100}).Draw(t, "fails, percent")
 		type machine struct {
 			Candidate
@@ -107,7 +107,7 @@
 			perZone[m.Zone]++
 		}
 		for _, n := range perZone {
-			if n <= s.KeepUp {
+			if n <= s.MinInService {
 				t.Skip("it may take none of a zone")
 			}
 		}
@@ -118,7 +118,7 @@
 			}
 			return cs
 		}
-		r := Begin(s, view())
+		r := NewRollout(s, view())
 		const soak = 5 * time.Second
 		for step := 0; ; step++ {
 			if step > 2000 {
@@ -128,11 +128,11 @@
 			zones, classes, out := map[string]int{}, map[string]int{}, 0
 			left := 0
 			for _, m := range all {
-				if m.Up && !m.InHand {
+				if m.Up && !m.OutOfService {
 					zones[m.Zone]++
 					classes["any"]++
 				}
-				if m.Version != r.Want || m.Fresh > 0 && m.Fresh < soak && !m.Proven {
+				if m.Version != r.Target || m.VersionAge > 0 && m.VersionAge < soak && !m.Proven {
 					left++
 				}
 			}
@@ -145,11 +145,11 @@
 			}
 			up := map[string]int{}
 			for _, m := range all {
-				m.InHand = hand[m.Name]
-				if m.InHand && !m.Failed {
+				m.OutOfService = hand[m.Name]
+				if m.OutOfService && !m.Failed {
 					out++
 				}
-				if !m.InHand && m.Up {
+				if !m.OutOfService && m.Up {
 					up[m.Zone]++
 				}
 			}
@@ -157,28 +157,28 @@
 				t.Fatalf("%d machines in hand, %d at once", len(hand), s.AtOnce)
 			}
 			for z := range perZone {
-				if share == 0 && out > 0 && up[z] < s.KeepUp { // machines that fail are gone besides
-					t.Fatalf("%d machines stay in service in zone %s, %d are to", up[z], z, s.KeepUp)
+				if share == 0 && out > 0 && up[z] < s.MinInService { // machines that fail are gone besides
+					t.Fatalf("%d machines stay in service in zone %s, %d are to", up[z], z, s.MinInService)
 				}
 			}
 			for _, m := range all {
 				switch {
-				case m.InHand:
+				case m.OutOfService:
 					if m.in++; m.in > 2 { // emptied, and given its version
-						m.Version, m.in, m.InHand, m.Empty = r.Want, 0, false, false
-						m.Proven, m.Failed, m.Fresh, m.Up = false, false, time.Millisecond, true
+						m.Version, m.in, m.OutOfService, m.Empty = r.Target, 0, false, false
+						m.Proven, m.Failed, m.VersionAge, m.Up = false, false, time.Millisecond, true
 					}
-				case m.Fresh > 0:
-					m.Fresh += time.Second
+				case m.VersionAge > 0:
+					m.VersionAge += time.Second
 					if m.Version == "2" && rapid.IntRange(1, 100).Draw(t, "fails") <= share {
 						m.Failed, m.Up = true, false
-					} else if m.Fresh > 2*time.Second && !m.Failed {
+					} else if m.VersionAge > 2*time.Second && !m.Failed {
 						m.Proven = true
 					}
 				}
 			}
 		}
-		if share == 0 && r.Back || share == 100 && r.From != "" && !r.Back && s.AtOnce < len(all)-2 {
+		if share == 0 && r.RolledBack || share == 100 && r.From != "" && !r.RolledBack && s.AtOnce < len(all)-2 {
 			t.Fatalf("of the new version %d%% fail: %+v", share, r)
 		}
 	})
@@ -275,24 +275,24 @@
 		want string
 	}{
 		"a zone":                {Spec{ID: "d-1", Zone: "north"}, ""},
-		"an upgrade of all":     {Spec{ID: "d-1", Kind: Upgrade, To: "2", AtOnce: 1}, ""},
+		"an upgrade of all":     {Spec{ID: "d-1", Kind: Upgrade, TargetVersion: "2", AtOnce: 1}, ""},
 		"a window":              {Spec{ID: "d-1", Zone: "north", Window: &Window{Rule: rule, Zone: "Europe/Warsaw", ForS: 3600}}, ""},
 		"no id":                 {Spec{Zone: "north"}, "id:"},
 		"another id":            {Spec{ID: "d-../x", Zone: "north"}, "id:"},
 		"nothing said":          {Spec{ID: "d-1"}, "machines: nothing"},
-		"none at a time":        {Spec{ID: "d-1", Kind: Upgrade, To: "2"}, "at_once:"},
-		"too many at a time":    {Spec{ID: "d-1", Kind: Upgrade, To: "2", AtOnce: 1_000_001}, "at_once:"},
+		"none at a time":        {Spec{ID: "d-1", Kind: Upgrade, TargetVersion: "2"}, "at_once:"},
+		"too many at a time":    {Spec{ID: "d-1", Kind: Upgrade, TargetVersion: "2", AtOnce: 1_000_001}, "at_once:"},
 		"to nothing":            {Spec{ID: "d-1", Kind: Upgrade, AtOnce: 1}, "to_version:"},
-		"a version to drain":    {Spec{ID: "d-1", Zone: "a", To: "2"}, "to_version"},
+		"a version to drain":    {Spec{ID: "d-1", Zone: "a", TargetVersion: "2"}, "to_version"},
 		"kind":                  {Spec{ID: "d-1", Kind: "burn", Zone: "a"}, "kind:"},
-		"then":                  {Spec{ID: "d-1", Zone: "a", Then: "sell"}, "then:"},
+		"then":                  {Spec{ID: "d-1", Zone: "a", WhenEmpty: "sell"}, "then:"},
 		"over already":          {Spec{ID: "d-1", Zone: "a", ByMS: now.UnixMilli() - 1}, "by_ms:"},
 		"cordon by a time":      {Spec{ID: "d-1", Kind: Cordon, Zone: "a", ByMS: now.UnixMilli() + 1}, "by_ms:"},
 		"an empty name":         {Spec{ID: "d-1", Machines: []string{""}}, "empty name"},
 		"a long name":           {Spec{ID: "d-1", Zone: strings.Repeat("x", 201)}, "too long"},
-		"the whole fleet":       {Spec{ID: "d-1", Kind: Upgrade, To: "2", AtOnce: 4000}, ""},
+		"the whole fleet":       {Spec{ID: "d-1", Kind: Upgrade, TargetVersion: "2", AtOnce: 4000}, ""},
 		"names of a fleet":      {Spec{ID: "d-1", Machines: slices.Repeat([]string{"m-000101"}, 4000)}, ""},
-		"stays up":              {Spec{ID: "d-1", Kind: Upgrade, To: "2", AtOnce: 1, KeepUp: -1}, "keep_up:"},
+		"stays up":              {Spec{ID: "d-1", Kind: Upgrade, TargetVersion: "2", AtOnce: 1, MinInService: -1}, "keep_up:"},
 		"negative age":          {Spec{ID: "d-1", OlderS: -1}, "older_than_s:"},
 		"never":                 {Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule + ";UNTIL=20200101T000000Z", Zone: "UTC", ForS: 3600}}, "window.rule: no window comes"},
 		"never, by the month":   {Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30", Zone: "UTC", ForS: 3600}}, "window.rule: no window comes"},
--- a/internal/drain/golden_test.go
+++ b/internal/drain/golden_test.go
@@ -12,14 +12,14 @@
 	sum := Summary{Machines: 1, Finish: 2, Move: 3, Lose: 4, Wait: 5, Blocked: 6, LostS: 7.5, Vanished: 8, EmptyS: 9.5}
 	spec := Spec{
 		ID: "d-1", Kind: Upgrade, Machines: []string{"m-1"}, Type: "c4", Zone: "a", OlderS: 60, Version: "1.0", ByMS: 946684802000,
-		Then: Return, To: "1.1", AtOnce: 2, KeepUp: 3, BeganMS: 946684801000, Stopped: true,
+		WhenEmpty: Return, TargetVersion: "1.1", AtOnce: 2, MinInService: 3, BeganMS: 946684801000, Stopped: true,
 		Window: &Window{Rule: "FREQ=WEEKLY;BYDAY=SU", Zone: "Europe/Warsaw", ForS: 7200, LeadS: 600, Starts: "2026-01-31T22:00"},
 	}
 	state := State{
-		Phase: Upgrading, Rollout: &Rollout{Want: "1.1", From: "1.0", Back: true, Why: "w", Blocked: "b"}, OutOfService: []string{"m-1"}, Left: 2,
-		Blocked: "b", Plan: sum, Seen: sum, BeganMS: 946684801000, EndedMS: 946684802000, Term: 41,
+		Phase: Upgrading, Rollout: &Rollout{Target: "1.1", From: "1.0", RolledBack: true, Reason: "w", Blocked: "b"}, OutOfService: []string{"m-1"}, Left: 2,
+		Blocked: "b", Plan: sum, Actual: sum, BeganMS: 946684801000, EndedMS: 946684802000, Term: 41,
 	}
-	task := TaskPlan{Task: "j-1/0", Class: "train", Action: Move, Why: "w", UntilS: 1.5, LostS: 2.5, LateS: 3.5}
+	task := TaskPlan{Task: "j-1/0", Class: "train", Action: Move, Reason: "w", UntilS: 1.5, LostS: 2.5, LateS: 3.5}
 	plan := Plan{
 		Machines: []MachinePlan{{Machine: "m-1", Zone: "a", EmptyS: 4.5, Tasks: []TaskPlan{task}, Others: 5}}, More: true,
 		Classes: map[string]*ClassPlan{"train": {Summary: sum, Late: 1, LateNow: 2}}, All: sum,
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -27,21 +27,21 @@
 // Spec is what operators ask for. It is stored as it is, and later versions must read it;
 // fields are only added.
 type Spec struct {
-	ID       string   `json:"id"`
-	Kind     string   `json:"kind"`
-	Machines []string `json:"machines,omitempty"` // by name; of what is said of machines all must hold
-	Type     string   `json:"type,omitempty"`
-	Zone     string   `json:"zone,omitempty"`
-	OlderS   float64  `json:"older_than_s,omitempty"` // rented at least so many seconds ago
-	Version  string   `json:"version,omitempty"`      // of its worker
-	ByMS     int64    `json:"by_ms,omitempty"`        // time of day by which it must be empty
-	Then     string   `json:"then,omitempty"`
-	To       string   `json:"to_version,omitempty"` // of an upgrade
-	AtOnce   int      `json:"at_once,omitempty"`    // machines of an upgrade that are out of service at a time
-	KeepUp   int      `json:"keep_up,omitempty"`    // machines that stay in service in each zone, and for each class
-	Window   *Window  `json:"window,omitempty"`     // when it holds; nil: from now on until it is stopped
-	BeganMS  int64    `json:"began_ms"`             // time of day when it was asked for
-	Stopped  bool     `json:"stopped,omitempty"`    // withdrawn
+	ID            string   `json:"id"`
+	Kind          string   `json:"kind"`
+	Machines      []string `json:"machines,omitempty"` // by name; of what is said of machines all must hold
+	Type          string   `json:"type,omitempty"`
+	Zone          string   `json:"zone,omitempty"`
+	OlderS        float64  `json:"older_than_s,omitempty"` // rented at least so many seconds ago
+	Version       string   `json:"version,omitempty"`      // of its worker
+	ByMS          int64    `json:"by_ms,omitempty"`        // time of day by which it must be empty
+	WhenEmpty     string   `json:"then,omitempty"`
+	TargetVersion string   `json:"to_version,omitempty"` // of an upgrade
+	AtOnce        int      `json:"at_once,omitempty"`    // machines of an upgrade that are out of service at a time
+	MinInService  int      `json:"keep_up,omitempty"`    // machines that stay in service in each zone, and for each class
+	Window        *Window  `json:"window,omitempty"`     // when it holds; nil: from now on until it is stopped
+	BeganMS       int64    `json:"began_ms"`             // time of day when it was asked for
+	Stopped       bool     `json:"stopped,omitempty"`    // withdrawn
 
 	named map[string]struct{} // Machines as a set, made when it is first asked for
 }
@@ -66,8 +66,8 @@
 	if s.Kind == "" {
 		s.Kind = Empty
 	}
-	if s.Then == "" {
-		s.Then = Keep
+	if s.WhenEmpty == "" {
+		s.WhenEmpty = Keep
 	}
 	if s.Kind == Upgrade && s.AtOnce == 0 {
 		return errors.New("at_once: an upgrade takes at least one machine at a time, 0 would never end")
@@ -77,8 +77,8 @@
 		return errors.New(`id: not "d-" and digits`)
 	case !slices.Contains([]string{Cordon, Empty, Upgrade}, s.Kind):
 		return fmt.Errorf("kind: %q is none of %s, %s, %s", s.Kind, Cordon, Empty, Upgrade)
-	case s.Then != Keep && s.Then != Return:
-		return fmt.Errorf("then: %q is neither %s nor %s", s.Then, Keep, Return)
+	case s.WhenEmpty != Keep && s.WhenEmpty != Return:
+		return fmt.Errorf("then: %q is neither %s nor %s", s.WhenEmpty, Keep, Return)
 	case s.Stopped:
 		return errors.New("stopped: a drain begins as one that holds")
 	case len(s.Machines) == 0 && s.Type == "" && s.Zone == "" && s.OlderS == 0 && s.Version == "" && s.Kind != Upgrade:
@@ -89,18 +89,18 @@
 		return errors.New("by_ms: is over")
 	case s.ByMS != 0 && s.Kind != Empty:
 		return fmt.Errorf("by_ms: only for kind %s", Empty)
-	case s.Kind != Upgrade && (s.To != "" || s.AtOnce != 0):
+	case s.Kind != Upgrade && (s.TargetVersion != "" || s.AtOnce != 0):
 		return fmt.Errorf("to_version, at_once: only for kind %s", Upgrade)
-	case s.Kind == Upgrade && s.To == "":
+	case s.Kind == Upgrade && s.TargetVersion == "":
 		return errors.New("to_version: missing")
 	case s.AtOnce < 0 || s.AtOnce > mostAtOnce:
 		return fmt.Errorf("at_once: not within 1 to %d", mostAtOnce)
-	case s.KeepUp < 0 || s.KeepUp > mostKeepUp:
+	case s.MinInService < 0 || s.MinInService > mostKeepUp:
 		return errors.New("keep_up: out of range")
 	case s.Window != nil && s.ByMS != 0:
 		return errors.New("by_ms: a window says by itself when machines are empty (lead_s)")
 	}
-	for _, text := range append(slices.Clone(s.Machines), s.Type, s.Zone, s.Version, s.To) {
+	for _, text := range append(slices.Clone(s.Machines), s.Type, s.Zone, s.Version, s.TargetVersion) {
 		if len(text) > mostText {
 			return fmt.Errorf("machines, type, zone, version, to_version: %.20q... is too long", text)
 		}
@@ -139,7 +139,7 @@
 	return (len(s.Machines) == 0 || s.names(m.Name)) &&
 		(s.Type == "" || s.Type == m.Type) && (s.Zone == "" || s.Zone == m.Zone) &&
 		(s.OlderS == 0 || m.Age.Seconds() >= s.OlderS) &&
-		(s.Version == "" || s.Version == m.Version || s.Kind == Upgrade && m.Version == s.To)
+		(s.Version == "" || s.Version == m.Version || s.Kind == Upgrade && m.Version == s.TargetVersion)
 }
 
 // BarsScaleOut says whether machines of a type in a zone, yet to be rented, would be drained as
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -52,7 +52,7 @@
 	Left         int      `json:"left"`              // machines that are not empty, or lack the version
 	Blocked      string   `json:"blocked,omitempty"`
 	Plan         Summary  `json:"plan"` // as it was when the drain began
-	Seen         Summary  `json:"seen"` // what happened
+	Actual       Summary  `json:"seen"` // what happened
 	BeganMS      int64    `json:"began_ms,omitempty"`
 	EndedMS      int64    `json:"ended_ms,omitempty"`
 	Term         uint64   `json:"term,omitempty"`
@@ -72,7 +72,7 @@
 		rb = *b.Rollout
 	}
 	return a.Phase == b.Phase && ra == rb && slices.Equal(a.OutOfService, b.OutOfService) && a.Left == b.Left && a.Blocked == b.Blocked &&
-		a.Plan == b.Plan && a.Seen == b.Seen && a.BeganMS == b.BeganMS && a.EndedMS == b.EndedMS
+		a.Plan == b.Plan && a.Actual == b.Actual && a.BeganMS == b.BeganMS && a.EndedMS == b.EndedMS
 }
 
 // TaskPlan is what becomes of one task.
@@ -80,7 +80,7 @@
 	Task   string  `json:"task"`
 	Class  string  `json:"class"`
 	Action Action  `json:"action"`
-	Why    string  `json:"why"`
+	Reason string  `json:"why"`
 	UntilS float64 `json:"until_s"` // when it is off the machine, as far as can be guessed
 	LostS  float64 `json:"lost_s,omitempty"`
 	LateS  float64 `json:"late_s,omitempty"` // by how much its job gets later than it should, through this
--- a/internal/drain/upgrade.go
+++ b/internal/drain/upgrade.go
@@ -9,31 +9,31 @@
 // Candidate is a machine that a drain means.
 type Candidate struct {
 	Machine
-	InHand  bool          // already being emptied for this drain
-	Empty   bool          // nothing is on it
-	Up      bool          // in service: it could take tasks if no drain kept it from that
-	Cost    time.Duration // work that would be thrown away, or has to be waited for, to empty it
-	Proven  bool          // a task has completed on it since it has its version
-	Failed  bool          // with its version it fails what others run
-	Fresh   time.Duration // since it has its version; 0: it has had it all along
-	Classes []string      // of jobs that may run on it
+	OutOfService bool          // already being emptied for this drain
+	Empty        bool          // nothing is on it
+	Up           bool          // in service: it could take tasks if no drain kept it from that
+	Cost         time.Duration // work that would be thrown away, or has to be waited for, to empty it
+	Proven       bool          // a task has completed on it since it has its version
+	Failed       bool          // with its version it fails what others run
+	VersionAge   time.Duration // since it has its version; 0: it has had it all along
+	Classes      []string      // of jobs that may run on it
 }
 
 // Rollout is the state of an upgrade that must outlive a leader.
 type Rollout struct {
-	Want    string `json:"want"`           // version that machines are to have
-	From    string `json:"from,omitempty"` // version that most had at the start, to go back to
-	Back    bool   `json:"back,omitempty"` // it is being rolled back
-	Why     string `json:"why,omitempty"`
-	Blocked string `json:"blocked,omitempty"` // why no more machines are taken now
+	Target     string `json:"want"`           // version that machines are to have
+	From       string `json:"from,omitempty"` // version that most had at the start, to go back to
+	RolledBack bool   `json:"back,omitempty"` // it is being rolled back
+	Reason     string `json:"why,omitempty"`
+	Blocked    string `json:"blocked,omitempty"` // why no more machines are taken now
 }
 
-// Begin tells how an upgrade starts: from the version that most machines have.
-func Begin(s *Spec, all []Candidate) Rollout {
+// NewRollout tells how an upgrade starts: from the version that most machines have.
+func NewRollout(s *Spec, all []Candidate) Rollout {
 	count := map[string]int{}
-	r := Rollout{Want: s.To}
+	r := Rollout{Target: s.TargetVersion}
 	for _, m := range all {
-		if m.Version == "" || m.Version == s.To {
+		if m.Version == "" || m.Version == s.TargetVersion {
 			continue
 		}
 		if count[m.Version]++; count[m.Version] > count[r.From] || count[m.Version] == count[r.From] && m.Version < r.From {
@@ -46,13 +46,13 @@
 // Judge decides whether an upgrade is rolled back: where machines of the new version fail
 // tasks that others run, and no more of them than those have shown that it works.
 func (r *Rollout) Judge(all []Candidate) {
-	if r.Back {
+	if r.RolledBack {
 		return
 	}
 	failed, proven := 0, 0
 	for _, m := range all {
 		switch {
-		case m.Version != r.Want:
+		case m.Version != r.Target:
 		case m.Failed:
 			failed++
 		case m.Proven:
@@ -62,9 +62,9 @@
 	if failed == 0 || failed < proven {
 		return
 	}
-	r.Back, r.Why = true, "machines of version "+r.Want+" fail tasks that others run"
+	r.RolledBack, r.Reason = true, "machines of version "+r.Target+" fail tasks that others run"
 	if r.From != "" {
-		r.Want = r.From
+		r.Target = r.From
 	}
 }
 
@@ -81,25 +81,25 @@
 	var open []Candidate
 	for _, m := range all {
 		switch {
-		case m.Version == r.Want:
-			if m.Fresh > 0 && m.Fresh < soak && !m.Proven {
+		case m.Version == r.Target:
+			if m.VersionAge > 0 && m.VersionAge < soak && !m.Proven {
 				room--
 			}
-		case m.InHand:
+		case m.OutOfService:
 			hand = append(hand, m.Name)
 			room--
-		case r.Back && r.From == "":
+		case r.RolledBack && r.From == "":
 			// Nobody knows what to go back to: what was upgraded stays as it is.
 		default:
 			open = append(open, m)
 		}
 	}
-	if r.Back && r.From == "" {
+	if r.RolledBack && r.From == "" {
 		r.Blocked = "rolled back: no earlier version is known"
 		return hand
 	}
 	slices.SortStableFunc(open, func(a, b Candidate) int {
-		if r.Back && a.Failed != b.Failed { // what fails is of no use meanwhile
+		if r.RolledBack && a.Failed != b.Failed { // what fails is of no use meanwhile
 			if a.Failed {
 				return -1
 			}
@@ -135,11 +135,11 @@
 
 // short says what would be left with too few machines.
 func short(s *Spec, m Candidate, zones, classes map[string]int) string {
-	if zones[m.Zone]-1 < s.KeepUp {
+	if zones[m.Zone]-1 < s.MinInService {
 		return "zone " + m.Zone + " would have too few machines in service"
 	}
 	for _, c := range m.Classes {
-		if classes[c]-1 < s.KeepUp {
+		if classes[c]-1 < s.MinInService {
 			return "jobs of " + c + " would have too few machines in service"
 		}
 	}
--- a/internal/localcluster/drain_test.go
+++ b/internal/localcluster/drain_test.go
@@ -113,8 +113,8 @@
 	if ran := p.endedRuns("j-1"); len(ran) != 1 || ran[0].Machine != here || ran[0].Cause != "done" {
 		t.Errorf("the urgent task did not end where it was: %+v", ran)
 	}
-	if v.State.Seen.LostS > 0 {
-		t.Errorf("work was lost: %+v", v.State.Seen)
+	if v.State.Actual.LostS > 0 {
+		t.Errorf("work was lost: %+v", v.State.Actual)
 	}
 	moved := false
 	for host := range p.machinesOf("j-2") {
@@ -141,7 +141,7 @@
 	id := p.startDrain(drain.Spec{Zone: "north", ByMS: time.Now().Add(12 * time.Second).UnixMilli()})
 	p.waitFor("a machine to be in hand", func() bool {
 		v, err := p.cluster.Client().Drain(t.Context(), id)
-		return err == nil && v.State != nil && v.State.Seen.Machines > 0
+		return err == nil && v.State != nil && v.State.Actual.Machines > 0
 	})
 	for _, m := range p.cluster.Environment.Machines() {
 		if m.Zone == "north" {
@@ -244,7 +244,7 @@
 	p := startTestCluster(t, 7, func(o *Options) { o.Machines = 2 })
 	p.followJob(1, batchJob("j-1", 24, 3, makeCheckpointing), 0)
 	p.waitRunning("j-1", 4)
-	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, To: "2.0", AtOnce: 2, KeepUp: 1})
+	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, TargetVersion: "2.0", AtOnce: 2, MinInService: 1})
 	// Somebody upgrades what is empty and in hand.
 	upgraded := 0
 	tend := func() {
@@ -318,7 +318,7 @@
 	p.cluster.Environment.TaskFails = func(m *simulation.Machine, _ string) bool { return m.Version == "2.0" }
 	p.followJob(1, batchJob("j-1", 60, 2, nil), 0)
 	p.waitRunning("j-1", 4)
-	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, To: "2.0", AtOnce: 1})
+	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, TargetVersion: "2.0", AtOnce: 1})
 	bad := map[string]bool{}
 	var v client.DrainView
 	p.waitFor("it to be rolled back", func() bool {
@@ -328,11 +328,11 @@
 		}
 		for _, name := range v.State.OutOfService {
 			m, err := p.cluster.Client().Machine(t.Context(), name)
-			if err == nil && m.State == "drained" && v.State.Rollout != nil && m.Version != v.State.Rollout.Want {
-				if v.State.Rollout.Want == "2.0" {
+			if err == nil && m.State == "drained" && v.State.Rollout != nil && m.Version != v.State.Rollout.Target {
+				if v.State.Rollout.Target == "2.0" {
 					bad[name] = true
 				}
-				_ = p.cluster.Upgrade(name, v.State.Rollout.Want)
+				_ = p.cluster.Upgrade(name, v.State.Rollout.Target)
 			}
 		}
 		return v.State.Phase == "rolled back"
@@ -340,7 +340,7 @@
 	if len(bad) > 2 {
 		t.Errorf("%d machines got the bad version", len(bad))
 	}
-	if !strings.Contains(v.State.Rollout.Why, "2.0") || v.State.Rollout.From != "1.0" {
+	if !strings.Contains(v.State.Rollout.Reason, "2.0") || v.State.Rollout.From != "1.0" {
 		t.Errorf("%+v", v.State.Rollout)
 	}
 	p.checkAnswers()
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -48,7 +48,7 @@
 	return &drain.Plan{
 		Machines: []drain.MachinePlan{{
 			Machine: "m-1", Zone: "a", EmptyS: 4.5,
-			Tasks: []drain.TaskPlan{{Task: "j-1/0", Class: "train", Action: drain.Move, Why: "w"}},
+			Tasks: []drain.TaskPlan{{Task: "j-1/0", Class: "train", Action: drain.Move, Reason: "w"}},
 		}},
 		More: true, Classes: map[string]*drain.ClassPlan{"train": {Late: 1}}, All: drain.Summary{Machines: 1}, Warnings: []string{"w"},
 	}, nil
--- a/internal/scheduler/drain_bench_test.go
+++ b/internal/scheduler/drain_bench_test.go
@@ -72,7 +72,7 @@
 func BenchmarkDrainPlan(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		for name, spec := range map[string]drain.Spec{
-			"zone": {ID: "d-1", Kind: drain.Empty, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.Upgrade, To: "2", AtOnce: 100, KeepUp: 100},
+			"zone": {ID: "d-1", Kind: drain.Empty, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: 100, MinInService: 100},
 		} {
 			b.Run(fmt.Sprintf("%s-%d", name, machines), func(b *testing.B) {
 				c, now := floor(b, machines)
@@ -90,7 +90,7 @@
 func BenchmarkDrainLook(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		for name, spec := range map[string]drain.Spec{
-			"zone": {ID: "d-1", Kind: drain.Empty, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.Upgrade, To: "2", AtOnce: 100, KeepUp: 100},
+			"zone": {ID: "d-1", Kind: drain.Empty, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: 100, MinInService: 100},
 		} {
 			b.Run(fmt.Sprintf("%s-%d", name, machines), func(b *testing.B) {
 				c, now := floor(b, machines)
--- a/internal/scheduler/drain_preview.go
+++ b/internal/scheduler/drain_preview.go
@@ -63,7 +63,7 @@
 			return nil, err
 		}
 	}
-	if spec.Kind == drain.Upgrade && spec.KeepUp > 0 {
+	if spec.Kind == drain.Upgrade && spec.MinInService > 0 {
 		zones := map[string]int{}
 		for _, m := range s.fleet.Sorted() {
 			if s.acceptsTasks(m, now) {
@@ -71,8 +71,8 @@
 			}
 		}
 		for z, n := range zones {
-			if n <= spec.KeepUp {
-				p.Warnings = append(p.Warnings, fmt.Sprintf("zone %s has %d machines in service now, and %d are to stay: it waits for others", z, n, spec.KeepUp))
+			if n <= spec.MinInService {
+				p.Warnings = append(p.Warnings, fmt.Sprintf("zone %s has %d machines in service now, and %d are to stay: it waits for others", z, n, spec.MinInService))
 			}
 		}
 		slices.Sort(p.Warnings)
@@ -120,7 +120,7 @@
 		left = &l
 	}
 	means := func(m *fleet.Machine) bool {
-		return !m.Returning && !m.LeaseExpired && spec.Selects(drainView(m, now)) && !(spec.Kind == drain.Upgrade && m.Version == spec.To)
+		return !m.Returning && !m.LeaseExpired && spec.Selects(drainView(m, now)) && !(spec.Kind == drain.Upgrade && m.Version == spec.TargetVersion)
 	}
 	look := &placeFinder{scheduler: s, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}, barred: spec.BarsScaleOut,
 		// Machines of an upgrade go one after the other: the rest is there for them.
@@ -158,12 +158,12 @@
 				}
 			}
 			dec := drain.Decide(t, left, s.settings.HeartbeatInterval)
-			tp := drain.TaskPlan{Task: a.Task.String(), Class: j.Class, Action: dec.Action, Why: dec.Why, LostS: dec.Lost.Seconds()}
+			tp := drain.TaskPlan{Task: a.Task.String(), Class: j.Class, Action: dec.Action, Reason: dec.Reason, LostS: dec.Lost.Seconds()}
 			delay := time.Duration(0)
 			switch dec.Action {
 			case drain.Move, drain.Restart:
-				tp.UntilS = t.Save.Seconds()
-				delay = t.Save + t.Restart + dec.Lost
+				tp.UntilS = t.SaveDuration.Seconds()
+				delay = t.SaveDuration + t.RestartDuration + dec.Lost
 				if to != nil && !t.Stopping {
 					to.Bin.Reserve(j.request)
 					taken = append(taken, owed{to, j.request})
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -35,7 +35,7 @@
 // version that the cloud gives; to replace it again, for as long as that is not the wanted
 // one, would never end.
 func (d *activeDrain) isReplacement(m *fleet.Machine) bool {
-	return d.spec.Then == drain.Return && !m.RequestedAt.IsZero() && m.RequestedAt.After(time.UnixMilli(d.spec.BeganMS))
+	return d.spec.WhenEmpty == drain.Return && !m.RequestedAt.IsZero() && m.RequestedAt.After(time.UnixMilli(d.spec.BeganMS))
 }
 
 // SetDrain takes in what operators asked for, as it is on record; state is nil where there
@@ -95,7 +95,7 @@
 // it off: then its silence is no reason to give it back, for a long time.
 func (s *Scheduler) awaitedByOperator(m *fleet.Machine, now time.Time) bool {
 	d, ok := m.Cordon.(*activeDrain)
-	return ok && d.spec.Kind != drain.Cordon && d.spec.Then == drain.Keep && m.Reconciled && !m.Failed && m.Empty() &&
+	return ok && d.spec.Kind != drain.Cordon && d.spec.WhenEmpty == drain.Keep && m.Reconciled && !m.Failed && m.Empty() &&
 		now.Sub(m.LastStatus) < operatorWaitLeases*s.settings.Lease
 }
 
@@ -105,7 +105,7 @@
 // returnsWhenEmpty says whether an empty cordoned machine is to be given back.
 func (s *Scheduler) returnsWhenEmpty(m *fleet.Machine) bool {
 	d, ok := m.Cordon.(*activeDrain)
-	return ok && d.spec.Kind != drain.Cordon && d.spec.Then == drain.Return
+	return ok && d.spec.Kind != drain.Cordon && d.spec.WhenEmpty == drain.Return
 }
 
 // runDrains brings machines into the state that operators asked for.
@@ -157,13 +157,13 @@
 	known := map[machineOffer][]string{}
 	all := s.candidates(d, known, now)
 	if d.state.Rollout == nil {
-		r := drain.Begin(&d.spec, all)
+		r := drain.NewRollout(&d.spec, all)
 		d.state.Rollout = &r
 	}
-	was := d.state.Rollout.Back
+	was := d.state.Rollout.RolledBack
 	d.state.Rollout.Judge(all)
-	if d.state.Rollout.Back && !was {
-		slog.Warn("upgrade is rolled back", "drain", d.spec.ID, "why", d.state.Rollout.Why, "to", d.state.Rollout.Want, "term", s.term)
+	if d.state.Rollout.RolledBack && !was {
+		slog.Warn("upgrade is rolled back", "drain", d.spec.ID, "why", d.state.Rollout.Reason, "to", d.state.Rollout.Target, "term", s.term)
 	}
 	zones, classes := map[string]int{}, map[string]int{}
 	for _, m := range s.fleet.Sorted() {
@@ -237,10 +237,10 @@
 		x := drain.Candidate{
 			Machine: v, Empty: m.Empty(), Up: m.Cordon == nil && s.acceptsTasks(m, now), Proven: m.Proven, Failed: m.Faulty, Classes: s.classesOf(m, known),
 			// A new leader finds in hand what the one before had.
-			InHand: m.Cordon == d || m.Cordon == nil && hand[m.Name],
+			OutOfService: m.Cordon == d || m.Cordon == nil && hand[m.Name],
 		}
 		if !m.VersionSince.IsZero() {
-			x.Fresh = now.Sub(m.VersionSince)
+			x.VersionAge = now.Sub(m.VersionSince)
 		}
 		for _, a := range m.Attempts() {
 			if j := s.jobOf(a); j != nil && a.State() != fleet.Ended {
@@ -275,15 +275,15 @@
 	_, ran := a.Durations(now)
 	t := drain.Task{
 		Running: a.State() == fleet.Running, Waiting: a.State() == fleet.Waiting || a.State() == fleet.Pulling && j.Shape == records.ShapeGang,
-		Stopping: a.Stopping(), Group: j.Shape == records.ShapeGang, Service: j.Shape == records.ShapeService,
+		Stopping: a.Stopping(), Gang: j.Shape == records.ShapeGang, Service: j.Shape == records.ShapeService,
 		Urgent: j.urgency.Rank <= priorityRank[records.PriorityUrgent], Remaining: seconds(s.remainingSeconds(j, a, now)),
-		Ran: ran, Saves: j.CheckpointS > 0, Save: seconds(j.SaveS), Restart: s.settings.HeartbeatInterval + s.fetchTime(j),
+		Ran: ran, Saves: j.CheckpointS > 0, SaveDuration: seconds(j.SaveS), RestartDuration: s.settings.HeartbeatInterval + s.fetchTime(j),
 	}
 	if t.Service {
 		t.Remaining = 0
 		for _, o := range j.attempts {
 			if o != a && o.State() == fleet.Running && !o.Stopping() && o.Machine.Cordon == nil {
-				t.Others++
+				t.OtherReplicas++
 			}
 		}
 	}
@@ -351,7 +351,7 @@
 
 // stopForDrain stops a task for a drain's sake.
 func (s *Scheduler) stopForDrain(j *Job, a *fleet.Attempt, dec drain.Decision, now time.Time) {
-	slog.Info("task leaves its machine", "task", a.Task.String(), "machine", a.Machine.Name, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", s.term)
+	slog.Info("task leaves its machine", "task", a.Task.String(), "machine", a.Machine.Name, "why", dec.Reason, "lost_s", dec.Lost.Seconds(), "term", s.term)
 	drainedTasks.Inc()
 	grace := 0.0
 	if j.CheckpointS > 0 {
@@ -406,7 +406,7 @@
 			j.remainingZones = staying
 		}
 	case drain.Move, drain.Restart:
-		slog.Info("gang leaves its machines", "job", j.ID, "why", dec.Why, "lost_s", dec.Lost.Seconds(), "term", s.term)
+		slog.Info("gang leaves its machines", "job", j.ID, "why", dec.Reason, "lost_s", dec.Lost.Seconds(), "term", s.term)
 		s.stopGang(j, now)
 		if t.Place == drain.Room {
 			for _, m := range to {
@@ -423,7 +423,7 @@
 		return
 	}
 	_, ran := a.Durations(now)
-	seen := &d.state.Seen
+	seen := &d.state.Actual
 	switch {
 	case a.State() != fleet.Ended:
 		seen.Vanished++
@@ -464,21 +464,21 @@
 			left++
 		}
 		if d.spec.Kind == drain.Upgrade && m.Up && (!m.LeaseExpired || s.awaitedByOperator(m, now)) && !m.Returning && d.spec.Selects(drainView(m, now)) && !d.isReplacement(m) && state.Rollout != nil {
-			if want++; m.Version == state.Rollout.Want {
+			if want++; m.Version == state.Rollout.Target {
 				have++
 			}
 		}
 	}
-	state.Seen.Machines = len(d.machines)
+	state.Actual.Machines = len(d.machines)
 	phase := state.Phase
 	switch {
 	case d.spec.Stopped:
 		state.Phase, state.Left, state.Blocked, state.OutOfService = drain.Stopped, 0, "", nil
 	case !d.holds:
 		state.Phase, state.Left = drain.Waiting, 0
-	case d.spec.Kind == drain.Upgrade && state.Rollout.Back && state.Rollout.From == "", d.spec.Kind == drain.Upgrade && state.Rollout.Back && have == want && s.reconciled:
+	case d.spec.Kind == drain.Upgrade && state.Rollout.RolledBack && state.Rollout.From == "", d.spec.Kind == drain.Upgrade && state.Rollout.RolledBack && have == want && s.reconciled:
 		state.Phase, state.Left, state.OutOfService = drain.RolledBack, want-have, nil
-	case d.spec.Kind == drain.Upgrade && state.Rollout.Back:
+	case d.spec.Kind == drain.Upgrade && state.Rollout.RolledBack:
 		state.Phase, state.Left = drain.RollingBack, want-have
 	case d.spec.Kind == drain.Upgrade && have == want && (want > 0 || len(d.machines) > 0) && s.reconciled && s.soaked(d, now):
 		state.Phase, state.Left, state.OutOfService = drain.Done, 0, nil
@@ -487,8 +487,8 @@
 	case left > 0 || !s.reconciled || d.spec.Kind == drain.Cordon:
 		state.Phase, state.Left = drain.Draining, left
 	default:
-		if state.Seen.EmptyS == 0 && len(d.machines) > 0 {
-			state.Seen.EmptyS = max(now.Sub(time.UnixMilli(state.BeganMS)).Seconds(), 0.001)
+		if state.Actual.EmptyS == 0 && len(d.machines) > 0 {
+			state.Actual.EmptyS = max(now.Sub(time.UnixMilli(state.BeganMS)).Seconds(), 0.001)
 		}
 		state.Phase, state.Left = drain.Drained, 0
 	}
@@ -504,7 +504,7 @@
 // time to.
 func (s *Scheduler) soaked(d *activeDrain, now time.Time) bool {
 	for _, m := range s.fleet.Sorted() {
-		if m.Version == d.state.Rollout.Want && !m.VersionSince.IsZero() && !m.Proven && now.Sub(m.VersionSince) < soakIntervals*s.settings.HeartbeatInterval {
+		if m.Version == d.state.Rollout.Target && !m.VersionSince.IsZero() && !m.Proven && now.Sub(m.VersionSince) < soakIntervals*s.settings.HeartbeatInterval {
 			return false
 		}
 	}
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -71,7 +71,7 @@
 	s.cancelPlanned(machine)
 	s.lastDrainPass = time.Time{} // an upgrade may have to be rolled back
 	for _, d := range s.drains {
-		if d.upgrades() && d.spec.Selects(drainView(machine, s.now)) && machine.Version == d.state.Rollout.Want && machine.Cordon == nil {
+		if d.upgrades() && d.spec.Selects(drainView(machine, s.now)) && machine.Version == d.state.Rollout.Target && machine.Cordon == nil {
 			machine.Cordon = d // it stays, to get its earlier version back
 		}
 	}
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -48,7 +48,7 @@
 func TestUpgradeOfFleetAtOnce(t *testing.T) {
 	c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	limitsUp(c, fleetSize+100, now)
-	spec := drain.Spec{ID: "d-1", Kind: drain.Upgrade, To: "2", AtOnce: fleetSize, KeepUp: 5}
+	spec := drain.Spec{ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: fleetSize, MinInService: 5}
 	if err := spec.Check(now); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scheduler/scenario_events_test.go
+++ b/internal/scheduler/scenario_events_test.go
@@ -233,8 +233,8 @@
 func (r *replay) drain(s *Scheduler, in eventInput) []string {
 	a := in.args
 	spec := drain.Spec{
-		ID: in.words[0], Kind: a["kind"], Zone: a["zone"], To: a["to"], Then: a["then"],
-		AtOnce: int(r.number(a["at_once"], 0)), KeepUp: int(r.number(a["keep"], 0)), BeganMS: r.now.UnixMilli(),
+		ID: in.words[0], Kind: a["kind"], Zone: a["zone"], TargetVersion: a["to"], WhenEmpty: a["then"],
+		AtOnce: int(r.number(a["at_once"], 0)), MinInService: int(r.number(a["keep"], 0)), BeganMS: r.now.UnixMilli(),
 	}
 	if a["machines"] != "" {
 		spec.Machines = strings.Split(a["machines"], ",")
@@ -252,7 +252,7 @@
 	var lines []string
 	for _, m := range plan.Machines {
 		for _, t := range m.Tasks {
-			lines = append(lines, fmt.Sprintf("%s: %s %s, %s", m.Machine, t.Task, t.Action, t.Why))
+			lines = append(lines, fmt.Sprintf("%s: %s %s, %s", m.Machine, t.Task, t.Action, t.Reason))
 		}
 	}
 	if a["plan"] == "" {
@@ -277,12 +277,12 @@
 	for _, d := range s.drains {
 		state := d.state
 		line := fmt.Sprintf("%s %s, %d left, seen: %d finished, %d moved, %d lost, %d vanished",
-			d.spec.ID, state.Phase, state.Left, state.Seen.Finish, state.Seen.Move, state.Seen.Lose, state.Seen.Vanished)
+			d.spec.ID, state.Phase, state.Left, state.Actual.Finish, state.Actual.Move, state.Actual.Lose, state.Actual.Vanished)
 		if len(state.OutOfService) > 0 {
 			line += ", in hand " + strings.Join(state.OutOfService, " ")
 		}
-		if state.Rollout != nil && state.Rollout.Back {
-			line += ", back to " + state.Rollout.Want
+		if state.Rollout != nil && state.Rollout.RolledBack {
+			line += ", back to " + state.Rollout.Target
 		}
 		if state.Blocked != "" {
 			line += ", waits: " + state.Blocked
--- a/internal/simulation/workload_test.go
+++ b/internal/simulation/workload_test.go
@@ -256,8 +256,8 @@
 		up := len(s.env.Machines())
 		before, began, writes := s.env.LostWork(), time.Now(), s.writes()
 		s.startDrain(drain.Spec{
-			ID: "d-1", Kind: drain.Upgrade, To: "2", AtOnce: max(up/10, 1), KeepUp: up / 4,
-			BeganMS: began.UnixMilli(), Then: drain.Keep,
+			ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: max(up/10, 1), MinInService: up / 4,
+			BeganMS: began.UnixMilli(), WhenEmpty: drain.Keep,
 		})
 		for time.Since(began) < 4*time.Hour {
 			sleep(5)
