--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -1,111 +1,149 @@
 package drain
 
-import (
-	"time"
-)
+import "time"
 
 // Task is what a decision about a task on a machine depends on.
 type Task struct {
-	Running         bool          // it makes progress; otherwise it fetches, or waits for its gang
-	Waiting         bool          // for its gang
-	Stopping        bool          // it was told to stop already
-	Gang            bool          // goes together with its gang, whole
-	Service         bool          // a replica
-	Urgent          bool          // urgent or critical
-	Remaining       time.Duration // until it would end here, as far as can be guessed; of a replica nothing
-	Ran             time.Duration // work that is lost if it is stopped without saving
-	Saves           bool
-	SaveDuration    time.Duration  // what saving takes
-	RestartDuration time.Duration  // from its end here to going on elsewhere, where there is room
-	Slack           *time.Duration // until its job would be late; nil where nothing is due
-	OtherReplicas   int            // of a replica: others that run elsewhere
-	Place           Place          // elsewhere
+	Running  bool // it makes progress; otherwise its image is being fetched, or it waits for its gang
+	Waiting  bool // for its gang
+	Stopping bool // it was requested to stop already
+	Gang     bool // it moves together with its gang only
+	Service  bool // it is a replica of a service
+	Urgent   bool // its priority is urgent or critical
+
+	Remaining       time.Duration  // estimated, until it would end here; 0 for a replica
+	Ran             time.Duration  // work that is lost if it is stopped without saving
+	Saves           bool           // it can save a checkpoint
+	SaveDuration    time.Duration  // how long that takes
+	RestartDuration time.Duration  // from its end here to its start elsewhere, where there is room
+	Slack           *time.Duration // until its job would be late; nil: it has no deadline
+
+	OtherReplicas int   // of a replica: others that run on machines not being drained
+	Place         Place // where else it could run
 }
 
-// Place says where else a task could go.
+// Place tells whether a task could run elsewhere; a task of a gang only together with its gang.
 type Place int
 
-// Places, for a whole gang where it is one.
+// Places.
 const (
-	Nowhere Place = iota // no other machine may take it, nor one that could be rented
+	Nowhere Place = iota // no other machine may take it, nor one that could be requested
 	NotNow               // none has room now
-	Room
+	Room                 // another machine has room
 )
 
-// Action is what becomes of a task on a machine that is to be emptied.
+// Action is what becomes of a task on a machine that is being drained. Its text is shown to operators.
 type Action string
 
 // Actions.
 const (
-	Finish  Action = "finishes" // ends where it is
-	Move    Action = "moves"    // is stopped now, saving where it can, and goes on elsewhere
-	Wait    Action = "waits"    // for its gang, for room elsewhere, or for another replica
-	Restart Action = "begins anew elsewhere"
-	Blocked Action = "blocked" // nowhere else may it run
+	Finish  Action = "finishes"              // it ends where it is
+	Move    Action = "moves"                 // it is stopped now, saving where it can, and goes on elsewhere
+	Wait    Action = "waits"                 // for its gang, for room elsewhere, or for another replica
+	Restart Action = "begins anew elsewhere" // it is stopped now, and its work is lost
+	Blocked Action = "blocked"               // it may run nowhere else
 )
 
 // Decision is an action with its reason.
 type Decision struct {
 	Action Action
-	Reason string
+	Reason string        // for operators
 	Lost   time.Duration // work that is thrown away
 }
 
-// likely is how many times as long as guessed a task may still run.
-const likely = 1.5
+// estimateFactor is how many times as long as estimated a task may still run.
+const estimateFactor = 1.5
+
+// worthFactor is how many times what a move costs a task must still have to run, to be moved
+// where no time limit demands it.
+const worthFactor = 2
 
-// worth is how many times what a move costs a task must still have before it, to be moved
-// where nothing presses.
-const worth = 2
+// deadline tells how a task stands against the time at which its machine must be empty.
+type deadline struct {
+	left    *time.Duration // until that time; nil: there is none
+	pressed bool           // the task might not end in time
+	last    bool           // it might not, and would not have time to save later
+	over    bool           // there is no time left, whatever the estimate said
+}
+
+func newDeadline(t Task, left *time.Duration, margin time.Duration) deadline {
+	d := deadline{left: left}
+	if left == nil {
+		return d
+	}
+	d.pressed = t.Service || time.Duration(float64(t.Remaining)*estimateFactor) > *left
+	d.last = d.pressed && *left <= t.SaveDuration+margin
+	d.over = *left <= margin
+	return d
+}
 
-// Decide says what becomes of a task. left is how long the machine has until it must be
-// empty, nil without such a time; margin is what must be told before that (a report
-// interval). It keeps to this order: nothing that has begun is thrown away unless the time
-// demands it; what is urgent and has little time goes on where it is; what saves, moves.
+// hopeless reports whether a task does not end in time by any estimate.
+func (d deadline) hopeless(t Task) bool {
+	return time.Duration(float64(t.Remaining)/estimateFactor) > *d.left
+}
+
+// Decide decides what becomes of a task. left is how long the machine has until it must be
+// empty, nil without such a time; margin is how long before that a command must be sent (a heartbeat
+// interval). The order of the rules is: work that has been done is thrown away only where the time
+// demands it; an urgent task with little slack goes on where it is; a task that can save moves.
 func Decide(t Task, left *time.Duration, margin time.Duration) Decision {
-	cost := t.SaveDuration + t.RestartDuration
-	pressed := left != nil && (t.Service || time.Duration(float64(t.Remaining)*likely) > *left)
-	last := pressed && *left <= t.SaveDuration+margin // now or never
-	short := left != nil && *left <= margin           // whatever the guess said
+	d := newDeadline(t, left, margin)
 	switch {
 	case t.Stopping:
 		return Decision{Action: Move, Reason: "is being stopped"}
-	case short:
-		return gone(t, "the time is over")
-	case t.Place == Nowhere && !last:
+	case d.over:
+		return decideOver(t)
+	case t.Place == Nowhere && !d.last:
 		if left == nil && !t.Service {
 			return Decision{Action: Finish, Reason: "no other machine may take it"}
 		}
 		return Decision{Action: Blocked, Reason: "no other machine may take it, nor one that could be rented"}
 	case t.Service:
-		return replica(t, last)
-	case t.Waiting && !pressed:
+		return decideReplica(t, d)
+	case t.Waiting && !d.pressed:
 		return Decision{Action: Wait, Reason: "for its gang"}
-	case !t.Running && !last:
-		// Nothing is lost but a fetch.
-		switch {
-		case t.Remaining <= t.RestartDuration:
-			return Decision{Action: Finish, Reason: "ends sooner than it would start elsewhere"}
-		case t.Place == Room:
-			return Decision{Action: Move, Reason: "has not begun"}
-		}
-		return Decision{Action: Wait, Reason: "for room elsewhere"}
-	case pressed && t.Saves:
-		if last || t.Place == Room {
-			return Decision{Action: Move, Reason: "saves; would not end in time"}
-		}
+	case !t.Running && !d.last:
+		return decideNotRunning(t)
+	case d.pressed:
+		return decidePressed(t, d)
+	}
+	return decideRunning(t)
+}
+
+// decideNotRunning decides about a task that loses nothing but the fetch of its image.
+func decideNotRunning(t Task) Decision {
+	switch {
+	case t.Remaining <= t.RestartDuration:
+		return Decision{Action: Finish, Reason: "ends sooner than it would start elsewhere"}
+	case t.Place == Room:
+		return Decision{Action: Move, Reason: "has not begun"}
+	}
+	return Decision{Action: Wait, Reason: "for room elsewhere"}
+}
+
+// decidePressed decides about a task that might not end in time.
+func decidePressed(t Task, d deadline) Decision {
+	switch {
+	case t.Saves && (d.last || t.Place == Room):
+		return Decision{Action: Move, Reason: "saves; would not end in time"}
+	case t.Saves:
 		return Decision{Action: Wait, Reason: "for room elsewhere, until it must save"}
-	case pressed && (last || t.Place == Room && time.Duration(float64(t.Remaining)/likely) > *left):
-		// By any guess it does not end in time: what it has done is lost either way, and
-		// stopped now it begins elsewhere now.
+	case d.last, t.Place == Room && d.hopeless(t):
+		// What it has done is lost either way, and stopped now it starts elsewhere now.
 		return Decision{Action: Restart, Reason: "cannot save and would not end in time", Lost: t.Ran}
-	case pressed:
-		return Decision{Action: Finish, Reason: "may just end in time"}
+	}
+	return Decision{Action: Finish, Reason: "may just end in time"}
+}
+
+// decideRunning decides about a running task that is not pressed for time.
+func decideRunning(t Task) Decision {
+	cost := t.SaveDuration + t.RestartDuration
+	switch {
 	case !t.Saves:
 		return Decision{Action: Finish, Reason: "cannot save"}
-	case t.Remaining <= worth*cost:
+	case t.Remaining <= worthFactor*cost:
 		return Decision{Action: Finish, Reason: "is nearly done"}
-	case t.Urgent && t.Slack != nil && *t.Slack < worth*cost:
+	case t.Urgent && t.Slack != nil && *t.Slack < worthFactor*cost:
 		return Decision{Action: Finish, Reason: "is urgent and has little time"}
 	case t.Place == Room:
 		return Decision{Action: Move, Reason: "saves"}
@@ -113,10 +151,11 @@
 	return Decision{Action: Wait, Reason: "for room elsewhere"}
 }
 
-func replica(t Task, last bool) Decision {
+// decideReplica decides about a replica of a service, the last of which is kept as long as possible.
+func decideReplica(t Task, d deadline) Decision {
 	switch {
-	case last:
-		return gone(t, "the time is over")
+	case d.last:
+		return decideOver(t)
 	case t.Running && t.OtherReplicas == 0:
 		return Decision{Action: Wait, Reason: "for another replica to run"}
 	case t.Place == Room:
@@ -125,13 +164,14 @@
 	return Decision{Action: Wait, Reason: "for room elsewhere"}
 }
 
-// gone is what is left to do when the time is over.
-func gone(t Task, why string) Decision {
-	if t.Saves {
-		return Decision{Action: Move, Reason: why + "; saves"}
-	}
-	if t.Running && !t.Service && t.Ran > 0 {
-		return Decision{Action: Restart, Reason: why, Lost: t.Ran}
+// decideOver decides about a task whose machine has no time left.
+func decideOver(t Task) Decision {
+	const reason = "the time is over"
+	switch {
+	case t.Saves:
+		return Decision{Action: Move, Reason: reason + "; saves"}
+	case t.Running && !t.Service && t.Ran > 0:
+		return Decision{Action: Restart, Reason: reason, Lost: t.Ran}
 	}
-	return Decision{Action: Move, Reason: why}
+	return Decision{Action: Move, Reason: reason}
 }
--- a/internal/drain/golden_test.go
+++ b/internal/drain/golden_test.go
@@ -6,7 +6,7 @@
 	"drumpick/internal/goldentest"
 )
 
-// What operators ask for, how it stands and what it would do keep their forms: they are
+// Drains, their states and their plans keep their forms: they are
 // stored, passed between controllers and shown to programs.
 func TestGolden(t *testing.T) {
 	sum := Summary{Machines: 1, Finish: 2, Move: 3, Lose: 4, Wait: 5, Blocked: 6, LostS: 7.5, Vanished: 8, EmptyS: 9.5}
@@ -16,7 +16,8 @@
 		Window: &Window{Rule: "FREQ=WEEKLY;BYDAY=SU", Zone: "Europe/Warsaw", ForS: 7200, LeadS: 600, Starts: "2026-01-31T22:00"},
 	}
 	state := State{
-		Phase: Upgrading, Rollout: &Rollout{Target: "1.1", From: "1.0", RolledBack: true, Reason: "w", Blocked: "b"}, OutOfService: []string{"m-1"}, Left: 2,
+		Phase: Upgrading, Rollout: &Rollout{Target: "1.1", From: "1.0", RolledBack: true, Reason: "w", Blocked: "b"},
+		OutOfService: []string{"m-1"}, Left: 2,
 		Blocked: "b", Plan: sum, Actual: sum, BeganMS: 946684801000, EndedMS: 946684802000, Term: 41,
 	}
 	task := TaskPlan{Task: "j-1/0", Class: "train", Action: Move, Reason: "w", UntilS: 1.5, LostS: 2.5, LateS: 3.5}
@@ -36,7 +37,9 @@
 		{Name: "plan of a task", Value: task},
 		{Name: "kinds", Direction: goldentest.Written, Value: []string{Cordon, Empty, Upgrade}},
 		{Name: "empty machines", Direction: goldentest.Written, Value: []string{Keep, Return}},
-		{Name: "phases", Direction: goldentest.Written, Value: []string{Waiting, Draining, Drained, Upgrading, RollingBack, Done, RolledBack, Stopped}},
+		{Name: "phases", Direction: goldentest.Written, Value: []string{
+			Waiting, Draining, Drained, Upgrading, RollingBack, Done, RolledBack, Stopped,
+		}},
 		{Name: "actions", Direction: goldentest.Written, Value: []Action{Finish, Move, Wait, Restart, Blocked}},
 	})
 }
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -1,5 +1,5 @@
-// Package drain decides which machines are emptied when, and what becomes of each task on
-// them. It is pure: no clock and no I/O; whoever asks passes in the time, and carries out
+// Package drain decides which machines are cordoned, drained or upgraded when, and what becomes of each
+// task on them. It is pure: no clock and no I/O; the caller passes in the time, and carries out
 // what is decided.
 package drain
 
@@ -13,26 +13,26 @@
 
 // Kinds of drains.
 const (
-	Cordon  = "cordon"  // no new tasks; what runs goes on
-	Empty   = "drain"   // no new tasks, and what runs ends or moves
+	Cordon  = "cordon"  // the machines get no new tasks; what runs goes on
+	Empty   = "drain"   // no new tasks, and what runs ends or moves: graceful eviction
 	Upgrade = "upgrade" // the same, some machines at a time, until each has another version
 )
 
 // What becomes of an empty machine.
 const (
-	Keep   = "keep"   // it stays rented, and empty, until the drain is stopped or it has its version
-	Return = "return" // it is given back; others are rented where they are needed
+	Keep   = "keep"   // it stays, empty, until the drain is stopped or it has its version
+	Return = "return" // it is returned to the cloud; others are requested where they are needed
 )
 
-// Spec is what operators ask for. It is stored as it is, and later versions must read it;
-// fields are only added.
+// Spec is the drain that an operator asks for. It is stored as it is, and later versions must read it:
+// fields are only added. Of Machines, Type, Zone, OlderS and Version all that are given must match.
 type Spec struct {
 	ID            string   `json:"id"`
 	Kind          string   `json:"kind"`
-	Machines      []string `json:"machines,omitempty"` // by name; of what is said of machines all must hold
+	Machines      []string `json:"machines,omitempty"` // by name
 	Type          string   `json:"type,omitempty"`
 	Zone          string   `json:"zone,omitempty"`
-	OlderS        float64  `json:"older_than_s,omitempty"` // rented at least so many seconds ago
+	OlderS        float64  `json:"older_than_s,omitempty"` // requested from the cloud at least so many seconds ago
 	Version       string   `json:"version,omitempty"`      // of its worker
 	ByMS          int64    `json:"by_ms,omitempty"`        // time of day by which it must be empty
 	WhenEmpty     string   `json:"then,omitempty"`
@@ -46,22 +46,25 @@
 	named map[string]struct{} // Machines as a set, made when it is first asked for
 }
 
-// Bounds of what operators may ask for. Those of machines only keep out figures that no fleet
+// Bounds of what operators may ask for. Those of numbers of machines only refuse what no fleet
 // has. How many machines a drain may name depends on how many names its record holds, and is
 // checked where the record is written.
 const (
-	mostText   = 200
-	mostAtOnce = 1_000_000
-	mostKeepUp = 1_000_000
+	maxTextLength   = 200
+	maxIDDigits     = 40
+	maxAtOnce       = 1_000_000
+	maxMinInService = 1_000_000
+	maxOlderS       = 1e9
 )
 
-// ValidID says whether an id has the form "d-" and digits.
+// ValidID reports whether an id has the form "d-" and digits.
 func ValidID(id string) bool {
-	rest, ok := strings.CutPrefix(id, "d-")
-	return ok && len(rest) > 0 && len(rest) <= 40 && strings.Trim(rest, "0123456789") == ""
+	digits, ok := strings.CutPrefix(id, "d-")
+	return ok && len(digits) > 0 && len(digits) <= maxIDDigits && strings.Trim(digits, "0123456789") == ""
 }
 
-// Check completes a spec with its defaults and says what is wrong with it, by field.
+// Check sets the defaults of a spec and returns an error that names the first field which is not valid.
+// The errors name fields as operators do, by their JSON keys.
 func (s *Spec) Check(now time.Time) error {
 	if s.Kind == "" {
 		s.Kind = Empty
@@ -83,7 +86,7 @@
 		return errors.New("stopped: a drain begins as one that holds")
 	case len(s.Machines) == 0 && s.Type == "" && s.Zone == "" && s.OlderS == 0 && s.Version == "" && s.Kind != Upgrade:
 		return errors.New("machines: nothing is said of which machines: names, type, zone, older_than_s or version")
-	case !(s.OlderS >= 0 && s.OlderS < 1e9):
+	case !(s.OlderS >= 0 && s.OlderS < maxOlderS):
 		return errors.New("older_than_s: out of range")
 	case s.ByMS != 0 && time.UnixMilli(s.ByMS).Before(now):
 		return errors.New("by_ms: is over")
@@ -93,15 +96,15 @@
 		return fmt.Errorf("to_version, at_once: only for kind %s", Upgrade)
 	case s.Kind == Upgrade && s.TargetVersion == "":
 		return errors.New("to_version: missing")
-	case s.AtOnce < 0 || s.AtOnce > mostAtOnce:
-		return fmt.Errorf("at_once: not within 1 to %d", mostAtOnce)
-	case s.MinInService < 0 || s.MinInService > mostKeepUp:
+	case s.AtOnce < 0 || s.AtOnce > maxAtOnce:
+		return fmt.Errorf("at_once: not within 1 to %d", maxAtOnce)
+	case s.MinInService < 0 || s.MinInService > maxMinInService:
 		return errors.New("keep_up: out of range")
 	case s.Window != nil && s.ByMS != 0:
 		return errors.New("by_ms: a window says by itself when machines are empty (lead_s)")
 	}
 	for _, text := range append(slices.Clone(s.Machines), s.Type, s.Zone, s.Version, s.TargetVersion) {
-		if len(text) > mostText {
+		if len(text) > maxTextLength {
 			return fmt.Errorf("machines, type, zone, version, to_version: %.20q... is too long", text)
 		}
 	}
@@ -114,15 +117,17 @@
 	return nil
 }
 
-// Machine is what a drain looks at of a machine.
+// Machine is what a drain selects machines by.
 type Machine struct {
-	Name, Type, Zone string
-	Version          string        // of its worker; "" where it does not say
-	Age              time.Duration // since its rental; 0 where that is not known
+	Name    string
+	Type    string
+	Zone    string
+	Version string        // of its worker; "" where it does not say
+	Age     time.Duration // since it was requested from the cloud; 0 where that is not known
 }
 
-// names says whether a drain's list of machines has a name. Guards against thousands of names
-// that are each compared with those of thousands of machines at every look.
+// names reports whether a drain's list of machines has a name. It makes a set of the list, as
+// thousands of names would otherwise be compared with those of thousands of machines each time.
 func (s *Spec) names(machine string) bool {
 	if s.named == nil {
 		s.named = make(map[string]struct{}, len(s.Machines))
@@ -134,7 +139,7 @@
 	return found
 }
 
-// Selects says whether a drain means a machine, upgraded or not. It is not for concurrent use.
+// Selects reports whether a drain applies to a machine, upgraded or not. It is not for concurrent use.
 func (s *Spec) Selects(m Machine) bool {
 	return (len(s.Machines) == 0 || s.names(m.Name)) &&
 		(s.Type == "" || s.Type == m.Type) && (s.Zone == "" || s.Zone == m.Zone) &&
@@ -142,23 +147,24 @@
 		(s.Version == "" || s.Version == m.Version || s.Kind == Upgrade && m.Version == s.TargetVersion)
 }
 
-// BarsScaleOut says whether machines of a type in a zone, yet to be rented, would be drained as
-// well: then none is rented there.
+// BarsScaleOut reports whether machines of a type in a zone, yet to be requested, would be drained as
+// well: then none is requested there.
 func (s *Spec) BarsScaleOut(typ, zone string) bool {
-	return s.Kind != Upgrade && len(s.Machines) == 0 && s.OlderS == 0 && s.Version == "" && s.Selects(Machine{Type: typ, Zone: zone})
+	return s.Kind != Upgrade && len(s.Machines) == 0 && s.OlderS == 0 && s.Version == "" &&
+		s.Selects(Machine{Type: typ, Zone: zone})
 }
 
-// InForce tells whether a drain is in force at a time of day, by when its machines must be
-// empty, zero for no such time, and when this changes next, zero for never.
-func (s *Spec) InForce(at time.Time) (holds bool, by, next time.Time) {
+// InForce reports whether a drain is in force at a time. emptyBy is when its machines must be
+// empty, zero for no such time, and next when any of this changes next, zero for never.
+func (s *Spec) InForce(at time.Time) (inForce bool, emptyBy, next time.Time) {
 	if s.Stopped {
-		return false, by, next
+		return false, emptyBy, next
 	}
 	if s.Window == nil {
 		if s.ByMS != 0 {
-			by = time.UnixMilli(s.ByMS)
+			emptyBy = time.UnixMilli(s.ByMS)
 		}
-		return true, by, next
+		return true, emptyBy, next
 	}
-	return s.Window.holds(at)
+	return s.Window.inForce(at)
 }
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -6,25 +6,25 @@
 const (
 	Waiting     = "waiting" // for its window
 	Draining    = "draining"
-	Drained     = "drained" // every machine it means is empty, or given back
+	Drained     = "drained" // every machine that it selects is empty, or returned
 	Upgrading   = "upgrading"
 	RollingBack = "rolling back"
-	Done        = "done" // every machine has the wanted version
-	RolledBack  = "rolled back"
-	Stopped     = "stopped"
+	Done        = "done"        // every machine has the target version
+	RolledBack  = "rolled back" // every machine has the earlier version again
+	Stopped     = "stopped"     // by an operator
 )
 
-// Summary counts what becomes of tasks, planned or seen.
+// Summary counts what becomes of tasks, as it is planned or as it happened.
 type Summary struct {
 	Machines int     `json:"machines"`
-	Finish   int     `json:"finish"`
+	Finish   int     `json:"finish"` // tasks by action, here and below
 	Move     int     `json:"move"`
-	Lose     int     `json:"lose"`
+	Lose     int     `json:"lose"` // those with action Restart
 	Wait     int     `json:"wait,omitempty"`
 	Blocked  int     `json:"blocked,omitempty"`
 	LostS    float64 `json:"lost_s"`             // work thrown away
-	Vanished int     `json:"vanished,omitempty"` // tasks whose machine was gone in the middle of it
-	EmptyS   float64 `json:"empty_s,omitempty"`  // until all were empty; of a plan, as far as can be guessed
+	Vanished int     `json:"vanished,omitempty"` // tasks whose machine was lost during the drain
+	EmptyS   float64 `json:"empty_s,omitempty"`  // until all machines were empty; of a plan, estimated
 }
 
 // add counts a decision.
@@ -44,53 +44,54 @@
 	s.LostS += d.Lost.Seconds()
 }
 
-// State is how a drain stands, as its leader stores it.
+// State is the state of a drain, as its leader stores it.
 type State struct {
 	Phase        string   `json:"phase"`
-	Rollout      *Rollout `json:"roll,omitempty"`
+	Rollout      *Rollout `json:"roll,omitempty"`    // of an upgrade
 	OutOfService []string `json:"in_hand,omitempty"` // machines of an upgrade that are out of service
 	Left         int      `json:"left"`              // machines that are not empty, or lack the version
-	Blocked      string   `json:"blocked,omitempty"`
-	Plan         Summary  `json:"plan"` // as it was when the drain began
-	Actual       Summary  `json:"seen"` // what happened
+	Blocked      string   `json:"blocked,omitempty"` // why it does not go on; "" where it does
+	Plan         Summary  `json:"plan"`              // as it was when the drain began
+	Actual       Summary  `json:"seen"`              // what happened
 	BeganMS      int64    `json:"began_ms,omitempty"`
 	EndedMS      int64    `json:"ended_ms,omitempty"`
-	Term         uint64   `json:"term,omitempty"`
+	Term         uint64   `json:"term,omitempty"` // of the leader that stored it
 }
 
-// Closed says whether nothing more is to be done.
+// Closed reports whether nothing more is to be done.
 func (s *State) Closed() bool { return s.Phase == Done || s.Phase == RolledBack || s.Phase == Stopped }
 
-// Same says whether two states tell people the same.
-func (s *State) Same(o *State) bool {
-	a, b := *s, *o
-	ra, rb := Rollout{}, Rollout{}
-	if a.Rollout != nil {
-		ra = *a.Rollout
-	}
-	if b.Rollout != nil {
-		rb = *b.Rollout
+// Same reports whether two states look the same to operators, who do not see the term.
+func (s *State) Same(other *State) bool {
+	return s.Phase == other.Phase && s.rollout() == other.rollout() &&
+		slices.Equal(s.OutOfService, other.OutOfService) && s.Left == other.Left && s.Blocked == other.Blocked &&
+		s.Plan == other.Plan && s.Actual == other.Actual && s.BeganMS == other.BeganMS && s.EndedMS == other.EndedMS
+}
+
+// rollout returns the rollout, or the zero one where there is none.
+func (s *State) rollout() Rollout {
+	if s.Rollout == nil {
+		return Rollout{}
 	}
-	return a.Phase == b.Phase && ra == rb && slices.Equal(a.OutOfService, b.OutOfService) && a.Left == b.Left && a.Blocked == b.Blocked &&
-		a.Plan == b.Plan && a.Actual == b.Actual && a.BeganMS == b.BeganMS && a.EndedMS == b.EndedMS
+	return *s.Rollout
 }
 
-// TaskPlan is what becomes of one task.
+// TaskPlan is what becomes of one task. Estimated times count from now.
 type TaskPlan struct {
 	Task   string  `json:"task"`
 	Class  string  `json:"class"`
 	Action Action  `json:"action"`
 	Reason string  `json:"why"`
-	UntilS float64 `json:"until_s"` // when it is off the machine, as far as can be guessed
+	UntilS float64 `json:"until_s"` // when it is off the machine, estimated
 	LostS  float64 `json:"lost_s,omitempty"`
-	LateS  float64 `json:"late_s,omitempty"` // by how much its job gets later than it should, through this
+	LateS  float64 `json:"late_s,omitempty"` // by how much its job misses its deadline because of the drain
 }
 
 // MachinePlan is what becomes of one machine's tasks.
 type MachinePlan struct {
 	Machine string     `json:"machine"`
 	Zone    string     `json:"zone"`
-	EmptyS  float64    `json:"empty_s"`
+	EmptyS  float64    `json:"empty_s"` // until it is empty, estimated
 	Tasks   []TaskPlan `json:"tasks,omitempty"`
 	Others  int        `json:"others,omitempty"` // tasks that are not listed
 }
@@ -98,17 +99,17 @@
 // ClassPlan is what a drain does to a class of jobs.
 type ClassPlan struct {
 	Summary
-	Late    int `json:"late"`     // jobs that miss what is due through it
+	Late    int `json:"late"`     // jobs that miss their deadline because of it
 	LateNow int `json:"late_now"` // jobs that miss it in any case
 }
 
 // Plan is what a drain would do, were it started now.
 type Plan struct {
 	Machines []MachinePlan         `json:"machines"`
-	More     bool                  `json:"more,omitempty"` // others behind these
+	More     bool                  `json:"more,omitempty"` // there are more machines than these
 	Classes  map[string]*ClassPlan `json:"classes"`
 	All      Summary               `json:"all"`
-	Windows  []string              `json:"windows,omitempty"` // its next ones
+	Windows  []string              `json:"windows,omitempty"` // its next starts, in the window's time zone
 	Warnings []string              `json:"warnings,omitempty"`
 }
 
--- a/internal/drain/upgrade.go
+++ b/internal/drain/upgrade.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Candidate is a machine that a drain means.
+// Candidate is a machine that a drain selects.
 type Candidate struct {
 	Machine
-	OutOfService bool          // already being emptied for this drain
+	OutOfService bool          // already being drained for this upgrade
 	Empty        bool          // nothing is on it
-	Up           bool          // in service: it could take tasks if no drain kept it from that
+	Up           bool          // it could take tasks if no drain kept it from that
 	Cost         time.Duration // work that would be thrown away, or has to be waited for, to empty it
 	Proven       bool          // a task has completed on it since it has its version
-	Failed       bool          // with its version it fails what others run
-	VersionAge   time.Duration // since it has its version; 0: it has had it all along
+	Failed       bool          // with its version, tasks fail on it that succeed elsewhere
+	VersionAge   time.Duration // since it has its version; 0: it has had no other
 	Classes      []string      // of jobs that may run on it
 }
 
 // Rollout is the state of an upgrade that must outlive a leader.
 type Rollout struct {
-	Target     string `json:"want"`           // version that machines are to have
-	From       string `json:"from,omitempty"` // version that most had at the start, to go back to
-	RolledBack bool   `json:"back,omitempty"` // it is being rolled back
-	Reason     string `json:"why,omitempty"`
-	Blocked    string `json:"blocked,omitempty"` // why no more machines are taken now
+	Target     string `json:"want"`              // version that machines are to have
+	From       string `json:"from,omitempty"`    // version that most had at the start, to go back to
+	RolledBack bool   `json:"back,omitempty"`    // it is being rolled back
+	Reason     string `json:"why,omitempty"`     // why it is
+	Blocked    string `json:"blocked,omitempty"` // why no more machines are taken out of service now
 }
 
-// NewRollout tells how an upgrade starts: from the version that most machines have.
+// NewRollout returns the rollout of an upgrade that starts from the version that most machines have.
 func NewRollout(s *Spec, all []Candidate) Rollout {
 	count := map[string]int{}
 	r := Rollout{Target: s.TargetVersion}
@@ -36,15 +36,16 @@
 		if m.Version == "" || m.Version == s.TargetVersion {
 			continue
 		}
-		if count[m.Version]++; count[m.Version] > count[r.From] || count[m.Version] == count[r.From] && m.Version < r.From {
+		count[m.Version]++
+		if count[m.Version] > count[r.From] || count[m.Version] == count[r.From] && m.Version < r.From {
 			r.From = m.Version
 		}
 	}
 	return r
 }
 
-// Judge decides whether an upgrade is rolled back: where machines of the new version fail
-// tasks that others run, and no more of them than those have shown that it works.
+// Judge decides whether an upgrade is rolled back: where tasks that succeed elsewhere fail on machines of
+// the new version, and these are at least as many as those that have proven to work.
 func (r *Rollout) Judge(all []Candidate) {
 	if r.RolledBack {
 		return
@@ -68,79 +69,91 @@
 	}
 }
 
-// Next says which machines are to be in hand now: those that are already, until they have
+// Next returns the machines that are to be out of service now: those that are already, until they have
 // their version, and others by what emptying them costs, the cheapest first, as many as
-// the spec lets out of service. settled counts, for soak long, a machine that has its
-// version but has not shown that it works, as still in hand: so a bad version is seen on
-// few machines. up counts the machines in service by zone, and by class where jobs are
-// open, those in hand left out.
+// the spec allows at a time. A machine that has its version, but has not proven to work, counts
+// as out of service for soak, so that a bad version is noticed on few machines.
+//
+// zones and classes count the machines in service by zone, and by class where jobs are open,
+// without those out of service. Next changes them.
 func (r *Rollout) Next(s *Spec, all []Candidate, zones, classes map[string]int, soak time.Duration) []string {
 	r.Blocked = ""
-	var hand []string
-	room := s.AtOnce
-	var open []Candidate
+	outOfService, waiting, allowance := r.partition(s, all, soak)
+	if r.RolledBack && r.From == "" {
+		r.Blocked = "rolled back: no earlier version is known"
+		return outOfService
+	}
+	slices.SortStableFunc(waiting, r.compare)
+	for _, m := range waiting {
+		if allowance <= 0 {
+			break
+		}
+		if m.Up && !m.Failed {
+			if reason := tooFewLeft(s, m, zones, classes); reason != "" {
+				r.Blocked = reason
+				continue
+			}
+			zones[m.Zone]--
+			for _, class := range m.Classes {
+				classes[class]--
+			}
+		}
+		outOfService = append(outOfService, m.Name)
+		allowance--
+	}
+	return outOfService
+}
+
+// partition returns the machines that are out of service, those that wait for their version, and how many of
+// the latter may be taken out of service now.
+func (r *Rollout) partition(s *Spec, all []Candidate, soak time.Duration) (outOfService []string, waiting []Candidate, allowance int) {
+	allowance = s.AtOnce
 	for _, m := range all {
 		switch {
 		case m.Version == r.Target:
 			if m.VersionAge > 0 && m.VersionAge < soak && !m.Proven {
-				room--
+				allowance--
 			}
 		case m.OutOfService:
-			hand = append(hand, m.Name)
-			room--
+			outOfService = append(outOfService, m.Name)
+			allowance--
 		case r.RolledBack && r.From == "":
 			// Nobody knows what to go back to: what was upgraded stays as it is.
 		default:
-			open = append(open, m)
+			waiting = append(waiting, m)
 		}
 	}
-	if r.RolledBack && r.From == "" {
-		r.Blocked = "rolled back: no earlier version is known"
-		return hand
+	return outOfService, waiting, allowance
+}
+
+// compare orders machines that wait for their version: of a rollback those first on which tasks
+// fail, as they are of no use meanwhile; then empty ones, then those that cost least.
+func (r *Rollout) compare(a, b Candidate) int {
+	if r.RolledBack && a.Failed != b.Failed {
+		return trueFirst(a.Failed)
 	}
-	slices.SortStableFunc(open, func(a, b Candidate) int {
-		if r.RolledBack && a.Failed != b.Failed { // what fails is of no use meanwhile
-			if a.Failed {
-				return -1
-			}
-			return 1
-		}
-		if a.Empty != b.Empty {
-			if a.Empty {
-				return -1
-			}
-			return 1
-		}
-		return cmp.Or(cmp.Compare(a.Cost, b.Cost), cmp.Compare(a.Name, b.Name))
-	})
-	for _, m := range open {
-		if room <= 0 {
-			break
-		}
-		if m.Up && !m.Failed {
-			if why := short(s, m, zones, classes); why != "" {
-				r.Blocked = why
-				continue
-			}
-			zones[m.Zone]--
-			for _, c := range m.Classes {
-				classes[c]--
-			}
-		}
-		hand = append(hand, m.Name)
-		room--
+	if a.Empty != b.Empty {
+		return trueFirst(a.Empty)
+	}
+	return cmp.Or(cmp.Compare(a.Cost, b.Cost), cmp.Compare(a.Name, b.Name))
+}
+
+// trueFirst compares a bool to its opposite.
+func trueFirst(a bool) int {
+	if a {
+		return -1
 	}
-	return hand
+	return 1
 }
 
-// short says what would be left with too few machines.
-func short(s *Spec, m Candidate, zones, classes map[string]int) string {
+// tooFewLeft returns which zone or class would be left with too few machines; "" if none would.
+func tooFewLeft(s *Spec, m Candidate, zones, classes map[string]int) string {
 	if zones[m.Zone]-1 < s.MinInService {
 		return "zone " + m.Zone + " would have too few machines in service"
 	}
-	for _, c := range m.Classes {
-		if classes[c]-1 < s.MinInService {
-			return "jobs of " + c + " would have too few machines in service"
+	for _, class := range m.Classes {
+		if classes[class]-1 < s.MinInService {
+			return "jobs of " + class + " would have too few machines in service"
 		}
 	}
 	return ""
--- a/internal/drain/window.go
+++ b/internal/drain/window.go
@@ -9,7 +9,7 @@
 	"github.com/teambition/rrule-go"
 )
 
-// Window is when maintenance happens, by the operators' calendar.
+// Window is when maintenance happens, by the operators' calendar. It is stored as it is.
 type Window struct {
 	Rule   string  `json:"rule"`             // RFC 5545 RRULE, with DTSTART in local time where it matters
 	Zone   string  `json:"zone"`             // IANA time zone in which the rule is read
@@ -18,62 +18,65 @@
 	Starts string  `json:"starts,omitempty"` // first day and time, as 2006-01-02T15:04 in that zone; the rule counts from it
 }
 
-// Bounds of a window. A rule that comes more often than its windows are long would never
-// let its machines go.
+// Bounds of a window.
 const (
-	mostForS  = 7 * 86400.0
-	mostYears = 2
+	minForS   = 60
+	maxForS   = 7 * 86400.0
+	maxYears  = 2 // how far ahead the next window may be
+	maxLookup = maxYears * 366 * 24 * time.Hour
 )
 
+// localTime is the layout of Window.Starts.
 const localTime = "2006-01-02T15:04"
 
-// rule reads a window's rule in its time zone.
-func (w *Window) rule() (*rrule.RRule, *time.Location, error) {
-	loc, err := time.LoadLocation(w.Zone)
+// parseRule parses a window's rule in its time zone.
+func (w *Window) parseRule() (*rrule.RRule, error) {
+	location, err := time.LoadLocation(w.Zone)
 	if err != nil || w.Zone == "" || w.Zone == "Local" {
-		return nil, nil, fmt.Errorf("window.zone: %q is no time zone, such as Europe/Warsaw", w.Zone)
+		return nil, fmt.Errorf("window.zone: %q is no time zone, such as Europe/Warsaw", w.Zone)
 	}
-	opt, err := rrule.StrToROptionInLocation(w.Rule, loc)
+	option, err := rrule.StrToROptionInLocation(w.Rule, location)
 	if err != nil {
-		return nil, nil, fmt.Errorf("window.rule: %v", err)
+		return nil, fmt.Errorf("window.rule: %w", err)
 	}
 	if w.Starts != "" {
-		start, err := time.ParseInLocation(localTime, w.Starts, loc)
+		start, err := time.ParseInLocation(localTime, w.Starts, location)
 		if err != nil {
-			return nil, nil, fmt.Errorf("window.starts: %q is not of the form %s", w.Starts, localTime)
+			return nil, fmt.Errorf("window.starts: %q is not of the form %s", w.Starts, localTime)
 		}
-		opt.Dtstart = start
+		option.Dtstart = start
 	}
-	if opt.Dtstart.IsZero() {
+	if option.Dtstart.IsZero() {
 		// Counted from a day on which nothing depends: midnight of a Monday.
-		opt.Dtstart = time.Date(2024, 1, 1, 0, 0, 0, 0, loc)
+		option.Dtstart = time.Date(2024, 1, 1, 0, 0, 0, 0, location)
 	}
-	opt.Dtstart = opt.Dtstart.In(loc)
-	r, err := rrule.NewRRule(*opt)
+	option.Dtstart = option.Dtstart.In(location)
+	rule, err := rrule.NewRRule(*option)
 	if err != nil {
-		return nil, nil, fmt.Errorf("window.rule: %v", err)
+		return nil, fmt.Errorf("window.rule: %w", err)
 	}
-	return r, loc, nil
+	return rule, nil
 }
 
-// Check says what is wrong with a window, by field.
+// Check returns an error that names the first field which is not valid. A rule whose next window starts
+// before one ends is refused, as it would never let its machines go.
 func (w *Window) Check(now time.Time) error {
-	r, _, err := w.rule()
+	rule, err := w.parseRule()
 	switch {
 	case err != nil:
 		return err
-	case !(w.ForS >= 60 && w.ForS <= mostForS):
+	case !(w.ForS >= minForS && w.ForS <= maxForS):
 		return errors.New("window.for_s: not within a minute to a week")
-	case !(w.LeadS >= 0 && w.LeadS <= mostForS):
+	case !(w.LeadS >= 0 && w.LeadS <= maxForS):
 		return errors.New("window.lead_s: not within 0 to a week")
-	case r.OrigOptions.Freq > rrule.DAILY && len(r.OrigOptions.Byhour) == 0:
+	case rule.OrigOptions.Freq > rrule.DAILY && len(rule.OrigOptions.Byhour) == 0:
 		return errors.New("window.rule: more often than daily")
 	}
-	first, ok := w.after(r, now.Add(-w.length()))
+	first, ok := w.startAfter(rule, now.Add(-w.length()))
 	if !ok {
-		return fmt.Errorf("window.rule: no window comes within %d years", mostYears)
+		return fmt.Errorf("window.rule: no window comes within %d years", maxYears)
 	}
-	if second, ok := w.after(r, first); ok && second.Sub(first) <= w.length()+w.lead() {
+	if second, ok := w.startAfter(rule, first); ok && second.Sub(first) <= w.length()+w.lead() {
 		return errors.New("window.for_s: the next window would begin before one ends")
 	}
 	return nil
@@ -82,61 +85,61 @@
 func (w *Window) length() time.Duration { return time.Duration(w.ForS * float64(time.Second)) }
 func (w *Window) lead() time.Duration   { return time.Duration(w.LeadS * float64(time.Second)) }
 
-// after finds the first start behind a time, none if it is years away.
-func (w *Window) after(r *rrule.RRule, t time.Time) (time.Time, bool) {
-	next := r.After(t, false)
-	for !next.IsZero() && !first(next).After(t) {
-		next = r.After(next, false)
+// startAfter returns the first start of the window after a time, and false if it is years away.
+func (w *Window) startAfter(rule *rrule.RRule, t time.Time) (time.Time, bool) {
+	next := rule.After(t, false)
+	for !next.IsZero() && !firstOccurrence(next).After(t) {
+		next = rule.After(next, false)
 	}
-	return first(next), !next.IsZero() && next.Sub(t) < mostYears*366*24*time.Hour
+	return firstOccurrence(next), !next.IsZero() && next.Sub(t) < maxLookup
 }
 
-// first is the earlier of two moments that clocks show alike, when they are set back: the
-// language leaves open which one a time of day means (RFC 5545, 3.3.5, takes the first).
-func first(t time.Time) time.Time {
-	for _, back := range []time.Duration{30 * time.Minute, time.Hour, 2 * time.Hour} {
-		if e := t.Add(-back); e.Format(time.DateTime) == t.Format(time.DateTime) {
-			return e
+// firstOccurrence returns the earlier of two moments with the same local time, where clocks are set
+// back. Package time leaves open which one a local time means; RFC 5545, 3.3.5, takes the first.
+func firstOccurrence(t time.Time) time.Time {
+	for _, shift := range []time.Duration{30 * time.Minute, time.Hour, 2 * time.Hour} {
+		if earlier := t.Add(-shift); earlier.Format(time.DateTime) == t.Format(time.DateTime) {
+			return earlier
 		}
 	}
 	return t
 }
 
-// holds tells whether draining or maintenance is under way, by when machines must be
-// empty, and when this changes.
-func (w *Window) holds(at time.Time) (holds bool, by, next time.Time) {
-	r, _, err := w.rule()
+// inForce reports whether draining or maintenance is under way, by when machines must be
+// empty, and when this changes next.
+func (w *Window) inForce(at time.Time) (inForce bool, emptyBy, next time.Time) {
+	rule, err := w.parseRule()
 	if err != nil {
-		return false, by, next // checked when it was stored
+		return false, emptyBy, next // cannot happen: it was checked when it was stored
 	}
-	start, ok := w.after(r, at.Add(-w.length()))
+	start, ok := w.startAfter(rule, at.Add(-w.length()))
 	if !ok {
-		return false, by, next
+		return false, emptyBy, next
 	}
 	begins, ends := start.Add(-w.lead()), start.Add(w.length())
 	if at.Before(begins) {
-		return false, by, begins
+		return false, emptyBy, begins
 	}
 	if w.LeadS > 0 {
-		by = start
+		emptyBy = start
 	}
-	return true, by, ends
+	return true, emptyBy, ends
 }
 
-// Next lists the next starts of a window, in its time zone, for people to check.
+// Next lists the next n starts of a window, in its time zone, for operators to check.
 func (w *Window) Next(at time.Time, n int) []time.Time {
-	r, _, err := w.rule()
+	rule, err := w.parseRule()
 	if err != nil {
 		return nil
 	}
-	var all []time.Time
+	var starts []time.Time
 	for range n {
-		start, ok := w.after(r, at)
+		start, ok := w.startAfter(rule, at)
 		if !ok {
 			break
 		}
-		all = append(all, start)
+		starts = append(starts, start)
 		at = start
 	}
-	return all
+	return starts
 }
