--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"slices"
 	"time"
 
 	"drumpick/internal/fleet"
@@ -87,7 +88,8 @@
 	if !job.gangBroken {
 		job.gangAttempt = 0
 	}
-	for _, attempt := range planned {
+	// The last one found goes first into the retry queue.
+	for _, attempt := range slices.Backward(planned) {
 		attempt.Machine.Forget(attempt)
 		s.releaseAttempt(attempt)
 	}
