--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -9,8 +9,8 @@
 	"drumpick/internal/records"
 )
 
-// What is remembered of jobs goes with them: thousands of jobs of ever other sizes
-// and images, a few at a time, leave nothing behind, and jobs alike stay alike.
+// Closed jobs leave no state behind: after thousands of jobs of ever other sizes and images, a few at a
+// time, nothing has grown. Equal jobs keep equal class numbers meanwhile.
 func TestClosedJobsLeaveNothing(t *testing.T) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
@@ -24,15 +24,18 @@
 		a := add(fmt.Sprint("j-1", i), fmt.Sprint("img-", i), float64(i)/1000)
 		b := add(fmt.Sprint("j-2", i), fmt.Sprint("img-", i), float64(i)/1000)
 		other := add(fmt.Sprint("j-3", i), "else", float64(i)/1000)
-		if a.placementClass != b.placementClass || a.imageClass != b.imageClass || other.placementClass != a.placementClass || other.imageClass == a.imageClass || a.placementClass == a.imageClass {
-			t.Fatalf("job %d: numbers %d %d, %d %d, %d %d", i, a.placementClass, a.imageClass, b.placementClass, b.imageClass, other.placementClass, other.imageClass)
+		equal := a.placementClass == b.placementClass && a.imageClass == b.imageClass
+		sameSize := other.placementClass == a.placementClass && other.imageClass != a.imageClass
+		if !equal || !sameSize || a.placementClass == a.imageClass {
+			t.Fatalf("job %d: placement and image classes %d %d, of its equal %d %d, of one with another image %d %d", i,
+				a.placementClass, a.imageClass, b.placementClass, b.imageClass, other.placementClass, other.imageClass)
 		}
 		for _, j := range []*Job{a, b, other} {
 			s.CloseJob(j.ID)
 		}
-		s.closedJobs = s.closedJobs[:0] // the flush takes them
+		s.closedJobs = s.closedJobs[:0] // as persistence does
 		if len(s.placementClasses) > 100 || len(s.jobs) > 0 {
-			t.Fatalf("after job %d: %d likenesses, %d jobs", i, len(s.placementClasses), len(s.jobs))
+			t.Fatalf("after job %d: %d placement classes and %d jobs are left, want at most 100 and 0", i, len(s.placementClasses), len(s.jobs))
 		}
 	}
 }
--- /dev/null
+++ b/internal/scheduler/fake_fleet_test.go
@@ -0,0 +1,253 @@
+package scheduler
+
+import (
+	"flag"
+	"fmt"
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"drumpick/internal/config"
+	"drumpick/internal/fleet"
+	"drumpick/internal/records"
+
+	"pgregory.net/rapid"
+)
+
+// useFixedSeed has properties tried on the same cases every time, without log lines.
+func useFixedSeed(t *testing.T) {
+	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			t.Fatal(err)
+		}
+	}
+	old := slog.Default()
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	t.Cleanup(func() { slog.SetDefault(old) })
+}
+
+// fakeFleet is a few machines that obey a Scheduler, in simulated time.
+type fakeFleet struct {
+	t            *rapid.T
+	scheduler    *Scheduler
+	now          time.Time
+	teams        []config.Team
+	machines     []*fakeMachine
+	jobs         map[string]records.Job
+	runTimes     map[string]time.Duration // by job
+	begun        map[string]bool          // jobs that have started
+	preemptedAt  map[string]time.Time     // when a task was first preempted for a job
+	workerDiedAt time.Time                // when a worker last died
+}
+
+type fakeMachine struct {
+	heartbeat fleet.Heartbeat
+	attempts  []*fakeAttempt
+}
+
+type fakeAttempt struct {
+	fleet.TaskStatus
+	job       string
+	ends      time.Time // when it completes, or has saved its checkpoint
+	stopping  bool
+	remaining time.Duration // its remaining run time when it was stopped
+}
+
+// fakeCPUs is the size of every machine of a fakeFleet.
+const fakeCPUs = 4
+
+// allPriorities are the priorities of jobs, the highest first.
+var allPriorities = []string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}
+
+// newFakeFleet returns a fleet with so many machines in each of two zones.
+func newFakeFleet(t *rapid.T, options config.Options, teams []config.Team, machinesPerZone int) *fakeFleet {
+	cfg := &config.Config{Options: options}
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
+	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b"}, teams
+	f := &fakeFleet{
+		t: t, now: time.Unix(1_000_000, 0), teams: teams,
+		jobs: map[string]records.Job{}, runTimes: map[string]time.Duration{},
+		begun: map[string]bool{}, preemptedAt: map[string]time.Time{},
+	}
+	f.scheduler = New(SettingsOf(cfg), 5, f.now)
+	f.scheduler.SetTypes([]records.MachineType{{
+		Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: []string{"a", "b"},
+	}})
+	f.scheduler.CheckReconciled(f.now)
+	for i := range 2 * machinesPerZone {
+		name := fmt.Sprintf("m-%02d", i)
+		f.machines = append(f.machines, &fakeMachine{heartbeat: fleet.Heartbeat{
+			Machine: name, Addr: name, Type: "c4", Zone: string("ab"[i%2]), Incarnation: 1, FencingToken: 5,
+		}})
+	}
+	return f
+}
+
+// step lets half a second pass, and every machine send one heartbeat in four steps.
+func (f *fakeFleet) step(i int) {
+	f.now = f.now.Add(500 * time.Millisecond)
+	f.scheduler.Tick(f.now, true)
+	for host := range f.scheduler.urgentMachines {
+		// Kill commands go out at once.
+		for _, machine := range f.machines {
+			if machine.heartbeat.Machine == host {
+				f.obey(machine, f.scheduler.fleet.Machines[host].PendingCommands())
+			}
+		}
+		delete(f.scheduler.urgentMachines, host)
+	}
+	for n, machine := range f.machines {
+		f.advance(machine)
+		if (i+n)%4 == 0 {
+			f.heartbeat(machine)
+		}
+	}
+	f.checkRules()
+}
+
+// heartbeat has a machine send a heartbeat and obey the answer. Results are stored at once.
+func (f *fakeFleet) heartbeat(machine *fakeMachine) {
+	machine.heartbeat.Sequence++
+	machine.heartbeat.Tasks = machine.heartbeat.Tasks[:0]
+	for _, attempt := range machine.attempts {
+		machine.heartbeat.Tasks = append(machine.heartbeat.Tasks, attempt.TaskStatus)
+	}
+	copied := machine.heartbeat
+	known, stale := f.scheduler.Reconcile(&copied, true, f.now)
+	if stale {
+		f.t.Fatalf("the heartbeat %d of %s, in order, counts as stale", copied.Sequence, copied.Machine)
+	}
+	known.Recorded = true
+	f.scheduler.PlanMachine(known, f.now)
+	response := f.scheduler.Respond(known, true, f.now)
+	f.scheduler.NoteAnswered(known, "", f.now)
+	f.obey(machine, response.Commands)
+	for _, j := range f.scheduler.jobs {
+		copy(j.stored, j.done)
+		if j.doneCount == j.Tasks {
+			f.scheduler.NoteClosed(j.ID, records.ClosedJob{Status: records.StatusDone}, 99)
+		}
+	}
+}
+
+// obey carries out commands as a worker does.
+func (f *fakeFleet) obey(machine *fakeMachine, commands []fleet.Command) {
+	for _, command := range commands {
+		i := slices.IndexFunc(machine.attempts, func(attempt *fakeAttempt) bool {
+			return attempt.Task == command.Task && attempt.Attempt == command.Attempt
+		})
+		switch {
+		case command.Verb == fleet.VerbRun && i < 0:
+			id, _ := fleet.ParseTask(command.Task)
+			attempt := &fakeAttempt{
+				TaskStatus: fleet.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: "running"},
+				job:        id.Job,
+				ends:       f.now.Add(f.runTimes[id.Job]),
+			}
+			if f.jobs[id.Job].Shape == records.ShapeGang {
+				attempt.Status = "waiting"
+			}
+			machine.attempts = append(machine.attempts, attempt)
+		case command.Verb == fleet.VerbKill && i >= 0 && machine.attempts[i].Status != "ended" && !machine.attempts[i].stopping:
+			attempt := machine.attempts[i]
+			attempt.remaining = attempt.ends.Sub(f.now)
+			attempt.stopping, attempt.Status = true, "flushing"
+			attempt.ends = f.now.Add(time.Duration(*command.GraceS * float64(time.Second)))
+		case command.Verb == fleet.VerbReap && i >= 0:
+			machine.attempts = slices.Delete(machine.attempts, i, i+1)
+		}
+	}
+}
+
+// advance ends attempts whose time has come, and starts gangs that are complete.
+func (f *fakeFleet) advance(machine *fakeMachine) {
+	for _, attempt := range machine.attempts {
+		if gang := f.gangOf(attempt); attempt.Status == "waiting" && len(gang) == f.jobs[attempt.job].Tasks {
+			for _, member := range gang {
+				member.Status, member.ends = "running", f.now.Add(f.runTimes[attempt.job])
+			}
+		}
+		if (attempt.Status == "running" || attempt.Status == "flushing") && !f.now.Before(attempt.ends) {
+			attempt.Cause = "done"
+			if attempt.stopping {
+				attempt.Cause = "stopped"
+			}
+			attempt.Status = "ended"
+		}
+	}
+}
+
+// gangOf returns the attempts of a job with the same number.
+func (f *fakeFleet) gangOf(attempt *fakeAttempt) []*fakeAttempt {
+	var members []*fakeAttempt
+	for _, machine := range f.machines {
+		for _, other := range machine.attempts {
+			if other.job == attempt.job && other.Attempt == attempt.Attempt {
+				members = append(members, other)
+			}
+		}
+	}
+	return members
+}
+
+// checkRules checks the rules: machines hold no more than they have room for, each task is in one place,
+// zones and limits are kept, and nobody is preempted for a job that does not start.
+func (f *fakeFleet) checkRules() {
+	zones := f.checkPlaces()
+	f.checkPreemptorsStart(zones)
+}
+
+// checkPlaces checks what is on the machines, and returns a zone of each job that runs.
+func (f *fakeFleet) checkPlaces() map[string]string {
+	machineOf := map[string]string{}
+	cpusOf := map[string]float64{}
+	zones := map[string]string{}
+	for _, machine := range f.machines {
+		cpus := 0.0
+		for _, attempt := range machine.attempts {
+			if attempt.Status == "ended" {
+				continue
+			}
+			j := f.jobs[attempt.job]
+			cpus += j.CPUs
+			cpusOf[j.Team] += j.CPUs
+			if at, twice := machineOf[attempt.Task]; twice {
+				f.t.Fatalf("%s is on %s and %s, want one machine", attempt.Task, at, machine.heartbeat.Machine)
+			}
+			machineOf[attempt.Task] = machine.heartbeat.Machine
+			if z := zones[attempt.job]; j.OneZone && z != "" && z != machine.heartbeat.Zone {
+				f.t.Fatalf("%s is in zones %s and %s, want one", attempt.job, z, machine.heartbeat.Zone)
+			}
+			zones[attempt.job] = machine.heartbeat.Zone
+		}
+		if cpus > fakeCPUs {
+			f.t.Fatalf("%s holds tasks of %g CPUs, want %d at most", machine.heartbeat.Machine, cpus, fakeCPUs)
+		}
+	}
+	for team, cpus := range cpusOf {
+		if limit := f.scheduler.settings.Teams[team].LimitCPUs; limit > 0 && cpus > limit {
+			f.t.Fatalf("%s uses %g CPUs, want %g at most", team, cpus, limit)
+		}
+	}
+	return zones
+}
+
+// checkPreemptorsStart checks that a job that tasks were preempted for starts soon.
+func (f *fakeFleet) checkPreemptorsStart(zones map[string]string) {
+	for id, j := range f.scheduler.jobs {
+		if _, runs := zones[id]; runs {
+			f.begun[id] = true
+		}
+		if f.begun[id] || len(j.preempted) == 0 || j.limited {
+			continue
+		}
+		// A victim saves for up to 4 s, then its machine sends a heartbeat, then the other one does.
+		if _, ok := f.preemptedAt[id]; !ok {
+			f.preemptedAt[id] = f.now
+		}
+		if since := f.preemptedAt[id]; f.now.Sub(since) > 10*time.Second && f.workerDiedAt.Before(since) {
+			f.t.Fatalf("%s has not started %v after %d tasks were preempted for it, want 10s at most", id, f.now.Sub(since), len(j.preempted))
+		}
+	}
+}
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -16,8 +16,8 @@
 	"pgregory.net/rapid"
 )
 
-// usageByScan is the oracle of the account: a look at every attempt on every machine.
-func usageByScan(s *Scheduler, team string) (inUse, committed, staying quota.Amount) {
+// usageByScan is the oracle of the account: it examines every attempt on every machine.
+func usageByScan(s *Scheduler, team string) (inUse, committed, notStopping quota.Amount) {
 	for _, m := range s.fleet.Sorted() {
 		for _, a := range m.Attempts() {
 			if a.State() == fleet.Ended {
@@ -36,12 +36,12 @@
 			if a.MayBePresent() {
 				inUse = inUse.Add(size)
 				if mine && !a.Stopping() {
-					staying = staying.Add(size)
+					notStopping = notStopping.Add(size)
 				}
 			}
 		}
 	}
-	return inUse, committed, staying
+	return inUse, committed, notStopping
 }
 
 // checkUsage compares the account with the scan, for every team.
@@ -50,40 +50,40 @@
 		return math.Abs(a.CPUs-b.CPUs) < quotaSlack && math.Abs(a.GPUs-b.GPUs) < quotaSlack
 	}
 	for team := range s.settings.Teams {
-		inUse, committed, staying := usageByScan(s, team)
+		inUse, committed, notStopping := usageByScan(s, team)
 		if got := s.quotaUsage.InUse(team); !same(got, inUse) {
 			t.Fatalf("after %s: %s uses %+v by the account, %+v by the scan", after, team, got, inUse)
 		}
 		if got := s.quotaUsage.Committed(team); !same(got, committed) {
 			t.Fatalf("after %s: %s has committed %+v by the account, %+v by the scan", after, team, got, committed)
 		}
-		if got := s.quotaUsage.NotStopping(team); !same(got, staying) {
-			t.Fatalf("after %s: of %s stays %+v by the account, %+v by the scan", after, team, got, staying)
+		if got := s.quotaUsage.NotStopping(team); !same(got, notStopping) {
+			t.Fatalf("after %s: %s has %+v not stopping by the account, %+v by the scan", after, team, got, notStopping)
 		}
 	}
 }
 
-// checkDerivedState compares what is kept as events come with a look at all jobs: who may have tasks to start, and who is
-// complete.
+// checkDerivedState compares what is maintained from event to event with a scan of all jobs: which may have
+// tasks to start, and which are complete.
 func checkDerivedState(t *rapid.T, s *Scheduler, after string) {
 	for i, turn := range s.order.turns {
 		if !turn.job.closed && !turn.job.hasNoWaiting() && s.order.active.next(i) != i {
-			t.Fatalf("after %s: %s has tasks to start, and is passed over", after, turn.job.ID)
+			t.Fatalf("after %s: %s has tasks to start, and its turn is not active", after, turn.job.ID)
 		}
 	}
 	for _, j := range s.jobs {
-		if _, kept := s.complete[j]; kept != (j.doneCount == j.Tasks) {
-			t.Fatalf("after %s: %s has %d of %d tasks done, and is taken for complete: %v", after, j.ID, j.doneCount, j.Tasks, kept)
+		if _, complete := s.complete[j]; complete != (j.doneCount == j.Tasks) {
+			t.Fatalf("after %s: %s has %d of %d tasks done, and counts as complete: %v", after, j.ID, j.doneCount, j.Tasks, complete)
 		}
 	}
 }
 
-// randomEvents plays random events to a core, with workers that obey it.
+// randomEvents plays random events to a scheduler, with workers that obey it.
 type randomEvents struct {
 	*fakeFleet
 	t          *rapid.T
 	teams      []config.Team
-	heartbeats []fleet.Heartbeat // reports that came, of which copies may come again
+	heartbeats []fleet.Heartbeat // all that arrived; copies may arrive again
 	submitted  []records.Job
 	drains     int
 }
@@ -91,7 +91,9 @@
 func newRandomEvents(t *rapid.T) *randomEvents {
 	var teams []config.Team
 	for i := range 4 {
-		teams = append(teams, config.Team{Name: fmt.Sprint("team-", i), GuaranteedCPUs: float64(i), LimitCPUs: float64(4 * (i % 3)), LimitGPUs: float64(i % 2)})
+		teams = append(teams, config.Team{
+			Name: fmt.Sprint("team-", i), GuaranteedCPUs: float64(i), LimitCPUs: float64(4 * (i % 3)), LimitGPUs: float64(i % 2),
+		})
 	}
 	options := config.DefaultOptions()
 	options.Guarantees = true
@@ -103,11 +105,18 @@
 }
 
 func (e *randomEvents) submit() {
+	shapes := []string{records.ShapeArray, records.ShapeArray, records.ShapeGang, records.ShapeService}
 	j := records.Job{
-		ID: fmt.Sprint("j-", len(e.submitted)), Team: rapid.SampledFrom(e.teams).Draw(e.t, "team").Name, Image: "img", MemGB: 1,
-		Shape:    rapid.SampledFrom([]string{records.ShapeArray, records.ShapeArray, records.ShapeGang, records.ShapeService}).Draw(e.t, "shape"),
-		Priority: rapid.SampledFrom([]string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}).Draw(e.t, "priority"),
-		CPUs:     rapid.SampledFrom([]float64{0.1, 0.3, 1, 2, 4}).Draw(e.t, "cpus"), Tasks: rapid.IntRange(1, 6).Draw(e.t, "tasks"), EstimateS: 20, AcceptedMS: e.now.UnixMilli(),
+		ID:         fmt.Sprint("j-", len(e.submitted)),
+		Team:       rapid.SampledFrom(e.teams).Draw(e.t, "team").Name,
+		Shape:      rapid.SampledFrom(shapes).Draw(e.t, "shape"),
+		Priority:   rapid.SampledFrom(allPriorities).Draw(e.t, "priority"),
+		CPUs:       rapid.SampledFrom([]float64{0.1, 0.3, 1, 2, 4}).Draw(e.t, "cpus"),
+		Tasks:      rapid.IntRange(1, 6).Draw(e.t, "tasks"),
+		MemGB:      1,
+		Image:      "img",
+		EstimateS:  20,
+		AcceptedMS: e.now.UnixMilli(),
 	}
 	if rapid.Bool().Draw(e.t, "saves") {
 		j.CheckpointS, j.SaveS = 5, 2
@@ -117,8 +126,8 @@
 	e.scheduler.AddJob(j, 10, e.now, e.now)
 }
 
-// report has a machine report what it holds, and obey the answer unless that is lost.
-func (e *randomEvents) report() {
+// sendHeartbeat has a machine send a heartbeat, and obey the answer unless that is lost.
+func (e *randomEvents) sendHeartbeat() {
 	machine := e.pickMachine()
 	e.advance(machine)
 	machine.heartbeat.Sequence++
@@ -135,17 +144,17 @@
 	}
 	known.Recorded = true
 	e.scheduler.PlanMachine(known, e.now)
-	resp := e.scheduler.Respond(known, true, e.now)
+	response := e.scheduler.Respond(known, true, e.now)
 	if rapid.IntRange(0, 4).Draw(e.t, "lost answer") > 0 {
 		e.scheduler.NoteAnswered(known, "", e.now)
 		machine.heartbeat.FencingToken = e.scheduler.term
-		e.obey(machine, resp.Commands)
+		e.obey(machine, response.Commands)
 	}
 }
 
-// stranger has a machine hold what this term did not start: of a job that is known or not, or
-// a task that its job does not have.
-func (e *randomEvents) stranger() {
+// holdUnknown has a machine hold an attempt that this term did not start: of a job that is known or not, or
+// of a task that its job does not have.
+func (e *randomEvents) holdUnknown() {
 	id := fleet.TaskID{Job: fmt.Sprint("j-", rapid.IntRange(0, 12).Draw(e.t, "job")), N: rapid.IntRange(0, 8).Draw(e.t, "task")}
 	machine := e.pickMachine()
 	machine.attempts = append(machine.attempts, &fakeAttempt{
@@ -154,7 +163,7 @@
 	})
 }
 
-// failover begins the next term with what the store has.
+// failover begins the next term with what the store contains.
 func (e *randomEvents) failover() {
 	before := e.scheduler
 	e.scheduler = New(before.settings, before.term+1, e.now)
@@ -184,12 +193,13 @@
 func (e *randomEvents) event() string {
 	e.now = e.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(e.t, "ms")) * time.Millisecond)
 	name := rapid.SampledFrom([]string{
-		"report", "report", "report", "report", "report", "submission", "submission", "tick", "tick", "late copy", "stranger", "session",
-		"cancellation", "end", "long silence", "return", "failure", "takeover", "lapse", "drain", "settle", "faulty",
+		"heartbeat", "heartbeat", "heartbeat", "heartbeat", "heartbeat", "submission", "submission", "tick", "tick", "late copy",
+		"unknown attempt", "restart", "cancellation", "close", "long silence", "return", "failure", "failover",
+		"expiry of earlier leases", "drain", "reconciliation", "faulty machine",
 	}).Draw(e.t, "event")
 	switch name {
-	case "report":
-		e.report()
+	case "heartbeat":
+		e.sendHeartbeat()
 	case "submission":
 		e.submit()
 	case "tick":
@@ -199,16 +209,16 @@
 			r := rapid.SampledFrom(e.heartbeats).Draw(e.t, "copy")
 			e.scheduler.Reconcile(&r, true, e.now)
 		}
-	case "stranger":
-		e.stranger()
-	case "session":
+	case "unknown attempt":
+		e.holdUnknown()
+	case "restart":
 		machine := e.pickMachine()
 		machine.heartbeat.Incarnation, machine.attempts = machine.heartbeat.Incarnation+1, nil
 	case "cancellation":
 		if id := e.anyJob(); id != "" {
 			e.scheduler.NoteClosed(id, records.ClosedJob{Status: records.StatusCancelled}, 20)
 		}
-	case "end":
+	case "close":
 		if id := e.anyJob(); id != "" {
 			e.scheduler.CloseJob(id)
 		}
@@ -219,19 +229,22 @@
 		e.scheduler.MachinesReturned([]string{e.pickMachine().heartbeat.Machine}, e.now)
 	case "failure":
 		machine := e.pickMachine().heartbeat
-		e.scheduler.ReconcileCloudList([]autoscaler.CloudMachine{{Machine: machine.Machine, Addr: machine.Addr, Type: "c4", Zone: machine.Zone, Status: "failed"}}, e.now, e.now)
-	case "takeover":
+		failed := autoscaler.CloudMachine{Machine: machine.Machine, Addr: machine.Addr, Type: "c4", Zone: machine.Zone, Status: "failed"}
+		e.scheduler.ReconcileCloudList([]autoscaler.CloudMachine{failed}, e.now, e.now)
+	case "failover":
 		if rapid.IntRange(0, 3).Draw(e.t, "yes") == 0 {
 			e.failover()
 		}
-	case "lapse":
+	case "expiry of earlier leases":
 		e.scheduler.ExpireEarlierLeases(e.now)
 	case "drain":
 		e.drains++
-		e.scheduler.SetDrain(drain.Spec{ID: fmt.Sprint("d-", e.drains), Kind: drain.Empty, Machines: []string{e.pickMachine().heartbeat.Machine}, BeganMS: e.now.UnixMilli()}, nil, 0)
-	case "settle":
+		name := e.pickMachine().heartbeat.Machine
+		spec := drain.Spec{ID: fmt.Sprint("d-", e.drains), Kind: drain.Empty, Machines: []string{name}, BeganMS: e.now.UnixMilli()}
+		e.scheduler.SetDrain(spec, nil, 0)
+	case "reconciliation":
 		e.scheduler.CheckReconciled(e.now)
-	case "faulty":
+	case "faulty machine":
 		if m := e.scheduler.fleet.Machines[e.pickMachine().heartbeat.Machine]; m != nil {
 			e.scheduler.markFaulty(m)
 		}
@@ -239,9 +252,9 @@
 	return name
 }
 
-// The account of what teams use equals a scan of all attempts after every event: reports, late
-// ones and copies, lapses, cancellations, takeovers, machines gone and back, gangs, services,
-// unknown jobs, drains, preemption. Once all machines are gone nothing is left in it.
+// The account of what teams use equals a scan of all attempts after every event: heartbeats, late ones and
+// copies, expiries, cancellations, failovers, machines gone and back, gangs, services, unknown jobs,
+// drains, preemption. Once all machines are gone nothing is left in it.
 func TestQuotaAccountEqualsScan(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -256,7 +269,7 @@
 		}
 		checkUsage(t, events.scheduler, "the loss of all machines")
 		if !events.scheduler.quotaUsage.Empty() {
-			t.Fatal("charges are left though no attempt is")
+			t.Fatal("the account is not empty though no attempt is left")
 		}
 	})
 }
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -13,33 +13,35 @@
 	"pgregory.net/rapid"
 )
 
-// startTimesUnderLoad is a fleet on which small work of a later turn always waits, and gangs that need all
-// of a zone come in between. It tells when each began, counted from when it came.
+// startTimesUnderLoad runs a fleet on which small jobs of a later turn always wait, and gangs that need all
+// of a zone arrive in between. It returns how long after its arrival each gang began.
 func startTimesUnderLoad(t *rapid.T, begin float64, slots int, gangs []int, runs []int) map[string]time.Duration {
 	options := config.DefaultOptions()
 	options.Reservations, options.BeginS = begin > 0, max(begin, 1)
 	f := newFakeFleet(t, options, []config.Team{{Name: "team"}}, slots)
 	add := func(id, shape string, tasks int, cpus float64, run int) {
-		j := records.Job{ID: id, Team: "team", Image: "img", MemGB: 1, Shape: shape, Priority: records.PriorityStandard, CPUs: cpus, Tasks: tasks,
-			OneZone: shape == records.ShapeGang, EstimateS: float64(run), AcceptedMS: f.now.UnixMilli()}
+		j := records.Job{
+			ID: id, Team: "team", Image: "img", MemGB: 1, Shape: shape, Priority: records.PriorityStandard, CPUs: cpus, Tasks: tasks,
+			OneZone: shape == records.ShapeGang, EstimateS: float64(run), AcceptedMS: f.now.UnixMilli(),
+		}
 		f.jobs[id], f.runTimes[id] = j, time.Duration(run)*time.Second
 		f.scheduler.AddJob(j, 10, f.now, f.now)
 	}
-	came, began := map[string]time.Time{}, map[string]time.Duration{}
+	arrived, began := map[string]time.Time{}, map[string]time.Duration{}
 	for i := range 600 { // half seconds
 		if i%4 == 0 {
-			// As much as all machines do in two seconds, and a little more.
+			// A little more than all machines do in two seconds.
 			run := runs[i/4%len(runs)]
 			add(fmt.Sprint("j-1000", i), records.ShapeArray, 1+2*fakeCPUs*slots*2/run, 1, run)
 		}
 		for n, at := range gangs {
 			if id := fmt.Sprint("j-9", n); i == at {
 				add(id, records.ShapeGang, slots, fakeCPUs, 10)
-				came[id] = f.now
+				arrived[id] = f.now
 			}
 		}
 		f.step(i)
-		for id, at := range came {
+		for id, at := range arrived {
 			if _, known := began[id]; !known && f.begun[id] {
 				began[id] = f.now.Sub(at)
 			}
@@ -60,8 +62,8 @@
 	t.Cleanup(func() { set(old) })
 }
 
-// The largest begin within the bound that docs/largest.md states, whatever small work comes:
-// three quarters of the bound, and for each gang that is due the longest run of what is there.
+// The largest jobs begin within the bound that docs/largest.md states, whatever small jobs arrive: three
+// quarters of the bound, and for each gang that is due the longest run of what is running.
 func TestLargestJobsBeginWithinBound(t *testing.T) {
 	useFixedSeed(t)
 	setRapidChecks(t, 25)
@@ -70,19 +72,19 @@
 		runs := rapid.SliceOfN(rapid.IntRange(4, 16), 3, 8).Draw(t, "runs")
 		gangs := rapid.SliceOfN(rapid.IntRange(40, 120), 1, 3).Draw(t, "gangs")
 		began := startTimesUnderLoad(t, begin, rapid.IntRange(3, 5).Draw(t, "slots"), gangs, runs)
-		const longest, toHear = 16 * time.Second, 8 * time.Second
-		most := time.Duration(begin*0.75*float64(time.Second)) + time.Duration(len(gangs)+1)*longest + toHear
+		const longestRun, heartbeats = 16 * time.Second, 8 * time.Second
+		most := time.Duration(begin*0.75*float64(time.Second)) + time.Duration(len(gangs)+1)*longestRun + heartbeats
 		for n := range gangs {
 			if wait, ok := began[fmt.Sprint("j-9", n)]; !ok || wait > most {
-				t.Errorf("gang %d of %v began after %v (%v), at most %v", n, gangs, wait, ok, most)
+				t.Errorf("gang %d of %v: began %v, after %v, want at most %v", n, gangs, ok, wait, most)
 			}
 		}
 	})
-	// Without room saved none would: the property shows something.
+	// Without reservations none begins: so the property depends on them.
 	setRapidChecks(t, 1)
 	rapid.Check(t, func(t *rapid.T) {
 		if began := startTimesUnderLoad(t, 0, 4, []int{60}, []int{5, 9, 16}); len(began) > 0 {
-			t.Errorf("the gang begins all the same: %v", began)
+			t.Errorf("without reservations the gang began all the same: %v, want none", began)
 		}
 	})
 }
--- a/internal/scheduler/start_latency_test.go
+++ b/internal/scheduler/start_latency_test.go
@@ -9,8 +9,8 @@
 	"drumpick/internal/config"
 )
 
-// For what each job waited before it began is told once, when all of a gang runs, and
-// counts from the last try: an attempt that came to nothing was time without room.
+// What a job waited for before it began is reported once, when all of a gang runs, and counts from the
+// last try: an attempt that came to nothing was time without room.
 func TestStartLatencyIsReportedOnce(t *testing.T) {
 	var log bytes.Buffer
 	was := slog.Default()
@@ -33,14 +33,15 @@
 at 17 heartbeat m-2 j-1/1:5.1=running`), "\n") {
 		r.event(strings.Fields(line))
 	}
-	var told []string
+	var reported []string
 	for _, line := range strings.Split(log.String(), "\n") {
 		if _, rest, ok := strings.Cut(line, `msg="job started" `); ok {
-			told = append(told, rest)
+			reported = append(reported, rest)
 		}
 	}
-	want := "job=j-1 class=\"\" team=owner tasks=2 entitled=true wait_s=16 longest=fetch heard_s=0 room_s=6 report_s=1.5 fetch_s=8 mates_s=0.5 machine=m-2 type=c4 term=5"
-	if len(told) != 1 || told[0] != want {
-		t.Errorf("told %q\nwant %q", told, want)
+	want := "job=j-1 class=\"\" team=owner tasks=2 entitled=true wait_s=16 longest=fetch heard_s=0 room_s=6 " +
+		"report_s=1.5 fetch_s=8 mates_s=0.5 machine=m-2 type=c4 term=5"
+	if len(reported) != 1 || reported[0] != want {
+		t.Errorf("got %q\nwant %q", reported, want)
 	}
 }
