--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -18,27 +18,27 @@
 
 var benchMachines = flag.Int("machines", 450, "machines of the benchmarks")
 
-// benchFleet is a deployment of full size, for benchmarks: machines that report by turns
-// and run what they are told, jobs that come as others end.
+// benchFleet is a deployment of full size, for benchmarks: machines that send heartbeats by turns and obey,
+// and jobs that arrive as others end.
 type benchFleet struct {
 	scheduler     *Scheduler
 	now           time.Time
 	random        *rand.Rand
 	heartbeats    []*fleet.Heartbeat
-	submitted     int
-	next          int
+	submitted     int  // jobs so far
+	next          int  // the machine whose turn it is
 	teams         int  // that submit by turns
-	externalClock bool // time is passed by whoever plays it
-	dependencies  bool // every job needs the two before it of its kind, as far as they are open
+	externalClock bool // the benchmark passes time; else every heartbeat does
+	dependencies  bool // every job depends on the two before it of its kind, as far as they are open
 }
 
 func newBenchFleet(b *testing.B, machines int, dependencies bool) *benchFleet {
 	return newSharedBenchFleet(b, machines, 1, 5, dependencies)
 }
 
-// newSharedBenchFleet is shared by teams, each with a guarantee and a limit if there are several, as many
-// together as the users plan for. Every machine reports so many times before it is measured.
-func newSharedBenchFleet(b *testing.B, machines, teams, reports int, dependencies bool) *benchFleet {
+// newSharedBenchFleet returns a fleet that is shared by teams, each with a guarantee and a limit if there
+// are several. Every machine sends so many heartbeats before the measurement.
+func newSharedBenchFleet(b *testing.B, machines, teams, heartbeats int, dependencies bool) *benchFleet {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	if teams > 1 {
@@ -58,19 +58,23 @@
 		cfg.Deployment.Teams = append(cfg.Deployment.Teams, team)
 	}
 	f.scheduler = New(SettingsOf(cfg), 5, f.now)
-	f.scheduler.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 1, Zones: []string{"a", "b"}}})
+	f.scheduler.SetTypes([]records.MachineType{{
+		Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 1, Zones: []string{"a", "b"},
+	}})
 	f.scheduler.CheckReconciled(f.now)
 	f.scheduler.autoscaling.listRead = true
 	for range max(100, machines/10) {
 		f.submit()
 	}
 	for i := range machines {
-		h := fmt.Sprintf("m-%06d", i)
-		f.heartbeats = append(f.heartbeats, &fleet.Heartbeat{Machine: h, Addr: h + ":1", Type: "c4", Zone: "a", Spot: true, Incarnation: 1, FencingToken: 5})
+		name := fmt.Sprintf("m-%06d", i)
+		f.heartbeats = append(f.heartbeats, &fleet.Heartbeat{
+			Machine: name, Addr: name + ":1", Type: "c4", Zone: "a", Spot: true, Incarnation: 1, FencingToken: 5,
+		})
 		f.heartbeat()
-		f.scheduler.fleet.Machines[h].Recorded = true
+		f.scheduler.fleet.Machines[name].Recorded = true
 	}
-	for range reports * machines {
+	for range heartbeats * machines {
 		f.heartbeat()
 	}
 	b.ResetTimer()
@@ -82,8 +86,10 @@
 func (f *benchFleet) submit() {
 	f.submitted++
 	j := records.Job{
-		ID: fmt.Sprintf("j-%06d", f.submitted), Team: teamName(f.submitted % f.teams), Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 20 + f.random.IntN(200),
-		CPUs: 1, MemGB: 3.6, Image: fmt.Sprint("img-", f.random.IntN(16)), ImageGB: 1, EstimateS: 18, Spot: true, AcceptedMS: f.now.UnixMilli(),
+		ID: fmt.Sprintf("j-%06d", f.submitted), Team: teamName(f.submitted % f.teams),
+		Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 20 + f.random.IntN(200),
+		CPUs: 1, MemGB: 3.6, Image: fmt.Sprint("img-", f.random.IntN(16)), ImageGB: 1, EstimateS: 18,
+		Spot: true, AcceptedMS: f.now.UnixMilli(),
 	}
 	switch f.submitted % 4 {
 	case 1:
@@ -97,57 +103,67 @@
 				j.Dependencies = append(j.Dependencies, id)
 			}
 		}
-		due := float64(f.random.IntN(600))
-		j.DeadlineS = &due
+		deadline := float64(f.random.IntN(600))
+		j.DeadlineS = &deadline
 	}
 	f.scheduler.AddJob(j, 10, f.now, f.now)
 }
 
-// heartbeat lets the next machine end some of its tasks, report and obey.
+// heartbeat lets the next machine end some of its tasks, send a heartbeat and obey.
 func (f *benchFleet) heartbeat() {
 	f.next = (f.next + 1) % len(f.heartbeats)
 	if !f.externalClock {
 		f.now = f.now.Add(4 * time.Millisecond)
 	}
-	r := f.heartbeats[f.next]
-	r.Sequence++
-	for i := range r.Tasks {
-		if t := &r.Tasks[i]; t.Status != "ended" && f.random.IntN(10) == 0 {
-			t.Status, t.Cause = "ended", fleet.CauseDone
+	h := f.heartbeats[f.next]
+	h.Sequence++
+	for i := range h.Tasks {
+		if task := &h.Tasks[i]; task.Status != "ended" && f.random.IntN(10) == 0 {
+			task.Status, task.Cause = "ended", fleet.CauseDone
 		}
 	}
-	m, stale := f.scheduler.Reconcile(r, true, f.now)
+	machine, stale := f.scheduler.Reconcile(h, true, f.now)
 	if stale {
-		panic("a report is taken for stale")
+		panic("a heartbeat in order counts as stale")
 	}
-	f.scheduler.ObserveUse(m)
-	f.scheduler.PlanMachine(m, f.now)
-	resp := f.scheduler.Respond(m, true, f.now)
-	f.scheduler.NoteAnswered(m, "", f.now)
-	for _, o := range resp.Commands {
-		switch o.Verb {
+	f.scheduler.ObserveUse(machine)
+	f.scheduler.PlanMachine(machine, f.now)
+	response := f.scheduler.Respond(machine, true, f.now)
+	f.scheduler.NoteAnswered(machine, "", f.now)
+	obey(h, response.Commands)
+	f.closeCompleteJob()
+}
+
+// obey applies commands to the tasks that a machine will show in its next heartbeat.
+func obey(h *fleet.Heartbeat, commands []fleet.Command) {
+	for _, command := range commands {
+		switch command.Verb {
 		case fleet.VerbRun:
-			r.Tasks = append(r.Tasks, fleet.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: "running"})
+			h.Tasks = append(h.Tasks, fleet.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: "running"})
 		case fleet.VerbReap:
-			for i := range r.Tasks {
-				if r.Tasks[i].Task == o.Task {
-					r.Tasks = append(r.Tasks[:i], r.Tasks[i+1:]...)
+			for i := range h.Tasks {
+				if h.Tasks[i].Task == command.Task {
+					h.Tasks = append(h.Tasks[:i], h.Tasks[i+1:]...)
 					break
 				}
 			}
 		}
 	}
-	for id, j := range f.scheduler.jobs {
-		copy(j.stored, j.done)
-		if j.doneCount == j.Tasks && !j.closing {
+}
+
+// closeCompleteJob closes one job, another one each time, if it is complete, and submits the next.
+func (f *benchFleet) closeCompleteJob() {
+	for id, job := range f.scheduler.jobs {
+		copy(job.stored, job.done)
+		if job.doneCount == job.Tasks && !job.closing {
 			f.scheduler.NoteClosed(id, records.ClosedJob{Status: records.StatusDone, AtMS: f.now.UnixMilli()}, 20)
 			f.submit()
 		}
-		break // another one each time
+		return
 	}
 }
 
-// tick lets time pass for machines that all report.
+// tick lets time pass for machines that all send heartbeats.
 func (f *benchFleet) tick() {
 	f.now = f.now.Add(250 * time.Millisecond)
 	for _, m := range f.scheduler.fleet.Machines {
@@ -164,7 +180,7 @@
 	}
 }
 
-// BenchmarkPlanning is a planning by size: a report, the placing that follows where it changed
+// BenchmarkPlanning measures, by size, a heartbeat, the placement pass that follows where it changed
 // something, and the answer.
 func BenchmarkPlanning(b *testing.B) {
 	for _, machines := range []int{1000, 4000, 8000} {
@@ -179,7 +195,7 @@
 	}
 }
 
-// BenchmarkTickShared is a tick by size.
+// BenchmarkTickShared measures a tick by size.
 func BenchmarkTickShared(b *testing.B) {
 	for _, machines := range []int{1000, 4000, 8000} {
 		for _, teams := range []int{1, 48} {
@@ -193,8 +209,8 @@
 	}
 }
 
-// interval plays one report interval: every machine reports once, ticks come in between, and once a
-// second it is decided what to rent and to give back. It returns how many tasks started.
+// interval plays one heartbeat interval: every machine sends one heartbeat, with ticks in between, and once a
+// second it is decided what to scale out and in. It returns how many tasks started.
 func (f *benchFleet) interval() (starts int) {
 	const step = 5 * time.Second
 	before := runsTotal.Get()
@@ -216,8 +232,8 @@
 	return int(runsTotal.Get() - before)
 }
 
-// BenchmarkInterval is what a report interval costs a leader, and what that is for a start, at one, three
-// and six times the size of a large deployment.
+// BenchmarkInterval measures what a heartbeat interval costs a leader, in total and for each start, at one,
+// three and six times the size of a large deployment.
 func BenchmarkInterval(b *testing.B) {
 	for _, machines := range []int{1264, 3792, 7584} {
 		for _, teams := range []int{1, 48} {
@@ -264,20 +280,22 @@
 	}
 }
 
-// BenchmarkWire is what a report costs beside its decisions: its body read, its answer
-// written.
+// BenchmarkWire measures what a heartbeat costs beside its decisions: decoding it, encoding its answer.
 func BenchmarkWire(b *testing.B) {
 	f := newBenchFleet(b, *benchMachines, false)
 	bodies := make([][]byte, len(f.heartbeats))
 	for i, h := range f.heartbeats {
 		bodies[i], _ = json.Marshal(h)
 	}
-	answer := fleet.HeartbeatResponse{FencingToken: 5, Commands: []fleet.Command{{Verb: fleet.VerbRun, Task: "j-000412/4", Attempt: 5<<24 + 77}, {Verb: fleet.VerbReap, Task: "j-000398/0", Attempt: 5 << 24}}}
+	answer := fleet.HeartbeatResponse{FencingToken: 5, Commands: []fleet.Command{
+		{Verb: fleet.VerbRun, Task: "j-000412/4", Attempt: 5<<24 + 77},
+		{Verb: fleet.VerbReap, Task: "j-000398/0", Attempt: 5 << 24},
+	}}
 	i := 0
 	for b.Loop() {
 		var r fleet.Heartbeat
 		if easyjson.Unmarshal(bodies[i%len(bodies)], &r) != nil {
-			b.Fatal("unreadable")
+			b.Fatal("the heartbeat cannot be decoded")
 		}
 		if _, err := easyjson.Marshal(answer); err != nil {
 			b.Fatal(err)
