--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -23,10 +23,13 @@
 	return (j.uncertain == nil || j.Shape != records.ShapeGang) && !j.limited && !j.OneZone && !j.SpreadZones
 }
 
+// silentIntervals is after how many heartbeat intervals without a status a machine counts as silent.
+const silentIntervals = 3
+
 // acceptsTasks reports whether a machine may be given new tasks.
 func (s *Scheduler) acceptsTasks(m *fleet.Machine, now time.Time) bool {
 	return m.Up && m.Reconciled && inService(m) && m.PreemptionAt.IsZero() &&
-		now.Sub(m.LastStatus) < 3*s.settings.HeartbeatInterval && !now.Before(m.FullUntil)
+		now.Sub(m.LastStatus) < silentIntervals*s.settings.HeartbeatInterval && !now.Before(m.FullUntil)
 }
 
 // inService reports whether a machine takes new tasks, or will when it is up.
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -22,14 +22,18 @@
 // lease is renewed, and the commands that are harmless when late are repeated. It returns false where
 // the heartbeat is late, or its machine is not recorded, so that the next leader would not know what
 // it may hold.
-func (s *Scheduler) RenewOvertaken(m *fleet.Machine, heartbeat *fleet.Heartbeat, now time.Time) (response fleet.HeartbeatResponse, ok bool) {
-	if m == nil || !m.Recorded || !m.Overtaken(heartbeat, now) {
-		return response, false
+func (s *Scheduler) RenewOvertaken(machine *fleet.Machine, heartbeat *fleet.Heartbeat, now time.Time) (fleet.HeartbeatResponse, bool) {
+	if machine == nil || !machine.Recorded || !machine.Overtaken(heartbeat, now) {
+		return fleet.HeartbeatResponse{}, false
 	}
-	m.Renewed(now)
-	return fleet.HeartbeatResponse{FencingToken: s.term, Commands: m.PendingCommands()}, true
+	machine.Renewed(now)
+	return fleet.HeartbeatResponse{FencingToken: s.term, Commands: machine.PendingCommands()}, true
 }
 
+// relayLeases is for how many leases a worker is answered through another controller before it is
+// redirected here again.
+const relayLeases = 4
+
 // NeedsRelay reports whether a worker whose heartbeat came to another controller cannot reach this
 // one, and is to be answered through that controller. A worker that is new to us, or was heard just
 // now, is redirected here first; one that comes to the other controller again, or was heard here and
@@ -42,7 +46,7 @@
 		return false
 	}
 	if !machine.RelayedAt.IsZero() && now.Sub(machine.RelayedAt) < s.settings.Lease {
-		if !machine.RelayedSince.IsZero() && now.Sub(machine.RelayedSince) > 4*s.settings.Lease {
+		if !machine.RelayedSince.IsZero() && now.Sub(machine.RelayedSince) > relayLeases*s.settings.Lease {
 			machine.RelayedSince = time.Time{}
 			return false
 		}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -81,36 +81,6 @@
 	return len(j.Types) == 0 && !j.OneZone && !j.SpreadZones && j.Shape != records.ShapeGang
 }
 
-// placementKey is all that decides whether an unconstrained job's task has room.
-type placementKey struct {
-	request packing.Resources
-	zone    string
-	spot    bool
-	image   string // of jobs that are to start where it is; otherwise ""
-}
-
-// classNumber returns the number of a placement key, from 1.
-func (s *Scheduler) classNumber(f placementKey) int {
-	if s.placementClasses[f] == 0 {
-		s.placementClasses[f] = len(s.placementClasses) + 1
-	}
-	return s.placementClasses[f]
-}
-
-// assignPlacementClass gives a job the class numbers that it shares with equal jobs.
-func (s *Scheduler) assignPlacementClass(job *Job) {
-	if !job.unconstrained() {
-		return
-	}
-	f := placementKey{request: job.request, spot: job.Spot}
-	if job.Job.Zone != nil {
-		f.zone = *job.Job.Zone
-	}
-	job.placementClass = s.classNumber(f)
-	f.image = job.Image
-	job.imageClass = s.classNumber(f)
-}
-
 // jobOf returns the open job of an attempt, nil if there is none.
 func (s *Scheduler) jobOf(attempt *fleet.Attempt) *Job {
 	job, ok := attempt.Job.(*Job)
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -15,8 +15,8 @@
 		s.types[t.Name] = t
 	}
 	s.typeNames = s.typeNames[:0]
-	for n := range s.types {
-		s.typeNames = append(s.typeNames, n)
+	for name := range s.types {
+		s.typeNames = append(s.typeNames, name)
 	}
 	sort.Slice(s.typeNames, func(i, j int) bool {
 		a, b := s.types[s.typeNames[i]], s.types[s.typeNames[j]]
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -200,7 +200,8 @@
 }
 
 // planAttempt notes a task as planned for a machine, whose bin has its item already.
-func (s *Scheduler) planAttempt(job *Job, task int, number uint64, machine *fleet.Machine, item *packing.Item, now time.Time) *fleet.Attempt {
+func (s *Scheduler) planAttempt(job *Job, task int, number uint64, machine *fleet.Machine, item *packing.Item,
+	now time.Time) *fleet.Attempt {
 	attempt := s.fleet.Plan(machine, fleet.TaskID{Job: job.ID, N: task}, number, item, now)
 	attempt.Job, job.attempts[task] = job, attempt
 	job.start.placedAt = now
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -160,7 +160,7 @@
 	// was never recorded as it should have been: its tasks count, and are stopped.
 	becomesHeld := !machine.Unverified && job.attempts[task] == nil && !has(job.done, task) &&
 		(job.Shape != records.ShapeGang || job.gangAttempt == 0 || job.gangAttempt == attempt.Number)
-	if becomesHeld && attempt.Number>>24 != s.term {
+	if becomesHeld && !s.startedThisTerm(attempt) {
 		attempt.Duplicate = false
 		job.attempts[task], job.adoptedUntried = attempt, true
 		if job.Shape == records.ShapeGang {
--- a/internal/scheduler/replicas.go
+++ b/internal/scheduler/replicas.go
@@ -15,22 +15,8 @@
 			continue
 		}
 		job.relocating = 0
-		running := 0
-		var leaving *fleet.Attempt
-		for _, attempt := range job.attempts {
-			if attempt.Stopping() {
-				leaving = nil
-				running = 0
-				break
-			}
-			if attempt.State() == fleet.Running {
-				running++
-				if (attempt.Machine.Draining || s.isEmptying(attempt.Machine)) && (leaving == nil || attempt.Task.N < leaving.Task.N) {
-					leaving = attempt
-				}
-			}
-		}
-		if leaving == nil || running < 2 {
+		leaving := s.replicaToMove(job)
+		if leaving == nil {
 			continue
 		}
 		// Without this, a replica would be stopped for a machine's sake and then wait for room while its
@@ -44,6 +30,30 @@
 	}
 }
 
+// replicaToMove returns the first replica that is to leave its machine while another one runs, nil if there
+// is none or one is moving already.
+func (s *Scheduler) replicaToMove(job *Job) *fleet.Attempt {
+	running := 0
+	var leaving *fleet.Attempt
+	for _, attempt := range job.attempts {
+		if attempt.Stopping() {
+			return nil
+		}
+		if attempt.State() != fleet.Running {
+			continue
+		}
+		running++
+		mustLeave := attempt.Machine.Draining || s.isEmptying(attempt.Machine)
+		if mustLeave && (leaving == nil || attempt.Task.N < leaving.Task.N) {
+			leaving = attempt
+		}
+	}
+	if running < 2 {
+		return nil
+	}
+	return leaving
+}
+
 // roomForReplica finds a machine with room for a replica that leaves another machine, in the zone with
 // the fewest replicas of its job.
 func (s *Scheduler) roomForReplica(job *Job, leaving *fleet.Attempt, now time.Time) *fleet.Machine {
@@ -53,8 +63,9 @@
 	}
 	var best *fleet.Machine
 	for _, machine := range s.fleet.Sorted() {
-		if s.acceptsTasks(machine, now) && job.permits(machine.Type, machine.Zone, machine.Spot) && machine.Bin.Fits(job.request) && job.zoneAllowed(machine.Zone, zones) &&
-			!isHeldForEarlier(machine, job) && (best == nil || zones[machine.Zone] < zones[best.Zone]) {
+		suits := s.acceptsTasks(machine, now) && job.permits(machine.Type, machine.Zone, machine.Spot) &&
+			machine.Bin.Fits(job.request) && job.zoneAllowed(machine.Zone, zones) && !isHeldForEarlier(machine, job)
+		if suits && (best == nil || zones[machine.Zone] < zones[best.Zone]) {
 			best = machine
 		}
 	}
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -70,7 +70,8 @@
 		return false
 	}
 	job.reservedZone = zone
-	slog.Debug("room reserved", "job", job.ID, "tasks", job.Tasks, "zone", zone, "waited_s", waited.Seconds(), "in_s", seconds, "term", s.term)
+	slog.Debug("room reserved", "job", job.ID, "tasks", job.Tasks, "zone", zone,
+		"waited_s", waited.Seconds(), "in_s", seconds, "term", s.term)
 	return true
 }
 
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -27,7 +27,7 @@
 	jobs             map[string]*Job   // open jobs by id
 	complete         map[*Job]struct{} // of these, those of which every task is done
 	dependencies     *dependency.Graph // of the same jobs and those that they name
-	placementClasses map[placementKey]int
+	placementClasses placementClasses
 	sortedJobs       []*Job        // jobs that are not blocked, in the order in which they are served
 	order            *placingOrder // of the same jobs
 	queueStale       bool          // the order has to be worked out again
@@ -90,7 +90,7 @@
 		jobs:             map[string]*Job{},
 		complete:         map[*Job]struct{}{},
 		dependencies:     dependency.New(),
-		placementClasses: map[placementKey]int{},
+		placementClasses: placementClasses{},
 		order:            newPlacingOrder(nil, nil),
 		fleet:            fleet.NewTable(term, settings.Lease, settings.Forecast),
 		types:            map[string]records.MachineType{},
@@ -132,8 +132,8 @@
 	job.Accepted = now.Add(-age)
 	job.releasedAt, job.notStartedBefore = job.Accepted, revision
 	job.start.learnedAt = now
-	s.prunePlacementClasses()
-	s.assignPlacementClass(job)
+	s.placementClasses.prune(s.jobs)
+	s.placementClasses.assign(job)
 	job.setTeam(s.settings.Teams[job.Team])
 	s.jobs[record.ID] = job
 	s.queueStale, s.placementStale = true, true
@@ -148,17 +148,6 @@
 	return job
 }
 
-// prunePlacementClasses drops the class numbers once most of them belong to closed jobs.
-func (s *Scheduler) prunePlacementClasses() {
-	if len(s.placementClasses) <= 4*len(s.jobs)+64 {
-		return
-	}
-	clear(s.placementClasses)
-	for _, job := range s.jobs {
-		s.assignPlacementClass(job)
-	}
-}
-
 // LoadDone adds stored ranges of finished tasks of a chunk.
 func (s *Scheduler) LoadDone(id string, chunk int, ranges string) error {
 	job := s.jobs[id]
@@ -250,10 +239,19 @@
 	return last
 }
 
-// newAttemptNumber returns a number that no other attempt has: the term in the high bits.
+// attemptSequenceBits is how many low bits of an attempt number count within a term. The term is in the
+// bits above, so that no other term uses the number.
+const attemptSequenceBits = 24
+
+// newAttemptNumber returns a number that no other attempt has.
 func (s *Scheduler) newAttemptNumber() uint64 {
 	s.sequence++
-	return s.term<<24 | s.sequence
+	return s.term<<attemptSequenceBits | s.sequence
+}
+
+// startedThisTerm reports whether this term started an attempt.
+func (s *Scheduler) startedThisTerm(attempt *fleet.Attempt) bool {
+	return attempt.Number>>attemptSequenceBits == s.term
 }
 
 // NextRequestName returns the numbers that name a scale-out request, unlike those of any other
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -85,7 +85,7 @@
 		return
 	}
 	s.slo.JobStarted(job.ID, now)
-	if job.start.reported || job.attempts[attempt.Task.N] != attempt || attempt.Number>>24 != s.term {
+	if job.start.reported || job.attempts[attempt.Task.N] != attempt || !s.startedThisTerm(attempt) {
 		return
 	}
 	job.start.reported = true
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -38,7 +38,7 @@
 // silent keeps what it runs, but nothing stays planned for it.
 func (s *Scheduler) cancelStalePlans(now time.Time) {
 	for _, machine := range s.fleet.Sorted() {
-		silent := now.Sub(machine.LastStatus) > 3*s.settings.HeartbeatInterval
+		silent := now.Sub(machine.LastStatus) > silentIntervals*s.settings.HeartbeatInterval
 		if machine.Draining || machine.Returning || machine.LeaseExpired || machine.Unreachable() || silent {
 			s.cancelPlanned(machine)
 		}
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -54,7 +54,7 @@
 		return MachineUnreconciled
 	case !machine.Up && !machine.EarlierLeasesExpired:
 		return MachineBooting
-	case machine.LeaseExpired || now.Sub(machine.LastStatus) > 3*s.settings.HeartbeatInterval:
+	case machine.LeaseExpired || now.Sub(machine.LastStatus) > silentIntervals*s.settings.HeartbeatInterval:
 		return MachineSilent
 	case machine.Unreachable():
 		return MachineUnreachable
