--- a/internal/packing/space.go
+++ b/internal/packing/space.go
@@ -94,12 +94,12 @@
 	// the first one is taken.
 	Ranked bool
 	// OnlyPaper leaves first fit out, for virtual bins in rental.
-	OnlyPaper bool
+	NoFirstFit bool
 	// Movable says whether an item may be moved merely to fill or empty a bin;
 	// nil: as the item says.
 	Movable func(*Item) bool
 	// Suits says whether a move of an item into a bin is worth what it costs; nil: yes.
-	Suits func(it *Item, to *Bin) bool
+	Worthwhile func(it *Item, to *Bin) bool
 
 	sets   [lastKind][steps + 1]*sparse
 	counts [lastKind][steps + 1]int
@@ -133,8 +133,8 @@
 	s.enter(b, i)
 }
 
-// Drop takes a bin out.
-func (s *Space) Drop(b *Bin) {
+// Remove takes a bin out.
+func (s *Space) Remove(b *Bin) {
 	if b.space != s {
 		return
 	}
--- a/internal/packing/visbp.go
+++ b/internal/packing/visbp.go
@@ -280,10 +280,10 @@
 
 // Rules, from the paper's own to the exceptions.
 const (
-	NoBin    Rule = iota // nothing has room
-	Paper                // one of the paper's combinations
-	TopUp                // a tiny item into a filled T-bin with room to spare
-	FirstFit             // no allowed bin: anywhere with room
+	NoBin     Rule = iota // nothing has room
+	PaperRule             // one of the paper's combinations
+	TopUp                 // a tiny item into a filled T-bin with room to spare
+	FirstFit              // no allowed bin: anywhere with room
 )
 
 // op is one insert or change, with the moves it has listed.
@@ -306,7 +306,7 @@
 		return nil, nil, NoBin
 	}
 	b.Add(it)
-	if it.kind == Large && rule == Paper {
+	if it.kind == Large && rule == PaperRule {
 		o.fill(b)
 	}
 	return b, o.moves, rule
@@ -322,7 +322,7 @@
 	rules := [][]kinds{Tiny: {isULLT, isUT}, Small: {isS}, Large: nil, Big: nil}[kind]
 	for _, r := range rules {
 		if b := o.best(it, r); b != nil {
-			return b, Paper
+			return b, PaperRule
 		}
 	}
 	if kind == Tiny {
@@ -333,9 +333,9 @@
 		}
 	}
 	if b := o.best(it, isEmpty); b != nil {
-		return b, Paper
+		return b, PaperRule
 	}
-	if !o.s.OnlyPaper && it.RequireLabel == "" {
+	if !o.s.NoFirstFit && it.RequireLabel == "" {
 		if b := o.best(it, isAny); b != nil {
 			return b, FirstFit
 		}
@@ -349,7 +349,7 @@
 func (o *op) shift(g []*Item, from, to *Bin) bool {
 	var sum Resources
 	for _, it := range g {
-		if !o.s.movable(it) || to != nil && o.s.Suits != nil && !o.s.Suits(it, to) {
+		if !o.s.movable(it) || to != nil && o.s.Worthwhile != nil && !o.s.Worthwhile(it, to) {
 			return false
 		}
 		sum = sum.Add(it.Request)
--- a/internal/packing/visbp_test.go
+++ b/internal/packing/visbp_test.go
@@ -163,7 +163,7 @@
 				b.SetLabel("spot", r.IntN(2) == 0)
 				s.Add(b)
 			case k == 1 && r.IntN(3) == 0:
-				s.Drop(s.Bins[r.IntN(len(s.Bins))])
+				s.Remove(s.Bins[r.IntN(len(s.Bins))])
 			case k == 2:
 				s.Bins[r.IntN(len(s.Bins))].SetOpen(r.IntN(3) > 0)
 			case k == 3:
@@ -235,7 +235,7 @@
 		if got := b.CanJoin(item(x.add).Request); got != x.want {
 			t.Errorf("%v joins %v: %v", x.add, x.in, got)
 		}
-		s := &Space{OnlyPaper: true}
+		s := &Space{NoFirstFit: true}
 		s.Add(b)
 		if in, _, _ := s.Insert(item(x.add), nil); (in != nil) != x.want {
 			t.Errorf("%v is put to %v: %v", x.add, x.in, in != nil)
--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -79,7 +79,7 @@
 		urgentMachines: map[machineOffer]int{}, machineSeconds: map[string]float64{},
 	}
 	for _, n := range s.typeNames {
-		p.spaces[n] = &packing.Space{OnlyPaper: true}
+		p.spaces[n] = &packing.Space{NoFirstFit: true}
 	}
 	have := map[string]int{} // machines by type that take work now or soon
 	for _, m := range s.fleet.Sorted() {
@@ -258,7 +258,7 @@
 // and whether others may join them.
 func itemsPerEmptyBin(capacity, req packing.Resources) (n int, takes bool) {
 	b := packing.NewBin("", capacity)
-	s := &packing.Space{OnlyPaper: true}
+	s := &packing.Space{NoFirstFit: true}
 	s.Add(b)
 	// What takes next to nothing never fills a machine: mostAlone will do.
 	for n < maxItemsPerEmptyBin {
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -43,7 +43,7 @@
 	machine.Bin.SetCap(packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB})
 	space := s.spaces[machine.Type]
 	if space == nil {
-		space = &packing.Space{Ranked: true, Movable: s.itemMovable, Suits: s.moveSuits}
+		space = &packing.Space{Ranked: true, Movable: s.itemMovable, Worthwhile: s.moveSuits}
 		s.spaces[machine.Type] = space
 	}
 	if !space.Has(machine.Bin) {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -226,7 +226,7 @@
 // RemoveMachine forgets a machine that is certainly gone.
 func (s *Scheduler) RemoveMachine(host string, now time.Time) {
 	if machine := s.fleet.Machines[host]; machine != nil && s.spaces[machine.Type] != nil {
-		s.spaces[machine.Type].Drop(machine.Bin)
+		s.spaces[machine.Type].Remove(machine.Bin)
 	}
 	for _, attempt := range s.fleet.Remove(host) {
 		s.attemptLost(attempt, now)
