--- /dev/null
+++ b/internal/packing/index.go
@@ -0,0 +1,135 @@
+package packing
+
+import (
+	"math"
+	"math/bits"
+	"slices"
+)
+
+// binKinds is a set of the kinds of bins that the rules distinguish.
+type binKinds uint8
+
+// Every bin is of just one of these kinds; the paper's kinds are unions of them.
+const (
+	isEmpty      binKinds = 1 << iota
+	isUT                  // T-bin with a gap of at least a third
+	isFullT               // T-bin with less
+	isULLT                // L- or LT-bin with a gap of at least a third
+	isFullLT              // L- or LT-bin with less
+	isS                   // one small item
+	isOther               // any other combination
+	binKindCount = iota
+	isT          = isUT | isFullT
+	isLT         = isULLT | isFullLT
+	isAny        = isEmpty | isT | isLT | isS | isOther
+)
+
+// binKind returns the place of the bin's kind among the kinds.
+func (b *Bin) binKind() int {
+	var kind binKinds
+	switch {
+	case b.empty():
+		kind = isEmpty
+	case b.utBin():
+		kind = isUT
+	case b.tBin():
+		kind = isFullT
+	case b.ulltBin():
+		kind = isULLT
+	case b.lOrLTBin():
+		kind = isFullLT
+	case b.sBin():
+		kind = isS
+	default:
+		kind = isOther
+	}
+	return bits.TrailingZeros8(uint8(kind))
+}
+
+// gapSteps is how finely the index sorts bins by their gap.
+const gapSteps = 16
+
+// gapStep returns the step of the index for a gap.
+func gapStep(gap float64) int { return min(max(int(math.Floor(gap*gapSteps)), 0), gapSteps) }
+
+// slot names a set of the index: bins of one kind whose gaps lie in one step.
+type slot struct{ kind, gapStep int }
+
+// newSlot returns the slot that the bin belongs to by its present content.
+func (b *Bin) newSlot() slot { return slot{b.binKind(), gapStep(b.Gap())} }
+
+// wordBits is how many bins a word of a set holds.
+const wordBits = 64
+
+// set is a bit set of places of bins in a space.
+type set []uint64
+
+func (s set) assign(i int, on bool) {
+	if on {
+		s[i/wordBits] |= 1 << (i % wordBits)
+	} else {
+		s[i/wordBits] &^= 1 << (i % wordBits)
+	}
+}
+
+func (s set) empty() bool {
+	return !slices.ContainsFunc(s, func(word uint64) bool { return word != 0 })
+}
+
+// sparseSet is a set that is mostly empty: its summary tells which words are not.
+type sparseSet struct {
+	words   set
+	summary set
+}
+
+func newSparseSet(words int) *sparseSet {
+	return &sparseSet{words: make(set, words), summary: make(set, words/wordBits+1)}
+}
+
+func (s *sparseSet) assign(i int, on bool) {
+	s.words.assign(i, on)
+	s.summary.assign(i/wordBits, s.words[i/wordBits] != 0)
+}
+
+// unionWord returns a word of the union of the sets of some kinds at a step.
+func (s *Space) unionWord(kinds binKinds, step, word int) uint64 {
+	var union uint64
+	for ; kinds != 0; kinds &= kinds - 1 {
+		union |= s.sets[bits.TrailingZeros8(uint8(kinds))][step].words[word]
+	}
+	return union
+}
+
+// unionSummary returns a word of the union of the summaries of some kinds at a step: which words of
+// the union of their sets are not empty.
+func (s *Space) unionSummary(kinds binKinds, step, word int) uint64 {
+	var union uint64
+	for ; kinds != 0; kinds &= kinds - 1 {
+		union |= s.sets[bits.TrailingZeros8(uint8(kinds))][step].summary[word]
+	}
+	return union
+}
+
+// anyBin calls f for the bins of the given kinds, open or not, in their order until it returns true, and
+// reports whether it did.
+func (s *Space) anyBin(among binKinds, f func(*Bin) bool) bool {
+	for word := range s.open {
+		var union uint64
+		for kind := range binKindCount {
+			if among>>kind&1 == 0 {
+				continue
+			}
+			for step := range s.sets[kind] {
+				if s.counts[kind][step] > 0 {
+					union |= s.sets[kind][step].words[word]
+				}
+			}
+		}
+		for ; union != 0; union &= union - 1 {
+			if f(s.Bins[word*wordBits+bits.TrailingZeros64(union)]) {
+				return true
+			}
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/packing/resources.go
@@ -0,0 +1,58 @@
+package packing
+
+// Resources is an amount of each resource: CPUs, GPUs and gigabytes of memory.
+type Resources struct {
+	CPU float64
+	GPU float64
+	Mem float64
+}
+
+// eps absorbs the rounding of decimal amounts that were added and subtracted.
+const eps = 1e-9
+
+// Add returns r + other.
+func (r Resources) Add(other Resources) Resources {
+	return Resources{r.CPU + other.CPU, r.GPU + other.GPU, r.Mem + other.Mem}
+}
+
+// Sub returns r - other.
+func (r Resources) Sub(other Resources) Resources {
+	return Resources{r.CPU - other.CPU, r.GPU - other.GPU, r.Mem - other.Mem}
+}
+
+// Fits reports whether a request fits into the free resources r.
+func (r Resources) Fits(request Resources) bool {
+	return request.CPU <= r.CPU+eps && request.GPU <= r.GPU+eps && request.Mem <= r.Mem+eps
+}
+
+// Share returns the largest share that a request takes of any resource of the capacity r (section 3.8).
+func (r Resources) Share(request Resources) float64 {
+	return max(ratio(request.CPU, r.CPU), ratio(request.GPU, r.GPU), ratio(request.Mem, r.Mem))
+}
+
+// cannotFit is a share that is larger than any bin.
+const cannotFit = 2
+
+func ratio(request, capacity float64) float64 {
+	switch {
+	case request <= 0:
+		return 0
+	case capacity <= 0:
+		return cannotFit
+	}
+	return request / capacity
+}
+
+// smallestShare returns the smallest share that a request takes of any resource of a capacity:
+// a bin with a smaller gap cannot take it.
+func smallestShare(capacity, request Resources) float64 {
+	smallest := 1.0
+	for _, r := range [...]struct{ capacity, request float64 }{
+		{capacity.CPU, request.CPU}, {capacity.GPU, request.GPU}, {capacity.Mem, request.Mem},
+	} {
+		if r.capacity > 0 {
+			smallest = min(smallest, r.request/r.capacity)
+		}
+	}
+	return smallest
+}
--- a/internal/packing/visbp_test.go
+++ b/internal/packing/visbp_test.go
@@ -11,217 +11,249 @@
 	"drumpick/internal/scenario"
 )
 
-// A story packs items into bins of capacity 12 (so that a third is 4):
+// A scenario packs items into bins of capacity 12 (so that a third is 4):
 // "insert NAME SIZE", "finish NAME", "hot BIN LOAD".
-func TestTraces(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
-		s := &Space{}
-		where := map[string]*Bin{}
-		items := map[string]*Item{}
-		show := func(moves []Move) []string {
-			var out []string
-			for _, m := range moves {
-				var names []string
-				for _, it := range m.Items {
-					names = append(names, it.ID)
-					where[it.ID] = m.To
-				}
-				out = append(out, fmt.Sprintf("move %s from %s to %s", strings.Join(names, "+"), m.From.ID, m.To.ID))
-			}
-			var bins []string
-			for _, b := range s.Bins {
-				var names []string
-				for _, it := range b.Items() {
-					names = append(names, it.ID)
-				}
-				mark := ""
-				if !b.Lawful() {
-					mark = "!"
-				}
-				bins = append(bins, b.ID+mark+"["+strings.Join(names, " ")+"]")
-			}
-			return append(out, strings.Join(bins, " "))
+		p := &scenarioPacking{space: &Space{}, bins: map[string]*Bin{}, items: map[string]*Item{}}
+		return func(words []string) []string { return p.apply(t, words) }
+	})
+}
+
+// scenarioPacking is a space with the items that a scenario has put there.
+type scenarioPacking struct {
+	space *Space
+	bins  map[string]*Bin // by item
+	items map[string]*Item
+}
+
+func (p *scenarioPacking) apply(t *testing.T, words []string) []string {
+	t.Helper()
+	switch event, names := words[0], words[1:]; event {
+	case "bins":
+		for _, name := range names {
+			p.space.Add(NewBin(name, Resources{CPU: 12, Mem: 12}))
 		}
-		return func(w []string) []string {
-			switch w[0] {
-			case "bins":
-				for _, n := range w[1:] {
-					s.Add(NewBin(n, Resources{CPU: 12, Mem: 12}))
-				}
-				return nil
-			case "insert":
-				size, err := strconv.ParseFloat(w[2], 64)
-				if err != nil {
-					t.Fatal(err)
-				}
-				it := &Item{ID: w[1], Request: Resources{CPU: size}, Movable: len(w) < 4}
-				b, moves, rule := s.Insert(it, nil)
-				if b == nil {
-					return []string{"no bin"}
-				}
-				items[w[1]], where[w[1]] = it, b
-				names := []string{"", "", " (topping up)", " (first fit)"}
-				return append([]string{"into " + b.ID + names[rule]}, show(moves)...)
-			case "finish":
-				it, b := items[w[1]], where[w[1]]
-				old := it.kind
-				b.Remove(it)
-				return show(s.Change(b, old, Tiny, nil))
-			case "hot":
-				for _, b := range s.Bins {
-					if b.ID == w[1] {
-						b.Load, _ = strconv.ParseFloat(w[2], 64)
-						return show(s.Change(b, Tiny, Tiny, nil))
-					}
-				}
+		return nil
+	case "insert":
+		size, err := strconv.ParseFloat(names[1], 64)
+		if err != nil {
+			t.Fatal(err)
+		}
+		item := &Item{ID: names[0], Request: Resources{CPU: size}, Movable: len(names) < 3}
+		b, moves, rule := p.space.Insert(item, nil)
+		if b == nil {
+			return []string{"no bin"}
+		}
+		p.items[item.ID], p.bins[item.ID] = item, b
+		rules := [...]string{PaperRule: "", TopUp: " (topping up)", FirstFit: " (first fit)"}
+		return append([]string{"into " + b.ID + rules[rule]}, p.describe(moves)...)
+	case "finish":
+		item, b := p.items[names[0]], p.bins[names[0]]
+		old := item.kind
+		b.Remove(item)
+		return p.describe(p.space.Change(b, old, Tiny, nil))
+	case "hot":
+		for _, b := range p.space.Bins {
+			if b.ID == names[0] {
+				b.Load, _ = strconv.ParseFloat(names[1], 64)
+				return p.describe(p.space.Change(b, Tiny, Tiny, nil))
 			}
-			t.Fatalf("unknown event %v", w)
-			return nil
 		}
-	})
+	}
+	t.Fatalf("unknown event %v", words)
+	return nil
 }
 
-// Theorems 2 and 3 bound the moves; nothing is lost and nothing overfilled,
-// whatever comes and goes.
-func TestBounds(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
+// describe returns a line for each move, and one with the content of all bins.
+func (p *scenarioPacking) describe(moves []Move) []string {
+	var lines []string
+	for _, move := range moves {
+		for _, item := range move.Items {
+			p.bins[item.ID] = move.To
+		}
+		lines = append(lines, fmt.Sprintf("move %s from %s to %s", itemIDs(move.Items, "+"), move.From.ID, move.To.ID))
+	}
+	var bins []string
+	for _, b := range p.space.Bins {
+		mark := ""
+		if !b.isCombination() {
+			mark = "!"
+		}
+		bins = append(bins, b.ID+mark+"["+itemIDs(b.Items(), " ")+"]")
+	}
+	return append(lines, strings.Join(bins, " "))
+}
+
+func itemIDs(items []*Item, separator string) string {
+	var ids []string
+	for _, item := range items {
+		ids = append(ids, item.ID)
+	}
+	return strings.Join(ids, separator)
+}
+
+// Theorems 2 and 3 bound the moves; no item is lost and no bin is overfilled,
+// whatever is inserted and removed.
+func TestMovesAreBounded(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
 	s := &Space{}
 	for i := range 40 {
 		s.Add(NewBin(fmt.Sprintf("%02d", i), Resources{CPU: 4, Mem: 16}))
 	}
-	total := 0
+	want := 0 // items
 	for range 4000 {
-		if r.IntN(2) == 0 {
-			req := Resources{CPU: float64(1+r.IntN(16)) / 4, Mem: float64(r.IntN(16))}
-			b, moves, _ := s.Insert(&Item{Request: req, Movable: r.IntN(2) == 0}, nil)
+		if random.IntN(2) == 0 {
+			request := Resources{CPU: float64(1+random.IntN(16)) / 4, Mem: float64(random.IntN(16))}
+			b, moves, _ := s.Insert(&Item{Request: request, Movable: random.IntN(2) == 0}, nil)
 			if len(moves) > MaxInsertMoves {
-				t.Fatalf("insert lists %d moves", len(moves))
+				t.Fatalf("insert lists %d moves, want at most %d", len(moves), MaxInsertMoves)
 			}
 			if b != nil {
-				total++
+				want++
 			}
-		} else if b := s.Bins[r.IntN(len(s.Bins))]; len(b.items) > 0 {
-			it := b.items[r.IntN(len(b.items))]
-			old := it.kind
-			b.Remove(it)
-			total--
+		} else if b := s.Bins[random.IntN(len(s.Bins))]; len(b.items) > 0 {
+			item := b.items[random.IntN(len(b.items))]
+			old := item.kind
+			b.Remove(item)
+			want--
 			if moves := s.Change(b, old, Tiny, nil); len(moves) > MaxChangeMoves {
-				t.Fatalf("change lists %d moves", len(moves))
+				t.Fatalf("change lists %d moves, want at most %d", len(moves), MaxChangeMoves)
 			}
 		}
-		n := 0
-		for _, b := range s.Bins {
-			n += len(b.items)
-			if b.Capacity.Share(b.used) > 1+1e-6 {
-				t.Fatalf("bin %s holds %v of %v", b.ID, b.used, b.Capacity)
-			}
-		}
-		if n != total {
-			t.Fatalf("%d items in bins, want %d", n, total)
+		checkContent(t, s, want)
+	}
+}
+
+// checkContent fails if a space does not hold so many items, or a bin more than it has.
+func checkContent(t *testing.T, s *Space, items int) {
+	t.Helper()
+	n := 0
+	for _, b := range s.Bins {
+		n += len(b.items)
+		if b.Capacity.Share(b.used) > 1+1e-6 {
+			t.Fatalf("bin %s holds %v of %v", b.ID, b.used, b.Capacity)
 		}
 	}
+	if n != items {
+		t.Fatalf("%d items in bins, want %d", n, items)
+	}
 }
 
-// plain is the search that the index stands for: a look at every bin in order.
-func plain(s *Space, it *Item, is kinds, ok func(*Bin) bool) *Bin {
-	var found *Bin
-	var rank float64
+// scan is the search that the index stands for: a scan of every bin in order.
+func scan(s *Space, item *Item, among binKinds, allowed func(*Bin) bool) *Bin {
+	var best *Bin
+	var bestRank float64
 	for _, b := range s.Bins {
-		if !b.open || is>>b.kindOf()&1 == 0 || !b.Fits(it.Request) || (ok != nil && !ok(b)) ||
-			it.RequireLabel != "" && !b.HasLabel(it.RequireLabel) || it.ExcludeLabel != "" && b.HasLabel(it.ExcludeLabel) {
+		switch {
+		case !b.open, among>>b.binKind()&1 == 0, !b.Fits(item.Request), allowed != nil && !allowed(b),
+			item.RequireLabel != "" && !b.HasLabel(item.RequireLabel), item.ExcludeLabel != "" && b.HasLabel(item.ExcludeLabel):
 			continue
-		}
-		if !s.Ranked {
+		case !s.Ranked:
 			return b
 		}
-		r := 1 - b.Gap()
-		for i, m := range it.PreferLabels {
-			if slices.Contains(b.marks, m) {
-				r += float64(int(2) << (len(it.PreferLabels) - i))
+		rank := 1 - b.Gap()
+		for i, label := range item.PreferLabels {
+			if b.HasLabel(label) {
+				rank += float64(int(2) << (len(item.PreferLabels) - i))
 			}
 		}
-		if found == nil || r > rank {
-			found, rank = b, r
+		if best == nil || rank > bestRank {
+			best, bestRank = b, rank
 		}
 	}
-	return found
+	return best
 }
 
-// The index answers as the plain search does, whatever comes, goes, opens, closes
-// and is marked, also where one dimension is full and another is not.
-func TestIndexIsThePlainSearch(t *testing.T) {
+// testLabels are the labels that the randomized test gives to bins.
+var testLabels = []string{"img-1", "img-2", "spot"}
+
+// drawItem returns an item that prefers some labels, and may require or exclude one.
+func drawItem(random *rand.Rand) *Item {
+	request := Resources{
+		CPU: float64(random.IntN(17)) / 4,
+		GPU: float64(random.IntN(2) * random.IntN(2)),
+		Mem: float64(random.IntN(17)),
+	}
+	item := &Item{Request: request, PreferLabels: testLabels[random.IntN(2):][:random.IntN(2)+1]}
+	if random.IntN(4) == 0 {
+		item.RequireLabel = testLabels[random.IntN(2)]
+	}
+	if random.IntN(4) == 0 {
+		item.ExcludeLabel = testLabels[random.IntN(2)]
+	}
+	return item
+}
+
+// The index finds what a scan does, whatever bins and items are added and removed, opened, closed
+// and labelled, also where one resource is full and another is not.
+func TestIndexEqualsScan(t *testing.T) {
 	for _, ranked := range []bool{false, true} {
-		r := rand.New(rand.NewPCG(5, 6))
+		random := rand.New(rand.NewPCG(5, 6))
 		s := &Space{Ranked: ranked}
-		capacity := Resources{CPU: 4, GPU: 1, Mem: 16}
-		names := []string{"img-1", "img-2", "spot"}
 		found := 0
-		for n := range 5_000 {
-			switch k := r.IntN(20); {
+		drawBin := func() *Bin { return s.Bins[random.IntN(len(s.Bins))] }
+		for step := range 5_000 {
+			switch k := random.IntN(20); {
 			case len(s.Bins) == 0 || k == 0 && len(s.Bins) < 150:
-				b := NewBin(fmt.Sprintf("m-%04d", r.IntN(10_000)), capacity)
-				b.SetLabel("spot", r.IntN(2) == 0)
+				b := NewBin(fmt.Sprintf("m-%04d", random.IntN(10_000)), Resources{CPU: 4, GPU: 1, Mem: 16})
+				b.SetLabel("spot", random.IntN(2) == 0)
 				s.Add(b)
-			case k == 1 && r.IntN(3) == 0:
-				s.Remove(s.Bins[r.IntN(len(s.Bins))])
+			case k == 1 && random.IntN(3) == 0:
+				s.Remove(drawBin())
 			case k == 2:
-				s.Bins[r.IntN(len(s.Bins))].SetOpen(r.IntN(3) > 0)
+				drawBin().SetOpen(random.IntN(3) > 0)
 			case k == 3:
-				s.Bins[r.IntN(len(s.Bins))].SetLabel(names[r.IntN(2)], r.IntN(2) == 0)
+				drawBin().SetLabel(testLabels[random.IntN(2)], random.IntN(2) == 0)
 			case k < 10:
-				if b := s.Bins[r.IntN(len(s.Bins))]; len(b.items) > 0 {
-					b.Remove(b.items[r.IntN(len(b.items))])
+				if b := drawBin(); len(b.items) > 0 {
+					b.Remove(b.items[random.IntN(len(b.items))])
 				}
 			default:
-				it := &Item{Request: Resources{CPU: float64(r.IntN(17)) / 4, GPU: float64(r.IntN(2) * r.IntN(2)), Mem: float64(r.IntN(17))}}
-				it.PreferLabels = names[r.IntN(2):][:r.IntN(2)+1]
-				if r.IntN(4) == 0 {
-					it.RequireLabel = names[r.IntN(2)]
-				}
-				if r.IntN(4) == 0 {
-					it.ExcludeLabel = names[r.IntN(2)]
+				item := drawItem(random)
+				var allowed func(*Bin) bool
+				if random.IntN(3) == 0 {
+					allowed = func(b *Bin) bool { return b.index%3 > 0 }
 				}
-				var ok func(*Bin) bool
-				if r.IntN(3) == 0 {
-					ok = func(b *Bin) bool { return b.pos%3 > 0 }
-				}
-				for is := range isAny + 1 {
-					if got, want := s.search(it, is, ok), plain(s, it, is, ok); got != want {
-						t.Fatalf("ranked %v, step %d: the index finds %+v, the plain search %+v", ranked, n, got, want)
-					} else if got != nil {
+				for among := range isAny + 1 {
+					got, want := s.search(item, among, allowed), scan(s, item, among, allowed)
+					if got != want {
+						t.Fatalf("ranked %v, step %d: the index finds %+v, want %+v", ranked, step, got, want)
+					}
+					if got != nil {
 						found++
 					}
 				}
-				if b, _, _ := s.Insert(it, ok); b != nil && !slices.Contains(b.items, it) {
-					t.Fatalf("step %d: the item is not in its bin", n)
+				if b, _, _ := s.Insert(item, allowed); b != nil && !slices.Contains(b.items, item) {
+					t.Fatalf("step %d: the item is not in its bin", step)
 				}
 			}
 		}
 		if found < 3_000 {
-			t.Fatalf("only %d searches found anything", found)
+			t.Fatalf("only %d searches found anything, want at least 3000", found)
 		}
 	}
 }
 
-// Lawful says whether the bin holds one of the paper's combinations (Lemma 1).
-func (b *Bin) Lawful() bool {
+// isCombination reports whether the bin holds one of the paper's combinations (Lemma 1).
+func (b *Bin) isCombination() bool {
 	switch {
-	case b.empty(), b.tBin(), b.sBin(), b.lOrLT():
+	case b.empty(), b.tBin(), b.sBin(), b.lOrLTBin():
 		return true
-	case b.count[Big] == 1, b.count[Small] == 2:
-		return len(b.items) == b.count[Big]+b.count[Small]
+	case b.kindCounts[Big] == 1, b.kindCounts[Small] == 2:
+		return len(b.items) == b.kindCounts[Big]+b.kindCounts[Small]
 	}
 	return false
 }
 
-// What may join a bin without a move: what insert puts there by the paper's rules, or to
+// CanJoin agrees with Insert: an item may join what the paper's rules put together, or
 // fill up a bin of tiny items, and nothing else.
-func TestJoins(t *testing.T) {
-	item := func(share float64) *Item { return &Item{Request: Resources{CPU: share * 12, Mem: 1}} }
-	for _, x := range []struct {
-		in   []float64
-		add  float64
-		want bool
+func TestCanJoinAgreesWithInsert(t *testing.T) {
+	newItem := func(share float64) *Item { return &Item{Request: Resources{CPU: share * 12, Mem: 1}} }
+	for _, test := range []struct {
+		present []float64
+		added   float64
+		want    bool
 	}{
 		{nil, 0.25, true}, {nil, 0.5, true}, {nil, 1, true},
 		{[]float64{0.25}, 0.25, true}, {[]float64{0.25, 0.25, 0.25}, 0.25, true}, {[]float64{0.25, 0.25, 0.25, 0.25}, 0.25, false},
@@ -229,21 +261,21 @@
 		{[]float64{0.6}, 0.25, true}, {[]float64{0.6}, 0.4, false}, {[]float64{0.9}, 0.05, false},
 	} {
 		b := NewBin("b", Resources{CPU: 12, Mem: 100})
-		for _, share := range x.in {
-			b.Add(item(share))
+		for _, share := range test.present {
+			b.Add(newItem(share))
 		}
-		if got := b.CanJoin(item(x.add).Request); got != x.want {
-			t.Errorf("%v joins %v: %v", x.add, x.in, got)
+		if got := b.CanJoin(newItem(test.added).Request); got != test.want {
+			t.Errorf("%v can join %v: %v, want %v", test.added, test.present, got, test.want)
 		}
 		s := &Space{NoFirstFit: true}
 		s.Add(b)
-		if in, _, _ := s.Insert(item(x.add), nil); (in != nil) != x.want {
-			t.Errorf("%v is put to %v: %v", x.add, x.in, in != nil)
+		if in, _, _ := s.Insert(newItem(test.added), nil); (in != nil) != test.want {
+			t.Errorf("%v is inserted beside %v: %v, want %v", test.added, test.present, in != nil, test.want)
 		}
 	}
 	b := NewBin("b", Resources{CPU: 12, Mem: 100})
 	b.SetOpen(false)
-	if b.CanJoin(item(0.25).Request) {
-		t.Error("a closed bin is joined")
+	if b.CanJoin(newItem(0.25).Request) {
+		t.Error("an item can join a closed bin")
 	}
 }
