--- a/internal/forecast/fusd.go
+++ b/internal/forecast/fusd.go
@@ -1,5 +1,6 @@
 // Package forecast predicts the use of a machine with FUSD, the fast-up,
-// slow-down average of the paper's section 2. It is pure: no clock, no I/O.
+// slow-down average of section 2 of the paper that the scheduler follows: the forecast E(t) follows the
+// observed use O(t) at once when it rises, and slowly when it falls. It is pure: no clock, no I/O.
 package forecast
 
 import (
@@ -7,52 +8,54 @@
 	"slices"
 )
 
-// Params are the factors that the paper leaves open.
+// Params are the parameters that the paper leaves open.
 type Params struct {
-	Up, Down   float64 // alpha while use rises (negative) and falls
-	Window     int     // observations kept
-	Percentile float64 // of the window, taken as O(t)
+	Up         float64 // weight of the earlier forecast (alpha) while use rises; negative: it overshoots
+	Down       float64 // the same while use falls
+	Window     int     // how many observations are kept; at least 1
+	Percentile float64 // of the window that is taken as O(t), 0 to 100
 }
 
 // FUSD is the forecast of one machine.
 type FUSD struct {
-	p       Params
-	window  []float64
-	e       float64
-	started bool
+	params   Params
+	window   []float64 // the last observations, oldest first
+	estimate float64   // E(t)
+	started  bool      // there has been an observation
 }
 
 // New returns a forecast that has observed nothing.
-func New(p Params) *FUSD { return &FUSD{p: p} }
+func New(params Params) *FUSD { return &FUSD{params: params} }
 
-// Observe takes a machine's use, as a share of its capacity, and returns E(t).
+// Observe notes a machine's use, as a share of its capacity, and returns E(t).
 func (f *FUSD) Observe(use float64) float64 {
-	if len(f.window) == max(f.p.Window, 1) {
+	if len(f.window) == max(f.params.Window, 1) {
 		copy(f.window, f.window[1:])
 		f.window = f.window[:len(f.window)-1]
 	}
 	f.window = append(f.window, use)
-	o := percentile(f.window, f.p.Percentile)
+	observed := percentile(f.window, f.params.Percentile)
 	if !f.started {
-		f.e, f.started = o, true
-		return f.e
+		f.estimate, f.started = observed, true
+		return f.estimate
 	}
-	alpha := f.p.Down
-	if o > f.e {
-		alpha = f.p.Up
+	alpha := f.params.Down
+	if observed > f.estimate {
+		alpha = f.params.Up
 	}
-	f.e = alpha*f.e + (1-alpha)*o
-	return f.e
+	f.estimate = alpha*f.estimate + (1-alpha)*observed
+	return f.estimate
 }
 
 // Predicted is the forecast, bounded by what is reserved: tasks cannot use more
 // than they requested, so FUSD's overshoot on a rise must not call a machine
 // hot that is merely full.
-func (f *FUSD) Predicted(reserved float64) float64 { return math.Min(f.e, reserved) }
+func (f *FUSD) Predicted(reserved float64) float64 { return math.Min(f.estimate, reserved) }
 
-func percentile(w []float64, p float64) float64 {
-	s := slices.Clone(w)
-	slices.Sort(s)
-	i := int(math.Ceil(p/100*float64(len(s)))) - 1
-	return s[min(max(i, 0), len(s)-1)]
+// percentile returns the smallest value of a window that at least p percent of its values do not exceed.
+func percentile(window []float64, p float64) float64 {
+	sorted := slices.Clone(window)
+	slices.Sort(sorted)
+	i := int(math.Ceil(p/100*float64(len(sorted)))) - 1
+	return sorted[min(max(i, 0), len(sorted)-1)]
 }
--- a/internal/forecast/fusd_test.go
+++ b/internal/forecast/fusd_test.go
@@ -8,29 +8,35 @@
 	"drumpick/internal/scenario"
 )
 
-// "params UP DOWN WINDOW PERCENTILE", then "use X" for each observation.
-func TestTraces(t *testing.T) {
+// A scenario sets "params UP DOWN WINDOW PERCENTILE", then observes "use X" and asks "reserved X".
+func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		var f *FUSD
-		return func(w []string) []string {
-			v := make([]float64, len(w))
-			for i, x := range w[1:] {
-				var err error
-				if v[i+1], err = strconv.ParseFloat(x, 64); err != nil {
-					t.Fatal(err)
-				}
-			}
-			switch w[0] {
+		return func(words []string) []string {
+			event, values := words[0], parseValues(t, words[1:])
+			switch event {
 			case "params":
-				f = New(Params{Up: v[1], Down: v[2], Window: int(v[3]), Percentile: v[4]})
+				f = New(Params{Up: values[0], Down: values[1], Window: int(values[2]), Percentile: values[3]})
 				return nil
 			case "use":
-				return []string{fmt.Sprintf("expect %.4f", f.Observe(v[1]))}
+				return []string{fmt.Sprintf("expect %.4f", f.Observe(values[0]))}
 			case "reserved":
-				return []string{fmt.Sprintf("predicted %.4f", f.Predicted(v[1]))}
+				return []string{fmt.Sprintf("predicted %.4f", f.Predicted(values[0]))}
 			}
-			t.Fatalf("unknown event %v", w)
+			t.Fatalf("unknown event %v", words)
 			return nil
 		}
 	})
 }
+
+func parseValues(t *testing.T, words []string) []float64 {
+	t.Helper()
+	values := make([]float64, len(words))
+	for i, word := range words {
+		var err error
+		if values[i], err = strconv.ParseFloat(word, 64); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return values
+}
