--- /dev/null
+++ b/internal/localcluster/controllers.go
@@ -0,0 +1,176 @@
+package localcluster
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"drumpick/internal/config"
+	"drumpick/internal/ctxtime"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/simulation"
+)
+
+// optionsFileName is the operators' file of every controller.
+const optionsFileName = "drumpick.ini"
+
+// configureControllers chooses the controllers' addresses and writes their settings.
+func (c *Cluster) configureControllers() error {
+	release, err := c.chooseAddrs()
+	defer release() // as late as can be: until then no other program takes the ports
+	if err != nil {
+		return err
+	}
+	path := filepath.Join(c.options.Data, optionsFileName)
+	if err := os.WriteFile(path, []byte(operatorOptions), 0o600); err != nil {
+		return err
+	}
+	for i := range c.Info.Controllers {
+		controller := &c.Info.Controllers[i]
+		if controller.ConfigPath, err = writeSettings(c.options.Data, c.controllerConfig(*controller)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// chooseAddrs names the controllers and chooses free ports for them, which are held until release is called, so that
+// none is chosen twice.
+func (c *Cluster) chooseAddrs() (release func(), err error) {
+	o := c.options
+	var held []net.Listener
+	release = func() {
+		for _, ln := range held {
+			ln.Close()
+		}
+	}
+	chooseAddr := func() (string, error) {
+		ln, err := listen()
+		if err != nil {
+			return "", err
+		}
+		held = append(held, ln)
+		return ln.Addr().String(), nil
+	}
+	for i := range o.Controllers {
+		controller := Controller{Name: fmt.Sprintf("controller-%d", i+1), Zone: o.Zones[i%len(o.Zones)]}
+		if controller.UserAddr, err = chooseAddr(); err != nil {
+			return release, err
+		}
+		if controller.PeerAddr, err = chooseAddr(); err != nil {
+			return release, err
+		}
+		controller.LogPath = filepath.Join(o.Data, controller.Name+".log")
+		c.Info.Controllers = append(c.Info.Controllers, controller)
+	}
+	return release, nil
+}
+
+// controllerConfig returns a controller's settings.
+func (c *Cluster) controllerConfig(controller Controller) *config.Config {
+	cfg := &config.Config{
+		Node: controller.Name, Zone: controller.Zone, UserAddr: controller.UserAddr, PeerAddr: controller.PeerAddr,
+		External:   config.External{Cloud: c.Info.CloudAddr, State: c.Info.StoreAddr},
+		Deployment: c.options.deployment(),
+	}
+	for _, other := range c.Info.Controllers {
+		if other.Name != controller.Name {
+			cfg.Peers = append(cfg.Peers, config.Peer{Node: other.Name, Zone: other.Zone, Addr: other.PeerAddr})
+		}
+	}
+	return cfg
+}
+
+// commandLine returns a controller's command line with a given program.
+func (c *Cluster) commandLine(controller Controller, program string, arguments []string) []string {
+	line := append([]string{program}, arguments...)
+	return append(line, "--config", controller.ConfigPath)
+}
+
+const (
+	// workerConnections bounds the connections of all workers to one controller.
+	workerConnections = 1000
+	dialTimeout       = time.Second / 2
+)
+
+// startControllers starts the controllers, and the workers' connections to them.
+func (c *Cluster) startControllers() {
+	o := c.options
+	if o.Arguments == nil {
+		o.Arguments = []string{"--options", filepath.Join(o.Data, optionsFileName)}
+	}
+	var links []*httpclient.Client
+	for _, controller := range c.Info.Controllers {
+		c.Environment.Nodes = append(c.Environment.Nodes, controller.Name)
+		links = append(links, httpclient.New(controller.UserAddr, workerConnections, dialTimeout))
+		p := &process{
+			name:         controller.Name,
+			args:         c.commandLine(controller, o.Controller, o.Arguments),
+			env:          []string{"LOG_LEVEL=" + o.LogLevel},
+			logPath:      controller.LogPath,
+			restartDelay: config.Seconds(o.deployment().Workers.HeartbeatS),
+			ended:        make(chan struct{}),
+			quit:         make(chan struct{}),
+		}
+		c.controllers = append(c.controllers, p)
+		go p.run()
+	}
+	c.Environment.Heartbeat = simulation.HeartbeatOverHTTP(
+		func(_ string, node int, body []byte) (int, []byte, error) {
+			// Workers give an answer four seconds (PROTOCOL), in the local cluster's proportions less.
+			deadline := time.Now().Add(config.Seconds(2 * heartbeatS))
+			return links[node].Do(http.MethodPost, "/checkin", "application/json", body, deadline)
+		})
+}
+
+// readyPoll is how often a controller is asked whether it can take requests.
+const readyPoll = 20 * time.Millisecond
+
+// waitReady waits until every controller can take requests.
+func (c *Cluster) waitReady(ctx context.Context) error {
+	for i, controller := range c.Info.Controllers {
+		if err := waitControllerReady(ctx, controller, c.controllers[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func waitControllerReady(ctx context.Context, controller Controller, p *process) error {
+	probe := httpclient.New(controller.UserAddr, 1, time.Second)
+	defer probe.Close()
+	for {
+		status, _, err := probe.Do(http.MethodGet, "/ready", "", nil, time.Now().Add(time.Second))
+		if err == nil && status == http.StatusOK {
+			return nil
+		}
+		if err := p.failure(); err != nil {
+			return err
+		}
+		if err := ctxtime.Sleep(ctx, readyPoll); err != nil {
+			return err
+		}
+	}
+}
+
+// process returns a controller's process; nil: there is no such controller.
+func (c *Cluster) process(controller string) *process {
+	i := slices.IndexFunc(c.controllers, func(p *process) bool { return p.name == controller })
+	if i < 0 {
+		return nil
+	}
+	return c.controllers[i]
+}
+
+// PID returns the process of a controller; 0: it does not run now.
+func (c *Cluster) PID(controller string) int {
+	if p := c.process(controller); p != nil {
+		return p.pid()
+	}
+	return 0
+}
--- a/internal/localcluster/drain_test.go
+++ b/internal/localcluster/drain_test.go
@@ -14,7 +14,7 @@
 	"drumpick/internal/simulation"
 )
 
-// The hard cases of drains, with real controllers.
+// Drains under faults, with real controllers.
 
 // startDrain starts a drain and returns its id.
 func (p *testCluster) startDrain(d drain.Spec) string {
@@ -43,7 +43,7 @@
 	return v
 }
 
-// machinesOf tells where a job's tasks run.
+// machinesOf returns the machine of each running task of a job.
 func (p *testCluster) machinesOf(id string) map[string]string {
 	where := map[string]string{}
 	for _, m := range p.cluster.Environment.Machines() {
@@ -60,7 +60,7 @@
 	return where
 }
 
-// endedRuns lists the ended attempts of a job.
+// endedRuns returns the ended attempts of a job.
 func (p *testCluster) endedRuns(id string) []simulation.TaskRun {
 	var all []simulation.TaskRun
 	for _, x := range p.cluster.History().Runs {
@@ -71,6 +71,7 @@
 	return all
 }
 
+// waitRunning waits until n tasks of a job run, and returns the machine of each.
 func (p *testCluster) waitRunning(id string, n int) map[string]string {
 	p.t.Helper()
 	var where map[string]string
@@ -78,15 +79,14 @@
 	return where
 }
 
-// makeUrgent is a task that cannot save.
+// makeUrgent makes a job urgent, of tasks that cannot save their progress.
 func makeUrgent(j *client.Job) { j.Priority, j.Team, j.Spot = client.Urgent, "desk", false }
 
-// makeCheckpointing is work that can.
+// makeCheckpointing makes a job of tasks that save their progress.
 func makeCheckpointing(j *client.Job) { j.CheckpointS, j.SaveS, j.CPUs = 2, 0.5, 2 }
 
-// A drain begins while an urgent task that cannot save is half done, and a leader is
-// killed after the drain was stored and before it is obeyed: the task ends where it is,
-// what saves moves, and the next leader goes on.
+// A drain begins while an urgent task that cannot save is half done, and a leader is killed after the drain was
+// stored and before it is carried out: the task ends where it is, what saves moves, and the next leader goes on.
 func TestDrainContinuesAfterLeaderIsKilled(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 3, nil)
@@ -94,7 +94,7 @@
 	p.followJob(2, batchJob("j-2", 4, 12, makeCheckpointing), 0)
 	here := p.waitRunning("j-1", 1)["j-1/0"]
 	p.waitRunning("j-2", 4)
-	// A machine with savers, too.
+	// A machine with checkpointing tasks, too.
 	there := ""
 	for _, host := range p.machinesOf("j-2") {
 		if host != here {
@@ -130,8 +130,8 @@
 	p.checkAnswers()
 }
 
-// Machines vanish in mid-drain, the leader is killed in mid-move, then all controllers are:
-// nothing runs twice, and everything ends.
+// Machines vanish during a drain, the leader is killed while tasks move, then all controllers are: nothing runs
+// twice, and everything ends.
 func TestDrainSurvivesLossOfMachinesAndControllers(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 4, nil)
@@ -139,7 +139,7 @@
 	p.followJob(2, batchJob("j-2", 4, 4, nil), 0)
 	p.waitRunning("j-1", 4)
 	id := p.startDrain(drain.Spec{Zone: "north", ByMS: time.Now().Add(12 * time.Second).UnixMilli()})
-	p.waitFor("a machine to be in hand", func() bool {
+	p.waitFor("a machine to be draining", func() bool {
 		v, err := p.cluster.Client().Drain(t.Context(), id)
 		return err == nil && v.State != nil && v.State.Actual.Machines > 0
 	})
@@ -167,7 +167,7 @@
 	p.checkAnswers()
 }
 
-// A gang of which one machine drains goes as a whole, saving, and starts whole elsewhere.
+// A gang of which one machine drains is stopped as a whole, saving its progress, and starts as a whole elsewhere.
 func TestDrainMovesGangAsWhole(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 5, nil)
@@ -195,21 +195,23 @@
 	p.checkAnswers()
 }
 
-// Drains of both zones: the second would leave no machine and is refused, changing
-// nothing; forced, everything stands still until one is withdrawn, and then ends.
+// Drains of both zones: the second would leave no machine and is refused, changing nothing; forced, everything stands
+// still until one is withdrawn, and then ends.
 func TestDrainOfLastZoneIsRefusedUnlessForced(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 6, nil)
 	p.followJob(1, batchJob("j-1", 4, 5, makeCheckpointing), 0)
 	p.waitRunning("j-1", 2)
 	north := p.startDrain(drain.Spec{Zone: "north", ByMS: time.Now().Add(4 * time.Second).UnixMilli()})
-	p.waitFor("the leader to hold it", func() bool {
+	p.waitFor("the leader to know it", func() bool {
 		v, err := p.cluster.Client().Drain(t.Context(), north)
 		return err == nil && v.State != nil && v.State.Phase != ""
 	})
 	south := drain.Spec{ID: "d-2", Kind: client.DrainEmpty, Zone: "south", ByMS: time.Now().Add(4 * time.Second).UnixMilli()}
-	if _, err := p.cluster.Client().StartDrain(t.Context(), client.Drain{Spec: south}); err == nil || !strings.Contains(err.Error(), "no machine for jobs of any") {
-		t.Errorf("the second zone: %v", err)
+	const refusal = "no machine for jobs of any"
+	_, err := p.cluster.Client().StartDrain(t.Context(), client.Drain{Spec: south})
+	if err == nil || !strings.Contains(err.Error(), refusal) {
+		t.Errorf("the second zone: got %v, want %q", err, refusal)
 	}
 	if all, err := p.cluster.Client().Drains(t.Context()); err != nil || len(all) != 1 {
 		t.Errorf("after the refusal: %+v, %v", all, err)
@@ -236,18 +238,18 @@
 	p.checkAnswers()
 }
 
-// An upgrade rolls machines over one after the other; a zone is cut off meanwhile for longer
-// than a lease, and its workers come back, upgraded by hand, with tasks that are elsewhere
-// by then. The version in production, which knows of no drains, takes over for a while.
+// An upgrade rolls machines over one after the other; a zone is partitioned meanwhile for longer than a lease, and its
+// workers come back, upgraded by hand, with tasks that are elsewhere by then. The version in production, which knows
+// of no drains, leads for a while.
 func TestRollingUpgradeAcrossPartitionAndOlderVersion(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 7, func(o *Options) { o.Machines = 2 })
 	p.followJob(1, batchJob("j-1", 24, 3, makeCheckpointing), 0)
 	p.waitRunning("j-1", 4)
 	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, TargetVersion: "2.0", AtOnce: 2, MinInService: 1})
-	// Somebody upgrades what is empty and in hand.
+	// An operator upgrades what is drained.
 	upgraded := 0
-	tend := func() {
+	upgradeDrained := func() {
 		v, err := p.cluster.Client().Drain(t.Context(), id)
 		if err != nil || v.State == nil {
 			return
@@ -260,7 +262,7 @@
 			}
 		}
 	}
-	p.waitFor("the first machines to be upgraded", func() bool { tend(); return upgraded > 0 })
+	p.waitFor("the first machines to be upgraded", func() bool { upgradeDrained(); return upgraded > 0 })
 	p.cluster.Environment.PartitionZone("north", true)
 	p.waitFor("the zone's tasks to run elsewhere or have ended", func() bool {
 		st, err := p.cluster.Client().Get(t.Context(), "j-1")
@@ -281,14 +283,14 @@
 				t.Fatal(err)
 			}
 		}
-		leader := ""
-		p.waitFor("it to lead", func() bool { leader = p.leader(); return leader != "" && p.logged("leading", old != "") })
+		// The text is of that version's log.
+		p.waitFor("it to lead", func() bool { return p.leader() != "" && p.productionLogged("leading") })
 		for _, c := range p.cluster.Info.Controllers {
 			_ = p.cluster.Replace(c.Name, p.cluster.options.Controller, []string{"--options", filepath.Join(p.cluster.options.Data, "drumpick.ini")})
 		}
 	}
 	p.waitFor("all to have the version", func() bool {
-		tend()
+		upgradeDrained()
 		v, err := p.cluster.Client().Drain(t.Context(), id)
 		return err == nil && v.State != nil && v.State.Phase == "done"
 	})
@@ -300,7 +302,7 @@
 	p.checkAnswers()
 }
 
-// lostRuns lists attempts whose machine lost them.
+// lostRuns returns the attempts that were lost with their machine or lease.
 func (p *testCluster) lostRuns() []simulation.TaskRun {
 	var all []simulation.TaskRun
 	for _, x := range p.cluster.History().Runs {
@@ -311,7 +313,7 @@
 	return all
 }
 
-// A version that fails what others run is rolled back, on few machines.
+// A version on which tasks fail is rolled back, on few machines.
 func TestFailingVersionIsRolledBack(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 8, func(o *Options) { o.Machines = 3 })
@@ -346,12 +348,21 @@
 	p.checkAnswers()
 }
 
-// logged says whether a controller has logged something since its last start.
-func (p *testCluster) logged(text string, want bool) bool {
+// productionVersion is the version that the version in production logs at its start.
+const productionVersion = "version=0.1.0"
+
+// productionLogged reports whether a controller of the version in production has logged something since its last
+// start.
+func (p *testCluster) productionLogged(text string) bool {
 	for _, c := range p.cluster.Info.Controllers {
 		raw, _ := os.ReadFile(c.LogPath)
 		log := string(raw)
-		if i := strings.LastIndex(log, "msg=started"); i >= 0 && want && strings.Contains(log[i:], "version=0.1.0") && strings.Contains(log[i:], text) {
+		start := strings.LastIndex(log, "msg=started")
+		if start < 0 {
+			continue
+		}
+		sinceStart := log[start:]
+		if strings.Contains(sinceStart, productionVersion) && strings.Contains(sinceStart, text) {
 			return true
 		}
 	}
--- a/internal/localcluster/golden_test.go
+++ b/internal/localcluster/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// The control of a local region, which other processes ask, keeps its forms.
+// The control of a local cluster, which other processes call, keeps its forms.
 func TestGoldenControl(t *testing.T) {
 	r := &Cluster{Environment: simulation.NewEnvironment(t.Context()), options: Options{Zones: []string{"a"}}}
 	app := fiber.New()
@@ -27,7 +27,8 @@
 		{"history", "GET", "/history"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			f.CheckExchange(t, x.name, goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, x.method, x.uri, ""))
+			send := func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
+			f.CheckExchange(t, x.name, goldentest.Do(t, send, x.method, x.uri, ""))
 		})
 	}
 }
--- a/internal/localcluster/loopback_test.go
+++ b/internal/localcluster/loopback_test.go
@@ -22,9 +22,8 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// These tests run real controllers, killed at points chosen from a seed, and check
-// afterwards all that users were told. They wait for conditions, never for a time; what
-// bounds them is the limit of the whole test run.
+// These tests run real controllers, killed at points chosen from a seed, and check afterwards all answers to users.
+// They wait for conditions, never for a time; what bounds them is the timeout of the whole test run.
 
 var buildController = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "drumpick-test-")
@@ -47,15 +46,14 @@
 	os.Exit(code)
 }
 
-// testCluster is a region with users that write down what they are told.
+// testCluster is a local cluster with users that log the answers they get.
 type testCluster struct {
-	t       *testing.T
-	cluster *Cluster
-	log     *linearizability.Log
-	rand    *rand.Rand
-	wg      sync.WaitGroup
-	// force starts drains that leave no machine.
-	forceDrains bool
+	t           *testing.T
+	cluster     *Cluster
+	log         *linearizability.Log
+	rand        *rand.Rand
+	wg          sync.WaitGroup
+	forceDrains bool // start drains that leave no machine for some jobs
 }
 
 func startTestCluster(t *testing.T, seed uint64, change func(*Options)) *testCluster {
@@ -79,7 +77,7 @@
 		}
 		for _, c := range r.controllers {
 			if c.cmd != nil && c.cmd.ProcessState == nil {
-				t.Errorf("%s is left behind", c.name)
+				t.Errorf("%s was left behind", c.name)
 			}
 		}
 		if t.Failed() {
@@ -93,7 +91,7 @@
 	return p
 }
 
-// batchJob is a batch of small tasks; change makes it another.
+// batchJob returns a batch of small tasks; change alters it.
 func batchJob(id string, tasks int, seconds float64, change func(*client.Job)) client.Job {
 	j := client.Job{
 		ID: id, Class: "any", Team: "archive", Shape: client.Batch, Priority: client.Standard, Tasks: tasks,
@@ -105,7 +103,7 @@
 	return j
 }
 
-// followJob submits a job and follows it to its end, writing all answers down.
+// followJob has a user submit a job and follow it to its end, and logs all answers.
 func (p *testCluster) followJob(who int, j client.Job, cancelAfter int) {
 	p.wg.Add(1)
 	go func() {
@@ -158,7 +156,7 @@
 	}
 }
 
-// checkAnswers waits for the users' last answers and holds everything against the rules.
+// checkAnswers waits for the users' last answers, and checks all answers and the protocol's rules.
 func (p *testCluster) checkAnswers() {
 	p.t.Helper()
 	p.wg.Wait()
@@ -170,6 +168,7 @@
 	}
 }
 
+// leader returns the name of the controller that leads, "" if none does.
 func (p *testCluster) leader() string {
 	value := p.cluster.Store.Value("leader")
 	for _, c := range p.cluster.Info.Controllers {
@@ -180,8 +179,8 @@
 	return ""
 }
 
-// Controllers, machines and a zone's power fail while users submit, cancel and poll: each
-// job ends with one final answer, and no rule is broken.
+// Controllers, machines and a zone's power fail while users submit, cancel and poll: each job ends with one final
+// answer, and no rule is broken.
 func TestEachJobEndsWithOneAnswerAcrossFailures(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 1, nil)
@@ -209,18 +208,18 @@
 		}
 		starts := p.cluster.Environment.Starts()
 		p.followJob(20+round, batchJob(fmt.Sprint("j-", 300+round), 3, 1, nil), 0)
-		p.waitFor("starts after the trouble", func() bool { return p.cluster.Environment.Starts() > starts })
+		p.waitFor("starts after the fault", func() bool { return p.cluster.Environment.Starts() > starts })
 	}
 	p.checkAnswers()
 }
 
-// The records outlive the region: what was accepted before its end runs after its next
-// start, and what was over is known.
+// The records outlive the cluster: what was accepted before its end runs after its next start, and what was final is
+// known.
 func TestRecordsOutliveRestart(t *testing.T) {
 	t.Parallel()
 	data := t.TempDir()
-	here := func(o *Options) { o.Data, o.Controllers = data, 1 }
-	p := startTestCluster(t, 1, here)
+	sameData := func(o *Options) { o.Data, o.Controllers = data, 1 }
+	p := startTestCluster(t, 1, sameData)
 	c := p.cluster.Client()
 	ctx := t.Context()
 	for _, j := range []client.Job{batchJob("j-1", 1, 0.5, nil), batchJob("j-2", 2, 600, nil), batchJob("j-3", 1, 600, nil)} {
@@ -233,16 +232,20 @@
 	if st, err := c.Wait(ctx, "j-1", nil); err != nil || st.Status != client.Done {
 		t.Fatalf("%+v, %v", st, err)
 	}
-	if _, err := Start(ctx, Options{Data: data, Controller: p.cluster.options.Controller, Zones: []string{"north"}, Controllers: 1}); err == nil {
-		t.Error("a second region on the same directory")
+	second := Options{Data: data, Controller: p.cluster.options.Controller, Zones: []string{"north"}, Controllers: 1}
+	if _, err := Start(ctx, second); err == nil {
+		t.Error("a second cluster started on the same directory")
 	}
 	if err := p.cluster.Stop(); err != nil {
 		t.Fatal(err)
 	}
 	p.cluster.controllers, p.cluster.apps, p.cluster.storeFile = nil, nil, nil
 
-	again := startTestCluster(t, 1, func(o *Options) { here(o); o.RunTime = func(string) time.Duration { return 100 * time.Millisecond } })
-	c = again.cluster.Client()
+	restarted := startTestCluster(t, 1, func(o *Options) {
+		sameData(o)
+		o.RunTime = func(string) time.Duration { return 100 * time.Millisecond }
+	})
+	c = restarted.cluster.Client()
 	for id, want := range map[string]string{"j-1": client.Done, "j-3": client.Cancelled} {
 		if st, err := c.Get(ctx, id); err != nil || st.Status != want {
 			t.Errorf("%s: %+v, %v, want %s", id, st, err, want)
@@ -253,7 +256,7 @@
 		t.Errorf("j-2: %+v, %v", st, err)
 	}
 	if _, created, err := c.Submit(ctx, batchJob("j-1", 1, 0.5, nil)); err != nil || created {
-		t.Errorf("submitted again: %v, %v", created, err)
+		t.Errorf("submitted again: created %t, %v, want known", created, err)
 	}
 }
 
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -12,9 +12,8 @@
 	"time"
 )
 
-// processStarter starts processes from one thread that lives as long as the region: they are to
-// be killed when their parent ends, however it ends, and the system takes the end of
-// the thread that started them for that.
+// processStarter starts processes from one thread that lives as long as this process: they are to be killed when
+// their parent ends, however it ends, and the system takes the end of the thread that started them for that.
 var processStarter = sync.OnceValue(func() chan func() {
 	work := make(chan func())
 	go func() {
@@ -28,83 +27,94 @@
 
 // StartProcess starts a process that is killed when this one ends, however it ends.
 func StartProcess(cmd *exec.Cmd) error {
-	// A group of its own: a Ctrl-C at the terminal is for the region to act on.
+	// A group of its own: a Ctrl-C at the terminal is for the cluster to act on.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	failed := make(chan error)
 	processStarter() <- func() { failed <- cmd.Start() }
 	return <-failed
 }
 
+const (
+	// maxQuickEnds is how often in a row a process may end at once before it is given up.
+	maxQuickEnds = 3
+	// stopRetry is how often a process is killed anew until it has ended.
+	stopRetry = 50 * time.Millisecond
+)
+
 // process is a controller that is started again whenever it ends.
 type process struct {
 	name         string
-	args         []string
 	env          []string
 	logPath      string
 	restartDelay time.Duration // between an end and the next start
 
-	mu         sync.Mutex
-	cmd        *exec.Cmd
-	nextArgs   []string // its arguments from the next start on, where set
-	starts     int
-	down       bool // is not started again for now
-	ended      chan struct{}
-	quit       chan struct{}
-	startError error // it ended at once, repeatedly
+	quit  chan struct{} // closed by stop
+	ended chan struct{} // closed when run has returned
+
+	mu       sync.Mutex // guards what follows
+	args     []string
+	nextArgs []string // from the next start on, where set
+	cmd      *exec.Cmd
+	startErr error // why it was given up
 }
 
-// run keeps the process up until stop.
+// run keeps the process up until stop, or until it cannot be kept up.
 func (p *process) run() {
 	defer close(p.ended)
-	quick := 0
+	quickEnds := 0
 	for {
-		out, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-		if err != nil {
-			p.setFailure(err)
-			return
-		}
-		p.mu.Lock()
-		if p.nextArgs != nil {
-			p.args, p.nextArgs = p.nextArgs, nil
-		}
-		cmd := exec.Command(p.args[0], p.args[1:]...)
-		p.mu.Unlock()
-		cmd.Env, cmd.Stdout, cmd.Stderr = append(os.Environ(), p.env...), out, out
 		began := time.Now()
-		if err := StartProcess(cmd); err != nil {
-			out.Close()
-			p.setFailure(err)
+		err := p.runOnce()
+		var start *startError
+		if errors.As(err, &start) {
+			p.setFailure(start.err)
 			return
 		}
-		p.mu.Lock()
-		p.cmd, p.starts = cmd, p.starts+1
-		p.mu.Unlock()
-		err = cmd.Wait()
-		out.Close()
 		var exit *exec.ExitError
-		if killed := errors.As(err, &exit) && !exit.Exited(); killed || time.Since(began) > p.restartDelay {
-			quick = 0
-		} else if quick++; quick == 3 {
+		killed := errors.As(err, &exit) && !exit.Exited()
+		if killed || time.Since(began) > p.restartDelay {
+			quickEnds = 0
+		} else if quickEnds++; quickEnds == maxQuickEnds {
 			p.setFailure(fmt.Errorf("%s ends at once (%v): %s (see %s)", p.name, err, lastLine(p.logPath), p.logPath))
 			return
 		}
-		for {
-			select {
-			case <-p.quit:
-				return
-			case <-time.After(p.restartDelay):
-			}
-			p.mu.Lock()
-			down := p.down
-			p.mu.Unlock()
-			if !down {
-				break
-			}
+		select {
+		case <-p.quit:
+			return
+		case <-time.After(p.restartDelay):
 		}
 	}
 }
 
-// lastLine is the end of a log.
+// startError says that a process could not be started.
+type startError struct{ err error }
+
+func (e *startError) Error() string { return e.err.Error() }
+
+// runOnce starts the process and waits for its end. The error is a startError, or how it ended.
+func (p *process) runOnce() error {
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return &startError{err}
+	}
+	defer log.Close()
+	p.mu.Lock()
+	if p.nextArgs != nil {
+		p.args, p.nextArgs = p.nextArgs, nil
+	}
+	cmd := exec.Command(p.args[0], p.args[1:]...)
+	p.mu.Unlock()
+	cmd.Env, cmd.Stdout, cmd.Stderr = append(os.Environ(), p.env...), log, log
+	if err := StartProcess(cmd); err != nil {
+		return &startError{err}
+	}
+	p.mu.Lock()
+	p.cmd = cmd
+	p.mu.Unlock()
+	return cmd.Wait()
+}
+
+// lastLine returns the last line of a log, or why it cannot be read.
 func lastLine(path string) string {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -116,17 +126,18 @@
 
 func (p *process) setFailure(err error) {
 	p.mu.Lock()
-	p.startError = err
+	p.startErr = err
 	p.mu.Unlock()
 }
 
+// failure returns why the process was given up; nil: it was not.
 func (p *process) failure() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.startError
+	return p.startErr
 }
 
-// pid is the process that runs now; 0: none does.
+// pid returns the id of the process that runs now; 0: none does.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -153,7 +164,7 @@
 		select {
 		case <-p.ended:
 			return
-		case <-time.After(50 * time.Millisecond):
+		case <-time.After(stopRetry):
 		}
 	}
 }
--- a/internal/localcluster/settings.go
+++ b/internal/localcluster/settings.go
@@ -6,12 +6,13 @@
 	"path/filepath"
 
 	"drumpick/internal/config"
+	"drumpick/internal/records"
 
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The region's times, in seconds: as short as workers may report, the others in the
-// proportions of the users' deployments.
+// The cluster's times, in seconds: heartbeats as often as workers may send them, the others in the proportions of the
+// users' deployments.
 const (
 	heartbeatS = 1.0
 	leaseS     = 6.0
@@ -23,7 +24,7 @@
 // enough for 4,000 workers, one connection each. It is a bound, and reserves nothing.
 const fdLimit = 6000
 
-// defaultDeployment are the region's figures.
+// defaultDeployment returns the settings that the controllers share.
 func defaultDeployment(zones []string, controllers int) config.Deployment {
 	return config.Deployment{
 		Nodes: controllers, Zones: zones, TimeBoundMS: 100,
@@ -42,6 +43,14 @@
 	}
 }
 
+// defaultMachineTypes returns the machine types that can be rented.
+func defaultMachineTypes(zones []string) []records.MachineType {
+	return []records.MachineType{{
+		Name: "c4", CPUs: 4, MemGB: 16, CacheGB: 50, FetchGBps: 1,
+		Price: 0.2, SpotPrice: 0.05, StartupS: startupS, Zones: zones,
+	}}
+}
+
 // writeSettings writes a controller's settings file and returns its path.
 func writeSettings(dir string, c *config.Config) (string, error) {
 	raw, err := toml.Marshal(c)
@@ -55,5 +64,5 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// operatorOptions is the operators' file of every controller.
+// operatorOptions is the text of the operators' file of every controller.
 const operatorOptions = "[operator]\nenabled = true\n"
--- a/internal/localcluster/store_file.go
+++ b/internal/localcluster/store_file.go
@@ -13,71 +13,98 @@
 	"go.etcd.io/bbolt"
 )
 
-// storeFile keeps the state service's records in a file. Changes are written in order, as many
-// at once as have come meanwhile; whoever tells of one waits until it is written.
+// storeFile persists a store's changes. They are written in order, as many at once as have come meanwhile. Whoever
+// tells of one waits until it is written (waitDurable).
 type storeFile struct {
-	db *bbolt.DB
+	db     *bbolt.DB
+	wakeup chan struct{} // holds an element while changes are pending
+	quit   chan struct{} // closed by close
+	done   chan struct{} // closed when run has returned
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards what follows
 	pending  []simulation.Change
-	revision uint64 // of the last change taken in
-	written  uint64 // up to which all is in the file
-	err      error
-	wakeup   chan struct{} // holds one token while something is pending
+	revision uint64        // of the last change that was taken in
+	written  uint64        // up to which all is in the file
 	progress chan struct{} // closed, and replaced, when something was written
-	quit     chan struct{}
-	done     chan struct{}
-	closed   bool // what comes now is lost, as with a process that has ended
+	err      error         // of a write; later writes go on
+	closed   bool          // what comes now is lost, as with a process that has ended
 }
 
-var bucketEntries, bucketLeases, bucketMeta = []byte("rows"), []byte("grants"), []byte("meta")
+// Buckets of the file, and the keys of bucketMeta.
+var (
+	bucketEntries = []byte("rows")
+	bucketLeases  = []byte("grants") // time to live by lease
+	bucketMeta    = []byte("meta")
 
-// openStoreFile opens the file and puts what it holds into the service.
+	keyRevision  = []byte("epoch")
+	keyLastLease = []byte("hold")
+)
+
+// openTimeout bounds how long the file's lock is waited for.
+const openTimeout = time.Second
+
+// openStoreFile opens the file, puts what it holds into the store, and persists the store's changes from now on.
 func openStoreFile(path string, s *simulation.Store) (*storeFile, error) {
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("state service: %s: %w (is another region running on it?)", path, err)
 	}
-	d := &storeFile{db: db, wakeup: make(chan struct{}, 1), progress: make(chan struct{}), quit: make(chan struct{}), done: make(chan struct{})}
-	var rows []records.KeyValue
-	var hold uint64
-	lives := map[uint64]time.Duration{}
-	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{bucketEntries, bucketLeases, bucketMeta} {
-			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-				return err
-			}
-		}
-		meta := tx.Bucket(bucketMeta)
-		d.revision, hold = decodeNumber(meta.Get([]byte("epoch"))), decodeNumber(meta.Get([]byte("hold")))
-		if err := tx.Bucket(bucketLeases).ForEach(func(k, v []byte) error {
-			lives[decodeNumber(k)] = time.Duration(decodeNumber(v))
-			return nil
-		}); err != nil {
+	var kept storeContent
+	if err := db.Update(kept.read); err != nil {
+		db.Close()
+		return nil, fmt.Errorf("state service: %s: %w", path, err)
+	}
+	f := &storeFile{
+		db: db, revision: kept.revision, written: kept.revision,
+		wakeup: make(chan struct{}, 1), progress: make(chan struct{}),
+		quit: make(chan struct{}), done: make(chan struct{}),
+	}
+	s.Restore(kept.entries, kept.revision, kept.lastLease, kept.ttls)
+	s.OnChange = f.enqueue
+	go f.run()
+	return f, nil
+}
+
+// storeContent is what a file holds.
+type storeContent struct {
+	entries   []records.KeyValue
+	revision  uint64
+	lastLease uint64
+	ttls      map[uint64]time.Duration // by lease
+}
+
+// read reads all that a file holds, and makes its buckets if it is new.
+func (c *storeContent) read(tx *bbolt.Tx) error {
+	for _, name := range [][]byte{bucketEntries, bucketLeases, bucketMeta} {
+		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 			return err
 		}
-		return tx.Bucket(bucketEntries).ForEach(func(k, v []byte) error {
-			var r records.KeyValue
-			if err := json.Unmarshal(v, &r); err != nil {
-				return fmt.Errorf("record %s: %w", k, err)
-			}
-			rows = append(rows, r)
-			return nil
-		})
+	}
+	meta := tx.Bucket(bucketMeta)
+	c.revision, c.lastLease = decodeNumber(meta.Get(keyRevision)), decodeNumber(meta.Get(keyLastLease))
+	c.ttls = map[uint64]time.Duration{}
+	err := tx.Bucket(bucketLeases).ForEach(func(id, ttl []byte) error {
+		c.ttls[decodeNumber(id)] = time.Duration(decodeNumber(ttl))
+		return nil
 	})
 	if err != nil {
-		db.Close()
-		return nil, fmt.Errorf("state service: %s: %w", path, err)
+		return err
 	}
-	d.written = d.revision
-	s.Restore(rows, d.revision, hold, lives)
-	s.OnChange = d.enqueue
-	go d.run()
-	return d, nil
+	return tx.Bucket(bucketEntries).ForEach(func(key, raw []byte) error {
+		var kv records.KeyValue
+		if err := json.Unmarshal(raw, &kv); err != nil {
+			return fmt.Errorf("record %s: %w", key, err)
+		}
+		c.entries = append(c.entries, kv)
+		return nil
+	})
 }
 
+const numberBytes = 8
+
+// decodeNumber decodes a number, 0 where there is none.
 func decodeNumber(raw []byte) uint64 {
-	if len(raw) != 8 {
+	if len(raw) != numberBytes {
 		return 0
 	}
 	return binary.BigEndian.Uint64(raw)
@@ -85,7 +112,7 @@
 
 func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// enqueue takes a change in; it is called in order, and does not wait.
+// enqueue takes a change in. It is called in the order of the changes, and does not wait.
 func (f *storeFile) enqueue(c simulation.Change) {
 	f.mu.Lock()
 	if !f.closed {
@@ -99,19 +126,21 @@
 	}
 }
 
-// waitDurable waits until all up to a revision is written.
-func (f *storeFile) waitDurable(epoch uint64) {
+// waitDurable waits until all up to a revision is written, or cannot be.
+func (f *storeFile) waitDurable(revision uint64) {
 	for {
 		f.mu.Lock()
-		there, news := f.written >= epoch || f.err != nil || f.closed && epoch > f.revision, f.progress
+		lost := f.closed && revision > f.revision
+		finished, progress := f.written >= revision || f.err != nil || lost, f.progress
 		f.mu.Unlock()
-		if there {
+		if finished {
 			return
 		}
-		<-news
+		<-progress
 	}
 }
 
+// run writes the pending changes until close.
 func (f *storeFile) run() {
 	defer close(f.done)
 	for {
@@ -127,7 +156,7 @@
 		if len(batch) == 0 {
 			continue
 		}
-		err := f.db.Update(func(tx *bbolt.Tx) error { return write(tx, batch) })
+		err := f.db.Update(func(tx *bbolt.Tx) error { return writeBatch(tx, batch) })
 		f.mu.Lock()
 		if f.written = batch[len(batch)-1].Revision; err != nil {
 			f.err = err
@@ -138,38 +167,45 @@
 	}
 }
 
-func write(tx *bbolt.Tx, batch []simulation.Change) error {
-	rows, grants, meta := tx.Bucket(bucketEntries), tx.Bucket(bucketLeases), tx.Bucket(bucketMeta)
+// writeBatch writes changes, in their order.
+func writeBatch(tx *bbolt.Tx, batch []simulation.Change) error {
 	for _, c := range batch {
-		for _, r := range c.Writes {
-			raw, err := json.Marshal(r)
-			if err != nil {
-				return err
-			}
-			if err := rows.Put([]byte(r.Key), raw); err != nil {
-				return err
-			}
+		if err := writeChange(tx, c); err != nil {
+			return err
+		}
+	}
+	last := batch[len(batch)-1].Revision
+	return tx.Bucket(bucketMeta).Put(keyRevision, encodeNumber(last))
+}
+
+func writeChange(tx *bbolt.Tx, c simulation.Change) error {
+	entries, leases, meta := tx.Bucket(bucketEntries), tx.Bucket(bucketLeases), tx.Bucket(bucketMeta)
+	for _, kv := range c.Writes {
+		raw, err := json.Marshal(kv)
+		if err != nil {
+			return err
 		}
-		for _, k := range c.Deletes {
-			if err := rows.Delete([]byte(k)); err != nil {
-				return err
-			}
+		if err := entries.Put([]byte(kv.Key), raw); err != nil {
+			return err
+		}
+	}
+	for _, key := range c.Deletes {
+		if err := entries.Delete([]byte(key)); err != nil {
+			return err
 		}
-		if c.LeaseID != 0 {
-			if err := grants.Put(encodeNumber(c.LeaseID), encodeNumber(uint64(c.TTL))); err != nil {
-				return err
-			}
-			if err := meta.Put([]byte("hold"), encodeNumber(c.LeaseID)); err != nil {
-				return err
-			}
+	}
+	if c.LeaseID != 0 {
+		if err := leases.Put(encodeNumber(c.LeaseID), encodeNumber(uint64(c.TTL))); err != nil {
+			return err
 		}
-		if c.RevokedLease != 0 {
-			if err := grants.Delete(encodeNumber(c.RevokedLease)); err != nil {
-				return err
-			}
+		if err := meta.Put(keyLastLease, encodeNumber(c.LeaseID)); err != nil {
+			return err
 		}
 	}
-	return meta.Put([]byte("epoch"), encodeNumber(batch[len(batch)-1].Revision))
+	if c.RevokedLease != 0 {
+		return leases.Delete(encodeNumber(c.RevokedLease))
+	}
+	return nil
 }
 
 // close writes what is pending and closes the file.
