--- a/internal/localcluster/controllers.go
+++ b/internal/localcluster/controllers.go
@@ -8,6 +8,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"sync"
 	"time"
 
 	"drumpick/internal/config"
@@ -39,6 +40,11 @@
 	return nil
 }
 
+// chosenAddrs holds all addresses that controllers of this process's clusters were given. None is given twice: between
+// the choice and the controller's start the port is free, and the controller of another cluster that had it would
+// answer in place of this one's.
+var chosenAddrs sync.Map
+
 // chooseAddrs names the controllers and chooses free ports for them, which are held until release is called, so that
 // none is chosen twice.
 func (c *Cluster) chooseAddrs() (release func(), err error) {
@@ -50,12 +56,17 @@
 		}
 	}
 	chooseAddr := func() (string, error) {
-		ln, err := listen()
-		if err != nil {
-			return "", err
+		for {
+			ln, err := listen()
+			if err != nil {
+				return "", err
+			}
+			held = append(held, ln)
+			addr := ln.Addr().String()
+			if _, chosen := chosenAddrs.LoadOrStore(addr, true); !chosen {
+				return addr, nil
+			}
 		}
-		held = append(held, ln)
-		return ln.Addr().String(), nil
 	}
 	for i := range o.Controllers {
 		controller := Controller{Name: fmt.Sprintf("controller-%d", i+1), Zone: o.Zones[i%len(o.Zones)]}
