--- a/internal/goldentest/exchange.go
+++ b/internal/goldentest/exchange.go
@@ -27,7 +27,7 @@
 // msgpackType is the content type of bodies that stand in a golden file as hexadecimal text.
 const msgpackType = "application/msgpack"
 
-// body makes a body fit for an Exchange: what is no JSON stands as text.
+// body returns a body as an Exchange has it: what is no JSON stands as text.
 func body(raw []byte, contentType string) json.RawMessage {
 	var compact bytes.Buffer
 	if len(raw) == 0 {
@@ -58,6 +58,7 @@
 	f.checkValue(t, name, xs)
 }
 
+// checkValue compares a value, encoded as JSON, with an entry.
 func (f *File) checkValue(t *testing.T, name string, v any) {
 	t.Helper()
 	var out bytes.Buffer
@@ -69,8 +70,8 @@
 	f.Check(t, name, bytes.TrimSpace(out.Bytes()), true)
 }
 
-// Peer is the other side of a client under test. It answers each request with the exchange
-// that is prepared, and keeps the request.
+// Peer is the server of a client under test. It answers each request with the answer that is prepared, and keeps the
+// exchange.
 type Peer struct {
 	Addr string
 	// Forward, where set, gives the answers in place of those that are prepared.
@@ -81,7 +82,7 @@
 	got      []Exchange
 }
 
-// NewPeer starts the other side; it ends with the test.
+// NewPeer starts a server that ends with the test.
 func NewPeer(t *testing.T) *Peer {
 	t.Helper()
 	p := &Peer{}
@@ -91,15 +92,16 @@
 	return p
 }
 
+// serve answers with what is prepared, or with what Forward returns.
 func (p *Peer) serve(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body) // a request that is cut off shows in its body
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.Forward != nil {
-		p.forward(w, r, raw)
+		p.forwardLocked(w, r, raw)
 		return
 	}
-	x := Exchange{Status: 500}
+	x := Exchange{Status: http.StatusInternalServerError}
 	if n := len(p.got); n < len(p.prepared) {
 		x.Status, x.Answer = p.prepared[n].Status, p.prepared[n].Answer
 	}
@@ -109,11 +111,12 @@
 	_, _ = w.Write(x.Answer)
 }
 
-func (p *Peer) forward(w http.ResponseWriter, r *http.Request, raw []byte) {
+// forwardLocked answers with what Forward returns.
+func (p *Peer) forwardLocked(w http.ResponseWriter, r *http.Request, raw []byte) {
 	r.Body = io.NopCloser(bytes.NewReader(raw))
 	resp, err := p.Forward(r)
 	if err != nil {
-		w.WriteHeader(500)
+		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	defer resp.Body.Close()
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -1,5 +1,5 @@
-// Package goldentest compares the forms that leave a process (messages, records, settings)
-// with golden files. Only tests use it. The flag -update-golden writes the files anew:
+// Package goldentest compares the encoded forms that leave a process (messages, records, settings) with golden
+// files. Only tests use it. The flag -update-golden writes the files anew:
 //
 //	go test ./internal/records -run Golden -update-golden
 //
@@ -61,6 +61,7 @@
 	}
 }
 
+// close writes the file with -update-golden, and else checks that every entry was compared.
 func (f *File) close() {
 	if *update {
 		if err := f.write(); err != nil {
@@ -109,6 +110,7 @@
 	return want
 }
 
+// set puts a form into the file that is written.
 func (f *File) set(t *testing.T, name string, got []byte, isJSON bool) {
 	t.Helper()
 	if f.checked[name] {
@@ -150,7 +152,7 @@
 	return bin
 }
 
-// Codec writes and reads the forms of one kind.
+// Codec encodes and decodes the forms of one kind.
 type Codec struct {
 	Tag    string // struct tag that names the fields
 	Encode func(v any) ([]byte, error)
@@ -160,7 +162,7 @@
 // JSON is the codec of the standard library.
 var JSON = Codec{"json", json.Marshal, json.Unmarshal}
 
-// Direction says which way a form goes.
+// Direction says whether the code reads a form, writes it, or both.
 type Direction int
 
 // Directions of a form.
@@ -200,6 +202,7 @@
 	}
 }
 
+// compare compares the encoded value with an entry, and the decoded entry with the value, as the case says.
 func (f *File) compare(t *testing.T, c Codec, x Case, name string, value any) {
 	t.Helper()
 	isJSON := c.Tag == "json"
@@ -224,12 +227,13 @@
 	}
 }
 
-// Unset lists the exported fields of a value, and of all that is in it, that are zero or
-// empty. A field that the tag leaves out ("-") is not looked at.
+// Unset lists the exported fields of a value, and of all that is in it, that are zero or empty. A field that the tag
+// leaves out ("-") is not among them.
 func Unset(v any, tag string) []string {
 	return unset(reflect.ValueOf(v), tag, "")
 }
 
+// unset lists the unset fields of a value that is found at a path.
 func unset(v reflect.Value, tag, at string) []string {
 	if !v.IsValid() || v.IsZero() {
 		return []string{at}
--- a/internal/goldentest/golden_test.go
+++ b/internal/goldentest/golden_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// A field that a value leaves unset is told, wherever it is; one that the form leaves out
-// is not.
-func TestUnset(t *testing.T) {
+// A field that a value leaves unset is listed, wherever it is; one that the form leaves out is not.
+func TestUnsetListsFields(t *testing.T) {
 	type inner struct {
 		N int    `json:"n"`
 		S string `json:"s"`
--- a/internal/jobspec/jobspec.go
+++ b/internal/jobspec/jobspec.go
@@ -1,5 +1,5 @@
-// Package jobfile reads the jobs that people write down, in YAML or JSON: one job, a list
-// under "jobs", or several documents of either. What is wrong is told by line and field.
+// Package jobspec reads job specifications that people write, in YAML or JSON: one job, a list under "jobs", or
+// several documents of either. Errors name the line and the field.
 package jobspec
 
 import (
@@ -40,10 +40,10 @@
 	return s
 })
 
-// fileJob is a job as people write it. Amounts are per task, times in seconds.
+// fileJob is a job as its file has it. Amounts are per task, times in seconds.
 type fileJob struct {
 	ID          string   `yaml:"id"`
-	Name        string   `yaml:"name"` // for needs of other jobs in the same file
+	Name        string   `yaml:"name"` // by which other jobs of the file depend on it
 	Class       string   `yaml:"class"`
 	Team        string   `yaml:"team"`
 	Shape       string   `yaml:"shape"`
@@ -72,8 +72,8 @@
 	client.Job
 }
 
-// Read reads all jobs of a file. newID names those that have no id; within the file, needs
-// may give names, of jobs further up.
+// Read reads all jobs of a file. newID returns ids for those that have none. Dependencies may be given by the names of
+// jobs further up in the file.
 func Read(file string, in io.Reader, newID func() string) ([]NamedJob, error) {
 	raw, err := io.ReadAll(in)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return jobs, nil
 }
 
-// jobNodes finds the jobs of a document.
+// jobNodes returns the jobs of a document.
 func jobNodes(n *yaml.Node) ([]*yaml.Node, error) {
 	list := n
 	if n.Kind == yaml.MappingNode {
@@ -127,6 +127,7 @@
 	return list.Content, nil
 }
 
+// fieldOf returns the value of a mapping's field; nil: it has none.
 func fieldOf(n *yaml.Node, name string) *yaml.Node {
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		if n.Content[i].Value == name {
@@ -136,6 +137,7 @@
 	return nil
 }
 
+// readJob reads one job. ids are those of the named jobs further up, which it adds to.
 func readJob(n *yaml.Node, newID func() string, ids map[string]string) (NamedJob, error) {
 	if err := validate(n); err != nil {
 		return NamedJob{}, err
@@ -147,16 +149,9 @@
 	if j.ID == "" {
 		j.ID = newID()
 	}
-	needs := []string(nil)
-	for _, need := range j.Needs {
-		id, ok := ids[need]
-		if !ok {
-			if !strings.HasPrefix(need, "j-") {
-				return NamedJob{}, fmt.Errorf("line %d: needs: no job further up has the name %q", fieldOf(n, "needs").Line, need)
-			}
-			id = need
-		}
-		needs = append(needs, id)
+	dependencies, err := dependenciesOf(n, j, ids)
+	if err != nil {
+		return NamedJob{}, err
 	}
 	if j.Name != "" {
 		if _, twice := ids[j.Name]; twice {
@@ -168,13 +163,32 @@
 		ID: j.ID, Class: j.Class, Team: j.Team, Shape: j.Shape, Priority: j.Priority, Tasks: j.Tasks,
 		CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image, ImageGB: j.ImageGB, Types: j.Types, Zone: j.Zone,
 		OneZone: j.OneZone, Apart: j.Apart, Spot: j.Spot, EstimateS: j.EstimateS, CheckpointS: j.CheckpointS,
-		SaveS: j.SaveS, DeadlineS: j.DeadlineS, Needs: needs,
+		SaveS: j.SaveS, DeadlineS: j.DeadlineS, Needs: dependencies,
 	}}, nil
 }
 
+// idPrefix begins the ids of jobs.
+const idPrefix = "j-"
+
+// dependenciesOf returns the ids of the jobs that a job depends on, which the file gives by name or id.
+func dependenciesOf(n *yaml.Node, j fileJob, ids map[string]string) ([]string, error) {
+	var dependencies []string
+	for _, name := range j.Needs {
+		id, ok := ids[name]
+		if !ok {
+			if !strings.HasPrefix(name, idPrefix) {
+				return nil, fmt.Errorf("line %d: needs: no job further up has the name %q", fieldOf(n, "needs").Line, name)
+			}
+			id = name
+		}
+		dependencies = append(dependencies, id)
+	}
+	return dependencies, nil
+}
+
 var english = message.NewPrinter(language.English)
 
-// validate holds a job against the schema, and names the line and field of what is wrong.
+// validate checks a job by the schema. Errors name the line and the field.
 func validate(n *yaml.Node) error {
 	var plain any
 	if err := n.Decode(&plain); err != nil {
@@ -189,15 +203,20 @@
 	if err != nil {
 		return fmt.Errorf("line %d: %w", n.Line, err)
 	}
-	var wrong *jsonschema.ValidationError
-	if err := schema().Validate(value); !errors.As(err, &wrong) {
+	var invalid *jsonschema.ValidationError
+	if err := schema().Validate(value); !errors.As(err, &invalid) {
 		return err
 	}
-	for len(wrong.Causes) > 0 {
-		wrong = wrong.Causes[0]
+	for len(invalid.Causes) > 0 {
+		invalid = invalid.Causes[0]
 	}
+	return describe(n, invalid)
+}
+
+// describe returns what is wrong with a job, with the line and the field.
+func describe(n *yaml.Node, invalid *jsonschema.ValidationError) error {
 	at, where := n, ""
-	for _, step := range wrong.InstanceLocation {
+	for _, step := range invalid.InstanceLocation {
 		if next := fieldOf(at, step); at.Kind == yaml.MappingNode && next != nil {
 			at, where = next, step
 		}
@@ -205,11 +224,11 @@
 	if where != "" {
 		where += ": "
 	}
-	if extra, ok := wrong.ErrorKind.(*kind.AdditionalProperties); ok {
+	if extra, ok := invalid.ErrorKind.(*kind.AdditionalProperties); ok {
 		if f := fieldOf(at, extra.Properties[0]); f != nil {
 			at = f
 		}
 		return fmt.Errorf("line %d: %s is no field of a job", at.Line, extra.Properties[0])
 	}
-	return fmt.Errorf("line %d: %s%s", at.Line, where, wrong.ErrorKind.LocalizedString(english))
+	return fmt.Errorf("line %d: %s%s", at.Line, where, invalid.ErrorKind.LocalizedString(english))
 }
--- a/internal/jobspec/jobspec_test.go
+++ b/internal/jobspec/jobspec_test.go
@@ -7,9 +7,8 @@
 	"testing"
 )
 
-// Files that people write, and what is told of them: kept stories of one line each. An
-// error names the line and the field.
-func TestRead(t *testing.T) {
+// Files that people write are read with their defaults, or refused with the line and the field.
+func TestReadTakesJobsOrNamesLineAndField(t *testing.T) {
 	const job = "class: c\nteam: t\ncpus: 1\nmem_gb: 2\nimage: i\n"
 	for name, x := range map[string]struct{ text, want string }{
 		"one job, defaults": {job, `[j-1 batch standard 1]`},
--- a/internal/linearizability/log.go
+++ b/internal/linearizability/log.go
@@ -1,10 +1,11 @@
-// Package history records what users of a deployment were told and checks it afterwards:
-// every job is one register, and all answers about it, whoever gave them and however many
-// were asked at a time, must fit into one order. For tests with real processes.
+// Package linearizability logs the answers to users of a deployment and checks them afterwards: every job is one
+// register, and all answers about it, whoever gave them and however many requests were under way at a time, must fit
+// into one order. It is for tests with real processes.
 package linearizability
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"sync"
 	"time"
@@ -14,14 +15,14 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Kinds of questions.
+// Kinds of requests.
 const (
 	Submit = "submit"
 	Poll   = "poll"
 	Cancel = "cancel"
 )
 
-// noAnswer stands for an answer that never came: the request may have been carried out.
+// noAnswer stands for an answer that never came: the request may have been carried out, or may yet be.
 const noAnswer = ""
 
 // NotFound is the answer that there is no such job.
@@ -37,22 +38,27 @@
 // New returns an empty log.
 func New() *Log { return &Log{start: time.Now()} }
 
+// request is the input of an operation.
 type request struct{ job, kind string }
 
-// Note records an answer, "" for none, to a question asked at some time by a client.
-func (l *Log) Note(who int, job, kind, answer string, asked time.Time) {
+// never is the time of an answer that never came, in nanoseconds.
+const never = 1 << 62
+
+// Note logs an answer, "" for none, to a request that a client sent at a time.
+func (l *Log) Note(clientID int, job, kind, answer string, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	end := time.Since(l.start).Nanoseconds()
+	answered := time.Since(l.start).Nanoseconds()
 	if answer == noAnswer {
-		end = 1 << 62 // it may yet be carried out
+		answered = never
 	}
 	l.ops = append(l.ops, porcupine.Operation{
-		ClientId: who, Input: request{job, kind}, Output: answer, Call: asked.Sub(l.start).Nanoseconds(), Return: end,
+		ClientId: clientID, Input: request{job, kind}, Output: answer,
+		Call: sent.Sub(l.start).Nanoseconds(), Return: answered,
 	})
 }
 
-// states of a job; a set of them is a bit mask.
+// States of a job.
 const (
 	absent = 1 << iota
 	open
@@ -60,8 +66,8 @@
 	cancelled
 )
 
-// nextStates tells which states a job may be in after an answer, from one state. Jobs become done
-// by themselves; the counts of tasks, and running or pending, are for display.
+// nextStates returns which states a job may be in after an answer, from one state. Jobs become done by themselves;
+// the counts of tasks, and running or pending, are for display.
 func nextStates(from int, kind, answer string) []any {
 	var to []any
 	add := func(states ...int) {
@@ -69,7 +75,7 @@
 			to = append(to, s)
 		}
 	}
-	over := map[string]int{client.Done: done, client.Cancelled: cancelled}[answer]
+	final := map[string]int{client.Done: done, client.Cancelled: cancelled}[answer] // 0: the answer is not final
 	switch {
 	case answer == noAnswer && kind == Submit && from == absent:
 		add(absent, open)
@@ -82,13 +88,13 @@
 			add(absent)
 		}
 	case kind == Submit && from == absent:
-		if over == 0 {
+		if final == 0 {
 			add(open)
 		}
-	case over != 0:
-		// It was cancelled by whoever asks, or has become done by itself.
-		if from == over || from == open && (kind == Cancel || over == done) {
-			add(over)
+	case final != 0:
+		// It was cancelled by this request, or has become done by itself.
+		if from == final || from == open && (kind == Cancel || final == done) {
+			add(final)
 		}
 	case kind == Cancel:
 		// Any answer but a final state breaks the protocol.
@@ -99,30 +105,30 @@
 }
 
 var model = (&porcupine.NondeterministicModel{
-	Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
-		byJob := map[string][]porcupine.Operation{}
-		var jobs []string
-		for _, o := range ops {
-			j := o.Input.(request).job
-			if byJob[j] == nil {
-				jobs = append(jobs, j)
-			}
-			byJob[j] = append(byJob[j], o)
-		}
-		slices.Sort(jobs)
-		var parts [][]porcupine.Operation
-		for _, j := range jobs {
-			parts = append(parts, byJob[j])
-		}
-		return parts
+	Partition: byJob,
+	Init:      func() []any { return []any{absent} },
+	Step: func(state, in, out any) []any {
+		return nextStates(state.(int), in.(request).kind, out.(string))
 	},
-	Init:              func() []any { return []any{absent} },
-	Step:              func(state, in, out any) []any { return nextStates(state.(int), in.(request).kind, out.(string)) },
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%v: %v", in, out) },
 }).ToModel()
 
-// Check says what is wrong with the answers; nil: nothing. Every job of which a user was
-// told must have ended, with one final answer.
+// byJob splits operations by their jobs, in the order of the jobs' ids.
+func byJob(ops []porcupine.Operation) [][]porcupine.Operation {
+	ofJob := map[string][]porcupine.Operation{}
+	for _, op := range ops {
+		id := op.Input.(request).job
+		ofJob[id] = append(ofJob[id], op)
+	}
+	var parts [][]porcupine.Operation
+	for _, id := range slices.Sorted(maps.Keys(ofJob)) {
+		parts = append(parts, ofJob[id])
+	}
+	return parts
+}
+
+// Check returns what is wrong with the answers; nil: nothing. Every job that was accepted must have ended, with one
+// final answer.
 func (l *Log) Check() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,31 +147,34 @@
 			return fmt.Errorf("job %s was accepted and has no final answer", q.job)
 		}
 	}
-	return l.order()
+	return l.checkOrderLocked()
 }
 
-// CheckOrder says which answers fit into no order, whether or not every job has ended; nil: all do.
+// CheckOrder returns which answers fit into no order, whether or not every job has ended; nil: all do.
 func (l *Log) CheckOrder() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.order()
+	return l.checkOrderLocked()
 }
 
-func (l *Log) order() error {
+func (l *Log) checkOrderLocked() error {
 	for _, part := range model.Partition(l.ops) {
 		if !porcupine.CheckOperations(model, part) {
-			return fmt.Errorf("the answers about job %s fit into no order: %s", part[0].Input.(request).job, describe(part))
+			job := part[0].Input.(request).job
+			return fmt.Errorf("the answers about job %s fit into no order: %s", job, describe(part))
 		}
 	}
 	return nil
 }
 
+// describe lists operations by the time of their requests.
 func describe(ops []porcupine.Operation) string {
 	ops = slices.Clone(ops)
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
 	text := ""
 	for _, o := range ops {
-		text += fmt.Sprintf("\n  %.3fs to %.3fs %s: %q", float64(o.Call)/1e9, float64(o.Return)/1e9, o.Input.(request).kind, o.Output)
+		from, to := time.Duration(o.Call).Seconds(), time.Duration(o.Return).Seconds()
+		text += fmt.Sprintf("\n  %.3fs to %.3fs %s: %q", from, to, o.Input.(request).kind, o.Output)
 	}
 	return text
 }
--- a/internal/linearizability/log_test.go
+++ b/internal/linearizability/log_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// The checker finds what users must never be told, and takes what they may be.
-func TestCheck(t *testing.T) {
+// The checker finds answers that users must never get, and accepts those that they may get.
+func TestCheckFindsImpossibleAnswers(t *testing.T) {
 	for name, x := range map[string]struct {
 		answers string // kind:answer@from-to, in seconds; no end: at once
 		want    string
 	}{
 		"plain":                    {"submit:pending@1 poll:running@2 poll:done@3 poll:done@4", ""},
-		"accepted without word":    {"submit:@1 poll:pending@2 poll:done@3", ""},
+		"accepted without answer":  {"submit:@1 poll:pending@2 poll:done@3", ""},
 		"not yet there":            {"submit:@1 poll:not_found@2 submit:pending@3 cancel:cancelled@4 poll:cancelled@5", ""},
-		"cancelled, unheard":       {"submit:pending@1 cancel:@2 poll:running@3 poll:cancelled@4", ""},
+		"cancelled without answer": {"submit:pending@1 cancel:@2 poll:running@3 poll:cancelled@4", ""},
 		"asked while it changes":   {"submit:pending@1 cancel:cancelled@2-9 poll:cancelled@3 poll:running@2-8", ""},
 		"done before the cancel":   {"submit:pending@1 cancel:done@2 poll:done@3", ""},
 		"forgotten":                {"submit:pending@1 poll:not_found@2 poll:done@3", "no order"},
@@ -43,7 +43,7 @@
 		}
 		err := l.Check()
 		if x.want == "" && err != nil || x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want)) {
-			t.Errorf("%s: %v, want %q", name, err, x.want)
+			t.Errorf("%s: got %v, want %q", name, err, x.want)
 		}
 	}
 }
