--- a/cmd/drumpick-scale/main.go
+++ b/cmd/drumpick-scale/main.go
@@ -1,6 +1,6 @@
-// Command drumpick-scale runs deployments of a planned size on one machine, with workers whose
-// tasks are timers beside real processes, measures what each role costs, and works out what that comes to
-// at other sizes. It is for those who plan and test; nothing of it is in the daemon.
+// Command drumpick-scale runs deployments of a planned size on one machine, with workers whose tasks are timers beside
+// real processes, measures what each role costs, and works out what that comes to at other sizes. It is for planning
+// and tests; nothing of it is in the controllers' program.
 package main
 
 import (
@@ -17,6 +17,7 @@
 	"drumpick/internal/loadtest"
 
 	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
 )
 
 // Exit codes.
@@ -27,8 +28,8 @@
 	exitInterrupted = 130
 )
 
-// errBroken says that a rule of the protocol was broken.
-var errBroken = errors.New("a rule of the protocol was broken")
+// errRuleBroken says that a rule of the protocol was broken.
+var errRuleBroken = errors.New("a rule of the protocol was broken")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -86,18 +87,28 @@
 			if err := size.Check(); err != nil {
 				return err
 			}
-			play := loadtest.Run
+			run := loadtest.Run
 			if paired {
-				play = loadtest.RunPaired
+				run = loadtest.RunPaired
 			}
-			result, err := play(cmd.Context(), size, programs, cmd.ErrOrStderr())
+			result, err := run(cmd.Context(), size, programs, cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			return report(result, file, cmd.OutOrStdout())
+			return printResult(result, file, cmd.OutOrStdout())
 		},
 	}
 	f := cmd.Flags()
+	addSizeFlags(f, &size)
+	f.BoolVar(&paired, "paired", false, "play it without teams before")
+	f.StringVar(&file, "out", "", "`file` for the result as JSON")
+	f.StringVar(&programs.Controller, "daemon", "target/drumpick", "the controllers' `program`, built as deploy/service.toml says")
+	f.StringVar(&programs.Options, "options", "deploy/drumpick.ini", "the controllers' operators' settings `file`")
+	return cmd
+}
+
+// addSizeFlags adds the flags that say what to run.
+func addSizeFlags(f *pflag.FlagSet, size *loadtest.Size) {
 	f.IntVar(&size.Workers, "workers", size.Workers, "`machines` in all")
 	f.IntVar(&size.RealWorkers, "real-workers", size.RealWorkers, "of these, `machines` with a process of their own")
 	f.IntVar(&size.Tasks, "tasks", size.Tasks, "`tasks` that are to run at the same time")
@@ -113,11 +124,6 @@
 	f.BoolVar(&size.Faults.Rack, "rack", false, "a rack's workers fail at once")
 	f.BoolVar(&size.Faults.Zone, "zone", false, "a zone's workers fail at once")
 	f.BoolVar(&size.Faults.Leader, "leader", false, "a leader is killed")
-	f.BoolVar(&paired, "paired", false, "play it without teams before")
-	f.StringVar(&file, "out", "", "`file` for the result as JSON")
-	f.StringVar(&programs.Controller, "daemon", "target/drumpick", "the controllers' `program`, built as deploy/service.toml says")
-	f.StringVar(&programs.Options, "options", "deploy/drumpick.ini", "the controllers' operators' settings `file`")
-	return cmd
 }
 
 // prepare checks the programs and files that a run needs.
@@ -126,7 +132,8 @@
 		return err
 	}
 	if _, err := os.Stat(p.Controller); err != nil {
-		return &loadtest.UsageError{Flag: "daemon", Reason: fmt.Sprintf("there is no program %s; build it with go build -o %s ./cmd/drumpick", p.Controller, p.Controller)}
+		const format = "there is no program %s; build it with go build -o %[1]s ./cmd/drumpick"
+		return &loadtest.UsageError{Flag: "daemon", Reason: fmt.Sprintf(format, p.Controller)}
 	}
 	if _, err := os.Stat(p.Options); err != nil {
 		return &loadtest.UsageError{Flag: "options", Reason: fmt.Sprintf("there is no file %s", p.Options)}
@@ -134,8 +141,8 @@
 	return nil
 }
 
-// report writes a result, and fails if a rule was broken.
-func report(r *loadtest.Result, file string, out io.Writer) error {
+// printResult prints a result and writes it to a file, if one is named. It fails if a rule was broken.
+func printResult(r *loadtest.Result, file string, out io.Writer) error {
 	if err := r.Print(out); err != nil {
 		return err
 	}
@@ -145,7 +152,8 @@
 		}
 	}
 	if len(r.Violations) > 0 {
-		return fmt.Errorf("%w: %s: %s (%d in all)", errBroken, r.Violations[0].Rule, r.Violations[0].What, len(r.Violations))
+		first := r.Violations[0]
+		return fmt.Errorf("%w: %s: %s (%d in all)", errRuleBroken, first.Rule, first.What, len(r.Violations))
 	}
 	return nil
 }
@@ -166,7 +174,7 @@
 	return cmd
 }
 
-// serveCommand is what a run starts as processes of its own.
+// serveCommand is the command that a run starts as processes of its own.
 func serveCommand() *cobra.Command {
 	var data string
 	cmd := &cobra.Command{
--- a/cmd/drumpick-scale/main_test.go
+++ b/cmd/drumpick-scale/main_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// children are the processes that this one has started and not ended.
+// children returns how many processes this one has started and not ended.
 func children(t *testing.T) int {
 	t.Helper()
 	self, err := process.NewProcess(int32(os.Getpid()))
@@ -36,9 +36,9 @@
 	return len(all)
 }
 
-// A run of real controllers with hollow workers and two that have processes of their own, the
-// leader killed once: every job gets one final answer, no rule breaks, nothing is left behind.
-func TestRun(t *testing.T) {
+// A run of real controllers with hollow workers and two that have processes of their own, the leader killed once: every
+// job gets one final answer, no rule breaks, nothing is left behind.
+func TestRunWithFailoverLeavesNothingBehind(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
 	daemon, options, result := filepath.Join(dir, "drumpick"), filepath.Join(dir, "drumpick.ini"), filepath.Join(dir, "result.json")
@@ -64,7 +64,7 @@
 		t.Errorf("%d of %d jobs have a final answer", r.Finished, r.Jobs)
 	}
 	if len(r.InjectedFaults.Failovers) != 1 {
-		t.Errorf("takeovers: %v, want one", r.InjectedFaults.Failovers)
+		t.Errorf("failovers: %v, want one", r.InjectedFaults.Failovers)
 	}
 	for _, role := range []string{"leader", "follower", "state service", "hollow workers", "real worker"} {
 		if u := r.Usage[role]; u.Processes == 0 || u.MemoryMB <= 0 {
@@ -79,9 +79,9 @@
 	}
 }
 
-// What makes no sense, or does not fit the machine, is said in one line that names the flag, and
-// nothing is started.
-func TestBadInput(t *testing.T) {
+// An invalid size, or one that does not fit the machine, is an error of one line that names the flag, and nothing is
+// started.
+func TestInvalidSizeNamesFlagAndStartsNothing(t *testing.T) {
 	dir := t.TempDir()
 	daemon := filepath.Join(dir, "drumpick")
 	if err := os.WriteFile(daemon, nil, 0o700); err != nil {
--- a/cmd/drumpickctl/ctl_test.go
+++ b/cmd/drumpickctl/ctl_test.go
@@ -14,9 +14,9 @@
 	"drumpick/internal/localcluster"
 )
 
-// The verbs against a region with a real controller: what they print, and the exit codes
-// that docs/client.md promises.
-func TestVerbs(t *testing.T) {
+// The commands against a local cluster with a real controller: what they print, and the exit codes that docs/client.md
+// promises.
+func TestCommandsPrintAndExitAsDocumented(t *testing.T) {
 	dir := t.TempDir()
 	built := filepath.Join(dir, "drumpick")
 	if out, err := exec.Command("go", "build", "-o", built, "drumpick/cmd/drumpick").CombinedOutput(); err != nil {
--- a/cmd/drumpickctl/demo.go
+++ b/cmd/drumpickctl/demo.go
@@ -23,7 +23,7 @@
 //go:embed sample.yaml
 var sample []byte
 
-// demo runs the sample jobs on a region of their own.
+// demo runs the sample jobs on a local cluster of their own.
 func (f *flags) demo(cmd *cobra.Command, o localcluster.Options) error {
 	data := f.dataDir
 	if data == "" {
@@ -34,53 +34,65 @@
 		defer os.RemoveAll(dir)
 		data = dir
 	}
-	return f.withCluster(cmd, o, data, func(r *localcluster.Cluster) error {
-		out, errs := cmd.OutOrStdout(), cmd.ErrOrStderr()
-		fmt.Fprintf(errs, "three controllers, a state service and a cloud run on loopback; submitting sample jobs\n")
-		jobs, err := jobspec.Read("sample.yaml", bytes.NewReader(sample), client.NewID)
-		if err != nil {
-			return err
-		}
-		began := time.Now()
-		c := r.Client()
-		states, err := submitAll(cmd.Context(), c, jobs, errs)
-		if err != nil {
-			return err
-		}
-		var ending []client.Status
-		for i, j := range jobs {
-			if j.Shape != client.Service {
-				ending = append(ending, states[i])
-			}
-		}
-		if _, err := f.waitAll(cmd, c, ending); err != nil {
+	return f.withCluster(cmd, o, data, func(cluster *localcluster.Cluster) error { return f.runSample(cmd, cluster) })
+}
+
+// runSample runs the sample jobs and prints what became of them.
+func (f *flags) runSample(cmd *cobra.Command, cluster *localcluster.Cluster) error {
+	errs := cmd.ErrOrStderr()
+	fmt.Fprintf(errs, "three controllers, a state service and a cloud run on loopback; submitting sample jobs\n")
+	jobs, err := jobspec.Read("sample.yaml", bytes.NewReader(sample), client.NewID)
+	if err != nil {
+		return err
+	}
+	began := time.Now()
+	c := cluster.Client()
+	states, err := submitAll(cmd.Context(), c, jobs, errs)
+	if err != nil {
+		return err
+	}
+	if err := f.finishSample(cmd, c, jobs, states); err != nil {
+		return err
+	}
+	// What a cancelled service left running is gone within the time that cancellations have.
+	for cluster.Environment.Running() > 0 {
+		if err := ctxtime.Sleep(cmd.Context(), 100*time.Millisecond); err != nil {
 			return err
 		}
-		for i, j := range jobs {
-			if j.Shape == client.Service {
-				// A service runs until it is cancelled; its tasks are there when the others end.
-				if states[i], err = c.Cancel(cmd.Context(), j.ID); err != nil {
-					return err
-				}
-			} else if states[i], err = c.Get(cmd.Context(), j.ID); err != nil {
-				return err
-			}
+	}
+	h := cluster.History()
+	res := demoResult(jobs, states, h, began)
+	if err := f.print(cmd.OutOrStdout(), res, func(w io.Writer) { showDemo(w, res, began) }); err != nil {
+		return err
+	}
+	if len(h.Violations) > 0 {
+		return errors.New("rules of the protocol were broken: " + strings.Join(h.Violations, "; "))
+	}
+	return nil
+}
+
+// finishSample waits until the jobs that end by themselves are final, cancels the others, and updates the states.
+func (f *flags) finishSample(cmd *cobra.Command, c *client.Client, jobs []jobspec.NamedJob, states []client.Status) error {
+	var ending []client.Status
+	for i, j := range jobs {
+		if j.Shape != client.Service {
+			ending = append(ending, states[i])
 		}
-		// What a cancelled service left running is gone within the region's bound.
-		for r.Environment.Running() > 0 {
-			if err := ctxtime.Sleep(cmd.Context(), 100*time.Millisecond); err != nil {
-				return err
-			}
+	}
+	if _, err := f.waitAll(cmd, c, ending); err != nil {
+		return err
+	}
+	for i, j := range jobs {
+		finalState := c.Get
+		if j.Shape == client.Service {
+			finalState = c.Cancel // a service runs until it is cancelled
 		}
-		h := r.History()
-		if err := f.print(out, demoResult(jobs, states, h, began), func(w io.Writer) { showDemo(w, jobs, states, h, began) }); err != nil {
+		var err error
+		if states[i], err = finalState(cmd.Context(), j.ID); err != nil {
 			return err
 		}
-		if len(h.Violations) > 0 {
-			return errors.New("rules of the protocol were broken: " + strings.Join(h.Violations, "; "))
-		}
-		return nil
-	})
+	}
+	return nil
 }
 
 // jobResult is what became of a sample job. Times are in seconds since the demo began.
@@ -96,12 +108,14 @@
 	Zones    []string `json:"zones"`
 }
 
+// result is what became of the sample jobs.
 type result struct {
 	Jobs []jobResult          `json:"jobs"`
 	Ran  localcluster.History `json:"history"`
 	Cost float64              `json:"cost"`
 }
 
+// demoResult works out what became of the sample jobs.
 func demoResult(jobs []jobspec.NamedJob, states []client.Status, h localcluster.History, began time.Time) result {
 	res := result{Ran: h}
 	for i, j := range jobs {
@@ -128,8 +142,9 @@
 	return res
 }
 
-func showDemo(w io.Writer, jobs []jobspec.NamedJob, states []client.Status, h localcluster.History, began time.Time) {
-	res := demoResult(jobs, states, h, began)
+// showDemo prints a result, after a demo that began at a time.
+func showDemo(w io.Writer, res result, began time.Time) {
+	h := res.Ran
 	fmt.Fprintln(w, "\nJOB\tID\tSTATUS\tTASKS\tSTARTS\tFIRST START\tLAST END\tMACHINES\tZONES")
 	for _, j := range res.Jobs {
 		first, last := fmt.Sprintf("%.1fs", j.FirstS), fmt.Sprintf("%.1fs", j.LastS)
@@ -153,7 +168,7 @@
 		len(h.Runs), len(h.Costs), time.Since(began).Seconds(), res.Cost, len(h.Violations))
 }
 
-// short lists a few names.
+// short returns a list of names, shortened after the first few.
 func short(names []string) string {
 	if len(names) > 3 {
 		return fmt.Sprintf("%s and %d more", strings.Join(names[:3], " "), len(names)-3)
--- a/cmd/drumpickctl/drains.go
+++ b/cmd/drumpickctl/drains.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-// drainFlags are how a drain is said on the command line.
+// drainFlags are the flags that describe a drain.
 type drainFlags struct {
 	spec         client.Drain
 	cordon       bool
@@ -49,7 +49,7 @@
 	fl.DurationVar(&x.lead, "window-lead", 0, "empty machines so long ahead that they are empty when a window starts")
 }
 
-// drain puts what was said together.
+// drain returns the drain that the flags and the names of machines describe.
 func (x *drainFlags) drain(names []string, now time.Time) (client.Drain, error) {
 	d := x.spec
 	d.Machines, d.Kind, d.OlderS = names, client.DrainEmpty, x.older.Seconds()
@@ -67,38 +67,65 @@
 			d.AtOnce = 1
 		}
 	}
+	var err error
+	if d.ByMS, err = x.deadline(now); err != nil {
+		return d, err
+	}
+	d.Window, err = x.window()
+	return d, err
+}
+
+// localTime is the form of times without a time zone.
+const localTime = "2006-01-02T15:04"
+
+// deadline returns the time by which the machines must be empty, in milliseconds; 0: there is none.
+func (x *drainFlags) deadline(now time.Time) (int64, error) {
 	switch {
 	case x.by != "" && x.in != 0:
-		return d, usage("--by and --in exclude each other")
+		return 0, usage("--by and --in exclude each other")
 	case x.in != 0:
-		d.ByMS = now.Add(x.in).UnixMilli()
-	case x.by != "":
-		at, err := time.ParseInLocation("2006-01-02T15:04", x.by, now.Location())
-		if err != nil {
-			at, err = time.Parse(time.RFC3339, x.by)
-		}
-		if err != nil {
-			return d, usage("--by: %q is no time such as 2026-01-31T22:00", x.by)
-		}
-		d.ByMS = at.UnixMilli()
+		return now.Add(x.in).UnixMilli(), nil
+	case x.by == "":
+		return 0, nil
 	}
-	if x.rule != "" {
-		zone := x.zone
-		if zone == "" {
-			zone = os.Getenv("TZ")
-		}
-		if zone == "" {
-			return d, usage("--window-zone is missing: the time zone that the rule is meant in")
-		}
-		d.Window = &client.Window{Rule: x.rule, Zone: zone, ForS: x.length.Seconds(), LeadS: x.lead.Seconds(), Starts: x.starts}
+	at, err := time.ParseInLocation(localTime, x.by, now.Location())
+	if err != nil {
+		at, err = time.Parse(time.RFC3339, x.by)
+	}
+	if err != nil {
+		return 0, usage("--by: %q is no time such as 2026-01-31T22:00", x.by)
+	}
+	return at.UnixMilli(), nil
+}
+
+// window returns the windows in which the drain holds; nil: it always does.
+func (x *drainFlags) window() (*client.Window, error) {
+	if x.rule == "" {
+		return nil, nil
+	}
+	zone := x.zone
+	if zone == "" {
+		zone = os.Getenv("TZ")
 	}
-	return d, nil
+	if zone == "" {
+		return nil, usage("--window-zone is missing: the time zone that the rule is meant in")
+	}
+	return &client.Window{
+		Rule: x.rule, Zone: zone, ForS: x.length.Seconds(), LeadS: x.lead.Seconds(), Starts: x.starts,
+	}, nil
 }
 
 func drainCommand(f *flags) *cobra.Command {
 	cmd := &cobra.Command{Use: "drain", Short: "Empty machines, for good, for a while, or to upgrade them"}
-	var x, y drainFlags
-	plan := &cobra.Command{
+	cmd.AddCommand(planDrainCommand(f), startDrainCommand(f), listDrainsCommand(f),
+		oneDrain(f, "show DRAIN", "Show a drain: what was planned, and what happened", (*client.Client).Drain),
+		oneDrain(f, "stop DRAIN", "Withdraw a drain: its machines take tasks again", (*client.Client).StopDrain))
+	return cmd
+}
+
+func planDrainCommand(f *flags) *cobra.Command {
+	var x drainFlags
+	cmd := &cobra.Command{
 		Use: "plan [MACHINE...]", Short: "Tell what a drain would do to each task and class; changes nothing",
 		RunE: func(cmd *cobra.Command, names []string) error {
 			d, err := x.drain(names, time.Now())
@@ -109,7 +136,7 @@
 			if err != nil {
 				return err
 			}
-			d.Force = true // a plan may tell of what would not be started
+			d.Force = true // a plan may be of a drain that would not be started
 			p, err := c.PlanDrain(cmd.Context(), d)
 			if err != nil {
 				return err
@@ -117,12 +144,17 @@
 			return f.print(cmd.OutOrStdout(), p, func(w io.Writer) { showPlan(w, p) })
 		},
 	}
-	x.add(plan)
+	x.add(cmd)
+	return cmd
+}
+
+func startDrainCommand(f *flags) *cobra.Command {
+	var x drainFlags
 	var wait, force bool
-	start := &cobra.Command{
+	cmd := &cobra.Command{
 		Use: "start [MACHINE...]", Short: "Start a drain, of machines by name, type, zone, age or version",
 		RunE: func(cmd *cobra.Command, names []string) error {
-			d, err := y.drain(names, time.Now())
+			d, err := x.drain(names, time.Now())
 			if err != nil {
 				return err
 			}
@@ -142,10 +174,14 @@
 			return f.print(cmd.OutOrStdout(), v, func(w io.Writer) { showDrain(w, v) })
 		},
 	}
-	y.add(start)
-	start.Flags().BoolVarP(&wait, "wait", "w", false, "wait until all machines are empty, or have their version")
-	start.Flags().BoolVar(&force, "force", false, "start it though it leaves no machine for some jobs")
-	cmd.AddCommand(plan, start, &cobra.Command{
+	x.add(cmd)
+	cmd.Flags().BoolVarP(&wait, "wait", "w", false, "wait until all machines are empty, or have their version")
+	cmd.Flags().BoolVar(&force, "force", false, "start it though it leaves no machine for some jobs")
+	return cmd
+}
+
+func listDrainsCommand(f *flags) *cobra.Command {
+	return &cobra.Command{
 		Use: "list", Short: "List drains", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := f.client()
@@ -156,20 +192,21 @@
 			if err != nil {
 				return err
 			}
-			return f.print(cmd.OutOrStdout(), all, func(w io.Writer) {
-				fmt.Fprintln(w, "DRAIN\tKIND\tMEANS\tPHASE\tLEFT\tBEGAN")
-				for _, v := range all {
-					phase, left := phaseOf(v)
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Drain.ID, v.Drain.Kind, means(v.Drain), phase, left, clock(v.Drain.BeganMS))
-				}
-			})
+			return f.print(cmd.OutOrStdout(), all, func(w io.Writer) { showDrains(w, all) })
 		},
-	}, oneDrain(f, "show DRAIN", "Show a drain: what was planned, and what happened", (*client.Client).Drain),
-		oneDrain(f, "stop DRAIN", "Withdraw a drain: its machines take tasks again", (*client.Client).StopDrain))
-	return cmd
+	}
+}
+
+// showDrains prints a list of drains.
+func showDrains(w io.Writer, all []client.DrainView) {
+	fmt.Fprintln(w, "DRAIN\tKIND\tMEANS\tPHASE\tLEFT\tBEGAN")
+	for _, v := range all {
+		phase, left := phaseOf(v)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Drain.ID, v.Drain.Kind, means(v.Drain), phase, left, clock(v.Drain.BeganMS))
+	}
 }
 
-// waitDrain polls a drain until nothing is left to do.
+// waitDrain polls a drain until nothing is left to do, and prints its progress.
 func waitDrain(cmd *cobra.Command, c *client.Client, v client.DrainView) (client.DrainView, error) {
 	shown := ""
 	for {
@@ -198,6 +235,7 @@
 	}
 }
 
+// phaseOf returns a drain's phase, and how many machines are left.
 func phaseOf(v client.DrainView) (phase, left string) {
 	switch {
 	case v.State == nil && v.Drain.Stopped:
@@ -208,6 +246,7 @@
 	return v.State.Phase, fmt.Sprint(v.State.Left)
 }
 
+// clock returns a time as text, "-" if there is none.
 func clock(ms int64) string {
 	if ms == 0 {
 		return "-"
@@ -215,7 +254,7 @@
 	return time.UnixMilli(ms).Format("2006-01-02 15:04:05")
 }
 
-// means says which machines a drain means, in a few words.
+// means describes in a few words which machines a drain selects.
 func means(d drain.Spec) string {
 	var words []string
 	if len(d.Machines) > 0 {
@@ -232,6 +271,7 @@
 	return strings.Join(words, ", ")
 }
 
+// showDrain prints a drain.
 func showDrain(w io.Writer, v client.DrainView) {
 	d := v.Drain
 	phase, left := phaseOf(v)
@@ -247,7 +287,8 @@
 		row("empty by", clock(d.ByMS))
 	}
 	if d.Window != nil {
-		row("window", fmt.Sprintf("%s in %s, for %v", d.Window.Rule, d.Window.Zone, time.Duration(d.Window.ForS*float64(time.Second))))
+		span := time.Duration(d.Window.ForS * float64(time.Second))
+		row("window", fmt.Sprintf("%s in %s, for %v", d.Window.Rule, d.Window.Zone, span))
 	}
 	row("then", d.WhenEmpty)
 	if d.Kind == client.DrainUpgrade {
@@ -274,14 +315,17 @@
 	}
 }
 
+// counts returns the columns of a summary.
 func counts(s client.DrainSummary) string {
 	empty := "-"
 	if s.EmptyS > 0 {
 		empty = fmt.Sprintf("%.0fs", s.EmptyS)
 	}
-	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0fs\t%s", s.Machines, s.Finish, s.Move, s.Lose, s.Wait, s.Blocked, s.Vanished, s.LostS, empty)
+	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0fs\t%s",
+		s.Machines, s.Finish, s.Move, s.Lose, s.Wait, s.Blocked, s.Vanished, s.LostS, empty)
 }
 
+// showPlan prints what a drain would do.
 func showPlan(w io.Writer, p client.DrainPlan) {
 	fmt.Fprintln(w, "MACHINE\tZONE\tTASK\tCLASS\tWHAT\tUNTIL\tLOST\tLATE\tWHY")
 	for _, m := range p.Machines {
@@ -289,7 +333,8 @@
 			fmt.Fprintf(w, "%s\t%s\t-\t\tis empty\n", m.Machine, m.Zone)
 		}
 		for _, t := range m.Tasks {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0fs\t%.0fs\t%.0fs\t%s\n", m.Machine, m.Zone, t.Task, t.Class, t.Action, t.UntilS, t.LostS, t.LateS, t.Reason)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0fs\t%.0fs\t%.0fs\t%s\n",
+				m.Machine, m.Zone, t.Task, t.Class, t.Action, t.UntilS, t.LostS, t.LateS, t.Reason)
 		}
 	}
 	for _, m := range p.Machines {
@@ -311,8 +356,10 @@
 	}
 }
 
-// oneDrain is a command about one drain.
-func oneDrain(f *flags, use, text string, do func(*client.Client, context.Context, string) (client.DrainView, error)) *cobra.Command {
+// oneDrain returns a command that sends a request about one drain and prints the drain.
+func oneDrain(
+	f *flags, use, text string, send func(*client.Client, context.Context, string) (client.DrainView, error),
+) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: text, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -320,7 +367,7 @@
 			if err != nil {
 				return err
 			}
-			v, err := do(c, cmd.Context(), args[0])
+			v, err := send(c, cmd.Context(), args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/drumpickctl/golden_test.go
+++ b/cmd/drumpickctl/golden_test.go
@@ -26,7 +26,7 @@
 		`"classes":{"train":{"machines":1,"finish":2,"move":3,"lose":4,"lost_s":7.5,"late":1,"late_now":2}},"all":` + goldenSum + `,"windows":["2026-01-31T22:00:00+01:00"],"warnings":["w"]}`
 )
 
-// What each verb prints with --output json keeps its form, and so does what it asks for.
+// What each command prints with --output json keeps its form, and so do its requests.
 func TestGoldenOutput(t *testing.T) {
 	t.Setenv("TZ", "UTC")
 	const job = "id: j-1\nclass: c\nteam: t\nshape: group\npriority: urgent\ntasks: 3\ncpus: 1.5\ngpus: 2\nmem_gb: 4\nimage: i\nimage_gb: 5\n" +
@@ -70,7 +70,7 @@
 	}
 }
 
-// What the verbs of the local region print with --output json.
+// What the commands of the local cluster print with --output json.
 func TestGoldenLocal(t *testing.T) {
 	at := time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC)
 	history := localcluster.History{
--- a/cmd/drumpickctl/jobs.go
+++ b/cmd/drumpickctl/jobs.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"io"
 	"os"
+	"slices"
 	"sync"
 
 	"drumpick/client"
@@ -13,19 +14,20 @@
 	"github.com/spf13/cobra"
 )
 
-// mostAtOnce bounds the requests of one command that are under way.
-const mostAtOnce = 8
+// maxConcurrent bounds the requests of one command that are under way.
+const maxConcurrent = 8
 
 // each does something for every item, several at a time, and returns the first error.
 func each[T any](items []T, do func(i int, item T) error) error {
 	errs := make([]error, len(items))
-	slots := make(chan struct{}, mostAtOnce)
+	slots := make(chan struct{}, maxConcurrent)
 	var wg sync.WaitGroup
 	for i, item := range items {
 		slots <- struct{}{}
 		wg.Add(1)
 		go func() {
-			defer func() { <-slots; wg.Done() }()
+			defer wg.Done()
+			defer func() { <-slots }()
 			errs[i] = do(i, item)
 		}()
 	}
@@ -70,6 +72,7 @@
 	return cmd
 }
 
+// readJobs reads the jobs of a file, or of in if that is "-".
 func readJobs(in io.Reader, file string) ([]jobspec.NamedJob, error) {
 	if file == "-" {
 		return jobspec.Read("standard input", in, client.NewID)
@@ -82,24 +85,14 @@
 	return jobspec.Read(file, opened, client.NewID)
 }
 
-// submitAll submits jobs in waves: one that needs another of the file goes when that
-// one is accepted.
+// submitAll submits jobs in waves: one that depends on another of the file is sent once that one is accepted.
 func submitAll(ctx context.Context, c *client.Client, jobs []jobspec.NamedJob, errs io.Writer) ([]client.Status, error) {
 	states := make([]client.Status, 0, len(jobs))
 	for _, j := range jobs {
 		states = append(states, client.Status{ID: j.ID, Status: "not accepted"})
 	}
 	for from := 0; from < len(jobs); {
-		to, here := from, map[string]bool{}
-	wave:
-		for ; to < len(jobs); to++ {
-			for _, need := range jobs[to].Needs {
-				if here[need] {
-					break wave
-				}
-			}
-			here[jobs[to].ID] = true
-		}
+		to := from + waveLength(jobs[from:])
 		err := each(jobs[from:to], func(i int, j jobspec.NamedJob) error {
 			if j.Name != "" {
 				fmt.Fprintf(errs, "%s is %s\n", j.Name, j.ID)
@@ -118,7 +111,19 @@
 	return states, nil
 }
 
-// waitAll waits until jobs are over. Services are over only when they are cancelled.
+// waveLength returns how many jobs at the start of a list depend on none of each other.
+func waveLength(jobs []jobspec.NamedJob) int {
+	inWave := map[string]bool{}
+	for n, j := range jobs {
+		if slices.ContainsFunc(j.Needs, func(id string) bool { return inWave[id] }) {
+			return n
+		}
+		inWave[j.ID] = true
+	}
+	return len(jobs)
+}
+
+// waitAll waits until jobs are final, showing progress. Services are final only when they are cancelled.
 func (f *flags) waitAll(cmd *cobra.Command, c *client.Client, states []client.Status) ([]client.Status, error) {
 	p := newProgress(cmd.ErrOrStderr(), states)
 	defer p.close()
@@ -128,7 +133,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			states[i], errs[i] = c.Wait(cmd.Context(), st.ID, func(st client.Status) { p.tell(i, st) })
+			states[i], errs[i] = c.Wait(cmd.Context(), st.ID, func(st client.Status) { p.update(i, st) })
 		}()
 	}
 	wg.Wait()
@@ -143,6 +148,7 @@
 	return states, errs[0]
 }
 
+// printStates prints the states of jobs.
 func (f *flags) printStates(out io.Writer, states []client.Status) error {
 	return f.print(out, states, func(w io.Writer) {
 		fmt.Fprintln(w, "JOB\tSTATUS\tDONE\tRUNNING")
@@ -152,8 +158,11 @@
 	})
 }
 
-// jobsCommand is a command that does something with jobs and prints how they stand.
-func jobsCommand(f *flags, use, short string, do func(ctx context.Context, c *client.Client, id string) (client.Status, error)) *cobra.Command {
+// jobRequest sends a request about a job.
+type jobRequest func(c *client.Client, ctx context.Context, id string) (client.Status, error)
+
+// jobsCommand returns a command that sends a request about each job and prints their states.
+func jobsCommand(f *flags, use, short string, send jobRequest) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, ids []string) error {
@@ -164,7 +173,7 @@
 			states := make([]client.Status, len(ids))
 			err = each(ids, func(i int, id string) error {
 				states[i].ID, states[i].Status = id, "unknown"
-				st, err := do(cmd.Context(), c, id)
+				st, err := send(c, cmd.Context(), id)
 				if err == nil {
 					states[i] = st
 				}
@@ -179,15 +188,11 @@
 }
 
 func getCommand(f *flags) *cobra.Command {
-	return jobsCommand(f, "get JOB...", "Show how jobs stand", func(ctx context.Context, c *client.Client, id string) (client.Status, error) {
-		return c.Get(ctx, id)
-	})
+	return jobsCommand(f, "get JOB...", "Show how jobs stand", (*client.Client).Get)
 }
 
 func cancelCommand(f *flags) *cobra.Command {
-	return jobsCommand(f, "cancel JOB...", "Cancel jobs, and all that need them", func(ctx context.Context, c *client.Client, id string) (client.Status, error) {
-		return c.Cancel(ctx, id)
-	})
+	return jobsCommand(f, "cancel JOB...", "Cancel jobs, and all that need them", (*client.Client).Cancel)
 }
 
 func watchCommand(f *flags) *cobra.Command {
--- a/cmd/drumpickctl/local.go
+++ b/cmd/drumpickctl/local.go
@@ -38,7 +38,8 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.demo(cmd, o) },
 	}
 	for _, c := range []*cobra.Command{up, demo} {
-		c.Flags().StringVar(&o.Controller, "daemon", "", "the controllers' `program` (else drumpick beside this one, or built from the sources here)")
+		c.Flags().StringVar(&o.Controller, "daemon", "",
+			"the controllers' `program` (else drumpick beside this one, or built from the sources here)")
 		c.Flags().StringVar(&o.LogLevel, "log", o.LogLevel, "the controllers' LOG_LEVEL")
 	}
 	cmd.AddCommand(up, demo,
@@ -46,18 +47,20 @@
 		f.faultCommand("storm ZONE", "Take the power from a zone: its machines are gone, its controllers crash", "/storm/", nil),
 	)
 	var span time.Duration
-	cut := f.faultCommand("cut ZONE", "Keep a zone's machines from being reached for a time", "/cut/", func() string { return "?for=" + span.String() })
+	cut := f.faultCommand("cut ZONE", "Keep a zone's machines from being reached for a time", "/cut/",
+		func() string { return "?for=" + span.String() })
 	cut.Flags().DurationVar(&span, "for", 10*time.Second, "how long")
 	cmd.AddCommand(cut)
 	var version string
-	upgrade := f.faultCommand("upgrade MACHINE", "Give a machine's worker another version; what runs there is lost", "/upgrade/", func() string { return "?to=" + url.QueryEscape(version) })
+	upgrade := f.faultCommand("upgrade MACHINE", "Give a machine's worker another version; what runs there is lost", "/upgrade/",
+		func() string { return "?to=" + url.QueryEscape(version) })
 	upgrade.Flags().StringVar(&version, "to", "", "which `version`")
 	_ = upgrade.MarkFlagRequired("to")
 	cmd.AddCommand(upgrade)
 	return cmd
 }
 
-// faultCommand is a command that a running region carries out.
+// faultCommand returns a command that a running local cluster carries out.
 func (f *flags) faultCommand(use, short, path string, query func() string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
@@ -70,16 +73,17 @@
 			if query != nil {
 				uri += query()
 			}
-			said, err := info.Command(uri)
+			result, err := info.Command(uri)
 			if err != nil {
 				return &exitError{exitNotFound, err}
 			}
-			fmt.Fprintln(cmd.OutOrStdout(), said)
+			fmt.Fprintln(cmd.OutOrStdout(), result)
 			return nil
 		},
 	}
 }
 
+// showCluster prints how to reach a local cluster.
 func showCluster(w io.Writer, data string, i localcluster.Info) {
 	fmt.Fprintf(w, "state service\t%s\ncloud\t%s\n", i.StoreAddr, i.CloudAddr)
 	for _, c := range i.Controllers {
@@ -88,11 +92,13 @@
 	fmt.Fprintf(w, "\nin another terminal\tdrumpickctl --data %s submit FILE\n", data)
 }
 
-// withCluster runs a region while do does something, and leaves no process behind.
-func (f *flags) withCluster(cmd *cobra.Command, o localcluster.Options, data string, do func(*localcluster.Cluster) error) error {
+// withCluster runs a local cluster while do runs, and leaves no process behind.
+func (f *flags) withCluster(
+	cmd *cobra.Command, o localcluster.Options, data string, do func(*localcluster.Cluster) error,
+) error {
 	o.Data = data
 	var err error
-	if o.Controller, err = daemon(cmd.Context(), o.Controller, data, cmd.ErrOrStderr()); err != nil {
+	if o.Controller, err = controllerProgram(cmd.Context(), o.Controller, data, cmd.ErrOrStderr()); err != nil {
 		return err
 	}
 	r, err := localcluster.Start(cmd.Context(), o)
@@ -100,15 +106,15 @@
 		return err
 	}
 	err = do(r)
-	if down := r.Stop(); err == nil {
-		err = down
+	if stopErr := r.Stop(); err == nil {
+		err = stopErr
 	}
 	return err
 }
 
-// daemon finds the controllers' program: the one named, one beside this program, or one
-// built from the sources that the working directory belongs to.
-func daemon(ctx context.Context, named, data string, errs io.Writer) (string, error) {
+// controllerProgram finds the controllers' program: the one named, one beside this program, or one built from the
+// sources that the working directory belongs to.
+func controllerProgram(ctx context.Context, named, data string, errs io.Writer) (string, error) {
 	if named != "" {
 		path, err := exec.LookPath(named)
 		if err != nil {
@@ -141,16 +147,18 @@
 	return built, nil
 }
 
+// executable reports whether a path is a file that can be run.
 func executable(path string) bool {
 	s, err := os.Stat(path)
 	return err == nil && s.Mode().IsRegular() && s.Mode().Perm()&0o111 != 0
 }
 
-// sources finds the root of drumpick's sources above the working directory.
+// sources returns the root of drumpick's sources above the working directory.
 func sources() (string, error) {
 	dir, err := os.Getwd()
 	for err == nil {
-		if raw, rerr := os.ReadFile(filepath.Join(dir, "go.mod")); rerr == nil && strings.HasPrefix(string(raw), "module drumpick\n") {
+		raw, readErr := os.ReadFile(filepath.Join(dir, "go.mod"))
+		if readErr == nil && strings.HasPrefix(string(raw), "module drumpick\n") {
 			return dir, nil
 		}
 		up := filepath.Dir(dir)
--- a/cmd/drumpickctl/main.go
+++ b/cmd/drumpickctl/main.go
@@ -1,5 +1,5 @@
-// Command drumpickctl is what people type: it submits jobs, watches and cancels them,
-// shows machines, and runs a whole deployment on one machine to try things out.
+// Command drumpickctl is the command-line client: it submits, watches and cancels jobs, shows machines and drains them,
+// and runs a whole deployment on one machine to try things out.
 package main
 
 import (
@@ -43,10 +43,12 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
+// usage returns an error of the command line.
 func usage(format string, args ...any) error {
 	return &exitError{exitUsage, fmt.Errorf(format, args...)}
 }
 
+// codeOf returns the exit code of an error.
 func codeOf(err error) int {
 	var exit *exitError
 	var refused *client.RefusedError
@@ -152,7 +154,7 @@
 	}
 }
 
-// data is the local region's directory.
+// data returns the local cluster's directory.
 func (f *flags) data() string {
 	switch {
 	case f.dataDir != "":
@@ -167,8 +169,8 @@
 	return filepath.Join(home, "drumpick", "local")
 }
 
-// client returns a client of the controllers that the command line, the environment or
-// the local region names, in this order.
+// client returns a client of the controllers that the command line, the environment or the local cluster names, in this
+// order.
 func (f *flags) client() (*client.Client, error) {
 	addrs := f.servers
 	if len(addrs) == 0 && os.Getenv("DRUMPICK_SERVERS") != "" {
--- a/cmd/drumpickctl/progress.go
+++ b/cmd/drumpickctl/progress.go
@@ -12,16 +12,15 @@
 	"golang.org/x/term"
 )
 
-// progress shows how jobs go on: one line that changes at a terminal, else a line now
-// and then.
+// progress shows the progress of jobs: one line that changes at a terminal, else a line at each change.
 type progress struct {
 	out      io.Writer
 	terminal bool
 	began    time.Time
 	done     chan struct{}
-	over     sync.WaitGroup
+	ended    sync.WaitGroup
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards what follows
 	states []client.Status
 	shown  string
 }
@@ -34,13 +33,14 @@
 	if file, ok := out.(*os.File); ok {
 		p.terminal = term.IsTerminal(int(file.Fd()))
 	}
-	p.over.Add(1)
+	p.ended.Add(1)
 	go p.run()
 	return p
 }
 
+// run shows the progress until close.
 func (p *progress) run() {
-	defer p.over.Done()
+	defer p.ended.Done()
 	t := time.NewTicker(showEvery)
 	defer t.Stop()
 	for {
@@ -57,22 +57,24 @@
 	}
 }
 
-func (p *progress) tell(i int, st client.Status) {
+// update takes in a job's new state.
+func (p *progress) update(i int, st client.Status) {
 	p.mu.Lock()
 	p.states[i] = st
 	p.mu.Unlock()
 }
 
+// show shows the progress if it has changed, and at a terminal in any case.
 func (p *progress) show() {
 	p.mu.Lock()
-	over, running, done := 0, 0, 0
+	final, running, done := 0, 0, 0
 	for _, st := range p.states {
 		if st.Over() {
-			over++
+			final++
 		}
 		running, done = running+st.Running, done+st.Done
 	}
-	text := fmt.Sprintf("%d of %d jobs over, %d tasks running, %d done", over, len(p.states), running, done)
+	text := fmt.Sprintf("%d of %d jobs over, %d tasks running, %d done", final, len(p.states), running, done)
 	same := text == p.shown
 	p.shown = text
 	p.mu.Unlock()
@@ -88,5 +90,5 @@
 // close shows the last state and ends.
 func (p *progress) close() {
 	close(p.done)
-	p.over.Wait()
+	p.ended.Wait()
 }
--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 	"os"
 	"path/filepath"
 	"sync"
@@ -21,11 +22,11 @@
 // Programs are what a run starts.
 type Programs struct {
 	Self       string // this program
-	Controller string // the controllers'
-	Options    string // the operators' settings of the controllers
+	Controller string // the controllers' program
+	Options    string // the controllers' file of operators' settings
 }
 
-// region is one region: its own state service, cloud, controllers and workers.
+// region is one deployment: a store, a cloud, controllers and workers of its own.
 type region struct {
 	size          Size
 	index         int
@@ -34,22 +35,22 @@
 	processes     []*workerProcess // processes of workers
 	cluster       *localcluster.Cluster
 	client        *client.Client
-	perController []*client.Client   // of one controller each
-	storeClient   *httpclient.Client // to the state service
+	perController []*client.Client // of one controller each
+	storeClient   *httpclient.Client
 
 	mu         sync.Mutex
-	placements map[string]*workerProcess // of machines
+	placements map[string]*workerProcess // by machine
 }
 
-// workerProcess is a process of workers and how many machines it runs.
+// workerProcess is a process of workers.
 type workerProcess struct {
 	*child
-	real     bool
-	capacity int
-	machines int
+	real     bool // it holds one real worker; otherwise hollow ones
+	capacity int  // machines that it takes
+	machines int  // that it runs; guarded by region.mu
 }
 
-// zoneNames are the zones of a region, of those of the whole run.
+// zoneNames returns the names of a region's share of the zones.
 func (s *Size) zoneNames(index int) []string {
 	var zones []string
 	for i := range s.share(s.Zones, index) {
@@ -60,107 +61,150 @@
 
 // openRegion starts a region's processes, and waits until every controller takes requests.
 func openRegion(ctx context.Context, size Size, index int, programs Programs, data string) (_ *region, err error) {
-	c := &region{size: size, index: index, zones: size.zoneNames(index), placements: map[string]*workerProcess{}}
+	r := &region{size: size, index: index, zones: size.zoneNames(index), placements: map[string]*workerProcess{}}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, c.close())
+			err = errors.Join(err, r.close())
 		}
 	}()
 	dir := filepath.Join(data, fmt.Sprintf("region-%d", index+1))
 	if err = os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	if c.store, err = startChild(programs.Self, filepath.Join(dir, "state.log"), "serve", RoleState, "--data", dir); err != nil {
+	if r.store, err = startChild(programs.Self, filepath.Join(dir, "state.log"), "serve", RoleState, "--data", dir); err != nil {
 		return nil, err
 	}
-	c.storeClient = httpclient.New(c.store.Service, 4, time.Second)
-	workers, apart := size.share(size.Workers, index), size.share(size.RealWorkers, index)
-	if err = c.startProcesses(programs.Self, dir, apart, workers-apart); err != nil {
+	r.storeClient = httpclient.New(r.store.Service, 4, time.Second)
+	workers, realWorkers := size.share(size.Workers, index), size.share(size.RealWorkers, index)
+	if err = r.startProcesses(programs.Self, dir, realWorkers, workers-realWorkers); err != nil {
 		return nil, err
 	}
-	perZone := (workers + len(c.zones) - 1) / len(c.zones)
-	c.cluster, err = localcluster.Start(ctx, localcluster.Options{
-		Data: dir, Controller: programs.Controller, Arguments: []string{"--options", programs.Options}, Zones: c.zones, Controllers: size.Controllers,
-		Machines: perZone, LogLevel: "info", Deployment: size.deployment(index, c.zones), MachineTypes: size.machineTypes(c.zones), StoreAddr: c.store.Service, StartWorker: c.startMachine,
+	if err = r.startCluster(ctx, programs, dir, workers); err != nil {
+		return nil, err
+	}
+	if err = r.setUpWorkers(); err != nil {
+		return nil, err
+	}
+	return r, nil
+}
+
+// startCluster starts the region's controllers and cloud, and clients of them.
+func (r *region) startCluster(ctx context.Context, programs Programs, dir string, workers int) (err error) {
+	r.cluster, err = localcluster.Start(ctx, localcluster.Options{
+		Data:         dir,
+		Controller:   programs.Controller,
+		Arguments:    []string{"--options", programs.Options},
+		Zones:        r.zones,
+		Controllers:  r.size.Controllers,
+		Machines:     (workers + len(r.zones) - 1) / len(r.zones),
+		LogLevel:     "info",
+		Deployment:   r.size.deployment(r.index, r.zones),
+		MachineTypes: r.size.machineTypes(r.zones),
+		StoreAddr:    r.store.Service,
+		StartWorker:  r.startMachine,
 	})
 	if err != nil {
-		return nil, err
+		return err
 	}
-	c.client = c.cluster.Client()
-	for _, n := range c.cluster.Info.Controllers {
-		alone, err := client.New(n.UserAddr)
+	r.client = r.cluster.Client()
+	for _, controller := range r.cluster.Info.Controllers {
+		c, err := client.New(controller.UserAddr)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		c.perController = append(c.perController, alone)
+		r.perController = append(r.perController, c)
 	}
-	setup := Setup{Types: size.machineTypes(c.zones)}
-	for _, n := range c.cluster.Info.Controllers {
-		setup.Nodes = append(setup.Nodes, Node{n.Name, n.UserAddr})
+	return nil
+}
+
+// setUpWorkers tells the processes of workers where the controllers are.
+func (r *region) setUpWorkers() error {
+	setup := Setup{Types: r.size.machineTypes(r.zones)}
+	for _, controller := range r.cluster.Info.Controllers {
+		setup.Nodes = append(setup.Nodes, Node{controller.Name, controller.UserAddr})
 	}
-	for _, h := range c.processes {
-		if err = h.ask("POST", "/setup", setup, nil); err != nil {
-			return nil, err
+	for _, p := range r.processes {
+		if err := p.ask(http.MethodPost, "/setup", setup, nil); err != nil {
+			return err
 		}
 	}
-	return c, nil
+	return nil
 }
 
 // startProcesses starts the processes of workers: one for each real one, and as many as the hollow ones need.
-func (r *region) startProcesses(program, dir string, apart, hollow int) error {
-	for i := range apart {
-		h, err := startChild(program, filepath.Join(dir, fmt.Sprintf("real-%d.log", i+1)), "serve", RoleWorkers)
+func (r *region) startProcesses(program, dir string, realWorkers, hollowWorkers int) error {
+	for i := range realWorkers {
+		log := filepath.Join(dir, fmt.Sprintf("real-%d.log", i+1))
+		c, err := startChild(program, log, "serve", RoleWorkers)
 		if err != nil {
 			return err
 		}
-		r.processes = append(r.processes, &workerProcess{child: h, real: true, capacity: 1})
+		r.processes = append(r.processes, &workerProcess{child: c, real: true, capacity: 1})
 	}
-	for i := range (hollow + workersPerProcess - 1) / workersPerProcess {
-		h, err := startChild(program, filepath.Join(dir, fmt.Sprintf("hollow-%d.log", i+1)), "serve", RoleWorkers)
+	for i := range (hollowWorkers + workersPerProcess - 1) / workersPerProcess {
+		log := filepath.Join(dir, fmt.Sprintf("hollow-%d.log", i+1))
+		c, err := startChild(program, log, "serve", RoleWorkers)
 		if err != nil {
 			return err
 		}
-		// One more than their share: zones hold equal parts, rounded up.
-		r.processes = append(r.processes, &workerProcess{child: h, capacity: workersPerProcess + len(r.zones)})
+		// One more than their share for each zone: zones hold equal parts, rounded up.
+		r.processes = append(r.processes, &workerProcess{child: c, capacity: workersPerProcess + len(r.zones)})
 	}
 	return nil
 }
 
 var errFull = errors.New("no process has room for another worker")
 
-// startMachine starts a rented machine in the process that has the fewest, the real ones first.
-func (r *region) startMachine(m *simulation.Machine) (string, func(), error) {
-	r.mu.Lock()
-	var to *workerProcess
-	for _, h := range r.processes {
-		if h.machines < h.capacity && (to == nil || h.real && !to.real || h.real == to.real && h.machines < to.machines) {
-			to = h
-		}
-	}
-	if to == nil {
-		r.mu.Unlock()
+// startMachine starts a rented machine in the process that runs the fewest, the real ones first. It returns the
+// machine's address, and what ends the machine.
+func (r *region) startMachine(m *simulation.Machine) (addr string, end func(), err error) {
+	p := r.place(m.Name)
+	if p == nil {
 		return "", nil, errFull
 	}
-	to.machines++
-	r.placements[m.Name] = to
-	r.mu.Unlock()
-	var at Placed
-	err := to.ask("POST", "/machines", Placement{m.Name, autoscaler.RentalRequest{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}, &at)
-	if err != nil {
+	placement := Placement{m.Name, autoscaler.RentalRequest{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}
+	var placed Placed
+	if err := p.ask(http.MethodPost, "/machines", placement, &placed); err != nil {
 		r.forgetMachine(m.Name)
 		return "", nil, err
 	}
-	return at.Addr, func() {
-		_ = to.ask("POST", "/machines/end", Placement{Machine: m.Name}, nil) // what can't be reached has ended
+	return placed.Addr, func() {
+		_ = p.ask(http.MethodPost, "/machines/end", Placement{Machine: m.Name}, nil) // what can't be reached has ended
 		r.forgetMachine(m.Name)
 	}, nil
 }
 
+// place chooses the process of a machine and counts the machine there; nil: none has room.
+func (r *region) place(machine string) *workerProcess {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var best *workerProcess
+	for _, p := range r.processes {
+		if p.machines < p.capacity && (best == nil || p.preferredTo(best)) {
+			best = p
+		}
+	}
+	if best != nil {
+		best.machines++
+		r.placements[machine] = best
+	}
+	return best
+}
+
+// preferredTo reports whether a machine is rather placed in p than in other.
+func (p *workerProcess) preferredTo(other *workerProcess) bool {
+	if p.real != other.real {
+		return p.real
+	}
+	return p.machines < other.machines
+}
+
+// forgetMachine frees the place of a machine that has ended.
 func (r *region) forgetMachine(machine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if h := r.placements[machine]; h != nil {
-		h.machines--
+	if p := r.placements[machine]; p != nil {
+		p.machines--
 		delete(r.placements, machine)
 	}
 }
@@ -168,29 +212,29 @@
 // reboot restarts a machine: what runs there is lost, and it is back at once.
 func (r *region) reboot(machine string) {
 	r.mu.Lock()
-	h := r.placements[machine]
+	p := r.placements[machine]
 	r.mu.Unlock()
-	if h != nil {
-		_ = h.ask("POST", "/machines/reboot", Placement{Machine: machine}, nil)
+	if p != nil {
+		_ = p.ask(http.MethodPost, "/machines/reboot", Placement{Machine: machine}, nil)
 	}
 }
 
-// upload gives the workers jobs' descriptions, as users do.
+// upload gives the workers the specifications of jobs, as users do.
 func (r *region) upload(jobs ...client.Job) error {
-	described := make([]records.Job, 0, len(jobs))
+	specs := make([]records.Job, 0, len(jobs))
 	for _, j := range jobs {
 		raw, err := json.Marshal(j)
 		if err != nil {
 			return err
 		}
-		var record records.Job
-		if err := json.Unmarshal(raw, &record); err != nil {
+		var spec records.Job
+		if err := json.Unmarshal(raw, &spec); err != nil {
 			return err
 		}
-		described = append(described, record)
+		specs = append(specs, spec)
 	}
-	for _, h := range r.processes {
-		if err := h.ask("POST", "/jobs", described, nil); err != nil {
+	for _, p := range r.processes {
+		if err := p.ask(http.MethodPost, "/jobs", specs, nil); err != nil {
 			return err
 		}
 	}
@@ -203,21 +247,22 @@
 	term uint64
 }
 
-// leader reads from the state service who leads.
+// leader reads from the store who leads.
 func (r *region) leader() leadership {
-	status, raw, err := r.storeClient.Do("GET", "/store/"+records.KeyLeader, "", nil, time.Now().Add(time.Second))
-	if err != nil || status != 200 {
+	deadline := time.Now().Add(time.Second)
+	status, raw, err := r.storeClient.Do(http.MethodGet, "/store/"+records.KeyLeader, "", nil, deadline)
+	if err != nil || status != http.StatusOK {
 		return leadership{}
 	}
-	var row records.KeyValue
+	var kv records.KeyValue
 	var l records.Leader
-	if json.Unmarshal(raw, &row) != nil || json.Unmarshal(row.Value, &l) != nil {
+	if json.Unmarshal(raw, &kv) != nil || json.Unmarshal(kv.Value, &l) != nil {
 		return leadership{}
 	}
-	return leadership{l.Node, row.Revision}
+	return leadership{l.Node, kv.Revision}
 }
 
-// finalStates asks each controller how a job stands.
+// finalStates asks each controller for the state of a job.
 func (r *region) finalStates(ctx context.Context, id string) []Final {
 	var all []Final
 	for i, controller := range r.cluster.Info.Controllers {
@@ -233,9 +278,9 @@
 // history gathers what all workers ran.
 func (r *region) history() ([]simulation.TaskRun, error) {
 	var all []simulation.TaskRun
-	for _, h := range r.processes {
+	for _, p := range r.processes {
 		var ran []simulation.TaskRun
-		if err := h.ask("GET", "/history", nil, &ran); err != nil {
+		if err := p.ask(http.MethodGet, "/history", nil, &ran); err != nil {
 			return nil, err
 		}
 		all = append(all, ran...)
@@ -245,9 +290,9 @@
 
 // counts adds up what the workers' processes count.
 func (r *region) counts() (sum WorkerCounts, err error) {
-	for _, h := range r.processes {
+	for _, p := range r.processes {
 		var n WorkerCounts
-		if err := h.ask("GET", "/counts", nil, &n); err != nil {
+		if err := p.ask(http.MethodGet, "/counts", nil, &n); err != nil {
 			return sum, err
 		}
 		sum = sum.plus(n)
@@ -255,30 +300,36 @@
 	return sum, nil
 }
 
+// plus adds two counts.
 func (w WorkerCounts) plus(n WorkerCounts) WorkerCounts {
 	return WorkerCounts{
-		Machines: w.Machines + n.Machines, Running: w.Running + n.Running, Starts: w.Starts + n.Starts, LeaseExpiries: w.LeaseExpiries + n.LeaseExpiries,
-		Heartbeats: w.Heartbeats.Plus(n.Heartbeats), RejectedHeartbeats: w.RejectedHeartbeats + n.RejectedHeartbeats, Commands: w.Commands.Plus(n.Commands),
+		Machines:           w.Machines + n.Machines,
+		Running:            w.Running + n.Running,
+		Starts:             w.Starts + n.Starts,
+		LeaseExpiries:      w.LeaseExpiries + n.LeaseExpiries,
+		Heartbeats:         w.Heartbeats.Plus(n.Heartbeats),
+		RejectedHeartbeats: w.RejectedHeartbeats + n.RejectedHeartbeats,
+		Commands:           w.Commands.Plus(n.Commands),
 	}
 }
 
 // sample reads what the region's processes take now.
 func (r *region) sample(m *meter) {
 	leader := r.leader().node
-	for _, n := range r.cluster.Info.Controllers {
+	for _, controller := range r.cluster.Info.Controllers {
 		role := roleFollower
-		if n.Name == leader {
+		if controller.Name == leader {
 			role = roleLeader
 		}
-		m.sample(role, r.cluster.PID(n.Name))
+		m.sample(role, r.cluster.PID(controller.Name))
 	}
 	m.sample(roleState, r.store.pid())
-	for _, h := range r.processes {
+	for _, p := range r.processes {
 		role := roleHollow
-		if h.real {
+		if p.real {
 			role = roleReal
 		}
-		m.sample(role, h.pid())
+		m.sample(role, p.pid())
 	}
 }
 
@@ -288,8 +339,8 @@
 	if r.cluster != nil {
 		err = r.cluster.Stop()
 	}
-	for _, h := range r.processes {
-		h.stop()
+	for _, p := range r.processes {
+		p.stop()
 	}
 	if r.store != nil {
 		r.store.stop()
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -9,14 +9,14 @@
 	"drumpick/internal/ctxtime"
 )
 
-// Failover is how a region came through the end of its leader.
+// Failover is how long a failover took in a region whose leader was killed.
 type Failover struct {
 	Region      int     `json:"region"`
-	LeaderS     float64 `json:"leader_s"`  // until another led
+	LeaderS     float64 `json:"leader_s"`  // until another controller led
 	FirstStartS float64 `json:"settled_s"` // until a task started again under it
 }
 
-// InjectedFaults counts what went wrong on purpose.
+// InjectedFaults counts the faults that were injected.
 type InjectedFaults struct {
 	Failures  int        `json:"failures"` // machines that failed, those of racks and zones included
 	Restarts  int        `json:"restarts"`
@@ -25,14 +25,14 @@
 	Failovers []Failover `json:"takeovers,omitempty"`
 }
 
-// When, in parts of the time that is measured, the larger faults happen.
+// When the larger faults are injected, as shares of the time that is measured.
 const (
 	rackAt   = 0.25
 	zoneAt   = 0.5
 	leaderAt = 0.6
 )
 
-// faults causes what the size asks for while a run is measured.
+// faults injects what the size asks for while a run is measured.
 type faults struct {
 	size     Size
 	regions  []*region
@@ -46,13 +46,13 @@
 	do func(ctx context.Context)
 }
 
-// schedule draws the faults of the run. Machines fail and restart as often as on the planned day, in proportion to
-// how many there are.
+// schedule returns the faults of the run, in the order of their times. Machines fail and restart as often as on the
+// planned day, in proportion to how many there are.
 func (f *faults) schedule() []event {
 	var all []event
-	day := f.size.For.Seconds() * f.size.Faults.Compress / (24 * 3600) * float64(f.size.Workers) / plannedWorkers
-	draw := func(often float64, do func(ctx context.Context)) {
-		for n := often * day; n > 0; n-- {
+	days := f.size.For.Seconds() * f.size.Faults.Compress / (24 * 3600) * float64(f.size.Workers) / plannedWorkers
+	draw := func(perDay float64, do func(ctx context.Context)) {
+		for n := perDay * days; n > 0; n-- {
 			if n >= 1 || f.rand.Float64() < n {
 				all = append(all, event{time.Duration(f.rand.Float64() * float64(f.size.For)), do})
 			}
@@ -60,9 +60,9 @@
 	}
 	draw(plannedFailures, f.failOne)
 	draw(plannedRestarts, f.restartOne)
-	at := func(part float64, on bool, do func(ctx context.Context)) {
+	at := func(share float64, on bool, do func(ctx context.Context)) {
 		if on {
-			all = append(all, event{time.Duration(part * float64(f.size.For)), do})
+			all = append(all, event{time.Duration(share * float64(f.size.For)), do})
 		}
 	}
 	at(rackAt, f.size.Faults.Rack, f.failRack)
@@ -72,7 +72,7 @@
 	return all
 }
 
-// run causes the faults, each at its time.
+// run injects the faults, each at its time.
 func (f *faults) run(ctx context.Context) {
 	began := time.Now()
 	for _, e := range f.schedule() {
@@ -83,6 +83,7 @@
 	}
 }
 
+// anyRegion draws a region.
 func (f *faults) anyRegion() *region { return f.regions[f.rand.IntN(len(f.regions))] }
 
 func (f *faults) failOne(context.Context) {
@@ -93,20 +94,20 @@
 }
 
 func (f *faults) restartOne(context.Context) {
-	c := f.anyRegion()
-	if ms := c.cluster.Environment.Machines(); len(ms) > 0 {
-		c.reboot(ms[f.rand.IntN(len(ms))].Name)
+	r := f.anyRegion()
+	if ms := r.cluster.Environment.Machines(); len(ms) > 0 {
+		r.reboot(ms[f.rand.IntN(len(ms))].Name)
 		f.injected.Restarts++
 	}
 }
 
 // failRack takes the power from the workers behind one switch: neighbours in a zone.
 func (f *faults) failRack(context.Context) {
-	c := f.anyRegion()
-	zone := c.zones[f.rand.IntN(len(c.zones))]
+	r := f.anyRegion()
+	zone := r.zones[f.rand.IntN(len(r.zones))]
 	left := max(rackWorkers*f.size.Workers/plannedWorkers, 1)
 	f.injected.Racks++
-	for _, m := range c.cluster.Environment.Machines() {
+	for _, m := range r.cluster.Environment.Machines() {
 		if m.Zone == zone && left > 0 {
 			left--
 			f.injected.Failures++
@@ -116,36 +117,36 @@
 }
 
 func (f *faults) failZone(context.Context) {
-	c := f.anyRegion()
+	r := f.anyRegion()
 	f.injected.Zones++
-	f.injected.Failures += c.cluster.Environment.FailZone(c.zones[f.rand.IntN(len(c.zones))])
+	f.injected.Failures += r.cluster.Environment.FailZone(r.zones[f.rand.IntN(len(r.zones))])
 }
 
-// failoverTimeout bounds how long a takeover is followed.
+// failoverTimeout bounds how long a failover is followed.
 const failoverTimeout = 60 * time.Second
 
-// killLeader ends a region's leader, and times how the next one takes over.
+// killLeader kills a region's leader, and measures the failover.
 func (f *faults) killLeader(ctx context.Context) {
-	c := f.anyRegion()
-	old := c.leader()
-	if old.term == 0 || c.cluster.Kill(old.node) != nil {
+	r := f.anyRegion()
+	old := r.leader()
+	if old.term == 0 || r.cluster.Kill(old.node) != nil {
 		return
 	}
 	began := time.Now()
-	took := Failover{Region: c.index}
+	failover := Failover{Region: r.index}
 	for time.Since(began) < failoverTimeout && ctxtime.Sleep(ctx, 20*time.Millisecond) == nil {
-		if now := c.leader(); now.term > old.term {
-			took.LeaderS = time.Since(began).Seconds()
+		if now := r.leader(); now.term > old.term {
+			failover.LeaderS = time.Since(began).Seconds()
 			break
 		}
 	}
-	before, err := c.counts()
+	before, err := r.counts()
 	for err == nil && time.Since(began) < failoverTimeout && ctxtime.Sleep(ctx, 50*time.Millisecond) == nil {
-		now, err := c.counts()
+		now, err := r.counts()
 		if err == nil && now.Starts > before.Starts {
-			took.FirstStartS = time.Since(began).Seconds()
+			failover.FirstStartS = time.Since(began).Seconds()
 			break
 		}
 	}
-	f.injected.Failovers = append(f.injected.Failovers, took)
+	f.injected.Failovers = append(f.injected.Failovers, failover)
 }
--- a/internal/loadtest/golden_test.go
+++ b/internal/loadtest/golden_test.go
@@ -9,8 +9,8 @@
 	"drumpick/internal/records"
 )
 
-// Results of measurements are kept and compared over versions, and the processes of a run
-// talk to each other: both keep their forms.
+// Results of measurements are kept and compared over versions, and the processes of a run exchange messages: both keep
+// their encoded forms.
 func TestGolden(t *testing.T) {
 	waits := Waits{Count: 1, P50: 2.5, P95: 3.5, P99: 4.5, Max: 5.5}
 	traffic := Traffic{Messages: 1, Sent: 2, Received: 3}
@@ -20,10 +20,13 @@
 			Faults: Faults{Compress: 1.5, Rack: true, Zone: true, Leader: true}, StoreRPS: 12.5, StoreWrites: 13.5},
 		Measured: 14.5, Workers: 15, Running: 16, Starts: Rates{Mean: 17.5, Peak: 18.5},
 		Usage:   map[string]Usage{"controller": {Processes: 1, Cores: 2.5, PeakCores: 3.5, MemoryMB: 4.5}},
-		Traffic: map[string]Traffic{"reports": traffic}, Waits: map[string]Waits{"train": waits}, CommandToRunning: waits, UrgentInTime: 19.5, LeaseExpiries: 20,
+		Traffic: map[string]Traffic{"reports": traffic}, Waits: map[string]Waits{"train": waits},
+		CommandToRunning: waits, UrgentInTime: 19.5, LeaseExpiries: 20,
 		LostStarts: 21, RejectedHeartbeats: 22, Jobs: 23, Finished: 24, Unanswered: 25,
-		InjectedFaults: InjectedFaults{Failures: 1, Restarts: 2, Racks: 3, Zones: 4, Failovers: []Failover{{Region: 1, LeaderS: 2.5, FirstStartS: 3.5}}},
-		Violations:     []Violation{{Rule: "r", What: "w"}},
+		InjectedFaults: InjectedFaults{
+			Failures: 1, Restarts: 2, Racks: 3, Zones: 4, Failovers: []Failover{{Region: 1, LeaderS: 2.5, FirstStartS: 3.5}},
+		},
+		Violations: []Violation{{Rule: "r", What: "w"}},
 	}
 	// All but the run before, which is a result itself.
 	if unset := goldentest.Unset(r, "json"); len(unset) != 1 {
@@ -38,9 +41,13 @@
 		{Name: "setup", Value: Setup{Nodes: []Node{{Name: "n-1", Addr: "a:1"}}, Types: []records.MachineType{{
 			Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"},
 		}}}},
-		{Name: "placement", Value: Placement{Machine: "m-1", Rental: autoscaler.RentalRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 3}}},
+		{Name: "placement", Value: Placement{
+			Machine: "m-1", Rental: autoscaler.RentalRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 3},
+		}},
 		{Name: "placed", Value: Placed{Addr: "a:1"}},
-		{Name: "counts of workers", Value: WorkerCounts{Machines: 1, Running: 2, Starts: 3, LeaseExpiries: 4, Heartbeats: traffic, RejectedHeartbeats: 5, Commands: traffic}},
+		{Name: "counts of workers", Value: WorkerCounts{
+			Machines: 1, Running: 2, Starts: 3, LeaseExpiries: 4, Heartbeats: traffic, RejectedHeartbeats: 5, Commands: traffic,
+		}},
 		{Name: "child", Value: childAddrs{Addr: "a:1", Service: "a:2"}},
 	})
 }
--- a/internal/loadtest/hollow_workers.go
+++ b/internal/loadtest/hollow_workers.go
@@ -33,13 +33,13 @@
 	Addr string `json:"addr"`
 }
 
-// Placement is a machine that was rented and is to run in this process.
+// Placement is a rented machine that is to run in a process of workers.
 type Placement struct {
 	Machine string                   `json:"host"`
 	Rental  autoscaler.RentalRequest `json:"rent"`
 }
 
-// Placed is where such a machine's worker takes direct commands.
+// Placed is where a machine's worker takes direct commands.
 type Placed struct {
 	Addr string `json:"addr"`
 }
@@ -51,7 +51,7 @@
 	Received uint64 `json:"received_bytes"`
 }
 
-// Minus is what came since an earlier count.
+// Minus returns the traffic since an earlier count.
 func (t Traffic) Minus(before Traffic) Traffic {
 	return Traffic{t.Messages - before.Messages, t.Sent - before.Sent, t.Received - before.Received}
 }
@@ -61,7 +61,7 @@
 	return Traffic{t.Messages + other.Messages, t.Sent + other.Sent, t.Received + other.Received}
 }
 
-// tally counts traffic of one kind as it comes.
+// tally counts the traffic of one kind.
 type tally struct{ messages, sent, received atomic.Uint64 }
 
 func (t *tally) add(sent, received int) {
@@ -81,50 +81,51 @@
 	Starts             int     `json:"starts"`
 	LeaseExpiries      int     `json:"lapses"` // leases that ended
 	Heartbeats         Traffic `json:"reports"`
-	RejectedHeartbeats uint64  `json:"refused"` // reports not answered with 200
+	RejectedHeartbeats uint64  `json:"refused"` // heartbeats not answered with 200
 	Commands           Traffic `json:"orders"`  // direct commands
 }
 
-// HollowWorkers runs workers whose tasks are timers: machines of the stand-in world, each behind a socket of
-// its own and with a connection of its own to a controller.
+// HollowWorkers runs workers whose tasks are timers: simulated machines, each behind a socket of its own and with a
+// connection of its own to a controller.
 type HollowWorkers struct {
 	env     *simulation.Environment
 	ctx     context.Context
-	workers *fasthttp.Server
+	workers *fasthttp.Server // of direct commands to all machines
 
-	mu    sync.Mutex
-	jobs  map[string]records.Job
-	at    map[string]*simulation.Machine // by the address where it takes commands
-	links map[string]*connection         // by machine
-	nodes []Node
+	mu     sync.Mutex // guards what follows, but for the counts
+	jobs   map[string]records.Job
+	byAddr map[string]*simulation.Machine // by the address where it takes commands
+	links  map[string]*connection         // by machine
+	nodes  []Node
 
 	heartbeats, commands tally
 	rejectedHeartbeats   atomic.Uint64
 }
 
-// connection is a worker's connection to the controller where it reports.
+// connection is a worker's connection to the controller that it sends heartbeats to.
 type connection struct {
 	node int
 	link *httpclient.Client
 }
 
-// workerPatience is how long a worker waits for an answer (PROTOCOL).
-const workerPatience = 4 * time.Second
+// heartbeatTimeout is how long a worker waits for an answer (PROTOCOL).
+const heartbeatTimeout = 4 * time.Second
 
 // NewHollowWorkers returns a process of workers without any.
 func NewHollowWorkers(ctx context.Context) *HollowWorkers {
 	h := &HollowWorkers{
-		env: simulation.NewEnvironment(ctx), ctx: ctx, jobs: map[string]records.Job{}, at: map[string]*simulation.Machine{}, links: map[string]*connection{},
+		env: simulation.NewEnvironment(ctx), ctx: ctx, jobs: map[string]records.Job{},
+		byAddr: map[string]*simulation.Machine{}, links: map[string]*connection{},
 	}
-	w := h.env
-	w.HeartbeatInterval, w.Lease, w.CancelLimit = config.Seconds(heartbeatS), config.Seconds(leaseS), config.Seconds(cancelS)
-	w.GangStartTimeout, w.GangPeerTimeout = config.Seconds(gangWaitS), config.Seconds(gangPeerS)
-	w.MaxCommandDelay = inFlight
-	w.LookupJob = h.job
-	w.RunTime = h.runTime
-	w.Listen = h.open
-	w.Heartbeat = simulation.HeartbeatOverHTTP(h.sendHeartbeat)
-	w.FirstNode = h.firstNode
+	env := h.env
+	env.HeartbeatInterval, env.Lease, env.CancelLimit = config.Seconds(heartbeatS), config.Seconds(leaseS), config.Seconds(cancelS)
+	env.GangStartTimeout, env.GangPeerTimeout = config.Seconds(gangWaitS), config.Seconds(gangPeerS)
+	env.MaxCommandDelay = maxCommandDelay
+	env.LookupJob = h.job
+	env.RunTime = h.runTime
+	env.Listen = h.open
+	env.Heartbeat = simulation.HeartbeatOverHTTP(h.sendHeartbeat)
+	env.FirstNode = h.firstNode
 	commands := newApp()
 	commands.Use(func(c *fiber.Ctx) error {
 		err := c.Next()
@@ -134,7 +135,7 @@
 	simulation.ServeWorkers(commands, func(c *fiber.Ctx) *simulation.Machine {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return h.at[c.Context().LocalAddr().String()]
+		return h.byAddr[c.Context().LocalAddr().String()]
 	})
 	h.workers = &fasthttp.Server{Handler: commands.Handler(), ReduceMemoryUsage: true, NoDefaultServerHeader: true}
 	return h
@@ -146,7 +147,7 @@
 
 func listen() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
 
-// job is a job's description, as users uploaded it.
+// job returns a job's specification, as users uploaded it.
 func (h *HollowWorkers) job(id string) (records.Job, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -154,7 +155,7 @@
 	return j, ok
 }
 
-// runTime is how long a task runs: near its owner's estimate, by its name.
+// runTime returns how long a task runs: 0.7 to 1.3 times its job's estimate, by its name.
 func (h *HollowWorkers) runTime(task string) time.Duration {
 	j, _ := h.job(jobOf(task))
 	sum := fnv.New32a()
@@ -162,7 +163,7 @@
 	return config.Seconds(j.EstimateS * (0.7 + 0.6*float64(sum.Sum32()%1000)/1000))
 }
 
-// firstNode spreads the workers' first reports over the controllers.
+// firstNode spreads the workers' first heartbeats over the controllers.
 func (h *HollowWorkers) firstNode(host string) int {
 	sum := fnv.New32a()
 	sum.Write([]byte(host))
@@ -179,13 +180,13 @@
 	}
 	addr := ln.Addr().String()
 	h.mu.Lock()
-	h.at[addr] = m
+	h.byAddr[addr] = m
 	h.mu.Unlock()
 	go func() { _ = h.workers.Serve(ln) }()
 	return addr, func() {
 		ln.Close()
 		h.mu.Lock()
-		delete(h.at, addr)
+		delete(h.byAddr, addr)
 		old := h.links[m.Name]
 		delete(h.links, m.Name)
 		h.mu.Unlock()
@@ -195,7 +196,7 @@
 	}, nil
 }
 
-// connect is a worker's connection to a controller; the one to another is closed.
+// connect returns a worker's connection to a controller, and closes the one to another.
 func (h *HollowWorkers) connect(host string, node int) *httpclient.Client {
 	h.mu.Lock()
 	was := h.links[host]
@@ -212,9 +213,9 @@
 	return now.link
 }
 
-// sendHeartbeat sends a worker's report to a controller.
+// sendHeartbeat sends a worker's heartbeat to a controller.
 func (h *HollowWorkers) sendHeartbeat(host string, node int, body []byte) (int, []byte, error) {
-	status, answer, err := h.connect(host, node).Do("POST", "/checkin", "application/json", body, time.Now().Add(workerPatience))
+	status, answer, err := h.connect(host, node).Do("POST", "/checkin", "application/json", body, time.Now().Add(heartbeatTimeout))
 	h.heartbeats.add(len(body), len(answer))
 	if status != 200 {
 		h.rejectedHeartbeats.Add(1)
@@ -222,6 +223,7 @@
 	return status, answer, err
 }
 
+// setUp takes in where the controllers are.
 func (h *HollowWorkers) setUp(s Setup) {
 	h.mu.Lock()
 	h.nodes = s.Nodes
@@ -235,7 +237,7 @@
 // place starts a rented machine and waits until it takes commands.
 func (h *HollowWorkers) place(p Placement) (Placed, error) {
 	m := h.env.AddMachine(p.Machine, p.Rental)
-	for until := time.Now().Add(askTime); time.Now().Before(until); {
+	for until := time.Now().Add(askTimeout); time.Now().Before(until); {
 		if addr := m.Addr(); addr != "" {
 			return Placed{addr}, nil
 		}
@@ -254,7 +256,7 @@
 	}
 }
 
-// Mount serves whoever runs the process.
+// Mount serves the run that started the process.
 func (h *HollowWorkers) Mount(app *fiber.App) {
 	app.Post("/setup", func(c *fiber.Ctx) error {
 		return handle(c, func(s Setup) (any, error) { h.setUp(s); return fiber.Map{}, nil })
@@ -281,7 +283,7 @@
 	})
 }
 
-// forMachine serves what is done to a machine by name.
+// forMachine returns a handler that does something to a machine, by its name.
 func (h *HollowWorkers) forMachine(do func(*simulation.Machine)) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		return handle(c, func(p Placement) (any, error) {
@@ -295,7 +297,7 @@
 	}
 }
 
-// handle reads a request's body and answers with what is made of it.
+// handle reads a request's body and answers with what do returns.
 func handle[T any](c *fiber.Ctx, do func(T) (any, error)) error {
 	var in T
 	if err := json.Unmarshal(c.Body(), &in); err != nil {
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -12,11 +12,11 @@
 	"drumpick/internal/ctxtime"
 )
 
-// Classes of the load, and what is expected of urgent work.
+// Classes of the load, and the objective of urgent work.
 const (
 	classUrgent  = "urgent"
 	classBulk    = "bulk"
-	urgentStartS = 2.8 // within which urgent work is to begin
+	urgentStartS = 2.8 // within which urgent tasks are to start
 )
 
 // The shape of the load. What is not urgent comes in arrays; nothing saves its progress.
@@ -33,16 +33,16 @@
 	completionTimeout = 90 * time.Second
 )
 
-// users submit the load of a run, follow their jobs, and cancel some.
+// users submit the load of a run, poll their jobs, and cancel some.
 type users struct {
-	ctx     context.Context // ends with the run: nobody asks the next one's controllers
+	ctx     context.Context // ends with the run: nobody polls the next one's controllers
 	size    Size
 	regions []*region
 	rand    *rand.Rand
 
 	mu   sync.Mutex
 	jobs map[string]*UserJob
-	open map[string]bool // accepted, and not known to be over
+	open map[string]bool // accepted, and not known to be final
 	seq  int
 	fail error
 	busy chan struct{} // bounds the requests under way
@@ -64,7 +64,7 @@
 	jobs            float64 // a second
 	tasks           float64 // a second
 	runs            float64 // seconds that a task runs
-	owed            float64 // jobs that are due
+	due             float64 // jobs that are to be submitted by now
 }
 
 func (s *Size) streams() []*stream {
@@ -74,7 +74,7 @@
 	}
 }
 
-// rampTime is how long the load rises to its peak.
+// rampTime is how long the load takes to rise to its peak.
 const rampTime = 10 * time.Second
 
 // submitAll submits work until ctx ends.
@@ -85,7 +85,7 @@
 		now := time.Now()
 		ramp := min(now.Sub(began).Seconds()/rampTime.Seconds(), 1)
 		for _, s := range streams {
-			for s.owed += s.jobs * now.Sub(last).Seconds(); s.owed >= 1; s.owed-- {
+			for s.due += s.jobs * now.Sub(last).Seconds(); s.due >= 1; s.due-- {
 				if tasks := int(s.tasks/s.jobs*ramp + u.rand.Float64()); tasks > 0 {
 					u.submit(ctx, s, tasks)
 				}
@@ -103,20 +103,22 @@
 	u.mu.Unlock()
 	region := n % len(u.regions)
 	j := &UserJob{Region: region, Submitted: time.Now(), Job: client.Job{
-		ID: fmt.Sprintf("j-%06d", n), Class: s.class, Team: teamName(n / len(u.regions) % max(u.size.Teams, 1)), Shape: client.Batch, Priority: s.priority,
-		Tasks: tasks, CPUs: 1, MemGB: taskMemGB, Image: fmt.Sprint("image-", u.rand.IntN(images)), ImageGB: imageGB, Spot: true, EstimateS: s.runs,
+		ID: fmt.Sprintf("j-%06d", n), Class: s.class, Team: teamName(n / len(u.regions) % max(u.size.Teams, 1)),
+		Shape: client.Batch, Priority: s.priority, Spot: true,
+		Tasks: tasks, CPUs: 1, MemGB: taskMemGB, EstimateS: s.runs,
+		Image: fmt.Sprint("image-", u.rand.IntN(images)), ImageGB: imageGB,
 	}}
 	cancelled := s.class == classBulk && u.rand.Float64() < cancelShare
 	u.mu.Lock()
 	u.jobs[j.ID] = j
 	u.mu.Unlock()
 	u.do(func() {
-		c := u.regions[region]
-		if err := c.upload(j.Job); err != nil {
+		r := u.regions[region]
+		if err := r.upload(j.Job); err != nil {
 			u.failed(err)
 			return
 		}
-		st, _, err := c.client.Submit(ctx, j.Job)
+		st, _, err := r.client.Submit(ctx, j.Job)
 		u.submissions.add(submissionBytes, answerBytes)
 		u.mu.Lock()
 		defer u.mu.Unlock()
@@ -139,7 +141,7 @@
 	answerBytes     = 60
 )
 
-// do runs a user's request once there is room for it.
+// do runs a user's request once fewer than maxRequests are under way.
 func (u *users) do(request func()) {
 	go func() {
 		u.busy <- struct{}{}
@@ -148,13 +150,14 @@
 	}()
 }
 
+// failed notes an error that makes the run fail.
 func (u *users) failed(err error) {
 	u.mu.Lock()
 	u.fail = errors.Join(u.fail, err)
 	u.mu.Unlock()
 }
 
-// cancel has a user call a job off.
+// cancel has a user cancel a job.
 func (u *users) cancel(j *UserJob) {
 	u.mu.Lock()
 	j.CancelRequested = true
@@ -170,7 +173,7 @@
 	}
 }
 
-// pollAll asks about every open job now and then until ctx ends.
+// pollAll polls every open job at intervals until ctx ends.
 func (u *users) pollAll(ctx context.Context) {
 	for ctxtime.Sleep(ctx, pollEvery) == nil {
 		u.mu.Lock()
@@ -193,6 +196,7 @@
 	}
 }
 
+// poll polls a job once.
 func (u *users) poll(ctx context.Context, j *UserJob) {
 	st, err := u.regions[j.Region].client.Get(ctx, j.ID)
 	u.polls.add(0, answerBytes)
@@ -204,15 +208,15 @@
 	u.mu.Unlock()
 }
 
-// left is how many jobs are open.
+// left returns how many jobs are open.
 func (u *users) left() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.open)
 }
 
-// finish waits until every job is over, or for as long as that may take, and asks each controller for the final
-// state of each.
+// finish waits until every job is final, or for as long as that may take, and asks each controller for the state of
+// each.
 func (u *users) finish(ctx context.Context) {
 	until := time.Now().Add(3*u.size.taskTime() + completionTimeout)
 	for u.left() > 0 && time.Now().Before(until) && ctxtime.Sleep(ctx, time.Second) == nil {
@@ -231,8 +235,7 @@
 		asked.Add(1)
 		u.do(func() {
 			defer asked.Done()
-			c := u.regions[j.Region]
-			j.Finals = c.finalStates(ctx, j.ID)
+			j.Finals = u.regions[j.Region].finalStates(ctx, j.ID)
 		})
 	}
 	asked.Wait()
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"net/http"
 	"os"
 	"os/exec"
 	"os/signal"
@@ -21,16 +22,16 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// What a process of a run is, as the arguments of this program.
+// Roles of a run's processes, as arguments of this program.
 const (
 	RoleWorkers = "workers"
 	RoleState   = "state"
 )
 
-// childAddrs is the line by which a child says where it is reached.
+// childAddrs is the first line of a child's output: where it is reached.
 type childAddrs struct {
-	Addr    string `json:"addr"`    // of whoever runs it
-	Service string `json:"service"` // that it serves to controllers
+	Addr    string `json:"addr"`    // for the run that started it
+	Service string `json:"service"` // for controllers
 }
 
 // child is a process of this program.
@@ -40,8 +41,8 @@
 	childAddrs
 }
 
-// startTime bounds how long a child may take to say where it is reached.
-const startTime = 20 * time.Second
+// childStartTimeout bounds how long a child may take to write its addresses.
+const childStartTimeout = 20 * time.Second
 
 // startChild starts this program in a role.
 func startChild(program, logFile string, arguments ...string) (*child, error) {
@@ -59,18 +60,18 @@
 	if err := localcluster.StartProcess(c.cmd); err != nil {
 		return nil, err
 	}
-	said := make(chan error, 1)
+	ready := make(chan error, 1)
 	go func() {
 		line, err := bufio.NewReader(out).ReadBytes('\n')
 		if err == nil {
 			err = json.Unmarshal(line, &c.childAddrs)
 		}
-		said <- err
+		ready <- err
 		_, _ = io.Copy(io.Discard, out)
 	}()
 	select {
-	case err = <-said:
-	case <-time.After(startTime):
+	case err = <-ready:
+	case <-time.After(childStartTimeout):
 		err = errors.New("it does not say where it is reached")
 	}
 	if err != nil {
@@ -89,16 +90,16 @@
 	_ = c.cmd.Wait()
 }
 
-// askTime bounds what is asked of a child.
-const askTime = 30 * time.Second
+// askTimeout bounds a request to a child.
+const askTimeout = 30 * time.Second
 
 // ask sends a request to the child and reads the answer into out, unless that is nil.
 func (c *child) ask(method, path string, in, out any) error {
-	status, raw, err := c.client.JSON(method, path, in, time.Now().Add(askTime))
+	status, raw, err := c.client.JSON(method, path, in, time.Now().Add(askTimeout))
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", method, path, err)
 	}
-	if status != 200 {
+	if status != http.StatusOK {
 		return fmt.Errorf("%s %s: status %d: %s", method, path, status, raw)
 	}
 	if out == nil {
@@ -107,12 +108,12 @@
 	return json.Unmarshal(raw, out)
 }
 
-// ServeChild plays a role until it is told to stop, and says where it is reached.
+// ServeChild runs a role until it is told to stop, and writes to out where it is reached.
 func ServeChild(role, data string, out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	app := newApp()
-	var said childAddrs
+	var addrs childAddrs
 	switch role {
 	case RoleWorkers:
 		NewHollowWorkers(ctx).Mount(app)
@@ -122,7 +123,7 @@
 		if err != nil {
 			return err
 		}
-		said.Service = addr
+		addrs.Service = addr
 		app.Get("/counts", func(c *fiber.Ctx) error { return c.JSON(requests.read()) })
 	default:
 		return &UsageError{"role", fmt.Sprintf("%q is neither %s nor %s", role, RoleWorkers, RoleState)}
@@ -131,8 +132,8 @@
 	if err != nil {
 		return err
 	}
-	said.Addr = ln.Addr().String()
-	if err := json.NewEncoder(out).Encode(said); err != nil {
+	addrs.Addr = ln.Addr().String()
+	if err := json.NewEncoder(out).Encode(addrs); err != nil {
 		return err
 	}
 	go func() { _ = app.Listener(ln) }()
--- a/internal/loadtest/regression.go
+++ b/internal/loadtest/regression.go
@@ -12,15 +12,15 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// What the sizes of runs may differ by.
+// By what the sizes of runs may differ.
 const (
 	ByWorkers = "workers"
 	ByRate    = "rate"
 	ByTeams   = "teams"
 )
 
-// minSizes is how many sizes a fit needs: with fewer, a term that grows faster than its cause can't be told from
-// a slope.
+// minSizes is how many sizes a fit needs: with fewer, a term that grows faster than its cause cannot be told from a
+// slope.
 const minSizes = 4
 
 // The planned size.
@@ -51,7 +51,7 @@
 	Beyond  bool    // it is larger than what was run
 }
 
-// costs are what is fitted, by name.
+// costs returns what is fitted, by name.
 func (r *Result) costs() map[string]float64 {
 	all := map[string]float64{}
 	for role, u := range r.Usage {
@@ -70,6 +70,7 @@
 	return all
 }
 
+// sizeBy returns the size by which runs differ.
 func (r *Result) sizeBy(by string) float64 {
 	switch by {
 	case ByRate:
@@ -101,13 +102,15 @@
 		distinct[r.sizeBy(by)] = true
 	}
 	if len(distinct) < minSizes {
-		return nil, &UsageError{"by", fmt.Sprintf("%d files have %d sizes by %s, and a fit needs %d", len(files), len(distinct), by, minSizes)}
+		reason := fmt.Sprintf("%d files have %d sizes by %s, and a fit needs %d", len(files), len(distinct), by, minSizes)
+		return nil, &UsageError{"by", reason}
 	}
 	f.Beyond = f.Planned > f.Sizes[len(f.Sizes)-1]
 	f.fitAll(results)
 	return f, nil
 }
 
+// fitAll fits a line to each cost.
 func (f *Regression) fitAll(results []*Result) {
 	costs := make([]map[string]float64, len(results))
 	for i, r := range results {
@@ -115,8 +118,8 @@
 	}
 	for _, cost := range slices.Sorted(maps.Keys(costs[0])) {
 		line := CostModel{Cost: cost}
-		for _, of := range costs {
-			line.Measured = append(line.Measured, of[cost])
+		for _, ofRun := range costs {
+			line.Measured = append(line.Measured, ofRun[cost])
 		}
 		line.fit(f.Sizes, f.Planned)
 		f.Lines = append(f.Lines, line)
@@ -144,11 +147,13 @@
 	}
 	fmt.Fprintf(w, "cost\tfixed\tfor 1000 %s\tR2\tmeasured at %v\tresiduals\tat %g%s\n", f.By, f.Sizes, f.Planned, beyond)
 	for _, l := range f.Lines {
-		fmt.Fprintf(w, "%s\t%.3g\t%.3g\t%.3f\t%s\t%s\t%.3g\n", l.Cost, l.Fixed, 1000*l.Slope, l.RSquared, figures(l.Measured), figures(l.Residuals), l.Planned)
+		fmt.Fprintf(w, "%s\t%.3g\t%.3g\t%.3f\t%s\t%s\t%.3g\n",
+			l.Cost, l.Fixed, 1000*l.Slope, l.RSquared, figures(l.Measured), figures(l.Residuals), l.Planned)
 	}
 	return w.Flush()
 }
 
+// figures returns numbers as text, at three digits.
 func figures(values []float64) string {
 	text := ""
 	for _, v := range values {
--- a/internal/loadtest/regression_test.go
+++ b/internal/loadtest/regression_test.go
@@ -9,7 +9,7 @@
 
 // A line is found with its fixed part; what grows faster than its cause shows in the residuals, and what is beyond
 // the sizes that were run is marked.
-func TestFit(t *testing.T) {
+func TestFitFindsLinesAndMarksWhatIsBeyond(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
 	for _, n := range []int{100, 200, 300, 400} {
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -23,22 +23,22 @@
 	Cores              int                `json:"cores"` // of the machine
 	Size               Size               `json:"size"`
 	Measured           float64            `json:"measured_s"`
-	Workers            int                `json:"workers"` // that were up at the end of it
+	Workers            int                `json:"workers"` // that were up at its end
 	Running            int                `json:"running"` // tasks, the most at a time
 	Starts             Rates              `json:"starts"`
 	Usage              map[string]Usage   `json:"usage"`    // by role
 	Traffic            map[string]Traffic `json:"traffic"`  // by kind
 	Waits              map[string]Waits   `json:"waits"`    // from submission to a task's start, by class
-	CommandToRunning   Waits              `json:"to_run"`   // from the order to running
+	CommandToRunning   Waits              `json:"to_run"`   // from the command to running
 	UrgentInTime       float64            `json:"in_time"`  // share of urgent tasks begun in time
 	LeaseExpiries      int                `json:"lapses"`   // leases of workers that ended
 	LostStarts         int                `json:"lost"`     // starts of jobs that were not cancelled that came to nothing
-	RejectedHeartbeats uint64             `json:"refused"`  // reports not answered with 200
+	RejectedHeartbeats uint64             `json:"refused"`  // heartbeats not answered with 200
 	Jobs               int                `json:"jobs"`     // accepted
 	Finished           int                `json:"finished"` // of these, over at the end
 	Unanswered         int                `json:"unanswered"`
 	InjectedFaults     InjectedFaults     `json:"happened"`
-	// Without is the same size without teams, played just before in the same run.
+	// WithoutTeams is the same size without teams, run just before.
 	WithoutTeams *Result     `json:"without,omitempty"`
 	Violations   []Violation `json:"breaches"`
 }
@@ -58,16 +58,16 @@
 	Max   float64 `json:"max"`
 }
 
-// longest and digits bound the histograms: an hour in milliseconds, at three digits.
+// maxWaitMS and digits bound the histograms: an hour in milliseconds, at three digits.
 const (
-	longest = 3_600_000
-	digits  = 3
+	maxWaitMS = 3_600_000
+	digits    = 3
 )
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, longest, digits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxWaitMS, digits) }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Milliseconds(), 1), longest)) // always within its bounds
+	_ = h.RecordValue(min(max(d.Milliseconds(), 1), maxWaitMS)) // always within its bounds
 }
 
 func waitsOf(h *hdrhistogram.Histogram) Waits {
@@ -75,7 +75,7 @@
 	return Waits{h.TotalCount(), at(50), at(95), at(99), float64(h.Max()) / 1000}
 }
 
-// measureStarts works out, from what ran, what began within a span.
+// measureStarts works out the starts within a span.
 func (r *Result) measureStarts(ran []simulation.TaskRun, jobs map[string]*UserJob, from, to time.Time) {
 	waits := map[string]*hdrhistogram.Histogram{classUrgent: newHistogram(), classBulk: newHistogram()}
 	toRun := newHistogram()
@@ -157,7 +157,8 @@
 		fmt.Fprintln(out)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "%d workers (%d asked for), %d regions, %d controllers each, %d teams; measured for %.0f s\n", r.Workers, r.Size.Workers, r.Size.Regions, r.Size.Controllers, r.Size.Teams, r.Measured)
+	fmt.Fprintf(w, "%d workers (%d asked for), %d regions, %d controllers each, %d teams; measured for %.0f s\n",
+		r.Workers, r.Size.Workers, r.Size.Regions, r.Size.Controllers, r.Size.Teams, r.Measured)
 	fmt.Fprintf(w, "starts a second\t%.0f, peak %.0f, asked for %.0f\n", r.Starts.Mean, r.Starts.Peak, r.Size.Rate)
 	fmt.Fprintf(w, "tasks running\t%d at the most, asked for %d\n", r.Running, r.Size.Tasks)
 	for _, class := range slices.Sorted(maps.Keys(r.Waits)) {
@@ -165,11 +166,15 @@
 		fmt.Fprintf(w, "%s: submission to start\tp50 %.2f, p95 %.2f, p99 %.2f, max %.2f s of %d\n", class, x.P50, x.P95, x.P99, x.Max, x.Count)
 	}
 	fmt.Fprintf(w, "urgent within %g s\t%.3f\n", urgentStartS, r.UrgentInTime)
-	fmt.Fprintf(w, "order to running\tp50 %.2f, p95 %.2f, max %.2f s\n", r.CommandToRunning.P50, r.CommandToRunning.P95, r.CommandToRunning.Max)
-	fmt.Fprintf(w, "leases lost\t%d; starts that came to nothing %d; reports not answered with 200: %d\n", r.LeaseExpiries, r.LostStarts, r.RejectedHeartbeats)
+	toRunning := r.CommandToRunning
+	fmt.Fprintf(w, "order to running\tp50 %.2f, p95 %.2f, max %.2f s\n", toRunning.P50, toRunning.P95, toRunning.Max)
+	fmt.Fprintf(w, "leases lost\t%d; starts that came to nothing %d; reports not answered with 200: %d\n",
+		r.LeaseExpiries, r.LostStarts, r.RejectedHeartbeats)
 	fmt.Fprintf(w, "jobs\t%d accepted, %d over at the end, %d submissions unanswered\n", r.Jobs, r.Finished, r.Unanswered)
-	fmt.Fprintf(w, "went wrong on purpose\t%d machines failed, %d restarted, %d racks, %d zones\n", r.InjectedFaults.Failures, r.InjectedFaults.Restarts, r.InjectedFaults.Racks, r.InjectedFaults.Zones)
-	for _, t := range r.InjectedFaults.Failovers {
+	injected := r.InjectedFaults
+	fmt.Fprintf(w, "went wrong on purpose\t%d machines failed, %d restarted, %d racks, %d zones\n",
+		injected.Failures, injected.Restarts, injected.Racks, injected.Zones)
+	for _, t := range injected.Failovers {
 		fmt.Fprintf(w, "takeover in region %d\tled after %.1f s, started again after %.1f s\n", t.Region+1, t.LeaderS, t.FirstStartS)
 	}
 	fmt.Fprintln(w, "\nrole\tprocesses\tcores, mean\tpeak\tMB")
@@ -180,7 +185,8 @@
 	fmt.Fprintln(w, "\nmessages\ta second\tKB/s sent\tKB/s received")
 	for _, kind := range slices.Sorted(maps.Keys(r.Traffic)) {
 		t := r.Traffic[kind]
-		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\n", kind, float64(t.Messages)/r.Measured, float64(t.Sent)/r.Measured/1000, float64(t.Received)/r.Measured/1000)
+		perSecond := func(n uint64) float64 { return float64(n) / r.Measured }
+		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\n", kind, perSecond(t.Messages), perSecond(t.Sent)/1000, perSecond(t.Received)/1000)
 	}
 	for _, b := range r.Violations[:min(len(r.Violations), 10)] {
 		fmt.Fprintf(w, "RULE BROKEN\t%s: %s\n", b.Rule, b.What)
--- a/internal/loadtest/rules.go
+++ b/internal/loadtest/rules.go
@@ -23,10 +23,10 @@
 	Finals          []Final   // at the end, by each controller
 }
 
-// Final is what a controller says of a job at the end.
+// Final is the state of a job at a controller, at the end of the run.
 type Final struct {
 	Controller string
-	Status     string // client.Done, client.Cancelled, or what it says instead
+	Status     string // client.Done, client.Cancelled, or the answer or error instead
 }
 
 // Violation is a rule of the protocol that was broken, by its name there.
@@ -35,17 +35,22 @@
 	What string `json:"what"`
 }
 
-// inFlight is for how long a start may be on its way to a worker (PROTOCOL): one that arrives
+// violation returns a violation of a rule, described by a format.
+func violation(rule, format string, args ...any) Violation {
+	return Violation{rule, fmt.Sprintf(format, args...)}
+}
+
+// maxCommandDelay is for how long a start may be on its way to a worker (PROTOCOL): one that arrives
 // later after a cancellation was confirmed was sent after it.
-const inFlight = 4 * time.Second
+const maxCommandDelay = 4 * time.Second
 
-// amountSlack forgives the rounding of decimal amounts.
-const amountSlack = 1e-9
+// epsilon absorbs the rounding of decimal amounts.
+const epsilon = 1e-9
 
-// Limits are the CPUs that teams may use, by team; absent: no limit.
+// Limits are the CPUs that teams may use, by team. A team that is absent has no limit.
 type Limits map[string]float64
 
-// History is what a run looked like from outside.
+// History is what the workers and users of a run saw.
 type History struct {
 	Ran    []simulation.TaskRun // by all workers
 	Jobs   map[string]*UserJob
@@ -53,10 +58,10 @@
 	Cancel time.Duration // within which a cancelled job's tasks have to be gone
 }
 
-// Check lists the rules that were broken.
+// Check returns the violations of the rules.
 func (h *History) Check() []Violation {
 	var all []Violation
-	all = append(all, h.checkPlaces()...)
+	all = append(all, h.checkMachines()...)
 	all = append(all, h.checkCancelled()...)
 	all = append(all, h.checkQuotas()...)
 	all = append(all, h.checkAnswers()...)
@@ -66,13 +71,14 @@
 	return all
 }
 
+// jobOf returns the job of a task.
 func jobOf(task string) string {
 	id, _ := fleet.ParseTask(task)
 	return id.Job
 }
 
-// checkPlaces looks for tasks that started on one machine while they were on another.
-func (h *History) checkPlaces() []Violation {
+// checkMachines looks for tasks that started on one machine while they were on another.
+func (h *History) checkMachines() []Violation {
 	ran := slices.Clone(h.Ran)
 	slices.SortFunc(ran, func(a, b simulation.TaskRun) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), a.Started.Compare(b.Started))
@@ -82,7 +88,8 @@
 	for i, r := range ran {
 		if i > 0 && last.Task == r.Task {
 			if r.Started.Before(last.Ended) && r.Machine != last.Machine {
-				all = append(all, Violation{"ran_twice", fmt.Sprintf("%s started on %s at %v while it was on %s until %v", r.Task, r.Machine, r.Started, last.Machine, last.Ended)})
+				all = append(all, violation("ran_twice", "%s started on %s at %v while it was on %s until %v",
+					r.Task, r.Machine, r.Started, last.Machine, last.Ended))
 			}
 			if r.Ended.Before(last.Ended) {
 				continue
@@ -102,10 +109,12 @@
 			continue
 		}
 		if late := r.Ended.Sub(j.Cancelled); late > h.Cancel {
-			all = append(all, Violation{"ran_cancelled", fmt.Sprintf("%s was on %s for %v after its job was cancelled", r.Task, r.Machine, late)})
+			all = append(all, violation("ran_cancelled", "%s was on %s for %v after its job was cancelled",
+				r.Task, r.Machine, late))
 		}
-		if late := r.Started.Sub(j.Cancelled); late > inFlight {
-			all = append(all, Violation{"started_cancelled", fmt.Sprintf("%s started on %s %v after its cancellation was confirmed", r.Task, r.Machine, late)})
+		if late := r.Started.Sub(j.Cancelled); late > maxCommandDelay {
+			all = append(all, violation("started_cancelled", "%s started on %s %v after its cancellation was confirmed",
+				r.Task, r.Machine, late))
 		}
 	}
 	return all
@@ -117,7 +126,7 @@
 	cpus float64
 }
 
-// checkQuotas adds up what the teams' tasks took at every moment.
+// checkQuotas adds up what the teams' tasks used at every moment.
 func (h *History) checkQuotas() []Violation {
 	type owner struct {
 		team   string
@@ -141,8 +150,8 @@
 			used += c.cpus
 			most = max(most, used)
 		}
-		if limit := h.Limits[who.region][who.team]; most > limit+amountSlack {
-			all = append(all, Violation{"quota", fmt.Sprintf("%s used %g CPUs of %g in region %d", who.team, most, limit, who.region)})
+		if limit := h.Limits[who.region][who.team]; most > limit+epsilon {
+			all = append(all, violation("quota", "%s used %g CPUs of %g in region %d", who.team, most, limit, who.region))
 		}
 	}
 	slices.SortFunc(all, func(a, b Violation) int { return cmp.Compare(a.What, b.What) })
@@ -179,15 +188,18 @@
 	for _, f := range j.Finals {
 		switch {
 		case f.Status == client.Pending || f.Status == client.Running:
-			all = append(all, Violation{"unfinished", fmt.Sprintf("%s is still %s at %s at the end", j.ID, f.Status, f.Controller)})
+			all = append(all, violation("unfinished", "%s is still %s at %s at the end", j.ID, f.Status, f.Controller))
 		case f.Status != client.Done && f.Status != client.Cancelled:
-			all = append(all, Violation{"forgotten", fmt.Sprintf("%s is %q at %s at the end", j.ID, f.Status, f.Controller)})
+			all = append(all, violation("forgotten", "%s is %q at %s at the end", j.ID, f.Status, f.Controller))
 		case f.Status != j.Finals[0].Status:
-			all = append(all, Violation{"went_back", fmt.Sprintf("%s is %s at %s and %s at %s", j.ID, j.Finals[0].Status, j.Finals[0].Controller, f.Status, f.Controller)})
+			all = append(all, violation("went_back", "%s is %s at %s and %s at %s",
+				j.ID, j.Finals[0].Status, j.Finals[0].Controller, f.Status, f.Controller))
 		case f.Status == client.Done && done < j.Tasks:
-			all = append(all, Violation{"not_done", fmt.Sprintf("%s is called done at %s with %d of %d tasks done", j.ID, f.Controller, done, j.Tasks)})
+			all = append(all, violation("not_done", "%s is called done at %s with %d of %d tasks done",
+				j.ID, f.Controller, done, j.Tasks))
 		case f.Status == client.Cancelled && !j.CancelRequested:
-			all = append(all, Violation{"went_back", fmt.Sprintf("%s is called cancelled at %s, and nobody cancelled it", j.ID, f.Controller)})
+			all = append(all, violation("went_back", "%s is called cancelled at %s, and nobody cancelled it",
+				j.ID, f.Controller))
 		}
 	}
 	return all
--- a/internal/loadtest/rules_test.go
+++ b/internal/loadtest/rules_test.go
@@ -8,13 +8,14 @@
 	"drumpick/internal/simulation"
 )
 
-// wholeHistory is one in which no rule is broken: two jobs of team a, one of them cancelled.
-func wholeHistory() *History {
+// correctHistory returns one in which no rule is broken: two jobs of team a, one of them cancelled.
+func correctHistory() *History {
 	start := time.Unix(1_000_000, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	job := func(id string, tasks int, cancelled time.Time, status string) *UserJob {
 		return &UserJob{
-			Job: client.Job{ID: id, Team: "a", Tasks: tasks, CPUs: 1}, Submitted: at(0), Accepted: at(0), CancelRequested: !cancelled.IsZero(), Cancelled: cancelled,
+			Job: client.Job{ID: id, Team: "a", Tasks: tasks, CPUs: 1}, Submitted: at(0), Accepted: at(0),
+			CancelRequested: !cancelled.IsZero(), Cancelled: cancelled,
 			Finals: []Final{{"controller-1", status}, {"controller-2", status}},
 		}
 	}
@@ -30,10 +31,10 @@
 	}
 }
 
-// Each rule broken on purpose is seen, by its name, and nothing else is.
-func TestEachBreachIsSeen(t *testing.T) {
-	if got := wholeHistory().Check(); len(got) > 0 {
-		t.Fatalf("a history without a breach: %v", got)
+// Each rule that is broken on purpose is reported by its name, and nothing else is.
+func TestEachViolationIsReported(t *testing.T) {
+	if got := correctHistory().Check(); len(got) > 0 {
+		t.Fatalf("a history without a violation: got %v, want none", got)
 	}
 	for _, test := range []struct {
 		rule    string
@@ -53,15 +54,15 @@
 		{"not_done", func(h *History) { h.Ran[2].Cause = "lost" }},
 		{"nothing_ran", func(h *History) { h.Ran = nil; clear(h.Jobs) }},
 	} {
-		h := wholeHistory()
+		h := correctHistory()
 		test.breakIt(h)
 		got := h.Check()
 		if len(got) == 0 {
-			t.Errorf("%s is not seen", test.rule)
+			t.Errorf("%s is not reported", test.rule)
 		}
 		for _, b := range got {
 			if b.Rule != test.rule {
-				t.Errorf("%s broken on purpose, and seen is %v", test.rule, b)
+				t.Errorf("%s was broken, got %v", test.rule, b)
 			}
 		}
 	}
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -16,37 +16,37 @@
 	"drumpick/internal/simulation"
 )
 
-// run is a run under way.
+// run is a load test under way.
 type run struct {
-	size  Size
-	cells []*region
-	users *users
-	meter *meter
-	log   io.Writer
+	size    Size
+	regions []*region
+	users   *users
+	meter   *meter
+	log     io.Writer
 
-	running int // tasks, the most at a time
+	maxRunning int // tasks, the most at a time so far
 }
 
-// How often a run looks at what it measures, and says how it goes.
 const (
+	// sampleEvery and progressEvery are how often a run samples, and logs its progress.
 	sampleEvery   = time.Second
 	progressEvery = 5 * time.Second
-	// bootPatience bounds how long the workers may take to come up.
-	bootPatience = 2 * time.Minute
-	// noMoreReports is for how many report intervals none comes up before it is taken that none will.
-	noMoreReports = 3
-	// allUp is the share of the workers that has to be up before it is measured.
-	allUp = 0.98
+	// bootTimeout bounds how long the workers may take to come up.
+	bootTimeout = 2 * time.Minute
+	// bootIdleIntervals is for how many heartbeat intervals no worker comes up before it is taken that none will.
+	bootIdleIntervals = 3
+	// minUpShare is the share of the workers that has to be up before it is measured.
+	minUpShare = 0.98
 )
 
-// RunPaired plays a size without teams, and then with them.
+// RunPaired runs a size without teams, and then with them.
 func RunPaired(ctx context.Context, size Size, programs Programs, log io.Writer) (*Result, error) {
 	if size.Teams == 0 {
 		return nil, &UsageError{"paired", "without teams there is nothing to compare"}
 	}
-	bare := size
-	bare.Teams = 0
-	without, err := Run(ctx, bare, programs, log)
+	withoutTeams := size
+	withoutTeams.Teams = 0
+	without, err := Run(ctx, withoutTeams, programs, log)
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	return with, nil
 }
 
-// Run plays a size and measures it. Progress goes to log.
+// Run runs a size and measures it. Progress goes to log.
 func Run(ctx context.Context, size Size, programs Programs, log io.Writer) (_ *Result, err error) {
 	if err := size.Check(); err != nil {
 		return nil, err
@@ -72,31 +72,31 @@
 	r := &run{size: size, meter: newMeter(), log: log}
 	defer func() {
 		end()
-		for _, c := range r.cells {
-			err = errors.Join(err, c.close())
+		for _, region := range r.regions {
+			err = errors.Join(err, region.close())
 		}
 		err = errors.Join(err, os.RemoveAll(data))
 	}()
 	for i := range size.Regions {
-		c, err := openRegion(ctx, size, i, programs, data)
+		region, err := openRegion(ctx, size, i, programs, data)
 		if err != nil {
 			return nil, err
 		}
-		r.cells = append(r.cells, c)
+		r.regions = append(r.regions, region)
 	}
-	r.users = newUsers(ctx, size, r.cells)
-	return r.play(ctx)
+	r.users = newUsers(ctx, size, r.regions)
+	return r.measure(ctx)
 }
 
-// play submits the load, measures once it has come up, waits for what is left, and checks all.
-func (r *run) play(ctx context.Context) (*Result, error) {
+// measure submits the load, measures once it has come up, waits for the jobs that are left, and checks the rules.
+func (r *run) measure(ctx context.Context) (*Result, error) {
 	submit, stopSubmitting := context.WithCancel(ctx)
 	defer stopSubmitting()
 	poll, stopPolling := context.WithCancel(ctx)
 	defer stopPolling()
 	go r.users.submitAll(submit)
 	go r.users.pollAll(poll)
-	if err := r.comeUp(ctx); err != nil {
+	if err := r.waitUp(ctx); err != nil {
 		return nil, err
 	}
 	result := &Result{At: time.Now().UTC(), Cores: runtime.NumCPU(), Size: r.size, Version: sources()}
@@ -104,10 +104,13 @@
 	if err != nil {
 		return nil, err
 	}
-	trouble := &faults{size: r.size, regions: r.cells, rand: rand.New(rand.NewPCG(1, uint64(r.size.Workers)))}
-	troubled := make(chan struct{})
+	injector := &faults{size: r.size, regions: r.regions, rand: rand.New(rand.NewPCG(1, uint64(r.size.Workers)))}
+	injectorDone := make(chan struct{})
 	began := time.Now()
-	go func() { defer close(troubled); trouble.run(ctx) }()
+	go func() {
+		defer close(injectorDone)
+		injector.run(ctx)
+	}()
 	if err := r.watch(ctx, "measuring", func() bool { return time.Since(began) >= r.size.For }); err != nil {
 		return nil, err
 	}
@@ -118,32 +121,33 @@
 		return nil, err
 	}
 	result.Traffic = after.traffic(before)
-	result.Workers, result.Running = after.workers.Machines, r.running
-	result.LeaseExpiries, result.RejectedHeartbeats = after.workers.LeaseExpiries-before.workers.LeaseExpiries, after.workers.RejectedHeartbeats-before.workers.RejectedHeartbeats
+	result.Workers, result.Running = after.workers.Machines, r.maxRunning
+	result.LeaseExpiries = after.workers.LeaseExpiries - before.workers.LeaseExpiries
+	result.RejectedHeartbeats = after.workers.RejectedHeartbeats - before.workers.RejectedHeartbeats
 	stopSubmitting()
-	<-troubled
-	result.InjectedFaults = trouble.injected
+	<-injectorDone
+	result.InjectedFaults = injector.injected
 	fmt.Fprintf(r.log, "waiting for %d jobs to end\n", r.users.left())
 	r.users.finish(ctx)
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return result, r.judge(result, began, ended)
+	return result, r.evaluate(result, began, ended)
 }
 
-// judge works out what the workers and users saw, and checks the rules on it.
-func (r *run) judge(result *Result, began, ended time.Time) error {
-	var ran []simulation.TaskRun
-	for _, c := range r.cells {
-		of, err := c.history()
+// evaluate works out what the workers and users saw, and checks the rules on it.
+func (r *run) evaluate(result *Result, began, ended time.Time) error {
+	var runs []simulation.TaskRun
+	for _, region := range r.regions {
+		ofRegion, err := region.history()
 		if err != nil {
 			return err
 		}
-		ran = append(ran, of...)
+		runs = append(runs, ofRegion...)
 	}
 	r.users.mu.Lock()
 	defer r.users.mu.Unlock()
-	result.measureStarts(ran, r.users.jobs, began, ended)
+	result.measureStarts(runs, r.users.jobs, began, ended)
 	result.Unanswered = r.users.unanswered
 	for _, j := range r.users.jobs {
 		if !j.Accepted.IsZero() {
@@ -151,57 +155,59 @@
 		}
 	}
 	result.Finished = result.Jobs - len(r.users.open)
-	h := &History{Ran: ran, Jobs: r.users.jobs, Cancel: config.Seconds(cancelS)}
-	for _, c := range r.cells {
-		of := Limits{}
-		for _, t := range r.size.deployment(c.index, c.zones).Teams {
-			of[t.Name] = t.LimitCPUs
+	h := &History{Ran: runs, Jobs: r.users.jobs, Cancel: config.Seconds(cancelS)}
+	for _, region := range r.regions {
+		limits := Limits{}
+		for _, t := range r.size.deployment(region.index, region.zones).Teams {
+			limits[t.Name] = t.LimitCPUs
 		}
-		h.Limits = append(h.Limits, of)
+		h.Limits = append(h.Limits, limits)
 	}
 	result.Violations = h.Check()
 	return r.users.fail
 }
 
-// comeUp waits until the load has risen, and the workers are up or no more of them come.
-func (r *run) comeUp(ctx context.Context) error {
+// waitUp waits until the load has risen, and the workers are up or no more of them come.
+func (r *run) waitUp(ctx context.Context) error {
 	began := time.Now()
-	most, rose := 0, began
+	most, lastRise := 0, began
 	err := r.watch(ctx, "coming up", func() bool {
 		if up := r.up(); up > most {
-			most, rose = up, time.Now()
+			most, lastRise = up, time.Now()
 		}
-		all := most >= int(allUp*float64(r.size.Workers)) || most > 0 && time.Since(rose) > noMoreReports*config.Seconds(heartbeatS)
-		return all && time.Since(began) >= r.size.taskTime()+rampTime || time.Since(began) > bootPatience
+		enough := most >= int(minUpShare*float64(r.size.Workers))
+		noMore := most > 0 && time.Since(lastRise) > bootIdleIntervals*config.Seconds(heartbeatS)
+		return (enough || noMore) && time.Since(began) >= r.size.taskTime()+rampTime || time.Since(began) > bootTimeout
 	})
-	r.meter, r.running = newMeter(), 0
+	r.meter, r.maxRunning = newMeter(), 0
 	return err
 }
 
 // up counts the workers that are up.
 func (r *run) up() int {
 	n := 0
-	for _, c := range r.cells {
-		n += len(c.cluster.Environment.Machines())
+	for _, region := range r.regions {
+		n += len(region.cluster.Environment.Machines())
 	}
 	return n
 }
 
-// watch samples, and says how it goes, until over says so.
-func (r *run) watch(ctx context.Context, what string, over func() bool) error {
-	var said time.Time
-	for !over() {
-		for _, c := range r.cells {
-			c.sample(r.meter)
+// watch samples, and logs the progress of a phase, until done returns true.
+func (r *run) watch(ctx context.Context, phase string, done func() bool) error {
+	var logged time.Time
+	for !done() {
+		for _, region := range r.regions {
+			region.sample(r.meter)
 		}
 		counts, err := r.counts()
 		if err != nil {
 			return err
 		}
-		r.running = max(r.running, counts.workers.Running)
-		if time.Since(said) >= progressEvery {
-			said = time.Now()
-			fmt.Fprintf(r.log, "%s: %d workers up, %d tasks running, %d starts so far, %d jobs open\n", what, counts.workers.Machines, counts.workers.Running, counts.workers.Starts, r.users.left())
+		r.maxRunning = max(r.maxRunning, counts.workers.Running)
+		if time.Since(logged) >= progressEvery {
+			logged = time.Now()
+			fmt.Fprintf(r.log, "%s: %d workers up, %d tasks running, %d starts so far, %d jobs open\n",
+				phase, counts.workers.Machines, counts.workers.Running, counts.workers.Starts, r.users.left())
 		}
 		if err := ctxtime.Sleep(ctx, sampleEvery); err != nil {
 			return err
@@ -210,45 +216,51 @@
 	return nil
 }
 
-// counted is what all roles count.
+// counted is what the processes of all roles counted so far.
 type counted struct {
 	workers                     WorkerCounts
-	state                       map[string]Traffic
+	store                       map[string]Traffic // by kind of request
 	submissions, polls, cancels Traffic
 }
 
 func (r *run) counts() (counted, error) {
-	all := counted{state: map[string]Traffic{}, submissions: r.users.submissions.read(), polls: r.users.polls.read(), cancels: r.users.cancels.read()}
-	for _, c := range r.cells {
-		workers, err := c.counts()
+	all := counted{
+		store: map[string]Traffic{}, submissions: r.users.submissions.read(),
+		polls: r.users.polls.read(), cancels: r.users.cancels.read(),
+	}
+	for _, region := range r.regions {
+		workers, err := region.counts()
 		if err != nil {
 			return all, err
 		}
 		all.workers = all.workers.plus(workers)
-		var state map[string]Traffic
-		if err := c.store.ask("GET", "/counts", nil, &state); err != nil {
+		var store map[string]Traffic
+		if err := region.store.ask("GET", "/counts", nil, &store); err != nil {
 			return all, err
 		}
-		for kind, t := range state {
-			all.state[kind] = all.state[kind].Plus(t)
+		for kind, t := range store {
+			all.store[kind] = all.store[kind].Plus(t)
 		}
 	}
 	return all, nil
 }
 
-// traffic is what came since an earlier count, by kind.
+// traffic returns the traffic since an earlier count, by kind.
 func (c counted) traffic(before counted) map[string]Traffic {
 	all := map[string]Traffic{
-		"report": c.workers.Heartbeats.Minus(before.workers.Heartbeats), "order": c.workers.Commands.Minus(before.workers.Commands),
-		"submission": c.submissions.Minus(before.submissions), "poll": c.polls.Minus(before.polls), "cancellation": c.cancels.Minus(before.cancels),
+		"report":       c.workers.Heartbeats.Minus(before.workers.Heartbeats),
+		"order":        c.workers.Commands.Minus(before.workers.Commands),
+		"submission":   c.submissions.Minus(before.submissions),
+		"poll":         c.polls.Minus(before.polls),
+		"cancellation": c.cancels.Minus(before.cancels),
 	}
-	for kind, t := range c.state {
-		all["store "+kind] = t.Minus(before.state[kind])
+	for kind, t := range c.store {
+		all["store "+kind] = t.Minus(before.store[kind])
 	}
 	return all
 }
 
-// sources names the commit that this program was built from; "unknown" where the build does not tell.
+// sources returns the commit that this program was built from; "unknown" where the build does not tell.
 func sources() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -266,5 +278,5 @@
 	return commit + changed
 }
 
-// shortCommit is how much of a commit's name is told.
+// shortCommit is how many digits of a commit are kept.
 const shortCommit = 8
--- a/internal/loadtest/sample.go
+++ b/internal/loadtest/sample.go
@@ -16,28 +16,29 @@
 	roleReal     = "real worker"
 )
 
-// Usage is what the processes of a role took of the machine.
+// Usage is what the processes of a role used.
 type Usage struct {
 	Processes int     `json:"processes"`
 	Cores     float64 `json:"cores"`     // mean of one process, in cores
 	PeakCores float64 `json:"peak"`      // of one process, over a sample
-	MemoryMB  float64 `json:"memory_mb"` // the most that one held
+	MemoryMB  float64 `json:"memory_mb"` // the most that one process held
 }
 
-// meter samples the processor time and memory of processes. A controller counts for the role that it
-// has when it is sampled.
+// meter samples the processor time and memory of processes. A controller counts for the role that it has when it is
+// sampled.
 type meter struct {
 	mu    sync.Mutex
 	last  map[int]reading
 	roles map[string]*account
 }
 
+// reading is a sample of a process.
 type reading struct {
 	at  time.Time
 	cpu float64 // seconds of a core so far
 }
 
-// account adds up what was read of a role.
+// account adds up the samples of a role.
 type account struct {
 	cpu, seconds float64
 	peak, memory float64
@@ -46,7 +47,7 @@
 
 func newMeter() *meter { return &meter{last: map[int]reading{}, roles: map[string]*account{}} }
 
-// sample reads a process that has a role now. What can't be read is left out: it has ended.
+// sample samples a process that has a role now. A process that can't be read has ended, and is left out.
 func (m *meter) sample(role string, pid int) {
 	if pid <= 0 {
 		return
@@ -81,7 +82,7 @@
 	m.last[pid] = now
 }
 
-// usage tells what each role took.
+// usage returns what each role used.
 func (m *meter) usage() map[string]Usage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -1,7 +1,6 @@
-// Package scale runs deployments of a planned size on one machine: real controllers as
-// processes of their own, and workers that speak the whole protocol over sockets while their tasks
-// are timers. It measures what each role costs, and checks the rules of the protocol from outside, on
-// what the workers and users saw.
+// Package loadtest runs deployments of a planned size on one machine: controllers as processes, and hollow workers,
+// which speak the whole protocol over sockets while their tasks are timers. It measures what each role costs, and
+// checks the rules of the protocol from outside, by what the workers and users saw.
 package loadtest
 
 import (
@@ -13,7 +12,7 @@
 	"drumpick/internal/records"
 )
 
-// Size says what to run. All counts are of the whole run, over all regions.
+// Size is what to run. All counts are of the whole run, over all regions.
 type Size struct {
 	Workers     int           `json:"workers"`     // machines, the real ones included
 	RealWorkers int           `json:"real"`        // of these, those with a process of their own
@@ -25,11 +24,11 @@
 	Regions     int           `json:"regions"`
 	For         time.Duration `json:"for"` // how long it is measured once it runs
 	Faults      Faults        `json:"faults"`
-	StoreRPS    float64       `json:"store_rps"` // of each region's state service
+	StoreRPS    float64       `json:"store_rps"` // of each region's store
 	StoreWrites float64       `json:"store_writes"`
 }
 
-// Faults says what goes wrong during a run.
+// Faults are the faults that are injected during a run.
 type Faults struct {
 	Compress float64 `json:"compress"` // seconds of the planned day that pass in one second; 0: no machine fails
 	Rack     bool    `json:"rack"`     // a rack's workers at once
@@ -56,7 +55,7 @@
 	workersPerProcess = 1900
 )
 
-// Memory that is reckoned for each role before a run begins, in MB: more than was measured
+// Memory that is estimated for each role before a run begins, in MB: more than was measured
 // (docs/CAPACITY.md).
 const (
 	controllerMB    = 120.0
@@ -80,7 +79,7 @@
 	return fmt.Sprintf("--%s: %s", e.Flag, e.Reason)
 }
 
-// Check names the first flag that is wrong, or says what this machine cannot do.
+// Check returns the first flag that is wrong, or what this machine cannot do.
 func (s *Size) Check() error {
 	for _, field := range []struct {
 		flag        string
@@ -111,10 +110,12 @@
 	case s.RealWorkers > s.Workers:
 		return &UsageError{"real-workers", fmt.Sprintf("%d are more than %d workers", s.RealWorkers, s.Workers)}
 	case s.taskTime() < time.Second:
-		return &UsageError{"rate", fmt.Sprintf("%d tasks at %g starts a second run for %v, less than 1s", s.Tasks, s.Rate, s.taskTime())}
+		reason := fmt.Sprintf("%d tasks at %g starts a second run for %v, less than 1s", s.Tasks, s.Rate, s.taskTime())
+		return &UsageError{"rate", reason}
 	}
 	if n := s.processes(); n > MaxProcesses {
-		return &UsageError{"workers", fmt.Sprintf("it takes %d processes with these controllers, regions and real workers, and %d are the most", n, MaxProcesses)}
+		const format = "it takes %d processes with these controllers, regions and real workers, and %d are the most"
+		return &UsageError{"workers", fmt.Sprintf(format, n, MaxProcesses)}
 	}
 	if mb := s.memoryMB(); mb > maxMemoryMB {
 		return &UsageError{"workers", fmt.Sprintf("it takes some %.0f MB, and %d MB are the most", mb, maxMemoryMB)}
@@ -122,23 +123,25 @@
 	return nil
 }
 
-// hollowProcesses is how many processes the hollow workers of a region share.
+// hollowProcesses returns how many processes the hollow workers of a region share.
 func (s *Size) hollowProcesses() int {
 	n := (s.Workers + s.Regions - 1) / s.Regions
 	return (n + workersPerProcess - 1) / workersPerProcess
 }
 
-// processes counts all that a run starts, this one included.
+// processes returns how many processes a run starts, this one included.
 func (s *Size) processes() int {
 	return 1 + s.RealWorkers + s.Regions*(1+s.Controllers+s.hollowProcesses())
 }
 
+// memoryMB returns the memory that is estimated for all processes.
 func (s *Size) memoryMB() float64 {
 	perRegion := stateMB + float64(s.Controllers)*controllerMB + float64(s.hollowProcesses())*hollowProcessMB
-	return float64(s.Regions)*perRegion + float64(s.Workers)*(hollowEachMB+controllerEach*float64(s.Controllers)) + float64(s.RealWorkers)*realWorkerMB
+	perWorker := hollowEachMB + controllerEach*float64(s.Controllers)
+	return float64(s.Regions)*perRegion + float64(s.Workers)*perWorker + float64(s.RealWorkers)*realWorkerMB
 }
 
-// taskTime is how long a task runs, so that the tasks run at the rate.
+// taskTime returns how long a task runs, so that at the rate so many run at a time.
 func (s *Size) taskTime() time.Duration {
 	return time.Duration(float64(s.Tasks) / s.Rate * float64(time.Second))
 }
@@ -152,7 +155,7 @@
 	return n
 }
 
-// tasksPerWorker is how many tasks a machine holds: no more than are to run, or the leader gives back the workers
+// tasksPerWorker returns how many tasks a machine holds: no more than are to run, or the leader scales in the workers
 // that nobody needs.
 func (s *Size) tasksPerWorker() int {
 	return max(1, int(math.Ceil(float64(s.Tasks)/float64(s.Workers))))
@@ -181,9 +184,9 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
 
-// deployment are the settings of one region's controllers.
+// deployment returns the settings that one region's controllers share.
 func (s *Size) deployment(region int, zones []string) *config.Deployment {
-	f := &config.Deployment{
+	d := &config.Deployment{
 		Nodes: s.Controllers, Zones: zones, TimeBoundMS: 100,
 		Objectives: []config.Objective{
 			{Kind: config.KindWait, Class: classUrgent, WithinS: urgentStartS, Share: 0.95},
@@ -201,12 +204,12 @@
 			part := cpus / float64(s.Teams)
 			t.GuaranteedCPUs, t.LimitCPUs = math.Floor(guaranteed*part), math.Max(math.Ceil(limited*part), 1)
 		}
-		f.Teams = append(f.Teams, t)
+		d.Teams = append(d.Teams, t)
 	}
-	return f
+	return d
 }
 
-// machineTypes are the machines to be had in a region.
+// machineTypes returns the machine types that can be rented in a region.
 func (s *Size) machineTypes(zones []string) []records.MachineType {
 	cpus := float64(s.tasksPerWorker())
 	return []records.MachineType{{
--- a/internal/loadtest/store_counts.go
+++ b/internal/loadtest/store_counts.go
@@ -6,12 +6,17 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// Kinds of requests to the state service.
+// Kinds of requests to the store.
 const (
-	kindRead, kindList, kindWrite, kindCompare, kindWatch, kindLease = "read", "list", "write", "compare", "watch", "lease"
+	kindRead    = "read"
+	kindList    = "list"
+	kindWrite   = "write"
+	kindCompare = "compare"
+	kindWatch   = "watch"
+	kindLease   = "lease"
 )
 
-// storeCounts counts the requests to a state service by kind.
+// storeCounts counts the requests to a store by kind.
 type storeCounts struct{ kinds map[string]*tally }
 
 func newStoreCounts() *storeCounts {
@@ -22,7 +27,7 @@
 	return s
 }
 
-// kindOf tells what kind of request one is.
+// kindOf returns the kind of a request.
 func kindOf(method, path string, body []byte) string {
 	switch {
 	case path == "/watch":
@@ -39,7 +44,7 @@
 	return kindRead
 }
 
-// count counts one request, once it is answered.
+// count is a handler that counts a request once it is answered.
 func (s *storeCounts) count(c *fiber.Ctx) error {
 	kind := kindOf(c.Method(), c.Path(), c.Body())
 	err := c.Next()
