--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"drumpick/internal/peer"
 	"drumpick/internal/records"
 )
 
@@ -25,7 +26,7 @@
 				t.Fatalf("%s: %d", j.ID, got)
 			}
 		}
-		if _, st := c.ask(0, "poll", "j-4"); st != "pending" {
+		if _, st := c.ask(0, peer.MethodPoll, "j-4"); st != records.StatusPending {
 			t.Errorf("a waiting job is %q", st)
 		}
 		for range 4 {
@@ -67,7 +68,7 @@
 			c.submit(i%3, dependentJob(fmt.Sprint("j-", i), 2, fmt.Sprint("j-", i-1)))
 		}
 		c.submit(0, dependentJob("j-100", 2))
-		if _, st := c.ask(1, "withdraw", "j-1"); st != "cancelled" {
+		if _, st := c.ask(1, peer.MethodCancel, "j-1"); st != records.StatusCancelled {
 			t.Fatalf("withdraw: %q", st)
 		}
 		if got := c.submit(2, dependentJob("j-31", 2, "j-15", "j-100")); got != 201 {
@@ -105,7 +106,7 @@
 		c.killNode(other)
 		c.cancelUntilConfirmed(asked, "j-1")
 		c.wantCancelled(asked, "j-60", "j-30")
-		if _, st := c.ask(asked, "poll", "j-101"); st != "pending" {
+		if _, st := c.ask(asked, peer.MethodPoll, "j-101"); st != records.StatusPending {
 			t.Errorf("a job behind none that is cancelled: %q", st)
 		}
 		if c.leaderIndex() >= 0 {
@@ -130,7 +131,7 @@
 		for i := 2; i <= 200; i++ {
 			c.submit(0, dependentJob(fmt.Sprint("j-", i), 1, fmt.Sprint("j-", i-1)))
 		}
-		c.ask(c.upNodeFrom(c.leaderIndex()+1), "withdraw", "j-1")
+		c.ask(c.upNodeFrom(c.leaderIndex()+1), peer.MethodCancel, "j-1")
 		for len(c.store.Keys("jobs/open/")) > 120 {
 			sleep(0.05)
 		}
@@ -193,21 +194,21 @@
 				c.env.mu.Unlock()
 			}
 			time.Sleep(end - time.Since(began) + time.Duration(k-12)*5*time.Millisecond)
-			_, st := c.ask(c.upNodeFrom(k), "withdraw", "j-1")
+			_, st := c.ask(c.upNodeFrom(k), peer.MethodCancel, "j-1")
 			answers[st]++
 			if k%2 == 0 {
 				c.killNode(c.leaderIndex())
 			}
 			sleep(70)
 			at := c.upNodeFrom(0)
-			if _, last := c.ask(at, "poll", "j-3"); last != st {
+			if _, last := c.ask(at, peer.MethodPoll, "j-3"); last != st {
 				t.Errorf("j-1 is %s, j-3 is %s", st, last)
 			}
 			if got, told := c.submit(at, dependentJob("j-4", 1, "j-1")), st; got != 201 {
 				t.Errorf("submission behind a job that is %s: %d", told, got)
 			}
 			sleep(40)
-			if _, last := c.ask(at, "poll", "j-4"); last != st {
+			if _, last := c.ask(at, peer.MethodPoll, "j-4"); last != st {
 				t.Errorf("j-1 is %s, j-4, submitted later, is %s", st, last)
 			}
 		})
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -52,7 +52,7 @@
 							t.Fatalf("node %d is down", i)
 						}
 						for n := range 8 {
-							c.ask(i, "poll", fmt.Sprint("j-", n+1)) // the environment checks the answers
+							c.ask(i, peer.MethodPoll, fmt.Sprint("j-", n+1)) // the environment checks the answers
 						}
 					}
 				}
@@ -79,7 +79,7 @@
 					c.copyHeartbeats(3*time.Second, 15*time.Second)
 					sleep(2)
 					c.submit(0, records.Job{ID: "j-1", Tasks: 20, CPUs: 2, EstimateS: 120})
-					c.submit(1, records.Job{ID: "j-2", Shape: "group", Tasks: 4, CPUs: 2, EstimateS: 120})
+					c.submit(1, records.Job{ID: "j-2", Shape: records.ShapeGang, Tasks: 4, CPUs: 2, EstimateS: 120})
 					c.submit(2, records.Job{ID: "j-3", Tasks: 30, CPUs: 2, EstimateS: 120})
 					sleep(36)
 					set := func(on bool) {
@@ -102,7 +102,7 @@
 					l := c.leaderIndex()
 					c.killNode(l)
 					sleep(2)
-					c.ask((l+1)%3, "withdraw", "j-3")
+					c.ask((l+1)%3, peer.MethodCancel, "j-3")
 					c.expectCancelled("j-3")
 					sleep(span - 3)
 					c.startNode(l)
@@ -139,11 +139,11 @@
 						id := fmt.Sprint("j-", n)
 						c.submit(n%3, records.Job{ID: id, Tasks: 6, CPUs: 2, EstimateS: 8})
 						if n%2 == 0 {
-							if _, st := c.ask((n+1)%3, "withdraw", id); st == "cancelled" {
+							if _, st := c.ask((n+1)%3, peer.MethodCancel, id); st == records.StatusCancelled {
 								c.expectCancelled(id)
 							}
 						}
-						c.ask((n+2)%3, "poll", fmt.Sprint("j-", 1+n/2))
+						c.ask((n+2)%3, peer.MethodPoll, fmt.Sprint("j-", 1+n/2))
 						sleep(2)
 					}
 				}
@@ -162,7 +162,7 @@
 				// What was cancelled without an answer is cancelled now.
 				for i := 2; i <= n; i += 2 {
 					id := fmt.Sprint("j-", i)
-					if _, st := c.ask(0, "withdraw", id); st == "cancelled" {
+					if _, st := c.ask(0, peer.MethodCancel, id); st == records.StatusCancelled {
 						c.expectCancelled(id)
 					}
 				}
@@ -252,7 +252,7 @@
 		endFaults(c)
 		sleep(20)
 		for _, id := range c.unansweredCancels {
-			if status, st := c.ask(0, peer.MethodCancel, id); st == "cancelled" {
+			if status, st := c.ask(0, peer.MethodCancel, id); st == records.StatusCancelled {
 				c.expectCancelledWithDependents(id)
 			} else if status != 200 && status != 404 {
 				t.Errorf("withdraw %s, once more: %d", id, status)
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"drumpick/internal/config"
+	"drumpick/internal/peer"
 	"drumpick/internal/records"
 	"drumpick/internal/scheduler"
 )
@@ -29,13 +30,13 @@
 	}
 	for name, scenario := range map[string]func(c *cluster){
 		"holds a gang": func(c *cluster) {
-			c.submit(0, records.Job{ID: "j-1", Shape: "group", Tasks: 6, CPUs: 4, EstimateS: 30})
+			c.submit(0, records.Job{ID: "j-1", Shape: records.ShapeGang, Tasks: 6, CPUs: 4, EstimateS: 30})
 			sleep(35)
 			c.env.Machines()[0].SetUnreachable(true)
 			sleep(90)
 		},
 		"from its boot on": func(c *cluster) {
-			c.submit(0, records.Job{ID: "j-1", Shape: "group", Tasks: 6, CPUs: 4, EstimateS: 30})
+			c.submit(0, records.Job{ID: "j-1", Shape: records.ShapeGang, Tasks: 6, CPUs: 4, EstimateS: 30})
 			for len(c.env.Machines()) == 0 {
 				sleep(0.01)
 			}
@@ -66,7 +67,7 @@
 			for _, m := range ms {
 				m.SetUnreachable(true)
 			}
-			c.ask(0, "withdraw", "j-2")
+			c.ask(0, peer.MethodCancel, "j-2")
 			c.expectedDone = c.expectedDone[:1]
 			unreachableFor(c, ms, 31)
 			sleep(90)
@@ -176,14 +177,14 @@
 						// Its users are turned away at once.
 						sleep(3)
 						began := time.Now()
-						if status, _ := c.ask(cut, "poll", "j-1"); status != 503 || time.Since(began) > time.Second/4 {
+						if status, _ := c.ask(cut, peer.MethodPoll, "j-1"); status != 503 || time.Since(began) > time.Second/4 {
 							t.Errorf("a poll at the isolated controller: %d after %v", status, time.Since(began))
 						}
 						if c.node(cut).server.Ready() {
 							t.Error("the isolated controller is ready")
 						}
 					}
-					c.ask((cut+1)%3, "withdraw", "j-2")
+					c.ask((cut+1)%3, peer.MethodCancel, "j-2")
 					c.expectedDone = c.expectedDone[:1]
 					sleep(max(span-7, 1))
 					if n := countLost(c) - killed; n > 0 {
@@ -245,7 +246,7 @@
 			runScenario(t, func(c *cluster) {
 				sleep(2)
 				c.submit(0, records.Job{ID: "j-1", Tasks: 40, CPUs: 2, EstimateS: 30})
-				c.submit(1, records.Job{ID: "j-2", Shape: "group", Tasks: 4, CPUs: 2, EstimateS: 30})
+				c.submit(1, records.Job{ID: "j-2", Shape: records.ShapeGang, Tasks: 4, CPUs: 2, EstimateS: 30})
 				sleep(33)
 				scenario(c)
 				c.submit(2, records.Job{ID: "j-3", Tasks: 4, EstimateS: 30})
--- a/internal/simulation/final_checks_test.go
+++ b/internal/simulation/final_checks_test.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"drumpick/internal/peer"
 	"drumpick/internal/scheduler"
 )
 
@@ -19,7 +20,7 @@
 		for range 15 {
 			left = slices.DeleteFunc(left, func(id string) bool {
 				began := time.Now()
-				status, _ := c.ask(i, "poll", id)
+				status, _ := c.ask(i, peer.MethodPoll, id)
 				return status == 200 && time.Since(began) <= 2*time.Second
 			})
 			if len(left) == 0 {
@@ -70,7 +71,7 @@
 	n := 0
 	ran, _ := c.env.History()
 	for _, r := range ran {
-		if r.Cause == "lost" {
+		if r.Cause == causeLost {
 			n++
 		}
 	}
--- a/internal/simulation/idle_check_test.go
+++ b/internal/simulation/idle_check_test.go
@@ -100,7 +100,7 @@
 	for _, m := range env.machines {
 		cpus, mem := m.typ.CPUs-taken[m]-j.CPUs, m.typ.MemGB-j.MemGB
 		for _, s := range m.tasks {
-			if s.status != "ended" {
+			if s.status != statusEnded {
 				cpus, mem = cpus-s.job.CPUs, mem-s.job.MemGB
 			}
 		}
--- a/internal/simulation/jobs_test.go
+++ b/internal/simulation/jobs_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"drumpick/internal/peer"
 	"drumpick/internal/records"
 )
 
@@ -39,7 +40,7 @@
 		sleep(2)
 		c.submit(0, records.Job{ID: "j-1", Tasks: 12, EstimateS: 30})
 		sleep(30)
-		if _, st := c.ask(2, "withdraw", "j-1"); st != "cancelled" {
+		if _, st := c.ask(2, peer.MethodCancel, "j-1"); st != records.StatusCancelled {
 			t.Fatalf("withdraw: %q", st)
 		}
 		sleep(3)
@@ -50,7 +51,7 @@
 			if c.node(i) == nil {
 				continue
 			}
-			if status, st := c.ask(i, "poll", "j-1"); status != 200 || st != "cancelled" {
+			if status, st := c.ask(i, peer.MethodPoll, "j-1"); status != 200 || st != records.StatusCancelled {
 				t.Errorf("poll: %d %s", status, st)
 			}
 			if got := c.submit(i, records.Job{ID: "j-1", Tasks: 12}); got != 200 {
@@ -79,7 +80,7 @@
 		}
 		for i := range 3 {
 			if c.node(i) != nil {
-				c.ask(i, "withdraw", "j-1")
+				c.ask(i, peer.MethodCancel, "j-1")
 				break
 			}
 		}
--- a/internal/simulation/late_writes_test.go
+++ b/internal/simulation/late_writes_test.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
+	"drumpick/internal/peer"
 	"drumpick/internal/records"
 )
 
@@ -38,7 +39,7 @@
 						sleep(1)
 					}
 					if n%4 == 3 {
-						c.ask(n%3, "withdraw", fmt.Sprint("j-", n+1))
+						c.ask(n%3, peer.MethodCancel, fmt.Sprint("j-", n+1))
 						c.expectCancelled(fmt.Sprint("j-", n+1))
 					}
 					sleep(float64(1 + r.IntN(14)))
--- a/internal/simulation/many_machines_test.go
+++ b/internal/simulation/many_machines_test.go
@@ -18,24 +18,27 @@
 const (
 	manyJobs  = 12
 	manyTasks = 640 // of each, half as many again in all as the machines hold
+
+	fleetSize   = 1300
+	raceDivisor = 5 // by which the fleet is smaller under the race detector
 )
 
-// manyMachines is how many there are.
+// manyMachines returns how many machines there are.
 func manyMachines() int {
 	if raceEnabled {
-		return 1300 / 5
+		return fleetSize / raceDivisor
 	}
-	return 1300
+	return fleetSize
 }
 
-// unsavedWork is the run time of tasks on machines that no checkpoint has.
+// unsavedWork returns the run time of tasks on machines that no checkpoint has.
 func (env *Environment) unsavedWork(ms []*Machine) time.Duration {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	var sum time.Duration
 	for _, m := range ms {
 		for _, s := range m.tasks {
-			if s.status == "running" {
+			if s.status == statusRunning {
 				sum += max(s.progressAt(time.Now())-env.savedProgress[s.checkpointKey()], 0)
 			}
 		}
@@ -43,6 +46,7 @@
 	return sum
 }
 
+// machinesInZone returns the machines of a zone.
 func machinesInZone(ms []*Machine, zone string) []*Machine {
 	var out []*Machine
 	for _, m := range ms {
@@ -53,9 +57,11 @@
 	return out
 }
 
-// runManyMachines runs a scenario on all machines, which returns the least work that could be lost, and
-// checks what was.
-func runManyMachines(t *testing.T, prepare func(c *cluster), scenario func(c *cluster, ms []*Machine) (least time.Duration)) {
+// runManyMachines runs a scenario on all machines, which returns the least work that could be lost, and checks what
+// was.
+func runManyMachines(
+	t *testing.T, prepare func(c *cluster), scenario func(c *cluster, ms []*Machine) (least time.Duration),
+) {
 	t.Helper()
 	runScenarioWith(t, func(c *cluster) {
 		c.cfg.Deployment.Workers.HeartbeatS, c.cfg.Deployment.Workers.LeaseS, c.cfg.Deployment.Workers.CancelS = 5, 26, 46
@@ -70,7 +76,7 @@
 	}, func(c *cluster) {
 		sleep(2)
 		for n := range manyJobs {
-			c.submit(0, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: manyTasks * manyMachines() / 1300, EstimateS: 60})
+			c.submit(0, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: manyTasks * manyMachines() / fleetSize, EstimateS: 60})
 		}
 		sleep(60)
 		ms := c.env.Machines()
@@ -89,7 +95,7 @@
 		}
 		lost := c.env.LostWork() - before
 		// Some work is stopped to fill and empty machines at the day's end in any case.
-		all := time.Duration(manyJobs*manyTasks*manyMachines()/1300) * 8 * 7 * time.Second
+		all := time.Duration(manyJobs*manyTasks*manyMachines()/fleetSize) * 8 * 7 * time.Second
 		t.Logf("work lost: %v, at least %v, of %v in all", lost, least, all)
 		// A notice stops what by its owner's estimate would not end in time, and some would.
 		if lost > least*23/20+all/50 {
@@ -194,7 +200,7 @@
 		defer c.env.mu.Unlock()
 		for _, m := range taken {
 			for _, s := range m.tasks {
-				if s.status == "running" && time.Until(s.statusEnds) > 12*time.Second {
+				if s.status == statusRunning && time.Until(s.statusEnds) > 12*time.Second {
 					least += s.progressAt(time.Now())
 				}
 			}
--- a/internal/simulation/outage_test.go
+++ b/internal/simulation/outage_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"drumpick/internal/peer"
 	"drumpick/internal/records"
 )
 
@@ -26,7 +27,7 @@
 		starts := c.env.Starts()
 		c.store.SetOutage(true)
 		sleep(50)
-		if status, _ := c.ask(0, "poll", "j-1"); status != 503 {
+		if status, _ := c.ask(0, peer.MethodPoll, "j-1"); status != 503 {
 			t.Errorf("poll in an outage: %d, want 503", status)
 		}
 		if !c.node(0).server.Ready() {
@@ -81,7 +82,7 @@
 		other := (c.leaderIndex() + 1) % 3
 		// The cancellation reaches the store and its user, but the leader learns of nothing any more.
 		c.store.SetRefused(strings.Fields(nodeNames)[c.leaderIndex()], true)
-		if _, st := c.ask(other, "withdraw", "j-1"); st != "cancelled" {
+		if _, st := c.ask(other, peer.MethodCancel, "j-1"); st != records.StatusCancelled {
 			t.Fatalf("withdraw: %q", st)
 		}
 		c.store.SetOutage(true)
@@ -136,7 +137,7 @@
 		if c.node(old).server.Ready() {
 			t.Error("ready, though others would serve and this one cannot")
 		}
-		if status, st := c.ask(old, "poll", "j-1"); status != 200 {
+		if status, st := c.ask(old, peer.MethodPoll, "j-1"); status != 200 {
 			t.Errorf("poll at the refused node: %d %s", status, st)
 		}
 		if got := c.submit(old, records.Job{ID: "j-2", Tasks: 1, EstimateS: 30}); got != 201 {
--- a/internal/simulation/random_users_test.go
+++ b/internal/simulation/random_users_test.go
@@ -20,7 +20,7 @@
 	j := records.Job{ID: fmt.Sprint("j-", n), Tasks: 2 + r.IntN(20), CPUs: float64(1 + r.IntN(4)), EstimateS: 10}
 	switch r.IntN(4) {
 	case 0:
-		j.Shape, j.Tasks, j.CPUs = "group", 2+r.IntN(3), 2
+		j.Shape, j.Tasks, j.CPUs = records.ShapeGang, 2+r.IntN(3), 2
 		if r.IntN(2) == 0 {
 			j.CheckpointS, j.SaveS = 10, 3
 		}
--- a/internal/simulation/record_check_test.go
+++ b/internal/simulation/record_check_test.go
@@ -85,7 +85,7 @@
 		r.cluster.env.mu.Lock()
 		holds := ""
 		for _, s := range m.tasks {
-			if s.status != "ended" {
+			if s.status != statusEnded {
 				holds = s.task
 			}
 		}
--- a/internal/simulation/store_outage_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"drumpick/internal/peer"
 	"drumpick/internal/records"
 )
 
@@ -24,7 +25,7 @@
 func (g *refusalScenario) cancel(i int, ids ...string) {
 	g.cluster.t.Helper()
 	for _, id := range ids {
-		if _, st := g.cluster.ask(i, "withdraw", id); st != "cancelled" {
+		if _, st := g.cluster.ask(i, peer.MethodCancel, id); st != records.StatusCancelled {
 			g.cluster.t.Errorf("withdraw %s at node %d: %q", id, i, st)
 		}
 		g.cluster.expectCancelled(id)
@@ -70,7 +71,7 @@
 		g.cluster.env.mu.Lock()
 		for _, s := range m.tasks {
 			for _, id := range ids {
-				if s.taskID.Job == id && s.status != "ended" && time.Since(m.leaseStart) <= g.cluster.env.Lease {
+				if s.taskID.Job == id && s.status != statusEnded && time.Since(m.leaseStart) <= g.cluster.env.Lease {
 					g.cluster.t.Errorf("%s is still on %s (%s)", s.task, m.Name, s.status)
 				}
 			}
@@ -108,7 +109,7 @@
 		g.cancel(g.other, "j-1")
 		// As it was, the leader stepped down as soon as it was sure that others are served.
 		for _, until := g.cluster.node(g.leader).election.Term(); time.Until(until) > 100*time.Millisecond; {
-			g.cluster.ask(g.other, "poll", "j-2")
+			g.cluster.ask(g.other, peer.MethodPoll, "j-2")
 			sleep(0.05)
 		}
 		g.cluster.store.SetOutage(true)
@@ -146,7 +147,7 @@
 		g.refuse(g.leader, true)
 		g.cancel(g.other, "j-1")
 		g.cluster.killNode(g.other)
-		if _, st := g.cluster.ask(3-g.leader-g.other, "poll", "j-1"); st != "cancelled" {
+		if _, st := g.cluster.ask(3-g.leader-g.other, peer.MethodPoll, "j-1"); st != records.StatusCancelled {
 			g.cluster.t.Errorf("poll: %q", st)
 		}
 		g.cluster.store.SetOutage(true)
@@ -196,8 +197,8 @@
 		for _, m := range g.cluster.env.Machines() { // as a notice would have it
 			g.cluster.env.mu.Lock()
 			for _, s := range m.tasks {
-				if s.taskID.Job == "j-4" && s.status == "running" {
-					s.status, s.statusSince, s.statusEnds = "flushing", time.Now(), time.Now().Add(20*time.Second)
+				if s.taskID.Job == "j-4" && s.status == statusRunning {
+					s.status, s.statusSince, s.statusEnds = statusFlushing, time.Now(), time.Now().Add(20*time.Second)
 				}
 			}
 			g.cluster.env.mu.Unlock()
@@ -212,7 +213,7 @@
 		g.cluster.store.SetOutage(false)
 		g.refuse(g.leader, false)
 		sleep(10)
-		if _, st := g.cluster.ask(g.other, "poll", "j-7"); st != "cancelled" {
+		if _, st := g.cluster.ask(g.other, peer.MethodPoll, "j-7"); st != records.StatusCancelled {
 			g.cluster.t.Errorf("behind a cancelled job: %q", st)
 		}
 		g.cluster.expectCancelled("j-7")
@@ -281,11 +282,11 @@
 // submitOutageJobs submits jobs of all shapes, one that depends on another, and one that nobody cancels.
 func (c *cluster) submitOutageJobs() {
 	for id, j := range map[string]records.Job{
-		"j-1": {Tasks: 12}, "j-2": {Tasks: 4}, "j-3": {Tasks: 4, Shape: "group"},
-		"j-4": {Tasks: 4, Shape: "group", CheckpointS: 30, SaveS: 5}, "j-5": {Tasks: 3, Shape: "service"}, "j-6": {Tasks: 2},
+		"j-1": {Tasks: 12}, "j-2": {Tasks: 4}, "j-3": {Tasks: 4, Shape: records.ShapeGang},
+		"j-4": {Tasks: 4, Shape: records.ShapeGang, CheckpointS: 30, SaveS: 5}, "j-5": {Tasks: 3, Shape: records.ShapeService}, "j-6": {Tasks: 2},
 	} {
 		j.ID, j.EstimateS = id, 400
-		if j.Shape == "service" {
+		if j.Shape == records.ShapeService {
 			j.EstimateS = 0
 		}
 		c.submit(0, j)
@@ -324,8 +325,8 @@
 				}
 				endFaults(c)
 				sleep(30)
-				if _, st := c.ask(g.other, "poll", "j-5"); st != "cancelled" {
-					c.ask(g.other, "withdraw", "j-5")
+				if _, st := c.ask(g.other, peer.MethodPoll, "j-5"); st != records.StatusCancelled {
+					c.ask(g.other, peer.MethodCancel, "j-5")
 				}
 				sleep(900)
 				c.wantAllKnown()
--- a/internal/simulation/teams_test.go
+++ b/internal/simulation/teams_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"drumpick/internal/config"
+	"drumpick/internal/peer"
 	"drumpick/internal/records"
 )
 
@@ -44,7 +45,7 @@
 				if c.node(i) == nil {
 					continue
 				}
-				if status, state := c.ask(i, "poll", id); status != 200 || state != records.StatusDone && state != records.StatusCancelled {
+				if status, state := c.ask(i, peer.MethodPoll, id); status != 200 || state != records.StatusDone && state != records.StatusCancelled {
 					t.Errorf("poll %s at node %d: %d %q", id, i, status, state)
 				}
 			}
@@ -57,7 +58,7 @@
 	for n := 0; n < manyTeams; n += every {
 		id := fmt.Sprint("j-", n)
 		for try := range 20 {
-			if status, _ := c.ask(try%3, "withdraw", id); status == 200 {
+			if status, _ := c.ask(try%3, peer.MethodCancel, id); status == 200 {
 				break
 			}
 			sleep(1)
--- a/internal/simulation/users_test.go
+++ b/internal/simulation/users_test.go
@@ -44,11 +44,11 @@
 		j.Team = "team"
 	}
 	if j.Shape == "" {
-		j.Shape = "batch"
+		j.Shape = records.ShapeArray
 	}
 	j.Spot = true
 	if j.Priority == "" {
-		j.Priority = "standard"
+		j.Priority = records.PriorityStandard
 	}
 	if j.CPUs == 0 {
 		j.CPUs = 1
@@ -101,7 +101,7 @@
 
 func (c *cluster) wantDone(i int, id string) {
 	c.t.Helper()
-	if status, st := c.ask(i, "poll", id); status != 200 || st != "done" {
+	if status, st := c.ask(i, peer.MethodPoll, id); status != 200 || st != records.StatusDone {
 		c.t.Errorf("poll %s at node %d: %d %q, want done", id, i, status, st)
 	}
 }
@@ -125,7 +125,7 @@
 // cancel has a user cancel a job, who asks again in the end if nobody answers.
 func (c *cluster) cancel(i int, id string) {
 	switch status, st := c.ask(i, peer.MethodCancel, id); {
-	case st == "cancelled":
+	case st == records.StatusCancelled:
 		c.expectCancelledWithDependents(id)
 	case status != 200:
 		c.mu.Lock()
@@ -183,8 +183,8 @@
 	c.t.Helper()
 	began := time.Now()
 	for {
-		status, st := c.ask(i, "withdraw", id)
-		if st == "cancelled" {
+		status, st := c.ask(i, peer.MethodCancel, id)
+		if st == records.StatusCancelled {
 			return
 		}
 		if status != 503 || time.Since(began) > c.leaderLease+2*time.Second {
@@ -197,7 +197,7 @@
 func (c *cluster) wantCancelled(i int, ids ...string) {
 	c.t.Helper()
 	for _, id := range ids {
-		if status, st := c.ask(i, "poll", id); status != 200 || st != "cancelled" {
+		if status, st := c.ask(i, peer.MethodPoll, id); status != 200 || st != records.StatusCancelled {
 			c.t.Errorf("poll %s at node %d: %d %q, want cancelled", id, i, status, st)
 		}
 	}
--- a/internal/simulation/workload_test.go
+++ b/internal/simulation/workload_test.go
@@ -128,7 +128,7 @@
 			continue
 		}
 		for _, x := range m.tasks {
-			if x.status != "ended" {
+			if x.status != statusEnded {
 				n++
 				break
 			}
@@ -293,7 +293,7 @@
 	s.env.mu.Lock()
 	defer s.env.mu.Unlock()
 	for _, x := range m.tasks {
-		if x.status != "ended" {
+		if x.status != statusEnded {
 			return false
 		}
 	}
