--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -209,7 +209,7 @@
 		Progress:       d.peerProgress,
 		Relay:          d.api.Relay,
 		RelayHeartbeat: d.api.RelayedHeartbeat,
-		Cancelled:      d.api.PeerCancelled,
+		Cancelled:      d.api.NotifyCancelled,
 	}
 	if d.cfg.Options.Operators {
 		handlers.Operate = d.operators.Decide
@@ -247,7 +247,7 @@
 	if d.cfg.Options.HeartbeatRelay {
 		go d.api.OfferRelay(ctx)
 	}
-	go d.api.Watch(ctx)
+	go d.api.WatchPeers(ctx)
 	go d.learnMachineTypes(ctx)
 	go d.election.Run(ctx, d.lead)
 }
@@ -268,7 +268,7 @@
 	for {
 		d.readMachineTypes(ctx)
 		pause := 30 * interval
-		if !d.api.HasTypes() {
+		if !d.api.HasMachineTypes() {
 			pause = retryPause
 			retryPause = min(2*retryPause, interval)
 		}
@@ -282,10 +282,10 @@
 	if row, err := d.store.Get(ctx, records.KeyTypes); err == nil && row != nil {
 		var stored records.MachineTypes
 		if json.Unmarshal(row.Value, &stored) == nil && len(stored.Types) > 0 {
-			d.api.SetTypes(stored.Types)
+			d.api.SetMachineTypes(stored.Types)
 		}
 	}
-	if d.api.HasTypes() {
+	if d.api.HasMachineTypes() {
 		return
 	}
 	types, err := d.cloud.Types(ctx)
@@ -293,7 +293,7 @@
 		slog.Debug("machine types not read", "err", err)
 		return
 	}
-	d.api.SetTypes(types)
+	d.api.SetMachineTypes(types)
 }
 
 // newApp returns an HTTP server with the protocol's limits. A connection that is silent for as long
--- a/internal/api/availability.go
+++ b/internal/api/availability.go
@@ -54,10 +54,10 @@
 	return !served && !s.availability.isIsolated()
 }
 
-// Watch asks the other controllers, while the store fails this one, whether it serves them, until
+// WatchPeers asks the other controllers, while the store fails this one, whether it serves them, until
 // the context ends. It runs in the background, so that no user waits for a controller that is
 // cut off.
-func (s *Server) Watch(ctx context.Context) {
+func (s *Server) WatchPeers(ctx context.Context) {
 	interval := s.cfg.HeartbeatInterval()
 	for ctxtime.Sleep(ctx, interval/4) == nil {
 		served, isolated := false, false
--- a/internal/api/confirmations.go
+++ b/internal/api/confirmations.go
@@ -103,9 +103,9 @@
 	return err == nil && heard || errors.Is(err, peer.ErrUnsupported)
 }
 
-// PeerCancelled answers a peer that notifies this controller, as the leader, of a cancellation. It
+// NotifyCancelled answers a peer that notifies this controller, as the leader, of a cancellation. It
 // reports whether none of the job's tasks is sent to a worker from then on.
-func (s *Server) PeerCancelled(id string) bool {
+func (s *Server) NotifyCancelled(id string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout())
 	defer cancel()
 	l := s.local()
--- a/internal/api/confirmations_test.go
+++ b/internal/api/confirmations_test.go
@@ -71,7 +71,7 @@
 				cfg.Deployment.Teams = []config.Team{{Name: "vision"}}
 				peers := x.peers
 				s := api.New(cfg, simulation.NewStore().Client("n-0"), &peers, func() string { return x.leader }, func() api.Local { return nil })
-				s.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}})
+				s.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}})
 				requests := []peer.RelayRequest{
 					{Method: peer.MethodCancel, ID: "j-1"},
 					{Method: peer.MethodPoll, ID: "j-1"},
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -95,7 +95,7 @@
 		return body
 	}
 	check("submit before machine types are known", "POST", "/work", goldenJob)
-	s.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, Zones: []string{"a"}}})
+	s.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, Zones: []string{"a"}}})
 	check("submit", "POST", "/work", goldenJob)
 	t.Run("stored job", func(t *testing.T) {
 		raw := acceptedMS.ReplaceAllString(state.Value(records.OpenKey("j-1")), `"accepted_ms":1`)
--- a/internal/api/linearizability_test.go
+++ b/internal/api/linearizability_test.go
@@ -195,7 +195,7 @@
 			}
 			return nil
 		})
-		s.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}})
+		s.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}})
 		cluster.nodes = append(cluster.nodes, s)
 	}
 	return cluster
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -112,11 +112,11 @@
 	return s
 }
 
-// SetTypes sets the machine types that jobs may ask for.
-func (s *Server) SetTypes(types []records.MachineType) { s.types.set(types) }
+// SetMachineTypes sets the machine types that jobs may ask for.
+func (s *Server) SetMachineTypes(types []records.MachineType) { s.types.set(types) }
 
-// HasTypes reports whether the machine types are known.
-func (s *Server) HasTypes() bool { return len(s.types.get()) > 0 }
+// HasMachineTypes reports whether the machine types are known.
+func (s *Server) HasMachineTypes() bool { return len(s.types.get()) > 0 }
 
 // Cancellations returns the log of cancellations that users were notified of here.
 func (s *Server) Cancellations() *cancellation.Log { return s.jobs.cancellations }
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -58,7 +58,7 @@
 		return func(w []string) []string {
 			switch w[0] {
 			case "types":
-				s.SetTypes(types)
+				s.SetMachineTypes(types)
 				return nil
 			case "team":
 				cfg.Deployment.Teams = nil
@@ -118,7 +118,7 @@
 		cfg.Deployment.Teams = []config.Team{{Name: "vision"}}
 		store := &countingStore{Client: simulation.NewStore().Client("n-0")}
 		s := api.New(cfg, store, unreachablePeers{}, func() string { return "" }, func() api.Local { return nil })
-		s.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}})
+		s.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Zones: []string{"a"}}})
 		status := make([]atomic.Int64, 600)
 		var wg sync.WaitGroup
 		for i := range 3000 {
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -183,8 +183,8 @@
 		}
 		return n.leader
 	})
-	n.server.SetTypes(c.env.Types)
-	go n.server.Watch(ctx)
+	n.server.SetMachineTypes(c.env.Types)
+	go n.server.WatchPeers(ctx)
 	if cfg.Options.HeartbeatRelay {
 		go n.server.OfferRelay(ctx)
 	}
--- a/internal/simulation/peer_network_test.go
+++ b/internal/simulation/peer_network_test.go
@@ -113,7 +113,7 @@
 	for i := range f.cluster.nodes {
 		if n := f.cluster.node(i); n != nil && n.name == node && !f.hangIfPartitioned(i) {
 			time.Sleep(f.cluster.delayOf(i))
-			return n.server.PeerCancelled(id), nil
+			return n.server.NotifyCancelled(id), nil
 		}
 	}
 	return false, errors.New("no answer")
