--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -80,6 +80,14 @@
 	both := last
 	both.Machines = plan.Machines
 	get := func() (any, error) { return c.Get(ctx, "j-412") }
+	type submitted struct {
+		status  Status
+		created bool
+	}
+	submit := func() (any, error) {
+		st, created, err := c.Submit(ctx, job)
+		return submitted{st, created}, err
+	}
 	type answer struct {
 		status int
 		text   string
@@ -91,9 +99,9 @@
 		want    any
 		err     error
 	}{
-		"submit":            {[]answer{{201, status}}, func() (any, error) { st, created, err := c.Submit(ctx, job); return []any{st, created}, err }, []any{st, true}, nil},
-		"submit again":      {[]answer{{200, status}}, func() (any, error) { st, created, err := c.Submit(ctx, job); return []any{st, created}, err }, []any{st, false}, nil},
-		"submit, refused":   {[]answer{{422, `{"error":"unknown team"}`}}, func() (any, error) { st, _, err := c.Submit(ctx, job); return st, err }, Status{}, &RefusedError{422, "unknown team"}},
+		"submit":            {[]answer{{201, status}}, submit, submitted{st, true}, nil},
+		"submit again":      {[]answer{{200, status}}, submit, submitted{st, false}, nil},
+		"submit, refused":   {[]answer{{422, `{"error":"unknown team"}`}}, submit, submitted{}, &RefusedError{422, "unknown team"}},
 		"poll":              {[]answer{{200, status}}, get, st, nil},
 		"poll, unknown":     {[]answer{{404, `{"error":"no such job"}`}}, get, Status{}, ErrNotFound},
 		"poll, again later": {[]answer{{503, `{"error":"please retry"}`}, {200, status}}, get, st, nil},
--- a/internal/api/confirmations.go
+++ b/internal/api/confirmations.go
@@ -98,9 +98,9 @@
 		return false
 	}
 	leaderNotified.Inc()
-	heard, err := s.peers.NotifyCancelled(node, id)
+	known, err := s.peers.NotifyCancelled(node, id)
 	// A version that does not support the call relies on its watch alone.
-	return err == nil && heard || errors.Is(err, peer.ErrUnsupported)
+	return err == nil && known || errors.Is(err, peer.ErrUnsupported)
 }
 
 // NotifyCancelled answers a peer that notifies this controller, as the leader, of a cancellation. It
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -44,13 +44,15 @@
 	RelayHeartbeat(node string, body []byte) (peer.RelayReply, error)
 	// RelayHeartbeats passes a batch of heartbeats on to a node.
 	RelayHeartbeats(node string, in peer.HeartbeatBatch, timeout time.Duration) (peer.HeartbeatBatchReply, error)
-	// NotifyCancelled notifies a node, as the leader, of a cancelled job. heard reports whether it
-	// starts none of the job's tasks from then on.
-	NotifyCancelled(node, id string) (heard bool, err error)
+	// NotifyCancelled notifies a node, as the leader, of a cancelled job. known reports whether it
+	// knows of it now, and starts none of the job's tasks from then on.
+	NotifyCancelled(node, id string) (known bool, err error)
 }
 
 // Local is the leader that runs in this process.
 type Local interface {
+	// Progress returns the status of an open job with the numbers of its tasks that are done and that
+	// run; ok is false for a job that the leader does not know.
 	Progress(id string) (status string, done, running int, ok bool)
 	// DependenciesClear reports whether no dependency of a job, direct or indirect, was cancelled
 	// up to the given time ago.
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -88,38 +88,45 @@
 
 func errMissing(field string) error { return errors.New(field + " is missing") }
 
-// copyTexts copies the required texts.
+// requiredField is a field that every submission has, with where its value goes.
+type requiredField[T any] struct {
+	name string
+	from *T // nil if the field is missing
+	to   *T
+}
+
+// copyRequired copies fields; check returns what is wrong with a value, "" if nothing.
+func copyRequired[T any](fields []requiredField[T], check func(T) string) error {
+	for _, f := range fields {
+		if f.from == nil {
+			return errMissing(f.name)
+		}
+		if wrong := check(*f.from); wrong != "" {
+			return errors.New(f.name + " " + wrong)
+		}
+		*f.to = *f.from
+	}
+	return nil
+}
+
 func copyTexts(fields *submissionFields, job *records.Job) error {
-	for _, f := range []struct {
-		name string
-		from *string
-		to   *string
-	}{
+	return copyRequired([]requiredField[string]{
 		{"uid", fields.ID, &job.ID},
 		{"jobclass", fields.Class, &job.Class},
 		{"owner", fields.Team, &job.Team},
 		{"shape", fields.Shape, &job.Shape},
 		{"urgency", fields.Priority, &job.Priority},
 		{"build", fields.Image, &job.Image},
-	} {
-		if f.from == nil {
-			return errMissing(f.name)
-		}
-		if isEmptyOrLong(*f.from) {
-			return errors.New(f.name + " is empty or too long")
+	}, func(text string) string {
+		if isEmptyOrLong(text) {
+			return "is empty or too long"
 		}
-		*f.to = *f.from
-	}
-	return nil
+		return ""
+	})
 }
 
-// copyAmounts copies the required amounts.
 func copyAmounts(fields *submissionFields, job *records.Job) error {
-	for _, f := range []struct {
-		name string
-		from *float64
-		to   *float64
-	}{
+	return copyRequired([]requiredField[float64]{
 		{"vcpus", fields.CPUs, &job.CPUs},
 		{"gpus", fields.GPUs, &job.GPUs},
 		{"mem_gb", fields.MemGB, &job.MemGB},
@@ -127,35 +134,20 @@
 		{"guess_s", fields.EstimateS, &job.EstimateS},
 		{"snapshot_s", fields.CheckpointS, &job.CheckpointS},
 		{"flush_s", fields.SaveS, &job.SaveS},
-	} {
-		if f.from == nil {
-			return errMissing(f.name)
+	}, func(amount float64) string {
+		if !isAmount(amount) {
+			return "is out of range"
 		}
-		if !isAmount(*f.from) {
-			return errors.New(f.name + " is out of range")
-		}
-		*f.to = *f.from
-	}
-	return nil
+		return ""
+	})
 }
 
-// copyFlags copies the required flags.
 func copyFlags(fields *submissionFields, job *records.Job) error {
-	for _, f := range []struct {
-		name string
-		from *bool
-		to   *bool
-	}{
+	return copyRequired([]requiredField[bool]{
 		{"one_zone", fields.OneZone, &job.OneZone},
 		{"apart", fields.Apart, &job.SpreadZones},
 		{"loaners", fields.Spot, &job.Spot},
-	} {
-		if f.from == nil {
-			return errMissing(f.name)
-		}
-		*f.to = *f.from
-	}
-	return nil
+	}, func(bool) string { return "" })
 }
 
 // checkValues checks the copied texts, and the fields that are not copied yet.
