--- a/internal/api/linearizability_test.go
+++ b/internal/api/linearizability_test.go
@@ -94,27 +94,27 @@
 }
 
 // commitLater carries a transaction out a while later.
-func (s *faultyStore) commitLater(by time.Duration, when []records.Compare, ops []records.Op) {
+func (s *faultyStore) commitLater(by time.Duration, compares []records.Compare, ops []records.Op) {
 	time.Sleep(by)
-	_, _ = s.Client.Commit(context.Background(), when, ops)
+	_, _ = s.Client.Commit(context.Background(), compares, ops)
 }
 
-func (s *faultyStore) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
+func (s *faultyStore) Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error) {
 	if ctxtime.Sleep(ctx, s.faults.delay()) != nil {
 		return 0, records.ErrUnknownOutcome
 	}
 	switch s.faults.mistake {
 	case "a commit without conditions":
-		when = nil
+		compares = nil
 	case "a conflict taken for success":
-		epoch, err := s.Client.Commit(ctx, when, ops)
+		epoch, err := s.Client.Commit(ctx, compares, ops)
 		var conflict *records.ConflictError
 		if errors.As(err, &conflict) {
 			return conflict.Revision, nil
 		}
 		return epoch, err
 	case "told before it is stored":
-		go s.commitLater(400*time.Millisecond, when, ops)
+		go s.commitLater(400*time.Millisecond, compares, ops)
 		return 1, nil
 	case "no answer taken for success":
 		if s.faults.intn(3) == 0 {
@@ -129,10 +129,10 @@
 		late = time.Duration(s.faults.intn(4000)) * time.Millisecond
 	}
 	if late >= 0 {
-		go s.commitLater(late, when, ops)
+		go s.commitLater(late, compares, ops)
 		return 0, records.ErrUnknownOutcome
 	}
-	return s.Client.Commit(ctx, when, ops)
+	return s.Client.Commit(ctx, compares, ops)
 }
 
 // cancellingLeader is a leader that knows of every cancellation that it was notified of.
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -25,7 +25,7 @@
 type Store interface {
 	Get(ctx context.Context, key string) (*records.KeyValue, error)
 	List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error)
-	Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error)
+	Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error)
 	// Health returns when a call last succeeded, whether calls fail now, and when the client started.
 	Health() (lastOK time.Time, failing bool, started time.Time)
 	// LastResponse returns when the store last answered anything, a refusal included.
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -101,9 +101,9 @@
 	return c.Client.List(ctx, prefix, each)
 }
 
-func (c *countingStore) Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error) {
+func (c *countingStore) Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error) {
 	c.commits.Add(1)
-	return c.Client.Commit(ctx, when, ops)
+	return c.Client.Commit(ctx, compares, ops)
 }
 
 // A flood of polls takes no more than its share of the store: thousands of polls for unknown jobs are
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -24,7 +24,7 @@
 type Store interface {
 	Get(ctx context.Context, key string) (*records.KeyValue, error)
 	List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error)
-	Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error)
+	Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error)
 }
 
 // Peers reaches the leader.
