--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -15,7 +15,7 @@
 // State is what is known of a job.
 type State uint8
 
-// States. Done and Cancelled are final, and mean that the store says so.
+// States. Done and Cancelled are final, and mean that the store has recorded it.
 const (
 	Unknown   State = iota // not known, or not known yet; no dependent may start
 	Open                   // accepted, and neither done nor cancelled
@@ -174,7 +174,7 @@
 	return slices.ContainsFunc(n.dependencies, func(dependency *node) bool { return dependency.state != Done })
 }
 
-// updateBlocked computes anew whether a job is blocked.
+// updateBlocked recomputes whether a job is blocked.
 func (g *Graph) updateBlocked(n *node) {
 	if blocked := n.needsOthers(); blocked != n.blocked {
 		n.blocked = blocked
@@ -212,7 +212,7 @@
 	return t.Add(-d)
 }
 
-// propagateUrgency computes anew how urgent a job is by its dependents, and does the same for its
+// propagateUrgency recomputes how urgent a job is by its dependents, and does the same for its
 // dependencies, as far as anything changes.
 func (g *Graph) propagateUrgency(first *node) {
 	for stack := []*node{first}; len(stack) > 0; {
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -13,7 +13,7 @@
 )
 
 // A scenario adds jobs ("add j-2 needs=j-1 rank=3 due=100 last=150 takes=20"), ends them
-// ("done j-1 at=30", "cancelled j-1", "closed j-1") and asks ("show j-1 ...").
+// ("done j-1 at=30", "cancelled j-1", "closed j-1") and shows jobs ("show j-1 ...").
 // Every event is followed by what it changed.
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
@@ -70,7 +70,7 @@
 	return j
 }
 
-// describe returns a line for each of the jobs, and for what the graph asks of its owner.
+// describe returns a line for each of the jobs, and for what its owner is to do.
 func describe(g *Graph, ids []string, withObstructed bool) []string {
 	var lines []string
 	for _, id := range ids {
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -22,7 +22,7 @@
 	Place         Place // where else it could run
 }
 
-// Place tells whether a task could run elsewhere; a task of a gang only together with its gang.
+// Place is whether a task could run elsewhere; a task of a gang only together with its gang.
 type Place int
 
 // Places.
@@ -58,12 +58,12 @@
 // where no time limit demands it.
 const worthFactor = 2
 
-// deadline tells how a task stands against the time at which its machine must be empty.
+// deadline is how a task compares to the time at which its machine must be empty.
 type deadline struct {
 	left    *time.Duration // until that time; nil: there is none
 	pressed bool           // the task might not end in time
 	last    bool           // it might not, and would not have time to save later
-	over    bool           // there is no time left, whatever the estimate said
+	over    bool           // there is no time left, whatever the estimate was
 }
 
 func newDeadline(t Task, left *time.Duration, margin time.Duration) deadline {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -350,7 +350,7 @@
 			t.Fatalf("%+v: at %v nothing changes", w, next)
 		}
 		if inForce && w.LeadS > 0 && (emptyBy.Before(at.Add(-w.length())) || emptyBy.After(at.Add(w.lead()))) {
-			t.Fatalf("empty by %v, asked at %v", emptyBy, at)
+			t.Fatalf("empty by %v at %v, want a time from %v to %v", emptyBy, at, at.Add(-w.length()), at.Add(w.lead()))
 		}
 	})
 }
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -43,7 +43,7 @@
 	BeganMS       int64    `json:"began_ms"`             // time of day when it was asked for
 	Stopped       bool     `json:"stopped,omitempty"`    // withdrawn
 
-	named map[string]struct{} // Machines as a set, made when it is first asked for
+	named map[string]struct{} // Machines as a set, made when it is first needed
 }
 
 // Bounds of what operators may ask for. Those of numbers of machines only refuse what no fleet
--- a/internal/fairshare/account.go
+++ b/internal/fairshare/account.go
@@ -25,7 +25,7 @@
 	sums      map[string]packing.Resources
 }
 
-// NewAccount returns an account without jobs. With onlyNamed, a guarantee says nothing of
+// NewAccount returns an account without jobs. With onlyNamed, a guarantee does not concern
 // the resource that it does not name, CPUs or GPUs. Otherwise a team that is guaranteed no GPUs has
 // none of its own: a job that takes some is outside of the guarantee, with all that come after it.
 func NewAccount(teams map[string]config.Team, onlyNamed bool) *Account {
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -11,7 +11,7 @@
 // ImageLabel is the label of a machine that has an image, or fetches it.
 func ImageLabel(name string) string { return "image " + name }
 
-// ImageReadyLabel is the label of a machine where an image has been used, not only asked for.
+// ImageReadyLabel is the label of a machine where an image has been used, not only requested.
 func ImageReadyLabel(name string) string { return "ready " + name }
 
 // image is one that a machine has, or fetches.
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -17,11 +17,11 @@
 	Spot bool // the cloud may preempt it
 
 	// Incarnation, Sequence and FencingToken are those of the newest status that was applied.
-	Incarnation  uint64 // rises each time the worker starts anew and forgets its tasks
+	Incarnation  uint64 // rises each time the worker restarts and forgets its tasks
 	Sequence     uint64 // rises with each status of an incarnation
 	FencingToken uint64 // the newest term that the worker has obeyed
 
-	RequestedAt  time.Time // when it was asked for from the cloud, as far as known
+	RequestedAt  time.Time // when it was requested from the cloud, as far as known
 	Up           bool      // it has sent a heartbeat under this term, or answered a probe
 	LastStatus   time.Time // when a newer status last came in
 	LastRenewal  time.Time // when a heartbeat of it was last answered with 200, which renews its lease
@@ -33,14 +33,14 @@
 	Inherited            bool // it was on record when this term began, so an earlier one may have used it
 	Reconciled           bool // a status has shown our term
 	EarlierLeasesExpired bool // nothing has been heard under our term, and no lease of an earlier one is left
-	Recorded             bool // the store says that it may hold tasks
+	Recorded             bool // the store has a record that it may hold tasks
 	Recording            bool // that record is being written
 	Unverified           bool // first known by a status, which may be a copy from a machine that is gone
 
 	Returning    bool // being returned to the cloud; nothing may be sent any more
 	Draining     bool // takes no new tasks
 	LeaseExpired bool // it was silent beyond its lease: its worker has stopped its tasks
-	Failed       bool // the cloud says that it stopped on its own
+	Failed       bool // the cloud reports that it stopped on its own
 	Faulty       bool // tasks fail on it that succeed elsewhere
 
 	// Cordon is the drain that keeps new tasks away; nil: none. It is the planner's, and the table
--- a/internal/fleet/probe.go
+++ b/internal/fleet/probe.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Probe is a machine to be asked for its status, by a direct command without orders. The answer,
+// Probe is a request for a machine's status: a direct command with an empty list of commands. The answer,
 // unlike a heartbeat, cannot be a copy of anything from before the probe was sent.
 type Probe struct {
 	Machine     string // its name
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -4,7 +4,7 @@
 
 // reachability is the evidence of whether what is sent to a machine reaches it. A machine whose
 // heartbeats arrive while responses and commands to it do not is not silent: without this record it
-// would be sent task starts for ever, and a gang would wait for it each time anew.
+// would be sent task starts for ever, and one gang after another would wait for it.
 type reachability struct {
 	answered    bool      // a heartbeat was answered with 200, and no newer one has come since
 	via         string    // the controller that relayed the answer
--- a/internal/fleet/staleness.go
+++ b/internal/fleet/staleness.go
@@ -19,14 +19,14 @@
 	onlyLateSince time.Time // when the first of these came since the last status that was not late
 	incarnation   uint64    // of the last late status
 	addr          string    // of the last late status
-	restarted     bool      // it has restarted: copies from before may look newer than what it says now
+	restarted     bool      // it has restarted: copies from before may look newer than its present status
 	missingSince  time.Time // since when it is probed, as its heartbeats lack an attempt that should be there; zero: none
 	probedAt      time.Time // when it was last probed
 }
 
 // IsStale reports whether a status is no newer than the last one that was applied. The fencing tokens
 // of a machine only rise as well: a lower one with a higher incarnation is a copy of what the machine
-// said before it restarted, under an earlier leader.
+// sent before it restarted, under an earlier leader.
 func (m *Machine) IsStale(r *Heartbeat) bool {
 	if !m.Up {
 		return false
@@ -89,7 +89,7 @@
 
 // predatesTerm reports whether a heartbeat is from before its worker heard of our term, though the
 // machine is reconciled. Its worker may have been unreachable for incarnations and then restarted:
-// what it said before comes after what it says now, with a higher incarnation, and lacks the run
+// what it sent before comes after what it sends now, with a higher incarnation, and lacks the run
 // command that it has just been sent.
 func (m *Machine) predatesTerm(r *Heartbeat, term uint64) bool {
 	return m.Reconciled && r.FencingToken < term
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -77,7 +77,7 @@
 	return upgraded
 }
 
-// applyState notes what a status says of the machine itself.
+// applyState notes what a status reports of the machine itself.
 func (m *Machine) applyState(r *Heartbeat, isHeartbeat bool, now time.Time) {
 	m.Up, m.LeaseExpired, m.LastStatus = true, false, now
 	m.Addr, m.Incarnation, m.Sequence = r.Addr, r.Incarnation, r.Sequence
@@ -109,7 +109,7 @@
 	return true
 }
 
-// applyTask applies what a status says of one attempt.
+// applyTask applies what a status reports of one attempt.
 func (m *Machine) applyTask(r *TaskStatus, out *Outcome, now time.Time) {
 	task, _ := ParseTask(r.Task)
 	state, _ := parseState(r.Status)
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -4,7 +4,7 @@
 //
 // A status reaches the table as a Heartbeat: either a worker sent it by itself, or it answers a direct
 // command or a status request. Only a heartbeat can be a late copy, and only an answer can overtake a
-// response under way; staleness.go and probe.go tell what follows from that.
+// response under way; see staleness.go and probe.go for what follows from that.
 package fleet
 
 //go:generate go run github.com/mailru/easyjson/easyjson -no_std_marshalers wire.go
--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -1,6 +1,6 @@
 // Package overload detects how far a leader falls behind, and decides what it sheds. A
 // leader that has more heartbeats to process than its share of a processor allows answers
-// late; workers then retry elsewhere, leases expire, lost work starts anew, and all of that is
+// late; workers then retry elsewhere, leases expire, lost work starts again, and all of that is
 // more to process: it does not recover by itself. What it can shed at once are task starts: a
 // task costs the leader most when it starts and when it ends, and an idle machine costs next
 // to nothing.
@@ -93,7 +93,7 @@
 		d.maxMachines += int(float64(d.maxMachines)*growthShare) + 1
 		d.stableSince = d.stableSince.Add(d.heartbeatInterval)
 		if d.maxMachines > 2*upMachines {
-			d.maxMachines = 0 // far fewer are up than the limit allows: it says nothing any more
+			d.maxMachines = 0 // far fewer are up than the limit allows: it is outdated
 		}
 	}
 }
--- a/internal/packing/index.go
+++ b/internal/packing/index.go
@@ -76,7 +76,7 @@
 	return !slices.ContainsFunc(s, func(word uint64) bool { return word != 0 })
 }
 
-// sparseSet is a set that is mostly empty: its summary tells which words are not.
+// sparseSet is a set that is mostly empty: its summary has the words that are not.
 type sparseSet struct {
 	words   set
 	summary set
--- a/internal/packing/space.go
+++ b/internal/packing/space.go
@@ -15,7 +15,7 @@
 	// NoFirstFit leaves first fit out, for the virtual bins of machines that may be requested.
 	NoFirstFit bool
 	// Movable reports whether an item may be moved merely to fill or empty a bin;
-	// nil: as the item says.
+	// nil: as Item.Movable has it.
 	Movable func(*Item) bool
 	// Worthwhile reports whether a move of an item into a bin is worth what it costs; nil: it always is.
 	Worthwhile func(item *Item, to *Bin) bool
@@ -62,7 +62,7 @@
 	s.rebuild()
 }
 
-// rebuild makes the index anew.
+// rebuild builds the index from scratch.
 func (s *Space) rebuild() {
 	words := len(s.Bins)/wordBits + 1
 	for kind := range s.sets {
--- a/internal/packing/visbp.go
+++ b/internal/packing/visbp.go
@@ -52,7 +52,7 @@
 }
 
 // Insert finds a bin for an item, puts it there and lists the moves that the
-// paper asks for. allowed tells which bins the item may be in at all; nil: all.
+// paper asks for. allowed reports whether the item may be in a bin at all; nil: in any.
 func (s *Space) Insert(item *Item, allowed func(*Bin) bool) (*Bin, []Move, Rule) {
 	o := &operation{space: s, allowed: allowed, maxMoves: MaxInsertMoves}
 	b, rule := o.place(item)
--- a/internal/slo/tracker.go
+++ b/internal/slo/tracker.go
@@ -3,8 +3,8 @@
 // than half of any of these is served has failed, however well the others fared, and averages
 // do not show it.
 //
-// The package is pure: no I/O, no clock. It knows what its owner has seen, which starts anew
-// with each term.
+// The package is pure: no I/O, no clock. It knows only what its owner has seen in this
+// term.
 package slo
 
 import "time"
