--- /dev/null
+++ b/internal/fleet/status_test.go
@@ -0,0 +1,184 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+
+	"drumpick/internal/forecast"
+	"drumpick/internal/packing"
+)
+
+const (
+	term  = 5
+	lease = 20 * time.Second
+)
+
+var (
+	start = time.Unix(1_000_000, 0)
+	task  = TaskID{Job: "j-000001", N: 0}
+)
+
+// status returns a status of machine m-1 in its first incarnation, which has obeyed our term.
+func status(sequence uint64, tasks ...TaskStatus) *Heartbeat {
+	return &Heartbeat{
+		Machine: "m-1", Addr: "m-1:9000", Type: "c4", Zone: "a",
+		Incarnation: 1, Sequence: sequence, FencingToken: term, Tasks: tasks, Via: "controller-1",
+	}
+}
+
+func running(number uint64) TaskStatus {
+	return TaskStatus{Task: task.String(), Attempt: number, Status: Running.String()}
+}
+
+// newReconciledTable returns a table with machine m-1, which has sent a heartbeat with sequence number 10.
+func newReconciledTable(t *testing.T) (*Table, *Machine) {
+	t.Helper()
+	table := NewTable(term, lease, forecast.Params{Window: 1})
+	out := table.Apply(status(10), true, start)
+	if out.Stale || !out.FirstStatus || !out.Reconciled {
+		t.Fatalf("first heartbeat: got %+v, want it applied and the machine reconciled", out)
+	}
+	return table, out.Machine
+}
+
+// send plans an attempt on a machine and sends its run command.
+func send(table *Table, m *Machine, now time.Time) *Attempt {
+	a := table.Plan(m, task, 1, &packing.Item{}, now)
+	a.Send(now)
+	return a
+}
+
+// A status that is older than the last one changes nothing, whatever it lists.
+func TestLateStatusChangesNothing(t *testing.T) {
+	table, m := newReconciledTable(t)
+	newest := status(11, running(1))
+	newest.Incarnation = 2
+	table.Apply(newest, true, start)
+	lowerSequence, lowerIncarnation, lowerToken := status(10), status(12), status(12)
+	lowerSequence.Incarnation, lowerToken.Incarnation = 2, 2
+	lowerToken.FencingToken = term - 1
+	for name, r := range map[string]*Heartbeat{
+		"sequence": lowerSequence, "incarnation": lowerIncarnation, "fencing token": lowerToken,
+	} {
+		if out := table.Apply(r, true, start); !out.Stale || out.Changed {
+			t.Errorf("older by %s: got %+v, want it stale", name, out)
+		}
+		if len(m.Attempts()) != 1 || m.Sequence != 11 {
+			t.Errorf("older by %s: %d attempts at sequence number %d, want 1 at 11", name, len(m.Attempts()), m.Sequence)
+		}
+	}
+}
+
+// A run command in flight is not given up by a status that may be older than its arrival; a later
+// heartbeat without the attempt proves that it never arrived.
+func TestRunCommandInFlightIsKept(t *testing.T) {
+	table, m := newReconciledTable(t)
+	a := send(table, m, start)
+	if table.Apply(status(11), false, start); !a.OnMachine() {
+		t.Error("the attempt is forgotten after an answer without it, want it kept")
+	}
+	out := table.Apply(status(12), true, start)
+	if a.OnMachine() || len(out.Gone) != 1 {
+		t.Errorf("the attempt is on the machine: %v, gone: %d; want it gone after a later heartbeat", a.OnMachine(), len(out.Gone))
+	}
+}
+
+// A heartbeat that lacks a running attempt may be a copy: the machine is probed, and the answer decides.
+func TestMissingAttemptIsProbed(t *testing.T) {
+	table, m := newReconciledTable(t)
+	table.Apply(status(11, running(1)), true, start)
+	if out := table.Apply(status(12), true, start); len(out.Gone) != 0 {
+		t.Fatalf("%d attempts are gone after a heartbeat, want none", len(out.Gone))
+	}
+	now := start.Add(time.Minute)
+	probes := table.Probes(5*time.Second, now)
+	if len(probes) != 1 || probes[0].Machine != m.Name {
+		t.Fatalf("probes are %+v, want one of %s", probes, m.Name)
+	}
+	if again := table.Probes(5*time.Second, now); len(again) != 0 {
+		t.Errorf("probes at the same time are %+v, want none", again)
+	}
+	out, restarted := table.ApplyProbe(probes[0], status(13), now)
+	if restarted || len(out.Gone) != 1 || len(m.Attempts()) != 0 {
+		t.Errorf("after the answer: restarted %v, %d gone, %d left; want 1 gone and none left", restarted, len(out.Gone), len(m.Attempts()))
+	}
+}
+
+// The answer to a probe with an older sequence number shows that the machine has restarted, unless another
+// status came in between.
+func TestProbeFindsRestartedMachine(t *testing.T) {
+	table, m := newReconciledTable(t)
+	table.Apply(status(11, running(1)), true, start)
+	table.Apply(status(12), true, start)
+	probe := table.Probes(5*time.Second, start.Add(time.Minute))[0]
+	table.Apply(status(13), true, start.Add(time.Minute))
+	if out, restarted := table.ApplyProbe(probe, status(3), start.Add(time.Minute)); !out.Stale || restarted {
+		t.Errorf("with a status in between: stale %v, restarted %v; want it stale", out.Stale, restarted)
+	}
+	probe = table.Probes(5*time.Second, start.Add(2*time.Minute))[0]
+	out, restarted := table.ApplyProbe(probe, status(3), start.Add(2*time.Minute))
+	if out.Stale || !restarted || m.Sequence != 3 || len(m.Attempts()) != 0 {
+		t.Errorf("stale %v, restarted %v, sequence number %d, %d attempts; want it restarted at 3 without attempts",
+			out.Stale, restarted, m.Sequence, len(m.Attempts()))
+	}
+}
+
+// A heartbeat that the answer to a probe has overtaken is not late as long as its worker waits for the
+// response.
+func TestOvertakenHeartbeat(t *testing.T) {
+	table, _ := newReconciledTable(t)
+	table.Apply(status(12), false, start)
+	if got := table.Recency(status(11), start.Add(time.Second)); got != Overtaken {
+		t.Errorf("within the worker's patience: got %v, want %v", got, Overtaken)
+	}
+	if got := table.Recency(status(11), start.Add(workerPatience)); got != Late {
+		t.Errorf("after it: got %v, want %v", got, Late)
+	}
+	if got := table.Recency(status(10), start.Add(time.Second)); got != Late {
+		t.Errorf("one that was applied before: got %v, want %v", got, Late)
+	}
+	if got := table.Recency(status(13), start.Add(time.Second)); got != Current {
+		t.Errorf("a newer one: got %v, want %v", got, Current)
+	}
+}
+
+// A worker that comes through another controller each time has not received the answers: it is
+// unreachable after two, and reachable again when it stays with one.
+func TestUnreachableWithoutTraceOfAnswers(t *testing.T) {
+	table, m := newReconciledTable(t)
+	now := start
+	heartbeat := func(sequence uint64, via string) {
+		r := status(sequence)
+		r.Via = via
+		now = now.Add(10 * time.Second)
+		table.Apply(r, true, now)
+	}
+	m.Answered("controller-1", now)
+	heartbeat(20, "controller-2")
+	if m.Unreachable() {
+		t.Error("unreachable after one missed answer, want two")
+	}
+	m.Answered("controller-2", now)
+	heartbeat(30, "controller-1")
+	if !m.Unreachable() || m.UnreachableFor(now) != 10*time.Second {
+		t.Errorf("unreachable %v for %v, want it for 10s", m.Unreachable(), m.UnreachableFor(now))
+	}
+	m.Answered("controller-1", now)
+	heartbeat(31, "controller-1")
+	if m.Unreachable() {
+		t.Error("unreachable after a heartbeat through the same controller, want it reachable")
+	}
+}
+
+// The worker of a new incarnation has forgotten its tasks; an attempt that was only planned is kept.
+func TestNewIncarnationForgetsTasks(t *testing.T) {
+	table, m := newReconciledTable(t)
+	table.Apply(status(11, running(1)), true, start)
+	planned := table.Plan(m, TaskID{Job: "j-000002"}, 1, &packing.Item{}, start)
+	r := status(1)
+	r.Incarnation = 2
+	out := table.Apply(r, true, start)
+	if len(out.Gone) != 1 || out.Gone[0].Task != task || !planned.OnMachine() {
+		t.Errorf("gone are %d, the planned attempt is on the machine: %v; want only the running one gone", len(out.Gone), planned.OnMachine())
+	}
+}
