--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -17,8 +17,8 @@
 	Lease             time.Duration // a worker's, from its last answered heartbeat
 	BootTime          time.Duration
 	CancelLimit       time.Duration // for how long a cancelled job's tasks may still be on machines
-	GangStartTimeout  time.Duration // 0: gangs start whoever is missing
-	GangPeerTimeout   time.Duration // 0: gangs go on whoever is missing
+	GangStartTimeout  time.Duration // for how long a gang's task waits for the others to start; 0: it does not
+	GangPeerTimeout   time.Duration // for how long a gang runs without one of its tasks; 0: without limit
 	// MaxCommandDelay is for how long a start may be on its way to a machine. One that arrives later than that
 	// after a confirmed cancellation was sent after it.
 	MaxCommandDelay time.Duration
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -70,7 +70,7 @@
 	}
 	zones := map[string]int{} // attempts of the job
 	for a, other := range env.attempts[id.Job] {
-		if !other.holdsTasks(now) {
+		if !other.holdsTasksLocked(now) {
 			continue
 		}
 		if a.task == c.Task && other != m {
@@ -96,8 +96,8 @@
 // mostInZone returns how many tasks of a job that is spread over zones may be in one of them.
 func mostInZone(job records.Job) int { return (job.Tasks + 1) / 2 }
 
-// holdsTasks reports whether what the machine has counts as there: its worker's lease has not ended.
-func (m *Machine) holdsTasks(now time.Time) bool {
+// holdsTasksLocked reports whether what the machine has counts as there: its worker's lease has not ended.
+func (m *Machine) holdsTasksLocked(now time.Time) bool {
 	return !m.gone && now.Sub(m.leaseStart) <= m.env.Lease
 }
 
@@ -117,7 +117,7 @@
 	now := time.Now()
 	for _, attempts := range env.attempts {
 		for a, m := range attempts {
-			if a.job.Team == team && m.holdsTasks(now) {
+			if a.job.Team == team && m.holdsTasksLocked(now) {
 				cpus, gpus = cpus+a.job.CPUs, gpus+a.job.GPUs
 			}
 		}
--- a/internal/simulation/serve_cloud.go
+++ b/internal/simulation/serve_cloud.go
@@ -14,6 +14,17 @@
 // defaultMachinePage and maxMachinePage are how many machines an answer to a list holds.
 const defaultMachinePage, maxMachinePage = 500, 500
 
+// Answers of the cloud.
+type (
+	rentResponse struct {
+		Machines []string `json:"hosts"`
+	}
+	machinesResponse struct {
+		Machines []autoscaler.CloudMachine `json:"hosts"`
+		More     bool                      `json:"more"`
+	}
+)
+
 // ServeCloud serves the cloud's interface.
 func ServeCloud(app *fiber.App, env *Environment) {
 	app.Get("/machine_types", func(c *fiber.Ctx) error { return c.JSON(records.MachineTypes{Types: env.Types}) })
@@ -33,7 +44,7 @@
 	if err != nil {
 		return c.Status(http.StatusServiceUnavailable).JSON(errorBody{"no capacity"})
 	}
-	return c.JSON(fiber.Map{"hosts": machines})
+	return c.JSON(rentResponse{machines})
 }
 
 func serveReturn(c *fiber.Ctx, env *Environment) error {
@@ -44,7 +55,7 @@
 		return c.Status(http.StatusBadRequest).JSON(errorBody{"hosts is no list of at most 100 names"})
 	}
 	env.returnMachines(in.Machines)
-	return c.JSON(fiber.Map{})
+	return c.JSON(emptyResponse{})
 }
 
 func serveMachines(c *fiber.Ctx, env *Environment) error {
@@ -61,5 +72,5 @@
 		}
 		page = append(page, m)
 	}
-	return c.JSON(fiber.Map{"hosts": page, "more": more})
+	return c.JSON(machinesResponse{page, more})
 }
--- a/internal/simulation/serve_store.go
+++ b/internal/simulation/serve_store.go
@@ -27,6 +27,26 @@
 	Revision uint64          `json:"stamp"`
 }
 
+// Answers of the store.
+type (
+	revisionResponse struct {
+		Revision uint64 `json:"epoch"`
+	}
+	listResponse struct {
+		Revision uint64             `json:"epoch"`
+		More     bool               `json:"more"`
+		Entries  []records.KeyValue `json:"rows"`
+	}
+	leaseResponse struct {
+		LeaseID uint64 `json:"hold"`
+	}
+	watchResponse struct {
+		Revision uint64       `json:"epoch"`
+		Log      []watchEvent `json:"log"`
+	}
+	emptyResponse struct{}
+)
+
 // Bounds of what requests to the store may ask for.
 const (
 	defaultListLimit, maxListLimit = 1000, 1000
@@ -79,13 +99,13 @@
 	if entries == nil {
 		entries = []records.KeyValue{}
 	}
-	return s.answer(c, http.StatusOK, fiber.Map{"rows": entries, "more": more, "epoch": revision})
+	return s.answer(c, http.StatusOK, listResponse{Revision: revision, More: more, Entries: entries})
 }
 
 func (s *storeServer) get(c *fiber.Ctx) error {
 	kv, revision, ok := s.store.get(c.Params("*"))
 	if !ok {
-		return s.answer(c, http.StatusNotFound, fiber.Map{"epoch": revision})
+		return s.answer(c, http.StatusNotFound, revisionResponse{revision})
 	}
 	return s.answer(c, http.StatusOK, kv)
 }
@@ -129,7 +149,7 @@
 	var conflict *records.ConflictError
 	switch {
 	case err == nil:
-		return s.answer(c, http.StatusOK, fiber.Map{"epoch": revision})
+		return s.answer(c, http.StatusOK, revisionResponse{revision})
 	case errors.As(err, &conflict):
 		return s.answer(c, http.StatusConflict, conflict)
 	case errors.Is(err, records.ErrThrottled):
@@ -148,7 +168,7 @@
 		return c.Status(http.StatusBadRequest).JSON(errorBody{"life_ms is not within 100 to 600000"})
 	}
 	id := s.store.grantLease(time.Duration(in.TTL) * time.Millisecond)
-	return s.answer(c, http.StatusOK, fiber.Map{"hold": id})
+	return s.answer(c, http.StatusOK, leaseResponse{id})
 }
 
 func (s *storeServer) renewLease(c *fiber.Ctx) error {
@@ -156,13 +176,13 @@
 	if !s.store.renewLease(id) {
 		return c.Status(http.StatusNotFound).JSON(errorBody{"no such lease"})
 	}
-	return c.JSON(fiber.Map{})
+	return c.JSON(emptyResponse{})
 }
 
 func (s *storeServer) revokeLease(c *fiber.Ctx) error {
 	id, _ := strconv.ParseUint(c.Params("id"), 10, 64)
 	s.store.revokeLease(id)
-	return s.answer(c, http.StatusOK, fiber.Map{})
+	return s.answer(c, http.StatusOK, emptyResponse{})
 }
 
 func (s *storeServer) watch(c *fiber.Ctx) error {
@@ -180,5 +200,5 @@
 	for i, e := range events {
 		log[i] = watchEvent{Write: e.Write, Delete: e.Delete, Value: e.Value, Revision: e.Revision}
 	}
-	return s.answer(c, http.StatusOK, fiber.Map{"epoch": revision, "log": log})
+	return s.answer(c, http.StatusOK, watchResponse{Revision: revision, Log: log})
 }
