--- /dev/null
+++ b/internal/fairshare/shortage_test.go
@@ -0,0 +1,42 @@
+package fairshare
+
+import (
+	"testing"
+	"time"
+)
+
+// A shortage counts for a span of time after it was noted, for its machine type only.
+func TestShortageWithin(t *testing.T) {
+	noted := time.Unix(1_000_000, 0)
+	tracker := NewShortageTracker()
+	tracker.NoteShortage("g8", noted)
+	for _, test := range []struct {
+		machineType string
+		after       time.Duration
+		want        bool
+	}{
+		{"g8", 0, true},
+		{"g8", 59 * time.Second, true},
+		{"g8", time.Minute, false},
+		{"c4", 0, false},
+	} {
+		if got := tracker.ShortageWithin(test.machineType, time.Minute, noted.Add(test.after)); got != test.want {
+			t.Errorf("shortage of %s %v later: %v, want %v", test.machineType, test.after, got, test.want)
+		}
+	}
+}
+
+// A job can start in time while its wait, a heartbeat interval and the fetch are less than what users
+// expect; where nothing is expected, no job is said to.
+func TestCanBeginInTime(t *testing.T) {
+	const within, heartbeatInterval, fetch = 60 * time.Second, 5 * time.Second, 15 * time.Second
+	if !CanBeginInTime(within, 39*time.Second, heartbeatInterval, fetch) {
+		t.Error("cannot start in time after 39s, want that it can")
+	}
+	if CanBeginInTime(within, 40*time.Second, heartbeatInterval, fetch) {
+		t.Error("can start in time after 40s, want that it cannot")
+	}
+	if CanBeginInTime(0, 0, 0, 0) {
+		t.Error("can start in time though nothing is expected")
+	}
+}
--- /dev/null
+++ b/internal/quota/account_test.go
@@ -0,0 +1,61 @@
+package quota
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// Whatever charges come and go, the account equals the sum over all attempts, and is empty without any.
+func TestAccountEqualsSumOfCharges(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		account, charges := NewAccount(), make([]Charge, 8)
+		for range rapid.IntRange(1, 60).Draw(t, "changes") {
+			i := rapid.IntRange(0, len(charges)-1).Draw(t, "attempt")
+			next := drawCharge(t)
+			account.Replace(charges[i], next)
+			charges[i] = next
+			for _, team := range []string{"a", "b"} {
+				check(t, "in use", account.InUse(team), sum(charges, team, true, Present, Stopping))
+				check(t, "committed", account.Committed(team), sum(charges, team, true, Planned, Present, Stopping))
+				check(t, "not stopping", account.NotStopping(team), sum(charges, team, false, Present))
+			}
+		}
+		for _, charge := range charges {
+			account.Replace(charge, Charge{})
+		}
+		if !account.Empty() || account.Committed("a") != (Amount{}) {
+			t.Fatalf("without charges it holds %v, want nothing", account.Committed("a"))
+		}
+	})
+}
+
+func drawCharge(t *rapid.T) Charge {
+	return Charge{
+		Phase:  Phase(rapid.IntRange(int(None), phases-1).Draw(t, "phase")),
+		Shared: rapid.Bool().Draw(t, "shared"),
+		Team:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
+		Size:   Amount{CPUs: float64(rapid.IntRange(0, 4).Draw(t, "cpus")) / 4, GPUs: float64(rapid.IntRange(0, 2).Draw(t, "gpus"))},
+	}
+}
+
+// sum adds up the charges of a team in some phases, with the shared ones or without. The sizes are
+// multiples of a quarter, so that no rounding depends on the order.
+func sum(charges []Charge, team string, withShared bool, of ...Phase) Amount {
+	var total Amount
+	for _, charge := range charges {
+		for _, phase := range of {
+			if charge.Phase == phase && (charge.Shared && withShared || !charge.Shared && charge.Team == team) {
+				total = total.Add(charge.Size)
+			}
+		}
+	}
+	return total
+}
+
+func check(t *rapid.T, what string, got, want Amount) {
+	t.Helper()
+	if got != want {
+		t.Fatalf("%s: got %v, want %v", what, got, want)
+	}
+}
