--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -88,7 +88,7 @@
 	if !job.gangBroken {
 		job.gangAttempt = 0
 	}
-	// The last one found goes first into the retry queue.
+	// The order decides in which order the tasks are tried again.
 	for _, attempt := range slices.Backward(planned) {
 		attempt.Machine.Forget(attempt)
 		s.releaseAttempt(attempt)
