--- /dev/null
+++ b/internal/autoscaler/offer.go
@@ -0,0 +1,46 @@
+package autoscaler
+
+import (
+	"fmt"
+	"time"
+
+	"drumpick/internal/packing"
+	"drumpick/internal/records"
+)
+
+// Offer is a kind of machine that the cloud rents out: a machine type in a zone, as a spot
+// instance or on demand.
+type Offer struct {
+	Type, Zone string
+	Spot       bool
+}
+
+// before orders the offers of a plan: spot instances first, as on-demand machines are rented only
+// for the work that these leave.
+func (o Offer) before(other Offer) bool {
+	if o.Spot != other.Spot {
+		return o.Spot
+	}
+	return fmt.Sprint(o) < fmt.Sprint(other)
+}
+
+// Catalog is the machine types that the cloud offers.
+type Catalog struct {
+	Types map[string]records.MachineType
+	Names []string // in the order in which types are tried, the cheapest first
+}
+
+// Capacity is what a machine of a type holds; nothing for an unknown type.
+func (c Catalog) Capacity(name string) packing.Resources {
+	t := c.Types[name]
+	return capacityOf(&t)
+}
+
+func capacityOf(t *records.MachineType) packing.Resources {
+	return packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB}
+}
+
+// StartupTime is how long a machine of a type takes to start.
+func (c Catalog) StartupTime(name string) time.Duration {
+	return time.Duration(c.Types[name].StartupS * float64(time.Second))
+}
--- a/internal/autoscaler/request.go
+++ b/internal/autoscaler/request.go
@@ -1,5 +1,5 @@
-// Package rental has the requests for machines and what the cloud tells of them; package
-// cloud asks it.
+// Package autoscaler decides which machines to rent from the cloud and which to return, and has the
+// requests to the cloud and what it tells of its machines; package cloud sends them.
 package autoscaler
 
 import (
@@ -18,13 +18,13 @@
 // MinCharge is what a machine costs at least (PROTOCOL, price).
 const MinCharge = 60 * time.Second
 
-// MaxRentCount and MostNames are the protocol's bounds of one request.
+// The protocol's bounds of one request.
 const (
-	MaxRentCount   = 50
-	MaxReturnNames = 100
+	MaxRentCount   = 50  // machines that one request rents
+	MaxReturnNames = 100 // machines that one request returns
 )
 
-// RentalRequest asks for machines. Its booking name is never used again.
+// RentalRequest asks for machines. Its name is never used again, so that it can be repeated.
 type RentalRequest struct {
 	Name  string `json:"booking"`
 	Type  string `json:"rig"`
@@ -33,6 +33,9 @@
 	Count int    `json:"count"`
 }
 
+// Offer is what the request asks for.
+func (r RentalRequest) Offer() Offer { return Offer{r.Type, r.Zone, r.Spot} }
+
 // CloudMachine is a machine in the cloud's list.
 type CloudMachine struct {
 	Machine string  `json:"uid"`
@@ -43,3 +46,6 @@
 	Status  string  `json:"status"`
 	AgeS    float64 `json:"age_s"`
 }
+
+// StatusFailed is the status of a machine that stopped on its own.
+const StatusFailed = "failed"
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -222,8 +222,9 @@
 			f.scheduler.TakeUrgentCommands()
 		}
 		if i%(len(f.heartbeats)/5+1) == 0 {
-			f.scheduler.PlanRentals(f.now)
-			clear(f.scheduler.autoscaling.inflight)
+			for _, r := range f.scheduler.PlanRentals(f.now) {
+				f.scheduler.RentalRefused(r, false, f.now)
+			}
 			f.scheduler.MachinesToReturn(f.now)
 		}
 		f.heartbeat()
@@ -275,8 +276,9 @@
 func BenchmarkPlanRentals(b *testing.B) {
 	f := newBenchFleet(b, 200, false)
 	for b.Loop() {
-		f.scheduler.PlanRentals(f.now)
-		clear(f.scheduler.autoscaling.inflight)
+		for _, r := range f.scheduler.PlanRentals(f.now) {
+			f.scheduler.RentalRefused(r, false, f.now)
+		}
 	}
 }
 
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/drain"
 	"drumpick/internal/fleet"
 	"drumpick/internal/records"
@@ -154,7 +155,7 @@
 		}
 		return
 	}
-	known := map[machineOffer][]string{}
+	known := map[autoscaler.Offer][]string{}
 	all := s.candidates(d, known, now)
 	if d.state.Rollout == nil {
 		r := drain.NewRollout(&d.spec, all)
@@ -223,7 +224,7 @@
 }
 
 // candidates are the machines that an upgrade means.
-func (s *Scheduler) candidates(d *activeDrain, known map[machineOffer][]string, now time.Time) []drain.Candidate {
+func (s *Scheduler) candidates(d *activeDrain, known map[autoscaler.Offer][]string, now time.Time) []drain.Candidate {
 	var all []drain.Candidate
 	hand := map[string]bool{}
 	for _, name := range d.state.OutOfService {
@@ -254,8 +255,8 @@
 
 // classesOf lists the classes of open jobs that may run on a machine; machines of a type,
 // zone and kind share the answer of one look, which known holds.
-func (s *Scheduler) classesOf(m *fleet.Machine, known map[machineOffer][]string) []string {
-	o := machineOffer{m.Type, m.Zone, m.Spot}
+func (s *Scheduler) classesOf(m *fleet.Machine, known map[autoscaler.Offer][]string) []string {
+	o := offerOf(m)
 	if list, ok := known[o]; ok {
 		return list
 	}
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -168,8 +168,9 @@
 				}, 10, now, now)
 			}
 			for b.Loop() {
-				c.PlanRentals(now)
-				c.autoscaling.inflight = map[string]autoscaler.RentalRequest{}
+				for _, r := range c.PlanRentals(now) {
+					c.RentalRefused(r, false, now)
+				}
 			}
 		})
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -57,12 +57,8 @@
 	lastHolder            *Job   // the one of them that is served last, for the placement pass under way
 
 	// Failover and reconciliation.
-	reconciled         bool // every machine that an earlier term may have used has been heard or is gone
-	watermarks         watermarkState
-	manyUnreachable    bool      // more than a few machines send heartbeats and cannot be reached
-	mostSilent         bool      // more machines are silent than heard
-	manySilentAt       time.Time // when last more than a few machines were silent, or a zone outage was suspected
-	manyUnreconciledAt time.Time // when last more than a few of the machines recorded at the failover had not been heard
+	reconciled bool // every machine that an earlier term may have used has been heard or is gone
+	watermarks watermarkState
 
 	// Autoscaling and drains.
 	autoscaling   autoscalingState
@@ -100,7 +96,7 @@
 		zoneHealth:       zonehealth.New(settings.Lease),
 		onDemandShortage: fairshare.NewShortageTracker(),
 		watermarks:       newWatermarkState(),
-		autoscaling:      newAutoscalingState(),
+		autoscaling:      newAutoscalingState(settings),
 		overload:         overload.New(settings.HeartbeatInterval, settings.HeartbeatInterval/TicksPerHeartbeat),
 		slo:              slo.New(),
 		lastSLOReport:    now,
--- a/internal/scheduler/zone_health.go
+++ b/internal/scheduler/zone_health.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/fleet"
 	"drumpick/internal/zonehealth"
 )
@@ -47,7 +48,7 @@
 	machineType := s.types[machine.Type]
 	late := now.Add(-2 * s.startupTime(machine.Type))
 	refusedLately := func(zone string, spot bool) bool {
-		return !late.After(s.autoscaling.refusedUntil[machineOffer{machine.Type, zone, spot}])
+		return !late.After(s.autoscaling.planner.RefusedUntil(autoscaler.Offer{Type: machine.Type, Zone: zone, Spot: spot}))
 	}
 	for _, zone := range machineType.Zones {
 		if s.zoneHealth.Suspected(zone) {
