--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -141,31 +141,31 @@
 }
 
 // MachinesRented takes in the machines that a request brought.
-func (s *Scheduler) MachinesRented(r autoscaler.RentalRequest, hosts []string, now time.Time) {
+func (s *Scheduler) MachinesRented(r autoscaler.RentalRequest, names []string, now time.Time) {
 	s.autoscaling.planner.Answered(r)
-	for _, h := range hosts {
-		if _, gone := s.autoscaling.returnedAt[h]; gone || h == "" {
+	for _, name := range names {
+		if _, returned := s.autoscaling.returnedAt[name]; returned || name == "" {
 			continue
 		}
-		m := s.fleet.GetOrCreate(h, "", r.Type, r.Zone, r.Spot)
+		m := s.fleet.GetOrCreate(name, "", r.Type, r.Zone, r.Spot)
 		m.Unverified = false
 		if m.RequestedAt.IsZero() {
 			m.RequestedAt = now
 		}
 		s.assignBin(m)
 	}
-	if len(hosts) < r.Count {
+	if len(names) < r.Count {
 		s.autoscaling.planner.BackOff(r, s.startupTime(r.Type), now)
 	}
-	slog.Info("rented", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "asked", r.Count, "got", len(hosts), "term", s.term)
+	slog.Info("scale out", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "requested", r.Count, "machines", len(names), "term", s.term)
 }
 
-// RentalRefused notes that a request brought nothing.
+// RentalRefused takes in that a request brought nothing.
 func (s *Scheduler) RentalRefused(r autoscaler.RentalRequest, noCapacity bool, now time.Time) {
 	s.autoscaling.planner.Answered(r)
 	if noCapacity {
 		s.autoscaling.planner.BackOff(r, s.startupTime(r.Type), now)
-		slog.Info("no capacity", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "term", s.term)
+		slog.Info("scale out refused", "reason", "no capacity", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "term", s.term)
 	}
 }
 
@@ -257,78 +257,107 @@
 	return m != nil && m.Unreachable()
 }
 
-// MachinesReturned forgets machines that the cloud has taken back.
-func (s *Scheduler) MachinesReturned(hosts []string, now time.Time) {
-	for _, h := range hosts {
-		s.autoscaling.returnedAt[h] = now
-		s.RemoveMachine(h, now)
+// MachinesReturned removes machines that the cloud has taken back.
+func (s *Scheduler) MachinesReturned(names []string, now time.Time) {
+	for _, name := range names {
+		s.autoscaling.returnedAt[name] = now
+		s.RemoveMachine(name, now)
 	}
 }
 
-// ReconcileCloudList takes in the cloud's list, asked for at the time given.
-func (s *Scheduler) ReconcileCloudList(list []autoscaler.CloudMachine, asked, now time.Time) {
+// ReconcileCloudList takes in the cloud's list of machines, requested at the time given.
+func (s *Scheduler) ReconcileCloudList(list []autoscaler.CloudMachine, requestedAt, now time.Time) {
 	s.autoscaling.listRead = true
-	here := map[string]bool{}
-	for _, l := range list {
-		here[l.Machine] = true
-		s.autoscaling.lastListed[l.Machine] = now
-		if _, gone := s.autoscaling.returnedAt[l.Machine]; gone {
+	listed := map[string]bool{}
+	for i := range list {
+		entry := &list[i]
+		listed[entry.Machine] = true
+		s.autoscaling.lastListed[entry.Machine] = now
+		if _, returned := s.autoscaling.returnedAt[entry.Machine]; returned {
 			continue
 		}
-		m := s.fleet.Machines[l.Machine]
-		if l.Status == "failed" {
-			// It stopped on its own, and all on it with it.
-			if m != nil && !m.LeaseExpired {
-				slog.Info("machine failed", "machine", l.Machine, "term", s.term)
-				for _, a := range slices.Clone(m.Attempts()) {
-					m.Forget(a)
-					if a.State() != fleet.Ended {
-						s.attemptLost(a, now)
-					}
-				}
-				m.LeaseExpired, m.Reconciled, m.Failed = true, true, true
-				if !s.reconciled {
-					s.CheckReconciled(now)
-				}
-			}
-			if m == nil {
-				m = s.fleet.GetOrCreate(l.Machine, l.Addr, l.Type, l.Zone, l.Spot)
-				m.LeaseExpired, m.Reconciled, m.Failed = true, true, true
-			}
-			continue
-		}
-		if m == nil {
-			m = s.fleet.GetOrCreate(l.Machine, l.Addr, l.Type, l.Zone, l.Spot)
-			slog.Info("unexpected machine", "machine", l.Machine, "status", l.Status, "term", s.term)
-			s.assignBin(m)
+		if entry.Status == autoscaler.StatusFailed {
+			s.machineFailed(entry, now)
+		} else {
+			s.reconcileListedMachine(entry, requestedAt, now)
 		}
-		if m.Addr == "" {
-			m.Addr = l.Addr
-		}
-		// Until then the list may have one that an earlier leader gave back.
-		if asked.Sub(s.termStart) <= 2*s.settings.ListLag && !m.Up && !m.Inherited && m.RequestedAt.IsZero() {
-			m.Unverified = true
-		} else if asked.Sub(s.termStart) > 2*s.settings.ListLag {
-			m.Unverified = false
-		}
-		if m.RequestedAt.IsZero() {
-			m.RequestedAt = now.Add(-time.Duration(l.AgeS * float64(time.Second)))
+	}
+	s.removeUnlisted(listed, requestedAt, now)
+	s.forgetReturned(listed, now)
+}
+
+// machineFailed takes in that a machine stopped on its own, and all tasks on it with it.
+func (s *Scheduler) machineFailed(entry *autoscaler.CloudMachine, now time.Time) {
+	m := s.fleet.Machines[entry.Machine]
+	if m == nil {
+		m = s.fleet.GetOrCreate(entry.Machine, entry.Addr, entry.Type, entry.Zone, entry.Spot)
+		m.LeaseExpired, m.Reconciled, m.Failed = true, true, true
+		return
+	}
+	if m.LeaseExpired {
+		return
+	}
+	slog.Info("machine failed", "machine", m.Name, "zone", m.Zone, "term", s.term)
+	for _, a := range slices.Clone(m.Attempts()) {
+		m.Forget(a)
+		if a.State() != fleet.Ended {
+			s.attemptLost(a, now)
 		}
 	}
-	// A list tells how things were up to twice the lag before it was asked for. A
-	// machine that was there before that time, and is missing, is gone.
+	m.LeaseExpired, m.Reconciled, m.Failed = true, true, true
+	if !s.reconciled {
+		s.CheckReconciled(now)
+	}
+}
+
+// reconcileListedMachine takes in a machine that the cloud has.
+func (s *Scheduler) reconcileListedMachine(entry *autoscaler.CloudMachine, requestedAt, now time.Time) {
+	m := s.fleet.Machines[entry.Machine]
+	if m == nil {
+		m = s.fleet.GetOrCreate(entry.Machine, entry.Addr, entry.Type, entry.Zone, entry.Spot)
+		slog.Warn("unexpected machine", "machine", entry.Machine, "zone", entry.Zone, "status", entry.Status, "term", s.term)
+		s.assignBin(m)
+	}
+	if m.Addr == "" {
+		m.Addr = entry.Addr
+	}
+	// Until then the list may have a machine that an earlier leader returned.
+	mayBeReturned := requestedAt.Sub(s.termStart) <= 2*s.settings.ListLag
+	switch {
+	case !mayBeReturned:
+		m.Unverified = false
+	case !m.Up && !m.Inherited && m.RequestedAt.IsZero():
+		m.Unverified = true
+	}
+	if m.RequestedAt.IsZero() {
+		m.RequestedAt = now.Add(-time.Duration(entry.AgeS * float64(time.Second)))
+	}
+}
+
+// removeUnlisted removes machines that the cloud has no more. A list tells how things were up to
+// twice the lag before it was requested. A machine that was there before that time, and is missing,
+// is gone.
+func (s *Scheduler) removeUnlisted(listed map[string]bool, requestedAt, now time.Time) {
+	lag := s.settings.ListLag*5/2 + s.settings.HeartbeatInterval/4
 	for _, m := range s.fleet.Sorted() {
-		if last, ok := s.autoscaling.lastListed[m.Name]; ok && !here[m.Name] && asked.Sub(last) > s.settings.ListLag*5/2+s.settings.HeartbeatInterval/4 {
-			slog.Info("machine gone", "machine", m.Name, "term", s.term)
-			s.autoscaling.returnedAt[m.Name] = now
-			s.RemoveMachine(m.Name, now)
+		last, known := s.autoscaling.lastListed[m.Name]
+		if !known || listed[m.Name] || requestedAt.Sub(last) <= lag {
+			continue
 		}
+		slog.Info("machine lost", "machine", m.Name, "zone", m.Zone, "reason", "not in the cloud's list", "term", s.term)
+		s.autoscaling.returnedAt[m.Name] = now
+		s.RemoveMachine(m.Name, now)
 	}
-	for h, t := range s.autoscaling.returnedAt {
-		// Names rise and are not used again, but reports that name them come late.
-		if now.Sub(t) > max(20*(s.settings.ListLag+s.settings.HeartbeatInterval), fleet.LateCopyLeases*s.settings.Lease) && !here[h] {
-			delete(s.autoscaling.returnedAt, h)
-			delete(s.autoscaling.lastListed, h)
+}
+
+// forgetReturned forgets returned machines of which no late heartbeat can come any more. Names rise
+// and are not used again, but heartbeats that name them come late.
+func (s *Scheduler) forgetReturned(listed map[string]bool, now time.Time) {
+	wait := max(20*(s.settings.ListLag+s.settings.HeartbeatInterval), fleet.LateCopyLeases*s.settings.Lease)
+	for name, returnedAt := range s.autoscaling.returnedAt {
+		if now.Sub(returnedAt) > wait && !listed[name] {
+			delete(s.autoscaling.returnedAt, name)
+			delete(s.autoscaling.lastListed, name)
 		}
 	}
 }
