--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -20,64 +20,89 @@
 }
 
 const (
-	// stateReports is how often, in report intervals, it is stored how a drain stands; a
-	// change of its phase is stored at once.
-	stateReports = 5
-	// mostEnded is how many drains that are over stay on record: the operators' history of
+	// stateIntervals is how often, in heartbeat intervals, the state of a drain is stored; a change
+	// of its phase is stored at once.
+	stateIntervals = 5
+	// maxEndedDrains is how many drains that have ended stay on record: the operators' history of
 	// them, whatever the number of machines.
-	mostEnded = 50
+	maxEndedDrains = 50
+	// bytesPerDrainRemoval is what the removal of a drain takes in a commit.
+	bytesPerDrainRemoval = 500
 )
 
-// takeDrains gathers how drains stand, and says whether all fit.
-func (r *Persistence) takeDrains(ws *[]PendingWrite, fits func(ops, bytes int) bool, now time.Time) bool {
-	ended := 0
-	for _, d := range r.core.drains {
-		if d.spec.Stopped || d.state.Closed() {
-			ended++
+// takeDrains stores the states of drains that have changed, and removes the oldest that have ended.
+func (p *Persistence) takeDrains(b *writeBatch, now time.Time) bool {
+	for _, d := range p.scheduler.drains {
+		if d.stateDue(stateIntervals*p.scheduler.settings.HeartbeatInterval, now) && !p.takeDrainState(d, b, now) {
+			return false
 		}
 	}
-	for _, d := range r.core.drains {
-		if d.state.Phase == "" || d.known && d.state.Same(&d.stored) ||
-			d.known && d.state.Phase == d.stored.Phase && now.Sub(d.writtenAt) < stateReports*r.core.settings.HeartbeatInterval {
-			continue
-		}
-		state, whole := d.state, d.state
-		// It does not bound the machines in hand, which this leader knows. What does not fit
-		// is worked out again by the next leader, which takes empty machines first: those are
-		// mostly the ones in hand.
-		for len(state.OutOfService) > 0 && records.EncodedSize(state) > r.valueBytes {
-			state.OutOfService = state.OutOfService[:len(state.OutOfService)/2]
-		}
-		if !fits(1, records.EncodedSize(state)) {
-			return false
+	return p.removeEndedDrains(b)
+}
+
+// ended reports whether nothing of a drain is left to do.
+func (d *activeDrain) ended() bool { return d.spec.Stopped || d.state.Closed() }
+
+// isStored reports whether the store has the state of a drain as it is now.
+func (d *activeDrain) isStored() bool { return d.known && d.state.Same(&d.stored) }
+
+// stateDue reports whether the state of a drain is to be stored now.
+func (d *activeDrain) stateDue(interval time.Duration, now time.Time) bool {
+	if d.state.Phase == "" || d.isStored() {
+		return false
+	}
+	samePhase := d.known && d.state.Phase == d.stored.Phase
+	return !samePhase || now.Sub(d.writtenAt) >= interval
+}
+
+// takeDrainState stores the state of a drain. The machines out of service that do not fit into a value are
+// left out: this leader knows them, and the next one works them out again, taking empty machines
+// first, which are mostly these.
+func (p *Persistence) takeDrainState(d *activeDrain, b *writeBatch, now time.Time) bool {
+	state, complete := d.state, d.state
+	for len(state.OutOfService) > 0 && records.EncodedSize(state) > p.valueBytes {
+		state.OutOfService = state.OutOfService[:len(state.OutOfService)/2]
+	}
+	if !b.fits(1, records.EncodedSize(state)) {
+		return false
+	}
+	d.writtenAt = now
+	b.add(PendingWrite{
+		Ops:         []records.Op{{Write: records.PrefixDrainState + d.spec.ID, Value: state}},
+		OwnKey:      records.PrefixDrainState + d.spec.ID,
+		OwnRevision: &d.revision,
+		OnStored:    func(uint64) { d.stored, d.known = complete, true },
+		OnTooLarge: func() {
+			slog.Error("drain state too large for the store", "drain", d.spec.ID, "term", p.scheduler.term)
+			d.stored, d.known = complete, true
+		},
+	})
+	return true
+}
+
+// removeEndedDrains makes room on record for new drains; their ids are in the order of time.
+func (p *Persistence) removeEndedDrains(b *writeBatch) bool {
+	ended := 0
+	for _, d := range p.scheduler.drains {
+		if d.ended() {
+			ended++
 		}
-		d.writtenAt = now
-		*ws = append(*ws, PendingWrite{
-			Ops:    []records.Op{{Write: records.PrefixDrainState + d.spec.ID, Value: state}},
-			OwnKey: records.PrefixDrainState + d.spec.ID, OwnRevision: &d.revision,
-			OnStored: func(uint64) { d.stored, d.known = whole, true },
-			OnTooLarge: func() {
-				slog.Error("store: how a drain stands takes more than a value", "drain", d.spec.ID, "term", r.core.term)
-				d.stored, d.known = whole, true
-			},
-		})
 	}
-	// The oldest that are over make room; ids are made from the time of day.
-	for _, d := range r.core.drains {
-		if ended <= mostEnded {
+	for _, d := range p.scheduler.drains {
+		if ended <= maxEndedDrains {
 			break
 		}
-		if !(d.spec.Stopped || d.state.Closed()) || !d.known || !d.state.Same(&d.stored) {
+		if !d.ended() || !d.isStored() {
 			continue
 		}
-		if !fits(2, 500) {
+		if !b.fits(2, bytesPerDrainRemoval) {
 			return false
 		}
 		ended--
 		id := d.spec.ID
-		*ws = append(*ws, PendingWrite{
+		b.add(PendingWrite{
 			Ops:      []records.Op{{Delete: records.PrefixDrains + id}, {Delete: records.PrefixDrainState + id}},
-			OnStored: func(uint64) { r.core.RemoveDrain(id) },
+			OnStored: func(uint64) { p.scheduler.RemoveDrain(id) },
 		})
 	}
 	return true
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -11,128 +11,136 @@
 	"drumpick/internal/watermark"
 )
 
-// PendingWrite is one change for the store, with what it means once it is in.
+// PendingWrite is one change for the store, with what follows from its result.
 type PendingWrite struct {
-	Ops        []records.Op
-	Compares   []records.Compare
-	OnStored   func(stamp uint64) // at the revision at which it was stored
-	OwnKey     string             // of the condition that is its own
-	OnConflict func()             // that condition did not hold
-	// Own is the revision of the key where only the leader writes it, 0 where it is absent,
-	// and is kept up by whoever stores the write. It stands for Lost: the key is read then.
-	// Guards against a write without an answer that is carried out after newer ones of the
-	// same term, which the leader's key alone lets pass.
+	Ops      []records.Op
+	Compares []records.Compare
+	OnStored func(revision uint64) // called when it is stored, at a revision
+	// OwnKey is the key of the compare that guards this change alone: where that does not hold, the
+	// others of the commit are still to be stored.
+	OwnKey     string
+	OnConflict func() // called when the compare of OwnKey did not hold
+	// OwnRevision is the revision of a key that only the leader writes, 0 where it is absent, and is
+	// kept up to date by whoever stores the write. It is set in place of OnConflict: the key is read
+	// then. Without it, a write without an answer could be carried out after newer ones of the same
+	// term, which the compare of the leader's key alone would let pass.
 	OwnRevision *uint64
-	// Late is called when a first write has had no answer.
+	// OnUnanswered is called when a first write has had no answer.
 	OnUnanswered func()
-	// Refused is called when the store will never take it, as it is too large.
+	// OnTooLarge is called when the store will never take the write, as it is too large.
 	OnTooLarge func()
 }
 
 // Persistence is what a term has in the store beside open jobs: machines that may hold tasks,
-// finished tasks, marks, how drains stand. It says what to store next; its owner does, and
-// holds the lock of the Core in every call.
+// finished tasks, watermarks and the states of drains. It decides what to store next; its owner
+// stores it, and holds the lock of the scheduler in every call.
 type Persistence struct {
-	core       *Scheduler
-	hosts      *records.PagedRecords
-	done       *progress
-	sent       *records.PagedRecords
-	mostOps    int       // changes in one commit
-	valueBytes int       // of a value at the most
-	flushed    time.Time // when finished tasks were last gathered
-	marksAt    time.Time // when marks were last gathered
-	needed     bool      // a task waits for its mark
-	over       []string  // jobs whose marks are of no use any more
-
-	marks    map[string]int // as read at the takeover
-	unmarked bool           // some of them could not be read
+	scheduler       *Scheduler
+	machines        *records.PagedRecords
+	watermarks      *records.PagedRecords
+	finished        *progress
+	maxOps          int       // changes in one commit
+	valueBytes      int       // the largest value
+	finishedAt      time.Time // when finished tasks were last gathered
+	watermarksAt    time.Time // when watermarks were last gathered
+	watermarkNeeded bool      // a task waits for its watermark
+	closedJobs      []string  // jobs whose watermarks are of no use any more
+
+	loadedWatermarks    map[string]int // as read at the failover, by job
+	watermarkUnreadable bool           // some could not be read
 }
 
-// NewPersistence returns those of a term that has read nothing yet, for a store that takes
-// values of a size, in KiB, and so many changes in one commit.
-func NewPersistence(c *Scheduler, valueKB float64, mostOps int) *Persistence {
-	shelf := func(prefix string) *records.PagedRecords {
+// NewPersistence returns that of a term that has read nothing yet, for a store that takes values of a
+// size, in KiB, and so many changes in one commit.
+func NewPersistence(s *Scheduler, valueKB float64, maxOps int) *Persistence {
+	pages := func(prefix string) *records.PagedRecords {
 		n := 0
 		return records.NewPagedRecords(prefix, valueKB, func() string {
 			n++
-			return fmt.Sprintf("%d-%d", c.term, n)
+			return fmt.Sprintf("%d-%d", s.term, n)
 		})
 	}
 	return &Persistence{
-		core: c, hosts: shelf(records.PrefixMachines), done: newProgress(c.settings, shelf(records.PrefixDone)), sent: shelf(records.PrefixWatermarks),
-		mostOps: mostOps, valueBytes: int(valueKB * 1024), marks: map[string]int{},
+		scheduler:        s,
+		machines:         pages(records.PrefixMachines),
+		watermarks:       pages(records.PrefixWatermarks),
+		finished:         newProgress(s.settings, pages(records.PrefixDone)),
+		maxOps:           maxOps,
+		valueBytes:       int(valueKB * 1024),
+		loadedWatermarks: map[string]int{},
 	}
 }
 
-// LoadDone takes in a value of finished tasks of jobs that are known.
-func (r *Persistence) LoadDone(row records.KeyValue) {
-	load(records.PrefixDone, r.done.shelf, row, func(id string, v json.RawMessage) error {
+// LoadDone takes in a page of finished tasks of jobs that are known.
+func (p *Persistence) LoadDone(row records.KeyValue) {
+	load(records.PrefixDone, p.finished.shelf, row, func(id string, v json.RawMessage) error {
 		job, chunk, ok := records.ParsePartID(id)
 		var ranges string
 		if !ok || json.Unmarshal(v, &ranges) != nil {
 			return errors.New("unreadable")
 		}
-		if j := r.core.jobs[job]; j != nil {
-			if err := r.done.load(r.core, id, j, chunk, ranges); err != nil {
+		if j := p.scheduler.jobs[job]; j != nil {
+			if err := p.finished.load(p.scheduler, id, j, chunk, ranges); err != nil {
 				return err
 			}
 		}
-		return r.core.LoadDone(job, chunk, ranges)
+		return p.scheduler.LoadDone(job, chunk, ranges)
 	})
 }
 
-// LoadMachine takes in a value of machines that an earlier term may have used.
-func (r *Persistence) LoadMachine(row records.KeyValue, now time.Time) {
-	load(records.PrefixMachines, r.hosts, row, func(host string, v json.RawMessage) error {
-		var h records.Machine
-		err := json.Unmarshal(v, &h)
+// LoadMachine takes in a page of machines that an earlier term may have used.
+func (p *Persistence) LoadMachine(row records.KeyValue, now time.Time) {
+	load(records.PrefixMachines, p.machines, row, func(name string, v json.RawMessage) error {
+		var machine records.Machine
+		err := json.Unmarshal(v, &machine)
 		// Whatever is unreadable about it, the machine may hold tasks.
-		r.core.LoadMachine(host, h, now)
+		p.scheduler.LoadMachine(name, machine, now)
 		return err
 	})
 }
 
-// LoadWatermark takes in a value of marks. One that cannot be read may stand for any task.
-func (r *Persistence) LoadWatermark(row records.KeyValue) {
-	readable := load(records.PrefixWatermarks, r.sent, row, func(id string, v json.RawMessage) error {
+// LoadWatermark takes in a page of watermarks. One that cannot be read may stand for any task.
+func (p *Persistence) LoadWatermark(row records.KeyValue) {
+	readable := load(records.PrefixWatermarks, p.watermarks, row, func(id string, v json.RawMessage) error {
 		n, err := records.ParseWatermark(v)
 		if err != nil {
-			r.unmarked = true
+			p.watermarkUnreadable = true
 			return err
 		}
-		// Of two values that hold the same job one may be older.
-		r.marks[id] = max(r.marks[id], n)
+		// Of two pages that hold the same job one may be older.
+		p.loadedWatermarks[id] = max(p.loadedWatermarks[id], n)
 		return nil
 	})
-	r.unmarked = r.unmarked || !readable
+	p.watermarkUnreadable = p.watermarkUnreadable || !readable
 }
 
-// FinishLoading ends the reading. Whole says that earlier leaders kept to the marks.
-func (r *Persistence) FinishLoading(whole bool) {
-	for id := range r.done.shelf.IDs() {
-		if job, _, _ := records.ParsePartID(id); r.core.jobs[job] == nil {
-			r.done.shelf.Remove(id)
+// FinishLoading ends the reading. complete reports whether earlier leaders dispatched nothing beyond
+// the watermarks.
+func (p *Persistence) FinishLoading(complete bool) {
+	for id := range p.finished.shelf.IDs() {
+		if job, _, _ := records.ParsePartID(id); p.scheduler.jobs[job] == nil {
+			p.finished.shelf.Remove(id)
 		}
 	}
-	if !r.core.settings.Watermarks {
+	if !p.scheduler.settings.Watermarks {
 		return
 	}
-	for id := range r.marks {
-		if r.core.jobs[id] == nil {
-			r.sent.Remove(id)
+	for id := range p.loadedWatermarks {
+		if p.scheduler.jobs[id] == nil {
+			p.watermarks.Remove(id)
 		}
 	}
-	r.core.LoadWatermarks(r.marks, whole && !r.unmarked)
+	p.scheduler.LoadWatermarks(p.loadedWatermarks, complete && !p.watermarkUnreadable)
 }
 
-// load takes in a value of a shelf, and says whether it is readable as a whole.
-func load(prefix string, s *records.PagedRecords, row records.KeyValue, each func(id string, v json.RawMessage) error) bool {
+// load takes in a page, and reports whether it is readable as a whole.
+func load(prefix string, pages *records.PagedRecords, row records.KeyValue, each func(id string, v json.RawMessage) error) bool {
 	entries, err := records.Entries(prefix, row)
 	if err != nil {
 		slog.Error("unreadable record", "key", row.Key, "err", err)
 		return false
 	}
-	s.Load(row.Key, entries, len(row.Value)).Revision = row.Revision
+	pages.Load(row.Key, entries, len(row.Value)).Revision = row.Revision
 	for id, v := range entries {
 		if err := each(id, v); err != nil {
 			slog.Error("unreadable record", "key", row.Key, "id", id, "err", err)
@@ -141,195 +149,276 @@
 	return true
 }
 
-// RequestWatermark says that a task waits for its mark.
-func (r *Persistence) RequestWatermark() { r.needed = true }
+// RequestWatermark notes that a task waits for its watermark.
+func (p *Persistence) RequestWatermark() { p.watermarkNeeded = true }
 
 // HalveCommits makes commits half as large: the store took one for too large.
-func (r *Persistence) HalveCommits() { r.mostOps = max(r.mostOps/2, 2) }
-
-// NextWrites gathers what is to be stored next, no more than goes into one commit:
-// jobs that are complete first, then machines about to be used, then finished
-// tasks and machines that are gone. What does not fit waits for the next commit,
-// and what became more urgent meanwhile goes before it. due makes the
-// record that marks are whole, if it is time for one.
-func (r *Persistence) NextWrites(now time.Time, due func(now time.Time) *watermark.StoredAttestation) []PendingWrite {
-	c := r.core
-	var ws []PendingWrite
-	ops, bytes := 0, 0
-	fits := func(o, b int) bool {
-		if len(ws) > 0 && (ops+o > r.mostOps || bytes+b > maxCommitBytes) {
-			return false
+func (p *Persistence) HalveCommits() { p.maxOps = max(p.maxOps/2, 2) }
+
+const (
+	// maxCommitBytes keeps a commit well below the service's 64 KiB.
+	maxCommitBytes = 40 << 10
+	// bytesPerOp is what a change takes beside the entries of a page.
+	bytesPerOp = 300
+)
+
+// writeBatch is the writes of one commit as they are gathered.
+type writeBatch struct {
+	writes     []PendingWrite
+	ops, bytes int
+	maxOps     int
+}
+
+// fits reports whether so many more changes fit, and counts them if they do. What is gathered first
+// fits always.
+func (b *writeBatch) fits(ops, bytes int) bool {
+	if len(b.writes) > 0 && (b.ops+ops > b.maxOps || b.bytes+bytes > maxCommitBytes) {
+		return false
+	}
+	b.ops, b.bytes = b.ops+ops, b.bytes+bytes
+	return true
+}
+
+func (b *writeBatch) add(w PendingWrite) { b.writes = append(b.writes, w) }
+
+// NextWrites gathers what is to be stored next, no more than goes into one commit: jobs to be closed
+// first, then watermarks and machines about to be used, then finished tasks and drains. What does not
+// fit waits for the next commit, and what became more urgent meanwhile goes before it. attestation
+// makes the record that watermarks are complete, if it is time for one.
+func (p *Persistence) NextWrites(now time.Time, attestation func(now time.Time) *watermark.StoredAttestation) []PendingWrite {
+	b := &writeBatch{maxOps: p.maxOps}
+	// Each gathers one kind of record, and reports whether all of it fits.
+	kinds := []func() bool{
+		func() bool { return p.takeCancelledDependents(b) },
+		func() bool { return p.takeCompleteJobs(b, now) },
+		func() bool { return p.takeAttestation(b, attestation(now)) },
+		func() bool { return p.takeWatermarks(b, now) },
+		func() bool { p.gatherMachines(); return p.takeMachines(b) },
+		func() bool { p.gatherFinished(now); return p.takeFinished(b) },
+		func() bool { return p.takeDrains(b, now) },
+	}
+	for _, take := range kinds {
+		if !take() {
+			return b.writes
 		}
-		ops, bytes = ops+o, bytes+b
-		return true
 	}
-	const perOp = 300 // what a change takes beside a shelf's entries
-	// Jobs behind a cancelled one go first: their users wait for it, and it is little.
-	for _, id := range c.dependencies.ToCancel() {
-		j := c.jobs[id]
+	if len(b.writes) == 0 {
+		p.emptyReadOnlyPages()
+		p.takeMachines(b)
+	}
+	return b.writes
+}
+
+// takeCancelledDependents closes the jobs behind a cancelled one. They go first: their users wait for
+// it, and it is little.
+func (p *Persistence) takeCancelledDependents(b *writeBatch) bool {
+	s := p.scheduler
+	for _, id := range s.dependencies.ToCancel() {
+		j := s.jobs[id]
 		if j == nil || j.closing {
 			continue
 		}
-		if !fits(2, 2*perOp) {
-			return ws
+		if !b.fits(2, 2*bytesPerOp) {
+			return false
 		}
-		slog.Info("job cancelled with one before it", "job", id, "term", c.term)
-		ws = append(ws, c.closeJobWrite(j, records.ClosedJob{Status: records.StatusCancelled}))
+		slog.Info("job cancelled", "job", id, "reason", "a dependency is cancelled", "term", s.term)
+		b.add(s.closeJobWrite(j, records.ClosedJob{Status: records.StatusCancelled}))
 	}
-	for j := range c.complete {
+	return true
+}
+
+// takeCompleteJobs closes the jobs of which every task is done.
+func (p *Persistence) takeCompleteJobs(b *writeBatch, now time.Time) bool {
+	for j := range p.scheduler.complete {
 		if j.closing {
 			continue
 		}
-		if !fits(2, 2*perOp) {
-			return ws
+		if !b.fits(2, 2*bytesPerOp) {
+			return false
 		}
-		ws = append(ws, c.closeJobWrite(j, records.ClosedJob{Status: records.StatusDone, AtMS: now.UnixMilli()}))
+		b.add(p.scheduler.closeJobWrite(j, records.ClosedJob{Status: records.StatusDone, AtMS: now.UnixMilli()}))
 	}
-	if wholeRecord := due(now); wholeRecord != nil {
-		if !fits(1, records.EncodedSize(wholeRecord)) {
-			return ws
-		}
-		ws = append(ws, PendingWrite{Ops: []records.Op{{Write: records.KeyWatermarksComplete, Value: wholeRecord}}, OnStored: func(uint64) {}})
+	return true
+}
+
+// takeAttestation stores that watermarks are complete; nil: it is not time for that.
+func (p *Persistence) takeAttestation(b *writeBatch, attestation *watermark.StoredAttestation) bool {
+	if attestation == nil {
+		return true
 	}
-	if !r.takeMarks(&ws, fits, now) {
-		return ws
+	if !b.fits(1, records.EncodedSize(attestation)) {
+		return false
 	}
-	for _, m := range c.fleet.Sorted() {
+	b.add(PendingWrite{
+		Ops:      []records.Op{{Write: records.KeyWatermarksComplete, Value: attestation}},
+		OnStored: func(uint64) {},
+	})
+	return true
+}
+
+// gatherMachines puts the machines about to be used on record, and takes those that are gone off it.
+func (p *Persistence) gatherMachines() {
+	s := p.scheduler
+	for _, m := range s.fleet.Sorted() {
 		if !m.Up || m.Recorded || m.Recording || m.Returning || m.LeaseExpired || !m.Reconciled && m.Empty() {
 			continue
 		}
 		m.Recording = true
-		h := records.Machine{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation}
-		raw, err := json.Marshal(h)
+		raw, err := json.Marshal(records.Machine{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation})
 		if err != nil {
 			slog.Error("unwritable record", "machine", m.Name, "err", err)
 			continue
 		}
-		r.hosts.Put(m.Name, raw, len(raw))
+		p.machines.Put(m.Name, raw, len(raw))
 	}
-	for _, host := range c.removedMachines {
-		if c.fleet.Machines[host] == nil {
-			r.hosts.Remove(host)
+	for _, name := range s.removedMachines {
+		if s.fleet.Machines[name] == nil {
+			p.machines.Remove(name)
 		}
 	}
-	c.removedMachines = c.removedMachines[:0]
-	if !r.takeHosts(&ws, fits) {
-		return ws
-	}
-	r.done.close(c.closedJobs)
-	r.over = append(r.over, c.closedJobs...)
-	c.closedJobs = c.closedJobs[:0]
-	if now.Sub(r.flushed) >= r.core.settings.HeartbeatInterval {
-		r.done.gather(c)
-		r.dropMarks()
-		r.flushed = now
-	}
-	if !r.takeShelf(r.done.shelf, &ws, fits, func(ids []string, _ map[string]json.RawMessage) (func(uint64), func([]string)) {
-		return r.done.stored(c, ids), func(ids []string) { r.done.again(c, ids) }
-	}) {
-		return ws
-	}
-	if !r.takeDrains(&ws, fits, now) || len(ws) > 0 {
-		return ws
-	}
-	// Nothing else is to be stored: empty a value that is too large for the limits to
-	// come, first into others that are not. Either version reads a machine in both.
-	for host, raw := range r.hosts.ReadOnly() {
-		if !r.hosts.Has(host) {
-			r.hosts.Put(host, raw, len(raw))
+	s.removedMachines = s.removedMachines[:0]
+}
+
+// takeMachines stores the pages of machines that have changed.
+func (p *Persistence) takeMachines(b *writeBatch) bool {
+	return p.takePages(p.machines, b, func(ids []string, entries map[string]json.RawMessage) pageResult {
+		return pageResult{
+			stored: func(uint64) { p.machinesStored(ids) },
+			moved: func(ids []string) {
+				for _, id := range ids {
+					if p.scheduler.fleet.Machines[id] != nil {
+						p.machines.Put(id, entries[id], len(entries[id]))
+					}
+				}
+			},
+		}
+	})
+}
+
+func (p *Persistence) machinesStored(names []string) {
+	for _, name := range names {
+		p.machines.DropReadOnly(name)
+		if m := p.scheduler.fleet.Machines[name]; m != nil {
+			m.Recorded, m.Recording = true, false
 		}
 	}
-	r.takeHosts(&ws, fits)
-	return ws
 }
 
-// takeHosts gathers the machine records that have changed, and says whether all fit.
-func (r *Persistence) takeHosts(ws *[]PendingWrite, fits func(ops, bytes int) bool) bool {
-	return r.takeShelf(r.hosts, ws, fits, func(ids []string, entries map[string]json.RawMessage) (func(uint64), func([]string)) {
-		stored := func(uint64) {
-			for _, id := range ids {
-				r.hosts.DropReadOnly(id)
-				if m := r.core.fleet.Machines[id]; m != nil {
-					m.Recorded, m.Recording = true, false
-				}
-			}
+// emptyReadOnlyPages moves the machines of pages that are too large for the limits to come into
+// others that are not. Both versions read a machine that is in two pages.
+func (p *Persistence) emptyReadOnlyPages() {
+	for name, raw := range p.machines.ReadOnly() {
+		if !p.machines.Has(name) {
+			p.machines.Put(name, raw, len(raw))
 		}
-		return stored, func(ids []string) {
-			for _, id := range ids {
-				if r.core.fleet.Machines[id] != nil {
-					r.hosts.Put(id, entries[id], len(entries[id]))
-				}
-			}
+	}
+}
+
+// gatherFinished puts finished tasks on record, once in a heartbeat interval, and takes the records of
+// closed jobs off it.
+func (p *Persistence) gatherFinished(now time.Time) {
+	s := p.scheduler
+	p.finished.close(s.closedJobs)
+	p.closedJobs = append(p.closedJobs, s.closedJobs...)
+	s.closedJobs = s.closedJobs[:0]
+	if now.Sub(p.finishedAt) >= s.settings.HeartbeatInterval {
+		p.finished.gather(s)
+		p.dropWatermarks()
+		p.finishedAt = now
+	}
+}
+
+// takeFinished stores the pages of finished tasks that have changed.
+func (p *Persistence) takeFinished(b *writeBatch) bool {
+	return p.takePages(p.finished.shelf, b, func(ids []string, _ map[string]json.RawMessage) pageResult {
+		return pageResult{
+			stored: p.finished.stored(p.scheduler, ids),
+			moved:  func(ids []string) { p.finished.again(p.scheduler, ids) },
 		}
 	})
 }
 
-// takeShelf gathers the values of a shelf that have changed, and says whether all fit.
-// taken is told the records of each, and returns what is to be done once they are stored,
-// and with those that need another place when the value was refused as too large.
-func (r *Persistence) takeShelf(s *records.PagedRecords, ws *[]PendingWrite, fits func(ops, bytes int) bool,
-	taken func(ids []string, entries map[string]json.RawMessage) (stored func(uint64), refused func(ids []string))) bool {
-	for _, b := range s.Dirty() {
-		if !fits(1, r.valueBytes) {
+// pageResult is what follows from the write of a page.
+type pageResult struct {
+	stored func(revision uint64)
+	moved  func(ids []string) // for the records that need another page, as the store refused this one as too large
+}
+
+// takePages stores the pages that have changed, and reports whether all fit. written is called with
+// the records of each page that is.
+func (p *Persistence) takePages(pages *records.PagedRecords, b *writeBatch, written func(ids []string, entries map[string]json.RawMessage) pageResult) bool {
+	for _, page := range pages.Dirty() {
+		if !b.fits(1, p.valueBytes) {
 			return false
 		}
-		op, _, ids := s.TakeWrite(b)
+		op, _, ids := pages.TakeWrite(page)
 		entries, _ := op.Value.(map[string]json.RawMessage)
-		stored, refused := taken(ids, entries)
-		*ws = append(*ws, PendingWrite{Ops: []records.Op{op}, OwnKey: b.Key, OwnRevision: &b.Revision, OnUnanswered: b.NoteUnanswered, OnStored: stored, OnTooLarge: func() { refused(s.NoteTooLarge(b)) }})
+		result := written(ids, entries)
+		b.add(PendingWrite{
+			Ops:          []records.Op{op},
+			OwnKey:       page.Key,
+			OwnRevision:  &page.Revision,
+			OnUnanswered: page.NoteUnanswered,
+			OnStored:     result.stored,
+			OnTooLarge:   func() { result.moved(pages.NoteTooLarge(page)) },
+		})
 	}
 	return true
 }
 
-// maxCommitBytes keeps a commit well below the service's 64 KiB.
-const maxCommitBytes = 40 << 10
-
-// takeMarks gathers the marks that have changed, and says whether all fit.
-func (r *Persistence) takeMarks(ws *[]PendingWrite, fits func(ops, bytes int) bool, now time.Time) bool {
-	c := r.core
-	// Marks are raised ahead of need, so they wait for each other, unless a task waits.
-	if !r.needed && now.Sub(r.marksAt) < r.core.settings.HeartbeatInterval/4 {
+// takeWatermarks stores the pages of watermarks that have changed. Watermarks are raised ahead of
+// need, so they wait for each other, unless a task waits.
+func (p *Persistence) takeWatermarks(b *writeBatch, now time.Time) bool {
+	s := p.scheduler
+	if !p.watermarkNeeded && now.Sub(p.watermarksAt) < s.settings.HeartbeatInterval/4 {
 		return true
 	}
-	r.needed, r.marksAt = false, now
-	for j := range c.watermarks.raised {
-		delete(c.watermarks.raised, j)
+	p.watermarkNeeded, p.watermarksAt = false, now
+	for j := range s.watermarks.raised {
+		delete(s.watermarks.raised, j)
 		if !j.closed {
 			v := records.FormatWatermark(j.watermark.Requested)
-			r.sent.Put(j.ID, v, len(v))
+			p.watermarks.Put(j.ID, v, len(v))
 		}
 	}
-	return r.takeShelf(r.sent, ws, fits, func(ids []string, entries map[string]json.RawMessage) (func(uint64), func([]string)) {
-		stored := func(uint64) {
-			for _, id := range ids {
-				r.sent.DropReadOnly(id)
-				if n, err := records.ParseWatermark(entries[id]); err == nil && c.jobs[id] != nil {
-					c.jobs[id].watermark.NoteStored(n)
-				}
-			}
-		}
-		return stored, func(ids []string) {
-			// Guards against a mark that rose while this value was on its way: what is
-			// stored next is what is asked for then, not what was asked for before.
-			for _, id := range ids {
-				if j := c.jobs[id]; j != nil {
-					c.watermarks.raised[j] = struct{}{}
-				}
-			}
-			r.needed = true
+	return p.takePages(p.watermarks, b, func(ids []string, entries map[string]json.RawMessage) pageResult {
+		return pageResult{
+			stored: func(uint64) { p.watermarksStored(ids, entries) },
+			moved:  p.requestWatermarksAgain,
 		}
 	})
 }
 
-// dropMarks takes away the marks of jobs that are over.
-func (r *Persistence) dropMarks() {
-	for _, id := range r.over {
-		r.sent.Remove(id)
+func (p *Persistence) watermarksStored(ids []string, entries map[string]json.RawMessage) {
+	for _, id := range ids {
+		p.watermarks.DropReadOnly(id)
+		j := p.scheduler.jobs[id]
+		if n, err := records.ParseWatermark(entries[id]); err == nil && j != nil {
+			j.watermark.NoteStored(n)
+		}
+	}
+}
+
+// requestWatermarksAgain has the watermarks of jobs stored as they are requested by then. Without
+// this, one that rose while its page was on its way would be stored as it was before.
+func (p *Persistence) requestWatermarksAgain(ids []string) {
+	for _, id := range ids {
+		if j := p.scheduler.jobs[id]; j != nil {
+			p.scheduler.watermarks.raised[j] = struct{}{}
+		}
+	}
+	p.watermarkNeeded = true
+}
+
+// dropWatermarks removes the watermarks of closed jobs.
+func (p *Persistence) dropWatermarks() {
+	for _, id := range p.closedJobs {
+		p.watermarks.Remove(id)
 	}
-	r.over = r.over[:0]
+	p.closedJobs = p.closedJobs[:0]
 }
 
-// HasUnstoredJobs says whether a job is complete but not yet stored as done.
+// HasUnstoredJobs reports whether a job is complete but not yet stored as done.
 func (s *Scheduler) HasUnstoredJobs() bool {
 	for j := range s.complete {
 		if !j.closing {
