--- a/internal/scheduler/finished_tasks_test.go
+++ b/internal/scheduler/finished_tasks_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"drumpick/internal/config"
+	"drumpick/internal/finishedtasks"
 	"drumpick/internal/records"
 )
 
@@ -168,14 +169,14 @@
 				c.AddJob(records.Job{ID: id, Tasks: tasks[id], Shape: records.ShapeArray}, 1, now, now)
 			}
 			n := 0
-			p := newProgress(set, records.NewPagedRecords("done/", nextKB, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }))
+			p := finishedtasks.New(set.finishedTaskLayout(), records.NewPagedRecords("done/", nextKB, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }), finishedJobs{c})
 			for _, key := range s.keys() {
-				p.shelf.Load(key, s[key], s.bytes(key))
+				p.Pages().Load(key, s[key], s.bytes(key))
 				for id, v := range s[key] {
 					job, chunk, _ := records.ParsePartID(id)
 					var text string
 					_ = json.Unmarshal(v, &text)
-					if err := p.load(c, id, c.jobs[job], chunk, text); err != nil {
+					if err := p.Load(id, finishedJob{c.jobs[job]}, chunk, text); err != nil {
 						t.Fatal(err)
 					}
 					if err := c.LoadDone(job, chunk, text); err != nil {
@@ -186,10 +187,10 @@
 		rounds:
 			for range 6 {
 				ended(func(job string, n int) { c.markDone(c.jobs[job], n) })
-				p.gather(c)
-				for len(p.shelf.Dirty()) > 0 {
-					b := p.shelf.Dirty()[0]
-					op, _, ids := p.shelf.TakeWrite(b)
+				p.Gather()
+				for len(p.Pages().Dirty()) > 0 {
+					b := p.Pages().Dirty()[0]
+					op, _, ids := p.Pages().TakeWrite(b)
 					if op.Write != "" {
 						written[op.Write] = true
 						if size := records.EncodedSize(op.Value); float64(size) > nextKB*1024 {
@@ -206,7 +207,7 @@
 					if r.IntN(60) == 0 {
 						break rounds // killed before its answer
 					}
-					p.stored(c, ids)(0)
+					p.Stored(ids)(0)
 				}
 				for _, j := range c.jobs {
 					for i := range j.Tasks {
@@ -231,18 +232,18 @@
 // Without limits to come, records are what the version in production writes.
 func TestPartsWithoutNext(t *testing.T) {
 	set := settings(8, 0)
-	if set.perChunk() != 1 {
-		t.Fatalf("%d parts in a chunk", set.perChunk())
+	if n := set.finishedTaskLayout().PartsPerChunk(); n != 1 {
+		t.Fatalf("%d parts in a chunk, want 1", n)
 	}
 	now := time.Unix(1000, 0)
 	c := New(set, 3, now)
 	c.AddJob(records.Job{ID: "j-1", Tasks: 5000, Shape: records.ShapeArray}, 1, now, now)
-	p := newProgress(set, records.NewPagedRecords("done/", 8, func() string { return "3-1" }))
+	p := finishedtasks.New(set.finishedTaskLayout(), records.NewPagedRecords("done/", 8, func() string { return "3-1" }), finishedJobs{c})
 	for _, n := range []int{0, 1, 2, 7, 2048, 4999} {
 		c.markDone(c.jobs["j-1"], n)
 	}
-	p.gather(c)
-	op, _, _ := p.shelf.TakeWrite(p.shelf.Dirty()[0])
+	p.Gather()
+	op, _, _ := p.Pages().TakeWrite(p.Pages().Dirty()[0])
 	raw, _ := json.Marshal(op.Value)
 	if want := `{"j-1/0":"0-2,7","j-1/1":"0","j-1/2":"903"}`; string(raw) != want || op.Write != "done/3-1" {
 		t.Errorf("%s %s, want %s", op.Write, raw, want)
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"time"
 
+	"drumpick/internal/finishedtasks"
 	"drumpick/internal/records"
 	"drumpick/internal/watermark"
 )
@@ -38,7 +39,7 @@
 	scheduler       *Scheduler
 	machines        *records.PagedRecords
 	watermarks      *records.PagedRecords
-	finished        *progress
+	finished        *finishedtasks.Keeper
 	maxOps          int       // changes in one commit
 	valueBytes      int       // the largest value
 	finishedAt      time.Time // when finished tasks were last gathered
@@ -64,7 +65,7 @@
 		scheduler:        s,
 		machines:         pages(records.PrefixMachines),
 		watermarks:       pages(records.PrefixWatermarks),
-		finished:         newProgress(s.settings, pages(records.PrefixDone)),
+		finished:         finishedtasks.New(s.settings.finishedTaskLayout(), pages(records.PrefixDone), finishedJobs{s}),
 		maxOps:           maxOps,
 		valueBytes:       int(valueKB * 1024),
 		loadedWatermarks: map[string]int{},
@@ -73,14 +74,14 @@
 
 // LoadDone takes in a page of finished tasks of jobs that are known.
 func (p *Persistence) LoadDone(row records.KeyValue) {
-	load(records.PrefixDone, p.finished.shelf, row, func(id string, v json.RawMessage) error {
+	load(records.PrefixDone, p.finished.Pages(), row, func(id string, v json.RawMessage) error {
 		job, chunk, ok := records.ParsePartID(id)
 		var ranges string
 		if !ok || json.Unmarshal(v, &ranges) != nil {
 			return errors.New("unreadable")
 		}
 		if j := p.scheduler.jobs[job]; j != nil {
-			if err := p.finished.load(p.scheduler, id, j, chunk, ranges); err != nil {
+			if err := p.finished.Load(id, finishedJob{j}, chunk, ranges); err != nil {
 				return err
 			}
 		}
@@ -117,9 +118,9 @@
 // FinishLoading ends the reading. complete reports whether earlier leaders dispatched nothing beyond
 // the watermarks.
 func (p *Persistence) FinishLoading(complete bool) {
-	for id := range p.finished.shelf.IDs() {
+	for id := range p.finished.Pages().IDs() {
 		if job, _, _ := records.ParsePartID(id); p.scheduler.jobs[job] == nil {
-			p.finished.shelf.Remove(id)
+			p.finished.Pages().Remove(id)
 		}
 	}
 	if !p.scheduler.settings.Watermarks {
@@ -318,11 +319,11 @@
 // closed jobs off it.
 func (p *Persistence) gatherFinished(now time.Time) {
 	s := p.scheduler
-	p.finished.close(s.closedJobs)
+	p.finished.Close(s.closedJobs)
 	p.closedJobs = append(p.closedJobs, s.closedJobs...)
 	s.closedJobs = s.closedJobs[:0]
 	if now.Sub(p.finishedAt) >= s.settings.HeartbeatInterval {
-		p.finished.gather(s)
+		p.finished.Gather()
 		p.dropWatermarks()
 		p.finishedAt = now
 	}
@@ -330,10 +331,10 @@
 
 // takeFinished stores the pages of finished tasks that have changed.
 func (p *Persistence) takeFinished(b *writeBatch) bool {
-	return p.takePages(p.finished.shelf, b, func(ids []string, _ map[string]json.RawMessage) pageResult {
+	return p.takePages(p.finished.Pages(), b, func(ids []string, _ map[string]json.RawMessage) pageResult {
 		return pageResult{
-			stored: p.finished.stored(p.scheduler, ids),
-			moved:  func(ids []string) { p.finished.again(p.scheduler, ids) },
+			stored: p.finished.Stored(ids),
+			moved:  p.finished.Rewrite,
 		}
 	})
 }
