--- a/internal/scheduler/drain_preview.go
+++ b/internal/scheduler/drain_preview.go
@@ -12,24 +12,24 @@
 	"drumpick/internal/records"
 )
 
-// Errors of a drain that cannot be.
+// Errors of a drain that is refused.
 type (
-	// NoMachineError says that what was named is not there.
+	// NoMachineError is returned where there is no such machine, zone or machine type.
 	NoMachineError struct{ Text string }
-	// NoCapacityLeftError says that a drain would leave jobs without any machine.
+	// NoCapacityLeftError is returned where a drain would leave jobs without any machine.
 	NoCapacityLeftError struct{ Text string }
 )
 
 func (e *NoMachineError) Error() string      { return e.Text }
 func (e *NoCapacityLeftError) Error() string { return e.Text }
 
-// mostDrains is how many drains may be in force at a time, each of which is held against every
-// machine at each look. It does not bound the machines that are drained: a drain by type, zone,
-// age or version means any number, and one by names as many as its record holds.
-const mostDrains = 64
+// maxDrains is how many drains may be in force at a time, each of which is matched with every machine
+// at each pass. It does not bound the machines that are drained: a drain by type, zone, age or version
+// selects any number, and one by names as many as its record holds.
+const maxDrains = 64
 
-// PreviewDrain tells what a drain would do, were it started now; it changes nothing. Without
-// force, one that would leave the jobs of a class without any machine is an error.
+// PreviewDrain returns what a drain would do if it started now; it changes nothing. Without force, one
+// that would leave the jobs of a class without any machine is an error.
 func (s *Scheduler) PreviewDrain(spec *drain.Spec, force bool, now time.Time) (*drain.Plan, error) {
 	for _, name := range spec.Machines {
 		if s.fleet.Machines[name] == nil {
@@ -42,7 +42,7 @@
 			active++
 		}
 	}
-	if active >= mostDrains {
+	if active >= maxDrains {
 		return nil, &NoCapacityLeftError{fmt.Sprintf("%d drains are in force; stop some first", active)}
 	}
 	if spec.Zone != "" && !slices.Contains(s.settings.Zones, spec.Zone) {
@@ -85,7 +85,7 @@
 	return p, nil
 }
 
-// noneLeft finds jobs that could run nowhere any more.
+// noneLeft returns an error if there are jobs that could run nowhere any more.
 func (s *Scheduler) noneLeft(spec *drain.Spec, now time.Time) error {
 	look := &placeFinder{scheduler: s, now: now, permits: map[*Job]bool{}, barred: spec.BarsScaleOut,
 		isLeaving: func(m *fleet.Machine) bool { return spec.Selects(drainView(m, now)) }}
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// planOf works out what becomes of each task on the machines that a drain means. Tasks
-// that move take the room that others would, so each has its place set aside while it
-// looks. list says of which machines the tasks are told.
+// planOf works out what becomes of each task on the machines that a drain selects. Tasks that move take
+// the room that others would, so each has its place reserved until the plan is made. list reports of
+// which machines the plan has the tasks; nil: of none.
 func (s *Scheduler) planOf(spec *drain.Spec, d *activeDrain, now time.Time, list func(*fleet.Machine) bool) *drain.Plan {
 	p := &drain.Plan{Classes: map[string]*drain.ClassPlan{}, Machines: []drain.MachinePlan{}}
 	var left *time.Duration
--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/records"
 )
 
-// ReadDrain reads what operators asked for from its record.
+// ReadDrain reads a drain from its record, and reports whether that is readable.
 func ReadDrain(key string, value json.RawMessage) (drain.Spec, bool) {
 	var s drain.Spec
 	if err := json.Unmarshal(value, &s); err != nil || records.PrefixDrains+s.ID != key {
@@ -108,7 +108,7 @@
 	return true
 }
 
-// ReplaceDrains takes in all drains that there are; others are gone.
+// ReplaceDrains takes in all drains on record; others are removed.
 func (s *Scheduler) ReplaceDrains(found map[string]drain.Spec) {
 	var gone []string
 	for _, d := range s.drains {
@@ -124,8 +124,8 @@
 	}
 }
 
-// PreviewDrainPage tells what a drain would do: of machines behind since with up to limit tasks,
-// and in all.
+// PreviewDrainPage returns what a drain would do: in all, and for the machines whose names follow
+// since, with up to limit tasks.
 func (s *Scheduler) PreviewDrainPage(spec *drain.Spec, force bool, since string, limit int, now time.Time) (*drain.Plan, error) {
 	p, err := s.PreviewDrain(spec, force, now)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return p, nil
 }
 
-// DrainView tells how a drain stands.
+// DrainView returns a drain with its state, and whether there is one of that id.
 func (s *Scheduler) DrainView(id string) (DrainView, bool) {
 	for _, d := range s.drains {
 		if d.spec.ID == id {
--- a/internal/scheduler/place_finder.go
+++ b/internal/scheduler/place_finder.go
@@ -8,20 +8,20 @@
 	"drumpick/internal/packing"
 )
 
-// placeFinder answers, within one look, where tasks could go. Jobs alike share an answer that
-// there is no room.
+// placeFinder finds out where tasks could go, at one time. Jobs of the same placement class share the
+// answer that there is no room.
 type placeFinder struct {
 	scheduler *Scheduler
 	now       time.Time
-	noRoom    map[int]bool
-	permits   map[*Job]bool
+	noRoom    map[int]bool                // placement classes without room
+	permits   map[*Job]bool               // what allowedAnywhere returned, by job
 	barred    func(typ, zone string) bool // beside what is drained already; nil: nothing
-	isLeaving func(m *fleet.Machine) bool
+	isLeaving func(m *fleet.Machine) bool // machines that are to be drained as well; nil: none
 }
 
-// allowedAnywhere says whether one more task of the job may run anywhere that is not drained: on
-// a machine that is there or one that could be rented. zones are those of its other tasks,
-// where they decide about it; nil elsewhere.
+// allowedAnywhere reports whether one more task of the job may run anywhere that is not drained: on a
+// machine that is there or one that could be rented. zones counts its other tasks by zone where these
+// decide about it; nil elsewhere.
 func (p *placeFinder) allowedAnywhere(j *Job, zones map[string]int) bool {
 	ok, known := p.permits[j]
 	if known && zones == nil {
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// findRoomForAll finds places for all of some tasks of a gang, whose other tasks stay where they
-// are; fewer than asked for: there is not room for all.
+// findRoomForAll finds places for some tasks of a gang, whose other tasks stay where they are. Where it
+// returns fewer, there is not room for all of them.
 func (p *placeFinder) findRoomForAll(j *Job, n int, staying map[string]int) []*fleet.Machine {
 	zones := []string{""}
 	if j.OneZone && len(staying) == 0 {
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -9,29 +9,30 @@
 	"drumpick/internal/watermark"
 )
 
-// watermarkState is what a term knows of the marks in the store (package frontier).
+// watermarkState is what a term knows of the watermarks in the store (package watermark).
 type watermarkState struct {
-	raised   map[*Job]struct{} // jobs whose marks are to be stored anew
-	complete bool              // every task that may have been sent, by any leader, is below a mark that is stored or raised
-	relaxed  bool              // every other controller has heard that it is not so: tasks beyond marks may be sent
+	raised map[*Job]struct{} // jobs whose watermarks are to be stored anew
+	// complete: every task that any leader may have sent is below a watermark, stored or raised.
+	complete bool
+	// relaxed: every other controller was notified that this is not so; tasks beyond watermarks may be sent.
+	relaxed bool
 }
 
 func newWatermarkState() watermarkState { return watermarkState{raised: map[*Job]struct{}{}} }
 
-// isUncertain says whether a task may be on a machine that has not been heard since the
-// takeover.
-func (j *Job) isUncertain(t int) bool { return j.uncertain != nil && has(j.uncertain, t) }
+// isUncertain reports whether a task may be on a machine that has not been heard since the failover.
+func (j *Job) isUncertain(task int) bool { return j.uncertain != nil && has(j.uncertain, task) }
 
-// countUncertain counts such tasks.
+// countUncertain counts the uncertain tasks that are not done.
 func (j *Job) countUncertain() int {
 	n := 0
-	for i, w := range j.uncertain {
-		n += bits.OnesCount64(w &^ j.done[i])
+	for i, word := range j.uncertain {
+		n += bits.OnesCount64(word &^ j.done[i])
 	}
 	return n
 }
 
-// markUncertain takes all tasks of a job as in doubt, if an earlier leader can have sent any.
+// markUncertain marks all tasks of a job as uncertain if an earlier leader can have sent any.
 func (s *Scheduler) markUncertain(j *Job) {
 	if s.reconciled || j.notStartedBefore > s.term {
 		return
@@ -43,7 +44,7 @@
 	j.nextUntried = j.Tasks
 }
 
-// clearUncertain takes no task of a job as in doubt any more: where a machine holds one, that is
+// clearUncertain marks no task of a job as uncertain any more: where a machine holds one, that is
 // known.
 func (s *Scheduler) clearUncertain(j *Job) {
 	if j.uncertain == nil {
@@ -53,7 +54,7 @@
 	j.uncertain, j.adoptedUntried, s.placementStale = nil, true, true
 	s.order.activate(j)
 	if len(j.retries) == 0 {
-		j.nextUntried = 0 // what is held, done or astray is passed over
+		j.nextUntried = 0 // what is held, done or a duplicate is passed over
 		return
 	}
 	for t := range j.Tasks {
@@ -63,13 +64,13 @@
 	}
 }
 
-// LoadWatermarks takes in the marks that the store has, by job. Where they are whole, only what
-// is below them is in doubt: the rest was never sent.
-func (s *Scheduler) LoadWatermarks(stored map[string]int, whole bool) {
+// LoadWatermarks takes in the watermarks that the store has, by job. Where they are complete, only the
+// tasks below them are uncertain: the rest was never sent.
+func (s *Scheduler) LoadWatermarks(stored map[string]int, complete bool) {
 	for id, j := range s.jobs {
 		n := min(stored[id], j.Tasks)
 		j.watermark.NoteStored(n)
-		if !whole || j.uncertain == nil {
+		if !complete || j.uncertain == nil {
 			continue
 		}
 		j.nextUntried = n
@@ -82,14 +83,14 @@
 			j.uncertain[t/64] &^= 1 << (t % 64)
 		}
 	}
-	s.watermarks.complete = whole
+	s.watermarks.complete = complete
 	s.placementStale = true
 }
 
-// clearUncertainOn clears the doubt about what a machine shows that obeys this term: what is there now
-// had not ended when the last leader stopped, so it was sent to no other. Guards against what only
-// a copy of an earlier report has shown, and is still to be asked about: the machine may have
-// started anew since, and the task have been sent to another that is unheard of.
+// clearUncertainOn takes the tasks that a machine shows under this term as certain: what is there now
+// had not ended when the last leader stopped, so it was sent to no other machine. It leaves out what
+// only a copy of an earlier heartbeat has shown, and is still to be probed for: the machine may have a
+// new incarnation since, and the task have been sent to another that has not been heard.
 func (s *Scheduler) clearUncertainOn(m *fleet.Machine) {
 	for _, a := range m.Attempts() {
 		j := s.jobOf(a)
@@ -99,8 +100,8 @@
 	}
 }
 
-// clearAllUncertain ends all doubt, as every machine has been heard, and marks what is on them: an
-// earlier leader may have kept no marks.
+// clearAllUncertain takes all tasks as certain, as every machine has been heard, and raises the
+// watermarks beyond what is on them: an earlier leader may have kept none.
 func (s *Scheduler) clearAllUncertain() {
 	for _, j := range s.jobs {
 		s.clearUncertain(j)
@@ -116,22 +117,22 @@
 	s.watermarks.complete = s.settings.Watermarks
 }
 
-// raiseWatermark asks for a mark beyond a task.
+// raiseWatermark requests a watermark beyond a task.
 func (s *Scheduler) raiseWatermark(j *Job, t int) {
 	if !s.settings.Watermarks {
 		return
 	}
 	if j.Shape == records.ShapeGang {
-		t = j.Tasks - 1 // all of it is sent or none
+		t = j.Tasks - 1 // a gang is sent as a whole
 	}
 	if j.watermark.Raise(t, j.Tasks) {
 		s.watermarks.raised[j] = struct{}{}
 	}
 }
 
-// raiseForNewJob marks what of a new job will be wanted at once when its turn comes: urgent jobs'
-// first tasks, and small jobs and those that wait for others whole. Guards against a
-// chain each step of which waits for the store.
+// raiseForNewJob raises the watermark beyond what of a new job is sent at once when its turn comes:
+// the first tasks of urgent jobs, and all of small jobs and of those with dependencies. Without this,
+// each step of a chain of dependencies would wait for the store.
 func (s *Scheduler) raiseForNewJob(j *Job) {
 	switch {
 	case len(j.Dependencies) > 0 || j.Tasks <= 2*watermark.RaiseDivisor:
@@ -141,7 +142,7 @@
 	}
 }
 
-// belowWatermark says whether a task that is planned may be sent as far as marks go.
+// belowWatermark reports whether a planned task may be sent as far as watermarks go.
 func (s *Scheduler) belowWatermark(a *fleet.Attempt) bool {
 	if !s.settings.Watermarks || s.watermarks.relaxed {
 		return true
@@ -150,7 +151,7 @@
 	return j == nil || j.watermark.Covers(a.Task.N)
 }
 
-// AwaitsWatermark says whether anything planned for a machine waits for its mark.
+// AwaitsWatermark reports whether any task planned for a machine waits for its watermark.
 func (s *Scheduler) AwaitsWatermark(m *fleet.Machine) bool {
 	for _, a := range m.Attempts() {
 		if a.State() == fleet.Planned && !s.belowWatermark(a) {
@@ -160,8 +161,8 @@
 	return false
 }
 
-// aheadShare is how many tasks, for each machine that takes tasks, are marked before there is room
-// for them: about what starts until the next look and the answer of the store to it.
+// aheadShare is for how many tasks, for each machine that takes tasks, watermarks are raised before
+// there is room for them: about what starts until the next tick and the store's answer to it.
 const aheadShare = 1.0 / 2
 
 // countAccepting counts the machines that take tasks.
@@ -175,8 +176,8 @@
 	return n
 }
 
-// raiseWatermarksAhead raises the marks of the jobs that are served next, so that a task that finds room
-// in the answer to a report need not wait for the store.
+// raiseWatermarksAhead raises the watermarks of the jobs that are served next, so that a task that finds
+// room in the answer to a heartbeat need not wait for the store.
 func (s *Scheduler) raiseWatermarksAhead(now time.Time) {
 	if !s.settings.Watermarks {
 		return
