--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -15,7 +15,7 @@
 func (s *Scheduler) attemptLost(attempt *fleet.Attempt, now time.Time) {
 	job := s.jobs[attempt.Task.Job]
 	lostTotal.Inc()
-	drained(attempt, now)
+	countDrained(attempt, now)
 	slog.Debug("attempt lost", "task", attempt.Task.String(), "machine", attempt.Machine.Name, "state", attempt.State().String(),
 		"outcome", s.countWastedStart(attempt), "term", s.term)
 	breaksGang := job != nil && job.Shape == records.ShapeGang && job.attempts[attempt.Task.N] == attempt && attempt.State() != fleet.Sent
@@ -34,7 +34,7 @@
 		attempt.Reap = true
 		return
 	}
-	drained(attempt, now)
+	countDrained(attempt, now)
 	s.reportEnded(attempt, now)
 	s.applyCause(job, attempt, now)
 	wasHeld := job.attempts[attempt.Task.N] == attempt
--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -73,7 +73,7 @@
 	for _, m := range s.fleet.Sorted() {
 		// While machines are drained, tasks that are to leave them wait for room as well; what is
 		// up and empty is for them, and no reason to rent more.
-		free := s.drainsActive && m.Empty() && s.acceptsTasks(m, now)
+		free := s.drains.anyInForce && m.Empty() && s.acceptsTasks(m, now)
 		machines = append(machines, autoscaler.Machine{
 			Offer:     offerOf(m),
 			InService: inService(m),
--- /dev/null
+++ b/internal/scheduler/drain_pass.go
@@ -0,0 +1,186 @@
+package scheduler
+
+import (
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+
+	"drumpick/internal/autoscaler"
+	"drumpick/internal/drain"
+	"drumpick/internal/fleet"
+	"drumpick/internal/records"
+)
+
+// soakIntervals is for how many heartbeat intervals a machine with its new version counts as out of
+// service until a task has completed there.
+const soakIntervals = 5
+
+// runDrains brings machines into the state that operators asked for.
+func (s *Scheduler) runDrains(now time.Time) {
+	s.drains.lastPass, s.drains.anyInForce = now, false
+	s.refreshAccepting(now)
+	s.cordonSelected(s.selectForDrains(now), now)
+	for _, j := range s.queue(now) {
+		if j.Shape != records.ShapeService {
+			j.relocating, j.remainingZones = 0, nil
+		}
+	}
+	finder := &placeFinder{scheduler: s, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}}
+	for _, m := range s.fleet.Sorted() {
+		if d, ok := m.Cordon.(*activeDrain); ok && d.isEmptying() {
+			s.emptyMachine(m, d, finder)
+		}
+	}
+	for _, d := range s.drains.list {
+		s.updateDrainState(d, now)
+	}
+}
+
+// selectForDrains returns which drain is to have which machine.
+func (s *Scheduler) selectForDrains(now time.Time) map[*fleet.Machine]*activeDrain {
+	selected := map[*fleet.Machine]*activeDrain{}
+	for _, d := range s.drains.list {
+		d.inForce, d.deadline, _ = d.spec.InForce(now)
+		s.drains.anyInForce = s.drains.anyInForce || d.inForce && !d.state.Closed()
+		switch {
+		case !d.inForce:
+		case d.spec.Kind != drain.Upgrade:
+			s.selectForDrain(d, selected, now)
+		case !d.state.Closed():
+			s.selectForUpgrade(d, selected, now)
+		}
+	}
+	return selected
+}
+
+// selectForDrain selects the machines of a drain that is not an upgrade.
+func (s *Scheduler) selectForDrain(d *activeDrain, selected map[*fleet.Machine]*activeDrain, now time.Time) {
+	for _, m := range s.fleet.Sorted() {
+		there := !m.Returning && (!m.LeaseExpired || s.awaitedByOperator(m, now))
+		if there && d.spec.Selects(drainView(m, now)) && d.takesPrecedence(selected[m]) {
+			selected[m] = d
+		}
+	}
+}
+
+// selectForUpgrade selects the machines that an upgrade may take out of service now.
+func (s *Scheduler) selectForUpgrade(d *activeDrain, selected map[*fleet.Machine]*activeDrain, now time.Time) {
+	classes := map[autoscaler.Offer][]string{}
+	candidates := s.candidates(d, classes, now)
+	if d.state.Rollout == nil {
+		r := drain.NewRollout(&d.spec, candidates)
+		d.state.Rollout = &r
+	}
+	rollout := d.state.Rollout
+	wasRolledBack := rollout.RolledBack
+	rollout.Judge(candidates)
+	if rollout.RolledBack && !wasRolledBack {
+		slog.Warn("upgrade rolled back", "drain", d.spec.ID, "reason", rollout.Reason, "version", rollout.Target, "term", s.term)
+	}
+	inServiceByZone, inServiceByClass := map[string]int{}, map[string]int{}
+	for _, m := range s.fleet.Sorted() {
+		if m.Cordon != nil || selected[m] != nil || !s.acceptsTasks(m, now) {
+			continue
+		}
+		inServiceByZone[m.Zone]++
+		for _, class := range s.classesOf(m, classes) {
+			inServiceByClass[class]++
+		}
+	}
+	names := rollout.Next(&d.spec, candidates, inServiceByZone, inServiceByClass, soakIntervals*s.settings.HeartbeatInterval)
+	slices.Sort(names)
+	d.state.OutOfService, d.state.Blocked = names, rollout.Blocked
+	for _, name := range names {
+		if m := s.fleet.Machines[name]; d.takesPrecedence(selected[m]) {
+			selected[m] = d
+		}
+	}
+}
+
+// cordonSelected cordons the machines that drains have selected, and no others.
+func (s *Scheduler) cordonSelected(selected map[*fleet.Machine]*activeDrain, now time.Time) {
+	for _, m := range s.fleet.Sorted() {
+		switch d := selected[m]; {
+		case d == nil && m.Cordon != nil:
+			s.uncordon(m, now)
+		case d != nil && m.Cordon != d:
+			s.cordon(m, d)
+		}
+	}
+}
+
+func (s *Scheduler) cordon(m *fleet.Machine, d *activeDrain) {
+	slog.Info("machine cordoned", "machine", m.Name, "drain", d.spec.ID, "kind", d.spec.Kind, "term", s.term)
+	m.Cordon = d
+	d.machines[m.Name] = true
+	m.Bin.SetOpen(false)
+	s.cancelPlanned(m)
+	s.placementStale = true
+}
+
+// uncordon brings a machine back into service. Tasks that were told to stop still do.
+func (s *Scheduler) uncordon(m *fleet.Machine, now time.Time) {
+	slog.Info("machine uncordoned", "machine", m.Name, "version", m.Version, "term", s.term)
+	m.Cordon = nil
+	m.EmptySince = now
+	s.placementStale = true
+	s.lastReopen = time.Time{}
+}
+
+// candidates lists the machines that an upgrade is about.
+func (s *Scheduler) candidates(d *activeDrain, classes map[autoscaler.Offer][]string, now time.Time) []drain.Candidate {
+	var all []drain.Candidate
+	outOfService := map[string]bool{}
+	for _, name := range d.state.OutOfService {
+		outOfService[name] = true
+	}
+	for _, m := range s.fleet.Sorted() {
+		view := drainView(m, now)
+		if !s.awaitsUpgrade(d, m, view, now) || !m.PreemptionAt.IsZero() {
+			continue
+		}
+		c := drain.Candidate{
+			Machine: view,
+			Empty:   m.Empty(),
+			Up:      m.Cordon == nil && s.acceptsTasks(m, now),
+			Proven:  m.Proven,
+			Failed:  m.Faulty,
+			Classes: s.classesOf(m, classes),
+			// A new leader finds out of service what the one before had.
+			OutOfService: m.Cordon == d || m.Cordon == nil && outOfService[m.Name],
+		}
+		if !m.VersionSince.IsZero() {
+			c.VersionAge = now.Sub(m.VersionSince)
+		}
+		for _, a := range m.Attempts() {
+			if j := s.jobOf(a); j != nil && a.State() != fleet.Ended {
+				c.Cost += time.Duration(s.remainingSeconds(j, a, now) * float64(time.Second))
+			}
+		}
+		all = append(all, c)
+	}
+	return all
+}
+
+// awaitsUpgrade reports whether a machine that is there is to have the version of an upgrade.
+func (s *Scheduler) awaitsUpgrade(d *activeDrain, m *fleet.Machine, view drain.Machine, now time.Time) bool {
+	return m.Up && (!m.LeaseExpired || s.awaitedByOperator(m, now)) && !m.Returning && d.spec.Selects(view) && !d.isReplacement(m)
+}
+
+// classesOf lists the classes of open jobs that may run on a machine. Machines of the same offer share
+// the answer, which classes holds for one pass.
+func (s *Scheduler) classesOf(m *fleet.Machine, classes map[autoscaler.Offer][]string) []string {
+	o := offerOf(m)
+	if list, ok := classes[o]; ok {
+		return list
+	}
+	seen := map[string]bool{}
+	for _, j := range s.sortedJobs {
+		if !seen[j.Class] && j.permits(m.Type, m.Zone, m.Spot) && s.capacity(m.Type).Fits(j.request) {
+			seen[j.Class] = true
+		}
+	}
+	classes[o] = slices.Sorted(maps.Keys(seen))
+	return classes[o]
+}
--- a/internal/scheduler/drain_preview.go
+++ b/internal/scheduler/drain_preview.go
@@ -37,7 +37,7 @@
 		}
 	}
 	active := 0
-	for _, d := range s.drains {
+	for _, d := range s.drains.list {
 		if !d.spec.Stopped && !(d.spec.Kind == drain.Upgrade && d.state.Closed()) {
 			active++
 		}
@@ -51,7 +51,7 @@
 	if _, ok := s.types[spec.Type]; spec.Type != "" && !ok && len(s.types) > 0 {
 		return nil, &NoMachineError{"there is no machine type " + spec.Type}
 	}
-	p := s.planOf(spec, nil, now, func(m *fleet.Machine) bool { return true })
+	p := s.planOf(spec, now, func(m *fleet.Machine) bool { return true })
 	if p.All.Machines == 0 {
 		if spec.Window == nil && len(spec.Machines) > 0 || spec.Version != "" && spec.Window == nil || spec.Kind == drain.Upgrade && spec.Window == nil {
 			return nil, &NoMachineError{"no machine is meant: nothing fits all that is said"}
@@ -112,7 +112,7 @@
 // planOf works out what becomes of each task on the machines that a drain selects. Tasks that move take
 // the room that others would, so each has its place reserved until the plan is made. list reports of
 // which machines the plan has the tasks; nil: of none.
-func (s *Scheduler) planOf(spec *drain.Spec, d *activeDrain, now time.Time, list func(*fleet.Machine) bool) *drain.Plan {
+func (s *Scheduler) planOf(spec *drain.Spec, now time.Time, list func(*fleet.Machine) bool) *drain.Plan {
 	p := &drain.Plan{Classes: map[string]*drain.ClassPlan{}, Machines: []drain.MachinePlan{}}
 	var left *time.Duration
 	if _, by, _ := spec.InForce(now); !by.IsZero() {
--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -32,7 +32,7 @@
 
 // takeDrains stores the states of drains that have changed, and removes the oldest that have ended.
 func (p *Persistence) takeDrains(b *writeBatch, now time.Time) bool {
-	for _, d := range p.scheduler.drains {
+	for _, d := range p.scheduler.drains.list {
 		if d.stateDue(stateIntervals*p.scheduler.settings.HeartbeatInterval, now) && !p.takeDrainState(d, b, now) {
 			return false
 		}
@@ -83,12 +83,12 @@
 // removeEndedDrains makes room on record for new drains; their ids are in the order of time.
 func (p *Persistence) removeEndedDrains(b *writeBatch) bool {
 	ended := 0
-	for _, d := range p.scheduler.drains {
+	for _, d := range p.scheduler.drains.list {
 		if d.ended() {
 			ended++
 		}
 	}
-	for _, d := range p.scheduler.drains {
+	for _, d := range p.scheduler.drains.list {
 		if ended <= maxEndedDrains {
 			break
 		}
@@ -111,7 +111,7 @@
 // ReplaceDrains takes in all drains on record; others are removed.
 func (s *Scheduler) ReplaceDrains(found map[string]drain.Spec) {
 	var gone []string
-	for _, d := range s.drains {
+	for _, d := range s.drains.list {
 		if _, ok := found[d.spec.ID]; !ok {
 			gone = append(gone, d.spec.ID)
 		}
@@ -150,7 +150,7 @@
 
 // DrainView returns a drain with its state, and whether there is one of that id.
 func (s *Scheduler) DrainView(id string) (DrainView, bool) {
-	for _, d := range s.drains {
+	for _, d := range s.drains.list {
 		if d.spec.ID == id {
 			state := d.state
 			return DrainView{d.spec, &state}, true
--- /dev/null
+++ b/internal/scheduler/drain_state.go
@@ -0,0 +1,107 @@
+package scheduler
+
+import (
+	"log/slog"
+	"time"
+
+	"drumpick/internal/drain"
+)
+
+// drainCounts counts the machines of a drain.
+type drainCounts struct {
+	occupied int // cordoned and not empty
+	upgraded int // of those that an upgrade is about, have the target version
+	upgrade  int // that an upgrade is about
+}
+
+// missing is how many machines lack the target version.
+func (n drainCounts) missing() int { return n.upgrade - n.upgraded }
+
+// updateDrainState works out the state of a drain, which operators see.
+func (s *Scheduler) updateDrainState(d *activeDrain, now time.Time) {
+	state := &d.state
+	if state.Phase == drain.Stopped || state.Closed() && d.spec.Kind == drain.Upgrade && !d.spec.Stopped {
+		return
+	}
+	state.Term = s.term
+	if state.BeganMS == 0 && d.inForce {
+		state.BeganMS = now.UnixMilli()
+		state.Plan = s.planOf(&d.spec, now, nil).All
+	}
+	counts := s.countForDrain(d, now)
+	state.Actual.Machines = len(d.machines)
+	before := state.Phase
+	s.updatePhase(d, counts, now)
+	if state.Phase == before {
+		return
+	}
+	slog.Info("drain phase changed", "drain", d.spec.ID, "phase", state.Phase, "left", state.Left, "term", s.term)
+	if state.Closed() {
+		state.EndedMS = now.UnixMilli()
+	}
+}
+
+func (s *Scheduler) countForDrain(d *activeDrain, now time.Time) (n drainCounts) {
+	for _, m := range s.fleet.Sorted() {
+		if m.Cordon == d && !m.Empty() {
+			n.occupied++
+		}
+		if d.spec.Kind != drain.Upgrade || d.state.Rollout == nil || !s.awaitsUpgrade(d, m, drainView(m, now), now) {
+			continue
+		}
+		n.upgrade++
+		if m.Version == d.state.Rollout.Target {
+			n.upgraded++
+		}
+	}
+	return n
+}
+
+// updatePhase works out the phase of a drain, and how many machines are left.
+func (s *Scheduler) updatePhase(d *activeDrain, counts drainCounts, now time.Time) {
+	state := &d.state
+	switch {
+	case d.spec.Stopped:
+		state.Phase, state.Left, state.Blocked, state.OutOfService = drain.Stopped, 0, "", nil
+	case !d.inForce:
+		state.Phase, state.Left = drain.Waiting, 0
+	case d.spec.Kind == drain.Upgrade:
+		s.updateUpgradePhase(d, counts, now)
+	case counts.occupied > 0 || !s.reconciled || d.spec.Kind == drain.Cordon:
+		state.Phase, state.Left = drain.Draining, counts.occupied
+	default:
+		if state.Actual.EmptyS == 0 && len(d.machines) > 0 {
+			state.Actual.EmptyS = max(now.Sub(time.UnixMilli(state.BeganMS)).Seconds(), 0.001)
+		}
+		state.Phase, state.Left = drain.Drained, 0
+	}
+}
+
+// updateUpgradePhase works out the phase of an upgrade that is in force. Before every machine of
+// earlier terms has been heard it is not known whether all have the target version.
+func (s *Scheduler) updateUpgradePhase(d *activeDrain, counts drainCounts, now time.Time) {
+	state, rollout := &d.state, d.state.Rollout
+	complete := counts.missing() == 0 && s.reconciled
+	switch {
+	case rollout.RolledBack && (rollout.From == "" || complete):
+		state.Phase, state.Left, state.OutOfService = drain.RolledBack, counts.missing(), nil
+	case rollout.RolledBack:
+		state.Phase, state.Left = drain.RollingBack, counts.missing()
+	case complete && (counts.upgrade > 0 || len(d.machines) > 0) && s.soaked(d, now):
+		state.Phase, state.Left, state.OutOfService = drain.Done, 0, nil
+	default:
+		state.Phase, state.Left = drain.Upgrading, counts.missing()
+	}
+}
+
+// soaked reports whether every machine with the target version has shown that it works, or had the time
+// to.
+func (s *Scheduler) soaked(d *activeDrain, now time.Time) bool {
+	for _, m := range s.fleet.Sorted() {
+		fresh := !m.VersionSince.IsZero() && now.Sub(m.VersionSince) < soakIntervals*s.settings.HeartbeatInterval
+		if m.Version == d.state.Rollout.Target && fresh && !m.Proven {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -69,8 +69,8 @@
 	machine.Faulty, machine.Draining = true, true
 	machine.Bin.SetOpen(false)
 	s.cancelPlanned(machine)
-	s.lastDrainPass = time.Time{} // an upgrade may have to be rolled back
-	for _, d := range s.drains {
+	s.drains.requestPass() // an upgrade may have to be rolled back
+	for _, d := range s.drains.list {
 		if d.upgrades() && d.spec.Selects(drainView(machine, s.now)) && machine.Version == d.state.Rollout.Target && machine.Cordon == nil {
 			machine.Cordon = d // it stays, to get its earlier version back
 		}
--- a/internal/scheduler/place_finder.go
+++ b/internal/scheduler/place_finder.go
@@ -4,6 +4,7 @@
 	"maps"
 	"time"
 
+	"drumpick/internal/drain"
 	"drumpick/internal/fleet"
 	"drumpick/internal/packing"
 )
@@ -48,6 +49,18 @@
 	return ok
 }
 
+// findPlace returns whether one more task of a job can go anywhere, and the machine where it can go now;
+// nil: there is none.
+func (p *placeFinder) findPlace(j *Job, zones map[string]int) (drain.Place, *fleet.Machine) {
+	if !p.allowedAnywhere(j, zones) {
+		return drain.Nowhere, nil
+	}
+	if m := p.findRoom(j, zones); m != nil {
+		return drain.Room, m
+	}
+	return drain.NotNow, nil
+}
+
 // findRoom finds a machine with room for one more task of a job, nil if there is none.
 func (p *placeFinder) findRoom(j *Job, zones map[string]int) *fleet.Machine {
 	if j.placementClass > 0 && p.noRoom[j.placementClass] {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -104,7 +104,7 @@
 	}
 	if outcome.Upgraded {
 		slog.Info("worker version changed", "machine", machine.Name, "version", machine.Version, "term", s.term)
-		s.lastDrainPass = time.Time{} // it may come back into service
+		s.drains.requestPass() // it may come back into service
 	}
 	if !s.reconciled {
 		s.CheckReconciled(now)
--- a/internal/scheduler/scenario_events_test.go
+++ b/internal/scheduler/scenario_events_test.go
@@ -262,7 +262,7 @@
 }
 
 func (r *replay) stopDrain(s *Scheduler, in eventInput) []string {
-	for _, d := range s.drains {
+	for _, d := range s.drains.list {
 		if d.spec.ID == in.words[0] {
 			spec := d.spec
 			spec.Stopped = true
@@ -274,7 +274,7 @@
 
 func (r *replay) drains(s *Scheduler, _ eventInput) []string {
 	var lines []string
-	for _, d := range s.drains {
+	for _, d := range s.drains.list {
 		state := d.state
 		line := fmt.Sprintf("%s %s, %d left, seen: %d finished, %d moved, %d lost, %d vanished",
 			d.spec.ID, state.Phase, state.Left, state.Actual.Finish, state.Actual.Move, state.Actual.Lose, state.Actual.Vanished)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -61,10 +61,8 @@
 	watermarks watermarkState
 
 	// Autoscaling and drains.
-	autoscaling   autoscalingState
-	drains        []*activeDrain // by id
-	lastDrainPass time.Time
-	drainsActive  bool // any drain is in force now
+	autoscaling autoscalingState
+	drains      drainSet
 
 	// Records that are no longer needed.
 	closedJobs      []string // jobs whose finished tasks need no record
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -18,7 +18,7 @@
 	s.reportSLO(now)
 	s.cancelStalePlans(now)
 	s.endBackoffs(now)
-	if len(s.drains) > 0 && now.Sub(s.lastDrainPass) >= s.settings.HeartbeatInterval {
+	if s.drains.passDue(s.settings.HeartbeatInterval, now) {
 		s.runDrains(now)
 	}
 	if now.Sub(s.lastRebalance) >= s.settings.RoundInterval && s.overload.Level() < overload.Overloaded {
