--- a/internal/scheduler/drain_state.go
+++ b/internal/scheduler/drain_state.go
@@ -26,7 +26,7 @@
 	state.Term = s.term
 	if state.BeganMS == 0 && d.inForce {
 		state.BeganMS = now.UnixMilli()
-		state.Plan = s.planOf(&d.spec, now, nil).All
+		state.Plan = s.planOf(&d.spec, now, false).All
 	}
 	counts := s.countForDrain(d, now)
 	state.Actual.Machines = len(d.machines)
