--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -36,9 +36,9 @@
 
 func (l *goldenLeader) Heartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult {
 	l.got = *r
-	windDown := 4.0
+	graceS := 4.0
 	return fleet.HeartbeatResult{Outcome: l.outcome, Response: fleet.HeartbeatResponse{FencingToken: 41, Commands: []fleet.Command{
-		{Verb: fleet.VerbRun, Task: "j-1/0", Attempt: 2}, {Verb: fleet.VerbKill, Task: "j-1/1", Attempt: 3, GraceS: &windDown},
+		{Verb: fleet.VerbRun, Task: "j-1/0", Attempt: 2}, {Verb: fleet.VerbKill, Task: "j-1/1", Attempt: 3, GraceS: &graceS},
 	}}}
 }
 
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -16,8 +16,8 @@
 	Leader string `json:"conductor,omitempty"`
 }
 
-// handleCheckin takes a worker's heartbeat.
-func (s *Server) handleCheckin(c *fiber.Ctx) error { return sendJSON(c, s.Heartbeat(c.Body())) }
+// handleHeartbeat takes a worker's heartbeat.
+func (s *Server) handleHeartbeat(c *fiber.Ctx) error { return sendJSON(c, s.Heartbeat(c.Body())) }
 
 // Heartbeat answers a heartbeat that a worker sent to this controller. Only the leader decides on it;
 // another controller relays it where it can, and otherwise sends the worker to the leader.
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -147,7 +147,7 @@
 		c.Set(fiber.HeaderRetryAfter, retryAfterS)
 		return c.SendStatus(fiber.StatusServiceUnavailable)
 	})
-	app.Post("/checkin", s.handleCheckin)
+	app.Post("/checkin", s.handleHeartbeat)
 }
 
 // retryAfterS is the pause in seconds that users are told to make when a request cannot be taken
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -33,16 +33,16 @@
 	Estimate     time.Duration // from its release to its end, by its owner's estimate
 }
 
-// Urgency is how urgent a job is, for its own sake or that of its dependents. Its fields mean the same as
+// Precedence is how urgent a job is, for its own sake or that of its dependents. Its fields mean the same as
 // those of Job.
-type Urgency struct {
+type Precedence struct {
 	Rank                int
 	Deadline, LatestEnd time.Time
 }
 
-// urgency returns the urgency of a job for its own sake.
-func (j *Job) urgency() Urgency {
-	return Urgency{Rank: j.Rank, Deadline: j.Deadline, LatestEnd: j.LatestEnd}
+// precedence returns the precedence of a job for its own sake.
+func (j *Job) precedence() Precedence {
+	return Precedence{Rank: j.Rank, Deadline: j.Deadline, LatestEnd: j.LatestEnd}
 }
 
 // node is a job of the graph.
@@ -54,8 +54,8 @@
 	doneAt       time.Time // zero: not known
 	revision     uint64    // at which its final state was stored; 0: not known
 	dependencies []*node
-	dependents   []*node // open jobs that depend on it
-	urgency      Urgency // of an open job, for its own sake and that of its dependents
+	dependents   []*node    // open jobs that depend on it
+	precedence   Precedence // of an open job, for its own sake and that of its dependents
 }
 
 // Graph holds the open jobs and those that open jobs depend on. It is not for concurrent use.
@@ -98,15 +98,15 @@
 			g.unknown[id] = true
 		}
 	}
-	n.urgency = job.urgency()
+	n.precedence = job.precedence()
 	n.blocked = n.needsOthers()
 	g.changed[job.ID] = true
 	for _, dependent := range n.dependents { // named it before it was known
 		g.updateBlocked(dependent)
 	}
-	g.propagateUrgency(n)
+	g.propagatePrecedence(n)
 	for _, dependency := range n.dependencies {
-		g.propagateUrgency(dependency)
+		g.propagatePrecedence(dependency)
 		if dependency.state == Cancelled || dependency.cascades {
 			g.cancelWithDependents(n)
 		}
@@ -151,7 +151,7 @@
 			dependency.dependents = slices.Delete(dependency.dependents, i, i+1)
 		}
 		if dependency.state == Open {
-			g.propagateUrgency(dependency)
+			g.propagatePrecedence(dependency)
 		}
 		g.forgetUnused(dependency)
 	}
@@ -212,23 +212,23 @@
 	return t.Add(-d)
 }
 
-// propagateUrgency recomputes how urgent a job is by its dependents, and does the same for its
+// propagatePrecedence recomputes how urgent a job is by its dependents, and does the same for its
 // dependencies, as far as anything changes.
-func (g *Graph) propagateUrgency(first *node) {
+func (g *Graph) propagatePrecedence(first *node) {
 	for stack := []*node{first}; len(stack) > 0; {
 		n := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		if n.state != Open {
 			continue
 		}
-		urgency := n.job.urgency()
+		precedence := n.job.precedence()
 		for _, dependent := range n.dependents {
-			urgency.Rank = min(urgency.Rank, dependent.urgency.Rank)
-			urgency.Deadline = earliest(urgency.Deadline, minus(dependent.urgency.Deadline, dependent.job.Estimate))
-			urgency.LatestEnd = earliest(urgency.LatestEnd, minus(dependent.urgency.LatestEnd, dependent.job.Estimate))
+			precedence.Rank = min(precedence.Rank, dependent.precedence.Rank)
+			precedence.Deadline = earliest(precedence.Deadline, minus(dependent.precedence.Deadline, dependent.job.Estimate))
+			precedence.LatestEnd = earliest(precedence.LatestEnd, minus(dependent.precedence.LatestEnd, dependent.job.Estimate))
 		}
-		if urgency != n.urgency {
-			n.urgency = urgency
+		if precedence != n.precedence {
+			n.precedence = precedence
 			g.changed[n.job.ID] = true
 			stack = append(stack, n.dependencies...)
 		}
@@ -266,12 +266,12 @@
 	return last
 }
 
-// Urgency returns how urgent an open job is for its own sake and that of its dependents.
-func (g *Graph) Urgency(id string) Urgency {
+// Precedence returns how urgent an open job is for its own sake and that of its dependents.
+func (g *Graph) Precedence(id string) Precedence {
 	if n := g.nodes[id]; n != nil {
-		return n.urgency
+		return n.precedence
 	}
-	return Urgency{}
+	return Precedence{}
 }
 
 // Unobstructed reports whether of all dependencies of an open job, however far, none is cancelled or
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -81,13 +81,13 @@
 		if at := g.ReleasedAt(id); !at.IsZero() {
 			line += fmt.Sprint(", last job before it done at ", at.Unix())
 		}
-		urgency := g.Urgency(id)
-		line += fmt.Sprint(", rank ", urgency.Rank)
-		if !urgency.Deadline.IsZero() {
-			line += fmt.Sprint(", due ", urgency.Deadline.Unix())
+		precedence := g.Precedence(id)
+		line += fmt.Sprint(", rank ", precedence.Rank)
+		if !precedence.Deadline.IsZero() {
+			line += fmt.Sprint(", due ", precedence.Deadline.Unix())
 		}
-		if !urgency.LatestEnd.IsZero() {
-			line += fmt.Sprint(", at the latest ", urgency.LatestEnd.Unix())
+		if !precedence.LatestEnd.IsZero() {
+			line += fmt.Sprint(", at the latest ", precedence.LatestEnd.Unix())
 		}
 		if withObstructed && !g.Unobstructed(id) {
 			line += ", not clear"
@@ -131,16 +131,16 @@
 	return false
 }
 
-func (r reference) urgency(id string) Urgency {
-	urgency := Urgency{Rank: r[id].Rank, Deadline: r[id].Deadline}
+func (r reference) precedence(id string) Precedence {
+	precedence := Precedence{Rank: r[id].Rank, Deadline: r[id].Deadline}
 	for _, j := range r {
 		if j.state == Open && slices.Contains(j.Dependencies, id) {
-			imposed := r.urgency(j.ID)
-			urgency.Rank = min(urgency.Rank, imposed.Rank)
-			urgency.Deadline = earliest(urgency.Deadline, minus(imposed.Deadline, j.Estimate))
+			imposed := r.precedence(j.ID)
+			precedence.Rank = min(precedence.Rank, imposed.Rank)
+			precedence.Deadline = earliest(precedence.Deadline, minus(imposed.Deadline, j.Estimate))
 		}
 	}
-	return urgency
+	return precedence
 }
 
 // drawJob returns a job that depends on up to three of the others.
@@ -215,8 +215,8 @@
 		if got := g.Unobstructed(id); got == cascades {
 			t.Fatalf("%s is unobstructed: %v, want %v", id, got, !cascades)
 		}
-		if got, want := g.Urgency(id), all.urgency(id); got != want {
-			t.Fatalf("urgency of %s: %v, want %v", id, got, want)
+		if got, want := g.Precedence(id), all.precedence(id); got != want {
+			t.Fatalf("precedence of %s: %v, want %v", id, got, want)
 		}
 	}
 	if len(g.nodes) != len(named) || len(g.UnknownJobs()) != 0 {
--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -106,7 +106,7 @@
 			Request:     j.request,
 			TaskSeconds: j.EstimateS,
 			Elastic:     j.Shape == records.ShapeArray,
-			Urgent:      j.urgency.Rank <= priorityRank[records.PriorityUrgent] || j.guaranteed,
+			Urgent:      j.precedence.Rank <= priorityRank[records.PriorityUrgent] || j.guaranteed,
 			WaitsSince:  j.releasedAt,
 			Constraints: jobConstraints{j},
 		})
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -57,7 +57,7 @@
 		if job == nil {
 			continue
 		}
-		job.blocked, job.urgency = s.dependencies.Blocked(id), s.dependencies.Urgency(id)
+		job.blocked, job.precedence = s.dependencies.Blocked(id), s.dependencies.Precedence(id)
 		// A version that knew of no dependencies wrote no time: then it counts from the acceptance, as for
 		// any job.
 		job.releasedAt, job.notStartedBefore = job.Accepted, job.Revision
@@ -82,8 +82,8 @@
 // image is: one lost task of many starts again, and all dependents wait for it.
 func (s *Scheduler) choosePreferences(j *Job) {
 	j.preferLabels = []string{fleet.ImageLabel(j.Image), fleet.SpotLabel}
-	linked := len(j.Dependencies) > 0 || j.urgency.Rank < priorityRank[j.Priority]
-	if linked && j.urgency.Rank < priorityRank[records.PriorityStandard] && j.CheckpointS == 0 {
+	linked := len(j.Dependencies) > 0 || j.precedence.Rank < priorityRank[j.Priority]
+	if linked && j.precedence.Rank < priorityRank[records.PriorityStandard] && j.CheckpointS == 0 {
 		j.preferLabels = []string{fleet.OnDemandLabel, fleet.ImageLabel(j.Image)}
 	}
 }
@@ -133,7 +133,7 @@
 	}
 	slog.Debug(message, "job", job.ID, "class", job.Class, "dependencies", job.Dependencies,
 		"waited_s", job.blockedSeconds(), "took_s", time.Since(job.releasedAt).Seconds(),
-		"due_s", job.secondsUntil(job.urgency.Deadline), "term", s.term)
+		"due_s", job.secondsUntil(job.precedence.Deadline), "term", s.term)
 }
 
 // UnreadDependencies lists the jobs that open jobs depend on and of which it is not known whether they
--- a/internal/scheduler/drain_tasks.go
+++ b/internal/scheduler/drain_tasks.go
@@ -22,7 +22,7 @@
 		Stopping:        a.Stopping(),
 		Gang:            isGang,
 		Service:         j.Shape == records.ShapeService,
-		Urgent:          j.urgency.Rank <= priorityRank[records.PriorityUrgent],
+		Urgent:          j.precedence.Rank <= priorityRank[records.PriorityUrgent],
 		Remaining:       seconds(s.remainingSeconds(j, a, now)),
 		Ran:             ran,
 		Saves:           j.CheckpointS > 0,
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -27,7 +27,7 @@
 	releasedAt       time.Time         // from when its waiting time counts: its acceptance, or the end of its last dependency
 	notStartedBefore uint64            // the revision before which none of its tasks can have been started
 	blocked          bool              // by a dependency that is not known to be stored as done
-	urgency          dependency.Urgency
+	precedence       dependency.Precedence
 
 	// Progress.
 	done, stored []uint64 // bit sets of finished tasks, and of those the store has
--- a/internal/scheduler/persistence_test.go
+++ b/internal/scheduler/persistence_test.go
@@ -22,7 +22,7 @@
 	return c, NewPersistence(c, valueKB, 16), now
 }
 
-func noOath(time.Time) *watermark.StoredAttestation { return nil }
+func noAttestation(time.Time) *watermark.StoredAttestation { return nil }
 
 // The limits fall while marks rise: a value of marks is refused as too large, and what is
 // stored in its place is what is asked for by then. Guards against a mark that is put back
@@ -43,7 +43,7 @@
 	refused := 0
 	for round := range 6 {
 		now = now.Add(time.Second)
-		for _, w := range r.NextWrites(now, noOath) {
+		for _, w := range r.NextWrites(now, noAttestation) {
 			key := w.Ops[0].Write
 			if !strings.HasPrefix(key, records.PrefixWatermarks) {
 				continue
--- a/internal/scheduler/preemption_search.go
+++ b/internal/scheduler/preemption_search.go
@@ -67,7 +67,7 @@
 
 // makeRoomForTasks makes room for up to n tasks of a job that need not start together.
 func (s *preemptionSearch) makeRoomForTasks(job *Job, n int) {
-	k := victimKey{placementClass: job.placementClass, rank: job.urgency.Rank, guaranteed: job.protected}
+	k := victimKey{placementClass: job.placementClass, rank: job.precedence.Rank, guaranteed: job.protected}
 	if job.protected {
 		k.team = job.Team
 	}
@@ -195,7 +195,7 @@
 		graceS = victimJob.SaveS
 	}
 	reason := stopForGuarantee
-	if victimJob.urgency.Rank > job.urgency.Rank {
+	if victimJob.precedence.Rank > job.precedence.Rank {
 		reason = stopPreempted
 	}
 	if job.preempted == nil {
--- a/internal/scheduler/preemption_victims.go
+++ b/internal/scheduler/preemption_victims.go
@@ -62,7 +62,7 @@
 	if _, before := job.preempted[attempt.Task]; before {
 		return false
 	}
-	if victimJob.urgency.Rank > job.urgency.Rank {
+	if victimJob.precedence.Rank > job.precedence.Rank {
 		return true
 	}
 	teamExcess := excess[victimJob.Team]
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -100,7 +100,7 @@
 		}
 	}
 	for _, job := range s.sortedJobs {
-		job.rank = 2 * min(job.urgency.Rank, priorityRank[records.PriorityStandard])
+		job.rank = 2 * min(job.precedence.Rank, priorityRank[records.PriorityStandard])
 		age := now.Sub(job.releasedAt).Seconds()
 		next, last := job.nextTarget(age)
 		isLate := age+job.EstimateS*surelyRuns > last
@@ -144,8 +144,8 @@
 	if job.DeadlineS != nil && len(targets) == 0 {
 		targets = append(targets, *job.DeadlineS-job.blockedSeconds())
 	}
-	if due := job.urgency.Deadline; !due.IsZero() && (job.DeadlineS == nil || due.Before(job.deadlineAt(*job.DeadlineS))) {
-		targets = append(targets, job.secondsUntil(due), job.secondsUntil(job.urgency.LatestEnd))
+	if due := job.precedence.Deadline; !due.IsZero() && (job.DeadlineS == nil || due.Before(job.deadlineAt(*job.DeadlineS))) {
+		targets = append(targets, job.secondsUntil(due), job.secondsUntil(job.precedence.LatestEnd))
 	}
 	if len(targets) == 0 {
 		targets = append(targets, noTarget*s.settings.HeartbeatInterval.Seconds())
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -62,7 +62,7 @@
 	t.Cleanup(func() { set(old) })
 }
 
-// The largest jobs begin within the bound that docs/largest.md states, whatever small jobs arrive: three
+// The largest jobs begin within the bound that docs/reservations.md states, whatever small jobs arrive: three
 // quarters of the bound, and for each gang that is due the longest run of what is running.
 func TestLargestJobsBeginWithinBound(t *testing.T) {
 	useFixedSeed(t)
--- a/internal/simulation/fault_pair_list_test.go
+++ b/internal/simulation/fault_pair_list_test.go
@@ -8,7 +8,7 @@
 	"drumpick/internal/records"
 )
 
-// faultPairs are the pairs of faults of docs/meetings.md, in its order, each brought about once
+// faultPairs are the pairs of faults of docs/faults.md, in its order, each brought about once
 // with what varies drawn from r.
 var faultPairs = []struct {
 	name   string
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -12,7 +12,7 @@
 	"drumpick/internal/records"
 )
 
-// What must hold where two faults meet (docs/meetings.md has a row for each pair, and names the tests of the others).
+// What must hold where two faults meet (docs/faults.md has a row for each pair, and names the tests of the others).
 
 var faultPairSeeds = flag.Uint64("fault-pairs", 6, "days of random fault pairs to run")
 
@@ -193,7 +193,7 @@
 	}
 }
 
-// Each fault pair of docs/meetings.md by itself, three times in a day. -fault-pairs 60 runs ten seeds
+// Each fault pair of docs/faults.md by itself, three times in a day. -fault-pairs 60 runs ten seeds
 // of each.
 func TestEachFaultPair(t *testing.T) {
 	for i, m := range faultPairs {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -13,7 +13,7 @@
 	"drumpick/internal/scheduler"
 )
 
-// The faults of docs/troubles.md, each in scenarios of its own, and at the end of each what is
+// The faults of docs/faults.md, each in scenarios of its own, and at the end of each what is
 // checked at the end of a day: every accepted job is known to every controller.
 
 // A machine whose heartbeats arrive while nothing reaches it: it gets no starts once that shows, a gang begins
--- a/internal/simulation/older_records_test.go
+++ b/internal/simulation/older_records_test.go
@@ -39,8 +39,12 @@
 			}
 			for id, v := range m {
 				if prefix == "machines/" {
-					var h struct{ Addr, Rig, Site string }
-					if json.Unmarshal(v, &h) != nil || h.Addr == "" || h.Rig == "" || h.Site == "" {
+					var h struct {
+						Addr string
+						Type string `json:"rig"`
+						Zone string `json:"site"`
+					}
+					if json.Unmarshal(v, &h) != nil || h.Addr == "" || h.Type == "" || h.Zone == "" {
 						t.Errorf("%s: machine %s is unreadable: %s", key, id, v)
 					}
 					hosts[id] = true
