--- a/internal/scheduler/finished_tasks_test.go
+++ b/internal/scheduler/finished_tasks_test.go
@@ -14,7 +14,7 @@
 	"drumpick/internal/records"
 )
 
-// store is what values a term may have left at any moment.
+// store is the pages that a term may have left at any moment.
 type store map[string]map[string]json.RawMessage
 
 func (s store) keys() []string { return slices.Sorted(maps.Keys(s)) }
@@ -119,10 +119,10 @@
 	return SettingsOf(cfg)
 }
 
-// Terms of this version and of the one in production follow each other in any order, each
-// killed between any two changes of the store. Whatever was on record stays there, no
-// value that this version writes is too large, and large ones are emptied.
-func TestPartsBesideEarlierVersion(t *testing.T) {
+// Terms of this version and of the one in production follow each other in any order, each killed
+// between any two changes of the store. Whatever was on record stays there, no page that this version
+// writes is too large, and large ones are emptied.
+func TestFinishedTasksSurviveFailoversBetweenVersions(t *testing.T) {
 	emptied := 0
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(11, seed))
@@ -229,8 +229,8 @@
 	}
 }
 
-// Without limits to come, records are what the version in production writes.
-func TestPartsWithoutNext(t *testing.T) {
+// Without lower limits to come, records are what the version in production writes.
+func TestFinishedTasksWithoutLowerLimitsAreWrittenInWholeChunks(t *testing.T) {
 	set := settings(8, 0)
 	if n := set.finishedTaskLayout().PartsPerChunk(); n != 1 {
 		t.Fatalf("%d parts in a chunk, want 1", n)
--- a/internal/scheduler/persistence_test.go
+++ b/internal/scheduler/persistence_test.go
@@ -24,10 +24,10 @@
 
 func noAttestation(time.Time) *watermark.StoredAttestation { return nil }
 
-// The limits fall while marks rise: a value of marks is refused as too large, and what is
-// stored in its place is what is asked for by then. Guards against a mark that is put back
-// as it was, and a job whose tasks wait for the one that was asked for.
-func TestMarksRefused(t *testing.T) {
+// The limits fall while watermarks rise: a page of watermarks is refused as too large, and what is stored
+// in its place is what is requested by then. A watermark put back as it was would leave the tasks of
+// its job waiting for the one that was requested.
+func TestRefusedWatermarksAreStoredAsRequestedByThen(t *testing.T) {
 	c, r, now := recorded(1, 8)
 	r.FinishLoading(false)
 	c.CheckReconciled(now)
@@ -64,11 +64,11 @@
 		}
 	}
 	if refused == 0 {
-		t.Fatal("no value was refused: the story shows nothing")
+		t.Fatal("no page was refused: the test shows nothing")
 	}
 	for id, j := range c.jobs {
 		if !j.watermark.Covers(1000) || even(id) && !j.watermark.Covers(3000) {
-			t.Errorf("%s: its mark is %+v, and tasks wait", id, j.watermark)
+			t.Errorf("%s: its watermark is %+v, and tasks wait", id, j.watermark)
 		}
 		most := 0
 		for _, entries := range stored {
@@ -86,8 +86,8 @@
 	}
 }
 
-// A value of marks that cannot be read may have held any job's: all older work is in doubt.
-func TestMarksUnreadable(t *testing.T) {
+// A page of watermarks that cannot be read may have held any job's: all older work is uncertain.
+func TestUnreadableWatermarksMakeAllTasksUncertain(t *testing.T) {
 	for value, whole := range map[string]bool{
 		`{"j-1":"000004"}`: true, `{"j-1":"-2"}`: false, `{"j-1":7}`: false, `"torn`: false, `[]`: false,
 	} {
@@ -97,7 +97,7 @@
 		r.LoadWatermark(records.KeyValue{Key: records.PrefixWatermarks + "1-1", Value: json.RawMessage(value)})
 		r.FinishLoading(true)
 		if n := c.jobs["j-1"].countUncertain(); (n < 10) != whole {
-			t.Errorf("marks %s: %d tasks of 10 are in doubt", value, n)
+			t.Errorf("watermarks %s: %d tasks of 10 are uncertain, want fewer: %v", value, n, whole)
 		}
 	}
 }
