--- /dev/null
+++ b/internal/finishedtasks/layout_test.go
@@ -0,0 +1,17 @@
+package finishedtasks
+
+import "testing"
+
+// Every task is in the span of its part, and parts do not overlap.
+func TestTasksAreInTheSpanOfTheirPart(t *testing.T) {
+	for _, l := range []Layout{{2048, 2048}, {2048, 614}, {100, 7}} {
+		const tasks = 5000
+		for task := range tasks {
+			part := l.Part(task)
+			chunk, from, to := l.span(part, tasks)
+			if i := task - chunk*l.ChunkTasks; i < from || i >= to {
+				t.Fatalf("%+v: task %d is in part %d, which spans %d to %d of chunk %d", l, task, part, from, to, chunk)
+			}
+		}
+	}
+}
