--- a/internal/scheduler/drain_bench_test.go
+++ b/internal/scheduler/drain_bench_test.go
@@ -12,8 +12,8 @@
 	"drumpick/internal/records"
 )
 
-// floor is a Core with that many machines, ten tasks running on each.
-func floor(b *testing.B, machines int) (*Scheduler, time.Time) {
+// newBusyFleet is a scheduler with that many machines, ten tasks running on each.
+func newBusyFleet(b *testing.B, machines int) (*Scheduler, time.Time) {
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	b.Cleanup(func() { slog.SetDefault(old) })
@@ -68,14 +68,14 @@
 	return c, now
 }
 
-// BenchmarkDrainPlan is a plan for a zone and for an upgrade of all, at ten tasks a machine.
+// BenchmarkDrainPlan plans the drain of a zone and the upgrade of all, at ten tasks a machine.
 func BenchmarkDrainPlan(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		for name, spec := range map[string]drain.Spec{
 			"zone": {ID: "d-1", Kind: drain.Empty, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: 100, MinInService: 100},
 		} {
 			b.Run(fmt.Sprintf("%s-%d", name, machines), func(b *testing.B) {
-				c, now := floor(b, machines)
+				c, now := newBusyFleet(b, machines)
 				for b.Loop() {
 					if _, err := c.PreviewDrain(&spec, false, now); err != nil {
 						b.Fatal(err)
@@ -86,14 +86,14 @@
 	}
 }
 
-// BenchmarkDrainLook is what the leader does each report interval while machines drain.
+// BenchmarkDrainLook is what the leader does each heartbeat interval while machines drain.
 func BenchmarkDrainLook(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		for name, spec := range map[string]drain.Spec{
 			"zone": {ID: "d-1", Kind: drain.Empty, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: 100, MinInService: 100},
 		} {
 			b.Run(fmt.Sprintf("%s-%d", name, machines), func(b *testing.B) {
-				c, now := floor(b, machines)
+				c, now := newBusyFleet(b, machines)
 				c.SetDrain(spec, nil, 0)
 				for b.Loop() {
 					c.runDrains(now)
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -136,7 +136,7 @@
 	})
 }
 
-// moved says whether a task that was stopped had been running for longer than a move made
+// moved reports whether a task that was stopped had been running for longer than a move made
 // only to fill or empty a bin would take.
 func (s *fakeAttempt) moved(y *fakeFleet) bool {
 	ran := y.runTimes[s.job] - s.remaining
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -16,8 +16,8 @@
 // fleetSize is a fleet of the size that users run.
 const fleetSize = 4000
 
-// limitsCore is a Core of three zones that has settled and read the cloud's list.
-func limitsCore(types []records.MachineType) (*Scheduler, time.Time) {
+// newLimitsScheduler is a reconciled scheduler of three zones that has read the cloud's list.
+func newLimitsScheduler(types []records.MachineType) (*Scheduler, time.Time) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
 	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
@@ -32,8 +32,8 @@
 	return c, now
 }
 
-// limitsUp brings machines up, n of them with nothing on them.
-func limitsUp(c *Scheduler, n int, now time.Time) []string {
+// startMachines brings machines up, n of them with nothing on them.
+func startMachines(c *Scheduler, n int, now time.Time) []string {
 	var names []string
 	for i := range n {
 		h := fmt.Sprintf("m-%06d", i)
@@ -46,8 +46,8 @@
 
 // An upgrade takes a fleet of thousands of machines at once where operators ask for that.
 func TestUpgradeOfFleetAtOnce(t *testing.T) {
-	c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
-	limitsUp(c, fleetSize+100, now)
+	c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	startMachines(c, fleetSize+100, now)
 	spec := drain.Spec{ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: fleetSize, MinInService: 5}
 	if err := spec.Check(now); err != nil {
 		t.Fatal(err)
@@ -65,14 +65,14 @@
 		}
 	}
 	if len(v.State.OutOfService) != fleetSize || cordoned != fleetSize {
-		t.Errorf("%d machines in hand, %d drained, %d at once are asked for", len(v.State.OutOfService), cordoned, fleetSize)
+		t.Errorf("%d machines out of service, %d cordoned, want %d of both", len(v.State.OutOfService), cordoned, fleetSize)
 	}
 }
 
 // A drain that names thousands of machines drains just these.
 func TestDrainOfThousandsByName(t *testing.T) {
-	c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
-	names := limitsUp(c, fleetSize+100, now)
+	c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	names := startMachines(c, fleetSize+100, now)
 	spec := drain.Spec{ID: "d-1", Kind: drain.Empty, Machines: names[:fleetSize]}
 	if err := spec.Check(now); err != nil {
 		t.Fatal(err)
@@ -90,7 +90,7 @@
 	}
 }
 
-// One look plans a whole fleet: work for thousands of machines of many types is asked for at
+// One plan is for a whole fleet: machines for the work of thousands, of many types, are requested at
 // once, by requests of the protocol's size.
 func TestPlanOfFleet(t *testing.T) {
 	const want, perType = 4500, 150
@@ -98,7 +98,7 @@
 	for i := range want / perType {
 		types = append(types, records.MachineType{Name: fmt.Sprintf("t%02d", i), CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20})
 	}
-	c, now := limitsCore(types)
+	c, now := newLimitsScheduler(types)
 	for i := range types {
 		c.AddJob(records.Job{
 			ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: perType,
@@ -112,15 +112,15 @@
 		}
 	}
 	if asked != want {
-		t.Errorf("%d machines are asked for in one look, %d are needed", asked, want)
+		t.Errorf("%d machines are requested by one plan, want %d", asked, want)
 	}
 }
 
-// The protocol's bounds of one request bound no fleet: look by look, all machines of one type
-// and zone that work needs are rented, and all are given back.
+// The protocol's bounds of one request bound no fleet: plan by plan, all machines of one type and zone
+// that work needs are rented, and all are returned.
 func TestRequestsBoundNoFleet(t *testing.T) {
 	const want = 4500
-	c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	zone := "a"
 	c.AddJob(records.Job{
 		ID: "j-1", Team: "team", Class: "class", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: want,
@@ -146,21 +146,21 @@
 	for range 2 * want / autoscaler.MaxReturnNames {
 		hosts := c.MachinesToReturn(now)
 		if len(hosts) > autoscaler.MaxReturnNames {
-			t.Fatalf("%d machines are given back at once", len(hosts))
+			t.Fatalf("%d machines are returned at once", len(hosts))
 		}
 		c.MachinesReturned(hosts, now)
 		returned += len(hosts)
 	}
 	if returned != want {
-		t.Errorf("%d machines are given back, %d were rented", returned, want)
+		t.Errorf("%d machines are returned, %d were rented", returned, want)
 	}
 }
 
-// BenchmarkPlanOfFleet is a look at work for more machines than one plan counts.
+// BenchmarkPlanOfFleet plans for the work of more machines than one plan counts.
 func BenchmarkPlanOfFleet(b *testing.B) {
 	for _, cpus := range []float64{4, 1.5} { // machines that are full, and such as have room left
 		b.Run(fmt.Sprint(cpus, " CPUs a task"), func(b *testing.B) {
-			c, now := limitsCore([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+			c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 			for i := range 45 {
 				c.AddJob(records.Job{
 					ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 400,
@@ -176,11 +176,11 @@
 	}
 }
 
-// BenchmarkDrainOfNames is a look, and a plan, while a drain by names empties a fleet.
+// BenchmarkDrainOfNames is a pass, and a preview, while a drain by names empties a fleet.
 func BenchmarkDrainOfNames(b *testing.B) {
 	spec := drain.Spec{ID: "d-1", Kind: drain.Empty}
 	b.Run("look", func(b *testing.B) {
-		c, now := floor(b, fleetSize)
+		c, now := newBusyFleet(b, fleetSize)
 		for _, m := range c.fleet.Sorted() {
 			spec.Machines = append(spec.Machines, m.Name)
 		}
@@ -190,7 +190,7 @@
 		}
 	})
 	b.Run("plan", func(b *testing.B) {
-		c, now := floor(b, fleetSize)
+		c, now := newBusyFleet(b, fleetSize)
 		for b.Loop() {
 			if _, err := c.PreviewDrain(&spec, true, now); err != nil {
 				b.Fatal(err)
