--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -360,8 +360,8 @@
 		if status, text := cluster.ask("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
 			t.Errorf("%+v: stopped: %d %.200s, want 200", x.state, status, text)
 		}
-		if len(cluster.state.TooLarge) > 0 {
-			t.Errorf("%+v: the state service refused %v", x.state, cluster.state.TooLarge)
+		if len(cluster.state.TooLarge()) > 0 {
+			t.Errorf("%+v: the state service refused %v", x.state, cluster.state.TooLarge())
 		}
 	}
 	// A record may be too large without any names.
--- a/internal/simulation/older_records_test.go
+++ b/internal/simulation/older_records_test.go
@@ -146,11 +146,11 @@
 		if n := c.env.Starts(); n > 2500-1354+2 {
 			t.Errorf("%d starts, though 1354 of 2500 tasks were done", n)
 		}
-		if len(c.store.TooLarge) > 0 {
-			t.Errorf("refused as too large: %v", c.store.TooLarge)
+		if len(c.store.TooLarge()) > 0 {
+			t.Errorf("refused as too large: %v", c.store.TooLarge())
 		}
-		if c.store.ThrottledWrites > 5 {
-			t.Errorf("%d times too many changes a second", c.store.ThrottledWrites)
+		if c.store.ThrottledWrites() > 5 {
+			t.Errorf("%d times too many changes a second", c.store.ThrottledWrites())
 		}
 	})
 }
--- a/internal/simulation/single_task_jobs_test.go
+++ b/internal/simulation/single_task_jobs_test.go
@@ -55,14 +55,14 @@
 				sleep(60)
 				c.wantAllKnown()
 				c.wantNoVanishedMachines()
-				perJob := float64(c.store.Writes) / jobs
+				perJob := float64(c.store.Writes()) / jobs
 				measured := fmt.Sprintf("throttled %d times, slowest acceptance %d ms, at most %d ended jobs unstored",
-					c.store.ThrottledWrites, slowest.Load(), backlog)
+					c.store.ThrottledWrites(), slowest.Load(), backlog)
 				t.Logf("%.2f changes a job, %s", perJob, measured)
 				if perJob > 4 {
 					t.Errorf("%.2f changes a job, want at most 4", perJob)
 				}
-				if !x.faults && (c.store.ThrottledWrites > 5 || slowest.Load() > 1000 || backlog > 24) {
+				if !x.faults && (c.store.ThrottledWrites() > 5 || slowest.Load() > 1000 || backlog > 24) {
 					t.Errorf("%s, want at most 5 times, 1000 ms and 24 jobs", measured)
 				}
 				if keys := append(c.store.Keys(records.PrefixOpen), c.store.Keys(records.PrefixDone)...); len(keys) > 0 {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math"
+	"slices"
 	"sort"
 	"strings"
 	"sync"
@@ -19,14 +20,11 @@
 type Store struct {
 	// OnChange, where it is set, is called with every change, in order and with the lock held.
 	OnChange func(Change)
-	// Writes counts the operations of all transactions that passed the limits.
-	Writes int
-	// TooLarge describes the transactions that were refused for good because of their size.
-	TooLarge []string
-	// ThrottledWrites counts the transactions that were refused for the write rate.
-	ThrottledWrites int
-
-	mu                sync.Mutex // guards all fields
+
+	mu                sync.Mutex // guards all fields below
+	writes            int        // operations of all transactions that passed the limits
+	tooLarge          []string   // transactions that were refused for good because of their size
+	throttledWrites   int        // transactions that were refused for the write rate
 	revision          uint64
 	entries           map[string]records.KeyValue
 	log               []records.Event
@@ -43,6 +41,27 @@
 	writeLimiter *rate.Limiter
 }
 
+// Writes returns the number of operations of all transactions that passed the limits.
+func (s *Store) Writes() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.writes
+}
+
+// TooLarge describes the transactions that were refused for good because of their size.
+func (s *Store) TooLarge() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.tooLarge)
+}
+
+// ThrottledWrites returns the number of transactions that were refused for the write rate.
+func (s *Store) ThrottledWrites() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.throttledWrites
+}
+
 // Change is what a revision changed, for whoever persists it.
 type Change struct {
 	Revision     uint64
@@ -200,7 +219,7 @@
 	if err := s.admitLocked(compares, ops); err != nil {
 		return 0, err
 	}
-	s.Writes += len(ops)
+	s.writes += len(ops)
 	if err := s.compareLocked(compares); err != nil {
 		return 0, err
 	}
@@ -225,17 +244,17 @@
 		}
 	}
 	if s.maxTxnOps > 0 && (len(ops) > s.maxTxnOps || len(compares) > compareFactor*s.maxTxnOps) {
-		s.TooLarge = append(s.TooLarge, fmt.Sprint(len(ops), " changes"))
+		s.tooLarge = append(s.tooLarge, fmt.Sprint(len(ops), " changes"))
 		return fmt.Errorf("%w: too many changes", records.ErrInvalid)
 	}
 	for _, op := range ops {
 		if n := records.EncodedSize(op.Value); op.Write != "" && s.maxValueKB > 0 && float64(n) > s.maxValueKB*1024 {
-			s.TooLarge = append(s.TooLarge, fmt.Sprint(op.Write, " of ", n, " bytes"))
+			s.tooLarge = append(s.tooLarge, fmt.Sprint(op.Write, " of ", n, " bytes"))
 			return fmt.Errorf("%w: too large a value", records.ErrInvalid)
 		}
 	}
 	if s.writeLimiter != nil && !s.writeLimiter.AllowN(time.Now(), len(ops)) {
-		s.ThrottledWrites++
+		s.throttledWrites++
 		return records.ErrThrottled
 	}
 	return nil
--- a/internal/simulation/workload_test.go
+++ b/internal/simulation/workload_test.go
@@ -284,9 +284,7 @@
 }
 
 func (s *workload) writes() int {
-	s.store.mu.Lock()
-	defer s.store.mu.Unlock()
-	return s.store.Writes
+	return s.store.Writes()
 }
 
 func (s *workload) isIdle(m *Machine) bool {
