--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -370,12 +370,17 @@
 					continue
 				}
 			}
+			cost := price * share
+			// Most offers are dearer than the best one so far, whatever their zone.
+			if found && !best.outage && cost > best.cost {
+				continue
+			}
 			for _, zone := range t.Zones {
 				o := Offer{name, zone, spot}
 				if !d.available(o) {
 					continue
 				}
-				c := candidate{offer: o, outage: d.OutageSuspected(zone), cost: price * share, machines: d.machinesInZone[zone]}
+				c := candidate{offer: o, outage: d.OutageSuspected(zone), cost: cost, machines: d.machinesInZone[zone]}
 				if !found || c.better(&best) {
 					best, found = c, true
 				}
