--- a/internal/simulation/outage_test.go
+++ b/internal/simulation/outage_test.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/records"
 )
 
-// Note 18: an outage of the store longer than its leases and the workers' leases costs no running work, since all
+// An outage of the store longer than its leases and the workers' leases costs no running work, since all
 // controllers confirm that no user can have been told of a cancellation; and since none of them can lead, waiting
 // tasks go on starting.
 func TestLongStoreOutageKeepsRunningTasks(t *testing.T) {
@@ -71,7 +71,7 @@
 	})
 }
 
-// Note 18: one controller restarts in the outage, so it cannot attest for the time before: leases expire in time for
+// One controller restarts in the outage, so it cannot attest for the time before: leases expire in time for
 // any cancellation.
 func TestOutageWithoutObserverExpiresLeases(t *testing.T) {
 	runScenario(t, func(c *cluster) {
@@ -121,7 +121,7 @@
 	})
 }
 
-// Note 19: a leader that the store refuses alone steps down, and users are served through the others.
+// A leader that the store refuses alone steps down, and users are served through the others.
 func TestLeaderRefusedAloneStepsDown(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		sleep(2)
--- a/internal/simulation/restart_test.go
+++ b/internal/simulation/restart_test.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// Notes 8, 10: a machine that hangs through a failover may resume with its tasks; they start elsewhere only once it
+// A machine that hangs through a failover may resume with its tasks; they start elsewhere only once it
 // has been returned.
 func TestMachineHangingThroughFailoverRunsNothingTwice(t *testing.T) {
 	runScenario(t, func(c *cluster) {
