--- /dev/null
+++ b/internal/intake/golden_test.go
@@ -0,0 +1,219 @@
+package intake_test
+
+import (
+	"encoding/json"
+	"net/http"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"drumpick/internal/config"
+	"drumpick/internal/fleet"
+	"drumpick/internal/goldentest"
+	"drumpick/internal/intake"
+	"drumpick/internal/ledger"
+	"drumpick/internal/peer"
+	"drumpick/internal/standin"
+
+	"github.com/gofiber/fiber/v2"
+)
+
+// goldenLeader is a leader that knows one job and keeps the last report.
+type goldenLeader struct {
+	leading
+	got     fleet.Report
+	status  int
+	recency fleet.Recency
+}
+
+func (l *goldenLeader) Progress(id string) (string, int, int, bool) {
+	return ledger.StatusRunning, 3, 4, id == "j-1"
+}
+
+func (l *goldenLeader) Recency(*fleet.Report) fleet.Recency { return l.recency }
+
+func (l *goldenLeader) Report(r *fleet.Report) (int, fleet.Response) {
+	l.got = *r
+	windDown := 4.0
+	return l.status, fleet.Response{Baton: 41, Orders: []fleet.Order{
+		{Verb: fleet.VerbRun, Shot: "j-1/0", Try: 2}, {Verb: fleet.VerbKill, Shot: "j-1/1", Try: 3, WindDownS: &windDown},
+	}}
+}
+
+// referring is a controller whose peers answer for the leader that they reach.
+type referring struct {
+	alone
+	status int
+}
+
+func (r referring) Checkin(string, []byte) (peer.Relayed, error) {
+	return peer.Relayed{Status: r.status, Body: []byte(`{"baton":41,"orders":[]}`)}, nil
+}
+
+// acceptedMS is the part of a record that differs from run to run.
+var acceptedMS = regexp.MustCompile(`"accepted_ms":\d+`)
+
+// goldenJob is a submission with every field.
+const goldenJob = `{"uid":"j-1","jobclass":"train","owner":"vision","shape":"group","urgency":"urgent","shots":2,` +
+	`"vcpus":1.5,"gpus":1,"mem_gb":2.5,"build":"img","size_gb":3.5,"rigs":["c4"],"site":"a","one_zone":true,` +
+	`"apart":true,"loaners":true,"guess_s":10,"snapshot_s":5,"flush_s":2.5,"due_s":300,"prereqs":["j-7"]}`
+
+func goldenServer(peers intake.Peers, leader string, local func() intake.Local) (*intake.Server, *standin.State, func(*http.Request) (*http.Response, error)) {
+	state := standin.NewState()
+	state.Fill(map[string]ledger.Row{
+		ledger.OverKey("j-7"): {Key: ledger.OverKey("j-7"), Value: []byte(`{"status":"done","shots":2}`), Stamp: 1},
+	})
+	cfg := &config.Config{Node: "n-0"}
+	cfg.Facts.Workers.ReportS = 2
+	cfg.Facts.State.RPS = 1000
+	cfg.Facts.Teams = []config.Team{{Name: "vision", CPUsMax: 8, GPUsMax: 8}}
+	s := intake.New(cfg, state.Client("n-0"), peers, func() string { return leader }, local)
+	app := fiber.New(fiber.Config{BodyLimit: 64 << 10})
+	s.Mount(app)
+	return s, state, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
+}
+
+// Users' requests and the answers to them keep their forms, one after the other.
+func TestGoldenUsers(t *testing.T) {
+	l := &goldenLeader{}
+	s, state, ask := goldenServer(alone{}, "n-0", func() intake.Local { return l })
+	f := goldentest.Open(t, "golden-users.json")
+	check := func(name, method, uri, body string) {
+		t.Run(name, func(t *testing.T) { f.CheckExchange(t, name, goldentest.Do(t, ask, method, uri, body)) })
+	}
+	edited := func(changes ...string) string {
+		body := goldenJob
+		for _, c := range changes {
+			body = edit(body, c)
+		}
+		return body
+	}
+	check("submit before machine types are known", "POST", "/work", goldenJob)
+	s.SetTypes([]ledger.MachineType{{Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, Zones: []string{"a"}}})
+	check("submit", "POST", "/work", goldenJob)
+	t.Run("stored job", func(t *testing.T) {
+		raw := acceptedMS.ReplaceAllString(state.Value(ledger.OpenKey("j-1")), `"accepted_ms":1`)
+		f.Check(t, "stored job", []byte(raw), true)
+		var j ledger.Job
+		if err := json.Unmarshal([]byte(raw), &j); err != nil {
+			t.Fatal(err)
+		}
+		if unset := goldentest.Unset(j, "json"); len(unset) > 0 {
+			t.Errorf("the submission of the test leaves %v unset", unset)
+		}
+	})
+	check("submit again", "POST", "/work", goldenJob)
+	check("poll", "GET", "/work/j-1", "")
+	check("poll an unknown job", "GET", "/work/j-9", "")
+	check("poll a done job", "GET", "/work/j-7", "")
+	check("withdraw", "POST", "/work/j-1/withdraw", "{}")
+	check("stored state", "GET", "/work/j-1", "")
+	check("withdraw a done job", "POST", "/work/j-7/withdraw", "{}")
+	check("withdraw an unknown job", "POST", "/work/j-9/withdraw", "{}")
+	t.Run("stored final state", func(t *testing.T) {
+		f.Check(t, "stored final state", []byte(state.Value(ledger.OverKey("j-1"))), true)
+	})
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal([]byte(goldenJob), &fields); err != nil {
+		t.Fatal(err)
+	}
+	for name := range fields {
+		if slices.Contains([]string{"rigs", "site", "due_s", "prereqs"}, name) {
+			continue // may be left out
+		}
+		check("submit without "+name, "POST", "/work", without(t, fields, name))
+	}
+	for name, body := range map[string]string{
+		"no object":            "[]",
+		"no number":            edited(`shots="x"`),
+		"negative":             edited(`vcpus=-1`),
+		"another id":           edited(`uid="x"`),
+		"unknown shape":        edited(`shape="x"`),
+		"unknown urgency":      edited(`urgency="x"`),
+		"no tasks":             edited(`shots=0`),
+		"empty list of types":  strings.Replace(edited(`uid="j-2"`), `["c4"]`, `[]`, 1),
+		"unknown team":         edited(`uid="j-2"`, `owner="x"`),
+		"beyond the limit":     edited(`uid="j-2"`, `shots=100`),
+		"fits no type":         edited(`uid="j-2"`, `mem_gb=100`),
+		"needs itself":         edited(`uid="j-2"`, `prereqs=["j-2"]`),
+		"needs an unknown job": edited(`uid="j-2"`, `prereqs=["j-9"]`),
+		"needs no list":        strings.Replace(edited(`uid="j-2"`), `["j-7"]`, `7`, 1),
+	} {
+		check("submit, "+name, "POST", "/work", body)
+	}
+	// One flag at a time: two that are exchanged read alike when both are set.
+	for _, flag := range []string{"one_zone", "apart", "loaners"} {
+		body := edited(`uid="j-5"`, "one_zone=false", "apart=false", "loaners=false", flag+"=true")
+		check("submit with "+flag, "POST", "/work", strings.Replace(body, "j-5", "j-5"+strconv.Itoa(len(flag)), 1))
+		t.Run("stored job with "+flag, func(t *testing.T) {
+			raw := acceptedMS.ReplaceAllString(state.Value(ledger.OpenKey("j-5"+strconv.Itoa(len(flag)))), `"accepted_ms":1`)
+			f.Check(t, "stored job with "+flag, []byte(raw), true)
+		})
+	}
+	check("ready", "GET", "/ready", "")
+	state.Outage(true)
+	check("submit in an outage", "POST", "/work", edited(`uid="j-3"`))
+	check("poll in an outage", "GET", "/work/j-3", "")
+	check("withdraw in an outage", "POST", "/work/j-3/withdraw", "{}")
+}
+
+// without returns an object without a field, its other fields in the order of their names.
+func without(t *testing.T, fields map[string]json.RawMessage, name string) string {
+	t.Helper()
+	rest := map[string]json.RawMessage{}
+	for k, v := range fields {
+		if k != name {
+			rest[k] = v
+		}
+	}
+	raw, err := json.Marshal(rest)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
+
+// Workers' reports and the answers to them keep their forms, at the leader and elsewhere.
+func TestGoldenWorkers(t *testing.T) {
+	const report = `{"host":"m-000231","addr":"10.1.0.232:9000","rig":"g8","site":"a","loaners":true,"stint":1,"tick":88,"baton":41,` +
+		`"warning_s":12.5,"version":"1.0","shots":[{"shot":"j-412/3","try":2,"status":"ended","cause":"done","saved":true}]}`
+	f := goldentest.Open(t, "golden-workers.json")
+	for name, x := range map[string]struct {
+		leader string // "" where it is not known
+		leads  *goldenLeader
+		peers  intake.Peers
+		body   string
+	}{
+		"at the leader":                {"n-0", &goldenLeader{status: 200}, alone{}, report},
+		"at a leader that is deposed":  {"n-0", &goldenLeader{status: 503}, alone{}, report},
+		"late at the leader":           {"n-0", &goldenLeader{status: 200, recency: fleet.Late}, alone{}, report},
+		"no report":                    {"n-0", &goldenLeader{status: 200}, alone{}, "[]"},
+		"host missing":                 {"n-0", &goldenLeader{status: 200}, alone{}, `{"stint":1}`},
+		"stint missing":                {"n-0", &goldenLeader{status: 200}, alone{}, `{"host":"m-1"}`},
+		"task of no form":              {"n-0", &goldenLeader{status: 200}, alone{}, `{"host":"m-1","stint":1,"shots":[{"shot":"x","status":"running"}]}`},
+		"state not known":              {"n-0", &goldenLeader{status: 200}, alone{}, `{"host":"m-1","stint":1,"shots":[{"shot":"j-1/0","status":"x"}]}`},
+		"sent to the leader":           {"n-1", nil, alone{}, report},
+		"the leader is not known":      {"", nil, alone{}, report},
+		"passed on to the leader":      {"n-1", nil, referring{status: 200}, report},
+		"passed on, but not its place": {"n-1", nil, referring{status: 421}, report},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, _, ask := goldenServer(x.peers, x.leader, func() intake.Local {
+				if x.leads == nil {
+					return nil
+				}
+				return x.leads
+			})
+			f.CheckExchange(t, name, goldentest.Do(t, ask, "POST", "/checkin", x.body))
+			if x.leads == nil || x.leads.got.Host == "" {
+				return
+			}
+			x.leads.got.Via = ""
+			if unset := goldentest.Unset(x.leads.got, "json"); len(unset) > 0 {
+				t.Errorf("the report of the test leaves %v unset", unset)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/operator/golden_test.go
@@ -0,0 +1,186 @@
+package operator
+
+import (
+	"bytes"
+	"encoding/json"
+	"net/http"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"drumpick/internal/config"
+	"drumpick/internal/dispatch"
+	"drumpick/internal/drain"
+	"drumpick/internal/goldentest"
+	"drumpick/internal/ledger"
+	"drumpick/internal/peer"
+	"drumpick/internal/standin"
+
+	"github.com/gofiber/fiber/v2"
+)
+
+// goldenLead is a leader whose answers have every field set.
+type goldenLead struct {
+	lead
+	asked drain.Spec
+	force bool
+	since string
+}
+
+func (*goldenLead) Machines(string, int) ([]dispatch.MachineView, bool) {
+	m, _ := (&goldenLead{}).Machine("m-1")
+	return []dispatch.MachineView{m}, true
+}
+
+func (*goldenLead) Machine(name string) (dispatch.MachineView, bool) {
+	return dispatch.MachineView{
+		Name: "m-1", Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.232:9000", State: dispatch.MachineUp, AgeS: 60.5, Version: "1.0",
+		Count: 1, Tasks: []dispatch.TaskView{{Task: "j-1/0", Try: 2, State: "running", RanS: 4.5, Stops: true}},
+	}, name == "m-1"
+}
+
+func (l *goldenLead) PlanDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
+	if l.refuse != nil {
+		return l.lead.PlanDrain(spec, force, since, limit)
+	}
+	l.asked, l.force, l.since = *spec, force, since
+	return &drain.Plan{
+		Machines: []drain.MachinePlan{{Machine: "m-1", Zone: "a", EmptyS: 4.5, Tasks: []drain.TaskPlan{{Task: "j-1/0", Class: "train", Action: drain.Move, Why: "w"}}}},
+		More:     true, Classes: map[string]*drain.ClassPlan{"train": {Late: 1}}, All: drain.Summary{Machines: 1}, Warnings: []string{"w"},
+	}, nil
+}
+
+// goldenDrain is a request with every field that an upgrade may have.
+const goldenDrain = `{"id":"d-1","kind":"upgrade","machines":["m-1"],"type":"g8","zone":"a","older_than_s":60,"version":"1.0",` +
+	`"then":"return","to_version":"1.1","at_once":2,"keep_up":3,` +
+	`"window":{"rule":"FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0","zone":"Europe/Warsaw","for_s":7200,"lead_s":600,"starts":"2026-01-31T22:00"},` +
+	`"force":true,"since":"m-0","seen":["d-0"]}`
+
+// began is the part of a record that differs from run to run.
+var began = regexp.MustCompile(`"began_ms":\d+`)
+
+// The operators' requests and the answers to them keep their forms, one after the other.
+func TestGoldenOperators(t *testing.T) {
+	l := &goldenLead{}
+	state := standin.NewState()
+	cfg := &config.Config{Node: "n-0"}
+	cfg.Facts.State.ValueKB = 8
+	leader, leads := "n-0", true
+	s := New(cfg, state.Client("n-0"), &way{old: true}, func() string { return leader }, func() Local {
+		if leads {
+			return l
+		}
+		return nil
+	}, time.Second)
+	app := fiber.New()
+	s.Mount(app)
+	f := goldentest.Open(t, "golden-operators.json")
+	check := func(name, method, uri, body string) {
+		t.Run(name, func(t *testing.T) {
+			x := goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, method, uri, body)
+			x.Answer = began.ReplaceAll(x.Answer, []byte(`"began_ms":1`))
+			f.CheckExchange(t, name, x)
+		})
+	}
+	stored := func(name, key string) {
+		t.Run(name, func(t *testing.T) {
+			f.Check(t, name, began.ReplaceAll([]byte(state.Value(key)), []byte(`"began_ms":1`)), true)
+		})
+	}
+	check("machines", "GET", "/operator/machines?since=m-0", "")
+	check("machine", "GET", "/operator/machines/m-1", "")
+	check("unknown machine", "GET", "/operator/machines/m-9", "")
+	check("no drains", "GET", "/operator/drains", "")
+	check("plan", "POST", "/operator/drains/plan", strings.Replace(goldenDrain, `"seen":["d-0"]`, `"seen":[]`, 1))
+	if !l.force || l.since != "m-0" || l.asked.ID != "d-1" || l.asked.Window == nil {
+		t.Errorf("the leader is asked for %+v, force %v, since %q", l.asked, l.force, l.since)
+	}
+	check("plan beside a drain that the leader has not read", "POST", "/operator/drains/plan", goldenDrain)
+	check("start", "POST", "/operator/drains", goldenDrain)
+	stored("stored drain", "drains/d-1")
+	stored("stored turn", "drainturn")
+	check("start again", "POST", "/operator/drains", goldenDrain)
+	check("start another under the same id", "POST", "/operator/drains", `{"id":"d-1","zone":"b"}`)
+	state.Fill(map[string]ledger.Row{"drainstate/d-1": {Key: "drainstate/d-1", Stamp: 99, Value: []byte(`{"phase":"upgrading","in_hand":["m-1"],"left":2,"plan":{},"seen":{}}`)}})
+	check("list", "GET", "/operator/drains", "")
+	check("show", "GET", "/operator/drains/d-1", "")
+	check("show an unknown one", "GET", "/operator/drains/d-9", "")
+	check("stop", "POST", "/operator/drains/d-1/stop", "{}")
+	stored("stored drain, stopped", "drains/d-1")
+	check("stop an unknown one", "POST", "/operator/drains/d-9/stop", "{}")
+	for name, body := range map[string]string{
+		"no object":        "[]",
+		"wrong type":       `{"id":"d-2","zone":7}`,
+		"id of no form":    `{"id":"x","zone":"a"}`,
+		"unknown kind":     `{"id":"d-2","kind":"x","zone":"a"}`,
+		"unknown then":     `{"id":"d-2","then":"x","zone":"a"}`,
+		"no machines":      `{"id":"d-2"}`,
+		"nothing at once":  `{"id":"d-2","kind":"upgrade","to_version":"1.1"}`,
+		"no version":       `{"id":"d-2","kind":"upgrade","at_once":1}`,
+		"by_ms is over":    `{"id":"d-2","zone":"a","by_ms":1}`,
+		"window's zone":    `{"id":"d-2","zone":"a","window":{"rule":"FREQ=DAILY","zone":"x","for_s":3600}}`,
+		"window's for_s":   `{"id":"d-2","zone":"a","window":{"rule":"FREQ=DAILY","zone":"UTC","for_s":1}}`,
+		"stopped at birth": `{"id":"d-2","zone":"a","stopped":true}`,
+	} {
+		check("start, "+name, "POST", "/operator/drains", body)
+	}
+	l.know("d-1")
+	l.refuse = &dispatch.NoMachineError{Text: "there is no machine m-7"}
+	check("start, unknown machine", "POST", "/operator/drains", `{"id":"d-2","machines":["m-7"]}`)
+	l.refuse = &dispatch.NoneLeftError{Text: "it would leave no machine at all"}
+	check("start, none left", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`)
+	state.Fill(map[string]ledger.Row{"drains/d-8": {Key: "drains/d-8", Stamp: 100, Value: []byte(`{"id":"d-8","zone":7}`)}})
+	check("stop, unreadable record", "POST", "/operator/drains/d-8/stop", "{}")
+	leads, leader = false, "n-1"
+	check("the leader knows no operators", "GET", "/operator/machines", "")
+	leader = ""
+	check("nobody leads", "GET", "/operator/machines", "")
+	state.Outage(true)
+	check("outage", "GET", "/operator/drains", "")
+}
+
+// What is passed on to the leader keeps its form as well.
+func TestGoldenQuestions(t *testing.T) {
+	var in request
+	d := json.NewDecoder(bytes.NewBufferString(goldenDrain))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&in); err != nil {
+		t.Fatal(err)
+	}
+	in.BeganMS, in.ByMS, in.Stopped = 946684801000, 946684802000, true
+	goldentest.Run(t, "golden-questions.json", goldentest.JSON, []goldentest.Case{
+		{Name: "drain", Value: in},
+		{Name: "failure", Direction: goldentest.Written, Value: failure{"why"}},
+		{Name: "page of machines", Unset: true, Direction: goldentest.Written, Value: Machines{Machines: []dispatch.MachineView{{Name: "m-1"}}, More: true}},
+		{Name: "drains", Unset: true, Direction: goldentest.Written, Value: Drains{Drains: []dispatch.DrainView{{Spec: drain.Spec{ID: "d-1"}}}}},
+	})
+	var asked []peer.Relay
+	cfg := &config.Config{Node: "n-0"}
+	cfg.Facts.State.ValueKB = 8
+	s := New(cfg, nil, relayed(func(r peer.Relay) { asked = append(asked, r) }), func() string { return "n-1" }, func() Local { return nil }, time.Second)
+	app := fiber.New()
+	s.Mount(app)
+	for _, uri := range []string{"/operator/machines?since=m-0", "/operator/machines/m-1"} {
+		goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, "GET", uri, "")
+	}
+	goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, "POST", "/operator/drains/plan", `{"id":"d-1","zone":"a"}`)
+	f := goldentest.Open(t, "golden-passed-on.json")
+	for _, r := range asked {
+		t.Run(r.Method, func(t *testing.T) {
+			raw, err := json.Marshal(map[string]string{"method": r.Method, "id": r.ID, "body": began.ReplaceAllString(string(r.Body), `"began_ms":1`)})
+			if err != nil {
+				t.Fatal(err)
+			}
+			f.Check(t, r.Method, raw, true)
+		})
+	}
+}
+
+// relayed takes what is passed on to the leader.
+type relayed func(peer.Relay)
+
+func (f relayed) Operate(_ string, r peer.Relay, _ time.Duration) (peer.Relayed, error) {
+	f(r)
+	return peer.Relayed{Status: 200, Body: []byte("{}")}, nil
+}
