--- a/client/client.go
+++ b/client/client.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
 )
 
 // Shapes, priorities and states, in the protocol's words.
@@ -36,7 +36,7 @@
 )
 
 // Job is a submission (PROTOCOL, POST /work). Amounts are per task, times in seconds,
-// sizes in GB. The store's record of a job stands apart (internal/ledger): it has what the
+// sizes in GB. The store's record of a job stands apart (internal/records): it has what the
 // service adds, and is read by controllers of several versions, while this one changes only
 // with the protocol, and programs of others are built on it.
 type Job struct {
@@ -102,7 +102,7 @@
 type Client struct {
 	Patience Patience
 	Every    time.Duration // between the polls of Wait
-	links    []*link.Client
+	links    []*httpclient.Client
 	at       atomic.Uint32 // the one that answered last
 }
 
@@ -116,7 +116,7 @@
 		if _, port, err := net.SplitHostPort(a); err != nil || port == "" {
 			return nil, fmt.Errorf("controller's address %q is not host:port", a)
 		}
-		c.links = append(c.links, link.New(a, 16, DefaultPatience.Poll))
+		c.links = append(c.links, httpclient.New(a, 16, DefaultPatience.Poll))
 	}
 	c.at.Store(rand.Uint32N(uint32(len(addrs))))
 	return c, nil
@@ -180,17 +180,17 @@
 		if last.Over() {
 			return last, nil
 		}
-		if err := link.Sleep(ctx, c.Every*3/4+rand.N(c.Every/2+1)); err != nil {
+		if err := httpclient.Sleep(ctx, c.Every*3/4+rand.N(c.Every/2+1)); err != nil {
 			return last, err
 		}
 	}
 }
 
 // insist repeats a request until it has an answer that is one, at ever other controllers.
-func (c *Client) insist(ctx context.Context, method, uri string, body any, patience time.Duration) (link.Answer, error) {
+func (c *Client) insist(ctx context.Context, method, uri string, body any, patience time.Duration) (httpclient.Answer, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return link.Answer{}, err
+		return httpclient.Answer{}, err
 	}
 	if body == nil {
 		raw = nil
@@ -226,20 +226,20 @@
 		if time.Now().Add(pause).After(until) {
 			return a, fmt.Errorf("%w: %w", ErrUnavailable, last)
 		}
-		if err := link.Sleep(ctx, pause); err != nil {
+		if err := httpclient.Sleep(ctx, pause); err != nil {
 			return a, err
 		}
 	}
 }
 
 // once sends a request to one controller; a context that ends ends the wait.
-func (c *Client) once(ctx context.Context, n int, method, uri string, raw []byte, patience time.Duration) (link.Answer, error) {
+func (c *Client) once(ctx context.Context, n int, method, uri string, raw []byte, patience time.Duration) (httpclient.Answer, error) {
 	deadline := time.Now().Add(patience)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
 	type outcome struct {
-		a   link.Answer
+		a   httpclient.Answer
 		err error
 	}
 	got := make(chan outcome, 1)
@@ -251,11 +251,11 @@
 	case o := <-got:
 		return o.a, o.err
 	case <-ctx.Done():
-		return link.Answer{}, ctx.Err()
+		return httpclient.Answer{}, ctx.Err()
 	}
 }
 
-func reason(a link.Answer) string {
+func reason(a httpclient.Answer) string {
 	var f struct {
 		Error string `json:"error"`
 	}
@@ -265,7 +265,7 @@
 	return f.Error
 }
 
-func read(a link.Answer, out any) error {
+func read(a httpclient.Answer, out any) error {
 	if err := json.Unmarshal(a.Body, out); err != nil {
 		return fmt.Errorf("unreadable answer: %w", err)
 	}
--- a/cmd/drumpick-scale/main.go
+++ b/cmd/drumpick-scale/main.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"drumpick/internal/scale"
+	"drumpick/internal/loadtest"
 
 	"github.com/spf13/cobra"
 )
@@ -43,7 +43,7 @@
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.ExecuteContext(ctx)
-	var usage *scale.UsageError
+	var usage *loadtest.UsageError
 	switch {
 	case err == nil:
 		return exitOK
@@ -64,17 +64,17 @@
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &scale.UsageError{Reason: err.Error()} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &loadtest.UsageError{Reason: err.Error()} })
 	root.AddCommand(runCommand(), fitCommand(), serveCommand())
 	return root
 }
 
 func runCommand() *cobra.Command {
-	size := scale.Size{
+	size := loadtest.Size{
 		Workers: 100, Tasks: 1000, Rate: 32, Controllers: 3, Zones: 2, Regions: 1, RealWorkers: 2, For: 60 * time.Second,
 		StoreRPS: 1000, StoreWrites: 200,
 	}
-	var programs scale.Programs
+	var programs loadtest.Programs
 	var file string
 	var paired bool
 	cmd := &cobra.Command{
@@ -86,9 +86,9 @@
 			if err := size.Check(); err != nil {
 				return err
 			}
-			play := scale.Run
+			play := loadtest.Run
 			if paired {
-				play = scale.RunPaired
+				play = loadtest.RunPaired
 			}
 			result, err := play(cmd.Context(), size, programs, cmd.ErrOrStderr())
 			if err != nil {
@@ -121,21 +121,21 @@
 }
 
 // prepare checks the programs and files that a run needs.
-func prepare(p *scale.Programs) (err error) {
+func prepare(p *loadtest.Programs) (err error) {
 	if p.Self, err = os.Executable(); err != nil {
 		return err
 	}
 	if _, err := os.Stat(p.Daemon); err != nil {
-		return &scale.UsageError{Flag: "daemon", Reason: fmt.Sprintf("there is no program %s; build it with go build -o %s ./cmd/drumpick", p.Daemon, p.Daemon)}
+		return &loadtest.UsageError{Flag: "daemon", Reason: fmt.Sprintf("there is no program %s; build it with go build -o %s ./cmd/drumpick", p.Daemon, p.Daemon)}
 	}
 	if _, err := os.Stat(p.Options); err != nil {
-		return &scale.UsageError{Flag: "options", Reason: fmt.Sprintf("there is no file %s", p.Options)}
+		return &loadtest.UsageError{Flag: "options", Reason: fmt.Sprintf("there is no file %s", p.Options)}
 	}
 	return nil
 }
 
 // report writes a result, and fails if a rule was broken.
-func report(r *scale.Result, file string, out io.Writer) error {
+func report(r *loadtest.Result, file string, out io.Writer) error {
 	if err := r.Print(out); err != nil {
 		return err
 	}
@@ -155,14 +155,14 @@
 	cmd := &cobra.Command{
 		Use: "fit FILE...", Short: "Fit costs to sizes, over the results of at least four runs",
 		RunE: func(cmd *cobra.Command, files []string) error {
-			fits, err := scale.Fit(files, by)
+			fits, err := loadtest.Fit(files, by)
 			if err != nil {
 				return err
 			}
 			return fits.Print(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().StringVar(&by, "by", scale.ByWorkers, "what the sizes differ by: `workers`, rate or teams")
+	cmd.Flags().StringVar(&by, "by", loadtest.ByWorkers, "what the sizes differ by: `workers`, rate or teams")
 	return cmd
 }
 
@@ -173,7 +173,7 @@
 		Use: "serve ROLE", Short: "Play one role of a run", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			slog.SetDefault(slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)))
-			return scale.ServeChild(args[0], data, cmd.OutOrStdout())
+			return loadtest.ServeChild(args[0], data, cmd.OutOrStdout())
 		},
 	}
 	cmd.Flags().StringVar(&data, "data", "", "`directory` of records")
--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -14,17 +14,17 @@
 	"sync/atomic"
 	"time"
 
+	"drumpick/internal/api"
 	"drumpick/internal/cloud"
 	"drumpick/internal/config"
-	"drumpick/internal/frontier"
-	"drumpick/internal/intake"
-	"drumpick/internal/lead"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/election"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/leader"
 	"drumpick/internal/operator"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 	"drumpick/internal/store"
-	"drumpick/internal/tenure"
+	"drumpick/internal/watermark"
 	"drumpick/internal/workers"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -52,13 +52,13 @@
 	peers := peer.NewPeers(cfg.Seeds, timing.Peer)
 	cloud := cloud.NewClient(cfg.External.Cloud, cfg.Facts.Cloud.RPS, timing.Cloud)
 	workers := workers.NewCaller(max(res.FDLimit/40, 4), timing.Worker)
-	ten := tenure.New(store, cfg.Node, strconv.FormatUint(rand.Uint64(), 36),
+	ten := election.New(store, cfg.Node, strconv.FormatUint(rand.Uint64(), 36),
 		timing.Grant, cfg.Options.Marks)
-	var witness frontier.Witness
+	var witness watermark.Witness
 
-	var leader atomic.Pointer[lead.Leader]
-	server := intake.New(cfg, store.Users(), peers, ten.Leader, func() intake.Local {
-		if l := leader.Load(); l != nil {
+	var currentLeader atomic.Pointer[leader.Leader]
+	server := api.New(cfg, store.Users(), peers, ten.Leader, func() api.Local {
+		if l := currentLeader.Load(); l != nil {
 			return l
 		}
 		return nil
@@ -78,7 +78,7 @@
 			return peer.StatusOf(cfg.Node, store, server.Told(), ask).Witnessed(&witness, ask.Word, server.Renewed())
 		},
 		Progress: func(id string) peer.Progress {
-			l := leader.Load()
+			l := currentLeader.Load()
 			if l == nil {
 				return peer.Progress{}
 			}
@@ -90,7 +90,7 @@
 		Checkin: server.Forwarded, Cancelled: server.Cancelled,
 	}
 	operators := operator.New(cfg, store, peers, ten.Leader, func() operator.Local {
-		if l := leader.Load(); l != nil {
+		if l := currentLeader.Load(); l != nil {
 			return l
 		}
 		return nil
@@ -122,9 +122,9 @@
 	go server.Watch(ctx)
 	go learnTypes(ctx, server, store, cloud, report)
 	go ten.Run(ctx, func(ctx context.Context, term uint64) {
-		l := lead.New(cfg, store, cloud, ten, peers, workers, &witness, server.Told(), term)
-		leader.Store(l)
-		defer leader.Store(nil)
+		l := leader.New(cfg, store, cloud, ten, peers, workers, &witness, server.Told(), term)
+		currentLeader.Store(l)
+		defer currentLeader.Store(nil)
 		l.Run(ctx)
 	})
 	slog.Info("started", "node", cfg.Node, "zone", cfg.Zone, "version", version)
@@ -149,11 +149,11 @@
 
 // learnTypes finds out which machine types there are: from the store, or from
 // the cloud itself where no leader has stored them yet.
-func learnTypes(ctx context.Context, server *intake.Server, store *store.Client, cloud *cloud.Client, report time.Duration) {
+func learnTypes(ctx context.Context, server *api.Server, store *store.Client, cloud *cloud.Client, report time.Duration) {
 	pause := report / 8
 	for {
-		if row, err := store.Get(ctx, ledger.KeyTypes); err == nil && row != nil {
-			var t ledger.Types
+		if row, err := store.Get(ctx, records.KeyTypes); err == nil && row != nil {
+			var t records.Types
 			if json.Unmarshal(row.Value, &t) == nil && len(t.Types) > 0 {
 				server.SetTypes(t.Types)
 			}
@@ -170,7 +170,7 @@
 			wait = pause
 			pause = min(2*pause, report)
 		}
-		if link.Sleep(ctx, wait/2+rand.N(wait)) != nil {
+		if httpclient.Sleep(ctx, wait/2+rand.N(wait)) != nil {
 			return
 		}
 	}
--- a/cmd/drumpickctl/demo.go
+++ b/cmd/drumpickctl/demo.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"drumpick/client"
-	"drumpick/internal/jobfile"
-	"drumpick/internal/link"
-	"drumpick/internal/region"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/jobspec"
+	"drumpick/internal/localcluster"
 
 	"github.com/spf13/cobra"
 )
@@ -24,7 +24,7 @@
 var sample []byte
 
 // demo runs the sample jobs on a region of their own.
-func (f *flags) demo(cmd *cobra.Command, o region.Options) error {
+func (f *flags) demo(cmd *cobra.Command, o localcluster.Options) error {
 	data := f.region
 	if data == "" {
 		dir, err := os.MkdirTemp("", "drumpick-demo-")
@@ -34,10 +34,10 @@
 		defer os.RemoveAll(dir)
 		data = dir
 	}
-	return f.withRegion(cmd, o, data, func(r *region.Region) error {
+	return f.withRegion(cmd, o, data, func(r *localcluster.Region) error {
 		out, errs := cmd.OutOrStdout(), cmd.ErrOrStderr()
 		fmt.Fprintf(errs, "three controllers, a state service and a cloud run on loopback; submitting sample jobs\n")
-		jobs, err := jobfile.Read("sample.yaml", bytes.NewReader(sample), client.NewID)
+		jobs, err := jobspec.Read("sample.yaml", bytes.NewReader(sample), client.NewID)
 		if err != nil {
 			return err
 		}
@@ -68,7 +68,7 @@
 		}
 		// What a cancelled service left running is gone within the region's bound.
 		for r.World.Running() > 0 {
-			if err := link.Sleep(cmd.Context(), 100*time.Millisecond); err != nil {
+			if err := httpclient.Sleep(cmd.Context(), 100*time.Millisecond); err != nil {
 				return err
 			}
 		}
@@ -97,12 +97,12 @@
 }
 
 type result struct {
-	Jobs []jobResult    `json:"jobs"`
-	Ran  region.History `json:"history"`
-	Cost float64        `json:"cost"`
+	Jobs []jobResult          `json:"jobs"`
+	Ran  localcluster.History `json:"history"`
+	Cost float64              `json:"cost"`
 }
 
-func demoResult(jobs []jobfile.Named, states []client.Status, h region.History, began time.Time) result {
+func demoResult(jobs []jobspec.Named, states []client.Status, h localcluster.History, began time.Time) result {
 	res := result{Ran: h}
 	for i, j := range jobs {
 		out := jobResult{Name: j.Name, ID: j.ID, Status: states[i].Status, Tasks: j.Tasks}
@@ -128,7 +128,7 @@
 	return res
 }
 
-func showDemo(w io.Writer, jobs []jobfile.Named, states []client.Status, h region.History, began time.Time) {
+func showDemo(w io.Writer, jobs []jobspec.Named, states []client.Status, h localcluster.History, began time.Time) {
 	res := demoResult(jobs, states, h, began)
 	fmt.Fprintln(w, "\nJOB\tID\tSTATUS\tTASKS\tSTARTS\tFIRST START\tLAST END\tMACHINES\tZONES")
 	for _, j := range res.Jobs {
--- a/cmd/drumpickctl/jobs.go
+++ b/cmd/drumpickctl/jobs.go
@@ -8,7 +8,7 @@
 	"sync"
 
 	"drumpick/client"
-	"drumpick/internal/jobfile"
+	"drumpick/internal/jobspec"
 
 	"github.com/spf13/cobra"
 )
@@ -70,21 +70,21 @@
 	return cmd
 }
 
-func readJobs(in io.Reader, file string) ([]jobfile.Named, error) {
+func readJobs(in io.Reader, file string) ([]jobspec.Named, error) {
 	if file == "-" {
-		return jobfile.Read("standard input", in, client.NewID)
+		return jobspec.Read("standard input", in, client.NewID)
 	}
 	opened, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
 	defer opened.Close()
-	return jobfile.Read(file, opened, client.NewID)
+	return jobspec.Read(file, opened, client.NewID)
 }
 
 // submitAll submits jobs in waves: one that needs another of the file goes when that
 // one is accepted.
-func submitAll(ctx context.Context, c *client.Client, jobs []jobfile.Named, errs io.Writer) ([]client.Status, error) {
+func submitAll(ctx context.Context, c *client.Client, jobs []jobspec.Named, errs io.Writer) ([]client.Status, error) {
 	states := make([]client.Status, 0, len(jobs))
 	for _, j := range jobs {
 		states = append(states, client.Status{ID: j.ID, Status: "not accepted"})
@@ -100,7 +100,7 @@
 			}
 			here[jobs[to].ID] = true
 		}
-		err := each(jobs[from:to], func(i int, j jobfile.Named) error {
+		err := each(jobs[from:to], func(i int, j jobspec.Named) error {
 			if j.Name != "" {
 				fmt.Fprintf(errs, "%s is %s\n", j.Name, j.ID)
 			}
--- a/cmd/drumpickctl/local.go
+++ b/cmd/drumpickctl/local.go
@@ -12,18 +12,18 @@
 	"strings"
 	"time"
 
-	"drumpick/internal/region"
+	"drumpick/internal/localcluster"
 
 	"github.com/spf13/cobra"
 )
 
 func localCommand(f *flags) *cobra.Command {
 	cmd := &cobra.Command{Use: "local", Short: "Run a whole deployment on this machine"}
-	o := region.Options{Zones: []string{"north", "south"}, Controllers: 3, Machines: 6, LogLevel: "info"}
+	o := localcluster.Options{Zones: []string{"north", "south"}, Controllers: 3, Machines: 6, LogLevel: "info"}
 	up := &cobra.Command{
 		Use: "up", Short: "Start a local region and stay until Ctrl-C", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.withRegion(cmd, o, f.data(), func(r *region.Region) error {
+			return f.withRegion(cmd, o, f.data(), func(r *localcluster.Region) error {
 				if err := f.print(cmd.OutOrStdout(), r.Info, func(w io.Writer) { showRegion(w, f.data(), r.Info) }); err != nil {
 					return err
 				}
@@ -62,7 +62,7 @@
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			info, err := region.Find(f.data())
+			info, err := localcluster.Find(f.data())
 			if err != nil {
 				return &exitError{exitUsage, err}
 			}
@@ -80,7 +80,7 @@
 	}
 }
 
-func showRegion(w io.Writer, data string, i region.Info) {
+func showRegion(w io.Writer, data string, i localcluster.Info) {
 	fmt.Fprintf(w, "state service\t%s\ncloud\t%s\n", i.State, i.Cloud)
 	for _, c := range i.Controllers {
 		fmt.Fprintf(w, "%s\t%s\tin %s\tsettings %s\tlog %s\n", c.Name, c.Bind, c.Zone, c.Config, c.Log)
@@ -89,13 +89,13 @@
 }
 
 // withRegion runs a region while do does something, and leaves no process behind.
-func (f *flags) withRegion(cmd *cobra.Command, o region.Options, data string, do func(*region.Region) error) error {
+func (f *flags) withRegion(cmd *cobra.Command, o localcluster.Options, data string, do func(*localcluster.Region) error) error {
 	o.Data = data
 	var err error
 	if o.Daemon, err = daemon(cmd.Context(), o.Daemon, data, cmd.ErrOrStderr()); err != nil {
 		return err
 	}
-	r, err := region.Up(cmd.Context(), o)
+	r, err := localcluster.Up(cmd.Context(), o)
 	if err != nil {
 		return err
 	}
--- a/cmd/drumpickctl/main.go
+++ b/cmd/drumpickctl/main.go
@@ -17,7 +17,7 @@
 	"text/tabwriter"
 
 	"drumpick/client"
-	"drumpick/internal/region"
+	"drumpick/internal/localcluster"
 
 	"github.com/spf13/cobra"
 )
@@ -176,7 +176,7 @@
 	}
 	local := len(addrs) == 0
 	if local {
-		info, err := region.Find(f.data())
+		info, err := localcluster.Find(f.data())
 		if err != nil {
 			return nil, usage("--server is missing, and %v", err)
 		}
--- a/internal/intake/chains.go
+++ b/internal/api/chains.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 )
 
 // fate is what the jobs before a job mean for it.
@@ -24,12 +24,12 @@
 
 // tooLong says why a job cannot be kept: its record is larger than a value of the
 // state service may be, now or later.
-func (s *Server) tooLong(j *ledger.Job) string {
+func (s *Server) tooLong(j *records.Job) string {
 	most := int(s.cfg.Facts.State.Lowest().ValueKB * 1024)
 	if most == 0 {
 		return ""
 	}
-	switch n := ledger.Size(j); {
+	switch n := records.Size(j); {
 	case n <= most:
 		return ""
 	case len(j.Prereqs) > 0:
@@ -41,12 +41,12 @@
 
 // before looks at the jobs that a submission names, and at those before them. A name
 // that is not on record was never accepted: records are kept for good.
-func (s *Server) before(ctx context.Context, j *ledger.Job) (fate, string) {
+func (s *Server) before(ctx context.Context, j *records.Job) (fate, string) {
 	w := s.walk()
 	result := open
 	for _, id := range j.Prereqs {
 		o, known := s.overOf(id)
-		var row *ledger.Row
+		var row *records.Row
 		read := time.Now()
 		if !known {
 			r, over, err := s.lookup(ctx, id)
@@ -62,15 +62,15 @@
 				row = r
 			}
 		}
-		var p ledger.Job
+		var p records.Job
 		if row != nil {
 			_ = json.Unmarshal(row.Value, &p)
 		}
-		if o.Service || p.Shape == ledger.ShapeService {
+		if o.Service || p.Shape == records.ShapeService {
 			return wrong, "prereqs names a service: " + id
 		}
 		switch {
-		case o.Status == ledger.StatusCancelled:
+		case o.Status == records.StatusCancelled:
 			result = cancelled
 		case !known && result == open:
 			if f := w.through(ctx, id, p.Prereqs, read, s.progress); f != open {
@@ -84,7 +84,7 @@
 	return result, ""
 }
 
-func (s *Server) overOf(id string) (ledger.Over, bool) {
+func (s *Server) overOf(id string) (records.Over, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o, ok := s.over[id]
@@ -95,7 +95,7 @@
 // far, is cancelled; if one is, it stores that the job is cancelled with it. Mostly the
 // leader knows. Guards against a user who is told that a job waits while one before it
 // was cancelled long ago: the leader that would cancel it may be gone, and none there.
-func (s *Server) chained(ctx context.Context, id string, row *ledger.Row, read time.Time, p peer.Progress) (answer, bool) {
+func (s *Server) chained(ctx context.Context, id string, row *records.Row, read time.Time, p peer.Progress) (answer, bool) {
 	needs := needsOf(row)
 	if len(needs) == 0 {
 		return answer{}, false
@@ -206,7 +206,7 @@
 		next := step{id: x.needs[0], at: time.Now()}
 		x.needs = x.needs[1:]
 		if o, over := w.s.overOf(next.id); over {
-			if o.Status == ledger.StatusCancelled {
+			if o.Status == records.StatusCancelled {
 				return w.doom(path)
 			}
 			continue
@@ -239,7 +239,7 @@
 	case err != nil || row == nil && final == nil:
 		slog.Debug("job before another not read", "job", id, "err", err)
 		return undecided, false
-	case final != nil && final.Status == ledger.StatusCancelled:
+	case final != nil && final.Status == records.StatusCancelled:
 		return cancelled, false
 	case final != nil:
 		return open, true
@@ -277,7 +277,7 @@
 }
 
 // needsOf reads the jobs that an open job's record names.
-func needsOf(row *ledger.Row) []string {
+func needsOf(row *records.Row) []string {
 	var j struct {
 		Prereqs []string `json:"prereqs"`
 	}
--- a/internal/intake/confirm.go
+++ b/internal/api/confirm.go
@@ -1,12 +1,12 @@
-package intake
+package api
 
 import (
 	"context"
 	"log/slog"
 	"time"
 
-	"drumpick/internal/ledger"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 
 	"github.com/VictoriaMetrics/metrics"
 )
@@ -66,5 +66,5 @@
 	ctx, cancel := context.WithTimeout(context.Background(), s.budget())
 	defer cancel()
 	l := s.local()
-	return l != nil && ledger.ValidID(id) && l.Cancel(ctx, id)
+	return l != nil && records.ValidID(id) && l.Cancel(ctx, id)
 }
--- a/internal/intake/crowd.go
+++ b/internal/api/crowd.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 
 	"github.com/VictoriaMetrics/metrics"
 )
@@ -30,7 +30,7 @@
 // shared is one list and who waits for it.
 type shared struct {
 	done chan struct{}
-	open map[string]*ledger.Row
+	open map[string]*records.Row
 	err  error
 }
 
@@ -75,14 +75,14 @@
 	defer close(l.done)
 	ctx, cancel := context.WithTimeout(context.Background(), wait+s.budget())
 	defer cancel()
-	_ = link.Sleep(ctx, wait)
+	_ = httpclient.Sleep(ctx, wait)
 	s.crowd.mu.Lock()
 	s.crowd.next, s.crowd.last = nil, time.Now()
 	s.crowd.mu.Unlock()
 	sharedLists.Inc()
-	l.open = map[string]*ledger.Row{}
-	_, l.err = s.store.List(ctx, ledger.PrefixOpen, func(r ledger.Row) error {
-		l.open[strings.TrimPrefix(r.Key, ledger.PrefixOpen)] = &r
+	l.open = map[string]*records.Row{}
+	_, l.err = s.store.List(ctx, records.PrefixOpen, func(r records.Row) error {
+		l.open[strings.TrimPrefix(r.Key, records.PrefixOpen)] = &r
 		return nil
 	})
 	if l.err != nil {
@@ -99,7 +99,7 @@
 		return errAway
 	}
 	if row := l.open[id]; row != nil {
-		p := peer.Progress{Status: ledger.StatusPending}
+		p := peer.Progress{Status: records.StatusPending}
 		if needs := needsOf(row); len(needs) > 0 || s.local() != nil {
 			p = s.progress(id)
 		}
--- a/internal/intake/intake.go
+++ b/internal/api/intake.go
@@ -1,6 +1,6 @@
 // Package intake is the users' side: submit, poll, withdraw, ready. Any
 // controller serves it from the store.
-package intake
+package api
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"drumpick/internal/cancellation"
 	"drumpick/internal/config"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/gofiber/fiber/v2/utils"
@@ -24,9 +24,9 @@
 
 // Store is what intake needs of the state service.
 type Store interface {
-	Get(ctx context.Context, key string) (*ledger.Row, error)
-	List(ctx context.Context, prefix string, each func(ledger.Row) error) (uint64, error)
-	Commit(ctx context.Context, when []ledger.Cond, ops []ledger.Op) (uint64, error)
+	Get(ctx context.Context, key string) (*records.Row, error)
+	List(ctx context.Context, prefix string, each func(records.Row) error) (uint64, error)
+	Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error)
 	Health() (lastOK time.Time, failing bool, started time.Time)
 	// Reached is when the service last answered anything, a refusal included.
 	Reached() time.Time
@@ -76,8 +76,8 @@
 	renewed atomic.Value // time.Time: when a report was last answered here as leader, or the start
 
 	mu    sync.Mutex
-	types []ledger.MachineType
-	over  map[string]ledger.Over // final states never change
+	types []records.MachineType
+	over  map[string]records.Over // final states never change
 	// unheard are cancelled jobs of which it is not known whether the leader has heard, with when
 	// that they are cancelled was first known here.
 	unheard map[string]time.Time
@@ -97,7 +97,7 @@
 	s := &Server{
 		cfg: cfg, store: store, peers: peers, leader: leader, local: local,
 		reads: rate.NewLimiter(rate.Limit(share/float64(max(cfg.Facts.Nodes, 1))), max(int(share), 1)),
-		over:  map[string]ledger.Over{}, known: map[string]bool{}, clear: map[string]time.Time{}, unheard: map[string]time.Time{},
+		over:  map[string]records.Over{}, known: map[string]bool{}, clear: map[string]time.Time{}, unheard: map[string]time.Time{},
 		needs: map[string][]string{}, doomed: map[string]bool{}, told: cancellation.NewLog(time.Now()),
 	}
 	s.renewed.Store(time.Now())
@@ -111,7 +111,7 @@
 const pollShare = 0.6
 
 // SetTypes tells which machine types there are.
-func (s *Server) SetTypes(t []ledger.MachineType) {
+func (s *Server) SetTypes(t []records.MachineType) {
 	s.mu.Lock()
 	s.types = t
 	s.mu.Unlock()
@@ -245,7 +245,7 @@
 }
 
 func (s *Server) poll(ctx context.Context, id string) answer {
-	if !ledger.ValidID(id) {
+	if !records.ValidID(id) {
 		return fail(404, "no such job")
 	}
 	if a, ok := s.remembered(ctx, id); ok {
@@ -261,7 +261,7 @@
 	}
 	row, over, err := s.lookup(ctx, id)
 	switch {
-	case errors.Is(err, ledger.ErrThrottled):
+	case errors.Is(err, records.ErrThrottled):
 		s.crowd.more(time.Now())
 		return s.pollShared(ctx, id)
 	case err != nil:
@@ -296,7 +296,7 @@
 			return p
 		}
 	}
-	return peer.Progress{Status: ledger.StatusPending}
+	return peer.Progress{Status: records.StatusPending}
 }
 
 // Ready says whether this controller can take requests. It cannot when the
@@ -335,7 +335,7 @@
 // controller that is cut off.
 func (s *Server) Watch(ctx context.Context) {
 	report := s.cfg.Report()
-	for link.Sleep(ctx, report/4) == nil {
+	for httpclient.Sleep(ctx, report/4) == nil {
 		served, alone := false, false
 		_, failing, _ := s.store.Health()
 		if failing {
--- a/internal/intake/memory.go
+++ b/internal/api/memory.go
@@ -1,11 +1,11 @@
-package intake
+package api
 
 import (
 	"context"
 	"encoding/json"
 	"time"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 func (s *Server) isKnown(id string) bool {
@@ -58,10 +58,10 @@
 }
 
 // overAnswer tells of a job that is over.
-func (s *Server) overAnswer(ctx context.Context, id string, o ledger.Over) answer {
+func (s *Server) overAnswer(ctx context.Context, id string, o records.Over) answer {
 	done, running := 0, 0
 	switch {
-	case o.Status == ledger.StatusDone:
+	case o.Status == records.StatusDone:
 		done = o.Tasks
 	case !s.confirmable(ctx, id):
 		return errAway
@@ -71,12 +71,12 @@
 
 // lookup reads a job afresh: its open record, or its final state. Both nil
 // means that there is no such job.
-func (s *Server) lookup(ctx context.Context, id string) (*ledger.Row, *ledger.Over, error) {
+func (s *Server) lookup(ctx context.Context, id string) (*records.Row, *records.Over, error) {
 	// A job moves from open to over in one transaction; read in this order, a
 	// move in between is met at its new place. Over records stay for good: where
 	// there is none now, there was none when the open record was found absent, so
 	// there was no such job then.
-	row, err := s.store.Get(ctx, ledger.OpenKey(id))
+	row, err := s.store.Get(ctx, records.OpenKey(id))
 	if err != nil || row != nil {
 		return row, nil, err
 	}
@@ -85,12 +85,12 @@
 }
 
 // readOver reads a job's final state, nil where there is none.
-func (s *Server) readOver(ctx context.Context, id string) (*ledger.Over, error) {
-	row, err := s.store.Get(ctx, ledger.OverKey(id))
+func (s *Server) readOver(ctx context.Context, id string) (*records.Over, error) {
+	row, err := s.store.Get(ctx, records.OverKey(id))
 	if err != nil || row == nil {
 		return nil, err
 	}
-	var o ledger.Over
+	var o records.Over
 	if err := json.Unmarshal(row.Value, &o); err != nil {
 		return nil, err
 	}
@@ -100,10 +100,10 @@
 
 // remember keeps a final state. started says whether tasks of the job may have started: none
 // has of one that was cancelled with a job before it.
-func (s *Server) remember(id string, o ledger.Over, started bool) {
+func (s *Server) remember(id string, o records.Over, started bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o.Status == ledger.StatusCancelled {
+	if o.Status == records.StatusCancelled {
 		s.told.Add(id, time.Now()) // before anybody is told
 		clear(s.clear)             // it may be before any of them
 		if _, known := s.over[id]; !known && started {
--- a/internal/intake/relay.go
+++ b/internal/api/relay.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
 	"drumpick/internal/peer"
-	"drumpick/internal/relay"
+	"drumpick/internal/routing"
 
 	"github.com/VictoriaMetrics/metrics"
 )
@@ -32,7 +32,7 @@
 	unknown bool          // it does not know bundles; otherwise it did not answer
 	failed  int           // bundles in a row without an answer
 	late    time.Duration // of the last bundle, to be told with the next
-	router  *relay.Router
+	router  *routing.Router
 	term    Local // whose router it is
 }
 
@@ -129,7 +129,7 @@
 // leads no more, or takes no bundles, is asked again later.
 func (s *Server) Offer(ctx context.Context) {
 	report := s.cfg.Report()
-	for link.Sleep(ctx, report/2) == nil {
+	for httpclient.Sleep(ctx, report/2) == nil {
 		node := s.leader()
 		if s.local() != nil || node == s.cfg.Node || !s.relays.tries(node, time.Now()) {
 			continue
@@ -165,9 +165,9 @@
 }
 
 // ofTerm returns the router of a term, with the lock held. A term begins without one.
-func (r *relays) ofTerm(cfg *config.Config, l Local) *relay.Router {
+func (r *relays) ofTerm(cfg *config.Config, l Local) *routing.Router {
 	if r.term != l {
-		r.router = relay.New(cfg.Node, cfg.Report(), config.Seconds(cfg.Facts.Workers.LeaseS))
+		r.router = routing.New(cfg.Node, cfg.Report(), config.Seconds(cfg.Facts.Workers.LeaseS))
 		r.term = l
 	}
 	return r.router
--- a/internal/intake/reports.go
+++ b/internal/api/reports.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"encoding/json"
--- a/internal/intake/submit.go
+++ b/internal/api/submit.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
-	"drumpick/internal/ledger"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
 )
 
 // submit accepts a job, or tells why not.
@@ -59,7 +59,7 @@
 
 // answerKnown answers a submission that repeats an earlier one, as far as that is known or likely. A commit that
 // fails would count as a change all the same, and the store takes few.
-func (s *Server) answerKnown(ctx context.Context, j *ledger.Job) (a answer, known bool) {
+func (s *Server) answerKnown(ctx context.Context, j *records.Job) (a answer, known bool) {
 	switch {
 	case s.isKnown(j.ID):
 		a = s.poll(ctx, j.ID)
@@ -67,7 +67,7 @@
 	case !s.repeatsAbout():
 		return a, false
 	}
-	row, err := s.store.Get(ctx, ledger.OpenKey(j.ID))
+	row, err := s.store.Get(ctx, records.OpenKey(j.ID))
 	switch {
 	case err != nil:
 		return errAway, true
@@ -78,13 +78,13 @@
 	if len(j.Prereqs) > 0 {
 		return s.poll(ctx, j.ID), true
 	}
-	return openAnswer(j.ID, peer.Progress{Status: ledger.StatusPending}), true
+	return openAnswer(j.ID, peer.Progress{Status: records.StatusPending}), true
 }
 
 // recordOf works out what to store of a new job: its open record, or, where one before it is cancelled, that it is
 // as well. An answer instead says why nothing is stored.
-func (s *Server) recordOf(ctx context.Context, j *ledger.Job) (put ledger.Op, status string, a *answer) {
-	put, status = ledger.Op{Write: ledger.OpenKey(j.ID), Value: *j}, ledger.StatusPending
+func (s *Server) recordOf(ctx context.Context, j *records.Job) (put records.Op, status string, a *answer) {
+	put, status = records.Op{Write: records.OpenKey(j.ID), Value: *j}, records.StatusPending
 	if len(j.Prereqs) == 0 {
 		return put, status, nil
 	}
@@ -99,8 +99,8 @@
 		return put, status, &known
 	case cancelled:
 		// It is accepted all the same, and cancelled with the one before it.
-		status = ledger.StatusCancelled
-		put = ledger.Op{Write: ledger.OverKey(j.ID), Value: ledger.Over{Status: status, Tasks: j.Tasks}}
+		status = records.StatusCancelled
+		put = records.Op{Write: records.OverKey(j.ID), Value: records.Over{Status: status, Tasks: j.Tasks}}
 	}
 	return put, status, nil
 }
@@ -109,11 +109,11 @@
 const acceptTries = 3
 
 // accept stores a new job, unless it turns out to be known.
-func (s *Server) accept(ctx context.Context, j *ledger.Job, put ledger.Op, status string) answer {
-	absent := []ledger.Cond{{Key: ledger.OpenKey(j.ID)}, {Key: ledger.OverKey(j.ID)}}
+func (s *Server) accept(ctx context.Context, j *records.Job, put records.Op, status string) answer {
+	absent := []records.Cond{{Key: records.OpenKey(j.ID)}, {Key: records.OverKey(j.ID)}}
 	for range acceptTries {
-		_, err := s.store.Commit(ctx, absent, []ledger.Op{put})
-		var conflict *ledger.ConflictError
+		_, err := s.store.Commit(ctx, absent, []records.Op{put})
+		var conflict *records.ConflictError
 		switch {
 		case err == nil:
 			s.setKnown(j.ID)
--- a/internal/intake/validate.go
+++ b/internal/api/validate.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"slices"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // submission is a job as users send it. Pointers tell a missing field from a
@@ -48,7 +48,7 @@
 
 // parse reads and checks a submission; every error is a 400. What is wrong with the
 // jobs that it names is a 422, and decided only where the job is not known yet.
-func parse(body []byte) (j ledger.Job, why string, err error) {
+func parse(body []byte) (j records.Job, why string, err error) {
 	var s submission
 	if j, err = parseJob(body, &s); err == nil {
 		j.Prereqs, why = needs(s.Prereqs, j.ID)
@@ -56,8 +56,8 @@
 	return j, why, err
 }
 
-func parseJob(body []byte, s *submission) (ledger.Job, error) {
-	var j ledger.Job
+func parseJob(body []byte, s *submission) (records.Job, error) {
+	var j records.Job
 	if err := json.Unmarshal(body, s); err != nil {
 		var wrong *json.UnmarshalTypeError
 		if errors.As(err, &wrong) && wrong.Field != "" {
@@ -112,11 +112,11 @@
 		*f.to = *f.v
 	}
 	switch {
-	case !ledger.ValidID(j.ID):
+	case !records.ValidID(j.ID):
 		return j, errors.New("uid has another form")
-	case !slices.Contains([]string{ledger.ShapeBatch, ledger.ShapeGroup, ledger.ShapeService}, j.Shape):
+	case !slices.Contains([]string{records.ShapeBatch, records.ShapeGroup, records.ShapeService}, j.Shape):
 		return j, errors.New("shape is not known")
-	case !slices.Contains([]string{ledger.PrioCritical, ledger.PrioUrgent, ledger.PrioNormal, ledger.PrioLow}, j.Priority):
+	case !slices.Contains([]string{records.PrioCritical, records.PrioUrgent, records.PrioNormal, records.PrioLow}, j.Priority):
 		return j, errors.New("urgency is not known")
 	case s.Tasks == nil:
 		return j, errors.New("shots is missing")
@@ -150,7 +150,7 @@
 	for _, v := range list {
 		s, ok := v.(string)
 		switch {
-		case !ok || !ledger.ValidID(s):
+		case !ok || !records.ValidID(s):
 			return nil, fmt.Sprintf("prereqs holds what is no job id: %.100q", fmt.Sprint(v))
 		case s == id:
 			return nil, "prereqs names the job itself: " + s
@@ -162,13 +162,13 @@
 }
 
 // impossible says why a job can never run, "" when it can.
-func impossible(j *ledger.Job, teams []config.Team, types []ledger.MachineType) string {
+func impossible(j *records.Job, teams []config.Team, types []records.MachineType) string {
 	i := slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == j.Team })
 	if i < 0 {
 		return "unknown team"
 	}
 	n := 1.0
-	if j.Shape != ledger.ShapeBatch {
+	if j.Shape != records.ShapeBatch {
 		n = float64(j.Tasks)
 	}
 	t := teams[i]
--- a/internal/intake/withdraw.go
+++ b/internal/api/withdraw.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"errors"
 	"log/slog"
 
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // withdrawTries is how often a job is looked up that moves while it is being cancelled.
@@ -14,7 +14,7 @@
 
 // withdraw cancels a job, or tells the final state that it has.
 func (s *Server) withdraw(ctx context.Context, id string) answer {
-	if !ledger.ValidID(id) {
+	if !records.ValidID(id) {
 		return fail(404, "no such job")
 	}
 	for range withdrawTries {
@@ -42,14 +42,14 @@
 
 // cancel moves an open job, of which tasks may have started or not, to the over records,
 // unless it has gone there meanwhile. It returns false when the store does not answer.
-func (s *Server) cancel(ctx context.Context, id string, row *ledger.Row, started bool) bool {
-	var j ledger.Job
+func (s *Server) cancel(ctx context.Context, id string, row *records.Row, started bool) bool {
+	var j records.Job
 	_ = json.Unmarshal(row.Value, &j)
-	o := ledger.Over{Status: ledger.StatusCancelled, Tasks: j.Tasks, Service: j.Shape == ledger.ShapeService}
+	o := records.Over{Status: records.StatusCancelled, Tasks: j.Tasks, Service: j.Shape == records.ShapeService}
 	_, err := s.store.Commit(ctx,
-		[]ledger.Cond{{Key: ledger.OpenKey(id), Stamp: row.Stamp}},
-		[]ledger.Op{{Delete: ledger.OpenKey(id)}, {Write: ledger.OverKey(id), Value: o}})
-	var conflict *ledger.ConflictError
+		[]records.Cond{{Key: records.OpenKey(id), Stamp: row.Stamp}},
+		[]records.Op{{Delete: records.OpenKey(id)}, {Write: records.OverKey(id), Value: o}})
+	var conflict *records.ConflictError
 	switch {
 	case err == nil:
 		s.remember(id, o, started)
--- a/internal/rental/golden_test.go
+++ b/internal/autoscaler/golden_test.go
@@ -1,4 +1,4 @@
-package rental
+package autoscaler
 
 import (
 	"testing"
--- a/internal/rental/rental.go
+++ b/internal/autoscaler/rental.go
@@ -1,6 +1,6 @@
 // Package rental has the requests for machines and what the cloud tells of them; package
 // cloud asks it.
-package rental
+package autoscaler
 
 import (
 	"errors"
--- a/internal/cancellation/log.go
+++ b/internal/cancellation/log.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // Told is a controller's word: which jobs it has told users to be cancelled, or may be about
@@ -38,7 +38,7 @@
 func (t *Told) Check() error {
 	bytes := 0
 	for _, id := range t.IDs {
-		if bytes += len(id); !ledger.ValidID(id) {
+		if bytes += len(id); !records.ValidID(id) {
 			return fmt.Errorf("told.ids: %q is no job", id)
 		}
 	}
--- a/internal/chain/chain.go
+++ b/internal/dependency/chain.go
@@ -1,7 +1,7 @@
 // Package chain keeps the graph of prerequisites: which jobs wait for others, are
 // released, or are cancelled with one before them, and what priority and latest
 // finish the jobs behind impose on those before. It is pure: no I/O, no clock.
-package chain
+package dependency
 
 import (
 	"slices"
--- a/internal/tenure/tenure.go
+++ b/internal/election/tenure.go
@@ -1,7 +1,7 @@
 // Package tenure decides who leads. The leader holds a key on a lease of the
 // state service; the key's stamp is the term, and every write of a leader is
 // conditional on it, so that whatever a deposed one wrote late fails.
-package tenure
+package election
 
 import (
 	"context"
@@ -13,18 +13,18 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
 )
 
 // Store is what tenure needs of the state service.
 type Store interface {
-	Get(ctx context.Context, key string) (*ledger.Row, error)
-	Commit(ctx context.Context, when []ledger.Cond, ops []ledger.Op) (uint64, error)
+	Get(ctx context.Context, key string) (*records.Row, error)
+	Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error)
 	Grant(ctx context.Context, life time.Duration) (uint64, error)
 	Extend(ctx context.Context, hold uint64, timeout time.Duration) error
 	Drop(ctx context.Context, hold uint64)
-	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]ledger.Event, uint64, error)
+	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error)
 }
 
 // Tenure follows the leader key and campaigns for it.
@@ -92,7 +92,7 @@
 			t.serve(ctx, term, hold, sent, lead)
 		case err != nil:
 			slog.Debug("tenure: cannot reach the leader key", "err", err)
-			_ = link.Sleep(ctx, t.life/8+rand.N(t.life/8))
+			_ = httpclient.Sleep(ctx, t.life/8+rand.N(t.life/8))
 		}
 	}
 }
@@ -100,13 +100,13 @@
 // campaign waits until the leader key is free and takes it. It returns term 0
 // when it should simply be called again.
 func (t *Tenure) campaign(ctx context.Context) (term, hold uint64, sent time.Time, err error) {
-	row, err := t.store.Get(ctx, ledger.KeyLeader)
+	row, err := t.store.Get(ctx, records.KeyLeader)
 	if err != nil {
 		return 0, 0, sent, err
 	}
 	stamp := uint64(0)
 	if row != nil {
-		var l ledger.Leader
+		var l records.Leader
 		_ = json.Unmarshal(row.Value, &l)
 		// A key that an earlier start of this very node holds is ours to
 		// replace: there is one process per node, and that one has ended.
@@ -133,7 +133,7 @@
 	barred := time.Until(t.barred)
 	t.mu.Unlock()
 	if barred > 0 {
-		return 0, 0, sent, link.Sleep(ctx, min(barred, t.life/8))
+		return 0, 0, sent, httpclient.Sleep(ctx, min(barred, t.life/8))
 	}
 	sent = time.Now()
 	hold, err = t.store.Grant(ctx, t.life)
@@ -141,21 +141,21 @@
 		return 0, 0, sent, err
 	}
 	epoch, err := t.store.Commit(ctx,
-		[]ledger.Cond{{Key: ledger.KeyLeader, Stamp: stamp}},
-		[]ledger.Op{{Write: ledger.KeyLeader, Value: ledger.Leader{Node: t.node, Start: t.start, Marks: t.marks}, Hold: hold}})
+		[]records.Cond{{Key: records.KeyLeader, Stamp: stamp}},
+		[]records.Op{{Write: records.KeyLeader, Value: records.Leader{Node: t.node, Start: t.start, Marks: t.marks}, Hold: hold}})
 	if err == nil {
 		return epoch, hold, sent, nil
 	}
-	var conflict *ledger.ConflictError
+	var conflict *records.ConflictError
 	if errors.As(err, &conflict) {
 		t.store.Drop(ctx, hold)
 		return 0, 0, sent, nil
 	}
 	// No answer: the commit may have been applied, or may yet be. Read it back;
 	// the grant is dropped unless the key is ours, and with it a late commit.
-	row, rerr := t.store.Get(ctx, ledger.KeyLeader)
+	row, rerr := t.store.Get(ctx, records.KeyLeader)
 	if rerr == nil && row != nil && row.Hold == hold {
-		var l ledger.Leader
+		var l records.Leader
 		if json.Unmarshal(row.Value, &l) == nil && l.Start == t.start {
 			return row.Stamp, hold, sent, nil
 		}
@@ -167,7 +167,7 @@
 // follow waits until the leader key changes.
 func (t *Tenure) follow(ctx context.Context, since uint64) error {
 	for ctx.Err() == nil {
-		events, epoch, err := t.store.Watch(ctx, ledger.KeyLeader, since, t.life/2)
+		events, epoch, err := t.store.Watch(ctx, records.KeyLeader, since, t.life/2)
 		if err != nil {
 			return err
 		}
@@ -190,7 +190,7 @@
 	go func() { defer close(done); lead(ctx, term) }()
 	pause := t.life / 4
 	for ctx.Err() == nil {
-		if link.Sleep(ctx, pause) != nil {
+		if httpclient.Sleep(ctx, pause) != nil {
 			break
 		}
 		pause = t.life / 4
@@ -204,12 +204,12 @@
 			t.mu.Unlock()
 			continue
 		}
-		if errors.Is(err, ledger.ErrNoGrant) {
+		if errors.Is(err, records.ErrNoGrant) {
 			slog.Info("grant ended", "term", term)
 			break
 		}
 		slog.Debug("extension failed", "term", term, "err", err)
-		if errors.Is(err, ledger.ErrThrottled) {
+		if errors.Is(err, records.ErrThrottled) {
 			// Guards against a lease that is lost to users' requests: of several tries one is served.
 			pause = t.life/40 + rand.N(t.life/40)
 		}
--- a/internal/guarantee/account.go
+++ b/internal/fairshare/account.go
@@ -3,7 +3,7 @@
 // for them.
 //
 // The package is pure: no I/O, no clock.
-package guarantee
+package fairshare
 
 import (
 	"time"
--- a/internal/guarantee/guarantee_test.go
+++ b/internal/fairshare/guarantee_test.go
@@ -1,4 +1,4 @@
-package guarantee
+package fairshare
 
 import (
 	"testing"
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"drumpick/internal/packing"
-	"drumpick/internal/usage"
+	"drumpick/internal/quota"
 )
 
 // Attempt is one start of a task on one machine.
@@ -27,7 +27,7 @@
 	Item       *packing.Item // its place in the machine's bin; nil once it has ended
 	Stray      bool          // not an attempt that we count as the task's own
 	Job        any           // whose task it is, for whoever plans; nothing to the table
-	Charge     usage.Charge  // what it counts for, for whoever keeps the account; nothing to the table
+	Charge     quota.Charge  // what it counts for, for whoever keeps the account; nothing to the table
 
 	state   State
 	listed  bool    // on its machine's list
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -1,7 +1,7 @@
 // Package goldentest compares the forms that leave a process (messages, records, settings)
 // with golden files. Only tests use it. The flag -update-golden writes the files anew:
 //
-//	go test ./internal/ledger -run Golden -update-golden
+//	go test ./internal/records -run Golden -update-golden
 //
 // A test names its forms by the field names and bytes of the protocol and never by Go
 // identifiers, so it holds while those are renamed.
--- a/internal/link/link.go
+++ b/internal/httpclient/link.go
@@ -1,6 +1,6 @@
 // Package link makes the outgoing HTTP calls: long-lived connections to one
 // address each, a deadline on every call, and no repeating behind the caller's back.
-package link
+package httpclient
 
 import (
 	"context"
--- a/internal/jobfile/jobfile.go
+++ b/internal/jobspec/jobfile.go
@@ -1,6 +1,6 @@
 // Package jobfile reads the jobs that people write down, in YAML or JSON: one job, a list
 // under "jobs", or several documents of either. What is wrong is told by line and field.
-package jobfile
+package jobspec
 
 import (
 	"bytes"
--- a/internal/jobfile/jobfile_test.go
+++ b/internal/jobspec/jobfile_test.go
@@ -1,4 +1,4 @@
-package jobfile
+package jobspec
 
 import (
 	"encoding/json"
--- a/internal/lead/drains.go
+++ b/internal/leader/drains.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -7,28 +7,28 @@
 	"strings"
 	"time"
 
-	"drumpick/internal/dispatch"
 	"drumpick/internal/drain"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
+	"drumpick/internal/scheduler"
 )
 
 // loadDrains reads what operators asked for, and how far earlier terms came with it.
-func (l *Leader) loadDrains(ctx context.Context, core *dispatch.Core) error {
+func (l *Leader) loadDrains(ctx context.Context, core *scheduler.Core) error {
 	states, stamps := map[string]*drain.State{}, map[string]uint64{}
-	if _, err := l.store.List(ctx, ledger.PrefixDrain, func(r ledger.Row) error {
+	if _, err := l.store.List(ctx, records.PrefixDrain, func(r records.Row) error {
 		var s drain.State
 		if err := json.Unmarshal(r.Value, &s); err != nil {
 			slog.Error("unreadable record", "key", r.Key, "err", err)
 			return nil
 		}
-		id := strings.TrimPrefix(r.Key, ledger.PrefixDrain)
+		id := strings.TrimPrefix(r.Key, records.PrefixDrain)
 		states[id], stamps[id] = &s, r.Stamp
 		return nil
 	}); err != nil {
 		return err
 	}
-	_, err := l.store.List(ctx, ledger.PrefixDrains, func(r ledger.Row) error {
-		if spec, ok := dispatch.ReadDrain(r.Key, r.Value); ok {
+	_, err := l.store.List(ctx, records.PrefixDrains, func(r records.Row) error {
+		if spec, ok := scheduler.ReadDrain(r.Key, r.Value); ok {
 			core.SetDrain(spec, states[spec.ID], stamps[spec.ID])
 		}
 		return nil
@@ -38,13 +38,13 @@
 
 // watchDrains follows what operators ask for.
 func (l *Leader) watchDrains(ctx context.Context, since uint64) {
-	l.follow(ctx, ledger.PrefixDrains, since, 2*l.set.Report, l.rereadDrains, func(events []ledger.Event, _ time.Time) {
+	l.follow(ctx, records.PrefixDrains, since, 2*l.set.Report, l.rereadDrains, func(events []records.Event, _ time.Time) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for _, e := range events {
 			if e.Write == "" {
-				l.core.DropDrain(strings.TrimPrefix(e.Delete, ledger.PrefixDrains))
-			} else if spec, ok := dispatch.ReadDrain(e.Write, e.Value); ok {
+				l.core.DropDrain(strings.TrimPrefix(e.Delete, records.PrefixDrains))
+			} else if spec, ok := scheduler.ReadDrain(e.Write, e.Value); ok {
 				l.core.SetDrain(spec, nil, 0)
 			}
 		}
@@ -54,8 +54,8 @@
 // rereadDrains replaces a watch whose revision is too old.
 func (l *Leader) rereadDrains(ctx context.Context) (uint64, error) {
 	found := map[string]drain.Spec{}
-	epoch, err := l.store.List(ctx, ledger.PrefixDrains, func(r ledger.Row) error {
-		if spec, ok := dispatch.ReadDrain(r.Key, r.Value); ok {
+	epoch, err := l.store.List(ctx, records.PrefixDrains, func(r records.Row) error {
+		if spec, ok := scheduler.ReadDrain(r.Key, r.Value); ok {
 			found[spec.ID] = spec
 		}
 		return nil
@@ -78,7 +78,7 @@
 }
 
 // Drain tells how a drain stands, as its leader knows it.
-func (l *Leader) Drain(id string) (dispatch.DrainView, bool) {
+func (l *Leader) Drain(id string) (scheduler.DrainView, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.core.DrainView(id)
--- a/internal/lead/lapse.go
+++ b/internal/leader/lapse.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/frontier"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
 	"drumpick/internal/peer"
+	"drumpick/internal/watermark"
 )
 
 // whoHeld lists who may have renewed leases that this term has not; none: it is not known.
@@ -21,7 +21,7 @@
 		slog.Debug("who held the key is not known", "term", l.term, "since", l.last.Epoch, "err", err)
 		return nil
 	}
-	nodes, _ := frontier.Holders(l.last, reigns, l.term)
+	nodes, _ := watermark.Holders(l.last, reigns, l.term)
 	return nodes
 }
 
@@ -36,7 +36,7 @@
 	// Two clocks are in it: the worker's, for its lease, and the holder's, for how long it
 	// has answered nobody.
 	lease := l.set.Lease + config.Drift(l.set.Lease)
-	for link.Sleep(ctx, l.set.Report/4) == nil {
+	for httpclient.Sleep(ctx, l.set.Report/4) == nil {
 		l.mu.Lock()
 		settled := l.core.Settled()
 		l.mu.Unlock()
@@ -54,7 +54,7 @@
 				since[a.Node] = time.Duration(*a.RenewedMS) * time.Millisecond
 			}
 		}
-		if !frontier.Lapsed(holders, since, lease) {
+		if !watermark.Lapsed(holders, since, lease) {
 			continue
 		}
 		l.mu.Lock()
--- a/internal/lead/leader.go
+++ b/internal/leader/leader.go
@@ -1,7 +1,7 @@
 // Package lead drives a term: it feeds what comes in to a dispatch.Core, carries the
 // decisions out, and keeps what the next leader needs in the store. What to decide is not
 // for here; whether a decision may still be carried out is.
-package lead
+package leader
 
 import (
 	"context"
@@ -13,24 +13,24 @@
 	"sync/atomic"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/cancellation"
 	"drumpick/internal/config"
-	"drumpick/internal/dispatch"
+	"drumpick/internal/election"
 	"drumpick/internal/fleet"
-	"drumpick/internal/frontier"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
 	"drumpick/internal/peer"
-	"drumpick/internal/rental"
-	"drumpick/internal/tenure"
+	"drumpick/internal/records"
+	"drumpick/internal/scheduler"
+	"drumpick/internal/watermark"
 )
 
 // Store is the state service as a leader needs it.
 type Store interface {
-	Get(ctx context.Context, key string) (*ledger.Row, error)
-	List(ctx context.Context, prefix string, each func(ledger.Row) error) (uint64, error)
-	Commit(ctx context.Context, when []ledger.Cond, ops []ledger.Op) (uint64, error)
-	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]ledger.Event, uint64, error)
+	Get(ctx context.Context, key string) (*records.Row, error)
+	List(ctx context.Context, prefix string, each func(records.Row) error) (uint64, error)
+	Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error)
+	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error)
 	WaitBatch(ctx context.Context, n int) error
 	Health() (lastOK time.Time, failing bool, started time.Time)
 	FailedSince(t time.Time) bool
@@ -38,10 +38,10 @@
 
 // Cloud rents machines.
 type Cloud interface {
-	Types(ctx context.Context) ([]ledger.MachineType, error)
-	Rent(ctx context.Context, r rental.Request) ([]string, error)
+	Types(ctx context.Context) ([]records.MachineType, error)
+	Rent(ctx context.Context, r autoscaler.Request) ([]string, error)
 	Return(ctx context.Context, hosts []string) error
-	List(ctx context.Context) ([]rental.Listed, error)
+	List(ctx context.Context) ([]autoscaler.Listed, error)
 }
 
 // Workers takes direct commands to workers.
@@ -59,21 +59,21 @@
 // decisions out. Nothing is held locked over I/O.
 type Leader struct {
 	cfg     *config.Config
-	set     dispatch.Settings
+	set     scheduler.Settings
 	store   Store
 	cloud   Cloud
-	tenure  *tenure.Tenure
+	tenure  *election.Tenure
 	peers   Peers
 	workers Workers
-	witness *frontier.Witness // this controller's own
-	told    *cancellation.Log // what users were told here of cancellations
+	witness *watermark.Witness // this controller's own
+	told    *cancellation.Log  // what users were told here of cancellations
 
 	term   uint64
 	began  time.Time
-	last   frontier.Word // of the latest settled term, as heard at the takeover
+	last   watermark.Word // of the latest settled term, as heard at the takeover
 	mu     sync.Mutex
-	core   *dispatch.Core
-	rec    *dispatch.Records
+	core   *scheduler.Core
+	rec    *scheduler.Records
 	loaded chan struct{}
 	wake   chan struct{} // something is to be stored
 	over   atomic.Bool   // the term is over, or given up
@@ -83,20 +83,20 @@
 	contactMu sync.Mutex
 	bound     cancellation.Bound // until when leases may be renewed
 	vouched   time.Time          // until then, nobody else can lead, grant or not
-	word      frontier.Word
+	word      watermark.Word
 	loose     time.Time // until then, all others have heard that the marks are loose
 	swore     time.Time // when a record was last made that the marks are whole
 	spoke     time.Time // when the others were last told how they stand; for announce alone
 }
 
 // New prepares a term; Run serves it.
-func New(cfg *config.Config, store Store, cloud Cloud, ten *tenure.Tenure, peers Peers, workers Workers, witness *frontier.Witness, told *cancellation.Log, term uint64) *Leader {
-	set := dispatch.SettingsOf(cfg)
+func New(cfg *config.Config, store Store, cloud Cloud, ten *election.Tenure, peers Peers, workers Workers, witness *watermark.Witness, told *cancellation.Log, term uint64) *Leader {
+	set := scheduler.SettingsOf(cfg)
 	return &Leader{
 		cfg: cfg, set: set, store: store, cloud: cloud, tenure: ten, peers: peers, workers: workers, witness: witness, told: told,
-		term: term, began: time.Now(), core: dispatch.NewCore(set, term, time.Now()),
+		term: term, began: time.Now(), core: scheduler.NewCore(set, term, time.Now()),
 		loaded: make(chan struct{}), wake: make(chan struct{}, 1), logged: make(chan struct{}),
-		word:  frontier.Word{Term: term, Epoch: term, Node: cfg.Node},
+		word:  watermark.Word{Term: term, Epoch: term, Node: cfg.Node},
 		bound: cancellation.NewBound(config.Seconds(cfg.Facts.Workers.CancelS), set.Lease),
 	}
 }
@@ -120,7 +120,7 @@
 			break
 		}
 		slog.Warn("takeover: cannot read the store", "term", l.term, "err", err)
-		if link.Sleep(ctx, l.set.Report/8+rand.N(l.set.Report/8)) != nil {
+		if httpclient.Sleep(ctx, l.set.Report/8+rand.N(l.set.Report/8)) != nil {
 			return
 		}
 	}
@@ -142,7 +142,7 @@
 
 // watch follows new and closed jobs.
 func (l *Leader) watch(ctx context.Context, since uint64) {
-	l.follow(ctx, ledger.PrefixOpen, since, l.set.Report, l.reread, func(events []ledger.Event, asked time.Time) {
+	l.follow(ctx, records.PrefixOpen, since, l.set.Report, l.reread, func(events []records.Event, asked time.Time) {
 		// What came back was made after it was asked for: up to then nothing
 		// was missed.
 		now := time.Now()
@@ -151,7 +151,7 @@
 		for _, e := range events {
 			if e.Write != "" {
 				l.addJob(l.core, e.Write, e.Value, e.Stamp, now, now)
-			} else if id, ok := strings.CutPrefix(e.Delete, ledger.PrefixOpen); ok {
+			} else if id, ok := strings.CutPrefix(e.Delete, records.PrefixOpen); ok {
 				l.core.CloseJob(id) // how it ended, its over record tells
 			}
 		}
@@ -166,16 +166,16 @@
 // follow watches a prefix, and reads it again where its revision is too old. take is given
 // each answer, and when it was asked for.
 func (l *Leader) follow(ctx context.Context, prefix string, since uint64, wait time.Duration,
-	reread func(context.Context) (uint64, error), take func(events []ledger.Event, asked time.Time)) {
+	reread func(context.Context) (uint64, error), take func(events []records.Event, asked time.Time)) {
 	for ctx.Err() == nil {
 		asked := time.Now()
 		events, epoch, err := l.store.Watch(ctx, prefix, since, wait)
-		if errors.Is(err, ledger.ErrCompacted) {
+		if errors.Is(err, records.ErrCompacted) {
 			epoch, err = reread(ctx)
 			events = nil
 		}
 		if err != nil {
-			if link.Sleep(ctx, l.set.Report/8+rand.N(l.set.Report/8)) != nil {
+			if httpclient.Sleep(ctx, l.set.Report/8+rand.N(l.set.Report/8)) != nil {
 				return
 			}
 			continue
@@ -187,9 +187,9 @@
 
 // reread replaces a watch whose revision is too old.
 func (l *Leader) reread(ctx context.Context) (uint64, error) {
-	open := map[string]ledger.Row{}
-	epoch, err := l.store.List(ctx, ledger.PrefixOpen, func(r ledger.Row) error {
-		open[strings.TrimPrefix(r.Key, ledger.PrefixOpen)] = r
+	open := map[string]records.Row{}
+	epoch, err := l.store.List(ctx, records.PrefixOpen, func(r records.Row) error {
+		open[strings.TrimPrefix(r.Key, records.PrefixOpen)] = r
 		return nil
 	})
 	if err != nil {
@@ -333,8 +333,8 @@
 
 // tick does what time brings, and sends kills out at once.
 func (l *Leader) tick(ctx context.Context) {
-	every := l.set.Report / dispatch.TickShare
-	for began := time.Now(); link.Sleep(ctx, every) == nil; began = time.Now() {
+	every := l.set.Report / scheduler.TickShare
+	for began := time.Now(); httpclient.Sleep(ctx, every) == nil; began = time.Now() {
 		now := time.Now()
 		can := l.mayStart()
 		l.mu.Lock()
@@ -379,6 +379,6 @@
 func (l *Leader) valueBytes() int { return int(l.cfg.Facts.State.Lowest().ValueKB * 1024) }
 
 // mine is the condition under which every write of a leader stands.
-func (l *Leader) mine() []ledger.Cond {
-	return []ledger.Cond{{Key: ledger.KeyLeader, Stamp: l.term}}
+func (l *Leader) mine() []records.Cond {
+	return []records.Cond{{Key: records.KeyLeader, Stamp: l.term}}
 }
--- a/internal/lead/outage.go
+++ b/internal/leader/outage.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	"drumpick/internal/cancellation"
 	"drumpick/internal/config"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
 	"drumpick/internal/peer"
 
 	"github.com/VictoriaMetrics/metrics"
@@ -122,7 +122,7 @@
 	l.mu.Lock()
 	arrived := l.end(id)
 	l.mu.Unlock()
-	return link.Sleep(ctx, time.Until(arrived)) == nil
+	return httpclient.Sleep(ctx, time.Until(arrived)) == nil
 }
 
 // inFlightShare is the part of a report interval, one in so many, in which an answer to a report mostly
@@ -140,7 +140,7 @@
 	odd := time.Time{} // since when others are served, past the end of our grant, and we are not
 	// Words are told one after the other, from here alone. Guards against an earlier word
 	// that reaches a controller which started only after it had been asked to hear a later.
-	for l.announce(ctx); link.Sleep(ctx, l.set.Report/4) == nil; {
+	for l.announce(ctx); httpclient.Sleep(ctx, l.set.Report/4) == nil; {
 		lastOK, failing, _ := l.store.Health()
 		if !failing || time.Since(lastOK) < l.set.Report/2 {
 			l.announce(ctx)
--- a/internal/lead/renting.go
+++ b/internal/leader/renting.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
-	"drumpick/internal/rental"
+	"drumpick/internal/autoscaler"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
 )
 
 // prices keeps the machine types, with current prices, and stores them when
@@ -25,7 +25,7 @@
 		types, err := l.cloud.Types(ctx)
 		if err != nil {
 			slog.Debug("cloud: no machine types", "err", err)
-			if link.Sleep(ctx, pause/2+rand.N(pause)) != nil {
+			if httpclient.Sleep(ctx, pause/2+rand.N(pause)) != nil {
 				return
 			}
 			continue
@@ -34,33 +34,33 @@
 		l.core.SetTypes(types)
 		l.mu.Unlock()
 		sort.Slice(types, func(i, j int) bool { return types[i].Name < types[j].Name })
-		plain := make([]ledger.MachineType, len(types))
+		plain := make([]records.MachineType, len(types))
 		copy(plain, types)
 		for i := range plain {
 			plain[i].SpotPrice = 0 // it moves all the time
 		}
 		raw, _ := json.Marshal(plain)
-		if value := (ledger.Types{Types: types}); string(raw) != stored && ledger.Size(value) > l.valueBytes() {
+		if value := (records.Types{Types: types}); string(raw) != stored && records.Size(value) > l.valueBytes() {
 			// Controllers ask the cloud where there is no such record.
 			slog.Warn("store: the list of machine types takes more than a value", "types", len(types), "term", l.term)
 			stored = string(raw)
 		} else if string(raw) != stored {
 			// Guards against a list that is stored late, after a newer one.
 			if !known {
-				if row, err := l.store.Get(ctx, ledger.KeyTypes); err == nil {
+				if row, err := l.store.Get(ctx, records.KeyTypes); err == nil {
 					if stamp, known = 0, true; row != nil {
 						stamp = row.Stamp
 					}
 				}
 			}
 			if known {
-				e, err := l.store.Commit(ctx, append(l.mine(), ledger.Cond{Key: ledger.KeyTypes, Stamp: stamp}), []ledger.Op{{Write: ledger.KeyTypes, Value: value}})
+				e, err := l.store.Commit(ctx, append(l.mine(), records.Cond{Key: records.KeyTypes, Stamp: stamp}), []records.Op{{Write: records.KeyTypes, Value: value}})
 				if known = err == nil; known {
 					stored, stamp = string(raw), e
 				}
 			}
 		}
-		if link.Sleep(ctx, 15*pause) != nil {
+		if httpclient.Sleep(ctx, 15*pause) != nil {
 			return
 		}
 	}
@@ -83,7 +83,7 @@
 			slog.Debug("cloud: no list", "err", err)
 		}
 		every = max(every, l.set.Report/4)
-		if link.Sleep(ctx, every*3/4+rand.N(every/2)) != nil {
+		if httpclient.Sleep(ctx, every*3/4+rand.N(every/2)) != nil {
 			return
 		}
 	}
@@ -93,7 +93,7 @@
 func (l *Leader) rents(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for link.Sleep(ctx, l.set.Report/4) == nil {
+	for httpclient.Sleep(ctx, l.set.Report/4) == nil {
 		if !l.granted() {
 			continue
 		}
@@ -108,11 +108,11 @@
 }
 
 // rent repeats one request under its own name until it is answered.
-func (l *Leader) rent(ctx context.Context, r rental.Request) {
+func (l *Leader) rent(ctx context.Context, r autoscaler.Request) {
 	pause := l.set.Report / 4
 	for try := 0; ; try++ {
 		var hosts []string
-		err := error(rental.ErrTrouble)
+		err := error(autoscaler.ErrTrouble)
 		if l.granted() {
 			hosts, err = l.cloud.Rent(ctx, r)
 		}
@@ -123,14 +123,14 @@
 			l.core.Rented(r, hosts, now)
 			l.mu.Unlock()
 			return
-		case errors.Is(err, rental.ErrNoCapacity), ctx.Err() != nil, try >= 8:
+		case errors.Is(err, autoscaler.ErrNoCapacity), ctx.Err() != nil, try >= 8:
 			l.mu.Lock()
-			l.core.Refused(r, errors.Is(err, rental.ErrNoCapacity), now)
+			l.core.Refused(r, errors.Is(err, autoscaler.ErrNoCapacity), now)
 			l.mu.Unlock()
 			return
 		}
 		slog.Debug("rental not answered", "booking", r.Booking, "err", err)
-		if link.Sleep(ctx, pause/2+rand.N(pause)) != nil {
+		if httpclient.Sleep(ctx, pause/2+rand.N(pause)) != nil {
 			continue
 		}
 		pause = min(2*pause, 4*l.set.Report)
@@ -139,14 +139,14 @@
 
 // returns gives machines back.
 func (l *Leader) returns(ctx context.Context) {
-	for link.Sleep(ctx, l.set.Report/2) == nil {
+	for httpclient.Sleep(ctx, l.set.Report/2) == nil {
 		// Guards against hundreds of machines, of a zone that went silent, that are given
 		// back one call in each interval while all older work waits for the last of them.
 		for full := true; full && l.granted(); {
 			l.mu.Lock()
 			hosts := l.core.Returns(time.Now())
 			l.mu.Unlock()
-			full = len(hosts) == rental.MostNames
+			full = len(hosts) == autoscaler.MostNames
 			if len(hosts) == 0 || !l.granted() {
 				break
 			}
--- a/internal/lead/resolve.go
+++ b/internal/leader/resolve.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
 
 	"golang.org/x/time/rate"
 )
@@ -20,7 +20,7 @@
 	reads := rate.NewLimiter(rate.Limit(share), int(share))
 	pause := l.set.Report / 8
 	missing := map[string]time.Time{} // not over when last read: to be read again later
-	for link.Sleep(ctx, pause/2+rand.N(pause)) == nil {
+	for httpclient.Sleep(ctx, pause/2+rand.N(pause)) == nil {
 		l.mu.Lock()
 		ids := l.core.Unread()
 		l.mu.Unlock()
@@ -40,14 +40,14 @@
 			wg.Add(1)
 			go func() {
 				defer func() { <-slots; wg.Done() }()
-				row, err := l.store.Get(ctx, ledger.OverKey(id))
+				row, err := l.store.Get(ctx, records.OverKey(id))
 				if err != nil {
 					slog.Debug("store: no answer about a job before others", "job", id, "err", err)
 					return
 				}
 				l.mu.Lock()
 				defer l.mu.Unlock()
-				var o ledger.Over
+				var o records.Over
 				if row == nil || json.Unmarshal(row.Value, &o) != nil {
 					// It may be open, and the watch about to tell.
 					absent = append(absent, id)
--- a/internal/lead/takeover.go
+++ b/internal/leader/takeover.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -7,28 +7,28 @@
 	"sync"
 	"time"
 
-	"drumpick/internal/dispatch"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
+	"drumpick/internal/scheduler"
 )
 
 // load reads what earlier terms left: open jobs, finished tasks, machines.
 func (l *Leader) load(ctx context.Context) (uint64, error) {
-	core := dispatch.NewCore(l.set, l.term, time.Now())
+	core := scheduler.NewCore(l.set, l.term, time.Now())
 	low := l.cfg.Facts.State.Lowest()
-	rec := dispatch.NewRecords(core, low.ValueKB, low.TxnOps)
+	rec := scheduler.NewRecords(core, low.ValueKB, low.TxnOps)
 	whole := l.askWitnesses(ctx)
 	now, wall := time.Now(), time.Now()
-	if row, err := l.store.Get(ctx, ledger.KeyTypes); err != nil {
+	if row, err := l.store.Get(ctx, records.KeyTypes); err != nil {
 		return 0, err
 	} else if row != nil {
-		var t ledger.Types
+		var t records.Types
 		if json.Unmarshal(row.Value, &t) == nil {
 			core.SetTypes(t.Types)
 		}
 	}
-	epoch, err := l.store.List(ctx, ledger.PrefixOpen, func(r ledger.Row) error {
+	epoch, err := l.store.List(ctx, records.PrefixOpen, func(r records.Row) error {
 		l.addJob(core, r.Key, r.Value, r.Stamp, now, wall)
 		return nil
 	})
@@ -37,17 +37,17 @@
 	}
 	values := []struct {
 		prefix string
-		take   func(ledger.Row)
+		take   func(records.Row)
 	}{
-		{ledger.PrefixDone, rec.LoadDone},
-		{ledger.PrefixHosts, func(r ledger.Row) { rec.LoadHost(r, now) }},
-		{ledger.PrefixSent, rec.LoadMark},
+		{records.PrefixDone, rec.LoadDone},
+		{records.PrefixHosts, func(r records.Row) { rec.LoadHost(r, now) }},
+		{records.PrefixSent, rec.LoadMark},
 	}
 	for _, v := range values {
-		if v.prefix == ledger.PrefixSent && !l.set.Marks {
+		if v.prefix == records.PrefixSent && !l.set.Marks {
 			continue
 		}
-		if _, err := l.store.List(ctx, v.prefix, func(r ledger.Row) error { v.take(r); return nil }); err != nil {
+		if _, err := l.store.List(ctx, v.prefix, func(r records.Row) error { v.take(r); return nil }); err != nil {
 			return 0, err
 		}
 	}
@@ -66,9 +66,9 @@
 	return epoch, nil
 }
 
-func (l *Leader) addJob(core *dispatch.Core, key string, value json.RawMessage, stamp uint64, now, wall time.Time) {
-	var rec ledger.Job
-	if err := json.Unmarshal(value, &rec); err != nil || ledger.OpenKey(rec.ID) != key || rec.Tasks <= 0 {
+func (l *Leader) addJob(core *scheduler.Core, key string, value json.RawMessage, stamp uint64, now, wall time.Time) {
+	var rec records.Job
+	if err := json.Unmarshal(value, &rec); err != nil || records.OpenKey(rec.ID) != key || rec.Tasks <= 0 {
 		slog.Error("unreadable record", "key", key, "err", err)
 		return
 	}
@@ -112,7 +112,7 @@
 			})
 		}
 		wg.Wait()
-		if link.Sleep(ctx, l.set.Report/2) != nil {
+		if httpclient.Sleep(ctx, l.set.Report/2) != nil {
 			return
 		}
 	}
--- a/internal/lead/witness.go
+++ b/internal/leader/witness.go
@@ -1,4 +1,4 @@
-package lead
+package leader
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 
 	"drumpick/internal/config"
 	"drumpick/internal/fleet"
-	"drumpick/internal/frontier"
-	"drumpick/internal/ledger"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
+	"drumpick/internal/watermark"
 )
 
 // askWitnesses asks all controllers what earlier leaders said of the marks in the store,
@@ -21,8 +21,8 @@
 	if !l.set.Marks {
 		return false
 	}
-	ask := frontier.Word{Term: l.term}
-	words, last := []frontier.Word{l.witness.Hear(ask)}, l.witness.Settled()
+	ask := watermark.Word{Term: l.term}
+	words, last := []watermark.Word{l.witness.Hear(ask)}, l.witness.Settled()
 	answers, _ := l.peers.Tell(ctx, peer.Inquiry{Word: ask})
 	for _, a := range answers {
 		if a.Heard != nil {
@@ -33,19 +33,19 @@
 		}
 	}
 	l.last = last
-	best, ok := frontier.Best(words)
+	best, ok := watermark.Best(words)
 	if ok {
 		reigns, err := l.reigns(ctx, best.Epoch)
-		whole := err == nil && frontier.Trusted(best, reigns, l.term)
+		whole := err == nil && watermark.Trusted(best, reigns, l.term)
 		slog.Info("marks of what was sent", "term", l.term, "witnessed", best.Term, "whole", whole, "err", err)
 		return whole
 	}
-	row, err := l.store.Get(ctx, ledger.KeyWhole)
+	row, err := l.store.Get(ctx, records.KeyWhole)
 	if err != nil || row == nil {
 		slog.Info("no witness of what was sent", "term", l.term, "asked", len(answers), "err", err)
 		return false
 	}
-	var rec frontier.Record
+	var rec watermark.Record
 	_ = json.Unmarshal(row.Value, &rec) // what is unreadable is of no term
 	_, _, started := l.store.Health()
 	bound := time.Duration(l.cfg.Facts.TimeBoundMS * float64(time.Millisecond))
@@ -67,17 +67,17 @@
 const swears = 3
 
 // reigns lists who has taken the leader's key since a revision.
-func (l *Leader) reigns(ctx context.Context, since uint64) ([]frontier.Reign, error) {
-	events, _, err := l.store.Watch(ctx, ledger.KeyLeader, since, 0)
+func (l *Leader) reigns(ctx context.Context, since uint64) ([]watermark.Reign, error) {
+	events, _, err := l.store.Watch(ctx, records.KeyLeader, since, 0)
 	if err != nil {
 		return nil, err
 	}
-	var reigns []frontier.Reign
+	var reigns []watermark.Reign
 	for _, e := range events {
-		if e.Write == ledger.KeyLeader {
-			var rec ledger.Leader
+		if e.Write == records.KeyLeader {
+			var rec records.Leader
 			_ = json.Unmarshal(e.Value, &rec) // what is unreadable keeps no marks
-			reigns = append(reigns, frontier.Reign{Term: e.Stamp, Marks: rec.Marks, Node: rec.Node})
+			reigns = append(reigns, watermark.Reign{Term: e.Stamp, Marks: rec.Marks, Node: rec.Node})
 		}
 	}
 	return reigns, nil
@@ -101,14 +101,14 @@
 }
 
 // wholeRecord returns that record when it is due.
-func (l *Leader) wholeRecord(now time.Time) *frontier.Record {
+func (l *Leader) wholeRecord(now time.Time) *watermark.Record {
 	l.contactMu.Lock()
 	defer l.contactMu.Unlock()
 	if !l.word.Whole || now.Sub(l.swore) < l.firm()/swears {
 		return nil
 	}
 	l.swore = now // whether it is answered or not: it may be stored late
-	return &frontier.Record{Term: l.term, Node: l.cfg.Node, AtMS: now.UnixMilli()}
+	return &watermark.Record{Term: l.term, Node: l.cfg.Node, AtMS: now.UnixMilli()}
 }
 
 // led notes a revision at which the term held its key.
@@ -148,9 +148,9 @@
 
 // loosen is the word with which a leader asks to send tasks beyond marks that it cannot
 // have stored.
-func (l *Leader) loosen() frontier.Word {
+func (l *Leader) loosen() watermark.Word {
 	if !l.set.Marks {
-		return frontier.Word{}
+		return watermark.Word{}
 	}
 	l.contactMu.Lock()
 	defer l.contactMu.Unlock()
@@ -163,7 +163,7 @@
 
 // loosened takes in who has heard that word. Only when all have, no witness is left that
 // would tell a next leader otherwise.
-func (l *Leader) loosened(word frontier.Word, answers []peer.Status, all bool, asked time.Time) {
+func (l *Leader) loosened(word watermark.Word, answers []peer.Status, all bool, asked time.Time) {
 	took := time.Since(asked)
 	for _, a := range answers {
 		// Guards against one that was barred by a new leader and has restarted since we
--- a/internal/history/history.go
+++ b/internal/linearizability/history.go
@@ -1,7 +1,7 @@
 // Package history records what users of a deployment were told and checks it afterwards:
 // every job is one register, and all answers about it, whoever gave them and however many
 // were asked at a time, must fit into one order. For tests with real processes.
-package history
+package linearizability
 
 import (
 	"fmt"
--- a/internal/history/history_test.go
+++ b/internal/linearizability/history_test.go
@@ -1,4 +1,4 @@
-package history
+package linearizability
 
 import (
 	"strings"
--- a/internal/scale/cell.go
+++ b/internal/loadtest/cell.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"time"
 
 	"drumpick/client"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
-	"drumpick/internal/region"
-	"drumpick/internal/rental"
-	"drumpick/internal/standin"
+	"drumpick/internal/autoscaler"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/localcluster"
+	"drumpick/internal/records"
+	"drumpick/internal/simulation"
 )
 
 // Programs are what a run starts.
@@ -32,10 +32,10 @@
 	zones  []string
 	state  *child
 	hosts  []*host // processes of workers
-	region *region.Region
+	region *localcluster.Region
 	users  *client.Client
-	each   []*client.Client // of one controller each
-	store  *link.Client     // to the state service
+	each   []*client.Client   // of one controller each
+	store  *httpclient.Client // to the state service
 
 	mu    sync.Mutex
 	where map[string]*host // of machines
@@ -73,13 +73,13 @@
 	if c.state, err = startChild(programs.Self, filepath.Join(dir, "state.log"), "serve", RoleState, "--data", dir); err != nil {
 		return nil, err
 	}
-	c.store = link.New(c.state.Service, 4, time.Second)
+	c.store = httpclient.New(c.state.Service, 4, time.Second)
 	workers, apart := size.share(size.Workers, index), size.share(size.RealWorkers, index)
 	if err = c.startHosts(programs.Self, dir, apart, workers-apart); err != nil {
 		return nil, err
 	}
 	perZone := (workers + len(c.zones) - 1) / len(c.zones)
-	c.region, err = region.Up(ctx, region.Options{
+	c.region, err = localcluster.Up(ctx, localcluster.Options{
 		Data: dir, Daemon: programs.Daemon, Arguments: []string{"--options", programs.Options}, Zones: c.zones, Controllers: size.Controllers,
 		Machines: perZone, LogLevel: "info", Facts: size.facts(index, c.zones), Types: size.types(c.zones), State: c.state.Service, Workers: c.place,
 	})
@@ -129,7 +129,7 @@
 var errFull = errors.New("no process has room for another worker")
 
 // place starts a rented machine in the process that has the fewest, the real ones first.
-func (c *cell) place(m *standin.Machine) (string, func(), error) {
+func (c *cell) place(m *simulation.Machine) (string, func(), error) {
 	c.mu.Lock()
 	var to *host
 	for _, h := range c.hosts {
@@ -145,7 +145,7 @@
 	c.where[m.Host] = to
 	c.mu.Unlock()
 	var at Placed
-	err := to.ask("POST", "/machines", Placement{m.Host, rental.Request{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}, &at)
+	err := to.ask("POST", "/machines", Placement{m.Host, autoscaler.Request{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}, &at)
 	if err != nil {
 		c.gone(m.Host)
 		return "", nil, err
@@ -177,20 +177,20 @@
 
 // upload gives the workers jobs' descriptions, as users do.
 func (c *cell) upload(jobs ...client.Job) error {
-	records := make([]ledger.Job, 0, len(jobs))
+	described := make([]records.Job, 0, len(jobs))
 	for _, j := range jobs {
 		raw, err := json.Marshal(j)
 		if err != nil {
 			return err
 		}
-		var record ledger.Job
+		var record records.Job
 		if err := json.Unmarshal(raw, &record); err != nil {
 			return err
 		}
-		records = append(records, record)
+		described = append(described, record)
 	}
 	for _, h := range c.hosts {
-		if err := h.ask("POST", "/jobs", records, nil); err != nil {
+		if err := h.ask("POST", "/jobs", described, nil); err != nil {
 			return err
 		}
 	}
@@ -205,12 +205,12 @@
 
 // leader reads from the state service who leads.
 func (c *cell) leader() leadership {
-	status, raw, err := c.store.Do("GET", "/store/"+ledger.KeyLeader, "", nil, time.Now().Add(time.Second))
+	status, raw, err := c.store.Do("GET", "/store/"+records.KeyLeader, "", nil, time.Now().Add(time.Second))
 	if err != nil || status != 200 {
 		return leadership{}
 	}
-	var row ledger.Row
-	var l ledger.Leader
+	var row records.Row
+	var l records.Leader
 	if json.Unmarshal(raw, &row) != nil || json.Unmarshal(row.Value, &l) != nil {
 		return leadership{}
 	}
@@ -231,10 +231,10 @@
 }
 
 // history gathers what all workers ran.
-func (c *cell) history() ([]standin.Ran, error) {
-	var all []standin.Ran
+func (c *cell) history() ([]simulation.Ran, error) {
+	var all []simulation.Ran
 	for _, h := range c.hosts {
-		var ran []standin.Ran
+		var ran []simulation.Ran
 		if err := h.ask("GET", "/history", nil, &ran); err != nil {
 			return nil, err
 		}
--- a/internal/scale/check.go
+++ b/internal/loadtest/check.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 
 	"drumpick/client"
 	"drumpick/internal/fleet"
-	"drumpick/internal/standin"
+	"drumpick/internal/simulation"
 )
 
 // UserJob is what the users know of a job.
@@ -47,7 +47,7 @@
 
 // History is what a run looked like from outside.
 type History struct {
-	Ran    []standin.Ran // by all workers
+	Ran    []simulation.Ran // by all workers
 	Jobs   map[string]*UserJob
 	Limits []Limits      // by region
 	Cancel time.Duration // within which a cancelled job's tasks have to be gone
@@ -74,9 +74,9 @@
 // checkPlaces looks for tasks that started on one machine while they were on another.
 func (h *History) checkPlaces() []Breach {
 	ran := slices.Clone(h.Ran)
-	slices.SortFunc(ran, func(a, b standin.Ran) int { return cmp.Or(cmp.Compare(a.Task, b.Task), a.From.Compare(b.From)) })
+	slices.SortFunc(ran, func(a, b simulation.Ran) int { return cmp.Or(cmp.Compare(a.Task, b.Task), a.From.Compare(b.From)) })
 	var all []Breach
-	var last standin.Ran // of the task, the one that ends last so far
+	var last simulation.Ran // of the task, the one that ends last so far
 	for i, r := range ran {
 		if i > 0 && last.Task == r.Task {
 			if r.From.Before(last.To) && r.Machine != last.Machine {
--- a/internal/scale/child.go
+++ b/internal/loadtest/child.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"syscall"
 	"time"
 
-	"drumpick/internal/link"
-	"drumpick/internal/region"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/localcluster"
 
 	"github.com/gofiber/fiber/v2"
 )
@@ -36,7 +36,7 @@
 // child is a process of this program.
 type child struct {
 	cmd  *exec.Cmd
-	link *link.Client
+	link *httpclient.Client
 	hello
 }
 
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := region.Start(c.cmd); err != nil {
+	if err := localcluster.Start(c.cmd); err != nil {
 		return nil, err
 	}
 	said := make(chan error, 1)
@@ -77,7 +77,7 @@
 		c.stop()
 		return nil, fmt.Errorf("%s: %w (see %s)", strings.Join(arguments, " "), err, logFile)
 	}
-	c.link = link.New(c.Addr, 64, time.Second)
+	c.link = httpclient.New(c.Addr, 64, time.Second)
 	return c, nil
 }
 
@@ -118,7 +118,7 @@
 		NewHollow(ctx).Mount(app)
 	case RoleState:
 		requests := newStateCounts()
-		addr, err := region.ServeState(ctx, filepath.Join(data, "state.db"), requests.count)
+		addr, err := localcluster.ServeState(ctx, filepath.Join(data, "state.db"), requests.count)
 		if err != nil {
 			return err
 		}
--- a/internal/scale/fit_test.go
+++ b/internal/loadtest/fit_test.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"errors"
--- a/internal/scale/hollow.go
+++ b/internal/loadtest/hollow.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
+	"drumpick/internal/autoscaler"
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
-	"drumpick/internal/rental"
-	"drumpick/internal/standin"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
+	"drumpick/internal/simulation"
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/valyala/fasthttp"
@@ -22,8 +22,8 @@
 
 // Setup tells a process of workers what they need to know of their region.
 type Setup struct {
-	Nodes []Node               `json:"nodes"`
-	Types []ledger.MachineType `json:"types"`
+	Nodes []Node                `json:"nodes"`
+	Types []records.MachineType `json:"types"`
 }
 
 // Node is a controller as workers reach it.
@@ -34,8 +34,8 @@
 
 // Placement is a machine that was rented and is to run in this process.
 type Placement struct {
-	Host string         `json:"host"`
-	Rent rental.Request `json:"rent"`
+	Host string             `json:"host"`
+	Rent autoscaler.Request `json:"rent"`
 }
 
 // Placed is where such a machine's worker takes direct commands.
@@ -87,14 +87,14 @@
 // Hollow runs workers whose tasks are timers: machines of the stand-in world, each behind a socket of
 // its own and with a connection of its own to a controller.
 type Hollow struct {
-	world   *standin.World
+	world   *simulation.World
 	ctx     context.Context
 	workers *fasthttp.Server
 
 	mu    sync.Mutex
-	jobs  map[string]ledger.Job
-	at    map[string]*standin.Machine // by the address where it takes commands
-	links map[string]*connection      // by machine
+	jobs  map[string]records.Job
+	at    map[string]*simulation.Machine // by the address where it takes commands
+	links map[string]*connection         // by machine
 	nodes []Node
 
 	reports, orders tally
@@ -104,7 +104,7 @@
 // connection is a worker's connection to the controller where it reports.
 type connection struct {
 	node int
-	link *link.Client
+	link *httpclient.Client
 }
 
 // workerPatience is how long a worker waits for an answer (PROTOCOL).
@@ -113,7 +113,7 @@
 // NewHollow returns a process of workers without any.
 func NewHollow(ctx context.Context) *Hollow {
 	h := &Hollow{
-		world: standin.NewWorld(ctx), ctx: ctx, jobs: map[string]ledger.Job{}, at: map[string]*standin.Machine{}, links: map[string]*connection{},
+		world: simulation.NewWorld(ctx), ctx: ctx, jobs: map[string]records.Job{}, at: map[string]*simulation.Machine{}, links: map[string]*connection{},
 	}
 	w := h.world
 	w.Every, w.Lease, w.Cancel = config.Seconds(reportS), config.Seconds(leaseS), config.Seconds(cancelS)
@@ -122,7 +122,7 @@
 	w.Jobs = h.job
 	w.RunFor = h.runFor
 	w.Open = h.open
-	w.Report = standin.Reporter(h.report)
+	w.Report = simulation.Reporter(h.report)
 	w.FirstNode = h.firstNode
 	commands := newApp()
 	commands.Use(func(c *fiber.Ctx) error {
@@ -130,7 +130,7 @@
 		h.orders.add(len(c.Response().Body()), len(c.Body()))
 		return err
 	})
-	standin.ServeWorkers(commands, func(c *fiber.Ctx) *standin.Machine {
+	simulation.ServeWorkers(commands, func(c *fiber.Ctx) *simulation.Machine {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		return h.at[c.Context().LocalAddr().String()]
@@ -146,7 +146,7 @@
 func listen() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
 
 // job is a job's description, as users uploaded it.
-func (h *Hollow) job(id string) (ledger.Job, bool) {
+func (h *Hollow) job(id string) (records.Job, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	j, ok := h.jobs[id]
@@ -171,7 +171,7 @@
 }
 
 // open opens the address where a machine takes commands.
-func (h *Hollow) open(m *standin.Machine) (string, func(), error) {
+func (h *Hollow) open(m *simulation.Machine) (string, func(), error) {
 	ln, err := listen()
 	if err != nil {
 		return "", nil, err
@@ -195,14 +195,14 @@
 }
 
 // linkTo is a worker's connection to a controller; the one to another is closed.
-func (h *Hollow) linkTo(host string, node int) *link.Client {
+func (h *Hollow) linkTo(host string, node int) *httpclient.Client {
 	h.mu.Lock()
 	was := h.links[host]
 	if was != nil && was.node == node {
 		h.mu.Unlock()
 		return was.link
 	}
-	now := &connection{node, link.New(h.nodes[node].Addr, 1, time.Second)}
+	now := &connection{node, httpclient.New(h.nodes[node].Addr, 1, time.Second)}
 	h.links[host] = now
 	h.mu.Unlock()
 	if was != nil {
@@ -238,7 +238,7 @@
 		if addr := m.Addr(); addr != "" {
 			return Placed{addr}, nil
 		}
-		if err := link.Sleep(h.ctx, 5*time.Millisecond); err != nil {
+		if err := httpclient.Sleep(h.ctx, 5*time.Millisecond); err != nil {
 			return Placed{}, err
 		}
 	}
@@ -259,7 +259,7 @@
 		return taking(c, func(s Setup) (any, error) { h.setUp(s); return fiber.Map{}, nil })
 	})
 	app.Post("/jobs", func(c *fiber.Ctx) error {
-		return taking(c, func(jobs []ledger.Job) (any, error) {
+		return taking(c, func(jobs []records.Job) (any, error) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			for _, j := range jobs {
@@ -271,8 +271,8 @@
 	app.Post("/machines", func(c *fiber.Ctx) error {
 		return taking(c, func(p Placement) (any, error) { return h.place(p) })
 	})
-	app.Post("/machines/end", h.with((*standin.Machine).Die))
-	app.Post("/machines/reboot", h.with((*standin.Machine).Reboot))
+	app.Post("/machines/end", h.with((*simulation.Machine).Die))
+	app.Post("/machines/reboot", h.with((*simulation.Machine).Reboot))
 	app.Get("/counts", func(c *fiber.Ctx) error { return c.JSON(h.counts()) })
 	app.Get("/history", func(c *fiber.Ctx) error {
 		ran, _ := h.world.History()
@@ -281,7 +281,7 @@
 }
 
 // with serves what is done to a machine by name.
-func (h *Hollow) with(do func(*standin.Machine)) fiber.Handler {
+func (h *Hollow) with(do func(*simulation.Machine)) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		return taking(c, func(p Placement) (any, error) {
 			m := h.world.Machine(p.Host)
--- a/internal/scale/result.go
+++ b/internal/loadtest/result.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/standin"
+	"drumpick/internal/simulation"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
@@ -76,7 +76,7 @@
 }
 
 // measureStarts works out, from what ran, what began within a span.
-func (r *Result) measureStarts(ran []standin.Ran, jobs map[string]*UserJob, from, to time.Time) {
+func (r *Result) measureStarts(ran []simulation.Ran, jobs map[string]*UserJob, from, to time.Time) {
 	waits := map[string]*hdrhistogram.Histogram{classUrgent: newHistogram(), classBulk: newHistogram()}
 	toRun := newHistogram()
 	first := map[string]time.Time{} // when a task began, by its name
--- a/internal/scale/run.go
+++ b/internal/loadtest/run.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/link"
-	"drumpick/internal/standin"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/simulation"
 )
 
 // run is a run under way.
@@ -133,7 +133,7 @@
 
 // judge works out what the workers and users saw, and checks the rules on it.
 func (r *run) judge(result *Result, began, ended time.Time) error {
-	var ran []standin.Ran
+	var ran []simulation.Ran
 	for _, c := range r.cells {
 		of, err := c.history()
 		if err != nil {
@@ -203,7 +203,7 @@
 			said = time.Now()
 			fmt.Fprintf(r.log, "%s: %d workers up, %d tasks running, %d starts so far, %d jobs open\n", what, counts.workers.Machines, counts.workers.Running, counts.workers.Starts, r.users.left())
 		}
-		if err := link.Sleep(ctx, sampleEvery); err != nil {
+		if err := httpclient.Sleep(ctx, sampleEvery); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/size.go
+++ b/internal/loadtest/size.go
@@ -2,7 +2,7 @@
 // processes of their own, and workers that speak the whole protocol over sockets while their tasks
 // are timers. It measures what each role costs, and checks the rules of the protocol from outside, on
 // what the workers and users saw.
-package scale
+package loadtest
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // Size says what to run. All counts are of the whole run, over all regions.
@@ -207,9 +207,9 @@
 }
 
 // types are the machines to be had in a region.
-func (s *Size) types(zones []string) []ledger.MachineType {
+func (s *Size) types(zones []string) []records.MachineType {
 	cpus := float64(s.tasksPerWorker())
-	return []ledger.MachineType{{
+	return []records.MachineType{{
 		Name: "c", CPUs: cpus, MemGB: max(machineMem, cpus*taskMemGB), CacheGB: cacheGB, FetchGBps: fetchGBps,
 		Price: 0.2, SpotPrice: 0.05, StartupS: startupS, Zones: zones,
 	}}
--- a/internal/region/control.go
+++ b/internal/localcluster/control.go
@@ -1,4 +1,4 @@
-package region
+package localcluster
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"net/url"
 	"time"
 
-	"drumpick/internal/link"
-	"drumpick/internal/standin"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/simulation"
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/gofiber/fiber/v2/utils"
@@ -15,9 +15,9 @@
 
 // History is what happened in a region so far.
 type History struct {
-	Ran    []standin.Ran  `json:"ran"`
-	Bills  []standin.Bill `json:"bills"`
-	Broken []string       `json:"broken"` // rules of the protocol that were broken
+	Ran    []simulation.Ran  `json:"ran"`
+	Bills  []simulation.Bill `json:"bills"`
+	Broken []string          `json:"broken"` // rules of the protocol that were broken
 }
 
 // History tells what ran and what it cost.
@@ -70,7 +70,7 @@
 
 // Ask sends a command to a region that runs in another process.
 func (i Info) Ask(method, path string, out any) error {
-	status, raw, err := link.New(i.Control, 1, time.Second).Do(method, path, "application/json", nil, time.Now().Add(10*time.Second))
+	status, raw, err := httpclient.New(i.Control, 1, time.Second).Do(method, path, "application/json", nil, time.Now().Add(10*time.Second))
 	if err != nil {
 		return fmt.Errorf("the local region does not answer at %s: %w", i.Control, err)
 	}
--- a/internal/region/disk.go
+++ b/internal/localcluster/disk.go
@@ -1,4 +1,4 @@
-package region
+package localcluster
 
 import (
 	"encoding/binary"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"drumpick/internal/ledger"
-	"drumpick/internal/standin"
+	"drumpick/internal/records"
+	"drumpick/internal/simulation"
 
 	"go.etcd.io/bbolt"
 )
@@ -19,7 +19,7 @@
 	db *bbolt.DB
 
 	mu      sync.Mutex
-	pending []standin.Change
+	pending []simulation.Change
 	epoch   uint64 // of the last change taken in
 	written uint64 // up to which all is in the file
 	failed  error
@@ -33,13 +33,13 @@
 var bucketRows, bucketGrants, bucketMeta = []byte("rows"), []byte("grants"), []byte("meta")
 
 // openDisk opens the file and puts what it holds into the service.
-func openDisk(path string, s *standin.State) (*disk, error) {
+func openDisk(path string, s *simulation.State) (*disk, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
 		return nil, fmt.Errorf("state service: %s: %w (is another region running on it?)", path, err)
 	}
 	d := &disk{db: db, more: make(chan struct{}, 1), news: make(chan struct{}), quit: make(chan struct{}), done: make(chan struct{})}
-	var rows []ledger.Row
+	var rows []records.Row
 	var hold uint64
 	lives := map[uint64]time.Duration{}
 	err = db.Update(func(tx *bbolt.Tx) error {
@@ -57,7 +57,7 @@
 			return err
 		}
 		return tx.Bucket(bucketRows).ForEach(func(k, v []byte) error {
-			var r ledger.Row
+			var r records.Row
 			if err := json.Unmarshal(v, &r); err != nil {
 				return fmt.Errorf("record %s: %w", k, err)
 			}
@@ -86,7 +86,7 @@
 func bytesOf(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 // keep takes a change in; it is called in order, and does not wait.
-func (d *disk) keep(c standin.Change) {
+func (d *disk) keep(c simulation.Change) {
 	d.mu.Lock()
 	if !d.closed {
 		d.pending = append(d.pending, c)
@@ -138,7 +138,7 @@
 	}
 }
 
-func write(tx *bbolt.Tx, batch []standin.Change) error {
+func write(tx *bbolt.Tx, batch []simulation.Change) error {
 	rows, grants, meta := tx.Bucket(bucketRows), tx.Bucket(bucketGrants), tx.Bucket(bucketMeta)
 	for _, c := range batch {
 		for _, r := range c.Writes {
--- a/internal/region/region.go
+++ b/internal/localcluster/region.go
@@ -1,7 +1,7 @@
 // Package region runs a whole deployment on one machine: the state service kept in a file,
 // the cloud with its machines and workers over HTTP on loopback, and controllers as real
 // processes. It is for newcomers, for trying things out, and for tests.
-package region
+package localcluster
 
 import (
 	"context"
@@ -19,9 +19,9 @@
 
 	"drumpick/client"
 	"drumpick/internal/config"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
-	"drumpick/internal/standin"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/records"
+	"drumpick/internal/simulation"
 
 	"github.com/gofiber/fiber/v2"
 )
@@ -40,11 +40,11 @@
 	// Facts, where set, replace the figures that the region runs by.
 	Facts *config.Facts
 	// Types, where set, are the machines to be had.
-	Types []ledger.MachineType
+	Types []records.MachineType
 	// State, where set, is the address of a state service that runs already.
 	State string
 	// Workers, where set, opens a machine's address, and has its worker run elsewhere.
-	Workers func(m *standin.Machine) (addr string, end func(), err error)
+	Workers func(m *simulation.Machine) (addr string, end func(), err error)
 }
 
 // facts are the figures that the region runs by.
@@ -58,8 +58,8 @@
 // Region is a deployment that runs.
 type Region struct {
 	Info  Info
-	State *standin.State
-	World *standin.World
+	State *simulation.State
+	World *simulation.World
 
 	options     Options
 	ctx         context.Context
@@ -137,7 +137,7 @@
 
 func up(ctx context.Context, o Options) (_ *Region, err error) {
 	run, cancel := context.WithCancel(context.Background())
-	r := &Region{options: o, ctx: run, cancel: cancel, State: standin.NewState(), World: standin.NewWorld(run)}
+	r := &Region{options: o, ctx: run, cancel: cancel, State: simulation.NewState(), World: simulation.NewWorld(run)}
 	r.World.InFlight = workerPatience
 	defer func() {
 		if err != nil {
@@ -150,7 +150,7 @@
 		}
 	}
 	r.build()
-	if r.Info.Cloud, err = r.serve(func(app *fiber.App) { standin.ServeCloud(app, r.World) }); err != nil {
+	if r.Info.Cloud, err = r.serve(func(app *fiber.App) { simulation.ServeCloud(app, r.World) }); err != nil {
 		return nil, err
 	}
 	if r.Info.Control, err = r.serve(r.control); err != nil {
@@ -179,7 +179,7 @@
 // ServeState serves a state service kept in a file, at an address of its own, until ctx ends. count,
 // where it is set, is told of each request.
 func ServeState(ctx context.Context, path string, count fiber.Handler) (addr string, err error) {
-	state := standin.NewState()
+	state := simulation.NewState()
 	d, err := openDisk(path, state)
 	if err != nil {
 		return "", err
@@ -189,7 +189,7 @@
 		if count != nil {
 			app.Use(count)
 		}
-		standin.ServeState(ctx, app, state, d.durable)
+		simulation.ServeState(ctx, app, state, d.durable)
 	}); err != nil {
 		return "", errors.Join(err, d.close())
 	}
@@ -202,7 +202,7 @@
 	if r.disk, err = openDisk(filepath.Join(r.options.Data, "state.db"), r.State); err != nil {
 		return err
 	}
-	r.Info.State, err = r.serve(func(app *fiber.App) { standin.ServeState(ctx, app, r.State, r.disk.durable) })
+	r.Info.State, err = r.serve(func(app *fiber.App) { simulation.ServeState(ctx, app, r.State, r.disk.durable) })
 	return err
 }
 
@@ -213,7 +213,7 @@
 	w.Every, w.Lease, w.Startup, w.Cancel = config.Seconds(f.Workers.ReportS), config.Seconds(f.Workers.LeaseS), config.Seconds(startupS), config.Seconds(f.Workers.CancelS)
 	w.GangWait, w.GangPeer = config.Seconds(f.Workers.GangWaitS), config.Seconds(f.Workers.GangPeerS)
 	w.Capacity, w.Version = o.Machines, "1.0"
-	w.Types = []ledger.MachineType{{
+	w.Types = []records.MachineType{{
 		Name: "c4", CPUs: 4, MemGB: 16, CacheGB: 50, FetchGBps: 1, Price: 0.2, SpotPrice: 0.05, StartupS: startupS, Zones: o.Zones,
 	}}
 	if o.Types != nil {
@@ -234,9 +234,9 @@
 		w.Remote = true
 		return
 	}
-	w.Open = func(m *standin.Machine) (string, func(), error) {
+	w.Open = func(m *simulation.Machine) (string, func(), error) {
 		app := newApp()
-		standin.ServeWorker(app, m)
+		simulation.ServeWorker(app, m)
 		ln, err := listen()
 		if err != nil {
 			return "", nil, err
@@ -247,9 +247,9 @@
 }
 
 // job reads an open job, as workers fetch what users uploaded.
-func (r *Region) job(id string) (ledger.Job, bool) {
-	var j ledger.Job
-	value := r.State.Value(ledger.OpenKey(id))
+func (r *Region) job(id string) (records.Job, bool) {
+	var j records.Job
+	value := r.State.Value(records.OpenKey(id))
 	return j, value != "" && json.Unmarshal([]byte(value), &j) == nil
 }
 
@@ -335,10 +335,10 @@
 	if o.Arguments == nil {
 		o.Arguments = []string{"--options", filepath.Join(o.Data, "drumpick.ini")}
 	}
-	var links []*link.Client
+	var links []*httpclient.Client
 	for _, c := range r.Info.Controllers {
 		r.World.Nodes = append(r.World.Nodes, c.Name)
-		links = append(links, link.New(c.Bind, 1000, time.Second/2))
+		links = append(links, httpclient.New(c.Bind, 1000, time.Second/2))
 		p := &process{
 			Name: c.Name, args: r.arguments(c, o.Daemon, o.Arguments), env: []string{"LOG_LEVEL=" + o.LogLevel}, log: c.Log,
 			again: config.Seconds(o.facts().Workers.ReportS), ended: make(chan struct{}), quit: make(chan struct{}),
@@ -346,7 +346,7 @@
 		r.controllers = append(r.controllers, p)
 		go p.run()
 	}
-	r.World.Report = standin.Reporter(func(_ string, node int, body []byte) (int, []byte, error) {
+	r.World.Report = simulation.Reporter(func(_ string, node int, body []byte) (int, []byte, error) {
 		// Workers give an answer four seconds (PROTOCOL), in the region's proportions less.
 		return links[node].Do("POST", "/checkin", "application/json", body, time.Now().Add(config.Seconds(2*reportS)))
 	})
@@ -356,7 +356,7 @@
 // ready waits until every controller can take requests.
 func (r *Region) ready(ctx context.Context) error {
 	for i, c := range r.Info.Controllers {
-		probe := link.New(c.Bind, 1, time.Second)
+		probe := httpclient.New(c.Bind, 1, time.Second)
 		for {
 			if status, _, err := probe.Do("GET", "/ready", "", nil, time.Now().Add(time.Second)); err == nil && status == 200 {
 				break
@@ -364,7 +364,7 @@
 			if err := r.controllers[i].failure(); err != nil {
 				return err
 			}
-			if err := link.Sleep(ctx, 20*time.Millisecond); err != nil {
+			if err := httpclient.Sleep(ctx, 20*time.Millisecond); err != nil {
 				return err
 			}
 		}
@@ -381,15 +381,15 @@
 func (r *Region) judge() {
 	var since uint64
 	for r.ctx.Err() == nil {
-		for _, row := range r.State.Rows(ledger.PrefixOver) {
-			var o ledger.Over
-			if row.Stamp > since && json.Unmarshal(row.Value, &o) == nil && o.Status == ledger.StatusCancelled {
-				r.World.Cancelled(strings.TrimPrefix(row.Key, ledger.PrefixOver))
+		for _, row := range r.State.Rows(records.PrefixOver) {
+			var o records.Over
+			if row.Stamp > since && json.Unmarshal(row.Value, &o) == nil && o.Status == records.StatusCancelled {
+				r.World.Cancelled(strings.TrimPrefix(row.Key, records.PrefixOver))
 			}
 			since = max(since, row.Stamp)
 		}
 		r.World.Sweep()
-		if link.Sleep(r.ctx, config.Seconds(reportS)) != nil {
+		if httpclient.Sleep(r.ctx, config.Seconds(reportS)) != nil {
 			return
 		}
 	}
--- a/internal/region/settings_test.go
+++ b/internal/localcluster/settings_test.go
@@ -1,4 +1,4 @@
-package region
+package localcluster
 
 import "testing"
 
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
-	"drumpick/internal/dispatch"
 	"drumpick/internal/drain"
-	"drumpick/internal/ledger"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
 	"drumpick/internal/peer"
+	"drumpick/internal/records"
+	"drumpick/internal/scheduler"
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/gofiber/fiber/v2/utils"
@@ -22,9 +22,9 @@
 
 // Store is what operators need of the state service.
 type Store interface {
-	Get(ctx context.Context, key string) (*ledger.Row, error)
-	List(ctx context.Context, prefix string, each func(ledger.Row) error) (uint64, error)
-	Commit(ctx context.Context, when []ledger.Cond, ops []ledger.Op) (uint64, error)
+	Get(ctx context.Context, key string) (*records.Row, error)
+	List(ctx context.Context, prefix string, each func(records.Row) error) (uint64, error)
+	Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error)
 }
 
 // request is a drain as operators ask for it.
@@ -39,7 +39,7 @@
 
 // Drains are those on record.
 type Drains struct {
-	Drains []dispatch.DrainView `json:"drains"`
+	Drains []scheduler.DrainView `json:"drains"`
 }
 
 // pageTasks is of how many tasks a plan tells at a time, so that a line of it stays below
@@ -104,14 +104,14 @@
 	limit := min(s.valueBytes, mostSpec)
 	// Guards against a drain that fits and can't be withdrawn, as its record grows by that.
 	spec.Stopped = true
-	size := ledger.Size(spec)
+	size := records.Size(spec)
 	if size <= limit {
 		return ""
 	}
 	left, fit := size, len(spec.Machines)
 	for fit > 0 && left > limit {
 		fit--
-		left -= ledger.Size(spec.Machines[fit]) + len(",")
+		left -= records.Size(spec.Machines[fit]) + len(",")
 	}
 	if fit == 0 {
 		return fmt.Sprintf("its record takes %d bytes, and a value of the state service holds %d: shorten machines, type, zone, version, to_version or window.rule", size, limit)
@@ -135,11 +135,11 @@
 	if why != "" {
 		return answer(400, failure{why})
 	}
-	key := ledger.PrefixDrains + in.ID
+	key := records.PrefixDrains + in.ID
 	for {
 		// In this order: what is on record at the turn, the leader has to have read.
 		var stamp uint64
-		turn, err := s.store.Get(ctx, ledger.KeyDrainTurn)
+		turn, err := s.store.Get(ctx, records.KeyDrainTurn)
 		if err != nil {
 			return errStore
 		}
@@ -147,9 +147,9 @@
 			stamp = turn.Stamp
 		}
 		in.Seen = in.Seen[:0]
-		var row *ledger.Row
-		if _, err := s.store.List(ctx, ledger.PrefixDrains, func(r ledger.Row) error {
-			if in.Seen = append(in.Seen, strings.TrimPrefix(r.Key, ledger.PrefixDrains)); r.Key == key {
+		var row *records.Row
+		if _, err := s.store.List(ctx, records.PrefixDrains, func(r records.Row) error {
+			if in.Seen = append(in.Seen, strings.TrimPrefix(r.Key, records.PrefixDrains)); r.Key == key {
 				row = &r
 			}
 			return nil
@@ -160,7 +160,7 @@
 			return again(in.Spec, row)
 		}
 		// Whether it can be, the leader knows; it changes nothing.
-		if out := s.plan(in); out.Status == statusUnread && link.Sleep(ctx, s.wait/20) == nil {
+		if out := s.plan(in); out.Status == statusUnread && httpclient.Sleep(ctx, s.wait/20) == nil {
 			continue
 		} else if out.Status == statusUnread {
 			return answer(503, failure{"the leader has not read all drains yet; please retry"})
@@ -169,13 +169,13 @@
 		}
 		// Guards against two drains asked for in the same moment, each of which leaves enough
 		// without the other.
-		_, err = s.store.Commit(ctx, []ledger.Cond{{Key: key}, {Key: ledger.KeyDrainTurn, Stamp: stamp}},
-			[]ledger.Op{{Write: key, Value: in.Spec}, {Write: ledger.KeyDrainTurn, Value: in.ID}})
-		var conflict *ledger.ConflictError
+		_, err = s.store.Commit(ctx, []records.Cond{{Key: key}, {Key: records.KeyDrainTurn, Stamp: stamp}},
+			[]records.Op{{Write: key, Value: in.Spec}, {Write: records.KeyDrainTurn, Value: in.ID}})
+		var conflict *records.ConflictError
 		switch {
 		case err == nil:
 			slog.Info("drain accepted", "drain", in.ID, "kind", in.Kind, "zone", in.Zone, "machines", len(in.Machines))
-			return answer(201, dispatch.DrainView{Spec: in.Spec})
+			return answer(201, scheduler.DrainView{Spec: in.Spec})
 		case !errors.As(err, &conflict):
 			return errStore // it may have been stored: the retry finds out
 		}
@@ -187,7 +187,7 @@
 const statusUnread = 425
 
 // again answers a request for a drain that is on record.
-func again(spec drain.Spec, row *ledger.Row) peer.Relayed {
+func again(spec drain.Spec, row *records.Row) peer.Relayed {
 	var old drain.Spec
 	if err := json.Unmarshal(row.Value, &old); err != nil {
 		return answer(409, failure{"its record is unreadable: " + err.Error()})
@@ -197,7 +197,7 @@
 	if !reflect.DeepEqual(same, spec) {
 		return answer(409, failure{"there is another drain of the id " + spec.ID})
 	}
-	return answer(200, dispatch.DrainView{Spec: old})
+	return answer(200, scheduler.DrainView{Spec: old})
 }
 
 // stop withdraws a drain; one that is withdrawn already is no error.
@@ -205,7 +205,7 @@
 	if !drain.ValidID(id) {
 		return answer(404, failure{"there is no drain " + id})
 	}
-	key := ledger.PrefixDrains + id
+	key := records.PrefixDrains + id
 	for range 4 {
 		row, err := s.store.Get(ctx, key)
 		switch {
@@ -219,15 +219,15 @@
 			return answer(409, failure{"its record is unreadable: " + err.Error()})
 		}
 		if spec.Stopped {
-			return answer(200, dispatch.DrainView{Spec: spec})
+			return answer(200, scheduler.DrainView{Spec: spec})
 		}
 		spec.Stopped = true
-		_, err = s.store.Commit(ctx, []ledger.Cond{{Key: key, Stamp: row.Stamp}}, []ledger.Op{{Write: key, Value: spec}})
-		var conflict *ledger.ConflictError
+		_, err = s.store.Commit(ctx, []records.Cond{{Key: key, Stamp: row.Stamp}}, []records.Op{{Write: key, Value: spec}})
+		var conflict *records.ConflictError
 		switch {
 		case err == nil:
 			slog.Info("drain stopped", "drain", id)
-			return answer(200, dispatch.DrainView{Spec: spec})
+			return answer(200, scheduler.DrainView{Spec: spec})
 		case !errors.As(err, &conflict):
 			return errStore
 		}
@@ -238,17 +238,17 @@
 // list tells of all drains on record.
 func (s *Server) list(ctx context.Context) peer.Relayed {
 	states := map[string]*drain.State{}
-	if _, err := s.store.List(ctx, ledger.PrefixDrain, func(r ledger.Row) error {
+	if _, err := s.store.List(ctx, records.PrefixDrain, func(r records.Row) error {
 		var st drain.State
 		if json.Unmarshal(r.Value, &st) == nil {
-			states[strings.TrimPrefix(r.Key, ledger.PrefixDrain)] = &st
+			states[strings.TrimPrefix(r.Key, records.PrefixDrain)] = &st
 		}
 		return nil
 	}); err != nil {
 		return errStore
 	}
-	out := Drains{Drains: []dispatch.DrainView{}}
-	if _, err := s.store.List(ctx, ledger.PrefixDrains, func(r ledger.Row) error {
+	out := Drains{Drains: []scheduler.DrainView{}}
+	if _, err := s.store.List(ctx, records.PrefixDrains, func(r records.Row) error {
 		var spec drain.Spec
 		if err := json.Unmarshal(r.Value, &spec); err != nil {
 			slog.Error("unreadable record", "key", r.Key, "err", err)
@@ -258,7 +258,7 @@
 		if st := states[spec.ID]; st != nil {
 			st.Hand = st.Hand[:min(len(st.Hand), mostListed)]
 		}
-		out.Drains = append(out.Drains, dispatch.DrainView{Spec: spec, State: states[spec.ID]})
+		out.Drains = append(out.Drains, scheduler.DrainView{Spec: spec, State: states[spec.ID]})
 		return nil
 	}); err != nil {
 		return errStore
@@ -277,18 +277,18 @@
 	if out := s.Answer(peer.Relay{Method: "drain", ID: id}); out.Status == 200 {
 		return out
 	}
-	row, err := s.store.Get(ctx, ledger.PrefixDrains+id)
+	row, err := s.store.Get(ctx, records.PrefixDrains+id)
 	switch {
 	case err != nil:
 		return errStore
 	case row == nil:
 		return answer(404, failure{"there is no drain " + id})
 	}
-	var v dispatch.DrainView
+	var v scheduler.DrainView
 	if err := json.Unmarshal(row.Value, &v.Spec); err != nil {
 		return answer(409, failure{"its record is unreadable: " + err.Error()})
 	}
-	if row, err := s.store.Get(ctx, ledger.PrefixDrain+id); err == nil && row != nil {
+	if row, err := s.store.Get(ctx, records.PrefixDrain+id); err == nil && row != nil {
 		var st drain.State
 		if json.Unmarshal(row.Value, &st) == nil {
 			v.State = &st
@@ -315,8 +315,8 @@
 		}
 	}
 	p, err := l.PlanDrain(&in.Spec, in.Force, in.Since, pageTasks)
-	var none *dispatch.NoMachineError
-	var left *dispatch.NoneLeftError
+	var none *scheduler.NoMachineError
+	var left *scheduler.NoneLeftError
 	switch {
 	case errors.As(err, &none):
 		return answer(404, failure{err.Error()})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"drumpick/internal/config"
-	"drumpick/internal/dispatch"
 	"drumpick/internal/drain"
 	"drumpick/internal/peer"
+	"drumpick/internal/scheduler"
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/gofiber/fiber/v2/utils"
@@ -25,9 +25,9 @@
 
 // Local is this process's leader side, when it leads.
 type Local interface {
-	Machines(since string, limit int) ([]dispatch.MachineView, bool)
-	Machine(name string) (dispatch.MachineView, bool)
-	Drain(id string) (dispatch.DrainView, bool)
+	Machines(since string, limit int) ([]scheduler.MachineView, bool)
+	Machine(name string) (scheduler.MachineView, bool)
+	Drain(id string) (scheduler.DrainView, bool)
 	PlanDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error)
 }
 
@@ -119,8 +119,8 @@
 
 // Machines is a page of machines; the next one is asked for with the last name.
 type Machines struct {
-	Machines []dispatch.MachineView `json:"machines"`
-	More     bool                   `json:"more"`
+	Machines []scheduler.MachineView `json:"machines"`
+	More     bool                    `json:"more"`
 }
 
 type failure struct {
--- a/internal/means/means.go
+++ b/internal/overload/means.go
@@ -6,7 +6,7 @@
 // to nothing.
 //
 // The package is pure: no I/O, no clock.
-package means
+package overload
 
 import "time"
 
--- a/internal/means/means_test.go
+++ b/internal/overload/means_test.go
@@ -1,4 +1,4 @@
-package means
+package overload
 
 import (
 	"testing"
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -12,8 +12,8 @@
 
 	"drumpick/internal/cancellation"
 	"drumpick/internal/config"
-	"drumpick/internal/frontier"
-	"drumpick/internal/link"
+	"drumpick/internal/httpclient"
+	"drumpick/internal/watermark"
 
 	"github.com/gofiber/fiber/v2"
 	"github.com/vmihailenco/msgpack/v5"
@@ -31,9 +31,9 @@
 	Told *cancellation.Told `msgpack:"told,omitempty"`
 	// Heard is what it remembers of leaders' words about their marks. Versions without
 	// marks leave it out.
-	Heard *frontier.Word `msgpack:"heard,omitempty"`
+	Heard *watermark.Word `msgpack:"heard,omitempty"`
 	// Settled is the latest settled term that it has heard of.
-	Settled *frontier.Word `msgpack:"settled,omitempty"`
+	Settled *watermark.Word `msgpack:"settled,omitempty"`
 	// RenewedMS is since it may last have renewed a worker's lease, as leader, or since the
 	// start. Versions that do not tell leave it out.
 	RenewedMS *int64 `msgpack:"renewed_ms,omitempty"`
@@ -63,7 +63,7 @@
 
 // Witnessed adds what a controller remembers of leaders' words, having heard one more, and
 // how long ago it may last have renewed a lease.
-func (s Status) Witnessed(w *frontier.Witness, word frontier.Word, renewed time.Duration) Status {
+func (s Status) Witnessed(w *watermark.Witness, word watermark.Word, renewed time.Duration) Status {
 	heard, settled, ms := w.Hear(word), w.Settled(), renewed.Milliseconds()
 	s.Heard, s.Settled, s.RenewedMS = &heard, &settled, &ms
 	return s
@@ -72,7 +72,7 @@
 // Inquiry is a leader's word about its marks, along with which a controller is asked how the
 // store serves it.
 type Inquiry struct {
-	frontier.Word
+	watermark.Word
 	// ToldMS asks for the cancellations that it told so long ago or later; 0: for none.
 	ToldMS int64 `msgpack:"told_ms,omitempty"`
 }
@@ -138,14 +138,14 @@
 type Peers struct {
 	timeout time.Duration
 	seeds   []config.Seed
-	clients []*link.Client
+	clients []*httpclient.Client
 }
 
 // NewPeers returns a caller for the other controllers.
 func NewPeers(seeds []config.Seed, timeout time.Duration) *Peers {
 	p := &Peers{timeout: timeout, seeds: seeds}
 	for _, s := range seeds {
-		p.clients = append(p.clients, link.New(s.Addr, 16, timeout))
+		p.clients = append(p.clients, httpclient.New(s.Addr, 16, timeout))
 	}
 	return p
 }
--- a/internal/usage/usage.go
+++ b/internal/quota/usage.go
@@ -4,7 +4,7 @@
 // sizes of task a team has, not on how many attempts or machines there are.
 //
 // The package is pure: no I/O, no clock.
-package usage
+package quota
 
 // Amount is what quotas are stated in: CPUs and GPUs, in units of one. Memory has no quota.
 type Amount struct{ CPUs, GPUs float64 }
--- a/internal/ledger/shelf.go
+++ b/internal/records/shelf.go
@@ -1,4 +1,4 @@
-package ledger
+package records
 
 import (
 	"encoding/json"
--- a/internal/ledger/wire.go
+++ b/internal/records/wire.go
@@ -1,6 +1,6 @@
 // Package ledger knows the records and keys that drumpick keeps in the state service, and
 // what the service's answers mean; package store asks it.
-package ledger
+package records
 
 import (
 	"encoding/json"
--- a/internal/largest/largest.go
+++ b/internal/reservation/largest.go
@@ -4,7 +4,7 @@
 // there is its own until it begins.
 //
 // The package is pure: no I/O, no clock.
-package largest
+package reservation
 
 import (
 	"slices"
--- a/internal/relay/router.go
+++ b/internal/routing/router.go
@@ -5,7 +5,7 @@
 // on changes; it only tells workers where to go.
 //
 // The package is pure: no I/O, no clock.
-package relay
+package routing
 
 import (
 	"slices"
--- a/internal/trace/trace.go
+++ b/internal/scenario/trace.go
@@ -1,7 +1,7 @@
 // Package trace replays kept traces in tests: files that read as a story, each
 // line an event, followed by the decisions it led to, marked with "> ". Run
 // replays the events and compares the whole text.
-package trace
+package scenario
 
 import (
 	"flag"
--- a/internal/dispatch/chains.go
+++ b/internal/scheduler/chains.go
@@ -1,18 +1,18 @@
-package dispatch
+package scheduler
 
 import (
 	"log/slog"
 	"time"
 
-	"drumpick/internal/chain"
 	"drumpick/internal/config"
+	"drumpick/internal/dependency"
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
+	"drumpick/internal/records"
 )
 
 // link takes a job into the graph.
 func (c *Core) link(j *Job) {
-	n := chain.Job{
+	n := dependency.Job{
 		ID: j.ID, Needs: j.Prereqs, Rank: prioRank[j.Priority],
 		// Between the end of one job and the start of the next lies a report.
 		Takes: c.set.Report + c.fetch(j) + time.Duration(j.EstimateS*likelyRuns*float64(time.Second)),
@@ -77,37 +77,37 @@
 func (c *Core) choosy(j *Job) {
 	j.prefer = []string{fleet.ImageMark(j.Image), fleet.SpotMark}
 	linked := len(j.Prereqs) > 0 || j.terms.Rank < prioRank[j.Priority]
-	if linked && j.terms.Rank < prioRank[ledger.PrioNormal] && j.CheckpointS == 0 {
+	if linked && j.terms.Rank < prioRank[records.PrioNormal] && j.CheckpointS == 0 {
 		j.prefer = []string{fleet.FirmMark, fleet.ImageMark(j.Image)}
 	}
 }
 
 // Over notes what the store says for good of a job, when it was done, and at which
 // revision that was stored.
-func (c *Core) Over(id string, o ledger.Over, stamp uint64) {
+func (c *Core) Over(id string, o records.Over, stamp uint64) {
 	var at time.Time
 	if o.AtMS > 0 {
 		at = time.UnixMilli(o.AtMS)
 	}
 	switch o.Status {
-	case ledger.StatusDone:
-		c.chain.End(id, chain.Done, at, stamp)
-	case ledger.StatusCancelled:
-		c.chain.End(id, chain.Cancelled, at, stamp)
+	case records.StatusDone:
+		c.chain.End(id, dependency.Done, at, stamp)
+	case records.StatusCancelled:
+		c.chain.End(id, dependency.Cancelled, at, stamp)
 	}
 	c.CloseJob(id)
 }
 
 // finish moves a job to the over records.
-func (c *Core) finish(j *Job, o ledger.Over) Write {
+func (c *Core) finish(j *Job, o records.Over) Write {
 	j.finishing = true
 	o.Tasks = j.Tasks
 	return Write{
-		Ops: []ledger.Op{
-			{Delete: ledger.OpenKey(j.ID)},
-			{Write: ledger.OverKey(j.ID), Value: o},
+		Ops: []records.Op{
+			{Delete: records.OpenKey(j.ID)},
+			{Write: records.OverKey(j.ID), Value: o},
 		},
-		When: []ledger.Cond{{Key: ledger.OpenKey(j.ID), Stamp: j.Stamp}}, Key: ledger.OpenKey(j.ID),
+		When: []records.Cond{{Key: records.OpenKey(j.ID), Stamp: j.Stamp}}, Key: records.OpenKey(j.ID),
 		Apply: func(stamp uint64) {
 			slog.Debug("job over", "job", j.ID, "class", j.Class, "status", o.Status, "after", j.Prereqs,
 				"waited_s", j.waited(), "took_s", time.Since(j.base).Seconds(), "due_s", j.left(j.terms.Due), "term", c.term)
--- a/internal/dispatch/claims.go
+++ b/internal/scheduler/claims.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 import (
 	"log/slog"
@@ -6,9 +6,9 @@
 	"time"
 
 	"drumpick/internal/fleet"
-	"drumpick/internal/ledger"
 	"drumpick/internal/packing"
-	"drumpick/internal/usage"
+	"drumpick/internal/quota"
+	"drumpick/internal/records"
 )
 
 // claim is room on a machine that is one job's own: somebody was stopped there for its
@@ -80,7 +80,7 @@
 
 // useClaims starts tasks of a job that need not start together in room of its own, as
 // far as it is free.
-func (c *Core) useClaims(j *Job, used map[string]usage.Amount, zones map[string]int, now time.Time) {
+func (c *Core) useClaims(j *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
 	limited := j.limited
 	for i := 0; i < len(j.claims); {
 		t, m := j.peek(), j.claims[i].m
@@ -206,7 +206,7 @@
 		return 0
 	}
 	n := c.wanted(j)
-	if j.Shape == ledger.ShapeGroup {
+	if j.Shape == records.ShapeGroup {
 		if n < j.pending() || j.gangTry == 0 && len(j.held)+len(j.strays) > 0 {
 			return 0 // it could not start whole
 		}
