--- a/client/client.go
+++ b/client/client.go
@@ -187,10 +187,10 @@
 }
 
 // insist repeats a request until it has an answer that is one, at ever other controllers.
-func (c *Client) insist(ctx context.Context, method, uri string, body any, patience time.Duration) (httpclient.Answer, error) {
+func (c *Client) insist(ctx context.Context, method, uri string, body any, patience time.Duration) (httpclient.Response, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return httpclient.Answer{}, err
+		return httpclient.Response{}, err
 	}
 	if body == nil {
 		raw = nil
@@ -233,29 +233,29 @@
 }
 
 // once sends a request to one controller; a context that ends ends the wait.
-func (c *Client) once(ctx context.Context, n int, method, uri string, raw []byte, patience time.Duration) (httpclient.Answer, error) {
+func (c *Client) once(ctx context.Context, n int, method, uri string, raw []byte, patience time.Duration) (httpclient.Response, error) {
 	deadline := time.Now().Add(patience)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
 	type outcome struct {
-		a   httpclient.Answer
+		a   httpclient.Response
 		err error
 	}
 	got := make(chan outcome, 1)
 	go func() {
-		a, err := c.links[n].Ask(method, uri, "application/json", raw, deadline)
+		a, err := c.links[n].DoResponse(method, uri, "application/json", raw, deadline)
 		got <- outcome{a, err}
 	}()
 	select {
 	case o := <-got:
 		return o.a, o.err
 	case <-ctx.Done():
-		return httpclient.Answer{}, ctx.Err()
+		return httpclient.Response{}, ctx.Err()
 	}
 }
 
-func reason(a httpclient.Answer) string {
+func reason(a httpclient.Response) string {
 	var f struct {
 		Error string `json:"error"`
 	}
@@ -265,7 +265,7 @@
 	return f.Error
 }
 
-func read(a httpclient.Answer, out any) error {
+func read(a httpclient.Response, out any) error {
 	if err := json.Unmarshal(a.Body, out); err != nil {
 		return fmt.Errorf("unreadable answer: %w", err)
 	}
--- a/cmd/drumpick/main.go
+++ b/cmd/drumpick/main.go
@@ -59,7 +59,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := load()
 			if err == nil {
-				for _, d := range cfg.Doubts() {
+				for _, d := range cfg.Warnings() {
 					fmt.Fprintln(cmd.OutOrStdout(), "doubt:", d)
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "settings of %s are in order\n", cfg.Node)
--- a/cmd/drumpickctl/demo.go
+++ b/cmd/drumpickctl/demo.go
@@ -34,7 +34,7 @@
 		defer os.RemoveAll(dir)
 		data = dir
 	}
-	return f.withRegion(cmd, o, data, func(r *localcluster.Region) error {
+	return f.withRegion(cmd, o, data, func(r *localcluster.Cluster) error {
 		out, errs := cmd.OutOrStdout(), cmd.ErrOrStderr()
 		fmt.Fprintf(errs, "three controllers, a state service and a cloud run on loopback; submitting sample jobs\n")
 		jobs, err := jobspec.Read("sample.yaml", bytes.NewReader(sample), client.NewID)
@@ -102,7 +102,7 @@
 	Cost float64              `json:"cost"`
 }
 
-func demoResult(jobs []jobspec.Named, states []client.Status, h localcluster.History, began time.Time) result {
+func demoResult(jobs []jobspec.NamedJob, states []client.Status, h localcluster.History, began time.Time) result {
 	res := result{Ran: h}
 	for i, j := range jobs {
 		out := jobResult{Name: j.Name, ID: j.ID, Status: states[i].Status, Tasks: j.Tasks}
@@ -111,7 +111,7 @@
 			if !strings.HasPrefix(ran.Task, j.ID+"/") {
 				continue
 			}
-			from, to := ran.From.Sub(began).Seconds(), ran.To.Sub(began).Seconds()
+			from, to := ran.Started.Sub(began).Seconds(), ran.Ended.Sub(began).Seconds()
 			if out.Starts == 0 || from < out.FirstS {
 				out.FirstS = from
 			}
@@ -128,7 +128,7 @@
 	return res
 }
 
-func showDemo(w io.Writer, jobs []jobspec.Named, states []client.Status, h localcluster.History, began time.Time) {
+func showDemo(w io.Writer, jobs []jobspec.NamedJob, states []client.Status, h localcluster.History, began time.Time) {
 	res := demoResult(jobs, states, h, began)
 	fmt.Fprintln(w, "\nJOB\tID\tSTATUS\tTASKS\tSTARTS\tFIRST START\tLAST END\tMACHINES\tZONES")
 	for _, j := range res.Jobs {
--- a/cmd/drumpickctl/jobs.go
+++ b/cmd/drumpickctl/jobs.go
@@ -70,7 +70,7 @@
 	return cmd
 }
 
-func readJobs(in io.Reader, file string) ([]jobspec.Named, error) {
+func readJobs(in io.Reader, file string) ([]jobspec.NamedJob, error) {
 	if file == "-" {
 		return jobspec.Read("standard input", in, client.NewID)
 	}
@@ -84,7 +84,7 @@
 
 // submitAll submits jobs in waves: one that needs another of the file goes when that
 // one is accepted.
-func submitAll(ctx context.Context, c *client.Client, jobs []jobspec.Named, errs io.Writer) ([]client.Status, error) {
+func submitAll(ctx context.Context, c *client.Client, jobs []jobspec.NamedJob, errs io.Writer) ([]client.Status, error) {
 	states := make([]client.Status, 0, len(jobs))
 	for _, j := range jobs {
 		states = append(states, client.Status{ID: j.ID, Status: "not accepted"})
@@ -100,7 +100,7 @@
 			}
 			here[jobs[to].ID] = true
 		}
-		err := each(jobs[from:to], func(i int, j jobspec.Named) error {
+		err := each(jobs[from:to], func(i int, j jobspec.NamedJob) error {
 			if j.Name != "" {
 				fmt.Fprintf(errs, "%s is %s\n", j.Name, j.ID)
 			}
--- a/cmd/drumpickctl/local.go
+++ b/cmd/drumpickctl/local.go
@@ -23,7 +23,7 @@
 	up := &cobra.Command{
 		Use: "up", Short: "Start a local region and stay until Ctrl-C", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.withRegion(cmd, o, f.data(), func(r *localcluster.Region) error {
+			return f.withRegion(cmd, o, f.data(), func(r *localcluster.Cluster) error {
 				if err := f.print(cmd.OutOrStdout(), r.Info, func(w io.Writer) { showRegion(w, f.data(), r.Info) }); err != nil {
 					return err
 				}
@@ -38,7 +38,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.demo(cmd, o) },
 	}
 	for _, c := range []*cobra.Command{up, demo} {
-		c.Flags().StringVar(&o.Daemon, "daemon", "", "the controllers' `program` (else drumpick beside this one, or built from the sources here)")
+		c.Flags().StringVar(&o.Controller, "daemon", "", "the controllers' `program` (else drumpick beside this one, or built from the sources here)")
 		c.Flags().StringVar(&o.LogLevel, "log", o.LogLevel, "the controllers' LOG_LEVEL")
 	}
 	cmd.AddCommand(up, demo,
@@ -89,18 +89,18 @@
 }
 
 // withRegion runs a region while do does something, and leaves no process behind.
-func (f *flags) withRegion(cmd *cobra.Command, o localcluster.Options, data string, do func(*localcluster.Region) error) error {
+func (f *flags) withRegion(cmd *cobra.Command, o localcluster.Options, data string, do func(*localcluster.Cluster) error) error {
 	o.Data = data
 	var err error
-	if o.Daemon, err = daemon(cmd.Context(), o.Daemon, data, cmd.ErrOrStderr()); err != nil {
+	if o.Controller, err = daemon(cmd.Context(), o.Controller, data, cmd.ErrOrStderr()); err != nil {
 		return err
 	}
-	r, err := localcluster.Up(cmd.Context(), o)
+	r, err := localcluster.Start(cmd.Context(), o)
 	if err != nil {
 		return err
 	}
 	err = do(r)
-	if down := r.Down(); err == nil {
+	if down := r.Stop(); err == nil {
 		err = down
 	}
 	return err
--- a/internal/api/chains.go
+++ b/internal/api/chains.go
@@ -25,15 +25,15 @@
 // tooLong says why a job cannot be kept: its record is larger than a value of the
 // state service may be, now or later.
 func (s *Server) tooLong(j *records.Job) string {
-	most := int(s.cfg.Facts.State.Lowest().ValueKB * 1024)
+	most := int(s.cfg.Deployment.State.Lowest().ValueKB * 1024)
 	if most == 0 {
 		return ""
 	}
-	switch n := records.Size(j); {
+	switch n := records.EncodedSize(j); {
 	case n <= most:
 		return ""
-	case len(j.Prereqs) > 0:
-		return fmt.Sprintf("the job's description with %d prereqs takes %d bytes, of %d at the most", len(j.Prereqs), n, most)
+	case len(j.Dependencies) > 0:
+		return fmt.Sprintf("the job's description with %d prereqs takes %d bytes, of %d at the most", len(j.Dependencies), n, most)
 	default:
 		return fmt.Sprintf("the job's description takes %d bytes, of %d at the most", n, most)
 	}
@@ -44,9 +44,9 @@
 func (s *Server) before(ctx context.Context, j *records.Job) (fate, string) {
 	w := s.walk()
 	result := open
-	for _, id := range j.Prereqs {
+	for _, id := range j.Dependencies {
 		o, known := s.overOf(id)
-		var row *records.Row
+		var row *records.KeyValue
 		read := time.Now()
 		if !known {
 			r, over, err := s.lookup(ctx, id)
@@ -73,7 +73,7 @@
 		case o.Status == records.StatusCancelled:
 			result = cancelled
 		case !known && result == open:
-			if f := w.through(ctx, id, p.Prereqs, read, s.progress); f != open {
+			if f := w.through(ctx, id, p.Dependencies, read, s.progress); f != open {
 				result = f
 			}
 		}
@@ -84,7 +84,7 @@
 	return result, ""
 }
 
-func (s *Server) overOf(id string) (records.Over, bool) {
+func (s *Server) overOf(id string) (records.ClosedJob, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o, ok := s.over[id]
@@ -95,7 +95,7 @@
 // far, is cancelled; if one is, it stores that the job is cancelled with it. Mostly the
 // leader knows. Guards against a user who is told that a job waits while one before it
 // was cancelled long ago: the leader that would cancel it may be gone, and none there.
-func (s *Server) chained(ctx context.Context, id string, row *records.Row, read time.Time, p peer.Progress) (answer, bool) {
+func (s *Server) chained(ctx context.Context, id string, row *records.KeyValue, read time.Time, p peer.Progress) (answer, bool) {
 	needs := needsOf(row)
 	if len(needs) == 0 {
 		return answer{}, false
@@ -130,7 +130,7 @@
 // walk starts a look. What was found holds for half of the time that a cancellation may
 // take: where a job was cancelled since, its user was told since.
 func (s *Server) walk() *walker {
-	return &walker{s, config.Seconds(s.cfg.Facts.Workers.CancelS) / 2}
+	return &walker{s, config.Seconds(s.cfg.Deployment.Workers.CancelS) / 2}
 }
 
 // known gives the time up to which an open job and all before it are remembered as not
@@ -198,7 +198,7 @@
 		if !x.asked {
 			x.asked = true
 			p := leader(x.id)
-			if age := time.Duration(p.ClearMS) * time.Millisecond; p.Known && p.Clear && age < w.lead {
+			if age := time.Duration(p.ClearAgeMS) * time.Millisecond; p.Known && p.DependenciesClear && age < w.lead {
 				w.note(x.id, time.Now().Add(-age))
 				continue
 			}
@@ -277,7 +277,7 @@
 }
 
 // needsOf reads the jobs that an open job's record names.
-func needsOf(row *records.Row) []string {
+func needsOf(row *records.KeyValue) []string {
 	var j struct {
 		Prereqs []string `json:"prereqs"`
 	}
--- a/internal/api/confirm.go
+++ b/internal/api/confirm.go
@@ -30,7 +30,7 @@
 	if !open {
 		return true
 	}
-	known := time.Since(since) > s.cfg.Timing().Grant || s.leaderHears(ctx, id)
+	known := time.Since(since) > s.cfg.Timing().LeaderLease || s.leaderHears(ctx, id)
 	if !known {
 		leaderUntold.Inc()
 		slog.Debug("cancellation not confirmed: the leader has not heard of it", "job", id)
@@ -46,7 +46,7 @@
 // far as known, the next leader reads the store after it has won.
 func (s *Server) leaderHears(ctx context.Context, id string) bool {
 	if l := s.local(); l != nil {
-		return l.Cancel(ctx, id)
+		return l.NotifyCancelled(ctx, id)
 	}
 	node := s.leader()
 	if node == "" {
@@ -56,15 +56,15 @@
 		return false
 	}
 	leaderTold.Inc()
-	heard, err := s.peers.Cancelled(node, id)
+	heard, err := s.peers.NotifyCancelled(node, id)
 	// A version that does not know the question has its watch alone.
-	return err == nil && heard || peer.Unknown(err)
+	return err == nil && heard || peer.IsUnsupported(err)
 }
 
-// Cancelled answers a peer that tells this controller, as the leader, of a cancellation.
-func (s *Server) Cancelled(id string) bool {
+// PeerCancelled answers a peer that tells this controller, as the leader, of a cancellation.
+func (s *Server) PeerCancelled(id string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), s.budget())
 	defer cancel()
 	l := s.local()
-	return l != nil && records.ValidID(id) && l.Cancel(ctx, id)
+	return l != nil && records.ValidID(id) && l.NotifyCancelled(ctx, id)
 }
--- a/internal/api/crowd.go
+++ b/internal/api/crowd.go
@@ -30,7 +30,7 @@
 // shared is one list and who waits for it.
 type shared struct {
 	done chan struct{}
-	open map[string]*records.Row
+	open map[string]*records.KeyValue
 	err  error
 }
 
@@ -80,8 +80,8 @@
 	s.crowd.next, s.crowd.last = nil, time.Now()
 	s.crowd.mu.Unlock()
 	sharedLists.Inc()
-	l.open = map[string]*records.Row{}
-	_, l.err = s.store.List(ctx, records.PrefixOpen, func(r records.Row) error {
+	l.open = map[string]*records.KeyValue{}
+	_, l.err = s.store.List(ctx, records.PrefixOpen, func(r records.KeyValue) error {
 		l.open[strings.TrimPrefix(r.Key, records.PrefixOpen)] = &r
 		return nil
 	})
--- a/internal/api/intake.go
+++ b/internal/api/intake.go
@@ -24,41 +24,41 @@
 
 // Store is what intake needs of the state service.
 type Store interface {
-	Get(ctx context.Context, key string) (*records.Row, error)
-	List(ctx context.Context, prefix string, each func(records.Row) error) (uint64, error)
-	Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error)
+	Get(ctx context.Context, key string) (*records.KeyValue, error)
+	List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error)
+	Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error)
 	Health() (lastOK time.Time, failing bool, started time.Time)
 	// Reached is when the service last answered anything, a refusal included.
-	Reached() time.Time
+	LastResponse() time.Time
 }
 
 // Peers is what intake needs of the other controllers.
 type Peers interface {
 	Status(ctx context.Context) (answers []peer.Status, all bool)
 	Progress(node, id string) (peer.Progress, error)
-	Relay(r peer.Relay, timeout time.Duration) (peer.Relayed, bool)
-	Checkin(node string, body []byte) (peer.Relayed, error)
-	Checkins(node string, in peer.Bundle, timeout time.Duration) (peer.Bundled, error)
+	Relay(r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, bool)
+	RelayHeartbeat(node string, body []byte) (peer.RelayReply, error)
+	RelayHeartbeats(node string, in peer.HeartbeatBatch, timeout time.Duration) (peer.HeartbeatBatchReply, error)
 	// Cancelled tells the node that leads of a cancellation; heard says that it starts none of
 	// the job's tasks from then on.
-	Cancelled(node, id string) (heard bool, err error)
+	NotifyCancelled(node, id string) (heard bool, err error)
 }
 
 // Local is this process's leader side, when it leads.
 type Local interface {
 	Progress(id string) (status string, done, running int, ok bool)
 	// Clear says whether no job before this one was cancelled so long ago.
-	Clear(id string) (age time.Duration, ok bool)
-	Report(r *fleet.Report) (int, fleet.Response)
+	DependenciesClear(id string) (age time.Duration, ok bool)
+	Heartbeat(r *fleet.Heartbeat) (int, fleet.HeartbeatResponse)
 	// Recency tells how a report stands to what is known of its machine.
-	Recency(r *fleet.Report) fleet.Recency
+	Recency(r *fleet.Heartbeat) fleet.Recency
 	// Cancel takes in that a job is cancelled, by the store's word, and says whether none of its
 	// tasks is sent from then on.
-	Cancel(ctx context.Context, id string) bool
+	NotifyCancelled(ctx context.Context, id string) bool
 	// Late notes by how much something waited before the leader got to it.
-	Late(d time.Duration)
+	ObserveDelay(d time.Duration)
 	// Unreachable says whether a worker that came to a peer cannot reach us.
-	Unreachable(r *fleet.Report) bool
+	NeedsRelay(r *fleet.Heartbeat) bool
 }
 
 // Server answers users and workers.
@@ -77,7 +77,7 @@
 
 	mu    sync.Mutex
 	types []records.MachineType
-	over  map[string]records.Over // final states never change
+	over  map[string]records.ClosedJob // final states never change
 	// unheard are cancelled jobs of which it is not known whether the leader has heard, with when
 	// that they are cancelled was first known here.
 	unheard map[string]time.Time
@@ -93,15 +93,15 @@
 
 // New returns a server.
 func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Local) *Server {
-	share := cfg.Facts.State.Lowest().RPS * pollShare
+	share := cfg.Deployment.State.Lowest().RPS * pollShare
 	s := &Server{
 		cfg: cfg, store: store, peers: peers, leader: leader, local: local,
-		reads: rate.NewLimiter(rate.Limit(share/float64(max(cfg.Facts.Nodes, 1))), max(int(share), 1)),
-		over:  map[string]records.Over{}, known: map[string]bool{}, clear: map[string]time.Time{}, unheard: map[string]time.Time{},
+		reads: rate.NewLimiter(rate.Limit(share/float64(max(cfg.Deployment.Nodes, 1))), max(int(share), 1)),
+		over:  map[string]records.ClosedJob{}, known: map[string]bool{}, clear: map[string]time.Time{}, unheard: map[string]time.Time{},
 		needs: map[string][]string{}, doomed: map[string]bool{}, told: cancellation.NewLog(time.Now()),
 	}
 	s.renewed.Store(time.Now())
-	s.relays.gather = peer.NewGather(cfg.Report()/windowShare, s.passOn)
+	s.relays.gather = peer.NewBatcher(cfg.HeartbeatInterval()/windowShare, s.passOn)
 	return s
 }
 
@@ -124,12 +124,12 @@
 	return len(s.types) > 0
 }
 
-// Told is what users were told here of cancellations.
-func (s *Server) Told() *cancellation.Log { return s.told }
+// Cancellations is what users were told here of cancellations.
+func (s *Server) Cancellations() *cancellation.Log { return s.told }
 
-// Renewed is how long ago this controller may last have renewed a worker's lease, or this
+// SinceRenewal is how long ago this controller may last have renewed a worker's lease, or this
 // process started.
-func (s *Server) Renewed() time.Duration {
+func (s *Server) SinceRenewal() time.Duration {
 	return time.Since(s.renewed.Load().(time.Time))
 }
 
@@ -156,12 +156,14 @@
 
 // Mount serves users and workers.
 func (s *Server) Mount(app *fiber.App) {
-	app.Post("/work", func(c *fiber.Ctx) error { return s.reply(c, peer.Relay{Method: peer.Submit, Body: c.Body()}) })
+	app.Post("/work", func(c *fiber.Ctx) error {
+		return s.reply(c, peer.RelayRequest{Method: peer.MethodSubmit, Body: c.Body()})
+	})
 	app.Get("/work/:id", func(c *fiber.Ctx) error {
-		return s.reply(c, peer.Relay{Method: peer.Poll, ID: utils.CopyString(c.Params("id"))})
+		return s.reply(c, peer.RelayRequest{Method: peer.MethodPoll, ID: utils.CopyString(c.Params("id"))})
 	})
 	app.Post("/work/:id/withdraw", func(c *fiber.Ctx) error {
-		return s.reply(c, peer.Relay{Method: peer.Withdraw, ID: utils.CopyString(c.Params("id"))})
+		return s.reply(c, peer.RelayRequest{Method: peer.MethodCancel, ID: utils.CopyString(c.Params("id"))})
 	})
 	app.Get("/ready", func(c *fiber.Ctx) error {
 		if s.Ready() {
@@ -175,7 +177,7 @@
 
 // reply answers a user. Where the store refuses this controller, a peer that is
 // served answers in its place; where none is, the user is told at once to retry.
-func (s *Server) reply(c *fiber.Ctx, r peer.Relay) error {
+func (s *Server) reply(c *fiber.Ctx, r peer.RelayRequest) error {
 	out := s.Answer(r)
 	if out.Status == 503 {
 		c.Set("Retry-After", retryAfter(1))
@@ -186,7 +188,7 @@
 
 // Answer decides what a user is told. While it is open whether the store refuses
 // this controller alone, peers are tried too: they say at once if they cannot.
-func (s *Server) Answer(r peer.Relay) peer.Relayed {
+func (s *Server) Answer(r peer.RelayRequest) peer.RelayReply {
 	if s.isAlone() {
 		// Whatever is not known here nobody can be asked: users are told at once, and go on
 		// to another controller.
@@ -194,12 +196,12 @@
 	}
 	_, failing, _ := s.store.Health()
 	served, asked := s.peerServed()
-	if r.Method == peer.Submit && failing {
+	if r.Method == peer.MethodSubmit && failing {
 		switch j, _, err := parse(r.Body); {
 		case err != nil:
 			return s.answerWithin(r, s.budget())
-		case j.Prereqs != nil:
-			r.Method = peer.SubmitChain
+		case j.Dependencies != nil:
+			r.Method = peer.MethodSubmitWithDependencies
 		}
 	}
 	if failing && served {
@@ -216,7 +218,7 @@
 	return out
 }
 
-func (s *Server) answerWithin(r peer.Relay, budget time.Duration) peer.Relayed {
+func (s *Server) answerWithin(r peer.RelayRequest, budget time.Duration) peer.RelayReply {
 	ctx, cancel := context.WithTimeout(context.Background(), budget)
 	defer cancel()
 	a := s.serve(ctx, r)
@@ -230,15 +232,15 @@
 func (s *Server) budget() time.Duration { return userPatience * 3 / 4 }
 
 // Relay answers a request that a peer passed on.
-func (s *Server) Relay(r peer.Relay) peer.Relayed { return s.answerWithin(r, s.budget()/2) }
+func (s *Server) Relay(r peer.RelayRequest) peer.RelayReply { return s.answerWithin(r, s.budget()/2) }
 
-func (s *Server) serve(ctx context.Context, r peer.Relay) answer {
+func (s *Server) serve(ctx context.Context, r peer.RelayRequest) answer {
 	switch r.Method {
-	case peer.Submit, peer.SubmitChain:
+	case peer.MethodSubmit, peer.MethodSubmitWithDependencies:
 		return s.submit(ctx, r.Body)
-	case peer.Poll:
+	case peer.MethodPoll:
 		return s.poll(ctx, r.ID)
-	case peer.Withdraw:
+	case peer.MethodCancel:
 		return s.withdraw(ctx, r.ID)
 	}
 	return fail(400, "unknown request")
@@ -288,8 +290,8 @@
 func (s *Server) progress(id string) peer.Progress {
 	if l := s.local(); l != nil {
 		if status, done, running, ok := l.Progress(id); ok {
-			age, isClear := l.Clear(id)
-			return peer.Progress{Known: true, Status: status, Done: done, Running: running, Clear: isClear, ClearMS: age.Milliseconds()}
+			age, isClear := l.DependenciesClear(id)
+			return peer.Progress{Known: true, Status: status, Done: done, Running: running, DependenciesClear: isClear, ClearAgeMS: age.Milliseconds()}
 		}
 	} else if node := s.leader(); node != "" && node != s.cfg.Node {
 		if p, err := s.peers.Progress(node, id); err == nil && p.Known {
@@ -307,7 +309,7 @@
 	if lastOK.IsZero() {
 		lastOK = started
 	}
-	if !failing || time.Since(lastOK) < s.cfg.Report()/2 {
+	if !failing || time.Since(lastOK) < s.cfg.HeartbeatInterval()/2 {
 		return true
 	}
 	served, _ := s.peerServed()
@@ -334,17 +336,17 @@
 // serves them. It works in the background, so that no user waits for a
 // controller that is cut off.
 func (s *Server) Watch(ctx context.Context) {
-	report := s.cfg.Report()
+	report := s.cfg.HeartbeatInterval()
 	for httpclient.Sleep(ctx, report/4) == nil {
 		served, alone := false, false
 		_, failing, _ := s.store.Health()
 		if failing {
 			answers, all := s.peers.Status(ctx)
-			alone = !all && len(answers) == 0 && time.Since(s.store.Reached()) > report/2
+			alone = !all && len(answers) == 0 && time.Since(s.store.LastResponse()) > report/2
 			for _, a := range answers {
 				// An open watch outlasts the start of an outage without failing,
 				// so only a recent answer counts.
-				served = served || !a.Failing && time.Duration(a.StoreSilentMS)*time.Millisecond < report*3/2
+				served = served || !a.StoreFailing && time.Duration(a.StoreSilentMS)*time.Millisecond < report*3/2
 			}
 		}
 		s.mu.Lock()
--- a/internal/api/memory.go
+++ b/internal/api/memory.go
@@ -58,7 +58,7 @@
 }
 
 // overAnswer tells of a job that is over.
-func (s *Server) overAnswer(ctx context.Context, id string, o records.Over) answer {
+func (s *Server) overAnswer(ctx context.Context, id string, o records.ClosedJob) answer {
 	done, running := 0, 0
 	switch {
 	case o.Status == records.StatusDone:
@@ -71,7 +71,7 @@
 
 // lookup reads a job afresh: its open record, or its final state. Both nil
 // means that there is no such job.
-func (s *Server) lookup(ctx context.Context, id string) (*records.Row, *records.Over, error) {
+func (s *Server) lookup(ctx context.Context, id string) (*records.KeyValue, *records.ClosedJob, error) {
 	// A job moves from open to over in one transaction; read in this order, a
 	// move in between is met at its new place. Over records stay for good: where
 	// there is none now, there was none when the open record was found absent, so
@@ -85,12 +85,12 @@
 }
 
 // readOver reads a job's final state, nil where there is none.
-func (s *Server) readOver(ctx context.Context, id string) (*records.Over, error) {
-	row, err := s.store.Get(ctx, records.OverKey(id))
+func (s *Server) readOver(ctx context.Context, id string) (*records.ClosedJob, error) {
+	row, err := s.store.Get(ctx, records.ClosedKey(id))
 	if err != nil || row == nil {
 		return nil, err
 	}
-	var o records.Over
+	var o records.ClosedJob
 	if err := json.Unmarshal(row.Value, &o); err != nil {
 		return nil, err
 	}
@@ -100,14 +100,14 @@
 
 // remember keeps a final state. started says whether tasks of the job may have started: none
 // has of one that was cancelled with a job before it.
-func (s *Server) remember(id string, o records.Over, started bool) {
+func (s *Server) remember(id string, o records.ClosedJob, started bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o.Status == records.StatusCancelled {
 		s.told.Add(id, time.Now()) // before anybody is told
 		clear(s.clear)             // it may be before any of them
 		if _, known := s.over[id]; !known && started {
-			forgetSettled(s.unheard, s.cfg.Timing().Grant)
+			forgetSettled(s.unheard, s.cfg.Timing().LeaderLease)
 			s.unheard[id] = time.Now()
 		}
 	}
--- a/internal/api/relay.go
+++ b/internal/api/relay.go
@@ -24,7 +24,7 @@
 // relays is how reports reach the leader through other controllers: here as one of them,
 // and as the leader.
 type relays struct {
-	gather *peer.Gather
+	gather *peer.Batcher
 
 	mu      sync.Mutex
 	refused string        // a leader that took no bundle, or could not be reached
@@ -94,8 +94,8 @@
 		r.failed, r.refused = 0, ""
 	} else if r.refused != "" && r.refused != node {
 		r.failed, r.refused = 1, ""
-	} else if r.failed++; r.failed > fewFailures || peer.Unknown(err) {
-		r.refused, r.until, r.unknown = node, until, peer.Unknown(err)
+	} else if r.failed++; r.failed > fewFailures || peer.IsUnsupported(err) {
+		r.refused, r.until, r.unknown = node, until, peer.IsUnsupported(err)
 	}
 }
 
@@ -104,17 +104,17 @@
 
 // passOn sends a bundle to the leader. Where that fails the workers try the next
 // controller a second later, and where it fails again and again the leader itself.
-func (s *Server) passOn(node string, bodies [][]byte) (peer.Bundled, error) {
+func (s *Server) passOn(node string, bodies [][]byte) (peer.HeartbeatBatchReply, error) {
 	began := time.Now()
 	// Guards against bundles that stood behind others to a leader that hangs, and would
 	// each wait for it anew when it has long been given up.
 	if len(bodies) > 0 && !s.relays.takes(true, node) {
 		notPassed.Add(len(bodies))
-		return peer.Bundled{}, errGivenUp
+		return peer.HeartbeatBatchReply{}, errGivenUp
 	}
-	in := peer.Bundle{From: s.cfg.Node, Zone: s.cfg.Zone, Bodies: bodies, LateMS: s.relays.lateness(0).Milliseconds()}
-	out, err := s.peers.Checkins(node, in, time.Duration(patience*float64(workerPatience)))
-	s.relays.tried(node, err, time.Now().Add(retryReports*s.cfg.Report()))
+	in := peer.HeartbeatBatch{From: s.cfg.Node, Zone: s.cfg.Zone, Heartbeats: bodies, DelayMS: s.relays.lateness(0).Milliseconds()}
+	out, err := s.peers.RelayHeartbeats(node, in, time.Duration(patience*float64(workerPatience)))
+	s.relays.tried(node, err, time.Now().Add(retryReports*s.cfg.HeartbeatInterval()))
 	s.relays.lateness(time.Since(began) - time.Duration(out.HeldMS)*time.Millisecond)
 	if err != nil {
 		notPassed.Add(len(bodies))
@@ -125,10 +125,10 @@
 	return out, nil
 }
 
-// Offer tells the leader now and then that this controller can pass reports on. One that
+// OfferRelay tells the leader now and then that this controller can pass reports on. One that
 // leads no more, or takes no bundles, is asked again later.
-func (s *Server) Offer(ctx context.Context) {
-	report := s.cfg.Report()
+func (s *Server) OfferRelay(ctx context.Context) {
+	report := s.cfg.HeartbeatInterval()
 	for httpclient.Sleep(ctx, report/2) == nil {
 		node := s.leader()
 		if s.local() != nil || node == s.cfg.Node || !s.relays.tries(node, time.Now()) {
@@ -138,21 +138,21 @@
 	}
 }
 
-// Bundled answers reports that another controller passed on, each for itself and all
+// RelayedHeartbeats answers reports that another controller passed on, each for itself and all
 // together: one that waits for the store holds the others up for no longer than a commit
 // takes.
-func (s *Server) Bundled(in peer.Bundle) peer.Bundled {
-	out := peer.Bundled{Answers: make([]peer.Relayed, len(in.Bodies))}
+func (s *Server) RelayedHeartbeats(in peer.HeartbeatBatch) peer.HeartbeatBatchReply {
+	out := peer.HeartbeatBatchReply{Answers: make([]peer.RelayReply, len(in.Heartbeats))}
 	if in.From == "" {
 		return out
 	}
 	began := time.Now()
 	if l := s.local(); l != nil {
 		s.relays.heard(s.cfg, l, in.From, in.Zone, began)
-		l.Late(time.Duration(in.LateMS) * time.Millisecond)
+		l.ObserveDelay(time.Duration(in.DelayMS) * time.Millisecond)
 	}
 	var wg sync.WaitGroup
-	for i, body := range in.Bodies {
+	for i, body := range in.Heartbeats {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -167,7 +167,7 @@
 // ofTerm returns the router of a term, with the lock held. A term begins without one.
 func (r *relays) ofTerm(cfg *config.Config, l Local) *routing.Router {
 	if r.term != l {
-		r.router = routing.New(cfg.Node, cfg.Report(), config.Seconds(cfg.Facts.Workers.LeaseS))
+		r.router = routing.New(cfg.Node, cfg.HeartbeatInterval(), config.Seconds(cfg.Deployment.Workers.LeaseS))
 		r.term = l
 	}
 	return r.router
@@ -176,12 +176,12 @@
 func (r *relays) heard(cfg *config.Config, l Local, node, zone string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ofTerm(cfg, l).Heard(node, zone, now)
+	r.ofTerm(cfg, l).NotePeer(node, zone, now)
 }
 
 // route tells where a worker is to report instead; "" if it is answered here.
 func (r *relays) route(cfg *config.Config, l Local, host, zone, via string, now time.Time) string {
-	if !cfg.Options.Relay || via == "" {
+	if !cfg.Options.HeartbeatRelay || via == "" {
 		return ""
 	}
 	r.mu.Lock()
--- a/internal/api/reports.go
+++ b/internal/api/reports.go
@@ -15,13 +15,13 @@
 // controller passes it on where the worker cannot reach the leader, and
 // otherwise sends the worker there.
 func (s *Server) checkin(c *fiber.Ctx) error {
-	out := s.Checkin(c.Body())
+	out := s.Heartbeat(c.Body())
 	c.Set("Content-Type", "application/json")
 	return c.Status(out.Status).Send(out.Body)
 }
 
-// Checkin answers a report that a worker sent to this controller.
-func (s *Server) Checkin(body []byte) peer.Relayed {
+// Heartbeat answers a report that a worker sent to this controller.
+func (s *Server) Heartbeat(body []byte) peer.RelayReply {
 	if s.local() != nil {
 		return s.report(body, s.cfg.Node)
 	}
@@ -29,42 +29,44 @@
 	if node == s.cfg.Node {
 		node = ""
 	}
-	if s.relays.takes(s.cfg.Options.Relay, node) {
-		out, err := s.relays.gather.Checkin(node, body)
+	if s.relays.takes(s.cfg.Options.HeartbeatRelay, node) {
+		out, err := s.relays.gather.Send(node, body)
 		switch {
 		case err == nil:
 			return out
 		case s.relays.takes(true, node):
 			return asJSON(421, referral{})
 		}
-	} else if node != "" && !s.relays.away(s.cfg.Options.Relay, node) {
-		if out, err := s.peers.Checkin(node, body); err == nil && out.Status == 200 {
+	} else if node != "" && !s.relays.away(s.cfg.Options.HeartbeatRelay, node) {
+		if out, err := s.peers.RelayHeartbeat(node, body); err == nil && out.Status == 200 {
 			return out
 		}
 	}
 	return asJSON(421, referral{Conductor: node})
 }
 
-// Forwarded answers a report that a peer passed on. The 200 that the worker gets
+// RelayedHeartbeat answers a report that a peer passed on. The 200 that the worker gets
 // in the end renews its lease from when it sent the report, so it makes no
 // difference for what the leader may conclude from its silence.
-func (s *Server) Forwarded(in peer.Checkin) peer.Relayed { return s.report(in.Body, "") }
+func (s *Server) RelayedHeartbeat(in peer.HeartbeatRequest) peer.RelayReply {
+	return s.report(in.Body, "")
+}
 
 // report answers a report that came through a controller; "" stands for one that passes
 // reports on only where the worker cannot reach the leader.
-func (s *Server) report(body []byte, via string) peer.Relayed {
+func (s *Server) report(body []byte, via string) peer.RelayReply {
 	l := s.local()
 	if l == nil {
 		return asJSON(421, referral{})
 	}
-	var r fleet.Report
+	var r fleet.Heartbeat
 	if err := easyjson.Unmarshal(body, &r); err != nil {
 		return asJSON(400, failure{"not a report: " + err.Error()})
 	}
 	if err := r.Check(); err != nil {
 		return asJSON(400, failure{err.Error()})
 	}
-	if via == "" && !l.Unreachable(&r) {
+	if via == "" && !l.NeedsRelay(&r) {
 		return asJSON(421, referral{})
 	}
 	// Guards against late copies that send workers to and fro which are somewhere else.
@@ -74,20 +76,20 @@
 	}
 	r.Via = via
 	if recency == fleet.Current {
-		if to := s.relays.route(s.cfg, l, r.Host, r.Zone, via, time.Now()); to != "" {
+		if to := s.relays.route(s.cfg, l, r.Machine, r.Zone, via, time.Now()); to != "" {
 			return asJSON(421, referral{Conductor: to})
 		}
 	}
 	// Noted before it is answered: a lease counts from when the report was sent.
 	s.renewed.Store(time.Now())
-	status, resp := l.Report(&r)
+	status, resp := l.Heartbeat(&r)
 	if status == 200 {
 		return asJSON(200, resp)
 	}
 	return asJSON(status, referral{})
 }
 
-func asJSON(status int, v any) peer.Relayed {
+func asJSON(status int, v any) peer.RelayReply {
 	var raw []byte
 	var err error
 	if m, ok := v.(easyjson.Marshaler); ok {
@@ -96,7 +98,7 @@
 		raw, err = json.Marshal(v)
 	}
 	if err != nil {
-		return peer.Relayed{Status: 503}
+		return peer.RelayReply{Status: 503}
 	}
-	return peer.Relayed{Status: status, Body: raw}
+	return peer.RelayReply{Status: status, Body: raw}
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -27,7 +27,7 @@
 	case len(types) == 0:
 		why = "machine types are not known yet"
 	case why == "":
-		if why = impossible(&j, s.cfg.Facts.Teams, types); why == "" {
+		if why = impossible(&j, s.cfg.Deployment.Teams, types); why == "" {
 			why = s.tooLong(&j)
 		}
 	}
@@ -75,7 +75,7 @@
 		return a, false
 	}
 	s.setKnown(j.ID)
-	if len(j.Prereqs) > 0 {
+	if len(j.Dependencies) > 0 {
 		return s.poll(ctx, j.ID), true
 	}
 	return openAnswer(j.ID, peer.Progress{Status: records.StatusPending}), true
@@ -85,7 +85,7 @@
 // as well. An answer instead says why nothing is stored.
 func (s *Server) recordOf(ctx context.Context, j *records.Job) (put records.Op, status string, a *answer) {
 	put, status = records.Op{Write: records.OpenKey(j.ID), Value: *j}, records.StatusPending
-	if len(j.Prereqs) == 0 {
+	if len(j.Dependencies) == 0 {
 		return put, status, nil
 	}
 	switch fate, why := s.before(ctx, j); fate {
@@ -100,7 +100,7 @@
 	case cancelled:
 		// It is accepted all the same, and cancelled with the one before it.
 		status = records.StatusCancelled
-		put = records.Op{Write: records.OverKey(j.ID), Value: records.Over{Status: status, Tasks: j.Tasks}}
+		put = records.Op{Write: records.ClosedKey(j.ID), Value: records.ClosedJob{Status: status, Tasks: j.Tasks}}
 	}
 	return put, status, nil
 }
@@ -110,7 +110,7 @@
 
 // accept stores a new job, unless it turns out to be known.
 func (s *Server) accept(ctx context.Context, j *records.Job, put records.Op, status string) answer {
-	absent := []records.Cond{{Key: records.OpenKey(j.ID)}, {Key: records.OverKey(j.ID)}}
+	absent := []records.Compare{{Key: records.OpenKey(j.ID)}, {Key: records.ClosedKey(j.ID)}}
 	for range acceptTries {
 		_, err := s.store.Commit(ctx, absent, []records.Op{put})
 		var conflict *records.ConflictError
@@ -148,7 +148,7 @@
 func (s *Server) repeatsAbout() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.repeat) < repeatsFor*s.cfg.Report()
+	return time.Since(s.repeat) < repeatsFor*s.cfg.HeartbeatInterval()
 }
 
 // repeatsFor is for how many report intervals more repeats are expected after one.
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -51,7 +51,7 @@
 func parse(body []byte) (j records.Job, why string, err error) {
 	var s submission
 	if j, err = parseJob(body, &s); err == nil {
-		j.Prereqs, why = needs(s.Prereqs, j.ID)
+		j.Dependencies, why = needs(s.Prereqs, j.ID)
 	}
 	return j, why, err
 }
@@ -104,7 +104,7 @@
 		name string
 		v    *bool
 		to   *bool
-	}{{"one_zone", s.OneZone, &j.OneZone}, {"apart", s.Apart, &j.Apart}, {"loaners", s.Spot, &j.Spot}}
+	}{{"one_zone", s.OneZone, &j.OneZone}, {"apart", s.Apart, &j.SpreadZones}, {"loaners", s.Spot, &j.Spot}}
 	for _, f := range flags {
 		if f.v == nil {
 			return j, errors.New(f.name + " is missing")
@@ -114,9 +114,9 @@
 	switch {
 	case !records.ValidID(j.ID):
 		return j, errors.New("uid has another form")
-	case !slices.Contains([]string{records.ShapeBatch, records.ShapeGroup, records.ShapeService}, j.Shape):
+	case !slices.Contains([]string{records.ShapeArray, records.ShapeGang, records.ShapeService}, j.Shape):
 		return j, errors.New("shape is not known")
-	case !slices.Contains([]string{records.PrioCritical, records.PrioUrgent, records.PrioNormal, records.PrioLow}, j.Priority):
+	case !slices.Contains([]string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}, j.Priority):
 		return j, errors.New("urgency is not known")
 	case s.Tasks == nil:
 		return j, errors.New("shots is missing")
@@ -168,11 +168,11 @@
 		return "unknown team"
 	}
 	n := 1.0
-	if j.Shape != records.ShapeBatch {
+	if j.Shape != records.ShapeArray {
 		n = float64(j.Tasks)
 	}
 	t := teams[i]
-	if t.CPUsMax > 0 && n*j.CPUs > t.CPUsMax+1e-9 || t.GPUsMax > 0 && n*j.GPUs > t.GPUsMax+1e-9 {
+	if t.LimitCPUs > 0 && n*j.CPUs > t.LimitCPUs+1e-9 || t.LimitGPUs > 0 && n*j.GPUs > t.LimitGPUs+1e-9 {
 		return "needs more than the team's limit"
 	}
 	for _, mt := range types {
--- a/internal/api/withdraw.go
+++ b/internal/api/withdraw.go
@@ -42,13 +42,13 @@
 
 // cancel moves an open job, of which tasks may have started or not, to the over records,
 // unless it has gone there meanwhile. It returns false when the store does not answer.
-func (s *Server) cancel(ctx context.Context, id string, row *records.Row, started bool) bool {
+func (s *Server) cancel(ctx context.Context, id string, row *records.KeyValue, started bool) bool {
 	var j records.Job
 	_ = json.Unmarshal(row.Value, &j)
-	o := records.Over{Status: records.StatusCancelled, Tasks: j.Tasks, Service: j.Shape == records.ShapeService}
+	o := records.ClosedJob{Status: records.StatusCancelled, Tasks: j.Tasks, Service: j.Shape == records.ShapeService}
 	_, err := s.store.Commit(ctx,
-		[]records.Cond{{Key: records.OpenKey(id), Stamp: row.Stamp}},
-		[]records.Op{{Delete: records.OpenKey(id)}, {Write: records.OverKey(id), Value: o}})
+		[]records.Compare{{Key: records.OpenKey(id), Revision: row.Revision}},
+		[]records.Op{{Delete: records.OpenKey(id)}, {Write: records.ClosedKey(id), Value: o}})
 	var conflict *records.ConflictError
 	switch {
 	case err == nil:
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -9,30 +9,30 @@
 // Options are the operators' own settings (INI). All are ratios or factors,
 // so that one file suits deployments of any size.
 type Options struct {
-	RoundReports  float64 // length of a round, in worker report intervals
-	AlphaUp       float64 // FUSD factor while use rises, -1 to 0
-	AlphaDown     float64 // FUSD factor while use falls, 0 to 1
-	Window        int     // reports in FUSD's window
-	Percentile    float64 // percentile of the window taken as observed use
-	GrantReports  float64 // life of the leader's grant, in worker report intervals
-	IdleStartups  float64 // an empty machine is kept this many startup times
-	SpreadRefused float64 // pause after "no capacity", in startup times
-	Operators     bool    // operators are served beside users
-	Marks         bool    // the store says how far jobs were sent, for takeovers
-	Lapses        bool    // a takeover knows that leases have ended by who may have renewed them
-	Relay         bool    // controllers pass workers' reports on to the leader
-	Shed          bool    // a leader that falls behind leaves starts out
-	Guarantees    bool    // work within a guarantee that can begin in time goes first, and finds room
-	Largest       bool    // room is saved for what needs much of it at once
-	BeginS        float64 // s within which any job is to begin, if there is room for it at all
-	DarkZones     bool    // machines of a zone that is cut off are waited for
+	RoundIntervals          float64 // length of a round, in worker report intervals
+	AlphaUp                 float64 // FUSD factor while use rises, -1 to 0
+	AlphaDown               float64 // FUSD factor while use falls, 0 to 1
+	Window                  int     // reports in FUSD's window
+	Percentile              float64 // percentile of the window taken as observed use
+	LeaderLeaseIntervals    float64 // life of the leader's grant, in worker report intervals
+	IdleStartups            float64 // an empty machine is kept this many startup times
+	CapacityBackoffStartups float64 // pause after "no capacity", in startup times
+	Operators               bool    // operators are served beside users
+	Watermarks              bool    // the store says how far jobs were sent, for takeovers
+	LeaseExpiryProofs       bool    // a takeover knows that leases have ended by who may have renewed them
+	HeartbeatRelay          bool    // controllers pass workers' reports on to the leader
+	LoadShedding            bool    // a leader that falls behind leaves starts out
+	Guarantees              bool    // work within a guarantee that can begin in time goes first, and finds room
+	Reservations            bool    // room is saved for what needs much of it at once
+	BeginS                  float64 // s within which any job is to begin, if there is room for it at all
+	ZoneHealth              bool    // machines of a zone that is cut off are waited for
 }
 
 // DefaultOptions are used for whatever the INI file does not set.
 func DefaultOptions() Options {
 	return Options{
-		RoundReports: 2, AlphaUp: -0.2, AlphaDown: 0.7, Window: 8, Percentile: 90,
-		GrantReports: 2, IdleStartups: 1, SpreadRefused: 0.5, BeginS: 240,
+		RoundIntervals: 2, AlphaUp: -0.2, AlphaDown: 0.7, Window: 8, Percentile: 90,
+		LeaderLeaseIntervals: 2, IdleStartups: 1, CapacityBackoffStartups: 0.5, BeginS: 240,
 	}
 }
 
@@ -49,14 +49,14 @@
 		v            *float64
 		min, max     float64
 	}{
-		{"rounds", "round_reports", &o.RoundReports, 1, 1000},
+		{"rounds", "round_reports", &o.RoundIntervals, 1, 1000},
 		{"forecast", "alpha_up", &o.AlphaUp, -1, 0},
 		{"forecast", "alpha_down", &o.AlphaDown, 0, 0.999},
 		{"forecast", "percentile", &o.Percentile, 1, 100},
-		{"leader", "grant_reports", &o.GrantReports, 1, 20},
+		{"leader", "grant_reports", &o.LeaderLeaseIntervals, 1, 20},
 		{"rental", "idle_startups", &o.IdleStartups, 0, 100},
 		{"largest", "begin_s", &o.BeginS, 1, 86400},
-		{"rental", "refused_startups", &o.SpreadRefused, 0.05, 100},
+		{"rental", "refused_startups", &o.CapacityBackoffStartups, 0.05, 100},
 	} {
 		known[e.section+"."+e.key] = true
 		if !f.Section(e.section).HasKey(e.key) {
@@ -81,13 +81,13 @@
 		v            *bool
 	}{
 		{"operator", "enabled", &o.Operators},
-		{"takeover", "marks", &o.Marks},
-		{"takeover", "lapses", &o.Lapses},
-		{"relay", "enabled", &o.Relay},
-		{"overload", "shed", &o.Shed},
-		{"zones", "dark", &o.DarkZones},
+		{"takeover", "marks", &o.Watermarks},
+		{"takeover", "lapses", &o.LeaseExpiryProofs},
+		{"relay", "enabled", &o.HeartbeatRelay},
+		{"overload", "shed", &o.LoadShedding},
+		{"zones", "dark", &o.ZoneHealth},
 		{"guarantees", "enabled", &o.Guarantees},
-		{"largest", "enabled", &o.Largest},
+		{"largest", "enabled", &o.Reservations},
 	} {
 		known[e.section+"."+e.key] = true
 		if !f.Section(e.section).HasKey(e.key) {
--- a/internal/dependency/chain.go
+++ b/internal/dependency/chain.go
@@ -23,18 +23,18 @@
 
 // Job is an open job as the graph sees it.
 type Job struct {
-	ID    string
-	Needs []string      // jobs that have to be done before
-	Rank  int           // of its own priority, 0 being the highest
-	Due   time.Time     // when it should be complete; zero: no deadline
-	Last  time.Time     // when it should be complete at the very latest
-	Takes time.Duration // from its release to its end, by its owner's estimate
+	ID           string
+	Dependencies []string      // jobs that have to be done before
+	Rank         int           // of its own priority, 0 being the highest
+	Deadline     time.Time     // when it should be complete; zero: no deadline
+	LatestEnd    time.Time     // when it should be complete at the very latest
+	Estimate     time.Duration // from its release to its end, by its owner's estimate
 }
 
-// Terms are what a job is worth, itself or for the sake of those behind it.
-type Terms struct {
-	Rank      int
-	Due, Last time.Time
+// Urgency are what a job is worth, itself or for the sake of those behind it.
+type Urgency struct {
+	Rank                int
+	Deadline, LatestEnd time.Time
 }
 
 type node struct {
@@ -45,7 +45,7 @@
 	stamp   uint64    // revision at which that was stored; 0: not known
 	needs   []*node
 	behind  []*node // open jobs that need it
-	terms   Terms
+	terms   Urgency
 	waiting bool
 }
 
@@ -80,7 +80,7 @@
 	}
 	delete(g.unread, j.ID)
 	n.job, n.state = j, Open
-	for _, id := range j.Needs {
+	for _, id := range j.Dependencies {
 		p := g.node(id)
 		n.needs = append(n.needs, p)
 		p.behind = append(p.behind, n)
@@ -88,7 +88,7 @@
 			g.unread[id] = true
 		}
 	}
-	n.terms = Terms{Rank: j.Rank, Due: j.Due, Last: j.Last}
+	n.terms = Urgency{Rank: j.Rank, Deadline: j.Deadline, LatestEnd: j.LatestEnd}
 	n.waiting = n.waits()
 	g.changed[j.ID] = true
 	for _, b := range n.behind { // it was named before it was known
@@ -114,9 +114,9 @@
 	}
 }
 
-// End notes what the store says for good: a job is done, at the time given if that is
+// SetFinal notes what the store says for good: a job is done, at the time given if that is
 // known, or cancelled. The revision of that record says what came before it.
-func (g *Graph) End(id string, s State, at time.Time, stamp uint64) {
+func (g *Graph) SetFinal(id string, s State, at time.Time, stamp uint64) {
 	n := g.nodes[id]
 	if n == nil || n.state == Done || n.state == Cancelled {
 		return
@@ -205,11 +205,11 @@
 		if x.state != Open {
 			continue
 		}
-		t := Terms{Rank: x.job.Rank, Due: x.job.Due, Last: x.job.Last}
+		t := Urgency{Rank: x.job.Rank, Deadline: x.job.Deadline, LatestEnd: x.job.LatestEnd}
 		for _, b := range x.behind {
 			t.Rank = min(t.Rank, b.terms.Rank)
-			t.Due = earliest(t.Due, before(b.terms.Due, b.job.Takes))
-			t.Last = earliest(t.Last, before(b.terms.Last, b.job.Takes))
+			t.Deadline = earliest(t.Deadline, before(b.terms.Deadline, b.job.Estimate))
+			t.LatestEnd = earliest(t.LatestEnd, before(b.terms.LatestEnd, b.job.Estimate))
 		}
 		if t != x.terms {
 			x.terms = t
@@ -219,8 +219,8 @@
 	}
 }
 
-// Waits says whether a job needs one that is not known to be stored as done.
-func (g *Graph) Waits(id string) bool {
+// Blocked says whether a job needs one that is not known to be stored as done.
+func (g *Graph) Blocked(id string) bool {
 	n := g.nodes[id]
 	return n != nil && n.waits()
 }
@@ -238,9 +238,9 @@
 	return last
 }
 
-// Since is the revision before which a job cannot have been started: the last of those
+// NotBefore is the revision before which a job cannot have been started: the last of those
 // at which a job that it needs was stored as done, as far as known.
-func (g *Graph) Since(id string) uint64 {
+func (g *Graph) NotBefore(id string) uint64 {
 	last := uint64(0)
 	if n := g.nodes[id]; n != nil {
 		for _, p := range n.needs {
@@ -250,12 +250,12 @@
 	return last
 }
 
-// Terms tells what an open job is worth for its own sake and that of those behind it.
-func (g *Graph) Terms(id string) Terms {
+// Urgency tells what an open job is worth for its own sake and that of those behind it.
+func (g *Graph) Urgency(id string) Urgency {
 	if n := g.nodes[id]; n != nil {
 		return n.terms
 	}
-	return Terms{}
+	return Urgency{}
 }
 
 // Clear says that of all jobs before an open one, however far, none is cancelled or
@@ -292,9 +292,9 @@
 	return ids
 }
 
-// Doomed lists the open jobs that are to be cancelled with one before them, the
+// ToCancel lists the open jobs that are to be cancelled with one before them, the
 // nearest to it first.
-func (g *Graph) Doomed() []string {
+func (g *Graph) ToCancel() []string {
 	g.doomed = slices.DeleteFunc(g.doomed, func(id string) bool {
 		n := g.nodes[id]
 		return n == nil || !n.doomed
--- a/internal/election/tenure.go
+++ b/internal/election/tenure.go
@@ -19,16 +19,16 @@
 
 // Store is what tenure needs of the state service.
 type Store interface {
-	Get(ctx context.Context, key string) (*records.Row, error)
-	Commit(ctx context.Context, when []records.Cond, ops []records.Op) (uint64, error)
-	Grant(ctx context.Context, life time.Duration) (uint64, error)
-	Extend(ctx context.Context, hold uint64, timeout time.Duration) error
-	Drop(ctx context.Context, hold uint64)
+	Get(ctx context.Context, key string) (*records.KeyValue, error)
+	Commit(ctx context.Context, when []records.Compare, ops []records.Op) (uint64, error)
+	GrantLease(ctx context.Context, life time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, hold uint64, timeout time.Duration) error
+	RevokeLease(ctx context.Context, hold uint64)
 	Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error)
 }
 
-// Tenure follows the leader key and campaigns for it.
-type Tenure struct {
+// Election follows the leader key and campaigns for it.
+type Election struct {
 	store       Store
 	node, start string
 	life        time.Duration
@@ -45,19 +45,19 @@
 
 // New returns a tenure for this process; start must differ for every start.
 // marks says whether a term of this process keeps marks of what it sends.
-func New(store Store, node, start string, life time.Duration, marks bool) *Tenure {
-	return &Tenure{store: store, node: node, start: start, life: life, marks: marks}
+func New(store Store, node, start string, life time.Duration, marks bool) *Election {
+	return &Election{store: store, node: node, start: start, life: life, marks: marks}
 }
 
 // Leader names the node that leads, "" when unknown.
-func (t *Tenure) Leader() string {
+func (t *Election) Leader() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.leader
 }
 
 // Term returns our own term and until when the grant is surely ours.
-func (t *Tenure) Term() (term uint64, until time.Time) {
+func (t *Election) Term() (term uint64, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.term, t.until
@@ -65,7 +65,7 @@
 
 // Resign gives up leading without deleting anything: the grant ends by itself,
 // so that nobody else leads before it is over.
-func (t *Tenure) Resign() {
+func (t *Election) Resign() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.resign != nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-func (t *Tenure) setLeader(node string) {
+func (t *Election) setLeader(node string) {
 	t.mu.Lock()
 	if t.leader != node {
 		t.leader = node
@@ -84,7 +84,7 @@
 
 // Run follows and campaigns until ctx ends. lead is called with each term won
 // and must return when its context ends.
-func (t *Tenure) Run(ctx context.Context, lead func(ctx context.Context, term uint64)) {
+func (t *Election) Run(ctx context.Context, lead func(ctx context.Context, term uint64)) {
 	for ctx.Err() == nil {
 		term, hold, sent, err := t.campaign(ctx)
 		switch {
@@ -99,7 +99,7 @@
 
 // campaign waits until the leader key is free and takes it. It returns term 0
 // when it should simply be called again.
-func (t *Tenure) campaign(ctx context.Context) (term, hold uint64, sent time.Time, err error) {
+func (t *Election) campaign(ctx context.Context) (term, hold uint64, sent time.Time, err error) {
 	row, err := t.store.Get(ctx, records.KeyLeader)
 	if err != nil {
 		return 0, 0, sent, err
@@ -110,23 +110,23 @@
 		_ = json.Unmarshal(row.Value, &l)
 		// A key that an earlier start of this very node holds is ours to
 		// replace: there is one process per node, and that one has ended.
-		if l.Node != t.node || l.Start == t.start {
+		if l.Node != t.node || l.Incarnation == t.start {
 			t.setLeader(l.Node)
-			if l.Start == t.start {
+			if l.Incarnation == t.start {
 				t.setLeader("") // resigned; it ends with its grant
 				t.mu.Lock()
 				held := t.held
 				t.mu.Unlock()
 				// Guards against a campaign without an answer that is carried out late: the
 				// key would stay with a term that nobody serves, for as long as its grant.
-				if row.Hold != held {
-					slog.Info("a campaign was carried out late: its grant is dropped", "term", row.Stamp)
-					t.store.Drop(ctx, row.Hold)
+				if row.LeaseID != held {
+					slog.Info("a campaign was carried out late: its grant is dropped", "term", row.Revision)
+					t.store.RevokeLease(ctx, row.LeaseID)
 				}
 			}
-			return 0, 0, sent, t.follow(ctx, row.Stamp)
+			return 0, 0, sent, t.follow(ctx, row.Revision)
 		}
-		stamp = row.Stamp
+		stamp = row.Revision
 	}
 	t.setLeader("")
 	t.mu.Lock()
@@ -136,36 +136,36 @@
 		return 0, 0, sent, httpclient.Sleep(ctx, min(barred, t.life/8))
 	}
 	sent = time.Now()
-	hold, err = t.store.Grant(ctx, t.life)
+	hold, err = t.store.GrantLease(ctx, t.life)
 	if err != nil {
 		return 0, 0, sent, err
 	}
 	epoch, err := t.store.Commit(ctx,
-		[]records.Cond{{Key: records.KeyLeader, Stamp: stamp}},
-		[]records.Op{{Write: records.KeyLeader, Value: records.Leader{Node: t.node, Start: t.start, Marks: t.marks}, Hold: hold}})
+		[]records.Compare{{Key: records.KeyLeader, Revision: stamp}},
+		[]records.Op{{Write: records.KeyLeader, Value: records.Leader{Node: t.node, Incarnation: t.start, Watermarks: t.marks}, LeaseID: hold}})
 	if err == nil {
 		return epoch, hold, sent, nil
 	}
 	var conflict *records.ConflictError
 	if errors.As(err, &conflict) {
-		t.store.Drop(ctx, hold)
+		t.store.RevokeLease(ctx, hold)
 		return 0, 0, sent, nil
 	}
 	// No answer: the commit may have been applied, or may yet be. Read it back;
 	// the grant is dropped unless the key is ours, and with it a late commit.
 	row, rerr := t.store.Get(ctx, records.KeyLeader)
-	if rerr == nil && row != nil && row.Hold == hold {
+	if rerr == nil && row != nil && row.LeaseID == hold {
 		var l records.Leader
-		if json.Unmarshal(row.Value, &l) == nil && l.Start == t.start {
-			return row.Stamp, hold, sent, nil
+		if json.Unmarshal(row.Value, &l) == nil && l.Incarnation == t.start {
+			return row.Revision, hold, sent, nil
 		}
 	}
-	t.store.Drop(ctx, hold)
+	t.store.RevokeLease(ctx, hold)
 	return 0, 0, sent, err
 }
 
 // follow waits until the leader key changes.
-func (t *Tenure) follow(ctx context.Context, since uint64) error {
+func (t *Election) follow(ctx context.Context, since uint64) error {
 	for ctx.Err() == nil {
 		events, epoch, err := t.store.Watch(ctx, records.KeyLeader, since, t.life/2)
 		if err != nil {
@@ -179,7 +179,7 @@
 	return ctx.Err()
 }
 
-func (t *Tenure) serve(ctx context.Context, term, hold uint64, sent time.Time, lead func(context.Context, uint64)) {
+func (t *Election) serve(ctx context.Context, term, hold uint64, sent time.Time, lead func(context.Context, uint64)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	t.mu.Lock()
@@ -197,14 +197,14 @@
 		sent := time.Now()
 		// The extension gets half a life, so that a lost packet leaves time
 		// for another try.
-		err := t.store.Extend(ctx, hold, t.life/2)
+		err := t.store.RenewLease(ctx, hold, t.life/2)
 		if err == nil {
 			t.mu.Lock()
 			t.until = t.validUntil(sent)
 			t.mu.Unlock()
 			continue
 		}
-		if errors.Is(err, records.ErrNoGrant) {
+		if errors.Is(err, records.ErrLeaseExpired) {
 			slog.Info("grant ended", "term", term)
 			break
 		}
@@ -227,6 +227,6 @@
 
 // validUntil counts the grant from when its request was sent, less what our
 // clock may lag.
-func (t *Tenure) validUntil(sent time.Time) time.Time {
+func (t *Election) validUntil(sent time.Time) time.Time {
 	return sent.Add(t.life - config.Drift(t.life))
 }
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -12,22 +12,22 @@
 
 // Attempt is one start of a task on one machine.
 type Attempt struct {
-	Task       TaskID
-	Try        uint64
-	Machine    *Machine
-	Cause      string
-	Saved      bool
-	SentTick   uint64 // tick of the report whose response carried the run
-	Since      time.Time
-	RunSince   time.Time // when it was first seen running
-	ReadySince time.Time // when it was first seen with its image there
-	StopAt     time.Time
-	Why        string        // it was stopped; for whoever stops, nothing to the table
-	Reap       bool          // may be removed from the worker's memory
-	Item       *packing.Item // its place in the machine's bin; nil once it has ended
-	Stray      bool          // not an attempt that we count as the task's own
-	Job        any           // whose task it is, for whoever plans; nothing to the table
-	Charge     quota.Charge  // what it counts for, for whoever keeps the account; nothing to the table
+	Task         TaskID
+	Number       uint64
+	Machine      *Machine
+	Cause        string
+	Saved        bool
+	SentSequence uint64 // tick of the report whose response carried the run
+	Since        time.Time
+	RunSince     time.Time // when it was first seen running
+	ReadySince   time.Time // when it was first seen with its image there
+	StopAt       time.Time
+	StopReason   string        // it was stopped; for whoever stops, nothing to the table
+	Reap         bool          // may be removed from the worker's memory
+	Item         *packing.Item // its place in the machine's bin; nil once it has ended
+	Duplicate    bool          // not an attempt that we count as the task's own
+	Job          any           // whose task it is, for whoever plans; nothing to the table
+	Charge       quota.Charge  // what it counts for, for whoever keeps the account; nothing to the table
 
 	state   State
 	listed  bool    // on its machine's list
@@ -40,19 +40,19 @@
 // State is where the attempt stands.
 func (a *Attempt) State() State { return a.state }
 
-// Listed says whether the attempt is on its machine's list: it came, and was not forgotten.
-func (a *Attempt) Listed() bool { return a.listed }
+// OnMachine says whether the attempt is on its machine's list: it came, and was not forgotten.
+func (a *Attempt) OnMachine() bool { return a.listed }
 
 // Stopping says whether the attempt was told to stop.
 func (a *Attempt) Stopping() bool { return a.stop }
 
-// Present says whether the attempt may be on its machine: everything that was
+// MayBePresent says whether the attempt may be on its machine: everything that was
 // ever sent and has not been seen to end, runs in flight included.
-func (a *Attempt) Present() bool { return a.state != Planned && a.state != Ended }
+func (a *Attempt) MayBePresent() bool { return a.state != Planned && a.state != Ended }
 
-// Took tells how long the attempt waited on its machine and how long it has run; one
+// Durations tells how long the attempt waited on its machine and how long it has run; one
 // that never ran has waited all the time.
-func (a *Attempt) Took(now time.Time) (waited, ran time.Duration) {
+func (a *Attempt) Durations(now time.Time) (waited, ran time.Duration) {
 	if a.RunSince.IsZero() {
 		return now.Sub(a.Since), 0
 	}
@@ -62,7 +62,7 @@
 // Send notes that the run of a planned attempt goes out in the answer to its machine's last
 // report.
 func (a *Attempt) Send(now time.Time) {
-	a.SentTick, a.Since = a.Machine.Tick, now
+	a.SentSequence, a.Since = a.Machine.Sequence, now
 	a.setState(Sent)
 }
 
@@ -73,7 +73,7 @@
 		return false
 	}
 	if !a.stop {
-		a.StopAt, a.Why = now, why
+		a.StopAt, a.StopReason = now, why
 	}
 	a.stop, a.grace = true, grace
 	a.changed()
--- a/internal/fleet/hearing.go
+++ b/internal/fleet/hearing.go
@@ -27,10 +27,10 @@
 // comes through it sooner than it could be back. (Its number need not be the next: whoever
 // asks a worker how it stands raises that.) So has one that shows what only an answer or a
 // command can have brought, and whoever answers a command.
-func (m *Machine) hear(r *Report, isReport bool, term uint64, now time.Time) {
+func (m *Machine) hear(r *Heartbeat, isReport bool, term uint64, now time.Time) {
 	h := &m.hearing
-	heard := !isReport || m.Baton < term && r.Baton == term
-	stays := h.asked && h.via != "" && r.Via == h.via && r.Session == m.Session && (r.Tick == m.Tick+1 || now.Sub(h.at) < away)
+	heard := !isReport || m.FencingToken < term && r.FencingToken == term
+	stays := h.asked && h.via != "" && r.Via == h.via && r.Incarnation == m.Incarnation && (r.Sequence == m.Sequence+1 || now.Sub(h.at) < away)
 	known := h.asked && h.via != "" && r.Via != "" // whether it stayed
 	sent := false
 	for _, a := range m.order {
@@ -42,7 +42,7 @@
 	switch {
 	case heard, stays && !sent:
 		*h = hearing{}
-	case h.asked && (known || sent || r.Baton < term):
+	case h.asked && (known || sent || r.FencingToken < term):
 		if h.misses == 0 {
 			h.since = now
 		}
@@ -52,9 +52,9 @@
 }
 
 // has says whether a report shows an attempt.
-func (r *Report) has(a *Attempt) bool {
+func (r *Heartbeat) has(a *Attempt) bool {
 	for i := range r.Tasks {
-		if r.Tasks[i].Try == a.Try && r.Tasks[i].Shot == a.Task.String() {
+		if r.Tasks[i].Attempt == a.Number && r.Tasks[i].Task == a.Task.String() {
 			return true
 		}
 	}
@@ -63,21 +63,21 @@
 
 // Answered notes that a 200 was written to the machine's last report, through a controller.
 func (m *Machine) Answered(via string, now time.Time) {
-	m.LastAnswer = now
+	m.LastRenewal = now
 	m.hearing.asked, m.hearing.via, m.hearing.at = true, via, now
 }
 
 // Renewed notes that a 200 was written to a report from which nothing is concluded, also not
 // whether its machine hears.
-func (m *Machine) Renewed(now time.Time) { m.LastAnswer = now }
+func (m *Machine) Renewed(now time.Time) { m.LastRenewal = now }
 
-// Deaf says whether nothing that was sent to the machine has reached it lately, though it
+// Unreachable says whether nothing that was sent to the machine has reached it lately, though it
 // reports. It takes no starts then, and takes them again with the first sign of hearing.
-func (m *Machine) Deaf() bool { return m.hearing.misses >= fewMisses }
+func (m *Machine) Unreachable() bool { return m.hearing.misses >= fewMisses }
 
-// DeafFor is since when that has been so.
-func (m *Machine) DeafFor(now time.Time) time.Duration {
-	if !m.Deaf() {
+// UnreachableFor is since when that has been so.
+func (m *Machine) UnreachableFor(now time.Time) time.Duration {
+	if !m.Unreachable() {
 		return 0
 	}
 	return now.Sub(m.hearing.since)
--- a/internal/fleet/older.go
+++ b/internal/fleet/older.go
@@ -6,11 +6,11 @@
 // what is known. What a report lacks then proves nothing: a machine that is asked, by a direct
 // command with nothing in it, answers for itself.
 
-// Older says whether a body is no newer than the last one that was taken in. What a machine
+// IsStale says whether a body is no newer than the last one that was taken in. What a machine
 // shows of tokens only rises as well: a lower one beside a higher number is a copy of what it
 // said before it started anew, under an earlier leader.
-func (m *Machine) Older(r *Report) bool {
-	return m.Up && (r.Session < m.Session || r.Session == m.Session && r.Tick <= m.Tick || r.Baton < m.Baton)
+func (m *Machine) IsStale(r *Heartbeat) bool {
+	return m.Up && (r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && r.Sequence <= m.Sequence || r.FencingToken < m.FencingToken)
 }
 
 // doubt is what speaks against taking a machine's reports at their word.
@@ -24,12 +24,12 @@
 	addr    string
 }
 
-// CopiesLeases is for how many leases copies may come after one has.
-const CopiesLeases = 8
+// LateCopyLeases is for how many leases copies may come after one has.
+const LateCopyLeases = 8
 
 // unsure says whether copies may be about.
 func (m *Machine) unsure(lease time.Duration, now time.Time) bool {
-	return m.doubt.anew || !m.doubt.older.IsZero() && now.Sub(m.doubt.older) < CopiesLeases*lease
+	return m.doubt.anew || !m.doubt.older.IsZero() && now.Sub(m.doubt.older) < LateCopyLeases*lease
 }
 
 // Recency is how a report stands to what is known of its machine.
@@ -49,16 +49,16 @@
 // Guards against workers of a leader that is slow to take reports in: each answer to a question
 // overtook the report after it, which was refused, so that the worker was asked again, and at
 // last its lease ended though it had reported all the time.
-func (m *Machine) Overtaken(r *Report, now time.Time) bool {
-	return m.Up && !m.Lost && now.Sub(m.answered) < workerPatience &&
-		r.Session == m.Session && m.reported < r.Tick && r.Tick < m.Tick
+func (m *Machine) Overtaken(r *Heartbeat, now time.Time) bool {
+	return m.Up && !m.LeaseExpired && now.Sub(m.answered) < workerPatience &&
+		r.Incarnation == m.Incarnation && m.reported < r.Sequence && r.Sequence < m.Sequence
 }
 
 // Recency tells how a report of a machine that is known stands, and notes one that is late.
-func (t *Table) Recency(r *Report, now time.Time) Recency {
-	m := t.Machines[r.Host]
+func (t *Table) Recency(r *Heartbeat, now time.Time) Recency {
+	m := t.Machines[r.Machine]
 	switch {
-	case !m.Older(r):
+	case !m.IsStale(r):
 		return Current
 	case m.Overtaken(r, now):
 		return Overtaken
@@ -68,29 +68,29 @@
 }
 
 // noteOlder notes that a body came which is older than what is known.
-func (m *Machine) noteOlder(r *Report, now time.Time) {
+func (m *Machine) noteOlder(r *Heartbeat, now time.Time) {
 	d := &m.doubt
 	if d.older = now; d.since.IsZero() {
 		d.since = now
 	}
-	d.session, d.addr = r.Session, r.Addr
+	d.session, d.addr = r.Incarnation, r.Addr
 }
 
 // early says whether a report is from before its worker heard anything of a machine that is in
 // use since its first report. Guards against one that stood unheard for sessions and started
 // anew: what it said before comes after what it says now, with a higher session, and lacks the
 // run that it has just been sent.
-func (m *Machine) early(r *Report, term uint64) bool { return m.Settled && r.Baton < term }
+func (m *Machine) early(r *Heartbeat, term uint64) bool { return m.Reconciled && r.FencingToken < term }
 
 // missing takes in that a body lacks an attempt that the machine should have, and says whether
 // it is gone.
-func (t *Table) missing(m *Machine, a *Attempt, r *Report, isReport bool, now time.Time) bool {
+func (t *Table) missing(m *Machine, a *Attempt, r *Heartbeat, isReport bool, now time.Time) bool {
 	switch {
 	case a.state == Planned:
 		return false
 	case a.state == Ended:
 		return true
-	case a.state == Sent && (!isReport || r.Tick <= a.SentTick):
+	case a.state == Sent && (!isReport || r.Sequence <= a.SentSequence):
 		// Guards against a double start: a run in flight is given up only when
 		// a later report lacks it. An answer to /orders or /status may have been
 		// made before the response with the run came in.
@@ -106,41 +106,41 @@
 	return false
 }
 
-// Shows says whether the last body that was taken in has an attempt; one that it lacks is kept as
+// LastReported says whether the last body that was taken in has an attempt; one that it lacks is kept as
 // long as that proves nothing.
-func (m *Machine) Shows(a *Attempt) bool { return a.body == m.body }
+func (m *Machine) LastReported(a *Attempt) bool { return a.body == m.body }
 
-// InDoubtFor is for how long a machine has been asked in vain what it has.
-func (m *Machine) InDoubtFor(now time.Time) time.Duration {
+// UnansweredProbesFor is for how long a machine has been asked in vain what it has.
+func (m *Machine) UnansweredProbesFor(now time.Time) time.Duration {
 	if m.doubt.open.IsZero() {
 		return 0
 	}
 	return now.Sub(m.doubt.open)
 }
 
-// Question is a machine to be asked how it stands, by a command without orders. An answer,
+// Probe is a machine to be asked how it stands, by a command without orders. An answer,
 // unlike a report, cannot be a copy of anything from before it was asked.
-type Question struct {
-	Host, Addr string
-	Session    uint64
-	asked      time.Time
-	body       uint64
+type Probe struct {
+	Host, Addr  string
+	Incarnation uint64
+	asked       time.Time
+	body        uint64
 }
 
-// Questions lists the machines that are to be asked: those whose reports lack what they
+// Probes lists the machines that are to be asked: those whose reports lack what they
 // should have, and those that have sent older reports only for a while.
-func (t *Table) Questions(report time.Duration, now time.Time) []Question {
-	var list []Question
+func (t *Table) Probes(report time.Duration, now time.Time) []Probe {
+	var list []Probe
 	for _, m := range t.sorted {
 		d := &m.doubt
-		behind := !d.since.IsZero() && now.Sub(m.LastBody) > report*3/2 && now.Sub(d.since) > report/2
+		behind := !d.since.IsZero() && now.Sub(m.LastStatus) > report*3/2 && now.Sub(d.since) > report/2
 		if !behind && d.open.IsZero() || m.Returning || now.Sub(d.asked) < report/2 {
 			continue
 		}
 		d.asked = now
-		q := Question{Host: m.Host, Addr: m.Addr, Session: m.Session, asked: now, body: m.body}
+		q := Probe{Host: m.Host, Addr: m.Addr, Incarnation: m.Incarnation, asked: now, body: m.body}
 		if behind {
-			q.Addr, q.Session = d.addr, d.session
+			q.Addr, q.Incarnation = d.addr, d.session
 		}
 		list = append(list, q)
 	}
@@ -151,22 +151,22 @@
 // a margin.
 const workerPatience = 5 * time.Second
 
-// Answer takes in the answer to a question. Where its number is behind what is known the
+// ApplyProbe takes in the answer to a question. Where its number is behind what is known the
 // machine has started anew, or what was known came from a copy: either way it has what the
 // answer shows and nothing else, but for runs that may still be on their way. anew says so.
-func (t *Table) Answer(q Question, r *Report, now time.Time) (out Outcome, anew bool) {
+func (t *Table) ApplyProbe(q Probe, r *Heartbeat, now time.Time) (out Outcome, anew bool) {
 	m := t.Machines[q.Host]
-	if m == nil || r.Host != q.Host {
+	if m == nil || r.Machine != q.Host {
 		return Outcome{Stale: true}, false
 	}
-	if m.Older(r) {
+	if m.IsStale(r) {
 		// Guards against a report that came in between: the answer may have been made
 		// before it.
 		if m.body != q.body {
 			return Outcome{Stale: true, Machine: m}, false
 		}
 		m.doubt.anew, anew = true, true
-		m.Session, m.Tick, m.Baton = r.Session, max(r.Tick, 1)-1, 0
+		m.Incarnation, m.Sequence, m.FencingToken = r.Incarnation, max(r.Sequence, 1)-1, 0
 	}
 	m.doubt.open = time.Time{}
 	out = t.Apply(r, false, now)
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -14,40 +14,40 @@
 	Host, Addr, Type, Zone string
 	Spot                   bool
 
-	Session, Tick, Baton uint64
-	Rented               time.Time // when its rental was asked for, as far as known
-	Up                   bool      // has reported to us, or answered
-	LastBody             time.Time // when any newer body came in
-	LastAnswer           time.Time // when the last 200 to a report was written
-	Notice               time.Time // when the cloud takes it; zero: no notice
-	Settled              bool      // a body has shown our term
-	Recorded             bool      // the store says that it may hold tasks
-	Recording            bool      // that record is being written
-	Lapsed               bool      // unheard of under our term, and no lease of an earlier one is left
-	Inherited            bool      // was on record when this term began: an earlier one may have used it
-	Returning            bool      // given back; nothing may be sent any more
-	Draining             bool      // takes no new tasks
-	Lost                 bool      // silent beyond its lease: its tasks are gone
-	Dead                 bool      // the cloud says that it stopped on its own
-	Cordon               any       // the drain that keeps new tasks away, for whoever plans; nil: none
-	Stranger             bool      // first known by a body, which may be a copy from a machine that is gone
-	Version              string    // of its worker; "" where it does not say
-	VersionSince         time.Time // when it was first heard with that version, if it had another before
-	Proven               bool      // a task has completed here since
-	Bad                  bool      // fails what others can run
-	FullUntil            time.Time // refused for want of room
-	EmptySince           time.Time
-	Forwarded            time.Time // when a peer last passed a report of it on
-	ForwardedSince       time.Time // since when its reports come that way
-	SilentSince          time.Time
+	Incarnation, Sequence, FencingToken uint64
+	Rented                              time.Time // when its rental was asked for, as far as known
+	Up                                  bool      // has reported to us, or answered
+	LastStatus                          time.Time // when any newer body came in
+	LastRenewal                         time.Time // when the last 200 to a report was written
+	PreemptionAt                        time.Time // when the cloud takes it; zero: no notice
+	Reconciled                          bool      // a body has shown our term
+	Recorded                            bool      // the store says that it may hold tasks
+	Recording                           bool      // that record is being written
+	EarlierLeasesExpired                bool      // unheard of under our term, and no lease of an earlier one is left
+	Inherited                           bool      // was on record when this term began: an earlier one may have used it
+	Returning                           bool      // given back; nothing may be sent any more
+	Draining                            bool      // takes no new tasks
+	LeaseExpired                        bool      // silent beyond its lease: its tasks are gone
+	Failed                              bool      // the cloud says that it stopped on its own
+	Cordon                              any       // the drain that keeps new tasks away, for whoever plans; nil: none
+	Unverified                          bool      // first known by a body, which may be a copy from a machine that is gone
+	Version                             string    // of its worker; "" where it does not say
+	VersionSince                        time.Time // when it was first heard with that version, if it had another before
+	Proven                              bool      // a task has completed here since
+	Faulty                              bool      // fails what others can run
+	FullUntil                           time.Time // refused for want of room
+	EmptySince                          time.Time
+	RelayedAt                           time.Time // when a peer last passed a report of it on
+	RelayedSince                        time.Time // since when its reports come that way
+	SilentSince                         time.Time
 
 	ErrorJobs map[string]int // errors by job since the last success
 	images    []image        // fetched here, the one last used at the end
 
-	Bin      *packing.Bin
-	Forecast *forecast.FUSD
-	Changed  []packing.Kind // kinds of the items that left since the last round
-	Kept     any            // for whose sake it empties, for whoever plans; nothing to the table
+	Bin         *packing.Bin
+	Forecast    *forecast.FUSD
+	Changed     []packing.Kind // kinds of the items that left since the last round
+	ReservedFor any            // for whose sake it empties, for whoever plans; nothing to the table
 
 	table   *Table
 	dropped bool       // is in the table no more
@@ -61,8 +61,8 @@
 	doubt    doubt
 }
 
-// Dropped says whether the machine was taken out of the table.
-func (m *Machine) Dropped() bool { return m.dropped }
+// Removed says whether the machine was taken out of the table.
+func (m *Machine) Removed() bool { return m.dropped }
 
 // Attempts lists what the machine holds, oldest first.
 func (m *Machine) Attempts() []*Attempt { return m.order }
@@ -79,15 +79,15 @@
 
 // What tasks may prefer of a machine's bin: that the cloud may take it, or that it may not.
 const (
-	SpotMark = "spot"
-	FirmMark = "firm"
+	SpotLabel     = "spot"
+	OnDemandLabel = "firm"
 )
 
-// ImageMark is the mark of a machine that has an image, or fetches it.
-func ImageMark(image string) string { return "image " + image }
+// ImageLabel is the mark of a machine that has an image, or fetches it.
+func ImageLabel(image string) string { return "image " + image }
 
-// ReadyMark is the mark of a machine where an image has been used, not only asked for.
-func ReadyMark(image string) string { return "ready " + image }
+// ImageReadyLabel is the mark of a machine where an image has been used, not only asked for.
+func ImageReadyLabel(image string) string { return "ready " + image }
 
 // image is one that a machine has, or fetches.
 type image struct {
@@ -103,13 +103,13 @@
 	}
 	m.images = slices.DeleteFunc(m.images, func(i image) bool { return i.name == name })
 	m.images = append(m.images, image{name, gb})
-	m.Bin.Mark(ImageMark(name), true)
+	m.Bin.SetLabel(ImageLabel(name), true)
 	sum := 0.0
 	for i := len(m.images) - 1; i >= 0; i-- {
 		if sum += m.images[i].gb; sum > cache && i < len(m.images)-1 {
 			for _, old := range m.images[:i+1] {
-				m.Bin.Mark(ImageMark(old.name), false)
-				m.Bin.Mark(ReadyMark(old.name), false)
+				m.Bin.SetLabel(ImageLabel(old.name), false)
+				m.Bin.SetLabel(ImageReadyLabel(old.name), false)
 			}
 			m.images = slices.Clone(m.images[i+1:])
 			return
@@ -144,21 +144,21 @@
 	return slices.BinarySearchFunc(t.sorted, host, func(m *Machine, h string) int { return strings.Compare(m.Host, h) })
 }
 
-// Ensure returns the machine of a name, making it when it is new. A machine
+// GetOrCreate returns the machine of a name, making it when it is new. A machine
 // that the store recorded is unsettled until it shows our term; any other one
 // has never been sent a run.
-func (t *Table) Ensure(host, addr, typ, zone string, spot bool) *Machine {
+func (t *Table) GetOrCreate(host, addr, typ, zone string, spot bool) *Machine {
 	m := t.Machines[host]
 	if m == nil {
 		m = &Machine{
 			table: t, Host: host, Addr: addr, Type: typ, Zone: zone, Spot: spot,
 			ErrorJobs: map[string]int{},
-			Bin:       packing.NewBin(host, packing.Vec{}), Forecast: forecast.New(t.Forecast),
+			Bin:       packing.NewBin(host, packing.Resources{}), Forecast: forecast.New(t.Forecast),
 		}
 		m.Bin.Owner = m
 		m.Bin.SetOpen(false)
-		m.Bin.Mark(SpotMark, spot)
-		m.Bin.Mark(FirmMark, !spot)
+		m.Bin.SetLabel(SpotLabel, spot)
+		m.Bin.SetLabel(OnDemandLabel, !spot)
 		t.Machines[host] = m
 		i, _ := t.find(host)
 		t.sorted = slices.Insert(slices.Clone(t.sorted), i, m)
@@ -171,7 +171,7 @@
 
 // Plan notes an attempt that is meant for the machine.
 func (t *Table) Plan(m *Machine, task TaskID, try uint64, it *packing.Item, now time.Time) *Attempt {
-	a := &Attempt{Task: task, Try: try, Machine: m, Item: it, Since: now}
+	a := &Attempt{Task: task, Number: try, Machine: m, Item: it, Since: now}
 	it.Owner = a
 	m.list(a)
 	return a
@@ -180,15 +180,15 @@
 // attempt finds an attempt; a machine holds few.
 func (m *Machine) attempt(task TaskID, try uint64) *Attempt {
 	for _, a := range m.order {
-		if a.Try == try && a.Task == task {
+		if a.Number == try && a.Task == task {
 			return a
 		}
 	}
 	return nil
 }
 
-// Hold gives an attempt found on the machine its place there.
-func (m *Machine) Hold(a *Attempt, it *packing.Item) {
+// Adopt gives an attempt found on the machine its place there.
+func (m *Machine) Adopt(a *Attempt, it *packing.Item) {
 	it.Owner = a
 	m.Bin.Add(it)
 	a.setItem(it)
@@ -200,7 +200,7 @@
 	}
 	size := m.Bin.Cap.Share(a.Item.Req)
 	m.Bin.Remove(a.Item)
-	if len(m.Changed) < 2*packing.MostChange {
+	if len(m.Changed) < 2*packing.MaxChangeMoves {
 		m.Changed = append(m.Changed, packing.Classify(size))
 	}
 	a.setItem(nil)
@@ -208,31 +208,31 @@
 
 // Outcome is what a body changed.
 type Outcome struct {
-	Stale   bool       // older than one already seen: nothing was changed
-	Machine *Machine   // nil only when the body makes no sense
-	New     []*Attempt // on the machine, but unknown to us
-	Ended   []*Attempt // newly ended
-	Running []*Attempt // newly running: their images are there
-	Gone    []*Attempt // no longer on the machine, without a result
-	Settled bool       // the machine has just become settled
-	First   bool       // the machine's first body
-	Changed bool       // anything of its tasks changed
+	Stale       bool       // older than one already seen: nothing was changed
+	Machine     *Machine   // nil only when the body makes no sense
+	New         []*Attempt // on the machine, but unknown to us
+	Ended       []*Attempt // newly ended
+	Running     []*Attempt // newly running: their images are there
+	Gone        []*Attempt // no longer on the machine, without a result
+	Reconciled  bool       // the machine has just become settled
+	FirstStatus bool       // the machine's first body
+	Changed     bool       // anything of its tasks changed
 	// Upgraded says that the worker reports another version than before.
 	Upgraded bool
 }
 
 // Apply takes in a body. isReport tells a report, whose worker has given up on
 // or taken in every earlier response, from an answer to /orders or /status.
-func (t *Table) Apply(r *Report, isReport bool, now time.Time) Outcome {
+func (t *Table) Apply(r *Heartbeat, isReport bool, now time.Time) Outcome {
 	if r.Check() != nil {
 		return Outcome{Stale: true}
 	}
-	stranger := t.Machines[r.Host] == nil
-	m := t.Ensure(r.Host, r.Addr, r.Type, r.Zone, r.Spot)
-	m.Stranger = m.Stranger || stranger
-	out := Outcome{Machine: m, First: !m.Up}
+	stranger := t.Machines[r.Machine] == nil
+	m := t.GetOrCreate(r.Machine, r.Addr, r.Type, r.Zone, r.Spot)
+	m.Unverified = m.Unverified || stranger
+	out := Outcome{Machine: m, FirstStatus: !m.Up}
 	// Guards against late reports: their task lists are as old as they are.
-	if m.Older(r) {
+	if m.IsStale(r) {
 		if !isReport || !m.Overtaken(r, now) {
 			m.noteOlder(r, now)
 		}
@@ -241,7 +241,7 @@
 	}
 	m.doubt.since = time.Time{}
 	m.hear(r, isReport, t.Term, now)
-	if m.Up && r.Session > m.Session && !(isReport && (m.doubt.anew || m.early(r, t.Term))) {
+	if m.Up && r.Incarnation > m.Incarnation && !(isReport && (m.doubt.anew || m.early(r, t.Term))) {
 		// A new session: the worker killed and forgot everything.
 		for _, a := range slices.Clone(m.order) {
 			if a.state != Planned {
@@ -251,7 +251,7 @@
 	}
 	out.Upgraded = m.takeVersion(r.Version, now)
 	m.takeState(r, isReport, now)
-	out.Settled = m.settle(r, isReport, t.Term)
+	out.Reconciled = m.settle(r, isReport, t.Term)
 	m.body++
 	for i := range r.Tasks {
 		m.takeTask(&r.Tasks[i], &out, now)
@@ -274,7 +274,7 @@
 	}
 	if m.Up {
 		// What was wrong with it may have been the version.
-		m.VersionSince, m.Proven, m.Bad, m.Draining = now, false, false, false
+		m.VersionSince, m.Proven, m.Faulty, m.Draining = now, false, false, false
 		clear(m.ErrorJobs)
 		upgraded = true
 	}
@@ -283,18 +283,18 @@
 }
 
 // takeState takes in what a body says of the machine itself.
-func (m *Machine) takeState(r *Report, isReport bool, now time.Time) {
-	m.Up, m.Lost, m.LastBody = true, false, now
-	m.Addr, m.Session, m.Tick = r.Addr, r.Session, r.Tick
+func (m *Machine) takeState(r *Heartbeat, isReport bool, now time.Time) {
+	m.Up, m.LeaseExpired, m.LastStatus = true, false, now
+	m.Addr, m.Incarnation, m.Sequence = r.Addr, r.Incarnation, r.Sequence
 	if isReport {
-		m.reported = r.Tick
+		m.reported = r.Sequence
 	} else {
 		m.answered = now
 	}
-	m.Baton = max(m.Baton, r.Baton)
-	m.Notice = time.Time{}
-	if r.WarningS != nil {
-		m.Notice = now.Add(time.Duration(*r.WarningS * float64(time.Second)))
+	m.FencingToken = max(m.FencingToken, r.FencingToken)
+	m.PreemptionAt = time.Time{}
+	if r.PreemptionNoticeS != nil {
+		m.PreemptionAt = now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
 	}
 }
 
@@ -305,22 +305,22 @@
 // that is still under way. On record, a late report of its first days would say
 // the same. Nor may it be a machine that nobody knew of: then it may be a copy of the first
 // report of one that an earlier leader gave back.
-func (m *Machine) settle(r *Report, isReport bool, term uint64) bool {
-	fresh := isReport && r.Baton == 0 && !m.Inherited && !m.Stranger && len(r.Tasks) == 0
-	if m.Settled || r.Baton != term && !fresh {
+func (m *Machine) settle(r *Heartbeat, isReport bool, term uint64) bool {
+	fresh := isReport && r.FencingToken == 0 && !m.Inherited && !m.Unverified && len(r.Tasks) == 0
+	if m.Reconciled || r.FencingToken != term && !fresh {
 		return false
 	}
-	m.Settled = true
+	m.Reconciled = true
 	return true
 }
 
 // takeTask takes in what a body says of one attempt.
-func (m *Machine) takeTask(r *TaskReport, out *Outcome, now time.Time) {
-	task, _ := ParseTask(r.Shot)
+func (m *Machine) takeTask(r *TaskStatus, out *Outcome, now time.Time) {
+	task, _ := ParseTask(r.Task)
 	state, _ := parseState(r.Status)
-	a := m.attempt(task, r.Try)
+	a := m.attempt(task, r.Attempt)
 	if a == nil {
-		a = &Attempt{Task: task, Try: r.Try, Machine: m, Since: now, state: state, Cause: r.Cause, Saved: r.Saved, body: m.body}
+		a = &Attempt{Task: task, Number: r.Attempt, Machine: m, Since: now, state: state, Cause: r.Cause, Saved: r.Saved, body: m.body}
 		m.list(a)
 		if state == Running {
 			a.RunSince = now
@@ -360,9 +360,9 @@
 	}
 }
 
-// Drop removes a machine and returns the attempts that were, or may have been,
+// Remove removes a machine and returns the attempts that were, or may have been,
 // on it.
-func (t *Table) Drop(host string) []*Attempt {
+func (t *Table) Remove(host string) []*Attempt {
 	m := t.Machines[host]
 	if m == nil {
 		return nil
@@ -375,54 +375,56 @@
 	return m.forgetAll()
 }
 
-// Expire finds settled machines whose lease has surely ended: no 200 was
+// ExpireLeases finds settled machines whose lease has surely ended: no 200 was
 // written to any of their reports for that long, and since they are settled
 // nobody else can have renewed it. It returns the attempts that are thereby gone.
-func (t *Table) Expire(now time.Time) []*Attempt {
+func (t *Table) ExpireLeases(now time.Time) []*Attempt {
 	var gone []*Attempt
 	for _, m := range t.Sorted() {
-		if !m.Settled || m.Lost || now.Sub(m.LastAnswer) <= t.Lease || now.Sub(m.LastBody) <= t.Lease {
+		if !m.Reconciled || m.LeaseExpired || now.Sub(m.LastRenewal) <= t.Lease || now.Sub(m.LastStatus) <= t.Lease {
 			continue
 		}
-		m.Lost = true
+		m.LeaseExpired = true
 		gone = append(gone, m.forgetAll()...)
 	}
 	return gone
 }
 
-// Lapse notes that no lease which an earlier term gave is left: what machines that are
+// ExpireEarlierLeases notes that no lease which an earlier term gave is left: what machines that are
 // unheard of had is gone. It returns these machines and the attempts that are thereby gone.
-func (t *Table) Lapse() (machines int, gone []*Attempt) {
+func (t *Table) ExpireEarlierLeases() (machines int, gone []*Attempt) {
 	for _, m := range t.Sorted() {
-		if !m.Unheard() {
+		if !m.AwaitsReconciliation() {
 			continue
 		}
 		machines++
-		m.Lapsed, m.Lost = true, true
+		m.EarlierLeasesExpired, m.LeaseExpired = true, true
 		gone = append(gone, m.forgetAll()...)
 	}
 	return machines, gone
 }
 
-// Unheard says whether the machine may still hold what an earlier term sent: it was on record
+// AwaitsReconciliation says whether the machine may still hold what an earlier term sent: it was on record
 // when ours began, has not shown ours, and a lease of before may be left.
-func (m *Machine) Unheard() bool { return m.Inherited && !m.Settled && !m.Lapsed }
+func (m *Machine) AwaitsReconciliation() bool {
+	return m.Inherited && !m.Reconciled && !m.EarlierLeasesExpired
+}
 
 // LastHeard is when a machine was last heard under our term, or since when it is waited for.
 func (m *Machine) LastHeard() time.Time {
-	if m.LastBody.Before(m.SilentSince) {
+	if m.LastStatus.Before(m.SilentSince) {
 		return m.SilentSince
 	}
-	return m.LastBody
+	return m.LastStatus
 }
 
-// Inherited counts the machines that earlier terms may have used, and those of
+// CountInherited counts the machines that earlier terms may have used, and those of
 // them still unheard of under ours.
-func (t *Table) Inherited() (all, unheard int) {
+func (t *Table) CountInherited() (all, unheard int) {
 	for _, m := range t.sorted {
 		if m.Inherited {
 			all++
-			if m.Unheard() {
+			if m.AwaitsReconciliation() {
 				unheard++
 			}
 		}
@@ -430,30 +432,30 @@
 	return all, unheard
 }
 
-// Unsettled tells whether a machine that earlier terms may have used is still
+// Unreconciled tells whether a machine that earlier terms may have used is still
 // unheard of under ours.
-func (t *Table) Unsettled() bool {
+func (t *Table) Unreconciled() bool {
 	for _, m := range t.Machines {
-		if m.Unheard() {
+		if m.AwaitsReconciliation() {
 			return true
 		}
 	}
 	return false
 }
 
-// Orders compiles kills and reaps for a machine. They are safe late, repeated,
+// PendingCommands compiles kills and reaps for a machine. They are safe late, repeated,
 // and through either way.
-func (m *Machine) Orders() []Order {
-	orders := []Order{}
+func (m *Machine) PendingCommands() []Command {
+	orders := []Command{}
 	for _, a := range m.order {
 		if a.state == Ended && a.Reap {
-			orders = append(orders, Order{Verb: VerbReap, Shot: a.Task.String(), Try: a.Try})
+			orders = append(orders, Command{Verb: VerbReap, Task: a.Task.String(), Attempt: a.Number})
 		}
 	}
 	for _, a := range m.order {
-		if a.stop && a.Present() {
+		if a.stop && a.MayBePresent() {
 			g := a.grace
-			orders = append(orders, Order{Verb: VerbKill, Shot: a.Task.String(), Try: a.Try, WindDownS: &g})
+			orders = append(orders, Command{Verb: VerbKill, Task: a.Task.String(), Attempt: a.Number, GraceS: &g})
 		}
 	}
 	return orders
--- a/internal/fleet/wire_easyjson.go
+++ b/internal/fleet/wire_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonF4688553DecodeDrumpickInternalFleet(in *jlexer.Lexer, out *TaskReport) {
+func easyjsonF4688553DecodeDrumpickInternalFleet(in *jlexer.Lexer, out *TaskStatus) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -35,13 +35,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Shot = string(in.String())
+				out.Task = string(in.String())
 			}
 		case "try":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Try = uint64(in.Uint64())
+				out.Attempt = uint64(in.Uint64())
 			}
 		case "status":
 			if in.IsNull() {
@@ -71,19 +71,19 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDrumpickInternalFleet(out *jwriter.Writer, in TaskReport) {
+func easyjsonF4688553EncodeDrumpickInternalFleet(out *jwriter.Writer, in TaskStatus) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"shot\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Shot))
+		out.String(string(in.Task))
 	}
 	{
 		const prefix string = ",\"try\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Try))
+		out.Uint64(uint64(in.Attempt))
 	}
 	{
 		const prefix string = ",\"status\":"
@@ -104,15 +104,15 @@
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v TaskReport) MarshalEasyJSON(w *jwriter.Writer) {
+func (v TaskStatus) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeDrumpickInternalFleet(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *TaskReport) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *TaskStatus) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeDrumpickInternalFleet(l, v)
 }
-func easyjsonF4688553DecodeDrumpickInternalFleet1(in *jlexer.Lexer, out *Response) {
+func easyjsonF4688553DecodeDrumpickInternalFleet1(in *jlexer.Lexer, out *HeartbeatResponse) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -130,31 +130,31 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Baton = uint64(in.Uint64())
+				out.FencingToken = uint64(in.Uint64())
 			}
 		case "orders":
 			if in.IsNull() {
 				in.Skip()
-				out.Orders = nil
+				out.Commands = nil
 			} else {
 				in.Delim('[')
-				if out.Orders == nil {
+				if out.Commands == nil {
 					if !in.IsDelim(']') {
-						out.Orders = make([]Order, 0, 1)
+						out.Commands = make([]Command, 0, 1)
 					} else {
-						out.Orders = []Order{}
+						out.Commands = []Command{}
 					}
 				} else {
-					out.Orders = (out.Orders)[:0]
+					out.Commands = (out.Commands)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 Order
+					var v1 Command
 					if in.IsNull() {
 						in.Skip()
 					} else {
 						(v1).UnmarshalEasyJSON(in)
 					}
-					out.Orders = append(out.Orders, v1)
+					out.Commands = append(out.Commands, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -169,23 +169,23 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDrumpickInternalFleet1(out *jwriter.Writer, in Response) {
+func easyjsonF4688553EncodeDrumpickInternalFleet1(out *jwriter.Writer, in HeartbeatResponse) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"baton\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Baton))
+		out.Uint64(uint64(in.FencingToken))
 	}
 	{
 		const prefix string = ",\"orders\":"
 		out.RawString(prefix)
-		if in.Orders == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.Commands == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v2, v3 := range in.Orders {
+			for v2, v3 := range in.Commands {
 				if v2 > 0 {
 					out.RawByte(',')
 				}
@@ -198,15 +198,15 @@
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Response) MarshalEasyJSON(w *jwriter.Writer) {
+func (v HeartbeatResponse) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeDrumpickInternalFleet1(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Response) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *HeartbeatResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeDrumpickInternalFleet1(l, v)
 }
-func easyjsonF4688553DecodeDrumpickInternalFleet2(in *jlexer.Lexer, out *Report) {
+func easyjsonF4688553DecodeDrumpickInternalFleet2(in *jlexer.Lexer, out *Heartbeat) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -224,7 +224,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Host = string(in.String())
+				out.Machine = string(in.String())
 			}
 		case "addr":
 			if in.IsNull() {
@@ -254,32 +254,32 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Session = uint64(in.Uint64())
+				out.Incarnation = uint64(in.Uint64())
 			}
 		case "tick":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Tick = uint64(in.Uint64())
+				out.Sequence = uint64(in.Uint64())
 			}
 		case "baton":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Baton = uint64(in.Uint64())
+				out.FencingToken = uint64(in.Uint64())
 			}
 		case "warning_s":
 			if in.IsNull() {
 				in.Skip()
-				out.WarningS = nil
+				out.PreemptionNoticeS = nil
 			} else {
-				if out.WarningS == nil {
-					out.WarningS = new(float64)
+				if out.PreemptionNoticeS == nil {
+					out.PreemptionNoticeS = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.WarningS = float64(in.Float64())
+					*out.PreemptionNoticeS = float64(in.Float64())
 				}
 			}
 		case "version":
@@ -296,15 +296,15 @@
 				in.Delim('[')
 				if out.Tasks == nil {
 					if !in.IsDelim(']') {
-						out.Tasks = make([]TaskReport, 0, 1)
+						out.Tasks = make([]TaskStatus, 0, 1)
 					} else {
-						out.Tasks = []TaskReport{}
+						out.Tasks = []TaskStatus{}
 					}
 				} else {
 					out.Tasks = (out.Tasks)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v4 TaskReport
+					var v4 TaskStatus
 					if in.IsNull() {
 						in.Skip()
 					} else {
@@ -325,14 +325,14 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDrumpickInternalFleet2(out *jwriter.Writer, in Report) {
+func easyjsonF4688553EncodeDrumpickInternalFleet2(out *jwriter.Writer, in Heartbeat) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"host\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Host))
+		out.String(string(in.Machine))
 	}
 	{
 		const prefix string = ",\"addr\":"
@@ -357,25 +357,25 @@
 	{
 		const prefix string = ",\"stint\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Session))
+		out.Uint64(uint64(in.Incarnation))
 	}
 	{
 		const prefix string = ",\"tick\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Tick))
+		out.Uint64(uint64(in.Sequence))
 	}
 	{
 		const prefix string = ",\"baton\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Baton))
+		out.Uint64(uint64(in.FencingToken))
 	}
 	{
 		const prefix string = ",\"warning_s\":"
 		out.RawString(prefix)
-		if in.WarningS == nil {
+		if in.PreemptionNoticeS == nil {
 			out.RawString("null")
 		} else {
-			out.Float64(float64(*in.WarningS))
+			out.Float64(float64(*in.PreemptionNoticeS))
 		}
 	}
 	if in.Version != "" {
@@ -403,15 +403,15 @@
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Report) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Heartbeat) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeDrumpickInternalFleet2(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Report) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Heartbeat) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeDrumpickInternalFleet2(l, v)
 }
-func easyjsonF4688553DecodeDrumpickInternalFleet3(in *jlexer.Lexer, out *Order) {
+func easyjsonF4688553DecodeDrumpickInternalFleet3(in *jlexer.Lexer, out *Command) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -435,26 +435,26 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Shot = string(in.String())
+				out.Task = string(in.String())
 			}
 		case "try":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Try = uint64(in.Uint64())
+				out.Attempt = uint64(in.Uint64())
 			}
 		case "wind_down_s":
 			if in.IsNull() {
 				in.Skip()
-				out.WindDownS = nil
+				out.GraceS = nil
 			} else {
-				if out.WindDownS == nil {
-					out.WindDownS = new(float64)
+				if out.GraceS == nil {
+					out.GraceS = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.WindDownS = float64(in.Float64())
+					*out.GraceS = float64(in.Float64())
 				}
 			}
 		default:
@@ -467,7 +467,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeDrumpickInternalFleet3(out *jwriter.Writer, in Order) {
+func easyjsonF4688553EncodeDrumpickInternalFleet3(out *jwriter.Writer, in Command) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -479,27 +479,27 @@
 	{
 		const prefix string = ",\"shot\":"
 		out.RawString(prefix)
-		out.String(string(in.Shot))
+		out.String(string(in.Task))
 	}
 	{
 		const prefix string = ",\"try\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Try))
+		out.Uint64(uint64(in.Attempt))
 	}
-	if in.WindDownS != nil {
+	if in.GraceS != nil {
 		const prefix string = ",\"wind_down_s\":"
 		out.RawString(prefix)
-		out.Float64(float64(*in.WindDownS))
+		out.Float64(float64(*in.GraceS))
 	}
 	out.RawByte('}')
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Order) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Command) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeDrumpickInternalFleet3(w, v)
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Order) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Command) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeDrumpickInternalFleet3(l, v)
 }
--- a/internal/httpclient/link.go
+++ b/internal/httpclient/link.go
@@ -17,7 +17,7 @@
 	hc *fasthttp.HostClient
 	// Once closes the connection after each call: where there are more addresses
 	// than sockets, and a call to each now and then.
-	Once bool
+	ClosePerCall bool
 }
 
 // New returns a client with at most conns connections. It never repeats a request
@@ -44,8 +44,8 @@
 // Close closes the connections that are not in use.
 func (c *Client) Close() { c.hc.CloseIdleConnections() }
 
-// Answer is what came back.
-type Answer struct {
+// Response is what came back.
+type Response struct {
 	Status     int
 	Body       []byte
 	RetryAfter time.Duration // 0 where the answer names none
@@ -53,18 +53,18 @@
 
 // Do sends a request, with a body unless raw is nil, and returns the answer.
 func (c *Client) Do(method, uri, contentType string, raw []byte, deadline time.Time) (int, []byte, error) {
-	a, err := c.Ask(method, uri, contentType, raw, deadline)
+	a, err := c.DoResponse(method, uri, contentType, raw, deadline)
 	return a.Status, a.Body, err
 }
 
-// Ask is Do with all that the answer says.
-func (c *Client) Ask(method, uri, contentType string, raw []byte, deadline time.Time) (Answer, error) {
+// DoResponse is Do with all that the answer says.
+func (c *Client) DoResponse(method, uri, contentType string, raw []byte, deadline time.Time) (Response, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + c.hc.Addr + uri)
 	req.Header.SetMethod(method)
-	if c.Once {
+	if c.ClosePerCall {
 		req.SetConnectionClose()
 	}
 	if raw != nil {
@@ -72,9 +72,9 @@
 		req.SetBodyRaw(raw)
 	}
 	if err := c.hc.DoDeadline(req, resp, deadline); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	a := Answer{Status: resp.StatusCode(), Body: append([]byte(nil), resp.Body()...)}
+	a := Response{Status: resp.StatusCode(), Body: append([]byte(nil), resp.Body()...)}
 	if after := resp.Header.Peek("Retry-After"); len(after) > 0 {
 		if s, err := strconv.Atoi(string(after)); err == nil && s > 0 {
 			a.RetryAfter = time.Duration(s) * time.Second
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -13,21 +13,21 @@
 )
 
 // loadDrains reads what operators asked for, and how far earlier terms came with it.
-func (l *Leader) loadDrains(ctx context.Context, core *scheduler.Core) error {
+func (l *Leader) loadDrains(ctx context.Context, core *scheduler.Scheduler) error {
 	states, stamps := map[string]*drain.State{}, map[string]uint64{}
-	if _, err := l.store.List(ctx, records.PrefixDrain, func(r records.Row) error {
+	if _, err := l.store.List(ctx, records.PrefixDrainState, func(r records.KeyValue) error {
 		var s drain.State
 		if err := json.Unmarshal(r.Value, &s); err != nil {
 			slog.Error("unreadable record", "key", r.Key, "err", err)
 			return nil
 		}
-		id := strings.TrimPrefix(r.Key, records.PrefixDrain)
-		states[id], stamps[id] = &s, r.Stamp
+		id := strings.TrimPrefix(r.Key, records.PrefixDrainState)
+		states[id], stamps[id] = &s, r.Revision
 		return nil
 	}); err != nil {
 		return err
 	}
-	_, err := l.store.List(ctx, records.PrefixDrains, func(r records.Row) error {
+	_, err := l.store.List(ctx, records.PrefixDrains, func(r records.KeyValue) error {
 		if spec, ok := scheduler.ReadDrain(r.Key, r.Value); ok {
 			core.SetDrain(spec, states[spec.ID], stamps[spec.ID])
 		}
@@ -38,12 +38,12 @@
 
 // watchDrains follows what operators ask for.
 func (l *Leader) watchDrains(ctx context.Context, since uint64) {
-	l.follow(ctx, records.PrefixDrains, since, 2*l.set.Report, l.rereadDrains, func(events []records.Event, _ time.Time) {
+	l.follow(ctx, records.PrefixDrains, since, 2*l.set.HeartbeatInterval, l.rereadDrains, func(events []records.Event, _ time.Time) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for _, e := range events {
 			if e.Write == "" {
-				l.core.DropDrain(strings.TrimPrefix(e.Delete, records.PrefixDrains))
+				l.core.RemoveDrain(strings.TrimPrefix(e.Delete, records.PrefixDrains))
 			} else if spec, ok := scheduler.ReadDrain(e.Write, e.Value); ok {
 				l.core.SetDrain(spec, nil, 0)
 			}
@@ -54,7 +54,7 @@
 // rereadDrains replaces a watch whose revision is too old.
 func (l *Leader) rereadDrains(ctx context.Context) (uint64, error) {
 	found := map[string]drain.Spec{}
-	epoch, err := l.store.List(ctx, records.PrefixDrains, func(r records.Row) error {
+	epoch, err := l.store.List(ctx, records.PrefixDrains, func(r records.KeyValue) error {
 		if spec, ok := scheduler.ReadDrain(r.Key, r.Value); ok {
 			found[spec.ID] = spec
 		}
@@ -65,16 +65,16 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.core.KeepDrains(found)
+	l.core.ReplaceDrains(found)
 	return epoch, nil
 }
 
-// PlanDrain tells what a drain would do: of machines behind since with up to limit tasks,
+// PreviewDrain tells what a drain would do: of machines behind since with up to limit tasks,
 // and in all.
-func (l *Leader) PlanDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
+func (l *Leader) PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.core.PagePlan(spec, force, since, limit, time.Now())
+	return l.core.PreviewDrainPage(spec, force, since, limit, time.Now())
 }
 
 // Drain tells how a drain stands, as its leader knows it.
--- a/internal/leader/lapse.go
+++ b/internal/leader/lapse.go
@@ -13,15 +13,15 @@
 
 // whoHeld lists who may have renewed leases that this term has not; none: it is not known.
 func (l *Leader) whoHeld(ctx context.Context) []string {
-	if !l.last.Settled || !l.cfg.Options.Lapses {
+	if !l.last.Reconciled || !l.cfg.Options.LeaseExpiryProofs {
 		return nil
 	}
-	reigns, err := l.reigns(ctx, l.last.Epoch)
+	reigns, err := l.reigns(ctx, l.last.Revision)
 	if err != nil {
-		slog.Debug("who held the key is not known", "term", l.term, "since", l.last.Epoch, "err", err)
+		slog.Debug("who held the key is not known", "term", l.term, "since", l.last.Revision, "err", err)
 		return nil
 	}
-	nodes, _ := watermark.Holders(l.last, reigns, l.term)
+	nodes, _ := watermark.PossibleRenewers(l.last, reigns, l.term)
 	return nodes
 }
 
@@ -36,9 +36,9 @@
 	// Two clocks are in it: the worker's, for its lease, and the holder's, for how long it
 	// has answered nobody.
 	lease := l.set.Lease + config.Drift(l.set.Lease)
-	for httpclient.Sleep(ctx, l.set.Report/4) == nil {
+	for httpclient.Sleep(ctx, l.set.HeartbeatInterval/4) == nil {
 		l.mu.Lock()
-		settled := l.core.Settled()
+		settled := l.core.Reconciled()
 		l.mu.Unlock()
 		if settled {
 			return
@@ -48,17 +48,17 @@
 		}
 		// What this process answered in an earlier term of its own, it did before this one.
 		since := map[string]time.Duration{l.cfg.Node: time.Since(l.began)}
-		answers, _ := l.peers.Tell(ctx, peer.Inquiry{})
+		answers, _ := l.peers.QueryStatus(ctx, peer.StatusRequest{})
 		for _, a := range answers {
-			if a.RenewedMS != nil {
-				since[a.Node] = time.Duration(*a.RenewedMS) * time.Millisecond
+			if a.SinceRenewalMS != nil {
+				since[a.Node] = time.Duration(*a.SinceRenewalMS) * time.Millisecond
 			}
 		}
-		if !watermark.Lapsed(holders, since, lease) {
+		if !watermark.LeasesExpired(holders, since, lease) {
 			continue
 		}
 		l.mu.Lock()
-		n := l.core.Lapse(time.Now())
+		n := l.core.ExpireEarlierLeases(time.Now())
 		l.mu.Unlock()
 		slog.Info("leases that earlier terms gave have ended", "term", l.term, "machines", n, "holders", holders)
 		l.poke()
