--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -142,17 +142,17 @@
 		return "", nil, errFull
 	}
 	to.machines++
-	c.where[m.Host] = to
+	c.where[m.Name] = to
 	c.mu.Unlock()
 	var at Placed
-	err := to.ask("POST", "/machines", Placement{m.Host, autoscaler.RentalRequest{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}, &at)
+	err := to.ask("POST", "/machines", Placement{m.Name, autoscaler.RentalRequest{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}, &at)
 	if err != nil {
-		c.gone(m.Host)
+		c.gone(m.Name)
 		return "", nil, err
 	}
 	return at.Addr, func() {
-		_ = to.ask("POST", "/machines/end", Placement{Host: m.Host}, nil) // what can't be reached has ended
-		c.gone(m.Host)
+		_ = to.ask("POST", "/machines/end", Placement{Host: m.Name}, nil) // what can't be reached has ended
+		c.gone(m.Name)
 	}, nil
 }
 
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -95,7 +95,7 @@
 func (f *faults) restartOne(context.Context) {
 	c := f.anyCell()
 	if ms := c.region.World.Machines(); len(ms) > 0 {
-		c.reboot(ms[f.rand.IntN(len(ms))].Host)
+		c.reboot(ms[f.rand.IntN(len(ms))].Name)
 		f.did.Restarts++
 	}
 }
--- a/internal/loadtest/hollow_workers.go
+++ b/internal/loadtest/hollow_workers.go
@@ -88,7 +88,7 @@
 // HollowWorkers runs workers whose tasks are timers: machines of the stand-in world, each behind a socket of
 // its own and with a connection of its own to a controller.
 type HollowWorkers struct {
-	world   *simulation.World
+	world   *simulation.Environment
 	ctx     context.Context
 	workers *fasthttp.Server
 
@@ -114,15 +114,15 @@
 // NewHollowWorkers returns a process of workers without any.
 func NewHollowWorkers(ctx context.Context) *HollowWorkers {
 	h := &HollowWorkers{
-		world: simulation.NewWorld(ctx), ctx: ctx, jobs: map[string]records.Job{}, at: map[string]*simulation.Machine{}, links: map[string]*connection{},
+		world: simulation.NewEnvironment(ctx), ctx: ctx, jobs: map[string]records.Job{}, at: map[string]*simulation.Machine{}, links: map[string]*connection{},
 	}
 	w := h.world
-	w.HeartbeatInterval, w.Lease, w.Cancel = config.Seconds(reportS), config.Seconds(leaseS), config.Seconds(cancelS)
-	w.GangWait, w.GangPeer = config.Seconds(gangWaitS), config.Seconds(gangPeerS)
-	w.InFlight = inFlight
-	w.Jobs = h.job
-	w.RunFor = h.runFor
-	w.Open = h.open
+	w.HeartbeatInterval, w.Lease, w.CancelLimit = config.Seconds(reportS), config.Seconds(leaseS), config.Seconds(cancelS)
+	w.GangStartTimeout, w.GangPeerTimeout = config.Seconds(gangWaitS), config.Seconds(gangPeerS)
+	w.MaxCommandDelay = inFlight
+	w.LookupJob = h.job
+	w.RunTime = h.runFor
+	w.Listen = h.open
 	w.Heartbeat = simulation.HeartbeatOverHTTP(h.report)
 	w.FirstNode = h.firstNode
 	commands := newApp()
@@ -186,8 +186,8 @@
 		ln.Close()
 		h.mu.Lock()
 		delete(h.at, addr)
-		old := h.links[m.Host]
-		delete(h.links, m.Host)
+		old := h.links[m.Name]
+		delete(h.links, m.Name)
 		h.mu.Unlock()
 		if old != nil {
 			old.link.Close()
@@ -234,7 +234,7 @@
 
 // place starts a rented machine and waits until it takes commands.
 func (h *HollowWorkers) place(p Placement) (Placed, error) {
-	m := h.world.Host(p.Host, p.Rent)
+	m := h.world.AddMachine(p.Host, p.Rent)
 	for until := time.Now().Add(askTime); time.Now().Before(until); {
 		if addr := m.Addr(); addr != "" {
 			return Placed{addr}, nil
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -59,8 +59,8 @@
 // Cluster is a deployment that runs.
 type Cluster struct {
 	Info  Info
-	State *simulation.State
-	World *simulation.World
+	State *simulation.Store
+	World *simulation.Environment
 
 	options     Options
 	ctx         context.Context
@@ -138,8 +138,8 @@
 
 func up(ctx context.Context, o Options) (_ *Cluster, err error) {
 	run, cancel := context.WithCancel(context.Background())
-	r := &Cluster{options: o, ctx: run, cancel: cancel, State: simulation.NewState(), World: simulation.NewWorld(run)}
-	r.World.InFlight = workerPatience
+	r := &Cluster{options: o, ctx: run, cancel: cancel, State: simulation.NewStore(), World: simulation.NewEnvironment(run)}
+	r.World.MaxCommandDelay = workerPatience
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, r.Stop())
@@ -180,7 +180,7 @@
 // ServeState serves a state service kept in a file, at an address of its own, until ctx ends. count,
 // where it is set, is told of each request.
 func ServeState(ctx context.Context, path string, count fiber.Handler) (addr string, err error) {
-	state := simulation.NewState()
+	state := simulation.NewStore()
 	d, err := openDisk(path, state)
 	if err != nil {
 		return "", err
@@ -190,7 +190,7 @@
 		if count != nil {
 			app.Use(count)
 		}
-		simulation.ServeState(ctx, app, state, d.durable)
+		simulation.ServeStore(ctx, app, state, d.durable)
 	}); err != nil {
 		return "", errors.Join(err, d.close())
 	}
@@ -203,7 +203,7 @@
 	if r.disk, err = openDisk(filepath.Join(r.options.Data, "state.db"), r.State); err != nil {
 		return err
 	}
-	r.Info.State, err = r.serve(func(app *fiber.App) { simulation.ServeState(ctx, app, r.State, r.disk.durable) })
+	r.Info.State, err = r.serve(func(app *fiber.App) { simulation.ServeStore(ctx, app, r.State, r.disk.durable) })
 	return err
 }
 
@@ -211,19 +211,19 @@
 func (r *Cluster) build() {
 	w, o := r.World, r.options
 	f := o.facts()
-	w.HeartbeatInterval, w.Lease, w.Startup, w.Cancel = config.Seconds(f.Workers.HeartbeatS), config.Seconds(f.Workers.LeaseS), config.Seconds(startupS), config.Seconds(f.Workers.CancelS)
-	w.GangWait, w.GangPeer = config.Seconds(f.Workers.GangWaitS), config.Seconds(f.Workers.GangPeerS)
-	w.Capacity, w.Version = o.Machines, "1.0"
+	w.HeartbeatInterval, w.Lease, w.BootTime, w.CancelLimit = config.Seconds(f.Workers.HeartbeatS), config.Seconds(f.Workers.LeaseS), config.Seconds(startupS), config.Seconds(f.Workers.CancelS)
+	w.GangStartTimeout, w.GangPeerTimeout = config.Seconds(f.Workers.GangWaitS), config.Seconds(f.Workers.GangPeerS)
+	w.ZoneCapacity, w.WorkerVersion = o.Machines, "1.0"
 	w.Types = []records.MachineType{{
 		Name: "c4", CPUs: 4, MemGB: 16, CacheGB: 50, FetchGBps: 1, Price: 0.2, SpotPrice: 0.05, StartupS: startupS, Zones: o.Zones,
 	}}
 	if o.Types != nil {
 		w.Types = o.Types
 	}
-	w.Jobs = r.job
-	w.RunFor = o.RunFor
-	if w.RunFor == nil {
-		w.RunFor = func(task string) time.Duration {
+	w.LookupJob = r.job
+	w.RunTime = o.RunFor
+	if w.RunTime == nil {
+		w.RunTime = func(task string) time.Duration {
 			id, _, _ := strings.Cut(task, "/")
 			j, _ := r.job(id)
 			h := fnv.New32a()
@@ -231,11 +231,11 @@
 			return config.Seconds(j.EstimateS * (0.7 + 0.6*float64(h.Sum32()%1000)/1000))
 		}
 	}
-	if w.Open = o.Workers; w.Open != nil {
-		w.Remote = true
+	if w.Listen = o.Workers; w.Listen != nil {
+		w.RemoteMachines = true
 		return
 	}
-	w.Open = func(m *simulation.Machine) (string, func(), error) {
+	w.Listen = func(m *simulation.Machine) (string, func(), error) {
 		app := newApp()
 		simulation.ServeWorker(app, m)
 		ln, err := listen()
@@ -382,14 +382,14 @@
 func (r *Cluster) judge() {
 	var since uint64
 	for r.ctx.Err() == nil {
-		for _, row := range r.State.Rows(records.PrefixClosed) {
+		for _, row := range r.State.List(records.PrefixClosed) {
 			var o records.ClosedJob
 			if row.Revision > since && json.Unmarshal(row.Value, &o) == nil && o.Status == records.StatusCancelled {
-				r.World.Cancelled(strings.TrimPrefix(row.Key, records.PrefixClosed))
+				r.World.CancelConfirmed(strings.TrimPrefix(row.Key, records.PrefixClosed))
 			}
 			since = max(since, row.Revision)
 		}
-		r.World.CheckEnd()
+		r.World.CheckCancelled()
 		if ctxtime.Sleep(r.ctx, config.Seconds(reportS)) != nil {
 			return
 		}
@@ -453,7 +453,7 @@
 		return nil
 	}
 	for _, m := range r.World.Machines() {
-		if m.Host == name {
+		if m.Name == name {
 			m.Die()
 			return nil
 		}
--- a/internal/localcluster/control.go
+++ b/internal/localcluster/control.go
@@ -23,7 +23,7 @@
 // History tells what ran and what it cost.
 func (r *Cluster) History() History {
 	ran, bills := r.World.History()
-	return History{ran, bills, r.World.Broken()}
+	return History{ran, bills, r.World.Violations()}
 }
 
 type done struct {
--- a/internal/localcluster/store_file.go
+++ b/internal/localcluster/store_file.go
@@ -33,7 +33,7 @@
 var bucketRows, bucketGrants, bucketMeta = []byte("rows"), []byte("grants"), []byte("meta")
 
 // openDisk opens the file and puts what it holds into the service.
-func openDisk(path string, s *simulation.State) (*disk, error) {
+func openDisk(path string, s *simulation.Store) (*disk, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
 	if err != nil {
 		return nil, fmt.Errorf("state service: %s: %w (is another region running on it?)", path, err)
@@ -156,7 +156,7 @@
 			}
 		}
 		if c.LeaseID != 0 {
-			if err := grants.Put(bytesOf(c.LeaseID), bytesOf(uint64(c.Life))); err != nil {
+			if err := grants.Put(bytesOf(c.LeaseID), bytesOf(uint64(c.TTL))); err != nil {
 				return err
 			}
 			if err := meta.Put([]byte("hold"), bytesOf(c.LeaseID)); err != nil {
