--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -13,11 +13,11 @@
 // goldenSamples returns values with every field set.
 func goldenSamples() (Job, Machine, Drain, DrainView, DrainPlan) {
 	zone, due := "a", 300.5
-	sum := drain.Summary{Machines: 1, Finish: 2, Move: 3, Lose: 4, Wait: 5, Blocked: 6, LostS: 7.5, Vanished: 8, EmptyS: 9.5}
+	sum := drain.Summary{Machines: 1, Finish: 2, Move: 3, Restart: 4, Wait: 5, Blocked: 6, LostS: 7.5, MachineLost: 8, EmptyS: 9.5}
 	spec := drain.Spec{
-		ID: "d-1", Kind: DrainUpgrade, Machines: []string{"m-1"}, Type: "c4", Zone: "a", OlderS: 60, Version: "1.0", ByMS: 946684802000,
-		WhenEmpty: ThenReturn, TargetVersion: "1.1", AtOnce: 2, MinInService: 3, BeganMS: 946684801000, Stopped: true,
-		Window: &Window{Rule: "FREQ=WEEKLY;BYDAY=SU", Zone: "Europe/Warsaw", ForS: 7200, LeadS: 600, Starts: "2026-01-31T22:00"},
+		ID: "d-1", Kind: DrainUpgrade, Machines: []string{"m-1"}, Type: "c4", Zone: "a", OlderThanS: 60, Version: "1.0", DeadlineMS: 946684802000,
+		WhenEmpty: ThenReturn, TargetVersion: "1.1", MaxOutOfService: 2, MinInService: 3, RequestedMS: 946684801000, Stopped: true,
+		Window: &Window{Rule: "FREQ=WEEKLY;BYDAY=SU", TimeZone: "Europe/Warsaw", DurationS: 7200, LeadS: 600, FirstStart: "2026-01-31T22:00"},
 	}
 	return Job{
 			ID: "j-412", Class: "train", Team: "vision", Shape: Group, Priority: Urgent, Tasks: 4, CPUs: 1.5, GPUs: 2, MemGB: 16,
@@ -27,14 +27,14 @@
 			Name: "m-1", Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.232:9000", State: "up", AgeS: 60.5, Version: "1.0", Count: 1,
 			Tasks: []Task{{Task: "j-1/0", Try: 2, State: "running", RanS: 4.5, Stops: true}},
 		}, Drain{Spec: spec, Force: true, Since: "m-0"}, DrainView{Drain: spec, State: &DrainState{
-			Phase: drain.Upgrading, Rollout: &drain.Rollout{Target: "1.1", From: "1.0", RolledBack: true, Reason: "w", Blocked: "b"}, OutOfService: []string{"m-1"},
-			Left: 2, Blocked: "b", Plan: sum, Actual: sum, BeganMS: 946684801000, EndedMS: 946684802000, Term: 41,
+			Phase: drain.PhaseUpgrading, Rollout: &drain.Rollout{Target: "1.1", Previous: "1.0", RolledBack: true, Reason: "w", Blocked: "b"}, OutOfService: []string{"m-1"},
+			MachinesLeft: 2, Blocked: "b", Plan: sum, Actual: sum, BeganMS: 946684801000, EndedMS: 946684802000, Term: 41,
 		}}, DrainPlan{
-			Machines: []drain.MachinePlan{{Machine: "m-1", Zone: "a", EmptyS: 4.5, Others: 5, Tasks: []drain.TaskPlan{{
-				Task: "j-1/0", Class: "train", Action: drain.Move, Reason: "w", UntilS: 1.5, LostS: 2.5, LateS: 3.5,
-			}}}}, More: true,
-			Classes: map[string]*drain.ClassPlan{"train": {Summary: sum, Late: 1, LateNow: 2}}, All: sum,
-			Windows: []string{"2026-01-31T22:00:00+01:00"}, Warnings: []string{"w"},
+			Machines: []drain.MachinePlan{{Machine: "m-1", Zone: "a", EmptyS: 4.5, OmittedTasks: 5, Tasks: []drain.TaskPlan{{
+				Task: "j-1/0", Class: "train", Action: drain.Move, Reason: "w", LeavesAfterS: 1.5, LostS: 2.5, LateS: 3.5,
+			}}}}, Truncated: true,
+			Classes: map[string]*drain.ClassPlan{"train": {Summary: sum, Late: 1, LateAnyway: 2}}, Total: sum,
+			WindowStarts: []string{"2026-01-31T22:00:00+01:00"}, Warnings: []string{"w"},
 		}
 }
 
@@ -76,7 +76,7 @@
 	st := Status{ID: "j-412", Status: Running, Done: 3, Running: 4}
 	const status = `{"uid":"j-412","status":"running","done":3,"running":4}`
 	last := plan
-	last.More, last.Machines = false, []drain.MachinePlan{}
+	last.Truncated, last.Machines = false, []drain.MachinePlan{}
 	both := last
 	both.Machines = plan.Machines
 	get := func() (any, error) { return c.Get(ctx, "j-412") }
--- a/client/operator.go
+++ b/client/operator.go
@@ -60,9 +60,9 @@
 
 // Kinds of drains.
 const (
-	DrainCordon  = drain.Cordon  // no new tasks; running ones go on
-	DrainEmpty   = drain.Empty   // no new tasks; running ones end or are moved
-	DrainUpgrade = drain.Upgrade // as DrainEmpty, some machines at a time, until each has another version
+	DrainCordon  = drain.KindCordon  // no new tasks; running ones go on
+	DrainEmpty   = drain.KindDrain   // no new tasks; running ones end or are moved
+	DrainUpgrade = drain.KindUpgrade // as DrainEmpty, some machines at a time, until each has another version
 )
 
 // What becomes of empty machines.
@@ -109,7 +109,7 @@
 		}
 		page.Machines = append(all.Machines, page.Machines...)
 		all = page
-		if more = page.More && len(all.Machines) > 0; more {
+		if more = page.Truncated && len(all.Machines) > 0; more {
 			d.Since = all.Machines[len(all.Machines)-1].Machine
 		}
 	}
--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -279,7 +279,7 @@
 }
 
 func (d *daemon) readMachineTypes(ctx context.Context) {
-	if row, err := d.store.Get(ctx, records.KeyTypes); err == nil && row != nil {
+	if row, err := d.store.Get(ctx, records.KeyMachineTypes); err == nil && row != nil {
 		var stored records.MachineTypes
 		if json.Unmarshal(row.Value, &stored) == nil && len(stored.Types) > 0 {
 			d.api.SetMachineTypes(stored.Types)
--- a/cmd/drumpickctl/drains.go
+++ b/cmd/drumpickctl/drains.go
@@ -40,7 +40,7 @@
 	fl.DurationVar(&x.in, "in", 0, "the same, from now on")
 	fl.StringVar(&x.spec.WhenEmpty, "then", client.ThenKeep, "`keep` empty machines, or return them to the cloud")
 	fl.StringVar(&x.upgrade, "upgrade-to", "", "roll machines over to a worker's `version`")
-	fl.IntVar(&x.spec.AtOnce, "at-once", 0, "of an upgrade: how many machines are out of service at a time (1)")
+	fl.IntVar(&x.spec.MaxOutOfService, "at-once", 0, "of an upgrade: how many machines are out of service at a time (1)")
 	fl.IntVar(&x.spec.MinInService, "keep-up", 0, "of an upgrade: how many stay in service in each zone, and for each class")
 	fl.StringVar(&x.rule, "window", "", "hold only in windows, by an RFC 5545 `RRULE` such as FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0")
 	fl.StringVar(&x.zone, "window-zone", "", "time `zone` of the windows, such as Europe/Warsaw (else TZ)")
@@ -52,7 +52,7 @@
 // drain returns the drain that the flags and the names of machines describe.
 func (x *drainFlags) drain(names []string, now time.Time) (client.Drain, error) {
 	d := x.spec
-	d.Machines, d.Kind, d.OlderS = names, client.DrainEmpty, x.older.Seconds()
+	d.Machines, d.Kind, d.OlderThanS = names, client.DrainEmpty, x.older.Seconds()
 	if d.ID == "" {
 		d.ID = client.NewDrainID()
 	}
@@ -63,12 +63,12 @@
 		d.Kind = client.DrainCordon
 	case x.upgrade != "":
 		d.Kind, d.TargetVersion = client.DrainUpgrade, x.upgrade
-		if d.AtOnce == 0 {
-			d.AtOnce = 1
+		if d.MaxOutOfService == 0 {
+			d.MaxOutOfService = 1
 		}
 	}
 	var err error
-	if d.ByMS, err = x.deadline(now); err != nil {
+	if d.DeadlineMS, err = x.deadline(now); err != nil {
 		return d, err
 	}
 	d.Window, err = x.window()
@@ -111,7 +111,7 @@
 		return nil, usage("--window-zone is missing: the time zone that the rule is meant in")
 	}
 	return &client.Window{
-		Rule: x.rule, Zone: zone, ForS: x.length.Seconds(), LeadS: x.lead.Seconds(), Starts: x.starts,
+		Rule: x.rule, TimeZone: zone, DurationS: x.length.Seconds(), LeadS: x.lead.Seconds(), FirstStart: x.starts,
 	}, nil
 }
 
@@ -202,7 +202,7 @@
 	fmt.Fprintln(w, "DRAIN\tKIND\tMEANS\tPHASE\tLEFT\tBEGAN")
 	for _, v := range all {
 		phase, left := phaseOf(v)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Drain.ID, v.Drain.Kind, means(v.Drain), phase, left, clock(v.Drain.BeganMS))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Drain.ID, v.Drain.Kind, means(v.Drain), phase, left, clock(v.Drain.RequestedMS))
 	}
 }
 
@@ -221,9 +221,9 @@
 		}
 		if v.State != nil {
 			switch v.State.Phase {
-			case drain.Drained, drain.Done, drain.Stopped:
+			case drain.PhaseDrained, drain.PhaseDone, drain.PhaseStopped:
 				return v, nil
-			case drain.RolledBack:
+			case drain.PhaseRolledBack:
 				return v, &exitError{exitFailed, fmt.Errorf("drain %s was rolled back: %s", v.Drain.ID, v.State.Rollout.Reason)}
 			}
 		}
@@ -243,7 +243,7 @@
 	case v.State == nil || v.State.Phase == "":
 		return "accepted", "-"
 	}
-	return v.State.Phase, fmt.Sprint(v.State.Left)
+	return v.State.Phase, fmt.Sprint(v.State.MachinesLeft)
 }
 
 // clock returns a time as text, "-" if there is none.
@@ -265,8 +265,8 @@
 			words = append(words, x[0]+x[1])
 		}
 	}
-	if d.OlderS > 0 {
-		words = append(words, "older than "+time.Duration(d.OlderS*float64(time.Second)).String())
+	if d.OlderThanS > 0 {
+		words = append(words, "older than "+time.Duration(d.OlderThanS*float64(time.Second)).String())
 	}
 	return strings.Join(words, ", ")
 }
@@ -283,18 +283,18 @@
 	row("drain", d.ID)
 	row("kind", d.Kind)
 	row("means", means(d))
-	if d.ByMS != 0 {
-		row("empty by", clock(d.ByMS))
+	if d.DeadlineMS != 0 {
+		row("empty by", clock(d.DeadlineMS))
 	}
 	if d.Window != nil {
-		span := time.Duration(d.Window.ForS * float64(time.Second))
-		row("window", fmt.Sprintf("%s in %s, for %v", d.Window.Rule, d.Window.Zone, span))
+		span := time.Duration(d.Window.DurationS * float64(time.Second))
+		row("window", fmt.Sprintf("%s in %s, for %v", d.Window.Rule, d.Window.TimeZone, span))
 	}
 	row("then", d.WhenEmpty)
 	if d.Kind == client.DrainUpgrade {
-		row("at once", fmt.Sprintf("%d, %d stay in service in each zone and for each class", d.AtOnce, d.MinInService))
+		row("at once", fmt.Sprintf("%d, %d stay in service in each zone and for each class", d.MaxOutOfService, d.MinInService))
 	}
-	row("began", clock(d.BeganMS))
+	row("began", clock(d.RequestedMS))
 	row("phase", phase)
 	row("machines left", left)
 	s := v.State
@@ -322,7 +322,7 @@
 		empty = fmt.Sprintf("%.0fs", s.EmptyS)
 	}
 	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0fs\t%s",
-		s.Machines, s.Finish, s.Move, s.Lose, s.Wait, s.Blocked, s.Vanished, s.LostS, empty)
+		s.Machines, s.Finish, s.Move, s.Restart, s.Wait, s.Blocked, s.MachineLost, s.LostS, empty)
 }
 
 // showPlan prints what a drain would do.
@@ -334,22 +334,22 @@
 		}
 		for _, t := range m.Tasks {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.0fs\t%.0fs\t%.0fs\t%s\n",
-				m.Machine, m.Zone, t.Task, t.Class, t.Action, t.UntilS, t.LostS, t.LateS, t.Reason)
+				m.Machine, m.Zone, t.Task, t.Class, t.Action, t.LeavesAfterS, t.LostS, t.LateS, t.Reason)
 		}
 	}
 	for _, m := range p.Machines {
-		if m.Others > 0 {
-			fmt.Fprintf(w, "%s\t%s\tand %d more tasks\n", m.Machine, m.Zone, m.Others)
+		if m.OmittedTasks > 0 {
+			fmt.Fprintf(w, "%s\t%s\tand %d more tasks\n", m.Machine, m.Zone, m.OmittedTasks)
 		}
 	}
 	fmt.Fprintln(w, "\nCLASS\tMACHINES\tFINISH\tMOVE\tBEGIN ANEW\tWAIT\tBLOCKED\tVANISHED\tWORK LOST\tEMPTY AFTER\tJOBS LATE BY IT\tLATE ANYWAY")
 	for _, class := range slices.Sorted(maps.Keys(p.Classes)) {
 		x := p.Classes[class]
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", class, counts(x.Summary), x.Late, x.LateNow)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", class, counts(x.Summary), x.Late, x.LateAnyway)
 	}
-	fmt.Fprintf(w, "all\t%s\n", counts(p.All))
-	if len(p.Windows) > 0 {
-		fmt.Fprintf(w, "\nnext windows\t%s\n", strings.Join(p.Windows, ", "))
+	fmt.Fprintf(w, "all\t%s\n", counts(p.Total))
+	if len(p.WindowStarts) > 0 {
+		fmt.Fprintf(w, "\nnext windows\t%s\n", strings.Join(p.WindowStarts, ", "))
 	}
 	for _, text := range p.Warnings {
 		fmt.Fprintf(w, "note\t%s\n", text)
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -63,7 +63,7 @@
 	if err := easyjson.Unmarshal(body, &r); err != nil {
 		return encodeReply(fiber.StatusBadRequest, errorBody{"not a report: " + err.Error()})
 	}
-	if err := r.Check(); err != nil {
+	if err := r.Validate(); err != nil {
 		return encodeReply(fiber.StatusBadRequest, errorBody{err.Error()})
 	}
 	if via == "" && !l.NeedsRelay(&r) {
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -18,8 +18,8 @@
 // rented. Where spot instances of the type exist, on-demand machines are worth it only for longer
 // work.
 const (
-	spotHorizon     = 1.0
-	onDemandHorizon = 4.0
+	spotHorizonStartups     = 1.0
+	onDemandHorizonStartups = 4.0
 )
 
 // Planner decides which machines to rent. It keeps the requests that have no answer yet, and the
@@ -43,8 +43,8 @@
 // Track notes that a request is on its way to the cloud.
 func (p *Planner) Track(r RentalRequest) { p.inFlight[r.Name] = r }
 
-// Answered notes that a request has its answer, or is given up.
-func (p *Planner) Answered(r RentalRequest) { delete(p.inFlight, r.Name) }
+// Untrack notes that a request has its answer, or is given up.
+func (p *Planner) Untrack(r RentalRequest) { delete(p.inFlight, r.Name) }
 
 // BackOff keeps the offer of a request from being requested for a while.
 func (p *Planner) BackOff(r RentalRequest, startup time.Duration, now time.Time) {
@@ -64,14 +64,14 @@
 
 // Demand is the waiting tasks of one job.
 type Demand struct {
-	Job         string
-	Tasks       int
-	Request     packing.Resources // of one task
-	TaskSeconds float64           // the estimated run time of one task
-	Elastic     bool              // the tasks need not run at the same time: fewer machines take longer
-	Urgent      bool              // machines are rented however little work there is
-	WaitsSince  time.Time
-	Constraints Constraints
+	Job          string
+	Tasks        int
+	Request      packing.Resources // of one task
+	TaskSeconds  float64           // the estimated run time of one task
+	Elastic      bool              // the tasks need not run at the same time: fewer machines take longer
+	Urgent       bool              // machines are rented however little work there is
+	WaitingSince time.Time
+	Constraints  Constraints
 }
 
 // Machine is a machine of the fleet as a plan sees it.
@@ -89,8 +89,8 @@
 	Fleet       []Machine
 	Demand      []Demand           // in the order in which jobs are served
 	RunningWork map[string]float64 // what running tasks still need, in machine seconds by type
-	// Barred reports whether machines of a type are not to be rented in a zone.
-	Barred func(machineType, zone string) bool
+	// ScaleOutBlocked reports whether machines of a type are not to be rented in a zone.
+	ScaleOutBlocked func(machineType, zone string) bool
 	// OutageSuspected reports whether a zone is probably cut off.
 	OutageSuspected func(zone string) bool
 	// Headroom is how many of n more machines a leader that has so many can carry.
@@ -100,13 +100,13 @@
 // plan is the state of one plan.
 type plan struct {
 	PlanInput
-	planner        *Planner
-	spaces         map[string]*packing.Space // by type: vacant, requested and new machines with room
-	machinesInZone map[string]int
-	newMachines    map[Offer]int
-	urgentMachines map[Offer]int      // of these, those that do not depend on how much work there is
-	machineSeconds map[string]float64 // of waiting work, by type
-	opened         int                // new machines of all offers
+	planner         *Planner
+	spaces          map[string]*packing.Space // by type: vacant, requested and new machines with room
+	machinesInZone  map[string]int
+	newMachines     map[Offer]int
+	minNewMachines  map[Offer]int      // of these, those that do not depend on how much work there is
+	machineSeconds  map[string]float64 // of waiting work, by type
+	newMachineTotal int                // new machines of all offers
 }
 
 // Plan returns the requests to send now, without names: the new bins that the packing would open
@@ -115,7 +115,7 @@
 func (p *Planner) Plan(in PlanInput) []RentalRequest {
 	l := &plan{
 		PlanInput: in, planner: p, spaces: map[string]*packing.Space{}, machinesInZone: map[string]int{},
-		newMachines: map[Offer]int{}, urgentMachines: map[Offer]int{}, machineSeconds: map[string]float64{},
+		newMachines: map[Offer]int{}, minNewMachines: map[Offer]int{}, machineSeconds: map[string]float64{},
 	}
 	for _, name := range in.Catalog.Names {
 		l.spaces[name] = &packing.Space{NoFirstFit: true}
@@ -170,7 +170,7 @@
 	}
 	var requests []RentalRequest
 	for _, o := range offers {
-		n := l.wanted(o, have)
+		n := l.rentCount(o, have)
 		have[o.Type] += max(n, 0)
 		// One request at a time for each offer: where one is refused the next would be as
 		// well, and the cloud takes few calls.
@@ -182,14 +182,14 @@
 	return requests
 }
 
-// wanted is how many machines of an offer to rent beside those that there are by type. Work that the
+// rentCount is how many machines of an offer to rent beside those that there are by type. Work that the
 // machines at hand will soon have done needs no others.
-func (l *plan) wanted(o Offer, have map[string]int) int {
+func (l *plan) rentCount(o Offer, have map[string]int) int {
 	n := l.newMachines[o]
 	if work := l.machineSeconds[o.Type] + l.RunningWork[o.Type]; work < math.Inf(1) {
-		horizon := max(l.Catalog.StartupTime(o.Type).Seconds(), 1) * l.horizon(o)
+		horizon := max(l.Catalog.StartupTime(o.Type).Seconds(), 1) * l.horizonStartups(o)
 		most := int(math.Ceil(work/horizon)) - have[o.Type]
-		n = min(n, max(most, l.urgentMachines[o]))
+		n = min(n, max(most, l.minNewMachines[o]))
 	}
 	all := 0
 	for _, k := range have {
@@ -198,13 +198,13 @@
 	return l.Headroom(all, n)
 }
 
-// horizon is how long, in startup times, the machines at hand may take for all the work before
+// horizonStartups is how long, in startup times, the machines at hand may take for all the work before
 // machines of an offer are rented.
-func (l *plan) horizon(o Offer) float64 {
+func (l *plan) horizonStartups(o Offer) float64 {
 	if t := l.Catalog.Types[o.Type]; !o.Spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
-		return onDemandHorizon
+		return onDemandHorizonStartups
 	}
-	return spotHorizon
+	return spotHorizonStartups
 }
 
 // demandPlan is the part of a plan that is under way for one demand.
@@ -231,7 +231,7 @@
 		if !found {
 			return
 		}
-		if d.opened >= maxNewMachines {
+		if d.newMachineTotal >= maxNewMachines {
 			d.addWork(o.Type, left) // more than one plan rents, but work all the same
 			return
 		}
@@ -246,13 +246,13 @@
 		if k < perMachine || leavesRoom {
 			b := d.addBin(o) // it has room for other tasks
 			for range k {
-				b.Add(d.item())
+				b.Add(d.newItem())
 			}
 		}
 	}
 }
 
-func (d *demandPlan) item() *packing.Item {
+func (d *demandPlan) newItem() *packing.Item {
 	return &packing.Item{ID: d.demand.Job, Request: d.demand.Request}
 }
 
@@ -261,7 +261,7 @@
 next:
 	for ; tasks > 0; tasks-- {
 		for _, name := range d.Catalog.Names {
-			if b, _, _ := d.spaces[name].Insert(d.item(), d.permitted); b != nil {
+			if b, _, _ := d.spaces[name].Insert(d.newItem(), d.permitted); b != nil {
 				d.addWork(name, 1)
 				continue next
 			}
@@ -285,13 +285,13 @@
 func (d *demandPlan) openMachine(o Offer) {
 	// This prevents a job from waiting for ever because the machines at hand count as enough while
 	// none of them may or can take it.
-	patience := time.Duration(float64(d.Catalog.StartupTime(o.Type)) * onDemandHorizon)
-	if d.demand.Urgent || d.Now.Sub(d.demand.WaitsSince) > patience || !d.anyPermitted() {
-		d.urgentMachines[o]++
+	patience := time.Duration(float64(d.Catalog.StartupTime(o.Type)) * onDemandHorizonStartups)
+	if d.demand.Urgent || d.Now.Sub(d.demand.WaitingSince) > patience || !d.anyPermitted() {
+		d.minNewMachines[o]++
 	}
 	d.newMachines[o]++
 	d.machinesInZone[o.Zone]++
-	d.opened++
+	d.newMachineTotal++
 }
 
 // anyPermitted reports whether a machine at hand, or about to be rented, may take the tasks at all.
@@ -332,24 +332,24 @@
 		}
 		n++
 	}
-	return max(n, 1), b.AllowsJoin()
+	return max(n, 1), b.AcceptsAny()
 }
 
 // candidate is an offer with what decides between offers.
 type candidate struct {
-	offer    Offer
-	outage   bool    // its zone is probably cut off
-	cost     float64 // the price of the share of a machine that a task takes
-	machines int     // that its zone has
+	offer           Offer
+	outageSuspected bool    // its zone is probably cut off
+	cost            float64 // the price of the share of a machine that a task takes
+	machinesInZone  int     // that its zone has
 }
 
 // better reports whether an offer is to be preferred: what is rented in a zone that is cut off is of
 // use only when that is back; then the price decides, and then in which zone the fewest machines are.
 func (c *candidate) better(than *candidate) bool {
-	if c.outage != than.outage {
-		return than.outage
+	if c.outageSuspected != than.outageSuspected {
+		return than.outageSuspected
 	}
-	return c.cost < than.cost || c.cost == than.cost && c.machines < than.machines
+	return c.cost < than.cost || c.cost == than.cost && c.machinesInZone < than.machinesInZone
 }
 
 // chooseOffer picks what to rent for a task, spot instances where the job permits.
@@ -372,7 +372,7 @@
 			}
 			cost := price * share
 			// Most offers are dearer than the best one so far, whatever their zone.
-			if found && !best.outage && cost > best.cost {
+			if found && !best.outageSuspected && cost > best.cost {
 				continue
 			}
 			for _, zone := range t.Zones {
@@ -380,7 +380,7 @@
 				if !d.available(o) {
 					continue
 				}
-				c := candidate{offer: o, outage: d.OutageSuspected(zone), cost: cost, machines: d.machinesInZone[zone]}
+				c := candidate{offer: o, outageSuspected: d.OutageSuspected(zone), cost: cost, machinesInZone: d.machinesInZone[zone]}
 				if !found || c.better(&best) {
 					best, found = c, true
 				}
@@ -393,5 +393,5 @@
 // available reports whether an offer may be rented for the demand now.
 func (d *demandPlan) available(o Offer) bool {
 	return d.demand.Constraints.Permits(o) && !d.Now.Before(d.planner.refusedUntil[o]) &&
-		!d.Barred(o.Type, o.Zone) && d.demand.Constraints.PermitsZone(o.Zone)
+		!d.ScaleOutBlocked(o.Type, o.Zone) && d.demand.Constraints.PermitsZone(o.Zone)
 }
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -14,17 +14,17 @@
 func (unconstrained) Permits(Offer) bool      { return true }
 func (unconstrained) PermitsZone(string) bool { return true }
 
-// input is a plan for so many tasks that fill a machine each, of hours of work.
-func input(now time.Time, tasks int) PlanInput {
+// newPlanInput is a plan for so many tasks that fill a machine each, of hours of work.
+func newPlanInput(now time.Time, tasks int) PlanInput {
 	types := map[string]records.MachineType{"c4": {Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20, Zones: []string{"a"}}}
 	return PlanInput{
 		Now:     now,
 		Catalog: Catalog{Types: types, Names: []string{"c4"}},
 		Demand: []Demand{{
 			Job: "j-1", Tasks: tasks, Request: packing.Resources{CPU: 4, Mem: 1}, TaskSeconds: 36000, Elastic: true,
-			WaitsSince: now, Constraints: unconstrained{},
+			WaitingSince: now, Constraints: unconstrained{},
 		}},
-		Barred:          func(string, string) bool { return false },
+		ScaleOutBlocked: func(string, string) bool { return false },
 		OutageSuspected: func(string) bool { return false },
 		Headroom:        func(_, n int) int { return n },
 	}
@@ -39,11 +39,11 @@
 
 func TestPlanRentsForWaitingTasks(t *testing.T) {
 	now := time.Unix(1000, 0)
-	wantRequests(t, NewPlanner(2).Plan(input(now, 3)), RentalRequest{Type: "c4", Zone: "a", Count: 3})
+	wantRequests(t, NewPlanner(2).Plan(newPlanInput(now, 3)), RentalRequest{Type: "c4", Zone: "a", Count: 3})
 }
 
 func TestPlanCountsMachinesThatAreStarting(t *testing.T) {
-	in := input(time.Unix(1000, 0), 3)
+	in := newPlanInput(time.Unix(1000, 0), 3)
 	in.Fleet = []Machine{{Offer: Offer{Type: "c4", Zone: "a"}, InService: true, Vacant: true, Capacity: in.Catalog.Capacity("c4")}}
 	wantRequests(t, NewPlanner(2).Plan(in), RentalRequest{Type: "c4", Zone: "a", Count: 2})
 }
@@ -53,15 +53,15 @@
 	p := NewPlanner(2)
 	inFlight := RentalRequest{Name: "r-1-1", Type: "c4", Zone: "a", Count: 1}
 	p.Track(inFlight)
-	wantRequests(t, p.Plan(input(now, 3)))
-	p.Answered(inFlight)
-	wantRequests(t, p.Plan(input(now, 3)), RentalRequest{Type: "c4", Zone: "a", Count: 3})
+	wantRequests(t, p.Plan(newPlanInput(now, 3)))
+	p.Untrack(inFlight)
+	wantRequests(t, p.Plan(newPlanInput(now, 3)), RentalRequest{Type: "c4", Zone: "a", Count: 3})
 }
 
 func TestRefusedOfferIsNotRequestedForAWhile(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPlanner(2)
 	p.BackOff(RentalRequest{Type: "c4", Zone: "a"}, 20*time.Second, now)
-	wantRequests(t, p.Plan(input(now.Add(39*time.Second), 3)))
-	wantRequests(t, p.Plan(input(now.Add(40*time.Second), 3)), RentalRequest{Type: "c4", Zone: "a", Count: 3})
+	wantRequests(t, p.Plan(newPlanInput(now.Add(39*time.Second), 3)))
+	wantRequests(t, p.Plan(newPlanInput(now.Add(40*time.Second), 3)), RentalRequest{Type: "c4", Zone: "a", Count: 3})
 }
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -14,17 +14,17 @@
 	manySilentShare = 1.0 / 4
 
 	// fewUnreconciledShare is the share of the machines on record whose work is worth less than
-	// the wait of all others, and fewUnreconciledIntervals how many heartbeat intervals all are
+	// the wait of all others, and failoverGraceIntervals how many heartbeat intervals all are
 	// given to find the new leader: they try the old one for up to two.
-	fewUnreconciledShare     = 1.0 / 20
-	fewUnreconciledIntervals = 2
+	fewUnreconciledShare   = 1.0 / 20
+	failoverGraceIntervals = 2
 )
 
 // FleetCounts counts the machines of a fleet by how they were heard.
 type FleetCounts struct {
 	Up           int // have been heard under this term
 	Silent       int // of these, silent for some heartbeat intervals
-	Quiet        int // of these, silent for so long that their zone may be the cause
+	Overdue      int // of these, silent for so long that their zone may be the cause
 	Unreachable  int // of these, receive no answers
 	Inherited    int // on record at the failover
 	Unreconciled int // of these, not heard under this term yet
@@ -32,8 +32,8 @@
 
 // ReturnConditions tells what the decision about a machine depends on beside the machine.
 type ReturnConditions interface {
-	// AwaitedByOperator reports whether the machine is empty and kept for an operator.
-	AwaitedByOperator(m *fleet.Machine) bool
+	// KeptForOperator reports whether the machine is empty and kept for an operator.
+	KeptForOperator(m *fleet.Machine) bool
 	// WaitsForZone reports whether the tasks of the machine are best waited for until its zone is
 	// back; one in its place would take the startup time.
 	WaitsForZone(m *fleet.Machine, startup time.Duration) bool
@@ -72,7 +72,7 @@
 	p.mostSilent = n.Silent > 2 && 2*n.Silent > n.Up
 	// Without this, many that fell silent at once would be returned a few at a time, each being one
 	// of few that have been silent for long, or one of the last to come back.
-	if float64(n.Quiet) > manySilentShare*float64(n.Up) || outageSuspected {
+	if float64(n.Overdue) > manySilentShare*float64(n.Up) || outageSuspected {
 		p.manySilentAt = now
 	}
 	// Without this, the last machines of a zone that comes back would be returned: they are few
@@ -86,21 +86,21 @@
 func (p *ReturnPolicy) ShouldReturn(m *fleet.Machine, catalog Catalog, cond ReturnConditions, now time.Time) bool {
 	startup := max(catalog.StartupTime(m.Type), p.heartbeatInterval)
 	switch {
-	case cond.AwaitedByOperator(m):
+	case cond.KeptForOperator(m):
 		return false
 	case m.LeaseExpired && !m.Failed && cond.WaitsForZone(m, startup):
 		return false
-	case !m.Up && !m.Inherited && cond.OutageSuspected(m.Zone):
+	case !m.HasStatus && !m.Inherited && cond.OutageSuspected(m.Zone):
 		return false // it may well be up
 	case m.LeaseExpired:
 		// Its tasks are gone. Where most machines are silent, the fault is more likely the
 		// leader's than theirs, and they may yet be heard of.
 		return !p.mostSilent || now.Sub(m.LastHeard()) > 4*p.lease
 	case m.AwaitsReconciliation():
-		return p.givesUpInherited(m, now)
-	case m.Up && now.Sub(m.LastStatus) > p.silenceLimit(m, now):
+		return p.inheritedTimedOut(m, now)
+	case m.HasStatus && now.Sub(m.LastStatusAt) > p.silenceLimit(m, now):
 		return true
-	case m.Up && !m.Reconciled && now.Sub(m.LastStatus) > p.lease:
+	case m.HasStatus && !m.Reconciled && now.Sub(m.LastStatusAt) > p.lease:
 		// Brought up by a late copy of a heartbeat, maybe: nothing else would end that.
 		return true
 	case m.UnreachableFor(now) > p.lease:
@@ -108,7 +108,7 @@
 		return !p.manyUnreachable || m.UnreachableFor(now) > 4*p.lease
 	case m.UnansweredProbesFor(now) > p.lease:
 		return true // no answer, and what it has is not known: its return is proof
-	case !m.Up:
+	case !m.HasStatus:
 		return !m.RequestedAt.IsZero() && now.Sub(m.RequestedAt) > 3*startup+p.heartbeatInterval
 	case !m.Empty():
 		return false
@@ -122,14 +122,14 @@
 	return p.idleTooLong(m, startup, catalog, cond, now)
 }
 
-// givesUpInherited reports whether a machine that has not been heard since the failover is waited
+// inheritedTimedOut reports whether a machine that has not been heard since the failover is waited
 // for no longer. Time alone does not reconcile it, as an older leader may be renewing its lease; its
 // return does. All work of before stands still until then: the last few that neither report nor
 // answer are not waited for as long as their work would be worth it alone.
-func (p *ReturnPolicy) givesUpInherited(m *fleet.Machine, now time.Time) bool {
+func (p *ReturnPolicy) inheritedTimedOut(m *fleet.Machine, now time.Time) bool {
 	silent := now.Sub(m.SilentSince)
 	few := now.Sub(p.manyUnreconciledAt) > p.heartbeatInterval
-	return silent > p.lease || silent > fewUnreconciledIntervals*p.heartbeatInterval && few
+	return silent > p.lease || silent > failoverGraceIntervals*p.heartbeatInterval && few
 }
 
 // silenceLimit is how long a machine may be silent before it is returned without waiting for the
--- a/internal/cancellation/confirmed.go
+++ b/internal/cancellation/confirmed.go
@@ -92,17 +92,17 @@
 	}
 }
 
-// QuietFor returns for how long nothing has been confirmed, at least; for versions that know
+// SinceLastConfirmation returns for how long nothing has been confirmed, at least; for versions that know
 // no lists.
-func (l *Log) QuietFor(now time.Time) time.Duration {
+func (l *Log) SinceLastConfirmation(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Sub(l.lastConfirmed)
 }
 
-// Confirmed lists what was confirmed in a span before now. Where that is more than a list
+// ConfirmedWithin lists what was confirmed in a span before now. Where that is more than a list
 // takes, it has the latest and says so by a shorter span.
-func (l *Log) Confirmed(span time.Duration, now time.Time) ConfirmedList {
+func (l *Log) ConfirmedWithin(span time.Duration, now time.Time) ConfirmedList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	from := now.Add(-span)
--- a/internal/cancellation/confirmed_test.go
+++ b/internal/cancellation/confirmed_test.go
@@ -21,7 +21,7 @@
 func TestInvalidListCoversNothing(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	bound := NewRenewalBound(cancelTime, leaseTime)
-	bound.NoteContact(now.Add(-time.Second))
+	bound.RecordContact(now.Add(-time.Second))
 	for name, x := range map[string]struct {
 		list    ConfirmedList
 		wantErr string // "" for a valid list
@@ -51,18 +51,18 @@
 
 // A log that has confirmed more than a list takes, or than it keeps, says how far back the
 // list is complete.
-func TestListBeyondItsBoundsHasShorterSpan(t *testing.T) {
+func TestTruncatedListHasShorterSpan(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	const confirmed, interval = maxLogEntries + 10, time.Second / 100
 	log := NewLog(now.Add(-time.Hour))
 	for n, id := range numberedIDs(confirmed) {
 		log.Add(id, now.Add(time.Duration(n-confirmed)*interval))
 	}
-	list := log.Confirmed(time.Hour, now)
+	list := log.ConfirmedWithin(time.Hour, now)
 	if err := list.Check(); err != nil || len(list.IDs) != maxListedIDs || list.SpanMS > 10_249 || list.SpanMS < 10_240 {
 		t.Errorf("got %d ids, complete for %d ms, %v, want %d for 10,240 to 10,249 ms", len(list.IDs), list.SpanMS, err, maxListedIDs)
 	}
-	if list := log.Confirmed(time.Second, now); len(list.IDs) > 101 || list.SpanMS != 1000 {
+	if list := log.ConfirmedWithin(time.Second, now); len(list.IDs) > 101 || list.SpanMS != 1000 {
 		t.Errorf("got %d ids, complete for %d ms, want at most 101 for 1000 ms", len(list.IDs), list.SpanMS)
 	}
 }
--- a/internal/cancellation/renewal_bound.go
+++ b/internal/cancellation/renewal_bound.go
@@ -26,8 +26,8 @@
 	return RenewalBound{span: span - config.Drift(span) - span/marginDivisor}
 }
 
-// NoteContact notes that the store was read: the answer was made after it was asked for.
-func (b *RenewalBound) NoteContact(asked time.Time) {
+// RecordContact notes that the store was read: the answer was made after it was asked for.
+func (b *RenewalBound) RecordContact(asked time.Time) {
 	if asked.After(b.contact) {
 		b.contact = asked
 	}
@@ -39,17 +39,17 @@
 // MayRenew reports whether leases may be renewed now.
 func (b *RenewalBound) MayRenew(now time.Time) bool { return now.Before(b.contact.Add(b.span)) }
 
-// InquirySpan returns how far back the lists of others have to reach that are asked now and
+// RequiredSpan returns how far back the lists of others have to reach that are asked now and
 // given so long to answer.
-func (b *RenewalBound) InquirySpan(now time.Time, timeout time.Duration) time.Duration {
+func (b *RenewalBound) RequiredSpan(now time.Time, timeout time.Duration) time.Duration {
 	span := now.Sub(b.contact) + timeout
 	return span + 2*config.Drift(span) + timeout
 }
 
 // PeerAnswer is what one controller answered.
 type PeerAnswer struct {
-	Confirmed *ConfirmedList // nil from a version that lists no ids
-	QuietFor  time.Duration  // for how long it has confirmed nothing
+	Confirmed             *ConfirmedList // nil from a version that lists no ids
+	SinceLastConfirmation time.Duration  // for how long it has confirmed nothing
 }
 
 // Covers reports whether answers, asked for and all received by now, leave nothing out that
@@ -60,7 +60,7 @@
 	sinceContact := now.Sub(b.contact)
 	for _, answer := range answers {
 		// A quiet controller's list could be as long as its log; that it was quiet is enough.
-		if answer.QuietFor-config.Drift(answer.QuietFor) >= sinceContact {
+		if answer.SinceLastConfirmation-config.Drift(answer.SinceLastConfirmation) >= sinceContact {
 			continue
 		}
 		if answer.Confirmed == nil || answer.Confirmed.Check() != nil {
--- a/internal/cancellation/renewal_bound_model_test.go
+++ b/internal/cancellation/renewal_bound_model_test.go
@@ -20,37 +20,37 @@
 	os.Exit(m.Run())
 }
 
-// mistake is one made on purpose around the package's own code, which the model has to find.
-type mistake string
+// mutant is one made on purpose around the package's own code, which the model has to find.
+type mutant string
 
 const (
-	noMistake         mistake = ""
-	acceptMissing     mistake = "the answers of those who answer are enough"
-	ignoreSpan        mistake = "how far back a list reaches is not looked at"
-	contactAtAnswer   mistake = "the contact is when the answers came, not when they were asked for"
-	confirmBeforeLog  mistake = "a cancellation is confirmed before the log has it"
-	inheritSpan       mistake = "a process takes over the span of the one before it"
-	truncateList      mistake = "a list is cut short and keeps its span"
-	listSinceAsked    mistake = "a list speaks for the time since it was asked for"
-	omitOwnList       mistake = "the leader's own confirmations are left out"
-	ignoreIDs         mistake = "ids are received and nothing is ended"
-	acceptOldAnswers  mistake = "answers to an earlier inquiry are taken for answers to this one"
-	quietSinceForever mistake = "a process that has just started has been quiet for ever"
-	contactAtWatch    mistake = "the contact of a watch is when it came back"
-	boundTooWide      mistake = "leases are renewed for as long as a cancellation may take"
+	noMutant             mutant = ""
+	acceptMissing        mutant = "the answers of those who answer are enough"
+	ignoreSpan           mutant = "how far back a list reaches is not looked at"
+	contactAtAnswer      mutant = "the contact is when the answers came, not when they were asked for"
+	confirmBeforeLog     mutant = "a cancellation is confirmed before the log has it"
+	inheritSpan          mutant = "a process takes over the span of the one before it"
+	truncateList         mutant = "a list is cut short and keeps its span"
+	listOnlySinceQuery   mutant = "a list speaks for the time since it was asked for"
+	omitOwnList          mutant = "the leader's own confirmations are left out"
+	ignoreIDs            mutant = "ids are received and nothing is ended"
+	acceptStaleAnswers   mutant = "answers to an earlier inquiry are taken for answers to this one"
+	unboundedSinceLast   mutant = "a process that has just started has been quiet for ever"
+	contactAtWatchAnswer mutant = "the contact of a watch is when it came back"
+	boundTooWide         mutant = "leases are renewed for as long as a cancellation may take"
 )
 
-var allMistakes = []mistake{
-	acceptMissing, ignoreSpan, contactAtAnswer, confirmBeforeLog, inheritSpan, truncateList, listSinceAsked,
-	omitOwnList, ignoreIDs, acceptOldAnswers, quietSinceForever, contactAtWatch, boundTooWide,
+var allMutants = []mutant{
+	acceptMissing, ignoreSpan, contactAtAnswer, confirmBeforeLog, inheritSpan, truncateList, listOnlySinceQuery,
+	omitOwnList, ignoreIDs, acceptStaleAnswers, unboundedSinceLast, contactAtWatchAnswer, boundTooWide,
 }
 
 const (
 	cancelTime = 30 * time.Second // within which a cancelled job's tasks have to be gone
 	leaseTime  = 12 * time.Second
-	// maxRenewal is how long after a confirmation a lease may be renewed at most.
-	maxRenewal     = cancelTime - leaseTime
-	inquiryTimeout = 2 * time.Second
+	// maxRenewalDelay is how long after a confirmation a lease may be renewed at most.
+	maxRenewalDelay = cancelTime - leaseTime
+	queryTimeout    = 2 * time.Second
 )
 
 // modelStart is when a model begins.
@@ -60,17 +60,17 @@
 // and confirm them later, restart and answer late or never, and a leader that reaches the
 // store for a while. The leader is the first controller.
 type clusterModel struct {
-	t           *rapid.T
-	mistake     mistake
-	now         time.Time
-	bound       RenewalBound
-	logs        []*Log    // by controller
-	clockRates  []float64 // by controller
-	stored      []string  // ids of cancelled jobs
-	unconfirmed map[string]int
-	confirmedAt map[string]time.Time // first
-	known       map[string]bool      // to the leader
-	oldAnswers  []PeerAnswer         // of the inquiry before
+	t               *rapid.T
+	mutant          mutant
+	now             time.Time
+	bound           RenewalBound
+	logs            []*Log    // by controller
+	clockRates      []float64 // by controller
+	stored          []string  // ids of cancelled jobs
+	unconfirmed     map[string]int
+	confirmedAt     map[string]time.Time // first
+	known           map[string]bool      // to the leader
+	previousAnswers []PeerAnswer         // of the inquiry before
 }
 
 // clock returns what a controller's own clock shows.
@@ -80,7 +80,7 @@
 
 // confirm has a controller confirm a cancellation, or be about to.
 func (m *clusterModel) confirm(controller int, id string) {
-	if m.mistake != confirmBeforeLog {
+	if m.mutant != confirmBeforeLog {
 		m.logs[controller].Add(id, m.clock(controller))
 	}
 	if m.confirmedAt[id].IsZero() {
@@ -88,119 +88,119 @@
 	}
 }
 
-func (m *clusterModel) passTime(d time.Duration) {
+func (m *clusterModel) advanceTime(d time.Duration) {
 	m.now = m.now.Add(d)
-	m.check()
+	m.checkInvariant()
 }
 
-// check holds the bound against what was confirmed.
-func (m *clusterModel) check() {
+// checkInvariant holds the bound against what was confirmed.
+func (m *clusterModel) checkInvariant() {
 	if !m.bound.MayRenew(m.clock(0)) {
 		return
 	}
 	for id, at := range m.confirmedAt {
-		if !m.known[id] && m.now.Sub(at) > maxRenewal {
+		if !m.known[id] && m.now.Sub(at) > maxRenewalDelay {
 			m.t.Fatalf("leases are renewed %v after the cancellation of %s was confirmed, which the leader does not know", m.now.Sub(at), id)
 		}
 	}
 }
 
-// watch is an answer of the store: all that it had when it was asked.
-func (m *clusterModel) watch(took time.Duration) {
+// watchStore is an answer of the store: all that it had when it was asked.
+func (m *clusterModel) watchStore(took time.Duration) {
 	asked, storedThen := m.clock(0), len(m.stored)
 	if rapid.Bool().Draw(m.t, "meanwhile") {
-		m.passTime(took / 2)
-		m.event(true)
+		m.advanceTime(took / 2)
+		m.randomEvent(true)
 	}
-	m.passTime(took / 2)
+	m.advanceTime(took / 2)
 	for _, id := range m.stored[:storedThen] {
 		m.known[id] = true
 	}
-	if m.mistake == contactAtWatch {
+	if m.mutant == contactAtWatchAnswer {
 		asked = m.clock(0)
 	}
-	m.bound.NoteContact(asked)
+	m.bound.RecordContact(asked)
 }
 
-// inquire has the leader ask every other controller once.
-func (m *clusterModel) inquire() {
+// queryPeers has the leader ask every other controller once.
+func (m *clusterModel) queryPeers() {
 	asked, began := m.clock(0), m.now
-	span := m.bound.InquirySpan(asked, inquiryTimeout)
-	answers, all := m.collect(span)
-	if m.mistake == acceptOldAnswers && m.oldAnswers != nil {
-		answers, m.oldAnswers = m.oldAnswers, answers
+	span := m.bound.RequiredSpan(asked, queryTimeout)
+	answers, all := m.collectAnswers(span)
+	if m.mutant == acceptStaleAnswers && m.previousAnswers != nil {
+		answers, m.previousAnswers = m.previousAnswers, answers
 	} else {
-		m.oldAnswers = answers
+		m.previousAnswers = answers
 	}
-	if m.mistake != omitOwnList {
-		own := m.logs[0].Confirmed(span, m.clock(0))
-		answers = append(answers, PeerAnswer{Confirmed: &own, QuietFor: m.logs[0].QuietFor(m.clock(0))})
+	if m.mutant != omitOwnList {
+		own := m.logs[0].ConfirmedWithin(span, m.clock(0))
+		answers = append(answers, PeerAnswer{Confirmed: &own, SinceLastConfirmation: m.logs[0].SinceLastConfirmation(m.clock(0))})
 	}
-	if m.now.Sub(began) > inquiryTimeout {
+	if m.now.Sub(began) > queryTimeout {
 		return // it was given up
 	}
 	ids, ok := m.bound.Covers(answers, m.clock(0))
-	if !ok || !all && m.mistake != acceptMissing {
+	if !ok || !all && m.mutant != acceptMissing {
 		return
 	}
-	if m.mistake != ignoreIDs {
+	if m.mutant != ignoreIDs {
 		for _, id := range ids {
 			m.known[id] = true
 		}
 	}
-	if m.mistake == contactAtAnswer {
+	if m.mutant == contactAtAnswer {
 		asked = m.clock(0)
 	}
-	m.bound.NoteContact(asked)
-	m.check()
+	m.bound.RecordContact(asked)
+	m.checkInvariant()
 }
 
-// collect collects the other controllers' answers. all is false where one is missing.
-func (m *clusterModel) collect(span time.Duration) (answers []PeerAnswer, all bool) {
+// collectAnswers collects the other controllers' answers. all is false where one is missing.
+func (m *clusterModel) collectAnswers(span time.Duration) (answers []PeerAnswer, all bool) {
 	all = true
 	for i := 1; i < len(m.logs); i++ {
 		if rapid.IntRange(0, 5).Draw(m.t, "lost") == 0 {
 			all = false
 			continue
 		}
-		m.passTime(time.Duration(rapid.IntRange(0, 900).Draw(m.t, "latency")) * time.Millisecond)
-		list := m.logs[i].Confirmed(span, m.clock(i))
-		answer := PeerAnswer{Confirmed: &list, QuietFor: m.logs[i].QuietFor(m.clock(i))}
+		m.advanceTime(time.Duration(rapid.IntRange(0, 900).Draw(m.t, "latency")) * time.Millisecond)
+		list := m.logs[i].ConfirmedWithin(span, m.clock(i))
+		answer := PeerAnswer{Confirmed: &list, SinceLastConfirmation: m.logs[i].SinceLastConfirmation(m.clock(i))}
 		if rapid.IntRange(0, 9).Draw(m.t, "earlier version") == 0 {
 			answer.Confirmed = nil
 		}
-		m.spoil(&answer, span)
+		m.mutateAnswer(&answer, span)
 		answers = append(answers, answer)
 		for range rapid.IntRange(0, 2).Draw(m.t, "meanwhile") {
-			m.event(true)
+			m.randomEvent(true)
 		}
 	}
 	return answers, all
 }
 
-// spoil changes an answer where that is the mistake.
-func (m *clusterModel) spoil(answer *PeerAnswer, span time.Duration) {
+// mutateAnswer changes an answer where that is the mistake.
+func (m *clusterModel) mutateAnswer(answer *PeerAnswer, span time.Duration) {
 	list := answer.Confirmed
 	if list == nil {
-		if m.mistake == quietSinceForever {
-			answer.QuietFor = time.Hour
+		if m.mutant == unboundedSinceLast {
+			answer.SinceLastConfirmation = time.Hour
 		}
 		return
 	}
-	switch m.mistake {
+	switch m.mutant {
 	case ignoreSpan:
 		list.SpanMS = time.Hour.Milliseconds()
 	case truncateList:
 		list.IDs = list.IDs[:min(len(list.IDs), 1)]
 		list.SpanMS = span.Milliseconds()
-	case listSinceAsked:
+	case listOnlySinceQuery:
 		list.IDs = nil
 		list.SpanMS = span.Milliseconds()
 	}
 }
 
-// event is anything but an inquiry or a watch. Time passes only outside of these.
-func (m *clusterModel) event(inside bool) {
+// randomEvent is anything but an inquiry or a watch. Time passes only outside of these.
+func (m *clusterModel) randomEvent(inside bool) {
 	controller := rapid.IntRange(0, len(m.logs)-1).Draw(m.t, "controller")
 	switch rapid.IntRange(0, 4).Draw(m.t, "event") {
 	case 0:
@@ -213,7 +213,7 @@
 		m.confirmAgain(controller)
 	case 4:
 		if !inside {
-			m.passTime(time.Duration(rapid.IntRange(0, 4000).Draw(m.t, "for")) * time.Millisecond)
+			m.advanceTime(time.Duration(rapid.IntRange(0, 4000).Draw(m.t, "for")) * time.Millisecond)
 		}
 	}
 }
@@ -259,16 +259,16 @@
 	}
 	old := m.logs[controller]
 	log := NewLog(m.clock(controller))
-	if m.mistake == inheritSpan {
+	if m.mutant == inheritSpan {
 		log.completeFrom, log.lastConfirmed = old.completeFrom, old.lastConfirmed
 	}
 	m.logs[controller] = log
 }
 
-// play draws a sequence of events, with the leader in and out of touch with the store.
-func play(t *rapid.T, wrong mistake) {
+// runModel draws a sequence of events, with the leader in and out of touch with the store.
+func runModel(t *rapid.T, wrong mutant) {
 	m := &clusterModel{
-		t: t, mistake: wrong, now: modelStart, bound: NewRenewalBound(cancelTime, leaseTime),
+		t: t, mutant: wrong, now: modelStart, bound: NewRenewalBound(cancelTime, leaseTime),
 		unconfirmed: map[string]int{}, confirmedAt: map[string]time.Time{}, known: map[string]bool{},
 	}
 	if wrong == boundTooWide {
@@ -282,17 +282,17 @@
 	for range rapid.IntRange(20, 90).Draw(t, "events") {
 		switch n := rapid.IntRange(0, 9).Draw(t, "next"); {
 		case n < 3 && !storeDown:
-			m.watch(time.Duration(rapid.IntRange(0, 8000).Draw(t, "took")) * time.Millisecond)
+			m.watchStore(time.Duration(rapid.IntRange(0, 8000).Draw(t, "took")) * time.Millisecond)
 			storeDown = rapid.IntRange(0, 4).Draw(t, "store goes away") == 0
 		case n < 5 && storeDown:
-			m.inquire()
+			m.queryPeers()
 		case n == 9 && rapid.IntRange(0, 9).Draw(t, "store comes back") == 0:
 			storeDown = false
 		default:
-			m.event(false)
-			m.passTime(time.Duration(rapid.IntRange(0, 2000).Draw(t, "then")) * time.Millisecond)
+			m.randomEvent(false)
+			m.advanceTime(time.Duration(rapid.IntRange(0, 2000).Draw(t, "then")) * time.Millisecond)
 		}
-		m.check()
+		m.checkInvariant()
 	}
 }
 
@@ -300,19 +300,19 @@
 // restart, answer late or are of an earlier version: no lease is renewed beyond the bound of
 // a cancellation that the leader does not know.
 func TestNoRenewalBeyondUnknownCancellation(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { play(t, noMistake) })
+	rapid.Check(t, func(t *rapid.T) { runModel(t, noMutant) })
 }
 
 // Each mistake is found: the property can fail.
-func TestRenewalBoundModelFindsMistakes(t *testing.T) {
+func TestRenewalBoundModelDetectsMutants(t *testing.T) {
 	checks := flag.Lookup("rapid.checks").Value.String()
 	if err := flag.Set("rapid.checks", "20000"); err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = flag.Set("rapid.checks", checks) }()
-	for _, wrong := range allMistakes {
+	for _, wrong := range allMutants {
 		failed := false
-		rapid.Check(&failureRecorder{failed: &failed}, func(t *rapid.T) { play(t, wrong) })
+		rapid.Check(&failureRecorder{failed: &failed}, func(t *rapid.T) { runModel(t, wrong) })
 		if !failed {
 			t.Errorf("not found: %s", wrong)
 		}
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// seconds draws a duration of up to so many seconds.
-func seconds(t *rapid.T, limit int, name string) time.Duration {
+// drawSeconds draws a duration of up to so many seconds.
+func drawSeconds(t *rapid.T, limit int, name string) time.Duration {
 	return time.Duration(rapid.IntRange(0, limit).Draw(t, name)) * time.Second
 }
 
@@ -35,13 +35,13 @@
 		const margin = 5 * time.Second
 		var left *time.Duration
 		if rapid.Bool().Draw(t, "by a time") {
-			l := seconds(t, 400, "left") - 20*time.Second
+			l := drawSeconds(t, 400, "left") - 20*time.Second
 			left = &l
 		}
 		d := Decide(task, left, margin)
 		leaves := d.Action == Move || d.Action == Restart
 		over := left != nil && *left <= margin
-		inTime := left == nil || time.Duration(float64(task.Remaining)*estimateFactor) <= *left && !task.Service
+		inTime := left == nil || time.Duration(float64(task.Remaining)*estimateErrorFactor) <= *left && !task.Service
 		switch {
 		case d.Reason == "":
 			t.Fatalf("no reason for %+v", task)
@@ -51,17 +51,17 @@
 			t.Fatalf("%s, and %v of %v are lost", d.Action, d.Lost, task.Ran)
 		case d.Lost > 0 && inTime && !over:
 			t.Fatalf("thrown away, though it would end in time: %+v", d)
-		case d.Action == Restart && task.Saves && !over:
+		case d.Action == Restart && task.CanSave && !over:
 			t.Fatalf("thrown away, though it can save: %+v", task)
-		case d.Action == Move && !over && task.Running && !task.Saves && !task.Service:
+		case d.Action == Move && !over && task.Running && !task.CanSave && !task.Service:
 			t.Fatalf("moved, though it cannot save: %+v", task)
-		case leaves && left == nil && task.Place != Room:
+		case leaves && left == nil && task.Place != HasRoom:
 			t.Fatalf("stopped without room elsewhere, though there is no time limit: %+v", task)
 		case leaves && left == nil && task.Service && task.Running && task.OtherReplicas == 0:
 			t.Fatalf("the last replica is stopped: %+v", task)
 		case leaves && inTime && !over && task.Running && !task.Service && task.Urgent && hasNoSlack(task):
 			t.Fatalf("urgent work without slack is moved: %+v", task)
-		case d.Action == Blocked && task.Place != Nowhere:
+		case d.Action == Blocked && task.Place != NotPermitted:
 			t.Fatalf("blocked, though there is a place: %+v", task)
 		}
 	})
@@ -74,22 +74,22 @@
 		Gang:            rapid.Bool().Draw(t, "gang"),
 		Service:         rapid.Bool().Draw(t, "replica"),
 		Urgent:          rapid.Bool().Draw(t, "urgent"),
-		Remaining:       seconds(t, 300, "remaining"),
-		Saves:           rapid.Bool().Draw(t, "saves"),
-		RestartDuration: seconds(t, 20, "restart"),
+		Remaining:       drawSeconds(t, 300, "remaining"),
+		CanSave:         rapid.Bool().Draw(t, "saves"),
+		RestartDuration: drawSeconds(t, 20, "restart"),
 		OtherReplicas:   rapid.IntRange(0, 2).Draw(t, "others"),
 		Place:           Place(rapid.IntRange(0, 2).Draw(t, "place")),
 	}
 	task.Gang = task.Gang && !task.Service
 	if task.Running {
-		task.Ran = seconds(t, 300, "ran")
+		task.Ran = drawSeconds(t, 300, "ran")
 	}
-	task.Waiting = task.Gang && !task.Running
-	if task.Saves {
-		task.SaveDuration = seconds(t, 10, "save")
+	task.WaitingForGang = task.Gang && !task.Running
+	if task.CanSave {
+		task.SaveDuration = drawSeconds(t, 10, "save")
 	}
 	if rapid.Bool().Draw(t, "due") {
-		slack := seconds(t, 100, "slack")
+		slack := drawSeconds(t, 100, "slack")
 		task.Slack = &slack
 	}
 	return task
@@ -107,10 +107,10 @@
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		spec := &Spec{
-			Kind:          Upgrade,
-			TargetVersion: "2",
-			AtOnce:        rapid.IntRange(1, 4).Draw(t, "at once"),
-			MinInService:  rapid.IntRange(0, 3).Draw(t, "keep up"),
+			Kind:            KindUpgrade,
+			TargetVersion:   "2",
+			MaxOutOfService: rapid.IntRange(1, 4).Draw(t, "at once"),
+			MinInService:    rapid.IntRange(0, 3).Draw(t, "keep up"),
 		}
 		failPercent := rapid.SampledFrom([]int{0, 0, 30, 100}).Draw(t, "fails, percent")
 		fleet := drawFleet(t)
@@ -129,14 +129,14 @@
 			if step > 2000 {
 				t.Fatalf("it does not end: %+v", r)
 			}
-			r.Judge(fleet.candidates())
+			r.DecideRollback(fleet.candidates())
 			if fleet.finished(r.Target, soak) {
 				break
 			}
 			zones, classes := fleet.inService()
-			taken := r.Next(spec, fleet.candidates(), zones, classes, soak)
-			if len(taken) > spec.AtOnce {
-				t.Fatalf("%d machines are out of service, want at most %d", len(taken), spec.AtOnce)
+			taken := r.SelectOutOfService(spec, fleet.candidates(), zones, classes, soak)
+			if len(taken) > spec.MaxOutOfService {
+				t.Fatalf("%d machines are out of service, want at most %d", len(taken), spec.MaxOutOfService)
 			}
 			for _, m := range fleet {
 				m.OutOfService = slices.Contains(taken, m.Name)
@@ -149,7 +149,7 @@
 		if failPercent == 0 && r.RolledBack {
 			t.Fatalf("rolled back, though nothing fails: %+v", r)
 		}
-		if failPercent == 100 && r.From != "" && !r.RolledBack && spec.AtOnce < len(fleet)-2 {
+		if failPercent == 100 && r.Previous != "" && !r.RolledBack && spec.MaxOutOfService < len(fleet)-2 {
 			t.Fatalf("not rolled back, though all fail: %+v", r)
 		}
 	})
@@ -168,11 +168,11 @@
 	var fleet simulatedFleet
 	for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 		m := &simulatedMachine{Candidate: Candidate{
-			Machine: Machine{Name: fmt.Sprintf("m-%02d", i), Zone: string("ab"[i%2]), Version: "1"},
-			Up:      true,
-			Empty:   rapid.Bool().Draw(t, "empty"),
-			Cost:    seconds(t, 100, "cost"),
-			Classes: []string{"any"},
+			Machine:   Machine{Name: fmt.Sprintf("m-%02d", i), Zone: string("ab"[i%2]), Version: "1"},
+			InService: true,
+			Empty:     rapid.Bool().Draw(t, "empty"),
+			Cost:      drawSeconds(t, 100, "cost"),
+			Classes:   []string{"any"},
 		}}
 		if rapid.IntRange(0, 9).Draw(t, "has it") == 0 {
 			m.Version = "2"
@@ -201,7 +201,7 @@
 func (f simulatedFleet) inService() (zones, classes map[string]int) {
 	zones, classes = map[string]int{}, map[string]int{}
 	for _, m := range f {
-		if m.Up && !m.OutOfService {
+		if m.InService && !m.OutOfService {
 			zones[m.Zone]++
 			classes["any"]++
 		}
@@ -211,7 +211,7 @@
 
 // checkMinInService fails if any machine is out of service while a zone has too few left.
 func (f simulatedFleet) checkMinInService(t *rapid.T, least int) {
-	if !slices.ContainsFunc(f, func(m *simulatedMachine) bool { return m.OutOfService && !m.Failed }) {
+	if !slices.ContainsFunc(f, func(m *simulatedMachine) bool { return m.OutOfService && !m.Faulty }) {
 		return
 	}
 	zones, _ := f.inService()
@@ -230,13 +230,13 @@
 			m.steps++
 			if m.steps > 2 { // emptied, and given its version
 				m.Version, m.steps, m.OutOfService, m.Empty = version, 0, false, false
-				m.Proven, m.Failed, m.VersionAge, m.Up = false, false, time.Millisecond, true
+				m.Proven, m.Faulty, m.VersionAge, m.InService = false, false, time.Millisecond, true
 			}
 		case m.VersionAge > 0:
 			m.VersionAge += time.Second
 			if m.Version == "2" && rapid.IntRange(1, 100).Draw(t, "fails") <= failPercent {
-				m.Failed, m.Up = true, false
-			} else if m.VersionAge > 2*time.Second && !m.Failed {
+				m.Faulty, m.InService = true, false
+			} else if m.VersionAge > 2*time.Second && !m.Faulty {
 				m.Proven = true
 			}
 		}
@@ -251,47 +251,47 @@
 		want   string // the next starts, in UTC, and whether the window is in force at the time
 	}{
 		"Sundays at two, winter": {
-			Window{Rule: "FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0", Zone: "Europe/Warsaw", ForS: 7200},
+			Window{Rule: "FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0", TimeZone: "Europe/Warsaw", DurationS: 7200},
 			"2026-03-16T00:00", "03-22T01:00 03-29T01:00 04-05T00:00",
 		},
 		"the hour that there is not": {
-			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=30;BYSECOND=0", Zone: "Europe/Warsaw", ForS: 3600},
+			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=30;BYSECOND=0", TimeZone: "Europe/Warsaw", DurationS: 3600},
 			"2026-03-27T12:00", "03-28T01:30 03-29T01:30 03-30T00:30",
 		},
 		"the hour that there is twice": {
-			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=30;BYSECOND=0", Zone: "Europe/Warsaw", ForS: 3600},
+			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=30;BYSECOND=0", TimeZone: "Europe/Warsaw", DurationS: 3600},
 			"2026-10-24T12:00", "10-25T00:30 10-26T01:30 10-27T01:30",
 		},
 		"where clocks stay": {
-			Window{Rule: "FREQ=MONTHLY;BYDAY=1MO;BYHOUR=4;BYMINUTE=0;BYSECOND=0", Zone: "Atlantic/Reykjavik", ForS: 7200},
+			Window{Rule: "FREQ=MONTHLY;BYDAY=1MO;BYHOUR=4;BYMINUTE=0;BYSECOND=0", TimeZone: "Atlantic/Reykjavik", DurationS: 7200},
 			"2026-03-05T00:00", "04-06T04:00 05-04T04:00 06-01T04:00",
 		},
 		"within one": {
-			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=0;BYSECOND=0", Zone: "UTC", ForS: 3600},
+			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=0;BYSECOND=0", TimeZone: "UTC", DurationS: 3600},
 			"2026-06-01T02:59", "holds, 06-02T02:00 06-03T02:00 06-04T02:00",
 		},
 		"after it": {
-			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=0;BYSECOND=0", Zone: "UTC", ForS: 3600},
+			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=0;BYSECOND=0", TimeZone: "UTC", DurationS: 3600},
 			"2026-06-01T03:00", "06-02T02:00 06-03T02:00 06-04T02:00",
 		},
 		"ahead of it": {
-			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=0;BYSECOND=0", Zone: "UTC", ForS: 3600, LeadS: 1800},
+			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=0;BYSECOND=0", TimeZone: "UTC", DurationS: 3600, LeadS: 1800},
 			"2026-06-01T01:30", "holds until empty at 06-01T02:00, 06-01T02:00 06-02T02:00 06-03T02:00",
 		},
 		"every other week": {
-			Window{Rule: "FREQ=WEEKLY;INTERVAL=2;BYDAY=TU;BYHOUR=22;BYMINUTE=0;BYSECOND=0", Zone: "UTC", ForS: 3600, Starts: "2026-06-02T22:00"},
+			Window{Rule: "FREQ=WEEKLY;INTERVAL=2;BYDAY=TU;BYHOUR=22;BYMINUTE=0;BYSECOND=0", TimeZone: "UTC", DurationS: 3600, FirstStart: "2026-06-02T22:00"},
 			"2026-06-03T00:00", "06-16T22:00 06-30T22:00 07-14T22:00",
 		},
 		"across the change": {
-			Window{Rule: "FREQ=DAILY;BYHOUR=1;BYMINUTE=0;BYSECOND=0", Zone: "Europe/Warsaw", ForS: 4 * 3600},
+			Window{Rule: "FREQ=DAILY;BYHOUR=1;BYMINUTE=0;BYSECOND=0", TimeZone: "Europe/Warsaw", DurationS: 4 * 3600},
 			"2026-03-29T03:59", "holds, 03-29T23:00 03-30T23:00 03-31T23:00",
 		},
 		"twice, and no more": {
-			Window{Rule: "FREQ=DAILY;COUNT=2", Zone: "UTC", ForS: 3600, Starts: "2026-06-01T10:00"},
+			Window{Rule: "FREQ=DAILY;COUNT=2", TimeZone: "UTC", DurationS: 3600, FirstStart: "2026-06-01T10:00"},
 			"2026-06-01T12:00", "06-02T10:00",
 		},
 	} {
-		at, err := time.Parse(localTime, test.at)
+		at, err := time.Parse(localTimeLayout, test.at)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -300,11 +300,11 @@
 			continue
 		}
 		var got []string
-		for _, next := range test.window.Next(at, 3) {
+		for _, next := range test.window.NextStarts(at, 3) {
 			got = append(got, next.UTC().Format("01-02T15:04"))
 		}
 		text := strings.Join(got, " ")
-		spec := Spec{Kind: Empty, Window: &test.window}
+		spec := Spec{Kind: KindDrain, Window: &test.window}
 		if inForce, emptyBy, _ := spec.InForce(at); inForce && !emptyBy.IsZero() {
 			text = "holds until empty at " + emptyBy.UTC().Format("01-02T15:04") + ", " + text
 		} else if inForce {
@@ -327,16 +327,16 @@
 		w := Window{
 			Rule: rapid.SampledFrom(rules).Draw(t, "rule") +
 				fmt.Sprintf(timeOfDay, rapid.IntRange(0, 23).Draw(t, "hour"), rapid.IntRange(0, 59).Draw(t, "minute")),
-			Zone:  rapid.SampledFrom(zones).Draw(t, "zone"),
-			ForS:  float64(rapid.IntRange(1, 600).Draw(t, "minutes") * 60),
-			LeadS: float64(rapid.IntRange(0, 600).Draw(t, "lead") * 60),
+			TimeZone:  rapid.SampledFrom(zones).Draw(t, "zone"),
+			DurationS: float64(rapid.IntRange(1, 600).Draw(t, "minutes") * 60),
+			LeadS:     float64(rapid.IntRange(0, 600).Draw(t, "lead") * 60),
 		}
 		at := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(rapid.IntRange(0, 600*24*60).Draw(t, "at")) * time.Minute)
 		if err := w.Check(at); err != nil {
 			t.Skip(err.Error())
 		}
 		want := false
-		for _, start := range w.Next(at.Add(-48*time.Hour), 10) {
+		for _, start := range w.NextStarts(at.Add(-48*time.Hour), 10) {
 			want = want || !at.Before(start.Add(-w.lead())) && at.Before(start.Add(w.length()))
 		}
 		inForce, emptyBy, next := w.inForce(at)
@@ -346,7 +346,7 @@
 		if !next.After(at) {
 			t.Fatalf("at %v the next change is at %v, want a later time", at, next)
 		}
-		if after, _, _ := w.inForce(next); after == inForce && w.LeadS == 0 && w.Next(next.Add(-time.Second), 1)[0] != next {
+		if after, _, _ := w.inForce(next); after == inForce && w.LeadS == 0 && w.NextStarts(next.Add(-time.Second), 1)[0] != next {
 			t.Fatalf("%+v: at %v nothing changes", w, next)
 		}
 		if inForce && w.LeadS > 0 && (emptyBy.Before(at.Add(-w.length())) || emptyBy.After(at.Add(w.lead()))) {
@@ -364,68 +364,68 @@
 		want string
 	}{
 		"a zone":            {Spec{ID: "d-1", Zone: "north"}, ""},
-		"an upgrade of all": {Spec{ID: "d-1", Kind: Upgrade, TargetVersion: "2", AtOnce: 1}, ""},
+		"an upgrade of all": {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2", MaxOutOfService: 1}, ""},
 		"a window": {
-			Spec{ID: "d-1", Zone: "north", Window: &Window{Rule: rule, Zone: "Europe/Warsaw", ForS: 3600}},
+			Spec{ID: "d-1", Zone: "north", Window: &Window{Rule: rule, TimeZone: "Europe/Warsaw", DurationS: 3600}},
 			"",
 		},
 		"no id":              {Spec{Zone: "north"}, "id:"},
 		"another id":         {Spec{ID: "d-../x", Zone: "north"}, "id:"},
 		"nothing said":       {Spec{ID: "d-1"}, "machines: nothing"},
-		"none at a time":     {Spec{ID: "d-1", Kind: Upgrade, TargetVersion: "2"}, "at_once:"},
-		"too many at a time": {Spec{ID: "d-1", Kind: Upgrade, TargetVersion: "2", AtOnce: 1_000_001}, "at_once:"},
-		"to nothing":         {Spec{ID: "d-1", Kind: Upgrade, AtOnce: 1}, "to_version:"},
+		"none at a time":     {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2"}, "at_once:"},
+		"too many at a time": {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2", MaxOutOfService: 1_000_001}, "at_once:"},
+		"to nothing":         {Spec{ID: "d-1", Kind: KindUpgrade, MaxOutOfService: 1}, "to_version:"},
 		"a version to drain": {Spec{ID: "d-1", Zone: "a", TargetVersion: "2"}, "to_version"},
 		"kind":               {Spec{ID: "d-1", Kind: "burn", Zone: "a"}, "kind:"},
 		"then":               {Spec{ID: "d-1", Zone: "a", WhenEmpty: "sell"}, "then:"},
-		"over already":       {Spec{ID: "d-1", Zone: "a", ByMS: now.UnixMilli() - 1}, "by_ms:"},
-		"cordon by a time":   {Spec{ID: "d-1", Kind: Cordon, Zone: "a", ByMS: now.UnixMilli() + 1}, "by_ms:"},
+		"over already":       {Spec{ID: "d-1", Zone: "a", DeadlineMS: now.UnixMilli() - 1}, "by_ms:"},
+		"cordon by a time":   {Spec{ID: "d-1", Kind: KindCordon, Zone: "a", DeadlineMS: now.UnixMilli() + 1}, "by_ms:"},
 		"an empty name":      {Spec{ID: "d-1", Machines: []string{""}}, "empty name"},
 		"a long name":        {Spec{ID: "d-1", Zone: strings.Repeat("x", 201)}, "too long"},
-		"the whole fleet":    {Spec{ID: "d-1", Kind: Upgrade, TargetVersion: "2", AtOnce: 4000}, ""},
+		"the whole fleet":    {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2", MaxOutOfService: 4000}, ""},
 		"names of a fleet":   {Spec{ID: "d-1", Machines: slices.Repeat([]string{"m-000101"}, 4000)}, ""},
-		"stays up":           {Spec{ID: "d-1", Kind: Upgrade, TargetVersion: "2", AtOnce: 1, MinInService: -1}, "keep_up:"},
-		"negative age":       {Spec{ID: "d-1", OlderS: -1}, "older_than_s:"},
+		"stays up":           {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2", MaxOutOfService: 1, MinInService: -1}, "keep_up:"},
+		"negative age":       {Spec{ID: "d-1", OlderThanS: -1}, "older_than_s:"},
 		"never": {
-			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule + ";UNTIL=20200101T000000Z", Zone: "UTC", ForS: 3600}},
+			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule + ";UNTIL=20200101T000000Z", TimeZone: "UTC", DurationS: 3600}},
 			"window.rule: no window comes",
 		},
 		"never, by the month": {
-			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30", Zone: "UTC", ForS: 3600}},
+			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30", TimeZone: "UTC", DurationS: 3600}},
 			"window.rule: no window comes",
 		},
 		"no rule": {
-			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: "now and then", Zone: "UTC", ForS: 3600}},
+			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: "now and then", TimeZone: "UTC", DurationS: 3600}},
 			"window.rule:",
 		},
 		"no time zone": {
-			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, Zone: "Mars/Olympus", ForS: 3600}},
+			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "Mars/Olympus", DurationS: 3600}},
 			"window.zone:",
 		},
 		"the machine's zone": {
-			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, Zone: "Local", ForS: 3600}},
+			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "Local", DurationS: 3600}},
 			"window.zone:",
 		},
-		"a moment": {Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, Zone: "UTC", ForS: 1}}, "window.for_s:"},
+		"a moment": {Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 1}}, "window.for_s:"},
 		"without an end": {
-			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, Zone: "UTC", ForS: 90000}},
+			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 90000}},
 			"window.for_s: the next",
 		},
 		"every minute": {
-			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: "FREQ=MINUTELY", Zone: "UTC", ForS: 60}},
+			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: "FREQ=MINUTELY", TimeZone: "UTC", DurationS: 60}},
 			"window.rule: more often",
 		},
 		"starts": {
-			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, Zone: "UTC", ForS: 60, Starts: "soon"}},
+			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 60, FirstStart: "soon"}},
 			"window.starts:",
 		},
 		"a window and a time": {
-			Spec{ID: "d-1", Zone: "a", ByMS: now.UnixMilli() + 1, Window: &Window{Rule: rule, Zone: "UTC", ForS: 60}},
+			Spec{ID: "d-1", Zone: "a", DeadlineMS: now.UnixMilli() + 1, Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 60}},
 			"by_ms:",
 		},
 		"withdrawn beforehand": {Spec{ID: "d-1", Zone: "a", Stopped: true}, "stopped:"},
 		"not a number of hours": {
-			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, Zone: "UTC", ForS: 60, LeadS: -1}},
+			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 60, LeadS: -1}},
 			"window.lead_s:",
 		},
 	} {
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -13,9 +13,9 @@
 
 // Kinds of drains.
 const (
-	Cordon  = "cordon"  // the machines get no new tasks; what runs goes on
-	Empty   = "drain"   // no new tasks, and what runs ends or moves: graceful eviction
-	Upgrade = "upgrade" // the same, some machines at a time, until each has another version
+	KindCordon  = "cordon"  // the machines get no new tasks; what runs goes on
+	KindDrain   = "drain"   // no new tasks, and what runs ends or moves: graceful eviction
+	KindUpgrade = "upgrade" // the same, some machines at a time, until each has another version
 )
 
 // What becomes of an empty machine.
@@ -25,36 +25,36 @@
 )
 
 // Spec is the drain that an operator asks for. It is stored as it is, and later versions must read it:
-// fields are only added. Of Machines, Type, Zone, OlderS and Version all that are given must match.
+// fields are only added. Of Machines, Type, Zone, OlderThanS and Version all that are given must match.
 type Spec struct {
-	ID            string   `json:"id"`
-	Kind          string   `json:"kind"`
-	Machines      []string `json:"machines,omitempty"` // by name
-	Type          string   `json:"type,omitempty"`
-	Zone          string   `json:"zone,omitempty"`
-	OlderS        float64  `json:"older_than_s,omitempty"` // requested from the cloud at least so many seconds ago
-	Version       string   `json:"version,omitempty"`      // of its worker
-	ByMS          int64    `json:"by_ms,omitempty"`        // time of day by which it must be empty
-	WhenEmpty     string   `json:"then,omitempty"`
-	TargetVersion string   `json:"to_version,omitempty"` // of an upgrade
-	AtOnce        int      `json:"at_once,omitempty"`    // machines of an upgrade that are out of service at a time
-	MinInService  int      `json:"keep_up,omitempty"`    // machines that stay in service in each zone, and for each class
-	Window        *Window  `json:"window,omitempty"`     // when it holds; nil: from now on until it is stopped
-	BeganMS       int64    `json:"began_ms"`             // time of day when it was asked for
-	Stopped       bool     `json:"stopped,omitempty"`    // withdrawn
+	ID              string   `json:"id"`
+	Kind            string   `json:"kind"`
+	Machines        []string `json:"machines,omitempty"` // by name
+	Type            string   `json:"type,omitempty"`
+	Zone            string   `json:"zone,omitempty"`
+	OlderThanS      float64  `json:"older_than_s,omitempty"` // requested from the cloud at least so many seconds ago
+	Version         string   `json:"version,omitempty"`      // of its worker
+	DeadlineMS      int64    `json:"by_ms,omitempty"`        // time of day by which it must be empty
+	WhenEmpty       string   `json:"then,omitempty"`
+	TargetVersion   string   `json:"to_version,omitempty"` // of an upgrade
+	MaxOutOfService int      `json:"at_once,omitempty"`    // machines of an upgrade that are out of service at a time
+	MinInService    int      `json:"keep_up,omitempty"`    // machines that stay in service in each zone, and for each class
+	Window          *Window  `json:"window,omitempty"`     // when it holds; nil: from now on until it is stopped
+	RequestedMS     int64    `json:"began_ms"`             // time of day when it was asked for
+	Stopped         bool     `json:"stopped,omitempty"`    // withdrawn
 
-	named map[string]struct{} // Machines as a set, made when it is first needed
+	machineSet map[string]struct{} // Machines as a set, made when it is first needed
 }
 
 // Bounds of what operators may ask for. Those of numbers of machines only refuse what no fleet
 // has. How many machines a drain may name depends on how many names its record holds, and is
 // checked where the record is written.
 const (
-	maxTextLength   = 200
-	maxIDDigits     = 40
-	maxAtOnce       = 1_000_000
-	maxMinInService = 1_000_000
-	maxOlderS       = 1e9
+	maxTextLength     = 200
+	maxIDDigits       = 40
+	outOfServiceLimit = 1_000_000
+	minInServiceLimit = 1_000_000
+	olderThanLimitS   = 1e9
 )
 
 // ValidID reports whether an id has the form "d-" and digits.
@@ -67,40 +67,40 @@
 // The errors name fields as operators do, by their JSON keys.
 func (s *Spec) Check(now time.Time) error {
 	if s.Kind == "" {
-		s.Kind = Empty
+		s.Kind = KindDrain
 	}
 	if s.WhenEmpty == "" {
 		s.WhenEmpty = Keep
 	}
-	if s.Kind == Upgrade && s.AtOnce == 0 {
+	if s.Kind == KindUpgrade && s.MaxOutOfService == 0 {
 		return errors.New("at_once: an upgrade takes at least one machine at a time, 0 would never end")
 	}
 	switch {
 	case !ValidID(s.ID):
 		return errors.New(`id: not "d-" and digits`)
-	case !slices.Contains([]string{Cordon, Empty, Upgrade}, s.Kind):
-		return fmt.Errorf("kind: %q is none of %s, %s, %s", s.Kind, Cordon, Empty, Upgrade)
+	case !slices.Contains([]string{KindCordon, KindDrain, KindUpgrade}, s.Kind):
+		return fmt.Errorf("kind: %q is none of %s, %s, %s", s.Kind, KindCordon, KindDrain, KindUpgrade)
 	case s.WhenEmpty != Keep && s.WhenEmpty != Return:
 		return fmt.Errorf("then: %q is neither %s nor %s", s.WhenEmpty, Keep, Return)
 	case s.Stopped:
 		return errors.New("stopped: a drain begins as one that holds")
-	case len(s.Machines) == 0 && s.Type == "" && s.Zone == "" && s.OlderS == 0 && s.Version == "" && s.Kind != Upgrade:
+	case len(s.Machines) == 0 && s.Type == "" && s.Zone == "" && s.OlderThanS == 0 && s.Version == "" && s.Kind != KindUpgrade:
 		return errors.New("machines: nothing is said of which machines: names, type, zone, older_than_s or version")
-	case !(s.OlderS >= 0 && s.OlderS < maxOlderS):
+	case !(s.OlderThanS >= 0 && s.OlderThanS < olderThanLimitS):
 		return errors.New("older_than_s: out of range")
-	case s.ByMS != 0 && time.UnixMilli(s.ByMS).Before(now):
+	case s.DeadlineMS != 0 && time.UnixMilli(s.DeadlineMS).Before(now):
 		return errors.New("by_ms: is over")
-	case s.ByMS != 0 && s.Kind != Empty:
-		return fmt.Errorf("by_ms: only for kind %s", Empty)
-	case s.Kind != Upgrade && (s.TargetVersion != "" || s.AtOnce != 0):
-		return fmt.Errorf("to_version, at_once: only for kind %s", Upgrade)
-	case s.Kind == Upgrade && s.TargetVersion == "":
+	case s.DeadlineMS != 0 && s.Kind != KindDrain:
+		return fmt.Errorf("by_ms: only for kind %s", KindDrain)
+	case s.Kind != KindUpgrade && (s.TargetVersion != "" || s.MaxOutOfService != 0):
+		return fmt.Errorf("to_version, at_once: only for kind %s", KindUpgrade)
+	case s.Kind == KindUpgrade && s.TargetVersion == "":
 		return errors.New("to_version: missing")
-	case s.AtOnce < 0 || s.AtOnce > maxAtOnce:
-		return fmt.Errorf("at_once: not within 1 to %d", maxAtOnce)
-	case s.MinInService < 0 || s.MinInService > maxMinInService:
+	case s.MaxOutOfService < 0 || s.MaxOutOfService > outOfServiceLimit:
+		return fmt.Errorf("at_once: not within 1 to %d", outOfServiceLimit)
+	case s.MinInService < 0 || s.MinInService > minInServiceLimit:
 		return errors.New("keep_up: out of range")
-	case s.Window != nil && s.ByMS != 0:
+	case s.Window != nil && s.DeadlineMS != 0:
 		return errors.New("by_ms: a window says by itself when machines are empty (lead_s)")
 	}
 	for _, text := range append(slices.Clone(s.Machines), s.Type, s.Zone, s.Version, s.TargetVersion) {
@@ -126,31 +126,31 @@
 	Age     time.Duration // since it was requested from the cloud; 0 where that is not known
 }
 
-// names reports whether a drain's list of machines has a name. It makes a set of the list, as
+// listsMachine reports whether a drain's list of machines has a name. It makes a set of the list, as
 // thousands of names would otherwise be compared with those of thousands of machines each time.
-func (s *Spec) names(machine string) bool {
-	if s.named == nil {
-		s.named = make(map[string]struct{}, len(s.Machines))
+func (s *Spec) listsMachine(machine string) bool {
+	if s.machineSet == nil {
+		s.machineSet = make(map[string]struct{}, len(s.Machines))
 		for _, name := range s.Machines {
-			s.named[name] = struct{}{}
+			s.machineSet[name] = struct{}{}
 		}
 	}
-	_, found := s.named[machine]
+	_, found := s.machineSet[machine]
 	return found
 }
 
 // Selects reports whether a drain applies to a machine, upgraded or not. It is not for concurrent use.
 func (s *Spec) Selects(m Machine) bool {
-	return (len(s.Machines) == 0 || s.names(m.Name)) &&
+	return (len(s.Machines) == 0 || s.listsMachine(m.Name)) &&
 		(s.Type == "" || s.Type == m.Type) && (s.Zone == "" || s.Zone == m.Zone) &&
-		(s.OlderS == 0 || m.Age.Seconds() >= s.OlderS) &&
-		(s.Version == "" || s.Version == m.Version || s.Kind == Upgrade && m.Version == s.TargetVersion)
+		(s.OlderThanS == 0 || m.Age.Seconds() >= s.OlderThanS) &&
+		(s.Version == "" || s.Version == m.Version || s.Kind == KindUpgrade && m.Version == s.TargetVersion)
 }
 
-// BarsScaleOut reports whether machines of a type in a zone, yet to be requested, would be drained as
+// BlocksScaleOut reports whether machines of a type in a zone, yet to be requested, would be drained as
 // well: then none is requested there.
-func (s *Spec) BarsScaleOut(typ, zone string) bool {
-	return s.Kind != Upgrade && len(s.Machines) == 0 && s.OlderS == 0 && s.Version == "" &&
+func (s *Spec) BlocksScaleOut(typ, zone string) bool {
+	return s.Kind != KindUpgrade && len(s.Machines) == 0 && s.OlderThanS == 0 && s.Version == "" &&
 		s.Selects(Machine{Type: typ, Zone: zone})
 }
 
@@ -161,8 +161,8 @@
 		return false, emptyBy, next
 	}
 	if s.Window == nil {
-		if s.ByMS != 0 {
-			emptyBy = time.UnixMilli(s.ByMS)
+		if s.DeadlineMS != 0 {
+			emptyBy = time.UnixMilli(s.DeadlineMS)
 		}
 		return true, emptyBy, next
 	}
--- a/internal/drain/upgrade.go
+++ b/internal/drain/upgrade.go
@@ -11,10 +11,10 @@
 	Machine
 	OutOfService bool          // already being drained for this upgrade
 	Empty        bool          // nothing is on it
-	Up           bool          // it could take tasks if no drain kept it from that
+	InService    bool          // it could take tasks if no drain kept it from that
 	Cost         time.Duration // work that would be thrown away, or has to be waited for, to empty it
 	Proven       bool          // a task has completed on it since it has its version
-	Failed       bool          // with its version, tasks fail on it that succeed elsewhere
+	Faulty       bool          // with its version, tasks fail on it that succeed elsewhere
 	VersionAge   time.Duration // since it has its version; 0: it has had no other
 	Classes      []string      // of jobs that may run on it
 }
@@ -22,7 +22,7 @@
 // Rollout is the state of an upgrade that must outlive a leader.
 type Rollout struct {
 	Target     string `json:"want"`              // version that machines are to have
-	From       string `json:"from,omitempty"`    // version that most had at the start, to go back to
+	Previous   string `json:"from,omitempty"`    // version that most had at the start, to go back to
 	RolledBack bool   `json:"back,omitempty"`    // it is being rolled back
 	Reason     string `json:"why,omitempty"`     // why it is
 	Blocked    string `json:"blocked,omitempty"` // why no more machines are taken out of service now
@@ -37,16 +37,16 @@
 			continue
 		}
 		count[m.Version]++
-		if count[m.Version] > count[r.From] || count[m.Version] == count[r.From] && m.Version < r.From {
-			r.From = m.Version
+		if count[m.Version] > count[r.Previous] || count[m.Version] == count[r.Previous] && m.Version < r.Previous {
+			r.Previous = m.Version
 		}
 	}
 	return r
 }
 
-// Judge decides whether an upgrade is rolled back: where tasks that succeed elsewhere fail on machines of
+// DecideRollback decides whether an upgrade is rolled back: where tasks that succeed elsewhere fail on machines of
 // the new version, and these are at least as many as those that have proven to work.
-func (r *Rollout) Judge(all []Candidate) {
+func (r *Rollout) DecideRollback(all []Candidate) {
 	if r.RolledBack {
 		return
 	}
@@ -54,7 +54,7 @@
 	for _, m := range all {
 		switch {
 		case m.Version != r.Target:
-		case m.Failed:
+		case m.Faulty:
 			failed++
 		case m.Proven:
 			proven++
@@ -64,22 +64,22 @@
 		return
 	}
 	r.RolledBack, r.Reason = true, "machines of version "+r.Target+" fail tasks that others run"
-	if r.From != "" {
-		r.Target = r.From
+	if r.Previous != "" {
+		r.Target = r.Previous
 	}
 }
 
-// Next returns the machines that are to be out of service now: those that are already, until they have
+// SelectOutOfService returns the machines that are to be out of service now: those that are already, until they have
 // their version, and others by what emptying them costs, the cheapest first, as many as
 // the spec allows at a time. A machine that has its version, but has not proven to work, counts
 // as out of service for soak, so that a bad version is noticed on few machines.
 //
 // zones and classes count the machines in service by zone, and by class where jobs are open,
 // without those out of service. Next changes them.
-func (r *Rollout) Next(s *Spec, all []Candidate, zones, classes map[string]int, soak time.Duration) []string {
+func (r *Rollout) SelectOutOfService(s *Spec, all []Candidate, zones, classes map[string]int, soak time.Duration) []string {
 	r.Blocked = ""
-	outOfService, waiting, allowance := r.partition(s, all, soak)
-	if r.RolledBack && r.From == "" {
+	outOfService, waiting, allowance := r.classify(s, all, soak)
+	if r.RolledBack && r.Previous == "" {
 		r.Blocked = "rolled back: no earlier version is known"
 		return outOfService
 	}
@@ -88,7 +88,7 @@
 		if allowance <= 0 {
 			break
 		}
-		if m.Up && !m.Failed {
+		if m.InService && !m.Faulty {
 			if reason := tooFewLeft(s, m, zones, classes); reason != "" {
 				r.Blocked = reason
 				continue
@@ -104,10 +104,10 @@
 	return outOfService
 }
 
-// partition returns the machines that are out of service, those that wait for their version, and how many of
+// classify returns the machines that are out of service, those that wait for their version, and how many of
 // the latter may be taken out of service now.
-func (r *Rollout) partition(s *Spec, all []Candidate, soak time.Duration) (outOfService []string, waiting []Candidate, allowance int) {
-	allowance = s.AtOnce
+func (r *Rollout) classify(s *Spec, all []Candidate, soak time.Duration) (outOfService []string, waiting []Candidate, allowance int) {
+	allowance = s.MaxOutOfService
 	for _, m := range all {
 		switch {
 		case m.Version == r.Target:
@@ -117,7 +117,7 @@
 		case m.OutOfService:
 			outOfService = append(outOfService, m.Name)
 			allowance--
-		case r.RolledBack && r.From == "":
+		case r.RolledBack && r.Previous == "":
 			// Nobody knows what to go back to: what was upgraded stays as it is.
 		default:
 			waiting = append(waiting, m)
@@ -129,8 +129,8 @@
 // compare orders machines that wait for their version: of a rollback those first on which tasks
 // fail, as they are of no use meanwhile; then empty ones, then those that cost least.
 func (r *Rollout) compare(a, b Candidate) int {
-	if r.RolledBack && a.Failed != b.Failed {
-		return trueFirst(a.Failed)
+	if r.RolledBack && a.Faulty != b.Faulty {
+		return trueFirst(a.Faulty)
 	}
 	if a.Empty != b.Empty {
 		return trueFirst(a.Empty)
--- a/internal/drain/window.go
+++ b/internal/drain/window.go
@@ -11,38 +11,38 @@
 
 // Window is when maintenance happens, by the operators' calendar. It is stored as it is.
 type Window struct {
-	Rule   string  `json:"rule"`             // RFC 5545 RRULE, with DTSTART in local time where it matters
-	Zone   string  `json:"zone"`             // IANA time zone in which the rule is read
-	ForS   float64 `json:"for_s"`            // how long each window is
-	LeadS  float64 `json:"lead_s,omitempty"` // draining begins so long before, and machines are empty when it starts
-	Starts string  `json:"starts,omitempty"` // first day and time, as 2006-01-02T15:04 in that zone; the rule counts from it
+	Rule       string  `json:"rule"`             // RFC 5545 RRULE, with DTSTART in local time where it matters
+	TimeZone   string  `json:"zone"`             // IANA time zone in which the rule is read
+	DurationS  float64 `json:"for_s"`            // how long each window is
+	LeadS      float64 `json:"lead_s,omitempty"` // draining begins so long before, and machines are empty when it starts
+	FirstStart string  `json:"starts,omitempty"` // first day and time, as 2006-01-02T15:04 in that zone; the rule counts from it
 }
 
 // Bounds of a window.
 const (
-	minForS   = 60
-	maxForS   = 7 * 86400.0
-	maxYears  = 2 // how far ahead the next window may be
-	maxLookup = maxYears * 366 * 24 * time.Hour
+	minWindowS        = 60
+	maxWindowS        = 7 * 86400.0
+	maxLookaheadYears = 2 // how far ahead the next window may be
+	maxLookahead      = maxLookaheadYears * 366 * 24 * time.Hour
 )
 
-// localTime is the layout of Window.Starts.
-const localTime = "2006-01-02T15:04"
+// localTimeLayout is the layout of Window.Starts.
+const localTimeLayout = "2006-01-02T15:04"
 
 // parseRule parses a window's rule in its time zone.
 func (w *Window) parseRule() (*rrule.RRule, error) {
-	location, err := time.LoadLocation(w.Zone)
-	if err != nil || w.Zone == "" || w.Zone == "Local" {
-		return nil, fmt.Errorf("window.zone: %q is no time zone, such as Europe/Warsaw", w.Zone)
+	location, err := time.LoadLocation(w.TimeZone)
+	if err != nil || w.TimeZone == "" || w.TimeZone == "Local" {
+		return nil, fmt.Errorf("window.zone: %q is no time zone, such as Europe/Warsaw", w.TimeZone)
 	}
 	option, err := rrule.StrToROptionInLocation(w.Rule, location)
 	if err != nil {
 		return nil, fmt.Errorf("window.rule: %w", err)
 	}
-	if w.Starts != "" {
-		start, err := time.ParseInLocation(localTime, w.Starts, location)
+	if w.FirstStart != "" {
+		start, err := time.ParseInLocation(localTimeLayout, w.FirstStart, location)
 		if err != nil {
-			return nil, fmt.Errorf("window.starts: %q is not of the form %s", w.Starts, localTime)
+			return nil, fmt.Errorf("window.starts: %q is not of the form %s", w.FirstStart, localTimeLayout)
 		}
 		option.Dtstart = start
 	}
@@ -65,16 +65,16 @@
 	switch {
 	case err != nil:
 		return err
-	case !(w.ForS >= minForS && w.ForS <= maxForS):
+	case !(w.DurationS >= minWindowS && w.DurationS <= maxWindowS):
 		return errors.New("window.for_s: not within a minute to a week")
-	case !(w.LeadS >= 0 && w.LeadS <= maxForS):
+	case !(w.LeadS >= 0 && w.LeadS <= maxWindowS):
 		return errors.New("window.lead_s: not within 0 to a week")
 	case rule.OrigOptions.Freq > rrule.DAILY && len(rule.OrigOptions.Byhour) == 0:
 		return errors.New("window.rule: more often than daily")
 	}
 	first, ok := w.startAfter(rule, now.Add(-w.length()))
 	if !ok {
-		return fmt.Errorf("window.rule: no window comes within %d years", maxYears)
+		return fmt.Errorf("window.rule: no window comes within %d years", maxLookaheadYears)
 	}
 	if second, ok := w.startAfter(rule, first); ok && second.Sub(first) <= w.length()+w.lead() {
 		return errors.New("window.for_s: the next window would begin before one ends")
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (w *Window) length() time.Duration { return time.Duration(w.ForS * float64(time.Second)) }
+func (w *Window) length() time.Duration { return time.Duration(w.DurationS * float64(time.Second)) }
 func (w *Window) lead() time.Duration   { return time.Duration(w.LeadS * float64(time.Second)) }
 
 // startAfter returns the first start of the window after a time, and false if it is years away.
@@ -91,7 +91,7 @@
 	for !next.IsZero() && !firstOccurrence(next).After(t) {
 		next = rule.After(next, false)
 	}
-	return firstOccurrence(next), !next.IsZero() && next.Sub(t) < maxLookup
+	return firstOccurrence(next), !next.IsZero() && next.Sub(t) < maxLookahead
 }
 
 // firstOccurrence returns the earlier of two moments with the same local time, where clocks are set
@@ -126,8 +126,8 @@
 	return true, emptyBy, ends
 }
 
-// Next lists the next n starts of a window, in its time zone, for operators to check.
-func (w *Window) Next(at time.Time, n int) []time.Time {
+// NextStarts lists the next n starts of a window, in its time zone, for operators to check.
+func (w *Window) NextStarts(at time.Time, n int) []time.Time {
 	rule, err := w.parseRule()
 	if err != nil {
 		return nil
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -130,14 +130,14 @@
 	revision := uint64(0)
 	if row != nil {
 		holder := decodeLeader(row)
-		if !e.replaceable(holder) {
-			e.noteHolder(ctx, holder, row)
+		if !e.heldByEarlierIncarnation(holder) {
+			e.observeHolder(ctx, holder, row)
 			return nil, e.awaitChange(ctx, row.Revision)
 		}
 		revision = row.Revision
 	}
 	e.setLeader("")
-	if wait := e.campaignBarredFor(); wait > 0 {
+	if wait := e.campaignBackoff(); wait > 0 {
 		return nil, ctxtime.Sleep(ctx, min(wait, e.leaseDuration/8))
 	}
 	return e.acquire(ctx, revision)
@@ -150,16 +150,16 @@
 	return holder
 }
 
-// replaceable reports whether the key is held by an earlier incarnation of this very node: there
+// heldByEarlierIncarnation reports whether the key is held by an earlier incarnation of this very node: there
 // is one process per node, so that one has ended.
-func (e *Election) replaceable(holder records.Leader) bool {
+func (e *Election) heldByEarlierIncarnation(holder records.Leader) bool {
 	return holder.Node == e.node && holder.Incarnation != e.incarnation
 }
 
-// noteHolder takes in who holds the leader key while it cannot be taken. A key of this very
+// observeHolder takes in who holds the leader key while it cannot be taken. A key of this very
 // incarnation has nobody who serves it: either the term was resigned, and its lease is left to
 // expire, or it was won by a campaign that had got no answer.
-func (e *Election) noteHolder(ctx context.Context, holder records.Leader, row *records.KeyValue) {
+func (e *Election) observeHolder(ctx context.Context, holder records.Leader, row *records.KeyValue) {
 	if holder.Incarnation != e.incarnation {
 		e.setLeader(holder.Node)
 		return
@@ -175,7 +175,7 @@
 	}
 }
 
-func (e *Election) campaignBarredFor() time.Duration {
+func (e *Election) campaignBackoff() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Until(e.noCampaignBefore)
@@ -250,7 +250,7 @@
 	defer e.mu.Unlock()
 	e.leader = e.node
 	e.term = won.number
-	e.confirmedUntil = e.confirmedFrom(won.requestedAt)
+	e.confirmedUntil = e.leaseConfirmedUntil(won.requestedAt)
 	e.cancelTerm = cancel
 	e.lastLeaseID = won.leaseID
 }
@@ -279,7 +279,7 @@
 		err := e.store.RenewLease(ctx, won.leaseID, e.leaseDuration/2)
 		if err == nil {
 			e.mu.Lock()
-			e.confirmedUntil = e.confirmedFrom(requestedAt)
+			e.confirmedUntil = e.leaseConfirmedUntil(requestedAt)
 			e.mu.Unlock()
 			continue
 		}
@@ -296,8 +296,8 @@
 	}
 }
 
-// confirmedFrom returns until when a lease is certain to last that was granted or renewed by a
+// leaseConfirmedUntil returns until when a lease is certain to last that was granted or renewed by a
 // request sent then: it counts from the sending, less the drift of the local clock.
-func (e *Election) confirmedFrom(requestedAt time.Time) time.Time {
+func (e *Election) leaseConfirmedUntil(requestedAt time.Time) time.Time {
 	return requestedAt.Add(e.leaseDuration - config.Drift(e.leaseDuration))
 }
--- a/internal/fairshare/account.go
+++ b/internal/fairshare/account.go
@@ -22,14 +22,14 @@
 type Account struct {
 	teams     map[string]config.Team
 	onlyNamed bool // see NewAccount
-	sums      map[string]packing.Resources
+	charged   map[string]packing.Resources
 }
 
 // NewAccount returns an account without jobs. With onlyNamed, a guarantee does not concern
 // the resource that it does not name, CPUs or GPUs. Otherwise a team that is guaranteed no GPUs has
 // none of its own: a job that takes some is outside of the guarantee, with all that come after it.
 func NewAccount(teams map[string]config.Team, onlyNamed bool) *Account {
-	return &Account{teams: teams, onlyNamed: onlyNamed, sums: map[string]packing.Resources{}}
+	return &Account{teams: teams, onlyNamed: onlyNamed, charged: map[string]packing.Resources{}}
 }
 
 // Charge adds the unfinished tasks of a job, n of size each, to its team's sum. Jobs must be charged in
@@ -44,8 +44,8 @@
 	if !HasGuarantee(t) {
 		return false, false
 	}
-	sum := a.sums[team].Add(packing.Resources{CPU: float64(n) * size.CPU, GPU: float64(n) * size.GPU})
-	a.sums[team] = sum
+	sum := a.charged[team].Add(packing.Resources{CPU: float64(n) * size.CPU, GPU: float64(n) * size.GPU})
+	a.charged[team] = sum
 	cpusFit := sum.CPU <= t.GuaranteedCPUs+eps
 	gpusFit := sum.GPU <= t.GuaranteedGPUs+eps
 	if !a.onlyNamed {
@@ -57,9 +57,9 @@
 	return entitled, mayPreempt
 }
 
-// CanBeginInTime reports whether a job that is entitled to its room, and has waited for age, can still
+// CanStartInTime reports whether a job that is entitled to its room, and has waited for age, can still
 // start within the time that users expect of such jobs, after a heartbeat and the fetch of its
 // image. With within 0 nothing is expected.
-func CanBeginInTime(within, age, heartbeatInterval, fetch time.Duration) bool {
+func CanStartInTime(within, age, heartbeatInterval, fetch time.Duration) bool {
 	return within > 0 && age+heartbeatInterval+fetch < within
 }
--- a/internal/fairshare/shortage_test.go
+++ b/internal/fairshare/shortage_test.go
@@ -9,7 +9,7 @@
 func TestShortageWithin(t *testing.T) {
 	noted := time.Unix(1_000_000, 0)
 	tracker := NewShortageTracker()
-	tracker.NoteShortage("g8", noted)
+	tracker.RecordShortage("g8", noted)
 	for _, test := range []struct {
 		machineType string
 		after       time.Duration
@@ -28,15 +28,15 @@
 
 // A job can start in time while its wait, a heartbeat interval and the fetch are less than what users
 // expect; where nothing is expected, no job is said to.
-func TestCanBeginInTime(t *testing.T) {
+func TestCanStartInTime(t *testing.T) {
 	const within, heartbeatInterval, fetch = 60 * time.Second, 5 * time.Second, 15 * time.Second
-	if !CanBeginInTime(within, 39*time.Second, heartbeatInterval, fetch) {
+	if !CanStartInTime(within, 39*time.Second, heartbeatInterval, fetch) {
 		t.Error("cannot start in time after 39s, want that it can")
 	}
-	if CanBeginInTime(within, 40*time.Second, heartbeatInterval, fetch) {
+	if CanStartInTime(within, 40*time.Second, heartbeatInterval, fetch) {
 		t.Error("can start in time after 40s, want that it cannot")
 	}
-	if CanBeginInTime(0, 0, 0, 0) {
+	if CanStartInTime(0, 0, 0, 0) {
 		t.Error("can start in time though nothing is expected")
 	}
 }
--- a/internal/finishedtasks/keeper.go
+++ b/internal/finishedtasks/keeper.go
@@ -35,11 +35,11 @@
 	OpenJobs() iter.Seq[Job]
 }
 
-// Keeper keeps the finished tasks of open jobs on record. A record holds a part of a chunk, so small
+// Tracker keeps the finished tasks of open jobs on record. A record holds a part of a chunk, so small
 // that the worst pattern fits into the smallest value to come. Parts have ids of their own, which
 // readers of every version add up: a record under a chunk's own id, as earlier versions write it,
 // holds all of the chunk, and is never overwritten with less.
-type Keeper struct {
+type Tracker struct {
 	layout Layout
 	pages  *records.PagedRecords
 	open   Jobs
@@ -69,14 +69,14 @@
 }
 
 // New returns a keeper that has loaded nothing yet, of records on pages.
-func New(layout Layout, pages *records.PagedRecords, open Jobs) *Keeper {
-	return &Keeper{layout: layout, pages: pages, open: open, jobs: map[string]*jobRecords{}, parts: map[string]jobPart{}}
+func New(layout Layout, pages *records.PagedRecords, open Jobs) *Tracker {
+	return &Tracker{layout: layout, pages: pages, open: open, jobs: map[string]*jobRecords{}, parts: map[string]jobPart{}}
 }
 
 // Pages are the pages of the records.
-func (k *Keeper) Pages() *records.PagedRecords { return k.pages }
+func (k *Tracker) Pages() *records.PagedRecords { return k.pages }
 
-func (k *Keeper) recordsOf(job string) *jobRecords {
+func (k *Tracker) recordsOf(job string) *jobRecords {
 	r := k.jobs[job]
 	if r == nil {
 		r = &jobRecords{ids: map[int]string{}, usedIDs: map[string]bool{}, written: map[int]bool{}, stored: map[int]bool{}}
@@ -85,16 +85,16 @@
 	return r
 }
 
-// suits reports whether a record with so many zeros before its chunk's number can hold a part. Where a
+// idFitsPart reports whether a record with so many zeros before its chunk's number can hold a part. Where a
 // chunk has several, the chunk's own id is left to earlier versions.
-func (k *Keeper) suits(zeros, part int) bool {
+func (k *Tracker) idFitsPart(zeros, part int) bool {
 	perChunk := k.layout.PartsPerChunk()
 	return perChunk == 1 || zeros > 0 && (zeros-1)%perChunk == part%perChunk
 }
 
 // Load takes in a record of an open job: ranges of finished tasks of a chunk. A record that can be
 // written again and holds nothing but one part goes on as that part's.
-func (k *Keeper) Load(id string, job Job, chunk int, ranges string) error {
+func (k *Tracker) Load(id string, job Job, chunk int, ranges string) error {
 	r := k.recordsOf(job.JobID())
 	r.usedIDs[id] = true
 	first, last := -1, -1
@@ -112,12 +112,12 @@
 	if err != nil {
 		return err
 	}
-	if first >= 0 && first == last && r.ids[first] == "" && k.pages.Has(id) && k.suits(records.LeadingZeros(id), first) {
+	if first >= 0 && first == last && r.ids[first] == "" && k.pages.HasWritable(id) && k.idFitsPart(records.LeadingZeros(id), first) {
 		r.ids[first], k.parts[id] = id, jobPart{job.JobID(), first}
 		return nil
 	}
 	r.superseded = append(r.superseded, supersededRecord{id, first, last})
-	if !k.pages.Has(id) && first >= 0 {
+	if !k.pages.HasWritable(id) && first >= 0 {
 		for part := first; part <= last; part++ {
 			job.DirtyParts()[part] = true // so that the page it is on can be deleted
 		}
@@ -125,32 +125,32 @@
 	return nil
 }
 
-// Gather writes the records of all parts that have changed to the pages.
-func (k *Keeper) Gather() {
+// WriteDirtyParts writes the records of all parts that have changed to the pages.
+func (k *Tracker) WriteDirtyParts() {
 	for job := range k.open.OpenJobs() {
 		dirty := job.DirtyParts()
 		for part := range dirty {
 			delete(dirty, part)
-			k.gatherPart(job, part)
+			k.writePart(job, part)
 		}
 	}
 }
 
-func (k *Keeper) gatherPart(job Job, part int) {
+func (k *Tracker) writePart(job Job, part int) {
 	chunk, from, to := k.layout.span(part, job.TaskCount())
 	done := job.DoneTasks()
 	raw, err := json.Marshal(records.FormatRanges(func(i int) bool {
-		return i >= from && has(done, chunk*k.layout.ChunkTasks+i)
+		return i >= from && isSet(done, chunk*k.layout.ChunkTasks+i)
 	}, to))
 	if err == nil {
-		k.put(job.JobID(), part, raw, min(records.ChunkBytes(to-from, k.layout.ChunkTasks), 2*len(raw)+growthBytes))
+		k.putRecord(job.JobID(), part, raw, min(records.ChunkBytes(to-from, k.layout.ChunkTasks), 2*len(raw)+growthBytes))
 	}
 }
 
-// put writes a part's record, under another id where it has outgrown its page. The old one goes when
+// putRecord writes a part's record, under another id where it has outgrown its page. The old one goes when
 // the new one is stored. Without this, an earlier version that takes over in between would lose
 // tasks: of two records of one id it keeps the first it finds.
-func (k *Keeper) put(job string, part int, raw json.RawMessage, maxBytes int) {
+func (k *Tracker) putRecord(job string, part int, raw json.RawMessage, maxBytes int) {
 	r := k.recordsOf(job)
 	for {
 		id := r.ids[part]
@@ -170,7 +170,7 @@
 
 // newID is an id for a part's record that was never used. Ids of one chunk differ in the zeros before
 // its number, by which it is known which part a record is of.
-func (k *Keeper) newID(job string, part int) string {
+func (k *Tracker) newID(job string, part int) string {
 	chunk, perChunk := k.layout.chunk(part), k.layout.PartsPerChunk()
 	zeros := 0
 	if perChunk > 1 {
@@ -185,22 +185,22 @@
 	return id
 }
 
-// writtenPart is a part whose record is on its way to the store, with what was finished then.
-type writtenPart struct {
+// pendingPart is a part whose record is on its way to the store, with what was finished then.
+type pendingPart struct {
 	job  Job
 	part int
 	done []uint64
 }
 
-// Stored returns what marks the finished tasks of some records, as they are now, as stored. It is to
+// OnStored returns what marks the finished tasks of some records, as they are now, as stored. It is to
 // be called once the records are.
-func (k *Keeper) Stored(ids []string) func(revision uint64) {
-	var parts []writtenPart
+func (k *Tracker) OnStored(ids []string) func(revision uint64) {
+	var parts []pendingPart
 	for _, id := range ids {
 		p, known := k.parts[id]
 		job, open := k.open.OpenJob(p.job)
 		if known && open && !job.DirtyParts()[p.part] && k.recordsOf(p.job).ids[p.part] == id {
-			parts = append(parts, writtenPart{job, p.part, slices.Clone(job.DoneTasks())})
+			parts = append(parts, pendingPart{job, p.part, slices.Clone(job.DoneTasks())})
 		}
 	}
 	return func(uint64) {
@@ -210,12 +210,12 @@
 	}
 }
 
-func (k *Keeper) markStored(p writtenPart) {
+func (k *Tracker) markStored(p pendingPart) {
 	chunk, from, to := k.layout.span(p.part, p.job.TaskCount())
 	stored := p.job.StoredTasks()
 	base := chunk * k.layout.ChunkTasks
 	for task := base + from; task < base+to; task++ {
-		if has(p.done, task) {
+		if isSet(p.done, task) {
 			stored[task/64] |= 1 << (task % 64)
 		}
 	}
@@ -228,7 +228,7 @@
 }
 
 // removeSuperseded removes the records of a job that are of no use any more.
-func (k *Keeper) removeSuperseded(r *jobRecords) {
+func (k *Tracker) removeSuperseded(r *jobRecords) {
 	r.superseded = slices.DeleteFunc(r.superseded, func(old supersededRecord) bool {
 		for part := old.firstPart; part <= old.lastPart; part++ {
 			if !r.stored[part] {
@@ -242,18 +242,18 @@
 }
 
 // Rewrite writes records once more, which need another page.
-func (k *Keeper) Rewrite(ids []string) {
+func (k *Tracker) Rewrite(ids []string) {
 	for _, id := range ids {
 		p := k.parts[id]
 		if job, open := k.open.OpenJob(p.job); open {
 			job.DirtyParts()[p.part] = true
 		}
 	}
-	k.Gather()
+	k.WriteDirtyParts()
 }
 
-// Close removes all records of jobs that are closed.
-func (k *Keeper) Close(jobs []string) {
+// RemoveJobs removes all records of jobs that are closed.
+func (k *Tracker) RemoveJobs(jobs []string) {
 	for _, job := range jobs {
 		r := k.jobs[job]
 		if r == nil {
@@ -267,5 +267,5 @@
 	}
 }
 
-// has reports whether a bit set has a member.
-func has(set []uint64, i int) bool { return set[i/64]>>(i%64)&1 == 1 }
+// isSet reports whether a bit set has a member.
+func isSet(set []uint64, i int) bool { return set[i/64]>>(i%64)&1 == 1 }
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -12,20 +12,20 @@
 
 // Attempt is one start of a task on one machine.
 type Attempt struct {
-	Task         TaskID
-	Number       uint64 // names the attempt among those of its task, also to the worker
-	Machine      *Machine
-	Cause        string // why it ended, one of the Cause constants; "" before
-	Saved        bool   // it saved a checkpoint before it ended
-	SentSequence uint64 // Machine.Sequence when its run command was sent
-
-	Since      time.Time // when it was planned, then sent, or found on the machine
-	RunSince   time.Time // when it was first seen running
-	ReadySince time.Time // when it was first seen with its image there
-	StopAt     time.Time // when it was first requested to stop
-	StopReason string    // why; for whoever requests it, the table never reads it
-
-	Reap      bool          // the worker may forget it
+	Task            TaskID
+	Number          uint64 // names the attempt among those of its task, also to the worker
+	Machine         *Machine
+	Cause           string // why it ended, one of the Cause constants; "" before
+	CheckpointSaved bool   // it saved a checkpoint before it ended
+	SentSequence    uint64 // Machine.Sequence when its run command was sent
+
+	AssignedAt      time.Time // when it was planned, then sent, or found on the machine
+	RunningSince    time.Time // when it was first seen running
+	ImageReadySince time.Time // when it was first seen with its image there
+	StopRequestedAt time.Time // when it was first requested to stop
+	StopReason      string    // why; for whoever requests it, the table never reads it
+
+	MayReap   bool          // the worker may forget it
 	Item      *packing.Item // its place in the machine's bin; nil once it has ended
 	Duplicate bool          // a duplicate attempt: not the one that counts as its task's
 	Job       any           // whose task it is; the planner's, and the table never reads it
@@ -55,16 +55,16 @@
 // Durations returns how long the attempt waited on its machine and how long it has run; one
 // that never ran has waited all the time.
 func (a *Attempt) Durations(now time.Time) (waited, ran time.Duration) {
-	if a.RunSince.IsZero() {
-		return now.Sub(a.Since), 0
+	if a.RunningSince.IsZero() {
+		return now.Sub(a.AssignedAt), 0
 	}
-	return a.RunSince.Sub(a.Since), now.Sub(a.RunSince)
+	return a.RunningSince.Sub(a.AssignedAt), now.Sub(a.RunningSince)
 }
 
-// Send notes that the run command of a planned attempt is sent in the response to its machine's
+// MarkSent notes that the run command of a planned attempt is sent in the response to its machine's
 // last heartbeat.
-func (a *Attempt) Send(now time.Time) {
-	a.SentSequence, a.Since = a.Machine.Sequence, now
+func (a *Attempt) MarkSent(now time.Time) {
+	a.SentSequence, a.AssignedAt = a.Machine.Sequence, now
 	a.setState(Sent)
 }
 
@@ -76,10 +76,10 @@
 		return false
 	}
 	if !a.stopping {
-		a.StopAt, a.StopReason = now, reason
+		a.StopRequestedAt, a.StopReason = now, reason
 	}
 	a.stopping, a.graceS = true, graceS
-	a.changed()
+	a.notifyChanged()
 	return true
 }
 
@@ -89,35 +89,35 @@
 		return
 	}
 	a.state = state
-	a.changed()
+	a.notifyChanged()
 }
 
 // setItem gives the attempt its place in the machine's bin, or none.
 func (a *Attempt) setItem(item *packing.Item) {
 	a.Item = item
-	a.changed()
+	a.notifyChanged()
 }
 
-// changed calls the table's listener, if there is one.
-func (a *Attempt) changed() {
+// notifyChanged calls the table's listener, if there is one.
+func (a *Attempt) notifyChanged() {
 	if onChange := a.Machine.table.OnChange; onChange != nil {
 		onChange(a)
 	}
 }
 
-// add puts an attempt on its machine's list and into the index by job.
-func (m *Machine) add(a *Attempt) {
+// addAttempt puts an attempt on its machine's list and into the index by job.
+func (m *Machine) addAttempt(a *Attempt) {
 	t := m.table
 	t.attemptsAdded++
 	a.listed, a.ordinal = true, t.attemptsAdded
 	m.attempts = append(m.attempts, a)
-	ofJob := t.byJob[a.Task.Job]
+	ofJob := t.attemptsByJob[a.Task.Job]
 	if ofJob == nil {
 		ofJob = map[*Attempt]struct{}{}
-		t.byJob[a.Task.Job] = ofJob
+		t.attemptsByJob[a.Task.Job] = ofJob
 	}
 	ofJob[a] = struct{}{}
-	a.changed()
+	a.notifyChanged()
 }
 
 // Forget removes an attempt and releases its room.
@@ -128,13 +128,13 @@
 		return
 	}
 	m.attempts = slices.Delete(m.attempts, i, i+1)
-	ofJob := m.table.byJob[a.Task.Job]
+	ofJob := m.table.attemptsByJob[a.Task.Job]
 	delete(ofJob, a)
 	if len(ofJob) == 0 {
-		delete(m.table.byJob, a.Task.Job)
+		delete(m.table.attemptsByJob, a.Task.Job)
 	}
 	a.listed = false
-	a.changed()
+	a.notifyChanged()
 }
 
 // forgetAll removes all attempts of a machine, and returns those that had not ended.
@@ -149,10 +149,10 @@
 	return gone
 }
 
-// OfJob lists the attempts of a job, those of a machine oldest first, machines by name.
-func (t *Table) OfJob(job string) []*Attempt {
-	list := make([]*Attempt, 0, len(t.byJob[job]))
-	for a := range t.byJob[job] {
+// AttemptsOfJob lists the attempts of a job, those of a machine oldest first, machines by name.
+func (t *Table) AttemptsOfJob(job string) []*Attempt {
+	list := make([]*Attempt, 0, len(t.attemptsByJob[job]))
+	for a := range t.attemptsByJob[job] {
 		list = append(list, a)
 	}
 	slices.SortFunc(list, func(a, b *Attempt) int {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -21,9 +21,9 @@
 		{Name: "report", Value: Heartbeat{
 			Machine: "m-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Incarnation: 1, Sequence: 88, FencingToken: 41,
 			PreemptionNoticeS: &noticeS, Version: "1.0",
-			Tasks: []TaskStatus{{Task: "j-412/3", Attempt: 2, Status: Ended.String(), Cause: CauseDone, Saved: true}},
+			Tasks: []TaskStatus{{Task: "j-412/3", Attempt: 2, Status: Ended.String(), Cause: CauseDone, CheckpointSaved: true}},
 		}},
-		{Name: "task in a report", Value: TaskStatus{Task: "j-412/3", Attempt: 2, Status: Ended.String(), Cause: CauseDone, Saved: true}},
+		{Name: "task in a report", Value: TaskStatus{Task: "j-412/3", Attempt: 2, Status: Ended.String(), Cause: CauseDone, CheckpointSaved: true}},
 		{Name: "answer", Value: HeartbeatResponse{FencingToken: 41, Commands: commands}},
 		{Name: "answer without orders", Unset: true, Value: HeartbeatResponse{FencingToken: 41, Commands: []Command{}}},
 		{Name: "order", Value: commands[0]},
@@ -36,10 +36,10 @@
 		{Name: "direct command", Value: CommandRequest{FencingToken: 41, Incarnation: 1, Commands: commands}},
 		{Name: "verbs", Direction: goldentest.Written, Value: []string{VerbRun, VerbKill, VerbReap}},
 		{Name: "causes", Direction: goldentest.Written, Value: []string{
-			CauseDone, CauseStopped, CauseMatesGone, CauseAlone, CauseError, CauseFull, CauseBusy, CauseNoSuch,
+			CauseDone, CauseStopped, CauseGangPeerLost, CauseGangTimeout, CauseError, CauseFull, CauseOtherAttempt, CauseUnknownTask,
 		}},
 		{Name: "states of attempts", Direction: goldentest.Written, Value: []string{
-			Planned.String(), Sent.String(), Pulling.String(), Waiting.String(), Running.String(), Flushing.String(), Ended.String(),
+			Planned.String(), Sent.String(), Pulling.String(), Waiting.String(), Running.String(), Checkpointing.String(), Ended.String(),
 		}},
 	})
 }
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -16,8 +16,8 @@
 
 // image is one that a machine has, or fetches.
 type image struct {
-	name string
-	gb   float64
+	name   string
+	sizeGB float64
 }
 
 // UseImage notes that an image of gb gigabytes is fetched, or used, on a machine whose worker keeps
@@ -32,7 +32,7 @@
 	m.Bin.SetLabel(ImageLabel(name), true)
 	sum := 0.0
 	for i := len(m.images) - 1; i >= 0; i-- {
-		sum += m.images[i].gb
+		sum += m.images[i].sizeGB
 		if sum > cacheGB && i < len(m.images)-1 {
 			m.evictImages(i + 1)
 			return
--- a/internal/fleet/images_test.go
+++ b/internal/fleet/images_test.go
@@ -10,7 +10,7 @@
 
 // A machine is believed to hold the images last used, as many as its cache takes;
 // an image larger than the cache is held while it is the one last used.
-func TestImagesLastUsedAreHeld(t *testing.T) {
+func TestCacheKeepsLastUsedImages(t *testing.T) {
 	m := NewTable(5, time.Second, forecast.Params{Window: 1}).GetOrCreate("m-1", "m-1:1", "c4", "a", false)
 	for _, test := range []struct {
 		use  string
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -8,7 +8,7 @@
 func (t *Table) ExpireLeases(now time.Time) []*Attempt {
 	var gone []*Attempt
 	for _, m := range t.Sorted() {
-		if !m.Reconciled || m.LeaseExpired || now.Sub(m.LastRenewal) <= t.Lease || now.Sub(m.LastStatus) <= t.Lease {
+		if !m.Reconciled || m.LeaseExpired || now.Sub(m.LeaseRenewedAt) <= t.Lease || now.Sub(m.LastStatusAt) <= t.Lease {
 			continue
 		}
 		m.LeaseExpired = true
@@ -40,10 +40,10 @@
 
 // LastHeard is when a machine was last heard under our term, or since when it is waited for.
 func (m *Machine) LastHeard() time.Time {
-	if m.LastStatus.Before(m.SilentSince) {
+	if m.LastStatusAt.Before(m.SilentSince) {
 		return m.SilentSince
 	}
-	return m.LastStatus
+	return m.LastStatusAt
 }
 
 // CountInherited counts the machines that earlier terms may have used, and those of
@@ -60,9 +60,9 @@
 	return all, unreconciled
 }
 
-// Unreconciled reports whether any machine that earlier terms may have used still awaits
+// HasUnreconciled reports whether any machine that earlier terms may have used still awaits
 // reconciliation.
-func (t *Table) Unreconciled() bool {
+func (t *Table) HasUnreconciled() bool {
 	for _, m := range t.Machines {
 		if m.AwaitsReconciliation() {
 			return true
--- a/internal/fleet/leases_test.go
+++ b/internal/fleet/leases_test.go
@@ -12,7 +12,7 @@
 func TestExpireLeases(t *testing.T) {
 	table, m := newReconciledTable(t)
 	table.Apply(status(11, running(1)), true, start)
-	m.Answered("controller-1", start.Add(time.Second))
+	m.MarkAnswered("controller-1", start.Add(time.Second))
 	if gone := table.ExpireLeases(start.Add(time.Second + lease)); len(gone) != 0 || m.LeaseExpired {
 		t.Errorf("%d attempts are gone at the end of the lease, want none before", len(gone))
 	}
@@ -39,10 +39,10 @@
 	if out := table.Apply(status(10), true, start); !out.Reconciled {
 		t.Error("not reconciled by a heartbeat that shows our term")
 	}
-	if all, unreconciled := table.CountInherited(); all != 2 || unreconciled != 1 || !table.Unreconciled() {
+	if all, unreconciled := table.CountInherited(); all != 2 || unreconciled != 1 || !table.HasUnreconciled() {
 		t.Errorf("%d of %d inherited machines are unreconciled, want 1 of 2", unreconciled, all)
 	}
-	if machines, _ := table.ExpireEarlierLeases(); machines != 1 || table.Unreconciled() {
-		t.Errorf("%d machines lost their earlier leases and some wait: %v; want 1 and none", machines, table.Unreconciled())
+	if machines, _ := table.ExpireEarlierLeases(); machines != 1 || table.HasUnreconciled() {
+		t.Errorf("%d machines lost their earlier leases and some wait: %v; want 1 and none", machines, table.HasUnreconciled())
 	}
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -21,12 +21,12 @@
 	Sequence     uint64 // rises with each status of an incarnation
 	FencingToken uint64 // the newest term that the worker has obeyed
 
-	RequestedAt  time.Time // when it was requested from the cloud, as far as known
-	Up           bool      // it has sent a heartbeat under this term, or answered a probe
-	LastStatus   time.Time // when a newer status last came in
-	LastRenewal  time.Time // when a heartbeat of it was last answered with 200, which renews its lease
-	PreemptionAt time.Time // when the cloud takes it; zero: no notice
-	SilentSince  time.Time // since when it is waited for, though it has sent nothing under this term
+	RequestedAt    time.Time // when it was requested from the cloud, as far as known
+	HasStatus      bool      // it has sent a heartbeat under this term, or answered a probe
+	LastStatusAt   time.Time // when a newer status last came in
+	LeaseRenewedAt time.Time // when a heartbeat of it was last answered with 200, which renews its lease
+	PreemptionAt   time.Time // when the cloud takes it; zero: no notice
+	SilentSince    time.Time // since when it is waited for, though it has sent nothing under this term
 
 	// Inherited, Reconciled and EarlierLeasesExpired decide whether tasks that an earlier leader
 	// started may still run here: see AwaitsReconciliation.
@@ -50,19 +50,19 @@
 	// the table never reads it.
 	ReservedFor any
 
-	Version      string         // of its worker; "" where it does not say
-	VersionSince time.Time      // when that version was first seen, if the worker had another before
-	Proven       bool           // a task has completed here since
-	ErrorJobs    map[string]int // failed tasks by job since the last success
+	Version          string         // of its worker; "" where it does not say
+	VersionSince     time.Time      // when that version was first seen, if the worker had another before
+	Proven           bool           // a task has completed here since
+	FailedTasksByJob map[string]int // failed tasks by job since the last success
 
 	FullUntil    time.Time // until then no tasks are sent, as it refused one for want of room
 	EmptySince   time.Time
 	RelayedAt    time.Time // when a peer controller last relayed a heartbeat of it
 	RelayedSince time.Time // since when its heartbeats come that way
 
-	Bin      *packing.Bin   // its room, and the items of the attempts on it
-	Forecast *forecast.FUSD // of its load
-	Changed  []packing.Kind // kinds of the items that left since the last scheduling round
+	Bin           *packing.Bin   // its room, and the items of the attempts on it
+	Forecast      *forecast.FUSD // of its load
+	ReleasedKinds []packing.Kind // kinds of the items that left since the last scheduling round
 
 	images []image // believed to be in its cache, the one last used at the end
 
@@ -74,7 +74,7 @@
 	heartbeatSequence uint64    // of the last heartbeat applied
 	probeAnsweredAt   time.Time // when the last answer to a direct command came in
 	reachability      reachability
-	uncertainty       uncertainty
+	staleness         staleness
 }
 
 // Removed reports whether the machine was taken out of the table.
@@ -98,7 +98,7 @@
 func (m *Machine) PendingCommands() []Command {
 	commands := []Command{}
 	for _, a := range m.attempts {
-		if a.state == Ended && a.Reap {
+		if a.state == Ended && a.MayReap {
 			commands = append(commands, Command{Verb: VerbReap, Task: a.Task.String(), Attempt: a.Number})
 		}
 	}
@@ -136,8 +136,8 @@
 	}
 	size := m.Bin.Capacity.Share(a.Item.Request)
 	m.Bin.Remove(a.Item)
-	if len(m.Changed) < 2*packing.MaxChangeMoves {
-		m.Changed = append(m.Changed, packing.Classify(size))
+	if len(m.ReleasedKinds) < 2*packing.MaxChangeMoves {
+		m.ReleasedKinds = append(m.ReleasedKinds, packing.Classify(size))
 	}
 	a.setItem(nil)
 }
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -13,16 +13,16 @@
 	missedSince time.Time // when the first of these was noticed
 }
 
-// unreachableAfter is how many answers in a row must be missed for a machine to count as unreachable:
+// unreachableMissedAnswers is how many answers in a row must be missed for a machine to count as unreachable:
 // a single one is lost with each connection that ends, and with each controller that a worker leaves.
-const unreachableAfter = 2
+const unreachableMissedAnswers = 2
 
-// soonestReturn is how soon a worker that was given no answer can be back at the same controller. It
+// minReturnDelay is how soon a worker that was given no answer can be back at the same controller. It
 // waits for 4 s, and tries the next controller a second later (PROTOCOL); there are at least two. A
 // tenth less is a margin.
-const soonestReturn = 2 * (4 + 1) * time.Second * 9 / 10
+const minReturnDelay = 2 * (4 + 1) * time.Second * 9 / 10
 
-// observeReachability concludes from a status whether the last answer has arrived. It has when
+// updateReachability concludes from a status whether the last answer has arrived. It has when
 //   - the status answers a command,
 //   - it shows what only an answer or a command can have brought: our term, or an attempt just sent, or
 //   - nothing was sent that it should show, and it comes through the same controller, as a worker
@@ -31,7 +31,7 @@
 // To have stayed, a heartbeat must either be the next one in sequence or come sooner than the
 // worker could be back after an attempt elsewhere. Its sequence number need not be the next, as a
 // probe of the worker raises that.
-func (m *Machine) observeReachability(r *Heartbeat, isHeartbeat bool, term uint64, now time.Time) {
+func (m *Machine) updateReachability(r *Heartbeat, isHeartbeat bool, term uint64, now time.Time) {
 	last := &m.reachability
 	arrived := !isHeartbeat || m.FencingToken < term && r.FencingToken == term
 	sent := false
@@ -43,7 +43,7 @@
 	}
 	knowsController := last.answered && last.via != "" && r.Via != ""
 	switch {
-	case arrived, m.stayed(r, now) && !sent:
+	case arrived, m.keptController(r, now) && !sent:
 		*last = reachability{}
 	case last.answered && (knowsController || sent || r.FencingToken < term):
 		if last.missed == 0 {
@@ -54,12 +54,12 @@
 	last.answered = false
 }
 
-// stayed reports whether a heartbeat shows that its worker has stayed with the controller that answered
+// keptController reports whether a heartbeat shows that its worker has stayed with the controller that answered
 // the one before.
-func (m *Machine) stayed(r *Heartbeat, now time.Time) bool {
+func (m *Machine) keptController(r *Heartbeat, now time.Time) bool {
 	last := &m.reachability
 	return last.answered && last.via != "" && r.Via == last.via && r.Incarnation == m.Incarnation &&
-		(r.Sequence == m.Sequence+1 || now.Sub(last.answeredAt) < soonestReturn)
+		(r.Sequence == m.Sequence+1 || now.Sub(last.answeredAt) < minReturnDelay)
 }
 
 // lists reports whether a status lists an attempt.
@@ -72,19 +72,19 @@
 	return false
 }
 
-// Answered notes that the machine's last heartbeat was answered with 200, through a controller.
-func (m *Machine) Answered(via string, now time.Time) {
-	m.LastRenewal = now
+// MarkAnswered notes that the machine's last heartbeat was answered with 200, through a controller.
+func (m *Machine) MarkAnswered(via string, now time.Time) {
+	m.LeaseRenewedAt = now
 	m.reachability.answered, m.reachability.via, m.reachability.answeredAt = true, via, now
 }
 
-// Renewed notes that a heartbeat was answered with 200 from which nothing is concluded, also not
+// RenewLease notes that a heartbeat was answered with 200 from which nothing is concluded, also not
 // whether its machine is reachable.
-func (m *Machine) Renewed(now time.Time) { m.LastRenewal = now }
+func (m *Machine) RenewLease(now time.Time) { m.LeaseRenewedAt = now }
 
 // Unreachable reports whether nothing that was sent to the machine has reached it lately, though its
 // heartbeats come. It takes no task starts then, until the first sign that an answer has arrived.
-func (m *Machine) Unreachable() bool { return m.reachability.missed >= unreachableAfter }
+func (m *Machine) Unreachable() bool { return m.reachability.missed >= unreachableMissedAnswers }
 
 // UnreachableFor is for how long the machine has been unreachable; 0 if it is not.
 func (m *Machine) UnreachableFor(now time.Time) time.Duration {
--- a/internal/fleet/staleness.go
+++ b/internal/fleet/staleness.go
@@ -9,12 +9,12 @@
 // LateCopyLeases is for how many leases after a late copy further ones may come.
 const LateCopyLeases = 8
 
-// workerPatience is how long after a heartbeat its worker still accepts the response (PROTOCOL),
+// responseTimeout is how long after a heartbeat its worker still accepts the response (PROTOCOL),
 // with a margin.
-const workerPatience = 5 * time.Second
+const responseTimeout = 5 * time.Second
 
-// uncertainty is the evidence against taking a machine's heartbeats as they are.
-type uncertainty struct {
+// staleness is the evidence against taking a machine's heartbeats as they are.
+type staleness struct {
 	lastLateAt    time.Time // when a status last came that was older than what is known
 	onlyLateSince time.Time // when the first of these came since the last status that was not late
 	incarnation   uint64    // of the last late status
@@ -28,16 +28,16 @@
 // of a machine only rise as well: a lower one with a higher incarnation is a copy of what the machine
 // sent before it restarted, under an earlier leader.
 func (m *Machine) IsStale(r *Heartbeat) bool {
-	if !m.Up {
+	if !m.HasStatus {
 		return false
 	}
 	return r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && r.Sequence <= m.Sequence ||
 		r.FencingToken < m.FencingToken
 }
 
-// mayReceiveCopies reports whether late copies of heartbeats have to be expected.
-func (m *Machine) mayReceiveCopies(lease time.Duration, now time.Time) bool {
-	u := &m.uncertainty
+// mayReceiveLateCopies reports whether late copies of heartbeats have to be expected.
+func (m *Machine) mayReceiveLateCopies(lease time.Duration, now time.Time) bool {
+	u := &m.staleness
 	return u.restarted || !u.lastLateAt.IsZero() && now.Sub(u.lastLateAt) < LateCopyLeases*lease
 }
 
@@ -51,7 +51,7 @@
 	Late              // a late copy, or what looks like one
 )
 
-// Overtaken reports whether a heartbeat that is older than what is known is most likely no late copy,
+// IsOvertaken reports whether a heartbeat that is older than what is known is most likely no late copy,
 // but one whose worker still waits for the response: it was sent before the answer to a direct
 // command, came after that answer, and no newer heartbeat has come since.
 // Nothing is concluded from such a heartbeat, as it is older; but the response renews the lease.
@@ -59,8 +59,8 @@
 // Without this, workers of a leader that is slow to apply heartbeats lost their leases though they
 // had sent heartbeats all the time: each answer to a probe overtook the heartbeat after it, which was
 // refused, so that the worker was probed again, and so on.
-func (m *Machine) Overtaken(r *Heartbeat, now time.Time) bool {
-	return m.Up && !m.LeaseExpired && now.Sub(m.probeAnsweredAt) < workerPatience &&
+func (m *Machine) IsOvertaken(r *Heartbeat, now time.Time) bool {
+	return m.HasStatus && !m.LeaseExpired && now.Sub(m.probeAnsweredAt) < responseTimeout &&
 		r.Incarnation == m.Incarnation && m.heartbeatSequence < r.Sequence && r.Sequence < m.Sequence
 }
 
@@ -70,16 +70,16 @@
 	switch {
 	case !m.IsStale(r):
 		return Current
-	case m.Overtaken(r, now):
+	case m.IsOvertaken(r, now):
 		return Overtaken
 	}
-	m.noteLate(r, now)
+	m.recordLate(r, now)
 	return Late
 }
 
-// noteLate notes that a status came which is older than what is known.
-func (m *Machine) noteLate(r *Heartbeat, now time.Time) {
-	u := &m.uncertainty
+// recordLate notes that a status came which is older than what is known.
+func (m *Machine) recordLate(r *Heartbeat, now time.Time) {
+	u := &m.staleness
 	u.lastLateAt = now
 	if u.onlyLateSince.IsZero() {
 		u.onlyLateSince = now
@@ -108,17 +108,17 @@
 		// a later heartbeat lacks it. An answer to a direct command or a status request may have
 		// been made before the response with the run command came in.
 		return false
-	case !isHeartbeat, a.state == Sent && !m.mayReceiveCopies(t.Lease, now) && !m.predatesTerm(r, t.Term):
+	case !isHeartbeat, a.state == Sent && !m.mayReceiveLateCopies(t.Lease, now) && !m.predatesTerm(r, t.Term):
 		return true
 	}
 	// No machine forgets a task that it had, unless it restarts; and a copy of a heartbeat
 	// lacks what came later.
-	if m.uncertainty.missingSince.IsZero() {
-		m.uncertainty.missingSince = now
+	if m.staleness.missingSince.IsZero() {
+		m.staleness.missingSince = now
 	}
 	return false
 }
 
-// LastReported reports whether the last status that was applied lists an attempt; one that it lacks is
+// InLastStatus reports whether the last status that was applied lists an attempt; one that it lacks is
 // kept as long as that proves nothing.
-func (m *Machine) LastReported(a *Attempt) bool { return a.lastSeenIn == m.statusCount }
+func (m *Machine) InLastStatus(a *Attempt) bool { return a.lastSeenIn == m.statusCount }
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -10,7 +10,7 @@
 	Pulling              // its image is being fetched
 	Waiting              // for the other tasks of its gang
 	Running
-	Flushing // it was stopped, and saves a checkpoint
+	Checkpointing // it was stopped, and saves a checkpoint
 	Ended
 )
 
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Outcome is what a status changed.
-type Outcome struct {
+// ApplyResult is what a status changed.
+type ApplyResult struct {
 	Stale       bool       // older than one already seen: nothing was changed
 	Machine     *Machine   // nil only when the status is not valid
-	New         []*Attempt // on the machine, but unknown to us
+	Discovered  []*Attempt // on the machine, but unknown to us
 	Ended       []*Attempt // newly ended
 	Running     []*Attempt // newly running: their images are there
-	Gone        []*Attempt // no longer on the machine, without a result
+	Lost        []*Attempt // no longer on the machine, without a result
 	Reconciled  bool       // the machine has just been reconciled
 	FirstStatus bool       // the machine's first status of this term
 	Changed     bool       // any of its attempts changed
@@ -22,43 +22,43 @@
 // Apply applies a status to its machine and the attempts there. isHeartbeat distinguishes a heartbeat,
 // whose worker has given up on or carried out every earlier response, from the answer to a direct
 // command or a status request, which may overtake a response.
-func (t *Table) Apply(r *Heartbeat, isHeartbeat bool, now time.Time) Outcome {
-	if r.Check() != nil {
-		return Outcome{Stale: true}
+func (t *Table) Apply(r *Heartbeat, isHeartbeat bool, now time.Time) ApplyResult {
+	if r.Validate() != nil {
+		return ApplyResult{Stale: true}
 	}
 	unknown := t.Machines[r.Machine] == nil
 	m := t.GetOrCreate(r.Machine, r.Addr, r.Type, r.Zone, r.Spot)
 	m.Unverified = m.Unverified || unknown
-	out := Outcome{Machine: m, FirstStatus: !m.Up}
+	out := ApplyResult{Machine: m, FirstStatus: !m.HasStatus}
 	// A late heartbeat must not change anything: its list of tasks is as old as it is.
 	if m.IsStale(r) {
-		if !isHeartbeat || !m.Overtaken(r, now) {
-			m.noteLate(r, now)
+		if !isHeartbeat || !m.IsOvertaken(r, now) {
+			m.recordLate(r, now)
 		}
 		out.Stale = true
 		return out
 	}
-	m.uncertainty.onlyLateSince = time.Time{}
-	m.observeReachability(r, isHeartbeat, t.Term, now)
-	if m.startedAnew(r, isHeartbeat, t.Term) {
+	m.staleness.onlyLateSince = time.Time{}
+	m.updateReachability(r, isHeartbeat, t.Term, now)
+	if m.isNewIncarnation(r, isHeartbeat, t.Term) {
 		out.forgetSent(m)
 	}
 	out.Upgraded = m.applyVersion(r.Version, now)
-	m.applyState(r, isHeartbeat, now)
+	m.applyMachineStatus(r, isHeartbeat, now)
 	out.Reconciled = m.reconcile(r, isHeartbeat, t.Term)
 	m.statusCount++
 	for i := range r.Tasks {
-		m.applyTask(&r.Tasks[i], &out, now)
+		m.applyTaskStatus(&r.Tasks[i], &out, now)
 	}
 	t.forgetMissing(r, isHeartbeat, &out, now)
 	return out
 }
 
-// startedAnew reports whether a status is of a new incarnation, whose worker has killed and forgotten
+// isNewIncarnation reports whether a status is of a new incarnation, whose worker has killed and forgotten
 // everything. A heartbeat does not prove that while it may be a copy from before the machine restarted.
-func (m *Machine) startedAnew(r *Heartbeat, isHeartbeat bool, term uint64) bool {
-	mayBeCopy := isHeartbeat && (m.uncertainty.restarted || m.predatesTerm(r, term))
-	return m.Up && r.Incarnation > m.Incarnation && !mayBeCopy
+func (m *Machine) isNewIncarnation(r *Heartbeat, isHeartbeat bool, term uint64) bool {
+	mayBeCopy := isHeartbeat && (m.staleness.restarted || m.predatesTerm(r, term))
+	return m.HasStatus && r.Incarnation > m.Incarnation && !mayBeCopy
 }
 
 // applyVersion notes which version a worker has, and reports whether it had another before.
@@ -66,20 +66,20 @@
 	if m.Version == version || version == "" {
 		return false
 	}
-	if m.Up {
+	if m.HasStatus {
 		// What was wrong with the machine may have been the version.
 		m.VersionSince = now
 		m.Proven, m.Faulty, m.Draining = false, false, false
-		clear(m.ErrorJobs)
+		clear(m.FailedTasksByJob)
 		upgraded = true
 	}
 	m.Version = version
 	return upgraded
 }
 
-// applyState notes what a status reports of the machine itself.
-func (m *Machine) applyState(r *Heartbeat, isHeartbeat bool, now time.Time) {
-	m.Up, m.LeaseExpired, m.LastStatus = true, false, now
+// applyMachineStatus notes what a status reports of the machine itself.
+func (m *Machine) applyMachineStatus(r *Heartbeat, isHeartbeat bool, now time.Time) {
+	m.HasStatus, m.LeaseExpired, m.LastStatusAt = true, false, now
 	m.Addr, m.Incarnation, m.Sequence = r.Addr, r.Incarnation, r.Sequence
 	if isHeartbeat {
 		m.heartbeatSequence = r.Sequence
@@ -109,13 +109,13 @@
 	return true
 }
 
-// applyTask applies what a status reports of one attempt.
-func (m *Machine) applyTask(r *TaskStatus, out *Outcome, now time.Time) {
+// applyTaskStatus applies what a status reports of one attempt.
+func (m *Machine) applyTaskStatus(r *TaskStatus, out *ApplyResult, now time.Time) {
 	task, _ := ParseTask(r.Task)
 	state, _ := parseState(r.Status)
 	a := m.attempt(task, r.Attempt)
 	if a == nil {
-		m.addFound(r, task, state, out, now)
+		m.addDiscovered(r, task, state, out, now)
 		return
 	}
 	a.lastSeenIn = m.statusCount
@@ -124,15 +124,15 @@
 	}
 	if a.state != state {
 		out.Changed = true
-		if (state == Running || state == Waiting) && a.ReadySince.IsZero() {
-			a.ReadySince = now
+		if (state == Running || state == Waiting) && a.ImageReadySince.IsZero() {
+			a.ImageReadySince = now
 		}
-		if state == Running && a.RunSince.IsZero() {
-			a.RunSince = now
+		if state == Running && a.RunningSince.IsZero() {
+			a.RunningSince = now
 			out.Running = append(out.Running, a)
 		}
 	}
-	a.Cause, a.Saved = r.Cause, r.Saved
+	a.Cause, a.CheckpointSaved = r.Cause, r.CheckpointSaved
 	a.setState(state)
 	if state == Ended {
 		m.releaseItem(a)
@@ -140,29 +140,29 @@
 	}
 }
 
-// addFound adds an attempt that is on the machine though we knew nothing of it.
-func (m *Machine) addFound(r *TaskStatus, task TaskID, state State, out *Outcome, now time.Time) {
+// addDiscovered adds an attempt that is on the machine though we knew nothing of it.
+func (m *Machine) addDiscovered(r *TaskStatus, task TaskID, state State, out *ApplyResult, now time.Time) {
 	a := &Attempt{
-		Task:       task,
-		Number:     r.Attempt,
-		Machine:    m,
-		Since:      now,
-		Cause:      r.Cause,
-		Saved:      r.Saved,
-		state:      state,
-		lastSeenIn: m.statusCount,
-	}
-	m.add(a)
+		Task:            task,
+		Number:          r.Attempt,
+		Machine:         m,
+		AssignedAt:      now,
+		Cause:           r.Cause,
+		CheckpointSaved: r.CheckpointSaved,
+		state:           state,
+		lastSeenIn:      m.statusCount,
+	}
+	m.addAttempt(a)
 	if state == Running {
-		a.RunSince = now
+		a.RunningSince = now
 		out.Running = append(out.Running, a)
 	}
-	out.New = append(out.New, a)
+	out.Discovered = append(out.Discovered, a)
 	out.Changed = true
 }
 
 // forgetSent forgets every attempt of a machine but those of which nothing was sent yet.
-func (o *Outcome) forgetSent(m *Machine) {
+func (o *ApplyResult) forgetSent(m *Machine) {
 	for _, a := range slices.Clone(m.attempts) {
 		if a.state != Planned {
 			o.forget(m, a)
@@ -171,7 +171,7 @@
 }
 
 // forgetMissing forgets the attempts that the status lacks, where that proves that they are gone.
-func (t *Table) forgetMissing(r *Heartbeat, isHeartbeat bool, out *Outcome, now time.Time) {
+func (t *Table) forgetMissing(r *Heartbeat, isHeartbeat bool, out *ApplyResult, now time.Time) {
 	m := out.Machine
 	for i := 0; i < len(m.attempts); i++ {
 		a := m.attempts[i]
@@ -183,10 +183,10 @@
 	}
 }
 
-func (o *Outcome) forget(m *Machine, a *Attempt) {
+func (o *ApplyResult) forget(m *Machine, a *Attempt) {
 	m.Forget(a)
 	o.Changed = true
 	if a.state != Ended {
-		o.Gone = append(o.Gone, a)
+		o.Lost = append(o.Lost, a)
 	}
 }
--- a/internal/fleet/status_test.go
+++ b/internal/fleet/status_test.go
@@ -44,7 +44,7 @@
 // send plans an attempt on a machine and sends its run command.
 func send(table *Table, m *Machine, now time.Time) *Attempt {
 	a := table.Plan(m, task, 1, &packing.Item{}, now)
-	a.Send(now)
+	a.MarkSent(now)
 	return a
 }
 
@@ -78,8 +78,8 @@
 		t.Error("the attempt is forgotten after an answer without it, want it kept")
 	}
 	out := table.Apply(status(12), true, start)
-	if a.OnMachine() || len(out.Gone) != 1 {
-		t.Errorf("the attempt is on the machine: %v, gone: %d; want it gone after a later heartbeat", a.OnMachine(), len(out.Gone))
+	if a.OnMachine() || len(out.Lost) != 1 {
+		t.Errorf("the attempt is on the machine: %v, gone: %d; want it gone after a later heartbeat", a.OnMachine(), len(out.Lost))
 	}
 }
 
@@ -87,20 +87,20 @@
 func TestMissingAttemptIsProbed(t *testing.T) {
 	table, m := newReconciledTable(t)
 	table.Apply(status(11, running(1)), true, start)
-	if out := table.Apply(status(12), true, start); len(out.Gone) != 0 {
-		t.Fatalf("%d attempts are gone after a heartbeat, want none", len(out.Gone))
+	if out := table.Apply(status(12), true, start); len(out.Lost) != 0 {
+		t.Fatalf("%d attempts are gone after a heartbeat, want none", len(out.Lost))
 	}
 	now := start.Add(time.Minute)
-	probes := table.Probes(5*time.Second, now)
+	probes := table.DueProbes(5*time.Second, now)
 	if len(probes) != 1 || probes[0].Machine != m.Name {
 		t.Fatalf("probes are %+v, want one of %s", probes, m.Name)
 	}
-	if again := table.Probes(5*time.Second, now); len(again) != 0 {
+	if again := table.DueProbes(5*time.Second, now); len(again) != 0 {
 		t.Errorf("probes at the same time are %+v, want none", again)
 	}
 	out, restarted := table.ApplyProbe(probes[0], status(13), now)
-	if restarted || len(out.Gone) != 1 || len(m.Attempts()) != 0 {
-		t.Errorf("after the answer: restarted %v, %d gone, %d left; want 1 gone and none left", restarted, len(out.Gone), len(m.Attempts()))
+	if restarted || len(out.Lost) != 1 || len(m.Attempts()) != 0 {
+		t.Errorf("after the answer: restarted %v, %d gone, %d left; want 1 gone and none left", restarted, len(out.Lost), len(m.Attempts()))
 	}
 }
 
@@ -110,12 +110,12 @@
 	table, m := newReconciledTable(t)
 	table.Apply(status(11, running(1)), true, start)
 	table.Apply(status(12), true, start)
-	probe := table.Probes(5*time.Second, start.Add(time.Minute))[0]
+	probe := table.DueProbes(5*time.Second, start.Add(time.Minute))[0]
 	table.Apply(status(13), true, start.Add(time.Minute))
 	if out, restarted := table.ApplyProbe(probe, status(3), start.Add(time.Minute)); !out.Stale || restarted {
 		t.Errorf("with a status in between: stale %v, restarted %v; want it stale", out.Stale, restarted)
 	}
-	probe = table.Probes(5*time.Second, start.Add(2*time.Minute))[0]
+	probe = table.DueProbes(5*time.Second, start.Add(2*time.Minute))[0]
 	out, restarted := table.ApplyProbe(probe, status(3), start.Add(2*time.Minute))
 	if out.Stale || !restarted || m.Sequence != 3 || len(m.Attempts()) != 0 {
 		t.Errorf("stale %v, restarted %v, sequence number %d, %d attempts; want it restarted at 3 without attempts",
@@ -131,7 +131,7 @@
 	if got := table.Recency(status(11), start.Add(time.Second)); got != Overtaken {
 		t.Errorf("within the worker's patience: got %v, want %v", got, Overtaken)
 	}
-	if got := table.Recency(status(11), start.Add(workerPatience)); got != Late {
+	if got := table.Recency(status(11), start.Add(responseTimeout)); got != Late {
 		t.Errorf("after it: got %v, want %v", got, Late)
 	}
 	if got := table.Recency(status(10), start.Add(time.Second)); got != Late {
@@ -144,7 +144,7 @@
 
 // A worker that comes through another controller each time has not received the answers: it is
 // unreachable after two, and reachable again when it stays with one.
-func TestUnreachableWithoutTraceOfAnswers(t *testing.T) {
+func TestUnreachableAfterMissedAnswers(t *testing.T) {
 	table, m := newReconciledTable(t)
 	now := start
 	heartbeat := func(sequence uint64, via string) {
@@ -153,17 +153,17 @@
 		now = now.Add(10 * time.Second)
 		table.Apply(r, true, now)
 	}
-	m.Answered("controller-1", now)
+	m.MarkAnswered("controller-1", now)
 	heartbeat(20, "controller-2")
 	if m.Unreachable() {
 		t.Error("unreachable after one missed answer, want two")
 	}
-	m.Answered("controller-2", now)
+	m.MarkAnswered("controller-2", now)
 	heartbeat(30, "controller-1")
 	if !m.Unreachable() || m.UnreachableFor(now) != 10*time.Second {
 		t.Errorf("unreachable %v for %v, want it for 10s", m.Unreachable(), m.UnreachableFor(now))
 	}
-	m.Answered("controller-1", now)
+	m.MarkAnswered("controller-1", now)
 	heartbeat(31, "controller-1")
 	if m.Unreachable() {
 		t.Error("unreachable after a heartbeat through the same controller, want it reachable")
@@ -178,7 +178,7 @@
 	r := status(1)
 	r.Incarnation = 2
 	out := table.Apply(r, true, start)
-	if len(out.Gone) != 1 || out.Gone[0].Task != task || !planned.OnMachine() {
-		t.Errorf("gone are %d, the planned attempt is on the machine: %v; want only the running one gone", len(out.Gone), planned.OnMachine())
+	if len(out.Lost) != 1 || out.Lost[0].Task != task || !planned.OnMachine() {
+		t.Errorf("gone are %d, the planned attempt is on the machine: %v; want only the running one gone", len(out.Lost), planned.OnMachine())
 	}
 }
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -20,18 +20,18 @@
 	OnChange func(a *Attempt)
 
 	sorted        []*Machine                       // by name; replaced, never changed in place
-	byJob         map[string]map[*Attempt]struct{} // the attempts of all machines, by job
+	attemptsByJob map[string]map[*Attempt]struct{} // the attempts of all machines, by job
 	attemptsAdded uint64                           // since the term began
 }
 
 // NewTable returns an empty table for a term.
 func NewTable(term uint64, lease time.Duration, params forecast.Params) *Table {
 	return &Table{
-		Term:     term,
-		Lease:    lease,
-		Machines: map[string]*Machine{},
-		Forecast: params,
-		byJob:    map[string]map[*Attempt]struct{}{},
+		Term:          term,
+		Lease:         lease,
+		Machines:      map[string]*Machine{},
+		Forecast:      params,
+		attemptsByJob: map[string]map[*Attempt]struct{}{},
 	}
 }
 
@@ -39,8 +39,8 @@
 // when machines come and go.
 func (t *Table) Sorted() []*Machine { return t.sorted }
 
-// search returns the place of a machine in the sorted list, and whether it is there.
-func (t *Table) search(name string) (int, bool) {
+// sortedIndex returns the place of a machine in the sorted list, and whether it is there.
+func (t *Table) sortedIndex(name string) (int, bool) {
 	return slices.BinarySearchFunc(t.sorted, name, func(m *Machine, n string) int { return strings.Compare(m.Name, n) })
 }
 
@@ -61,31 +61,31 @@
 // addMachine adds a machine whose bin is closed until its capacity is known.
 func (t *Table) addMachine(name, addr, typ, zone string, spot bool) *Machine {
 	m := &Machine{
-		table:     t,
-		Name:      name,
-		Addr:      addr,
-		Type:      typ,
-		Zone:      zone,
-		Spot:      spot,
-		ErrorJobs: map[string]int{},
-		Bin:       packing.NewBin(name, packing.Resources{}),
-		Forecast:  forecast.New(t.Forecast),
+		table:            t,
+		Name:             name,
+		Addr:             addr,
+		Type:             typ,
+		Zone:             zone,
+		Spot:             spot,
+		FailedTasksByJob: map[string]int{},
+		Bin:              packing.NewBin(name, packing.Resources{}),
+		Forecast:         forecast.New(t.Forecast),
 	}
 	m.Bin.Owner = m
 	m.Bin.SetOpen(false)
 	m.Bin.SetLabel(SpotLabel, spot)
 	m.Bin.SetLabel(OnDemandLabel, !spot)
 	t.Machines[name] = m
-	i, _ := t.search(name)
+	i, _ := t.sortedIndex(name)
 	t.sorted = slices.Insert(slices.Clone(t.sorted), i, m)
 	return m
 }
 
 // Plan adds an attempt that is chosen for the machine, and of which nothing was sent yet.
 func (t *Table) Plan(m *Machine, task TaskID, number uint64, item *packing.Item, now time.Time) *Attempt {
-	a := &Attempt{Task: task, Number: number, Machine: m, Item: item, Since: now}
+	a := &Attempt{Task: task, Number: number, Machine: m, Item: item, AssignedAt: now}
 	item.Owner = a
-	m.add(a)
+	m.addAttempt(a)
 	return a
 }
 
@@ -98,7 +98,7 @@
 	}
 	delete(t.Machines, name)
 	m.removed = true
-	if i, ok := t.search(name); ok {
+	if i, ok := t.sortedIndex(name); ok {
 		t.sorted = slices.Delete(slices.Clone(t.sorted), i, i+1)
 	}
 	return m.forgetAll()
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -39,9 +39,9 @@
 	Via string `json:"-"`
 }
 
-// Check returns an error that names the first field which is missing or not valid. A status with one
+// Validate returns an error that names the first field which is missing or not valid. A status with one
 // unreadable part must be refused as a whole: what it seems to lack would be taken for gone.
-func (r *Heartbeat) Check() error {
+func (r *Heartbeat) Validate() error {
 	switch {
 	case r.Machine == "":
 		return errors.New("host is missing")
@@ -64,11 +64,11 @@
 //
 //easyjson:json
 type TaskStatus struct {
-	Task    string `json:"shot"`   // a TaskID as text
-	Attempt uint64 `json:"try"`    // the attempt's number
-	Status  string `json:"status"` // a State as text, from Pulling on
-	Cause   string `json:"cause"`  // of the end, one of the Cause constants
-	Saved   bool   `json:"saved"`  // a checkpoint was saved
+	Task            string `json:"shot"`   // a TaskID as text
+	Attempt         uint64 `json:"try"`    // the attempt's number
+	Status          string `json:"status"` // a State as text, from Pulling on
+	Cause           string `json:"cause"`  // of the end, one of the Cause constants
+	CheckpointSaved bool   `json:"saved"`  // a checkpoint was saved
 }
 
 // Command is one command to a worker.
@@ -105,12 +105,12 @@
 
 // Causes of an attempt's end.
 const (
-	CauseDone      = "done"
-	CauseStopped   = "stopped"    // by a kill
-	CauseMatesGone = "mates_gone" // another task of its gang is gone
-	CauseAlone     = "alone"      // its gang was not complete in time
-	CauseError     = "error"
-	CauseFull      = "full"    // never started: the machine has no room
-	CauseBusy      = "busy"    // never started: another attempt of the task is on the machine
-	CauseNoSuch    = "no_such" // never started: no such task is known
+	CauseDone         = "done"
+	CauseStopped      = "stopped"    // by a kill
+	CauseGangPeerLost = "mates_gone" // another task of its gang is gone
+	CauseGangTimeout  = "alone"      // its gang was not complete in time
+	CauseError        = "error"
+	CauseFull         = "full"    // never started: the machine has no room
+	CauseOtherAttempt = "busy"    // never started: another attempt of the task is on the machine
+	CauseUnknownTask  = "no_such" // never started: no such task is known
 )
--- a/internal/fleet/wire_easyjson.go
+++ b/internal/fleet/wire_easyjson.go
@@ -59,7 +59,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Saved = bool(in.Bool())
+				out.CheckpointSaved = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -98,7 +98,7 @@
 	{
 		const prefix string = ",\"saved\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Saved))
+		out.Bool(bool(in.CheckpointSaved))
 	}
 	out.RawByte('}')
 }
--- a/internal/leader/attestation.go
+++ b/internal/leader/attestation.go
@@ -10,9 +10,9 @@
 	"drumpick/internal/watermark"
 )
 
-// recordsPerFirmSpan is how often, in a firm span, the record that watermarks are complete is
+// recordsPerHoldoff is how often, in a firm span, the record that watermarks are complete is
 // stored, along with other writes.
-const recordsPerFirmSpan = 3
+const recordsPerHoldoff = 3
 
 // attestor tells the peers how the watermarks in the store stand: complete, or relaxed in an
 // outage of the store that all controllers share, when tasks are dispatched beyond watermarks
@@ -42,10 +42,10 @@
 	}
 }
 
-// firmSpan is how long after a record that its watermarks are complete a leader does not relax
+// relaxationHoldoff is how long after a record that its watermarks are complete a leader does not relax
 // them: that record serves a process of this node that starts within it. A controller has to be
 // back sooner for that; in an outage of the store task starts are held up for no longer.
-func (a *attestor) firmSpan() time.Duration {
+func (a *attestor) relaxationHoldoff() time.Duration {
 	return max(a.settings.HeartbeatInterval, a.settings.Lease/4)
 }
 
@@ -53,15 +53,15 @@
 func (a *attestor) recordDue(now time.Time) *watermark.StoredAttestation {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.current.Complete || now.Sub(a.recordedAt) < a.firmSpan()/recordsPerFirmSpan {
+	if !a.current.Complete || now.Sub(a.recordedAt) < a.relaxationHoldoff()/recordsPerHoldoff {
 		return nil
 	}
 	a.recordedAt = now // whether it is answered or not: it may be stored late
 	return &watermark.StoredAttestation{Term: a.number, Node: a.cfg.Node, AtMS: now.UnixMilli()}
 }
 
-// noteLed takes in a revision at which the term held the leader key.
-func (a *attestor) noteLed(revision uint64) {
+// recordRevision takes in a revision at which the term held the leader key.
+func (a *attestor) recordRevision(revision uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.current.Revision = max(a.current.Revision, revision)
@@ -119,9 +119,9 @@
 	return a.current
 }
 
-// noteRelaxation takes in which peers have observed such an attestation. Watermarks are relaxed
+// applyAcknowledgements takes in which peers have observed such an attestation. Watermarks are relaxed
 // only when all have.
-func (a *attestor) noteRelaxation(attestation watermark.Attestation, answers []peer.Status, all bool, askedAt time.Time) {
+func (a *attestor) applyAcknowledgements(attestation watermark.Attestation, answers []peer.Status, all bool, askedAt time.Time) {
 	took := time.Since(askedAt)
 	for _, answer := range answers {
 		// Without the last condition, a peer would count that was barred by a new leader and has
@@ -136,7 +136,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	// Nor may a record that the store has, or may yet apply, attest otherwise.
-	if a.current.Seq == attestation.Seq && !a.current.Complete && askedAt.Sub(a.recordedAt) > a.firmSpan() {
+	if a.current.Seq == attestation.Seq && !a.current.Complete && askedAt.Sub(a.recordedAt) > a.relaxationHoldoff() {
 		if a.relaxedUntil.IsZero() {
 			slog.Warn("watermarks relaxed", "term", a.number, "peers", len(answers))
 		}
--- a/internal/leader/attestation_query.go
+++ b/internal/leader/attestation_query.go
@@ -12,14 +12,14 @@
 	"drumpick/internal/watermark"
 )
 
-// earlierComplete reports whether the watermarks that earlier leaders left are complete. It asks
+// earlierWatermarksComplete reports whether the watermarks that earlier leaders left are complete. It asks
 // after the term was won: from then on no observer takes in that an earlier leader relaxes them.
-func (a *attestor) earlierComplete(ctx context.Context) bool {
+func (a *attestor) earlierWatermarksComplete(ctx context.Context) bool {
 	if !a.settings.Watermarks {
 		return false
 	}
 	answers, attestations := a.queryObservers(ctx)
-	if latest, ok := watermark.Latest(attestations); ok {
+	if latest, ok := watermark.LatestComplete(attestations); ok {
 		changes, err := a.leaderChanges(ctx, latest.Revision)
 		complete := err == nil && watermark.Trusted(latest, changes, a.number)
 		slog.Info("watermarks checked", "term", a.number, "source", "peers", "attested", latest.Term, "complete", complete, "err", err)
@@ -30,7 +30,7 @@
 		slog.Info("watermarks checked", "term", a.number, "source", "none", "complete", false, "peers", answers, "err", err)
 		return false
 	}
-	return a.recordHolds(ctx, row)
+	return a.storedAttestationHolds(ctx, row)
 }
 
 // queryObservers asks all controllers, this one included, what they have observed of earlier
@@ -52,14 +52,14 @@
 	return len(answers), attestations
 }
 
-// recordHolds reports whether the record that watermarks are complete, in the store, still holds.
+// storedAttestationHolds reports whether the record that watermarks are complete, in the store, still holds.
 // It serves when all controllers have ended at once, so that none has observed anything.
-func (a *attestor) recordHolds(ctx context.Context, row *records.KeyValue) bool {
+func (a *attestor) storedAttestationHolds(ctx context.Context, row *records.KeyValue) bool {
 	var stored watermark.StoredAttestation
 	_ = json.Unmarshal(row.Value, &stored) // what is unreadable is of no term
 	_, _, startedAt := a.store.Health()
 	timeBound := time.Duration(a.cfg.Deployment.TimeBoundMS * float64(time.Millisecond))
-	firmSpan := a.firmSpan() - config.Drift(a.firmSpan())
+	firmSpan := a.relaxationHoldoff() - config.Drift(a.relaxationHoldoff())
 	complete := stored.StillHolds(a.cfg.Node, startedAt, firmSpan, timeBound)
 	if complete {
 		changes, err := a.leaderChanges(ctx, row.Revision)
@@ -78,14 +78,14 @@
 	var changes []watermark.LeaderChange
 	for _, event := range events {
 		if event.Write == records.KeyLeader {
-			changes = append(changes, leaderChange(event))
+			changes = append(changes, decodeLeaderChange(event))
 		}
 	}
 	return changes, nil
 }
 
-// leaderChange reads a write of the leader key. One that is unreadable keeps no watermarks.
-func leaderChange(event records.Event) watermark.LeaderChange {
+// decodeLeaderChange reads a write of the leader key. One that is unreadable keeps no watermarks.
+func decodeLeaderChange(event records.Event) watermark.LeaderChange {
 	var holder records.Leader
 	_ = json.Unmarshal(event.Value, &holder)
 	return watermark.LeaderChange{Term: event.Revision, KeepsWatermarks: holder.Watermarks, Node: holder.Node}
--- a/internal/leader/autoscaling.go
+++ b/internal/leader/autoscaling.go
@@ -22,8 +22,8 @@
 	cloud Cloud
 }
 
-// reconcileCloudLists reads the cloud's list of machines time after time.
-func (a *autoscaling) reconcileCloudLists(ctx context.Context) {
+// runReconciliation reads the cloud's list of machines time after time.
+func (a *autoscaling) runReconciliation(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := max(a.reconcileCloudList(ctx), a.settings.HeartbeatInterval/4)
 		if ctxtime.Sleep(ctx, pause*3/4+rand.N(pause/2)) != nil {
@@ -51,12 +51,12 @@
 	return pause
 }
 
-// scaleOut rents the machines that the scheduler plans. It returns once every request has ended.
-func (a *autoscaling) scaleOut(ctx context.Context) {
+// runScaleOut rents the machines that the scheduler plans. It returns once every request has ended.
+func (a *autoscaling) runScaleOut(ctx context.Context) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	for ctxtime.Sleep(ctx, a.settings.HeartbeatInterval/4) == nil {
-		if !a.confirmed() {
+		if !a.leaseConfirmed() {
 			continue
 		}
 		a.state.mu.Lock()
@@ -78,7 +78,7 @@
 	for retries := 0; ; retries++ {
 		var machines []string
 		err := error(autoscaler.ErrUnavailable)
-		if a.confirmed() {
+		if a.leaseConfirmed() {
 			machines, err = a.cloud.Rent(ctx, request)
 		}
 		now := time.Now()
@@ -103,12 +103,12 @@
 	}
 }
 
-// scaleIn returns the machines that the scheduler has no more use for.
-func (a *autoscaling) scaleIn(ctx context.Context) {
+// runScaleIn returns the machines that the scheduler has no more use for.
+func (a *autoscaling) runScaleIn(ctx context.Context) {
 	for ctxtime.Sleep(ctx, a.settings.HeartbeatInterval/2) == nil {
 		// Without going on while calls are full, hundreds of machines, of a zone that went silent,
 		// would be returned one call in each interval while all older work waits for the last.
-		for more := true; more && a.confirmed(); {
+		for more := true; more && a.leaseConfirmed(); {
 			more = a.returnMachines(ctx)
 		}
 	}
@@ -119,7 +119,7 @@
 	a.state.mu.Lock()
 	machines := a.state.scheduler.MachinesToReturn(time.Now())
 	a.state.mu.Unlock()
-	if len(machines) == 0 || !a.confirmed() {
+	if len(machines) == 0 || !a.leaseConfirmed() {
 		return false
 	}
 	if err := a.cloud.Return(ctx, machines); err != nil {
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -10,9 +10,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// inFlightShare is the part of a heartbeat interval, one in so many, in which a response mostly
+// inFlightDivisor is the part of a heartbeat interval, one in so many, in which a response mostly
 // reaches its worker, relayed by another controller too.
-const inFlightShare = 16
+const inFlightDivisor = 16
 
 var jobsCancelledByPeers = metrics.NewCounter("drumpick_jobs_cancelled_by_word_total")
 
@@ -20,25 +20,25 @@
 // this leader's watch of the store did or while the store does not answer it. They are kept until
 // the watch has come past that. The lock of the state guards it.
 type cancelledJobs struct {
-	arrivals   map[string]time.Time // by job, when what was dispatched of it before has reached its worker
-	reportedAt time.Time            // when the last was reported
+	deliveredBy    map[string]time.Time // by job, when what was dispatched of it before has reached its worker
+	lastReportedAt time.Time            // when the last was reported
 }
 
 func (c *cancelledJobs) contains(job string) bool {
-	_, ok := c.arrivals[job]
+	_, ok := c.deliveredBy[job]
 	return ok
 }
 
-// noteWatched takes in that all that the store had when it was asked is known.
-func (c *cancelledJobs) noteWatched(askedAt time.Time) {
-	if askedAt.After(c.reportedAt) {
-		c.arrivals = nil
+// dropWatched takes in that all that the store had when it was asked is known.
+func (c *cancelledJobs) dropWatched(askedAt time.Time) {
+	if askedAt.After(c.lastReportedAt) {
+		c.deliveredBy = nil
 	}
 }
 
-// cancelByPeers cancels jobs that peers report as cancelled. It is done before any lease is
+// cancelReported cancels jobs that peers report as cancelled. It is done before any lease is
 // renewed on that report: a heartbeat that is accepted from then on is answered with the kills.
-func (t *term) cancelByPeers(jobs []string) {
+func (t *term) cancelReported(jobs []string) {
 	t.state.mu.Lock()
 	defer t.state.mu.Unlock()
 	cancelled := 0
@@ -58,18 +58,18 @@
 // has reached its worker.
 func (t *term) cancelLocked(job string) (arrival time.Time) {
 	cancelled := &t.state.cancelled
-	cancelled.reportedAt = time.Now()
-	arrival, known := cancelled.arrivals[job]
+	cancelled.lastReportedAt = time.Now()
+	arrival, known := cancelled.deliveredBy[job]
 	if known {
 		return arrival
 	}
-	if cancelled.arrivals == nil {
-		cancelled.arrivals = map[string]time.Time{}
+	if cancelled.deliveredBy == nil {
+		cancelled.deliveredBy = map[string]time.Time{}
 	}
 	if dispatched := t.state.scheduler.LastDispatched(job); !dispatched.IsZero() {
-		arrival = dispatched.Add(t.settings.HeartbeatInterval / inFlightShare)
+		arrival = dispatched.Add(t.settings.HeartbeatInterval / inFlightDivisor)
 	}
-	cancelled.arrivals[job] = arrival
+	cancelled.deliveredBy[job] = arrival
 	t.state.scheduler.CloseJob(job) // the record of the closed job tells those that depend on it
 	return arrival
 }
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -35,7 +35,7 @@
 	for _, command := range commands {
 		c.workers.Go(func() {
 			if _, status, err := c.workers.SendCommands(command.Addr, command.Body); err == nil {
-				c.reconcileAnswer(status)
+				c.reconcileStatus(status)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 func (c *commandLoop) sendProbes(probes []fleet.Probe) {
 	for _, probe := range probes {
 		c.workers.Go(func() {
-			_, status, err := c.workers.SendCommands(probe.Addr, c.noCommands(probe.Incarnation))
+			_, status, err := c.workers.SendCommands(probe.Addr, c.emptyCommandRequest(probe.Incarnation))
 			if err != nil {
 				return
 			}
@@ -56,13 +56,13 @@
 	}
 }
 
-// noCommands is a request that only shows a worker the term, and makes it tell its status.
-func (t *term) noCommands(incarnation uint64) fleet.CommandRequest {
+// emptyCommandRequest is a request that only shows a worker the term, and makes it tell its status.
+func (t *term) emptyCommandRequest(incarnation uint64) fleet.CommandRequest {
 	return fleet.CommandRequest{FencingToken: t.number, Incarnation: incarnation, Commands: []fleet.Command{}}
 }
 
-// reconcileAnswer takes in the status that a worker answered a direct command with.
-func (t *term) reconcileAnswer(status *fleet.Heartbeat) {
+// reconcileStatus takes in the status that a worker answered a direct command with.
+func (t *term) reconcileStatus(status *fleet.Heartbeat) {
 	t.state.mu.Lock()
 	defer t.state.mu.Unlock()
 	t.state.scheduler.Reconcile(status, false, time.Now())
--- a/internal/leader/commit_conflict.go
+++ b/internal/leader/commit_conflict.go
@@ -26,8 +26,8 @@
 	}
 	explained := false
 	for _, write := range writes {
-		switch failed := write.OwnKey != "" && slices.Contains(conflict.Failed, write.OwnKey); {
-		case failed && write.OwnRevision != nil:
+		switch failed := write.GuardKey != "" && slices.Contains(conflict.Failed, write.GuardKey); {
+		case failed && write.GuardRevision != nil:
 			explained = true
 			stored, err := p.refreshRevision(ctx, write)
 			if err != nil {
@@ -56,9 +56,9 @@
 // otherwise the write is repeated on what is there now.
 func (p *persister) refreshRevision(ctx context.Context, write scheduler.PendingWrite) (stored bool, err error) {
 	for {
-		row, err := p.store.Get(ctx, write.OwnKey)
+		row, err := p.store.Get(ctx, write.GuardKey)
 		if err == nil {
-			return p.takeRevision(write, row), nil
+			return p.applyStoredRow(write, row), nil
 		}
 		if err := ctxtime.Sleep(ctx, p.settings.HeartbeatInterval/16+rand.N(p.settings.HeartbeatInterval/16)); err != nil {
 			return false, err
@@ -66,20 +66,20 @@
 	}
 }
 
-// takeRevision takes in what the store has under the key of a write, nil for nothing, and reports
+// applyStoredRow takes in what the store has under the key of a write, nil for nothing, and reports
 // whether that is the write.
-func (p *persister) takeRevision(write scheduler.PendingWrite, row *records.KeyValue) (stored bool) {
+func (p *persister) applyStoredRow(write scheduler.PendingWrite, row *records.KeyValue) (stored bool) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
-	*write.OwnRevision = 0
+	*write.GuardRevision = 0
 	if row != nil {
-		*write.OwnRevision = row.Revision
+		*write.GuardRevision = row.Revision
 	}
 	stored = isStored(write.Ops[0], row)
 	if stored {
-		write.OnStored(*write.OwnRevision)
+		write.OnStored(*write.GuardRevision)
 	} else {
-		slog.Error("unexpected stored value", "key", write.OwnKey, "revision", *write.OwnRevision, "term", p.number)
+		slog.Error("unexpected stored value", "key", write.GuardKey, "revision", *write.GuardRevision, "term", p.number)
 	}
 	return stored
 }
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -46,7 +46,7 @@
 		d.state.mu.Unlock()
 		d.readAll(ctx, jobs)
 		d.state.mu.Lock()
-		cascade := d.state.scheduler.HasCascade()
+		cascade := d.state.scheduler.HasJobsToCancel()
 		d.state.mu.Unlock()
 		if cascade {
 			d.persistSoon()
@@ -102,5 +102,5 @@
 		*absent = append(*absent, job)
 		return
 	}
-	d.state.scheduler.NoteClosed(job, closed, row.Revision)
+	d.state.scheduler.ApplyClosedRecord(job, closed, row.Revision)
 }
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -48,7 +48,7 @@
 	w.follow(ctx, prefixWatch{
 		prefix: records.PrefixDrains,
 		wait:   2 * w.settings.HeartbeatInterval,
-		reread: w.reread,
+		relist: w.relist,
 		apply:  w.apply,
 	}, revision)
 }
@@ -65,8 +65,8 @@
 	}
 }
 
-// reread takes in the list of all drains.
-func (w *drainWatch) reread(ctx context.Context) (revision uint64, err error) {
+// relist takes in the list of all drains.
+func (w *drainWatch) relist(ctx context.Context) (revision uint64, err error) {
 	found := map[string]drain.Spec{}
 	revision, err = w.store.List(ctx, records.PrefixDrains, func(row records.KeyValue) error {
 		if spec, ok := scheduler.ReadDrain(row.Key, row.Value); ok {
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -11,14 +11,14 @@
 	"drumpick/internal/scheduler"
 )
 
-// load loads what earlier terms left: open jobs, finished tasks, machines and watermarks. It
+// loadState loads what earlier terms left: open jobs, finished tasks, machines and watermarks. It
 // returns the revision of the list of open jobs, from which on changes are to be watched. Until it
 // has succeeded, no duty of the term runs.
-func (l *Leader) load(ctx context.Context) (revision uint64, err error) {
+func (l *Leader) loadState(ctx context.Context) (revision uint64, err error) {
 	core := scheduler.New(l.settings, l.number, time.Now())
 	limits := l.cfg.Deployment.State.Lowest()
 	persistence := scheduler.NewPersistence(core, limits.ValueKB, limits.TxnOps)
-	watermarksComplete := l.attestor.earlierComplete(ctx)
+	watermarksComplete := l.attestor.earlierWatermarksComplete(ctx)
 	now, wall := time.Now(), time.Now()
 	if err := l.loadMachineTypes(ctx, core); err != nil {
 		return 0, err
@@ -50,24 +50,24 @@
 }
 
 func (l *Leader) loadMachineTypes(ctx context.Context, core *scheduler.Scheduler) error {
-	row, err := l.store.Get(ctx, records.KeyTypes)
+	row, err := l.store.Get(ctx, records.KeyMachineTypes)
 	if err != nil {
-		return fmt.Errorf("load %s: %w", records.KeyTypes, err)
+		return fmt.Errorf("load %s: %w", records.KeyMachineTypes, err)
 	}
 	if row == nil {
 		return nil
 	}
 	var stored records.MachineTypes
 	if json.Unmarshal(row.Value, &stored) == nil {
-		core.SetTypes(stored.Types)
+		core.SetMachineTypes(stored.Types)
 	}
 	return nil
 }
 
 // loadPersisted loads the records that a term keeps beside open jobs.
 func (l *Leader) loadPersisted(ctx context.Context, persistence *scheduler.Persistence, now time.Time) error {
-	loadMachine := func(row records.KeyValue) { persistence.LoadMachine(row, now) }
-	if err := l.loadPrefix(ctx, records.PrefixDone, persistence.LoadDone); err != nil {
+	loadMachine := func(row records.KeyValue) { persistence.LoadMachinePage(row, now) }
+	if err := l.loadPrefix(ctx, records.PrefixFinishedTasks, persistence.LoadDonePage); err != nil {
 		return err
 	}
 	if err := l.loadPrefix(ctx, records.PrefixMachines, loadMachine); err != nil {
@@ -76,7 +76,7 @@
 	if !l.settings.Watermarks {
 		return nil
 	}
-	return l.loadPrefix(ctx, records.PrefixWatermarks, persistence.LoadWatermark)
+	return l.loadPrefix(ctx, records.PrefixWatermarks, persistence.LoadWatermarkPage)
 }
 
 func (l *Leader) loadPrefix(ctx context.Context, prefix string, load func(records.KeyValue)) error {
--- a/internal/leader/fencing.go
+++ b/internal/leader/fencing.go
@@ -44,11 +44,11 @@
 // its new incarnation, with which it is tried once more.
 func (f *machineFencing) fence(machine scheduler.UnreconciledMachine) {
 	for range 2 {
-		outcome, status, err := f.workers.SendCommands(machine.Addr, f.noCommands(machine.Incarnation))
+		outcome, status, err := f.workers.SendCommands(machine.Addr, f.emptyCommandRequest(machine.Incarnation))
 		if err != nil || status.FencingToken > f.number {
 			return
 		}
-		f.reconcileAnswer(status)
+		f.reconcileStatus(status)
 		if outcome == workers.OutcomeExecuted {
 			return
 		}
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -6,9 +6,9 @@
 	"drumpick/internal/fleet"
 )
 
-// commitWaitShare is the part of a heartbeat interval, one in so many, that a heartbeat waits at
+// commitWaitDivisor is the part of a heartbeat interval, one in so many, that a heartbeat waits at
 // the most for a record that its machine needs.
-const commitWaitShare = 16
+const commitWaitDivisor = 16
 
 // Heartbeat takes a worker's heartbeat through its stages: it is admitted and reconciled with
 // what is known of the machine, the machine is put on record, tasks are chosen for it, and it is
@@ -23,10 +23,10 @@
 	if result := x.reconcileLocked(); result != nil {
 		return *result
 	}
-	if !x.recordLocked() {
+	if !x.awaitRecordLocked() {
 		return fleet.HeartbeatResult{Outcome: fleet.HeartbeatUnavailable}
 	}
-	if !x.chooseLocked() {
+	if !x.planLocked() {
 		return fleet.HeartbeatResult{Outcome: fleet.HeartbeatUnavailable}
 	}
 	return x.respondLocked()
@@ -93,14 +93,14 @@
 		}
 		return &fleet.HeartbeatResult{Outcome: fleet.HeartbeatUnavailable}
 	}
-	core.ObserveUse(machine)
+	core.ObserveUsage(machine)
 	x.machine = machine
 	return nil
 }
 
-// recordLocked waits a moment for the record of a machine that may be given tasks, and reports
+// awaitRecordLocked waits a moment for the record of a machine that may be given tasks, and reports
 // whether the heartbeat may go on.
-func (x *heartbeatExchange) recordLocked() bool {
+func (x *heartbeatExchange) awaitRecordLocked() bool {
 	m := x.machine
 	// A machine that may have nothing yet, as it has not shown the term, needs no record: it is
 	// answered, which shows it the term, and given nothing. Otherwise a late copy of a heartbeat
@@ -111,15 +111,15 @@
 	return x.awaitCommitLocked(m, func() bool { return m.Recorded })
 }
 
-// chooseLocked plans what the machine is to start, and waits a moment for watermarks that the
+// planLocked plans what the machine is to start, and waits a moment for watermarks that the
 // plan lacks. It reports whether the heartbeat may go on. From here on the lock is held until the
 // response is made, and whether watermarks are relaxed is asked under it: the attestor relies on
 // that.
-func (x *heartbeatExchange) chooseLocked() bool {
+func (x *heartbeatExchange) planLocked() bool {
 	core := x.state.scheduler
 	x.now = time.Now()
 	x.mayStart = x.mayStartTasks()
-	core.SetRelaxed(x.attestor.relaxed(x.now))
+	core.SetWatermarksRelaxed(x.attestor.relaxed(x.now))
 	if !x.mayStart {
 		return true
 	}
@@ -132,7 +132,7 @@
 	}
 	// The lock was handed back meanwhile, so that the plan is made anew.
 	x.now = time.Now()
-	core.SetRelaxed(x.attestor.relaxed(x.now))
+	core.SetWatermarksRelaxed(x.attestor.relaxed(x.now))
 	core.PlanMachine(x.machine, x.now)
 	return true
 }
@@ -159,7 +159,7 @@
 	if core.HasUnstoredJobs() {
 		x.persistSoon()
 	}
-	core.NoteAnswered(x.machine, x.heartbeat.Via, time.Now())
+	core.RecordAnswer(x.machine, x.heartbeat.Via, time.Now())
 	return fleet.HeartbeatResult{Outcome: fleet.HeartbeatAccepted, Response: response}
 }
 
@@ -170,9 +170,9 @@
 func (l *Leader) awaitCommitLocked(machine *fleet.Machine, ready func() bool) bool {
 	incarnation, sequence := machine.Incarnation, machine.Sequence
 	// Others that came in the same bundle wait at the same time.
-	timeout := time.NewTimer(l.settings.HeartbeatInterval / commitWaitShare)
+	timeout := time.NewTimer(l.settings.HeartbeatInterval / commitWaitDivisor)
 	defer timeout.Stop()
-	for waiting := true; waiting && !ready() && l.confirmed(); {
+	for waiting := true; waiting && !ready() && l.leaseConfirmed(); {
 		committed := l.state.committed
 		l.state.mu.Unlock()
 		l.persistSoon()
@@ -183,7 +183,7 @@
 		}
 		l.state.mu.Lock()
 	}
-	return l.state.scheduler.IsLatest(machine, incarnation, sequence) && l.contact.mayRenewLeases(time.Now())
+	return l.state.scheduler.IsLatestHeartbeat(machine, incarnation, sequence) && l.contact.mayRenewLeases(time.Now())
 }
 
 // Recency reports how a heartbeat stands to what is known of its machine.
--- a/internal/leader/job_watch.go
+++ b/internal/leader/job_watch.go
@@ -18,9 +18,9 @@
 type prefixWatch struct {
 	prefix string
 	wait   time.Duration // for how long the store holds a request open without events
-	// reread takes in a list of all records in place of the events that the store no longer has,
+	// relist takes in a list of all records in place of the events that the store no longer has,
 	// and returns its revision.
-	reread func(ctx context.Context) (revision uint64, err error)
+	relist func(ctx context.Context) (revision uint64, err error)
 	// apply takes in an answer of the store, and when it was asked for.
 	apply func(events []records.Event, askedAt time.Time)
 }
@@ -31,7 +31,7 @@
 		askedAt := time.Now()
 		events, revision, err := t.store.Watch(ctx, watch.prefix, since, watch.wait)
 		if errors.Is(err, records.ErrCompacted) {
-			revision, err = watch.reread(ctx)
+			revision, err = watch.relist(ctx)
 			events = nil
 		}
 		if err != nil {
@@ -54,7 +54,7 @@
 	w.follow(ctx, prefixWatch{
 		prefix: records.PrefixOpen,
 		wait:   w.settings.HeartbeatInterval,
-		reread: w.reread,
+		relist: w.relist,
 		apply:  w.apply,
 	}, revision)
 }
@@ -72,15 +72,15 @@
 			w.state.scheduler.CloseJob(job) // the record of the closed job tells how it ended
 		}
 	}
-	if len(events) > 0 && w.confirmed() {
+	if len(events) > 0 && w.leaseConfirmed() {
 		w.state.scheduler.Replan(now)
 	}
-	w.state.cancelled.noteWatched(askedAt)
-	w.contact.note(askedAt)
+	w.state.cancelled.dropWatched(askedAt)
+	w.contact.record(askedAt)
 }
 
-// reread takes in the list of all open jobs.
-func (w *jobWatch) reread(ctx context.Context) (revision uint64, err error) {
+// relist takes in the list of all open jobs.
+func (w *jobWatch) relist(ctx context.Context) (revision uint64, err error) {
 	open := map[string]records.KeyValue{}
 	revision, err = w.store.List(ctx, records.PrefixOpen, func(row records.KeyValue) error {
 		open[strings.TrimPrefix(row.Key, records.PrefixOpen)] = row
@@ -96,7 +96,7 @@
 		_, ok := open[job]
 		return ok
 	}
-	w.state.scheduler.CloseMissing(isOpen, revision)
+	w.state.scheduler.CloseUnlistedJobs(isOpen, revision)
 	for _, row := range open {
 		w.addJob(w.state.scheduler, row, now, now)
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -73,12 +73,12 @@
 type Leader struct {
 	*term
 	attestor *attestor
-	duties   []duty // in the order in which they are started
+	loops    []loopFunc // in the order in which they are started
 }
 
-// duty is one of the loops of a term. It begins once the state of earlier terms is loaded, and
+// loopFunc is one of the loops of a term. It begins once the state of earlier terms is loaded, and
 // returns when ctx ends or its work is done. revision is the one of the store at the loading.
-type duty func(ctx context.Context, revision uint64)
+type loopFunc func(ctx context.Context, revision uint64)
 
 // New prepares a term; Run serves it. observer is this controller's own, and confirmed the log
 // of the cancellations that it has confirmed to users.
@@ -94,44 +94,44 @@
 	fencing := &machineFencing{term: t}
 	machines := &autoscaling{term: t, cloud: cloud}
 	types := &machineTypes{term: t, cloud: cloud}
-	outage := &storeOutage{term: t, attestor: attestor, confirmed: confirmed}
+	outage := &storeOutage{term: t, attestor: attestor, cancellationLog: confirmed}
 	dependencies := newDependencyReader(t)
 	expiry := &leaseExpiry{term: t, attestor: attestor}
 	l := &Leader{term: t, attestor: attestor}
-	l.duties = []duty{
+	l.loops = []loopFunc{
 		jobs.run,
 		withoutRevision(persister.run),
 		withoutRevision(commands.run),
 		withoutRevision(fencing.run),
 		withoutRevision(types.run),
-		withoutRevision(machines.reconcileCloudLists),
-		withoutRevision(machines.scaleOut),
-		withoutRevision(machines.scaleIn),
+		withoutRevision(machines.runReconciliation),
+		withoutRevision(machines.runScaleOut),
+		withoutRevision(machines.runScaleIn),
 		withoutRevision(outage.run),
 		withoutRevision(dependencies.run),
 		withoutRevision(expiry.run),
 	}
 	if cfg.Options.Operators {
-		l.duties = append(l.duties, (&drainWatch{term: t}).run)
+		l.loops = append(l.loops, (&drainWatch{term: t}).run)
 	}
 	return l
 }
 
 // withoutRevision makes a duty of a loop that follows nothing in the store.
-func withoutRevision(run func(ctx context.Context)) duty {
+func withoutRevision(run func(ctx context.Context)) loopFunc {
 	return func(ctx context.Context, _ uint64) { run(ctx) }
 }
 
 // Run serves the term until ctx ends, and returns once all of its duties have.
 func (l *Leader) Run(ctx context.Context) {
 	defer context.AfterFunc(ctx, func() { l.closed.Store(true) })()
-	revision, ok := l.loadUntilDone(ctx)
+	revision, ok := l.loadWithRetries(ctx)
 	if !ok {
 		return
 	}
 	close(l.loaded)
 	var running sync.WaitGroup
-	for _, run := range l.duties {
+	for _, run := range l.loops {
 		running.Add(1)
 		go func() {
 			defer running.Done()
@@ -141,14 +141,14 @@
 	running.Wait()
 }
 
-// loadUntilDone loads what earlier terms left, again and again until the store answers; ok is
+// loadWithRetries loads what earlier terms left, again and again until the store answers; ok is
 // false when ctx has ended before that.
-func (l *Leader) loadUntilDone(ctx context.Context) (revision uint64, ok bool) {
+func (l *Leader) loadWithRetries(ctx context.Context) (revision uint64, ok bool) {
 	for {
 		askedAt := time.Now()
-		revision, err := l.load(ctx)
+		revision, err := l.loadState(ctx)
 		if err == nil {
-			l.contact.note(askedAt)
+			l.contact.record(askedAt)
 			return revision, true
 		}
 		slog.Warn("failover delayed", "term", l.number, "node", l.cfg.Node, "err", err)
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -8,8 +8,8 @@
 	"drumpick/internal/records"
 )
 
-// confirmed reports whether the term's lease on the leader key is certain not to have expired.
-func (t *term) confirmed() bool {
+// leaseConfirmed reports whether the term's lease on the leader key is certain not to have expired.
+func (t *term) leaseConfirmed() bool {
 	number, confirmedUntil := t.election.Term()
 	return number == t.number && time.Now().Before(confirmedUntil)
 }
@@ -20,11 +20,11 @@
 // have changed hands before that, and to be elected afterwards takes an answer of the store.
 // Machines are scaled out and in under the lease alone.
 func (t *term) mayStartTasks() bool {
-	if t.confirmed() {
+	if t.leaseConfirmed() {
 		return true
 	}
 	number, _ := t.election.Term()
-	return number == t.number && t.contact.vouched()
+	return number == t.number && t.contact.soleLeader()
 }
 
 // leaderKeyCompare is the compare that every write of the term stands under: that the leader key
@@ -36,9 +36,9 @@
 // storeContact is how far the leader can rely on what it has read from the store, and on what
 // its peers say in place of it.
 type storeContact struct {
-	mu           sync.Mutex                // guards the fields below
-	bound        cancellation.RenewalBound // until when workers' leases may be renewed
-	vouchedUntil time.Time                 // until then no peer can lead, whether the lease has expired or not
+	mu              sync.Mutex                // guards the fields below
+	bound           cancellation.RenewalBound // until when workers' leases may be renewed
+	soleLeaderUntil time.Time                 // until then no peer can lead, whether the lease has expired or not
 }
 
 func newStoreContact(cancelTime, lease time.Duration) storeContact {
@@ -54,11 +54,11 @@
 	return c.bound.MayRenew(now)
 }
 
-// note takes in that all cancellations confirmed up to a moment are known.
-func (c *storeContact) note(at time.Time) {
+// record takes in that all cancellations confirmed up to a moment are known.
+func (c *storeContact) record(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bound.NoteContact(at)
+	c.bound.RecordContact(at)
 }
 
 // last returns the latest moment up to which all confirmed cancellations are known.
@@ -68,11 +68,11 @@
 	return c.bound.LastContact()
 }
 
-// inquirySpan returns how far back peers have to answer that are asked now.
-func (c *storeContact) inquirySpan(now time.Time, timeout time.Duration) time.Duration {
+// requiredSpan returns how far back peers have to answer that are asked now.
+func (c *storeContact) requiredSpan(now time.Time, timeout time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.bound.InquirySpan(now, timeout)
+	return c.bound.RequiredSpan(now, timeout)
 }
 
 // coveredBy reports whether answers name every cancellation confirmed since the last contact, and
@@ -83,15 +83,15 @@
 	return c.bound.Covers(answers, now)
 }
 
-// vouchUntil notes that no peer can lead until then.
-func (c *storeContact) vouchUntil(until time.Time) {
+// setSoleLeaderUntil notes that no peer can lead until then.
+func (c *storeContact) setSoleLeaderUntil(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.vouchedUntil = until
+	c.soleLeaderUntil = until
 }
 
-func (c *storeContact) vouched() bool {
+func (c *storeContact) soleLeader() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.vouchedUntil)
+	return time.Now().Before(c.soleLeaderUntil)
 }
--- a/internal/leader/machine_types.go
+++ b/internal/leader/machine_types.go
@@ -20,7 +20,7 @@
 	*term
 	cloud Cloud
 
-	stored        string // the stored types without spot prices, as JSON
+	storedJSON    string // the stored types without spot prices, as JSON
 	revision      uint64 // of the record, 0 for none
 	revisionKnown bool
 }
@@ -37,28 +37,28 @@
 			continue
 		}
 		m.state.mu.Lock()
-		m.state.scheduler.SetTypes(types)
+		m.state.scheduler.SetMachineTypes(types)
 		m.state.mu.Unlock()
 		sort.Slice(types, func(i, j int) bool { return types[i].Name < types[j].Name })
-		m.storeChanged(ctx, types)
+		m.storeIfChanged(ctx, types)
 		if ctxtime.Sleep(ctx, typesRefreshIntervals*interval) != nil {
 			return
 		}
 	}
 }
 
-// storeChanged stores machine types unless they are stored already. What fails is tried again with
+// storeIfChanged stores machine types unless they are stored already. What fails is tried again with
 // the next reading.
-func (m *machineTypes) storeChanged(ctx context.Context, types []records.MachineType) {
+func (m *machineTypes) storeIfChanged(ctx context.Context, types []records.MachineType) {
 	withoutPrices := jsonWithoutPrices(types)
-	if withoutPrices == m.stored {
+	if withoutPrices == m.storedJSON {
 		return
 	}
 	value := records.MachineTypes{Types: types}
 	if records.EncodedSize(value) > m.maxValueBytes() {
 		// Controllers ask the cloud where there is no such record.
 		slog.Warn("machine types too large to store", "types", len(types), "term", m.number)
-		m.stored = withoutPrices
+		m.storedJSON = withoutPrices
 		return
 	}
 	// Without the compare with the record's revision, a list could be stored late, after a newer
@@ -66,11 +66,11 @@
 	if !m.revisionKnown && !m.readRevision(ctx) {
 		return
 	}
-	compares := append(m.leaderKeyCompare(), records.Compare{Key: records.KeyTypes, Revision: m.revision})
-	revision, err := m.store.Commit(ctx, compares, []records.Op{{Write: records.KeyTypes, Value: value}})
+	compares := append(m.leaderKeyCompare(), records.Compare{Key: records.KeyMachineTypes, Revision: m.revision})
+	revision, err := m.store.Commit(ctx, compares, []records.Op{{Write: records.KeyMachineTypes, Value: value}})
 	m.revisionKnown = err == nil
 	if m.revisionKnown {
-		m.stored, m.revision = withoutPrices, revision
+		m.storedJSON, m.revision = withoutPrices, revision
 	}
 }
 
@@ -87,7 +87,7 @@
 
 // readRevision reads the revision of the stored record, and reports whether the store has answered.
 func (m *machineTypes) readRevision(ctx context.Context) bool {
-	row, err := m.store.Get(ctx, records.KeyTypes)
+	row, err := m.store.Get(ctx, records.KeyMachineTypes)
 	if err != nil {
 		return false
 	}
--- a/internal/leader/persist.go
+++ b/internal/leader/persist.go
@@ -20,15 +20,15 @@
 }
 
 func (p *persister) run(ctx context.Context) {
-	for p.awaitDue(ctx) {
-		if p.confirmed() && !p.persistAll(ctx) {
+	for p.awaitRound(ctx) {
+		if p.leaseConfirmed() && !p.persistAll(ctx) {
 			return
 		}
 	}
 }
 
-// awaitDue waits for the next round, and returns false when ctx has ended.
-func (p *persister) awaitDue(ctx context.Context) bool {
+// awaitRound waits for the next round, and returns false when ctx has ended.
+func (p *persister) awaitRound(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -69,12 +69,12 @@
 		if p.store.WaitForWrites(ctx, opCount) != nil {
 			return false
 		}
-		compares, ops := p.transaction(writes)
+		compares, ops := p.buildTransaction(writes)
 		revision, err := p.store.Commit(ctx, compares, ops)
 		var conflict *records.ConflictError
 		switch {
 		case err == nil:
-			p.noteStored(writes, revision)
+			p.markStored(writes, revision)
 			return true
 		case errors.As(err, &conflict):
 			remaining, ok := p.resolveConflict(ctx, writes, conflict)
@@ -87,7 +87,7 @@
 		default:
 			slog.Debug("commit failed", "term", p.number, "err", err)
 			if !errors.Is(err, records.ErrUnavailable) && !errors.Is(err, records.ErrThrottled) {
-				p.noteUnanswered(writes)
+				p.markUnanswered(writes)
 			}
 		}
 		if ctxtime.Sleep(ctx, pause/2+rand.N(pause)) != nil {
@@ -105,15 +105,15 @@
 	return count
 }
 
-// transaction puts writes together, with the compares under which all of them are valid.
-func (p *persister) transaction(writes []scheduler.PendingWrite) (compares []records.Compare, ops []records.Op) {
+// buildTransaction puts writes together, with the compares under which all of them are valid.
+func (p *persister) buildTransaction(writes []scheduler.PendingWrite) (compares []records.Compare, ops []records.Op) {
 	compares = p.leaderKeyCompare()
 	compared := map[string]bool{}
 	for _, write := range writes {
 		ops = append(ops, write.Ops...)
 		needed := write.Compares
-		if write.OwnRevision != nil {
-			needed = []records.Compare{{Key: write.OwnKey, Revision: *write.OwnRevision}}
+		if write.GuardRevision != nil {
+			needed = []records.Compare{{Key: write.GuardKey, Revision: *write.GuardRevision}}
 		}
 		for _, compare := range needed {
 			if !compared[compare.Key] {
@@ -125,14 +125,14 @@
 	return compares, ops
 }
 
-// noteStored takes in that writes are in the store, at a revision.
-func (p *persister) noteStored(writes []scheduler.PendingWrite, revision uint64) {
+// markStored takes in that writes are in the store, at a revision.
+func (p *persister) markStored(writes []scheduler.PendingWrite, revision uint64) {
 	p.state.mu.Lock()
 	for _, write := range writes {
-		if write.OwnRevision != nil {
-			*write.OwnRevision = revision
+		if write.GuardRevision != nil {
+			*write.GuardRevision = revision
 			if write.Ops[0].Delete != "" {
-				*write.OwnRevision = 0
+				*write.GuardRevision = 0
 			}
 		}
 		write.OnStored(revision)
@@ -140,15 +140,15 @@
 	close(p.state.committed)
 	p.state.committed = make(chan struct{})
 	p.state.mu.Unlock()
-	p.attestor.noteLed(revision)
+	p.attestor.recordRevision(revision)
 }
 
-// noteUnanswered takes in that writes may yet be applied.
-func (p *persister) noteUnanswered(writes []scheduler.PendingWrite) {
+// markUnanswered takes in that writes may yet be applied.
+func (p *persister) markUnanswered(writes []scheduler.PendingWrite) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
 	for _, write := range writes {
-		if write.OwnRevision != nil && *write.OwnRevision == 0 && write.OnUnanswered != nil {
+		if write.GuardRevision != nil && *write.GuardRevision == 0 && write.OnUnanswered != nil {
 			write.OnUnanswered()
 		}
 	}
@@ -160,10 +160,10 @@
 func (p *persister) commitSeparately(ctx context.Context, writes []scheduler.PendingWrite, cause error) bool {
 	slog.Warn("commit rejected as too large", "writes", len(writes), "term", p.number, "err", cause)
 	if len(writes) == 1 {
-		p.noteTooLarge(writes[0])
+		p.markTooLarge(writes[0])
 		return true
 	}
-	p.state.persistence.HalveCommits()
+	p.state.persistence.HalveCommitSize()
 	for _, write := range writes {
 		if !p.commit(ctx, []scheduler.PendingWrite{write}) {
 			return false
@@ -172,8 +172,8 @@
 	return true
 }
 
-// noteTooLarge takes in that the store will never take a write as it is.
-func (p *persister) noteTooLarge(write scheduler.PendingWrite) {
+// markTooLarge takes in that the store will never take a write as it is.
+func (p *persister) markTooLarge(write scheduler.PendingWrite) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
 	if write.OnTooLarge == nil {
--- a/internal/leader/store_outage.go
+++ b/internal/leader/store_outage.go
@@ -19,8 +19,8 @@
 // leader resigns once its lease on the leader key has expired.
 type storeOutage struct {
 	*term
-	attestor  *attestor
-	confirmed *cancellation.Log // the cancellations that this controller has confirmed to users
+	attestor        *attestor
+	cancellationLog *cancellation.Log // the cancellations that this controller has confirmed to users
 
 	// servedElsewhereSince is since when, past the expiry of the lease on the leader key, the
 	// store serves peers and not the leader; zero while it does not.
@@ -49,47 +49,47 @@
 	askedAt := time.Now()
 	_, confirmedUntil := o.election.Term()
 	attestation := o.attestor.requestRelaxation()
-	span := o.contact.inquirySpan(askedAt, interval) // answers may take a moment, and so may this
+	span := o.contact.requiredSpan(askedAt, interval) // answers may take a moment, and so may this
 	answers, all := o.peers.QueryStatus(ctx, peer.StatusRequest{Attestation: attestation, CancellationSpanMS: span.Milliseconds()})
-	o.attestor.noteRelaxation(attestation, answers, all, askedAt)
+	o.attestor.applyAcknowledgements(attestation, answers, all, askedAt)
 	now := time.Now()
-	own := o.confirmed.Confirmed(span, now)
+	own := o.cancellationLog.ConfirmedWithin(span, now)
 	sinceExpiry := time.Since(confirmedUntil)
-	cancellations := []cancellation.PeerAnswer{{Confirmed: &own, QuietFor: o.confirmed.QuietFor(now)}}
+	cancellations := []cancellation.PeerAnswer{{Confirmed: &own, SinceLastConfirmation: o.cancellationLog.SinceLastConfirmation(now)}}
 	for _, answer := range answers {
 		cancellations = append(cancellations, cancellation.PeerAnswer{
-			Confirmed: answer.Cancellations,
-			QuietFor:  time.Duration(answer.CancellationQuietMS) * time.Millisecond,
+			Confirmed:             answer.Cancellations,
+			SinceLastConfirmation: time.Duration(answer.CancellationQuietMS) * time.Millisecond,
 		})
 	}
-	reach := o.storeReach(answers, sinceExpiry, now.Sub(askedAt))
-	if o.excluded(reach, askedAt, lastOK) {
+	reach := o.summarizeStoreAccess(answers, sinceExpiry, now.Sub(askedAt))
+	if o.shouldResign(reach, askedAt, lastOK) {
 		slog.Warn("leader resigned", "term", o.number, "node", o.cfg.Node, "reason", "the store serves other controllers and not this one")
 		o.election.Resign()
 		return false
 	}
 	cancelled, covered := o.contact.coveredBy(cancellations, now)
 	if all && covered {
-		o.cancelByPeers(cancelled)
-		o.contact.note(askedAt)
+		o.cancelReported(cancelled)
+		o.contact.record(askedAt)
 	}
 	if all && reach.noneCanLead && !reach.served {
-		o.contact.vouchUntil(askedAt.Add(interval))
+		o.contact.setSoleLeaderUntil(askedAt.Add(interval))
 	}
 	return true
 }
 
-// storeReach is how the store serves the peers that have answered.
-type storeReach struct {
+// peerStoreAccess is how the store serves the peers that have answered.
+type peerStoreAccess struct {
 	served           bool // it serves one of them now
 	servedPastExpiry bool // it has answered one of them since the lease on the leader key expired
 	noneCanLead      bool // it has answered none of them since, so that none can have been elected
 }
 
-// storeReach sums up answers that took a while to come in. sinceExpiry is for how long the lease
+// summarizeStoreAccess sums up answers that took a while to come in. sinceExpiry is for how long the lease
 // on the leader key has not been certain; negative while it is.
-func (o *storeOutage) storeReach(answers []peer.Status, sinceExpiry, took time.Duration) storeReach {
-	reach := storeReach{noneCanLead: true}
+func (o *storeOutage) summarizeStoreAccess(answers []peer.Status, sinceExpiry, took time.Duration) peerStoreAccess {
+	reach := peerStoreAccess{noneCanLead: true}
 	for _, answer := range answers {
 		silent := time.Duration(answer.StoreSilentMS) * time.Millisecond
 		if silent < o.settings.HeartbeatInterval/2 && !answer.StoreFailing {
@@ -107,9 +107,9 @@
 	return reach
 }
 
-// excluded reports whether the store serves peers and not the leader, for so long that the leader
+// shouldResign reports whether the store serves peers and not the leader, for so long that the leader
 // is to resign.
-func (o *storeOutage) excluded(reach storeReach, askedAt, lastOK time.Time) bool {
+func (o *storeOutage) shouldResign(reach peerStoreAccess, askedAt, lastOK time.Time) bool {
 	// Until the lease has expired nobody else can lead. Without the second condition, a leader
 	// could resign moments before the store fails for all: there would be none until it is back.
 	if !reach.served || !reach.servedPastExpiry {
--- a/internal/localcluster/drain_test.go
+++ b/internal/localcluster/drain_test.go
@@ -138,7 +138,7 @@
 	p.followJob(1, batchJob("j-1", 6, 6, makeCheckpointing), 0)
 	p.followJob(2, batchJob("j-2", 4, 4, nil), 0)
 	p.waitRunning("j-1", 4)
-	id := p.startDrain(drain.Spec{Zone: "north", ByMS: time.Now().Add(12 * time.Second).UnixMilli()})
+	id := p.startDrain(drain.Spec{Zone: "north", DeadlineMS: time.Now().Add(12 * time.Second).UnixMilli()})
 	p.waitFor("a machine to be draining", func() bool {
 		v, err := p.cluster.Client().Drain(t.Context(), id)
 		return err == nil && v.State != nil && v.State.Actual.Machines > 0
@@ -202,12 +202,12 @@
 	p := startTestCluster(t, 6, nil)
 	p.followJob(1, batchJob("j-1", 4, 5, makeCheckpointing), 0)
 	p.waitRunning("j-1", 2)
-	north := p.startDrain(drain.Spec{Zone: "north", ByMS: time.Now().Add(4 * time.Second).UnixMilli()})
+	north := p.startDrain(drain.Spec{Zone: "north", DeadlineMS: time.Now().Add(4 * time.Second).UnixMilli()})
 	p.waitFor("the leader to know it", func() bool {
 		v, err := p.cluster.Client().Drain(t.Context(), north)
 		return err == nil && v.State != nil && v.State.Phase != ""
 	})
-	south := drain.Spec{ID: "d-2", Kind: client.DrainEmpty, Zone: "south", ByMS: time.Now().Add(4 * time.Second).UnixMilli()}
+	south := drain.Spec{ID: "d-2", Kind: client.DrainEmpty, Zone: "south", DeadlineMS: time.Now().Add(4 * time.Second).UnixMilli()}
 	const refusal = "no machine for jobs of any"
 	_, err := p.cluster.Client().StartDrain(t.Context(), client.Drain{Spec: south})
 	if err == nil || !strings.Contains(err.Error(), refusal) {
@@ -216,7 +216,7 @@
 	if all, err := p.cluster.Client().Drains(t.Context()); err != nil || len(all) != 1 {
 		t.Errorf("after the refusal: %+v, %v", all, err)
 	}
-	p.forceDrains, south.ByMS = true, time.Now().Add(4*time.Second).UnixMilli()
+	p.forceDrains, south.DeadlineMS = true, time.Now().Add(4*time.Second).UnixMilli()
 	p.startDrain(south)
 	p.waitForPhase(north, "drained")
 	p.waitForPhase("d-2", "drained")
@@ -246,7 +246,7 @@
 	p := startTestCluster(t, 7, func(o *Options) { o.Machines = 2 })
 	p.followJob(1, batchJob("j-1", 24, 3, makeCheckpointing), 0)
 	p.waitRunning("j-1", 4)
-	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, TargetVersion: "2.0", AtOnce: 2, MinInService: 1})
+	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, TargetVersion: "2.0", MaxOutOfService: 2, MinInService: 1})
 	// An operator upgrades what is drained.
 	upgraded := 0
 	upgradeDrained := func() {
@@ -320,7 +320,7 @@
 	p.cluster.Environment.TaskFails = func(m *simulation.Machine, _ string) bool { return m.Version == "2.0" }
 	p.followJob(1, batchJob("j-1", 60, 2, nil), 0)
 	p.waitRunning("j-1", 4)
-	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, TargetVersion: "2.0", AtOnce: 1})
+	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, TargetVersion: "2.0", MaxOutOfService: 1})
 	bad := map[string]bool{}
 	var v client.DrainView
 	p.waitFor("it to be rolled back", func() bool {
@@ -342,7 +342,7 @@
 	if len(bad) > 2 {
 		t.Errorf("%d machines got the bad version", len(bad))
 	}
-	if !strings.Contains(v.State.Rollout.Reason, "2.0") || v.State.Rollout.From != "1.0" {
+	if !strings.Contains(v.State.Rollout.Reason, "2.0") || v.State.Rollout.Previous != "1.0" {
 		t.Errorf("%+v", v.State.Rollout)
 	}
 	p.checkAnswers()
--- a/internal/operator/drain_plan.go
+++ b/internal/operator/drain_plan.go
@@ -39,8 +39,8 @@
 		}
 	}
 	plan, err := l.PreviewDrain(&in.Spec, in.Force, in.Since, tasksPerPage)
-	var noMachine *scheduler.NoMachineError
-	var noCapacityLeft *scheduler.NoCapacityLeftError
+	var noMachine *scheduler.DrainTargetError
+	var noCapacityLeft *scheduler.DrainRefusedError
 	switch {
 	case errors.As(err, &noMachine):
 		return failed(fiber.StatusNotFound, err.Error())
--- a/internal/operator/drain_request.go
+++ b/internal/operator/drain_request.go
@@ -36,7 +36,7 @@
 		}
 		return in, "the body is not a JSON object"
 	}
-	in.BeganMS = time.Now().UnixMilli()
+	in.RequestedMS = time.Now().UnixMilli()
 	if err := in.Check(time.Now()); err != nil {
 		return in, err.Error()
 	}
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -153,7 +153,7 @@
 		return unreadableRecord(err)
 	}
 	same := stored
-	same.BeganMS, same.Stopped = spec.BeganMS, false
+	same.RequestedMS, same.Stopped = spec.RequestedMS, false
 	if !reflect.DeepEqual(same, spec) {
 		return failed(fiber.StatusConflict, "there is another drain of the id "+spec.ID)
 	}
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -36,7 +36,7 @@
 func (*goldenLeader) Machine(name string) (scheduler.MachineView, bool) {
 	return scheduler.MachineView{
 		Name: "m-1", Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.232:9000", State: scheduler.MachineUp, AgeS: 60.5, Version: "1.0",
-		Count: 1, Tasks: []scheduler.TaskView{{Task: "j-1/0", Try: 2, State: "running", RanS: 4.5, Stops: true}},
+		TaskCount: 1, Tasks: []scheduler.TaskView{{Task: "j-1/0", Attempt: 2, State: "running", RanS: 4.5, Stopping: true}},
 	}, name == "m-1"
 }
 
@@ -50,7 +50,7 @@
 			Machine: "m-1", Zone: "a", EmptyS: 4.5,
 			Tasks: []drain.TaskPlan{{Task: "j-1/0", Class: "train", Action: drain.Move, Reason: "w"}},
 		}},
-		More: true, Classes: map[string]*drain.ClassPlan{"train": {Late: 1}}, All: drain.Summary{Machines: 1}, Warnings: []string{"w"},
+		Truncated: true, Classes: map[string]*drain.ClassPlan{"train": {Late: 1}}, Total: drain.Summary{Machines: 1}, Warnings: []string{"w"},
 	}, nil
 }
 
@@ -133,9 +133,9 @@
 		check("start, "+name, "POST", "/operator/drains", body)
 	}
 	l.readOnly("d-1")
-	l.planErr = &scheduler.NoMachineError{Text: "there is no machine m-7"}
+	l.planErr = &scheduler.DrainTargetError{Text: "there is no machine m-7"}
 	check("start, unknown machine", "POST", "/operator/drains", `{"id":"d-2","machines":["m-7"]}`)
-	l.planErr = &scheduler.NoCapacityLeftError{Text: "it would leave no machine at all"}
+	l.planErr = &scheduler.DrainRefusedError{Text: "it would leave no machine at all"}
 	check("start, none left", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`)
 	state.Load(map[string]records.KeyValue{"drains/d-8": {Key: "drains/d-8", Revision: 100, Value: []byte(`{"id":"d-8","zone":7}`)}})
 	check("stop, unreadable record", "POST", "/operator/drains/d-8/stop", "{}")
@@ -155,7 +155,7 @@
 	if err := d.Decode(&in); err != nil {
 		t.Fatal(err)
 	}
-	in.BeganMS, in.ByMS, in.Stopped = 946684801000, 946684802000, true
+	in.RequestedMS, in.DeadlineMS, in.Stopped = 946684801000, 946684802000, true
 	goldentest.Run(t, "golden-questions.json", goldentest.JSON, []goldentest.Case{
 		{Name: "drain", Value: in},
 		{Name: "failure", Direction: goldentest.Written, Value: failure{"why"}},
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -69,7 +69,7 @@
 		l.afterPlan = nil
 		f()
 	}
-	var none *scheduler.NoCapacityLeftError
+	var none *scheduler.DrainRefusedError
 	if force && errors.As(l.planErr, &none) {
 		return &drain.Plan{}, nil
 	}
@@ -186,12 +186,12 @@
 	}
 	cluster.leader.readDrains = map[string]bool{"d-1": true}
 	// What the leader refuses is not stored; with force, a drain that leaves no machine is.
-	cluster.leader.planErr = &scheduler.NoMachineError{Text: "there is no machine m-7"}
+	cluster.leader.planErr = &scheduler.DrainTargetError{Text: "there is no machine m-7"}
 	status, text := cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","machines":["m-7"]}`)
 	if status != 404 || !strings.Contains(text, "m-7") {
 		t.Errorf("unknown machine: %d %s, want 404", status, text)
 	}
-	cluster.leader.planErr = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
+	cluster.leader.planErr = &scheduler.DrainRefusedError{Text: "no machine for jobs of plan"}
 	status, text = cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a"}`)
 	if status != 409 || !strings.Contains(text, "plan") {
 		t.Errorf("none left: %d %s, want 409", status, text)
@@ -242,7 +242,7 @@
 	for i := range 450 {
 		cluster.leader.machines = append(cluster.leader.machines, scheduler.MachineView{
 			Name: fmt.Sprintf("m-%06d", i), Type: strings.Repeat("t", 50), Zone: strings.Repeat("z", 50),
-			Addr: "10.1.0.232:9000", State: "up", Count: 4,
+			Addr: "10.1.0.232:9000", State: "up", TaskCount: 4,
 		})
 	}
 	seen, since := 0, ""
@@ -274,7 +274,7 @@
 		if status, text := cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"b"}`); status != 201 {
 			t.Errorf("the first to be stored: %d %s, want 201", status, text)
 		}
-		cluster.leader.planErr = &scheduler.NoCapacityLeftError{Text: "no machine for jobs of plan"}
+		cluster.leader.planErr = &scheduler.DrainRefusedError{Text: "no machine for jobs of plan"}
 		time.AfterFunc(100*time.Millisecond, func() { cluster.leader.readOnly("d-2") })
 	}
 	status, text := cluster.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`)
