--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -51,10 +51,10 @@
 	overloadedDivisor = 3
 	// lagDecay is the share of the worst lateness that is left at the next observation.
 	lagDecay = 1.0 / 2
-	// restIntervals is for how many heartbeat intervals the level has to be normal before more
+	// stableIntervals is for how many heartbeat intervals the level has to be normal before more
 	// machines than were served then are tried, and growthShare by how many at a time.
-	restIntervals = 4
-	growthShare   = 1.0 / 32
+	stableIntervals = 4
+	growthShare     = 1.0 / 32
 )
 
 // Observe notes that it is called gap after the last time, with upMachines machines up. It
@@ -89,7 +89,7 @@
 			d.maxMachines = upMachines
 		}
 		d.stableSince = now
-	case d.maxMachines > 0 && now.Sub(d.stableSince) > restIntervals*d.heartbeatInterval:
+	case d.maxMachines > 0 && now.Sub(d.stableSince) > stableIntervals*d.heartbeatInterval:
 		d.maxMachines += int(float64(d.maxMachines)*growthShare) + 1
 		d.stableSince = d.stableSince.Add(d.heartbeatInterval)
 		if d.maxMachines > 2*upMachines {
--- a/internal/overload/detector_test.go
+++ b/internal/overload/detector_test.go
@@ -10,11 +10,11 @@
 	observeInterval   = 625 * time.Millisecond
 )
 
-// deployment is a model of a cluster as its leader experiences it: machines that send a heartbeat
+// clusterModel is a model of a cluster as its leader experiences it: machines that send a heartbeat
 // every 5 s and when something changes, a leader that processes so many heartbeats a second, and
 // workers that give up on an unanswered heartbeat after 4 s, which costs as much as two, and lose
 // their tasks when none was answered for a lease.
-type deployment struct {
+type clusterModel struct {
 	machines    int
 	rate        float64 // heartbeats a second that the leader processes
 	tasks       float64 // that run at once when all is well
@@ -23,7 +23,7 @@
 
 // simulate returns the share of all tasks that were lost, and how many ended in the last of
 // ten minutes, as a share of what the machines could do. Without a detector nothing is shed.
-func (c deployment) simulate(d *Detector) (lost, doneInLastMinute float64) {
+func (c clusterModel) simulate(d *Detector) (lost, doneInLastMinute float64) {
 	now := time.Unix(1_000_000, 0)
 	const step = 0.625
 	var queue, ended, gone, endedInLastMinute, running float64
@@ -66,7 +66,7 @@
 // afterwards. Without shedding load it never recovers, as the overload keeps itself up; with it, it
 // does, and loses little.
 func TestLeaderRecoversByShedding(t *testing.T) {
-	c := deployment{machines: 1300, rate: 1150, tasks: 4800, taskSeconds: 20}
+	c := clusterModel{machines: 1300, rate: 1150, tasks: 4800, taskSeconds: 20}
 	if lost, last := c.simulate(nil); lost < 0.5 || last > 0.5 {
 		t.Errorf("without a detector %.2f of the tasks are lost and %.2f done in the end, want a collapse", lost, last)
 	}
--- a/internal/packing/bin.go
+++ b/internal/packing/bin.go
@@ -4,10 +4,10 @@
 
 // Bin is a machine.
 type Bin struct {
-	ID       string
-	Capacity Resources // changed by SetCap only
-	Load     float64   // predicted use, as a share of the capacity; 0 where nothing is predicted
-	Owner    any       // the caller's; the packing never reads it
+	ID            string
+	Capacity      Resources // changed by SetCapacity only
+	PredictedLoad float64   // predicted use, as a share of the capacity; 0 where nothing is predicted
+	Owner         any       // the caller's; the packing never reads it
 
 	open       bool
 	used       Resources // by the items
@@ -44,8 +44,8 @@
 	}
 }
 
-// SetCap gives the bin another capacity, which may change the kinds of its items.
-func (b *Bin) SetCap(capacity Resources) {
+// SetCapacity gives the bin another capacity, which may change the kinds of its items.
+func (b *Bin) SetCapacity(capacity Resources) {
 	if b.Capacity == capacity {
 		return
 	}
@@ -102,8 +102,8 @@
 // Gap is the space left in the fullest resource (Definition 1).
 func (b *Bin) Gap() float64 { return b.gap }
 
-// Hot reports whether the bin holds, or is predicted to use, more than it has.
-func (b *Bin) Hot() bool { return b.Capacity.Share(b.used) > 1+eps || b.Load > 1+eps }
+// Overloaded reports whether the bin holds, or is predicted to use, more than it has.
+func (b *Bin) Overloaded() bool { return b.Capacity.Share(b.used) > 1+eps || b.PredictedLoad > 1+eps }
 
 // Add puts an item into the bin without checking any rule.
 func (b *Bin) Add(item *Item) {
@@ -136,7 +136,7 @@
 	if b.space == nil {
 		return
 	}
-	slot := b.newSlot()
+	slot := b.currentSlot()
 	if slot != b.slot {
 		b.space.setIndexed(b, false)
 		b.slot = slot
@@ -145,31 +145,31 @@
 }
 
 // The kinds of bins (Definition 3).
-func (b *Bin) empty() bool { return len(b.items) == 0 }
-func (b *Bin) tBin() bool  { return b.kindCounts[Tiny] > 0 && len(b.items) == b.kindCounts[Tiny] }
-func (b *Bin) sBin() bool  { return b.kindCounts[Small] == 1 && len(b.items) == 1 }
-func (b *Bin) lOrLTBin() bool {
+func (b *Bin) empty() bool  { return len(b.items) == 0 }
+func (b *Bin) isTBin() bool { return b.kindCounts[Tiny] > 0 && len(b.items) == b.kindCounts[Tiny] }
+func (b *Bin) isSBin() bool { return b.kindCounts[Small] == 1 && len(b.items) == 1 }
+func (b *Bin) isLOrLTBin() bool {
 	return b.kindCounts[Large] == 1 && len(b.items) == 1+b.kindCounts[Tiny]
 }
-func (b *Bin) utBin() bool   { return b.tBin() && b.Gap() >= Third-eps }
-func (b *Bin) ulltBin() bool { return b.lOrLTBin() && b.Gap() >= Third-eps }
+func (b *Bin) isUTBin() bool   { return b.isTBin() && b.Gap() >= Third-eps }
+func (b *Bin) isULLTBin() bool { return b.isLOrLTBin() && b.Gap() >= Third-eps }
 
-// AllowsJoin reports whether the paper lets any other item join those of the bin.
-func (b *Bin) AllowsJoin() bool {
-	return b.Gap() > eps && (b.empty() || b.tBin() || b.lOrLTBin() || b.sBin())
+// AcceptsAny reports whether the paper lets any other item join those of the bin.
+func (b *Bin) AcceptsAny() bool {
+	return b.Gap() > eps && (b.empty() || b.isTBin() || b.isLOrLTBin() || b.isSBin())
 }
 
-// CanJoin reports whether an item may join those of the bin without any move, by the paper's
+// Accepts reports whether an item may join those of the bin without any move, by the paper's
 // combinations or by filling up a T- or LT-bin.
-func (b *Bin) CanJoin(request Resources) bool {
+func (b *Bin) Accepts(request Resources) bool {
 	if !b.open || !b.Fits(request) {
 		return false
 	}
 	switch Classify(b.Capacity.Share(request)) {
 	case Tiny:
-		return b.empty() || b.tBin() || b.lOrLTBin()
+		return b.empty() || b.isTBin() || b.isLOrLTBin()
 	case Small:
-		return b.empty() || b.sBin()
+		return b.empty() || b.isSBin()
 	}
 	return b.empty()
 }
@@ -195,8 +195,8 @@
 	return groups
 }
 
-// only returns the item of a kind in the bin, if there is just one.
-func (b *Bin) only(kind Kind) *Item {
+// soleItem returns the item of a kind in the bin, if there is just one.
+func (b *Bin) soleItem(kind Kind) *Item {
 	if b.kindCounts[kind] != 1 {
 		return nil
 	}
--- a/internal/packing/index.go
+++ b/internal/packing/index.go
@@ -11,17 +11,17 @@
 
 // Every bin is of just one of these kinds; the paper's kinds are unions of them.
 const (
-	isEmpty      binKinds = 1 << iota
-	isUT                  // T-bin with a gap of at least a third
-	isFullT               // T-bin with less
-	isULLT                // L- or LT-bin with a gap of at least a third
-	isFullLT              // L- or LT-bin with less
-	isS                   // one small item
-	isOther               // any other combination
+	emptyBins    binKinds = 1 << iota
+	utBins                // T-bin with a gap of at least a third
+	fullTBins             // T-bin with less
+	ulltBins              // L- or LT-bin with a gap of at least a third
+	fullLTBins            // L- or LT-bin with less
+	sBins                 // one small item
+	otherBins             // any other combination
 	binKindCount = iota
-	isT          = isUT | isFullT
-	isLT         = isULLT | isFullLT
-	isAny        = isEmpty | isT | isLT | isS | isOther
+	tBins        = utBins | fullTBins
+	ltBins       = ulltBins | fullLTBins
+	allBins      = emptyBins | tBins | ltBins | sBins | otherBins
 )
 
 // binKind returns the place of the bin's kind among the kinds.
@@ -29,19 +29,19 @@
 	var kind binKinds
 	switch {
 	case b.empty():
-		kind = isEmpty
-	case b.utBin():
-		kind = isUT
-	case b.tBin():
-		kind = isFullT
-	case b.ulltBin():
-		kind = isULLT
-	case b.lOrLTBin():
-		kind = isFullLT
-	case b.sBin():
-		kind = isS
+		kind = emptyBins
+	case b.isUTBin():
+		kind = utBins
+	case b.isTBin():
+		kind = fullTBins
+	case b.isULLTBin():
+		kind = ulltBins
+	case b.isLOrLTBin():
+		kind = fullLTBins
+	case b.isSBin():
+		kind = sBins
 	default:
-		kind = isOther
+		kind = otherBins
 	}
 	return bits.TrailingZeros8(uint8(kind))
 }
@@ -55,16 +55,16 @@
 // slot names a set of the index: bins of one kind whose gaps lie in one step.
 type slot struct{ kind, gapStep int }
 
-// newSlot returns the slot that the bin belongs to by its present content.
-func (b *Bin) newSlot() slot { return slot{b.binKind(), gapStep(b.Gap())} }
+// currentSlot returns the slot that the bin belongs to by its present content.
+func (b *Bin) currentSlot() slot { return slot{b.binKind(), gapStep(b.Gap())} }
 
 // wordBits is how many bins a word of a set holds.
 const wordBits = 64
 
-// set is a bit set of places of bins in a space.
-type set []uint64
+// bitSet is a bit set of places of bins in a space.
+type bitSet []uint64
 
-func (s set) assign(i int, on bool) {
+func (s bitSet) assign(i int, on bool) {
 	if on {
 		s[i/wordBits] |= 1 << (i % wordBits)
 	} else {
@@ -72,21 +72,21 @@
 	}
 }
 
-func (s set) empty() bool {
+func (s bitSet) empty() bool {
 	return !slices.ContainsFunc(s, func(word uint64) bool { return word != 0 })
 }
 
-// sparseSet is a set that is mostly empty: its summary has the words that are not.
-type sparseSet struct {
-	words   set
-	summary set
+// sparseBitSet is a set that is mostly empty: its summary has the words that are not.
+type sparseBitSet struct {
+	words   bitSet
+	summary bitSet
 }
 
-func newSparseSet(words int) *sparseSet {
-	return &sparseSet{words: make(set, words), summary: make(set, words/wordBits+1)}
+func newSparseBitSet(words int) *sparseBitSet {
+	return &sparseBitSet{words: make(bitSet, words), summary: make(bitSet, words/wordBits+1)}
 }
 
-func (s *sparseSet) assign(i int, on bool) {
+func (s *sparseBitSet) assign(i int, on bool) {
 	s.words.assign(i, on)
 	s.summary.assign(i/wordBits, s.words[i/wordBits] != 0)
 }
--- a/internal/packing/search.go
+++ b/internal/packing/search.go
@@ -10,13 +10,13 @@
 	item     *Item
 	firstGap int                    // the first step of gaps at which the item may fit
 	kinds    [gapSteps + 1]binKinds // by step, the kinds of which there are bins
-	required set                    // the bins with the label that the item requires; nil: it requires none
-	excluded set                    // the bins with the label that the item excludes; nil: there are none
+	required bitSet                 // the bins with the label that the item requires; nil: it requires none
+	excluded bitSet                 // the bins with the label that the item excludes; nil: there are none
 	allowed  func(*Bin) bool        // nil: all
 }
 
 // filter returns those of the bins of a word that are open and have the labels that the item needs.
-func (q *query) filter(open set, word int, union uint64) uint64 {
+func (q *query) filter(open bitSet, word int, union uint64) uint64 {
 	union &= open[word]
 	if q.required != nil {
 		union &= q.required[word]
@@ -84,7 +84,7 @@
 	some := false
 	for step := q.firstGap; step <= gapSteps; step++ {
 		if q.kinds[step] != 0 {
-			found[step] = s.gather(q, step)
+			found[step] = s.collectCandidates(q, step)
 			some = some || found[step]
 		}
 	}
@@ -92,7 +92,7 @@
 		return nil
 	}
 	n := len(q.item.PreferLabels)
-	preferred := make([]set, n)
+	preferred := make([]bitSet, n)
 	for i, name := range q.item.PreferLabels {
 		preferred[i] = s.byLabel[name]
 	}
@@ -115,8 +115,8 @@
 	bits  uint64
 }
 
-// gather collects the candidates of a step, and reports whether there are any.
-func (s *Space) gather(q *query, step int) bool {
+// collectCandidates collects the candidates of a step, and reports whether there are any.
+func (s *Space) collectCandidates(q *query, step int) bool {
 	found := s.candidates[step][:0]
 	for part := range len(s.open)/wordBits + 1 {
 		for some := s.unionSummary(q.kinds[step], step, part); some != 0; some &= some - 1 {
@@ -133,7 +133,7 @@
 
 // fullest finds the fullest of the candidates that fits and has just the preferred labels of a tier, whose
 // bits are the labels, the weightiest the highest.
-func (s *Space) fullest(q *query, candidates []candidateWord, preferred []set, tier int) *Bin {
+func (s *Space) fullest(q *query, candidates []candidateWord, preferred []bitSet, tier int) *Bin {
 	var found *Bin
 	for _, candidate := range candidates {
 		union := withLabels(candidate, preferred, tier)
@@ -148,7 +148,7 @@
 }
 
 // withLabels returns those of the bins of a word that have just the preferred labels of a tier.
-func withLabels(candidate candidateWord, preferred []set, tier int) uint64 {
+func withLabels(candidate candidateWord, preferred []bitSet, tier int) uint64 {
 	union := candidate.bits
 	for i, labelled := range preferred {
 		if union == 0 {
--- a/internal/packing/space.go
+++ b/internal/packing/space.go
@@ -20,10 +20,10 @@
 	// Worthwhile reports whether a move of an item into a bin is worth what it costs; nil: it always is.
 	Worthwhile func(item *Item, to *Bin) bool
 
-	sets    [binKindCount][gapSteps + 1]*sparseSet // the bins by kind and step of their gap; nil: none yet
-	counts  [binKindCount][gapSteps + 1]int        // of the bins in each set
-	open    set                                    // the bins that may take items
-	byLabel map[string]set                         // the bins with each label
+	sets    [binKindCount][gapSteps + 1]*sparseBitSet // the bins by kind and step of their gap; nil: none yet
+	counts  [binKindCount][gapSteps + 1]int           // of the bins in each set
+	open    bitSet                                    // the bins that may take items
+	byLabel map[string]bitSet                         // the bins with each label
 
 	candidates [gapSteps + 1][]candidateWord // of the search under way, kept for the next one to reuse
 }
@@ -49,7 +49,7 @@
 		s.rebuild()
 		return
 	}
-	s.enterBin(b, i)
+	s.indexBin(b, i)
 }
 
 // Remove removes a bin.
@@ -70,20 +70,20 @@
 			s.sets[kind][step], s.counts[kind][step] = nil, 0 // made when it is needed
 		}
 	}
-	s.open, s.byLabel = make(set, words), map[string]set{}
+	s.open, s.byLabel = make(bitSet, words), map[string]bitSet{}
 	for i, b := range s.Bins {
-		s.enterBin(b, i)
+		s.indexBin(b, i)
 	}
 }
 
-// enterBin puts a bin into the index.
-func (s *Space) enterBin(b *Bin, i int) {
+// indexBin puts a bin into the index.
+func (s *Space) indexBin(b *Bin, i int) {
 	b.space, b.index = s, i
-	b.slot = b.newSlot()
+	b.slot = b.currentSlot()
 	s.setIndexed(b, true)
 	s.open.assign(i, b.open)
 	for _, label := range b.labels {
-		s.labelled(label).assign(i, true)
+		s.binsWithLabel(label).assign(i, true)
 	}
 }
 
@@ -91,7 +91,7 @@
 func (s *Space) setIndexed(b *Bin, on bool) {
 	at := &s.sets[b.slot.kind][b.slot.gapStep]
 	if *at == nil {
-		*at = newSparseSet(len(s.open))
+		*at = newSparseBitSet(len(s.open))
 	}
 	(*at).assign(b.index, on)
 	if on {
@@ -101,11 +101,11 @@
 	}
 }
 
-// labelled returns the set of the bins with a label, and adds it if there is none.
-func (s *Space) labelled(name string) set {
+// binsWithLabel returns the set of the bins with a label, and adds it if there is none.
+func (s *Space) binsWithLabel(name string) bitSet {
 	bins := s.byLabel[name]
 	if bins == nil {
-		bins = make(set, len(s.open))
+		bins = make(bitSet, len(s.open))
 		s.byLabel[name] = bins
 	}
 	return bins
@@ -114,7 +114,7 @@
 // setLabelled puts a bin into the set of a label, or takes it out. An empty set is forgotten: images, for
 // which there are labels, come and go.
 func (s *Space) setLabelled(b *Bin, name string, on bool) {
-	bins := s.labelled(name)
+	bins := s.binsWithLabel(name)
 	bins.assign(b.index, on)
 	if !on && bins.empty() {
 		delete(s.byLabel, name)
--- a/internal/packing/visbp.go
+++ b/internal/packing/visbp.go
@@ -73,7 +73,7 @@
 
 // combinations are the kinds of bins, by the kind of an item, that the paper lets it join, the preferred
 // ones first. Every item may have an empty bin.
-var combinations = [...][]binKinds{Tiny: {isULLT, isUT}, Small: {isS}, Large: nil, Big: nil}
+var combinations = [...][]binKinds{Tiny: {ulltBins, utBins}, Small: {sBins}, Large: nil, Big: nil}
 
 // place finds a bin by the paper's rules, else by the two exceptions. The kind
 // of an item depends on the bin's capacity, which is the same for all of a space.
@@ -90,15 +90,15 @@
 	if kind == Tiny {
 		// Requests are reserved in full, so the last third of a machine need not stay
 		// free for growth: a filled T- or LT-bin may be filled up.
-		if b := o.find(item, isT|isLT); b != nil {
+		if b := o.find(item, tBins|ltBins); b != nil {
 			return b, TopUp
 		}
 	}
-	if b := o.find(item, isEmpty); b != nil {
+	if b := o.find(item, emptyBins); b != nil {
 		return b, PaperRule
 	}
 	if !o.space.NoFirstFit && item.RequireLabel == "" {
-		if b := o.find(item, isAny); b != nil {
+		if b := o.find(item, allBins); b != nil {
 			return b, FirstFit
 		}
 	}
@@ -131,7 +131,7 @@
 // fill moves groups out of T-bins into an L- or LT-bin while it has a gap of a third.
 func (o *operation) fill(b *Bin) {
 	for o.mayMove() && b.Gap() >= Third-eps {
-		if !o.fillFrom(b, isUT) && !o.fillFrom(b, isT) {
+		if !o.fillFrom(b, utBins) && !o.fillFrom(b, tBins) {
 			return
 		}
 	}
@@ -167,27 +167,27 @@
 
 // placeGroup moves a group out of its bin into one that may take it.
 func (o *operation) placeGroup(group []*Item, from *Bin) bool {
-	return o.moveInto(isULLT, group, from) || o.moveInto(isUT, group, from) || o.moveInto(isEmpty, group, from)
+	return o.moveInto(ulltBins, group, from) || o.moveInto(utBins, group, from) || o.moveInto(emptyBins, group, from)
 }
 
 // adjust cools or fills an L- or LT-bin; the two exclude each other.
 func (o *operation) adjust(b *Bin) {
-	if b.Hot() {
-		o.cool(b)
+	if b.Overloaded() {
+		o.relieve(b)
 	} else {
 		o.fill(b)
 	}
 }
 
-// cool moves groups out while the bin is hot.
-func (o *operation) cool(b *Bin) {
+// relieve moves groups out while the bin is hot.
+func (o *operation) relieve(b *Bin) {
 	for _, group := range b.groups() {
-		if !o.mayMove() || !b.Hot() {
+		if !o.mayMove() || !b.Overloaded() {
 			return
 		}
 		before := b.Capacity.Share(b.used)
 		if o.placeGroup(group, b) {
-			b.Load -= before - b.Capacity.Share(b.used)
+			b.PredictedLoad -= before - b.Capacity.Share(b.used)
 		}
 	}
 }
@@ -204,8 +204,8 @@
 	}
 }
 
-// other returns the first open bin of the given kinds but one.
-func (o *operation) other(among binKinds, but *Bin) *Bin {
+// otherBin returns the first open bin of the given kinds but one.
+func (o *operation) otherBin(among binKinds, but *Bin) *Bin {
 	var found *Bin
 	o.space.anyBin(among, func(b *Bin) bool {
 		if b == but || !b.open {
@@ -224,8 +224,8 @@
 func (s *Space) Change(b *Bin, old, now Kind, allowed func(*Bin) bool) []Move {
 	o := &operation{space: s, allowed: allowed, maxMoves: MaxChangeMoves}
 	switch {
-	case b.Hot():
-		o.cool(b)
+	case b.Overloaded():
+		o.relieve(b)
 	case old == Big && now == Large, old == Large && now == Large:
 		o.adjust(b)
 	case old == Large && now == Tiny:
@@ -235,8 +235,8 @@
 	case old == Tiny && now == Tiny:
 		if b.kindCounts[Large] > 0 {
 			o.adjust(b)
-		} else if b.utBin() {
-			o.spread(b, isUT)
+		} else if b.isUTBin() {
+			o.spread(b, utBins)
 		}
 	default:
 		// An item that grew: the tiny ones around it are moved out.
@@ -250,20 +250,20 @@
 // afterLargeLeft moves what was packed around a large item to where it would have been placed without
 // that.
 func (o *operation) afterLargeLeft(b *Bin) {
-	if o.other(isT, b) != nil {
-		o.spread(b, isUT)
+	if o.otherBin(tBins, b) != nil {
+		o.spread(b, utBins)
 	} else {
-		o.spread(b, isULLT)
+		o.spread(b, ulltBins)
 	}
 }
 
 // afterSmallLeft joins the small item that is left alone with another one.
 func (o *operation) afterSmallLeft(b *Bin) {
-	item := b.only(Small)
+	item := b.soleItem(Small)
 	if item == nil || len(b.items) != 1 {
 		return
 	}
-	if to := o.other(isS, b); to != nil {
+	if to := o.otherBin(sBins, b); to != nil {
 		o.move([]*Item{item}, b, to)
 	}
 }
--- a/internal/packing/visbp_test.go
+++ b/internal/packing/visbp_test.go
@@ -56,7 +56,7 @@
 	case "hot":
 		for _, b := range p.space.Bins {
 			if b.ID == names[0] {
-				b.Load, _ = strconv.ParseFloat(names[1], 64)
+				b.PredictedLoad, _ = strconv.ParseFloat(names[1], 64)
 				return p.describe(p.space.Change(b, Tiny, Tiny, nil))
 			}
 		}
@@ -215,7 +215,7 @@
 				if random.IntN(3) == 0 {
 					allowed = func(b *Bin) bool { return b.index%3 > 0 }
 				}
-				for among := range isAny + 1 {
+				for among := range allBins + 1 {
 					got, want := s.search(item, among, allowed), scan(s, item, among, allowed)
 					if got != want {
 						t.Fatalf("ranked %v, step %d: the index finds %+v, want %+v", ranked, step, got, want)
@@ -238,7 +238,7 @@
 // isCombination reports whether the bin holds one of the paper's combinations (Lemma 1).
 func (b *Bin) isCombination() bool {
 	switch {
-	case b.empty(), b.tBin(), b.sBin(), b.lOrLTBin():
+	case b.empty(), b.isTBin(), b.isSBin(), b.isLOrLTBin():
 		return true
 	case b.kindCounts[Big] == 1, b.kindCounts[Small] == 2:
 		return len(b.items) == b.kindCounts[Big]+b.kindCounts[Small]
@@ -246,9 +246,9 @@
 	return false
 }
 
-// CanJoin agrees with Insert: an item may join what the paper's rules put together, or
+// Accepts agrees with Insert: an item may join what the paper's rules put together, or
 // fill up a bin of tiny items, and nothing else.
-func TestCanJoinAgreesWithInsert(t *testing.T) {
+func TestAcceptsAgreesWithInsert(t *testing.T) {
 	newItem := func(share float64) *Item { return &Item{Request: Resources{CPU: share * 12, Mem: 1}} }
 	for _, test := range []struct {
 		present []float64
@@ -264,7 +264,7 @@
 		for _, share := range test.present {
 			b.Add(newItem(share))
 		}
-		if got := b.CanJoin(newItem(test.added).Request); got != test.want {
+		if got := b.Accepts(newItem(test.added).Request); got != test.want {
 			t.Errorf("%v can join %v: %v, want %v", test.added, test.present, got, test.want)
 		}
 		s := &Space{NoFirstFit: true}
@@ -275,7 +275,7 @@
 	}
 	b := NewBin("b", Resources{CPU: 12, Mem: 100})
 	b.SetOpen(false)
-	if b.CanJoin(newItem(0.25).Request) {
+	if b.Accepts(newItem(0.25).Request) {
 		t.Error("an item can join a closed bin")
 	}
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -58,12 +58,12 @@
 		Node:                node,
 		StoreAnswered:       !lastOK.IsZero(),
 		StoreFailing:        failing,
-		CancellationQuietMS: confirmed.QuietFor(now).Milliseconds(),
+		CancellationQuietMS: confirmed.SinceLastConfirmation(now).Milliseconds(),
 	}
 	// A span that no clock could have measured asks for all there is.
 	spanMS := min(request.CancellationSpanMS, maxCancellationSpan.Milliseconds())
 	if spanMS > 0 {
-		list := confirmed.Confirmed(time.Duration(spanMS)*time.Millisecond, now)
+		list := confirmed.ConfirmedWithin(time.Duration(spanMS)*time.Millisecond, now)
 		s.Cancellations = &list
 	}
 	if !s.StoreAnswered {
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -13,13 +13,13 @@
 }
 
 // Add returns a + b.
-func (a Amount) Add(b Amount) Amount { return a.plus(1, b) }
+func (a Amount) Add(b Amount) Amount { return a.addScaled(1, b) }
 
 // Sub returns a - b.
-func (a Amount) Sub(b Amount) Amount { return a.plus(-1, b) }
+func (a Amount) Sub(b Amount) Amount { return a.addScaled(-1, b) }
 
-// plus returns a + n·size.
-func (a Amount) plus(n int, size Amount) Amount {
+// addScaled returns a + n·size.
+func (a Amount) addScaled(n int, size Amount) Amount {
 	return Amount{a.CPUs + float64(n)*size.CPUs, a.GPUs + float64(n)*size.GPUs}
 }
 
@@ -33,7 +33,7 @@
 	Present        // may be on its machine
 	Stopping       // may be on its machine, and was requested to stop
 
-	phases = iota // how many there are
+	numPhases = iota // how many there are
 )
 
 // Charge is what one attempt counts for. The zero Charge counts for nothing.
@@ -51,15 +51,15 @@
 }
 
 // phaseCounts counts charges by phase and size.
-type phaseCounts [phases]sizeCounts
+type phaseCounts [numPhases]sizeCounts
 
 // sizeCounts counts charges by size, and keeps their sum until they change. The counts are
 // integers: a running sum of decimal amounts would drift as charges come and go, and never be
 // zero again.
 type sizeCounts struct {
-	counts  map[Amount]int
-	sum     Amount // of all charges, unless they changed
-	changed bool   // since the sum was made
+	counts   map[Amount]int
+	sum      Amount // of all charges, unless they changed
+	sumStale bool   // since the sum was made
 }
 
 func (s *sizeCounts) add(size Amount, n int) {
@@ -70,14 +70,14 @@
 	if s.counts[size] == 0 {
 		delete(s.counts, size)
 	}
-	s.changed = true
+	s.sumStale = true
 }
 
 func (s *sizeCounts) total() Amount {
-	if s.changed {
-		s.sum, s.changed = Amount{}, false
+	if s.sumStale {
+		s.sum, s.sumStale = Amount{}, false
 		for size, n := range s.counts {
-			s.sum = s.sum.plus(n, size)
+			s.sum = s.sum.addScaled(n, size)
 		}
 	}
 	return s.sum
@@ -100,11 +100,11 @@
 	if charge.Phase == None {
 		return
 	}
-	a.owner(charge)[charge.Phase].add(charge.Size, n)
+	a.countsOf(charge)[charge.Phase].add(charge.Size, n)
 }
 
-// owner returns the counts that a charge belongs to.
-func (a *Account) owner(charge Charge) *phaseCounts {
+// countsOf returns the counts that a charge belongs to.
+func (a *Account) countsOf(charge Charge) *phaseCounts {
 	if charge.Shared {
 		return &a.shared
 	}
@@ -116,8 +116,8 @@
 	return counts
 }
 
-// addTo adds the charges of some phases to an amount.
-func (c *phaseCounts) addTo(amount Amount, of ...Phase) Amount {
+// addPhases adds the charges of some phases to an amount.
+func (c *phaseCounts) addPhases(amount Amount, of ...Phase) Amount {
 	if c == nil {
 		return amount
 	}
@@ -139,12 +139,12 @@
 
 // sum adds up the charges of some phases: the shared ones, then the team's.
 func (a *Account) sum(team string, of ...Phase) Amount {
-	return a.teams[team].addTo(a.shared.addTo(Amount{}, of...), of...)
+	return a.teams[team].addPhases(a.shared.addPhases(Amount{}, of...), of...)
 }
 
 // NotStopping is what is in use by a team's own attempts that were not requested to stop.
 func (a *Account) NotStopping(team string) Amount {
-	return a.teams[team].addTo(Amount{}, Present)
+	return a.teams[team].addPhases(Amount{}, Present)
 }
 
 // Empty reports whether nothing is charged to anybody.
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -32,7 +32,7 @@
 
 func drawCharge(t *rapid.T) Charge {
 	return Charge{
-		Phase:  Phase(rapid.IntRange(int(None), phases-1).Draw(t, "phase")),
+		Phase:  Phase(rapid.IntRange(int(None), numPhases-1).Draw(t, "phase")),
 		Shared: rapid.Bool().Draw(t, "shared"),
 		Team:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team"),
 		Size:   Amount{CPUs: float64(rapid.IntRange(0, 4).Draw(t, "cpus")) / 4, GPUs: float64(rapid.IntRange(0, 2).Draw(t, "gpus"))},
--- a/internal/records/finished_tasks.go
+++ b/internal/records/finished_tasks.go
@@ -13,8 +13,8 @@
 	// bytesPerChunkTask is what a task may take of a value: half of a number of up to five
 	// digits and a comma in the worst pattern, and room to spare.
 	bytesPerChunkTask = 4
-	// partShare leaves room in a value for the record's id.
-	partShare = 0.8
+	// partFillFactor leaves room in a value for the record's id.
+	partFillFactor = 0.8
 	// maxTaskNumber bounds the numbers that are read.
 	maxTaskNumber = 1 << 24
 )
@@ -59,7 +59,7 @@
 // pattern of them fits into a value of another size. Chunks stay as they are, since
 // the numbers in records count from their start.
 func PartTasks(chunk int, valueKB float64) int {
-	n := int(fillBytes(valueKB)*partShare) / (len(strconv.Itoa(chunk)) + 1) * 2
+	n := int(pageFillBytes(valueKB)*partFillFactor) / (len(strconv.Itoa(chunk)) + 1) * 2
 	return max(1, min(n, chunk))
 }
 
--- a/internal/records/finished_tasks_test.go
+++ b/internal/records/finished_tasks_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// every2nd is the worst pattern of finished tasks: no two of them make a range.
-func every2nd(i int) bool { return i%2 == 0 }
+// everySecond is the worst pattern of finished tasks: no two of them make a range.
+func everySecond(i int) bool { return i%2 == 0 }
 
 // The worst pattern of a chunk fits into a value of any size that the settings allow.
 func TestChunkInWorstPatternFitsValue(t *testing.T) {
 	for kb := 1; kb <= 64; kb *= 2 {
 		n := ChunkTasks(float64(kb))
-		if got, limit := len(FormatRanges(every2nd, n)), kb*1024*9/10; got > limit {
+		if got, limit := len(FormatRanges(everySecond, n)), kb*1024*9/10; got > limit {
 			t.Errorf("%d KiB: the worst pattern of %d tasks takes %d bytes, want at most %d", kb, n, got, limit)
 		}
 	}
@@ -27,7 +27,7 @@
 			chunk := ChunkTasks(float64(kb))
 			n := PartTasks(chunk, float64(laterKB))
 			// The last part of a chunk has the longest numbers.
-			text := FormatRanges(func(i int) bool { return i >= chunk-n && every2nd(i) }, chunk)
+			text := FormatRanges(func(i int) bool { return i >= chunk-n && everySecond(i) }, chunk)
 			if len(text) > ChunkBytes(n, chunk) {
 				t.Errorf("%d KiB, later %d: the worst pattern of %d tasks takes %d bytes, want at most %d",
 					kb, laterKB, n, len(text), ChunkBytes(n, chunk))
--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -31,8 +31,8 @@
 		{Name: "sent mark", Value: FormatWatermark(42)},
 		{Name: "finished tasks of a chunk", Value: FormatRanges(func(i int) bool { return i < 5 || i == 7 }, 9)},
 		{Name: "keys", Direction: goldentest.Written, Value: []string{
-			KeyLeader, OpenKey("j-412"), ClosedKey("j-412"), PrefixDone, PrefixMachines, PrefixWatermarks, KeyWatermarksComplete,
-			KeyTypes, PrefixDrains, PrefixDrainState, KeyDrainSequence, PartID("j-412", 7, 2),
+			KeyLeader, OpenKey("j-412"), ClosedKey("j-412"), PrefixFinishedTasks, PrefixMachines, PrefixWatermarks, KeyWatermarksComplete,
+			KeyMachineTypes, PrefixDrains, PrefixDrainState, KeyDrainSequence, PartID("j-412", 7, 2),
 		}},
 		{Name: "shapes", Direction: goldentest.Written, Value: []string{ShapeArray, ShapeGang, ShapeService}},
 		{Name: "states of jobs", Direction: goldentest.Written, Value: []string{
@@ -66,7 +66,7 @@
 		value  json.RawMessage
 	}{
 		"machines":       {PrefixMachines, "m-000001", json.RawMessage(`{"addr":"m:1","rig":"c4","site":"a","loaners":true,"stint":1}`)},
-		"finished tasks": {PrefixDone, PartID("j-412", 7, 2), json.RawMessage(`"0-4,7"`)},
+		"finished tasks": {PrefixFinishedTasks, PartID("j-412", 7, 2), json.RawMessage(`"0-4,7"`)},
 		"sent marks":     {PrefixWatermarks, "j-412", FormatWatermark(42)},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -74,7 +74,7 @@
 			if !paged.Put(x.id, x.value, 0) {
 				t.Fatal("the record has no place")
 			}
-			op, _, _ := paged.TakeWrite(paged.Dirty()[0])
+			op, _, _ := paged.PrepareWrite(paged.DirtyPages()[0])
 			raw, err := json.Marshal(op)
 			if err != nil {
 				t.Fatal(err)
@@ -92,7 +92,7 @@
 				{Key: x.prefix + x.id, Value: x.value},
 			}
 			for _, row := range rows {
-				entries, err := Entries(x.prefix, row)
+				entries, err := DecodeEntries(x.prefix, row)
 				if err != nil || len(entries) != 1 || string(entries[x.id]) != string(x.value) {
 					t.Errorf("%s is read as %s, %v, want %s of %s", row.Key, entries, err, x.value, x.id)
 				}
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -11,8 +11,8 @@
 	PrefixOpen = "jobs/open/"
 	// PrefixClosed is the prefix of closed jobs; see ClosedKey.
 	PrefixClosed = "jobs/over/"
-	// PrefixDone is the prefix of pages with finished tasks; see PartID.
-	PrefixDone = "done/"
+	// PrefixFinishedTasks is the prefix of pages with finished tasks; see PartID.
+	PrefixFinishedTasks = "done/"
 	// PrefixMachines is the prefix of pages with machines.
 	PrefixMachines = "machines/"
 	// PrefixWatermarks is the prefix of pages with the jobs' watermarks: no task from the
@@ -21,8 +21,8 @@
 	PrefixWatermarks = "sent/"
 	// KeyWatermarksComplete is when the last leader's watermarks were last complete.
 	KeyWatermarksComplete = "whole"
-	// KeyTypes holds the MachineTypes that were last read from the cloud.
-	KeyTypes = "types"
+	// KeyMachineTypes holds the MachineTypes that were last read from the cloud.
+	KeyMachineTypes = "types"
 	// PrefixDrains is the prefix of what operators asked to be drained. Versions that know
 	// of no drains leave this prefix and the next alone.
 	PrefixDrains = "drains/"
--- a/internal/records/paged.go
+++ b/internal/records/paged.go
@@ -29,30 +29,30 @@
 	// of its next write or delete.
 	Revision uint64
 
-	entries       map[string]json.RawMessage
-	reserved      map[string]int // bytes kept for each record
-	reservedBytes int            // their sum
-	dirty         bool           // differs from what was last taken to be written
-	readOnly      bool           // too large to be written again: it is only read, and deleted in the end
-	writePending  bool           // its first write may be executed at any time
+	entries           map[string]json.RawMessage
+	reserved          map[string]int // bytes kept for each record
+	reservedBytes     int            // their sum
+	dirty             bool           // differs from what was last taken to be written
+	readOnly          bool           // too large to be written again: it is only read, and deleted in the end
+	firstWritePending bool           // its first write may be executed at any time
 }
 
 const (
-	// fillShare is how far a page is filled: the rest is for what escapes take.
-	fillShare = 15.0 / 16
+	// fillFactor is how far a page is filled: the rest is for what escapes take.
+	fillFactor = 15.0 / 16
 	// entryOverhead is what an entry takes beside its id and value: quotes, colon, comma.
 	entryOverhead = 4
 )
 
-// fillBytes returns how many bytes of a value of the given size are filled.
-func fillBytes(valueKB float64) float64 { return valueKB * 1024 * fillShare }
+// pageFillBytes returns how many bytes of a value of the given size are filled.
+func pageFillBytes(valueKB float64) float64 { return valueKB * 1024 * fillFactor }
 
 // NewPagedRecords returns paged records without any, for keys under a prefix and values of a
 // size. newName has to return a name that no other page under the prefix ever had.
 func NewPagedRecords(prefix string, valueKB float64, newName func() string) *PagedRecords {
 	return &PagedRecords{
 		prefix:    prefix,
-		fillBytes: fillBytes(valueKB),
+		fillBytes: pageFillBytes(valueKB),
 		maxBytes:  valueKB * 1024,
 		newName:   newName,
 		writable:  map[string]*Page{},
@@ -118,9 +118,9 @@
 	}
 }
 
-// DropReadOnly takes a record that is written elsewhere out of the pages that are not
+// RemoveReadOnlyCopies takes a record that is written elsewhere out of the pages that are not
 // written any more.
-func (p *PagedRecords) DropReadOnly(id string) {
+func (p *PagedRecords) RemoveReadOnlyCopies(id string) {
 	for _, page := range p.pages {
 		if page.readOnly && p.writable[id] != page {
 			page.remove(id)
@@ -160,14 +160,14 @@
 	return page
 }
 
-// NoteUnanswered notes that the first write of a page had no answer: it may be executed yet.
+// MarkFirstWritePending notes that the first write of a page had no answer: it may be executed yet.
 // A late execution could bring the page back after it was deleted, since the compare of a
 // first write, that the key is absent, holds again then. Such a page is therefore emptied
 // instead, for the next leader to delete, which none of this one's writes reaches late.
-func (page *Page) NoteUnanswered() { page.writePending = true }
+func (page *Page) MarkFirstWritePending() { page.firstWritePending = true }
 
-// Has reports whether a record of that id has its place in a page that can be written.
-func (p *PagedRecords) Has(id string) bool { return p.writable[id] != nil }
+// HasWritable reports whether a record of that id has its place in a page that can be written.
+func (p *PagedRecords) HasWritable(id string) bool { return p.writable[id] != nil }
 
 // IDs lists the records of all pages.
 func (p *PagedRecords) IDs() map[string]bool {
@@ -180,8 +180,8 @@
 	return ids
 }
 
-// ReadOnly lists the records of the first page that can only be deleted.
-func (p *PagedRecords) ReadOnly() map[string]json.RawMessage {
+// ReadOnlyEntries lists the records of the first page that can only be deleted.
+func (p *PagedRecords) ReadOnlyEntries() map[string]json.RawMessage {
 	for _, page := range p.pages {
 		if page.readOnly && len(page.entries) > 0 {
 			return maps.Clone(page.entries)
@@ -190,15 +190,15 @@
 	return nil
 }
 
-// NoteTooLarge notes that the store refused a page as too large. It is not written again,
+// MarkTooLarge notes that the store refused a page as too large. It is not written again,
 // and the next ones are half as large. It returns the ids of the records that need another
 // place; none where the page has but one, for which there is no smaller page.
-func (p *PagedRecords) NoteTooLarge(page *Page) []string {
+func (p *PagedRecords) MarkTooLarge(page *Page) []string {
 	if len(page.entries) < 2 {
 		return nil
 	}
 	p.fillBytes = min(p.fillBytes, float64(page.reservedBytes)) / 2
-	p.maxBytes = min(p.maxBytes, p.fillBytes/fillShare)
+	p.maxBytes = min(p.maxBytes, p.fillBytes/fillFactor)
 	page.readOnly = true
 	page.dirty = false
 	var ids []string
@@ -211,8 +211,8 @@
 	return ids
 }
 
-// Dirty lists the pages that differ from what was last taken to be written.
-func (p *PagedRecords) Dirty() []*Page {
+// DirtyPages lists the pages that differ from what was last taken to be written.
+func (p *PagedRecords) DirtyPages() []*Page {
 	var dirty []*Page
 	for _, page := range p.pages {
 		if page.dirty && (!page.readOnly || len(page.entries) == 0) {
@@ -222,13 +222,13 @@
 	return dirty
 }
 
-// TakeWrite returns the change that stores a page as it is now, its size in bytes, and
+// PrepareWrite returns the change that stores a page as it is now, its size in bytes, and
 // the ids of its records. A page without records is deleted, unless its first write is
-// still pending (NoteUnanswered), and no longer used.
-func (p *PagedRecords) TakeWrite(page *Page) (op Op, bytes int, ids []string) {
+// still pending (MarkFirstWritePending), and no longer used.
+func (p *PagedRecords) PrepareWrite(page *Page) (op Op, bytes int, ids []string) {
 	page.dirty = false
-	if len(page.entries) == 0 && !page.writePending {
-		p.discard(page)
+	if len(page.entries) == 0 && !page.firstWritePending {
+		p.removePage(page)
 		return Op{Delete: page.Key}, 0, nil
 	}
 	for id, value := range page.entries {
@@ -238,7 +238,7 @@
 	return Op{Write: page.Key, Value: maps.Clone(page.entries)}, bytes, ids
 }
 
-func (p *PagedRecords) discard(page *Page) {
+func (p *PagedRecords) removePage(page *Page) {
 	for i, other := range p.pages {
 		if other == page {
 			p.pages = append(p.pages[:i], p.pages[i+1:]...)
@@ -247,9 +247,9 @@
 	}
 }
 
-// Entries reads the records of a page. Before there were pages, each record had a key of its
+// DecodeEntries reads the records of a page. Before there were pages, each record had a key of its
 // own: the last part of it is then the id.
-func Entries(prefix string, row KeyValue) (map[string]json.RawMessage, error) {
+func DecodeEntries(prefix string, row KeyValue) (map[string]json.RawMessage, error) {
 	var entries map[string]json.RawMessage
 	if err := json.Unmarshal(row.Value, &entries); err == nil {
 		if _, isMachine := entries[machineTypeField]; !isMachine {
--- a/internal/records/paged_test.go
+++ b/internal/records/paged_test.go
@@ -22,8 +22,8 @@
 	s[op.Write] = op.Value.(map[string]json.RawMessage)
 }
 
-// numbered returns names that never repeat.
-func numbered(prefix string) func() string {
+// uniqueNames returns names that never repeat.
+func uniqueNames(prefix string) func() string {
 	n := 0
 	return func() string {
 		n++
@@ -36,7 +36,7 @@
 // put, and names are never used again.
 func TestPagedRecordsKeepEachRecordOnce(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 8))
-	paged := NewPagedRecords("machines/", 1, numbered("5"))
+	paged := NewPagedRecords("machines/", 1, uniqueNames("5"))
 	want := map[string]string{}
 	store := storedPages{}
 	deleted := map[string]bool{}
@@ -53,8 +53,8 @@
 		if r.IntN(5) > 0 {
 			continue
 		}
-		for _, page := range paged.Dirty() {
-			op, bytes, _ := paged.TakeWrite(page)
+		for _, page := range paged.DirtyPages() {
+			op, bytes, _ := paged.PrepareWrite(page)
 			writes++
 			if op.Delete != "" {
 				deleted[op.Delete] = true
@@ -63,12 +63,12 @@
 			}
 			store.apply(op)
 		}
-		checkHeldOnce(t, store, want)
+		checkStoredOnce(t, store, want)
 	}
 	if writes < 100 || len(deleted) == 0 && len(store) < 2 {
 		t.Fatalf("only %d writes of %d pages: too little was tested", writes, len(store))
 	}
-	checkLoads(t, store)
+	checkReload(t, store)
 }
 
 // checkWrite checks the size and the name of a page that is written.
@@ -82,8 +82,8 @@
 	}
 }
 
-// checkHeldOnce checks that the store has each record wanted, in one page.
-func checkHeldOnce(t *testing.T, store storedPages, want map[string]string) {
+// checkStoredOnce checks that the store has each record wanted, in one page.
+func checkStoredOnce(t *testing.T, store storedPages, want map[string]string) {
 	t.Helper()
 	got := map[string]string{}
 	for key, entries := range store {
@@ -99,8 +99,8 @@
 	}
 }
 
-// checkLoads checks that a later leader reads the pages and goes on with them.
-func checkLoads(t *testing.T, store storedPages) {
+// checkReload checks that a later leader reads the pages and goes on with them.
+func checkReload(t *testing.T, store storedPages) {
 	t.Helper()
 	paged := NewPagedRecords("machines/", 1, func() string { return "6-1" })
 	held := 0
@@ -109,22 +109,22 @@
 		raw, _ := json.Marshal(entries)
 		paged.Load(key, entries, len(raw))
 	}
-	if len(paged.IDs()) != held || held == 0 || len(paged.Dirty()) != 0 {
-		t.Errorf("read %d of %d records, %d pages are dirty, want none", len(paged.IDs()), held, len(paged.Dirty()))
+	if len(paged.IDs()) != held || held == 0 || len(paged.DirtyPages()) != 0 {
+		t.Errorf("read %d of %d records, %d pages are dirty, want none", len(paged.IDs()), held, len(paged.DirtyPages()))
 	}
 }
 
 // Records from before there were pages are read as what they are.
-func TestEntriesReadsRecordsOfEveryVersion(t *testing.T) {
+func TestDecodeEntriesReadsEveryVersion(t *testing.T) {
 	for _, x := range []struct{ prefix, key, value, want string }{
 		{PrefixMachines, "machines/m-000231", `{"addr":"a:1","rig":"c4","site":"a","loaners":true,"stint":2}`, `[m-000231]`},
 		{PrefixMachines, "machines/5-1", `{"m-1":{"rig":"c4"},"m-2":{"rig":"c4"}}`, `[m-1 m-2]`},
-		{PrefixDone, "done/j-1/2", `"0-4,7"`, `[j-1/2]`},
-		{PrefixDone, "done/5-1", `{"j-1/0":"0-4","j-2/0":"1"}`, `[j-1/0 j-2/0]`},
-		{PrefixDone, "done/5-2", `[1]`, ``},
-		{PrefixDone, "done/5-3", ``, ``},
+		{PrefixFinishedTasks, "done/j-1/2", `"0-4,7"`, `[j-1/2]`},
+		{PrefixFinishedTasks, "done/5-1", `{"j-1/0":"0-4","j-2/0":"1"}`, `[j-1/0 j-2/0]`},
+		{PrefixFinishedTasks, "done/5-2", `[1]`, ``},
+		{PrefixFinishedTasks, "done/5-3", ``, ``},
 	} {
-		entries, err := Entries(x.prefix, KeyValue{Key: x.key, Value: json.RawMessage(x.value)})
+		entries, err := DecodeEntries(x.prefix, KeyValue{Key: x.key, Value: json.RawMessage(x.value)})
 		ids := slices.Sorted(maps.Keys(entries))
 		if got := fmt.Sprint(ids); err == nil && got != x.want || (err != nil) != (x.want == "") {
 			t.Errorf("%s: got %s, %v, want %s", x.key, got, err, x.want)
@@ -150,33 +150,33 @@
 	}
 	raw, _ := json.Marshal(big)
 	store := storedPages{oversized: big, other: {"m-900000": big["m-000001"]}}
-	paged := NewPagedRecords("machines/", valueKB, numbered("9"))
+	paged := NewPagedRecords("machines/", valueKB, uniqueNames("9"))
 	paged.Load(oversized, big, len(raw))
 	paged.Load(other, store[other], 100)
 	paged.Remove(removed) // the machine was returned meanwhile
-	if len(paged.ReadOnly()) != 109 || paged.Has("m-000001") || !paged.Has("m-900000") || len(paged.Dirty()) != 0 {
-		t.Fatalf("%d records are to be moved, want 109; %d pages to be written, want none", len(paged.ReadOnly()), len(paged.Dirty()))
+	if len(paged.ReadOnlyEntries()) != 109 || paged.HasWritable("m-000001") || !paged.HasWritable("m-900000") || len(paged.DirtyPages()) != 0 {
+		t.Fatalf("%d records are to be moved, want 109; %d pages to be written, want none", len(paged.ReadOnlyEntries()), len(paged.DirtyPages()))
 	}
 	steps := 0
 	for ; ; steps++ {
-		for id, value := range paged.ReadOnly() {
-			if !paged.Has(id) && !paged.Put(id, value, len(value)) {
+		for id, value := range paged.ReadOnlyEntries() {
+			if !paged.HasWritable(id) && !paged.Put(id, value, len(value)) {
 				t.Fatalf("%s has no place", id)
 			}
 		}
-		dirty := paged.Dirty()
+		dirty := paged.DirtyPages()
 		if len(dirty) == 0 {
 			break
 		}
-		op, _, ids := paged.TakeWrite(dirty[0])
+		op, _, ids := paged.PrepareWrite(dirty[0])
 		if op.Delete == "" && EncodedSize(op.Value) > int(valueKB*1024) {
 			t.Fatalf("%s takes %d bytes, want at most %g KiB", op.Write, EncodedSize(op.Value), valueKB)
 		}
 		store.apply(op)
 		for _, id := range ids {
-			paged.DropReadOnly(id)
+			paged.RemoveReadOnlyCopies(id)
 		}
-		first := store.firstOfEach()
+		first := store.firstRecords()
 		for id, value := range big {
 			if id != removed && first[id] != string(value) {
 				t.Fatalf("step %d: %s is %q, want %q", steps, id, first[id], value)
@@ -188,8 +188,8 @@
 	}
 }
 
-// firstOfEach returns the records as a version reads them that keeps the first of each id.
-func (s storedPages) firstOfEach() map[string]string {
+// firstRecords returns the records as a version reads them that keeps the first of each id.
+func (s storedPages) firstRecords() map[string]string {
 	first := map[string]string{}
 	for _, key := range slices.Sorted(maps.Keys(s)) {
 		for id, value := range s[key] {
@@ -212,13 +212,13 @@
 	for i := range 40 {
 		paged.Put(fmt.Sprint("j-", i), fmt.Appendf(nil, "%q", strings.Repeat("x", 60)), 60)
 	}
-	for dirty := paged.Dirty(); len(dirty) > 0; dirty = paged.Dirty() {
-		op, bytes, _ := paged.TakeWrite(dirty[0])
+	for dirty := paged.DirtyPages(); len(dirty) > 0; dirty = paged.DirtyPages() {
+		op, bytes, _ := paged.PrepareWrite(dirty[0])
 		if bytes <= acceptedBytes {
 			continue
 		}
 		entries := op.Value.(map[string]json.RawMessage)
-		ids := paged.NoteTooLarge(dirty[0])
+		ids := paged.MarkTooLarge(dirty[0])
 		if len(ids) != len(entries) {
 			t.Fatalf("%d records need another place, want %d", len(ids), len(entries))
 		}
@@ -234,7 +234,7 @@
 func TestRefusedPageOfOneRecordStays(t *testing.T) {
 	paged := NewPagedRecords("done/", 4, func() string { return "2-1" })
 	paged.Put("j-1", json.RawMessage(`"x"`), 1)
-	if ids := paged.NoteTooLarge(paged.Dirty()[0]); ids != nil {
+	if ids := paged.MarkTooLarge(paged.DirtyPages()[0]); ids != nil {
 		t.Errorf("records that need another place: %v, want none", ids)
 	}
 }
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -11,11 +11,11 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// attemptLost handles an attempt that is no longer on its machine and left no result.
-func (s *Scheduler) attemptLost(attempt *fleet.Attempt, now time.Time) {
+// handleLostAttempt handles an attempt that is no longer on its machine and left no result.
+func (s *Scheduler) handleLostAttempt(attempt *fleet.Attempt, now time.Time) {
 	job := s.jobs[attempt.Task.Job]
-	lostTotal.Inc()
-	countDrained(attempt, now)
+	attemptsLostTotal.Inc()
+	countDrainOutcome(attempt, now)
 	slog.Debug("attempt lost", "task", attempt.Task.String(), "machine", attempt.Machine.Name, "state", attempt.State().String(),
 		"outcome", s.countWastedStart(attempt), "term", s.term)
 	breaksGang := job != nil && job.Shape == records.ShapeGang && job.attempts[attempt.Task.N] == attempt && attempt.State() != fleet.Sent
@@ -26,17 +26,17 @@
 	}
 }
 
-// attemptEnded handles an attempt that a worker shows as ended.
-func (s *Scheduler) attemptEnded(attempt *fleet.Attempt, now time.Time) {
+// handleEndedAttempt handles an attempt that a worker shows as ended.
+func (s *Scheduler) handleEndedAttempt(attempt *fleet.Attempt, now time.Time) {
 	job := s.jobs[attempt.Task.Job]
 	s.placementStale = true
 	if job == nil || attempt.Task.N >= job.Tasks {
-		attempt.Reap = true
+		attempt.MayReap = true
 		return
 	}
-	countDrained(attempt, now)
+	countDrainOutcome(attempt, now)
 	s.reportEnded(attempt, now)
-	s.applyCause(job, attempt, now)
+	s.applyEndCause(job, attempt, now)
 	wasHeld := job.attempts[attempt.Task.N] == attempt
 	s.releaseAttempt(attempt)
 	if job.Shape == records.ShapeGang && wasHeld && attempt.Cause != fleet.CauseDone {
@@ -57,42 +57,42 @@
 		outcome = s.countWastedStart(attempt)
 	}
 	slog.Debug("task ended", "task", attempt.Task.String(), "machine", attempt.Machine.Name, "cause", attempt.Cause,
-		"outcome", outcome, "saved", attempt.Saved, "fetch_s", fetchTime.Seconds(), "run_s", runTime.Seconds(), "term", s.term)
+		"outcome", outcome, "saved", attempt.CheckpointSaved, "fetch_s", fetchTime.Seconds(), "run_s", runTime.Seconds(), "term", s.term)
 }
 
-// fullIntervals is for how many heartbeat intervals a machine gets no tasks that had no room for one.
-const fullIntervals = 2
+// fullBackoffIntervals is for how many heartbeat intervals a machine gets no tasks that had no room for one.
+const fullBackoffIntervals = 2
 
-// applyCause draws the conclusions from why an attempt ended. The worker may forget it at once, but a
+// applyEndCause draws the conclusions from why an attempt ended. The worker may forget it at once, but a
 // result only once the store has it.
-func (s *Scheduler) applyCause(job *Job, attempt *fleet.Attempt, now time.Time) {
+func (s *Scheduler) applyEndCause(job *Job, attempt *fleet.Attempt, now time.Time) {
 	machine := attempt.Machine
 	if attempt.Cause == fleet.CauseDone {
-		s.taskCompleted(job, attempt, now)
+		s.handleCompletedTask(job, attempt, now)
 		return
 	}
-	attempt.Reap = true
+	attempt.MayReap = true
 	switch attempt.Cause {
 	case fleet.CauseError:
 		s.attemptFailed(job, machine, now)
 	case fleet.CauseFull:
 		// The worker knows better than this term what is free.
-		machine.FullUntil = now.Add(fullIntervals * s.settings.HeartbeatInterval)
-	case fleet.CauseNoSuch:
+		machine.FullUntil = now.Add(fullBackoffIntervals * s.settings.HeartbeatInterval)
+	case fleet.CauseUnknownTask:
 		s.delayRetry(job, now)
 	}
 }
 
-// taskCompleted handles an attempt that ended with a result.
-func (s *Scheduler) taskCompleted(job *Job, attempt *fleet.Attempt, now time.Time) {
+// handleCompletedTask handles an attempt that ended with a result.
+func (s *Scheduler) handleCompletedTask(job *Job, attempt *fleet.Attempt, now time.Time) {
 	machine := attempt.Machine
 	s.freedRoom.add(job.request, now, s.settings.HeartbeatInterval)
-	clear(machine.ErrorJobs)
+	clear(machine.FailedTasksByJob)
 	machine.Proven = true
-	s.markDone(job, attempt.Task.N)
+	s.recordResult(job, attempt.Task.N)
 	for _, other := range job.attempts {
 		if other != attempt && (other.Task == attempt.Task || job.Shape == records.ShapeGang && other.Number != attempt.Number) {
-			s.end(other) // its result is there already
+			s.discardAttempt(other) // its result is there already
 		}
 	}
 	for host := range job.errorMachines {
@@ -104,35 +104,35 @@
 	clear(job.errorMachines)
 	job.backoff = 0
 	if job.Shape == records.ShapeService {
-		attempt.Reap = true
+		attempt.MayReap = true
 	}
 }
 
 // causeLabel keeps causes that a worker makes up out of the metrics' labels.
 func causeLabel(cause string) string {
 	switch cause {
-	case fleet.CauseDone, fleet.CauseStopped, fleet.CauseMatesGone, fleet.CauseAlone,
-		fleet.CauseError, fleet.CauseFull, fleet.CauseBusy, fleet.CauseNoSuch:
+	case fleet.CauseDone, fleet.CauseStopped, fleet.CauseGangPeerLost, fleet.CauseGangTimeout,
+		fleet.CauseError, fleet.CauseFull, fleet.CauseOtherAttempt, fleet.CauseUnknownTask:
 		return cause
 	}
 	return "other"
 }
 
-// end withdraws an attempt whose job is closed or done.
-func (s *Scheduler) end(a *fleet.Attempt) {
+// discardAttempt withdraws an attempt whose job is closed or done.
+func (s *Scheduler) discardAttempt(a *fleet.Attempt) {
 	switch a.State() {
 	case fleet.Planned:
 		a.Machine.Forget(a)
 	case fleet.Ended:
-		a.Reap = true
+		a.MayReap = true
 	default:
-		s.stop(a, stopJobClosed, 0, time.Time{})
+		s.requestStop(a, stopJobClosed, 0, time.Time{})
 	}
 }
 
-// stop marks an attempt to be killed, and why: the first reason stays. The kill command is repeated
+// requestStop marks an attempt to be killed, and why: the first reason stays. The kill command is repeated
 // until the attempt's exit shows.
-func (s *Scheduler) stop(a *fleet.Attempt, reason string, grace float64, now time.Time) {
+func (s *Scheduler) requestStop(a *fleet.Attempt, reason string, grace float64, now time.Time) {
 	if !a.RequestStop(reason, grace, now) {
 		return
 	}
@@ -146,17 +146,17 @@
 	switch {
 	case job == nil:
 	case job.attempts[attempt.Task.N] == attempt:
-		s.releaseHeld(job, attempt)
+		s.releaseCurrent(job, attempt)
 	case attempt.Duplicate && attempt.Task.N < job.Tasks:
 		s.releaseDuplicate(job, attempt.Task.N)
 	}
 }
 
-// releaseHeld releases a task's own attempt.
-func (s *Scheduler) releaseHeld(job *Job, attempt *fleet.Attempt) {
+// releaseCurrent releases a task's own attempt.
+func (s *Scheduler) releaseCurrent(job *Job, attempt *fleet.Attempt) {
 	task := attempt.Task.N
 	delete(job.attempts, task)
-	if task < job.nextUntried && !has(job.done, task) {
+	if task < job.nextUntried && !hasBit(job.done, task) {
 		s.retryTask(job, task)
 	}
 	if job.Shape != records.ShapeGang {
@@ -165,7 +165,7 @@
 	s.claimFreedPlace(job, attempt)
 	if len(job.attempts) == 0 {
 		if job.start.reported {
-			job.gangBrokenAt = s.now
+			job.gangBrokenAt = s.passTime
 		}
 		job.gangAttempt, job.gangBroken = 0, false
 	}
@@ -177,7 +177,7 @@
 		return
 	}
 	delete(job.duplicates, task)
-	if task < job.nextUntried && job.attempts[task] == nil && !has(job.done, task) {
+	if task < job.nextUntried && job.attempts[task] == nil && !hasBit(job.done, task) {
 		s.retryTask(job, task)
 	}
 }
@@ -194,8 +194,8 @@
 
 // remainingSeconds estimates, in seconds, how long an attempt still runs.
 func (s *Scheduler) remainingSeconds(j *Job, a *fleet.Attempt, now time.Time) float64 {
-	if a.RunSince.IsZero() {
+	if a.RunningSince.IsZero() {
 		return j.EstimateS
 	}
-	return max(j.EstimateS-now.Sub(a.RunSince).Seconds(), j.EstimateS/10)
+	return max(j.EstimateS-now.Sub(a.RunningSince).Seconds(), j.EstimateS/10)
 }
--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -24,7 +24,7 @@
 
 func newAutoscalingState(settings Settings) autoscalingState {
 	return autoscalingState{
-		planner:    autoscaler.NewPlanner(settings.RefusedStartups),
+		planner:    autoscaler.NewPlanner(settings.CapacityBackoffStartups),
 		returns:    autoscaler.NewReturnPolicy(settings.HeartbeatInterval, settings.Lease, settings.IdleStartups),
 		returnedAt: map[string]time.Time{},
 		lastListed: map[string]time.Time{},
@@ -33,7 +33,7 @@
 
 // catalog is the machine types as the autoscaler sees them.
 func (s *Scheduler) catalog() autoscaler.Catalog {
-	return autoscaler.Catalog{Types: s.types, Names: s.typeNames}
+	return autoscaler.Catalog{Types: s.machineTypes, Names: s.typesByPrice}
 }
 
 func (s *Scheduler) startupTime(machineType string) time.Duration {
@@ -46,7 +46,7 @@
 
 // PlanRentals returns the requests for machines to send now.
 func (s *Scheduler) PlanRentals(now time.Time) []autoscaler.RentalRequest {
-	if !s.autoscaling.listRead || len(s.types) == 0 || s.overload.Level() > overload.Normal {
+	if !s.autoscaling.listRead || len(s.machineTypes) == 0 || s.overload.Level() > overload.Normal {
 		return nil
 	}
 	requests := s.autoscaling.planner.Plan(autoscaler.PlanInput{
@@ -55,12 +55,12 @@
 		Fleet:           s.supply(now),
 		Demand:          s.demand(now),
 		RunningWork:     s.runningWork(now),
-		Barred:          s.barredByDrain,
+		ScaleOutBlocked: s.scaleOutBlocked,
 		OutageSuspected: s.zoneHealth.Suspected,
 		Headroom:        s.overload.ScaleOutHeadroom,
 	})
 	for i := range requests {
-		term, seq := s.NextRequestName()
+		term, seq := s.NextRentalNumbers()
 		requests[i].Name = fmt.Sprintf("r-%d-%d", term, seq)
 		s.autoscaling.planner.Track(requests[i])
 	}
@@ -77,7 +77,7 @@
 		machines = append(machines, autoscaler.Machine{
 			Offer:     offerOf(m),
 			InService: inService(m),
-			Vacant:    (!m.Up || free) && !m.Returning && !m.LeaseExpired,
+			Vacant:    (!m.HasStatus || free) && !m.Returning && !m.LeaseExpired,
 			Capacity:  m.Bin.Capacity,
 		})
 	}
@@ -96,19 +96,19 @@
 		if j.closed || j.closing || now.Before(j.retryAt) {
 			continue
 		}
-		tasks := s.waitingWithinLimit(j) + s.displaced(j, now)
+		tasks := s.waitingWithinLimit(j) + s.tasksBlockingOnDemand(j, now)
 		if tasks <= 0 {
 			continue
 		}
 		all = append(all, autoscaler.Demand{
-			Job:         j.ID,
-			Tasks:       tasks,
-			Request:     j.request,
-			TaskSeconds: j.EstimateS,
-			Elastic:     j.Shape == records.ShapeArray,
-			Urgent:      j.precedence.Rank <= priorityRank[records.PriorityUrgent] || j.guaranteed,
-			WaitsSince:  j.releasedAt,
-			Constraints: jobConstraints{j},
+			Job:          j.ID,
+			Tasks:        tasks,
+			Request:      j.request,
+			TaskSeconds:  j.EstimateS,
+			Elastic:      j.Shape == records.ShapeArray,
+			Urgent:       j.precedence.Rank <= priorityRank[records.PriorityUrgent] || j.guaranteed,
+			WaitingSince: j.releasedAt,
+			Constraints:  jobConstraints{j},
 		})
 	}
 	return all
@@ -124,7 +124,7 @@
 
 // PermitsZone reports whether the job may use a zone beside those where its other tasks stay.
 func (c jobConstraints) PermitsZone(zone string) bool {
-	return c.job.remainingZones == nil || c.job.zoneAllowed(zone, c.job.remainingZones)
+	return c.job.remainingByZone == nil || c.job.zoneAllowed(zone, c.job.remainingByZone)
 }
 
 // runningWork is what running tasks still need, in machine seconds by machine type.
@@ -142,7 +142,7 @@
 
 // MachinesRented takes in the machines that a request brought.
 func (s *Scheduler) MachinesRented(r autoscaler.RentalRequest, names []string, now time.Time) {
-	s.autoscaling.planner.Answered(r)
+	s.autoscaling.planner.Untrack(r)
 	for _, name := range names {
 		if _, returned := s.autoscaling.returnedAt[name]; returned || name == "" {
 			continue
@@ -162,7 +162,7 @@
 
 // RentalRefused takes in that a request brought nothing.
 func (s *Scheduler) RentalRefused(r autoscaler.RentalRequest, noCapacity bool, now time.Time) {
-	s.autoscaling.planner.Answered(r)
+	s.autoscaling.planner.Untrack(r)
 	if noCapacity {
 		s.autoscaling.planner.BackOff(r, s.startupTime(r.Type), now)
 		slog.Info("scale out refused", "reason", "no capacity", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "term", s.term)
@@ -186,7 +186,7 @@
 			m.Bin.SetOpen(false)
 			names = append(names, m.Name)
 			slog.Info("scale in", "machine", m.Name, "zone", m.Zone,
-				"faulty", m.Faulty, "lease_expired", m.LeaseExpired, "up", m.Up, "term", s.term)
+				"faulty", m.Faulty, "lease_expired", m.LeaseExpired, "up", m.HasStatus, "term", s.term)
 		}
 	}
 	return names
@@ -196,15 +196,15 @@
 func (s *Scheduler) observeSilence(now time.Time) {
 	var n autoscaler.FleetCounts
 	for _, m := range s.fleet.Sorted() {
-		if !m.Up {
+		if !m.HasStatus {
 			continue
 		}
 		n.Up++
-		if now.Sub(m.LastStatus) > 3*s.settings.HeartbeatInterval {
+		if now.Sub(m.LastStatusAt) > 3*s.settings.HeartbeatInterval {
 			n.Silent++
 		}
-		if s.isQuiet(m, now) {
-			n.Quiet++
+		if s.heartbeatOverdue(m, now) {
+			n.Overdue++
 		}
 		if m.Unreachable() {
 			n.Unreachable++
@@ -222,9 +222,9 @@
 	now       time.Time
 }
 
-// AwaitedByOperator reports whether the machine is empty and kept for an operator.
-func (r returnConditions) AwaitedByOperator(m *fleet.Machine) bool {
-	return r.scheduler.awaitedByOperator(m, r.now)
+// KeptForOperator reports whether the machine is empty and kept for an operator.
+func (r returnConditions) KeptForOperator(m *fleet.Machine) bool {
+	return r.scheduler.keptForOperator(m, r.now)
 }
 
 // WaitsForZone reports whether the tasks of the machine are best waited for until its zone is back.
@@ -245,7 +245,7 @@
 
 // OnDemandShortage reports whether on-demand machines of a type were too few lately.
 func (r returnConditions) OnDemandShortage(machineType string) bool {
-	return r.scheduler.shortageLately(machineType, r.now)
+	return r.scheduler.recentShortage(machineType, r.now)
 }
 
 // Reconciled reports whether every machine of earlier terms has been heard or is gone.
@@ -301,7 +301,7 @@
 	for _, a := range slices.Clone(m.Attempts()) {
 		m.Forget(a)
 		if a.State() != fleet.Ended {
-			s.attemptLost(a, now)
+			s.handleLostAttempt(a, now)
 		}
 	}
 	m.LeaseExpired, m.Reconciled, m.Failed = true, true, true
@@ -326,7 +326,7 @@
 	switch {
 	case !mayBeReturned:
 		m.Unverified = false
-	case !m.Up && !m.Inherited && m.RequestedAt.IsZero():
+	case !m.HasStatus && !m.Inherited && m.RequestedAt.IsZero():
 		m.Unverified = true
 	}
 	if m.RequestedAt.IsZero() {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -26,7 +26,7 @@
 	random        *rand.Rand
 	heartbeats    []*fleet.Heartbeat
 	submitted     int  // jobs so far
-	next          int  // the machine whose turn it is
+	nextMachine   int  // the machine whose turn it is
 	teams         int  // that submit by turns
 	externalClock bool // the benchmark passes time; else every heartbeat does
 	dependencies  bool // every job depends on the two before it of its kind, as far as they are open
@@ -58,7 +58,7 @@
 		cfg.Deployment.Teams = append(cfg.Deployment.Teams, team)
 	}
 	f.scheduler = New(SettingsOf(cfg), 5, f.now)
-	f.scheduler.SetTypes([]records.MachineType{{
+	f.scheduler.SetMachineTypes([]records.MachineType{{
 		Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 1, Zones: []string{"a", "b"},
 	}})
 	f.scheduler.CheckReconciled(f.now)
@@ -111,11 +111,11 @@
 
 // heartbeat lets the next machine end some of its tasks, send a heartbeat and obey.
 func (f *benchFleet) heartbeat() {
-	f.next = (f.next + 1) % len(f.heartbeats)
+	f.nextMachine = (f.nextMachine + 1) % len(f.heartbeats)
 	if !f.externalClock {
 		f.now = f.now.Add(4 * time.Millisecond)
 	}
-	h := f.heartbeats[f.next]
+	h := f.heartbeats[f.nextMachine]
 	h.Sequence++
 	for i := range h.Tasks {
 		if task := &h.Tasks[i]; task.Status != "ended" && f.random.IntN(10) == 0 {
@@ -126,16 +126,16 @@
 	if stale {
 		panic("a heartbeat in order counts as stale")
 	}
-	f.scheduler.ObserveUse(machine)
+	f.scheduler.ObserveUsage(machine)
 	f.scheduler.PlanMachine(machine, f.now)
 	response := f.scheduler.Respond(machine, true, f.now)
-	f.scheduler.NoteAnswered(machine, "", f.now)
-	obey(h, response.Commands)
+	f.scheduler.RecordAnswer(machine, "", f.now)
+	applyCommands(h, response.Commands)
 	f.closeCompleteJob()
 }
 
-// obey applies commands to the tasks that a machine will show in its next heartbeat.
-func obey(h *fleet.Heartbeat, commands []fleet.Command) {
+// applyCommands applies commands to the tasks that a machine will show in its next heartbeat.
+func applyCommands(h *fleet.Heartbeat, commands []fleet.Command) {
 	for _, command := range commands {
 		switch command.Verb {
 		case fleet.VerbRun:
@@ -156,7 +156,7 @@
 	for id, job := range f.scheduler.jobs {
 		copy(job.stored, job.done)
 		if job.doneCount == job.Tasks && !job.closing {
-			f.scheduler.NoteClosed(id, records.ClosedJob{Status: records.StatusDone, AtMS: f.now.UnixMilli()}, 20)
+			f.scheduler.ApplyClosedRecord(id, records.ClosedJob{Status: records.StatusDone, AtMS: f.now.UnixMilli()}, 20)
 			f.submit()
 		}
 		return
@@ -167,8 +167,8 @@
 func (f *benchFleet) tick() {
 	f.now = f.now.Add(250 * time.Millisecond)
 	for _, m := range f.scheduler.fleet.Machines {
-		m.LastStatus = f.now
-		m.LastRenewal = f.now
+		m.LastStatusAt = f.now
+		m.LeaseRenewedAt = f.now
 	}
 	f.scheduler.Tick(f.now, true)
 }
@@ -209,9 +209,9 @@
 	}
 }
 
-// interval plays one heartbeat interval: every machine sends one heartbeat, with ticks in between, and once a
+// playInterval plays one heartbeat interval: every machine sends one heartbeat, with ticks in between, and once a
 // second it is decided what to scale out and in. It returns how many tasks started.
-func (f *benchFleet) interval() (starts int) {
+func (f *benchFleet) playInterval() (starts int) {
 	const step = 5 * time.Second
 	before := runsTotal.Get()
 	began := f.now
@@ -243,7 +243,7 @@
 				f.externalClock = true
 				starts := 0
 				for b.Loop() {
-					starts += f.interval()
+					starts += f.playInterval()
 				}
 				b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(max(starts, 1)), "us/start")
 				b.ReportMetric(float64(starts)/float64(b.N), "starts/op")
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/bounds_test.go
@@ -11,7 +11,7 @@
 
 // Closed jobs leave no state behind: after thousands of jobs of ever other sizes and images, a few at a
 // time, nothing has grown. Equal jobs keep equal class numbers meanwhile.
-func TestClosedJobsLeaveNothing(t *testing.T) {
+func TestClosedJobsReleaseState(t *testing.T) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
 	cfg.Deployment.State.ValueKB = 8
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -20,11 +20,11 @@
 	since   time.Time // when it was made, or the room was last seen to be on its way
 }
 
-// claimIntervals is how long, in heartbeat intervals, room that is there is kept for a job that does
-// not start in it, and claimPauseIntervals how long the job then claims no other.
+// claimTimeoutIntervals is how long, in heartbeat intervals, room that is there is kept for a job that does
+// not start in it, and claimBackoffIntervals how long the job then claims no other.
 const (
-	claimIntervals      = 2
-	claimPauseIntervals = 4
+	claimTimeoutIntervals = 2
+	claimBackoffIntervals = 4
 )
 
 // maxClaimsPerPass bounds the work for one job in one pass. It does not bound the machines on which a
@@ -39,7 +39,7 @@
 		s.claimOwners = append(s.claimOwners, j)
 	}
 	if s.currentTurns != nil {
-		s.currentTurns.keepSeparate(j)
+		s.currentTurns.exemptFromSkipping(j)
 	}
 }
 
@@ -47,21 +47,21 @@
 // start again, and what else went there would be stopped a moment later.
 func (s *Scheduler) claimFreedPlace(j *Job, a *fleet.Attempt) {
 	if j.gangBroken && a.Machine.Bin.Open() && a.State() != fleet.Planned {
-		s.addClaim(j, a.Machine, s.now)
+		s.addClaim(j, a.Machine, s.passTime)
 	}
 }
 
-// dropClaim gives up a claim.
-func (s *Scheduler) dropClaim(j *Job, i int) {
+// releaseClaim gives up a claim.
+func (s *Scheduler) releaseClaim(j *Job, i int) {
 	j.claims[i].machine.Bin.Reserve(packing.Resources{}.Sub(j.request))
 	j.claims = slices.Delete(j.claims, i, i+1)
 	s.placementStale = true
 }
 
-// dropAllClaims gives up all claims of a job.
-func (s *Scheduler) dropAllClaims(j *Job) {
+// releaseAllClaims gives up all claims of a job.
+func (s *Scheduler) releaseAllClaims(j *Job) {
 	for len(j.claims) > 0 {
-		s.dropClaim(j, len(j.claims)-1)
+		s.releaseClaim(j, len(j.claims)-1)
 	}
 }
 
@@ -83,10 +83,10 @@
 	j.claims = suspended
 }
 
-// useClaims starts tasks of a job that need not start together in the room that it has claimed, as far
+// placeInClaims starts tasks of a job that need not start together in the room that it has claimed, as far
 // as that is free.
-func (s *Scheduler) useClaims(job *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
-	limited := job.limited
+func (s *Scheduler) placeInClaims(job *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
+	limited := job.teamLimited
 	for i := 0; i < len(job.claims); {
 		t, machine := job.nextTask(), job.claims[i].machine
 		if t < 0 || limited && !s.withinLimit(job, used[job.Team]) {
@@ -96,7 +96,7 @@
 			i++
 			continue
 		}
-		s.dropClaim(job, i)
+		s.releaseClaim(job, i)
 		if zones != nil {
 			zones[machine.Zone]-- // it was counted as the claim's
 			if !job.zoneAllowed(machine.Zone, zones) {
@@ -104,61 +104,61 @@
 			}
 			zones[machine.Zone]++
 		}
-		item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferLabels}
+		item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferredLabels}
 		machine.Bin.Add(item)
 		s.planAttempt(job, t, s.newAttemptNumber(), machine, item, now)
-		job.takeTask(t)
+		job.dequeueTask(t)
 		if limited {
 			used[job.Team] = used[job.Team].Add(job.taskQuota())
 		}
 	}
 }
 
-// reviewClaims drops claims whose job or machine is no longer available, that are more than the job
+// expireClaims drops claims whose job or machine is no longer available, that are more than the job
 // has tasks for, and those whose room was there unused for a time.
-func (s *Scheduler) reviewClaims(now time.Time) {
+func (s *Scheduler) expireClaims(now time.Time) {
 	owners := s.claimOwners
 	s.claimOwners = s.claimOwners[:0]
 	for _, j := range owners {
-		if s.reviewJobClaims(j, now); len(j.claims) > 0 && !slices.Contains(s.claimOwners, j) {
+		if s.expireJobClaims(j, now); len(j.claims) > 0 && !slices.Contains(s.claimOwners, j) {
 			s.claimOwners = append(s.claimOwners, j)
 		}
 	}
 	clear(owners[len(s.claimOwners):])
 }
 
-func (s *Scheduler) reviewJobClaims(job *Job, now time.Time) {
+func (s *Scheduler) expireJobClaims(job *Job, now time.Time) {
 	if len(job.claims) == 0 {
 		return
 	}
 	if !job.gangBroken && !s.startable(job, now) {
-		s.dropAllClaims(job)
+		s.releaseAllClaims(job)
 		return
 	}
 	for i := len(job.claims) - 1; i >= 0; i-- {
 		if machine := job.claims[i].machine; machine.Removed() || !machine.Bin.Open() {
-			s.dropClaim(job, i)
+			s.releaseClaim(job, i)
 		}
 	}
-	for wanted := s.claimable(job); len(job.claims) > wanted; {
-		s.dropClaim(job, len(job.claims)-1)
+	for wanted := s.claimableTasks(job); len(job.claims) > wanted; {
+		s.releaseClaim(job, len(job.claims)-1)
 	}
-	freeing := s.claimedRoomFreeing(job)
+	freeing := s.claimsAwaitRoom(job)
 	for i := len(job.claims) - 1; i >= 0; i-- {
 		switch claimed := &job.claims[i]; {
 		case freeing || job.reservedZone != "":
 			claimed.since = now
-		case now.Sub(claimed.since) > claimIntervals*s.settings.HeartbeatInterval:
+		case now.Sub(claimed.since) > claimTimeoutIntervals*s.settings.HeartbeatInterval:
 			slog.Debug("claim expired", "job", job.ID, "machine", claimed.machine.Name, "term", s.term)
-			job.noClaimsBefore = now.Add(claimPauseIntervals * s.settings.HeartbeatInterval)
-			s.dropClaim(job, i)
+			job.claimsNotBefore = now.Add(claimBackoffIntervals * s.settings.HeartbeatInterval)
+			s.releaseClaim(job, i)
 		}
 	}
 }
 
-// claimable is for how many of a job's tasks there may be claims: those that wait, and those that
+// claimableTasks is for how many of a job's tasks there may be claims: those that wait, and those that
 // move, up to as many as it has claims.
-func (s *Scheduler) claimable(job *Job) int {
+func (s *Scheduler) claimableTasks(job *Job) int {
 	n := job.pending()
 	if n >= len(job.claims) {
 		return n
@@ -171,14 +171,14 @@
 	return n
 }
 
-// claimedRoomFreeing reports whether claimed room is about to become free: an attempt is being stopped
+// claimsAwaitRoom reports whether claimed room is about to become free: an attempt is being stopped
 // there, or one of the job's own tasks is that is to move there.
-func (s *Scheduler) claimedRoomFreeing(job *Job) bool {
+func (s *Scheduler) claimsAwaitRoom(job *Job) bool {
 	if job.gangBroken {
 		return true
 	}
 	for _, cl := range job.claims {
-		if slices.ContainsFunc(cl.machine.Attempts(), isLeaving) {
+		if slices.ContainsFunc(cl.machine.Attempts(), isStoppingOnMachine) {
 			return true
 		}
 	}
@@ -190,15 +190,17 @@
 	return false
 }
 
-// isLeaving reports whether an attempt is being stopped, so that its room is about to become free.
-func isLeaving(a *fleet.Attempt) bool { return a.Stopping() && a.MayBePresent() && a.Item != nil }
+// isStoppingOnMachine reports whether an attempt is being stopped, so that its room is about to become free.
+func isStoppingOnMachine(a *fleet.Attempt) bool {
+	return a.Stopping() && a.MayBePresent() && a.Item != nil
+}
 
 // expectedRoom is the room that a machine has or will have, once what is being stopped there is gone,
 // beyond what is claimed.
 func expectedRoom(m *fleet.Machine) packing.Resources {
 	free := m.Bin.Capacity.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
 	for _, a := range m.Attempts() {
-		if isLeaving(a) {
+		if isStoppingOnMachine(a) {
 			free = free.Add(a.Item.Request)
 		}
 	}
@@ -207,7 +209,7 @@
 
 // missingClaims is for how many more of a job's tasks room could be claimed.
 func (s *Scheduler) missingClaims(job *Job, now time.Time) int {
-	if now.Before(job.noClaimsBefore) {
+	if now.Before(job.claimsNotBefore) {
 		return 0
 	}
 	n := s.waitingWithinLimit(job)
--- a/internal/scheduler/claims_test.go
+++ b/internal/scheduler/claims_test.go
@@ -65,10 +65,10 @@
 func drawTeams(t *rapid.T, machinesPerZone int) []config.Team {
 	var teams []config.Team
 	for i := range rapid.IntRange(1, 3).Draw(t, "teams") {
-		guaranteed := fakeCPUs * rapid.IntRange(0, machinesPerZone).Draw(t, "guarantee")
+		guaranteed := fakeMachineCPUs * rapid.IntRange(0, machinesPerZone).Draw(t, "guarantee")
 		team := config.Team{Name: fmt.Sprint("team-", i), GuaranteedCPUs: float64(guaranteed)}
 		if rapid.Bool().Draw(t, "limited") {
-			team.LimitCPUs = max(team.GuaranteedCPUs, float64(fakeCPUs*machinesPerZone))
+			team.LimitCPUs = max(team.GuaranteedCPUs, float64(fakeMachineCPUs*machinesPerZone))
 		}
 		teams = append(teams, team)
 	}
@@ -106,7 +106,7 @@
 // to start again as gangs may claim once more, in smallest tasks.
 func (f *fakeFleet) restartWorker(machine *fakeMachine) (claimable int) {
 	machine.heartbeat.Incarnation, machine.heartbeat.Sequence = machine.heartbeat.Incarnation+1, 0
-	f.workerDiedAt = f.now
+	f.workerFailedAt = f.now
 	for _, attempt := range machine.attempts {
 		claimable += f.jobs[attempt.job].Tasks * int(f.jobs[attempt.job].CPUs)
 	}
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -15,19 +15,19 @@
 	node := dependency.Job{
 		ID: job.ID, Dependencies: job.Dependencies, Rank: priorityRank[job.Priority],
 		// Between the end of one job and the start of the next lies a heartbeat.
-		Estimate: s.settings.HeartbeatInterval + s.fetchTime(job) + time.Duration(job.EstimateS*likelyRuns*float64(time.Second)),
+		Estimate: s.settings.HeartbeatInterval + s.fetchTime(job) + time.Duration(job.EstimateS*likelyRunFactor*float64(time.Second)),
 	}
 	if job.DeadlineS != nil {
 		node.Deadline = job.deadlineAt(*job.DeadlineS)
-		node.LatestEnd = job.deadlineAt(*job.DeadlineS * s.latestDeadlineTimes(job.Class))
+		node.LatestEnd = job.deadlineAt(*job.DeadlineS * s.maxDeadlineFactor(job.Class))
 	}
 	s.dependencies.Add(node)
 	s.applyDependencyChanges()
 }
 
-// latestDeadlineTimes returns how many times its deadline a job of a class may take by the laxest
+// maxDeadlineFactor returns how many times its deadline a job of a class may take by the laxest
 // objective, once at least.
-func (s *Scheduler) latestDeadlineTimes(class string) float64 {
+func (s *Scheduler) maxDeadlineFactor(class string) float64 {
 	times := 1.0
 	for _, o := range s.settings.Objectives {
 		if o.Class == class && o.Kind == config.KindDeadline {
@@ -42,8 +42,8 @@
 	return time.UnixMilli(j.AcceptedMS).Add(time.Duration(s * float64(time.Second)))
 }
 
-// secondsUntil converts a time of day to seconds from the job's release.
-func (j *Job) secondsUntil(t time.Time) float64 {
+// secondsFromRelease converts a time of day to seconds from the job's release.
+func (j *Job) secondsFromRelease(t time.Time) float64 {
 	return t.Sub(time.UnixMilli(j.AcceptedMS)).Seconds() - j.blockedSeconds()
 }
 
@@ -60,36 +60,36 @@
 		job.blocked, job.precedence = s.dependencies.Blocked(id), s.dependencies.Precedence(id)
 		// A version that knew of no dependencies wrote no time: then it counts from the acceptance, as for
 		// any job.
-		job.releasedAt, job.notStartedBefore = job.Accepted, job.Revision
+		job.releasedAt, job.earliestStartRevision = job.Accepted, job.Revision
 		if at := s.dependencies.ReleasedAt(id); !job.blocked && !at.IsZero() {
 			job.releasedAt = job.Accepted.Add(max(at.Sub(time.UnixMilli(job.AcceptedMS)), 0))
 			s.slo.ResetWait(job.ID, job.releasedAt)
 		}
 		if !job.blocked {
-			job.notStartedBefore = max(job.Revision, s.dependencies.EarliestStartRevision(id))
+			job.earliestStartRevision = max(job.Revision, s.dependencies.EarliestStartRevision(id))
 		}
-		if job.notStartedBefore > s.term {
+		if job.earliestStartRevision > s.term {
 			s.clearUncertain(job) // no earlier term can have started any of it
 		}
 		job.targets = s.completionTargets(job)
-		s.choosePreferences(job)
+		s.choosePreferredLabels(job)
 		s.queueStale, s.placementStale = true, true
 	}
 }
 
-// choosePreferences sets which machines a job's tasks prefer. What is urgent for its dependents' sake
+// choosePreferredLabels sets which machines a job's tasks prefer. What is urgent for its dependents' sake
 // and saves no checkpoints goes where the cloud does not take machines back, even before where its
 // image is: one lost task of many starts again, and all dependents wait for it.
-func (s *Scheduler) choosePreferences(j *Job) {
-	j.preferLabels = []string{fleet.ImageLabel(j.Image), fleet.SpotLabel}
+func (s *Scheduler) choosePreferredLabels(j *Job) {
+	j.preferredLabels = []string{fleet.ImageLabel(j.Image), fleet.SpotLabel}
 	linked := len(j.Dependencies) > 0 || j.precedence.Rank < priorityRank[j.Priority]
 	if linked && j.precedence.Rank < priorityRank[records.PriorityStandard] && j.CheckpointS == 0 {
-		j.preferLabels = []string{fleet.OnDemandLabel, fleet.ImageLabel(j.Image)}
+		j.preferredLabels = []string{fleet.OnDemandLabel, fleet.ImageLabel(j.Image)}
 	}
 }
 
-// NoteClosed notes that a job is closed for good, as its record says, and the revision of that record.
-func (s *Scheduler) NoteClosed(id string, closed records.ClosedJob, revision uint64) {
+// ApplyClosedRecord notes that a job is closed for good, as its record says, and the revision of that record.
+func (s *Scheduler) ApplyClosedRecord(id string, closed records.ClosedJob, revision uint64) {
 	var at time.Time
 	if closed.AtMS > 0 {
 		at = time.UnixMilli(closed.AtMS)
@@ -113,10 +113,10 @@
 			{Write: records.ClosedKey(job.ID), Value: closed},
 		},
 		Compares: []records.Compare{{Key: records.OpenKey(job.ID), Revision: job.Revision}},
-		OwnKey:   records.OpenKey(job.ID),
+		GuardKey: records.OpenKey(job.ID),
 		OnStored: func(revision uint64) {
 			s.logClosed(job, closed)
-			s.NoteClosed(job.ID, closed, revision)
+			s.ApplyClosedRecord(job.ID, closed, revision)
 		},
 		// The open record is gone because the user cancelled the job, or because this very write went
 		// through before and its answer was lost. Only the closed record tells which; until it is read,
@@ -133,15 +133,15 @@
 	}
 	slog.Debug(message, "job", job.ID, "class", job.Class, "dependencies", job.Dependencies,
 		"waited_s", job.blockedSeconds(), "took_s", time.Since(job.releasedAt).Seconds(),
-		"due_s", job.secondsUntil(job.precedence.Deadline), "term", s.term)
+		"due_s", job.secondsFromRelease(job.precedence.Deadline), "term", s.term)
 }
 
 // UnreadDependencies lists the jobs that open jobs depend on and of which it is not known whether they
 // are done or cancelled.
 func (s *Scheduler) UnreadDependencies() []string { return s.dependencies.UnknownJobs() }
 
-// HasCascade reports whether any job is to be cancelled because one it depends on was.
-func (s *Scheduler) HasCascade() bool { return len(s.dependencies.ToCancel()) > 0 }
+// HasJobsToCancel reports whether any job is to be cancelled because one it depends on was.
+func (s *Scheduler) HasJobsToCancel() bool { return len(s.dependencies.ToCancel()) > 0 }
 
 // DependenciesClear reports whether no job that this one depends on is known to be cancelled.
 func (s *Scheduler) DependenciesClear(id string) bool { return s.dependencies.Unobstructed(id) }
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -16,15 +16,15 @@
 		s.placeWaiting(now)
 	}
 	if m.Recorded {
-		s.takeOverPlans(m, now)
+		s.reassignPlanned(m, now)
 	}
 }
 
-// takeOverPlans plans for a machine that is being answered what was planned for others and waits for
+// reassignPlanned plans for a machine that is being answered what was planned for others and waits for
 // their heartbeats. A run command goes out only in answer to a heartbeat; where room is left, a task
 // would otherwise wait for the heartbeat of just the machine it was planned for.
-func (s *Scheduler) takeOverPlans(machine *fleet.Machine, now time.Time) {
-	if !machine.Bin.Open() || !machine.Bin.AllowsJoin() {
+func (s *Scheduler) reassignPlanned(machine *fleet.Machine, now time.Time) {
+	if !machine.Bin.Open() || !machine.Bin.AcceptsAny() {
 		return
 	}
 	keep := s.plannedAttempts[:0]
@@ -33,12 +33,12 @@
 			continue // sent, or given up
 		}
 		job := s.jobOf(attempt)
-		if job == nil || !s.mayTakeOver(machine, job, attempt, now) {
+		if job == nil || !s.mayReassign(machine, job, attempt, now) {
 			keep = append(keep, attempt)
 			continue
 		}
 		attempt.Machine.Forget(attempt)
-		item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferLabels}
+		item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferredLabels}
 		machine.Bin.Add(item)
 		s.planAttempt(job, attempt.Task.N, attempt.Number, machine, item, now)
 	}
@@ -46,10 +46,10 @@
 	s.plannedAttempts = keep
 }
 
-// mayTakeOver reports whether a planned task may go to a machine instead of the one it was planned
+// mayReassign reports whether a planned task may go to a machine instead of the one it was planned
 // for. No task gets a worse place: no fetch that it would have been spared, no spot machine instead of
 // an on-demand one, no empty machine instead of one in use.
-func (s *Scheduler) mayTakeOver(machine *fleet.Machine, job *Job, attempt *fleet.Attempt, now time.Time) bool {
+func (s *Scheduler) mayReassign(machine *fleet.Machine, job *Job, attempt *fleet.Attempt, now time.Time) bool {
 	planned := attempt.Machine
 	switch {
 	case planned == machine:
@@ -57,13 +57,13 @@
 	case !s.belowWatermark(attempt):
 		// It would only wait for its watermark here, until this machine's next heartbeat.
 		return false
-	case !job.unconstrained(), !machine.Bin.CanJoin(job.request), !job.permits(machine.Type, machine.Zone, machine.Spot):
+	case !job.unconstrained(), !machine.Bin.Accepts(job.request), !job.permits(machine.Type, machine.Zone, machine.Spot):
 		return false
 	case machine.Type != planned.Type, machine.Spot && !planned.Spot:
 		return false
-	case !machine.Spot && planned.Spot && s.shortageLately(machine.Type, now):
+	case !machine.Spot && planned.Spot && s.recentShortage(machine.Type, now):
 		return false
-	case isHeldForEarlier(machine, job):
+	case isHeldForEarlierJob(machine, job):
 		return false
 	case machine.Empty() && len(planned.Bin.Items()) > 1:
 		return false
@@ -77,10 +77,10 @@
 // late, unlike a direct command.
 func (s *Scheduler) Respond(machine *fleet.Machine, canRun bool, now time.Time) fleet.HeartbeatResponse {
 	for _, attempt := range machine.Attempts() {
-		if attempt.State() == fleet.Ended && attempt.Cause == fleet.CauseDone && !attempt.Reap {
+		if attempt.State() == fleet.Ended && attempt.Cause == fleet.CauseDone && !attempt.MayReap {
 			job := s.jobOf(attempt)
 			// The worker may forget a result only once the store has it.
-			attempt.Reap = job == nil || has(job.stored, attempt.Task.N)
+			attempt.MayReap = job == nil || hasBit(job.stored, attempt.Task.N)
 		}
 	}
 	response := fleet.HeartbeatResponse{FencingToken: s.term, Commands: machine.PendingCommands()}
@@ -115,10 +115,10 @@
 		}
 		return false
 	}
-	attempt.Send(now)
+	attempt.MarkSent(now)
 	runsTotal.Inc()
 	startSeconds.Update(now.Sub(job.releasedAt).Seconds())
-	s.useImage(machine, job)
+	s.recordImageUse(machine, job)
 	return true
 }
 
@@ -131,7 +131,7 @@
 		return false
 	case !s.acceptsTasks(machine, now), !machine.Recorded:
 		return false
-	case task >= job.Tasks, has(job.done, task), job.attempts[task] != attempt, job.duplicates[task] > 0:
+	case task >= job.Tasks, hasBit(job.done, task), job.attempts[task] != attempt, job.duplicates[task] > 0:
 		return false
 	case job.isUncertain(task), !s.belowWatermark(attempt):
 		return false
@@ -139,7 +139,7 @@
 		return false
 	case (job.OneZone || job.SpreadZones) && !job.zoneAllowed(machine.Zone, s.tasksByZone(job, false)):
 		return false
-	case job.limited && !s.withinLimit(job, s.quotaUsage.InUse(job.Team)):
+	case job.teamLimited && !s.withinLimit(job, s.quotaUsage.InUse(job.Team)):
 		return false
 	}
 	var present packing.Resources
--- a/internal/scheduler/drain_bench_test.go
+++ b/internal/scheduler/drain_bench_test.go
@@ -22,7 +22,7 @@
 	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
 	now := time.Unix(1_000_000, 0)
 	c := New(SettingsOf(cfg), 5, now)
-	c.SetTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.1, Zones: cfg.Deployment.Zones}})
+	c.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.1, Zones: cfg.Deployment.Zones}})
 	c.CheckReconciled(now)
 	const perJob = 100
 	for i := range machines * 10 / perJob {
@@ -72,7 +72,7 @@
 func BenchmarkDrainPlan(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		for name, spec := range map[string]drain.Spec{
-			"zone": {ID: "d-1", Kind: drain.Empty, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: 100, MinInService: 100},
+			"zone": {ID: "d-1", Kind: drain.KindDrain, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.KindUpgrade, TargetVersion: "2", MaxOutOfService: 100, MinInService: 100},
 		} {
 			b.Run(fmt.Sprintf("%s-%d", name, machines), func(b *testing.B) {
 				c, now := newBusyFleet(b, machines)
@@ -86,11 +86,11 @@
 	}
 }
 
-// BenchmarkDrainLook is what the leader does each heartbeat interval while machines drain.
-func BenchmarkDrainLook(b *testing.B) {
+// BenchmarkRunDrains is what the leader does each heartbeat interval while machines drain.
+func BenchmarkRunDrains(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		for name, spec := range map[string]drain.Spec{
-			"zone": {ID: "d-1", Kind: drain.Empty, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: 100, MinInService: 100},
+			"zone": {ID: "d-1", Kind: drain.KindDrain, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.KindUpgrade, TargetVersion: "2", MaxOutOfService: 100, MinInService: 100},
 		} {
 			b.Run(fmt.Sprintf("%s-%d", name, machines), func(b *testing.B) {
 				c, now := newBusyFleet(b, machines)
--- a/internal/scheduler/drain_pass.go
+++ b/internal/scheduler/drain_pass.go
@@ -19,17 +19,17 @@
 // runDrains brings machines into the state that operators asked for.
 func (s *Scheduler) runDrains(now time.Time) {
 	s.drains.lastPass, s.drains.anyInForce = now, false
-	s.refreshAccepting(now)
-	s.cordonSelected(s.selectForDrains(now), now)
+	s.refreshOpenBins(now)
+	s.cordonSelected(s.assignDrains(now), now)
 	for _, j := range s.queue(now) {
 		if j.Shape != records.ShapeService {
-			j.relocating, j.remainingZones = 0, nil
+			j.relocatingTasks, j.remainingByZone = 0, nil
 		}
 	}
-	finder := &placeFinder{scheduler: s, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}}
+	finder := &placeFinder{scheduler: s, now: now, noRoom: map[int]bool{}, allowed: map[*Job]bool{}}
 	for _, m := range s.fleet.Sorted() {
-		if d, ok := m.Cordon.(*activeDrain); ok && d.isEmptying() {
-			s.emptyMachine(m, d, finder)
+		if d, ok := m.Cordon.(*activeDrain); ok && d.evictsTasks() {
+			s.drainMachine(m, d, finder)
 		}
 	}
 	for _, d := range s.drains.list {
@@ -37,15 +37,15 @@
 	}
 }
 
-// selectForDrains returns which drain is to have which machine.
-func (s *Scheduler) selectForDrains(now time.Time) map[*fleet.Machine]*activeDrain {
+// assignDrains returns which drain is to have which machine.
+func (s *Scheduler) assignDrains(now time.Time) map[*fleet.Machine]*activeDrain {
 	selected := map[*fleet.Machine]*activeDrain{}
 	for _, d := range s.drains.list {
 		d.inForce, d.deadline, _ = d.spec.InForce(now)
 		s.drains.anyInForce = s.drains.anyInForce || d.inForce && !d.state.Closed()
 		switch {
 		case !d.inForce:
-		case d.spec.Kind != drain.Upgrade:
+		case d.spec.Kind != drain.KindUpgrade:
 			s.selectForDrain(d, selected, now)
 		case !d.state.Closed():
 			s.selectForUpgrade(d, selected, now)
@@ -57,8 +57,8 @@
 // selectForDrain selects the machines of a drain that is not an upgrade.
 func (s *Scheduler) selectForDrain(d *activeDrain, selected map[*fleet.Machine]*activeDrain, now time.Time) {
 	for _, m := range s.fleet.Sorted() {
-		there := !m.Returning && (!m.LeaseExpired || s.awaitedByOperator(m, now))
-		if there && d.spec.Selects(drainView(m, now)) && d.takesPrecedence(selected[m]) {
+		there := !m.Returning && (!m.LeaseExpired || s.keptForOperator(m, now))
+		if there && d.spec.Selects(toDrainMachine(m, now)) && d.takesPrecedence(selected[m]) {
 			selected[m] = d
 		}
 	}
@@ -67,14 +67,14 @@
 // selectForUpgrade selects the machines that an upgrade may take out of service now.
 func (s *Scheduler) selectForUpgrade(d *activeDrain, selected map[*fleet.Machine]*activeDrain, now time.Time) {
 	classes := map[autoscaler.Offer][]string{}
-	candidates := s.candidates(d, classes, now)
+	candidates := s.upgradeCandidates(d, classes, now)
 	if d.state.Rollout == nil {
 		r := drain.NewRollout(&d.spec, candidates)
 		d.state.Rollout = &r
 	}
 	rollout := d.state.Rollout
 	wasRolledBack := rollout.RolledBack
-	rollout.Judge(candidates)
+	rollout.DecideRollback(candidates)
 	if rollout.RolledBack && !wasRolledBack {
 		slog.Warn("upgrade rolled back", "drain", d.spec.ID, "reason", rollout.Reason, "version", rollout.Target, "term", s.term)
 	}
@@ -88,7 +88,7 @@
 			inServiceByClass[class]++
 		}
 	}
-	names := rollout.Next(&d.spec, candidates, inServiceByZone, inServiceByClass, soakIntervals*s.settings.HeartbeatInterval)
+	names := rollout.SelectOutOfService(&d.spec, candidates, inServiceByZone, inServiceByClass, soakIntervals*s.settings.HeartbeatInterval)
 	slices.Sort(names)
 	d.state.OutOfService, d.state.Blocked = names, rollout.Blocked
 	for _, name := range names {
@@ -113,7 +113,7 @@
 func (s *Scheduler) cordon(m *fleet.Machine, d *activeDrain) {
 	slog.Info("machine cordoned", "machine", m.Name, "drain", d.spec.ID, "kind", d.spec.Kind, "term", s.term)
 	m.Cordon = d
-	d.machines[m.Name] = true
+	d.everCordoned[m.Name] = true
 	m.Bin.SetOpen(false)
 	s.cancelPlanned(m)
 	s.placementStale = true
@@ -125,28 +125,28 @@
 	m.Cordon = nil
 	m.EmptySince = now
 	s.placementStale = true
-	s.lastReopen = time.Time{}
+	s.lastBinRefresh = time.Time{}
 }
 
-// candidates lists the machines that an upgrade is about.
-func (s *Scheduler) candidates(d *activeDrain, classes map[autoscaler.Offer][]string, now time.Time) []drain.Candidate {
+// upgradeCandidates lists the machines that an upgrade is about.
+func (s *Scheduler) upgradeCandidates(d *activeDrain, classes map[autoscaler.Offer][]string, now time.Time) []drain.Candidate {
 	var all []drain.Candidate
 	outOfService := map[string]bool{}
 	for _, name := range d.state.OutOfService {
 		outOfService[name] = true
 	}
 	for _, m := range s.fleet.Sorted() {
-		view := drainView(m, now)
-		if !s.awaitsUpgrade(d, m, view, now) || !m.PreemptionAt.IsZero() {
+		view := toDrainMachine(m, now)
+		if !s.upgradeApplies(d, m, view, now) || !m.PreemptionAt.IsZero() {
 			continue
 		}
 		c := drain.Candidate{
-			Machine: view,
-			Empty:   m.Empty(),
-			Up:      m.Cordon == nil && s.acceptsTasks(m, now),
-			Proven:  m.Proven,
-			Failed:  m.Faulty,
-			Classes: s.classesOf(m, classes),
+			Machine:   view,
+			Empty:     m.Empty(),
+			InService: m.Cordon == nil && s.acceptsTasks(m, now),
+			Proven:    m.Proven,
+			Faulty:    m.Faulty,
+			Classes:   s.classesOf(m, classes),
 			// A new leader finds out of service what the one before had.
 			OutOfService: m.Cordon == d || m.Cordon == nil && outOfService[m.Name],
 		}
@@ -163,9 +163,9 @@
 	return all
 }
 
-// awaitsUpgrade reports whether a machine that is there is to have the version of an upgrade.
-func (s *Scheduler) awaitsUpgrade(d *activeDrain, m *fleet.Machine, view drain.Machine, now time.Time) bool {
-	return m.Up && (!m.LeaseExpired || s.awaitedByOperator(m, now)) && !m.Returning && d.spec.Selects(view) && !d.isReplacement(m)
+// upgradeApplies reports whether a machine that is there is to have the version of an upgrade.
+func (s *Scheduler) upgradeApplies(d *activeDrain, m *fleet.Machine, view drain.Machine, now time.Time) bool {
+	return m.HasStatus && (!m.LeaseExpired || s.keptForOperator(m, now)) && !m.Returning && d.spec.Selects(view) && !d.isReplacement(m)
 }
 
 // classesOf lists the classes of open jobs that may run on a machine. Machines of the same offer share
--- a/internal/scheduler/drain_plan.go
+++ b/internal/scheduler/drain_plan.go
@@ -11,16 +11,16 @@
 // drainPlanner works out what becomes of each task on the machines that a drain selects. Tasks that
 // move take the room that others would, so each has its place reserved until the plan is made.
 type drainPlanner struct {
-	scheduler *Scheduler
-	spec      *drain.Spec
-	now       time.Time
-	left      *time.Duration // until the machines are to be empty; nil: there is no deadline
-	listTasks bool           // the plan has the tasks of each machine
-	finder    *placeFinder
-	plan      *drain.Plan
-	reserved  []reservedPlace
-	late      map[*Job]bool // jobs that the drain makes late
-	lateNow   map[*Job]bool // jobs that are late anyway
+	scheduler  *Scheduler
+	spec       *drain.Spec
+	now        time.Time
+	timeLeft   *time.Duration // until the machines are to be empty; nil: there is no deadline
+	listTasks  bool           // the plan has the tasks of each machine
+	finder     *placeFinder
+	plan       *drain.Plan
+	reserved   []reservedPlace
+	madeLate   map[*Job]bool // jobs that the drain makes late
+	lateAnyway map[*Job]bool // jobs that are late anyway
 }
 
 // reservedPlace is room on a machine that is set aside while a plan is made.
@@ -29,23 +29,23 @@
 	request packing.Resources
 }
 
-// planOf works out a plan for a drain that begins now.
-func (s *Scheduler) planOf(spec *drain.Spec, now time.Time, listTasks bool) *drain.Plan {
+// planDrain works out a plan for a drain that begins now.
+func (s *Scheduler) planDrain(spec *drain.Spec, now time.Time, listTasks bool) *drain.Plan {
 	_, deadline, _ := spec.InForce(now)
 	p := &drainPlanner{
-		scheduler: s,
-		spec:      spec,
-		now:       now,
-		left:      timeUntil(deadline, now),
-		listTasks: listTasks,
-		plan:      &drain.Plan{Classes: map[string]*drain.ClassPlan{}, Machines: []drain.MachinePlan{}},
-		late:      map[*Job]bool{},
-		lateNow:   map[*Job]bool{},
+		scheduler:  s,
+		spec:       spec,
+		now:        now,
+		timeLeft:   timeUntil(deadline, now),
+		listTasks:  listTasks,
+		plan:       &drain.Plan{Classes: map[string]*drain.ClassPlan{}, Machines: []drain.MachinePlan{}},
+		madeLate:   map[*Job]bool{},
+		lateAnyway: map[*Job]bool{},
 	}
 	p.finder = &placeFinder{
-		scheduler: s, now: now, noRoom: map[int]bool{}, permits: map[*Job]bool{}, barred: spec.BarsScaleOut,
+		scheduler: s, now: now, noRoom: map[int]bool{}, allowed: map[*Job]bool{}, excluded: spec.BlocksScaleOut,
 		// Machines of an upgrade go one after the other: the rest is there for them.
-		isLeaving: func(m *fleet.Machine) bool { return spec.Kind != drain.Upgrade && p.selects(m) },
+		alsoDraining: func(m *fleet.Machine) bool { return spec.Kind != drain.KindUpgrade && p.selects(m) },
 	}
 	for _, m := range s.fleet.Sorted() {
 		if p.selects(m) {
@@ -53,39 +53,39 @@
 		}
 	}
 	p.releasePlaces()
-	for j := range p.late {
+	for j := range p.madeLate {
 		p.plan.Classes[j.Class].Late++
 	}
-	for j := range p.lateNow {
-		p.plan.Classes[j.Class].LateNow++
+	for j := range p.lateAnyway {
+		p.plan.Classes[j.Class].LateAnyway++
 	}
 	return p.plan
 }
 
 // selects reports whether the drain is to have a machine.
 func (p *drainPlanner) selects(m *fleet.Machine) bool {
-	upgraded := p.spec.Kind == drain.Upgrade && m.Version == p.spec.TargetVersion
-	return !m.Returning && !m.LeaseExpired && p.spec.Selects(drainView(m, p.now)) && !upgraded
+	upgraded := p.spec.Kind == drain.KindUpgrade && m.Version == p.spec.TargetVersion
+	return !m.Returning && !m.LeaseExpired && p.spec.Selects(toDrainMachine(m, p.now)) && !upgraded
 }
 
 // planMachine adds a machine to the plan, with what becomes of its tasks.
 func (p *drainPlanner) planMachine(m *fleet.Machine) {
-	all := &p.plan.All
+	all := &p.plan.Total
 	all.Machines++
 	machinePlan := drain.MachinePlan{Machine: m.Name, Zone: m.Zone}
 	for _, a := range m.Attempts() {
 		j := p.scheduler.jobOf(a)
-		if j == nil || a.State() == fleet.Ended || a.State() == fleet.Planned || p.spec.Kind == drain.Cordon {
+		if j == nil || a.State() == fleet.Ended || a.State() == fleet.Planned || p.spec.Kind == drain.KindCordon {
 			continue
 		}
 		taskPlan := p.planTask(j, a)
-		machinePlan.EmptyS = max(machinePlan.EmptyS, taskPlan.UntilS)
+		machinePlan.EmptyS = max(machinePlan.EmptyS, taskPlan.LeavesAfterS)
 		if p.listTasks {
 			machinePlan.Tasks = append(machinePlan.Tasks, taskPlan)
 		}
 	}
 	all.EmptyS = max(all.EmptyS, machinePlan.EmptyS)
-	if p.spec.Kind == drain.Upgrade {
+	if p.spec.Kind == drain.KindUpgrade {
 		all.EmptyS = 0 // it depends on how soon machines have their version
 	}
 	if p.listTasks {
@@ -96,38 +96,38 @@
 // planTask decides about a task, and reserves its place if it moves.
 func (p *drainPlanner) planTask(j *Job, a *fleet.Attempt) drain.TaskPlan {
 	s := p.scheduler
-	t := s.drainTask(j, a, p.now)
+	t := s.newDrainTask(j, a, p.now)
 	var to *fleet.Machine
 	t.Place, to = p.finder.findPlace(j, p.remainingZones(j))
-	decision := drain.Decide(t, p.left, s.settings.HeartbeatInterval)
+	decision := drain.Decide(t, p.timeLeft, s.settings.HeartbeatInterval)
 	taskPlan := drain.TaskPlan{
 		Task: a.Task.String(), Class: j.Class, Action: decision.Action, Reason: decision.Reason, LostS: decision.Lost.Seconds(),
 	}
 	delay := time.Duration(0)
 	switch decision.Action {
 	case drain.Move, drain.Restart:
-		taskPlan.UntilS = t.SaveDuration.Seconds()
+		taskPlan.LeavesAfterS = t.SaveDuration.Seconds()
 		delay = t.SaveDuration + t.RestartDuration + decision.Lost
 		if to != nil && !t.Stopping {
 			p.reserve(to, j.request)
 		}
 	default:
-		taskPlan.UntilS = t.Remaining.Seconds()
+		taskPlan.LeavesAfterS = t.Remaining.Seconds()
 	}
 	if t.Slack == nil {
-		p.lateNow[j] = true
+		p.lateAnyway[j] = true
 	} else if by := (delay - *t.Slack).Seconds(); by > 0 {
 		taskPlan.LateS = by
-		p.late[j] = true
+		p.madeLate[j] = true
 	}
-	p.plan.Count(j.Class, decision)
+	p.plan.AddDecision(j.Class, decision)
 	return taskPlan
 }
 
 // remainingZones counts the tasks of a job by zone without those that leave, where these decide about
 // it; nil elsewhere.
 func (p *drainPlanner) remainingZones(j *Job) map[string]int {
-	zones := p.scheduler.zoneCounts(j)
+	zones := p.scheduler.constrainedZoneCounts(j)
 	if zones == nil {
 		return nil
 	}
--- a/internal/scheduler/drain_preview.go
+++ b/internal/scheduler/drain_preview.go
@@ -13,14 +13,14 @@
 
 // Errors of a drain that is refused.
 type (
-	// NoMachineError is returned where there is no such machine, zone or machine type.
-	NoMachineError struct{ Text string }
-	// NoCapacityLeftError is returned where a drain would leave jobs without any machine.
-	NoCapacityLeftError struct{ Text string }
+	// DrainTargetError is returned where there is no such machine, zone or machine type.
+	DrainTargetError struct{ Text string }
+	// DrainRefusedError is returned where a drain would leave jobs without any machine.
+	DrainRefusedError struct{ Text string }
 )
 
-func (e *NoMachineError) Error() string      { return e.Text }
-func (e *NoCapacityLeftError) Error() string { return e.Text }
+func (e *DrainTargetError) Error() string  { return e.Text }
+func (e *DrainRefusedError) Error() string { return e.Text }
 
 // maxDrains is how many drains may be in force at a time, each of which is matched with every machine
 // at each pass. It does not bound the machines that are drained: a drain by type, zone, age or version
@@ -33,26 +33,26 @@
 	if err := s.checkDrain(spec); err != nil {
 		return nil, err
 	}
-	p := s.planOf(spec, now, true)
-	if p.All.Machines == 0 {
-		mustSelect := len(spec.Machines) > 0 || spec.Version != "" || spec.Kind == drain.Upgrade
+	p := s.planDrain(spec, now, true)
+	if p.Total.Machines == 0 {
+		mustSelect := len(spec.Machines) > 0 || spec.Version != "" || spec.Kind == drain.KindUpgrade
 		if spec.Window == nil && mustSelect {
-			return nil, &NoMachineError{"no machine is meant: nothing fits all that is said"}
+			return nil, &DrainTargetError{"no machine is meant: nothing fits all that is said"}
 		}
 		p.Warnings = append(p.Warnings, "no machine that is there now is meant")
 	}
-	if !force && spec.Kind != drain.Upgrade {
-		if err := s.noneLeft(spec, now); err != nil {
+	if !force && spec.Kind != drain.KindUpgrade {
+		if err := s.checkCapacityLeft(spec, now); err != nil {
 			return nil, err
 		}
 	}
-	if spec.Kind == drain.Upgrade && spec.MinInService > 0 {
+	if spec.Kind == drain.KindUpgrade && spec.MinInService > 0 {
 		p.Warnings = append(p.Warnings, s.zonesBelowMinimum(spec.MinInService, now)...)
 		slices.Sort(p.Warnings)
 	}
 	if spec.Window != nil {
-		for _, at := range spec.Window.Next(now, previewWindows) {
-			p.Windows = append(p.Windows, at.Format(time.RFC3339))
+		for _, at := range spec.Window.NextStarts(now, previewWindows) {
+			p.WindowStarts = append(p.WindowStarts, at.Format(time.RFC3339))
 		}
 	}
 	return p, nil
@@ -65,23 +65,23 @@
 func (s *Scheduler) checkDrain(spec *drain.Spec) error {
 	for _, name := range spec.Machines {
 		if s.fleet.Machines[name] == nil {
-			return &NoMachineError{"there is no machine " + name}
+			return &DrainTargetError{"there is no machine " + name}
 		}
 	}
 	active := 0
 	for _, d := range s.drains.list {
-		if !d.spec.Stopped && !(d.spec.Kind == drain.Upgrade && d.state.Closed()) {
+		if !d.spec.Stopped && !(d.spec.Kind == drain.KindUpgrade && d.state.Closed()) {
 			active++
 		}
 	}
 	if active >= maxDrains {
-		return &NoCapacityLeftError{fmt.Sprintf("%d drains are in force; stop some first", active)}
+		return &DrainRefusedError{fmt.Sprintf("%d drains are in force; stop some first", active)}
 	}
 	if spec.Zone != "" && !slices.Contains(s.settings.Zones, spec.Zone) {
-		return &NoMachineError{"there is no zone " + spec.Zone}
+		return &DrainTargetError{"there is no zone " + spec.Zone}
 	}
-	if _, ok := s.types[spec.Type]; spec.Type != "" && !ok && len(s.types) > 0 {
-		return &NoMachineError{"there is no machine type " + spec.Type}
+	if _, ok := s.machineTypes[spec.Type]; spec.Type != "" && !ok && len(s.machineTypes) > 0 {
+		return &DrainTargetError{"there is no machine type " + spec.Type}
 	}
 	return nil
 }
@@ -104,10 +104,10 @@
 	return warnings
 }
 
-// noneLeft returns an error if there are jobs that could run nowhere any more.
-func (s *Scheduler) noneLeft(spec *drain.Spec, now time.Time) error {
-	finder := &placeFinder{scheduler: s, now: now, permits: map[*Job]bool{}, barred: spec.BarsScaleOut,
-		isLeaving: func(m *fleet.Machine) bool { return spec.Selects(drainView(m, now)) }}
+// checkCapacityLeft returns an error if there are jobs that could run nowhere any more.
+func (s *Scheduler) checkCapacityLeft(spec *drain.Spec, now time.Time) error {
+	finder := &placeFinder{scheduler: s, now: now, allowed: map[*Job]bool{}, excluded: spec.BlocksScaleOut,
+		alsoDraining: func(m *fleet.Machine) bool { return spec.Selects(toDrainMachine(m, now)) }}
 	classes := map[string]bool{}
 	for _, j := range s.jobs {
 		if !j.closed && !finder.allowedAnywhere(j, nil) {
@@ -120,10 +120,10 @@
 			names = append(names, class)
 		}
 		slices.Sort(names)
-		return &NoCapacityLeftError{"it would leave no machine for jobs of " + strings.Join(names, ", ")}
+		return &DrainRefusedError{"it would leave no machine for jobs of " + strings.Join(names, ", ")}
 	}
-	if len(s.types) > 0 && !finder.allowedAnywhere(&Job{Job: records.Job{Spot: true}}, nil) {
-		return &NoCapacityLeftError{"it would leave no machine at all"}
+	if len(s.machineTypes) > 0 && !finder.allowedAnywhere(&Job{Job: records.Job{Spot: true}}, nil) {
+		return &DrainRefusedError{"it would leave no machine at all"}
 	}
 	return nil
 }
--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -20,9 +20,9 @@
 }
 
 const (
-	// stateIntervals is how often, in heartbeat intervals, the state of a drain is stored; a change
+	// stateWriteIntervals is how often, in heartbeat intervals, the state of a drain is stored; a change
 	// of its phase is stored at once.
-	stateIntervals = 5
+	stateWriteIntervals = 5
 	// maxEndedDrains is how many drains that have ended stay on record: the operators' history of
 	// them, whatever the number of machines.
 	maxEndedDrains = 50
@@ -30,10 +30,10 @@
 	bytesPerDrainRemoval = 500
 )
 
-// takeDrains stores the states of drains that have changed, and removes the oldest that have ended.
-func (p *Persistence) takeDrains(b *writeBatch, now time.Time) bool {
+// addDrainWrites stores the states of drains that have changed, and removes the oldest that have ended.
+func (p *Persistence) addDrainWrites(b *writeBatch, now time.Time) bool {
 	for _, d := range p.scheduler.drains.list {
-		if d.stateDue(stateIntervals*p.scheduler.settings.HeartbeatInterval, now) && !p.takeDrainState(d, b, now) {
+		if d.stateDue(stateWriteIntervals*p.scheduler.settings.HeartbeatInterval, now) && !p.addDrainStateWrite(d, b, now) {
 			return false
 		}
 	}
@@ -44,37 +44,37 @@
 func (d *activeDrain) ended() bool { return d.spec.Stopped || d.state.Closed() }
 
 // isStored reports whether the store has the state of a drain as it is now.
-func (d *activeDrain) isStored() bool { return d.known && d.state.Same(&d.stored) }
+func (d *activeDrain) isStored() bool { return d.hasStored && d.state.EqualIgnoringTerm(&d.stored) }
 
 // stateDue reports whether the state of a drain is to be stored now.
 func (d *activeDrain) stateDue(interval time.Duration, now time.Time) bool {
 	if d.state.Phase == "" || d.isStored() {
 		return false
 	}
-	samePhase := d.known && d.state.Phase == d.stored.Phase
+	samePhase := d.hasStored && d.state.Phase == d.stored.Phase
 	return !samePhase || now.Sub(d.writtenAt) >= interval
 }
 
-// takeDrainState stores the state of a drain. The machines out of service that do not fit into a value are
+// addDrainStateWrite stores the state of a drain. The machines out of service that do not fit into a value are
 // left out: this leader knows them, and the next one works them out again, taking empty machines
 // first, which are mostly these.
-func (p *Persistence) takeDrainState(d *activeDrain, b *writeBatch, now time.Time) bool {
+func (p *Persistence) addDrainStateWrite(d *activeDrain, b *writeBatch, now time.Time) bool {
 	state, complete := d.state, d.state
-	for len(state.OutOfService) > 0 && records.EncodedSize(state) > p.valueBytes {
+	for len(state.OutOfService) > 0 && records.EncodedSize(state) > p.maxValueBytes {
 		state.OutOfService = state.OutOfService[:len(state.OutOfService)/2]
 	}
-	if !b.fits(1, records.EncodedSize(state)) {
+	if !b.tryReserve(1, records.EncodedSize(state)) {
 		return false
 	}
 	d.writtenAt = now
 	b.add(PendingWrite{
-		Ops:         []records.Op{{Write: records.PrefixDrainState + d.spec.ID, Value: state}},
-		OwnKey:      records.PrefixDrainState + d.spec.ID,
-		OwnRevision: &d.revision,
-		OnStored:    func(uint64) { d.stored, d.known = complete, true },
+		Ops:           []records.Op{{Write: records.PrefixDrainState + d.spec.ID, Value: state}},
+		GuardKey:      records.PrefixDrainState + d.spec.ID,
+		GuardRevision: &d.revision,
+		OnStored:      func(uint64) { d.stored, d.hasStored = complete, true },
 		OnTooLarge: func() {
 			slog.Error("drain state too large for the store", "drain", d.spec.ID, "term", p.scheduler.term)
-			d.stored, d.known = complete, true
+			d.stored, d.hasStored = complete, true
 		},
 	})
 	return true
@@ -95,7 +95,7 @@
 		if !d.ended() || !d.isStored() {
 			continue
 		}
-		if !b.fits(2, bytesPerDrainRemoval) {
+		if !b.tryReserve(2, bytesPerDrainRemoval) {
 			return false
 		}
 		ended--
@@ -137,10 +137,10 @@
 	}
 	for i := range list {
 		if over := len(list[i].Tasks) - limit; over > 0 {
-			list[i].Tasks, list[i].Others = list[i].Tasks[:limit], over
+			list[i].Tasks, list[i].OmittedTasks = list[i].Tasks[:limit], over
 		}
 		if limit -= len(list[i].Tasks) + 1; limit < 0 && i > 0 {
-			list, p.More = list[:i], true
+			list, p.Truncated = list[:i], true
 			break
 		}
 	}
--- a/internal/scheduler/drain_state.go
+++ b/internal/scheduler/drain_state.go
@@ -9,47 +9,47 @@
 
 // drainCounts counts the machines of a drain.
 type drainCounts struct {
-	occupied int // cordoned and not empty
-	upgraded int // of those that an upgrade is about, have the target version
-	upgrade  int // that an upgrade is about
+	occupied  int // cordoned and not empty
+	upgraded  int // of those that an upgrade is about, have the target version
+	inUpgrade int // that an upgrade is about
 }
 
 // missing is how many machines lack the target version.
-func (n drainCounts) missing() int { return n.upgrade - n.upgraded }
+func (n drainCounts) missing() int { return n.inUpgrade - n.upgraded }
 
 // updateDrainState works out the state of a drain, which operators see.
 func (s *Scheduler) updateDrainState(d *activeDrain, now time.Time) {
 	state := &d.state
-	if state.Phase == drain.Stopped || state.Closed() && d.spec.Kind == drain.Upgrade && !d.spec.Stopped {
+	if state.Phase == drain.PhaseStopped || state.Closed() && d.spec.Kind == drain.KindUpgrade && !d.spec.Stopped {
 		return
 	}
 	state.Term = s.term
 	if state.BeganMS == 0 && d.inForce {
 		state.BeganMS = now.UnixMilli()
-		state.Plan = s.planOf(&d.spec, now, false).All
+		state.Plan = s.planDrain(&d.spec, now, false).Total
 	}
-	counts := s.countForDrain(d, now)
-	state.Actual.Machines = len(d.machines)
+	counts := s.countDrainMachines(d, now)
+	state.Actual.Machines = len(d.everCordoned)
 	before := state.Phase
 	s.updatePhase(d, counts, now)
 	if state.Phase == before {
 		return
 	}
-	slog.Info("drain phase changed", "drain", d.spec.ID, "phase", state.Phase, "left", state.Left, "term", s.term)
+	slog.Info("drain phase changed", "drain", d.spec.ID, "phase", state.Phase, "left", state.MachinesLeft, "term", s.term)
 	if state.Closed() {
 		state.EndedMS = now.UnixMilli()
 	}
 }
 
-func (s *Scheduler) countForDrain(d *activeDrain, now time.Time) (n drainCounts) {
+func (s *Scheduler) countDrainMachines(d *activeDrain, now time.Time) (n drainCounts) {
 	for _, m := range s.fleet.Sorted() {
 		if m.Cordon == d && !m.Empty() {
 			n.occupied++
 		}
-		if d.spec.Kind != drain.Upgrade || d.state.Rollout == nil || !s.awaitsUpgrade(d, m, drainView(m, now), now) {
+		if d.spec.Kind != drain.KindUpgrade || d.state.Rollout == nil || !s.upgradeApplies(d, m, toDrainMachine(m, now), now) {
 			continue
 		}
-		n.upgrade++
+		n.inUpgrade++
 		if m.Version == d.state.Rollout.Target {
 			n.upgraded++
 		}
@@ -62,18 +62,18 @@
 	state := &d.state
 	switch {
 	case d.spec.Stopped:
-		state.Phase, state.Left, state.Blocked, state.OutOfService = drain.Stopped, 0, "", nil
+		state.Phase, state.MachinesLeft, state.Blocked, state.OutOfService = drain.PhaseStopped, 0, "", nil
 	case !d.inForce:
-		state.Phase, state.Left = drain.Waiting, 0
-	case d.spec.Kind == drain.Upgrade:
+		state.Phase, state.MachinesLeft = drain.PhaseWaiting, 0
+	case d.spec.Kind == drain.KindUpgrade:
 		s.updateUpgradePhase(d, counts, now)
-	case counts.occupied > 0 || !s.reconciled || d.spec.Kind == drain.Cordon:
-		state.Phase, state.Left = drain.Draining, counts.occupied
+	case counts.occupied > 0 || !s.reconciled || d.spec.Kind == drain.KindCordon:
+		state.Phase, state.MachinesLeft = drain.PhaseDraining, counts.occupied
 	default:
-		if state.Actual.EmptyS == 0 && len(d.machines) > 0 {
+		if state.Actual.EmptyS == 0 && len(d.everCordoned) > 0 {
 			state.Actual.EmptyS = max(now.Sub(time.UnixMilli(state.BeganMS)).Seconds(), 0.001)
 		}
-		state.Phase, state.Left = drain.Drained, 0
+		state.Phase, state.MachinesLeft = drain.PhaseDrained, 0
 	}
 }
 
@@ -83,14 +83,14 @@
 	state, rollout := &d.state, d.state.Rollout
 	complete := counts.missing() == 0 && s.reconciled
 	switch {
-	case rollout.RolledBack && (rollout.From == "" || complete):
-		state.Phase, state.Left, state.OutOfService = drain.RolledBack, counts.missing(), nil
+	case rollout.RolledBack && (rollout.Previous == "" || complete):
+		state.Phase, state.MachinesLeft, state.OutOfService = drain.PhaseRolledBack, counts.missing(), nil
 	case rollout.RolledBack:
-		state.Phase, state.Left = drain.RollingBack, counts.missing()
-	case complete && (counts.upgrade > 0 || len(d.machines) > 0) && s.soaked(d, now):
-		state.Phase, state.Left, state.OutOfService = drain.Done, 0, nil
+		state.Phase, state.MachinesLeft = drain.PhaseRollingBack, counts.missing()
+	case complete && (counts.inUpgrade > 0 || len(d.everCordoned) > 0) && s.soaked(d, now):
+		state.Phase, state.MachinesLeft, state.OutOfService = drain.PhaseDone, 0, nil
 	default:
-		state.Phase, state.Left = drain.Upgrading, counts.missing()
+		state.Phase, state.MachinesLeft = drain.PhaseUpgrading, counts.missing()
 	}
 }
 
--- a/internal/scheduler/drain_tasks.go
+++ b/internal/scheduler/drain_tasks.go
@@ -11,21 +11,21 @@
 	"drumpick/internal/records"
 )
 
-// drainTask is what the decision about an attempt depends on, except where else it could go.
-func (s *Scheduler) drainTask(j *Job, a *fleet.Attempt, now time.Time) drain.Task {
+// newDrainTask is what the decision about an attempt depends on, except where else it could go.
+func (s *Scheduler) newDrainTask(j *Job, a *fleet.Attempt, now time.Time) drain.Task {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	_, ran := a.Durations(now)
 	isGang := j.Shape == records.ShapeGang
 	t := drain.Task{
 		Running:         a.State() == fleet.Running,
-		Waiting:         a.State() == fleet.Waiting || a.State() == fleet.Pulling && isGang,
+		WaitingForGang:  a.State() == fleet.Waiting || a.State() == fleet.Pulling && isGang,
 		Stopping:        a.Stopping(),
 		Gang:            isGang,
 		Service:         j.Shape == records.ShapeService,
 		Urgent:          j.precedence.Rank <= priorityRank[records.PriorityUrgent],
 		Remaining:       seconds(s.remainingSeconds(j, a, now)),
 		Ran:             ran,
-		Saves:           j.CheckpointS > 0,
+		CanSave:         j.CheckpointS > 0,
 		SaveDuration:    seconds(j.SaveS),
 		RestartDuration: s.settings.HeartbeatInterval + s.fetchTime(j),
 	}
@@ -55,8 +55,8 @@
 	return 0, false
 }
 
-// emptyMachine decides about each task of a machine that is being emptied.
-func (s *Scheduler) emptyMachine(m *fleet.Machine, d *activeDrain, finder *placeFinder) {
+// drainMachine decides about each task of a machine that is being emptied.
+func (s *Scheduler) drainMachine(m *fleet.Machine, d *activeDrain, finder *placeFinder) {
 	now := finder.now
 	left := d.timeLeft(now)
 	for _, a := range slices.Clone(m.Attempts()) {
@@ -65,11 +65,11 @@
 			continue // on its way out, or not known well enough yet
 		}
 		if j.Shape == records.ShapeGang {
-			s.emptyGang(j, left, finder)
+			s.drainGang(j, left, finder)
 			continue
 		}
-		t := s.drainTask(j, a, now)
-		zones := s.zoneCounts(j)
+		t := s.newDrainTask(j, a, now)
+		zones := s.constrainedZoneCounts(j)
 		if zones != nil {
 			zones[m.Zone]-- // it leaves
 		}
@@ -81,8 +81,8 @@
 		}
 		switch decision.Action {
 		case drain.Wait:
-			j.relocating++ // others are rented ahead where that is worth it
-			j.remainingZones = zones
+			j.relocatingTasks++ // others are rented ahead where that is worth it
+			j.remainingByZone = zones
 		case drain.Move, drain.Restart:
 			if to != nil {
 				s.addClaim(j, to, now)
@@ -96,17 +96,17 @@
 func (s *Scheduler) stopForDrain(j *Job, a *fleet.Attempt, decision drain.Decision, now time.Time) {
 	slog.Info("task evicted", "job", j.ID, "task", a.Task.String(), "machine", a.Machine.Name,
 		"reason", decision.Reason, "lost_s", decision.Lost.Seconds(), "term", s.term)
-	drainedTasks.Inc()
+	drainedTotal.Inc()
 	grace := 0.0
 	if j.CheckpointS > 0 {
 		grace = j.SaveS
 	}
-	s.stop(a, stopDrained, grace, now)
+	s.requestStop(a, stopDrained, grace, now)
 }
 
-// emptyGang decides about a gang as a whole, of which some tasks are on machines that are being
+// drainGang decides about a gang as a whole, of which some tasks are on machines that are being
 // emptied.
-func (s *Scheduler) emptyGang(j *Job, left *time.Duration, finder *placeFinder) {
+func (s *Scheduler) drainGang(j *Job, left *time.Duration, finder *placeFinder) {
 	now := finder.now
 	if j.gangBroken {
 		return
@@ -127,32 +127,32 @@
 		return
 	}
 	slices.SortFunc(leaving, func(a, b *fleet.Attempt) int { return cmp.Compare(a.Task.N, b.Task.N) })
-	t := s.drainTask(j, leaving[0], now)
+	t := s.newDrainTask(j, leaving[0], now)
 	for _, a := range j.attempts {
-		t.Waiting = t.Waiting || a.State() != fleet.Running
+		t.WaitingForGang = t.WaitingForGang || a.State() != fleet.Running
 		_, ran := a.Durations(now)
 		t.Ran = max(t.Ran, ran)
 	}
 	var to []*fleet.Machine
-	if t.Place = drain.Nowhere; finder.allowedAnywhere(j, staying) {
-		t.Place = drain.NotNow
-		if to = finder.findRoomForAll(j, len(leaving), staying); len(to) == len(leaving) {
-			t.Place = drain.Room
-		} else if to = finder.findRoomForAll(j, len(j.attempts), nil); len(to) == len(j.attempts) {
-			t.Place = drain.Room // all of it, away from where the others could have stayed
+	if t.Place = drain.NotPermitted; finder.allowedAnywhere(j, staying) {
+		t.Place = drain.NoRoom
+		if to = finder.findGangRoom(j, len(leaving), staying); len(to) == len(leaving) {
+			t.Place = drain.HasRoom
+		} else if to = finder.findGangRoom(j, len(j.attempts), nil); len(to) == len(j.attempts) {
+			t.Place = drain.HasRoom // all of it, away from where the others could have stayed
 		}
 	}
 	decision := drain.Decide(t, left, s.settings.HeartbeatInterval)
 	switch decision.Action {
 	case drain.Wait:
-		j.relocating += len(leaving)
+		j.relocatingTasks += len(leaving)
 		if j.OneZone || j.SpreadZones {
-			j.remainingZones = staying
+			j.remainingByZone = staying
 		}
 	case drain.Move, drain.Restart:
 		slog.Info("gang evicted", "job", j.ID, "reason", decision.Reason, "lost_s", decision.Lost.Seconds(), "term", s.term)
 		s.stopGang(j, now)
-		if t.Place == drain.Room {
+		if t.Place == drain.HasRoom {
 			for _, m := range to {
 				s.addClaim(j, m, now)
 			}
@@ -160,26 +160,26 @@
 	}
 }
 
-// countDrained counts what became of a task on a machine that was being emptied.
-func countDrained(a *fleet.Attempt, now time.Time) {
+// countDrainOutcome counts what became of a task on a machine that was being emptied.
+func countDrainOutcome(a *fleet.Attempt, now time.Time) {
 	d, ok := a.Machine.Cordon.(*activeDrain)
-	if !ok || !d.isEmptying() || a.State() == fleet.Sent {
+	if !ok || !d.evictsTasks() || a.State() == fleet.Sent {
 		return
 	}
 	_, ran := a.Durations(now)
 	actual := &d.state.Actual
 	switch {
 	case a.State() != fleet.Ended:
-		actual.Vanished++
+		actual.MachineLost++
 		if !isService(a) {
 			actual.LostS += ran.Seconds()
 		}
 	case a.Cause == fleet.CauseDone:
 		actual.Finish++
-	case a.Saved || ran == 0 || isService(a):
+	case a.CheckpointSaved || ran == 0 || isService(a):
 		actual.Move++
-	case a.Cause == fleet.CauseStopped, a.Cause == fleet.CauseMatesGone:
-		actual.Lose++
+	case a.Cause == fleet.CauseStopped, a.Cause == fleet.CauseGangPeerLost:
+		actual.Restart++
 		actual.LostS += ran.Seconds()
 	}
 }
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -12,30 +12,30 @@
 // activeDrain is a drain that operators asked for, with its state. Which machines it has cordoned is on
 // the machines themselves; a new leader works it out again.
 type activeDrain struct {
-	spec      drain.Spec
-	state     drain.State
-	stored    drain.State // as the store has it
-	known     bool        // the store has a state
-	revision  uint64      // of the stored state; 0: there is none
-	writtenAt time.Time   // when the state was last given to the store
-	inForce   bool
-	deadline  time.Time       // by when its machines are to be empty; zero: there is none
-	machines  map[string]bool // machines that it has cordoned, those that are gone included
+	spec         drain.Spec
+	state        drain.State
+	stored       drain.State // as the store has it
+	hasStored    bool        // the store has a state
+	revision     uint64      // of the stored state; 0: there is none
+	writtenAt    time.Time   // when the state was last given to the store
+	inForce      bool
+	deadline     time.Time       // by when its machines are to be empty; zero: there is none
+	everCordoned map[string]bool // machines that it has cordoned, those that are gone included
 }
 
-// isEmptying reports whether the drain empties its machines.
-func (d *activeDrain) isEmptying() bool { return d.spec.Kind != drain.Cordon }
+// evictsTasks reports whether the drain empties its machines.
+func (d *activeDrain) evictsTasks() bool { return d.spec.Kind != drain.KindCordon }
 
-// upgrades reports whether the drain is an upgrade under way.
-func (d *activeDrain) upgrades() bool {
-	return d.inForce && d.spec.Kind == drain.Upgrade && d.state.Rollout != nil && !d.state.Closed()
+// upgradeInProgress reports whether the drain is an upgrade under way.
+func (d *activeDrain) upgradeInProgress() bool {
+	return d.inForce && d.spec.Kind == drain.KindUpgrade && d.state.Rollout != nil && !d.state.Closed()
 }
 
 // isReplacement reports whether a machine was rented in place of one that an upgrade returned. It has
 // the version that the cloud gives; replacing it again, for as long as that is not the target, would
 // never end.
 func (d *activeDrain) isReplacement(m *fleet.Machine) bool {
-	return d.spec.WhenEmpty == drain.Return && !m.RequestedAt.IsZero() && m.RequestedAt.After(time.UnixMilli(d.spec.BeganMS))
+	return d.spec.WhenEmpty == drain.Return && !m.RequestedAt.IsZero() && m.RequestedAt.After(time.UnixMilli(d.spec.RequestedMS))
 }
 
 // timeLeft is how long the machines of the drain may take to be empty; nil: there is no deadline.
@@ -61,7 +61,7 @@
 	if !d.deadline.IsZero() && !d.deadline.Equal(other.deadline) {
 		return d.deadline.Before(other.deadline)
 	}
-	return !other.isEmptying() && d.isEmptying()
+	return !other.evictsTasks() && d.evictsTasks()
 }
 
 // drainSet is the drains that operators asked for.
@@ -75,11 +75,11 @@
 func (s *drainSet) set(spec drain.Spec, state *drain.State, revision uint64) {
 	i, found := slices.BinarySearchFunc(s.list, spec.ID, func(d *activeDrain, id string) int { return strings.Compare(d.spec.ID, id) })
 	if !found {
-		d := &activeDrain{machines: map[string]bool{}}
+		d := &activeDrain{everCordoned: map[string]bool{}}
 		if state != nil {
-			d.state, d.stored, d.known, d.revision = *state, *state, true, revision
+			d.state, d.stored, d.hasStored, d.revision = *state, *state, true, revision
 			for _, name := range state.OutOfService {
-				d.machines[name] = true
+				d.everCordoned[name] = true
 			}
 		}
 		s.list = slices.Insert(s.list, i, d)
@@ -125,8 +125,8 @@
 	}
 }
 
-// drainView is what a drain sees of a machine.
-func drainView(m *fleet.Machine, now time.Time) drain.Machine {
+// toDrainMachine is what a drain sees of a machine.
+func toDrainMachine(m *fleet.Machine, now time.Time) drain.Machine {
 	v := drain.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Version: m.Version}
 	if !m.RequestedAt.IsZero() && !now.IsZero() {
 		v.Age = now.Sub(m.RequestedAt)
@@ -134,32 +134,32 @@
 	return v
 }
 
-// barredByDrain reports whether no machine of a type is to be rented in a zone, as it would be drained.
-func (s *Scheduler) barredByDrain(machineType, zone string) bool {
+// scaleOutBlocked reports whether no machine of a type is to be rented in a zone, as it would be drained.
+func (s *Scheduler) scaleOutBlocked(machineType, zone string) bool {
 	return slices.ContainsFunc(s.drains.list, func(d *activeDrain) bool {
-		return d.inForce && d.spec.BarsScaleOut(machineType, zone)
+		return d.inForce && d.spec.BlocksScaleOut(machineType, zone)
 	})
 }
 
 // isEmptying reports whether a machine is being emptied for an operator.
 func (s *Scheduler) isEmptying(m *fleet.Machine) bool {
 	d, ok := m.Cordon.(*activeDrain)
-	return ok && d.isEmptying()
+	return ok && d.evictsTasks()
 }
 
-// operatorWaitLeases is for how many leases a machine that is kept for an operator may be silent.
-const operatorWaitLeases = 50
+// maxKeptSilenceLeases is for how many leases a machine that is kept for an operator may be silent.
+const maxKeptSilenceLeases = 50
 
-// awaitedByOperator reports whether a machine is empty and kept for an operator, who may well have
+// keptForOperator reports whether a machine is empty and kept for an operator, who may well have
 // switched it off: then its silence is no reason to return it, for a long time.
-func (s *Scheduler) awaitedByOperator(m *fleet.Machine, now time.Time) bool {
+func (s *Scheduler) keptForOperator(m *fleet.Machine, now time.Time) bool {
 	d, ok := m.Cordon.(*activeDrain)
-	return ok && d.isEmptying() && d.spec.WhenEmpty == drain.Keep && m.Reconciled && !m.Failed && m.Empty() &&
-		now.Sub(m.LastStatus) < operatorWaitLeases*s.settings.Lease
+	return ok && d.evictsTasks() && d.spec.WhenEmpty == drain.Keep && m.Reconciled && !m.Failed && m.Empty() &&
+		now.Sub(m.LastStatusAt) < maxKeptSilenceLeases*s.settings.Lease
 }
 
 // returnsWhenEmpty reports whether an empty cordoned machine is to be returned.
 func (s *Scheduler) returnsWhenEmpty(m *fleet.Machine) bool {
 	d, ok := m.Cordon.(*activeDrain)
-	return ok && d.isEmptying() && d.spec.WhenEmpty == drain.Return
+	return ok && d.evictsTasks() && d.spec.WhenEmpty == drain.Return
 }
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -17,16 +17,16 @@
 // time to keep or without: no rule breaks, nothing new starts on a drained machine, one
 // that was to be empty by a time is, without such a time no running task that cannot save
 // is stopped, and in the end everything is done and nothing is owed.
-func TestDrainsKeepRules(t *testing.T) {
+func TestDrainsKeepInvariants(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		const machines = 6
 		cfg := &config.Config{Options: config.DefaultOptions()}
 		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
 		cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b"}, []config.Team{{Name: "team"}}
-		y := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]records.Job{}, runTimes: map[string]time.Duration{}, preemptedAt: map[string]time.Time{}, begun: map[string]bool{}}
+		y := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]records.Job{}, runTimes: map[string]time.Duration{}, preemptedAt: map[string]time.Time{}, started: map[string]bool{}}
 		y.scheduler = New(SettingsOf(cfg), 5, y.now)
-		y.scheduler.SetTypes([]records.MachineType{{Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: cfg.Deployment.Zones}})
+		y.scheduler.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: fakeMachineCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: cfg.Deployment.Zones}})
 		y.scheduler.CheckReconciled(y.now)
 		for i := range machines {
 			host := fmt.Sprintf("m-%02d", i)
@@ -53,7 +53,7 @@
 		}
 		var wishes []wish
 		for i := range rapid.IntRange(1, 3).Draw(t, "drains") {
-			w := wish{spec: drain.Spec{ID: fmt.Sprint("d-", i), Kind: rapid.SampledFrom([]string{drain.Empty, drain.Empty, drain.Cordon}).Draw(t, "kind")}}
+			w := wish{spec: drain.Spec{ID: fmt.Sprint("d-", i), Kind: rapid.SampledFrom([]string{drain.KindDrain, drain.KindDrain, drain.KindCordon}).Draw(t, "kind")}}
 			w.from = rapid.IntRange(5, 100).Draw(t, "from step")
 			w.to = w.from + rapid.IntRange(1, 300).Draw(t, "for steps")
 			if rapid.Bool().Draw(t, "a zone") {
@@ -61,8 +61,8 @@
 			} else {
 				w.spec.Machines = []string{fmt.Sprintf("m-%02d", rapid.IntRange(0, machines-1).Draw(t, "machine"))}
 			}
-			if w.spec.Kind == drain.Empty && rapid.Bool().Draw(t, "by a time") {
-				w.spec.ByMS = y.now.Add(time.Duration(w.from)*500*time.Millisecond + time.Duration(rapid.IntRange(3, 60).Draw(t, "in"))*time.Second).UnixMilli()
+			if w.spec.Kind == drain.KindDrain && rapid.Bool().Draw(t, "by a time") {
+				w.spec.DeadlineMS = y.now.Add(time.Duration(w.from)*500*time.Millisecond + time.Duration(rapid.IntRange(3, 60).Draw(t, "in"))*time.Second).UnixMilli()
 			}
 			if err := w.spec.Check(y.now); err != nil {
 				t.Fatal(err)
@@ -71,7 +71,7 @@
 		}
 		pressed := false // a time to keep was ever given
 		for _, w := range wishes {
-			pressed = pressed || w.spec.ByMS != 0
+			pressed = pressed || w.spec.DeadlineMS != 0
 		}
 		for i := 0; i < 4000 && (i < 420 || len(y.scheduler.jobs) > 0); i++ {
 			if i%20 == 0 && len(comes) > 0 {
@@ -110,7 +110,7 @@
 					if cordoned[h.heartbeat.Machine] && m.Cordon != nil && !was[s] {
 						t.Fatalf("%s started on %s, which is drained", s.Task, h.heartbeat.Machine)
 					}
-					if j := y.jobs[s.job]; !pressed && s.stopping && j.CheckpointS == 0 && y.scheduler.isEmptying(m) && j.Shape == records.ShapeArray && s.moved(y) {
+					if j := y.jobs[s.job]; !pressed && s.stopping && j.CheckpointS == 0 && y.scheduler.isEmptying(m) && j.Shape == records.ShapeArray && s.ranTwoRounds(y) {
 						t.Fatalf("%s, which cannot save, was stopped on %s", s.Task, h.heartbeat.Machine)
 					}
 				}
@@ -136,9 +136,9 @@
 	})
 }
 
-// moved reports whether a task that was stopped had been running for longer than a move made
+// ranTwoRounds reports whether a task that was stopped had been running for longer than a move made
 // only to fill or empty a bin would take.
-func (s *fakeAttempt) moved(y *fakeFleet) bool {
+func (s *fakeAttempt) ranTwoRounds(y *fakeFleet) bool {
 	ran := y.runTimes[s.job] - s.remaining
-	return ran > 2*y.scheduler.settings.RoundInterval
+	return ran > 2*y.scheduler.settings.RebalanceInterval
 }
--- a/internal/scheduler/driver.go
+++ b/internal/scheduler/driver.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// CloseMissing closes the jobs that a list of all open jobs, read at a revision, does not contain.
-func (s *Scheduler) CloseMissing(listed func(id string) bool, revision uint64) {
+// CloseUnlistedJobs closes the jobs that a list of all open jobs, read at a revision, does not contain.
+func (s *Scheduler) CloseUnlistedJobs(listed func(id string) bool, revision uint64) {
 	for id, j := range s.jobs {
 		// A job newer than the list is not in it.
 		if !listed(id) && j.Revision <= revision {
@@ -52,10 +52,10 @@
 }
 
 // ObserveDelay notes how long anything waited before the leader came to it.
-func (s *Scheduler) ObserveDelay(d time.Duration) { s.delay = max(s.delay, d) }
+func (s *Scheduler) ObserveDelay(d time.Duration) { s.maxDelay = max(s.maxDelay, d) }
 
-// SetRelaxed sets whether tasks beyond watermarks may be sent now.
-func (s *Scheduler) SetRelaxed(on bool) { s.watermarks.relaxed = on }
+// SetWatermarksRelaxed sets whether tasks beyond watermarks may be sent now.
+func (s *Scheduler) SetWatermarksRelaxed(on bool) { s.watermarks.relaxed = on }
 
 // WatermarksStored reports whether every task that may have been sent is below a stored watermark.
 func (s *Scheduler) WatermarksStored() bool {
@@ -66,9 +66,9 @@
 	return stored
 }
 
-// IsLatest reports whether a heartbeat, by its incarnation and sequence number, is the latest known of
+// IsLatestHeartbeat reports whether a heartbeat, by its incarnation and sequence number, is the latest known of
 // a machine.
-func (s *Scheduler) IsLatest(m *fleet.Machine, incarnation, sequence uint64) bool {
+func (s *Scheduler) IsLatestHeartbeat(m *fleet.Machine, incarnation, sequence uint64) bool {
 	return s.fleet.Machines[m.Name] == m && m.Incarnation == incarnation && m.Sequence == sequence
 }
 
@@ -84,7 +84,7 @@
 	for host := range s.urgentMachines {
 		machine := s.fleet.Machines[host]
 		delete(s.urgentMachines, host)
-		if machine == nil || machine.Addr == "" || !machine.Up {
+		if machine == nil || machine.Addr == "" || !machine.HasStatus {
 			continue
 		}
 		if commands := machine.PendingCommands(); len(commands) > 0 {
--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -20,7 +20,7 @@
 	if s.reconciled {
 		return true
 	}
-	return (j.uncertain == nil || j.Shape != records.ShapeGang) && !j.limited && !j.OneZone && !j.SpreadZones
+	return (j.uncertain == nil || j.Shape != records.ShapeGang) && !j.teamLimited && !j.OneZone && !j.SpreadZones
 }
 
 // silentIntervals is after how many heartbeat intervals without a status a machine counts as silent.
@@ -28,8 +28,8 @@
 
 // acceptsTasks reports whether a machine may be given new tasks.
 func (s *Scheduler) acceptsTasks(m *fleet.Machine, now time.Time) bool {
-	return m.Up && m.Reconciled && inService(m) && m.PreemptionAt.IsZero() &&
-		now.Sub(m.LastStatus) < silentIntervals*s.settings.HeartbeatInterval && !now.Before(m.FullUntil)
+	return m.HasStatus && m.Reconciled && inService(m) && m.PreemptionAt.IsZero() &&
+		now.Sub(m.LastStatusAt) < silentIntervals*s.settings.HeartbeatInterval && !now.Before(m.FullUntil)
 }
 
 // inService reports whether a machine takes new tasks, or will when it is up.
@@ -37,14 +37,14 @@
 	return !m.Returning && !m.LeaseExpired && !m.Draining && m.Cordon == nil && !m.Unreachable()
 }
 
-// refreshAccepting examines again which machines accept tasks. What a heartbeat changes is seen at
+// refreshOpenBins examines again which machines accept tasks. What a heartbeat changes is seen at
 // once; what time alone changes is seen a few times in a heartbeat interval.
-func (s *Scheduler) refreshAccepting(now time.Time) {
-	s.now = now
-	if now.Sub(s.lastReopen) < s.settings.HeartbeatInterval/8 {
+func (s *Scheduler) refreshOpenBins(now time.Time) {
+	s.passTime = now
+	if now.Sub(s.lastBinRefresh) < s.settings.HeartbeatInterval/8 {
 		return
 	}
-	s.lastReopen = now
+	s.lastBinRefresh = now
 	for _, m := range s.fleet.Sorted() {
 		m.Bin.SetOpen(s.acceptsTasks(m, now))
 	}
@@ -80,7 +80,7 @@
 		}
 	}
 	if len(job.duplicates) > 0 {
-		for _, attempt := range s.fleet.OfJob(job.ID) {
+		for _, attempt := range s.fleet.AttemptsOfJob(job.ID) {
 			if attempt.Duplicate && attempt.MayBePresent() {
 				counts[attempt.Machine.Zone]++
 			}
@@ -101,17 +101,17 @@
 	return !j.SpreadZones || n[zone]+1 <= (j.Tasks+1)/2
 }
 
-// zoneCounts counts a job's tasks by zone if these decide where others may go; nil otherwise.
-func (s *Scheduler) zoneCounts(j *Job) map[string]int {
+// constrainedZoneCounts counts a job's tasks by zone if these decide where others may go; nil otherwise.
+func (s *Scheduler) constrainedZoneCounts(j *Job) map[string]int {
 	if j.OneZone || j.SpreadZones {
 		return s.tasksByZone(j, true)
 	}
 	return nil
 }
 
-// zoneChoices returns the zones in which a job is to be tried one after the other; "" stands for all
+// zonesToTry returns the zones in which a job is to be tried one after the other; "" stands for all
 // of them together.
-func (s *Scheduler) zoneChoices(j *Job, zones map[string]int) []string {
+func (s *Scheduler) zonesToTry(j *Job, zones map[string]int) []string {
 	if j.OneZone && len(zones) == 0 {
 		return s.settings.Zones
 	}
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// runsFineIntervals is for how many heartbeat intervals a task has to run to show that its job can.
-	runsFineIntervals = 2
-	// faultyJobs is how many jobs have to fail on a machine to show that the machine is faulty.
-	faultyJobs = 2
-	// failingMachines is on how many machines a job has to fail to show that the job is at fault.
-	failingMachines = 3
+	// healthyRunIntervals is for how many heartbeat intervals a task has to run to show that its job can.
+	healthyRunIntervals = 2
+	// minFaultyJobs is how many jobs have to fail on a machine to show that the machine is faulty.
+	minFaultyJobs = 2
+	// minFailingMachines is on how many machines a job has to fail to show that the job is at fault.
+	minFailingMachines = 3
 	// suspectIntervals is for how many heartbeat intervals a machine gets no tasks after a failure that
 	// may be the machine's or the job's.
 	suspectIntervals = 5
@@ -26,17 +26,17 @@
 
 // attemptFailed decides after an error whether the machine is faulty, or the job.
 func (s *Scheduler) attemptFailed(job *Job, machine *fleet.Machine, now time.Time) {
-	machine.ErrorJobs[job.ID]++
+	machine.FailedTasksByJob[job.ID]++
 	job.errorMachines[machine.Name] = true
 	switch {
-	case s.runsElsewhere(job, machine, now) || len(machine.ErrorJobs) >= faultyJobs:
+	case s.runsElsewhere(job, machine, now) || len(machine.FailedTasksByJob) >= minFaultyJobs:
 		s.markFaulty(machine)
-	case len(job.errorMachines) >= failingMachines:
+	case len(job.errorMachines) >= minFailingMachines:
 		// It fails wherever it goes: the machines are not to blame.
 		s.delayRetry(job, now)
 		for host := range job.errorMachines {
 			if blamed := s.fleet.Machines[host]; blamed != nil {
-				delete(blamed.ErrorJobs, job.ID)
+				delete(blamed.FailedTasksByJob, job.ID)
 				blamed.FullUntil = time.Time{}
 				blamed.Bin.SetOpen(s.acceptsTasks(blamed, now))
 			}
@@ -54,7 +54,7 @@
 	}
 	for _, attempt := range job.attempts {
 		if attempt.Machine != machine && attempt.State() == fleet.Running &&
-			now.Sub(attempt.RunSince) > runsFineIntervals*s.settings.HeartbeatInterval {
+			now.Sub(attempt.RunningSince) > healthyRunIntervals*s.settings.HeartbeatInterval {
 			return true
 		}
 	}
@@ -64,14 +64,14 @@
 // markFaulty cordons a machine that fails tasks which run elsewhere. It is returned once it is empty.
 func (s *Scheduler) markFaulty(machine *fleet.Machine) {
 	if !machine.Faulty {
-		slog.Warn("machine faulty", "machine", machine.Name, "errors", len(machine.ErrorJobs), "term", s.term)
+		slog.Warn("machine faulty", "machine", machine.Name, "errors", len(machine.FailedTasksByJob), "term", s.term)
 	}
 	machine.Faulty, machine.Draining = true, true
 	machine.Bin.SetOpen(false)
 	s.cancelPlanned(machine)
 	s.drains.requestPass() // an upgrade may have to be rolled back
 	for _, d := range s.drains.list {
-		if d.upgrades() && d.spec.Selects(drainView(machine, s.now)) && machine.Version == d.state.Rollout.Target && machine.Cordon == nil {
+		if d.upgradeInProgress() && d.spec.Selects(toDrainMachine(machine, s.passTime)) && machine.Version == d.state.Rollout.Target && machine.Cordon == nil {
 			machine.Cordon = d // it stays, to get its earlier version back
 		}
 	}
@@ -108,12 +108,12 @@
 		switch remains := s.remainingSeconds(job, attempt, now); {
 		case job.CheckpointS > 0:
 			if left > job.SaveS && remains > left {
-				s.stop(attempt, stopPreemptionNotice, job.SaveS, now)
+				s.requestStop(attempt, stopPreemptionNotice, job.SaveS, now)
 			}
 		case remains > left:
 			// What it has done is lost with the machine in any case. Stopped now, it starts elsewhere now, and
 			// not when the machine is known to be gone.
-			s.stop(attempt, stopPreemptionNotice, 0, now)
+			s.requestStop(attempt, stopPreemptionNotice, 0, now)
 		}
 	}
 }
--- a/internal/scheduler/fake_fleet_test.go
+++ b/internal/scheduler/fake_fleet_test.go
@@ -29,16 +29,16 @@
 
 // fakeFleet is a few machines that obey a Scheduler, in simulated time.
 type fakeFleet struct {
-	t            *rapid.T
-	scheduler    *Scheduler
-	now          time.Time
-	teams        []config.Team
-	machines     []*fakeMachine
-	jobs         map[string]records.Job
-	runTimes     map[string]time.Duration // by job
-	begun        map[string]bool          // jobs that have started
-	preemptedAt  map[string]time.Time     // when a task was first preempted for a job
-	workerDiedAt time.Time                // when a worker last died
+	t              *rapid.T
+	scheduler      *Scheduler
+	now            time.Time
+	teams          []config.Team
+	machines       []*fakeMachine
+	jobs           map[string]records.Job
+	runTimes       map[string]time.Duration // by job
+	started        map[string]bool          // jobs that have started
+	preemptedAt    map[string]time.Time     // when a task was first preempted for a job
+	workerFailedAt time.Time                // when a worker last died
 }
 
 type fakeMachine struct {
@@ -49,13 +49,13 @@
 type fakeAttempt struct {
 	fleet.TaskStatus
 	job       string
-	ends      time.Time // when it completes, or has saved its checkpoint
+	endsAt    time.Time // when it completes, or has saved its checkpoint
 	stopping  bool
 	remaining time.Duration // its remaining run time when it was stopped
 }
 
-// fakeCPUs is the size of every machine of a fakeFleet.
-const fakeCPUs = 4
+// fakeMachineCPUs is the size of every machine of a fakeFleet.
+const fakeMachineCPUs = 4
 
 // allPriorities are the priorities of jobs, the highest first.
 var allPriorities = []string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}
@@ -68,11 +68,11 @@
 	f := &fakeFleet{
 		t: t, now: time.Unix(1_000_000, 0), teams: teams,
 		jobs: map[string]records.Job{}, runTimes: map[string]time.Duration{},
-		begun: map[string]bool{}, preemptedAt: map[string]time.Time{},
+		started: map[string]bool{}, preemptedAt: map[string]time.Time{},
 	}
 	f.scheduler = New(SettingsOf(cfg), 5, f.now)
-	f.scheduler.SetTypes([]records.MachineType{{
-		Name: "c4", CPUs: fakeCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: []string{"a", "b"},
+	f.scheduler.SetMachineTypes([]records.MachineType{{
+		Name: "c4", CPUs: fakeMachineCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: []string{"a", "b"},
 	}})
 	f.scheduler.CheckReconciled(f.now)
 	for i := range 2 * machinesPerZone {
@@ -92,18 +92,18 @@
 		// Kill commands go out at once.
 		for _, machine := range f.machines {
 			if machine.heartbeat.Machine == host {
-				f.obey(machine, f.scheduler.fleet.Machines[host].PendingCommands())
+				f.applyCommands(machine, f.scheduler.fleet.Machines[host].PendingCommands())
 			}
 		}
 		delete(f.scheduler.urgentMachines, host)
 	}
 	for n, machine := range f.machines {
-		f.advance(machine)
+		f.advanceAttempts(machine)
 		if (i+n)%4 == 0 {
 			f.heartbeat(machine)
 		}
 	}
-	f.checkRules()
+	f.checkInvariants()
 }
 
 // heartbeat has a machine send a heartbeat and obey the answer. Results are stored at once.
@@ -121,18 +121,18 @@
 	known.Recorded = true
 	f.scheduler.PlanMachine(known, f.now)
 	response := f.scheduler.Respond(known, true, f.now)
-	f.scheduler.NoteAnswered(known, "", f.now)
-	f.obey(machine, response.Commands)
+	f.scheduler.RecordAnswer(known, "", f.now)
+	f.applyCommands(machine, response.Commands)
 	for _, j := range f.scheduler.jobs {
 		copy(j.stored, j.done)
 		if j.doneCount == j.Tasks {
-			f.scheduler.NoteClosed(j.ID, records.ClosedJob{Status: records.StatusDone}, 99)
+			f.scheduler.ApplyClosedRecord(j.ID, records.ClosedJob{Status: records.StatusDone}, 99)
 		}
 	}
 }
 
-// obey carries out commands as a worker does.
-func (f *fakeFleet) obey(machine *fakeMachine, commands []fleet.Command) {
+// applyCommands carries out commands as a worker does.
+func (f *fakeFleet) applyCommands(machine *fakeMachine, commands []fleet.Command) {
 	for _, command := range commands {
 		i := slices.IndexFunc(machine.attempts, func(attempt *fakeAttempt) bool {
 			return attempt.Task == command.Task && attempt.Attempt == command.Attempt
@@ -143,7 +143,7 @@
 			attempt := &fakeAttempt{
 				TaskStatus: fleet.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: "running"},
 				job:        id.Job,
-				ends:       f.now.Add(f.runTimes[id.Job]),
+				endsAt:     f.now.Add(f.runTimes[id.Job]),
 			}
 			if f.jobs[id.Job].Shape == records.ShapeGang {
 				attempt.Status = "waiting"
@@ -151,24 +151,24 @@
 			machine.attempts = append(machine.attempts, attempt)
 		case command.Verb == fleet.VerbKill && i >= 0 && machine.attempts[i].Status != "ended" && !machine.attempts[i].stopping:
 			attempt := machine.attempts[i]
-			attempt.remaining = attempt.ends.Sub(f.now)
+			attempt.remaining = attempt.endsAt.Sub(f.now)
 			attempt.stopping, attempt.Status = true, "flushing"
-			attempt.ends = f.now.Add(time.Duration(*command.GraceS * float64(time.Second)))
+			attempt.endsAt = f.now.Add(time.Duration(*command.GraceS * float64(time.Second)))
 		case command.Verb == fleet.VerbReap && i >= 0:
 			machine.attempts = slices.Delete(machine.attempts, i, i+1)
 		}
 	}
 }
 
-// advance ends attempts whose time has come, and starts gangs that are complete.
-func (f *fakeFleet) advance(machine *fakeMachine) {
+// advanceAttempts ends attempts whose time has come, and starts gangs that are complete.
+func (f *fakeFleet) advanceAttempts(machine *fakeMachine) {
 	for _, attempt := range machine.attempts {
-		if gang := f.gangOf(attempt); attempt.Status == "waiting" && len(gang) == f.jobs[attempt.job].Tasks {
+		if gang := f.gangMembers(attempt); attempt.Status == "waiting" && len(gang) == f.jobs[attempt.job].Tasks {
 			for _, member := range gang {
-				member.Status, member.ends = "running", f.now.Add(f.runTimes[attempt.job])
+				member.Status, member.endsAt = "running", f.now.Add(f.runTimes[attempt.job])
 			}
 		}
-		if (attempt.Status == "running" || attempt.Status == "flushing") && !f.now.Before(attempt.ends) {
+		if (attempt.Status == "running" || attempt.Status == "flushing") && !f.now.Before(attempt.endsAt) {
 			attempt.Cause = "done"
 			if attempt.stopping {
 				attempt.Cause = "stopped"
@@ -178,8 +178,8 @@
 	}
 }
 
-// gangOf returns the attempts of a job with the same number.
-func (f *fakeFleet) gangOf(attempt *fakeAttempt) []*fakeAttempt {
+// gangMembers returns the attempts of a job with the same number.
+func (f *fakeFleet) gangMembers(attempt *fakeAttempt) []*fakeAttempt {
 	var members []*fakeAttempt
 	for _, machine := range f.machines {
 		for _, other := range machine.attempts {
@@ -191,15 +191,15 @@
 	return members
 }
 
-// checkRules checks the rules: machines hold no more than they have room for, each task is in one place,
+// checkInvariants checks the rules: machines hold no more than they have room for, each task is in one place,
 // zones and limits are kept, and nobody is preempted for a job that does not start.
-func (f *fakeFleet) checkRules() {
-	zones := f.checkPlaces()
+func (f *fakeFleet) checkInvariants() {
+	zones := f.checkPlacements()
 	f.checkPreemptorsStart(zones)
 }
 
-// checkPlaces checks what is on the machines, and returns a zone of each job that runs.
-func (f *fakeFleet) checkPlaces() map[string]string {
+// checkPlacements checks what is on the machines, and returns a zone of each job that runs.
+func (f *fakeFleet) checkPlacements() map[string]string {
 	machineOf := map[string]string{}
 	cpusOf := map[string]float64{}
 	zones := map[string]string{}
@@ -221,8 +221,8 @@
 			}
 			zones[attempt.job] = machine.heartbeat.Zone
 		}
-		if cpus > fakeCPUs {
-			f.t.Fatalf("%s holds tasks of %g CPUs, want %d at most", machine.heartbeat.Machine, cpus, fakeCPUs)
+		if cpus > fakeMachineCPUs {
+			f.t.Fatalf("%s holds tasks of %g CPUs, want %d at most", machine.heartbeat.Machine, cpus, fakeMachineCPUs)
 		}
 	}
 	for team, cpus := range cpusOf {
@@ -237,17 +237,17 @@
 func (f *fakeFleet) checkPreemptorsStart(zones map[string]string) {
 	for id, j := range f.scheduler.jobs {
 		if _, runs := zones[id]; runs {
-			f.begun[id] = true
+			f.started[id] = true
 		}
-		if f.begun[id] || len(j.preempted) == 0 || j.limited {
+		if f.started[id] || len(j.preemptedTasks) == 0 || j.teamLimited {
 			continue
 		}
 		// A victim saves for up to 4 s, then its machine sends a heartbeat, then the other one does.
 		if _, ok := f.preemptedAt[id]; !ok {
 			f.preemptedAt[id] = f.now
 		}
-		if since := f.preemptedAt[id]; f.now.Sub(since) > 10*time.Second && f.workerDiedAt.Before(since) {
-			f.t.Fatalf("%s has not started %v after %d tasks were preempted for it, want 10s at most", id, f.now.Sub(since), len(j.preempted))
+		if since := f.preemptedAt[id]; f.now.Sub(since) > 10*time.Second && f.workerFailedAt.Before(since) {
+			f.t.Fatalf("%s has not started %v after %d tasks were preempted for it, want 10s at most", id, f.now.Sub(since), len(j.preemptedTasks))
 		}
 	}
 }
--- a/internal/scheduler/finished_tasks_test.go
+++ b/internal/scheduler/finished_tasks_test.go
@@ -14,14 +14,14 @@
 	"drumpick/internal/records"
 )
 
-// store is the pages that a term may have left at any moment.
-type store map[string]map[string]json.RawMessage
+// pageStore is the pages that a term may have left at any moment.
+type pageStore map[string]map[string]json.RawMessage
 
-func (s store) keys() []string { return slices.Sorted(maps.Keys(s)) }
+func (s pageStore) keys() []string { return slices.Sorted(maps.Keys(s)) }
 
-func (s store) bytes(key string) int { return records.EncodedSize(s[key]) }
+func (s pageStore) pageBytes(key string) int { return records.EncodedSize(s[key]) }
 
-func (s store) apply(op records.Op) {
+func (s pageStore) apply(op records.Op) {
 	if op.Delete != "" {
 		delete(s, op.Delete)
 		return
@@ -29,8 +29,8 @@
 	s[op.Write] = op.Value.(map[string]json.RawMessage)
 }
 
-// read adds up what all records say, as every version does.
-func (s store) read(t *testing.T, chunkTasks int) map[string]map[int]bool {
+// doneTasks adds up what all records say, as every version does.
+func (s pageStore) doneTasks(t *testing.T, chunkTasks int) map[string]map[int]bool {
 	done := map[string]map[int]bool{}
 	for _, m := range s {
 		for id, v := range m {
@@ -50,27 +50,27 @@
 	return done
 }
 
-// earlierTerm is a term of the version in production, as far as finished tasks go: of two
+// previousVersionTerm is a term of the version in production, as far as finished tasks go: of two
 // records of one id it keeps the first and rewrites the other value without it; a chunk
 // is written whole, under its own id, into any value with room.
-type earlierTerm struct {
-	s       store
-	term, n int
-	limit   int
-	chunk   int
-	where   map[string]string // key by id
-	size    map[string]int
-	memory  map[string]map[int]bool
+type previousVersionTerm struct {
+	store          pageStore
+	term, lastPage int
+	maxBytes       int
+	chunkTasks     int
+	keyByID        map[string]string // key by id
+	bytesByKey     map[string]int
+	done           map[string]map[int]bool
 }
 
-func (s store) earlier(t *testing.T, term, chunkTasks, limit int) *earlierTerm {
-	e := &earlierTerm{s: s, term: term, limit: limit, chunk: chunkTasks, where: map[string]string{}, size: map[string]int{}, memory: s.read(t, chunkTasks)}
+func (s pageStore) startPreviousVersion(t *testing.T, term, chunkTasks, limit int) *previousVersionTerm {
+	e := &previousVersionTerm{store: s, term: term, maxBytes: limit, chunkTasks: chunkTasks, keyByID: map[string]string{}, bytesByKey: map[string]int{}, done: s.doneTasks(t, chunkTasks)}
 	for _, key := range s.keys() {
 		kept := map[string]json.RawMessage{}
 		for id, v := range s[key] {
-			if e.where[id] == "" {
-				e.where[id], kept[id] = key, v
-				e.size[key] += len(id) + len(v) + 4
+			if e.keyByID[id] == "" {
+				e.keyByID[id], kept[id] = key, v
+				e.bytesByKey[key] += len(id) + len(v) + 4
 			}
 		}
 		if len(kept) < len(s[key]) {
@@ -80,36 +80,36 @@
 	return e
 }
 
-func (e *earlierTerm) finish(job string, n, tasks int) {
-	if e.memory[job] == nil {
-		e.memory[job] = map[int]bool{}
+func (e *previousVersionTerm) finishTask(job string, n, tasks int) {
+	if e.done[job] == nil {
+		e.done[job] = map[int]bool{}
 	}
-	e.memory[job][n] = true
-	c := n / e.chunk
-	size := min(e.chunk, tasks-c*e.chunk)
-	raw, _ := json.Marshal(records.FormatRanges(func(i int) bool { return e.memory[job][c*e.chunk+i] }, size))
+	e.done[job][n] = true
+	c := n / e.chunkTasks
+	size := min(e.chunkTasks, tasks-c*e.chunkTasks)
+	raw, _ := json.Marshal(records.FormatRanges(func(i int) bool { return e.done[job][c*e.chunkTasks+i] }, size))
 	id := records.PartID(job, c, 0)
-	key := e.where[id]
+	key := e.keyByID[id]
 	if key == "" {
-		need := records.ChunkBytes(size, e.chunk) + len(id) + 4
-		for _, k := range e.s.keys() {
-			if e.size[k]+need <= e.limit {
+		need := records.ChunkBytes(size, e.chunkTasks) + len(id) + 4
+		for _, k := range e.store.keys() {
+			if e.bytesByKey[k]+need <= e.maxBytes {
 				key = k
 			}
 		}
 		if key == "" {
-			e.n++
-			key = fmt.Sprintf("done/%d-%d", e.term, e.n)
-			e.s[key] = map[string]json.RawMessage{}
+			e.lastPage++
+			key = fmt.Sprintf("done/%d-%d", e.term, e.lastPage)
+			e.store[key] = map[string]json.RawMessage{}
 		}
-		e.where[id] = key
-		e.size[key] += need
+		e.keyByID[id] = key
+		e.bytesByKey[key] += need
 	}
-	e.s[key] = maps.Clone(e.s[key])
-	e.s[key][id] = raw
+	e.store[key] = maps.Clone(e.store[key])
+	e.store[key][id] = raw
 }
 
-func settings(valueKB, nextKB float64) Settings {
+func settingsWithValueKB(valueKB, nextKB float64) Settings {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
 	cfg.Deployment.State.ValueKB = valueKB
@@ -131,20 +131,20 @@
 	for seed := uint64(0); seed < minSeeds || emptied < minEmptied && seed < maxSeeds; seed++ {
 		r := rand.New(rand.NewPCG(11, seed))
 		valueKB := []float64{4, 8, 16}[r.IntN(3)]
-		set := settings(valueKB, []float64{1, 2}[r.IntN(2)])
+		set := settingsWithValueKB(valueKB, []float64{1, 2}[r.IntN(2)])
 		nextKB := 1.0
 		if records.PartTasks(set.ChunkTasks, 2) == set.PartTasks {
 			nextKB = 2
 		}
 		tasks := map[string]int{"j-1": 9000, "j-2": 700, "j-3": 40, "j-4": 5000}
 		jobs := slices.Sorted(maps.Keys(tasks))
-		s := store{}
+		s := pageStore{}
 		written := map[string]bool{} // by this version
 		for term := range 14 {
-			before := s.read(t, set.ChunkTasks)
+			before := s.doneTasks(t, set.ChunkTasks)
 			lost := func() {
 				t.Helper()
-				now := s.read(t, set.ChunkTasks)
+				now := s.doneTasks(t, set.ChunkTasks)
 				for job, m := range before {
 					for n := range m {
 						if !now[job][n] {
@@ -161,9 +161,9 @@
 				}
 			}
 			if r.IntN(3) == 0 {
-				e := s.earlier(t, term, set.ChunkTasks, int(valueKB*768))
+				e := s.startPreviousVersion(t, term, set.ChunkTasks, int(valueKB*768))
 				lost()
-				ended(func(job string, n int) { e.finish(job, n, tasks[job]) })
+				ended(func(job string, n int) { e.finishTask(job, n, tasks[job]) })
 				lost()
 				continue
 			}
@@ -173,14 +173,14 @@
 				c.AddJob(records.Job{ID: id, Tasks: tasks[id], Shape: records.ShapeArray}, 1, now, now)
 			}
 			n := 0
-			p := finishedtasks.New(set.finishedTaskLayout(), records.NewPagedRecords("done/", nextKB, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }), finishedJobs{c})
+			p := finishedtasks.New(set.finishedTaskLayout(), records.NewPagedRecords("done/", nextKB, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }), openJobs{c})
 			for _, key := range s.keys() {
-				p.Pages().Load(key, s[key], s.bytes(key))
+				p.Pages().Load(key, s[key], s.pageBytes(key))
 				for id, v := range s[key] {
 					job, chunk, _ := records.ParsePartID(id)
 					var text string
 					_ = json.Unmarshal(v, &text)
-					if err := p.Load(id, finishedJob{c.jobs[job]}, chunk, text); err != nil {
+					if err := p.Load(id, openJob{c.jobs[job]}, chunk, text); err != nil {
 						t.Fatal(err)
 					}
 					if err := c.LoadDone(job, chunk, text); err != nil {
@@ -190,11 +190,11 @@
 			}
 		rounds:
 			for range 6 {
-				ended(func(job string, n int) { c.markDone(c.jobs[job], n) })
-				p.Gather()
-				for len(p.Pages().Dirty()) > 0 {
-					b := p.Pages().Dirty()[0]
-					op, _, ids := p.Pages().TakeWrite(b)
+				ended(func(job string, n int) { c.recordResult(c.jobs[job], n) })
+				p.WriteDirtyParts()
+				for len(p.Pages().DirtyPages()) > 0 {
+					b := p.Pages().DirtyPages()[0]
+					op, _, ids := p.Pages().PrepareWrite(b)
 					if op.Write != "" {
 						written[op.Write] = true
 						if size := records.EncodedSize(op.Value); float64(size) > nextKB*1024 {
@@ -211,19 +211,19 @@
 					if r.IntN(60) == 0 {
 						break rounds // killed before its answer
 					}
-					p.Stored(ids)(0)
+					p.OnStored(ids)(0)
 				}
 				for _, j := range c.jobs {
 					for i := range j.Tasks {
-						if has(j.done, i) != has(j.stored, i) {
-							t.Fatalf("seed %d: task %d of %s: done %v, stored %v", seed, i, j.ID, has(j.done, i), has(j.stored, i))
+						if hasBit(j.done, i) != hasBit(j.stored, i) {
+							t.Fatalf("seed %d: task %d of %s: done %v, stored %v", seed, i, j.ID, hasBit(j.done, i), hasBit(j.stored, i))
 						}
 					}
 				}
 			}
 		}
 		for _, key := range s.keys() {
-			if n := s.bytes(key); float64(n) > valueKB*1024 {
+			if n := s.pageBytes(key); float64(n) > valueKB*1024 {
 				t.Errorf("seed %d: %s takes %d bytes", seed, key, n)
 			}
 		}
@@ -235,19 +235,19 @@
 
 // Without lower limits to come, records are what the version in production writes.
 func TestFinishedTasksWithoutLowerLimitsAreWrittenInWholeChunks(t *testing.T) {
-	set := settings(8, 0)
+	set := settingsWithValueKB(8, 0)
 	if n := set.finishedTaskLayout().PartsPerChunk(); n != 1 {
 		t.Fatalf("%d parts in a chunk, want 1", n)
 	}
 	now := time.Unix(1000, 0)
 	c := New(set, 3, now)
 	c.AddJob(records.Job{ID: "j-1", Tasks: 5000, Shape: records.ShapeArray}, 1, now, now)
-	p := finishedtasks.New(set.finishedTaskLayout(), records.NewPagedRecords("done/", 8, func() string { return "3-1" }), finishedJobs{c})
+	p := finishedtasks.New(set.finishedTaskLayout(), records.NewPagedRecords("done/", 8, func() string { return "3-1" }), openJobs{c})
 	for _, n := range []int{0, 1, 2, 7, 2048, 4999} {
-		c.markDone(c.jobs["j-1"], n)
+		c.recordResult(c.jobs["j-1"], n)
 	}
-	p.Gather()
-	op, _, _ := p.Pages().TakeWrite(p.Pages().Dirty()[0])
+	p.WriteDirtyParts()
+	op, _, _ := p.Pages().PrepareWrite(p.Pages().DirtyPages()[0])
 	raw, _ := json.Marshal(op.Value)
 	if want := `{"j-1/0":"0-2,7","j-1/1":"0","j-1/2":"903"}`; string(raw) != want || op.Write != "done/3-1" {
 		t.Errorf("%s %s, want %s", op.Write, raw, want)
--- a/internal/scheduler/freed_room.go
+++ b/internal/scheduler/freed_room.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// previousSpan returns what was freed in the span before the current one.
-func (f *freedRoom) previousSpan(now time.Time, span time.Duration) packing.Resources {
+// previousWindow returns what was freed in the span before the current one.
+func (f *freedRoom) previousWindow(now time.Time, span time.Duration) packing.Resources {
 	f.advance(now, span)
 	return f.previous
 }
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -16,17 +16,17 @@
 	if job.gangAttempt == 0 && len(job.attempts)+len(job.duplicates) > 0 {
 		return false
 	}
-	zones := s.zoneCounts(job)
-	for _, zone := range s.zoneChoices(job, zones) {
-		if s.placeGangIn(job, zone, zones, used, now) {
+	zones := s.constrainedZoneCounts(job)
+	for _, zone := range s.zonesToTry(job, zones) {
+		if s.placeGangInZone(job, zone, zones, used, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// placeGangIn places a whole gang or nothing of it in one zone, or with "" in all of them.
-func (s *Scheduler) placeGangIn(job *Job, zone string, zonesBefore map[string]int, used map[string]quota.Amount, now time.Time) bool {
+// placeGangInZone places a whole gang or nothing of it in one zone, or with "" in all of them.
+func (s *Scheduler) placeGangInZone(job *Job, zone string, zonesBefore map[string]int, used map[string]quota.Amount, now time.Time) bool {
 	number, sequenceBefore := job.gangAttempt, s.sequence
 	if number == 0 {
 		number = s.newAttemptNumber()
@@ -47,7 +47,7 @@
 			s.executeMoves(moves, now)
 			return true
 		}
-		if job.limited && !s.withinLimit(job, usedThen) {
+		if job.teamLimited && !s.withinLimit(job, usedThen) {
 			break
 		}
 		in := insertion{job: job, task: task, attemptNumber: number, zones: zones, zone: zone}
@@ -56,7 +56,7 @@
 			break
 		}
 		moves = append(moves, taskMoves...)
-		job.takeTask(task)
+		job.dequeueTask(task)
 		placed = append(placed, job.attempts[task])
 		usedThen = usedThen.Add(job.taskQuota())
 		zones[machine.Zone]++
@@ -83,7 +83,7 @@
 			planned = append(planned, attempt)
 			continue
 		}
-		s.stop(attempt, stopGangMember, job.SaveS, now)
+		s.requestStop(attempt, stopGangMember, job.SaveS, now)
 	}
 	if !job.gangBroken {
 		job.gangAttempt = 0
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -16,8 +16,8 @@
 	for _, job := range s.sortedJobs {
 		job.guaranteed, job.protected = account.Charge(job.Team, job.Tasks-job.doneCount, job.request)
 		job.canBeginInTime = job.guaranteed && s.settings.Guarantees && s.canBeginInTime(job, s.settings.HeartbeatInterval, now)
-		if !job.start.known {
-			job.start.known, job.start.entitled = true, job.guaranteed
+		if !job.start.entitlementKnown {
+			job.start.entitlementKnown, job.start.entitled = true, job.guaranteed
 		}
 	}
 }
@@ -25,7 +25,7 @@
 // canBeginInTime reports whether a job can begin within the guarantee's time if it gets its room after
 // a delay.
 func (s *Scheduler) canBeginInTime(job *Job, delay time.Duration, now time.Time) bool {
-	return fairshare.CanBeginInTime(s.settings.GuaranteeWithin, now.Sub(job.releasedAt), delay, s.fetchTime(job))
+	return fairshare.CanStartInTime(s.settings.GuaranteeWithin, now.Sub(job.releasedAt), delay, s.fetchTime(job))
 }
 
 // preemptionIntervals is how long, in heartbeat intervals, it takes until a preempted task has saved a
@@ -42,34 +42,34 @@
 	return s.canBeginInTime(job, preemptionIntervals*s.settings.HeartbeatInterval, now)
 }
 
-// noteShortage notes that a job of a team with a guarantee found no room, and may use on-demand
+// recordShortage notes that a job of a team with a guarantee found no room, and may use on-demand
 // machines only. A job that its team's limit holds back lacks none.
-func (s *Scheduler) noteShortage(j *Job, used quota.Amount, now time.Time) {
-	if !s.settings.Guarantees || j.Spot || !fairshare.HasGuarantee(j.team) || j.limited && !s.withinLimit(j, used) {
+func (s *Scheduler) recordShortage(j *Job, used quota.Amount, now time.Time) {
+	if !s.settings.Guarantees || j.Spot || !fairshare.HasGuarantee(j.team) || j.teamLimited && !s.withinLimit(j, used) {
 		return
 	}
-	for _, name := range s.typeNames {
-		if j.allowsType(name) && s.types[name].SpotPrice > 0 && s.capacity(name).Fits(j.request) {
-			s.onDemandShortage.NoteShortage(name, now)
+	for _, name := range s.typesByPrice {
+		if j.allowsType(name) && s.machineTypes[name].SpotPrice > 0 && s.capacity(name).Fits(j.request) {
+			s.onDemandShortage.RecordShortage(name, now)
 		}
 	}
 }
 
-// shortageLately reports whether on-demand machines of a type were too few within a startup time.
-func (s *Scheduler) shortageLately(typ string, now time.Time) bool {
+// recentShortage reports whether on-demand machines of a type were too few within a startup time.
+func (s *Scheduler) recentShortage(typ string, now time.Time) bool {
 	return s.onDemandShortage.ShortageWithin(typ, s.startupTime(typ), now)
 }
 
-// displaced counts the tasks of a job that are on on-demand machines which others lacked lately, though
+// tasksBlockingOnDemand counts the tasks of a job that are on on-demand machines which others lacked lately, though
 // spot machines would do: as many spot machines are scaled out, so that those who come next leave the
 // on-demand machines alone.
-func (s *Scheduler) displaced(job *Job, now time.Time) int {
+func (s *Scheduler) tasksBlockingOnDemand(job *Job, now time.Time) int {
 	if !s.settings.Guarantees || !job.Spot || job.Shape != records.ShapeArray {
 		return 0
 	}
 	n := 0
 	for _, attempt := range job.attempts {
-		if machine := attempt.Machine; !machine.Spot && attempt.State() != fleet.Ended && s.shortageLately(machine.Type, now) {
+		if machine := attempt.Machine; !machine.Spot && attempt.State() != fleet.Ended && s.recentShortage(machine.Type, now) {
 			n++
 		}
 	}
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -23,16 +23,16 @@
 // the heartbeat is late, or its machine is not recorded, so that the next leader would not know what
 // it may hold.
 func (s *Scheduler) RenewOvertaken(machine *fleet.Machine, heartbeat *fleet.Heartbeat, now time.Time) (fleet.HeartbeatResponse, bool) {
-	if machine == nil || !machine.Recorded || !machine.Overtaken(heartbeat, now) {
+	if machine == nil || !machine.Recorded || !machine.IsOvertaken(heartbeat, now) {
 		return fleet.HeartbeatResponse{}, false
 	}
-	machine.Renewed(now)
+	machine.RenewLease(now)
 	return fleet.HeartbeatResponse{FencingToken: s.term, Commands: machine.PendingCommands()}, true
 }
 
-// relayLeases is for how many leases a worker is answered through another controller before it is
+// maxRelayLeases is for how many leases a worker is answered through another controller before it is
 // redirected here again.
-const relayLeases = 4
+const maxRelayLeases = 4
 
 // NeedsRelay reports whether a worker whose heartbeat came to another controller cannot reach this
 // one, and is to be answered through that controller. A worker that is new to us, or was heard just
@@ -46,7 +46,7 @@
 		return false
 	}
 	if !machine.RelayedAt.IsZero() && now.Sub(machine.RelayedAt) < s.settings.Lease {
-		if !machine.RelayedSince.IsZero() && now.Sub(machine.RelayedSince) > relayLeases*s.settings.Lease {
+		if !machine.RelayedSince.IsZero() && now.Sub(machine.RelayedSince) > maxRelayLeases*s.settings.Lease {
 			machine.RelayedSince = time.Time{}
 			return false
 		}
@@ -57,8 +57,10 @@
 		return true
 	}
 	machine.RelayedAt, machine.RelayedSince = now, time.Time{}
-	return machine.Up && now.Sub(machine.LastStatus) > s.settings.HeartbeatInterval*3/2
+	return machine.HasStatus && now.Sub(machine.LastStatusAt) > s.settings.HeartbeatInterval*3/2
 }
 
-// NoteAnswered notes that a heartbeat was answered with 200, via another controller unless that is "".
-func (s *Scheduler) NoteAnswered(m *fleet.Machine, via string, now time.Time) { m.Answered(via, now) }
+// RecordAnswer notes that a heartbeat was answered with 200, via another controller unless that is "".
+func (s *Scheduler) RecordAnswer(m *fleet.Machine, via string, now time.Time) {
+	m.MarkAnswered(via, now)
+}
--- a/internal/scheduler/held_machines.go
+++ b/internal/scheduler/held_machines.go
@@ -7,9 +7,9 @@
 	"drumpick/internal/records"
 )
 
-// heldMachineShare bounds how many of the machines may be emptying for larger tasks, one at least: each
+// maxHeldMachineShare bounds how many of the machines may be emptying for larger tasks, one at least: each
 // stands half empty for as long as its last small task runs.
-const heldMachineShare = 1.0 / 8
+const maxHeldMachineShare = 1.0 / 8
 
 // heldLabel is the label of bins whose machines are held.
 const heldLabel = "kept"
@@ -19,19 +19,19 @@
 // would never start, because small ones of later turns fill every gap before a machine is empty. The
 // machines that will have room soonest are held.
 func (s *Scheduler) holdMachines(now time.Time) {
-	heldBefore := s.unholdMachines()
+	heldBefore := s.releaseHeldMachines()
 	if !s.reconciled {
 		return
 	}
-	waiting, smallest := s.waitingForHeld(now)
-	left := max(int(float64(s.countAccepting())*heldMachineShare), 1)
+	waiting, smallest := s.holdCandidates(now)
+	left := max(int(float64(s.countAcceptingMachines())*maxHeldMachineShare), 1)
 	var list []machineWait
 	listed := 0 // the placement class whose machines are listed
 	for _, job := range waiting {
 		if left == 0 {
 			return
 		}
-		if job.placementClass == 0 || s.smallestShare(job) <= smallest+1e-9 || job.limited {
+		if job.placementClass == 0 || s.smallestShare(job) <= smallest+1e-9 || job.teamLimited {
 			continue
 		}
 		if listed != job.placementClass {
@@ -43,15 +43,15 @@
 			candidate.machine.Bin.SetLabel(heldLabel, true)
 		}
 		if n > 0 {
-			s.holders = append(s.holders, job)
+			s.machineHolders = append(s.machineHolders, job)
 		}
 		list = list[n:]
 		left -= n
 	}
 }
 
-// unholdMachines holds no machine any more, and returns those that were held.
-func (s *Scheduler) unholdMachines() map[*fleet.Machine]bool {
+// releaseHeldMachines holds no machine any more, and returns those that were held.
+func (s *Scheduler) releaseHeldMachines() map[*fleet.Machine]bool {
 	held := map[*fleet.Machine]bool{}
 	for _, machine := range s.fleet.Sorted() {
 		if machine.ReservedFor != nil {
@@ -60,13 +60,13 @@
 			machine.Bin.SetLabel(heldLabel, false)
 		}
 	}
-	s.holders = s.holders[:0]
+	s.machineHolders = s.machineHolders[:0]
 	return held
 }
 
-// waitingForHeld returns the jobs other than gangs that wait, in the order in which they are served,
+// holdCandidates returns the jobs other than gangs that wait, in the order in which they are served,
 // and the smallest share of a machine that a task of theirs takes.
-func (s *Scheduler) waitingForHeld(now time.Time) (waiting []*Job, smallest float64) {
+func (s *Scheduler) holdCandidates(now time.Time) (waiting []*Job, smallest float64) {
 	smallest = 1.0
 	for _, job := range s.queue(now) {
 		if job.Shape != records.ShapeGang && s.startable(job, now) && job.nextTask() >= 0 {
@@ -100,7 +100,7 @@
 // asked of each machine: on 1,300 machines that was most of what placement cost.
 func (s *Scheduler) lastHoldingJob() *Job {
 	var last *Job
-	for _, holder := range s.holders {
+	for _, holder := range s.machineHolders {
 		if holder.closed {
 			return nil
 		}
@@ -111,8 +111,8 @@
 	return last
 }
 
-// isHeldForEarlier reports whether a machine is held for a job that is served before another.
-func isHeldForEarlier(m *fleet.Machine, j *Job) bool {
+// isHeldForEarlierJob reports whether a machine is held for a job that is served before another.
+func isHeldForEarlierJob(m *fleet.Machine, j *Job) bool {
 	holder, ok := m.ReservedFor.(*Job)
 	return ok && holder != j && !holder.closed && servedBefore(holder, j)
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -17,17 +17,17 @@
 	Revision uint64 // of its record
 	Accepted time.Time
 
-	request          packing.Resources // of one task
-	preferLabels     []string          // labels of machines that suit it, the weightiest first
-	imageReadyLabel  string            // label of machines that have its image
-	placementClass   int               // shared by jobs whose tasks fit the same machines; 0: shared with none
-	imageClass       int               // the same for jobs that also share the image
-	team             config.Team       // what the settings say of its team
-	limited          bool              // the team has a limit
-	releasedAt       time.Time         // from when its waiting time counts: its acceptance, or the end of its last dependency
-	notStartedBefore uint64            // the revision before which none of its tasks can have been started
-	blocked          bool              // by a dependency that is not known to be stored as done
-	precedence       dependency.Precedence
+	request               packing.Resources // of one task
+	preferredLabels       []string          // labels of machines that suit it, the weightiest first
+	imageReadyLabel       string            // label of machines that have its image
+	placementClass        int               // shared by jobs whose tasks fit the same machines; 0: shared with none
+	imageClass            int               // the same for jobs that also share the image
+	team                  config.Team       // what the settings say of its team
+	teamLimited           bool              // the team has a limit
+	releasedAt            time.Time         // from when its waiting time counts: its acceptance, or the end of its last dependency
+	earliestStartRevision uint64            // the revision before which none of its tasks can have been started
+	blocked               bool              // by a dependency that is not known to be stored as done
+	precedence            dependency.Precedence
 
 	// Progress.
 	done, stored []uint64 // bit sets of finished tasks, and of those the store has
@@ -55,14 +55,14 @@
 	gangBrokenAt time.Time // when a gang that had begun lost its last place
 
 	// Room.
-	claims           []claim                   // room on machines that only this job may use
-	noClaimsBefore   time.Time                 // no room is claimed before
-	reservedZone     string                    // the zone where room is reserved for it
-	reserveNotBefore time.Time                 // whether a reservation is due is not examined before
-	preempted        map[fleet.TaskID]struct{} // tasks that were preempted for it
-	moved            map[int]struct{}          // tasks of its own that were moved to fill or empty a bin
-	relocating       int                       // tasks that have to leave their machines and find no others
-	remainingZones   map[string]int            // of a job bound to zones: its tasks by zone without those; else nil
+	claims             []claim                   // room on machines that only this job may use
+	claimsNotBefore    time.Time                 // no room is claimed before
+	reservedZone       string                    // the zone where room is reserved for it
+	reservationCheckAt time.Time                 // whether a reservation is due is not examined before
+	preemptedTasks     map[fleet.TaskID]struct{} // tasks that were preempted for it
+	movedTasks         map[int]struct{}          // tasks of its own that were moved to fill or empty a bin
+	relocatingTasks    int                       // tasks that have to leave their machines and find no others
+	remainingByZone    map[string]int            // of a job bound to zones: its tasks by zone without those; else nil
 
 	// Order.
 	guaranteed     bool      // its room is within its team's guarantee
@@ -96,5 +96,5 @@
 	return job
 }
 
-// has reports whether a bit set contains i.
-func has(set []uint64, i int) bool { return set[i/64]>>(i%64)&1 == 1 }
+// hasBit reports whether a bit set contains i.
+func hasBit(set []uint64, i int) bool { return set[i/64]>>(i%64)&1 == 1 }
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/limits_test.go
@@ -26,7 +26,7 @@
 	for i := range types {
 		types[i].Zones = cfg.Deployment.Zones
 	}
-	c.SetTypes(types)
+	c.SetMachineTypes(types)
 	c.CheckReconciled(now)
 	c.ReconcileCloudList(nil, now, now)
 	return c, now
@@ -45,10 +45,10 @@
 }
 
 // An upgrade takes a fleet of thousands of machines at once where operators ask for that.
-func TestUpgradeOfFleetAtOnce(t *testing.T) {
+func TestUpgradeWholeFleetAtOnce(t *testing.T) {
 	c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	startMachines(c, fleetSize+100, now)
-	spec := drain.Spec{ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: fleetSize, MinInService: 5}
+	spec := drain.Spec{ID: "d-1", Kind: drain.KindUpgrade, TargetVersion: "2", MaxOutOfService: fleetSize, MinInService: 5}
 	if err := spec.Check(now); err != nil {
 		t.Fatal(err)
 	}
@@ -73,12 +73,12 @@
 func TestDrainOfThousandsByName(t *testing.T) {
 	c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	names := startMachines(c, fleetSize+100, now)
-	spec := drain.Spec{ID: "d-1", Kind: drain.Empty, Machines: names[:fleetSize]}
+	spec := drain.Spec{ID: "d-1", Kind: drain.KindDrain, Machines: names[:fleetSize]}
 	if err := spec.Check(now); err != nil {
 		t.Fatal(err)
 	}
 	p, err := c.PreviewDrain(&spec, false, now)
-	if err != nil || p.All.Machines != fleetSize {
+	if err != nil || p.Total.Machines != fleetSize {
 		t.Fatalf("planned: %v, %v", p, err)
 	}
 	c.SetDrain(spec, nil, 0)
@@ -92,7 +92,7 @@
 
 // One plan is for a whole fleet: machines for the work of thousands, of many types, are requested at
 // once, by requests of the protocol's size.
-func TestPlanOfFleet(t *testing.T) {
+func TestPlanForWholeFleet(t *testing.T) {
 	const want, perType = 4500, 150
 	var types []records.MachineType
 	for i := range want / perType {
@@ -118,7 +118,7 @@
 
 // The protocol's bounds of one request bound no fleet: plan by plan, all machines of one type and zone
 // that work needs are rented, and all are returned.
-func TestRequestsBoundNoFleet(t *testing.T) {
+func TestRequestLimitsDoNotBoundFleet(t *testing.T) {
 	const want = 4500
 	c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	zone := "a"
@@ -178,7 +178,7 @@
 
 // BenchmarkDrainOfNames is a pass, and a preview, while a drain by names empties a fleet.
 func BenchmarkDrainOfNames(b *testing.B) {
-	spec := drain.Spec{ID: "d-1", Kind: drain.Empty}
+	spec := drain.Spec{ID: "d-1", Kind: drain.KindDrain}
 	b.Run("look", func(b *testing.B) {
 		c, now := newBusyFleet(b, fleetSize)
 		for _, m := range c.fleet.Sorted() {
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -17,10 +17,10 @@
 	if j == nil || a.Stopping() || a.Duplicate || j.Shape != records.ShapeArray {
 		return false
 	}
-	if _, before := j.moved[a.Task.N]; before && a.State() != fleet.Planned {
+	if _, before := j.movedTasks[a.Task.N]; before && a.State() != fleet.Planned {
 		return false
 	}
-	return a.State() == fleet.Planned || a.MayBePresent() && a.State() != fleet.Sent && now.Sub(a.Since) < s.settings.RoundInterval
+	return a.State() == fleet.Planned || a.MayBePresent() && a.State() != fleet.Sent && now.Sub(a.AssignedAt) < s.settings.RebalanceInterval
 }
 
 // undoMoves undoes what listed moves did to the bins, which reflect what is really there.
@@ -57,14 +57,14 @@
 		return
 	}
 	job := s.jobs[attempt.Task.Job]
-	if job.moved == nil {
-		job.moved = map[int]struct{}{}
+	if job.movedTasks == nil {
+		job.movedTasks = map[int]struct{}{}
 	}
-	job.moved[attempt.Task.N] = struct{}{}
+	job.movedTasks[attempt.Task.N] = struct{}{}
 	movesTotal.Inc()
 	slog.Info("task moved", "task", attempt.Task.String(), "machine", from.Name, "term", s.term)
 	if move.To != nil && move.To.Fits(job.request) {
 		s.addClaim(job, move.To.Owner.(*fleet.Machine), now)
 	}
-	s.stop(attempt, stopMoved, job.SaveS, now)
+	s.requestStop(attempt, stopMoved, job.SaveS, now)
 }
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -17,15 +17,15 @@
 	Ops      []records.Op
 	Compares []records.Compare
 	OnStored func(revision uint64) // called when it is stored, at a revision
-	// OwnKey is the key of the compare that guards this change alone: where that does not hold, the
+	// GuardKey is the key of the compare that guards this change alone: where that does not hold, the
 	// others of the commit are still to be stored.
-	OwnKey     string
-	OnConflict func() // called when the compare of OwnKey did not hold
-	// OwnRevision is the revision of a key that only the leader writes, 0 where it is absent, and is
+	GuardKey   string
+	OnConflict func() // called when the compare of GuardKey did not hold
+	// GuardRevision is the revision of a key that only the leader writes, 0 where it is absent, and is
 	// kept up to date by whoever stores the write. It is set in place of OnConflict: the key is read
 	// then. Without it, a write without an answer could be carried out after newer ones of the same
 	// term, which the compare of the leader's key alone would let pass.
-	OwnRevision *uint64
+	GuardRevision *uint64
 	// OnUnanswered is called when a first write has had no answer.
 	OnUnanswered func()
 	// OnTooLarge is called when the store will never take the write, as it is too large.
@@ -36,16 +36,16 @@
 // finished tasks, watermarks and the states of drains. It decides what to store next; its owner
 // stores it, and holds the lock of the scheduler in every call.
 type Persistence struct {
-	scheduler       *Scheduler
-	machines        *records.PagedRecords
-	watermarks      *records.PagedRecords
-	finished        *finishedtasks.Keeper
-	maxOps          int       // changes in one commit
-	valueBytes      int       // the largest value
-	finishedAt      time.Time // when finished tasks were last gathered
-	watermarksAt    time.Time // when watermarks were last gathered
-	watermarkNeeded bool      // a task waits for its watermark
-	closedJobs      []string  // jobs whose watermarks are of no use any more
+	scheduler           *Scheduler
+	machines            *records.PagedRecords
+	watermarks          *records.PagedRecords
+	finished            *finishedtasks.Tracker
+	maxOps              int       // changes in one commit
+	maxValueBytes       int       // the largest value
+	lastFinishedUpdate  time.Time // when finished tasks were last gathered
+	lastWatermarkUpdate time.Time // when watermarks were last gathered
+	watermarkNeeded     bool      // a task waits for its watermark
+	closedJobs          []string  // jobs whose watermarks are of no use any more
 
 	loadedWatermarks    map[string]int // as read at the failover, by job
 	watermarkUnreadable bool           // some could not be read
@@ -65,23 +65,23 @@
 		scheduler:        s,
 		machines:         pages(records.PrefixMachines),
 		watermarks:       pages(records.PrefixWatermarks),
-		finished:         finishedtasks.New(s.settings.finishedTaskLayout(), pages(records.PrefixDone), finishedJobs{s}),
+		finished:         finishedtasks.New(s.settings.finishedTaskLayout(), pages(records.PrefixFinishedTasks), openJobs{s}),
 		maxOps:           maxOps,
-		valueBytes:       int(valueKB * 1024),
+		maxValueBytes:    int(valueKB * 1024),
 		loadedWatermarks: map[string]int{},
 	}
 }
 
-// LoadDone takes in a page of finished tasks of jobs that are known.
-func (p *Persistence) LoadDone(row records.KeyValue) {
-	load(records.PrefixDone, p.finished.Pages(), row, func(id string, v json.RawMessage) error {
+// LoadDonePage takes in a page of finished tasks of jobs that are known.
+func (p *Persistence) LoadDonePage(row records.KeyValue) {
+	loadPage(records.PrefixFinishedTasks, p.finished.Pages(), row, func(id string, v json.RawMessage) error {
 		job, chunk, ok := records.ParsePartID(id)
 		var ranges string
 		if !ok || json.Unmarshal(v, &ranges) != nil {
 			return errors.New("unreadable")
 		}
 		if j := p.scheduler.jobs[job]; j != nil {
-			if err := p.finished.Load(id, finishedJob{j}, chunk, ranges); err != nil {
+			if err := p.finished.Load(id, openJob{j}, chunk, ranges); err != nil {
 				return err
 			}
 		}
@@ -89,9 +89,9 @@
 	})
 }
 
-// LoadMachine takes in a page of machines that an earlier term may have used.
-func (p *Persistence) LoadMachine(row records.KeyValue, now time.Time) {
-	load(records.PrefixMachines, p.machines, row, func(name string, v json.RawMessage) error {
+// LoadMachinePage takes in a page of machines that an earlier term may have used.
+func (p *Persistence) LoadMachinePage(row records.KeyValue, now time.Time) {
+	loadPage(records.PrefixMachines, p.machines, row, func(name string, v json.RawMessage) error {
 		var machine records.Machine
 		err := json.Unmarshal(v, &machine)
 		// Whatever is unreadable about it, the machine may hold tasks.
@@ -100,9 +100,9 @@
 	})
 }
 
-// LoadWatermark takes in a page of watermarks. One that cannot be read may stand for any task.
-func (p *Persistence) LoadWatermark(row records.KeyValue) {
-	readable := load(records.PrefixWatermarks, p.watermarks, row, func(id string, v json.RawMessage) error {
+// LoadWatermarkPage takes in a page of watermarks. One that cannot be read may stand for any task.
+func (p *Persistence) LoadWatermarkPage(row records.KeyValue) {
+	readable := loadPage(records.PrefixWatermarks, p.watermarks, row, func(id string, v json.RawMessage) error {
 		n, err := records.ParseWatermark(v)
 		if err != nil {
 			p.watermarkUnreadable = true
@@ -134,9 +134,9 @@
 	p.scheduler.LoadWatermarks(p.loadedWatermarks, complete && !p.watermarkUnreadable)
 }
 
-// load takes in a page, and reports whether it is readable as a whole.
-func load(prefix string, pages *records.PagedRecords, row records.KeyValue, each func(id string, v json.RawMessage) error) bool {
-	entries, err := records.Entries(prefix, row)
+// loadPage takes in a page, and reports whether it is readable as a whole.
+func loadPage(prefix string, pages *records.PagedRecords, row records.KeyValue, each func(id string, v json.RawMessage) error) bool {
+	entries, err := records.DecodeEntries(prefix, row)
 	if err != nil {
 		slog.Error("unreadable record", "key", row.Key, "err", err)
 		return false
@@ -153,8 +153,8 @@
 // RequestWatermark notes that a task waits for its watermark.
 func (p *Persistence) RequestWatermark() { p.watermarkNeeded = true }
 
-// HalveCommits makes commits half as large: the store took one for too large.
-func (p *Persistence) HalveCommits() { p.maxOps = max(p.maxOps/2, 2) }
+// HalveCommitSize makes commits half as large: the store took one for too large.
+func (p *Persistence) HalveCommitSize() { p.maxOps = max(p.maxOps/2, 2) }
 
 const (
 	// maxCommitBytes keeps a commit well below the service's 64 KiB.
@@ -170,9 +170,9 @@
 	maxOps     int
 }
 
-// fits reports whether so many more changes fit, and counts them if they do. What is gathered first
+// tryReserve reports whether so many more changes fit, and counts them if they do. What is gathered first
 // fits always.
-func (b *writeBatch) fits(ops, bytes int) bool {
+func (b *writeBatch) tryReserve(ops, bytes int) bool {
 	if len(b.writes) > 0 && (b.ops+ops > b.maxOps || b.bytes+bytes > maxCommitBytes) {
 		return false
 	}
@@ -190,13 +190,13 @@
 	b := &writeBatch{maxOps: p.maxOps}
 	// Each gathers one kind of record, and reports whether all of it fits.
 	kinds := []func() bool{
-		func() bool { return p.takeCancelledDependents(b) },
-		func() bool { return p.takeCompleteJobs(b, now) },
-		func() bool { return p.takeAttestation(b, attestation(now)) },
-		func() bool { return p.takeWatermarks(b, now) },
-		func() bool { p.gatherMachines(); return p.takeMachines(b) },
-		func() bool { p.gatherFinished(now); return p.takeFinished(b) },
-		func() bool { return p.takeDrains(b, now) },
+		func() bool { return p.appendCancelledDependents(b) },
+		func() bool { return p.appendCompleteJobs(b, now) },
+		func() bool { return p.appendAttestation(b, attestation(now)) },
+		func() bool { return p.appendWatermarkPages(b, now) },
+		func() bool { p.updateMachinePages(); return p.appendMachinePages(b) },
+		func() bool { p.updateFinishedPages(now); return p.appendFinishedPages(b) },
+		func() bool { return p.addDrainWrites(b, now) },
 	}
 	for _, take := range kinds {
 		if !take() {
@@ -205,21 +205,21 @@
 	}
 	if len(b.writes) == 0 {
 		p.emptyReadOnlyPages()
-		p.takeMachines(b)
+		p.appendMachinePages(b)
 	}
 	return b.writes
 }
 
-// takeCancelledDependents closes the jobs behind a cancelled one. They go first: their users wait for
+// appendCancelledDependents closes the jobs behind a cancelled one. They go first: their users wait for
 // it, and it is little.
-func (p *Persistence) takeCancelledDependents(b *writeBatch) bool {
+func (p *Persistence) appendCancelledDependents(b *writeBatch) bool {
 	s := p.scheduler
 	for _, id := range s.dependencies.ToCancel() {
 		j := s.jobs[id]
 		if j == nil || j.closing {
 			continue
 		}
-		if !b.fits(2, 2*bytesPerOp) {
+		if !b.tryReserve(2, 2*bytesPerOp) {
 			return false
 		}
 		slog.Info("job cancelled", "job", id, "reason", "a dependency is cancelled", "term", s.term)
@@ -228,13 +228,13 @@
 	return true
 }
 
-// takeCompleteJobs closes the jobs of which every task is done.
-func (p *Persistence) takeCompleteJobs(b *writeBatch, now time.Time) bool {
-	for j := range p.scheduler.complete {
+// appendCompleteJobs closes the jobs of which every task is done.
+func (p *Persistence) appendCompleteJobs(b *writeBatch, now time.Time) bool {
+	for j := range p.scheduler.completeJobs {
 		if j.closing {
 			continue
 		}
-		if !b.fits(2, 2*bytesPerOp) {
+		if !b.tryReserve(2, 2*bytesPerOp) {
 			return false
 		}
 		b.add(p.scheduler.closeJobWrite(j, records.ClosedJob{Status: records.StatusDone, AtMS: now.UnixMilli()}))
@@ -242,12 +242,12 @@
 	return true
 }
 
-// takeAttestation stores that watermarks are complete; nil: it is not time for that.
-func (p *Persistence) takeAttestation(b *writeBatch, attestation *watermark.StoredAttestation) bool {
+// appendAttestation stores that watermarks are complete; nil: it is not time for that.
+func (p *Persistence) appendAttestation(b *writeBatch, attestation *watermark.StoredAttestation) bool {
 	if attestation == nil {
 		return true
 	}
-	if !b.fits(1, records.EncodedSize(attestation)) {
+	if !b.tryReserve(1, records.EncodedSize(attestation)) {
 		return false
 	}
 	b.add(PendingWrite{
@@ -257,11 +257,11 @@
 	return true
 }
 
-// gatherMachines puts the machines about to be used on record, and takes those that are gone off it.
-func (p *Persistence) gatherMachines() {
+// updateMachinePages puts the machines about to be used on record, and takes those that are gone off it.
+func (p *Persistence) updateMachinePages() {
 	s := p.scheduler
 	for _, m := range s.fleet.Sorted() {
-		if !m.Up || m.Recorded || m.Recording || m.Returning || m.LeaseExpired || !m.Reconciled && m.Empty() {
+		if !m.HasStatus || m.Recorded || m.Recording || m.Returning || m.LeaseExpired || !m.Reconciled && m.Empty() {
 			continue
 		}
 		m.Recording = true
@@ -280,12 +280,12 @@
 	s.removedMachines = s.removedMachines[:0]
 }
 
-// takeMachines stores the pages of machines that have changed.
-func (p *Persistence) takeMachines(b *writeBatch) bool {
-	return p.takePages(p.machines, b, func(ids []string, entries map[string]json.RawMessage) pageResult {
-		return pageResult{
-			stored: func(uint64) { p.machinesStored(ids) },
-			moved: func(ids []string) {
+// appendMachinePages stores the pages of machines that have changed.
+func (p *Persistence) appendMachinePages(b *writeBatch) bool {
+	return p.appendPages(p.machines, b, func(ids []string, entries map[string]json.RawMessage) pageCallbacks {
+		return pageCallbacks{
+			onStored: func(uint64) { p.machinesStored(ids) },
+			onMoved: func(ids []string) {
 				for _, id := range ids {
 					if p.scheduler.fleet.Machines[id] != nil {
 						p.machines.Put(id, entries[id], len(entries[id]))
@@ -298,7 +298,7 @@
 
 func (p *Persistence) machinesStored(names []string) {
 	for _, name := range names {
-		p.machines.DropReadOnly(name)
+		p.machines.RemoveReadOnlyCopies(name)
 		if m := p.scheduler.fleet.Machines[name]; m != nil {
 			m.Recorded, m.Recording = true, false
 		}
@@ -308,73 +308,73 @@
 // emptyReadOnlyPages moves the machines of pages that are too large for the limits to come into
 // others that are not. Both versions read a machine that is in two pages.
 func (p *Persistence) emptyReadOnlyPages() {
-	for name, raw := range p.machines.ReadOnly() {
-		if !p.machines.Has(name) {
+	for name, raw := range p.machines.ReadOnlyEntries() {
+		if !p.machines.HasWritable(name) {
 			p.machines.Put(name, raw, len(raw))
 		}
 	}
 }
 
-// gatherFinished puts finished tasks on record, once in a heartbeat interval, and takes the records of
+// updateFinishedPages puts finished tasks on record, once in a heartbeat interval, and takes the records of
 // closed jobs off it.
-func (p *Persistence) gatherFinished(now time.Time) {
+func (p *Persistence) updateFinishedPages(now time.Time) {
 	s := p.scheduler
-	p.finished.Close(s.closedJobs)
+	p.finished.RemoveJobs(s.closedJobs)
 	p.closedJobs = append(p.closedJobs, s.closedJobs...)
 	s.closedJobs = s.closedJobs[:0]
-	if now.Sub(p.finishedAt) >= s.settings.HeartbeatInterval {
-		p.finished.Gather()
+	if now.Sub(p.lastFinishedUpdate) >= s.settings.HeartbeatInterval {
+		p.finished.WriteDirtyParts()
 		p.dropWatermarks()
-		p.finishedAt = now
+		p.lastFinishedUpdate = now
 	}
 }
 
-// takeFinished stores the pages of finished tasks that have changed.
-func (p *Persistence) takeFinished(b *writeBatch) bool {
-	return p.takePages(p.finished.Pages(), b, func(ids []string, _ map[string]json.RawMessage) pageResult {
-		return pageResult{
-			stored: p.finished.Stored(ids),
-			moved:  p.finished.Rewrite,
+// appendFinishedPages stores the pages of finished tasks that have changed.
+func (p *Persistence) appendFinishedPages(b *writeBatch) bool {
+	return p.appendPages(p.finished.Pages(), b, func(ids []string, _ map[string]json.RawMessage) pageCallbacks {
+		return pageCallbacks{
+			onStored: p.finished.OnStored(ids),
+			onMoved:  p.finished.Rewrite,
 		}
 	})
 }
 
-// pageResult is what follows from the write of a page.
-type pageResult struct {
-	stored func(revision uint64)
-	moved  func(ids []string) // for the records that need another page, as the store refused this one as too large
+// pageCallbacks is what follows from the write of a page.
+type pageCallbacks struct {
+	onStored func(revision uint64)
+	onMoved  func(ids []string) // for the records that need another page, as the store refused this one as too large
 }
 
-// takePages stores the pages that have changed, and reports whether all fit. written is called with
+// appendPages stores the pages that have changed, and reports whether all fit. written is called with
 // the records of each page that is.
-func (p *Persistence) takePages(pages *records.PagedRecords, b *writeBatch, written func(ids []string, entries map[string]json.RawMessage) pageResult) bool {
-	for _, page := range pages.Dirty() {
-		if !b.fits(1, p.valueBytes) {
+func (p *Persistence) appendPages(pages *records.PagedRecords, b *writeBatch, written func(ids []string, entries map[string]json.RawMessage) pageCallbacks) bool {
+	for _, page := range pages.DirtyPages() {
+		if !b.tryReserve(1, p.maxValueBytes) {
 			return false
 		}
-		op, _, ids := pages.TakeWrite(page)
+		op, _, ids := pages.PrepareWrite(page)
 		entries, _ := op.Value.(map[string]json.RawMessage)
 		result := written(ids, entries)
 		b.add(PendingWrite{
-			Ops:          []records.Op{op},
-			OwnKey:       page.Key,
-			OwnRevision:  &page.Revision,
-			OnUnanswered: page.NoteUnanswered,
-			OnStored:     result.stored,
-			OnTooLarge:   func() { result.moved(pages.NoteTooLarge(page)) },
+			Ops:           []records.Op{op},
+			GuardKey:      page.Key,
+			GuardRevision: &page.Revision,
+			OnUnanswered:  page.MarkFirstWritePending,
+			OnStored:      result.onStored,
+			OnTooLarge:    func() { result.onMoved(pages.MarkTooLarge(page)) },
 		})
 	}
 	return true
 }
 
-// takeWatermarks stores the pages of watermarks that have changed. Watermarks are raised ahead of
+// appendWatermarkPages stores the pages of watermarks that have changed. Watermarks are raised ahead of
 // need, so they wait for each other, unless a task waits.
-func (p *Persistence) takeWatermarks(b *writeBatch, now time.Time) bool {
+func (p *Persistence) appendWatermarkPages(b *writeBatch, now time.Time) bool {
 	s := p.scheduler
-	if !p.watermarkNeeded && now.Sub(p.watermarksAt) < s.settings.HeartbeatInterval/4 {
+	if !p.watermarkNeeded && now.Sub(p.lastWatermarkUpdate) < s.settings.HeartbeatInterval/4 {
 		return true
 	}
-	p.watermarkNeeded, p.watermarksAt = false, now
+	p.watermarkNeeded, p.lastWatermarkUpdate = false, now
 	for j := range s.watermarks.raised {
 		delete(s.watermarks.raised, j)
 		if !j.closed {
@@ -382,20 +382,20 @@
 			p.watermarks.Put(j.ID, v, len(v))
 		}
 	}
-	return p.takePages(p.watermarks, b, func(ids []string, entries map[string]json.RawMessage) pageResult {
-		return pageResult{
-			stored: func(uint64) { p.watermarksStored(ids, entries) },
-			moved:  p.requestWatermarksAgain,
+	return p.appendPages(p.watermarks, b, func(ids []string, entries map[string]json.RawMessage) pageCallbacks {
+		return pageCallbacks{
+			onStored: func(uint64) { p.watermarksStored(ids, entries) },
+			onMoved:  p.requestWatermarksAgain,
 		}
 	})
 }
 
 func (p *Persistence) watermarksStored(ids []string, entries map[string]json.RawMessage) {
 	for _, id := range ids {
-		p.watermarks.DropReadOnly(id)
+		p.watermarks.RemoveReadOnlyCopies(id)
 		j := p.scheduler.jobs[id]
 		if n, err := records.ParseWatermark(entries[id]); err == nil && j != nil {
-			j.watermark.NoteStored(n)
+			j.watermark.RecordStored(n)
 		}
 	}
 }
@@ -421,7 +421,7 @@
 
 // HasUnstoredJobs reports whether a job is complete but not yet stored as done.
 func (s *Scheduler) HasUnstoredJobs() bool {
-	for j := range s.complete {
+	for j := range s.completeJobs {
 		if !j.closing {
 			return true
 		}
