--- a/internal/scheduler/persistence_test.go
+++ b/internal/scheduler/persistence_test.go
@@ -12,7 +12,7 @@
 	"drumpick/internal/watermark"
 )
 
-func recorded(term uint64, valueKB float64) (*Scheduler, *Persistence, time.Time) {
+func newTestPersistence(term uint64, valueKB float64) (*Scheduler, *Persistence, time.Time) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, CancelS: 30}
 	cfg.Deployment.State.ValueKB = valueKB
@@ -27,8 +27,8 @@
 // The limits fall while watermarks rise: a page of watermarks is refused as too large, and what is stored
 // in its place is what is requested by then. A watermark put back as it was would leave the tasks of
 // its job waiting for the one that was requested.
-func TestRefusedWatermarksAreStoredAsRequestedByThen(t *testing.T) {
-	c, r, now := recorded(1, 8)
+func TestRefusedWatermarkPagesAreStoredWithLatestRequests(t *testing.T) {
+	c, r, now := newTestPersistence(1, 8)
 	r.FinishLoading(false)
 	c.CheckReconciled(now)
 	const jobs = 200
@@ -91,10 +91,10 @@
 	for value, whole := range map[string]bool{
 		`{"j-1":"000004"}`: true, `{"j-1":"-2"}`: false, `{"j-1":7}`: false, `"torn`: false, `[]`: false,
 	} {
-		c, r, now := recorded(30, 8)
+		c, r, now := newTestPersistence(30, 8)
 		c.AddJob(records.Job{ID: "j-1", Team: "team", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 10, CPUs: 1}, 10, now, now)
 		c.LoadMachine("m-1", records.Machine{Addr: "m-1:1"}, now)
-		r.LoadWatermark(records.KeyValue{Key: records.PrefixWatermarks + "1-1", Value: json.RawMessage(value)})
+		r.LoadWatermarkPage(records.KeyValue{Key: records.PrefixWatermarks + "1-1", Value: json.RawMessage(value)})
 		r.FinishLoading(true)
 		if n := c.jobs["j-1"].countUncertain(); (n < 10) != whole {
 			t.Errorf("watermarks %s: %d tasks of 10 are uncertain, want fewer: %v", value, n, whole)
--- a/internal/scheduler/place_finder.go
+++ b/internal/scheduler/place_finder.go
@@ -12,19 +12,19 @@
 // placeFinder finds out where tasks could go, at one time. Jobs of the same placement class share the
 // answer that there is no room.
 type placeFinder struct {
-	scheduler *Scheduler
-	now       time.Time
-	noRoom    map[int]bool                // placement classes without room
-	permits   map[*Job]bool               // what allowedAnywhere returned, by job
-	barred    func(typ, zone string) bool // beside what is drained already; nil: nothing
-	isLeaving func(m *fleet.Machine) bool // machines that are to be drained as well; nil: none
+	scheduler    *Scheduler
+	now          time.Time
+	noRoom       map[int]bool                // placement classes without room
+	allowed      map[*Job]bool               // what allowedAnywhere returned, by job
+	excluded     func(typ, zone string) bool // beside what is drained already; nil: nothing
+	alsoDraining func(m *fleet.Machine) bool // machines that are to be drained as well; nil: none
 }
 
 // allowedAnywhere reports whether one more task of the job may run anywhere that is not drained: on a
 // machine that is there or one that could be rented. zones counts its other tasks by zone where these
 // decide about it; nil elsewhere.
 func (p *placeFinder) allowedAnywhere(j *Job, zones map[string]int) bool {
-	ok, known := p.permits[j]
+	ok, known := p.allowed[j]
 	if known && zones == nil {
 		return ok
 	}
@@ -32,19 +32,19 @@
 	c := p.scheduler
 	in := func(zone string) bool { return zones == nil || j.zoneAllowed(zone, zones) }
 	for _, m := range c.fleet.Sorted() {
-		if !m.Returning && !m.LeaseExpired && m.Cordon == nil && (p.isLeaving == nil || !p.isLeaving(m)) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Capacity.Fits(j.request) && in(m.Zone) {
+		if !m.Returning && !m.LeaseExpired && m.Cordon == nil && (p.alsoDraining == nil || !p.alsoDraining(m)) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Capacity.Fits(j.request) && in(m.Zone) {
 			ok = true
 			break
 		}
 	}
-	for name, t := range c.types {
+	for name, t := range c.machineTypes {
 		for _, z := range t.Zones {
 			spot := t.SpotPrice > 0 && j.permits(name, z, true)
-			ok = ok || in(z) && (spot || j.permits(name, z, false)) && c.capacity(name).Fits(j.request) && !c.barredByDrain(name, z) && (p.barred == nil || !p.barred(name, z))
+			ok = ok || in(z) && (spot || j.permits(name, z, false)) && c.capacity(name).Fits(j.request) && !c.scaleOutBlocked(name, z) && (p.excluded == nil || !p.excluded(name, z))
 		}
 	}
 	if zones == nil {
-		p.permits[j] = ok
+		p.allowed[j] = ok
 	}
 	return ok
 }
@@ -53,12 +53,12 @@
 // nil: there is none.
 func (p *placeFinder) findPlace(j *Job, zones map[string]int) (drain.Place, *fleet.Machine) {
 	if !p.allowedAnywhere(j, zones) {
-		return drain.Nowhere, nil
+		return drain.NotPermitted, nil
 	}
 	if m := p.findRoom(j, zones); m != nil {
-		return drain.Room, m
+		return drain.HasRoom, m
 	}
-	return drain.NotNow, nil
+	return drain.NoRoom, nil
 }
 
 // findRoom finds a machine with room for one more task of a job, nil if there is none.
@@ -66,13 +66,13 @@
 	if j.placementClass > 0 && p.noRoom[j.placementClass] {
 		return nil
 	}
-	it := &packing.Item{ID: j.ID, Request: j.request, PreferLabels: j.preferLabels}
+	it := &packing.Item{ID: j.ID, Request: j.request, PreferLabels: j.preferredLabels}
 	ok := func(b *packing.Bin) bool {
 		m := b.Owner.(*fleet.Machine)
-		return m.Cordon == nil && (p.isLeaving == nil || !p.isLeaving(m)) && j.permits(m.Type, m.Zone, m.Spot) &&
-			(zones == nil || j.zoneAllowed(m.Zone, zones)) && !isHeldForEarlier(m, j)
+		return m.Cordon == nil && (p.alsoDraining == nil || !p.alsoDraining(m)) && j.permits(m.Type, m.Zone, m.Spot) &&
+			(zones == nil || j.zoneAllowed(m.Zone, zones)) && !isHeldForEarlierJob(m, j)
 	}
-	for _, name := range p.scheduler.typeNames {
+	for _, name := range p.scheduler.typesByPrice {
 		if s := p.scheduler.spaces[name]; s != nil {
 			if b, moves, _ := s.Insert(it, ok); b != nil {
 				undoMoves(moves)
@@ -85,9 +85,9 @@
 	return nil
 }
 
-// findRoomForAll finds places for some tasks of a gang, whose other tasks stay where they are. Where it
+// findGangRoom finds places for some tasks of a gang, whose other tasks stay where they are. Where it
 // returns fewer, there is not room for all of them.
-func (p *placeFinder) findRoomForAll(j *Job, n int, staying map[string]int) []*fleet.Machine {
+func (p *placeFinder) findGangRoom(j *Job, n int, staying map[string]int) []*fleet.Machine {
 	zones := []string{""}
 	if j.OneZone && len(staying) == 0 {
 		zones = p.scheduler.settings.Zones
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -15,38 +15,38 @@
 // are served.
 func (s *Scheduler) placeWaiting(now time.Time) {
 	s.placementStale = false
-	s.refreshAccepting(now)
-	pass := &placement{
+	s.refreshOpenBins(now)
+	pass := &placementPass{
 		scheduler: s,
 		now:       now,
-		used:      map[string]quota.Amount{},
+		usedQuota: map[string]quota.Amount{},
 		noRoom:    make([]*Job, len(s.placementClasses)+1),
 	}
 	s.queue(now)
-	s.lastHolder = s.lastHoldingJob()
-	s.reviewClaims(now)
+	s.lastMachineHolder = s.lastHoldingJob()
+	s.expireClaims(now)
 	s.reserveRoom(now)
-	turns := s.order.begin(s.claimOwners)
+	turns := s.order.iterate(s.claimOwners)
 	s.currentTurns = turns
 	defer func() { s.currentTurns = nil }()
 	for turn, more := turns.next(); more; turn, more = turns.next() {
-		if turn.job.hasNoWaiting() {
+		if turn.job.hasNoQueuedTasks() {
 			turns.deactivate()
 			continue
 		}
 		noRoom := pass.cannotFit(turn)
 		if noRoom {
-			turns.skipAlike()
+			turns.skipEquivalent()
 		}
-		pass.placeJob(turn, noRoom)
+		pass.placeTurn(turn, noRoom)
 	}
 }
 
-// placement is one pass over all waiting tasks.
-type placement struct {
+// placementPass is one pass over all waiting tasks.
+type placementPass struct {
 	scheduler *Scheduler
 	now       time.Time
-	used      map[string]quota.Amount // by team with a limit, what this pass plans included
+	usedQuota map[string]quota.Amount // by team with a limit, what this pass plans included
 	noRoom    []*Job                  // by placement class, the first job that found no room
 }
 
@@ -54,47 +54,47 @@
 // found none. Without the comparison of the two, a job would count that comes first only as it has
 // less to fetch, and finds nothing but machines that are held for the job it is compared with: that
 // one may use them.
-func (p *placement) cannotFit(turn placingTurn) bool {
+func (p *placementPass) cannotFit(turn placementTurn) bool {
 	first := p.noRoom[turn.placementClass()]
 	return turn.placementClass() > 0 && first != nil && !servedBefore(turn.job, first)
 }
 
-// placeJob places the tasks of a job whose turn it is. With noRoom an equal job found no room, so only
+// placeTurn places the tasks of a job whose turn it is. With noRoom an equal job found no room, so only
 // the job's own claims can be of use.
-func (p *placement) placeJob(turn placingTurn, noRoom bool) {
+func (p *placementPass) placeTurn(turn placementTurn, noRoom bool) {
 	s, job := p.scheduler, turn.job
 	if noRoom && len(job.claims) == 0 || !s.startable(job, p.now) || job.nextTask() < 0 {
 		return
 	}
-	if _, known := p.used[job.Team]; !known && job.limited {
-		p.used[job.Team] = s.quotaUsage.Committed(job.Team)
+	if _, known := p.usedQuota[job.Team]; !known && job.teamLimited {
+		p.usedQuota[job.Team] = s.quotaUsage.Committed(job.Team)
 	}
-	if p.placeTasksOf(turn, noRoom) {
+	if p.placeGangOrTasks(turn, noRoom) {
 		return
 	}
 	if !turn.ready {
-		s.noteShortage(job, p.used[job.Team], p.now)
+		s.recordShortage(job, p.usedQuota[job.Team], p.now)
 	}
 	// Which on-demand machines are too few is noted by the first job that finds no room, so that has
 	// to be one whose team has a guarantee.
-	if job.Spot || !job.limited || fairshare.HasGuarantee(job.team) {
+	if job.Spot || !job.teamLimited || fairshare.HasGuarantee(job.team) {
 		p.noRoom[turn.placementClass()] = job
 	}
 }
 
-// placeTasksOf places the tasks of a turn's job, and reports whether all that may start found room.
-func (p *placement) placeTasksOf(turn placingTurn, noRoom bool) bool {
+// placeGangOrTasks places the tasks of a turn's job, and reports whether all that may start found room.
+func (p *placementPass) placeGangOrTasks(turn placementTurn, noRoom bool) bool {
 	s, job := p.scheduler, turn.job
 	if job.Shape == records.ShapeGang {
 		suspended := s.suspendClaims(job)
-		if s.placeGang(job, p.used, p.now) {
+		if s.placeGang(job, p.usedQuota, p.now) {
 			return true
 		}
 		s.restoreClaims(job, suspended)
 		return false
 	}
-	zones := s.zoneCounts(job)
-	s.useClaims(job, p.used, zones, p.now)
+	zones := s.constrainedZoneCounts(job)
+	s.placeInClaims(job, p.usedQuota, zones, p.now)
 	if noRoom {
 		return true
 	}
@@ -102,7 +102,7 @@
 	if turn.ready {
 		requiredLabel = job.imageReadyLabel
 	}
-	return s.placeTasks(job, requiredLabel, p.used, zones, p.now)
+	return s.placeTasks(job, requiredLabel, p.usedQuota, zones, p.now)
 }
 
 // placeTasks places as many tasks of a job as possible, only on machines with a label unless it is "".
@@ -113,7 +113,7 @@
 		if task < 0 {
 			return true
 		}
-		if job.limited && !s.withinLimit(job, used[job.Team]) {
+		if job.teamLimited && !s.withinLimit(job, used[job.Team]) {
 			return true
 		}
 		machine, moves := s.insertTask(insertion{job: job, task: task, requiredLabel: requiredLabel, zones: zones}, now)
@@ -121,8 +121,8 @@
 			return false
 		}
 		s.executeMoves(moves, now)
-		job.takeTask(task)
-		if job.limited {
+		job.dequeueTask(task)
+		if job.teamLimited {
 			used[job.Team] = used[job.Team].Add(job.taskQuota())
 		}
 		if zones != nil {
@@ -146,7 +146,7 @@
 	return i.job.permits(machine.Type, machine.Zone, machine.Spot) &&
 		(i.zones == nil || i.job.zoneAllowed(machine.Zone, i.zones)) &&
 		(i.zone == "" || machine.Zone == i.zone) &&
-		!isHeldForEarlier(machine, i.job)
+		!isHeldForEarlierJob(machine, i.job)
 }
 
 // insertTask finds a bin for one task by VISBP's insert, over the machine types that the job allows,
@@ -154,17 +154,17 @@
 // returns nil if there is no room.
 func (s *Scheduler) insertTask(in insertion, now time.Time) (*fleet.Machine, []packing.Move) {
 	job := in.job
-	item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferLabels, RequireLabel: in.requiredLabel}
-	if s.lastHolder != nil && servedBefore(s.lastHolder, job) {
+	item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferredLabels, RequireLabel: in.requiredLabel}
+	if s.lastMachineHolder != nil && servedBefore(s.lastMachineHolder, job) {
 		item.ExcludeLabel = heldLabel
 	}
 	allowed := func(b *packing.Bin) bool { return in.allows(b.Owner.(*fleet.Machine)) }
-	for _, machineType := range s.typeNames {
+	for _, machineType := range s.typesByPrice {
 		space := s.spaces[machineType]
 		if space == nil {
 			continue
 		}
-		bin, moves, rule := s.insertAmongType(space, machineType, job, item, allowed)
+		bin, moves, rule := s.insertIntoType(space, machineType, job, item, allowed)
 		if bin == nil {
 			continue
 		}
@@ -185,12 +185,12 @@
 	return nil, nil
 }
 
-// insertAmongType inserts among the machines of one type. Where on-demand machines were too few for
+// insertIntoType inserts among the machines of one type. Where on-demand machines were too few for
 // others lately, what may use spot machines goes there first. Without this, on-demand machines that
 // gangs wait for would be filled with tasks beside empty spot machines.
-func (s *Scheduler) insertAmongType(space *packing.Space, machineType string, job *Job, item *packing.Item,
+func (s *Scheduler) insertIntoType(space *packing.Space, machineType string, job *Job, item *packing.Item,
 	allowed func(*packing.Bin) bool) (*packing.Bin, []packing.Move, packing.Rule) {
-	if job.Spot && s.shortageLately(machineType, s.now) {
+	if job.Spot && s.recentShortage(machineType, s.passTime) {
 		onSpot := func(b *packing.Bin) bool { return b.Owner.(*fleet.Machine).Spot && allowed(b) }
 		if bin, moves, rule := space.Insert(item, onSpot); bin != nil {
 			return bin, moves, rule
@@ -210,7 +210,7 @@
 	return attempt
 }
 
-// useImage notes that a machine has a job's image, or fetches it.
-func (s *Scheduler) useImage(m *fleet.Machine, j *Job) {
-	m.UseImage(j.Image, j.ImageGB, s.types[m.Type].CacheGB)
+// recordImageUse notes that a machine has a job's image, or fetches it.
+func (s *Scheduler) recordImageUse(m *fleet.Machine, j *Job) {
+	m.UseImage(j.Image, j.ImageGB, s.machineTypes[m.Type].CacheGB)
 }
--- a/internal/scheduler/placement_class.go
+++ b/internal/scheduler/placement_class.go
@@ -14,8 +14,8 @@
 // no room, neither does the other.
 type placementClasses map[placementKey]int
 
-// number returns the number of a placement key.
-func (p placementClasses) number(key placementKey) int {
+// classOf returns the number of a placement key.
+func (p placementClasses) classOf(key placementKey) int {
 	if p[key] == 0 {
 		p[key] = len(p) + 1
 	}
@@ -31,9 +31,9 @@
 	if job.Job.Zone != nil {
 		key.zone = *job.Job.Zone
 	}
-	job.placementClass = p.number(key)
+	job.placementClass = p.classOf(key)
 	key.image = job.Image
-	job.imageClass = p.number(key)
+	job.imageClass = p.classOf(key)
 }
 
 // prune numbers the open jobs again once most numbers belong to closed ones.
--- a/internal/scheduler/placing_order_test.go
+++ b/internal/scheduler/placing_order_test.go
@@ -16,9 +16,9 @@
 		return &Job{Job: records.Job{ID: id, Tasks: 1}, placementClass: 1, imageClass: imageClass, turnAt: time.Unix(int64(id[0]), 0)}
 	}
 	a, b, c, d, e := job("a", 2), job("b", 2), job("c", 3), job("d", 2), job("e", 2)
-	order := newPlacingOrder([]*Job{a, b, c, d, e}, func(*Job) time.Duration { return 0 })
-	play := func(each []*Job, at func(turns *placingTurns, j *Job)) (seen []string) {
-		turns := order.begin(each)
+	order := newPlacementOrder([]*Job{a, b, c, d, e}, func(*Job) time.Duration { return 0 })
+	play := func(each []*Job, at func(turns *turnIterator, j *Job)) (seen []string) {
+		turns := order.iterate(each)
 		for turn, more := turns.next(); more; turn, more = turns.next() {
 			seen = append(seen, turn.job.ID)
 			at(turns, turn.job)
@@ -31,27 +31,27 @@
 			t.Errorf("%s: got the turns of %v, want %v", what, got, jobs)
 		}
 	}
-	nothing := func(*placingTurns, *Job) {}
+	nothing := func(*turnIterator, *Job) {}
 	want("all", play(nil, nothing), "a", "b", "c", "d", "e")
-	want("b finds no room", play(nil, func(turns *placingTurns, j *Job) {
+	want("b finds no room", play(nil, func(turns *turnIterator, j *Job) {
 		if j == b {
-			turns.skipAlike()
+			turns.skipEquivalent()
 		}
 	}), "a", "b", "c")
-	want("b finds no room, d has a claim", play([]*Job{d}, func(turns *placingTurns, j *Job) {
+	want("b finds no room, d has a claim", play([]*Job{d}, func(turns *turnIterator, j *Job) {
 		if j == b {
-			turns.skipAlike()
+			turns.skipEquivalent()
 		}
 	}), "a", "b", "c", "d")
-	want("e gets a claim after b found no room", play(nil, func(turns *placingTurns, j *Job) {
+	want("e gets a claim after b found no room", play(nil, func(turns *turnIterator, j *Job) {
 		switch j {
 		case b:
-			turns.skipAlike()
+			turns.skipEquivalent()
 		case c:
-			turns.keepSeparate(e)
+			turns.exemptFromSkipping(e)
 		}
 	}), "a", "b", "c", "e")
-	want("a is deactivated", play(nil, func(turns *placingTurns, j *Job) {
+	want("a is deactivated", play(nil, func(turns *turnIterator, j *Job) {
 		if j == a {
 			turns.deactivate()
 		}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -21,7 +21,7 @@
 	if !s.reconciled {
 		return
 	}
-	claimants, anyProtected := s.preemptionClaimants(now)
+	claimants, anyProtected := s.preemptors(now)
 	if len(claimants) == 0 {
 		return
 	}
@@ -29,7 +29,7 @@
 	if anyProtected {
 		search.loadExcess()
 	}
-	ending := s.freedRoom.previousSpan(now, s.settings.HeartbeatInterval)
+	ending := s.freedRoom.previousWindow(now, s.settings.HeartbeatInterval)
 	for _, job := range claimants {
 		missing := s.missingClaims(job, now)
 		if job.Shape == records.ShapeGang {
@@ -48,9 +48,9 @@
 	}
 }
 
-// preemptionClaimants returns the jobs that wait and may preempt, in the order in which they are
+// preemptors returns the jobs that wait and may preempt, in the order in which they are
 // served, and whether any of them is protected by a guarantee.
-func (s *Scheduler) preemptionClaimants(now time.Time) (claimants []*Job, anyProtected bool) {
+func (s *Scheduler) preemptors(now time.Time) (claimants []*Job, anyProtected bool) {
 	for _, job := range s.queue(now) {
 		if !s.startable(job, now) || job.nextTask() < 0 {
 			continue
--- a/internal/scheduler/preemption_search.go
+++ b/internal/scheduler/preemption_search.go
@@ -11,9 +11,9 @@
 	"drumpick/internal/records"
 )
 
-// machineOption is a machine as a job that looks for room sees it: what would be free there and whom
+// preemptionCandidate is a machine as a job that looks for room sees it: what would be free there and whom
 // that would cost, were all that was chosen so far carried out.
-type machineOption struct {
+type preemptionCandidate struct {
 	machine     *fleet.Machine
 	free        packing.Resources
 	victims     []*fleet.Attempt // to be stopped
@@ -30,8 +30,8 @@
 	tasks   int
 }
 
-// victimKey is what the choice of victims depends on, apart from whom a job has preempted before.
-type victimKey struct {
+// candidateKey is what the choice of victims depends on, apart from whom a job has preempted before.
+type candidateKey struct {
 	placementClass int
 	rank           int
 	team           string
@@ -40,20 +40,20 @@
 
 // preemptionSearch is one search for room for all jobs that may preempt.
 type preemptionSearch struct {
-	scheduler *Scheduler
-	now       time.Time
-	excess    map[string]quota.Amount // what teams run beyond their guarantees; loaded only where a protected job claims room
-	versions  map[*fleet.Machine]int  // how often this search changed a machine
-	options   map[victimKey][]*machineOption
+	scheduler  *Scheduler
+	now        time.Time
+	excess     map[string]quota.Amount // what teams run beyond their guarantees; loaded only where a protected job claims room
+	versions   map[*fleet.Machine]int  // how often this search changed a machine
+	candidates map[candidateKey][]*preemptionCandidate
 }
 
 func newPreemptionSearch(s *Scheduler, now time.Time) *preemptionSearch {
 	return &preemptionSearch{
-		scheduler: s,
-		now:       now,
-		excess:    map[string]quota.Amount{},
-		versions:  map[*fleet.Machine]int{},
-		options:   map[victimKey][]*machineOption{},
+		scheduler:  s,
+		now:        now,
+		excess:     map[string]quota.Amount{},
+		versions:   map[*fleet.Machine]int{},
+		candidates: map[candidateKey][]*preemptionCandidate{},
 	}
 }
 
@@ -67,41 +67,41 @@
 
 // makeRoomForTasks makes room for up to n tasks of a job that need not start together.
 func (s *preemptionSearch) makeRoomForTasks(job *Job, n int) {
-	k := victimKey{placementClass: job.placementClass, rank: job.precedence.Rank, guaranteed: job.protected}
+	k := candidateKey{placementClass: job.placementClass, rank: job.precedence.Rank, guaranteed: job.protected}
 	if job.protected {
 		k.team = job.Team
 	}
-	list, ok := s.options[k]
+	list, ok := s.candidates[k]
 	if job.placementClass == 0 || !ok {
-		list = s.listOptions(job, "")
-		s.options[k] = list
+		list = s.listCandidates(job, "")
+		s.candidates[k] = list
 	}
 	excess := maps.Clone(s.excess)
-	chosen, _ := s.choosePlaces(job, n, list, s.scheduler.zoneCounts(job), excess)
-	s.execute(job, chosen, excess)
+	chosen, _ := s.choosePlaces(job, n, list, s.scheduler.constrainedZoneCounts(job), excess)
+	s.apply(job, chosen, excess)
 }
 
 // makeRoomForGang makes room for all n tasks that a gang lacks, or for none.
 func (s *preemptionSearch) makeRoomForGang(job *Job, n int) {
-	zones := s.scheduler.zoneCounts(job)
-	for _, zone := range s.scheduler.zoneChoices(job, zones) {
+	zones := s.scheduler.constrainedZoneCounts(job)
+	for _, zone := range s.scheduler.zonesToTry(job, zones) {
 		excess := maps.Clone(s.excess)
-		chosen, left := s.choosePlaces(job, n, s.listOptions(job, zone), maps.Clone(zones), excess)
+		chosen, left := s.choosePlaces(job, n, s.listCandidates(job, zone), maps.Clone(zones), excess)
 		if left == 0 {
-			s.execute(job, chosen, excess)
+			s.apply(job, chosen, excess)
 			return
 		}
 	}
-	job.noClaimsBefore = s.now.Add(s.scheduler.settings.HeartbeatInterval) // every task was examined in vain
+	job.claimsNotBefore = s.now.Add(s.scheduler.settings.HeartbeatInterval) // every task was examined in vain
 }
 
-// listOptions lists the machines that a job may use, in a zone or, with "", in all.
-func (s *preemptionSearch) listOptions(job *Job, zone string) []*machineOption {
-	var list []*machineOption
+// listCandidates lists the machines that a job may use, in a zone or, with "", in all.
+func (s *preemptionSearch) listCandidates(job *Job, zone string) []*preemptionCandidate {
+	var list []*preemptionCandidate
 	for _, m := range s.scheduler.fleet.Sorted() {
 		if s.scheduler.couldHost(job, m, s.now) &&
-			(zone == "" || m.Zone == zone) && !isHeldForEarlier(m, job) {
-			option := &machineOption{machine: m}
+			(zone == "" || m.Zone == zone) && !isHeldForEarlierJob(m, job) {
+			option := &preemptionCandidate{machine: m}
 			s.evaluate(job, option)
 			list = append(list, option)
 		}
@@ -110,7 +110,7 @@
 }
 
 // evaluate evaluates a machine as it is now.
-func (s *preemptionSearch) evaluate(j *Job, option *machineOption) {
+func (s *preemptionSearch) evaluate(j *Job, option *preemptionCandidate) {
 	option.free, option.victims, option.version = expectedRoom(option.machine), nil, s.versions[option.machine]
 	s.chooseVictims(j, option, s.excess)
 	// Room that is free now and claimed by nobody is for placement; only a gang, whose places are not all
@@ -122,10 +122,10 @@
 
 // choosePlaces chooses places for up to n tasks where least work is lost, and returns how many tasks it
 // found none for.
-func (s *preemptionSearch) choosePlaces(job *Job, n int, list []*machineOption, zones map[string]int,
+func (s *preemptionSearch) choosePlaces(job *Job, n int, list []*preemptionCandidate, zones map[string]int,
 	excess map[string]quota.Amount) (chosen []preemptionChoice, missing int) {
 	for n > 0 {
-		best := s.cheapestOption(job, list, zones)
+		best := s.cheapestCandidate(job, list, zones)
 		if best == nil {
 			break
 		}
@@ -155,10 +155,10 @@
 	return chosen, n
 }
 
-// cheapestOption returns the feasible option with the least loss of work, nil if there is none. Options
+// cheapestCandidate returns the feasible option with the least loss of work, nil if there is none. Options
 // whose machine has changed are evaluated again.
-func (s *preemptionSearch) cheapestOption(job *Job, list []*machineOption, zones map[string]int) *machineOption {
-	var best *machineOption
+func (s *preemptionSearch) cheapestCandidate(job *Job, list []*preemptionCandidate, zones map[string]int) *preemptionCandidate {
+	var best *preemptionCandidate
 	for _, option := range list {
 		if option.version != s.versions[option.machine] {
 			s.evaluate(job, option)
@@ -173,8 +173,8 @@
 	return best
 }
 
-// execute stops the victims of what was chosen and claims their room for the job.
-func (s *preemptionSearch) execute(job *Job, chosen []preemptionChoice, excess map[string]quota.Amount) {
+// apply stops the victims of what was chosen and claims their room for the job.
+func (s *preemptionSearch) apply(job *Job, chosen []preemptionChoice, excess map[string]quota.Amount) {
 	for _, choice := range chosen {
 		for _, victim := range choice.victims {
 			s.preemptFor(job, victim)
@@ -198,12 +198,12 @@
 	if victimJob.precedence.Rank > job.precedence.Rank {
 		reason = stopPreempted
 	}
-	if job.preempted == nil {
-		job.preempted = map[fleet.TaskID]struct{}{}
+	if job.preemptedTasks == nil {
+		job.preemptedTasks = map[fleet.TaskID]struct{}{}
 	}
-	job.preempted[victim.Task] = struct{}{}
+	job.preemptedTasks[victim.Task] = struct{}{}
 	preemptedTotal.Inc()
 	slog.Debug("task preempted", "task", victim.Task.String(), "machine", victim.Machine.Name, "preemptor", job.ID,
 		"reason", reason, "term", s.scheduler.term)
-	s.scheduler.stop(victim, reason, graceS, s.now)
+	s.scheduler.requestStop(victim, reason, graceS, s.now)
 }
--- a/internal/scheduler/preemption_victims.go
+++ b/internal/scheduler/preemption_victims.go
@@ -12,7 +12,7 @@
 
 // chooseVictims finds which attempts must be stopped on a machine to make room for one more task of a
 // job with the least loss of work. No attempt is stopped twice for the same job.
-func (s *preemptionSearch) chooseVictims(job *Job, option *machineOption, excess map[string]quota.Amount) {
+func (s *preemptionSearch) chooseVictims(job *Job, option *preemptionCandidate, excess map[string]quota.Amount) {
 	option.nextVictims, option.loss, option.feasible = nil, 0, true
 	free, excessThen := option.free, excess
 	for !free.Fits(job.request) {
@@ -34,7 +34,7 @@
 
 // cheapestVictim returns the attempt on a machine whose stop throws least work away, nil if there is
 // none that may be stopped.
-func (s *preemptionSearch) cheapestVictim(job *Job, option *machineOption, excess map[string]quota.Amount) (*fleet.Attempt, float64) {
+func (s *preemptionSearch) cheapestVictim(job *Job, option *preemptionCandidate, excess map[string]quota.Amount) (*fleet.Attempt, float64) {
 	var cheapest *fleet.Attempt
 	least := 0.0
 	for _, attempt := range option.machine.Attempts() {
@@ -59,24 +59,24 @@
 	if victimJob == nil || victimJob.Shape != records.ShapeArray || victimJob.protected {
 		return false
 	}
-	if _, before := job.preempted[attempt.Task]; before {
+	if _, before := job.preemptedTasks[attempt.Task]; before {
 		return false
 	}
 	if victimJob.precedence.Rank > job.precedence.Rank {
 		return true
 	}
 	teamExcess := excess[victimJob.Team]
-	return job.protected && victimJob.Team != job.Team && (teamExcess.CPUs > quotaSlack || teamExcess.GPUs > quotaSlack)
+	return job.protected && victimJob.Team != job.Team && (teamExcess.CPUs > quotaEpsilon || teamExcess.GPUs > quotaEpsilon)
 }
 
 // lostWork is the machine time that stopping an attempt throws away, as a share of a machine. It
 // returns false for tasks that are about to finish, which are left alone.
 func (s *Scheduler) lostWork(job *Job, attempt *fleet.Attempt, now time.Time) (float64, bool) {
 	share := attempt.Machine.Bin.Capacity.Share(job.request)
-	if attempt.RunSince.IsZero() {
+	if attempt.RunningSince.IsZero() {
 		return share * 0.5, true
 	}
-	ran := now.Sub(attempt.RunSince).Seconds()
+	ran := now.Sub(attempt.RunningSince).Seconds()
 	if job.CheckpointS > 0 {
 		return share * job.SaveS, true
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -38,7 +38,7 @@
 		sort.SliceStable(s.sortedJobs, func(a, b int) bool {
 			return servedBefore(s.sortedJobs[a], s.sortedJobs[b])
 		})
-		s.order = newPlacingOrder(s.sortedJobs, s.fetchTime)
+		s.order = newPlacementOrder(s.sortedJobs, s.fetchTime)
 		s.listReservationCandidates()
 	}
 	return s.sortedJobs
@@ -46,26 +46,26 @@
 
 // servedBefore reports whether a job is served before another.
 func servedBefore(x, y *Job) bool {
-	if d := precedence(x, y); d != 0 {
+	if d := comparePrecedence(x, y); d != 0 {
 		return d < 0
 	}
 	return x.turnAt.Before(y.turnAt)
 }
 
-// precedence orders jobs by what counts before any turn: those within a guarantee, of these those that
+// comparePrecedence orders jobs by what counts before any turn: those within a guarantee, of these those that
 // can still begin in time, then rank.
-func precedence(x, y *Job) int {
+func comparePrecedence(x, y *Job) int {
 	switch {
 	case x.guaranteed != y.guaranteed:
-		return firstIf(x.guaranteed)
+		return trueFirst(x.guaranteed)
 	case x.canBeginInTime != y.canBeginInTime:
-		return firstIf(x.canBeginInTime)
+		return trueFirst(x.canBeginInTime)
 	}
 	return cmp.Compare(x.rank, y.rank)
 }
 
-// firstIf is the order of two jobs of which the first goes first if is holds.
-func firstIf(is bool) int {
+// trueFirst is the order of two jobs of which the first goes first if is holds.
+func trueFirst(is bool) int {
 	if is {
 		return -1
 	}
@@ -76,7 +76,7 @@
 // to fetch its image.
 func (s *Scheduler) fetchTime(job *Job) time.Duration {
 	rate := 0.0
-	for name, t := range s.types {
+	for name, t := range s.machineTypes {
 		if job.allowsType(name) && s.capacity(name).Fits(job.request) {
 			rate = max(rate, t.FetchGBps)
 		}
@@ -95,7 +95,7 @@
 func (s *Scheduler) assignTurns(now time.Time) {
 	machinesUp := 0
 	for _, machine := range s.fleet.Sorted() {
-		if machine.Up && !machine.LeaseExpired && !machine.Returning {
+		if machine.HasStatus && !machine.LeaseExpired && !machine.Returning {
 			machinesUp++
 		}
 	}
@@ -103,12 +103,12 @@
 		job.rank = 2 * min(job.precedence.Rank, priorityRank[records.PriorityStandard])
 		age := now.Sub(job.releasedAt).Seconds()
 		next, last := job.nextTarget(age)
-		isLate := age+job.EstimateS*surelyRuns > last
-		if isLate && age+job.blockedSeconds() < veryLate*(last+job.blockedSeconds()) {
+		isLate := age+job.EstimateS*minRunFactor > last
+		if isLate && age+job.blockedSeconds() < veryLateFactor*(last+job.blockedSeconds()) {
 			job.rank++
 		}
 		work := float64(job.Tasks-job.doneCount) * job.EstimateS * s.smallestShare(job)
-		delay := slackShare*max(next-job.EstimateS*likelyRuns, 0) + turnWeight*work/float64(max(machinesUp, 1))
+		delay := slackWeight*max(next-job.EstimateS*likelyRunFactor, 0) + workWeight*work/float64(max(machinesUp, 1))
 		job.turnAt = job.releasedAt.Add(time.Duration(delay * float64(time.Second)))
 	}
 }
@@ -118,7 +118,7 @@
 func (j *Job) nextTarget(age float64) (next, last float64) {
 	last = j.targets[len(j.targets)-1]
 	for _, target := range j.targets {
-		if age+j.EstimateS*surelyRuns <= target {
+		if age+j.EstimateS*minRunFactor <= target {
 			return target, last
 		}
 	}
@@ -145,34 +145,34 @@
 		targets = append(targets, *job.DeadlineS-job.blockedSeconds())
 	}
 	if due := job.precedence.Deadline; !due.IsZero() && (job.DeadlineS == nil || due.Before(job.deadlineAt(*job.DeadlineS))) {
-		targets = append(targets, job.secondsUntil(due), job.secondsUntil(job.precedence.LatestEnd))
+		targets = append(targets, job.secondsFromRelease(due), job.secondsFromRelease(job.precedence.LatestEnd))
 	}
 	if len(targets) == 0 {
-		targets = append(targets, noTarget*s.settings.HeartbeatInterval.Seconds())
+		targets = append(targets, defaultTargetIntervals*s.settings.HeartbeatInterval.Seconds())
 	}
 	slices.Sort(targets)
 	return targets
 }
 
 const (
-	// turnWeight is how many times the time for its own work puts a job's turn off.
-	turnWeight = 3
-	// slackShare is the share of the time left by the next objective that does.
-	slackShare = 0.5
-	// likelyRuns is how many times the estimate the slowest task of a job may run.
-	likelyRuns = 1.5
-	// surelyRuns is the share of the owner's estimate that a task surely runs.
-	surelyRuns = 0.5
-	// veryLate is after how many times its last target a late job no longer lets others pass.
-	veryLate = 3
-	// noTarget is the target, in heartbeat intervals, for classes without an objective.
-	noTarget = 100
+	// workWeight is how many times the time for its own work puts a job's turn off.
+	workWeight = 3
+	// slackWeight is the share of the time left by the next objective that does.
+	slackWeight = 0.5
+	// likelyRunFactor is how many times the estimate the slowest task of a job may run.
+	likelyRunFactor = 1.5
+	// minRunFactor is the share of the owner's estimate that a task surely runs.
+	minRunFactor = 0.5
+	// veryLateFactor is after how many times its last target a late job no longer lets others pass.
+	veryLateFactor = 3
+	// defaultTargetIntervals is the target, in heartbeat intervals, for classes without an objective.
+	defaultTargetIntervals = 100
 )
 
 // smallestShare is the share that a task takes of the machine type that suits it best.
 func (s *Scheduler) smallestShare(j *Job) float64 {
 	share := 1.0
-	for name, t := range s.types {
+	for name, t := range s.machineTypes {
 		if j.allowsType(name) {
 			share = min(share, packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB}.Share(j.request))
 		}
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -6,12 +6,12 @@
 	"drumpick/internal/quota"
 )
 
-// quotaSlack tolerates the rounding of decimal amounts where a quota is compared.
-const quotaSlack = 1e-9
+// quotaEpsilon tolerates the rounding of decimal amounts where a quota is compared.
+const quotaEpsilon = 1e-9
 
 // setTeam sets what the settings say of the job's team.
 func (j *Job) setTeam(t config.Team) {
-	j.team, j.limited = t, t.LimitCPUs > 0 || t.LimitGPUs > 0
+	j.team, j.teamLimited = t, t.LimitCPUs > 0 || t.LimitGPUs > 0
 }
 
 // taskQuota is what one task of the job counts for.
@@ -55,22 +55,22 @@
 func (s *Scheduler) withinLimit(job *Job, used quota.Amount) bool {
 	team := job.team
 	sum := used.Add(job.taskQuota())
-	return (team.LimitCPUs == 0 || sum.CPUs <= team.LimitCPUs+quotaSlack) &&
-		(team.LimitGPUs == 0 || sum.GPUs <= team.LimitGPUs+quotaSlack)
+	return (team.LimitCPUs == 0 || sum.CPUs <= team.LimitCPUs+quotaEpsilon) &&
+		(team.LimitGPUs == 0 || sum.GPUs <= team.LimitGPUs+quotaEpsilon)
 }
 
 // waitingWithinLimit is how many of a job's waiting tasks are within its team's limit.
 func (s *Scheduler) waitingWithinLimit(job *Job) int {
-	n := job.pending() + job.relocating
-	if !job.limited {
+	n := job.pending() + job.relocatingTasks
+	if !job.teamLimited {
 		return n
 	}
 	t, used := job.team, s.quotaUsage.Committed(job.Team)
 	if t.LimitCPUs > 0 && job.CPUs > 0 {
-		n = min(n, int((t.LimitCPUs-used.CPUs)/job.CPUs+quotaSlack))
+		n = min(n, int((t.LimitCPUs-used.CPUs)/job.CPUs+quotaEpsilon))
 	}
 	if t.LimitGPUs > 0 && job.GPUs > 0 {
-		n = min(n, int((t.LimitGPUs-used.GPUs)/job.GPUs+quotaSlack))
+		n = min(n, int((t.LimitGPUs-used.GPUs)/job.GPUs+quotaEpsilon))
 	}
 	return n
 }
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -16,8 +16,8 @@
 	"pgregory.net/rapid"
 )
 
-// usageByScan is the oracle of the account: it examines every attempt on every machine.
-func usageByScan(s *Scheduler, team string) (inUse, committed, notStopping quota.Amount) {
+// scanUsage is the oracle of the account: it examines every attempt on every machine.
+func scanUsage(s *Scheduler, team string) (inUse, committed, notStopping quota.Amount) {
 	for _, m := range s.fleet.Sorted() {
 		for _, a := range m.Attempts() {
 			if a.State() == fleet.Ended {
@@ -47,10 +47,10 @@
 // checkUsage compares the account with the scan, for every team.
 func checkUsage(t *rapid.T, s *Scheduler, after string) {
 	same := func(a, b quota.Amount) bool {
-		return math.Abs(a.CPUs-b.CPUs) < quotaSlack && math.Abs(a.GPUs-b.GPUs) < quotaSlack
+		return math.Abs(a.CPUs-b.CPUs) < quotaEpsilon && math.Abs(a.GPUs-b.GPUs) < quotaEpsilon
 	}
 	for team := range s.settings.Teams {
-		inUse, committed, notStopping := usageByScan(s, team)
+		inUse, committed, notStopping := scanUsage(s, team)
 		if got := s.quotaUsage.InUse(team); !same(got, inUse) {
 			t.Fatalf("after %s: %s uses %+v by the account, %+v by the scan", after, team, got, inUse)
 		}
@@ -67,12 +67,12 @@
 // tasks to start, and which are complete.
 func checkDerivedState(t *rapid.T, s *Scheduler, after string) {
 	for i, turn := range s.order.turns {
-		if !turn.job.closed && !turn.job.hasNoWaiting() && s.order.active.next(i) != i {
+		if !turn.job.closed && !turn.job.hasNoQueuedTasks() && s.order.active.next(i) != i {
 			t.Fatalf("after %s: %s has tasks to start, and its turn is not active", after, turn.job.ID)
 		}
 	}
 	for _, j := range s.jobs {
-		if _, complete := s.complete[j]; complete != (j.doneCount == j.Tasks) {
+		if _, complete := s.completeJobs[j]; complete != (j.doneCount == j.Tasks) {
 			t.Fatalf("after %s: %s has %d of %d tasks done, and counts as complete: %v", after, j.ID, j.doneCount, j.Tasks, complete)
 		}
 	}
@@ -129,7 +129,7 @@
 // sendHeartbeat has a machine send a heartbeat, and obey the answer unless that is lost.
 func (e *randomEvents) sendHeartbeat() {
 	machine := e.pickMachine()
-	e.advance(machine)
+	e.advanceAttempts(machine)
 	machine.heartbeat.Sequence++
 	machine.heartbeat.Tasks = nil
 	for _, attempt := range machine.attempts {
@@ -146,20 +146,20 @@
 	e.scheduler.PlanMachine(known, e.now)
 	response := e.scheduler.Respond(known, true, e.now)
 	if rapid.IntRange(0, 4).Draw(e.t, "lost answer") > 0 {
-		e.scheduler.NoteAnswered(known, "", e.now)
+		e.scheduler.RecordAnswer(known, "", e.now)
 		machine.heartbeat.FencingToken = e.scheduler.term
-		e.obey(machine, response.Commands)
+		e.applyCommands(machine, response.Commands)
 	}
 }
 
-// holdUnknown has a machine hold an attempt that this term did not start: of a job that is known or not, or
+// addUnknownAttempt has a machine hold an attempt that this term did not start: of a job that is known or not, or
 // of a task that its job does not have.
-func (e *randomEvents) holdUnknown() {
+func (e *randomEvents) addUnknownAttempt() {
 	id := fleet.TaskID{Job: fmt.Sprint("j-", rapid.IntRange(0, 12).Draw(e.t, "job")), N: rapid.IntRange(0, 8).Draw(e.t, "task")}
 	machine := e.pickMachine()
 	machine.attempts = append(machine.attempts, &fakeAttempt{
 		TaskStatus: fleet.TaskStatus{Task: id.String(), Attempt: 3<<24 + uint64(rapid.IntRange(1, 9).Draw(e.t, "attempt")), Status: "running"},
-		job:        id.Job, ends: e.now.Add(20 * time.Second),
+		job:        id.Job, endsAt: e.now.Add(20 * time.Second),
 	})
 }
 
@@ -167,7 +167,7 @@
 func (e *randomEvents) failover() {
 	before := e.scheduler
 	e.scheduler = New(before.settings, before.term+1, e.now)
-	e.scheduler.SetTypes([]records.MachineType{before.types["c4"]})
+	e.scheduler.SetMachineTypes([]records.MachineType{before.machineTypes["c4"]})
 	for _, m := range before.fleet.Sorted() {
 		if m.Recorded {
 			e.scheduler.LoadMachine(m.Name, records.Machine{Addr: m.Addr, Type: m.Type, Zone: m.Zone}, e.now)
@@ -180,7 +180,7 @@
 	}
 }
 
-func (e *randomEvents) anyJob() string {
+func (e *randomEvents) pickJob() string {
 	for _, j := range e.submitted {
 		if e.scheduler.jobs[j.ID] != nil && rapid.Bool().Draw(e.t, "this job") {
 			return j.ID
@@ -189,8 +189,8 @@
 	return ""
 }
 
-// event plays one random event and returns its name.
-func (e *randomEvents) event() string {
+// playEvent plays one random event and returns its name.
+func (e *randomEvents) playEvent() string {
 	e.now = e.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(e.t, "ms")) * time.Millisecond)
 	name := rapid.SampledFrom([]string{
 		"heartbeat", "heartbeat", "heartbeat", "heartbeat", "heartbeat", "submission", "submission", "tick", "tick", "late copy",
@@ -210,16 +210,16 @@
 			e.scheduler.Reconcile(&r, true, e.now)
 		}
 	case "unknown attempt":
-		e.holdUnknown()
+		e.addUnknownAttempt()
 	case "restart":
 		machine := e.pickMachine()
 		machine.heartbeat.Incarnation, machine.attempts = machine.heartbeat.Incarnation+1, nil
 	case "cancellation":
-		if id := e.anyJob(); id != "" {
-			e.scheduler.NoteClosed(id, records.ClosedJob{Status: records.StatusCancelled}, 20)
+		if id := e.pickJob(); id != "" {
+			e.scheduler.ApplyClosedRecord(id, records.ClosedJob{Status: records.StatusCancelled}, 20)
 		}
 	case "close":
-		if id := e.anyJob(); id != "" {
+		if id := e.pickJob(); id != "" {
 			e.scheduler.CloseJob(id)
 		}
 	case "long silence":
@@ -240,7 +240,7 @@
 	case "drain":
 		e.drains++
 		name := e.pickMachine().heartbeat.Machine
-		spec := drain.Spec{ID: fmt.Sprint("d-", e.drains), Kind: drain.Empty, Machines: []string{name}, BeganMS: e.now.UnixMilli()}
+		spec := drain.Spec{ID: fmt.Sprint("d-", e.drains), Kind: drain.KindDrain, Machines: []string{name}, RequestedMS: e.now.UnixMilli()}
 		e.scheduler.SetDrain(spec, nil, 0)
 	case "reconciliation":
 		e.scheduler.CheckReconciled(e.now)
@@ -260,7 +260,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		events := newRandomEvents(t)
 		for range rapid.IntRange(20, 200).Draw(t, "events") {
-			event := events.event()
+			event := events.playEvent()
 			checkUsage(t, events.scheduler, event)
 			checkDerivedState(t, events.scheduler, event)
 		}
--- a/internal/scheduler/rebalance.go
+++ b/internal/scheduler/rebalance.go
@@ -13,41 +13,41 @@
 func (s *Scheduler) rebalance(now time.Time) {
 	s.lastRebalance = now
 	s.queueStale = true
-	s.refreshAccepting(now)
+	s.refreshOpenBins(now)
 	for _, machine := range s.fleet.Sorted() {
 		reserved := machine.Bin.Capacity.Share(machine.Bin.Used())
-		machine.Bin.Load = machine.Forecast.Predicted(reserved)
+		machine.Bin.PredictedLoad = machine.Forecast.Predicted(reserved)
 	}
 	for _, machine := range s.fleet.Sorted() {
 		space := s.spaces[machine.Type]
 		if space == nil || !s.reconciled {
 			continue
 		}
-		if machine.Bin.Hot() {
-			slog.Info("machine hot", "machine", machine.Name, "predicted", machine.Bin.Load,
+		if machine.Bin.Overloaded() {
+			slog.Info("machine hot", "machine", machine.Name, "predicted", machine.Bin.PredictedLoad,
 				"reserved", machine.Bin.Capacity.Share(machine.Bin.Used()), "term", s.term)
 		}
-		gapes := len(machine.Changed) > 0 && machine.Bin.Gap() >= packing.Third-1e-9 && !machine.Empty() &&
+		gapes := len(machine.ReleasedKinds) > 0 && machine.Bin.Gap() >= packing.Third-1e-9 && !machine.Empty() &&
 			machine.Bin.Reserved() == (packing.Resources{})
-		if machine.Bin.Hot() || gapes {
+		if machine.Bin.Overloaded() || gapes {
 			lowest := packing.Tiny
-			for _, k := range machine.Changed {
+			for _, k := range machine.ReleasedKinds {
 				lowest = max(lowest, k)
 			}
 			moves := space.Change(machine.Bin, lowest, packing.Tiny, nil)
 			undoMoves(moves)
 			s.executeMoves(moves, now)
 		}
-		machine.Changed = machine.Changed[:0]
+		machine.ReleasedKinds = machine.ReleasedKinds[:0]
 	}
 	s.moveReplicas(now)
 }
 
-// ObserveUse feeds a machine's use at a heartbeat into its forecast.
-func (s *Scheduler) ObserveUse(m *fleet.Machine) {
+// ObserveUsage feeds a machine's use at a heartbeat into its forecast.
+func (s *Scheduler) ObserveUsage(m *fleet.Machine) {
 	var sum packing.Resources
 	for _, a := range m.Attempts() {
-		if a.Item != nil && (a.State() == fleet.Running || a.State() == fleet.Flushing || a.State() == fleet.Waiting) {
+		if a.Item != nil && (a.State() == fleet.Running || a.State() == fleet.Checkpointing || a.State() == fleet.Waiting) {
 			sum = sum.Add(a.Item.Request)
 		}
 	}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -23,19 +23,19 @@
 
 // applyOutcome draws the conclusions from what a status changed: about the machine, about its
 // attempts, and about the term as a whole.
-func (s *Scheduler) applyOutcome(outcome fleet.Outcome, wasUnreachable bool, now time.Time) (*fleet.Machine, bool) {
+func (s *Scheduler) applyOutcome(outcome fleet.ApplyResult, wasUnreachable bool, now time.Time) (*fleet.Machine, bool) {
 	machine := outcome.Machine
 	if outcome.Stale {
 		return machine, true
 	}
 	if unreachable := machine.Unreachable(); unreachable != wasUnreachable {
-		s.noteReachability(machine, unreachable)
+		s.recordReachability(machine, unreachable)
 	}
 	if outcome.FirstStatus {
-		s.machineUp(machine, now)
+		s.addToService(machine, now)
 	}
-	s.accountAttempts(outcome, now)
-	s.noteReconciled(outcome, now)
+	s.applyAttemptChanges(outcome, now)
+	s.updateReconciliation(outcome, now)
 	if !machine.PreemptionAt.IsZero() {
 		s.handlePreemptionNotice(machine, now)
 	}
@@ -50,8 +50,8 @@
 	return machine, false
 }
 
-// noteReachability notes that a machine can or cannot be reached any more by what is sent to it.
-func (s *Scheduler) noteReachability(machine *fleet.Machine, unreachable bool) {
+// recordReachability notes that a machine can or cannot be reached any more by what is sent to it.
+func (s *Scheduler) recordReachability(machine *fleet.Machine, unreachable bool) {
 	s.placementStale = true
 	message := "machine reachable"
 	if unreachable {
@@ -60,47 +60,47 @@
 	slog.Info(message, "machine", machine.Name, "zone", machine.Zone, "term", s.term)
 }
 
-// machineUp takes a machine into service that sent its first status.
-func (s *Scheduler) machineUp(machine *fleet.Machine, now time.Time) {
+// addToService takes a machine into service that sent its first status.
+func (s *Scheduler) addToService(machine *fleet.Machine, now time.Time) {
 	s.assignBin(machine)
 	machine.EmptySince = now
 	s.placementStale = true
 	slog.Info("machine up", "machine", machine.Name, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot, "term", s.term)
 }
 
-// accountAttempts accounts for the attempts that a status showed new, running, ended or gone.
-func (s *Scheduler) accountAttempts(outcome fleet.Outcome, now time.Time) {
+// applyAttemptChanges accounts for the attempts that a status showed new, running, ended or gone.
+func (s *Scheduler) applyAttemptChanges(outcome fleet.ApplyResult, now time.Time) {
 	machine := outcome.Machine
-	for _, attempt := range outcome.Gone {
-		s.attemptLost(attempt, now)
+	for _, attempt := range outcome.Lost {
+		s.handleLostAttempt(attempt, now)
 	}
-	for _, attempt := range outcome.New {
-		s.adopt(machine, attempt)
+	for _, attempt := range outcome.Discovered {
+		s.adoptAttempt(machine, attempt)
 		if attempt.State() == fleet.Ended {
-			s.attemptEnded(attempt, now)
+			s.handleEndedAttempt(attempt, now)
 		}
 	}
 	for _, attempt := range outcome.Running {
 		if job := s.jobOf(attempt); job != nil {
-			s.useImage(machine, job)
+			s.recordImageUse(machine, job)
 			machine.Bin.SetLabel(job.imageReadyLabel, true)
-			s.noteRunning(job, attempt, now)
+			s.recordRunning(job, attempt, now)
 		}
 	}
 	for _, attempt := range outcome.Ended {
-		s.attemptEnded(attempt, now)
+		s.handleEndedAttempt(attempt, now)
 	}
 }
 
-// noteReconciled notes how far a machine that sent a status is reconciled with this term, and whether
+// updateReconciliation notes how far a machine that sent a status is reconciled with this term, and whether
 // all machines are.
-func (s *Scheduler) noteReconciled(outcome fleet.Outcome, now time.Time) {
+func (s *Scheduler) updateReconciliation(outcome fleet.ApplyResult, now time.Time) {
 	machine := outcome.Machine
 	if outcome.Reconciled {
 		s.placementStale = true
 	}
 	if machine.Reconciled && !s.reconciled {
-		s.clearUncertainOn(machine)
+		s.clearUncertainSeenOn(machine)
 	}
 	if outcome.Upgraded {
 		slog.Info("worker version changed", "machine", machine.Name, "version", machine.Version, "term", s.term)
@@ -114,7 +114,7 @@
 // CheckReconciled notes when every machine that an earlier term may have used has been heard, or is
 // gone.
 func (s *Scheduler) CheckReconciled(now time.Time) {
-	if s.fleet.Unreconciled() {
+	if s.fleet.HasUnreconciled() {
 		return
 	}
 	s.reconciled, s.placementStale = true, true
@@ -134,19 +134,19 @@
 		return false
 	}
 	for _, attempt := range j.attempts {
-		if attempt.State() == fleet.Running || attempt.State() == fleet.Flushing {
+		if attempt.State() == fleet.Running || attempt.State() == fleet.Checkpointing {
 			return true
 		}
 	}
 	return false
 }
 
-// adopt accounts for an attempt that a worker holds and this term did not start.
-func (s *Scheduler) adopt(machine *fleet.Machine, attempt *fleet.Attempt) {
+// adoptAttempt accounts for an attempt that a worker holds and this term did not start.
+func (s *Scheduler) adoptAttempt(machine *fleet.Machine, attempt *fleet.Attempt) {
 	job, task := s.jobs[attempt.Task.Job], attempt.Task.N
 	attempt.Duplicate = true
 	if job == nil || task >= job.Tasks {
-		s.adoptUnknown(machine, attempt)
+		s.adoptUnknownAttempt(machine, attempt)
 		return
 	}
 	if attempt.State() == fleet.Ended {
@@ -154,15 +154,15 @@
 	}
 	if attempt.Item == nil {
 		machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Request: job.request})
-		s.useImage(machine, job)
+		s.recordImageUse(machine, job)
 	}
 	// A machine that nobody knew of and that has tasks is a late copy from one that was returned, or
 	// was never recorded as it should have been: its tasks count, and are stopped.
-	becomesHeld := !machine.Unverified && job.attempts[task] == nil && !has(job.done, task) &&
+	becomesHeld := !machine.Unverified && job.attempts[task] == nil && !hasBit(job.done, task) &&
 		(job.Shape != records.ShapeGang || job.gangAttempt == 0 || job.gangAttempt == attempt.Number)
 	if becomesHeld && !s.startedThisTerm(attempt) {
 		attempt.Duplicate = false
-		job.attempts[task], job.adoptedUntried = attempt, true
+		job.attempts[task], job.untriedHaveAttempts = attempt, true
 		if job.Shape == records.ShapeGang {
 			job.gangAttempt = attempt.Number
 		}
@@ -170,23 +170,23 @@
 	}
 	// A second attempt of the same task is stopped, and counts until it is gone.
 	job.duplicates[task]++
-	s.stop(attempt, stopDuplicate, 0, time.Time{})
+	s.requestStop(attempt, stopDuplicate, 0, time.Time{})
 }
 
-// adoptUnknown accounts for an attempt of a job that is not open, or of a task that its job lacks.
-func (s *Scheduler) adoptUnknown(machine *fleet.Machine, attempt *fleet.Attempt) {
+// adoptUnknownAttempt accounts for an attempt of a job that is not open, or of a task that its job lacks.
+func (s *Scheduler) adoptUnknownAttempt(machine *fleet.Machine, attempt *fleet.Attempt) {
 	if attempt.State() == fleet.Ended {
-		attempt.Reap = true
+		attempt.MayReap = true
 		return
 	}
 	// Its size is unknown: it counts as the whole machine until it is gone.
 	machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Request: machine.Bin.Capacity})
-	s.stop(attempt, stopJobClosed, 0, time.Time{})
+	s.requestStop(attempt, stopJobClosed, 0, time.Time{})
 }
 
 // Probes lists the machines that are to be asked for their status.
 func (s *Scheduler) Probes(now time.Time) []fleet.Probe {
-	return s.fleet.Probes(s.settings.HeartbeatInterval, now)
+	return s.fleet.DueProbes(s.settings.HeartbeatInterval, now)
 }
 
 // ApplyProbe applies the status that a machine answered a probe with.
@@ -195,7 +195,7 @@
 	outcome, restarted := s.fleet.ApplyProbe(probe, heartbeat, now)
 	if restarted {
 		slog.Info("machine restarted", "machine", probe.Machine, "incarnation", heartbeat.Incarnation, "sequence", heartbeat.Sequence,
-			"gone", len(outcome.Gone), "term", s.term)
+			"gone", len(outcome.Lost), "term", s.term)
 	}
 	s.applyOutcome(outcome, wasUnreachable, now)
 }
@@ -204,7 +204,7 @@
 func (s *Scheduler) ExpireLeases(now time.Time) {
 	for _, a := range s.fleet.ExpireLeases(now) {
 		a.Machine.Bin.SetOpen(false)
-		s.attemptLost(a, now)
+		s.handleLostAttempt(a, now)
 		s.placementStale = true
 	}
 }
@@ -214,7 +214,7 @@
 func (s *Scheduler) ExpireEarlierLeases(now time.Time) int {
 	n, gone := s.fleet.ExpireEarlierLeases()
 	for _, attempt := range gone {
-		s.attemptLost(attempt, now)
+		s.handleLostAttempt(attempt, now)
 	}
 	s.placementStale = true
 	if !s.reconciled {
@@ -229,7 +229,7 @@
 		s.spaces[machine.Type].Remove(machine.Bin)
 	}
 	for _, attempt := range s.fleet.Remove(host) {
-		s.attemptLost(attempt, now)
+		s.handleLostAttempt(attempt, now)
 	}
 	s.placementStale = true
 	s.removedMachines = append(s.removedMachines, host)
--- a/internal/scheduler/replicas.go
+++ b/internal/scheduler/replicas.go
@@ -14,7 +14,7 @@
 		if job.Shape != records.ShapeService {
 			continue
 		}
-		job.relocating = 0
+		job.relocatingTasks = 0
 		leaving := s.replicaToMove(job)
 		if leaving == nil {
 			continue
@@ -23,9 +23,9 @@
 		// machine could have gone on with it.
 		if to := s.roomForReplica(job, leaving, now); to != nil {
 			s.addClaim(job, to, now)
-			s.stop(leaving, stopMoved, job.SaveS, now)
+			s.requestStop(leaving, stopMoved, job.SaveS, now)
 		} else {
-			job.relocating = 1
+			job.relocatingTasks = 1
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	var best *fleet.Machine
 	for _, machine := range s.fleet.Sorted() {
 		suits := s.acceptsTasks(machine, now) && job.permits(machine.Type, machine.Zone, machine.Spot) &&
-			machine.Bin.Fits(job.request) && job.zoneAllowed(machine.Zone, zones) && !isHeldForEarlier(machine, job)
+			machine.Bin.Fits(job.request) && job.zoneAllowed(machine.Zone, zones) && !isHeldForEarlierJob(machine, job)
 		if suits && (best == nil || zones[machine.Zone] < zones[best.Zone]) {
 			best = machine
 		}
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -23,14 +23,14 @@
 	committed := map[string]int{} // places that earlier reservations still lack, by zone
 	for _, job := range s.dueReservations(now) {
 		if job.Shape != records.ShapeGang {
-			s.reserveOnePlace(job, now)
+			s.reserveArrayPlace(job, now)
 			continue
 		}
 		if job.reservedZone == "" && !s.beginReservation(job, committed, now) {
 			continue
 		}
 		zone := job.reservedZone
-		committed[zone] += s.reservePlaces(job, committed[zone] > 0, now)
+		committed[zone] += s.reserveGangPlaces(job, committed[zone] > 0, now)
 	}
 }
 
@@ -39,7 +39,7 @@
 func (s *Scheduler) dueReservations(now time.Time) []*Job {
 	var due []*Job
 	for _, job := range s.reservationCandidates {
-		if s.needsReservation(job, now) {
+		if s.updateReservationNeed(job, now) {
 			due = append(due, job)
 		}
 	}
@@ -49,7 +49,7 @@
 	}
 	slices.SortStableFunc(due, func(a, b *Job) int {
 		if missed(a) != missed(b) {
-			return firstIf(!missed(a))
+			return trueFirst(!missed(a))
 		}
 		return a.waitStart().Compare(b.waitStart())
 	})
@@ -59,11 +59,11 @@
 // beginReservation chooses the zone of a gang's reservation once that is due, and reports whether it
 // has one.
 func (s *Scheduler) beginReservation(job *Job, committed map[string]int, now time.Time) bool {
-	if now.Before(job.reserveNotBefore) {
+	if now.Before(job.reservationCheckAt) {
 		return false
 	}
 	// Examining every task is expensive, so it is not repeated at once.
-	job.reserveNotBefore = now.Add(s.settings.HeartbeatInterval / 4)
+	job.reservationCheckAt = now.Add(s.settings.HeartbeatInterval / 4)
 	waited := now.Sub(job.waitStart())
 	zone, seconds := s.chooseReservationZone(job, committed, now)
 	if zone == "" || !reservation.Due(waited, time.Duration(seconds*float64(time.Second)), s.settings.ReservationBound) {
@@ -96,9 +96,9 @@
 	return j.releasedAt
 }
 
-// needsReservation reports whether room is to be reserved for a job by now: for a gang all its places,
+// updateReservationNeed reports whether room is to be reserved for a job by now: for a gang all its places,
 // for an array the first.
-func (s *Scheduler) needsReservation(job *Job, now time.Time) bool {
+func (s *Scheduler) updateReservationNeed(job *Job, now time.Time) bool {
 	if s.reservationDue(job, now) {
 		return true
 	}
@@ -141,13 +141,13 @@
 	return reservation.ChooseZone(zones, job.pending())
 }
 
-// reservePlaces claims places in the chosen zone, as many as the job has tasks: what is free, and for
+// reserveGangPlaces claims places in the chosen zone, as many as the job has tasks: what is free, and for
 // the rest, once it is urgent and no reservation is ahead of this one, what becomes free soonest. It
 // returns how many are not free yet. A machine that has begun to empty goes on, unless another place
 // is free first: without this, machines of which small tasks always take the part that is free would
 // never be free as a whole.
-func (s *Scheduler) reservePlaces(job *Job, ahead bool, now time.Time) (lacking int) {
-	places := s.placesInZone(job, now)
+func (s *Scheduler) reserveGangPlaces(job *Job, ahead bool, now time.Time) (lacking int) {
+	places := s.releaseAndListPlaces(job, now)
 	n := job.pending()
 	if len(places) < n || n == 0 {
 		// Without this, a gang would wait for a zone whose machines are gone.
@@ -168,9 +168,9 @@
 	return lacking
 }
 
-// placesInZone gives up a job's claims and lists the places in the zone of its reservation, the soonest
+// releaseAndListPlaces gives up a job's claims and lists the places in the zone of its reservation, the soonest
 // first.
-func (s *Scheduler) placesInZone(job *Job, now time.Time) []machineWait {
+func (s *Scheduler) releaseAndListPlaces(job *Job, now time.Time) []machineWait {
 	claimedBefore := map[*fleet.Machine]bool{}
 	for _, c := range job.claims {
 		claimedBefore[c.machine] = true
@@ -192,8 +192,8 @@
 	return places
 }
 
-// reserveOnePlace claims the place that is free soonest for an array that has not begun.
-func (s *Scheduler) reserveOnePlace(job *Job, now time.Time) {
+// reserveArrayPlace claims the place that is free soonest for an array that has not begun.
+func (s *Scheduler) reserveArrayPlace(job *Job, now time.Time) {
 	job.reservedZone = reservation.AllZones
 	if len(job.claims) > 0 {
 		return
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// startTimesUnderLoad runs a fleet on which small jobs of a later turn always wait, and gangs that need all
+// startDelaysUnderLoad runs a fleet on which small jobs of a later turn always wait, and gangs that need all
 // of a zone arrive in between. It returns how long after its arrival each gang began.
-func startTimesUnderLoad(t *rapid.T, begin float64, slots int, gangs []int, runs []int) map[string]time.Duration {
+func startDelaysUnderLoad(t *rapid.T, begin float64, slots int, gangs []int, runs []int) map[string]time.Duration {
 	options := config.DefaultOptions()
 	options.Reservations, options.BeginS = begin > 0, max(begin, 1)
 	f := newFakeFleet(t, options, []config.Team{{Name: "team"}}, slots)
@@ -32,17 +32,17 @@
 		if i%4 == 0 {
 			// A little more than all machines do in two seconds.
 			run := runs[i/4%len(runs)]
-			add(fmt.Sprint("j-1000", i), records.ShapeArray, 1+2*fakeCPUs*slots*2/run, 1, run)
+			add(fmt.Sprint("j-1000", i), records.ShapeArray, 1+2*fakeMachineCPUs*slots*2/run, 1, run)
 		}
 		for n, at := range gangs {
 			if id := fmt.Sprint("j-9", n); i == at {
-				add(id, records.ShapeGang, slots, fakeCPUs, 10)
+				add(id, records.ShapeGang, slots, fakeMachineCPUs, 10)
 				arrived[id] = f.now
 			}
 		}
 		f.step(i)
 		for id, at := range arrived {
-			if _, known := began[id]; !known && f.begun[id] {
+			if _, known := began[id]; !known && f.started[id] {
 				began[id] = f.now.Sub(at)
 			}
 		}
@@ -71,7 +71,7 @@
 		begin := float64(rapid.IntRange(40, 80).Draw(t, "begin"))
 		runs := rapid.SliceOfN(rapid.IntRange(4, 16), 3, 8).Draw(t, "runs")
 		gangs := rapid.SliceOfN(rapid.IntRange(40, 120), 1, 3).Draw(t, "gangs")
-		began := startTimesUnderLoad(t, begin, rapid.IntRange(3, 5).Draw(t, "slots"), gangs, runs)
+		began := startDelaysUnderLoad(t, begin, rapid.IntRange(3, 5).Draw(t, "slots"), gangs, runs)
 		const longestRun, heartbeats = 16 * time.Second, 8 * time.Second
 		most := time.Duration(begin*0.75*float64(time.Second)) + time.Duration(len(gangs)+1)*longestRun + heartbeats
 		for n := range gangs {
@@ -83,7 +83,7 @@
 	// Without reservations none begins: so the property depends on them.
 	setRapidChecks(t, 1)
 	rapid.Check(t, func(t *rapid.T) {
-		if began := startTimesUnderLoad(t, 0, 4, []int{60}, []int{5, 9, 16}); len(began) > 0 {
+		if began := startDelaysUnderLoad(t, 0, 4, []int{60}, []int{5, 9, 16}); len(began) > 0 {
 			t.Errorf("without reservations the gang began all the same: %v, want none", began)
 		}
 	})
--- a/internal/scheduler/room_forecast.go
+++ b/internal/scheduler/room_forecast.go
@@ -23,7 +23,7 @@
 // given nothing else.
 func (s *Scheduler) secondsUntilRoom(job *Job, machine *fleet.Machine, now time.Time) float64 {
 	free := machine.Bin.Capacity.Sub(machine.Bin.Used())
-	ends := s.endings(machine, now)
+	ends := s.expectedEnds(machine, now)
 	for _, e := range ends {
 		if free.Fits(job.request) {
 			return e.seconds
@@ -41,7 +41,7 @@
 func (s *Scheduler) secondsUntilPlaces(j *Job, m *fleet.Machine, now time.Time) []float64 {
 	var seconds []float64
 	free := m.Bin.Capacity.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
-	for _, e := range append([]ending{{}}, s.endings(m, now)...) {
+	for _, e := range append([]expectedEnd{{}}, s.expectedEnds(m, now)...) {
 		for free = free.Add(e.room); free.Fits(j.request); free = free.Sub(j.request) {
 			seconds = append(seconds, e.seconds)
 		}
@@ -49,15 +49,15 @@
 	return seconds
 }
 
-// ending is room that a task frees when it ends, by its estimate in so many seconds.
-type ending struct {
+// expectedEnd is room that a task frees when it ends, by its estimate in so many seconds.
+type expectedEnd struct {
 	seconds float64
 	room    packing.Resources
 }
 
-// endings lists when the attempts on a machine end, the soonest first.
-func (s *Scheduler) endings(machine *fleet.Machine, now time.Time) []ending {
-	ends := make([]ending, 0, 16) // a machine holds few
+// expectedEnds lists when the attempts on a machine end, the soonest first.
+func (s *Scheduler) expectedEnds(machine *fleet.Machine, now time.Time) []expectedEnd {
+	ends := make([]expectedEnd, 0, 16) // a machine holds few
 	for _, attempt := range machine.Attempts() {
 		if attempt.Item == nil {
 			continue
@@ -66,8 +66,8 @@
 		if aj := s.jobOf(attempt); aj != nil {
 			seconds = s.remainingSeconds(aj, attempt, now)
 		}
-		ends = append(ends, ending{seconds, attempt.Item.Request})
+		ends = append(ends, expectedEnd{seconds, attempt.Item.Request})
 	}
-	slices.SortFunc(ends, func(a, b ending) int { return cmp.Compare(a.seconds, b.seconds) })
+	slices.SortFunc(ends, func(a, b expectedEnd) int { return cmp.Compare(a.seconds, b.seconds) })
 	return ends
 }
--- a/internal/scheduler/scenario_events_test.go
+++ b/internal/scheduler/scenario_events_test.go
@@ -17,24 +17,24 @@
 var schedulerEvents = map[string]func(*replay, *Scheduler, eventInput) []string{
 	// Jobs.
 	"job": func(r *replay, s *Scheduler, in eventInput) []string {
-		s.AddJob(r.job(in), uint64(r.number(in.args["revision"], 10)), r.now, r.now)
+		s.AddJob(r.parseJob(in), uint64(r.parseNumber(in.args["revision"], 10)), r.now, r.now)
 		return nil
 	},
 	"job-cancelled": func(r *replay, s *Scheduler, in eventInput) []string {
-		s.NoteClosed(in.words[0], records.ClosedJob{Status: records.StatusCancelled}, r.revision(in))
-		return r.urgentCommands()
+		s.ApplyClosedRecord(in.words[0], records.ClosedJob{Status: records.StatusCancelled}, r.parseRevision(in))
+		return r.takeUrgentCommands()
 	},
 	"job-done": func(r *replay, s *Scheduler, in eventInput) []string {
-		s.NoteClosed(in.words[0], records.ClosedJob{Status: records.StatusDone, AtMS: r.now.UnixMilli()}, r.revision(in))
-		return r.urgentCommands()
+		s.ApplyClosedRecord(in.words[0], records.ClosedJob{Status: records.StatusDone, AtMS: r.now.UnixMilli()}, r.parseRevision(in))
+		return r.takeUrgentCommands()
 	},
 	"job-done-without-time": func(r *replay, s *Scheduler, in eventInput) []string {
-		s.NoteClosed(in.words[0], records.ClosedJob{Status: records.StatusDone}, r.revision(in))
+		s.ApplyClosedRecord(in.words[0], records.ClosedJob{Status: records.StatusDone}, r.parseRevision(in))
 		return nil
 	},
 	"job-closed": func(r *replay, s *Scheduler, in eventInput) []string {
 		s.CloseJob(in.words[0])
-		return r.urgentCommands()
+		return r.takeUrgentCommands()
 	},
 	"stored": func(_ *replay, s *Scheduler, in eventInput) []string {
 		job := s.jobs[in.words[0]]
@@ -48,10 +48,10 @@
 		}
 		return []string{fmt.Sprintf("sent at %g and not shown yet", at.Sub(r.start).Seconds())}
 	},
-	"queue": (*replay).queue,
-	"jobs":  (*replay).jobs,
+	"queue": (*replay).listQueue,
+	"jobs":  (*replay).listJobs,
 	"to-cancel": func(_ *replay, s *Scheduler, _ eventInput) []string {
-		return linesOr(s.dependencies.ToCancel(), "none to cancel")
+		return linesOrDefault(s.dependencies.ToCancel(), "none to cancel")
 	},
 
 	// Records and failover.
@@ -63,14 +63,14 @@
 	},
 	"recorded-machine": func(r *replay, s *Scheduler, in eventInput) []string {
 		name := in.words[0]
-		record := records.Machine{Addr: name + ":1", Type: "c4", Zone: textOr(in.args["zone"], "a"), Spot: in.args["spot"] != ""}
+		record := records.Machine{Addr: name + ":1", Type: "c4", Zone: textOrDefault(in.args["zone"], "a"), Spot: in.args["spot"] != ""}
 		s.LoadMachine(name, record, r.now)
 		return nil
 	},
 	"recorded-watermarks": func(r *replay, s *Scheduler, in eventInput) []string {
 		stored := map[string]int{}
 		for id, n := range keyValues(in.words[1:]) {
-			stored[id] = int(r.number(n, 0))
+			stored[id] = int(r.parseNumber(n, 0))
 		}
 		s.LoadWatermarks(stored, in.words[0] == "complete")
 		return nil
@@ -79,7 +79,7 @@
 	"watermarks-stored": func(_ *replay, s *Scheduler, _ eventInput) []string {
 		lines := watermarksToStore(s)
 		for job := range s.watermarks.raised {
-			job.watermark.NoteStored(job.watermark.Requested)
+			job.watermark.RecordStored(job.watermark.Requested)
 			delete(s.watermarks.raised, job)
 		}
 		return lines
@@ -103,11 +103,11 @@
 	},
 
 	// Workers and time.
-	"heartbeat":      (*replay).heartbeat,
-	"late-heartbeat": (*replay).lateHeartbeat,
-	"status":         (*replay).status,
-	"probe":          (*replay).probe,
-	"probe-answer":   (*replay).probeAnswer,
+	"heartbeat":      (*replay).sendHeartbeat,
+	"late-heartbeat": (*replay).sendLateHeartbeat,
+	"status":         (*replay).applyStatus,
+	"probe":          (*replay).listProbes,
+	"probe-answer":   (*replay).applyProbeAnswer,
 	"relayed": func(r *replay, s *Scheduler, in eventInput) []string {
 		if s.NeedsRelay(in.words[0], r.now) {
 			return []string{"answered through the peer"}
@@ -116,7 +116,7 @@
 	},
 	"tick": func(r *replay, s *Scheduler, in eventInput) []string {
 		s.Tick(r.now, in.args["run"] != "no")
-		return r.urgentCommands()
+		return r.takeUrgentCommands()
 	},
 
 	// Autoscaling.
@@ -130,27 +130,27 @@
 		s.RentalRefused(r.requests[in.words[0]], true, r.now)
 		return nil
 	},
-	"listed": (*replay).listed,
+	"listed": (*replay).applyCloudList,
 	"returned": func(r *replay, s *Scheduler, in eventInput) []string {
 		s.MachinesReturned(in.words, r.now)
 		return nil
 	},
 
 	// Drains.
-	"drain":      (*replay).drain,
+	"drain":      (*replay).startDrain,
 	"stop-drain": (*replay).stopDrain,
-	"drains":     (*replay).drains,
+	"drains":     (*replay).listDrains,
 }
 
-// job reads a job from an event's arguments.
-func (r *replay) job(in eventInput) records.Job {
+// parseJob reads a job from an event's arguments.
+func (r *replay) parseJob(in eventInput) records.Job {
 	a := in.args
 	job := records.Job{
-		ID: in.words[0], Team: textOr(a["team"], "team"), Class: a["class"],
-		Shape: textOr(a["shape"], "batch"), Priority: textOr(a["priority"], "standard"),
-		Tasks: int(r.number(a["tasks"], 1)), CPUs: r.number(a["cpus"], 1), GPUs: r.number(a["gpus"], 0), MemGB: r.number(a["mem"], 1),
-		Image: textOr(a["image"], "img"), ImageGB: r.number(a["image_gb"], 0),
-		EstimateS: r.number(a["estimate"], 60), CheckpointS: r.number(a["checkpoint"], 0), SaveS: r.number(a["save"], 0),
+		ID: in.words[0], Team: textOrDefault(a["team"], "team"), Class: a["class"],
+		Shape: textOrDefault(a["shape"], "batch"), Priority: textOrDefault(a["priority"], "standard"),
+		Tasks: int(r.parseNumber(a["tasks"], 1)), CPUs: r.parseNumber(a["cpus"], 1), GPUs: r.parseNumber(a["gpus"], 0), MemGB: r.parseNumber(a["mem"], 1),
+		Image: textOrDefault(a["image"], "img"), ImageGB: r.parseNumber(a["image_gb"], 0),
+		EstimateS: r.parseNumber(a["estimate"], 60), CheckpointS: r.parseNumber(a["checkpoint"], 0), SaveS: r.parseNumber(a["save"], 0),
 		OneZone: a["one_zone"] != "", SpreadZones: a["spread_zones"] != "", Spot: a["spot"] != "no", AcceptedMS: r.now.UnixMilli(),
 	}
 	if zone := a["zone"]; zone != "" {
@@ -160,7 +160,7 @@
 		job.Dependencies = strings.Split(ids, ",")
 	}
 	if a["deadline"] != "" {
-		deadline := r.number(a["deadline"], 0)
+		deadline := r.parseNumber(a["deadline"], 0)
 		job.DeadlineS = &deadline
 	}
 	if types := a["types"]; types != "" {
@@ -169,7 +169,9 @@
 	return job
 }
 
-func (r *replay) revision(in eventInput) uint64 { return uint64(r.number(in.args["revision"], 20)) }
+func (r *replay) parseRevision(in eventInput) uint64 {
+	return uint64(r.parseNumber(in.args["revision"], 20))
+}
 
 func watermarksToStore(s *Scheduler) []string {
 	var lines []string
@@ -177,10 +179,10 @@
 		lines = append(lines, fmt.Sprintf("%s: none sent from %d on", job.ID, job.watermark.Requested))
 	}
 	sort.Strings(lines)
-	return linesOr(lines, "no marks to store")
+	return linesOrDefault(lines, "no marks to store")
 }
 
-func (r *replay) queue(s *Scheduler, _ eventInput) []string {
+func (r *replay) listQueue(s *Scheduler, _ eventInput) []string {
 	var lines []string
 	for _, job := range s.queue(r.now) {
 		released := job.releasedAt.Sub(r.start).Seconds()
@@ -190,10 +192,10 @@
 		}
 		lines = append(lines, line)
 	}
-	return linesOr(lines, "nothing to start")
+	return linesOrDefault(lines, "nothing to start")
 }
 
-func (r *replay) jobs(s *Scheduler, _ eventInput) []string {
+func (r *replay) listJobs(s *Scheduler, _ eventInput) []string {
 	var lines []string
 	for id := range s.jobs {
 		status, done, running, _ := s.Progress(id)
@@ -209,7 +211,7 @@
 		r.requests[request.Name] = request
 		lines = append(lines, fmt.Sprintf("rent %s: %d %s in %s spot=%v", request.Name, request.Count, request.Type, request.Zone, request.Spot))
 	}
-	return linesOr(lines, "rent nothing")
+	return linesOrDefault(lines, "rent nothing")
 }
 
 func (r *replay) scaleIn(s *Scheduler, _ eventInput) []string {
@@ -220,7 +222,7 @@
 	return []string{"give back " + strings.Join(names, " ")}
 }
 
-func (r *replay) listed(s *Scheduler, in eventInput) []string {
+func (r *replay) applyCloudList(s *Scheduler, in eventInput) []string {
 	var list []autoscaler.CloudMachine
 	for _, word := range in.words {
 		name, status, _ := strings.Cut(word, "=")
@@ -230,17 +232,17 @@
 	return nil
 }
 
-func (r *replay) drain(s *Scheduler, in eventInput) []string {
+func (r *replay) startDrain(s *Scheduler, in eventInput) []string {
 	a := in.args
 	spec := drain.Spec{
 		ID: in.words[0], Kind: a["kind"], Zone: a["zone"], TargetVersion: a["to"], WhenEmpty: a["then"],
-		AtOnce: int(r.number(a["at_once"], 0)), MinInService: int(r.number(a["keep"], 0)), BeganMS: r.now.UnixMilli(),
+		MaxOutOfService: int(r.parseNumber(a["at_once"], 0)), MinInService: int(r.parseNumber(a["keep"], 0)), RequestedMS: r.now.UnixMilli(),
 	}
 	if a["machines"] != "" {
 		spec.Machines = strings.Split(a["machines"], ",")
 	}
 	if a["in"] != "" {
-		spec.ByMS = r.now.Add(time.Duration(r.number(a["in"], 0) * float64(time.Second))).UnixMilli()
+		spec.DeadlineMS = r.now.Add(time.Duration(r.parseNumber(a["in"], 0) * float64(time.Second))).UnixMilli()
 	}
 	if err := spec.Check(r.now); err != nil {
 		return []string{"refused: " + err.Error()}
@@ -258,7 +260,7 @@
 	if a["plan"] == "" {
 		s.SetDrain(spec, nil, 0)
 	}
-	return linesOr(lines, "nothing runs there")
+	return linesOrDefault(lines, "nothing runs there")
 }
 
 func (r *replay) stopDrain(s *Scheduler, in eventInput) []string {
@@ -272,12 +274,12 @@
 	return nil
 }
 
-func (r *replay) drains(s *Scheduler, _ eventInput) []string {
+func (r *replay) listDrains(s *Scheduler, _ eventInput) []string {
 	var lines []string
 	for _, d := range s.drains.list {
 		state := d.state
 		line := fmt.Sprintf("%s %s, %d left, seen: %d finished, %d moved, %d lost, %d vanished",
-			d.spec.ID, state.Phase, state.Left, state.Actual.Finish, state.Actual.Move, state.Actual.Lose, state.Actual.Vanished)
+			d.spec.ID, state.Phase, state.MachinesLeft, state.Actual.Finish, state.Actual.Move, state.Actual.Restart, state.Actual.MachineLost)
 		if len(state.OutOfService) > 0 {
 			line += ", in hand " + strings.Join(state.OutOfService, " ")
 		}
@@ -292,12 +294,12 @@
 	return lines
 }
 
-func (r *replay) probe(s *Scheduler, _ eventInput) []string {
+func (r *replay) listProbes(s *Scheduler, _ eventInput) []string {
 	r.probes = map[string]fleet.Probe{}
 	var lines []string
 	for _, probe := range s.Probes(r.now) {
 		r.probes[probe.Machine] = probe
 		lines = append(lines, fmt.Sprintf("ask %s what it has", probe.Machine))
 	}
-	return linesOr(lines, "ask nobody")
+	return linesOrDefault(lines, "ask nobody")
 }
--- a/internal/scheduler/scenario_test.go
+++ b/internal/scheduler/scenario_test.go
@@ -17,7 +17,7 @@
 // heartbeats every 2 s, a lease of 12 s and zones a and b.
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
-		return newReplay(t).event
+		return newReplay(t).runEvent
 	})
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// open returns the scheduler, which begins with the first event that is no setting.
-func (r *replay) open() *Scheduler {
+// ensureScheduler returns the scheduler, which begins with the first event that is no setting.
+func (r *replay) ensureScheduler() *Scheduler {
 	if r.scheduler != nil {
 		return r.scheduler
 	}
@@ -66,20 +66,20 @@
 	cfg.Options.Watermarks, cfg.Options.ZoneHealth, cfg.Options.Guarantees = r.watermarks, r.zoneHealth, r.guarantees
 	cfg.Options.Reservations, cfg.Options.BeginS = r.beginS > 0, r.beginS
 	r.scheduler = New(SettingsOf(cfg), r.term, r.now)
-	r.scheduler.SetTypes(append(r.types, records.MachineType{
+	r.scheduler.SetMachineTypes(append(r.types, records.MachineType{
 		Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.2, Zones: []string{"a", "b"},
 	}))
 	return r.scheduler
 }
 
-// event replays one line, "at SECONDS EVENT ...", with seconds from the scenario's start, and returns
+// runEvent replays one line, "at SECONDS EVENT ...", with seconds from the scenario's start, and returns
 // the decisions.
-func (r *replay) event(words []string) []string {
+func (r *replay) runEvent(words []string) []string {
 	r.t.Helper()
 	if words[0] != "at" || len(words) < 3 {
 		r.t.Fatalf("bad event %v", words)
 	}
-	r.now = r.start.Add(time.Duration(r.number(words[1], 0) * float64(time.Second)))
+	r.now = r.start.Add(time.Duration(r.parseNumber(words[1], 0) * float64(time.Second)))
 	name := words[2]
 	in := eventInput{words: words[3:], args: keyValues(words[3:])}
 	if set := settingEvents[name]; set != nil {
@@ -90,7 +90,7 @@
 	if handle == nil {
 		r.t.Fatalf("unknown event %q", name)
 	}
-	return handle(r, r.open(), in)
+	return handle(r, r.ensureScheduler(), in)
 }
 
 // eventInput is what follows an event's name: words, of which those like "key=value" are arguments too.
@@ -108,7 +108,7 @@
 	return m
 }
 
-func (r *replay) number(text string, otherwise float64) float64 {
+func (r *replay) parseNumber(text string, otherwise float64) float64 {
 	r.t.Helper()
 	if text == "" {
 		return otherwise
@@ -120,14 +120,14 @@
 	return f
 }
 
-func textOr(text, otherwise string) string {
+func textOrDefault(text, otherwise string) string {
 	if text == "" {
 		return otherwise
 	}
 	return text
 }
 
-func linesOr(lines []string, otherwise string) []string {
+func linesOrDefault(lines []string, otherwise string) []string {
 	if len(lines) == 0 {
 		return []string{otherwise}
 	}
@@ -136,24 +136,24 @@
 
 // settingEvents are the events that set up the scheduler, before any other.
 var settingEvents = map[string]func(*replay, eventInput){
-	"term":        func(r *replay, in eventInput) { r.term = uint64(r.number(in.words[0], 0)) },
+	"term":        func(r *replay, in eventInput) { r.term = uint64(r.parseNumber(in.words[0], 0)) },
 	"watermarks":  func(r *replay, _ eventInput) { r.watermarks = true },
 	"zone-health": func(r *replay, _ eventInput) { r.zoneHealth = true },
 	"guarantees":  func(r *replay, _ eventInput) { r.guarantees = true },
-	"begin":       func(r *replay, in eventInput) { r.beginS = r.number(in.words[0], 0) },
+	"begin":       func(r *replay, in eventInput) { r.beginS = r.parseNumber(in.words[0], 0) },
 	"type": func(r *replay, in eventInput) {
 		r.types = append(r.types, records.MachineType{
-			Name: in.words[0], CPUs: r.number(in.args["cpus"], 4), GPUs: r.number(in.args["gpus"], 0), MemGB: 16,
-			Price: r.number(in.args["price"], 1), SpotPrice: r.number(in.args["spot_price"], 0),
-			StartupS: r.number(in.args["startup"], 20), CacheGB: 40, FetchGBps: r.number(in.args["rate"], 0.2), Zones: []string{"a", "b"},
+			Name: in.words[0], CPUs: r.parseNumber(in.args["cpus"], 4), GPUs: r.parseNumber(in.args["gpus"], 0), MemGB: 16,
+			Price: r.parseNumber(in.args["price"], 1), SpotPrice: r.parseNumber(in.args["spot_price"], 0),
+			StartupS: r.parseNumber(in.args["startup"], 20), CacheGB: 40, FetchGBps: r.parseNumber(in.args["rate"], 0.2), Zones: []string{"a", "b"},
 		})
 	},
 	"team": func(r *replay, in eventInput) {
 		r.teams = append(r.teams, config.Team{
-			Name: in.words[0], GuaranteedCPUs: r.number(in.args["cpus"], 0), LimitCPUs: r.number(in.args["limit"], 0),
+			Name: in.words[0], GuaranteedCPUs: r.parseNumber(in.args["cpus"], 0), LimitCPUs: r.parseNumber(in.args["limit"], 0),
 		})
 	},
 	"objective": func(r *replay, in eventInput) {
-		r.objectives = append(r.objectives, config.Objective{Kind: in.words[0], Class: in.words[1], WithinS: r.number(in.words[2], 0)})
+		r.objectives = append(r.objectives, config.Objective{Kind: in.words[0], Class: in.words[1], WithinS: r.parseNumber(in.words[2], 0)})
 	},
 }
--- a/internal/scheduler/scenario_workers_test.go
+++ b/internal/scheduler/scenario_workers_test.go
@@ -8,23 +8,23 @@
 	"drumpick/internal/fleet"
 )
 
-// heartbeat replays a machine's heartbeat and returns the commands of the answer:
+// sendHeartbeat replays a machine's heartbeat and returns the commands of the answer:
 // "heartbeat m-1 incarnation=1 j-1/0:ATTEMPT=running ...". A machine is scaled out before it is heard,
 // unless the scenario says that it is unknown.
-func (r *replay) heartbeat(s *Scheduler, in eventInput) []string {
-	h := r.readHeartbeat(in)
+func (r *replay) sendHeartbeat(s *Scheduler, in eventInput) []string {
+	h := r.parseHeartbeat(in)
 	if _, returned := s.autoscaling.returnedAt[h.Machine]; !returned && in.args["unknown"] == "" {
 		s.fleet.GetOrCreate(h.Machine, "", h.Type, h.Zone, h.Spot)
 	}
-	return r.answer(s, h, in.args["run"] != "no")
+	return r.answerHeartbeat(s, h, in.args["run"] != "no")
 }
 
-// lateHeartbeat replays a heartbeat that arrives late, maybe of a machine that is not known.
-func (r *replay) lateHeartbeat(s *Scheduler, in eventInput) []string {
-	return r.answer(s, r.readHeartbeat(in), in.args["run"] != "no")
+// sendLateHeartbeat replays a heartbeat that arrives late, maybe of a machine that is not known.
+func (r *replay) sendLateHeartbeat(s *Scheduler, in eventInput) []string {
+	return r.answerHeartbeat(s, r.parseHeartbeat(in), in.args["run"] != "no")
 }
 
-func (r *replay) answer(s *Scheduler, h *fleet.Heartbeat, canRun bool) []string {
+func (r *replay) answerHeartbeat(s *Scheduler, h *fleet.Heartbeat, canRun bool) []string {
 	machine, stale := s.Reconcile(h, true, r.now)
 	if stale {
 		response, renewed := s.RenewOvertaken(machine, h, r.now)
@@ -37,39 +37,39 @@
 		s.PlanMachine(machine, r.now)
 	}
 	response := s.Respond(machine, canRun, r.now)
-	s.NoteAnswered(machine, h.Via, r.now)
+	s.RecordAnswer(machine, h.Via, r.now)
 	return commandLines(response.Commands)
 }
 
-// status replays the status in a worker's answer to a direct command.
-func (r *replay) status(s *Scheduler, in eventInput) []string {
-	if _, stale := s.Reconcile(r.readHeartbeat(in), false, r.now); stale {
+// applyStatus replays the status in a worker's answer to a direct command.
+func (r *replay) applyStatus(s *Scheduler, in eventInput) []string {
+	if _, stale := s.Reconcile(r.parseHeartbeat(in), false, r.now); stale {
 		return []string{"older than what is known: not answered with 200"}
 	}
-	return r.urgentCommands()
+	return r.takeUrgentCommands()
 }
 
-// probeAnswer replays a machine's answer to the last probe.
-func (r *replay) probeAnswer(s *Scheduler, in eventInput) []string {
-	h := r.readHeartbeat(in)
+// applyProbeAnswer replays a machine's answer to the last probe.
+func (r *replay) applyProbeAnswer(s *Scheduler, in eventInput) []string {
+	h := r.parseHeartbeat(in)
 	s.ApplyProbe(r.probes[h.Machine], h, r.now)
-	return r.urgentCommands()
+	return r.takeUrgentCommands()
 }
 
-// readHeartbeat reads a heartbeat or a status. Sequence numbers rise by themselves unless given.
-func (r *replay) readHeartbeat(in eventInput) *fleet.Heartbeat {
+// parseHeartbeat reads a heartbeat or a status. Sequence numbers rise by themselves unless given.
+func (r *replay) parseHeartbeat(in eventInput) *fleet.Heartbeat {
 	name, a := in.words[0], in.args
 	h := &fleet.Heartbeat{
-		Machine: name, Addr: name + ":1", Type: textOr(a["type"], "c4"), Zone: textOr(a["zone"], "a"), Spot: a["spot"] != "",
-		Version: a["version"], Incarnation: uint64(r.number(a["incarnation"], 1)),
-		FencingToken: uint64(r.number(a["token"], float64(r.term))), Via: a["via"],
+		Machine: name, Addr: name + ":1", Type: textOrDefault(a["type"], "c4"), Zone: textOrDefault(a["zone"], "a"), Spot: a["spot"] != "",
+		Version: a["version"], Incarnation: uint64(r.parseNumber(a["incarnation"], 1)),
+		FencingToken: uint64(r.parseNumber(a["token"], float64(r.term))), Via: a["via"],
 	}
 	if notice := a["preemption_notice"]; notice != "" {
-		seconds := r.number(notice, 0)
+		seconds := r.parseNumber(notice, 0)
 		h.PreemptionNoticeS = &seconds
 	}
 	if a["sequence"] != "" {
-		h.Sequence = uint64(r.number(a["sequence"], 0))
+		h.Sequence = uint64(r.parseNumber(a["sequence"], 0))
 	} else {
 		r.sequences[name]++
 		h.Sequence = r.sequences[name]
@@ -80,18 +80,18 @@
 		if !ok {
 			continue
 		}
-		status := fleet.TaskStatus{Task: task, Attempt: r.attemptNumber(attempt)}
+		status := fleet.TaskStatus{Task: task, Attempt: r.parseAttemptNumber(attempt)}
 		status.Status, status.Cause, _ = strings.Cut(value, ":")
-		status.Cause, status.Saved = strings.CutSuffix(status.Cause, "+saved")
+		status.Cause, status.CheckpointSaved = strings.CutSuffix(status.Cause, "+saved")
 		h.Tasks = append(h.Tasks, status)
 	}
 	return h
 }
 
-// attemptNumber reads "5.2": the second attempt number of term 5.
-func (r *replay) attemptNumber(text string) uint64 {
+// parseAttemptNumber reads "5.2": the second attempt number of term 5.
+func (r *replay) parseAttemptNumber(text string) uint64 {
 	term, n, _ := strings.Cut(text, ".")
-	return uint64(r.number(term, 0))<<24 | uint64(r.number(n, 0))
+	return uint64(r.parseNumber(term, 0))<<24 | uint64(r.parseNumber(n, 0))
 }
 
 func commandLines(commands []fleet.Command) []string {
@@ -103,11 +103,11 @@
 		}
 		lines = append(lines, line)
 	}
-	return linesOr(lines, "no orders")
+	return linesOrDefault(lines, "no orders")
 }
 
-// urgentCommands takes the commands that are to be sent at once.
-func (r *replay) urgentCommands() []string {
+// takeUrgentCommands takes the commands that are to be sent at once.
+func (r *replay) takeUrgentCommands() []string {
 	var lines, names []string
 	for name := range r.scheduler.urgentMachines {
 		names = append(names, name)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -21,30 +21,30 @@
 	term      uint64
 	termStart time.Time
 	sequence  uint64    // last number given to an attempt or a request in this term
-	now       time.Time // of the placement pass or rebalancing round under way
+	passTime  time.Time // of the placement pass or rebalancing round under way
 
 	// Jobs and their order.
 	jobs             map[string]*Job   // open jobs by id
-	complete         map[*Job]struct{} // of these, those of which every task is done
+	completeJobs     map[*Job]struct{} // of these, those of which every task is done
 	dependencies     *dependency.Graph // of the same jobs and those that they name
 	placementClasses placementClasses
-	sortedJobs       []*Job        // jobs that are not blocked, in the order in which they are served
-	order            *placingOrder // of the same jobs
-	queueStale       bool          // the order has to be worked out again
+	sortedJobs       []*Job          // jobs that are not blocked, in the order in which they are served
+	order            *placementOrder // of the same jobs
+	queueStale       bool            // the order has to be worked out again
 
 	// Machines.
 	fleet          *fleet.Table
-	types          map[string]records.MachineType
-	typeNames      []string                  // machine types, cheapest first
+	machineTypes   map[string]records.MachineType
+	typesByPrice   []string                  // machine types, cheapest first
 	spaces         map[string]*packing.Space // the bins of each type
-	lastReopen     time.Time                 // when it was last examined which machines accept tasks
+	lastBinRefresh time.Time                 // when it was last examined which machines accept tasks
 	quotaUsage     *quota.Account            // what the attempts in fleet take, by team
 	urgentMachines map[string]bool           // machines that are to get commands at once, not with their next heartbeat
 	zoneHealth     *zonehealth.Monitor       // which zones have a suspected outage
 
 	// Placement.
 	placementStale   bool                       // something changed since the last placement pass
-	currentTurns     *placingTurns              // of the placement pass under way; nil: there is none
+	currentTurns     *turnIterator              // of the placement pass under way; nil: there is none
 	plannedAttempts  []*fleet.Attempt           // planned, in the order of their turns; some may no longer be planned
 	onDemandShortage *fairshare.ShortageTracker // which on-demand machines are too few for jobs that may use no others
 	freedRoom        freedRoom
@@ -53,8 +53,8 @@
 	// Room that is kept for jobs.
 	claimOwners           []*Job // jobs that have claims
 	reservationCandidates []*Job // jobs that may need a reservation
-	holders               []*Job // jobs for which machines are held
-	lastHolder            *Job   // the one of them that is served last, for the placement pass under way
+	machineHolders        []*Job // jobs for which machines are held
+	lastMachineHolder     *Job   // the one of them that is served last, for the placement pass under way
 
 	// Failover and reconciliation.
 	reconciled bool // every machine that an earlier term may have used has been heard or is gone
@@ -70,7 +70,7 @@
 
 	// Overload and service levels.
 	overload      *overload.Detector // how far the leader falls behind
-	delay         time.Duration      // the longest that anything waited since the last tick
+	maxDelay      time.Duration      // the longest that anything waited since the last tick
 	slo           *slo.Tracker       // which jobs arrived and which began
 	lastSLOReport time.Time
 }
@@ -82,12 +82,12 @@
 		term:             term,
 		termStart:        now,
 		jobs:             map[string]*Job{},
-		complete:         map[*Job]struct{}{},
+		completeJobs:     map[*Job]struct{}{},
 		dependencies:     dependency.New(),
 		placementClasses: placementClasses{},
-		order:            newPlacingOrder(nil, nil),
+		order:            newPlacementOrder(nil, nil),
 		fleet:            fleet.NewTable(term, settings.Lease, settings.Forecast),
-		types:            map[string]records.MachineType{},
+		machineTypes:     map[string]records.MachineType{},
 		spaces:           map[string]*packing.Space{},
 		quotaUsage:       quota.NewAccount(),
 		urgentMachines:   map[string]bool{},
@@ -116,7 +116,7 @@
 		imageReadyLabel: fleet.ImageReadyLabel(record.Image),
 		done:            make([]uint64, words),
 		stored:          make([]uint64, words),
-		waitingTasks:    waitingTasks{retryListed: make([]uint64, words)},
+		waitingTasks:    waitingTasks{inRetries: make([]uint64, words)},
 		dirtyParts:      map[int]bool{},
 		attempts:        map[int]*fleet.Attempt{},
 		duplicates:      map[int]int{},
@@ -124,7 +124,7 @@
 	}
 	age := max(wall.Sub(time.UnixMilli(record.AcceptedMS)), 0)
 	job.Accepted = now.Add(-age)
-	job.releasedAt, job.notStartedBefore = job.Accepted, revision
+	job.releasedAt, job.earliestStartRevision = job.Accepted, revision
 	job.start.learnedAt = now
 	s.placementClasses.prune(s.jobs)
 	s.placementClasses.assign(job)
@@ -135,8 +135,8 @@
 	s.slo.JobArrived(job.ID, job.Class, job.Team, size, job.releasedAt)
 	s.addDependencies(job)
 	s.markUncertain(job)
-	s.raiseForNewJob(job)
-	for _, attempt := range s.fleet.OfJob(record.ID) {
+	s.raiseWatermarkForNewJob(job)
+	for _, attempt := range s.fleet.AttemptsOfJob(record.ID) {
 		s.updateCharge(attempt) // until now its job was not known
 	}
 	return job
@@ -154,27 +154,27 @@
 		if task := base + i; task < job.Tasks {
 			job.stored[task/64] |= 1 << (task % 64)
 			if job.Shape == records.ShapeGang {
-				s.markDone(job, task) // and so the whole gang, of which not all may be stored
-			} else if !has(job.done, task) {
-				s.noteDone(job, task)
+				s.recordResult(job, task) // and so the whole gang, of which not all may be stored
+			} else if !hasBit(job.done, task) {
+				s.setDone(job, task)
 			}
 		}
 	})
 }
 
-// noteDone notes that a task is done that was not.
-func (s *Scheduler) noteDone(j *Job, n int) {
+// setDone notes that a task is done that was not.
+func (s *Scheduler) setDone(j *Job, n int) {
 	j.done[n/64] |= 1 << (n % 64)
 	if j.doneCount++; j.doneCount == j.Tasks {
-		s.complete[j] = struct{}{}
+		s.completeJobs[j] = struct{}{}
 	}
 }
 
-// markDone notes a task's result, to be stored. A gang completes as a whole: without this, where some
+// recordResult notes a task's result, to be stored. A gang completes as a whole: without this, where some
 // results reached the last leader, or reach this one from one machine and not from another that is
 // gone, the rest would begin alone, wait for its peers in vain, and the job would never be done.
-func (s *Scheduler) markDone(job *Job, task int) {
-	if task >= job.Tasks || has(job.done, task) || job.Shape == records.ShapeService {
+func (s *Scheduler) recordResult(job *Job, task int) {
+	if task >= job.Tasks || hasBit(job.done, task) || job.Shape == records.ShapeService {
 		return
 	}
 	first, last := task, task
@@ -182,9 +182,9 @@
 		first, last = 0, job.Tasks-1
 	}
 	for n := first; n <= last; n++ {
-		if !has(job.done, n) {
-			s.noteDone(job, n)
-			job.dirtyParts[s.part(n)] = true
+		if !hasBit(job.done, n) {
+			s.setDone(job, n)
+			job.dirtyParts[s.partOf(n)] = true
 		}
 	}
 }
@@ -209,15 +209,15 @@
 		return
 	}
 	job.closed = true
-	s.slo.JobClosed(id, job.doneCount == job.Tasks, s.now)
-	s.dropAllClaims(job)
+	s.slo.JobClosed(id, job.doneCount == job.Tasks, s.passTime)
+	s.releaseAllClaims(job)
 	delete(s.jobs, id)
-	delete(s.complete, job)
+	delete(s.completeJobs, job)
 	s.closedJobs = append(s.closedJobs, id)
 	s.queueStale, s.placementStale = true, true
-	for _, attempt := range s.fleet.OfJob(id) {
+	for _, attempt := range s.fleet.AttemptsOfJob(id) {
 		s.updateCharge(attempt)
-		s.end(attempt)
+		s.discardAttempt(attempt)
 	}
 }
 
@@ -225,9 +225,9 @@
 // that has not shown it yet. Zero: none is on its way.
 func (s *Scheduler) LastDispatched(id string) time.Time {
 	var last time.Time
-	for _, a := range s.fleet.OfJob(id) {
-		if a.State() == fleet.Sent && a.Since.After(last) {
-			last = a.Since
+	for _, a := range s.fleet.AttemptsOfJob(id) {
+		if a.State() == fleet.Sent && a.AssignedAt.After(last) {
+			last = a.AssignedAt
 		}
 	}
 	return last
@@ -248,9 +248,9 @@
 	return attempt.Number>>attemptSequenceBits == s.term
 }
 
-// NextRequestName returns the numbers that name a scale-out request, unlike those of any other
+// NextRentalNumbers returns the numbers that name a scale-out request, unlike those of any other
 // request of any term.
-func (s *Scheduler) NextRequestName() (term, seq uint64) {
+func (s *Scheduler) NextRentalNumbers() (term, seq uint64) {
 	s.sequence++
 	return s.term, s.sequence
 }
@@ -262,7 +262,7 @@
 		return "", 0, 0, false
 	}
 	for _, attempt := range job.attempts {
-		if attempt.State() == fleet.Running || attempt.State() == fleet.Flushing {
+		if attempt.State() == fleet.Running || attempt.State() == fleet.Checkpointing {
 			running++
 		}
 	}
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -11,19 +11,19 @@
 // Settings are what a Scheduler is configured with. All durations derive from the platform's
 // configuration.
 type Settings struct {
-	HeartbeatInterval time.Duration
-	Lease             time.Duration // of a worker, clock drift and the way of an answer included
-	RoundInterval     time.Duration // between two rebalancing rounds
-	GangPeerTimeout   time.Duration
-	ListLag           time.Duration // by how much the cloud's list of machines may lag behind
-	ChunkTasks        int           // tasks of a chunk of finished tasks
-	PartTasks         int           // tasks of what one record holds of a chunk
-	IdleStartups      float64
-	RefusedStartups   float64
-	Zones             []string
-	Objectives        []config.Objective
-	Teams             map[string]config.Team
-	Forecast          forecast.Params
+	HeartbeatInterval       time.Duration
+	Lease                   time.Duration // of a worker, clock drift and the way of an answer included
+	RebalanceInterval       time.Duration // between two rebalancing rounds
+	GangPeerTimeout         time.Duration
+	ListLag                 time.Duration // by how much the cloud's list of machines may lag behind
+	ChunkTasks              int           // tasks of a chunk of finished tasks
+	PartTasks               int           // tasks of what one record holds of a chunk
+	IdleStartups            float64
+	CapacityBackoffStartups float64
+	Zones                   []string
+	Objectives              []config.Objective
+	Teams                   map[string]config.Team
+	Forecast                forecast.Params
 
 	Watermarks   bool // no task is sent that the store has no watermark for
 	LoadShedding bool // starts are left out while the leader falls behind
@@ -44,17 +44,17 @@
 		HeartbeatInterval: interval,
 		// A worker's lease expires by its own clock, so clock drift is added, and a
 		// margin for the time between writing an answer and its arrival.
-		Lease:           lease + config.Drift(lease) + interval/4,
-		RoundInterval:   time.Duration(float64(interval) * c.Options.RoundIntervals),
-		GangPeerTimeout: config.Seconds(workers.GangPeerS),
-		ListLag:         config.Seconds(c.Deployment.Cloud.ListLagS),
-		ChunkTasks:      chunkTasks,
-		PartTasks:       records.PartTasks(chunkTasks, c.Deployment.State.Lowest().ValueKB),
-		IdleStartups:    c.Options.IdleStartups,
-		RefusedStartups: c.Options.CapacityBackoffStartups,
-		Zones:           c.Deployment.Zones,
-		Objectives:      c.Deployment.Objectives,
-		Teams:           map[string]config.Team{},
+		Lease:                   lease + config.Drift(lease) + interval/4,
+		RebalanceInterval:       time.Duration(float64(interval) * c.Options.RoundIntervals),
+		GangPeerTimeout:         config.Seconds(workers.GangPeerS),
+		ListLag:                 config.Seconds(c.Deployment.Cloud.ListLagS),
+		ChunkTasks:              chunkTasks,
+		PartTasks:               records.PartTasks(chunkTasks, c.Deployment.State.Lowest().ValueKB),
+		IdleStartups:            c.Options.IdleStartups,
+		CapacityBackoffStartups: c.Options.CapacityBackoffStartups,
+		Zones:                   c.Deployment.Zones,
+		Objectives:              c.Deployment.Objectives,
+		Teams:                   map[string]config.Team{},
 		Forecast: forecast.Params{
 			Up: c.Options.AlphaUp, Down: c.Options.AlphaDown,
 			Window: c.Options.Window, Percentile: c.Options.Percentile,
--- a/internal/scheduler/slo.go
+++ b/internal/scheduler/slo.go
@@ -32,7 +32,7 @@
 	for _, line := range s.slo.Summarize(bound, now) {
 		// Users make classes up, settings do not: without this, there would be metrics without end.
 		if line.Dimension == slo.ByTeam || s.hasObjective(line.Name) {
-			setServedGauges(line)
+			setSLOGauges(line)
 		}
 		level := slog.LevelInfo
 		if line.ShareInTime() < sloWarnShare || line.Waiting != "" && float64(line.LongestWait) > waitWarnShare*float64(bound) {
@@ -44,9 +44,9 @@
 	}
 }
 
-func setServedGauges(line slo.Summary) {
+func setSLOGauges(line slo.Summary) {
 	for what, n := range map[string]int{"came": line.Arrived, "begun": line.Started, "done": line.Done, "late": line.Late} {
-		name := `drumpick_served_jobs{by="` + line.Dimension + `",name="` + label(line.Name) + `",what="` + what + `"}`
+		name := `drumpick_served_jobs{by="` + line.Dimension + `",name="` + sanitizeLabel(line.Name) + `",what="` + what + `"}`
 		metrics.GetOrCreateGauge(name, nil).Set(float64(n))
 	}
 }
@@ -56,8 +56,8 @@
 	return slices.ContainsFunc(s.settings.Objectives, func(o config.Objective) bool { return o.Class == class })
 }
 
-// label keeps names that users make up from breaking the metrics' labels.
-func label(name string) string {
+// sanitizeLabel keeps names that users make up from breaking the metrics' labels.
+func sanitizeLabel(name string) string {
 	out := []rune(name)
 	for i, r := range out {
 		if r == '"' || r == '\\' || r < ' ' {
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -15,25 +15,25 @@
 type startStages struct {
 	learnedAt, placedAt time.Time
 	entitled            bool // it was within its team's guarantee when it was first put in order
-	known               bool // whether it was is known
+	entitlementKnown    bool // whether it was is known
 	reported            bool // its start has been reported
 }
 
 // waitBreakdown is how long a job waited for what, until it began.
 type waitBreakdown struct {
-	heard, room, report, fetch, gang time.Duration
-	machine                          *fleet.Machine // where its image came last
+	discovery, room, dispatch, fetch, gang time.Duration
+	machine                                *fleet.Machine // where its image came last
 }
 
-// longestPart names what a job waited for longest: for the leader to learn of it, for room, for
+// longest names what a job waited for longest: for the leader to learn of it, for room, for
 // watermarks and the heartbeat in answer to which the run command went out, for its image, or for the
 // rest of the gang to be seen running. The names are label values of a metric.
-func (w waitBreakdown) longestPart() string {
-	by, most := "heard", w.heard
+func (w waitBreakdown) longest() string {
+	by, most := "heard", w.discovery
 	for _, x := range []struct {
 		by    string
 		drain time.Duration
-	}{{"room", w.room}, {"report", w.report}, {"fetch", w.fetch}, {"mates", w.gang}} {
+	}{{"room", w.room}, {"report", w.dispatch}, {"fetch", w.fetch}, {"mates", w.gang}} {
 		if x.drain > most {
 			by, most = x.by, x.drain
 		}
@@ -41,17 +41,17 @@
 	return by
 }
 
-// waitBreakdown works out what a job waited for, of which attempt is the last one seen to run.
-func (j *Job) waitBreakdown(attempt *fleet.Attempt, now time.Time) waitBreakdown {
-	placed, sent, ready := j.start.placedAt, attempt.Since, attempt.ReadySince
+// computeWaitBreakdown works out what a job waited for, of which attempt is the last one seen to run.
+func (j *Job) computeWaitBreakdown(attempt *fleet.Attempt, now time.Time) waitBreakdown {
+	placed, sent, ready := j.start.placedAt, attempt.AssignedAt, attempt.ImageReadySince
 	wait := waitBreakdown{machine: attempt.Machine}
 	if j.Shape == records.ShapeGang {
 		for _, other := range j.attempts {
-			if other.Since.After(sent) {
-				sent = other.Since
+			if other.AssignedAt.After(sent) {
+				sent = other.AssignedAt
 			}
-			if other.ReadySince.After(ready) {
-				ready, wait.machine = other.ReadySince, other.Machine
+			if other.ImageReadySince.After(ready) {
+				ready, wait.machine = other.ImageReadySince, other.Machine
 			}
 		}
 	}
@@ -59,8 +59,8 @@
 	if placed.After(sent) {
 		placed = sent
 	}
-	wait.heard, wait.room = j.start.learnedAt.Sub(j.releasedAt), placed.Sub(j.start.learnedAt)
-	wait.report, wait.fetch, wait.gang = sent.Sub(placed), ready.Sub(sent), now.Sub(ready)
+	wait.discovery, wait.room = j.start.learnedAt.Sub(j.releasedAt), placed.Sub(j.start.learnedAt)
+	wait.dispatch, wait.fetch, wait.gang = sent.Sub(placed), ready.Sub(sent), now.Sub(ready)
 	return wait
 }
 
@@ -71,16 +71,16 @@
 		return true
 	}
 	for _, x := range j.attempts {
-		if x.RunSince.IsZero() {
+		if x.RunningSince.IsZero() {
 			return false
 		}
 	}
 	return len(j.attempts) == j.Tasks
 }
 
-// noteRunning notes that a task was seen to run, and reports once, when its job has begun, what it
+// recordRunning notes that a task was seen to run, and reports once, when its job has begun, what it
 // waited for until then: a guarantee that is missed by seconds is missed by one of these.
-func (s *Scheduler) noteRunning(job *Job, attempt *fleet.Attempt, now time.Time) {
+func (s *Scheduler) recordRunning(job *Job, attempt *fleet.Attempt, now time.Time) {
 	if !job.hasBegun() {
 		return
 	}
@@ -89,13 +89,13 @@
 		return
 	}
 	job.start.reported = true
-	wait := job.waitBreakdown(attempt, now)
-	waitS, longest := now.Sub(job.releasedAt).Seconds(), wait.longestPart()
+	wait := job.computeWaitBreakdown(attempt, now)
+	waitS, longest := now.Sub(job.releasedAt).Seconds(), wait.longest()
 	if job.start.entitled {
 		metrics.GetOrCreateHistogram(`drumpick_guarantee_wait_seconds{longest="` + longest + `"}`).Update(waitS)
 	}
 	slog.Debug("job started", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks, "entitled", job.start.entitled,
-		"wait_s", waitS, "longest", longest, "heard_s", wait.heard.Seconds(), "room_s", wait.room.Seconds(),
-		"report_s", wait.report.Seconds(), "fetch_s", wait.fetch.Seconds(), "mates_s", wait.gang.Seconds(),
+		"wait_s", waitS, "longest", longest, "heard_s", wait.discovery.Seconds(), "room_s", wait.room.Seconds(),
+		"report_s", wait.dispatch.Seconds(), "fetch_s", wait.fetch.Seconds(), "mates_s", wait.gang.Seconds(),
 		"machine", wait.machine.Name, "type", wait.machine.Type, "term", s.term)
 }
--- a/internal/scheduler/start_latency_test.go
+++ b/internal/scheduler/start_latency_test.go
@@ -11,7 +11,7 @@
 
 // What a job waited for before it began is reported once, when all of a gang runs, and counts from the
 // last try: an attempt that came to nothing was time without room.
-func TestStartLatencyIsReportedOnce(t *testing.T) {
+func TestStartLatencyReportedOnce(t *testing.T) {
 	var log bytes.Buffer
 	was := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
@@ -31,7 +31,7 @@
 at 15.5 heartbeat m-2 j-1/1:5.1=running
 at 16 heartbeat m-1 j-1/0:5.1=running
 at 17 heartbeat m-2 j-1/1:5.1=running`), "\n") {
-		r.event(strings.Fields(line))
+		r.runEvent(strings.Fields(line))
 	}
 	var reported []string
 	for _, line := range strings.Split(log.String(), "\n") {
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -21,7 +21,7 @@
 	if s.drains.passDue(s.settings.HeartbeatInterval, now) {
 		s.runDrains(now)
 	}
-	if now.Sub(s.lastRebalance) >= s.settings.RoundInterval && s.overload.Level() < overload.Overloaded {
+	if now.Sub(s.lastRebalance) >= s.settings.RebalanceInterval && s.overload.Level() < overload.Overloaded {
 		s.rebalance(now)
 	}
 	if s.placementStale {
@@ -38,7 +38,7 @@
 // silent keeps what it runs, but nothing stays planned for it.
 func (s *Scheduler) cancelStalePlans(now time.Time) {
 	for _, machine := range s.fleet.Sorted() {
-		silent := now.Sub(machine.LastStatus) > silentIntervals*s.settings.HeartbeatInterval
+		silent := now.Sub(machine.LastStatusAt) > silentIntervals*s.settings.HeartbeatInterval
 		if machine.Draining || machine.Returning || machine.LeaseExpired || machine.Unreachable() || silent {
 			s.cancelPlanned(machine)
 		}
@@ -64,11 +64,11 @@
 	}
 	machinesUp := 0
 	for _, m := range s.fleet.Sorted() {
-		if m.Up && !m.LeaseExpired {
+		if m.HasStatus && !m.LeaseExpired {
 			machinesUp++
 		}
 	}
-	gap, s.delay = max(gap, s.settings.HeartbeatInterval/TicksPerHeartbeat+s.delay), 0
+	gap, s.maxDelay = max(gap, s.settings.HeartbeatInterval/TicksPerHeartbeat+s.maxDelay), 0
 	if s.overload.Observe(gap, machinesUp, now) {
 		slog.Log(context.Background(), overloadLogLevel(s.overload.Level()), "overload level changed", "level", s.overload.Level().String(),
 			"lag", s.overload.Lag().Round(time.Millisecond), "machines", machinesUp, "term", s.term)
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -10,25 +10,25 @@
 
 // MachineView is a machine as operators see it.
 type MachineView struct {
-	Name    string     `json:"name"`
-	Type    string     `json:"type"`
-	Zone    string     `json:"zone"`
-	Spot    bool       `json:"spot"`
-	Addr    string     `json:"addr"`
-	State   string     `json:"state"`
-	AgeS    float64    `json:"age_s,omitempty"` // since its rental, where that is known
-	Version string     `json:"version,omitempty"`
-	Count   int        `json:"tasks"`
-	Tasks   []TaskView `json:"on_it,omitempty"`
+	Name      string     `json:"name"`
+	Type      string     `json:"type"`
+	Zone      string     `json:"zone"`
+	Spot      bool       `json:"spot"`
+	Addr      string     `json:"addr"`
+	State     string     `json:"state"`
+	AgeS      float64    `json:"age_s,omitempty"` // since its rental, where that is known
+	Version   string     `json:"version,omitempty"`
+	TaskCount int        `json:"tasks"`
+	Tasks     []TaskView `json:"on_it,omitempty"`
 }
 
 // TaskView is an attempt on a machine as operators see it.
 type TaskView struct {
-	Task  string  `json:"task"`
-	Try   uint64  `json:"attempt"`
-	State string  `json:"state"`
-	RanS  float64 `json:"ran_s"`
-	Stops bool    `json:"stops,omitempty"`
+	Task     string  `json:"task"`
+	Attempt  uint64  `json:"attempt"`
+	State    string  `json:"state"`
+	RanS     float64 `json:"ran_s"`
+	Stopping bool    `json:"stops,omitempty"`
 }
 
 // States of machines, as operators see them.
@@ -42,7 +42,7 @@
 	MachineFaulty       = "faulty"
 	MachineReturning    = "returning"
 	MachineCordoned     = "cordoned" // takes no new tasks: an operator's drain
-	MachineEmptying     = "draining" // cordoned, and what runs there leaves
+	MachineDraining     = "draining" // cordoned, and what runs there leaves
 	MachineDrained      = "drained"  // cordoned, and nothing is on it any more
 )
 
@@ -52,16 +52,16 @@
 		return MachineReturning
 	case machine.AwaitsReconciliation():
 		return MachineUnreconciled
-	case !machine.Up && !machine.EarlierLeasesExpired:
+	case !machine.HasStatus && !machine.EarlierLeasesExpired:
 		return MachineBooting
-	case machine.LeaseExpired || now.Sub(machine.LastStatus) > silentIntervals*s.settings.HeartbeatInterval:
+	case machine.LeaseExpired || now.Sub(machine.LastStatusAt) > silentIntervals*s.settings.HeartbeatInterval:
 		return MachineSilent
 	case machine.Unreachable():
 		return MachineUnreachable
 	case s.isEmptying(machine) && machine.Empty():
 		return MachineDrained
 	case s.isEmptying(machine):
-		return MachineEmptying
+		return MachineDraining
 	case machine.Faulty:
 		return MachineFaulty
 	case machine.Cordon != nil:
@@ -72,7 +72,7 @@
 	return MachineUp
 }
 
-func (s *Scheduler) view(machine *fleet.Machine, now time.Time) MachineView {
+func (s *Scheduler) machineView(machine *fleet.Machine, now time.Time) MachineView {
 	view := MachineView{
 		Name: machine.Name, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Addr: machine.Addr,
 		Version: machine.Version, State: s.machineState(machine, now),
@@ -82,7 +82,7 @@
 	}
 	for _, attempt := range machine.Attempts() {
 		if attempt.State() != fleet.Ended {
-			view.Count++
+			view.TaskCount++
 		}
 	}
 	return view
@@ -99,7 +99,7 @@
 	}
 	end := min(i+limit, len(all))
 	for _, machine := range all[i:end] {
-		list = append(list, s.view(machine, now))
+		list = append(list, s.machineView(machine, now))
 	}
 	return list, end < len(all)
 }
@@ -110,9 +110,9 @@
 	if machine == nil {
 		return MachineView{}, false
 	}
-	view := s.view(machine, now)
+	view := s.machineView(machine, now)
 	for _, attempt := range machine.Attempts() {
-		task := TaskView{Task: attempt.Task.String(), Try: attempt.Number, State: attempt.State().String(), Stops: attempt.Stopping()}
+		task := TaskView{Task: attempt.Task.String(), Attempt: attempt.Number, State: attempt.State().String(), Stopping: attempt.Stopping()}
 		if attempt.State() != fleet.Ended {
 			_, ran := attempt.Durations(now)
 			task.RanS = ran.Seconds()
--- a/internal/scheduler/waiting_tasks.go
+++ b/internal/scheduler/waiting_tasks.go
@@ -5,29 +5,29 @@
 // waitingTasks is the queue of a job's tasks that are to be started: first those to be tried again,
 // then those never tried, in order.
 type waitingTasks struct {
-	nextUntried    int      // tasks from here on were never tried
-	adoptedUntried bool     // some of these have an attempt all the same, adopted after a failover
-	retries        []int    // tasks to be tried again
-	retryListed    []uint64 // bit set of what retries contains
+	nextUntried         int      // tasks from here on were never tried
+	untriedHaveAttempts bool     // some of these have an attempt all the same, adopted after a failover
+	retries             []int    // tasks to be tried again
+	inRetries           []uint64 // bit set of what retries contains
 }
 
-// listRetry appends a task to those to be tried again. A task is listed once: it can be given back
+// appendRetry appends a task to those to be tried again. A task is listed once: it can be given back
 // twice when it had a second attempt.
-func (w *waitingTasks) listRetry(task int) {
-	if !has(w.retryListed, task) {
-		w.retryListed[task/64] |= 1 << (task % 64)
+func (w *waitingTasks) appendRetry(task int) {
+	if !hasBit(w.inRetries, task) {
+		w.inRetries[task/64] |= 1 << (task % 64)
 		w.retries = append(w.retries, task)
 	}
 }
 
 func (w *waitingTasks) popRetry() {
 	task := w.retries[0]
-	w.retryListed[task/64] &^= 1 << (task % 64)
+	w.inRetries[task/64] &^= 1 << (task % 64)
 	w.retries = w.retries[1:]
 }
 
-// takeTask removes the next task from the queue, as it is being started.
-func (w *waitingTasks) takeTask(task int) {
+// dequeueTask removes the next task from the queue, as it is being started.
+func (w *waitingTasks) dequeueTask(task int) {
 	if len(w.retries) > 0 && w.retries[0] == task {
 		w.popRetry()
 	} else if task == w.nextUntried {
@@ -35,11 +35,11 @@
 	}
 }
 
-// pushRetry lists a task to be tried again. An uncertain task is not listed: it joins the list when
+// queueRetry lists a task to be tried again. An uncertain task is not listed: it joins the list when
 // it no longer is uncertain.
-func (j *Job) pushRetry(task int) {
+func (j *Job) queueRetry(task int) {
 	if !j.isUncertain(task) {
-		j.listRetry(task)
+		j.appendRetry(task)
 	}
 }
 
@@ -53,17 +53,17 @@
 			i += 64
 			continue
 		}
-		if !has(j.done, i) {
+		if !hasBit(j.done, i) {
 			n++
 		}
 		i++
 	}
-	if !j.adoptedUntried {
+	if !j.untriedHaveAttempts {
 		return n
 	}
 	// Tasks from nextUntried on that have an attempt, adopted after a failover.
 	for t := range j.attempts {
-		if (t >= j.nextUntried || j.isUncertain(t)) && !has(j.done, t) {
+		if (t >= j.nextUntried || j.isUncertain(t)) && !hasBit(j.done, t) {
 			n--
 		}
 	}
@@ -75,7 +75,7 @@
 func (j *Job) nextTask() int {
 	for len(j.retries) > 0 {
 		t := j.retries[0]
-		if has(j.done, t) || j.attempts[t] != nil {
+		if hasBit(j.done, t) || j.attempts[t] != nil {
 			j.popRetry()
 			continue
 		}
@@ -85,12 +85,12 @@
 		return t
 	}
 	for j.nextUntried < j.Tasks {
-		if has(j.done, j.nextUntried) || j.attempts[j.nextUntried] != nil {
+		if hasBit(j.done, j.nextUntried) || j.attempts[j.nextUntried] != nil {
 			j.nextUntried++
 			continue
 		}
 		if j.duplicates[j.nextUntried] > 0 {
-			j.pushRetry(j.nextUntried)
+			j.queueRetry(j.nextUntried)
 			j.nextUntried++
 			continue
 		}
@@ -99,12 +99,12 @@
 	return -1
 }
 
-// hasNoWaiting reports whether no task of the job waits to be started, now or once other attempts of
+// hasNoQueuedTasks reports whether no task of the job waits to be started, now or once other attempts of
 // it are gone.
-func (j *Job) hasNoWaiting() bool { return len(j.retries) == 0 && j.nextUntried >= j.Tasks }
+func (j *Job) hasNoQueuedTasks() bool { return len(j.retries) == 0 && j.nextUntried >= j.Tasks }
 
 // retryTask puts a task back into the queue.
 func (s *Scheduler) retryTask(j *Job, t int) {
-	j.pushRetry(t)
+	j.queueRetry(t)
 	s.order.activate(j)
 }
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -21,7 +21,7 @@
 func newWatermarkState() watermarkState { return watermarkState{raised: map[*Job]struct{}{}} }
 
 // isUncertain reports whether a task may be on a machine that has not been heard since the failover.
-func (j *Job) isUncertain(task int) bool { return j.uncertain != nil && has(j.uncertain, task) }
+func (j *Job) isUncertain(task int) bool { return j.uncertain != nil && hasBit(j.uncertain, task) }
 
 // countUncertain counts the uncertain tasks that are not done.
 func (j *Job) countUncertain() int {
@@ -34,7 +34,7 @@
 
 // markUncertain marks all tasks of a job as uncertain if an earlier leader can have sent any.
 func (s *Scheduler) markUncertain(j *Job) {
-	if s.reconciled || j.notStartedBefore > s.term {
+	if s.reconciled || j.earliestStartRevision > s.term {
 		return
 	}
 	j.uncertain = make([]uint64, len(j.done))
@@ -51,15 +51,15 @@
 		return
 	}
 	was := j.uncertain
-	j.uncertain, j.adoptedUntried, s.placementStale = nil, true, true
+	j.uncertain, j.untriedHaveAttempts, s.placementStale = nil, true, true
 	s.order.activate(j)
 	if len(j.retries) == 0 {
 		j.nextUntried = 0 // what is held, done or a duplicate is passed over
 		return
 	}
 	for t := range j.Tasks {
-		if has(was, t) && !has(j.done, t) && j.attempts[t] == nil && j.duplicates[t] == 0 {
-			j.pushRetry(t)
+		if hasBit(was, t) && !hasBit(j.done, t) && j.attempts[t] == nil && j.duplicates[t] == 0 {
+			j.queueRetry(t)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 func (s *Scheduler) LoadWatermarks(stored map[string]int, complete bool) {
 	for id, j := range s.jobs {
 		n := min(stored[id], j.Tasks)
-		j.watermark.NoteStored(n)
+		j.watermark.RecordStored(n)
 		if !complete || j.uncertain == nil {
 			continue
 		}
@@ -87,14 +87,14 @@
 	s.placementStale = true
 }
 
-// clearUncertainOn takes the tasks that a machine shows under this term as certain: what is there now
+// clearUncertainSeenOn takes the tasks that a machine shows under this term as certain: what is there now
 // had not ended when the last leader stopped, so it was sent to no other machine. It leaves out what
 // only a copy of an earlier heartbeat has shown, and is still to be probed for: the machine may have a
 // new incarnation since, and the task have been sent to another that has not been heard.
-func (s *Scheduler) clearUncertainOn(m *fleet.Machine) {
+func (s *Scheduler) clearUncertainSeenOn(m *fleet.Machine) {
 	for _, a := range m.Attempts() {
 		j := s.jobOf(a)
-		if j != nil && j.isUncertain(a.Task.N) && a.MayBePresent() && m.LastReported(a) && j.attempts[a.Task.N] == a {
+		if j != nil && j.isUncertain(a.Task.N) && a.MayBePresent() && m.InLastStatus(a) && j.attempts[a.Task.N] == a {
 			j.uncertain[a.Task.N/64] &^= 1 << (a.Task.N % 64)
 		}
 	}
@@ -130,10 +130,10 @@
 	}
 }
 
-// raiseForNewJob raises the watermark beyond what of a new job is sent at once when its turn comes:
+// raiseWatermarkForNewJob raises the watermark beyond what of a new job is sent at once when its turn comes:
 // the first tasks of urgent jobs, and all of small jobs and of those with dependencies. Without this,
 // each step of a chain of dependencies would wait for the store.
-func (s *Scheduler) raiseForNewJob(j *Job) {
+func (s *Scheduler) raiseWatermarkForNewJob(j *Job) {
 	switch {
 	case len(j.Dependencies) > 0 || j.Tasks <= 2*watermark.RaiseDivisor:
 		s.raiseWatermark(j, j.Tasks-1)
@@ -161,12 +161,12 @@
 	return false
 }
 
-// aheadShare is for how many tasks, for each machine that takes tasks, watermarks are raised before
+// aheadTasksPerMachine is for how many tasks, for each machine that takes tasks, watermarks are raised before
 // there is room for them: about what starts until the next tick and the store's answer to it.
-const aheadShare = 1.0 / 2
+const aheadTasksPerMachine = 1.0 / 2
 
-// countAccepting counts the machines that take tasks.
-func (s *Scheduler) countAccepting() int {
+// countAcceptingMachines counts the machines that take tasks.
+func (s *Scheduler) countAcceptingMachines() int {
 	n := 0
 	for _, m := range s.fleet.Sorted() {
 		if m.Bin.Open() {
@@ -182,7 +182,7 @@
 	if !s.settings.Watermarks {
 		return
 	}
-	budget := int(float64(s.countAccepting()) * aheadShare)
+	budget := int(float64(s.countAcceptingMachines()) * aheadTasksPerMachine)
 	for _, j := range s.queue(now) {
 		if budget <= 0 {
 			return
--- a/internal/scheduler/zone_health.go
+++ b/internal/scheduler/zone_health.go
@@ -9,9 +9,9 @@
 	"drumpick/internal/zonehealth"
 )
 
-// isQuiet reports whether a machine has been silent for so long that an outage of its zone may be the
+// heartbeatOverdue reports whether a machine has been silent for so long that an outage of its zone may be the
 // cause.
-func (s *Scheduler) isQuiet(m *fleet.Machine, now time.Time) bool {
+func (s *Scheduler) heartbeatOverdue(m *fleet.Machine, now time.Time) bool {
 	return float64(now.Sub(m.LastHeard())) > zonehealth.SilentAfterIntervals*float64(s.settings.HeartbeatInterval)
 }
 
@@ -22,12 +22,12 @@
 	}
 	counts := map[string]zonehealth.Count{}
 	for _, machine := range s.fleet.Sorted() {
-		if !machine.Up && !machine.Inherited || machine.Failed || machine.Returning {
+		if !machine.HasStatus && !machine.Inherited || machine.Failed || machine.Returning {
 			continue
 		}
 		n := counts[machine.Zone]
 		n.Machines++
-		if s.isQuiet(machine, now) {
+		if s.heartbeatOverdue(machine, now) {
 			n.Silent++
 		}
 		counts[machine.Zone] = n
@@ -45,7 +45,7 @@
 // zone without a suspected outage. Capacity that was refused lately counts too: as long as work waits
 // it is requested again and again.
 func (s *Scheduler) replaceableElsewhere(machine *fleet.Machine, now time.Time) bool {
-	machineType := s.types[machine.Type]
+	machineType := s.machineTypes[machine.Type]
 	late := now.Add(-2 * s.startupTime(machine.Type))
 	refusedLately := func(zone string, spot bool) bool {
 		return !late.After(s.autoscaling.planner.RefusedUntil(autoscaler.Offer{Type: machine.Type, Zone: zone, Spot: spot}))
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -82,10 +82,10 @@
 		case a.status == statusPulling && !now.Before(a.statusEnds):
 			m.imageReadyLocked(a)
 		case a.status == statusWaiting && !a.statusEnds.IsZero() && !now.Before(a.statusEnds):
-			m.endLocked(a, fleet.CauseAlone)
+			m.endLocked(a, fleet.CauseGangTimeout)
 		case a.status == statusRunning && gang && m.peersMissingLocked(a, now):
 			m.env.saveProgressLocked(a, a.checkpointAt(now))
-			m.endLocked(a, fleet.CauseMatesGone)
+			m.endLocked(a, fleet.CauseGangPeerLost)
 		case a.status == statusRunning && !a.statusEnds.IsZero() && !now.Before(a.statusEnds):
 			m.completeLocked(a)
 		case a.status == statusFlushing && !now.Before(a.statusEnds):
@@ -163,13 +163,13 @@
 			continue
 		}
 		if other.task == a.task {
-			return fleet.CauseBusy
+			return fleet.CauseOtherAttempt
 		}
 		cpus, mem = cpus+other.job.CPUs, mem+other.job.MemGB
 	}
 	switch {
 	case !jobKnown:
-		return fleet.CauseNoSuch
+		return fleet.CauseUnknownTask
 	case cpus > m.typ.CPUs+epsilon || m.typ.MemGB > 0 && mem > m.typ.MemGB+epsilon:
 		return fleet.CauseFull
 	}
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -200,7 +200,7 @@
 	}
 	for _, a := range m.tasks {
 		r.Tasks = append(r.Tasks, fleet.TaskStatus{
-			Task: a.task, Attempt: a.number, Status: a.status, Cause: a.cause, Saved: a.saved,
+			Task: a.task, Attempt: a.number, Status: a.status, Cause: a.cause, CheckpointSaved: a.saved,
 		})
 	}
 	// A deep copy stands for what goes over the wire.
--- a/internal/simulation/record_check_test.go
+++ b/internal/simulation/record_check_test.go
@@ -38,7 +38,7 @@
 func (r *recordCheck) entries(prefix string, each func(id string, v json.RawMessage)) {
 	for key, row := range r.cluster.store.entries {
 		if strings.HasPrefix(key, prefix) {
-			all, err := records.Entries(prefix, row)
+			all, err := records.DecodeEntries(prefix, row)
 			if err != nil {
 				r.fail("%s: %v", key, err)
 			}
@@ -64,7 +64,7 @@
 		n, _ := records.ParseWatermark(v)
 		marks[id] = max(marks[id], n)
 	})
-	r.entries(records.PrefixDone, func(id string, v json.RawMessage) {
+	r.entries(records.PrefixFinishedTasks, func(id string, v json.RawMessage) {
 		var ranges string
 		_ = json.Unmarshal(v, &ranges)
 		job, _, _ := records.ParsePartID(id)
--- a/internal/simulation/single_task_jobs_test.go
+++ b/internal/simulation/single_task_jobs_test.go
@@ -65,7 +65,7 @@
 				if !x.faults && (c.store.ThrottledWrites() > 5 || slowest.Load() > 1000 || backlog > 24) {
 					t.Errorf("%s, want at most 5 times, 1000 ms and 24 jobs", measured)
 				}
-				if keys := append(c.store.Keys(records.PrefixOpen), c.store.Keys(records.PrefixDone)...); len(keys) > 0 {
+				if keys := append(c.store.Keys(records.PrefixOpen), c.store.Keys(records.PrefixFinishedTasks)...); len(keys) > 0 {
 					t.Errorf("left in the store: %v", keys)
 				}
 			})
--- a/internal/simulation/workload_test.go
+++ b/internal/simulation/workload_test.go
@@ -188,12 +188,12 @@
 				north := func(m *Machine) bool { return m.Zone == "a" }
 				before := s.env.LostWork()
 				began := time.Now()
-				spec := drain.Spec{ID: "d-1", Kind: drain.Empty, Zone: "a"}
+				spec := drain.Spec{ID: "d-1", Kind: drain.KindDrain, Zone: "a"}
 				switch way {
 				case "drain by 60 s":
-					spec.ByMS = began.Add(time.Minute).UnixMilli()
+					spec.DeadlineMS = began.Add(time.Minute).UnixMilli()
 				case "cordon and wait":
-					spec.Kind = drain.Cordon
+					spec.Kind = drain.KindCordon
 				case "nothing happens", "power fails at 60 s":
 					spec.ID = ""
 				}
@@ -256,8 +256,8 @@
 		up := len(s.env.Machines())
 		before, began, writes := s.env.LostWork(), time.Now(), s.writes()
 		s.startDrain(drain.Spec{
-			ID: "d-1", Kind: drain.Upgrade, TargetVersion: "2", AtOnce: max(up/10, 1), MinInService: up / 4,
-			BeganMS: began.UnixMilli(), WhenEmpty: drain.Keep,
+			ID: "d-1", Kind: drain.KindUpgrade, TargetVersion: "2", MaxOutOfService: max(up/10, 1), MinInService: up / 4,
+			RequestedMS: began.UnixMilli(), WhenEmpty: drain.Keep,
 		})
 		for time.Since(began) < 4*time.Hour {
 			sleep(5)
--- a/internal/simulation/zone_outage_test.go
+++ b/internal/simulation/zone_outage_test.go
@@ -43,7 +43,7 @@
 		c.wantDone(0, "j-1")
 		ran, _ := c.env.History()
 		for _, r := range ran {
-			if r.Cause == causeLost || r.Cause == fleet.CauseAlone {
+			if r.Cause == causeLost || r.Cause == fleet.CauseGangTimeout {
 				lost++
 			}
 		}
--- a/internal/watermark/attestation.go
+++ b/internal/watermark/attestation.go
@@ -91,9 +91,9 @@
 	return remembered.Term == a.Term && remembered.Seq == a.Seq
 }
 
-// Latest picks, of what observers remember, the newest attestation of complete watermarks:
+// LatestComplete picks, of what observers remember, the newest attestation of complete watermarks:
 // one is enough. ok is false where there is none.
-func Latest(attestations []Attestation) (latest Attestation, ok bool) {
+func LatestComplete(attestations []Attestation) (latest Attestation, ok bool) {
 	for _, a := range attestations {
 		if a.Complete && a.NewerThan(latest) {
 			latest, ok = a, true
--- a/internal/watermark/failover_model_test.go
+++ b/internal/watermark/failover_model_test.go
@@ -29,11 +29,11 @@
 	taskOn       int8               // the machine that has the task, or none
 	fencingToken [2]int8            // by machine, the latest that it has seen
 	delayed      delayedAttestation // a message that is held up on its way
-	left         eventsLeft
+	budget       eventBudget
 }
 
-// eventsLeft is how often each rare event may still come.
-type eventsLeft struct {
+// eventBudget is how often each rare event may still come.
+type eventBudget struct {
 	restarts, taskEnds, outages, terms int8
 }
 
@@ -85,34 +85,34 @@
 
 // leadership is what a leader knows, and forgets with its term.
 type leadership struct {
-	term, seq    int8
-	complete     bool  // its last attestation
-	sound        bool  // all that was dispatched is below watermarks, as far as it can know
-	relaxing     bool  // it asks the others to hear that this ends, and the store does not answer them
-	relaxed      bool  // they have heard it, and let it go on
-	acknowledged uint8 // who has heard it, a bit by controller
-	restarted    uint8 // who has restarted since it began to ask, a bit by controller
-	watermark    bool  // as it knows it
-	uncertain    bool  // the task may be on a machine that it has not heard from
-	heardSecond  bool  // it has heard from the second machine
-	taskOn       int8  // the machine that it knows to have the task, or none
+	term, seq           int8
+	attestedComplete    bool  // its last attestation
+	watermarksComplete  bool  // all that was dispatched is below watermarks, as far as it can know
+	relaxing            bool  // it asks the others to hear that this ends, and the store does not answer them
+	relaxed             bool  // they have heard it, and let it go on
+	acknowledged        uint8 // who has heard it, a bit by controller
+	restarted           uint8 // who has restarted since it began to ask, a bit by controller
+	watermark           bool  // as it knows it
+	taskLocationUnknown bool  // the task may be on a machine that it has not heard from
+	heardSecond         bool  // it has heard from the second machine
+	taskOn              int8  // the machine that it knows to have the task, or none
 }
 
-// failoverMistake is a mistake in how the package's code is used, which the model has to find.
-type failoverMistake string
+// failoverMutant is a mistake in how the package's code is used, which the model has to find.
+type failoverMutant string
 
 const (
-	noMistake             failoverMistake = ""
-	dispatchUncovered     failoverMistake = "a task is dispatched without its watermark"
-	ignoreLaterLeaders    failoverMistake = "it is not asked who led since"
-	completeTooSoon       failoverMistake = "watermarks are attested complete too soon"
-	acceptLateAttestation failoverMistake = "a late attestation is taken in"
-	oneAcknowledgement    failoverMistake = "one acknowledgement is enough"
-	observerNotBarred     failoverMistake = "earlier terms are not barred at an observer"
-	askRestarted          failoverMistake = "one that has just started may acknowledge"
-	relaxWithinSpan       failoverMistake = "a stored attestation is broken within its span"
-	trustOldRecord        failoverMistake = "an old stored attestation is believed"
-	trustOwnRecord        failoverMistake = "a process believes its own stored attestation"
+	noFailoverMutant      failoverMutant = ""
+	dispatchUncovered     failoverMutant = "a task is dispatched without its watermark"
+	ignoreLaterLeaders    failoverMutant = "it is not asked who led since"
+	attestTooEarly        failoverMutant = "watermarks are attested complete too soon"
+	acceptLateAttestation failoverMutant = "a late attestation is taken in"
+	oneAcknowledgement    failoverMutant = "one acknowledgement is enough"
+	ignoreMinTerm         failoverMutant = "earlier terms are not barred at an observer"
+	countRestarted        failoverMutant = "one that has just started may acknowledge"
+	relaxWithinSpan       failoverMutant = "a stored attestation is broken within its span"
+	trustOldRecord        failoverMutant = "an old stored attestation is believed"
+	trustOwnRecord        failoverMutant = "a process believes its own stored attestation"
 )
 
 func (c *controller) observer() *Observer {
@@ -123,14 +123,14 @@
 }
 
 // observe has a controller take in an attestation and returns what it remembers then.
-func (c *controller) observe(a Attestation, mistake failoverMistake) Attestation {
+func (c *controller) observe(a Attestation, mistake failoverMutant) Attestation {
 	o := c.observer()
 	switch mistake {
 	case acceptLateAttestation:
 		if a.Seq > 0 && a.Term >= o.minTerm {
 			o.latest = a
 		}
-	case observerNotBarred:
+	case ignoreMinTerm:
 		o.minTerm = 0
 		o.Observe(a)
 	default:
@@ -147,7 +147,7 @@
 }
 
 // changesSince lists who took the leader's key after a term.
-func (m *failoverModel) changesSince(since int8, mistake failoverMistake) (changes []LeaderChange) {
+func (m *failoverModel) changesSince(since int8, mistake failoverMutant) (changes []LeaderChange) {
 	for term := since + 1; term <= m.term; term++ {
 		if kind := m.leaders[term]; kind != noLeader {
 			keeps := kind == keepsWatermarks || mistake == ignoreLaterLeaders
@@ -157,8 +157,8 @@
 	return changes
 }
 
-// trusts is what a new leader decides about the watermarks, having reached the others or not.
-func (m *failoverModel) trusts(i int, reached bool, mistake failoverMistake) bool {
+// trustsWatermarks is what a new leader decides about the watermarks, having reached the others or not.
+func (m *failoverModel) trustsWatermarks(i int, reached bool, mistake failoverMutant) bool {
 	var remembered []Attestation
 	for k := range m.controllers {
 		c := &m.controllers[k]
@@ -166,7 +166,7 @@
 			remembered = append(remembered, c.observe(Attestation{Term: uint64(m.term)}, mistake))
 		}
 	}
-	if latest, ok := Latest(remembered); ok {
+	if latest, ok := LatestComplete(remembered); ok {
 		return Trusted(latest, m.changesSince(int8(latest.Term), mistake), uint64(m.term))
 	}
 	const span, bound = 2 * time.Second, time.Second / 10
@@ -184,8 +184,8 @@
 	return len(changes) == 1 && changes[0].Term == uint64(m.term)
 }
 
-// next calls visit for every state that one event leads to. It returns what is broken.
-func (m *failoverModel) next(mistake failoverMistake, visit func(failoverModel)) (broken string) {
+// visitSuccessors calls visit for every state that one event leads to. It returns what is broken.
+func (m *failoverModel) visitSuccessors(mistake failoverMutant, visit func(failoverModel)) (broken string) {
 	do := func(change func(n *failoverModel)) {
 		following := *m
 		change(&following)
@@ -193,11 +193,11 @@
 	}
 	for i := range m.controllers {
 		c := m.controllers[i]
-		if m.left.restarts > 0 {
+		if m.budget.restarts > 0 {
 			do(func(n *failoverModel) { n.restart(i) })
 		}
 		if c.leading.term == 0 {
-			m.candidacies(i, mistake, do)
+			m.electionEvents(i, mistake, do)
 			continue
 		}
 		if m.holdsKey(i) && !m.storeDown {
@@ -216,22 +216,22 @@
 				n.endTerm(i)
 			})
 		}
-		if broken := m.dispatches(i, mistake, do); broken != "" {
+		if broken := m.machineEvents(i, mistake, do); broken != "" {
 			return broken
 		}
 		if !c.withoutWatermarks {
-			m.attestations(i, mistake, do)
-			m.watermarkWrites(i, do)
-			m.relaxations(i, mistake, do)
+			m.attestationEvents(i, mistake, do)
+			m.watermarkEvents(i, do)
+			m.relaxationEvents(i, mistake, do)
 		}
 	}
-	m.environment(mistake, do)
+	m.environmentEvents(mistake, do)
 	return ""
 }
 
 // restart ends a controller's process and starts another.
 func (m *failoverModel) restart(i int) {
-	m.left.restarts--
+	m.budget.restarts--
 	for k := range m.controllers {
 		if l := &m.controllers[k].leading; l.relaxing {
 			l.restarted |= 1 << i
@@ -246,13 +246,13 @@
 	}
 }
 
-// candidacies are the elections that a controller may win.
-func (m *failoverModel) candidacies(i int, mistake failoverMistake, do func(func(*failoverModel))) {
+// electionEvents are the elections that a controller may win.
+func (m *failoverModel) electionEvents(i int, mistake failoverMutant, do func(func(*failoverModel))) {
 	// An earlier process of its node holds the key, or nobody does.
 	free := m.keyHolder == none || m.keyHolder == int8(i)
 	// The first two controllers are alike: of them, the first leads first.
 	inOrder := m.term > 0 || i != 1
-	if m.storeDown || m.left.terms == 0 || !free || !inOrder {
+	if m.storeDown || m.budget.terms == 0 || !free || !inOrder {
 		return
 	}
 	for _, reached := range []bool{false, true} {
@@ -267,19 +267,19 @@
 	}
 }
 
-func (m *failoverModel) elect(i int, reached bool, mistake failoverMistake) {
+func (m *failoverModel) elect(i int, reached bool, mistake failoverMutant) {
 	c := &m.controllers[i]
 	m.term++
-	m.left.terms--
+	m.budget.terms--
 	m.keyHolder = int8(i)
 	m.leaders[m.term] = keepsWatermarks
 	if c.withoutWatermarks {
 		m.leaders[m.term] = withoutWatermarks
 	}
-	c.leading = leadership{term: m.term, taskOn: none, uncertain: true, watermark: m.watermark}
-	if !c.withoutWatermarks && m.trusts(i, reached, mistake) {
-		c.leading.sound = true
-		c.leading.uncertain = m.watermark
+	c.leading = leadership{term: m.term, taskOn: none, taskLocationUnknown: true, watermark: m.watermark}
+	if !c.withoutWatermarks && m.trustsWatermarks(i, reached, mistake) {
+		c.leading.watermarksComplete = true
+		c.leading.taskLocationUnknown = m.watermark
 	}
 	m.heartbeat(i, 0)
 }
@@ -291,20 +291,20 @@
 	switch {
 	case m.taskOn == machine:
 		l.taskOn = machine
-		l.uncertain = false
+		l.taskLocationUnknown = false
 	case l.taskOn == machine:
 		l.taskOn = none
 	}
 	if machine == 1 {
 		l.heardSecond = true
-		l.uncertain = false
+		l.taskLocationUnknown = false
 		// What is there has to be below its watermark before the watermarks are sound.
-		l.sound = l.sound || l.taskOn == none || l.watermark
+		l.watermarksComplete = l.watermarksComplete || l.taskOn == none || l.watermark
 	}
 }
 
-// dispatches is what a leader does with machines. It returns what is broken.
-func (m *failoverModel) dispatches(i int, mistake failoverMistake, do func(func(*failoverModel))) (broken string) {
+// machineEvents is what a leader does with machines. It returns what is broken.
+func (m *failoverModel) machineEvents(i int, mistake failoverMutant, do func(func(*failoverModel))) (broken string) {
 	c := &m.controllers[i]
 	for machine := range int8(2) {
 		if !m.holdsKey(i) && !c.leading.relaxed || m.fencingToken[machine] > c.leading.term {
@@ -313,7 +313,7 @@
 		do(func(n *failoverModel) { n.heartbeat(i, machine) })
 		storing := m.holdsKey(i) && !m.storeDown
 		covered := c.withoutWatermarks || storing || c.leading.watermark || c.leading.relaxed || mistake == dispatchUncovered
-		if c.leading.taskOn != none || c.leading.uncertain || !covered || machine == 1 && !c.leading.heardSecond {
+		if c.leading.taskOn != none || c.leading.taskLocationUnknown || !covered || machine == 1 && !c.leading.heardSecond {
 			continue
 		}
 		if m.taskOn != none {
@@ -336,10 +336,10 @@
 }
 
 // attest returns a leader's attestation that its watermarks are complete or relaxed.
-func (m *failoverModel) attest(i int, complete bool, mistake failoverMistake) Attestation {
+func (m *failoverModel) attest(i int, complete bool, mistake failoverMutant) Attestation {
 	l := &m.controllers[i].leading
-	if l.complete != complete || l.seq == 0 {
-		l.complete = complete
+	if l.attestedComplete != complete || l.seq == 0 {
+		l.attestedComplete = complete
 		l.seq++
 		l.acknowledged = 0
 	}
@@ -348,9 +348,9 @@
 	return a
 }
 
-// strict reports whether a leader stores watermarks: it is neither cut off from the store nor
+// storesWatermarks reports whether a leader stores watermarks: it is neither cut off from the store nor
 // relaxed, nor about to be.
-func (m *failoverModel) strict(i int) bool {
+func (m *failoverModel) storesWatermarks(i int) bool {
 	l := &m.controllers[i].leading
 	return m.holdsKey(i) && !m.storeDown && !l.relaxed && !l.relaxing
 }
@@ -358,10 +358,10 @@
 // covered reports whether the task, if a leader knows where it is, is below its watermark.
 func (l *leadership) covered() bool { return l.taskOn == none || l.watermark }
 
-// attestations is what a leader says of complete watermarks, to others and in the store.
-func (m *failoverModel) attestations(i int, mistake failoverMistake, do func(func(*failoverModel))) {
+// attestationEvents is what a leader says of complete watermarks, to others and in the store.
+func (m *failoverModel) attestationEvents(i int, mistake failoverMutant, do func(func(*failoverModel))) {
 	l := m.controllers[i].leading
-	if !m.strict(i) || !l.covered() || !l.sound && mistake != completeTooSoon {
+	if !m.storesWatermarks(i) || !l.covered() || !l.watermarksComplete && mistake != attestTooEarly {
 		return
 	}
 	for k := range m.controllers {
@@ -376,7 +376,7 @@
 			})
 		}
 	}
-	if l.complete {
+	if l.attestedComplete {
 		do(func(n *failoverModel) {
 			n.attestation = storedRecord{term: l.term, node: int8(i), withinSpan: true}
 			n.controllers[i].started = beforeAttestation
@@ -384,36 +384,36 @@
 	}
 }
 
-// watermarkWrites is how a leader makes its watermarks sound again.
-func (m *failoverModel) watermarkWrites(i int, do func(func(*failoverModel))) {
+// watermarkEvents is how a leader makes its watermarks sound again.
+func (m *failoverModel) watermarkEvents(i int, do func(func(*failoverModel))) {
 	l := m.controllers[i].leading
-	if m.strict(i) && !l.sound && l.heardSecond && l.covered() {
+	if m.storesWatermarks(i) && !l.watermarksComplete && l.heardSecond && l.covered() {
 		// What was dispatched while they were relaxed has its watermark.
-		do(func(n *failoverModel) { n.controllers[i].leading.sound = true })
+		do(func(n *failoverModel) { n.controllers[i].leading.watermarksComplete = true })
 	}
 	if m.holdsKey(i) && !m.storeDown && !l.covered() {
 		do(func(n *failoverModel) { n.storeWatermark(i) })
 	}
 }
 
-// relaxations is how a leader, in an outage of the store, asks the others to hear that its
+// relaxationEvents is how a leader, in an outage of the store, asks the others to hear that its
 // watermarks are relaxed.
-func (m *failoverModel) relaxations(i int, mistake failoverMistake, do func(func(*failoverModel))) {
+func (m *failoverModel) relaxationEvents(i int, mistake failoverMutant, do func(func(*failoverModel))) {
 	if !(m.storeDown && m.holdsKey(i)) && !m.controllers[i].leading.relaxing {
 		return
 	}
 	for k := range m.controllers {
 		if k != i {
-			do(func(n *failoverModel) { n.askToRelax(i, k, mistake) })
+			do(func(n *failoverModel) { n.requestRelaxation(i, k, mistake) })
 		}
 	}
 }
 
-func (m *failoverModel) askToRelax(i, other int, mistake failoverMistake) {
+func (m *failoverModel) requestRelaxation(i, other int, mistake failoverMutant) {
 	a := m.attest(i, false, mistake)
 	l := &m.controllers[i].leading
 	l.relaxing = true
-	restarted := l.restarted>>other&1 == 1 && mistake != askRestarted
+	restarted := l.restarted>>other&1 == 1 && mistake != countRestarted
 	observed := a.ObservedBy(m.controllers[other].observe(a, mistake))
 	if observed && !m.controllers[other].withoutWatermarks && !restarted {
 		l.acknowledged |= 1 << other
@@ -423,23 +423,23 @@
 	bound := m.attestation.withinSpan && m.attestation.term == l.term && mistake != relaxWithinSpan
 	if enough && !bound {
 		l.relaxed = true
-		l.sound = false
+		l.watermarksComplete = false
 	}
 }
 
-// environment is what happens by itself.
-func (m *failoverModel) environment(mistake failoverMistake, do func(func(*failoverModel))) {
-	if m.taskOn != none && m.left.taskEnds > 0 {
+// environmentEvents is what happens by itself.
+func (m *failoverModel) environmentEvents(mistake failoverMutant, do func(func(*failoverModel))) {
+	if m.taskOn != none && m.budget.taskEnds > 0 {
 		do(func(n *failoverModel) {
 			n.taskOn = none
-			n.left.taskEnds--
+			n.budget.taskEnds--
 		})
 	}
-	if m.left.outages > 0 || m.storeDown {
+	if m.budget.outages > 0 || m.storeDown {
 		do(func(n *failoverModel) {
 			n.storeDown = !n.storeDown
 			if n.storeDown {
-				n.left.outages--
+				n.budget.outages--
 			}
 		})
 	}
@@ -461,13 +461,13 @@
 
 // exploreFailovers looks at every state up to a number of them, the nearest first. It returns
 // how many it has seen and what is broken.
-func exploreFailovers(start failoverModel, mistake failoverMistake, maxStates int) (seen int, broken string) {
+func exploreFailovers(start failoverModel, mistake failoverMutant, maxStates int) (seen int, broken string) {
 	known := map[failoverModel]struct{}{start: {}}
 	queue := []failoverModel{start}
 	for len(queue) > 0 && len(known) < maxStates && broken == "" {
 		state := queue[0]
 		queue = queue[1:]
-		broken = state.next(mistake, func(following failoverModel) {
+		broken = state.visitSuccessors(mistake, func(following failoverModel) {
 			if _, ok := known[following]; !ok {
 				known[following] = struct{}{}
 				queue = append(queue, following)
@@ -477,30 +477,30 @@
 	return len(known), broken
 }
 
-// modelSize is how large a model may be, and where it begins: at nothing, or with a leader
+// modelConfig is how large a model may be, and where it begins: at nothing, or with a leader
 // that has heard from both machines and attested to both others.
-type modelSize struct {
+type modelConfig struct {
 	withLeader     bool
 	mixedVersions  bool // the third controller is of a version without watermarks
 	delaysMessages bool
-	events         eventsLeft
+	events         eventBudget
 }
 
-func (s modelSize) start() failoverModel {
+func (s modelConfig) initialState() failoverModel {
 	m := failoverModel{
 		keyHolder: none,
 		taskOn:    none,
 		delayed:   delayedAttestation{to: none, used: !s.delaysMessages},
-		left:      s.events,
+		budget:    s.events,
 	}
 	m.controllers[2].withoutWatermarks = s.mixedVersions
 	if s.withLeader {
-		m.elect(0, true, noMistake)
+		m.elect(0, true, noFailoverMutant)
 		m.heartbeat(0, 1)
 		for i := range m.controllers {
-			m.controllers[i].observe(Attestation{Term: 1, Seq: 1, Complete: true, Revision: 1}, noMistake)
+			m.controllers[i].observe(Attestation{Term: 1, Seq: 1, Complete: true, Revision: 1}, noFailoverMutant)
 		}
-		m.controllers[0].leading.complete = true
+		m.controllers[0].leading.attestedComplete = true
 		m.controllers[0].leading.seq = 1
 	}
 	return m
@@ -511,14 +511,14 @@
 var maxModelStates = flag.Int("states", 150_000, "how many states of the model to look at")
 
 func TestTaskIsNeverDispatchedTwice(t *testing.T) {
-	for _, size := range []modelSize{
-		{events: eventsLeft{terms: 3, restarts: 1, taskEnds: 1}},
-		{mixedVersions: true, events: eventsLeft{terms: 3, restarts: 1, taskEnds: 1}},
-		{withLeader: true, events: eventsLeft{terms: 3, restarts: 2}},
-		{withLeader: true, events: eventsLeft{terms: 2, restarts: 1, outages: 1}},
-		{withLeader: true, delaysMessages: true, events: eventsLeft{terms: 2, restarts: 1, outages: 1}},
+	for _, size := range []modelConfig{
+		{events: eventBudget{terms: 3, restarts: 1, taskEnds: 1}},
+		{mixedVersions: true, events: eventBudget{terms: 3, restarts: 1, taskEnds: 1}},
+		{withLeader: true, events: eventBudget{terms: 3, restarts: 2}},
+		{withLeader: true, events: eventBudget{terms: 2, restarts: 1, outages: 1}},
+		{withLeader: true, delaysMessages: true, events: eventBudget{terms: 2, restarts: 1, outages: 1}},
 	} {
-		seen, broken := exploreFailovers(size.start(), noMistake, *maxModelStates)
+		seen, broken := exploreFailovers(size.initialState(), noFailoverMutant, *maxModelStates)
 		t.Logf("%+v: %d states", size, seen)
 		if broken != "" {
 			t.Errorf("%+v: %s", size, broken)
@@ -527,24 +527,24 @@
 }
 
 // A model that finds nothing may check nothing: it has to find these mistakes.
-func TestFailoverModelFindsMistakes(t *testing.T) {
+func TestFailoverModelDetectsMutants(t *testing.T) {
 	for _, x := range []struct {
-		mistake failoverMistake
-		size    modelSize
+		mistake failoverMutant
+		size    modelConfig
 	}{
-		{dispatchUncovered, modelSize{events: eventsLeft{terms: 2}}},
-		{ignoreLaterLeaders, modelSize{mixedVersions: true, events: eventsLeft{terms: 3}}},
-		{completeTooSoon, modelSize{mixedVersions: true, events: eventsLeft{terms: 3}}},
-		{acceptLateAttestation, modelSize{withLeader: true, delaysMessages: true, events: eventsLeft{terms: 2, outages: 1}}},
-		{oneAcknowledgement, modelSize{withLeader: true, events: eventsLeft{terms: 2, outages: 1}}},
-		{observerNotBarred, modelSize{withLeader: true, events: eventsLeft{terms: 2, restarts: 1, outages: 1}}},
-		{askRestarted, modelSize{withLeader: true, events: eventsLeft{terms: 2, restarts: 1, outages: 1}}},
-		{relaxWithinSpan, modelSize{withLeader: true, events: eventsLeft{terms: 2, restarts: 1, outages: 1}}},
-		{trustOldRecord, modelSize{withLeader: true, events: eventsLeft{terms: 2, restarts: 1, outages: 1}}},
-		{trustOwnRecord, modelSize{withLeader: true, events: eventsLeft{terms: 2, outages: 1}}},
+		{dispatchUncovered, modelConfig{events: eventBudget{terms: 2}}},
+		{ignoreLaterLeaders, modelConfig{mixedVersions: true, events: eventBudget{terms: 3}}},
+		{attestTooEarly, modelConfig{mixedVersions: true, events: eventBudget{terms: 3}}},
+		{acceptLateAttestation, modelConfig{withLeader: true, delaysMessages: true, events: eventBudget{terms: 2, outages: 1}}},
+		{oneAcknowledgement, modelConfig{withLeader: true, events: eventBudget{terms: 2, outages: 1}}},
+		{ignoreMinTerm, modelConfig{withLeader: true, events: eventBudget{terms: 2, restarts: 1, outages: 1}}},
+		{countRestarted, modelConfig{withLeader: true, events: eventBudget{terms: 2, restarts: 1, outages: 1}}},
+		{relaxWithinSpan, modelConfig{withLeader: true, events: eventBudget{terms: 2, restarts: 1, outages: 1}}},
+		{trustOldRecord, modelConfig{withLeader: true, events: eventBudget{terms: 2, restarts: 1, outages: 1}}},
+		{trustOwnRecord, modelConfig{withLeader: true, events: eventBudget{terms: 2, outages: 1}}},
 	} {
 		const maxStates = 400_000
-		seen, broken := exploreFailovers(x.size.start(), x.mistake, maxStates)
+		seen, broken := exploreFailovers(x.size.initialState(), x.mistake, maxStates)
 		t.Logf("%s, at %d states: %s", x.mistake, seen, broken)
 		if broken == "" {
 			t.Errorf("not found: %s, in %d states", x.mistake, seen)
--- a/internal/watermark/lease_expiry_model_test.go
+++ b/internal/watermark/lease_expiry_model_test.go
@@ -14,17 +14,17 @@
 // the package's own code. When a leader takes the machine's lease to have expired, nothing
 // may be on it from then on, until the worker has shown its term.
 type leaseModel struct {
-	term         int8            // the latest one
-	leaderOf     [4]int8         // by term, the controller that took it
-	believes     [3]int8         // by controller, the term that it believes to lead; 0: none
-	sinceRenewal [3]int8         // by controller, the age of the renewal that it last noted
-	termAge      int8            // of the latest term
-	reconciled   int8            // the latest term that is attested to be reconciled
-	fencingToken int8            // the latest that the worker has seen
-	leaseAge     int8            // of the last answered heartbeat, from when it was sent
-	running      bool            // a task is on the machine
-	expiredFor   int8            // the term whose leader took the lease to have expired
-	reply        heartbeatAnswer // the one under way
+	term          int8            // the latest one
+	leaderOf      [4]int8         // by term, the controller that took it
+	believedTerm  [3]int8         // by controller, the term that it believes to lead; 0: none
+	sinceRenewal  [3]int8         // by controller, the age of the renewal that it last noted
+	termAge       int8            // of the latest term
+	reconciled    int8            // the latest term that is attested to be reconciled
+	fencingToken  int8            // the latest that the worker has seen
+	leaseAge      int8            // of the last answered heartbeat, from when it was sent
+	running       bool            // a task is on the machine
+	expiredInTerm int8            // the term whose leader took the lease to have expired
+	reply         heartbeatAnswer // the one under way
 }
 
 // heartbeatAnswer is a leader's answer to the worker's heartbeat.
@@ -38,58 +38,58 @@
 	maxAge     = leaseTicks + 2 // older ages make no difference
 )
 
-// leaseMistake is a mistake in how the package's code is used, which the model has to find.
-type leaseMistake string
+// leaseMutant is a mistake in how the package's code is used, which the model has to find.
+type leaseMutant string
 
 const (
-	noLeaseMistake        leaseMistake = ""
-	omitReconciledLeader  leaseMistake = "the leader of the reconciled term is left out"
-	omitLaterLeaders      leaseMistake = "those who led since are left out"
-	reconciledUnheard     leaseMistake = "a term is attested as reconciled before the machine was heard"
-	renewalNotedOnArrival leaseMistake = "a renewal is noted when the answer arrives"
-	leaseTooShort         leaseMistake = "a lease is a tick too short"
-	omitOwnEarlierTerm    leaseMistake = "the leader's own earlier term is forgotten"
+	noLeaseMutant            leaseMutant = ""
+	omitReconciledLeader     leaseMutant = "the leader of the reconciled term is left out"
+	omitLaterLeaders         leaseMutant = "those who led since are left out"
+	reconciledTooEarly       leaseMutant = "a term is attested as reconciled before the machine was heard"
+	renewalRecordedOnArrival leaseMutant = "a renewal is noted when the answer arrives"
+	leaseTooShort            leaseMutant = "a lease is a tick too short"
+	omitOwnEarlierTerm       leaseMutant = "the leader's own earlier term is forgotten"
 )
 
-func older(age int8) int8 { return min(age+1, maxAge) }
+func nextAge(age int8) int8 { return min(age+1, maxAge) }
 
-// next lists the states that one event leads to, and reports whether the rule is broken in
+// successors lists the states that one event leads to, and reports whether the rule is broken in
 // this one.
-func (s leaseModel) next(mistake leaseMistake) (states []leaseModel, broken bool) {
+func (s leaseModel) successors(mistake leaseMutant) (states []leaseModel, broken bool) {
 	add := func(change func(*leaseModel)) {
 		following := s
 		change(&following)
 		states = append(states, following)
 	}
-	s.passTime(add)
-	for controller := range s.believes {
+	s.advanceTime(add)
+	for controller := range s.believedTerm {
 		s.controllerEvents(int8(controller), mistake, add)
 	}
-	s.deliver(mistake, add)
+	s.deliverAnswer(mistake, add)
 	leader := s.leaderOf[s.term]
-	if s.believes[leader] != s.term {
+	if s.believedTerm[leader] != s.term {
 		return states, false
 	}
-	if s.fencingToken == s.term || mistake == reconciledUnheard {
+	if s.fencingToken == s.term || mistake == reconciledTooEarly {
 		add(func(n *leaseModel) { n.reconciled = n.term })
 	}
-	if s.fencingToken < s.term && s.takenAsExpired(mistake) {
-		add(func(n *leaseModel) { n.expiredFor = n.term })
+	if s.fencingToken < s.term && s.assumesExpired(mistake) {
+		add(func(n *leaseModel) { n.expiredInTerm = n.term })
 	}
-	return states, s.expiredFor == s.term && s.fencingToken < s.term && s.running
+	return states, s.expiredInTerm == s.term && s.fencingToken < s.term && s.running
 }
 
-// passTime adds the state a tick later. An answer is under way for a tick at most.
-func (s leaseModel) passTime(add func(func(*leaseModel))) {
+// advanceTime adds the state a tick later. An answer is under way for a tick at most.
+func (s leaseModel) advanceTime(add func(func(*leaseModel))) {
 	if s.reply.age != 0 && s.reply.underWay {
 		return
 	}
 	add(func(n *leaseModel) {
 		for i := range n.sinceRenewal {
-			n.sinceRenewal[i] = older(n.sinceRenewal[i])
+			n.sinceRenewal[i] = nextAge(n.sinceRenewal[i])
 		}
-		n.termAge = older(n.termAge)
-		n.leaseAge = older(n.leaseAge)
+		n.termAge = nextAge(n.termAge)
+		n.leaseAge = nextAge(n.leaseAge)
 		if n.reply.underWay {
 			n.reply.age++
 		}
@@ -100,24 +100,24 @@
 }
 
 // controllerEvents adds what may happen at a controller.
-func (s leaseModel) controllerEvents(controller int8, mistake leaseMistake, add func(func(*leaseModel))) {
-	term := s.believes[controller]
+func (s leaseModel) controllerEvents(controller int8, mistake leaseMutant, add func(func(*leaseModel))) {
+	term := s.believedTerm[controller]
 	if term > 0 && !s.reply.underWay {
 		// The worker's heartbeat comes here and is answered.
 		add(func(n *leaseModel) {
 			n.reply = heartbeatAnswer{from: controller, term: term, underWay: true, run: term == s.term && s.fencingToken == term}
-			if mistake != renewalNotedOnArrival {
+			if mistake != renewalRecordedOnArrival {
 				n.sinceRenewal[controller] = 0
 			}
 		})
 	}
 	if term > 0 && term < s.term {
 		// It hears that another leads.
-		add(func(n *leaseModel) { n.believes[controller] = 0 })
+		add(func(n *leaseModel) { n.believedTerm[controller] = 0 })
 	}
 	// Its process restarts.
 	add(func(n *leaseModel) {
-		n.believes[controller] = 0
+		n.believedTerm[controller] = 0
 		n.sinceRenewal[controller] = 0
 	})
 	if int(s.term) < len(s.leaderOf)-1 {
@@ -125,14 +125,14 @@
 		add(func(n *leaseModel) {
 			n.term++
 			n.leaderOf[n.term] = controller
-			n.believes[controller] = n.term
+			n.believedTerm[controller] = n.term
 			n.termAge = 0
 		})
 	}
 }
 
-// deliver adds what may happen to the answer under way.
-func (s leaseModel) deliver(mistake leaseMistake, add func(func(*leaseModel))) {
+// deliverAnswer adds what may happen to the answer under way.
+func (s leaseModel) deliverAnswer(mistake leaseMutant, add func(func(*leaseModel))) {
 	if !s.reply.underWay {
 		return
 	}
@@ -142,7 +142,7 @@
 	add(func(n *leaseModel) {
 		reply := n.reply
 		n.reply = heartbeatAnswer{}
-		if mistake == renewalNotedOnArrival {
+		if mistake == renewalRecordedOnArrival {
 			n.sinceRenewal[reply.from] = 0
 		}
 		if reply.term >= n.fencingToken {
@@ -153,9 +153,9 @@
 	})
 }
 
-// takenAsExpired reports whether the leader of the latest term takes the lease to have
+// assumesExpired reports whether the leader of the latest term takes the lease to have
 // expired, by the package's code.
-func (s leaseModel) takenAsExpired(mistake leaseMistake) bool {
+func (s leaseModel) assumesExpired(mistake leaseMutant) bool {
 	leader := s.leaderOf[s.term]
 	last := Attestation{Term: uint64(s.reconciled), Reconciled: s.reconciled > 0, Node: fmt.Sprint(s.leaderOf[s.reconciled])}
 	var changes []LeaderChange
@@ -188,12 +188,12 @@
 
 // exploreLeases looks at up to maxStates states, the nearest first. It returns how many it
 // has seen and whether one breaks the rule.
-func exploreLeases(mistake leaseMistake, maxStates int) (seen int, broken bool) {
-	start := leaseModel{term: 1, believes: [3]int8{1, 0, 0}, reconciled: 1, fencingToken: 1}
+func exploreLeases(mistake leaseMutant, maxStates int) (seen int, broken bool) {
+	start := leaseModel{term: 1, believedTerm: [3]int8{1, 0, 0}, reconciled: 1, fencingToken: 1}
 	known := map[leaseModel]struct{}{start: {}}
 	queue := []leaseModel{start}
 	for i := 0; i < len(queue) && i < maxStates; i++ {
-		states, broken := queue[i].next(mistake)
+		states, broken := queue[i].successors(mistake)
 		if broken {
 			return i, true
 		}
@@ -207,12 +207,12 @@
 	return min(len(queue), maxStates), false
 }
 
-// leaseStates is how many states of the lease model are looked at: the last of the mistakes
+// maxLeaseStates is how many states of the lease model are looked at: the last of the mistakes
 // is far out.
-func leaseStates() int { return 2 * *maxModelStates }
+func maxLeaseStates() int { return 2 * *maxModelStates }
 
 func TestExpiredLeaseMeansNoTask(t *testing.T) {
-	seen, broken := exploreLeases(noLeaseMistake, leaseStates())
+	seen, broken := exploreLeases(noLeaseMutant, maxLeaseStates())
 	t.Logf("%d states", seen)
 	if broken {
 		t.Errorf("after %d states a lease is taken to have expired with a task on the machine", seen)
@@ -220,11 +220,11 @@
 }
 
 // A model that finds nothing may check nothing: it has to find these mistakes.
-func TestLeaseModelFindsMistakes(t *testing.T) {
-	for _, mistake := range []leaseMistake{
-		omitReconciledLeader, omitLaterLeaders, reconciledUnheard, renewalNotedOnArrival, leaseTooShort, omitOwnEarlierTerm,
+func TestLeaseModelDetectsMutants(t *testing.T) {
+	for _, mistake := range []leaseMutant{
+		omitReconciledLeader, omitLaterLeaders, reconciledTooEarly, renewalRecordedOnArrival, leaseTooShort, omitOwnEarlierTerm,
 	} {
-		seen, broken := exploreLeases(mistake, leaseStates())
+		seen, broken := exploreLeases(mistake, maxLeaseStates())
 		t.Logf("%s: %d states", mistake, seen)
 		if !broken {
 			t.Errorf("%s: not found in %d states", mistake, seen)
--- a/internal/watermark/mark.go
+++ b/internal/watermark/mark.go
@@ -28,8 +28,8 @@
 	return true
 }
 
-// NoteStored notes what the store says; a watermark never falls.
-func (m *Mark) NoteStored(stored int) {
+// RecordStored notes what the store says; a watermark never falls.
+func (m *Mark) RecordStored(stored int) {
 	m.Stored = max(m.Stored, stored)
 	m.Requested = max(m.Requested, m.Stored)
 }
--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -105,7 +105,7 @@
 	if err := easyjson.Unmarshal(body, &heartbeat); err != nil {
 		return OutcomeUnknown, nil, fmt.Errorf("worker %s: %w", addr, err)
 	}
-	if err := heartbeat.Check(); err != nil {
+	if err := heartbeat.Validate(); err != nil {
 		return OutcomeUnknown, nil, fmt.Errorf("worker %s: %w", addr, err)
 	}
 	return outcome, &heartbeat, nil
--- a/internal/workers/golden_test.go
+++ b/internal/workers/golden_test.go
@@ -23,7 +23,7 @@
 	want := fleet.Heartbeat{
 		Machine: "m-1", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true,
 		Incarnation: 1, Sequence: 9, FencingToken: 41, PreemptionNoticeS: &noticeS, Version: "1.0",
-		Tasks: []fleet.TaskStatus{{Task: "j-1/0", Attempt: 2, Status: "ended", Cause: fleet.CauseStopped, Saved: true}},
+		Tasks: []fleet.TaskStatus{{Task: "j-1/0", Attempt: 2, Status: "ended", Cause: fleet.CauseStopped, CheckpointSaved: true}},
 	}
 	f := goldentest.Open(t, "golden-orders.json")
 	for name, x := range map[string]struct {
--- a/internal/zonehealth/monitor.go
+++ b/internal/zonehealth/monitor.go
@@ -29,9 +29,9 @@
 
 // zone is the state of one zone.
 type zone struct {
-	suspected bool      // an outage is suspected
-	since     time.Time // when it was first suspected
-	recovered time.Time // when the last outage was over; zero: there was none, or one is suspected
+	suspected   bool      // an outage is suspected
+	suspectedAt time.Time // when it was first suspected
+	recoveredAt time.Time // when the last outage was over; zero: there was none, or one is suspected
 }
 
 // New returns a monitor of zones whose workers have leases of the given length.
@@ -40,16 +40,16 @@
 const (
 	// minMachines is how many machines a zone, and all others together, need for a judgement.
 	minMachines = 3
-	// suspectShare of a zone's machines have to be silent for an outage to be suspected, and at
-	// most othersShare of those of all other zones: else the fault is more likely on our side.
-	suspectShare = 3.0 / 4
-	othersShare  = 1.0 / 4
-	// recoveredShare of its machines have to be heard for the outage to be over.
-	recoveredShare = 1.0 / 2
-	// graceLeases is how long the last of its machines are given to come back after that.
-	graceLeases = 1.0 / 2
-	// maxLeases is for how long a zone is believed to be merely cut off.
-	maxLeases = 6
+	// suspectSilentShare of a zone's machines have to be silent for an outage to be suspected, and at
+	// most maxOthersSilentShare of those of all other zones: else the fault is more likely on our side.
+	suspectSilentShare   = 3.0 / 4
+	maxOthersSilentShare = 1.0 / 4
+	// recoveredHeardShare of its machines have to be heard for the outage to be over.
+	recoveredHeardShare = 1.0 / 2
+	// recoveryGraceLeases is how long the last of its machines are given to come back after that.
+	recoveryGraceLeases = 1.0 / 2
+	// maxOutageLeases is for how long a zone is believed to be merely cut off.
+	maxOutageLeases = 6
 )
 
 // SilentAfterIntervals is after how many heartbeat intervals without a heartbeat a machine counts as
@@ -75,19 +75,19 @@
 		others := Count{Machines: total.Machines - c.Machines, Silent: total.Silent - c.Silent}
 		switch {
 		case !z.suspected:
-			if looksCutOff(c, others) {
-				*z = zone{suspected: true, since: now}
+			if outageLikely(c, others) {
+				*z = zone{suspected: true, suspectedAt: now}
 				suspected = append(suspected, name)
 			}
-		case isBack(c), m.suspectedTooLong(z, now):
-			*z = zone{recovered: now}
+		case hasRecovered(c), m.suspectedTooLong(z, now):
+			*z = zone{recoveredAt: now}
 			recovered = append(recovered, name)
 		}
 	}
 	// Nothing can be observed of a zone without machines, until one is requested there.
 	for name, z := range m.zones {
 		if _, ok := counts[name]; !ok && z.suspected && m.suspectedTooLong(z, now) {
-			*z = zone{recovered: now}
+			*z = zone{recoveredAt: now}
 			recovered = append(recovered, name)
 		}
 	}
@@ -96,22 +96,22 @@
 	return suspected, recovered
 }
 
-// looksCutOff reports whether nearly all machines of a zone are silent while those of the others
+// outageLikely reports whether nearly all machines of a zone are silent while those of the others
 // are heard.
-func looksCutOff(c, others Count) bool {
+func outageLikely(c, others Count) bool {
 	return c.Machines >= minMachines && others.Machines >= minMachines &&
-		float64(c.Silent) >= suspectShare*float64(c.Machines) &&
-		float64(others.Silent) <= othersShare*float64(others.Machines)
+		float64(c.Silent) >= suspectSilentShare*float64(c.Machines) &&
+		float64(others.Silent) <= maxOthersSilentShare*float64(others.Machines)
 }
 
-// isBack reports whether enough machines of a zone are heard for its outage to be over.
-func isBack(c Count) bool {
-	return c.Machines > 0 && float64(c.heard()) >= recoveredShare*float64(c.Machines)
+// hasRecovered reports whether enough machines of a zone are heard for its outage to be over.
+func hasRecovered(c Count) bool {
+	return c.Machines > 0 && float64(c.heard()) >= recoveredHeardShare*float64(c.Machines)
 }
 
 // suspectedTooLong reports whether an outage lasts longer than a zone is believed to be merely cut off.
 func (m *Monitor) suspectedTooLong(z *zone, now time.Time) bool {
-	return now.Sub(z.since) > maxLeases*m.lease
+	return now.Sub(z.suspectedAt) > maxOutageLeases*m.lease
 }
 
 // Suspected reports whether an outage of a zone is suspected.
@@ -147,5 +147,5 @@
 	case z.suspected:
 		return !elsewhere || silent <= m.lease+replace
 	}
-	return !z.recovered.IsZero() && now.Sub(z.recovered) <= time.Duration(graceLeases*float64(m.lease))
+	return !z.recoveredAt.IsZero() && now.Sub(z.recoveredAt) <= time.Duration(recoveryGraceLeases*float64(m.lease))
 }
--- a/internal/zonehealth/monitor_test.go
+++ b/internal/zonehealth/monitor_test.go
@@ -12,7 +12,7 @@
 const lease = 24 * time.Second
 
 // Whatever is silent: an outage of a zone is suspected only while the others are heard, or until the
-// zone is heard again; it is suspected at once where all is clear, and not for longer than maxLeases.
+// zone is heard again; it is suspected at once where all is clear, and not for longer than maxOutageLeases.
 func TestOutageSuspectedOnlyWhileOthersAreHeard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, now := New(lease), time.Unix(1_000_000, 0)
@@ -36,7 +36,7 @@
 				if m.Suspected(zone) && c.Machines > 0 && 2*c.Silent <= c.Machines {
 					t.Fatalf("an outage of %s is suspected though half of it is heard: %+v", zone, counts)
 				}
-				if m.Suspected(zone) && now.Sub(since[zone]) > maxLeases*lease {
+				if m.Suspected(zone) && now.Sub(since[zone]) > maxOutageLeases*lease {
 					t.Fatalf("an outage of %s has been suspected for %v", zone, now.Sub(since[zone]))
 				}
 			}
