--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -16,28 +16,28 @@
 	"github.com/mailru/easyjson"
 )
 
-var benchMachines = flag.Int("machines", 450, "machines of the benchmarks")
+var benchMachines = flag.Int("machines", 450, "number of machines in the benchmarks")
 
-// benchFleet is a deployment of full size, for benchmarks: machines that send heartbeats by turns and obey,
-// and jobs that arrive as others end.
+// benchFleet simulates a deployment for benchmarks: machines send heartbeats in turn and execute
+// commands, and a job arrives for each that ends.
 type benchFleet struct {
 	scheduler     *Scheduler
 	now           time.Time
 	random        *rand.Rand
 	heartbeats    []*fleet.Heartbeat
-	submitted     int  // jobs so far
-	nextMachine   int  // the machine whose turn it is
-	teams         int  // that submit by turns
-	externalClock bool // the benchmark passes time; else every heartbeat does
-	dependencies  bool // every job depends on the two before it of its kind, as far as they are open
+	submitted     int  // number of jobs so far
+	nextMachine   int  // index of the machine that sends the next heartbeat
+	teams         int  // number of teams, which submit in turn
+	externalClock bool // the benchmark advances the clock; else each heartbeat does
+	dependencies  bool // each job depends on the two preceding jobs of its kind that are still open
 }
 
 func newBenchFleet(b *testing.B, machines int, dependencies bool) *benchFleet {
 	return newSharedBenchFleet(b, machines, 1, 5, dependencies)
 }
 
-// newSharedBenchFleet returns a fleet that is shared by teams, each with a guarantee and a limit if there
-// are several. Every machine sends so many heartbeats before the measurement.
+// newSharedBenchFleet returns a fleet that teams share, each with a guarantee and a limit if there are
+// several. Each machine sends the given number of heartbeats before the measurement.
 func newSharedBenchFleet(b *testing.B, machines, teams, heartbeats int, dependencies bool) *benchFleet {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	cfg := &config.Config{Options: config.DefaultOptions()}
@@ -109,7 +109,7 @@
 	f.scheduler.AddJob(j, 10, f.now, f.now)
 }
 
-// heartbeat lets the next machine end some of its tasks, send a heartbeat and obey.
+// heartbeat ends some tasks of the next machine, sends its heartbeat and executes the commands.
 func (f *benchFleet) heartbeat() {
 	f.nextMachine = (f.nextMachine + 1) % len(f.heartbeats)
 	if !f.externalClock {
@@ -124,7 +124,7 @@
 	}
 	machine, stale := f.scheduler.Reconcile(h, true, f.now)
 	if stale {
-		panic("a heartbeat in order counts as stale")
+		panic("in-order heartbeat rejected as stale")
 	}
 	f.scheduler.ObserveUsage(machine)
 	f.scheduler.PlanMachine(machine, f.now)
@@ -134,7 +134,7 @@
 	f.closeCompleteJob()
 }
 
-// applyCommands applies commands to the tasks that a machine will show in its next heartbeat.
+// applyCommands applies commands to the tasks that a machine will report in its next heartbeat.
 func applyCommands(h *fleet.Heartbeat, commands []fleet.Command) {
 	for _, command := range commands {
 		switch command.Verb {
@@ -151,7 +151,7 @@
 	}
 }
 
-// closeCompleteJob closes one job, another one each time, if it is complete, and submits the next.
+// closeCompleteJob picks a random job and, if it is complete, closes it and submits the next.
 func (f *benchFleet) closeCompleteJob() {
 	for id, job := range f.scheduler.jobs {
 		copy(job.stored, job.done)
@@ -163,7 +163,7 @@
 	}
 }
 
-// tick lets time pass for machines that all send heartbeats.
+// tick advances the clock, with the lease and status of every machine renewed, and runs a tick.
 func (f *benchFleet) tick() {
 	f.now = f.now.Add(250 * time.Millisecond)
 	for _, m := range f.scheduler.fleet.Machines {
@@ -180,8 +180,8 @@
 	}
 }
 
-// BenchmarkPlanning measures, by size, a heartbeat, the placement pass that follows where it changed
-// something, and the answer.
+// BenchmarkPlanning measures a heartbeat, the placement pass that follows if the heartbeat changed
+// anything, and the answer, by fleet size.
 func BenchmarkPlanning(b *testing.B) {
 	for _, machines := range []int{1000, 4000, 8000} {
 		for _, teams := range []int{1, 8, 48} {
@@ -195,7 +195,7 @@
 	}
 }
 
-// BenchmarkTickShared measures a tick by size.
+// BenchmarkTickShared measures a tick by fleet size.
 func BenchmarkTickShared(b *testing.B) {
 	for _, machines := range []int{1000, 4000, 8000} {
 		for _, teams := range []int{1, 48} {
@@ -209,8 +209,8 @@
 	}
 }
 
-// playInterval plays one heartbeat interval: every machine sends one heartbeat, with ticks in between, and once a
-// second it is decided what to scale out and in. It returns how many tasks started.
+// playInterval simulates one heartbeat interval: each machine sends one heartbeat, with ticks in
+// between, and scaling decisions are made once a second. It returns how many tasks started.
 func (f *benchFleet) playInterval() (starts int) {
 	const step = 5 * time.Second
 	before := runsTotal.Get()
@@ -233,8 +233,8 @@
 	return int(runsTotal.Get() - before)
 }
 
-// BenchmarkInterval measures what a heartbeat interval costs a leader, in total and for each start, at one,
-// three and six times the size of a large deployment.
+// BenchmarkInterval measures the leader's cost of a heartbeat interval, in total and per task start,
+// at one, three and six times the size of a large deployment.
 func BenchmarkInterval(b *testing.B) {
 	for _, machines := range []int{1264, 3792, 7584} {
 		for _, teams := range []int{1, 48} {
@@ -282,7 +282,7 @@
 	}
 }
 
-// BenchmarkWire measures what a heartbeat costs beside its decisions: decoding it, encoding its answer.
+// BenchmarkWire measures the cost of decoding a heartbeat and encoding its answer.
 func BenchmarkWire(b *testing.B) {
 	f := newBenchFleet(b, *benchMachines, false)
 	bodies := make([][]byte, len(f.heartbeats))
@@ -295,9 +295,9 @@
 	}}
 	i := 0
 	for b.Loop() {
-		var r fleet.Heartbeat
-		if easyjson.Unmarshal(bodies[i%len(bodies)], &r) != nil {
-			b.Fatal("the heartbeat cannot be decoded")
+		var heartbeat fleet.Heartbeat
+		if easyjson.Unmarshal(bodies[i%len(bodies)], &heartbeat) != nil {
+			b.Fatal("heartbeat cannot be decoded")
 		}
 		if _, err := easyjson.Marshal(answer); err != nil {
 			b.Fatal(err)
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -11,28 +11,29 @@
 	"drumpick/internal/records"
 )
 
-// claim is room for one task on a machine that only one job may use: somebody was stopped there for
-// it, or it is kept free until the rest of a gang's places are. Without claims, room would go back to
-// the very tasks that were stopped to make it, which would then be stopped again: where a gang needs
-// several machines, the first to be free could take none of its tasks yet, and would take any other's.
+// claim reserves room for one task on a machine for one job. It holds room that was freed by
+// preemption, or that is free while a gang waits for its other places. Without claims, the preempted
+// tasks would be placed in the freed room again and be preempted again, because a gang cannot use
+// the first free machine until all its machines are free.
 type claim struct {
 	machine *fleet.Machine
-	since   time.Time // when it was made, or the room was last seen to be on its way
+	since   time.Time // when it was made, or when its room was last about to become free
 }
 
-// claimTimeoutIntervals is how long, in heartbeat intervals, room that is there is kept for a job that does
-// not start in it, and claimBackoffIntervals how long the job then claims no other.
+// A claim on free room expires after claimTimeoutIntervals heartbeat intervals without a start. The
+// job then makes no claims for claimBackoffIntervals heartbeat intervals.
 const (
 	claimTimeoutIntervals = 2
 	claimBackoffIntervals = 4
 )
 
-// maxClaimsPerPass bounds the work for one job in one pass. It does not bound the machines on which a
-// job has claims: the next pass claims as many more, until all tasks that wait have one. A gang, which
-// starts as a whole or not at all, is examined as a whole.
+// maxClaimsPerPass limits the claims that one pass adds for one job, to bound the pass's work. Later
+// passes add more until every waiting task has one. It does not apply to gangs, which start as a
+// whole.
 const maxClaimsPerPass = 64
 
-// addClaim claims room on a machine for one task of a job.
+// addClaim claims room on a machine for one task of a job, and keeps the current placement pass from
+// skipping the job.
 func (s *Scheduler) addClaim(j *Job, m *fleet.Machine, now time.Time) {
 	m.Bin.Reserve(j.request)
 	if j.claims = append(j.claims, claim{m, now}); len(j.claims) == 1 {
@@ -43,29 +44,28 @@
 	}
 }
 
-// claimFreedPlace claims for a broken gang the place that one of its tasks leaves: the gang has to
-// start again, and what else went there would be stopped a moment later.
+// claimFreedPlace claims the place that a task of a broken gang leaves. The gang has to restart, and
+// would soon preempt any other task placed there.
 func (s *Scheduler) claimFreedPlace(j *Job, a *fleet.Attempt) {
 	if j.gangBroken && a.Machine.Bin.Open() && a.State() != fleet.Planned {
 		s.addClaim(j, a.Machine, s.passTime)
 	}
 }
 
-// releaseClaim gives up a claim.
+// releaseClaim releases the job's claim with index i.
 func (s *Scheduler) releaseClaim(j *Job, i int) {
 	j.claims[i].machine.Bin.Reserve(packing.Resources{}.Sub(j.request))
 	j.claims = slices.Delete(j.claims, i, i+1)
 	s.placementStale = true
 }
 
-// releaseAllClaims gives up all claims of a job.
 func (s *Scheduler) releaseAllClaims(j *Job) {
 	for len(j.claims) > 0 {
 		s.releaseClaim(j, len(j.claims)-1)
 	}
 }
 
-// suspendClaims takes back all claims of a job while it is placed, and returns them.
+// suspendClaims removes and returns all claims of a job, so that its own placement can use the room.
 func (s *Scheduler) suspendClaims(j *Job) []claim {
 	suspended := j.claims
 	for _, cl := range suspended {
@@ -75,7 +75,7 @@
 	return suspended
 }
 
-// restoreClaims makes suspended claims again.
+// restoreClaims restores suspended claims.
 func (s *Scheduler) restoreClaims(j *Job, suspended []claim) {
 	for _, cl := range suspended {
 		cl.machine.Bin.Reserve(j.request)
@@ -83,8 +83,8 @@
 	j.claims = suspended
 }
 
-// placeInClaims starts tasks of a job that need not start together in the room that it has claimed, as far
-// as that is free.
+// placeInClaims places tasks of a job other than a gang in its claimed room, as far as that is free.
+// It updates used and zones; zones is nil if the job has no zone constraint.
 func (s *Scheduler) placeInClaims(job *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
 	limited := job.teamLimited
 	for i := 0; i < len(job.claims); {
@@ -98,7 +98,7 @@
 		}
 		s.releaseClaim(job, i)
 		if zones != nil {
-			zones[machine.Zone]-- // it was counted as the claim's
+			zones[machine.Zone]-- // the claim was counted
 			if !job.zoneAllowed(machine.Zone, zones) {
 				continue
 			}
@@ -114,8 +114,8 @@
 	}
 }
 
-// expireClaims drops claims whose job or machine is no longer available, that are more than the job
-// has tasks for, and those whose room was there unused for a time.
+// expireClaims releases claims whose job cannot start or whose machine is gone or closed, claims
+// beyond the job's waiting tasks, and claims whose room stayed unused for claimTimeoutIntervals.
 func (s *Scheduler) expireClaims(now time.Time) {
 	owners := s.claimOwners
 	s.claimOwners = s.claimOwners[:0]
@@ -156,8 +156,8 @@
 	}
 }
 
-// claimableTasks is for how many of a job's tasks there may be claims: those that wait, and those that
-// move, up to as many as it has claims.
+// claimableTasks returns how many claims a job may keep: one for each task that waits or, if these
+// are fewer than its claims, is being stopped.
 func (s *Scheduler) claimableTasks(job *Job) int {
 	n := job.pending()
 	if n >= len(job.claims) {
@@ -171,8 +171,8 @@
 	return n
 }
 
-// claimsAwaitRoom reports whether claimed room is about to become free: an attempt is being stopped
-// there, or one of the job's own tasks is that is to move there.
+// claimsAwaitRoom reports whether claimed room is about to become free: an attempt on a claimed
+// machine is being stopped, or one of the job's own attempts, as for a move there.
 func (s *Scheduler) claimsAwaitRoom(job *Job) bool {
 	if job.gangBroken {
 		return true
@@ -190,13 +190,13 @@
 	return false
 }
 
-// isStoppingOnMachine reports whether an attempt is being stopped, so that its room is about to become free.
+// isStoppingOnMachine reports whether an attempt is being stopped and still occupies room.
 func isStoppingOnMachine(a *fleet.Attempt) bool {
 	return a.Stopping() && a.MayBePresent() && a.Item != nil
 }
 
-// expectedRoom is the room that a machine has or will have, once what is being stopped there is gone,
-// beyond what is claimed.
+// expectedRoom returns the unclaimed room of a machine, including the room of attempts that are being
+// stopped.
 func expectedRoom(m *fleet.Machine) packing.Resources {
 	free := m.Bin.Capacity.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
 	for _, a := range m.Attempts() {
@@ -207,7 +207,7 @@
 	return free
 }
 
-// missingClaims is for how many more of a job's tasks room could be claimed.
+// missingClaims returns how many more claims a job may make in this pass.
 func (s *Scheduler) missingClaims(job *Job, now time.Time) int {
 	if now.Before(job.claimsNotBefore) {
 		return 0
@@ -215,7 +215,7 @@
 	n := s.waitingWithinLimit(job)
 	if job.Shape == records.ShapeGang {
 		if n < job.pending() || job.gangAttempt == 0 && len(job.attempts)+len(job.duplicates) > 0 {
-			return 0 // it could not start as a whole
+			return 0 // the gang could not start as a whole
 		}
 		return n - len(job.claims)
 	}
--- a/internal/scheduler/claims_test.go
+++ b/internal/scheduler/claims_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// Room that is freed for a job is claimed for it: over random teams, gangs and arrays, a job preempts each
-// task at most once, no more tasks are stopped in all than the preemptors' tasks can take room, nobody is
-// stopped for what does not start, and every job ends.
+// Freed room must be claimed for the preemptor, or the preempted tasks take it again. With random
+// teams, gangs and arrays, the number of preempted tasks is bounded by the room that the preemptors'
+// tasks can use, each task moves at most once, every job ends, and no claim is left.
 func TestPreemptedRoomIsClaimed(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -21,7 +21,7 @@
 		f := newFakeFleet(t, config.DefaultOptions(), drawTeams(t, machinesPerZone), machinesPerZone)
 		var coming []records.Job
 		tasks := 0
-		claimable := 0 // what the tasks of jobs that may claim room can take, in smallest tasks
+		claimable := 0 // room that the tasks of preemptors can use, in tasks of the smallest size
 		for i := range rapid.IntRange(2, 7).Draw(t, "jobs") {
 			job := f.drawJob(t, i, machinesPerZone)
 			claimable += job.Tasks * int(job.CPUs)
@@ -61,7 +61,7 @@
 	})
 }
 
-// drawTeams draws teams with guarantees, some of them with limits.
+// drawTeams draws teams with guarantees, some of them with limits as well.
 func drawTeams(t *rapid.T, machinesPerZone int) []config.Team {
 	var teams []config.Team
 	for i := range rapid.IntRange(1, 3).Draw(t, "teams") {
@@ -75,7 +75,7 @@
 	return teams
 }
 
-// drawJob draws an array or a gang, and how long its tasks run.
+// drawJob draws an array or a gang, and the run time of its tasks.
 func (f *fakeFleet) drawJob(t *rapid.T, i, machinesPerZone int) records.Job {
 	job := records.Job{
 		ID:        fmt.Sprint("j-", i),
@@ -102,8 +102,8 @@
 	return job
 }
 
-// restartWorker restarts a machine's worker, which loses its attempts. It returns what the jobs that have
-// to start again as gangs may claim once more, in smallest tasks.
+// restartWorker restarts a machine's worker, which loses its attempts. It returns the room that the
+// jobs of these may claim once more, in tasks of the smallest size.
 func (f *fakeFleet) restartWorker(machine *fakeMachine) (claimable int) {
 	machine.heartbeat.Incarnation, machine.heartbeat.Sequence = machine.heartbeat.Incarnation+1, 0
 	f.workerFailedAt = f.now
--- a/internal/scheduler/bounds_test.go
+++ b/internal/scheduler/closed_jobs_test.go
@@ -9,8 +9,8 @@
 	"drumpick/internal/records"
 )
 
-// Closed jobs leave no state behind: after thousands of jobs of ever other sizes and images, a few at a
-// time, nothing has grown. Equal jobs keep equal class numbers meanwhile.
+// Closed jobs must release their state: after thousands of jobs with different sizes and images, a few
+// at a time, no table has grown. Equivalent jobs have equal class numbers throughout.
 func TestClosedJobsReleaseState(t *testing.T) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
@@ -33,7 +33,7 @@
 		for _, j := range []*Job{a, b, other} {
 			s.CloseJob(j.ID)
 		}
-		s.closedJobs = s.closedJobs[:0] // as persistence does
+		s.closedJobs = s.closedJobs[:0] // as persistence does after writing
 		if len(s.placementClasses) > 100 || len(s.jobs) > 0 {
 			t.Fatalf("after job %d: %d placement classes and %d jobs are left, want at most 100 and 0", i, len(s.placementClasses), len(s.jobs))
 		}
--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -8,11 +8,10 @@
 	"drumpick/internal/records"
 )
 
-// startable reports whether any task of the job may be started now. After a failover, until every
-// machine that may hold tasks has been heard, only tasks may start that can be on none of those still
-// unheard of, and none of a job for which all of its tasks or its team's must be known: all tasks of
-// jobs accepted under this term, or released under it by a dependency that was stored as done, and of
-// older jobs what is beyond their watermarks.
+// startable reports whether any task of the job may be started now. After a failover, until
+// reconciliation completes, only tasks may start that no machine can already run: the tasks of jobs
+// accepted in this term, or released in it by a dependency that was stored as done, and of older jobs
+// those beyond the watermark. Jobs that need to know all their own or their team's tasks do not start.
 func (s *Scheduler) startable(j *Job, now time.Time) bool {
 	if j.closed || j.blocked || j.closing || j.gangBroken || now.Before(j.retryAt) {
 		return false
@@ -23,7 +22,7 @@
 	return (j.uncertain == nil || j.Shape != records.ShapeGang) && !j.teamLimited && !j.OneZone && !j.SpreadZones
 }
 
-// silentIntervals is after how many heartbeat intervals without a status a machine counts as silent.
+// silentIntervals is after how many heartbeat intervals without a status a machine is silent.
 const silentIntervals = 3
 
 // acceptsTasks reports whether a machine may be given new tasks.
@@ -32,13 +31,14 @@
 		now.Sub(m.LastStatusAt) < silentIntervals*s.settings.HeartbeatInterval && !now.Before(m.FullUntil)
 }
 
-// inService reports whether a machine takes new tasks, or will when it is up.
+// inService reports whether a machine may be given new tasks, now or once it has sent a heartbeat.
 func inService(m *fleet.Machine) bool {
 	return !m.Returning && !m.LeaseExpired && !m.Draining && m.Cordon == nil && !m.Unreachable()
 }
 
-// refreshOpenBins examines again which machines accept tasks. What a heartbeat changes is seen at
-// once; what time alone changes is seen a few times in a heartbeat interval.
+// refreshOpenBins updates which bins are open, that is, whose machines accept tasks. It does so at
+// most eight times in a heartbeat interval, for changes by time alone; a heartbeat updates its
+// machine's bin at once.
 func (s *Scheduler) refreshOpenBins(now time.Time) {
 	s.passTime = now
 	if now.Sub(s.lastBinRefresh) < s.settings.HeartbeatInterval/8 {
@@ -50,23 +50,23 @@
 	}
 }
 
-// permits reports whether the job's own constraints allow a machine.
+// permits reports whether the job's constraints allow machines of a type, zone and kind.
 func (j *Job) permits(typ, zone string, spot bool) bool {
 	return (!spot || j.Spot) && (j.Job.Zone == nil || *j.Job.Zone == zone) && j.allowsType(typ)
 }
 
-// allowsType reports whether the job's own constraints allow a machine type.
+// allowsType reports whether the job's constraints allow a machine type.
 func (j *Job) allowsType(typ string) bool {
 	return len(j.Types) == 0 || slices.Contains(j.Types, typ)
 }
 
-// couldHost reports whether a machine may be given tasks of the job, once it has room.
+// couldHost reports whether a machine may be given tasks of the job, apart from free room.
 func (s *Scheduler) couldHost(j *Job, m *fleet.Machine, now time.Time) bool {
 	return s.acceptsTasks(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Capacity.Fits(j.request)
 }
 
-// tasksByZone counts the job's tasks on machines by zone; with planned, also those planned for
-// machines and the job's claims.
+// tasksByZone counts the job's attempts on machines by zone; with planned, also its planned attempts
+// and its claims.
 func (s *Scheduler) tasksByZone(job *Job, planned bool) map[string]int {
 	counts := map[string]int{}
 	for _, attempt := range job.attempts {
@@ -89,19 +89,20 @@
 	return counts
 }
 
-// zoneAllowed checks one_zone and spread_zones against a count of the job's tasks by zone.
-func (j *Job) zoneAllowed(zone string, n map[string]int) bool {
+// zoneAllowed reports whether one_zone and spread_zones allow one more task in a zone, given the
+// job's tasks by zone.
+func (j *Job) zoneAllowed(zone string, counts map[string]int) bool {
 	if j.OneZone {
-		for z, k := range n {
+		for z, k := range counts {
 			if z != zone && k > 0 {
 				return false
 			}
 		}
 	}
-	return !j.SpreadZones || n[zone]+1 <= (j.Tasks+1)/2
+	return !j.SpreadZones || counts[zone]+1 <= (j.Tasks+1)/2
 }
 
-// constrainedZoneCounts counts a job's tasks by zone if these decide where others may go; nil otherwise.
+// constrainedZoneCounts counts the tasks of a job with a zone constraint by zone; nil for other jobs.
 func (s *Scheduler) constrainedZoneCounts(j *Job) map[string]int {
 	if j.OneZone || j.SpreadZones {
 		return s.tasksByZone(j, true)
@@ -109,8 +110,8 @@
 	return nil
 }
 
-// zonesToTry returns the zones in which a job is to be tried one after the other; "" stands for all
-// of them together.
+// zonesToTry returns the zones in which to try a gang one after the other; "" stands for all zones
+// together.
 func (s *Scheduler) zonesToTry(j *Job, zones map[string]int) []string {
 	if j.OneZone && len(zones) == 0 {
 		return s.settings.Zones
--- a/internal/scheduler/freed_room.go
+++ b/internal/scheduler/freed_room.go
@@ -6,30 +6,29 @@
 	"drumpick/internal/packing"
 )
 
-// freedRoom is the rate at which ending tasks free room: what they freed in the current and in the
-// previous span of time.
+// freedRoom measures how much room ending tasks free: in the current and in the previous time window.
 type freedRoom struct {
 	since             time.Time
 	current, previous packing.Resources
 }
 
-func (f *freedRoom) add(req packing.Resources, now time.Time, span time.Duration) {
-	f.advance(now, span)
+func (f *freedRoom) add(req packing.Resources, now time.Time, window time.Duration) {
+	f.advance(now, window)
 	f.current = f.current.Add(req)
 }
 
-// advance begins a new span once the current one has passed.
-func (f *freedRoom) advance(now time.Time, span time.Duration) {
-	switch past := now.Sub(f.since); {
-	case past >= 2*span:
+// advance begins a new window once the current one has elapsed.
+func (f *freedRoom) advance(now time.Time, window time.Duration) {
+	switch elapsed := now.Sub(f.since); {
+	case elapsed >= 2*window:
 		f.since, f.current, f.previous = now, packing.Resources{}, packing.Resources{}
-	case past >= span:
-		f.since, f.current, f.previous = f.since.Add(span), packing.Resources{}, f.current
+	case elapsed >= window:
+		f.since, f.current, f.previous = f.since.Add(window), packing.Resources{}, f.current
 	}
 }
 
-// previousWindow returns what was freed in the span before the current one.
-func (f *freedRoom) previousWindow(now time.Time, span time.Duration) packing.Resources {
-	f.advance(now, span)
+// previousWindow returns the room that was freed in the window before the current one.
+func (f *freedRoom) previousWindow(now time.Time, window time.Duration) packing.Resources {
+	f.advance(now, window)
 	return f.previous
 }
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -10,8 +10,8 @@
 	"drumpick/internal/quota"
 )
 
-// placeGang places a whole gang or nothing of it. Tasks that replace members which never arrived take
-// the gang's attempt number.
+// placeGang places all waiting tasks of a gang or none. Tasks that replace members which never
+// arrived on a machine share the gang's attempt number.
 func (s *Scheduler) placeGang(job *Job, used map[string]quota.Amount, now time.Time) bool {
 	if job.gangAttempt == 0 && len(job.attempts)+len(job.duplicates) > 0 {
 		return false
@@ -25,7 +25,7 @@
 	return false
 }
 
-// placeGangInZone places a whole gang or nothing of it in one zone, or with "" in all of them.
+// placeGangInZone places all waiting tasks of a gang or none, in one zone or, with "", in all zones.
 func (s *Scheduler) placeGangInZone(job *Job, zone string, zonesBefore map[string]int, used map[string]quota.Amount, now time.Time) bool {
 	number, sequenceBefore := job.gangAttempt, s.sequence
 	if number == 0 {
@@ -36,18 +36,18 @@
 	if zone != "" {
 		zones[zone] = 0
 	}
-	usedThen := used[job.Team]
+	usedAfter := used[job.Team]
 	var placed []*fleet.Attempt
 	var moves []packing.Move
 	for {
 		task := job.nextTask()
 		if task < 0 {
 			job.gangAttempt = number
-			used[job.Team] = usedThen
+			used[job.Team] = usedAfter
 			s.executeMoves(moves, now)
 			return true
 		}
-		if job.teamLimited && !s.withinLimit(job, usedThen) {
+		if job.teamLimited && !s.withinLimit(job, usedAfter) {
 			break
 		}
 		in := insertion{job: job, task: task, attemptNumber: number, zones: zones, zone: zone}
@@ -58,20 +58,20 @@
 		moves = append(moves, taskMoves...)
 		job.dequeueTask(task)
 		placed = append(placed, job.attempts[task])
-		usedThen = usedThen.Add(job.taskQuota())
+		usedAfter = usedAfter.Add(job.taskQuota())
 		zones[machine.Zone]++
 	}
-	// No task is moved for a gang that does not start.
+	// The gang does not start, so its moves are not executed either.
 	for _, attempt := range placed {
 		attempt.Machine.Forget(attempt)
 		delete(job.attempts, attempt.Task.N)
 		s.retryTask(job, attempt.Task.N)
 	}
-	s.sequence = sequenceBefore // nothing was sent under the number
+	s.sequence = sequenceBefore // nothing was sent with the attempt number
 	return false
 }
 
-// stopGang stops every task of a gang so that a new attempt can start as a whole.
+// stopGang stops all tasks of a gang so that a new attempt can start as a whole.
 func (s *Scheduler) stopGang(job *Job, now time.Time) {
 	if job.closed || job.doneCount == job.Tasks {
 		return
@@ -88,7 +88,7 @@
 	if !job.gangBroken {
 		job.gangAttempt = 0
 	}
-	// The order decides in which order the tasks are tried again.
+	// Tasks are retried in the order of their release.
 	for _, attempt := range slices.Backward(planned) {
 		attempt.Machine.Forget(attempt)
 		s.releaseAttempt(attempt)
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -9,41 +9,41 @@
 	"drumpick/internal/records"
 )
 
-// assignGuarantees marks the jobs that fit, together with their team's earlier unfinished ones, into
-// what their team is guaranteed, and those of them that can still begin in time.
+// assignGuarantees marks the jobs that fit into their team's guarantee together with the team's
+// earlier unfinished jobs, and those of them that can still start in time.
 func (s *Scheduler) assignGuarantees(now time.Time) {
 	account := fairshare.NewAccount(s.settings.Teams, s.settings.Guarantees)
 	for _, job := range s.sortedJobs {
 		job.guaranteed, job.protected = account.Charge(job.Team, job.Tasks-job.doneCount, job.request)
-		job.canBeginInTime = job.guaranteed && s.settings.Guarantees && s.canBeginInTime(job, s.settings.HeartbeatInterval, now)
+		job.canBeginInTime = job.guaranteed && s.settings.Guarantees && s.canStartInTime(job, s.settings.HeartbeatInterval, now)
 		if !job.start.entitlementKnown {
 			job.start.entitlementKnown, job.start.entitled = true, job.guaranteed
 		}
 	}
 }
 
-// canBeginInTime reports whether a job can begin within the guarantee's time if it gets its room after
-// a delay.
-func (s *Scheduler) canBeginInTime(job *Job, delay time.Duration, now time.Time) bool {
+// canStartInTime reports whether a job that gets its room after a delay can start within the
+// guarantee's time.
+func (s *Scheduler) canStartInTime(job *Job, delay time.Duration, now time.Time) bool {
 	return fairshare.CanStartInTime(s.settings.GuaranteeWithin, now.Sub(job.releasedAt), delay, s.fetchTime(job))
 }
 
-// preemptionIntervals is how long, in heartbeat intervals, it takes until a preempted task has saved a
-// checkpoint, its exit was heard and the run command went out.
+// preemptionIntervals is the time, in heartbeat intervals, for a preempted task to save a checkpoint,
+// for its exit to be reported, and for the run command to be sent.
 const preemptionIntervals = 3
 
-// benefitsFromPreemption reports whether a job within a guarantee can still begin in time once others
-// were preempted for it. Without this, tasks would be stopped again and again for gangs which are late
-// all the same: on crowded days that was more than a third of the starts of their class.
+// benefitsFromPreemption reports whether a job within a guarantee can still start in time after
+// preempting others. Without this check, tasks are preempted for gangs that are late anyway: on busy
+// days that was over a third of the starts of their class.
 func (s *Scheduler) benefitsFromPreemption(job *Job, now time.Time) bool {
 	if !s.settings.Guarantees || s.settings.GuaranteeWithin == 0 {
 		return true
 	}
-	return s.canBeginInTime(job, preemptionIntervals*s.settings.HeartbeatInterval, now)
+	return s.canStartInTime(job, preemptionIntervals*s.settings.HeartbeatInterval, now)
 }
 
-// recordShortage notes that a job of a team with a guarantee found no room, and may use on-demand
-// machines only. A job that its team's limit holds back lacks none.
+// recordShortage records a shortage of on-demand machines if a job that found no room may use only
+// these and its team has a guarantee. A job that waits because of its team's limit does not count.
 func (s *Scheduler) recordShortage(j *Job, used quota.Amount, now time.Time) {
 	if !s.settings.Guarantees || j.Spot || !fairshare.HasGuarantee(j.team) || j.teamLimited && !s.withinLimit(j, used) {
 		return
@@ -55,14 +55,15 @@
 	}
 }
 
-// recentShortage reports whether on-demand machines of a type were too few within a startup time.
+// recentShortage reports whether a shortage of on-demand machines of a type was recorded within the
+// type's startup time.
 func (s *Scheduler) recentShortage(typ string, now time.Time) bool {
 	return s.onDemandShortage.ShortageWithin(typ, s.startupTime(typ), now)
 }
 
-// tasksBlockingOnDemand counts the tasks of a job that are on on-demand machines which others lacked lately, though
-// spot machines would do: as many spot machines are scaled out, so that those who come next leave the
-// on-demand machines alone.
+// tasksBlockingOnDemand counts a job's tasks that run on on-demand machines of types with a recent
+// shortage, though the job may use spot machines. Spot machines are scaled out for as many tasks, so
+// that later ones do not need the on-demand machines.
 func (s *Scheduler) tasksBlockingOnDemand(job *Job, now time.Time) int {
 	if !s.settings.Guarantees || !job.Spot || job.Shape != records.ShapeArray {
 		return 0
--- a/internal/scheduler/held_machines.go
+++ b/internal/scheduler/held_machines.go
@@ -7,17 +7,17 @@
 	"drumpick/internal/records"
 )
 
-// maxHeldMachineShare bounds how many of the machines may be emptying for larger tasks, one at least: each
-// stands half empty for as long as its last small task runs.
+// maxHeldMachineShare is the largest share of the accepting machines that are held, at least one
+// machine: a held machine is underused until its last small task ends.
 const maxHeldMachineShare = 1.0 / 8
 
 // heldLabel is the label of bins whose machines are held.
 const heldLabel = "kept"
 
-// holdMachines holds machines for waiting tasks that are larger than others that wait: a held machine
-// takes only tasks of jobs that are served before the one it is held for. Without this, large tasks
-// would never start, because small ones of later turns fill every gap before a machine is empty. The
-// machines that will have room soonest are held.
+// holdMachines holds the machines that will have room soonest for waiting tasks that are larger than
+// others that wait. A held machine takes only tasks of the job it is held for and of jobs served
+// before that. Otherwise small tasks with later turns would fill every gap, and large tasks would
+// starve.
 func (s *Scheduler) holdMachines(now time.Time) {
 	heldBefore := s.releaseHeldMachines()
 	if !s.reconciled {
@@ -26,7 +26,7 @@
 	waiting, smallest := s.holdCandidates(now)
 	left := max(int(float64(s.countAcceptingMachines())*maxHeldMachineShare), 1)
 	var list []machineWait
-	listed := 0 // the placement class whose machines are listed
+	listed := 0 // placement class that list is for
 	for _, job := range waiting {
 		if left == 0 {
 			return
@@ -50,7 +50,7 @@
 	}
 }
 
-// releaseHeldMachines holds no machine any more, and returns those that were held.
+// releaseHeldMachines releases all held machines and returns them.
 func (s *Scheduler) releaseHeldMachines() map[*fleet.Machine]bool {
 	held := map[*fleet.Machine]bool{}
 	for _, machine := range s.fleet.Sorted() {
@@ -64,8 +64,8 @@
 	return held
 }
 
-// holdCandidates returns the jobs other than gangs that wait, in the order in which they are served,
-// and the smallest share of a machine that a task of theirs takes.
+// holdCandidates returns the waiting jobs other than gangs, in the order in which they are served, and
+// the smallest share of a machine that a task of any of them takes.
 func (s *Scheduler) holdCandidates(now time.Time) (waiting []*Job, smallest float64) {
 	smallest = 1.0
 	for _, job := range s.queue(now) {
@@ -77,8 +77,8 @@
 	return waiting, smallest
 }
 
-// machinesToHold lists in list the machines that may be held for a job, those that will have room
-// soonest first.
+// machinesToHold appends to list the machines that may be held for a job, and sorts it by the time
+// until they have room.
 func (s *Scheduler) machinesToHold(job *Job, heldBefore map[*fleet.Machine]bool, list []machineWait, now time.Time) []machineWait {
 	for _, machine := range s.fleet.Sorted() {
 		if !machine.Bin.Open() || machine.ReservedFor != nil || !job.permits(machine.Type, machine.Zone, machine.Spot) ||
@@ -87,7 +87,7 @@
 		}
 		seconds := s.secondsUntilRoom(job, machine, now)
 		if heldBefore[machine] {
-			seconds /= 2 // a machine that has begun to empty goes on
+			seconds /= 2 // prefer machines that are already being emptied
 		}
 		list = append(list, machineWait{machine, seconds})
 	}
@@ -95,9 +95,9 @@
 	return list
 }
 
-// lastHoldingJob returns the one served last of the jobs for which machines are held, nil if there is
-// none or one of them is closed. Whoever is served after it may use no held machine, which need not be
-// asked of each machine: on 1,300 machines that was most of what placement cost.
+// lastHoldingJob returns the last served job for which machines are held, nil if there is none or any
+// of these jobs is closed. Jobs served after it may use no held machine, so placement excludes these
+// by label. Checking each machine was most of the cost of placement on 1,300 machines.
 func (s *Scheduler) lastHoldingJob() *Job {
 	var last *Job
 	for _, holder := range s.machineHolders {
@@ -111,7 +111,7 @@
 	return last
 }
 
-// isHeldForEarlierJob reports whether a machine is held for a job that is served before another.
+// isHeldForEarlierJob reports whether a machine is held for a job that is served before job j.
 func isHeldForEarlierJob(m *fleet.Machine, j *Job) bool {
 	holder, ok := m.ReservedFor.(*Job)
 	return ok && holder != j && !holder.closed && servedBefore(holder, j)
--- a/internal/scheduler/limits_test.go
+++ b/internal/scheduler/large_fleet_test.go
@@ -13,53 +13,53 @@
 	"drumpick/internal/records"
 )
 
-// fleetSize is a fleet of the size that users run.
+// fleetSize is the number of machines of a large deployment.
 const fleetSize = 4000
 
-// newLimitsScheduler is a reconciled scheduler of three zones that has read the cloud's list.
+// newLimitsScheduler returns a reconciled scheduler with three zones that has read the cloud's list.
 func newLimitsScheduler(types []records.MachineType) (*Scheduler, time.Time) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
 	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
 	now := time.Unix(1_000_000, 0)
-	c := New(SettingsOf(cfg), 5, now)
+	s := New(SettingsOf(cfg), 5, now)
 	for i := range types {
 		types[i].Zones = cfg.Deployment.Zones
 	}
-	c.SetMachineTypes(types)
-	c.CheckReconciled(now)
-	c.ReconcileCloudList(nil, now, now)
-	return c, now
+	s.SetMachineTypes(types)
+	s.CheckReconciled(now)
+	s.ReconcileCloudList(nil, now, now)
+	return s, now
 }
 
-// startMachines brings machines up, n of them with nothing on them.
-func startMachines(c *Scheduler, n int, now time.Time) []string {
+// startMachines adds n empty machines that have sent a heartbeat, and returns their names.
+func startMachines(s *Scheduler, n int, now time.Time) []string {
 	var names []string
 	for i := range n {
-		h := fmt.Sprintf("m-%06d", i)
-		m, _ := c.Reconcile(&fleet.Heartbeat{Machine: h, Addr: h, Type: "c4", Zone: c.settings.Zones[i%3], Incarnation: 1, FencingToken: 5, Version: "1"}, true, now)
+		name := fmt.Sprintf("m-%06d", i)
+		m, _ := s.Reconcile(&fleet.Heartbeat{Machine: name, Addr: name, Type: "c4", Zone: s.settings.Zones[i%3], Incarnation: 1, FencingToken: 5, Version: "1"}, true, now)
 		m.Recorded = true
-		names = append(names, h)
+		names = append(names, name)
 	}
 	return names
 }
 
-// An upgrade takes a fleet of thousands of machines at once where operators ask for that.
+// An upgrade takes thousands of machines out of service at once if the operator requests it.
 func TestUpgradeWholeFleetAtOnce(t *testing.T) {
-	c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
-	startMachines(c, fleetSize+100, now)
+	s, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	startMachines(s, fleetSize+100, now)
 	spec := drain.Spec{ID: "d-1", Kind: drain.KindUpgrade, TargetVersion: "2", MaxOutOfService: fleetSize, MinInService: 5}
 	if err := spec.Check(now); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.PreviewDrain(&spec, false, now); err != nil {
+	if _, err := s.PreviewDrain(&spec, false, now); err != nil {
 		t.Fatal(err)
 	}
-	c.SetDrain(spec, nil, 0)
-	c.runDrains(now)
-	v, _ := c.DrainView("d-1")
+	s.SetDrain(spec, nil, 0)
+	s.runDrains(now)
+	v, _ := s.DrainView("d-1")
 	cordoned := 0
-	for _, m := range c.fleet.Sorted() {
+	for _, m := range s.fleet.Sorted() {
 		if m.Cordon != nil {
 			cordoned++
 		}
@@ -69,46 +69,46 @@
 	}
 }
 
-// A drain that names thousands of machines drains just these.
+// A drain that names thousands of machines drains exactly these.
 func TestDrainOfThousandsByName(t *testing.T) {
-	c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
-	names := startMachines(c, fleetSize+100, now)
+	s, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	names := startMachines(s, fleetSize+100, now)
 	spec := drain.Spec{ID: "d-1", Kind: drain.KindDrain, Machines: names[:fleetSize]}
 	if err := spec.Check(now); err != nil {
 		t.Fatal(err)
 	}
-	p, err := c.PreviewDrain(&spec, false, now)
-	if err != nil || p.Total.Machines != fleetSize {
-		t.Fatalf("planned: %v, %v", p, err)
+	preview, err := s.PreviewDrain(&spec, false, now)
+	if err != nil || preview.Total.Machines != fleetSize {
+		t.Fatalf("preview: %v, %v", preview, err)
 	}
-	c.SetDrain(spec, nil, 0)
-	c.runDrains(now)
-	for _, m := range c.fleet.Sorted() {
+	s.SetDrain(spec, nil, 0)
+	s.runDrains(now)
+	for _, m := range s.fleet.Sorted() {
 		if drained := m.Cordon != nil; drained != slices.Contains(names[:fleetSize], m.Name) {
 			t.Fatalf("%s drained: %v", m.Name, drained)
 		}
 	}
 }
 
-// One plan is for a whole fleet: machines for the work of thousands, of many types, are requested at
-// once, by requests of the protocol's size.
+// One scale-out plan covers a whole fleet: it rents thousands of machines of many types, with no
+// request above the protocol's maximum.
 func TestPlanForWholeFleet(t *testing.T) {
 	const want, perType = 4500, 150
 	var types []records.MachineType
 	for i := range want / perType {
 		types = append(types, records.MachineType{Name: fmt.Sprintf("t%02d", i), CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20})
 	}
-	c, now := newLimitsScheduler(types)
+	s, now := newLimitsScheduler(types)
 	for i := range types {
-		c.AddJob(records.Job{
+		s.AddJob(records.Job{
 			ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: perType,
 			CPUs: 4, MemGB: 1, Image: "img", EstimateS: 3600, Types: []string{types[i].Name}, AcceptedMS: now.UnixMilli(),
 		}, 10, now, now)
 	}
 	asked := 0
-	for _, r := range c.PlanRentals(now) {
+	for _, r := range s.PlanRentals(now) {
 		if asked += r.Count; r.Count > autoscaler.MaxRentCount {
-			t.Fatalf("a request for %d machines", r.Count)
+			t.Fatalf("one request for %d machines exceeds the protocol's maximum", r.Count)
 		}
 	}
 	if asked != want {
@@ -116,39 +116,39 @@
 	}
 }
 
-// The protocol's bounds of one request bound no fleet: plan by plan, all machines of one type and zone
-// that work needs are rented, and all are returned.
+// The protocol's limits per request must not limit the fleet: over several plans, all machines that
+// the work needs in one type and zone are rented, and all are returned.
 func TestRequestLimitsDoNotBoundFleet(t *testing.T) {
 	const want = 4500
-	c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+	s, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	zone := "a"
-	c.AddJob(records.Job{
+	s.AddJob(records.Job{
 		ID: "j-1", Team: "team", Class: "class", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: want,
 		CPUs: 4, MemGB: 1, Image: "img", EstimateS: 3600, Zone: &zone, AcceptedMS: now.UnixMilli(),
 	}, 10, now, now)
 	rented := 0
 	for range 2 * want / autoscaler.MaxRentCount {
-		for _, r := range c.PlanRentals(now) {
+		for _, r := range s.PlanRentals(now) {
 			var hosts []string
 			for range r.Count {
 				hosts = append(hosts, fmt.Sprintf("m-%06d", rented))
 				rented++
 			}
-			c.MachinesRented(r, hosts, now)
+			s.MachinesRented(r, hosts, now)
 		}
-		now = now.Add(c.settings.HeartbeatInterval / 4)
+		now = now.Add(s.settings.HeartbeatInterval / 4)
 	}
 	if rented != want {
 		t.Fatalf("%d machines are rented, %d are needed", rented, want)
 	}
-	now = now.Add(time.Hour) // none ever came up
+	now = now.Add(time.Hour) // no machine sends a heartbeat
 	returned := 0
 	for range 2 * want / autoscaler.MaxReturnNames {
-		hosts := c.MachinesToReturn(now)
+		hosts := s.MachinesToReturn(now)
 		if len(hosts) > autoscaler.MaxReturnNames {
-			t.Fatalf("%d machines are returned at once", len(hosts))
+			t.Fatalf("one request returns %d machines, more than the protocol's maximum", len(hosts))
 		}
-		c.MachinesReturned(hosts, now)
+		s.MachinesReturned(hosts, now)
 		returned += len(hosts)
 	}
 	if returned != want {
@@ -156,43 +156,43 @@
 	}
 }
 
-// BenchmarkPlanOfFleet plans for the work of more machines than one plan counts.
+// BenchmarkPlanOfFleet measures a plan for work that needs more machines than one plan rents.
 func BenchmarkPlanOfFleet(b *testing.B) {
-	for _, cpus := range []float64{4, 1.5} { // machines that are full, and such as have room left
+	for _, cpus := range []float64{4, 1.5} { // tasks that fill a machine, and that leave room
 		b.Run(fmt.Sprint(cpus, " CPUs a task"), func(b *testing.B) {
-			c, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
+			s, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 			for i := range 45 {
-				c.AddJob(records.Job{
+				s.AddJob(records.Job{
 					ID: fmt.Sprint("j-", i), Team: "team", Class: "class", Shape: records.ShapeArray, Priority: records.PriorityStandard, Tasks: 400,
 					CPUs: cpus, MemGB: 1, Image: "img", EstimateS: 3600, AcceptedMS: now.UnixMilli(),
 				}, 10, now, now)
 			}
 			for b.Loop() {
-				for _, r := range c.PlanRentals(now) {
-					c.RentalRefused(r, false, now)
+				for _, r := range s.PlanRentals(now) {
+					s.RentalRefused(r, false, now)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkDrainOfNames is a pass, and a preview, while a drain by names empties a fleet.
+// BenchmarkDrainOfNames measures a pass and a preview of a drain that names all machines of a fleet.
 func BenchmarkDrainOfNames(b *testing.B) {
 	spec := drain.Spec{ID: "d-1", Kind: drain.KindDrain}
 	b.Run("look", func(b *testing.B) {
-		c, now := newBusyFleet(b, fleetSize)
-		for _, m := range c.fleet.Sorted() {
+		s, now := newBusyFleet(b, fleetSize)
+		for _, m := range s.fleet.Sorted() {
 			spec.Machines = append(spec.Machines, m.Name)
 		}
-		c.SetDrain(spec, nil, 0)
+		s.SetDrain(spec, nil, 0)
 		for b.Loop() {
-			c.runDrains(now)
+			s.runDrains(now)
 		}
 	})
 	b.Run("plan", func(b *testing.B) {
-		c, now := newBusyFleet(b, fleetSize)
+		s, now := newBusyFleet(b, fleetSize)
 		for b.Loop() {
-			if _, err := c.PreviewDrain(&spec, true, now); err != nil {
+			if _, err := s.PreviewDrain(&spec, true, now); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -10,9 +10,9 @@
 	"drumpick/internal/records"
 )
 
-// movable reports whether an attempt may be moved merely to fill or empty a bin: tasks started under a
-// rebalancing round ago, each once. Gangs never move, and replicas only in rebalancing rounds, one at
-// a time.
+// movable reports whether an attempt may be moved to fill or empty a bin: only tasks of arrays that
+// are planned or were assigned less than a rebalancing interval ago, each once after it was sent.
+// Gangs never move; replicas move only in rebalancing rounds, one at a time.
 func (s *Scheduler) movable(j *Job, a *fleet.Attempt, now time.Time) bool {
 	if j == nil || a.Stopping() || a.Duplicate || j.Shape != records.ShapeArray {
 		return false
@@ -23,7 +23,7 @@
 	return a.State() == fleet.Planned || a.MayBePresent() && a.State() != fleet.Sent && now.Sub(a.AssignedAt) < s.settings.RebalanceInterval
 }
 
-// undoMoves undoes what listed moves did to the bins, which reflect what is really there.
+// undoMoves reverts the effect of moves on the bins, which have to reflect the actual placement.
 func undoMoves(moves []packing.Move) {
 	for _, move := range slices.Backward(moves) {
 		for _, it := range move.Items {
@@ -35,9 +35,9 @@
 	}
 }
 
-// executeMoves turns listed moves into plans and stops. What was only planned moves at once; what is
-// on a machine is stopped there, and starts elsewhere once it is gone. Until then the room there is
-// claimed for its job.
+// executeMoves carries out moves. A planned attempt moves at once. An attempt on a machine is stopped,
+// and its task starts elsewhere once the attempt is gone; until then, the destination's room is
+// claimed for the job.
 func (s *Scheduler) executeMoves(moves []packing.Move, now time.Time) {
 	for _, move := range moves {
 		for _, item := range move.Items {
@@ -48,7 +48,6 @@
 	}
 }
 
-// moveAttempt carries out a move for one attempt.
 func (s *Scheduler) moveAttempt(attempt *fleet.Attempt, move packing.Move, now time.Time) {
 	from := move.From.Owner.(*fleet.Machine)
 	if attempt.State() == fleet.Planned {
--- a/internal/scheduler/place_finder.go
+++ b/internal/scheduler/place_finder.go
@@ -9,38 +9,38 @@
 	"drumpick/internal/packing"
 )
 
-// placeFinder finds out where tasks could go, at one time. Jobs of the same placement class share the
-// answer that there is no room.
+// placeFinder finds where tasks could be placed at one point in time, without placing them. Jobs of
+// the same placement class share the result that there is no room.
 type placeFinder struct {
 	scheduler    *Scheduler
 	now          time.Time
 	noRoom       map[int]bool                // placement classes without room
-	allowed      map[*Job]bool               // what allowedAnywhere returned, by job
-	excluded     func(typ, zone string) bool // beside what is drained already; nil: nothing
-	alsoDraining func(m *fleet.Machine) bool // machines that are to be drained as well; nil: none
+	allowed      map[*Job]bool               // cached results of allowedAnywhere
+	excluded     func(typ, zone string) bool // excluded in addition to active drains; nil: nothing
+	alsoDraining func(m *fleet.Machine) bool // machines to treat as draining; nil: none
 }
 
-// allowedAnywhere reports whether one more task of the job may run anywhere that is not drained: on a
-// machine that is there or one that could be rented. zones counts its other tasks by zone where these
-// decide about it; nil elsewhere.
+// allowedAnywhere reports whether one more task of the job may run outside of drains: on an existing
+// machine or one that could be rented, with room or not. zones counts the job's other tasks by zone;
+// nil if it has no zone constraint.
 func (p *placeFinder) allowedAnywhere(j *Job, zones map[string]int) bool {
 	ok, known := p.allowed[j]
 	if known && zones == nil {
 		return ok
 	}
 	ok = false
-	c := p.scheduler
-	in := func(zone string) bool { return zones == nil || j.zoneAllowed(zone, zones) }
-	for _, m := range c.fleet.Sorted() {
-		if !m.Returning && !m.LeaseExpired && m.Cordon == nil && (p.alsoDraining == nil || !p.alsoDraining(m)) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Capacity.Fits(j.request) && in(m.Zone) {
+	s := p.scheduler
+	zoneOK := func(zone string) bool { return zones == nil || j.zoneAllowed(zone, zones) }
+	for _, m := range s.fleet.Sorted() {
+		if !m.Returning && !m.LeaseExpired && m.Cordon == nil && (p.alsoDraining == nil || !p.alsoDraining(m)) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Capacity.Fits(j.request) && zoneOK(m.Zone) {
 			ok = true
 			break
 		}
 	}
-	for name, t := range c.machineTypes {
+	for name, t := range s.machineTypes {
 		for _, z := range t.Zones {
 			spot := t.SpotPrice > 0 && j.permits(name, z, true)
-			ok = ok || in(z) && (spot || j.permits(name, z, false)) && c.capacity(name).Fits(j.request) && !c.scaleOutBlocked(name, z) && (p.excluded == nil || !p.excluded(name, z))
+			ok = ok || zoneOK(z) && (spot || j.permits(name, z, false)) && s.capacity(name).Fits(j.request) && !s.scaleOutBlocked(name, z) && (p.excluded == nil || !p.excluded(name, z))
 		}
 	}
 	if zones == nil {
@@ -49,8 +49,8 @@
 	return ok
 }
 
-// findPlace returns whether one more task of a job can go anywhere, and the machine where it can go now;
-// nil: there is none.
+// findPlace reports whether one more task of a job may be placed anywhere, and returns the machine
+// that has room for it now, nil if there is none.
 func (p *placeFinder) findPlace(j *Job, zones map[string]int) (drain.Place, *fleet.Machine) {
 	if !p.allowedAnywhere(j, zones) {
 		return drain.NotPermitted, nil
@@ -61,22 +61,22 @@
 	return drain.NoRoom, nil
 }
 
-// findRoom finds a machine with room for one more task of a job, nil if there is none.
+// findRoom returns a machine with room for one more task of a job, nil if there is none.
 func (p *placeFinder) findRoom(j *Job, zones map[string]int) *fleet.Machine {
 	if j.placementClass > 0 && p.noRoom[j.placementClass] {
 		return nil
 	}
-	it := &packing.Item{ID: j.ID, Request: j.request, PreferLabels: j.preferredLabels}
-	ok := func(b *packing.Bin) bool {
+	item := &packing.Item{ID: j.ID, Request: j.request, PreferLabels: j.preferredLabels}
+	allowed := func(b *packing.Bin) bool {
 		m := b.Owner.(*fleet.Machine)
 		return m.Cordon == nil && (p.alsoDraining == nil || !p.alsoDraining(m)) && j.permits(m.Type, m.Zone, m.Spot) &&
 			(zones == nil || j.zoneAllowed(m.Zone, zones)) && !isHeldForEarlierJob(m, j)
 	}
 	for _, name := range p.scheduler.typesByPrice {
 		if s := p.scheduler.spaces[name]; s != nil {
-			if b, moves, _ := s.Insert(it, ok); b != nil {
+			if b, moves, _ := s.Insert(item, allowed); b != nil {
 				undoMoves(moves)
-				b.Remove(it)
+				b.Remove(item)
 				return b.Owner.(*fleet.Machine)
 			}
 		}
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// findGangRoom finds places for some tasks of a gang, whose other tasks stay where they are. Where it
-// returns fewer, there is not room for all of them.
+// findGangRoom finds places for n tasks of a gang whose other tasks stay; staying counts these by
+// zone. It returns fewer than n machines if there is no room for all n.
 func (p *placeFinder) findGangRoom(j *Job, n int, staying map[string]int) []*fleet.Machine {
 	zones := []string{""}
 	if j.OneZone && len(staying) == 0 {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -11,8 +11,7 @@
 	"drumpick/internal/records"
 )
 
-// placeWaiting runs a placement pass: it inserts waiting tasks into bins, in the order in which jobs
-// are served.
+// placeWaiting runs a placement pass: it inserts waiting tasks into bins in placement order.
 func (s *Scheduler) placeWaiting(now time.Time) {
 	s.placementStale = false
 	s.refreshOpenBins(now)
@@ -42,25 +41,24 @@
 	}
 }
 
-// placementPass is one pass over all waiting tasks.
+// placementPass is the state of one pass over all waiting tasks.
 type placementPass struct {
 	scheduler *Scheduler
 	now       time.Time
-	usedQuota map[string]quota.Amount // by team with a limit, what this pass plans included
-	noRoom    []*Job                  // by placement class, the first job that found no room
+	usedQuota map[string]quota.Amount // by team with a limit, including what this pass plans
+	noRoom    []*Job                  // by placement class: the earliest served job that found no room
 }
 
-// cannotFit reports whether a turn's job finds no room because an equal job that is served before it
-// found none. Without the comparison of the two, a job would count that comes first only as it has
-// less to fetch, and finds nothing but machines that are held for the job it is compared with: that
-// one may use them.
+// cannotFit reports whether a turn's job cannot find room because an equivalent job that is served
+// before it found none. The served order has to be compared: a job with a shorter image fetch can
+// have an earlier turn and find only machines that are held for this job, which may use them.
 func (p *placementPass) cannotFit(turn placementTurn) bool {
 	first := p.noRoom[turn.placementClass()]
 	return turn.placementClass() > 0 && first != nil && !servedBefore(turn.job, first)
 }
 
-// placeTurn places the tasks of a job whose turn it is. With noRoom an equal job found no room, so only
-// the job's own claims can be of use.
+// placeTurn places the tasks of a turn's job. With noRoom, an equivalent job found no room, so only
+// the job's own claims are tried.
 func (p *placementPass) placeTurn(turn placementTurn, noRoom bool) {
 	s, job := p.scheduler, turn.job
 	if noRoom && len(job.claims) == 0 || !s.startable(job, p.now) || job.nextTask() < 0 {
@@ -75,14 +73,15 @@
 	if !turn.ready {
 		s.recordShortage(job, p.usedQuota[job.Team], p.now)
 	}
-	// Which on-demand machines are too few is noted by the first job that finds no room, so that has
-	// to be one whose team has a guarantee.
+	// Only the first job of a class that finds no room records a shortage of on-demand machines, so
+	// it has to be one whose team has a guarantee.
 	if job.Spot || !job.teamLimited || fairshare.HasGuarantee(job.team) {
 		p.noRoom[turn.placementClass()] = job
 	}
 }
 
-// placeGangOrTasks places the tasks of a turn's job, and reports whether all that may start found room.
+// placeGangOrTasks places the tasks of a turn's job, a gang as a whole. It reports whether all tasks
+// that may start found room; with noRoom, true.
 func (p *placementPass) placeGangOrTasks(turn placementTurn, noRoom bool) bool {
 	s, job := p.scheduler, turn.job
 	if job.Shape == records.ShapeGang {
@@ -105,8 +104,8 @@
 	return s.placeTasks(job, requiredLabel, p.usedQuota, zones, p.now)
 }
 
-// placeTasks places as many tasks of a job as possible, only on machines with a label unless it is "".
-// It reports whether all that may start found room.
+// placeTasks places as many tasks of a job as possible, only on machines with requiredLabel unless
+// that is "". It reports whether all tasks that may start found room, and updates used and zones.
 func (s *Scheduler) placeTasks(job *Job, requiredLabel string, used map[string]quota.Amount, zones map[string]int, now time.Time) bool {
 	for {
 		task := job.nextTask()
@@ -131,17 +130,17 @@
 	}
 }
 
-// insertion says what is to be inserted into a bin, and where it may go.
+// insertion is a task to insert into a bin, and its constraints.
 type insertion struct {
 	job           *Job
 	task          int
-	attemptNumber uint64         // 0: a new one
-	requiredLabel string         // of the machine; "": none
-	zones         map[string]int // the job's tasks by zone, if these decide; else nil
-	zone          string         // the only zone that is tried; "": all are
+	attemptNumber uint64         // 0: assign a new one
+	requiredLabel string         // label that the machine must have; "": none
+	zones         map[string]int // the job's tasks by zone; nil if it has no zone constraint
+	zone          string         // the only zone to try; "": all
 }
 
-// allows reports whether the task may go to a machine, apart from room.
+// allows reports whether the constraints, apart from room, permit a machine.
 func (i *insertion) allows(machine *fleet.Machine) bool {
 	return i.job.permits(machine.Type, machine.Zone, machine.Spot) &&
 		(i.zones == nil || i.job.zoneAllowed(machine.Zone, i.zones)) &&
@@ -149,9 +148,9 @@
 		!isHeldForEarlierJob(machine, i.job)
 }
 
-// insertTask finds a bin for one task by VISBP's insert, over the machine types that the job allows,
-// cheapest first, and plans the task there. It lists the moves that the insertion asks for, and
-// returns nil if there is no room.
+// insertTask finds a bin for one task by VISBP's insert operation, over the machine types that the
+// job allows, cheapest first, and plans the task there. It returns the machine, nil if there is no
+// room, and the moves that the insertion requires.
 func (s *Scheduler) insertTask(in insertion, now time.Time) (*fleet.Machine, []packing.Move) {
 	job := in.job
 	item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferredLabels, RequireLabel: in.requiredLabel}
@@ -185,9 +184,9 @@
 	return nil, nil
 }
 
-// insertIntoType inserts among the machines of one type. Where on-demand machines were too few for
-// others lately, what may use spot machines goes there first. Without this, on-demand machines that
-// gangs wait for would be filled with tasks beside empty spot machines.
+// insertIntoType inserts into the machines of one type. After a recent shortage of on-demand
+// machines, tasks that may use spot machines try these first. Otherwise they would fill on-demand
+// machines that gangs wait for, while spot machines are empty.
 func (s *Scheduler) insertIntoType(space *packing.Space, machineType string, job *Job, item *packing.Item,
 	allowed func(*packing.Bin) bool) (*packing.Bin, []packing.Move, packing.Rule) {
 	if job.Spot && s.recentShortage(machineType, s.passTime) {
@@ -199,7 +198,8 @@
 	return space.Insert(item, allowed)
 }
 
-// planAttempt notes a task as planned for a machine, whose bin has its item already.
+// planAttempt records an attempt of a task as planned for a machine. The machine's bin must already
+// contain the item.
 func (s *Scheduler) planAttempt(job *Job, task int, number uint64, machine *fleet.Machine, item *packing.Item,
 	now time.Time) *fleet.Attempt {
 	attempt := s.fleet.Plan(machine, fleet.TaskID{Job: job.ID, N: task}, number, item, now)
@@ -210,7 +210,7 @@
 	return attempt
 }
 
-// recordImageUse notes that a machine has a job's image, or fetches it.
+// recordImageUse records that a machine has or fetches a job's image.
 func (s *Scheduler) recordImageUse(m *fleet.Machine, j *Job) {
 	m.UseImage(j.Image, j.ImageGB, s.machineTypes[m.Type].CacheGB)
 }
--- a/internal/scheduler/placement_class.go
+++ b/internal/scheduler/placement_class.go
@@ -2,19 +2,19 @@
 
 import "drumpick/internal/packing"
 
-// placementKey is all that decides whether an unconstrained job's task has room.
+// placementKey contains everything that decides whether a task of an unconstrained job has room.
 type placementKey struct {
 	request packing.Resources
 	zone    string
 	spot    bool
-	image   string // of jobs that are to start where it is; otherwise ""
+	image   string // for machines that have the image ready; else ""
 }
 
-// placementClasses numbers placement keys, from 1. Jobs with the same number are equal: where one finds
-// no room, neither does the other.
+// placementClasses maps placement keys to class numbers, from 1. Jobs of the same class are
+// equivalent: if one finds no room, neither does the other.
 type placementClasses map[placementKey]int
 
-// classOf returns the number of a placement key.
+// classOf returns the class number of a placement key, and assigns one if it is new.
 func (p placementClasses) classOf(key placementKey) int {
 	if p[key] == 0 {
 		p[key] = len(p) + 1
@@ -22,7 +22,7 @@
 	return p[key]
 }
 
-// assign gives a job the class numbers that it shares with equal jobs.
+// assign sets the class numbers that a job shares with equivalent jobs. A constrained job has none.
 func (p placementClasses) assign(job *Job) {
 	if !job.unconstrained() {
 		return
@@ -36,7 +36,7 @@
 	job.imageClass = p.classOf(key)
 }
 
-// prune numbers the open jobs again once most numbers belong to closed ones.
+// prune renumbers the open jobs' classes once most classes belong only to closed jobs.
 func (p placementClasses) prune(jobs map[string]*Job) {
 	if len(p) <= 4*len(jobs)+64 {
 		return
--- a/internal/scheduler/placing_order.go
+++ b/internal/scheduler/placement_order.go
@@ -9,14 +9,15 @@
 	"drumpick/internal/records"
 )
 
-// placementTurn is a job's place in the placing order: on machines that have its image ready, or on any.
+// placementTurn is a job's entry in the placement order. A job that has to fetch its image can have
+// two: one for machines that have the image ready, and a later one for all machines.
 type placementTurn struct {
 	job   *Job
 	at    time.Time
 	ready bool
 }
 
-// placementClass is the class of turns that find no room where this one finds none; 0: there are none.
+// placementClass returns the class of turns that have no room if this one has none; 0: no class.
 func (t placementTurn) placementClass() int {
 	if t.ready {
 		return t.job.imageClass
@@ -24,7 +25,7 @@
 	return t.job.placementClass
 }
 
-// positions is a set of places in the placing order.
+// positions is a bit set of indexes into the placement order.
 type positions []uint64
 
 func newPositions(n int) positions { return make(positions, (n+63)/64) }
@@ -33,7 +34,7 @@
 
 func (p positions) remove(i int) { p[i/64] &^= 1 << (i % 64) }
 
-// next returns the first of them from a place on; -1: there is none.
+// next returns the first contained index that is at least from; -1: there is none.
 func (p positions) next(from int) int {
 	if from>>6 >= len(p) {
 		return -1
@@ -49,26 +50,26 @@
 	}
 }
 
-// placementOrder is the order in which jobs are placed, worked out for all jobs now and then. In between
-// it notes which of them have tasks to start, so that a placement pass skips the others without a look
-// at each.
+// placementOrder is the order in which jobs are placed. It is rebuilt for all jobs when the queue is
+// stale. In between it tracks which jobs may have tasks to start, so that a placement pass skips the
+// others without visiting them.
 type placementOrder struct {
 	turns   []placementTurn
-	active  positions                     // of jobs that may have tasks to start
-	groups  map[equivalentTurns]positions // of turns that are hopeless once an earlier one of them is
-	turnsOf map[*Job][]int                // where a job's turns are
+	active  positions                     // turns of jobs that may have tasks to start
+	groups  map[equivalentTurns]positions // turns that have no room once an earlier one of the group has none
+	turnsOf map[*Job][]int                // indexes of a job's turns
 }
 
-// equivalentTurns identifies turns that are in the same order as their jobs, and whose jobs are equal.
+// equivalentTurns identifies turns of equivalent jobs that have the same relative order as the jobs.
 type equivalentTurns struct {
 	imageClass int
 	ready      bool
 }
 
-// newPlacementOrder orders the jobs for placement. Where its image has to be fetched first, a job's turn
-// comes later, by twice as long as the fetch takes: the place would stand idle for that time, while a
-// job that arrived that much later can use it at once. Fetches can take as long as the tasks, and each
-// machine fetches each image for itself.
+// newPlacementOrder orders the jobs for placement. On machines that have to fetch its image first, a
+// job's turn is delayed by twice the fetch time: the place would be idle during the fetch, while a
+// job that arrived later can use it at once. Fetches can take as long as the tasks, and each machine
+// fetches each image separately.
 func newPlacementOrder(jobs []*Job, fetchTime func(*Job) time.Duration) *placementOrder {
 	o := &placementOrder{groups: map[equivalentTurns]positions{}, turnsOf: make(map[*Job][]int, len(jobs))}
 	for _, job := range jobs {
@@ -80,8 +81,8 @@
 	}
 	sort.SliceStable(o.turns, func(a, b int) bool {
 		x, y := o.turns[a], o.turns[b]
-		if drain := comparePrecedence(x.job, y.job); drain != 0 {
-			return drain < 0
+		if order := comparePrecedence(x.job, y.job); order != 0 {
+			return order < 0
 		}
 		return x.at.Before(y.at)
 	})
@@ -101,7 +102,7 @@
 	return o
 }
 
-// activate notes that a job may have tasks to start again.
+// activate records that a job may have tasks to start again.
 func (o *placementOrder) activate(j *Job) {
 	for _, i := range o.turnsOf[j] {
 		o.active.add(i)
@@ -112,21 +113,21 @@
 type turnIterator struct {
 	order     *placementOrder
 	remaining positions
-	exempt    positions // never passed over as being like others
-	at        int
+	exempt    positions // turns that skipEquivalent keeps
+	at        int       // index of the last returned turn
 }
 
-// iterate starts to iterate over the turns of jobs that may have tasks to start. Those of some jobs are
-// never skipped as equal to others.
-func (o *placementOrder) iterate(each []*Job) *turnIterator {
+// iterate returns an iterator over the turns of jobs that may have tasks to start. skipEquivalent
+// never skips the turns of the exempt jobs.
+func (o *placementOrder) iterate(exempt []*Job) *turnIterator {
 	p := &turnIterator{order: o, remaining: slices.Clone(o.active), exempt: newPositions(len(o.turns)), at: -1}
-	for _, j := range each {
+	for _, j := range exempt {
 		p.exemptFromSkipping(j)
 	}
 	return p
 }
 
-// next returns the next turn; false: there is none.
+// next returns the next turn, or false if there is none.
 func (p *turnIterator) next() (placementTurn, bool) {
 	if p.at = p.remaining.next(p.at + 1); p.at < 0 {
 		return placementTurn{}, false
@@ -134,10 +135,10 @@
 	return p.order.turns[p.at], true
 }
 
-// deactivate skips the turn's job until it is activated.
+// deactivate makes passes skip the last returned turn until its job is activated.
 func (p *turnIterator) deactivate() { p.order.active.remove(p.at) }
 
-// skipEquivalent skips all coming turns that are equal to the last one.
+// skipEquivalent skips the remaining turns that are equivalent to the last returned one.
 func (p *turnIterator) skipEquivalent() {
 	t := p.order.turns[p.at]
 	for w, same := range p.order.groups[equivalentTurns{t.job.imageClass, t.ready}] {
@@ -145,7 +146,7 @@
 	}
 }
 
-// exemptFromSkipping has the coming turns of a job no longer skipped as equal to others.
+// exemptFromSkipping restores a job's remaining turns and keeps skipEquivalent from skipping them.
 func (p *turnIterator) exemptFromSkipping(j *Job) {
 	for _, i := range p.order.turnsOf[j] {
 		if p.exempt.add(i); i > p.at {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -7,30 +7,30 @@
 	"drumpick/internal/records"
 )
 
-// preempt stops work of lower priority, or what another team runs in excess of its guarantee, where a
-// job that may claim the room finds none, and claims the room for the job. What tasks that end free
-// anyway within a heartbeat interval is counted first: on hundreds of machines that is soon as much as
-// any job takes, and nothing is lost.
+// preempt stops tasks of lower priority, or of teams that exceed their guarantee, for jobs that may
+// preempt and find no room, and claims the freed room for them. It first subtracts the room that
+// ending tasks are expected to free within a heartbeat interval: on hundreds of machines that soon
+// suffices for any job, without lost work.
 //
-// A job that is urgent for the sake of its dependents goes first, but preempts nobody: the middle jobs
-// of a chain are as large as any and have the chain's time, and they stopped hundreds of tasks in the
-// middle of their fetches. Nobody is stopped for what could not start all the same: a gang gets all
-// its places or none. Equal jobs share one evaluation of the machines: without that, a queue of urgent
-// jobs costs a look at every task for each of them.
+// A job that is urgent only because of its dependents is served first but does not preempt: the
+// middle jobs of a chain are large and not pressed for time, and would stop hundreds of tasks during
+// their image fetches. No task is preempted for a gang that does not get all its places. Equivalent
+// jobs share one evaluation of the machines. Otherwise each urgent job in the queue would examine
+// every task.
 func (s *Scheduler) preempt(now time.Time) {
 	if !s.reconciled {
 		return
 	}
-	claimants, anyProtected := s.preemptors(now)
-	if len(claimants) == 0 {
+	preemptors, anyProtected := s.preemptors(now)
+	if len(preemptors) == 0 {
 		return
 	}
 	search := newPreemptionSearch(s, now)
 	if anyProtected {
 		search.loadExcess()
 	}
-	ending := s.freedRoom.previousWindow(now, s.settings.HeartbeatInterval)
-	for _, job := range claimants {
+	endingSoon := s.freedRoom.previousWindow(now, s.settings.HeartbeatInterval)
+	for _, job := range preemptors {
 		missing := s.missingClaims(job, now)
 		if job.Shape == records.ShapeGang {
 			if missing > 0 {
@@ -38,8 +38,8 @@
 			}
 			continue
 		}
-		for missing > 0 && ending.Fits(job.request) && job.request != (packing.Resources{}) {
-			ending = ending.Sub(job.request)
+		for missing > 0 && endingSoon.Fits(job.request) && job.request != (packing.Resources{}) {
+			endingSoon = endingSoon.Sub(job.request)
 			missing--
 		}
 		if missing > 0 {
@@ -48,17 +48,17 @@
 	}
 }
 
-// preemptors returns the jobs that wait and may preempt, in the order in which they are
-// served, and whether any of them is protected by a guarantee.
-func (s *Scheduler) preemptors(now time.Time) (claimants []*Job, anyProtected bool) {
+// preemptors returns the waiting jobs that may preempt, in the order in which they are served, and
+// whether any of them is protected by a guarantee.
+func (s *Scheduler) preemptors(now time.Time) (jobs []*Job, anyProtected bool) {
 	for _, job := range s.queue(now) {
 		if !s.startable(job, now) || job.nextTask() < 0 {
 			continue
 		}
 		if priorityRank[job.Priority] <= priorityRank[records.PriorityUrgent] || job.protected && s.benefitsFromPreemption(job, now) {
-			claimants = append(claimants, job)
+			jobs = append(jobs, job)
 			anyProtected = anyProtected || job.protected
 		}
 	}
-	return claimants, anyProtected
+	return jobs, anyProtected
 }
--- a/internal/scheduler/preemption_search.go
+++ b/internal/scheduler/preemption_search.go
@@ -11,26 +11,27 @@
 	"drumpick/internal/records"
 )
 
-// preemptionCandidate is a machine as a job that looks for room sees it: what would be free there and whom
-// that would cost, were all that was chosen so far carried out.
+// preemptionCandidate is a machine that a job may use, with its free room and the attempts to stop
+// for one more task, as if all choices so far had been applied.
 type preemptionCandidate struct {
 	machine     *fleet.Machine
 	free        packing.Resources
-	victims     []*fleet.Attempt // to be stopped
-	nextVictims []*fleet.Attempt // to be stopped for one more task
-	loss        float64          // of these
-	feasible    bool             // one more task can be had
-	version     int              // of the machine when this was evaluated
+	victims     []*fleet.Attempt // attempts chosen to be stopped
+	nextVictims []*fleet.Attempt // attempts to stop for one more task
+	loss        float64          // lost work of nextVictims, in the unit of lostWork
+	feasible    bool             // room for one more task can be freed
+	version     int              // version of the machine at this evaluation
 }
 
-// preemptionChoice is room for some tasks on a machine, and which attempts are to be stopped for it.
+// preemptionChoice is room for a number of tasks on a machine, and the attempts to stop for it.
 type preemptionChoice struct {
 	machine *fleet.Machine
 	victims []*fleet.Attempt
 	tasks   int
 }
 
-// candidateKey is what the choice of victims depends on, apart from whom a job has preempted before.
+// candidateKey contains what the choice of victims depends on, except for the tasks that the job has
+// preempted before.
 type candidateKey struct {
 	placementClass int
 	rank           int
@@ -38,12 +39,12 @@
 	guaranteed     bool
 }
 
-// preemptionSearch is one search for room for all jobs that may preempt.
+// preemptionSearch is a search for room by preemption, for all jobs of one pass that may preempt.
 type preemptionSearch struct {
 	scheduler  *Scheduler
 	now        time.Time
-	excess     map[string]quota.Amount // what teams run beyond their guarantees; loaded only where a protected job claims room
-	versions   map[*fleet.Machine]int  // how often this search changed a machine
+	excess     map[string]quota.Amount // usage of teams beyond their guarantees; loaded only if a protected job preempts
+	versions   map[*fleet.Machine]int  // number of changes that this search made to a machine
 	candidates map[candidateKey][]*preemptionCandidate
 }
 
@@ -57,7 +58,7 @@
 	}
 }
 
-// loadExcess notes what every team runs beyond its guarantee.
+// loadExcess computes each team's usage beyond its guarantee; attempts being stopped do not count.
 func (s *preemptionSearch) loadExcess() {
 	for name, team := range s.scheduler.settings.Teams {
 		guarantee := quota.Amount{CPUs: team.GuaranteedCPUs, GPUs: team.GuaranteedGPUs}
@@ -65,7 +66,7 @@
 	}
 }
 
-// makeRoomForTasks makes room for up to n tasks of a job that need not start together.
+// makeRoomForTasks frees room for up to n tasks of a job that is not a gang.
 func (s *preemptionSearch) makeRoomForTasks(job *Job, n int) {
 	k := candidateKey{placementClass: job.placementClass, rank: job.precedence.Rank, guaranteed: job.protected}
 	if job.protected {
@@ -81,7 +82,7 @@
 	s.apply(job, chosen, excess)
 }
 
-// makeRoomForGang makes room for all n tasks that a gang lacks, or for none.
+// makeRoomForGang frees room for all n tasks that a gang has no place for, or for none.
 func (s *preemptionSearch) makeRoomForGang(job *Job, n int) {
 	zones := s.scheduler.constrainedZoneCounts(job)
 	for _, zone := range s.scheduler.zonesToTry(job, zones) {
@@ -92,36 +93,36 @@
 			return
 		}
 	}
-	job.claimsNotBefore = s.now.Add(s.scheduler.settings.HeartbeatInterval) // every task was examined in vain
+	job.claimsNotBefore = s.now.Add(s.scheduler.settings.HeartbeatInterval) // a failed search is expensive
 }
 
-// listCandidates lists the machines that a job may use, in a zone or, with "", in all.
+// listCandidates evaluates the machines that a job may use, in one zone or, with "", in all zones.
 func (s *preemptionSearch) listCandidates(job *Job, zone string) []*preemptionCandidate {
 	var list []*preemptionCandidate
 	for _, m := range s.scheduler.fleet.Sorted() {
 		if s.scheduler.couldHost(job, m, s.now) &&
 			(zone == "" || m.Zone == zone) && !isHeldForEarlierJob(m, job) {
-			option := &preemptionCandidate{machine: m}
-			s.evaluate(job, option)
-			list = append(list, option)
+			candidate := &preemptionCandidate{machine: m}
+			s.evaluate(job, candidate)
+			list = append(list, candidate)
 		}
 	}
 	return list
 }
 
-// evaluate evaluates a machine as it is now.
-func (s *preemptionSearch) evaluate(j *Job, option *preemptionCandidate) {
-	option.free, option.victims, option.version = expectedRoom(option.machine), nil, s.versions[option.machine]
-	s.chooseVictims(j, option, s.excess)
-	// Room that is free now and claimed by nobody is for placement; only a gang, whose places are not all
-	// free at once, claims that as well.
-	if option.feasible && j.Shape != records.ShapeGang && option.machine.Bin.Fits(j.request) {
-		option.feasible = false
+// evaluate evaluates a candidate for the current state of its machine.
+func (s *preemptionSearch) evaluate(j *Job, candidate *preemptionCandidate) {
+	candidate.free, candidate.victims, candidate.version = expectedRoom(candidate.machine), nil, s.versions[candidate.machine]
+	s.chooseVictims(j, candidate, s.excess)
+	// Free unclaimed room is left to placement. Only a gang claims it, as its places do not all become
+	// free at once.
+	if candidate.feasible && j.Shape != records.ShapeGang && candidate.machine.Bin.Fits(j.request) {
+		candidate.feasible = false
 	}
 }
 
-// choosePlaces chooses places for up to n tasks where least work is lost, and returns how many tasks it
-// found none for.
+// choosePlaces chooses places for up to n tasks, those with the least lost work first, and returns
+// for how many tasks it found none. It updates zones and excess.
 func (s *preemptionSearch) choosePlaces(job *Job, n int, list []*preemptionCandidate, zones map[string]int,
 	excess map[string]quota.Amount) (chosen []preemptionChoice, missing int) {
 	for n > 0 {
@@ -129,9 +130,9 @@
 		if best == nil {
 			break
 		}
-		// The option may have been evaluated for an equal job, or before others were chosen.
-		was := best.loss
-		if s.chooseVictims(job, best, excess); !best.feasible || best.loss > was {
+		// The candidate may have been evaluated for an equivalent job, or before other choices.
+		previousLoss := best.loss
+		if s.chooseVictims(job, best, excess); !best.feasible || best.loss > previousLoss {
 			continue
 		}
 		choice := preemptionChoice{machine: best.machine, victims: best.nextVictims}
@@ -155,25 +156,25 @@
 	return chosen, n
 }
 
-// cheapestCandidate returns the feasible option with the least loss of work, nil if there is none. Options
-// whose machine has changed are evaluated again.
+// cheapestCandidate returns the feasible candidate with the least lost work, nil if there is none.
+// It reevaluates candidates whose machine has changed.
 func (s *preemptionSearch) cheapestCandidate(job *Job, list []*preemptionCandidate, zones map[string]int) *preemptionCandidate {
 	var best *preemptionCandidate
-	for _, option := range list {
-		if option.version != s.versions[option.machine] {
-			s.evaluate(job, option)
+	for _, candidate := range list {
+		if candidate.version != s.versions[candidate.machine] {
+			s.evaluate(job, candidate)
 		}
-		if !option.feasible || best != nil && option.loss >= best.loss {
+		if !candidate.feasible || best != nil && candidate.loss >= best.loss {
 			continue
 		}
-		if zones == nil || job.zoneAllowed(option.machine.Zone, zones) {
-			best = option
+		if zones == nil || job.zoneAllowed(candidate.machine.Zone, zones) {
+			best = candidate
 		}
 	}
 	return best
 }
 
-// apply stops the victims of what was chosen and claims their room for the job.
+// apply preempts the chosen victims and claims their room for the job.
 func (s *preemptionSearch) apply(job *Job, chosen []preemptionChoice, excess map[string]quota.Amount) {
 	for _, choice := range chosen {
 		for _, victim := range choice.victims {
@@ -187,7 +188,7 @@
 	s.excess = excess
 }
 
-// preemptFor stops an attempt for a job, with time to save a checkpoint if it has any.
+// preemptFor stops an attempt to make room for a job, with time to save a checkpoint if it has any.
 func (s *preemptionSearch) preemptFor(job *Job, victim *fleet.Attempt) {
 	victimJob := s.scheduler.jobOf(victim)
 	graceS := 0.0
--- a/internal/scheduler/preemption_victims.go
+++ b/internal/scheduler/preemption_victims.go
@@ -10,35 +10,35 @@
 	"drumpick/internal/records"
 )
 
-// chooseVictims finds which attempts must be stopped on a machine to make room for one more task of a
-// job with the least loss of work. No attempt is stopped twice for the same job.
-func (s *preemptionSearch) chooseVictims(job *Job, option *preemptionCandidate, excess map[string]quota.Amount) {
-	option.nextVictims, option.loss, option.feasible = nil, 0, true
-	free, excessThen := option.free, excess
+// chooseVictims sets which attempts to stop on a candidate machine to make room for one more task of
+// a job, those with the least lost work first. A job preempts the same task at most once.
+func (s *preemptionSearch) chooseVictims(job *Job, candidate *preemptionCandidate, excess map[string]quota.Amount) {
+	candidate.nextVictims, candidate.loss, candidate.feasible = nil, 0, true
+	free, excessAfter := candidate.free, excess
 	for !free.Fits(job.request) {
-		victim, loss := s.cheapestVictim(job, option, excessThen)
+		victim, loss := s.cheapestVictim(job, candidate, excessAfter)
 		if victim == nil {
-			option.nextVictims, option.loss, option.feasible = nil, 0, false
+			candidate.nextVictims, candidate.loss, candidate.feasible = nil, 0, false
 			return
 		}
-		if len(option.nextVictims) == 0 {
-			excessThen = maps.Clone(excess)
+		if len(candidate.nextVictims) == 0 {
+			excessAfter = maps.Clone(excess)
 		}
 		victimJob := s.scheduler.jobOf(victim)
-		excessThen[victimJob.Team] = excessThen[victimJob.Team].Sub(victimJob.taskQuota())
-		option.nextVictims = append(option.nextVictims, victim)
+		excessAfter[victimJob.Team] = excessAfter[victimJob.Team].Sub(victimJob.taskQuota())
+		candidate.nextVictims = append(candidate.nextVictims, victim)
 		free = free.Add(victim.Item.Request)
-		option.loss += loss
+		candidate.loss += loss
 	}
 }
 
-// cheapestVictim returns the attempt on a machine whose stop throws least work away, nil if there is
-// none that may be stopped.
-func (s *preemptionSearch) cheapestVictim(job *Job, option *preemptionCandidate, excess map[string]quota.Amount) (*fleet.Attempt, float64) {
+// cheapestVictim returns the preemptible attempt on a machine with the least lost work, and that
+// loss; nil if there is none.
+func (s *preemptionSearch) cheapestVictim(job *Job, candidate *preemptionCandidate, excess map[string]quota.Amount) (*fleet.Attempt, float64) {
 	var cheapest *fleet.Attempt
 	least := 0.0
-	for _, attempt := range option.machine.Attempts() {
-		if !s.mayPreempt(job, attempt, excess) || slices.Contains(option.victims, attempt) || slices.Contains(option.nextVictims, attempt) {
+	for _, attempt := range candidate.machine.Attempts() {
+		if !s.mayPreempt(job, attempt, excess) || slices.Contains(candidate.victims, attempt) || slices.Contains(candidate.nextVictims, attempt) {
 			continue
 		}
 		loss, ok := s.scheduler.lostWork(s.scheduler.jobOf(attempt), attempt, s.now)
@@ -49,8 +49,9 @@
 	return cheapest, least
 }
 
-// mayPreempt reports whether an attempt may be stopped for a job: it has lower priority, or its team
-// runs more than it is guaranteed and the job is protected by its own team's guarantee.
+// mayPreempt reports whether an attempt may be preempted for a job: it has lower priority, or its
+// team exceeds its guarantee and the job is protected by the guarantee of another team. Only attempts
+// of unprotected arrays are preempted.
 func (s *preemptionSearch) mayPreempt(job *Job, attempt *fleet.Attempt, excess map[string]quota.Amount) bool {
 	if attempt.Stopping() || !attempt.MayBePresent() || attempt.State() == fleet.Sent || attempt.Item == nil {
 		return false
@@ -69,8 +70,9 @@
 	return job.protected && victimJob.Team != job.Team && (teamExcess.CPUs > quotaEpsilon || teamExcess.GPUs > quotaEpsilon)
 }
 
-// lostWork is the machine time that stopping an attempt throws away, as a share of a machine. It
-// returns false for tasks that are about to finish, which are left alone.
+// lostWork returns the machine time that stopping an attempt loses, in seconds times its share of the
+// machine. It returns false for a task without checkpoints that has run for more than half its
+// estimate: it is left to finish.
 func (s *Scheduler) lostWork(job *Job, attempt *fleet.Attempt, now time.Time) (float64, bool) {
 	share := attempt.Machine.Bin.Capacity.Share(job.request)
 	if attempt.RunningSince.IsZero() {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -15,13 +15,14 @@
 	records.PriorityCritical: 0, records.PriorityUrgent: 1, records.PriorityStandard: 2, records.PriorityLow: 3,
 }
 
-// queue returns the open jobs that are not blocked, in the order in which they are served.
+// queue returns the open jobs that are not blocked, in the order in which they are served. It
+// rebuilds the order, guarantees and placement order if they are stale.
 func (s *Scheduler) queue(now time.Time) []*Job {
 	if s.queueStale {
 		s.queueStale = false
 		s.sortedJobs = s.sortedJobs[:0]
 		for _, job := range s.jobs {
-			// A blocked job is in no order, and thereby in no guarantee, reservation, scale-out or preemption.
+			// A blocked job gets no guarantee, reservation, scale-out or preemption.
 			if !job.blocked {
 				s.sortedJobs = append(s.sortedJobs, job)
 			}
@@ -44,7 +45,7 @@
 	return s.sortedJobs
 }
 
-// servedBefore reports whether a job is served before another.
+// servedBefore reports whether job x is served before job y.
 func servedBefore(x, y *Job) bool {
 	if d := comparePrecedence(x, y); d != 0 {
 		return d < 0
@@ -52,8 +53,8 @@
 	return x.turnAt.Before(y.turnAt)
 }
 
-// comparePrecedence orders jobs by what counts before any turn: those within a guarantee, of these those that
-// can still begin in time, then rank.
+// comparePrecedence compares jobs by what takes precedence over their turns: jobs within a guarantee
+// first, of these the ones that can still start in time, then by rank.
 func comparePrecedence(x, y *Job) int {
 	switch {
 	case x.guaranteed != y.guaranteed:
@@ -64,16 +65,16 @@
 	return cmp.Compare(x.rank, y.rank)
 }
 
-// trueFirst is the order of two jobs of which the first goes first if is holds.
-func trueFirst(is bool) int {
-	if is {
+// trueFirst returns -1, the comparison result for first, if the condition holds, else 1.
+func trueFirst(condition bool) int {
+	if condition {
 		return -1
 	}
 	return 1
 }
 
-// fetchTime is how long the fastest machine that suits a job, and has room for its tasks at all, takes
-// to fetch its image.
+// fetchTime returns how long the image fetch of a job takes on the fastest machine type that the job
+// allows and whose machines fit its tasks; 0 if that is unknown.
 func (s *Scheduler) fetchTime(job *Job) time.Duration {
 	rate := 0.0
 	for name, t := range s.machineTypes {
@@ -87,11 +88,11 @@
 	return time.Duration(job.ImageGB / rate * float64(time.Second))
 }
 
-// assignTurns orders the jobs. Critical and urgent work goes before the rest; within that, a job's turn
-// is its release, put off by a share of the time that its class's next objective leaves it, and by a
-// multiple of the time for which its own work would keep all machines busy. So work with little time
-// passes work with much, short jobs pass long ones, and every job's turn comes. A job that can no
-// longer meet any objective lets those pass that can, until it is very late.
+// assignTurns sets each job's rank and turn. Critical and urgent jobs rank before the rest. Within a
+// rank, a job's turn is its release time plus a share of the slack until its next target, plus a
+// multiple of the time that its remaining work would occupy all machines. Jobs with little slack and
+// short jobs thus go first, and no job starves. A job that can no longer meet any target ranks after
+// those that can, until it is very late.
 func (s *Scheduler) assignTurns(now time.Time) {
 	machinesUp := 0
 	for _, machine := range s.fleet.Sorted() {
@@ -113,8 +114,8 @@
 	}
 }
 
-// nextTarget returns the first target that a job of an age, in seconds, can still meet, and its last
-// one.
+// nextTarget returns the first target that a job can still meet, and its last target. The age and the
+// targets are in seconds since the job's release.
 func (j *Job) nextTarget(age float64) (next, last float64) {
 	last = j.targets[len(j.targets)-1]
 	for _, target := range j.targets {
@@ -125,9 +126,9 @@
 	return last, last
 }
 
-// completionTargets lists, in seconds from its release, when a job should be complete by its class's
-// objectives and for the sake of its dependents, the soonest first. The deadline counts from the
-// acceptance, however long the job was blocked.
+// completionTargets returns when a job should be complete, in seconds from its release, the soonest
+// first: by its class's objectives, its deadline and its dependents' deadlines. A job's own deadline
+// counts from its acceptance, including the time while it was blocked.
 func (s *Scheduler) completionTargets(job *Job) []float64 {
 	var targets []float64
 	for _, objective := range s.settings.Objectives {
@@ -155,21 +156,21 @@
 }
 
 const (
-	// workWeight is how many times the time for its own work puts a job's turn off.
+	// workWeight is the multiple of the time for a job's own work that delays its turn.
 	workWeight = 3
-	// slackWeight is the share of the time left by the next objective that does.
+	// slackWeight is the share of the slack until a job's next target that delays its turn.
 	slackWeight = 0.5
-	// likelyRunFactor is how many times the estimate the slowest task of a job may run.
+	// likelyRunFactor is the multiple of the estimate that a job's slowest task is likely to run.
 	likelyRunFactor = 1.5
-	// minRunFactor is the share of the owner's estimate that a task surely runs.
+	// minRunFactor is the share of the estimate that a task runs at least.
 	minRunFactor = 0.5
-	// veryLateFactor is after how many times its last target a late job no longer lets others pass.
+	// veryLateFactor is the multiple of its last target after which a late job ranks normally again.
 	veryLateFactor = 3
-	// defaultTargetIntervals is the target, in heartbeat intervals, for classes without an objective.
+	// defaultTargetIntervals is the target of jobs without any other, in heartbeat intervals.
 	defaultTargetIntervals = 100
 )
 
-// smallestShare is the share that a task takes of the machine type that suits it best.
+// smallestShare returns the smallest share that a task of the job takes of any machine type it allows.
 func (s *Scheduler) smallestShare(j *Job) float64 {
 	share := 1.0
 	for name, t := range s.machineTypes {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -6,28 +6,27 @@
 	"drumpick/internal/quota"
 )
 
-// quotaEpsilon tolerates the rounding of decimal amounts where a quota is compared.
+// quotaEpsilon is the tolerance for rounding errors when quota amounts are compared.
 const quotaEpsilon = 1e-9
 
-// setTeam sets what the settings say of the job's team.
+// setTeam sets the configuration of the job's team.
 func (j *Job) setTeam(t config.Team) {
 	j.team, j.teamLimited = t, t.LimitCPUs > 0 || t.LimitGPUs > 0
 }
 
-// taskQuota is what one task of the job counts for.
+// taskQuota returns the quota that one task of the job uses.
 func (j *Job) taskQuota() quota.Amount { return quota.Amount{CPUs: j.request.CPU, GPUs: j.request.GPU} }
 
-// updateCharge brings the account up to date with an attempt. The machine table calls it for every
-// change of the attempt; a change of its job (which is added, or closed) is the other reason.
+// updateCharge updates the quota account for an attempt. The machine table calls it on each change of
+// the attempt; it is also called when the attempt's job is added or closed.
 func (s *Scheduler) updateCharge(a *fleet.Attempt) {
 	next := s.chargeOf(a)
 	s.quotaUsage.Replace(a.Charge, next)
 	a.Charge = next
 }
 
-// chargeOf is what an attempt counts for: all that may be on a machine, and apart from that what is
-// planned. Where its job is closed or not known it counts for every team, as what it takes until it is
-// proven gone.
+// chargeOf returns the quota charge of an attempt that is planned or may be on a machine. Until it is
+// proven gone, an attempt whose job is closed or unknown is charged to every team.
 func (s *Scheduler) chargeOf(attempt *fleet.Attempt) quota.Charge {
 	var charge quota.Charge
 	switch {
@@ -51,7 +50,8 @@
 	return charge
 }
 
-// withinLimit reports whether one more task of the job is within its team's limit, beside what is used.
+// withinLimit reports whether one more task of the job, in addition to what is used, is within its
+// team's limit.
 func (s *Scheduler) withinLimit(job *Job, used quota.Amount) bool {
 	team := job.team
 	sum := used.Add(job.taskQuota())
@@ -59,7 +59,7 @@
 		(team.LimitGPUs == 0 || sum.GPUs <= team.LimitGPUs+quotaEpsilon)
 }
 
-// waitingWithinLimit is how many of a job's waiting tasks are within its team's limit.
+// waitingWithinLimit returns how many of a job's waiting tasks fit within its team's limit.
 func (s *Scheduler) waitingWithinLimit(job *Job) int {
 	n := job.pending() + job.relocatingTasks
 	if !job.teamLimited {
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -16,7 +16,8 @@
 	"pgregory.net/rapid"
 )
 
-// scanUsage is the oracle of the account: it examines every attempt on every machine.
+// scanUsage computes a team's usage from every attempt on every machine, as the reference for the
+// quota account.
 func scanUsage(s *Scheduler, team string) (inUse, committed, notStopping quota.Amount) {
 	for _, m := range s.fleet.Sorted() {
 		for _, a := range m.Attempts() {
@@ -44,7 +45,7 @@
 	return inUse, committed, notStopping
 }
 
-// checkUsage compares the account with the scan, for every team.
+// checkUsage compares the quota account with the scan, for every team.
 func checkUsage(t *rapid.T, s *Scheduler, after string) {
 	same := func(a, b quota.Amount) bool {
 		return math.Abs(a.CPUs-b.CPUs) < quotaEpsilon && math.Abs(a.GPUs-b.GPUs) < quotaEpsilon
@@ -63,7 +64,7 @@
 	}
 }
 
-// checkDerivedState compares what is maintained from event to event with a scan of all jobs: which may have
+// checkDerivedState compares incrementally updated state with a scan of all jobs: which jobs may have
 // tasks to start, and which are complete.
 func checkDerivedState(t *rapid.T, s *Scheduler, after string) {
 	for i, turn := range s.order.turns {
@@ -78,12 +79,12 @@
 	}
 }
 
-// randomEvents plays random events to a scheduler, with workers that obey it.
+// randomEvents applies random events to a scheduler and its simulated workers.
 type randomEvents struct {
 	*fakeFleet
 	t          *rapid.T
 	teams      []config.Team
-	heartbeats []fleet.Heartbeat // all that arrived; copies may arrive again
+	heartbeats []fleet.Heartbeat // all that arrived; late copies are drawn from these
 	submitted  []records.Job
 	drains     int
 }
@@ -126,7 +127,8 @@
 	e.scheduler.AddJob(j, 10, e.now, e.now)
 }
 
-// sendHeartbeat has a machine send a heartbeat, and obey the answer unless that is lost.
+// sendHeartbeat sends a heartbeat of a machine, and executes the commands of the answer unless the
+// answer is lost.
 func (e *randomEvents) sendHeartbeat() {
 	machine := e.pickMachine()
 	e.advanceAttempts(machine)
@@ -138,22 +140,22 @@
 	copied := machine.heartbeat
 	copied.Tasks = append([]fleet.TaskStatus(nil), copied.Tasks...)
 	e.heartbeats = append(e.heartbeats, copied)
-	known, stale := e.scheduler.Reconcile(&copied, rapid.IntRange(0, 5).Draw(e.t, "answer to a command") > 0, e.now)
-	if stale || known == nil {
+	tracked, stale := e.scheduler.Reconcile(&copied, rapid.IntRange(0, 5).Draw(e.t, "answer to a command") > 0, e.now)
+	if stale || tracked == nil {
 		return
 	}
-	known.Recorded = true
-	e.scheduler.PlanMachine(known, e.now)
-	response := e.scheduler.Respond(known, true, e.now)
+	tracked.Recorded = true
+	e.scheduler.PlanMachine(tracked, e.now)
+	response := e.scheduler.Respond(tracked, true, e.now)
 	if rapid.IntRange(0, 4).Draw(e.t, "lost answer") > 0 {
-		e.scheduler.RecordAnswer(known, "", e.now)
+		e.scheduler.RecordAnswer(tracked, "", e.now)
 		machine.heartbeat.FencingToken = e.scheduler.term
 		e.applyCommands(machine, response.Commands)
 	}
 }
 
-// addUnknownAttempt has a machine hold an attempt that this term did not start: of a job that is known or not, or
-// of a task that its job does not have.
+// addUnknownAttempt adds an attempt that this term did not start to a machine: of a known or unknown
+// job, or of a task that its job does not have.
 func (e *randomEvents) addUnknownAttempt() {
 	id := fleet.TaskID{Job: fmt.Sprint("j-", rapid.IntRange(0, 12).Draw(e.t, "job")), N: rapid.IntRange(0, 8).Draw(e.t, "task")}
 	machine := e.pickMachine()
@@ -163,7 +165,7 @@
 	})
 }
 
-// failover begins the next term with what the store contains.
+// failover begins the next term with the state that the store contains.
 func (e *randomEvents) failover() {
 	before := e.scheduler
 	e.scheduler = New(before.settings, before.term+1, e.now)
@@ -189,7 +191,7 @@
 	return ""
 }
 
-// playEvent plays one random event and returns its name.
+// playEvent applies one random event and returns its name.
 func (e *randomEvents) playEvent() string {
 	e.now = e.now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(e.t, "ms")) * time.Millisecond)
 	name := rapid.SampledFrom([]string{
@@ -252,9 +254,9 @@
 	return name
 }
 
-// The account of what teams use equals a scan of all attempts after every event: heartbeats, late ones and
-// copies, expiries, cancellations, failovers, machines gone and back, gangs, services, unknown jobs,
-// drains, preemption. Once all machines are gone nothing is left in it.
+// The quota account is updated incrementally and must not drift: it equals a scan of all attempts
+// after every event, such as late and duplicate heartbeats, lease expiry, cancellation, failover,
+// unknown attempts, drains and preemption. Once all machines are removed, it is empty.
 func TestQuotaAccountEqualsScan(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/scheduler/rebalance.go
+++ b/internal/scheduler/rebalance.go
@@ -9,7 +9,7 @@
 )
 
 // rebalance runs a rebalancing round: it predicts the load of every machine, and runs VISBP's change
-// on bins that are hot or that have a wide gap.
+// operation on bins that are overloaded or have a wide gap.
 func (s *Scheduler) rebalance(now time.Time) {
 	s.lastRebalance = now
 	s.queueStale = true
@@ -24,12 +24,12 @@
 			continue
 		}
 		if machine.Bin.Overloaded() {
-			slog.Info("machine hot", "machine", machine.Name, "predicted", machine.Bin.PredictedLoad,
+			slog.Info("machine overload predicted", "machine", machine.Name, "predicted", machine.Bin.PredictedLoad,
 				"reserved", machine.Bin.Capacity.Share(machine.Bin.Used()), "term", s.term)
 		}
-		gapes := len(machine.ReleasedKinds) > 0 && machine.Bin.Gap() >= packing.Third-1e-9 && !machine.Empty() &&
+		hasWideGap := len(machine.ReleasedKinds) > 0 && machine.Bin.Gap() >= packing.Third-1e-9 && !machine.Empty() &&
 			machine.Bin.Reserved() == (packing.Resources{})
-		if machine.Bin.Overloaded() || gapes {
+		if machine.Bin.Overloaded() || hasWideGap {
 			lowest := packing.Tiny
 			for _, k := range machine.ReleasedKinds {
 				lowest = max(lowest, k)
@@ -43,7 +43,7 @@
 	s.moveReplicas(now)
 }
 
-// ObserveUsage feeds a machine's use at a heartbeat into its forecast.
+// ObserveUsage adds a machine's usage at a heartbeat to its load forecast.
 func (s *Scheduler) ObserveUsage(m *fleet.Machine) {
 	var sum packing.Resources
 	for _, a := range m.Attempts() {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -11,16 +11,15 @@
 	"drumpick/internal/reservation"
 )
 
-// reserveRoom claims what has become free for gangs that have waited for long, in the order in which
-// they must begin, in one zone for each, and one place each for arrays. It runs before all placing: the
-// packing inserts items one by one, and a gang that needs twelve bins at once finds eleven at the most
-// beside a queue of smaller ones that never ends.
+// reserveRoom claims room for jobs that have waited long: all places of a gang, in one zone, and one
+// place of an array. It runs before placement, because the packing inserts items one by one: beside a
+// steady queue of smaller jobs, a gang that needs twelve bins at once would find eleven at most.
 func (s *Scheduler) reserveRoom(now time.Time) {
 	if s.settings.ReservationBound <= 0 || !s.reconciled {
 		return
 	}
 	s.queue(now)
-	committed := map[string]int{} // places that earlier reservations still lack, by zone
+	committed := map[string]int{} // places that earlier reservations still wait for, by zone
 	for _, job := range s.dueReservations(now) {
 		if job.Shape != records.ShapeGang {
 			s.reserveArrayPlace(job, now)
@@ -34,8 +33,8 @@
 	}
 }
 
-// dueReservations returns the jobs that need a reservation by now, the longest waiting first. Those that
-// missed the bound come last, until they have waited twice as long.
+// dueReservations returns the jobs whose reservation is due, the longest waiting first. Jobs that
+// missed the reservation bound come last until they have waited twice the bound.
 func (s *Scheduler) dueReservations(now time.Time) []*Job {
 	var due []*Job
 	for _, job := range s.reservationCandidates {
@@ -57,12 +56,12 @@
 }
 
 // beginReservation chooses the zone of a gang's reservation once that is due, and reports whether it
-// has one.
+// chose one.
 func (s *Scheduler) beginReservation(job *Job, committed map[string]int, now time.Time) bool {
 	if now.Before(job.reservationCheckAt) {
 		return false
 	}
-	// Examining every task is expensive, so it is not repeated at once.
+	// Estimating the end of every task is expensive, so the next check is delayed.
 	job.reservationCheckAt = now.Add(s.settings.HeartbeatInterval / 4)
 	waited := now.Sub(job.waitStart())
 	zone, seconds := s.chooseReservationZone(job, committed, now)
@@ -75,8 +74,8 @@
 	return true
 }
 
-// listReservationCandidates lists, in the order of the queue, the jobs that may need a reservation
-// until the order is worked out again: gangs, which may begin again, and arrays that have not begun.
+// listReservationCandidates lists, in queue order, the jobs that may need a reservation until the
+// queue is rebuilt: gangs, which may have to restart, and arrays that have not started.
 func (s *Scheduler) listReservationCandidates() {
 	s.reservationCandidates = s.reservationCandidates[:0]
 	for _, j := range s.sortedJobs {
@@ -88,7 +87,7 @@
 	}
 }
 
-// waitStart is from when a job's wait for its start counts.
+// waitStart returns when a job began to wait for its start, or a broken gang for its restart.
 func (j *Job) waitStart() time.Time {
 	if j.gangBrokenAt.After(j.releasedAt) {
 		return j.gangBrokenAt
@@ -96,8 +95,8 @@
 	return j.releasedAt
 }
 
-// updateReservationNeed reports whether room is to be reserved for a job by now: for a gang all its places,
-// for an array the first.
+// updateReservationNeed reports whether a reservation is due for a job, and drops the job's reserved
+// zone if not.
 func (s *Scheduler) updateReservationNeed(job *Job, now time.Time) bool {
 	if s.reservationDue(job, now) {
 		return true
@@ -106,6 +105,8 @@
 	return false
 }
 
+// reservationDue reports whether room has to be reserved for a job: all places of a gang, the first
+// place of an array.
 func (s *Scheduler) reservationDue(job *Job, now time.Time) bool {
 	waited := now.Sub(job.waitStart())
 	switch {
@@ -121,8 +122,9 @@
 	return reservation.Due(waited, 0, s.settings.ReservationBound) && s.waitingWithinLimit(job) > 0
 }
 
-// chooseReservationZone chooses the zone where a job's places become free soonest.
-func (s *Scheduler) chooseReservationZone(job *Job, ahead map[string]int, now time.Time) (zone string, in float64) {
+// chooseReservationZone returns the zone where a job's places become free soonest, and in how many
+// seconds; committed places are left to earlier reservations. The zone is "" if none has enough.
+func (s *Scheduler) chooseReservationZone(job *Job, committed map[string]int, now time.Time) (zone string, seconds float64) {
 	byZone := map[string][]float64{}
 	for _, machine := range s.fleet.Sorted() {
 		if !s.couldHost(job, machine, now) {
@@ -135,28 +137,26 @@
 		byZone[zone] = append(byZone[zone], s.secondsUntilPlaces(job, machine, now)...)
 	}
 	var zones []reservation.Zone
-	for name, in := range byZone {
-		zones = append(zones, reservation.Zone{Name: name, FreeAfterS: in, Committed: ahead[name]})
+	for name, freeAfter := range byZone {
+		zones = append(zones, reservation.Zone{Name: name, FreeAfterS: freeAfter, Committed: committed[name]})
 	}
 	return reservation.ChooseZone(zones, job.pending())
 }
 
-// reserveGangPlaces claims places in the chosen zone, as many as the job has tasks: what is free, and for
-// the rest, once it is urgent and no reservation is ahead of this one, what becomes free soonest. It
-// returns how many are not free yet. A machine that has begun to empty goes on, unless another place
-// is free first: without this, machines of which small tasks always take the part that is free would
-// never be free as a whole.
-func (s *Scheduler) reserveGangPlaces(job *Job, ahead bool, now time.Time) (lacking int) {
+// reserveGangPlaces claims a place in the reserved zone for each waiting task of a gang: free places,
+// and, once the job is urgent and no earlier reservation waits in the zone, the places that become
+// free soonest. It returns how many of the places are not free yet.
+func (s *Scheduler) reserveGangPlaces(job *Job, behindOther bool, now time.Time) (lacking int) {
 	places := s.releaseAndListPlaces(job, now)
 	n := job.pending()
 	if len(places) < n || n == 0 {
-		// Without this, a gang would wait for a zone whose machines are gone.
+		// The gang would otherwise wait for a zone whose machines are gone.
 		job.reservedZone = ""
 		return 0
 	}
 	places = places[:n]
-	need := time.Duration(places[n-1].seconds * float64(time.Second))
-	urgent := !ahead && reservation.Urgent(now.Sub(job.waitStart()), need, s.settings.ReservationBound)
+	untilFree := time.Duration(places[n-1].seconds * float64(time.Second))
+	urgent := !behindOther && reservation.Urgent(now.Sub(job.waitStart()), untilFree, s.settings.ReservationBound)
 	for _, place := range places {
 		if place.seconds > 0 {
 			lacking++
@@ -168,8 +168,9 @@
 	return lacking
 }
 
-// releaseAndListPlaces gives up a job's claims and lists the places in the zone of its reservation, the soonest
-// first.
+// releaseAndListPlaces releases a job's claims and lists the places in its reserved zone, the soonest
+// first. Machines that the job had claims on are preferred: small tasks would otherwise refill a
+// partly free machine, and it would never become free as a whole.
 func (s *Scheduler) releaseAndListPlaces(job *Job, now time.Time) []machineWait {
 	claimedBefore := map[*fleet.Machine]bool{}
 	for _, c := range job.claims {
@@ -192,7 +193,7 @@
 	return places
 }
 
-// reserveArrayPlace claims the place that is free soonest for an array that has not begun.
+// reserveArrayPlace claims the place that becomes free soonest for an array that has not started.
 func (s *Scheduler) reserveArrayPlace(job *Job, now time.Time) {
 	job.reservedZone = reservation.AllZones
 	if len(job.claims) > 0 {
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// startDelaysUnderLoad runs a fleet on which small jobs of a later turn always wait, and gangs that need all
-// of a zone arrive in between. It returns how long after its arrival each gang began.
+// startDelaysUnderLoad simulates a fleet on which small jobs with later turns always wait, while gangs
+// that need a whole zone arrive. It returns the time from arrival to start of each gang that started.
 func startDelaysUnderLoad(t *rapid.T, begin float64, slots int, gangs []int, runs []int) map[string]time.Duration {
 	options := config.DefaultOptions()
 	options.Reservations, options.BeginS = begin > 0, max(begin, 1)
@@ -28,9 +28,9 @@
 		f.scheduler.AddJob(j, 10, f.now, f.now)
 	}
 	arrived, began := map[string]time.Time{}, map[string]time.Duration{}
-	for i := range 600 { // half seconds
+	for i := range 600 { // steps of half a second
 		if i%4 == 0 {
-			// A little more than all machines do in two seconds.
+			// Slightly more work than all machines can do in two seconds.
 			run := runs[i/4%len(runs)]
 			add(fmt.Sprint("j-1000", i), records.ShapeArray, 1+2*fakeMachineCPUs*slots*2/run, 1, run)
 		}
@@ -50,20 +50,21 @@
 	return began
 }
 
-// setRapidChecks sets how many cases a property is tried on.
+// setRapidChecks sets the number of cases of rapid.Check until the test ends.
 func setRapidChecks(t *testing.T, n int) {
-	old := flag.Lookup("rapid.checks").Value.String()
+	previous := flag.Lookup("rapid.checks").Value.String()
 	set := func(v string) {
 		if err := flag.Set("rapid.checks", v); err != nil {
 			t.Fatal(err)
 		}
 	}
 	set(strconv.Itoa(n))
-	t.Cleanup(func() { set(old) })
+	t.Cleanup(func() { set(previous) })
 }
 
-// The largest jobs begin within the bound that docs/reservations.md states, whatever small jobs arrive: three
-// quarters of the bound, and for each gang that is due the longest run of what is running.
+// The largest jobs must start in time whatever small jobs arrive, within the limit that
+// docs/reservations.md states: three quarters of the reservation bound, plus the longest run time of
+// the running tasks for each gang that is due.
 func TestLargestJobsBeginWithinBound(t *testing.T) {
 	useFixedSeed(t)
 	setRapidChecks(t, 25)
@@ -80,11 +81,11 @@
 			}
 		}
 	})
-	// Without reservations none begins: so the property depends on them.
+	// Without reservations no gang starts, so the property depends on them.
 	setRapidChecks(t, 1)
 	rapid.Check(t, func(t *rapid.T) {
 		if began := startDelaysUnderLoad(t, 0, 4, []int{60}, []int{5, 9, 16}); len(began) > 0 {
-			t.Errorf("without reservations the gang began all the same: %v, want none", began)
+			t.Errorf("gang started without reservations: %v, want none", began)
 		}
 	})
 }
--- a/internal/scheduler/room_forecast.go
+++ b/internal/scheduler/room_forecast.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/packing"
 )
 
-// machineWait is a machine, and in how many seconds it will have room.
+// machineWait is a machine and the estimated time, in seconds, until it has room.
 type machineWait struct {
 	machine *fleet.Machine
 	seconds float64
@@ -19,8 +19,8 @@
 	slices.SortStableFunc(list, func(a, b machineWait) int { return cmp.Compare(a.seconds, b.seconds) })
 }
 
-// secondsUntilRoom estimates, in seconds, when a machine will have room for a task of the job if it is
-// given nothing else.
+// secondsUntilRoom estimates in how many seconds a machine will have room for one task of the job if
+// no other tasks are placed there.
 func (s *Scheduler) secondsUntilRoom(job *Job, machine *fleet.Machine, now time.Time) float64 {
 	free := machine.Bin.Capacity.Sub(machine.Bin.Used())
 	ends := s.expectedEnds(machine, now)
@@ -36,8 +36,8 @@
 	return ends[len(ends)-1].seconds
 }
 
-// secondsUntilPlaces estimates, in seconds, when a machine has room for one, two and more tasks of a
-// job if it is given nothing else.
+// secondsUntilPlaces estimates in how many seconds a machine will have unclaimed room for one, two and
+// more tasks of the job if no other tasks are placed there.
 func (s *Scheduler) secondsUntilPlaces(j *Job, m *fleet.Machine, now time.Time) []float64 {
 	var seconds []float64
 	free := m.Bin.Capacity.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
@@ -49,22 +49,22 @@
 	return seconds
 }
 
-// expectedEnd is room that a task frees when it ends, by its estimate in so many seconds.
+// expectedEnd is the room that a task frees when it ends, and the estimated seconds until then.
 type expectedEnd struct {
 	seconds float64
 	room    packing.Resources
 }
 
-// expectedEnds lists when the attempts on a machine end, the soonest first.
+// expectedEnds returns the expected ends of the attempts on a machine, the soonest first.
 func (s *Scheduler) expectedEnds(machine *fleet.Machine, now time.Time) []expectedEnd {
-	ends := make([]expectedEnd, 0, 16) // a machine holds few
+	ends := make([]expectedEnd, 0, 16) // most machines run few tasks
 	for _, attempt := range machine.Attempts() {
 		if attempt.Item == nil {
 			continue
 		}
 		seconds := 0.0
-		if aj := s.jobOf(attempt); aj != nil {
-			seconds = s.remainingSeconds(aj, attempt, now)
+		if attemptJob := s.jobOf(attempt); attemptJob != nil {
+			seconds = s.remainingSeconds(attemptJob, attempt, now)
 		}
 		ends = append(ends, expectedEnd{seconds, attempt.Item.Request})
 	}
--- a/internal/scheduler/slo.go
+++ b/internal/scheduler/slo.go
@@ -13,16 +13,15 @@
 )
 
 const (
-	// sloReportsPerBound is how many service-level reports there are within the bound on a job's start.
+	// sloReportsPerBound is the number of service-level reports per bound on a job's start.
 	sloReportsPerBound = 4
-	// sloWarnShare is the share of jobs begun in time below which a report is a warning, and
-	// waitWarnShare the share of the bound that a job waited beyond which it is: before a half of the
-	// jobs, or the bound, is missed.
+	// A report is a warning if the share of jobs started in time is below sloWarnShare, or the longest
+	// wait exceeds waitWarnShare of the bound: before half of the jobs, or the bound, are missed.
 	sloWarnShare, waitWarnShare = 0.6, 0.75
 )
 
-// reportSLO reports, now and then, how many jobs began in time: one line for each class, for each team
-// and for each class's largest jobs, as a warning where less than half of them may end up without.
+// reportSLO logs sloReportsPerBound times per bound how many jobs started in time: one line for each
+// class, each team and each class's largest jobs, as a warning if less than half may start in time.
 func (s *Scheduler) reportSLO(now time.Time) {
 	bound := s.settings.BeginWithin
 	if now.Sub(s.lastSLOReport) < bound/sloReportsPerBound {
@@ -30,7 +29,7 @@
 	}
 	s.lastSLOReport = now
 	for _, line := range s.slo.Summarize(bound, now) {
-		// Users make classes up, settings do not: without this, there would be metrics without end.
+		// Users choose class names freely, so only classes with an objective get metrics.
 		if line.Dimension == slo.ByTeam || s.hasObjective(line.Name) {
 			setSLOGauges(line)
 		}
@@ -56,7 +55,7 @@
 	return slices.ContainsFunc(s.settings.Objectives, func(o config.Objective) bool { return o.Class == class })
 }
 
-// sanitizeLabel keeps names that users make up from breaking the metrics' labels.
+// sanitizeLabel replaces the characters of a user-chosen name that would break a metric label.
 func sanitizeLabel(name string) string {
 	out := []rune(name)
 	for i, r := range out {
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -10,38 +10,38 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// startStages is when a job that begins reached which stage; of a gang, its last task. What is tried
-// again counts from its last try: the time before was spent waiting for room.
+// startStages records when a starting job reached each stage; for a gang, its last task. A retried
+// start counts from its last attempt: the time before counts as waiting for room.
 type startStages struct {
 	learnedAt, placedAt time.Time
-	entitled            bool // it was within its team's guarantee when it was first put in order
-	entitlementKnown    bool // whether it was is known
+	entitled            bool // it was within its team's guarantee when it was first ordered
+	entitlementKnown    bool // entitled is set
 	reported            bool // its start has been reported
 }
 
-// waitBreakdown is how long a job waited for what, until it began.
+// waitBreakdown divides the time that a job waited for its start by what it waited for.
 type waitBreakdown struct {
 	discovery, room, dispatch, fetch, gang time.Duration
-	machine                                *fleet.Machine // where its image came last
+	machine                                *fleet.Machine // where its image was ready last
 }
 
-// longest names what a job waited for longest: for the leader to learn of it, for room, for
-// watermarks and the heartbeat in answer to which the run command went out, for its image, or for the
-// rest of the gang to be seen running. The names are label values of a metric.
+// longest returns the name of the longest part: waiting for the leader to learn of the job, for room,
+// for the watermark and the heartbeat whose answer carries the run command, for the image, or for the
+// rest of the gang to run. The names are label values of a metric.
 func (w waitBreakdown) longest() string {
-	by, most := "heard", w.discovery
+	part, longest := "heard", w.discovery
 	for _, x := range []struct {
-		by    string
-		drain time.Duration
+		part     string
+		duration time.Duration
 	}{{"room", w.room}, {"report", w.dispatch}, {"fetch", w.fetch}, {"mates", w.gang}} {
-		if x.drain > most {
-			by, most = x.by, x.drain
+		if x.duration > longest {
+			part, longest = x.part, x.duration
 		}
 	}
-	return by
+	return part
 }
 
-// computeWaitBreakdown works out what a job waited for, of which attempt is the last one seen to run.
+// computeWaitBreakdown divides a job's wait until now; attempt is its last one to be reported running.
 func (j *Job) computeWaitBreakdown(attempt *fleet.Attempt, now time.Time) waitBreakdown {
 	placed, sent, ready := j.start.placedAt, attempt.AssignedAt, attempt.ImageReadySince
 	wait := waitBreakdown{machine: attempt.Machine}
@@ -55,7 +55,7 @@
 			}
 		}
 	}
-	// Other tasks of the job may have been placed since the first that runs was sent.
+	// Other tasks of the job may have been placed after the first running one was sent.
 	if placed.After(sent) {
 		placed = sent
 	}
@@ -64,9 +64,8 @@
 	return wait
 }
 
-// hasBegun reports whether a job of which a task was just seen to run has begun: a gang has when all
-// its tasks run.
-func (j *Job) hasBegun() bool {
+// hasStarted reports whether a job with a running task has started: a gang has once all its tasks run.
+func (j *Job) hasStarted() bool {
 	if j.Shape != records.ShapeGang {
 		return true
 	}
@@ -78,10 +77,10 @@
 	return len(j.attempts) == j.Tasks
 }
 
-// recordRunning notes that a task was seen to run, and reports once, when its job has begun, what it
-// waited for until then: a guarantee that is missed by seconds is missed by one of these.
+// recordRunning records that a task is reported running. Once its job has started, it logs the job's
+// start latency and what the job waited for, to show why a guarantee was missed.
 func (s *Scheduler) recordRunning(job *Job, attempt *fleet.Attempt, now time.Time) {
-	if !job.hasBegun() {
+	if !job.hasStarted() {
 		return
 	}
 	s.slo.JobStarted(job.ID, now)
--- a/internal/scheduler/start_latency_test.go
+++ b/internal/scheduler/start_latency_test.go
@@ -9,13 +9,13 @@
 	"drumpick/internal/config"
 )
 
-// What a job waited for before it began is reported once, when all of a gang runs, and counts from the
-// last try: an attempt that came to nothing was time without room.
+// A job's start latency is logged once, for a gang when all its tasks run. Its parts count from the
+// last attempt to start; the time of an earlier failed attempt counts as waiting for room.
 func TestStartLatencyReportedOnce(t *testing.T) {
 	var log bytes.Buffer
-	was := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug})))
-	defer slog.SetDefault(was)
+	defer slog.SetDefault(previous)
 	r := newReplay(t)
 	r.teams = []config.Team{{Name: "owner", GuaranteedCPUs: 8}}
 	for _, line := range strings.Split(strings.TrimSpace(`
--- a/internal/scheduler/waiting_tasks.go
+++ b/internal/scheduler/waiting_tasks.go
@@ -2,17 +2,17 @@
 
 import "math/bits"
 
-// waitingTasks is the queue of a job's tasks that are to be started: first those to be tried again,
-// then those never tried, in order.
+// waitingTasks is the queue of a job's tasks to start: first the tasks to retry, then the untried
+// ones, in order.
 type waitingTasks struct {
-	nextUntried         int      // tasks from here on were never tried
-	untriedHaveAttempts bool     // some of these have an attempt all the same, adopted after a failover
-	retries             []int    // tasks to be tried again
-	inRetries           []uint64 // bit set of what retries contains
+	nextUntried         int      // tasks from this number on were never taken from the queue
+	untriedHaveAttempts bool     // some of these may have an attempt, adopted after a failover
+	retries             []int    // tasks to retry
+	inRetries           []uint64 // bit set of the tasks in retries
 }
 
-// appendRetry appends a task to those to be tried again. A task is listed once: it can be given back
-// twice when it had a second attempt.
+// appendRetry appends a task to the retries unless they contain it: a task with a duplicate attempt
+// can be returned to the queue twice.
 func (w *waitingTasks) appendRetry(task int) {
 	if !hasBit(w.inRetries, task) {
 		w.inRetries[task/64] |= 1 << (task % 64)
@@ -26,7 +26,7 @@
 	w.retries = w.retries[1:]
 }
 
-// dequeueTask removes the next task from the queue, as it is being started.
+// dequeueTask removes a task that is being started, if it is the next one, from the queue.
 func (w *waitingTasks) dequeueTask(task int) {
 	if len(w.retries) > 0 && w.retries[0] == task {
 		w.popRetry()
@@ -35,19 +35,19 @@
 	}
 }
 
-// queueRetry lists a task to be tried again. An uncertain task is not listed: it joins the list when
-// it no longer is uncertain.
+// queueRetry adds a task to the retries. An uncertain task is left out, and is added once it is no
+// longer uncertain.
 func (j *Job) queueRetry(task int) {
 	if !j.isUncertain(task) {
 		j.appendRetry(task)
 	}
 }
 
-// pending counts the tasks that are neither done nor have an attempt.
+// pending returns the number of tasks that are neither done nor have an attempt.
 func (j *Job) pending() int {
 	n := len(j.retries) + j.countUncertain()
 	for i := j.nextUntried; i < j.Tasks; {
-		// Whole words of untouched tasks count at once.
+		// Count whole words of the bit set at once.
 		if i%64 == 0 && i+64 <= j.Tasks {
 			n += 64 - bits.OnesCount64(j.done[i/64])
 			i += 64
@@ -61,7 +61,7 @@
 	if !j.untriedHaveAttempts {
 		return n
 	}
-	// Tasks from nextUntried on that have an attempt, adopted after a failover.
+	// Subtract tasks that have an attempt adopted after a failover.
 	for t := range j.attempts {
 		if (t >= j.nextUntried || j.isUncertain(t)) && !hasBit(j.done, t) {
 			n--
@@ -70,8 +70,9 @@
 	return max(n, 0)
 }
 
-// nextTask returns the next task to start, or -1. A task with any attempt on any machine is passed
-// over: it is tried again when that attempt is gone.
+// nextTask returns the next task to start, or -1 if there is none. A task with any attempt on a
+// machine is not started until that attempt is gone. While this delays the first retry, the untried
+// tasks come first.
 func (j *Job) nextTask() int {
 	for len(j.retries) > 0 {
 		t := j.retries[0]
@@ -99,11 +100,11 @@
 	return -1
 }
 
-// hasNoQueuedTasks reports whether no task of the job waits to be started, now or once other attempts of
-// it are gone.
+// hasNoQueuedTasks reports whether no task of the job waits to be started, including those that wait
+// for another attempt to be gone.
 func (j *Job) hasNoQueuedTasks() bool { return len(j.retries) == 0 && j.nextUntried >= j.Tasks }
 
-// retryTask puts a task back into the queue.
+// retryTask returns a task to the queue.
 func (s *Scheduler) retryTask(j *Job, t int) {
 	j.queueRetry(t)
 	s.order.activate(j)
