--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -11,7 +11,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// handleLostAttempt handles an attempt that is no longer on its machine and left no result.
+// handleLostAttempt handles an attempt that is gone from its machine without a result.
 func (s *Scheduler) handleLostAttempt(attempt *fleet.Attempt, now time.Time) {
 	job := s.jobs[attempt.Task.Job]
 	attemptsLostTotal.Inc()
@@ -26,7 +26,7 @@
 	}
 }
 
-// handleEndedAttempt handles an attempt that a worker shows as ended.
+// handleEndedAttempt handles an attempt that a worker reports as ended.
 func (s *Scheduler) handleEndedAttempt(attempt *fleet.Attempt, now time.Time) {
 	job := s.jobs[attempt.Task.Job]
 	s.placementStale = true
@@ -37,10 +37,10 @@
 	countDrainOutcome(attempt, now)
 	s.reportEnded(attempt, now)
 	s.applyEndCause(job, attempt, now)
-	wasHeld := job.attempts[attempt.Task.N] == attempt
+	wasCurrent := job.attempts[attempt.Task.N] == attempt
 	s.releaseAttempt(attempt)
-	if job.Shape == records.ShapeGang && wasHeld && attempt.Cause != fleet.CauseDone {
-		first := !job.gangBroken // afterwards releaseAttempt claims the freed places
+	if job.Shape == records.ShapeGang && wasCurrent && attempt.Cause != fleet.CauseDone {
+		first := !job.gangBroken // for later members, releaseAttempt claims the freed place
 		s.stopGang(job, now)
 		if first {
 			s.claimFreedPlace(job, attempt)
@@ -48,7 +48,7 @@
 	}
 }
 
-// reportEnded counts and logs the end of an attempt.
+// reportEnded updates the metrics and logs the end of an attempt.
 func (s *Scheduler) reportEnded(attempt *fleet.Attempt, now time.Time) {
 	metrics.GetOrCreateCounter(`drumpick_tasks_ended_total{cause="` + causeLabel(attempt.Cause) + `"}`).Inc()
 	fetchTime, runTime := attempt.Durations(now)
@@ -60,11 +60,12 @@
 		"outcome", outcome, "saved", attempt.CheckpointSaved, "fetch_s", fetchTime.Seconds(), "run_s", runTime.Seconds(), "term", s.term)
 }
 
-// fullBackoffIntervals is for how many heartbeat intervals a machine gets no tasks that had no room for one.
+// fullBackoffIntervals is for how many heartbeat intervals a machine gets no new tasks after it
+// rejected one for lack of room.
 const fullBackoffIntervals = 2
 
-// applyEndCause draws the conclusions from why an attempt ended. The worker may forget it at once, but a
-// result only once the store has it.
+// applyEndCause updates job and machine according to why an attempt ended. The worker may reap the
+// attempt at once, but a completed one only when its result is stored.
 func (s *Scheduler) applyEndCause(job *Job, attempt *fleet.Attempt, now time.Time) {
 	machine := attempt.Machine
 	if attempt.Cause == fleet.CauseDone {
@@ -76,14 +77,14 @@
 	case fleet.CauseError:
 		s.attemptFailed(job, machine, now)
 	case fleet.CauseFull:
-		// The worker knows better than this term what is free.
+		// The worker's own view of its free room is more accurate than this term's.
 		machine.FullUntil = now.Add(fullBackoffIntervals * s.settings.HeartbeatInterval)
 	case fleet.CauseUnknownTask:
 		s.delayRetry(job, now)
 	}
 }
 
-// handleCompletedTask handles an attempt that ended with a result.
+// handleCompletedTask handles an attempt that ended successfully.
 func (s *Scheduler) handleCompletedTask(job *Job, attempt *fleet.Attempt, now time.Time) {
 	machine := attempt.Machine
 	s.freedRoom.add(job.request, now, s.settings.HeartbeatInterval)
@@ -92,11 +93,11 @@
 	s.recordResult(job, attempt.Task.N)
 	for _, other := range job.attempts {
 		if other != attempt && (other.Task == attempt.Task || job.Shape == records.ShapeGang && other.Number != attempt.Number) {
-			s.discardAttempt(other) // its result is there already
+			s.discardAttempt(other) // its result is already known
 		}
 	}
 	for host := range job.errorMachines {
-		// The job can run, so what failed it is the machine.
+		// The job can succeed, so its earlier errors are the machines' fault.
 		if failed := s.fleet.Machines[host]; failed != nil && failed != machine {
 			s.markFaulty(failed)
 		}
@@ -108,7 +109,8 @@
 	}
 }
 
-// causeLabel keeps causes that a worker makes up out of the metrics' labels.
+// causeLabel returns the metric label of a cause. Causes that are not known map to "other", so that
+// a worker cannot create labels.
 func causeLabel(cause string) string {
 	switch cause {
 	case fleet.CauseDone, fleet.CauseStopped, fleet.CauseGangPeerLost, fleet.CauseGangTimeout,
@@ -118,7 +120,8 @@
 	return "other"
 }
 
-// discardAttempt withdraws an attempt whose job is closed or done.
+// discardAttempt drops an attempt whose job is closed or whose result is known: by its state, it is
+// unplanned, reaped or stopped.
 func (s *Scheduler) discardAttempt(a *fleet.Attempt) {
 	switch a.State() {
 	case fleet.Planned:
@@ -130,8 +133,8 @@
 	}
 }
 
-// requestStop marks an attempt to be killed, and why: the first reason stays. The kill command is repeated
-// until the attempt's exit shows.
+// requestStop marks an attempt to be killed, with a grace period in seconds for its checkpoint. The
+// first reason is kept. The kill command is repeated until the worker reports the attempt as ended.
 func (s *Scheduler) requestStop(a *fleet.Attempt, reason string, grace float64, now time.Time) {
 	if !a.RequestStop(reason, grace, now) {
 		return
@@ -139,7 +142,8 @@
 	s.urgentMachines[a.Machine.Name] = true
 }
 
-// releaseAttempt gives a task back to the queue once its attempt is gone.
+// releaseAttempt returns an attempt's task to the queue. The attempt is gone from its machine, or was
+// never sent.
 func (s *Scheduler) releaseAttempt(attempt *fleet.Attempt) {
 	job := s.jobs[attempt.Task.Job]
 	s.placementStale = true
@@ -152,7 +156,7 @@
 	}
 }
 
-// releaseCurrent releases a task's own attempt.
+// releaseCurrent releases the current attempt of a task.
 func (s *Scheduler) releaseCurrent(job *Job, attempt *fleet.Attempt) {
 	task := attempt.Task.N
 	delete(job.attempts, task)
@@ -182,7 +186,7 @@
 	}
 }
 
-// cancelPlanned gives up what was planned for a machine and not yet sent.
+// cancelPlanned cancels the attempts that are planned for a machine but not yet sent.
 func (s *Scheduler) cancelPlanned(m *fleet.Machine) {
 	for _, a := range slices.Clone(m.Attempts()) {
 		if a.State() == fleet.Planned {
@@ -192,7 +196,7 @@
 	}
 }
 
-// remainingSeconds estimates, in seconds, how long an attempt still runs.
+// remainingSeconds estimates the remaining run time of an attempt, in seconds.
 func (s *Scheduler) remainingSeconds(j *Job, a *fleet.Attempt, now time.Time) float64 {
 	if a.RunningSince.IsZero() {
 		return j.EstimateS
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -10,11 +10,11 @@
 	"drumpick/internal/records"
 )
 
-// addDependencies adds a job to the graph.
+// addDependencies adds a job to the dependency graph.
 func (s *Scheduler) addDependencies(job *Job) {
 	node := dependency.Job{
 		ID: job.ID, Dependencies: job.Dependencies, Rank: priorityRank[job.Priority],
-		// Between the end of one job and the start of the next lies a heartbeat.
+		// A dependent starts about one heartbeat interval after its last dependency has ended.
 		Estimate: s.settings.HeartbeatInterval + s.fetchTime(job) + time.Duration(job.EstimateS*likelyRunFactor*float64(time.Second)),
 	}
 	if job.DeadlineS != nil {
@@ -25,32 +25,32 @@
 	s.applyDependencyChanges()
 }
 
-// maxDeadlineFactor returns how many times its deadline a job of a class may take by the laxest
-// objective, once at least.
+// maxDeadlineFactor returns the largest multiple of its deadline that any objective allows a job of
+// the class; at least 1.
 func (s *Scheduler) maxDeadlineFactor(class string) float64 {
-	times := 1.0
+	factor := 1.0
 	for _, o := range s.settings.Objectives {
 		if o.Class == class && o.Kind == config.KindDeadline {
-			times = max(times, o.Times)
+			factor = max(factor, o.Times)
 		}
 	}
-	return times
+	return factor
 }
 
-// deadlineAt converts seconds from the job's acceptance to a time of day.
+// deadlineAt converts seconds since the job's acceptance to wall-clock time.
 func (j *Job) deadlineAt(s float64) time.Time {
 	return time.UnixMilli(j.AcceptedMS).Add(time.Duration(s * float64(time.Second)))
 }
 
-// secondsFromRelease converts a time of day to seconds from the job's release.
+// secondsFromRelease converts wall-clock time to seconds since the job's release.
 func (j *Job) secondsFromRelease(t time.Time) float64 {
 	return t.Sub(time.UnixMilli(j.AcceptedMS)).Seconds() - j.blockedSeconds()
 }
 
-// blockedSeconds is for how many seconds, from its acceptance, a job waited for its dependencies.
+// blockedSeconds returns the time from the job's acceptance to its release, in seconds.
 func (j *Job) blockedSeconds() float64 { return j.releasedAt.Sub(j.Accepted).Seconds() }
 
-// applyDependencyChanges applies to the jobs what has changed in the graph.
+// applyDependencyChanges updates the jobs whose state in the dependency graph has changed.
 func (s *Scheduler) applyDependencyChanges() {
 	for _, id := range s.dependencies.Changed() {
 		job := s.jobs[id]
@@ -58,8 +58,8 @@
 			continue
 		}
 		job.blocked, job.precedence = s.dependencies.Blocked(id), s.dependencies.Precedence(id)
-		// A version that knew of no dependencies wrote no time: then it counts from the acceptance, as for
-		// any job.
+		// Closed records written by versions without dependencies lack a time; waiting time counts from
+		// the acceptance then, as for a job without dependencies.
 		job.releasedAt, job.earliestStartRevision = job.Accepted, job.Revision
 		if at := s.dependencies.ReleasedAt(id); !job.blocked && !at.IsZero() {
 			job.releasedAt = job.Accepted.Add(max(at.Sub(time.UnixMilli(job.AcceptedMS)), 0))
@@ -69,7 +69,7 @@
 			job.earliestStartRevision = max(job.Revision, s.dependencies.EarliestStartRevision(id))
 		}
 		if job.earliestStartRevision > s.term {
-			s.clearUncertain(job) // no earlier term can have started any of it
+			s.clearUncertain(job) // no earlier term can have started any of its tasks
 		}
 		job.targets = s.completionTargets(job)
 		s.choosePreferredLabels(job)
@@ -77,18 +77,19 @@
 	}
 }
 
-// choosePreferredLabels sets which machines a job's tasks prefer. What is urgent for its dependents' sake
-// and saves no checkpoints goes where the cloud does not take machines back, even before where its
-// image is: one lost task of many starts again, and all dependents wait for it.
+// choosePreferredLabels sets which machines a job's tasks prefer. A job in a dependency chain that is
+// urgent and takes no checkpoints prefers on-demand machines, even to machines that have its image:
+// one preempted task starts from the beginning, and all dependents wait for it.
 func (s *Scheduler) choosePreferredLabels(j *Job) {
 	j.preferredLabels = []string{fleet.ImageLabel(j.Image), fleet.SpotLabel}
-	linked := len(j.Dependencies) > 0 || j.precedence.Rank < priorityRank[j.Priority]
-	if linked && j.precedence.Rank < priorityRank[records.PriorityStandard] && j.CheckpointS == 0 {
+	inChain := len(j.Dependencies) > 0 || j.precedence.Rank < priorityRank[j.Priority]
+	if inChain && j.precedence.Rank < priorityRank[records.PriorityStandard] && j.CheckpointS == 0 {
 		j.preferredLabels = []string{fleet.OnDemandLabel, fleet.ImageLabel(j.Image)}
 	}
 }
 
-// ApplyClosedRecord notes that a job is closed for good, as its record says, and the revision of that record.
+// ApplyClosedRecord applies the closed record of a job, which has the given revision, to the
+// dependency graph and closes the job.
 func (s *Scheduler) ApplyClosedRecord(id string, closed records.ClosedJob, revision uint64) {
 	var at time.Time
 	if closed.AtMS > 0 {
@@ -103,7 +104,7 @@
 	s.CloseJob(id)
 }
 
-// closeJobWrite returns the write that moves a job to the closed records.
+// closeJobWrite returns the write that replaces the open record of a job by a closed one.
 func (s *Scheduler) closeJobWrite(job *Job, closed records.ClosedJob) PendingWrite {
 	job.closing = true
 	closed.Tasks = job.Tasks
@@ -118,9 +119,9 @@
 			s.logClosed(job, closed)
 			s.ApplyClosedRecord(job.ID, closed, revision)
 		},
-		// The open record is gone because the user cancelled the job, or because this very write went
-		// through before and its answer was lost. Only the closed record tells which; until it is read,
-		// no dependent starts or is cancelled. Without this, a job that is done could be taken for
+		// On a conflict the open record is gone: either a user cancelled the job, or an earlier try
+		// of this write was stored and its answer was lost. Only the closed record tells which; until
+		// it is read, no dependent starts or is cancelled. Otherwise a completed job could count as
 		// cancelled.
 		OnConflict: func() { s.CloseJob(job.ID) },
 	}
@@ -136,12 +137,13 @@
 		"due_s", job.secondsFromRelease(job.precedence.Deadline), "term", s.term)
 }
 
-// UnreadDependencies lists the jobs that open jobs depend on and of which it is not known whether they
-// are done or cancelled.
+// UnreadDependencies lists the dependencies of open jobs whose state is not known, so that their
+// records have to be read.
 func (s *Scheduler) UnreadDependencies() []string { return s.dependencies.UnknownJobs() }
 
-// HasJobsToCancel reports whether any job is to be cancelled because one it depends on was.
+// HasJobsToCancel reports whether any job has to be cancelled because one of its dependencies was.
 func (s *Scheduler) HasJobsToCancel() bool { return len(s.dependencies.ToCancel()) > 0 }
 
-// DependenciesClear reports whether no job that this one depends on is known to be cancelled.
+// DependenciesClear reports whether no dependency of an open job, direct or indirect, is cancelled or
+// in an unknown state.
 func (s *Scheduler) DependenciesClear(id string) bool { return s.dependencies.Unobstructed(id) }
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -10,7 +10,7 @@
 	"drumpick/internal/packing"
 )
 
-// PlanMachine plans what a machine that is being answered is to start.
+// PlanMachine plans attempts for a machine whose heartbeat is being answered.
 func (s *Scheduler) PlanMachine(m *fleet.Machine, now time.Time) {
 	if s.placementStale && s.overload.Level() == overload.Normal {
 		s.placeWaiting(now)
@@ -20,21 +20,21 @@
 	}
 }
 
-// reassignPlanned plans for a machine that is being answered what was planned for others and waits for
-// their heartbeats. A run command goes out only in answer to a heartbeat; where room is left, a task
-// would otherwise wait for the heartbeat of just the machine it was planned for.
+// reassignPlanned moves attempts that are planned for other machines to the machine whose heartbeat
+// is being answered, if it has room. Run commands are sent only in answers to heartbeats; otherwise a
+// task would wait for the next heartbeat of the machine that it was planned for.
 func (s *Scheduler) reassignPlanned(machine *fleet.Machine, now time.Time) {
 	if !machine.Bin.Open() || !machine.Bin.AcceptsAny() {
 		return
 	}
-	keep := s.plannedAttempts[:0]
+	remaining := s.plannedAttempts[:0]
 	for _, attempt := range s.plannedAttempts {
 		if attempt.State() != fleet.Planned || attempt.Item == nil {
-			continue // sent, or given up
+			continue // sent or cancelled
 		}
 		job := s.jobOf(attempt)
 		if job == nil || !s.mayReassign(machine, job, attempt, now) {
-			keep = append(keep, attempt)
+			remaining = append(remaining, attempt)
 			continue
 		}
 		attempt.Machine.Forget(attempt)
@@ -42,20 +42,20 @@
 		machine.Bin.Add(item)
 		s.planAttempt(job, attempt.Task.N, attempt.Number, machine, item, now)
 	}
-	clear(s.plannedAttempts[len(keep):])
-	s.plannedAttempts = keep
+	clear(s.plannedAttempts[len(remaining):])
+	s.plannedAttempts = remaining
 }
 
-// mayReassign reports whether a planned task may go to a machine instead of the one it was planned
-// for. No task gets a worse place: no fetch that it would have been spared, no spot machine instead of
-// an on-demand one, no empty machine instead of one in use.
+// mayReassign reports whether a planned attempt may move to another machine than planned. A move never
+// makes the placement worse: it adds no image fetch and replaces no on-demand machine by a spot
+// machine and no machine in use by an empty one.
 func (s *Scheduler) mayReassign(machine *fleet.Machine, job *Job, attempt *fleet.Attempt, now time.Time) bool {
 	planned := attempt.Machine
 	switch {
 	case planned == machine:
 		return false
 	case !s.belowWatermark(attempt):
-		// It would only wait for its watermark here, until this machine's next heartbeat.
+		// It cannot be sent in this answer, and would wait for this machine's next heartbeat instead.
 		return false
 	case !job.unconstrained(), !machine.Bin.Accepts(job.request), !job.permits(machine.Type, machine.Zone, machine.Spot):
 		return false
@@ -68,18 +68,18 @@
 	case machine.Empty() && len(planned.Bin.Items()) > 1:
 		return false
 	}
-	fetchesAnew := !machine.Bin.HasLabel(job.imageReadyLabel) && planned.Bin.HasLabel(job.imageReadyLabel)
-	return !fetchesAnew || s.fetchTime(job) <= 0
+	needsFetch := !machine.Bin.HasLabel(job.imageReadyLabel) && planned.Bin.HasLabel(job.imageReadyLabel)
+	return !needsFetch || s.fetchTime(job) <= 0
 }
 
-// Respond writes the answer to a machine's heartbeat: pending commands and, with canRun, the runs that
-// are planned for it. Runs go out here and nowhere else: a worker drops such an answer when it is
-// late, unlike a direct command.
+// Respond returns the answer to a machine's heartbeat: the pending commands and, with canRun, run
+// commands for the attempts planned for it. Run commands are sent nowhere else: a worker discards a
+// late heartbeat response, but not a late direct command.
 func (s *Scheduler) Respond(machine *fleet.Machine, canRun bool, now time.Time) fleet.HeartbeatResponse {
 	for _, attempt := range machine.Attempts() {
 		if attempt.State() == fleet.Ended && attempt.Cause == fleet.CauseDone && !attempt.MayReap {
 			job := s.jobOf(attempt)
-			// The worker may forget a result only once the store has it.
+			// The worker may reap a completed attempt only when its result is stored.
 			attempt.MayReap = job == nil || hasBit(job.stored, attempt.Task.N)
 		}
 	}
@@ -100,16 +100,17 @@
 	return response
 }
 
-// dispatch marks a planned attempt as sent, and reports whether it may be. One that may not be started
-// any more is given up, unless only a record is missing that is on its way.
+// dispatch marks a planned attempt as sent if it may be sent, and reports whether it may. An attempt
+// that may no longer start is cancelled, unless only its machine's record or its watermark is not
+// stored yet.
 func (s *Scheduler) dispatch(machine *fleet.Machine, attempt *fleet.Attempt, now time.Time) bool {
 	job := s.jobOf(attempt)
 	if job != nil && s.shedsStart(job) {
 		return false
 	}
 	if !s.mayDispatch(attempt, now) {
-		recordPending := (!machine.Recorded || !s.belowWatermark(attempt)) && s.acceptsTasks(machine, now)
-		if !recordPending {
+		awaitsRecord := (!machine.Recorded || !s.belowWatermark(attempt)) && s.acceptsTasks(machine, now)
+		if !awaitsRecord {
 			machine.Forget(attempt)
 			s.releaseAttempt(attempt)
 		}
@@ -122,8 +123,8 @@
 	return true
 }
 
-// mayDispatch checks every rule once more, just before a run command is written. It examines what is
-// on machines, runs in flight included, not what was planned.
+// mayDispatch checks all placement rules again just before a run command is sent. It counts what may
+// be on machines, including run commands in flight, but not what is only planned.
 func (s *Scheduler) mayDispatch(attempt *fleet.Attempt, now time.Time) bool {
 	job, machine, task := s.jobOf(attempt), attempt.Machine, attempt.Task.N
 	switch {
--- a/internal/scheduler/finished_tasks.go
+++ b/internal/scheduler/finished_tasks.go
@@ -6,27 +6,27 @@
 	"drumpick/internal/finishedtasks"
 )
 
-// finishedTaskLayout is how finished tasks are divided into records.
+// finishedTaskLayout returns how finished tasks are divided into records.
 func (s *Settings) finishedTaskLayout() finishedtasks.Layout {
 	return finishedtasks.Layout{ChunkTasks: s.ChunkTasks, PartTasks: s.PartTasks}
 }
 
-// partOf is the part of a job's finished tasks that a task belongs to.
+// partOf returns the part of a job's finished tasks that contains a task.
 func (s *Scheduler) partOf(task int) int { return s.settings.finishedTaskLayout().Part(task) }
 
-// openJobs are the open jobs as the keeper of finished tasks sees them.
+// openJobs adapts the scheduler's open jobs to finishedtasks.Jobs.
 type openJobs struct{ scheduler *Scheduler }
 
-// OpenJob returns an open job, and whether there is one of that id.
-func (f openJobs) OpenJob(id string) (finishedtasks.Job, bool) {
-	j := f.scheduler.jobs[id]
+// OpenJob returns the open job with an id, and whether there is one.
+func (o openJobs) OpenJob(id string) (finishedtasks.Job, bool) {
+	j := o.scheduler.jobs[id]
 	return openJob{j}, j != nil
 }
 
 // OpenJobs returns all open jobs.
-func (f openJobs) OpenJobs() iter.Seq[finishedtasks.Job] {
+func (o openJobs) OpenJobs() iter.Seq[finishedtasks.Job] {
 	return func(yield func(finishedtasks.Job) bool) {
-		for _, j := range f.scheduler.jobs {
+		for _, j := range o.scheduler.jobs {
 			if !yield(openJob{j}) {
 				return
 			}
@@ -34,20 +34,20 @@
 	}
 }
 
-// openJob is an open job as the keeper of finished tasks sees it.
+// openJob adapts an open job to finishedtasks.Job.
 type openJob struct{ job *Job }
 
-// JobID is the id of the job.
-func (f openJob) JobID() string { return f.job.ID }
+// JobID returns the id of the job.
+func (o openJob) JobID() string { return o.job.ID }
 
-// TaskCount is how many tasks the job has.
-func (f openJob) TaskCount() int { return f.job.Tasks }
+// TaskCount returns the number of tasks of the job.
+func (o openJob) TaskCount() int { return o.job.Tasks }
 
-// DoneTasks is the bit set of finished tasks.
-func (f openJob) DoneTasks() []uint64 { return f.job.done }
+// DoneTasks returns the bit set of finished tasks.
+func (o openJob) DoneTasks() []uint64 { return o.job.done }
 
-// StoredTasks is the bit set of finished tasks that the store has.
-func (f openJob) StoredTasks() []uint64 { return f.job.stored }
+// StoredTasks returns the bit set of finished tasks that are stored.
+func (o openJob) StoredTasks() []uint64 { return o.job.stored }
 
-// DirtyParts is the set of parts whose records are to be written.
-func (f openJob) DirtyParts() map[int]bool { return f.job.dirtyParts }
+// DirtyParts returns the set of parts whose records have to be written.
+func (o openJob) DirtyParts() map[int]bool { return o.job.dirtyParts }
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -6,8 +6,9 @@
 	"drumpick/internal/fleet"
 )
 
-// Recency compares a heartbeat with what is known of its machine. From one that is late, or from a
-// machine that was returned, nothing may be concluded, not even where its worker sends its heartbeats.
+// Recency compares a heartbeat with the latest status of its machine. A heartbeat that is late, or
+// comes from a returned machine, proves nothing, not even to which controller its worker sends
+// heartbeats now.
 func (s *Scheduler) Recency(heartbeat *fleet.Heartbeat, now time.Time) fleet.Recency {
 	if s.fleet.Machines[heartbeat.Machine] == nil {
 		if _, gone := s.autoscaling.returnedAt[heartbeat.Machine]; gone {
@@ -18,10 +19,10 @@
 	return s.fleet.Recency(heartbeat, now)
 }
 
-// RenewOvertaken answers a heartbeat that an answer to a direct command has overtaken: its worker's
-// lease is renewed, and the commands that are harmless when late are repeated. It returns false where
-// the heartbeat is late, or its machine is not recorded, so that the next leader would not know what
-// it may hold.
+// RenewOvertaken answers a heartbeat that is older than the answer to a direct command but arrived
+// after it: it renews the worker's lease and repeats the commands that are safe when late. It returns
+// false if the heartbeat is late, or if its machine is not recorded: then the next leader would not
+// know that the machine may hold tasks.
 func (s *Scheduler) RenewOvertaken(machine *fleet.Machine, heartbeat *fleet.Heartbeat, now time.Time) (fleet.HeartbeatResponse, bool) {
 	if machine == nil || !machine.Recorded || !machine.IsOvertaken(heartbeat, now) {
 		return fleet.HeartbeatResponse{}, false
@@ -31,15 +32,15 @@
 }
 
 // maxRelayLeases is for how many leases a worker is answered through another controller before it is
-// redirected here again.
+// redirected to this one again.
 const maxRelayLeases = 4
 
-// NeedsRelay reports whether a worker whose heartbeat came to another controller cannot reach this
-// one, and is to be answered through that controller. A worker that is new to us, or was heard just
-// now, is redirected here first; one that comes to the other controller again, or was heard here and
-// has fallen silent, has tried. Without this, a leader that only the workers cannot reach would take
-// every machine for lost. Now and then a worker is redirected here again to find out whether it
-// reaches this controller by now.
+// NeedsRelay reports whether a worker that sent its heartbeat to another controller cannot reach this
+// one, so that it has to be answered through that controller. An unknown worker, or one with a recent
+// status, is redirected here first. One that returns to the other controller, or has become silent,
+// counts as unable to reach this one. Without relays, a leader that only the workers cannot reach
+// would take every machine for lost. A relayed worker is redirected here again from time to time, to
+// find out whether it can reach this controller now.
 func (s *Scheduler) NeedsRelay(host string, now time.Time) bool {
 	machine := s.fleet.Machines[host]
 	if machine == nil {
@@ -60,7 +61,8 @@
 	return machine.HasStatus && now.Sub(machine.LastStatusAt) > s.settings.HeartbeatInterval*3/2
 }
 
-// RecordAnswer notes that a heartbeat was answered with 200, via another controller unless that is "".
+// RecordAnswer records that a heartbeat was answered with status 200, through the controller via if
+// that is not "".
 func (s *Scheduler) RecordAnswer(m *fleet.Machine, via string, now time.Time) {
 	m.MarkAnswered(via, now)
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -14,74 +14,74 @@
 // Job is an open job.
 type Job struct {
 	records.Job
-	Revision uint64 // of its record
+	Revision uint64 // revision of its record
 	Accepted time.Time
 
-	request               packing.Resources // of one task
-	preferredLabels       []string          // labels of machines that suit it, the weightiest first
-	imageReadyLabel       string            // label of machines that have its image
-	placementClass        int               // shared by jobs whose tasks fit the same machines; 0: shared with none
-	imageClass            int               // the same for jobs that also share the image
-	team                  config.Team       // what the settings say of its team
-	teamLimited           bool              // the team has a limit
-	releasedAt            time.Time         // from when its waiting time counts: its acceptance, or the end of its last dependency
-	earliestStartRevision uint64            // the revision before which none of its tasks can have been started
-	blocked               bool              // by a dependency that is not known to be stored as done
+	request               packing.Resources // of each task
+	preferredLabels       []string          // labels of preferred machines, the most important first
+	imageReadyLabel       string            // label of machines that have its image ready
+	placementClass        int               // equal for jobs whose tasks fit the same machines; 0: none
+	imageClass            int               // equal for jobs that also have the same image; 0: none
+	team                  config.Team       // settings of its team
+	teamLimited           bool              // its team has a limit
+	releasedAt            time.Time         // start of its waiting time: its acceptance, or the end of its last dependency
+	earliestStartRevision uint64            // none of its tasks can have started before this revision
+	blocked               bool              // a dependency is not known to be stored as done
 	precedence            dependency.Precedence
 
 	// Progress.
-	done, stored []uint64 // bit sets of finished tasks, and of those the store has
+	done, stored []uint64 // bit sets of finished tasks, and of those that are stored
 	doneCount    int
-	dirtyParts   map[int]bool // parts of the finished tasks that are to be stored
+	dirtyParts   map[int]bool // parts of the finished tasks whose records have to be written
 	closed       bool         // no longer open
-	closing      bool         // its move to the closed records is being stored
+	closing      bool         // its closed record is being stored
 
-	// Tasks that wait, and attempts. A task has at most one attempt of its own; further attempts of
-	// the same task on other machines are duplicates, which are being stopped.
+	// Waiting tasks and attempts. A task has at most one current attempt; further attempts of it on
+	// other machines are duplicates, which are being stopped.
 	waitingTasks
-	attempts   map[int]*fleet.Attempt
-	duplicates map[int]int
-	watermark  watermark.Mark // how far into it tasks may have been sent
-	uncertain  []uint64       // bit set of tasks that may be on machines not heard since the failover; nil: none
+	attempts   map[int]*fleet.Attempt // current attempt by task
+	duplicates map[int]int            // number of duplicates by task
+	watermark  watermark.Mark         // tasks below it may have been sent
+	uncertain  []uint64               // bit set of tasks that may be on unreconciled machines; nil: none
 
 	// Failures.
-	errorMachines map[string]bool // machines where it failed
-	retryAt       time.Time       // no task starts before
-	backoff       time.Duration
+	errorMachines map[string]bool // machines on which its tasks failed
+	retryAt       time.Time       // no task starts before this time
+	backoff       time.Duration   // the last delay before a retry
 
 	// Gangs.
-	gangAttempt  uint64    // attempt number shared by all its tasks; 0: none
-	gangBroken   bool      // its attempt is being stopped as a whole
-	gangBrokenAt time.Time // when a gang that had begun lost its last place
+	gangAttempt  uint64    // attempt number of all its tasks; 0: none
+	gangBroken   bool      // all its attempts are being stopped
+	gangBrokenAt time.Time // when a gang that had started lost its last attempt
 
-	// Room.
-	claims             []claim                   // room on machines that only this job may use
-	claimsNotBefore    time.Time                 // no room is claimed before
-	reservedZone       string                    // the zone where room is reserved for it
-	reservationCheckAt time.Time                 // whether a reservation is due is not examined before
-	preemptedTasks     map[fleet.TaskID]struct{} // tasks that were preempted for it
-	movedTasks         map[int]struct{}          // tasks of its own that were moved to fill or empty a bin
-	relocatingTasks    int                       // tasks that have to leave their machines and find no others
-	remainingByZone    map[string]int            // of a job bound to zones: its tasks by zone without those; else nil
+	// Reserved room and moves.
+	claims             []claim                   // room on machines that is reserved for this job
+	claimsNotBefore    time.Time                 // no claims are made before this time
+	reservedZone       string                    // zone in which room is reserved for it
+	reservationCheckAt time.Time                 // the need for a reservation is not checked before this time
+	preemptedTasks     map[fleet.TaskID]struct{} // tasks of other jobs that were preempted for it
+	movedTasks         map[int]struct{}          // own tasks that were moved to fill or empty a bin
+	relocatingTasks    int                       // own tasks that have to leave their machines but find no other
+	remainingByZone    map[string]int            // own tasks by zone without the relocating ones; nil: no zone constraint
 
-	// Order.
-	guaranteed     bool      // its room is within its team's guarantee
-	protected      bool      // it may preempt for that, and is preempted by nobody
-	canBeginInTime bool      // it can still begin within the guarantee's time
-	targets        []float64 // when it should be complete, in seconds from its release
-	rank           int       // of its priority, the highest being 0; odd ranks are late
-	turnAt         time.Time // its place among jobs of its rank
+	// Scheduling order.
+	guaranteed     bool      // its use is within its team's guarantee
+	protected      bool      // it may preempt to use the guarantee, and is not preempted
+	canBeginInTime bool      // it can still start within the guarantee's time
+	targets        []float64 // completion targets, in seconds from its release
+	rank           int       // twice the rank of its priority, 0 being the highest; one more if it is late
+	turnAt         time.Time // orders jobs of the same rank, the earliest first
 
-	start startStages // how far its first start has come
+	start startStages // progress of its first start
 }
 
-// unconstrained reports whether where a task may go depends on nothing but its size, zone and kind
-// of machine.
+// unconstrained reports whether placement of the job's tasks depends only on their size, zone and
+// kind of machine (spot or on-demand).
 func (j *Job) unconstrained() bool {
 	return len(j.Types) == 0 && !j.OneZone && !j.SpreadZones && j.Shape != records.ShapeGang
 }
 
-// jobOf returns the open job of an attempt, nil if there is none.
+// jobOf returns the open job of an attempt, or nil.
 func (s *Scheduler) jobOf(attempt *fleet.Attempt) *Job {
 	job, ok := attempt.Job.(*Job)
 	if !ok {
--- a/internal/scheduler/driver.go
+++ b/internal/scheduler/leader_api.go
@@ -6,24 +6,24 @@
 	"drumpick/internal/fleet"
 )
 
-// TicksPerHeartbeat is how many ticks there are in a heartbeat interval.
+// TicksPerHeartbeat is the number of ticks per heartbeat interval.
 const TicksPerHeartbeat = 8
 
-// Counts returns how many open jobs and machines are known.
+// Counts returns the numbers of known open jobs and machines.
 func (s *Scheduler) Counts() (jobs, machines int) { return len(s.jobs), len(s.fleet.Sorted()) }
 
-// Reconciled reports whether every machine that an earlier term may have used has been heard, or is
-// gone.
+// Reconciled reports whether every machine that an earlier term may have used has reported under this
+// term or is gone.
 func (s *Scheduler) Reconciled() bool { return s.reconciled }
 
-// UnreconciledMachine is a machine that has not shown that it knows this term: its address, and the
+// UnreconciledMachine is a machine whose status has not shown this term yet: its address, and the
 // known incarnation of its worker.
 type UnreconciledMachine struct {
 	Addr        string
 	Incarnation uint64
 }
 
-// Unreconciled lists the machines that are not reconciled and can be asked.
+// Unreconciled lists the machines that are not reconciled and have a known address.
 func (s *Scheduler) Unreconciled() []UnreconciledMachine {
 	var list []UnreconciledMachine
 	for _, m := range s.fleet.Sorted() {
@@ -34,27 +34,27 @@
 	return list
 }
 
-// Replan places tasks if anything has changed since the last placement pass.
+// Replan runs a placement pass if anything has changed since the last one.
 func (s *Scheduler) Replan(now time.Time) {
 	if s.placementStale {
 		s.placeWaiting(now)
 	}
 }
 
-// CloseUnlistedJobs closes the jobs that a list of all open jobs, read at a revision, does not contain.
+// CloseUnlistedJobs closes the jobs that are missing from a list of all open jobs read at a revision.
 func (s *Scheduler) CloseUnlistedJobs(listed func(id string) bool, revision uint64) {
 	for id, j := range s.jobs {
-		// A job newer than the list is not in it.
+		// The list cannot contain a job created after that revision.
 		if !listed(id) && j.Revision <= revision {
 			s.CloseJob(id)
 		}
 	}
 }
 
-// ObserveDelay notes how long anything waited before the leader came to it.
+// ObserveDelay records how long an event waited before the leader handled it.
 func (s *Scheduler) ObserveDelay(d time.Duration) { s.maxDelay = max(s.maxDelay, d) }
 
-// SetWatermarksRelaxed sets whether tasks beyond watermarks may be sent now.
+// SetWatermarksRelaxed sets whether tasks beyond their watermarks may be sent.
 func (s *Scheduler) SetWatermarksRelaxed(on bool) { s.watermarks.relaxed = on }
 
 // WatermarksStored reports whether every task that may have been sent is below a stored watermark.
@@ -66,19 +66,20 @@
 	return stored
 }
 
-// IsLatestHeartbeat reports whether a heartbeat, by its incarnation and sequence number, is the latest known of
-// a machine.
+// IsLatestHeartbeat reports whether the incarnation and sequence number are those of the latest status
+// of a machine.
 func (s *Scheduler) IsLatestHeartbeat(m *fleet.Machine, incarnation, sequence uint64) bool {
 	return s.fleet.Machines[m.Name] == m && m.Incarnation == incarnation && m.Sequence == sequence
 }
 
-// UrgentCommands are commands that a machine is to get at once, not with its next heartbeat.
+// UrgentCommands are commands to be sent to a machine at once, before its next heartbeat.
 type UrgentCommands struct {
 	Addr string
 	Body fleet.CommandRequest
 }
 
-// TakeUrgentCommands takes the commands that are to be sent at once.
+// TakeUrgentCommands returns the commands to be sent at once, and clears the set of machines that
+// need them.
 func (s *Scheduler) TakeUrgentCommands() []UrgentCommands {
 	var calls, unreachable []UrgentCommands
 	for host := range s.urgentMachines {
@@ -97,6 +98,6 @@
 			}
 		}
 	}
-	// Calls to unreachable machines may hang: they come last, so that they keep no others waiting.
+	// Calls to unreachable machines may hang, so they come last and delay no others.
 	return append(calls, unreachable...)
 }
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -12,47 +12,47 @@
 	"drumpick/internal/watermark"
 )
 
-// PendingWrite is one change for the store, with what follows from its result.
+// PendingWrite is a change to be stored, with callbacks for its result.
 type PendingWrite struct {
 	Ops      []records.Op
 	Compares []records.Compare
-	OnStored func(revision uint64) // called when it is stored, at a revision
-	// GuardKey is the key of the compare that guards this change alone: where that does not hold, the
-	// others of the commit are still to be stored.
+	OnStored func(revision uint64) // called with its revision when it is stored
+	// GuardKey is the key of the compare that guards only this change: if it fails, the other changes
+	// of the commit still have to be stored.
 	GuardKey   string
-	OnConflict func() // called when the compare of GuardKey did not hold
-	// GuardRevision is the revision of a key that only the leader writes, 0 where it is absent, and is
-	// kept up to date by whoever stores the write. It is set in place of OnConflict: the key is read
-	// then. Without it, a write without an answer could be carried out after newer ones of the same
-	// term, which the compare of the leader's key alone would let pass.
+	OnConflict func() // called when the compare of GuardKey failed
+	// GuardRevision is the revision of a key that only the leader writes, 0 if the key is absent. The
+	// code that stores the write keeps it up to date. It is set instead of OnConflict: on a conflict
+	// the key is read. Without it, an unanswered write could be applied after newer writes of the same
+	// term; the compare of the leader's key does not prevent that.
 	GuardRevision *uint64
-	// OnUnanswered is called when a first write has had no answer.
+	// OnUnanswered is called when the first write of the key got no answer.
 	OnUnanswered func()
-	// OnTooLarge is called when the store will never take the write, as it is too large.
+	// OnTooLarge is called when the store rejects the write for good because it is too large.
 	OnTooLarge func()
 }
 
-// Persistence is what a term has in the store beside open jobs: machines that may hold tasks,
-// finished tasks, watermarks and the states of drains. It decides what to store next; its owner
-// stores it, and holds the lock of the scheduler in every call.
+// Persistence manages the records of a term in the store other than open jobs: machines that may hold
+// tasks, finished tasks, watermarks and drain states. It decides what to store next, and its owner
+// stores it. The caller of any method must hold the scheduler's lock.
 type Persistence struct {
 	scheduler           *Scheduler
 	machines            *records.PagedRecords
 	watermarks          *records.PagedRecords
 	finished            *finishedtasks.Tracker
-	maxOps              int       // changes in one commit
-	maxValueBytes       int       // the largest value
-	lastFinishedUpdate  time.Time // when finished tasks were last gathered
-	lastWatermarkUpdate time.Time // when watermarks were last gathered
-	watermarkNeeded     bool      // a task waits for its watermark
-	closedJobs          []string  // jobs whose watermarks are of no use any more
-
-	loadedWatermarks    map[string]int // as read at the failover, by job
-	watermarkUnreadable bool           // some could not be read
+	maxOps              int       // maximum number of changes in one commit
+	maxValueBytes       int       // maximum size of a value
+	lastFinishedUpdate  time.Time // when the pages of finished tasks were last updated
+	lastWatermarkUpdate time.Time // when the pages of watermarks were last updated
+	watermarkNeeded     bool      // a task waits for a stored watermark
+	closedJobs          []string  // closed jobs whose watermarks can be removed
+
+	loadedWatermarks    map[string]int // by job, as read at the failover
+	watermarkUnreadable bool           // some watermarks could not be read
 }
 
-// NewPersistence returns that of a term that has read nothing yet, for a store that takes values of a
-// size, in KiB, and so many changes in one commit.
+// NewPersistence returns the persistence of a new term, with nothing loaded. The store accepts values
+// of up to valueKB KiB and commits of up to maxOps changes.
 func NewPersistence(s *Scheduler, valueKB float64, maxOps int) *Persistence {
 	pages := func(prefix string) *records.PagedRecords {
 		n := 0
@@ -72,13 +72,13 @@
 	}
 }
 
-// LoadDonePage takes in a page of finished tasks of jobs that are known.
+// LoadDonePage loads a page of finished tasks. The jobs must have been loaded before.
 func (p *Persistence) LoadDonePage(row records.KeyValue) {
 	loadPage(records.PrefixFinishedTasks, p.finished.Pages(), row, func(id string, v json.RawMessage) error {
 		job, chunk, ok := records.ParsePartID(id)
 		var ranges string
 		if !ok || json.Unmarshal(v, &ranges) != nil {
-			return errors.New("unreadable")
+			return errors.New("bad id, or value is not a JSON string")
 		}
 		if j := p.scheduler.jobs[job]; j != nil {
 			if err := p.finished.Load(id, openJob{j}, chunk, ranges); err != nil {
@@ -89,18 +89,18 @@
 	})
 }
 
-// LoadMachinePage takes in a page of machines that an earlier term may have used.
+// LoadMachinePage loads a page of machines that an earlier term may have used.
 func (p *Persistence) LoadMachinePage(row records.KeyValue, now time.Time) {
 	loadPage(records.PrefixMachines, p.machines, row, func(name string, v json.RawMessage) error {
 		var machine records.Machine
 		err := json.Unmarshal(v, &machine)
-		// Whatever is unreadable about it, the machine may hold tasks.
+		// The machine may hold tasks even if its record is unreadable.
 		p.scheduler.LoadMachine(name, machine, now)
 		return err
 	})
 }
 
-// LoadWatermarkPage takes in a page of watermarks. One that cannot be read may stand for any task.
+// LoadWatermarkPage loads a page of watermarks. An unreadable watermark may cover any task.
 func (p *Persistence) LoadWatermarkPage(row records.KeyValue) {
 	readable := loadPage(records.PrefixWatermarks, p.watermarks, row, func(id string, v json.RawMessage) error {
 		n, err := records.ParseWatermark(v)
@@ -108,15 +108,15 @@
 			p.watermarkUnreadable = true
 			return err
 		}
-		// Of two pages that hold the same job one may be older.
+		// If two pages contain the same job, one may be older.
 		p.loadedWatermarks[id] = max(p.loadedWatermarks[id], n)
 		return nil
 	})
 	p.watermarkUnreadable = p.watermarkUnreadable || !readable
 }
 
-// FinishLoading ends the reading. complete reports whether earlier leaders dispatched nothing beyond
-// the watermarks.
+// FinishLoading is called when all pages are loaded. complete means that earlier leaders dispatched no
+// task beyond the watermarks.
 func (p *Persistence) FinishLoading(complete bool) {
 	for id := range p.finished.Pages().IDs() {
 		if job, _, _ := records.ParsePartID(id); p.scheduler.jobs[job] == nil {
@@ -134,7 +134,8 @@
 	p.scheduler.LoadWatermarks(p.loadedWatermarks, complete && !p.watermarkUnreadable)
 }
 
-// loadPage takes in a page, and reports whether it is readable as a whole.
+// loadPage loads a page and calls each with its entries. It reports whether the page itself could be
+// decoded.
 func loadPage(prefix string, pages *records.PagedRecords, row records.KeyValue, each func(id string, v json.RawMessage) error) bool {
 	entries, err := records.DecodeEntries(prefix, row)
 	if err != nil {
@@ -150,28 +151,28 @@
 	return true
 }
 
-// RequestWatermark notes that a task waits for its watermark.
+// RequestWatermark records that a task waits for a stored watermark.
 func (p *Persistence) RequestWatermark() { p.watermarkNeeded = true }
 
-// HalveCommitSize makes commits half as large: the store took one for too large.
+// HalveCommitSize halves the maximum number of changes in a commit. It is called after the store
+// rejected a commit as too large.
 func (p *Persistence) HalveCommitSize() { p.maxOps = max(p.maxOps/2, 2) }
 
 const (
-	// maxCommitBytes keeps a commit well below the service's 64 KiB.
+	// maxCommitBytes keeps a commit well below the store's limit of 64 KiB.
 	maxCommitBytes = 40 << 10
-	// bytesPerOp is what a change takes beside the entries of a page.
+	// bytesPerOp is the size of a change without the entries of a page.
 	bytesPerOp = 300
 )
 
-// writeBatch is the writes of one commit as they are gathered.
+// writeBatch collects the writes of one commit.
 type writeBatch struct {
 	writes     []PendingWrite
 	ops, bytes int
 	maxOps     int
 }
 
-// tryReserve reports whether so many more changes fit, and counts them if they do. What is gathered first
-// fits always.
+// tryReserve reserves room for more changes, and reports whether they fit. The first ones always fit.
 func (b *writeBatch) tryReserve(ops, bytes int) bool {
 	if len(b.writes) > 0 && (b.ops+ops > b.maxOps || b.bytes+bytes > maxCommitBytes) {
 		return false
@@ -182,14 +183,14 @@
 
 func (b *writeBatch) add(w PendingWrite) { b.writes = append(b.writes, w) }
 
-// NextWrites gathers what is to be stored next, no more than goes into one commit: jobs to be closed
-// first, then watermarks and machines about to be used, then finished tasks and drains. What does not
-// fit waits for the next commit, and what became more urgent meanwhile goes before it. attestation
-// makes the record that watermarks are complete, if it is time for one.
+// NextWrites returns the writes of the next commit: first the jobs to be closed, then watermarks and
+// the machines about to be used, then finished tasks and drains. Writes that do not fit wait for the
+// next commit, where more urgent ones precede them again. attestation returns the record that the
+// watermarks are complete, or nil if none is due.
 func (p *Persistence) NextWrites(now time.Time, attestation func(now time.Time) *watermark.StoredAttestation) []PendingWrite {
 	b := &writeBatch{maxOps: p.maxOps}
-	// Each gathers one kind of record, and reports whether all of it fits.
-	kinds := []func() bool{
+	// Each step appends one kind of record, and reports whether all of it fits.
+	steps := []func() bool{
 		func() bool { return p.appendCancelledDependents(b) },
 		func() bool { return p.appendCompleteJobs(b, now) },
 		func() bool { return p.appendAttestation(b, attestation(now)) },
@@ -198,8 +199,8 @@
 		func() bool { p.updateFinishedPages(now); return p.appendFinishedPages(b) },
 		func() bool { return p.addDrainWrites(b, now) },
 	}
-	for _, take := range kinds {
-		if !take() {
+	for _, step := range steps {
+		if !step() {
 			return b.writes
 		}
 	}
@@ -210,8 +211,8 @@
 	return b.writes
 }
 
-// appendCancelledDependents closes the jobs behind a cancelled one. They go first: their users wait for
-// it, and it is little.
+// appendCancelledDependents closes the jobs that depend on a cancelled one. They precede all other
+// writes because users wait for them and the writes are small.
 func (p *Persistence) appendCancelledDependents(b *writeBatch) bool {
 	s := p.scheduler
 	for _, id := range s.dependencies.ToCancel() {
@@ -228,7 +229,7 @@
 	return true
 }
 
-// appendCompleteJobs closes the jobs of which every task is done.
+// appendCompleteJobs closes the jobs whose tasks are all done.
 func (p *Persistence) appendCompleteJobs(b *writeBatch, now time.Time) bool {
 	for j := range p.scheduler.completeJobs {
 		if j.closing {
@@ -242,7 +243,7 @@
 	return true
 }
 
-// appendAttestation stores that watermarks are complete; nil: it is not time for that.
+// appendAttestation stores the attestation that watermarks are complete; nil means that none is due.
 func (p *Persistence) appendAttestation(b *writeBatch, attestation *watermark.StoredAttestation) bool {
 	if attestation == nil {
 		return true
@@ -257,7 +258,8 @@
 	return true
 }
 
-// updateMachinePages puts the machines about to be used on record, and takes those that are gone off it.
+// updateMachinePages adds the machines about to be used to the machine pages, and removes those that
+// are gone.
 func (p *Persistence) updateMachinePages() {
 	s := p.scheduler
 	for _, m := range s.fleet.Sorted() {
@@ -267,7 +269,7 @@
 		m.Recording = true
 		raw, err := json.Marshal(records.Machine{Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Incarnation: m.Incarnation})
 		if err != nil {
-			slog.Error("unwritable record", "machine", m.Name, "err", err)
+			slog.Error("machine record cannot be encoded", "machine", m.Name, "err", err)
 			continue
 		}
 		p.machines.Put(m.Name, raw, len(raw))
@@ -280,7 +282,7 @@
 	s.removedMachines = s.removedMachines[:0]
 }
 
-// appendMachinePages stores the pages of machines that have changed.
+// appendMachinePages appends the writes of changed machine pages.
 func (p *Persistence) appendMachinePages(b *writeBatch) bool {
 	return p.appendPages(p.machines, b, func(ids []string, entries map[string]json.RawMessage) pageCallbacks {
 		return pageCallbacks{
@@ -305,8 +307,8 @@
 	}
 }
 
-// emptyReadOnlyPages moves the machines of pages that are too large for the limits to come into
-// others that are not. Both versions read a machine that is in two pages.
+// emptyReadOnlyPages copies the machines of pages that exceed the coming limits to writable pages. All
+// versions can read a machine that is in two pages.
 func (p *Persistence) emptyReadOnlyPages() {
 	for name, raw := range p.machines.ReadOnlyEntries() {
 		if !p.machines.HasWritable(name) {
@@ -315,8 +317,8 @@
 	}
 }
 
-// updateFinishedPages puts finished tasks on record, once in a heartbeat interval, and takes the records of
-// closed jobs off it.
+// updateFinishedPages adds finished tasks to their pages, once per heartbeat interval, and removes the
+// records of closed jobs.
 func (p *Persistence) updateFinishedPages(now time.Time) {
 	s := p.scheduler
 	p.finished.RemoveJobs(s.closedJobs)
@@ -329,7 +331,7 @@
 	}
 }
 
-// appendFinishedPages stores the pages of finished tasks that have changed.
+// appendFinishedPages appends the writes of changed pages of finished tasks.
 func (p *Persistence) appendFinishedPages(b *writeBatch) bool {
 	return p.appendPages(p.finished.Pages(), b, func(ids []string, _ map[string]json.RawMessage) pageCallbacks {
 		return pageCallbacks{
@@ -339,22 +341,22 @@
 	})
 }
 
-// pageCallbacks is what follows from the write of a page.
+// pageCallbacks are the callbacks for the write of a page.
 type pageCallbacks struct {
 	onStored func(revision uint64)
-	onMoved  func(ids []string) // for the records that need another page, as the store refused this one as too large
+	onMoved  func(ids []string) // called with the ids to be moved if the store rejects the page as too large
 }
 
-// appendPages stores the pages that have changed, and reports whether all fit. written is called with
-// the records of each page that is.
-func (p *Persistence) appendPages(pages *records.PagedRecords, b *writeBatch, written func(ids []string, entries map[string]json.RawMessage) pageCallbacks) bool {
+// appendPages appends the writes of changed pages, and reports whether all fit. callbacks is called
+// with the ids and entries of each page that is written.
+func (p *Persistence) appendPages(pages *records.PagedRecords, b *writeBatch, callbacks func(ids []string, entries map[string]json.RawMessage) pageCallbacks) bool {
 	for _, page := range pages.DirtyPages() {
 		if !b.tryReserve(1, p.maxValueBytes) {
 			return false
 		}
 		op, _, ids := pages.PrepareWrite(page)
 		entries, _ := op.Value.(map[string]json.RawMessage)
-		result := written(ids, entries)
+		result := callbacks(ids, entries)
 		b.add(PendingWrite{
 			Ops:           []records.Op{op},
 			GuardKey:      page.Key,
@@ -367,8 +369,8 @@
 	return true
 }
 
-// appendWatermarkPages stores the pages of watermarks that have changed. Watermarks are raised ahead of
-// need, so they wait for each other, unless a task waits.
+// appendWatermarkPages appends the writes of changed watermark pages. Watermarks are raised ahead of
+// need, so they are stored together after a delay, unless a task waits for one.
 func (p *Persistence) appendWatermarkPages(b *writeBatch, now time.Time) bool {
 	s := p.scheduler
 	if !p.watermarkNeeded && now.Sub(p.lastWatermarkUpdate) < s.settings.HeartbeatInterval/4 {
@@ -400,8 +402,9 @@
 	}
 }
 
-// requestWatermarksAgain has the watermarks of jobs stored as they are requested by then. Without
-// this, one that rose while its page was on its way would be stored as it was before.
+// requestWatermarksAgain marks the watermarks of jobs to be stored with their latest requested values.
+// Otherwise a watermark that was raised while its page was being written would be stored with its old
+// value.
 func (p *Persistence) requestWatermarksAgain(ids []string) {
 	for _, id := range ids {
 		if j := p.scheduler.jobs[id]; j != nil {
@@ -419,7 +422,7 @@
 	p.closedJobs = p.closedJobs[:0]
 }
 
-// HasUnstoredJobs reports whether a job is complete but not yet stored as done.
+// HasUnstoredJobs reports whether any job is complete and its closed record is not yet being stored.
 func (s *Scheduler) HasUnstoredJobs() bool {
 	for j := range s.completeJobs {
 		if !j.closing {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -9,11 +9,11 @@
 	"drumpick/internal/records"
 )
 
-// Reconcile applies a worker's heartbeat, or its status in an answer to a command. It reports whether
-// the status was stale; then nothing is concluded from it.
+// Reconcile applies a worker's heartbeat, or its status in an answer to a command, and returns its
+// machine. It reports whether the status is stale; a stale status changes nothing.
 func (s *Scheduler) Reconcile(heartbeat *fleet.Heartbeat, isHeartbeat bool, now time.Time) (*fleet.Machine, bool) {
 	heartbeatsTotal.Inc()
-	// A late copy must not bring up a machine that was returned.
+	// A late copy of a heartbeat must not add a returned machine again.
 	if s.fleet.Machines[heartbeat.Machine] == nil && s.Recency(heartbeat, now) == fleet.Late {
 		return nil, true
 	}
@@ -21,8 +21,8 @@
 	return s.applyOutcome(s.fleet.Apply(heartbeat, isHeartbeat, now), wasUnreachable, now)
 }
 
-// applyOutcome draws the conclusions from what a status changed: about the machine, about its
-// attempts, and about the term as a whole.
+// applyOutcome updates the machine, its attempts and the reconciliation of the term after the machine
+// table has applied a status.
 func (s *Scheduler) applyOutcome(outcome fleet.ApplyResult, wasUnreachable bool, now time.Time) (*fleet.Machine, bool) {
 	machine := outcome.Machine
 	if outcome.Stale {
@@ -50,7 +50,7 @@
 	return machine, false
 }
 
-// recordReachability notes that a machine can or cannot be reached any more by what is sent to it.
+// recordReachability logs that a machine became reachable or unreachable for commands.
 func (s *Scheduler) recordReachability(machine *fleet.Machine, unreachable bool) {
 	s.placementStale = true
 	message := "machine reachable"
@@ -60,7 +60,7 @@
 	slog.Info(message, "machine", machine.Name, "zone", machine.Zone, "term", s.term)
 }
 
-// addToService takes a machine into service that sent its first status.
+// addToService adds a machine that sent its first status to the machines in service.
 func (s *Scheduler) addToService(machine *fleet.Machine, now time.Time) {
 	s.assignBin(machine)
 	machine.EmptySince = now
@@ -68,7 +68,7 @@
 	slog.Info("machine up", "machine", machine.Name, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot, "term", s.term)
 }
 
-// applyAttemptChanges accounts for the attempts that a status showed new, running, ended or gone.
+// applyAttemptChanges handles the attempts that a status showed as new, running, ended or gone.
 func (s *Scheduler) applyAttemptChanges(outcome fleet.ApplyResult, now time.Time) {
 	machine := outcome.Machine
 	for _, attempt := range outcome.Lost {
@@ -92,8 +92,8 @@
 	}
 }
 
-// updateReconciliation notes how far a machine that sent a status is reconciled with this term, and whether
-// all machines are.
+// updateReconciliation updates what a status of a machine changes in the reconciliation: of the
+// machine, and of the term as a whole.
 func (s *Scheduler) updateReconciliation(outcome fleet.ApplyResult, now time.Time) {
 	machine := outcome.Machine
 	if outcome.Reconciled {
@@ -104,15 +104,15 @@
 	}
 	if outcome.Upgraded {
 		slog.Info("worker version changed", "machine", machine.Name, "version", machine.Version, "term", s.term)
-		s.drains.requestPass() // it may come back into service
+		s.drains.requestPass() // the machine may return to service
 	}
 	if !s.reconciled {
 		s.CheckReconciled(now)
 	}
 }
 
-// CheckReconciled notes when every machine that an earlier term may have used has been heard, or is
-// gone.
+// CheckReconciled ends the reconciliation if every machine that an earlier term may have used has
+// reported under this term or is gone.
 func (s *Scheduler) CheckReconciled(now time.Time) {
 	if s.fleet.HasUnreconciled() {
 		return
@@ -127,8 +127,8 @@
 	}
 }
 
-// isBrokenGang reports whether a gang already ran and lost a member under an earlier term: it cannot
-// be completed any more. One that still waits can, with its own attempt number.
+// isBrokenGang reports whether a gang started running under an earlier term and lost a member, so that
+// it cannot complete. A gang whose members still wait can, with its current attempt number.
 func (j *Job) isBrokenGang() bool {
 	if j.Shape != records.ShapeGang || j.gangAttempt == 0 || len(j.attempts) >= j.Tasks {
 		return false
@@ -141,7 +141,7 @@
 	return false
 }
 
-// adoptAttempt accounts for an attempt that a worker holds and this term did not start.
+// adoptAttempt adds an attempt that a worker reports and this term does not know.
 func (s *Scheduler) adoptAttempt(machine *fleet.Machine, attempt *fleet.Attempt) {
 	job, task := s.jobs[attempt.Task.Job], attempt.Task.N
 	attempt.Duplicate = true
@@ -156,11 +156,11 @@
 		machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Request: job.request})
 		s.recordImageUse(machine, job)
 	}
-	// A machine that nobody knew of and that has tasks is a late copy from one that was returned, or
-	// was never recorded as it should have been: its tasks count, and are stopped.
-	becomesHeld := !machine.Unverified && job.attempts[task] == nil && !hasBit(job.done, task) &&
+	// If an unknown machine reports tasks, the heartbeat is a late copy from a returned machine, or the
+	// machine lacks its record: its tasks use room and are stopped.
+	becomesCurrent := !machine.Unverified && job.attempts[task] == nil && !hasBit(job.done, task) &&
 		(job.Shape != records.ShapeGang || job.gangAttempt == 0 || job.gangAttempt == attempt.Number)
-	if becomesHeld && !s.startedThisTerm(attempt) {
+	if becomesCurrent && !s.startedThisTerm(attempt) {
 		attempt.Duplicate = false
 		job.attempts[task], job.untriedHaveAttempts = attempt, true
 		if job.Shape == records.ShapeGang {
@@ -168,28 +168,29 @@
 		}
 		return
 	}
-	// A second attempt of the same task is stopped, and counts until it is gone.
+	// A duplicate attempt is stopped, and blocks new attempts of its task until it is gone.
 	job.duplicates[task]++
 	s.requestStop(attempt, stopDuplicate, 0, time.Time{})
 }
 
-// adoptUnknownAttempt accounts for an attempt of a job that is not open, or of a task that its job lacks.
+// adoptUnknownAttempt adds an attempt of a job that is not open, or of a task that its job lacks, and
+// stops it.
 func (s *Scheduler) adoptUnknownAttempt(machine *fleet.Machine, attempt *fleet.Attempt) {
 	if attempt.State() == fleet.Ended {
 		attempt.MayReap = true
 		return
 	}
-	// Its size is unknown: it counts as the whole machine until it is gone.
+	// Its size is unknown, so it occupies the whole machine until it is gone.
 	machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Request: machine.Bin.Capacity})
 	s.requestStop(attempt, stopJobClosed, 0, time.Time{})
 }
 
-// Probes lists the machines that are to be asked for their status.
+// Probes lists the machines to be asked for their status.
 func (s *Scheduler) Probes(now time.Time) []fleet.Probe {
 	return s.fleet.DueProbes(s.settings.HeartbeatInterval, now)
 }
 
-// ApplyProbe applies the status that a machine answered a probe with.
+// ApplyProbe applies the status with which a machine answered a probe.
 func (s *Scheduler) ApplyProbe(probe fleet.Probe, heartbeat *fleet.Heartbeat, now time.Time) {
 	wasUnreachable := s.isUnreachable(probe.Machine)
 	outcome, restarted := s.fleet.ApplyProbe(probe, heartbeat, now)
@@ -200,7 +201,7 @@
 	s.applyOutcome(outcome, wasUnreachable, now)
 }
 
-// ExpireLeases gives up the attempts on machines whose lease has expired.
+// ExpireLeases handles the attempts on machines whose lease has expired as lost.
 func (s *Scheduler) ExpireLeases(now time.Time) {
 	for _, a := range s.fleet.ExpireLeases(now) {
 		a.Machine.Bin.SetOpen(false)
@@ -209,8 +210,8 @@
 	}
 }
 
-// ExpireEarlierLeases notes that no lease which an earlier term granted is left, and returns for how
-// many machines that were not heard this ends the uncertainty.
+// ExpireEarlierLeases records that all leases granted by earlier terms have expired, and returns the
+// number of unreconciled machines whose tasks are thereby known to be gone.
 func (s *Scheduler) ExpireEarlierLeases(now time.Time) int {
 	n, gone := s.fleet.ExpireEarlierLeases()
 	for _, attempt := range gone {
@@ -223,7 +224,7 @@
 	return n
 }
 
-// RemoveMachine forgets a machine that is certainly gone.
+// RemoveMachine removes a machine that is known to be gone.
 func (s *Scheduler) RemoveMachine(host string, now time.Time) {
 	if machine := s.fleet.Machines[host]; machine != nil && s.spaces[machine.Type] != nil {
 		s.spaces[machine.Type].Remove(machine.Bin)
--- a/internal/scheduler/replicas.go
+++ b/internal/scheduler/replicas.go
@@ -7,8 +7,8 @@
 	"drumpick/internal/records"
 )
 
-// moveReplicas moves replicas of services off machines that are to be emptied, one of a job at a time,
-// and only while another one runs and there is a place for it.
+// moveReplicas moves service replicas off machines that are being emptied: one replica of a job at a
+// time, and only if another one is running and a machine has room for it.
 func (s *Scheduler) moveReplicas(now time.Time) {
 	for _, job := range s.queue(now) {
 		if job.Shape != records.ShapeService {
@@ -19,8 +19,8 @@
 		if leaving == nil {
 			continue
 		}
-		// Without this, a replica would be stopped for a machine's sake and then wait for room while its
-		// machine could have gone on with it.
+		// A replica moves only to room that exists: otherwise it would be stopped and wait for room,
+		// although it could have continued on its machine.
 		if to := s.roomForReplica(job, leaving, now); to != nil {
 			s.addClaim(job, to, now)
 			s.requestStop(leaving, stopMoved, job.SaveS, now)
@@ -30,8 +30,8 @@
 	}
 }
 
-// replicaToMove returns the first replica that is to leave its machine while another one runs, nil if there
-// is none or one is moving already.
+// replicaToMove returns the first replica that has to leave its machine while another one is running.
+// It returns nil if there is none or a replica is already moving.
 func (s *Scheduler) replicaToMove(job *Job) *fleet.Attempt {
 	running := 0
 	var leaving *fleet.Attempt
@@ -54,18 +54,18 @@
 	return leaving
 }
 
-// roomForReplica finds a machine with room for a replica that leaves another machine, in the zone with
-// the fewest replicas of its job.
+// roomForReplica returns a machine with room for a replica that leaves another machine, in the zone
+// with the fewest replicas of its job; nil if there is none.
 func (s *Scheduler) roomForReplica(job *Job, leaving *fleet.Attempt, now time.Time) *fleet.Machine {
-	zones := s.tasksByZone(job, true)
-	if zones[leaving.Machine.Zone]--; zones[leaving.Machine.Zone] == 0 {
-		delete(zones, leaving.Machine.Zone)
+	replicasByZone := s.tasksByZone(job, true)
+	if replicasByZone[leaving.Machine.Zone]--; replicasByZone[leaving.Machine.Zone] == 0 {
+		delete(replicasByZone, leaving.Machine.Zone)
 	}
 	var best *fleet.Machine
 	for _, machine := range s.fleet.Sorted() {
-		suits := s.acceptsTasks(machine, now) && job.permits(machine.Type, machine.Zone, machine.Spot) &&
-			machine.Bin.Fits(job.request) && job.zoneAllowed(machine.Zone, zones) && !isHeldForEarlierJob(machine, job)
-		if suits && (best == nil || zones[machine.Zone] < zones[best.Zone]) {
+		suitable := s.acceptsTasks(machine, now) && job.permits(machine.Type, machine.Zone, machine.Spot) &&
+			machine.Bin.Fits(job.request) && job.zoneAllowed(machine.Zone, replicasByZone) && !isHeldForEarlierJob(machine, job)
+		if suitable && (best == nil || replicasByZone[machine.Zone] < replicasByZone[best.Zone]) {
 			best = machine
 		}
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -14,50 +14,50 @@
 	"drumpick/internal/zonehealth"
 )
 
-// Scheduler is the state of one term's scheduling. It is not safe for concurrent use: the leader
-// calls it under its own lock.
+// Scheduler is the scheduling state of one term. It is not safe for concurrent use: the leader calls
+// it under its own lock.
 type Scheduler struct {
 	settings  Settings
 	term      uint64
 	termStart time.Time
-	sequence  uint64    // last number given to an attempt or a request in this term
-	passTime  time.Time // of the placement pass or rebalancing round under way
+	sequence  uint64    // last number assigned to an attempt or a rental request in this term
+	passTime  time.Time // time of the current or last placement pass or rebalancing round
 
-	// Jobs and their order.
+	// Jobs and their scheduling order.
 	jobs             map[string]*Job   // open jobs by id
-	completeJobs     map[*Job]struct{} // of these, those of which every task is done
-	dependencies     *dependency.Graph // of the same jobs and those that they name
+	completeJobs     map[*Job]struct{} // open jobs whose tasks are all done
+	dependencies     *dependency.Graph // of the open jobs and their dependencies
 	placementClasses placementClasses
-	sortedJobs       []*Job          // jobs that are not blocked, in the order in which they are served
-	order            *placementOrder // of the same jobs
-	queueStale       bool            // the order has to be worked out again
+	sortedJobs       []*Job          // jobs that are not blocked, in scheduling order
+	order            *placementOrder // placement order of the same jobs
+	queueStale       bool            // the order has to be recomputed
 
 	// Machines.
 	fleet          *fleet.Table
 	machineTypes   map[string]records.MachineType
-	typesByPrice   []string                  // machine types, cheapest first
-	spaces         map[string]*packing.Space // the bins of each type
-	lastBinRefresh time.Time                 // when it was last examined which machines accept tasks
-	quotaUsage     *quota.Account            // what the attempts in fleet take, by team
-	urgentMachines map[string]bool           // machines that are to get commands at once, not with their next heartbeat
-	zoneHealth     *zonehealth.Monitor       // which zones have a suspected outage
+	typesByPrice   []string                  // names of machine types, cheapest first
+	spaces         map[string]*packing.Space // bins by machine type
+	lastBinRefresh time.Time                 // when it was last checked which machines accept tasks
+	quotaUsage     *quota.Account            // resources used by attempts, by team
+	urgentMachines map[string]bool           // machines that need commands at once, before their next heartbeat
+	zoneHealth     *zonehealth.Monitor       // detects suspected zone outages
 
 	// Placement.
 	placementStale   bool                       // something changed since the last placement pass
-	currentTurns     *turnIterator              // of the placement pass under way; nil: there is none
-	plannedAttempts  []*fleet.Attempt           // planned, in the order of their turns; some may no longer be planned
-	onDemandShortage *fairshare.ShortageTracker // which on-demand machines are too few for jobs that may use no others
+	currentTurns     *turnIterator              // turns of the current placement pass; nil: none is running
+	plannedAttempts  []*fleet.Attempt           // planned, in placement order; some may no longer be planned
+	onDemandShortage *fairshare.ShortageTracker // shortage of on-demand machines for jobs that may not use spot machines
 	freedRoom        freedRoom
 	lastRebalance    time.Time
 
-	// Room that is kept for jobs.
+	// Room reserved for jobs.
 	claimOwners           []*Job // jobs that have claims
 	reservationCandidates []*Job // jobs that may need a reservation
 	machineHolders        []*Job // jobs for which machines are held
-	lastMachineHolder     *Job   // the one of them that is served last, for the placement pass under way
+	lastMachineHolder     *Job   // the last of them in scheduling order, for the current placement pass
 
 	// Failover and reconciliation.
-	reconciled bool // every machine that an earlier term may have used has been heard or is gone
+	reconciled bool // every machine that an earlier term may have used has reported or is gone
 	watermarks watermarkState
 
 	// Autoscaling and drains.
@@ -65,17 +65,17 @@
 	drains      drainSet
 
 	// Records that are no longer needed.
-	closedJobs      []string // jobs whose finished tasks need no record
-	removedMachines []string // machines that need no record
+	closedJobs      []string // jobs whose finished-task records can be removed
+	removedMachines []string // machines whose records can be removed
 
-	// Overload and service levels.
-	overload      *overload.Detector // how far the leader falls behind
-	maxDelay      time.Duration      // the longest that anything waited since the last tick
-	slo           *slo.Tracker       // which jobs arrived and which began
+	// Overload and service-level objectives.
+	overload      *overload.Detector // measures how far the leader falls behind
+	maxDelay      time.Duration      // longest time that an event waited since the last tick
+	slo           *slo.Tracker       // arrivals and starts of jobs
 	lastSLOReport time.Time
 }
 
-// New returns the scheduler of a new term, which knows no job and no machine yet.
+// New returns the scheduler of a new term, without jobs and machines.
 func New(settings Settings, term uint64, now time.Time) *Scheduler {
 	s := &Scheduler{
 		settings:         settings,
@@ -103,8 +103,8 @@
 	return s
 }
 
-// AddJob adds an open job, accepted at its record's wall-clock time. A job that is known already is
-// returned as it is.
+// AddJob adds an open job from its record, read at wall-clock time wall. A job that is already known
+// is returned unchanged.
 func (s *Scheduler) AddJob(record records.Job, revision uint64, now, wall time.Time) *Job {
 	if job := s.jobs[record.ID]; job != nil {
 		return job
@@ -137,12 +137,12 @@
 	s.markUncertain(job)
 	s.raiseWatermarkForNewJob(job)
 	for _, attempt := range s.fleet.AttemptsOfJob(record.ID) {
-		s.updateCharge(attempt) // until now its job was not known
+		s.updateCharge(attempt) // its job was unknown so far
 	}
 	return job
 }
 
-// LoadDone adds stored ranges of finished tasks of a chunk.
+// LoadDone marks the tasks in stored ranges of a chunk as done.
 func (s *Scheduler) LoadDone(id string, chunk int, ranges string) error {
 	job := s.jobs[id]
 	if job == nil {
@@ -154,7 +154,7 @@
 		if task := base + i; task < job.Tasks {
 			job.stored[task/64] |= 1 << (task % 64)
 			if job.Shape == records.ShapeGang {
-				s.recordResult(job, task) // and so the whole gang, of which not all may be stored
+				s.recordResult(job, task) // completes the whole gang; some of its results may not be stored
 			} else if !hasBit(job.done, task) {
 				s.setDone(job, task)
 			}
@@ -162,7 +162,7 @@
 	})
 }
 
-// setDone notes that a task is done that was not.
+// setDone marks a task as done that was not done before.
 func (s *Scheduler) setDone(j *Job, n int) {
 	j.done[n/64] |= 1 << (n % 64)
 	if j.doneCount++; j.doneCount == j.Tasks {
@@ -170,9 +170,10 @@
 	}
 }
 
-// recordResult notes a task's result, to be stored. A gang completes as a whole: without this, where some
-// results reached the last leader, or reach this one from one machine and not from another that is
-// gone, the rest would begin alone, wait for its peers in vain, and the job would never be done.
+// recordResult marks a task as done and its part as due to be stored. One result completes a whole
+// gang: if only some members' results are known, because the last leader stored only these or the
+// machines of the others are gone, the others would restart, wait for their peers in vain, and the
+// job would never complete.
 func (s *Scheduler) recordResult(job *Job, task int) {
 	if task >= job.Tasks || hasBit(job.done, task) || job.Shape == records.ShapeService {
 		return
@@ -195,12 +196,11 @@
 	m.Recorded, m.Inherited = true, true
 	m.Incarnation = max(m.Incarnation, record.Incarnation)
 	m.SilentSince = now
-	s.autoscaling.lastListed[host] = now // it was up before, so any later list must contain it
+	s.autoscaling.lastListed[host] = now // it was rented before this term, so every later cloud list must contain it
 	s.assignBin(m)
 }
 
-// CloseJob notes that a job is no longer open, for whichever reason. Whatever still runs of it is
-// stopped.
+// CloseJob removes a job that is no longer open, for any reason, and stops its attempts.
 func (s *Scheduler) CloseJob(id string) {
 	s.dependencies.Close(id)
 	s.applyDependencyChanges()
@@ -221,8 +221,8 @@
 	}
 }
 
-// LastDispatched returns when a task of a job, which may be closed by now, was last sent to a machine
-// that has not shown it yet. Zero: none is on its way.
+// LastDispatched returns when the last task in flight of a job was sent: one that its machine has not
+// reported yet. The job may be closed. Zero means that none is in flight.
 func (s *Scheduler) LastDispatched(id string) time.Time {
 	var last time.Time
 	for _, a := range s.fleet.AttemptsOfJob(id) {
@@ -233,11 +233,11 @@
 	return last
 }
 
-// attemptSequenceBits is how many low bits of an attempt number count within a term. The term is in the
-// bits above, so that no other term uses the number.
+// attemptSequenceBits is the number of low bits of an attempt number that count within a term. The
+// higher bits hold the term, so attempt numbers are unique across terms.
 const attemptSequenceBits = 24
 
-// newAttemptNumber returns a number that no other attempt has.
+// newAttemptNumber returns a new unique attempt number.
 func (s *Scheduler) newAttemptNumber() uint64 {
 	s.sequence++
 	return s.term<<attemptSequenceBits | s.sequence
@@ -248,14 +248,13 @@
 	return attempt.Number>>attemptSequenceBits == s.term
 }
 
-// NextRentalNumbers returns the numbers that name a scale-out request, unlike those of any other
-// request of any term.
+// NextRentalNumbers returns the numbers from which the unique name of a rental request is built.
 func (s *Scheduler) NextRentalNumbers() (term, seq uint64) {
 	s.sequence++
 	return s.term, s.sequence
 }
 
-// Progress reports how a job stands, for display.
+// Progress returns the status of an open job and its numbers of done and running tasks, for display.
 func (s *Scheduler) Progress(id string) (status string, done, running int, ok bool) {
 	job := s.jobs[id]
 	if job == nil {
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -8,42 +8,41 @@
 	"drumpick/internal/records"
 )
 
-// Settings are what a Scheduler is configured with. All durations derive from the platform's
-// configuration.
+// Settings configure a Scheduler. All durations derive from the platform's configuration.
 type Settings struct {
 	HeartbeatInterval       time.Duration
-	Lease                   time.Duration // of a worker, clock drift and the way of an answer included
-	RebalanceInterval       time.Duration // between two rebalancing rounds
-	GangPeerTimeout         time.Duration
-	ListLag                 time.Duration // by how much the cloud's list of machines may lag behind
-	ChunkTasks              int           // tasks of a chunk of finished tasks
-	PartTasks               int           // tasks of what one record holds of a chunk
-	IdleStartups            float64
-	CapacityBackoffStartups float64
+	Lease                   time.Duration // of a worker, including clock drift and the delivery time of an answer
+	RebalanceInterval       time.Duration // between rebalancing rounds
+	GangPeerTimeout         time.Duration // within which a gang's tasks detect a lost peer
+	ListLag                 time.Duration // how far the cloud's list of machines may lag behind
+	ChunkTasks              int           // tasks per chunk of finished tasks
+	PartTasks               int           // tasks per part of a chunk; a record holds one part
+	IdleStartups            float64       // how long an empty machine is kept, in startup times of its type
+	CapacityBackoffStartups float64       // pause after the cloud had no capacity, in startup times
 	Zones                   []string
 	Objectives              []config.Objective
 	Teams                   map[string]config.Team
 	Forecast                forecast.Params
 
-	Watermarks   bool // no task is sent that the store has no watermark for
-	LoadShedding bool // starts are left out while the leader falls behind
-	Guarantees   bool // jobs within a guarantee that can begin in time go first and may preempt
-	ZoneHealth   bool // the leader waits for the machines of a zone with a suspected outage
+	Watermarks   bool // a task is sent only below a stored watermark
+	LoadShedding bool // starts are delayed while the leader falls behind
+	Guarantees   bool // jobs within a guarantee that can start in time go first and may preempt
+	ZoneHealth   bool // machines in a zone with a suspected outage are waited for before they are replaced
 
-	GuaranteeWithin  time.Duration // within which a guaranteed job is to begin; 0: no objective says
-	BeginWithin      time.Duration // within which any job should begin, for the service-level report
-	ReservationBound time.Duration // within which any job is to begin, the largest too; 0: no reservations
+	GuaranteeWithin  time.Duration // within which a guaranteed job must start; 0: no objective states it
+	BeginWithin      time.Duration // within which any job should start, for the SLO report
+	ReservationBound time.Duration // within which any job must start, even the largest; 0: no reservations
 }
 
-// SettingsOf derives the settings from the configuration.
+// SettingsOf derives the settings from a configuration.
 func SettingsOf(c *config.Config) Settings {
 	workers := c.Deployment.Workers
 	interval, lease := config.Seconds(workers.HeartbeatS), config.Seconds(workers.LeaseS)
 	chunkTasks := records.ChunkTasks(c.Deployment.State.ValueKB)
 	s := Settings{
 		HeartbeatInterval: interval,
-		// A worker's lease expires by its own clock, so clock drift is added, and a
-		// margin for the time between writing an answer and its arrival.
+		// A worker's lease expires by its own clock, so clock drift is added, and a margin for the
+		// delivery time of an answer.
 		Lease:                   lease + config.Drift(lease) + interval/4,
 		RebalanceInterval:       time.Duration(float64(interval) * c.Options.RoundIntervals),
 		GangPeerTimeout:         config.Seconds(workers.GangPeerS),
@@ -75,8 +74,8 @@
 	return s
 }
 
-// shortestGuarantee returns the shortest time of the objectives within which a guaranteed job is to
-// begin, 0 if none states one.
+// shortestGuarantee returns the shortest time within which the objectives require a guaranteed job to
+// start, or 0 if none states one.
 func shortestGuarantee(objectives []config.Objective) time.Duration {
 	var shortest time.Duration
 	for _, o := range objectives {
--- a/internal/scheduler/stop_reasons.go
+++ b/internal/scheduler/stop_reasons.go
@@ -6,21 +6,22 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Why the scheduler stopped an attempt, as metrics and the log name it.
+// Reasons for which the scheduler stops attempts, as named in metrics and logs.
 const (
-	stopJobClosed        = "over"      // its job is closed, or not known
+	stopJobClosed        = "over"      // its job is closed or unknown
 	stopDuplicate        = "stray"     // the task has another attempt
-	stopMoved            = "moved"     // to fill or empty a bin, or a replica that leaves its machine
-	stopPreempted        = "preempted" // for work of higher priority
-	stopForGuarantee     = "guarantee" // for work within a guarantee
-	stopPreemptionNotice = "notice"    // the cloud takes the machine back
-	stopGangMember       = "mates"     // another task of its gang was lost or has to leave
-	stopDrained          = "drained"   // for an operator's drain
+	stopMoved            = "moved"     // moved to fill or empty a bin, or a service replica that leaves its machine
+	stopPreempted        = "preempted" // for a job of higher priority
+	stopForGuarantee     = "guarantee" // for a job within its guarantee
+	stopPreemptionNotice = "notice"    // the cloud preempts the machine
+	stopGangMember       = "mates"     // another task of its gang was lost or is being stopped
+	stopDrained          = "drained"   // an operator drains the machine
 )
 
-// outcomeName names what became of a start that did not end in a result: why the scheduler stopped it,
-// else how it ended by itself. Of attempts that are gone without an exit, "lease" is for a machine
-// that was silent for its lease, "unsent" for a run command that never arrived, "lost" for all others.
+// outcomeName returns the metric label for the outcome of an attempt without a result: the reason for
+// which the scheduler stopped it, or else the cause of its end. An attempt that is gone without having
+// ended is "lease" if its machine's lease expired, "unsent" if its run command never arrived, and
+// "lost" otherwise.
 func outcomeName(attempt *fleet.Attempt) string {
 	switch {
 	case attempt.Stopping() && attempt.StopReason != "":
@@ -35,9 +36,9 @@
 	return "lost"
 }
 
-// countWastedStart counts a start that did not end in a result, and returns its outcome. Without this
-// count, work that is thrown away by decisions that each look small goes unnoticed: on crowded days it
-// was a third of the starts of a class.
+// countWastedStart counts an attempt that ended without a result, and returns its outcome. The metric
+// shows work lost by many individually small decisions: under high load, it was a third of the starts
+// of a class.
 func (s *Scheduler) countWastedStart(a *fleet.Attempt) string {
 	outcome := outcomeName(a)
 	if a.State() != fleet.Planned && a.StopReason != stopJobClosed {
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/records"
 )
 
-// Tick does what time alone brings about. Without canRun only leases expire.
+// Tick does the periodic work. Without canRun it only expires leases.
 func (s *Scheduler) Tick(now time.Time, canRun bool) {
 	s.ExpireLeases(now)
 	if !canRun {
@@ -34,8 +34,8 @@
 	s.raiseWatermarksAhead(now)
 }
 
-// cancelStalePlans gives up what is planned for machines that take no new tasks. A machine that fell
-// silent keeps what it runs, but nothing stays planned for it.
+// cancelStalePlans cancels the attempts planned for machines that take no new tasks. A silent machine
+// keeps its running tasks until its lease expires, but no planned ones.
 func (s *Scheduler) cancelStalePlans(now time.Time) {
 	for _, machine := range s.fleet.Sorted() {
 		silent := now.Sub(machine.LastStatusAt) > silentIntervals*s.settings.HeartbeatInterval
@@ -45,7 +45,7 @@
 	}
 }
 
-// endBackoffs lets jobs start again whose time to wait after failures is over.
+// endBackoffs lets jobs start again whose backoff after failures has ended.
 func (s *Scheduler) endBackoffs(now time.Time) {
 	for _, job := range s.jobs {
 		if !job.retryAt.IsZero() && !now.Before(job.retryAt) {
@@ -55,9 +55,10 @@
 	}
 }
 
-// ObserveTick notes that a tick came gap after it was asked for. Where anything waited longer than
-// that, its wait counts instead, since a timer that is due goes before all else. While the leader
-// falls behind, starts are left out first, then plans; lease expiries, exits and cancellations never.
+// ObserveTick updates the overload level from the time between the request for a tick and the tick.
+// The delay of other events counts instead if it is longer, since a due timer runs before all other
+// events. While the leader falls behind, it delays starts first, then planning, but never lease
+// expiry, task ends or cancellations.
 func (s *Scheduler) ObserveTick(gap time.Duration, now time.Time) {
 	if !s.settings.LoadShedding {
 		return
@@ -83,7 +84,7 @@
 	return slog.LevelWarn
 }
 
-// shedsStart reports whether a start waits until the leader keeps up again.
+// shedsStart reports whether the job's starts wait until the leader is less overloaded.
 func (s *Scheduler) shedsStart(j *Job) bool {
 	switch s.overload.Level() {
 	case overload.Overloaded:
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -8,7 +8,7 @@
 	"drumpick/internal/fleet"
 )
 
-// MachineView is a machine as operators see it.
+// MachineView is the operator's view of a machine.
 type MachineView struct {
 	Name      string     `json:"name"`
 	Type      string     `json:"type"`
@@ -16,13 +16,13 @@
 	Spot      bool       `json:"spot"`
 	Addr      string     `json:"addr"`
 	State     string     `json:"state"`
-	AgeS      float64    `json:"age_s,omitempty"` // since its rental, where that is known
+	AgeS      float64    `json:"age_s,omitempty"` // since its rental; 0: unknown
 	Version   string     `json:"version,omitempty"`
 	TaskCount int        `json:"tasks"`
 	Tasks     []TaskView `json:"on_it,omitempty"`
 }
 
-// TaskView is an attempt on a machine as operators see it.
+// TaskView is the operator's view of an attempt on a machine.
 type TaskView struct {
 	Task     string  `json:"task"`
 	Attempt  uint64  `json:"attempt"`
@@ -31,19 +31,19 @@
 	Stopping bool    `json:"stops,omitempty"`
 }
 
-// States of machines, as operators see them.
+// Machine states in the operator's view.
 const (
 	MachineBooting      = "booting"
 	MachineUp           = "up"
-	MachineUnreconciled = "unsettled" // not heard since the failover
+	MachineUnreconciled = "unsettled" // has not reported since the failover
 	MachineSilent       = "silent"
-	MachineUnreachable  = "deaf"    // sends heartbeats, but nothing that is sent reaches it
-	MachinePreempting   = "noticed" // the cloud is about to take it back
+	MachineUnreachable  = "deaf"    // sends heartbeats, but no command reaches it
+	MachinePreempting   = "noticed" // the cloud is about to preempt it
 	MachineFaulty       = "faulty"
 	MachineReturning    = "returning"
-	MachineCordoned     = "cordoned" // takes no new tasks: an operator's drain
-	MachineDraining     = "draining" // cordoned, and what runs there leaves
-	MachineDrained      = "drained"  // cordoned, and nothing is on it any more
+	MachineCordoned     = "cordoned" // an operator's drain keeps new tasks away
+	MachineDraining     = "draining" // cordoned, and its tasks are leaving
+	MachineDrained      = "drained"  // cordoned, and no task is left on it
 )
 
 func (s *Scheduler) machineState(machine *fleet.Machine, now time.Time) string {
@@ -88,8 +88,8 @@
 	return view
 }
 
-// ListMachines lists up to limit machines by name, after since, without their tasks; more reports
-// whether others follow.
+// ListMachines lists up to limit machines whose names follow since, sorted by name and without their
+// tasks. more reports whether others follow.
 func (s *Scheduler) ListMachines(since string, limit int, now time.Time) (list []MachineView, more bool) {
 	all := s.fleet.Sorted()
 	byName := func(machine *fleet.Machine, name string) int { return strings.Compare(machine.Name, name) }
@@ -104,7 +104,7 @@
 	return list, end < len(all)
 }
 
-// DescribeMachine describes one machine with all that is on it.
+// DescribeMachine returns one machine with its tasks, and whether it is known.
 func (s *Scheduler) DescribeMachine(name string, now time.Time) (MachineView, bool) {
 	machine := s.fleet.Machines[name]
 	if machine == nil {
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -9,21 +9,23 @@
 	"drumpick/internal/watermark"
 )
 
-// watermarkState is what a term knows of the watermarks in the store (package watermark).
+// watermarkState is the state of the watermarks in a term (package watermark).
 type watermarkState struct {
-	raised map[*Job]struct{} // jobs whose watermarks are to be stored anew
-	// complete: every task that any leader may have sent is below a watermark, stored or raised.
+	raised map[*Job]struct{} // jobs whose raised watermarks have to be stored
+	// complete means that every task that any leader may have sent is below a stored or raised
+	// watermark.
 	complete bool
-	// relaxed: every other controller was notified that this is not so; tasks beyond watermarks may be sent.
+	// relaxed means that every other controller was notified that watermarks are no longer complete,
+	// so that tasks beyond them may be sent.
 	relaxed bool
 }
 
 func newWatermarkState() watermarkState { return watermarkState{raised: map[*Job]struct{}{}} }
 
-// isUncertain reports whether a task may be on a machine that has not been heard since the failover.
+// isUncertain reports whether a task may be on a machine that has not reported since the failover.
 func (j *Job) isUncertain(task int) bool { return j.uncertain != nil && hasBit(j.uncertain, task) }
 
-// countUncertain counts the uncertain tasks that are not done.
+// countUncertain returns the number of uncertain tasks that are not done.
 func (j *Job) countUncertain() int {
 	n := 0
 	for i, word := range j.uncertain {
@@ -32,7 +34,7 @@
 	return n
 }
 
-// markUncertain marks all tasks of a job as uncertain if an earlier leader can have sent any.
+// markUncertain marks all tasks of a job as uncertain if an earlier leader may have sent any of them.
 func (s *Scheduler) markUncertain(j *Job) {
 	if s.reconciled || j.earliestStartRevision > s.term {
 		return
@@ -44,28 +46,27 @@
 	j.nextUntried = j.Tasks
 }
 
-// clearUncertain marks no task of a job as uncertain any more: where a machine holds one, that is
-// known.
+// clearUncertain marks all tasks of a job as certain: the machines that hold any of them are known.
 func (s *Scheduler) clearUncertain(j *Job) {
 	if j.uncertain == nil {
 		return
 	}
-	was := j.uncertain
+	before := j.uncertain
 	j.uncertain, j.untriedHaveAttempts, s.placementStale = nil, true, true
 	s.order.activate(j)
 	if len(j.retries) == 0 {
-		j.nextUntried = 0 // what is held, done or a duplicate is passed over
+		j.nextUntried = 0 // nextTask skips tasks that are done or have an attempt
 		return
 	}
 	for t := range j.Tasks {
-		if hasBit(was, t) && !hasBit(j.done, t) && j.attempts[t] == nil && j.duplicates[t] == 0 {
+		if hasBit(before, t) && !hasBit(j.done, t) && j.attempts[t] == nil && j.duplicates[t] == 0 {
 			j.queueRetry(t)
 		}
 	}
 }
 
-// LoadWatermarks takes in the watermarks that the store has, by job. Where they are complete, only the
-// tasks below them are uncertain: the rest was never sent.
+// LoadWatermarks loads the stored watermarks, by job. If they are complete, only tasks below them are
+// uncertain: the others were never sent.
 func (s *Scheduler) LoadWatermarks(stored map[string]int, complete bool) {
 	for id, j := range s.jobs {
 		n := min(stored[id], j.Tasks)
@@ -87,10 +88,10 @@
 	s.placementStale = true
 }
 
-// clearUncertainSeenOn takes the tasks that a machine shows under this term as certain: what is there now
-// had not ended when the last leader stopped, so it was sent to no other machine. It leaves out what
-// only a copy of an earlier heartbeat has shown, and is still to be probed for: the machine may have a
-// new incarnation since, and the task have been sent to another that has not been heard.
+// clearUncertainSeenOn marks the tasks that a machine reports under this term as certain: they had not
+// ended when the last leader stopped, so they were sent to no other machine. It leaves out tasks that
+// only a copy of an earlier heartbeat has shown and that still have to be probed: the machine may have
+// restarted since, and the task may have been sent to another machine that has not reported.
 func (s *Scheduler) clearUncertainSeenOn(m *fleet.Machine) {
 	for _, a := range m.Attempts() {
 		j := s.jobOf(a)
@@ -100,8 +101,8 @@
 	}
 }
 
-// clearAllUncertain takes all tasks as certain, as every machine has been heard, and raises the
-// watermarks beyond what is on them: an earlier leader may have kept none.
+// clearAllUncertain marks all tasks as certain, because every machine has reported. It raises the
+// watermarks beyond the tasks on machines: an earlier leader may have stored no watermarks.
 func (s *Scheduler) clearAllUncertain() {
 	for _, j := range s.jobs {
 		s.clearUncertain(j)
@@ -117,7 +118,7 @@
 	s.watermarks.complete = s.settings.Watermarks
 }
 
-// raiseWatermark requests a watermark beyond a task.
+// raiseWatermark requests a watermark beyond task t.
 func (s *Scheduler) raiseWatermark(j *Job, t int) {
 	if !s.settings.Watermarks {
 		return
@@ -130,9 +131,9 @@
 	}
 }
 
-// raiseWatermarkForNewJob raises the watermark beyond what of a new job is sent at once when its turn comes:
-// the first tasks of urgent jobs, and all of small jobs and of those with dependencies. Without this,
-// each step of a chain of dependencies would wait for the store.
+// raiseWatermarkForNewJob raises the watermark of a new job beyond the tasks that must not wait for the
+// store once they can be placed: the first tasks of urgent jobs, and all tasks of small jobs and of
+// jobs with dependencies. Otherwise each step of a dependency chain would wait for the store.
 func (s *Scheduler) raiseWatermarkForNewJob(j *Job) {
 	switch {
 	case len(j.Dependencies) > 0 || j.Tasks <= 2*watermark.RaiseDivisor:
@@ -142,7 +143,7 @@
 	}
 }
 
-// belowWatermark reports whether a planned task may be sent as far as watermarks go.
+// belowWatermark reports whether the watermarks allow a planned task to be sent.
 func (s *Scheduler) belowWatermark(a *fleet.Attempt) bool {
 	if !s.settings.Watermarks || s.watermarks.relaxed {
 		return true
@@ -151,7 +152,7 @@
 	return j == nil || j.watermark.Covers(a.Task.N)
 }
 
-// AwaitsWatermark reports whether any task planned for a machine waits for its watermark.
+// AwaitsWatermark reports whether any task planned for a machine waits for a stored watermark.
 func (s *Scheduler) AwaitsWatermark(m *fleet.Machine) bool {
 	for _, a := range m.Attempts() {
 		if a.State() == fleet.Planned && !s.belowWatermark(a) {
@@ -161,11 +162,11 @@
 	return false
 }
 
-// aheadTasksPerMachine is for how many tasks, for each machine that takes tasks, watermarks are raised before
-// there is room for them: about what starts until the next tick and the store's answer to it.
+// aheadTasksPerMachine is the number of tasks, per machine that accepts tasks, for which watermarks are
+// raised before there is room: about as many as start until the next tick's write is stored.
 const aheadTasksPerMachine = 1.0 / 2
 
-// countAcceptingMachines counts the machines that take tasks.
+// countAcceptingMachines returns the number of machines that accept tasks.
 func (s *Scheduler) countAcceptingMachines() int {
 	n := 0
 	for _, m := range s.fleet.Sorted() {
@@ -176,8 +177,8 @@
 	return n
 }
 
-// raiseWatermarksAhead raises the watermarks of the jobs that are served next, so that a task that finds
-// room in the answer to a heartbeat need not wait for the store.
+// raiseWatermarksAhead raises the watermarks of the jobs that are next in scheduling order, so that a
+// task that is placed while a heartbeat is answered need not wait for the store.
 func (s *Scheduler) raiseWatermarksAhead(now time.Time) {
 	if !s.settings.Watermarks {
 		return
