--- a/internal/scheduler/fake_fleet_test.go
+++ b/internal/scheduler/fake_fleet_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// useFixedSeed has properties tried on the same cases every time, without log lines.
+// useFixedSeed makes rapid check the same cases in every run, and discards log output.
 func useFixedSeed(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -27,7 +27,7 @@
 	t.Cleanup(func() { slog.SetDefault(old) })
 }
 
-// fakeFleet is a few machines that obey a Scheduler, in simulated time.
+// fakeFleet is a small fleet of machines that carry out the commands of a Scheduler, in simulated time.
 type fakeFleet struct {
 	t              *rapid.T
 	scheduler      *Scheduler
@@ -36,9 +36,9 @@
 	machines       []*fakeMachine
 	jobs           map[string]records.Job
 	runTimes       map[string]time.Duration // by job
-	started        map[string]bool          // jobs that have started
-	preemptedAt    map[string]time.Time     // when a task was first preempted for a job
-	workerFailedAt time.Time                // when a worker last died
+	started        map[string]bool          // jobs of which a task has started
+	preemptedAt    map[string]time.Time     // by job: when a task was first preempted for it
+	workerFailedAt time.Time                // when a worker last failed
 }
 
 type fakeMachine struct {
@@ -49,18 +49,18 @@
 type fakeAttempt struct {
 	fleet.TaskStatus
 	job       string
-	endsAt    time.Time // when it completes, or has saved its checkpoint
+	endsAt    time.Time // when it completes, or its checkpoint is saved
 	stopping  bool
-	remaining time.Duration // its remaining run time when it was stopped
+	remaining time.Duration // remaining run time when it was stopped
 }
 
-// fakeMachineCPUs is the size of every machine of a fakeFleet.
+// fakeMachineCPUs is the number of CPUs of every machine of a fakeFleet.
 const fakeMachineCPUs = 4
 
-// allPriorities are the priorities of jobs, the highest first.
+// allPriorities lists the job priorities, the highest first.
 var allPriorities = []string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}
 
-// newFakeFleet returns a fleet with so many machines in each of two zones.
+// newFakeFleet returns a fleet with machinesPerZone machines in each of two zones.
 func newFakeFleet(t *rapid.T, options config.Options, teams []config.Team, machinesPerZone int) *fakeFleet {
 	cfg := &config.Config{Options: options}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
@@ -84,12 +84,12 @@
 	return f
 }
 
-// step lets half a second pass, and every machine send one heartbeat in four steps.
+// step advances the time by half a second. Every machine sends a heartbeat each fourth step.
 func (f *fakeFleet) step(i int) {
 	f.now = f.now.Add(500 * time.Millisecond)
 	f.scheduler.Tick(f.now, true)
 	for host := range f.scheduler.urgentMachines {
-		// Kill commands go out at once.
+		// Kill commands are sent at once.
 		for _, machine := range f.machines {
 			if machine.heartbeat.Machine == host {
 				f.applyCommands(machine, f.scheduler.fleet.Machines[host].PendingCommands())
@@ -106,7 +106,8 @@
 	f.checkInvariants()
 }
 
-// heartbeat has a machine send a heartbeat and obey the answer. Results are stored at once.
+// heartbeat sends a heartbeat of a machine and applies the commands of the answer. Results are stored
+// at once.
 func (f *fakeFleet) heartbeat(machine *fakeMachine) {
 	machine.heartbeat.Sequence++
 	machine.heartbeat.Tasks = machine.heartbeat.Tasks[:0]
@@ -114,14 +115,14 @@
 		machine.heartbeat.Tasks = append(machine.heartbeat.Tasks, attempt.TaskStatus)
 	}
 	copied := machine.heartbeat
-	known, stale := f.scheduler.Reconcile(&copied, true, f.now)
+	reported, stale := f.scheduler.Reconcile(&copied, true, f.now)
 	if stale {
-		f.t.Fatalf("the heartbeat %d of %s, in order, counts as stale", copied.Sequence, copied.Machine)
+		f.t.Fatalf("heartbeat %d of %s is in order but counts as stale", copied.Sequence, copied.Machine)
 	}
-	known.Recorded = true
-	f.scheduler.PlanMachine(known, f.now)
-	response := f.scheduler.Respond(known, true, f.now)
-	f.scheduler.RecordAnswer(known, "", f.now)
+	reported.Recorded = true
+	f.scheduler.PlanMachine(reported, f.now)
+	response := f.scheduler.Respond(reported, true, f.now)
+	f.scheduler.RecordAnswer(reported, "", f.now)
 	f.applyCommands(machine, response.Commands)
 	for _, j := range f.scheduler.jobs {
 		copy(j.stored, j.done)
@@ -131,7 +132,7 @@
 	}
 }
 
-// applyCommands carries out commands as a worker does.
+// applyCommands applies commands as a worker does.
 func (f *fakeFleet) applyCommands(machine *fakeMachine, commands []fleet.Command) {
 	for _, command := range commands {
 		i := slices.IndexFunc(machine.attempts, func(attempt *fakeAttempt) bool {
@@ -160,7 +161,7 @@
 	}
 }
 
-// advanceAttempts ends attempts whose time has come, and starts gangs that are complete.
+// advanceAttempts ends the attempts that are due, and starts gangs whose members are all waiting.
 func (f *fakeFleet) advanceAttempts(machine *fakeMachine) {
 	for _, attempt := range machine.attempts {
 		if gang := f.gangMembers(attempt); attempt.Status == "waiting" && len(gang) == f.jobs[attempt.job].Tasks {
@@ -178,7 +179,7 @@
 	}
 }
 
-// gangMembers returns the attempts of a job with the same number.
+// gangMembers returns the attempts of the same job with the same attempt number.
 func (f *fakeFleet) gangMembers(attempt *fakeAttempt) []*fakeAttempt {
 	var members []*fakeAttempt
 	for _, machine := range f.machines {
@@ -191,14 +192,14 @@
 	return members
 }
 
-// checkInvariants checks the rules: machines hold no more than they have room for, each task is in one place,
-// zones and limits are kept, and nobody is preempted for a job that does not start.
+// checkInvariants checks that no machine is overcommitted, each task is on one machine, zone
+// constraints and limits hold, and a job that tasks were preempted for starts.
 func (f *fakeFleet) checkInvariants() {
 	zones := f.checkPlacements()
 	f.checkPreemptorsStart(zones)
 }
 
-// checkPlacements checks what is on the machines, and returns a zone of each job that runs.
+// checkPlacements checks the placement of all tasks, and returns a zone of each running job.
 func (f *fakeFleet) checkPlacements() map[string]string {
 	machineOf := map[string]string{}
 	cpusOf := map[string]float64{}
@@ -233,7 +234,7 @@
 	return zones
 }
 
-// checkPreemptorsStart checks that a job that tasks were preempted for starts soon.
+// checkPreemptorsStart checks that a job that tasks were preempted for starts within 10 s.
 func (f *fakeFleet) checkPreemptorsStart(zones map[string]string) {
 	for id, j := range f.scheduler.jobs {
 		if _, runs := zones[id]; runs {
@@ -242,7 +243,8 @@
 		if f.started[id] || len(j.preemptedTasks) == 0 || j.teamLimited {
 			continue
 		}
-		// A victim saves for up to 4 s, then its machine sends a heartbeat, then the other one does.
+		// A victim saves its checkpoint for up to 4 s, then the heartbeats of its machine and of the
+		// other one have to arrive.
 		if _, ok := f.preemptedAt[id]; !ok {
 			f.preemptedAt[id] = f.now
 		}
--- a/internal/scheduler/finished_tasks_test.go
+++ b/internal/scheduler/finished_tasks_test.go
@@ -14,7 +14,8 @@
 	"drumpick/internal/records"
 )
 
-// pageStore is the pages that a term may have left at any moment.
+// pageStore holds the stored pages of finished tasks, by key. A term can fail at any point and leave
+// them to the next one.
 type pageStore map[string]map[string]json.RawMessage
 
 func (s pageStore) keys() []string { return slices.Sorted(maps.Keys(s)) }
@@ -29,7 +30,8 @@
 	s[op.Write] = op.Value.(map[string]json.RawMessage)
 }
 
-// doneTasks adds up what all records say, as every version does.
+// doneTasks returns the finished tasks of all records, by job. Every version reads the union of the
+// records.
 func (s pageStore) doneTasks(t *testing.T, chunkTasks int) map[string]map[int]bool {
 	done := map[string]map[int]bool{}
 	for _, m := range s {
@@ -50,63 +52,63 @@
 	return done
 }
 
-// previousVersionTerm is a term of the version in production, as far as finished tasks go: of two
-// records of one id it keeps the first and rewrites the other value without it; a chunk
-// is written whole, under its own id, into any value with room.
+// previousVersionTerm reproduces how the previous version stores finished tasks: of two records with
+// the same id it keeps the first and rewrites the other page without it, and it writes each chunk
+// whole, under the chunk's id, to any page with room.
 type previousVersionTerm struct {
 	store          pageStore
 	term, lastPage int
 	maxBytes       int
 	chunkTasks     int
-	keyByID        map[string]string // key by id
+	keyByID        map[string]string
 	bytesByKey     map[string]int
 	done           map[string]map[int]bool
 }
 
 func (s pageStore) startPreviousVersion(t *testing.T, term, chunkTasks, limit int) *previousVersionTerm {
-	e := &previousVersionTerm{store: s, term: term, maxBytes: limit, chunkTasks: chunkTasks, keyByID: map[string]string{}, bytesByKey: map[string]int{}, done: s.doneTasks(t, chunkTasks)}
+	p := &previousVersionTerm{store: s, term: term, maxBytes: limit, chunkTasks: chunkTasks, keyByID: map[string]string{}, bytesByKey: map[string]int{}, done: s.doneTasks(t, chunkTasks)}
 	for _, key := range s.keys() {
 		kept := map[string]json.RawMessage{}
 		for id, v := range s[key] {
-			if e.keyByID[id] == "" {
-				e.keyByID[id], kept[id] = key, v
-				e.bytesByKey[key] += len(id) + len(v) + 4
+			if p.keyByID[id] == "" {
+				p.keyByID[id], kept[id] = key, v
+				p.bytesByKey[key] += len(id) + len(v) + 4
 			}
 		}
 		if len(kept) < len(s[key]) {
 			s[key] = kept
 		}
 	}
-	return e
+	return p
 }
 
-func (e *previousVersionTerm) finishTask(job string, n, tasks int) {
-	if e.done[job] == nil {
-		e.done[job] = map[int]bool{}
+func (p *previousVersionTerm) finishTask(job string, n, tasks int) {
+	if p.done[job] == nil {
+		p.done[job] = map[int]bool{}
 	}
-	e.done[job][n] = true
-	c := n / e.chunkTasks
-	size := min(e.chunkTasks, tasks-c*e.chunkTasks)
-	raw, _ := json.Marshal(records.FormatRanges(func(i int) bool { return e.done[job][c*e.chunkTasks+i] }, size))
-	id := records.PartID(job, c, 0)
-	key := e.keyByID[id]
+	p.done[job][n] = true
+	chunk := n / p.chunkTasks
+	size := min(p.chunkTasks, tasks-chunk*p.chunkTasks)
+	raw, _ := json.Marshal(records.FormatRanges(func(i int) bool { return p.done[job][chunk*p.chunkTasks+i] }, size))
+	id := records.PartID(job, chunk, 0)
+	key := p.keyByID[id]
 	if key == "" {
-		need := records.ChunkBytes(size, e.chunkTasks) + len(id) + 4
-		for _, k := range e.store.keys() {
-			if e.bytesByKey[k]+need <= e.maxBytes {
+		need := records.ChunkBytes(size, p.chunkTasks) + len(id) + 4
+		for _, k := range p.store.keys() {
+			if p.bytesByKey[k]+need <= p.maxBytes {
 				key = k
 			}
 		}
 		if key == "" {
-			e.lastPage++
-			key = fmt.Sprintf("done/%d-%d", e.term, e.lastPage)
-			e.store[key] = map[string]json.RawMessage{}
+			p.lastPage++
+			key = fmt.Sprintf("done/%d-%d", p.term, p.lastPage)
+			p.store[key] = map[string]json.RawMessage{}
 		}
-		e.keyByID[id] = key
-		e.bytesByKey[key] += need
+		p.keyByID[id] = key
+		p.bytesByKey[key] += need
 	}
-	e.store[key] = maps.Clone(e.store[key])
-	e.store[key][id] = raw
+	p.store[key] = maps.Clone(p.store[key])
+	p.store[key][id] = raw
 }
 
 func settingsWithValueKB(valueKB, nextKB float64) Settings {
@@ -119,32 +121,31 @@
 	return SettingsOf(cfg)
 }
 
-// Terms of this version and of the one in production follow each other in any order, each killed
-// between any two changes of the store. Whatever was on record stays there, no page that this version
-// writes is too large, and large ones are emptied.
+// Guards against losing finished tasks at a failover between versions: terms of this and of the
+// previous version alternate at random, and each can fail between any two writes. Stored tasks must
+// stay stored, this version must write no page above the limit, and it must empty larger pages.
 func TestFinishedTasksSurviveFailoversBetweenVersions(t *testing.T) {
-	// How many pages of the earlier version a seed empties before its terms are killed depends on the
-	// order in which changes are gathered, which is not fixed. So further seeds are played, where the
-	// first ones have emptied too few to show that the emptying is tested.
+	// The number of pages of the previous version that a seed empties depends on the order of writes,
+	// which is not deterministic. More seeds run if the first ones emptied too few pages to test it.
 	const minSeeds, maxSeeds, minEmptied = 12, 48, 12
 	emptied := 0
 	for seed := uint64(0); seed < minSeeds || emptied < minEmptied && seed < maxSeeds; seed++ {
 		r := rand.New(rand.NewPCG(11, seed))
 		valueKB := []float64{4, 8, 16}[r.IntN(3)]
-		set := settingsWithValueKB(valueKB, []float64{1, 2}[r.IntN(2)])
+		settings := settingsWithValueKB(valueKB, []float64{1, 2}[r.IntN(2)])
 		nextKB := 1.0
-		if records.PartTasks(set.ChunkTasks, 2) == set.PartTasks {
+		if records.PartTasks(settings.ChunkTasks, 2) == settings.PartTasks {
 			nextKB = 2
 		}
 		tasks := map[string]int{"j-1": 9000, "j-2": 700, "j-3": 40, "j-4": 5000}
 		jobs := slices.Sorted(maps.Keys(tasks))
-		s := pageStore{}
-		written := map[string]bool{} // by this version
+		store := pageStore{}
+		written := map[string]bool{} // keys of pages written by this version
 		for term := range 14 {
-			before := s.doneTasks(t, set.ChunkTasks)
-			lost := func() {
+			before := store.doneTasks(t, settings.ChunkTasks)
+			checkNoneLost := func() {
 				t.Helper()
-				now := s.doneTasks(t, set.ChunkTasks)
+				now := store.doneTasks(t, settings.ChunkTasks)
 				for job, m := range before {
 					for n := range m {
 						if !now[job][n] {
@@ -154,47 +155,47 @@
 				}
 				before = now
 			}
-			ended := func(do func(job string, n int)) {
+			finishRandomTasks := func(finish func(job string, n int)) {
 				for range 1 + r.IntN(150) {
 					job := jobs[r.IntN(len(jobs))]
-					do(job, min(r.IntN(tasks[job]), r.IntN(tasks[job])))
+					finish(job, min(r.IntN(tasks[job]), r.IntN(tasks[job])))
 				}
 			}
 			if r.IntN(3) == 0 {
-				e := s.startPreviousVersion(t, term, set.ChunkTasks, int(valueKB*768))
-				lost()
-				ended(func(job string, n int) { e.finishTask(job, n, tasks[job]) })
-				lost()
+				previous := store.startPreviousVersion(t, term, settings.ChunkTasks, int(valueKB*768))
+				checkNoneLost()
+				finishRandomTasks(func(job string, n int) { previous.finishTask(job, n, tasks[job]) })
+				checkNoneLost()
 				continue
 			}
 			now := time.Unix(1000, 0)
-			c := New(set, uint64(term), now)
+			scheduler := New(settings, uint64(term), now)
 			for _, id := range jobs {
-				c.AddJob(records.Job{ID: id, Tasks: tasks[id], Shape: records.ShapeArray}, 1, now, now)
+				scheduler.AddJob(records.Job{ID: id, Tasks: tasks[id], Shape: records.ShapeArray}, 1, now, now)
 			}
 			n := 0
-			p := finishedtasks.New(set.finishedTaskLayout(), records.NewPagedRecords("done/", nextKB, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }), openJobs{c})
-			for _, key := range s.keys() {
-				p.Pages().Load(key, s[key], s.pageBytes(key))
-				for id, v := range s[key] {
+			tracker := finishedtasks.New(settings.finishedTaskLayout(), records.NewPagedRecords("done/", nextKB, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }), openJobs{scheduler})
+			for _, key := range store.keys() {
+				tracker.Pages().Load(key, store[key], store.pageBytes(key))
+				for id, v := range store[key] {
 					job, chunk, _ := records.ParsePartID(id)
 					var text string
 					_ = json.Unmarshal(v, &text)
-					if err := p.Load(id, openJob{c.jobs[job]}, chunk, text); err != nil {
+					if err := tracker.Load(id, openJob{scheduler.jobs[job]}, chunk, text); err != nil {
 						t.Fatal(err)
 					}
-					if err := c.LoadDone(job, chunk, text); err != nil {
+					if err := scheduler.LoadDone(job, chunk, text); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 		rounds:
 			for range 6 {
-				ended(func(job string, n int) { c.recordResult(c.jobs[job], n) })
-				p.WriteDirtyParts()
-				for len(p.Pages().DirtyPages()) > 0 {
-					b := p.Pages().DirtyPages()[0]
-					op, _, ids := p.Pages().PrepareWrite(b)
+				finishRandomTasks(func(job string, n int) { scheduler.recordResult(scheduler.jobs[job], n) })
+				tracker.WriteDirtyParts()
+				for len(tracker.Pages().DirtyPages()) > 0 {
+					page := tracker.Pages().DirtyPages()[0]
+					op, _, ids := tracker.Pages().PrepareWrite(page)
 					if op.Write != "" {
 						written[op.Write] = true
 						if size := records.EncodedSize(op.Value); float64(size) > nextKB*1024 {
@@ -204,16 +205,16 @@
 						emptied++
 					}
 					if r.IntN(60) == 0 {
-						break rounds // killed before the change
+						break rounds // the term fails before the write
 					}
-					s.apply(op)
-					lost()
+					store.apply(op)
+					checkNoneLost()
 					if r.IntN(60) == 0 {
-						break rounds // killed before its answer
+						break rounds // the term fails before the answer
 					}
-					p.OnStored(ids)(0)
+					tracker.OnStored(ids)(0)
 				}
-				for _, j := range c.jobs {
+				for _, j := range scheduler.jobs {
 					for i := range j.Tasks {
 						if hasBit(j.done, i) != hasBit(j.stored, i) {
 							t.Fatalf("seed %d: task %d of %s: done %v, stored %v", seed, i, j.ID, hasBit(j.done, i), hasBit(j.stored, i))
@@ -222,32 +223,32 @@
 				}
 			}
 		}
-		for _, key := range s.keys() {
-			if n := s.pageBytes(key); float64(n) > valueKB*1024 {
+		for _, key := range store.keys() {
+			if n := store.pageBytes(key); float64(n) > valueKB*1024 {
 				t.Errorf("seed %d: %s takes %d bytes", seed, key, n)
 			}
 		}
 	}
 	if emptied < minEmptied {
-		t.Errorf("only %d values of the earlier version were emptied, want %d", emptied, minEmptied)
+		t.Errorf("%d pages of the previous version were emptied, want at least %d", emptied, minEmptied)
 	}
 }
 
-// Without lower limits to come, records are what the version in production writes.
+// Without lower coming limits, this version must write the same records as the previous one.
 func TestFinishedTasksWithoutLowerLimitsAreWrittenInWholeChunks(t *testing.T) {
-	set := settingsWithValueKB(8, 0)
-	if n := set.finishedTaskLayout().PartsPerChunk(); n != 1 {
+	settings := settingsWithValueKB(8, 0)
+	if n := settings.finishedTaskLayout().PartsPerChunk(); n != 1 {
 		t.Fatalf("%d parts in a chunk, want 1", n)
 	}
 	now := time.Unix(1000, 0)
-	c := New(set, 3, now)
-	c.AddJob(records.Job{ID: "j-1", Tasks: 5000, Shape: records.ShapeArray}, 1, now, now)
-	p := finishedtasks.New(set.finishedTaskLayout(), records.NewPagedRecords("done/", 8, func() string { return "3-1" }), openJobs{c})
+	scheduler := New(settings, 3, now)
+	scheduler.AddJob(records.Job{ID: "j-1", Tasks: 5000, Shape: records.ShapeArray}, 1, now, now)
+	tracker := finishedtasks.New(settings.finishedTaskLayout(), records.NewPagedRecords("done/", 8, func() string { return "3-1" }), openJobs{scheduler})
 	for _, n := range []int{0, 1, 2, 7, 2048, 4999} {
-		c.recordResult(c.jobs["j-1"], n)
+		scheduler.recordResult(scheduler.jobs["j-1"], n)
 	}
-	p.WriteDirtyParts()
-	op, _, _ := p.Pages().PrepareWrite(p.Pages().DirtyPages()[0])
+	tracker.WriteDirtyParts()
+	op, _, _ := tracker.Pages().PrepareWrite(tracker.Pages().DirtyPages()[0])
 	raw, _ := json.Marshal(op.Value)
 	if want := `{"j-1/0":"0-2,7","j-1/1":"0","j-1/2":"903"}`; string(raw) != want || op.Write != "done/3-1" {
 		t.Errorf("%s %s, want %s", op.Write, raw, want)
--- a/internal/scheduler/scenario_events_test.go
+++ b/internal/scheduler/scenario_events_test.go
@@ -12,8 +12,8 @@
 	"drumpick/internal/records"
 )
 
-// schedulerEvents are the events of a scenario other than settings. Each returns the decisions that are
-// compared.
+// schedulerEvents are the events of a scenario other than settings. Each returns the decisions to be
+// compared with the scenario.
 var schedulerEvents = map[string]func(*replay, *Scheduler, eventInput) []string{
 	// Jobs.
 	"job": func(r *replay, s *Scheduler, in eventInput) []string {
@@ -142,7 +142,7 @@
 	"drains":     (*replay).listDrains,
 }
 
-// parseJob reads a job from an event's arguments.
+// parseJob parses a job from the arguments of an event.
 func (r *replay) parseJob(in eventInput) records.Job {
 	a := in.args
 	job := records.Job{
--- a/internal/scheduler/scenario_test.go
+++ b/internal/scheduler/scenario_test.go
@@ -13,8 +13,8 @@
 	"drumpick/internal/scenario"
 )
 
-// The scenarios of testdata are replayed to a Scheduler of term 5 (unless "term" says otherwise) with
-// heartbeats every 2 s, a lease of 12 s and zones a and b.
+// Replays the scenarios in testdata on a Scheduler of term 5 (unless "term" sets another one) with a
+// heartbeat interval of 2 s, a lease of 12 s, and the zones a and b.
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		return newReplay(t).runEvent
@@ -27,11 +27,11 @@
 	start     time.Time
 	now       time.Time
 	term      uint64
-	scheduler *Scheduler // from the first event on that is no setting
+	scheduler *Scheduler // created at the first event that is not a setting
 
 	sequences map[string]uint64                   // last sequence number of each machine
 	requests  map[string]autoscaler.RentalRequest // scale-out requests by name
-	probes    map[string]fleet.Probe              // the machines probed last
+	probes    map[string]fleet.Probe              // machines of the last probe event
 
 	// Settings.
 	teams      []config.Team
@@ -51,7 +51,7 @@
 	}
 }
 
-// ensureScheduler returns the scheduler, which begins with the first event that is no setting.
+// ensureScheduler returns the scheduler, and creates it at the first event that is not a setting.
 func (r *replay) ensureScheduler() *Scheduler {
 	if r.scheduler != nil {
 		return r.scheduler
@@ -72,8 +72,8 @@
 	return r.scheduler
 }
 
-// runEvent replays one line, "at SECONDS EVENT ...", with seconds from the scenario's start, and returns
-// the decisions.
+// runEvent replays one line, "at SECONDS EVENT ...", with seconds since the start of the scenario, and
+// returns the decisions.
 func (r *replay) runEvent(words []string) []string {
 	r.t.Helper()
 	if words[0] != "at" || len(words) < 3 {
@@ -93,7 +93,7 @@
 	return handle(r, r.ensureScheduler(), in)
 }
 
-// eventInput is what follows an event's name: words, of which those like "key=value" are arguments too.
+// eventInput holds the words after an event's name; words like "key=value" are arguments as well.
 type eventInput struct {
 	words []string
 	args  map[string]string
@@ -108,10 +108,10 @@
 	return m
 }
 
-func (r *replay) parseNumber(text string, otherwise float64) float64 {
+func (r *replay) parseNumber(text string, fallback float64) float64 {
 	r.t.Helper()
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -120,21 +120,21 @@
 	return f
 }
 
-func textOrDefault(text, otherwise string) string {
+func textOrDefault(text, fallback string) string {
 	if text == "" {
-		return otherwise
+		return fallback
 	}
 	return text
 }
 
-func linesOrDefault(lines []string, otherwise string) []string {
+func linesOrDefault(lines []string, fallback string) []string {
 	if len(lines) == 0 {
-		return []string{otherwise}
+		return []string{fallback}
 	}
 	return lines
 }
 
-// settingEvents are the events that set up the scheduler, before any other.
+// settingEvents are the events that configure the scheduler. They must precede all others.
 var settingEvents = map[string]func(*replay, eventInput){
 	"term":        func(r *replay, in eventInput) { r.term = uint64(r.parseNumber(in.words[0], 0)) },
 	"watermarks":  func(r *replay, _ eventInput) { r.watermarks = true },
--- a/internal/scheduler/scenario_workers_test.go
+++ b/internal/scheduler/scenario_workers_test.go
@@ -9,8 +9,8 @@
 )
 
 // sendHeartbeat replays a machine's heartbeat and returns the commands of the answer:
-// "heartbeat m-1 incarnation=1 j-1/0:ATTEMPT=running ...". A machine is scaled out before it is heard,
-// unless the scenario says that it is unknown.
+// "heartbeat m-1 incarnation=1 j-1/0:ATTEMPT=running ...". The machine is added to the fleet first,
+// unless the event has the argument "unknown".
 func (r *replay) sendHeartbeat(s *Scheduler, in eventInput) []string {
 	h := r.parseHeartbeat(in)
 	if _, returned := s.autoscaling.returnedAt[h.Machine]; !returned && in.args["unknown"] == "" {
@@ -19,7 +19,7 @@
 	return r.answerHeartbeat(s, h, in.args["run"] != "no")
 }
 
-// sendLateHeartbeat replays a heartbeat that arrives late, maybe of a machine that is not known.
+// sendLateHeartbeat replays a heartbeat that arrives late. Its machine may be unknown.
 func (r *replay) sendLateHeartbeat(s *Scheduler, in eventInput) []string {
 	return r.answerHeartbeat(s, r.parseHeartbeat(in), in.args["run"] != "no")
 }
@@ -56,7 +56,8 @@
 	return r.takeUrgentCommands()
 }
 
-// parseHeartbeat reads a heartbeat or a status. Sequence numbers rise by themselves unless given.
+// parseHeartbeat parses a heartbeat or a status. The sequence number defaults to the next one of the
+// machine.
 func (r *replay) parseHeartbeat(in eventInput) *fleet.Heartbeat {
 	name, a := in.words[0], in.args
 	h := &fleet.Heartbeat{
@@ -88,7 +89,7 @@
 	return h
 }
 
-// parseAttemptNumber reads "5.2": the second attempt number of term 5.
+// parseAttemptNumber parses an attempt number such as "5.2", the second of term 5.
 func (r *replay) parseAttemptNumber(text string) uint64 {
 	term, n, _ := strings.Cut(text, ".")
 	return uint64(r.parseNumber(term, 0))<<24 | uint64(r.parseNumber(n, 0))
@@ -106,7 +107,7 @@
 	return linesOrDefault(lines, "no orders")
 }
 
-// takeUrgentCommands takes the commands that are to be sent at once.
+// takeUrgentCommands returns the commands to be sent at once, and clears them.
 func (r *replay) takeUrgentCommands() []string {
 	var lines, names []string
 	for name := range r.scheduler.urgentMachines {
