--- a/internal/forecast/fusd.go
+++ b/internal/forecast/fusd.go
@@ -1,6 +1,7 @@
-// Package forecast predicts the use of a machine with FUSD, the fast-up,
-// slow-down average of section 2 of the paper that the scheduler follows: the forecast E(t) follows the
-// observed use O(t) at once when it rises, and slowly when it falls. It is pure: no clock, no I/O.
+// Package forecast predicts the utilization of a machine with FUSD, the fast-up, slow-down moving
+// average of section 2 of the paper that the scheduler implements: the forecast E(t) follows the
+// observed utilization O(t) at once when it rises, and slowly when it falls. The package does no I/O
+// and reads no clock.
 package forecast
 
 import (
@@ -8,12 +9,12 @@
 	"slices"
 )
 
-// Params are the parameters that the paper leaves open.
+// Params are the parameters that the paper does not fix.
 type Params struct {
-	Up         float64 // weight of the earlier forecast (alpha) while use rises; negative: it overshoots
-	Down       float64 // the same while use falls
-	Window     int     // how many observations are kept; at least 1
-	Percentile float64 // of the window that is taken as O(t), 0 to 100
+	Up         float64 // alpha, the weight of the previous forecast, while use rises; negative: overshoots
+	Down       float64 // alpha while use falls
+	Window     int     // number of observations kept; at least 1
+	Percentile float64 // percentile of the window that serves as O(t), 0 to 100
 }
 
 // FUSD is the forecast of one machine.
@@ -21,13 +22,13 @@
 	params   Params
 	window   []float64 // the last observations, oldest first
 	estimate float64   // E(t)
-	started  bool      // there has been an observation
+	started  bool      // at least one observation has been made
 }
 
-// New returns a forecast that has observed nothing.
+// New returns a forecast without observations.
 func New(params Params) *FUSD { return &FUSD{params: params} }
 
-// Observe notes a machine's use, as a share of its capacity, and returns E(t).
+// Observe records the machine's use, as a share of its capacity, and returns E(t).
 func (f *FUSD) Observe(use float64) float64 {
 	if len(f.window) == max(f.params.Window, 1) {
 		copy(f.window, f.window[1:])
@@ -47,12 +48,12 @@
 	return f.estimate
 }
 
-// Predicted is the forecast, bounded by what is reserved: tasks cannot use more
-// than they requested, so FUSD's overshoot on a rise must not call a machine
-// hot that is merely full.
+// Predicted returns the forecast, capped at the reserved share: tasks cannot use more than they
+// requested, so FUSD's overshoot on a rise must not mark a machine as hot that is merely full.
 func (f *FUSD) Predicted(reserved float64) float64 { return math.Min(f.estimate, reserved) }
 
-// percentile returns the smallest value of a window that at least p percent of its values do not exceed.
+// percentile returns the smallest value of the window that at least p percent of its values do not
+// exceed.
 func percentile(window []float64, p float64) float64 {
 	sorted := slices.Clone(window)
 	slices.Sort(sorted)
--- a/internal/forecast/fusd_test.go
+++ b/internal/forecast/fusd_test.go
@@ -8,7 +8,8 @@
 	"drumpick/internal/scenario"
 )
 
-// A scenario sets "params UP DOWN WINDOW PERCENTILE", then observes "use X" and asks "reserved X".
+// Commands of a scenario: "params UP DOWN WINDOW PERCENTILE" creates a forecast, "use X" records an
+// observation, "reserved X" prints the prediction with a share X reserved.
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		var f *FUSD
--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -1,64 +1,63 @@
-// Package overload detects how far a leader falls behind, and decides what it sheds. A
-// leader that has more heartbeats to process than its share of a processor allows answers
-// late; workers then retry elsewhere, leases expire, lost work starts again, and all of that is
-// more to process: it does not recover by itself. What it can shed at once are task starts: a
-// task costs the leader most when it starts and when it ends, and an idle machine costs next
-// to nothing.
+// Package overload measures how late a leader runs and decides how much load it sheds. A leader
+// that receives more heartbeats than it has CPU time for responds late. Workers then retry at other
+// controllers, leases expire and lost work starts again, which adds load: without shedding the
+// leader does not recover. Task starts are the load that it can shed at once, as a task costs the
+// leader most when it starts and when it ends, and an idle machine costs almost nothing.
 //
-// The package is pure: no I/O, no clock.
+// The package does no I/O and reads no clock.
 package overload
 
 import "time"
 
-// Level is how much load a leader sheds. Leases, ends of tasks and cancellations are never shed.
+// Level is how much load a leader sheds. Lease renewals, task ends and cancellations are never shed.
 type Level uint8
 
 // Levels of overload, from least to most.
 const (
 	Normal     Level = iota // nothing is shed
-	Degraded                // starts of work that is not urgent, and planning at each heartbeat
-	Overloaded              // all task starts
+	Degraded                // sheds starts of non-urgent tasks and placement at each heartbeat
+	Overloaded              // sheds all task starts
 )
 
-// levelNames are what operators see.
+// levelNames are the names shown to operators.
 var levelNames = [...]string{"easy", "behind", "drowning"}
 
-// String returns the level as operators see it.
+// String returns the name shown to operators.
 func (l Level) String() string { return levelNames[l] }
 
-// Detector follows how late a leader is: how late its periodic timer fires.
+// Detector derives the overload level from how late the leader's periodic timer fires.
 type Detector struct {
 	heartbeatInterval time.Duration
-	observeInterval   time.Duration // between two observations when the timer is on time
+	observeInterval   time.Duration // between two observations when the timer fires on time
 
-	lag   time.Duration // the worst lateness, which decays with each observation
+	lag   time.Duration // peak timer delay, decaying with each observation
 	level Level
 
-	maxMachines int       // how many machines the leader can serve, by what was seen; 0: not known
-	stableSince time.Time // since when nothing was shed, or when maxMachines last grew
+	maxMachines int       // estimate of how many machines the leader can serve; 0: unknown
+	stableSince time.Time // last time that load was shed; advances with each increase of maxMachines
 }
 
-// New returns a detector for workers that send a heartbeat every heartbeatInterval, and that is
-// called every observeInterval.
+// New returns a detector for workers that send a heartbeat every heartbeatInterval. The caller
+// calls Observe every observeInterval.
 func New(heartbeatInterval, observeInterval time.Duration) *Detector {
 	return &Detector{heartbeatInterval: heartbeatInterval, observeInterval: observeInterval}
 }
 
 const (
-	// degradedDivisor and overloadedDivisor are by which part of a heartbeat interval, one in so
-	// many, the timer has to be late for the level. Workers wait for a response for most of one.
+	// degradedDivisor and overloadedDivisor set the lag at which a level begins: the heartbeat
+	// interval divided by the divisor. Workers wait for a response for most of that interval.
 	degradedDivisor   = 8
 	overloadedDivisor = 3
-	// lagDecay is the share of the worst lateness that is left at the next observation.
+	// lagDecay is the share of the peak lag that remains at the next observation.
 	lagDecay = 1.0 / 2
-	// stableIntervals is for how many heartbeat intervals the level has to be normal before more
-	// machines than were served then are tried, and growthShare by how many at a time.
+	// stableIntervals is how many heartbeat intervals the level has to stay Normal before maxMachines
+	// grows, and growthShare the relative size of one increase.
 	stableIntervals = 4
 	growthShare     = 1.0 / 32
 )
 
-// Observe notes that it is called gap after the last time, with upMachines machines up. It
-// reports whether the level has changed.
+// Observe records one firing of the timer, gap after the previous one, while upMachines machines
+// are up. It reports whether the level changed.
 func (d *Detector) Observe(gap time.Duration, upMachines int, now time.Time) bool {
 	before := d.level
 	d.updateLevel(gap)
@@ -66,8 +65,8 @@
 	return d.level != before
 }
 
-// updateLevel sets the level by the lateness. Between the bounds of two levels it stays as it is, so
-// that it does not change back and forth.
+// updateLevel sets the level from the lag. Returning to Normal takes a lower lag than leaving it, so
+// that the level does not oscillate.
 func (d *Detector) updateLevel(gap time.Duration) {
 	d.lag = max(gap-d.observeInterval, time.Duration(float64(d.lag)*lagDecay))
 	switch {
@@ -80,8 +79,8 @@
 	}
 }
 
-// updateMaxMachines lowers the limit of machines to those that were too many, and raises it again step
-// by step while nothing is shed.
+// updateMaxMachines lowers the machine limit to the number that caused the overload, and raises it
+// step by step while nothing is shed.
 func (d *Detector) updateMaxMachines(upMachines int, now time.Time) {
 	switch {
 	case d.level > Normal:
@@ -93,18 +92,19 @@
 		d.maxMachines += int(float64(d.maxMachines)*growthShare) + 1
 		d.stableSince = d.stableSince.Add(d.heartbeatInterval)
 		if d.maxMachines > 2*upMachines {
-			d.maxMachines = 0 // far fewer are up than the limit allows: it is outdated
+			d.maxMachines = 0 // the limit is outdated: far fewer machines are up
 		}
 	}
 }
 
-// Level returns the present level.
+// Level returns the current level.
 func (d *Detector) Level() Level { return d.level }
 
-// Lag is how late the timer has been lately.
+// Lag returns the decaying peak of the timer delay.
 func (d *Detector) Lag() time.Duration { return d.lag }
 
-// ScaleOutHeadroom returns how many more machines, of wanted, a leader that has so many should request.
+// ScaleOutHeadroom returns how many of the wanted machines a leader that already has machines may
+// request.
 func (d *Detector) ScaleOutHeadroom(machines, wanted int) int {
 	if d.level > Normal {
 		return 0
--- a/internal/zonehealth/monitor.go
+++ b/internal/zonehealth/monitor.go
@@ -1,10 +1,10 @@
-// Package zonehealth detects outages of whole zones: nearly all machines of a zone are
-// silent while those of the other zones are heard. A single silent machine most likely
-// died, and it is returned at once, which proves that its tasks are gone. A silent zone
-// is most likely cut off from the network for a while: its machines work on under their
-// leases, and machines requested in their place in the same zone would be as silent as they are.
+// Package zonehealth detects outages of whole zones: nearly all machines of one zone stop sending
+// heartbeats while machines of other zones still do. A single silent machine has most likely failed
+// and is returned at once, which proves that its tasks are gone. A silent zone is most likely
+// partitioned for a while: its machines keep running tasks under their leases, and replacements in
+// the same zone would be unreachable as well.
 //
-// The package is pure: no I/O, no clock.
+// The package does no I/O and reads no clock.
 package zonehealth
 
 import (
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// Count is what is known of a zone's machines that have been up.
+// Count counts the machines of a zone that are up or were up.
 type Count struct {
-	Machines int // how many there are
-	Silent   int // how many of these are silent
+	Machines int // all of them
+	Silent   int // those without a heartbeat for SilentAfterIntervals
 }
 
-// heard is how many machines are not silent.
+// heard returns the number of machines that are not silent.
 func (c Count) heard() int { return c.Machines - c.Silent }
 
-// Monitor follows the zones during a term. Its owner holds the lock.
+// Monitor tracks the zones during a term. It is not safe for concurrent use; its owner locks.
 type Monitor struct {
 	lease time.Duration
 	zones map[string]*zone
@@ -30,36 +30,38 @@
 // zone is the state of one zone.
 type zone struct {
 	suspected   bool      // an outage is suspected
-	suspectedAt time.Time // when it was first suspected
-	recoveredAt time.Time // when the last outage was over; zero: there was none, or one is suspected
+	suspectedAt time.Time // when the outage was first suspected
+	recoveredAt time.Time // end of the last outage; zero: none so far, or one is suspected now
 }
 
-// New returns a monitor of zones whose workers have leases of the given length.
+// New returns a monitor. lease is the length of the workers' leases.
 func New(lease time.Duration) *Monitor { return &Monitor{lease: lease, zones: map[string]*zone{}} }
 
 const (
-	// minMachines is how many machines a zone, and all others together, need for a judgement.
+	// minMachines is the number of machines that a zone, and all other zones together, need for a
+	// decision.
 	minMachines = 3
-	// suspectSilentShare of a zone's machines have to be silent for an outage to be suspected, and at
-	// most maxOthersSilentShare of those of all other zones: else the fault is more likely on our side.
+	// An outage is suspected if at least suspectSilentShare of a zone's machines are silent, and at
+	// most maxOthersSilentShare of all others: else the fault is more likely on the leader's side.
 	suspectSilentShare   = 3.0 / 4
 	maxOthersSilentShare = 1.0 / 4
-	// recoveredHeardShare of its machines have to be heard for the outage to be over.
+	// The outage is over when at least recoveredHeardShare of the zone's machines are heard.
 	recoveredHeardShare = 1.0 / 2
-	// recoveryGraceLeases is how long the last of its machines are given to come back after that.
+	// recoveryGraceLeases is how long, in leases, the remaining machines have to recover after that.
 	recoveryGraceLeases = 1.0 / 2
-	// maxOutageLeases is for how long a zone is believed to be merely cut off.
+	// maxOutageLeases is how long, in leases, an outage stays suspected: a longer one is not taken for
+	// a mere partition.
 	maxOutageLeases = 6
 )
 
-// SilentAfterIntervals is after how many heartbeat intervals without a heartbeat a machine counts as
-// silent here: one may be lost or late. It is less than what any decision on a single machine
-// waits for. Otherwise the machines of a zone that is cut off would be returned one by one, each
-// being one of a few silent ones, as their last heartbeats were not at the same moment.
+// SilentAfterIntervals is the number of heartbeat intervals without a heartbeat after which a machine
+// counts as silent here; one may be lost or late. It is shorter than the wait before any decision
+// about a single machine. Otherwise the machines of a partitioned zone would be returned one by one:
+// their last heartbeats arrive at different times, so each would be one of only a few silent ones.
 const SilentAfterIntervals = 1.5
 
-// Observe updates the state of all zones. It returns the zones in which an outage is suspected
-// from now on, and those in which it is over, both by name.
+// Observe updates the state of all zones. It returns the zones in which an outage is newly suspected
+// and those that have recovered, each sorted by name.
 func (m *Monitor) Observe(counts map[string]Count, now time.Time) (suspected, recovered []string) {
 	total := Count{}
 	for _, c := range counts {
@@ -84,7 +86,7 @@
 			recovered = append(recovered, name)
 		}
 	}
-	// Nothing can be observed of a zone without machines, until one is requested there.
+	// A zone without machines is not in counts; its suspicion ends by time alone.
 	for name, z := range m.zones {
 		if _, ok := counts[name]; !ok && z.suspected && m.suspectedTooLong(z, now) {
 			*z = zone{recoveredAt: now}
@@ -96,32 +98,32 @@
 	return suspected, recovered
 }
 
-// outageLikely reports whether nearly all machines of a zone are silent while those of the others
-// are heard.
+// outageLikely reports whether nearly all machines of a zone are silent while most of the others are
+// heard.
 func outageLikely(c, others Count) bool {
 	return c.Machines >= minMachines && others.Machines >= minMachines &&
 		float64(c.Silent) >= suspectSilentShare*float64(c.Machines) &&
 		float64(others.Silent) <= maxOthersSilentShare*float64(others.Machines)
 }
 
-// hasRecovered reports whether enough machines of a zone are heard for its outage to be over.
+// hasRecovered reports whether enough machines of a zone are heard to end its outage.
 func hasRecovered(c Count) bool {
 	return c.Machines > 0 && float64(c.heard()) >= recoveredHeardShare*float64(c.Machines)
 }
 
-// suspectedTooLong reports whether an outage lasts longer than a zone is believed to be merely cut off.
+// suspectedTooLong reports whether an outage has been suspected for more than maxOutageLeases.
 func (m *Monitor) suspectedTooLong(z *zone, now time.Time) bool {
 	return now.Sub(z.suspectedAt) > maxOutageLeases*m.lease
 }
 
-// Suspected reports whether an outage of a zone is suspected.
+// Suspected reports whether an outage of the named zone is suspected.
 func (m *Monitor) Suspected(name string) bool {
 	z := m.zones[name]
 	return z != nil && z.suspected
 }
 
-// AnySuspected reports whether an outage of any zone is suspected. As long as one is, machines elsewhere
-// may be silent because of it: the route of a worker's heartbeats can lead through that zone.
+// AnySuspected reports whether an outage of any zone is suspected. During one, machines of other zones
+// may be silent as well: their heartbeats can be routed through the affected zone.
 func (m *Monitor) AnySuspected() bool {
 	for _, z := range m.zones {
 		if z.suspected {
@@ -131,21 +133,20 @@
 	return false
 }
 
-// KeepWaiting reports whether to keep waiting for a machine that has been silent for so long that its
-// tasks are gone: its zone has a suspected outage, or had one a moment ago. replace is how long a
-// replacement takes to do its work, and elsewhere whether there is room for one in a zone where it
-// would be heard.
+// KeepWaiting reports whether to keep waiting for a machine whose lease has expired, as its zone has
+// a suspected outage or recovered a moment ago. silent is how long the machine has been silent,
+// replacementTime how long a replacement takes to become useful, and replaceable whether a zone
+// without a suspected outage can provide one.
 //
-// Waiting as long as the replacement takes costs at most twice what either choice costs at
-// best, however long the outage lasts; where no replacement is possible, waiting costs nothing but
-// money.
-func (m *Monitor) KeepWaiting(name string, silent, replace time.Duration, elsewhere bool, now time.Time) bool {
+// Waiting for as long as a replacement takes costs at most twice as much as the better of both
+// choices, however long the outage lasts. Where no replacement is possible, waiting costs only money.
+func (m *Monitor) KeepWaiting(name string, silent, replacementTime time.Duration, replaceable bool, now time.Time) bool {
 	z := m.zones[name]
 	switch {
 	case z == nil:
 		return false
 	case z.suspected:
-		return !elsewhere || silent <= m.lease+replace
+		return !replaceable || silent <= m.lease+replacementTime
 	}
 	return !z.recoveredAt.IsZero() && now.Sub(z.recoveredAt) <= time.Duration(recoveryGraceLeases*float64(m.lease))
 }
--- a/internal/zonehealth/monitor_test.go
+++ b/internal/zonehealth/monitor_test.go
@@ -11,14 +11,15 @@
 
 const lease = 24 * time.Second
 
-// Whatever is silent: an outage of a zone is suspected only while the others are heard, or until the
-// zone is heard again; it is suspected at once where all is clear, and not for longer than maxOutageLeases.
+// For random counts of silent machines: suspicion of an outage begins only while the other zones are
+// heard and ends when the zone is heard again, or after maxOutageLeases. A zone that is wholly silent
+// while the others are heard is suspected at once.
 func TestOutageSuspectedOnlyWhileOthersAreHeard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, now := New(lease), time.Unix(1_000_000, 0)
 		zones := []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "zones")]
 		since := map[string]time.Time{}
-		for range rapid.IntRange(1, 40).Draw(t, "looks") {
+		for range rapid.IntRange(1, 40).Draw(t, "observations") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 8).Draw(t, "seconds")) * time.Second)
 			counts := drawCounts(t, zones)
 			suspected, recovered := m.Observe(counts, now)
@@ -27,24 +28,24 @@
 				othersHeard := c.Machines >= minMachines && others.Machines >= minMachines && 4*others.Silent <= others.Machines
 				switch newly := slices.Contains(suspected, zone); {
 				case newly && (len(zones) == 1 || !othersHeard || c.Silent < c.Machines):
-					t.Fatalf("an outage of %s is suspected with %+v", zone, counts)
+					t.Fatalf("outage of %s suspected with counts %+v", zone, counts)
 				case newly:
 					since[zone] = now
 				case othersHeard && c.Silent == c.Machines && !m.Suspected(zone) && !slices.Contains(recovered, zone):
-					t.Fatalf("no outage of %s is suspected with %+v", zone, counts)
+					t.Fatalf("outage of %s not suspected with counts %+v", zone, counts)
 				}
 				if m.Suspected(zone) && c.Machines > 0 && 2*c.Silent <= c.Machines {
-					t.Fatalf("an outage of %s is suspected though half of it is heard: %+v", zone, counts)
+					t.Fatalf("outage of %s still suspected though half of its machines are heard: %+v", zone, counts)
 				}
 				if m.Suspected(zone) && now.Sub(since[zone]) > maxOutageLeases*lease {
-					t.Fatalf("an outage of %s has been suspected for %v", zone, now.Sub(since[zone]))
+					t.Fatalf("outage of %s still suspected after %v", zone, now.Sub(since[zone]))
 				}
 			}
 		}
 	})
 }
 
-// drawCounts draws counts of machines; a zone for which 0 is drawn has none.
+// drawCounts draws counts of machines; a zone for which 0 is drawn has no entry.
 func drawCounts(t *rapid.T, zones []string) map[string]Count {
 	counts := map[string]Count{}
 	for _, zone := range zones {
@@ -56,7 +57,7 @@
 	return counts
 }
 
-// countOthers adds up the counts of all zones but one.
+// countOthers returns the sum of the counts of all zones but one.
 func countOthers(counts map[string]Count, but string) Count {
 	sum := Count{}
 	for zone, c := range counts {
@@ -68,9 +69,9 @@
 	return sum
 }
 
-// A machine of a zone with a suspected outage is waited for as long as a replacement would take to
-// come up, and longer where none is possible; one of a zone without, or whose outage was over
-// more than half a lease ago, is not.
+// A silent machine in a zone with a suspected outage is waited for as long as a replacement would take
+// to start, and longer if no replacement is possible. One in a zone without an outage, or in a zone
+// that recovered more than half a lease ago, is not waited for.
 func TestKeepWaiting(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	m := New(lease)
@@ -97,6 +98,6 @@
 		"d 30 true", "d 30 false", "d 44 true", "d 44 false", "d 45 true", "d 45 false", "d 100 true", "d 100 false",
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("waited for (zone, seconds silent, room elsewhere): %q, want %q", got, want)
+		t.Errorf("machines waited for (zone, seconds silent, replaceable): %q, want %q", got, want)
 	}
 }
