--- a/internal/autoscaler/golden_test.go
+++ b/internal/autoscaler/golden_test.go
@@ -6,7 +6,7 @@
 	"drumpick/internal/goldentest"
 )
 
-// Requests to the cloud and its list of machines keep their forms.
+// Requests to the cloud and its machine list keep their JSON encoding.
 func TestGolden(t *testing.T) {
 	goldentest.Run(t, "golden-rentals.json", goldentest.JSON, []goldentest.Case{
 		{Name: "request", Direction: goldentest.Written, Value: RentalRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 3}},
--- a/internal/autoscaler/offer.go
+++ b/internal/autoscaler/offer.go
@@ -8,15 +8,14 @@
 	"drumpick/internal/records"
 )
 
-// Offer is a kind of machine that the cloud rents out: a machine type in a zone, as a spot
-// instance or on demand.
+// Offer is a kind of machine that the cloud rents out: a machine type in a zone, spot or on demand.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// before orders the offers of a plan: spot instances first, as on-demand machines are rented only
-// for the work that these leave.
+// before reports whether an offer precedes another in a plan. Spot machines come first, as on-demand
+// machines are rented only for the work that spot machines leave.
 func (o Offer) before(other Offer) bool {
 	if o.Spot != other.Spot {
 		return o.Spot
@@ -24,13 +23,13 @@
 	return fmt.Sprint(o) < fmt.Sprint(other)
 }
 
-// Catalog is the machine types that the cloud offers.
+// Catalog lists the machine types that the cloud offers.
 type Catalog struct {
 	Types map[string]records.MachineType
-	Names []string // in the order in which types are tried, the cheapest first
+	Names []string // the order in which types are tried, cheapest first
 }
 
-// Capacity is what a machine of a type holds; nothing for an unknown type.
+// Capacity returns the resources of a machine of a type; zero for an unknown type.
 func (c Catalog) Capacity(name string) packing.Resources {
 	t := c.Types[name]
 	return capacityOf(&t)
@@ -40,7 +39,7 @@
 	return packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB}
 }
 
-// StartupTime is how long a machine of a type takes to start.
+// StartupTime returns how long a machine of a type takes to start.
 func (c Catalog) StartupTime(name string) time.Duration {
 	return time.Duration(c.Types[name].StartupS * float64(time.Second))
 }
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -8,30 +8,28 @@
 	"drumpick/internal/packing"
 )
 
-// maxNewMachines bounds the work of one plan, in machines. It does not bound the fleet: what a plan
-// leaves out is planned by the next one, a quarter of a heartbeat interval later, beside what was
-// requested by then. It lies above the largest fleet that one leader was seen to carry, so that a
-// fleet for all waiting work is planned at once and no type or zone waits for another.
+// maxNewMachines bounds the computation of one plan, in machines. It does not bound the fleet: the
+// next plan, a quarter of a heartbeat interval later, adds what this one leaves out. It exceeds the
+// largest fleet that one leader has served, so that machines for all waiting work are planned at once
+// and no type or zone waits for another.
 const maxNewMachines = 200 * MaxRentCount
 
-// How long, in startup times, the machines at hand may take for all the work before others are
-// rented. Where spot instances of the type exist, on-demand machines are worth it only for longer
-// work.
+// Planning horizons: how long, in startup times, the existing machines may take for all the work before
+// more are rented. Where the type is cheaper as spot, on-demand machines pay off only for longer work.
 const (
 	spotHorizonStartups     = 1.0
 	onDemandHorizonStartups = 4.0
 )
 
-// Planner decides which machines to rent. It keeps the requests that have no answer yet, and the
-// offers of which the cloud had none left. It is plain data without clock or I/O; its owner passes
-// the time in and serializes the calls.
+// Planner decides which machines to rent. It tracks the requests in flight and the offers for which
+// the cloud had no capacity. It does no I/O and reads no clock. It is not safe for concurrent use.
 type Planner struct {
-	backoffStartups float64 // how long, in startup times, a refused offer is not requested again
+	backoffStartups float64 // backoff of a refused offer, in startup times
 	refusedUntil    map[Offer]time.Time
 	inFlight        map[string]RentalRequest // by name
 }
 
-// NewPlanner returns a planner that asks for a refused offer again after that many startup times.
+// NewPlanner returns a planner that retries a refused offer after backoffStartups startup times.
 func NewPlanner(backoffStartups float64) *Planner {
 	return &Planner{
 		backoffStartups: backoffStartups,
@@ -40,25 +38,25 @@
 	}
 }
 
-// Track notes that a request is on its way to the cloud.
+// Track records that a request is in flight.
 func (p *Planner) Track(r RentalRequest) { p.inFlight[r.Name] = r }
 
-// Untrack notes that a request has its answer, or is given up.
+// Untrack records that a request has been answered or abandoned.
 func (p *Planner) Untrack(r RentalRequest) { delete(p.inFlight, r.Name) }
 
-// BackOff keeps the offer of a request from being requested for a while.
+// BackOff starts the backoff of the request's offer; startup is the startup time of its machine type.
 func (p *Planner) BackOff(r RentalRequest, startup time.Duration, now time.Time) {
 	p.refusedUntil[r.Offer()] = now.Add(time.Duration(float64(startup) * p.backoffStartups))
 }
 
-// RefusedUntil is until when an offer is not requested; zero if it was never refused.
+// RefusedUntil returns the end of an offer's backoff; zero if the offer was never refused.
 func (p *Planner) RefusedUntil(o Offer) time.Time { return p.refusedUntil[o] }
 
-// Constraints are a job's own constraints on machines.
+// Constraints are a job's constraints on machines.
 type Constraints interface {
 	// Permits reports whether the job may use machines of an offer.
 	Permits(o Offer) bool
-	// PermitsZone reports whether the job may use a zone beside those where its other tasks stay.
+	// PermitsZone reports whether the job may use a zone, given the zones where its other tasks stay.
 	PermitsZone(zone string) bool
 }
 
@@ -67,113 +65,113 @@
 	Job          string
 	Tasks        int
 	Request      packing.Resources // of one task
-	TaskSeconds  float64           // the estimated run time of one task
-	Elastic      bool              // the tasks need not run at the same time: fewer machines take longer
-	Urgent       bool              // machines are rented however little work there is
+	TaskSeconds  float64           // estimated run time of one task
+	Elastic      bool              // tasks need not run concurrently: fewer machines just take longer
+	Urgent       bool              // machines are rented regardless of the amount of work
 	WaitingSince time.Time
 	Constraints  Constraints
 }
 
-// Machine is a machine of the fleet as a plan sees it.
+// Machine is a machine of the fleet as an input to a plan.
 type Machine struct {
 	Offer     Offer
-	InService bool              // takes tasks, now or when it has started
-	Vacant    bool              // its whole capacity is still to be filled, as it is starting or empty
-	Capacity  packing.Resources // as placement knows it
+	InService bool              // accepts tasks, now or once it has started
+	Vacant    bool              // starting or empty: its whole capacity is free
+	Capacity  packing.Resources // as used by placement
 }
 
-// PlanInput is what a plan is made from.
+// PlanInput is the input of one plan.
 type PlanInput struct {
 	Now         time.Time
 	Catalog     Catalog
 	Fleet       []Machine
 	Demand      []Demand           // in the order in which jobs are served
-	RunningWork map[string]float64 // what running tasks still need, in machine seconds by type
-	// ScaleOutBlocked reports whether machines of a type are not to be rented in a zone.
+	RunningWork map[string]float64 // remaining work of running tasks, in machine seconds by type
+	// ScaleOutBlocked reports whether no machines of a type may be rented in a zone.
 	ScaleOutBlocked func(machineType, zone string) bool
-	// OutageSuspected reports whether a zone is probably cut off.
+	// OutageSuspected reports whether a zone outage is suspected.
 	OutageSuspected func(zone string) bool
-	// Headroom is how many of n more machines a leader that has so many can carry.
-	Headroom func(have, n int) int
+	// Headroom returns how many of the wanted machines the leader can serve beside existing ones.
+	Headroom func(existing, wanted int) int
 }
 
-// plan is the state of one plan.
+// plan is the working state of one call of Planner.Plan.
 type plan struct {
 	PlanInput
 	planner         *Planner
 	spaces          map[string]*packing.Space // by type: vacant, requested and new machines with room
 	machinesInZone  map[string]int
 	newMachines     map[Offer]int
-	minNewMachines  map[Offer]int      // of these, those that do not depend on how much work there is
-	machineSeconds  map[string]float64 // of waiting work, by type
+	minNewMachines  map[Offer]int      // part of newMachines that is rented regardless of the work
+	machineSeconds  map[string]float64 // waiting work, by type
 	newMachineTotal int                // new machines of all offers
 }
 
-// Plan returns the requests to send now, without names: the new bins that the packing would open
-// for the demand, less what is starting, and no more than the work can keep busy for about as long
-// as a machine takes to start.
+// Plan returns the requests to send now; the caller names them. It requests the bins that packing
+// would open for the demand, minus the machines that are starting, and no more machines than the work
+// keeps busy for the planning horizon.
 func (p *Planner) Plan(in PlanInput) []RentalRequest {
-	l := &plan{
+	state := &plan{
 		PlanInput: in, planner: p, spaces: map[string]*packing.Space{}, machinesInZone: map[string]int{},
 		newMachines: map[Offer]int{}, minNewMachines: map[Offer]int{}, machineSeconds: map[string]float64{},
 	}
 	for _, name := range in.Catalog.Names {
-		l.spaces[name] = &packing.Space{NoFirstFit: true}
+		state.spaces[name] = &packing.Space{NoFirstFit: true}
 	}
-	have := l.addSupply()
+	supplyByType := state.addSupply()
 	for i := range in.Demand {
-		newDemandPlan(l, &in.Demand[i]).pack()
+		newDemandPlan(state, &in.Demand[i]).pack()
 	}
-	return l.requests(have)
+	return state.requests(supplyByType)
 }
 
-// addSupply adds the machines of the fleet and those that are requested, and counts by type those
-// that take tasks now or soon.
-func (l *plan) addSupply() (have map[string]int) {
-	have = map[string]int{}
-	for _, m := range l.Fleet {
-		l.machinesInZone[m.Offer.Zone]++
+// addSupply adds the machines of the fleet and those in flight. It returns the number of machines by
+// type that accept tasks now or soon.
+func (p *plan) addSupply() (supplyByType map[string]int) {
+	supplyByType = map[string]int{}
+	for _, m := range p.Fleet {
+		p.machinesInZone[m.Offer.Zone]++
 		if m.InService {
-			have[m.Offer.Type]++
+			supplyByType[m.Offer.Type]++
 		}
-		if m.Vacant && l.spaces[m.Offer.Type] != nil {
-			l.addBin(m.Offer)
+		if m.Vacant && p.spaces[m.Offer.Type] != nil {
+			p.addBin(m.Offer)
 		}
 	}
-	for _, r := range l.planner.inFlight {
+	for _, r := range p.planner.inFlight {
 		for range r.Count {
-			l.addBin(r.Offer())
+			p.addBin(r.Offer())
 		}
-		l.machinesInZone[r.Zone] += r.Count
-		have[r.Type] += r.Count
+		p.machinesInZone[r.Zone] += r.Count
+		supplyByType[r.Type] += r.Count
 	}
-	return have
+	return supplyByType
 }
 
-func (l *plan) addBin(o Offer) *packing.Bin {
-	b := packing.NewBin("", l.Catalog.Capacity(o.Type))
+func (p *plan) addBin(o Offer) *packing.Bin {
+	b := packing.NewBin("", p.Catalog.Capacity(o.Type))
 	b.Owner = o
-	l.spaces[o.Type].Add(b)
+	p.spaces[o.Type].Add(b)
 	return b
 }
 
-// requests bounds the new machines by the work that there is, and makes requests of them.
-func (l *plan) requests(have map[string]int) []RentalRequest {
-	offers := make([]Offer, 0, len(l.newMachines))
-	for o := range l.newMachines {
+// requests bounds the new machines by the amount of work and returns the requests for them.
+func (p *plan) requests(supplyByType map[string]int) []RentalRequest {
+	offers := make([]Offer, 0, len(p.newMachines))
+	for o := range p.newMachines {
 		offers = append(offers, o)
 	}
 	sort.Slice(offers, func(a, b int) bool { return offers[a].before(offers[b]) })
 	inFlight := map[Offer]bool{}
-	for _, r := range l.planner.inFlight {
+	for _, r := range p.planner.inFlight {
 		inFlight[r.Offer()] = true
 	}
 	var requests []RentalRequest
 	for _, o := range offers {
-		n := l.rentCount(o, have)
-		have[o.Type] += max(n, 0)
-		// One request at a time for each offer: where one is refused the next would be as
-		// well, and the cloud takes few calls.
+		n := p.rentCount(o, supplyByType)
+		supplyByType[o.Type] += max(n, 0)
+		// One request in flight per offer: after a refusal the next one would be refused as
+		// well, and the cloud's rate limit is low.
 		if n <= 0 || inFlight[o] {
 			continue
 		}
@@ -182,69 +180,68 @@
 	return requests
 }
 
-// rentCount is how many machines of an offer to rent beside those that there are by type. Work that the
-// machines at hand will soon have done needs no others.
-func (l *plan) rentCount(o Offer, have map[string]int) int {
-	n := l.newMachines[o]
-	if work := l.machineSeconds[o.Type] + l.RunningWork[o.Type]; work < math.Inf(1) {
-		horizon := max(l.Catalog.StartupTime(o.Type).Seconds(), 1) * l.horizonStartups(o)
-		most := int(math.Ceil(work/horizon)) - have[o.Type]
-		n = min(n, max(most, l.minNewMachines[o]))
+// rentCount returns how many machines of an offer to rent, given the supply by type. Work that the
+// existing machines complete within the planning horizon needs no more machines.
+func (p *plan) rentCount(o Offer, supplyByType map[string]int) int {
+	n := p.newMachines[o]
+	if work := p.machineSeconds[o.Type] + p.RunningWork[o.Type]; work < math.Inf(1) {
+		horizon := max(p.Catalog.StartupTime(o.Type).Seconds(), 1) * p.horizonStartups(o)
+		worthwhile := int(math.Ceil(work/horizon)) - supplyByType[o.Type]
+		n = min(n, max(worthwhile, p.minNewMachines[o]))
 	}
-	all := 0
-	for _, k := range have {
-		all += k
+	total := 0
+	for _, k := range supplyByType {
+		total += k
 	}
-	return l.Headroom(all, n)
+	return p.Headroom(total, n)
 }
 
-// horizonStartups is how long, in startup times, the machines at hand may take for all the work before
-// machines of an offer are rented.
-func (l *plan) horizonStartups(o Offer) float64 {
-	if t := l.Catalog.Types[o.Type]; !o.Spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
+// horizonStartups returns the planning horizon of an offer, in startup times.
+func (p *plan) horizonStartups(o Offer) float64 {
+	if t := p.Catalog.Types[o.Type]; !o.Spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
 		return onDemandHorizonStartups
 	}
 	return spotHorizonStartups
 }
 
-// demandPlan is the part of a plan that is under way for one demand.
+// demandPlan is the part of a plan that serves one demand.
 type demandPlan struct {
 	*plan
 	demand    *Demand
 	permitted func(*packing.Bin) bool
 }
 
-func newDemandPlan(l *plan, demand *Demand) *demandPlan {
-	return &demandPlan{plan: l, demand: demand, permitted: func(b *packing.Bin) bool {
+func newDemandPlan(p *plan, demand *Demand) *demandPlan {
+	return &demandPlan{plan: p, demand: demand, permitted: func(b *packing.Bin) bool {
 		o := b.Owner.(Offer)
 		return demand.Constraints.Permits(o) && demand.Constraints.PermitsZone(o.Zone)
 	}}
 }
 
-// pack packs the tasks into vacant machines, and opens new ones for the rest, as many tasks at once
-// as a machine holds that has nothing but these.
+// pack packs the tasks into vacant machines and opens new machines for the rest. It assigns as many
+// tasks at once to a new machine as an empty one holds.
 func (d *demandPlan) pack() {
-	// What an empty machine holds of them, worked out once for offers of one type in a row.
-	packed, perMachine, leavesRoom := "", 0, false
+	// What an empty machine holds of them is cached for consecutive offers of the same type.
+	packedType, perMachine, leavesRoom := "", 0, false
 	for left := d.packVacant(d.demand.Tasks); left > 0; left = d.packVacant(left) {
 		o, found := d.chooseOffer()
 		if !found {
 			return
 		}
 		if d.newMachineTotal >= maxNewMachines {
-			d.addWork(o.Type, left) // more than one plan rents, but work all the same
+			d.addWork(o.Type, left) // beyond this plan's bound, but still waiting work
 			return
 		}
 		d.openMachine(o)
-		if o.Type != packed {
-			packed = o.Type
-			perMachine, leavesRoom = itemsPerEmptyBin(d.Catalog.Capacity(packed), d.demand.Request)
+		if o.Type != packedType {
+			packedType = o.Type
+			perMachine, leavesRoom = itemsPerEmptyBin(d.Catalog.Capacity(packedType), d.demand.Request)
 		}
 		k := min(left, perMachine)
 		d.addWork(o.Type, k)
 		left -= k
 		if k < perMachine || leavesRoom {
-			b := d.addBin(o) // it has room for other tasks
+			b := d.addBin(o) // has room for other tasks
 			for range k {
 				b.Add(d.newItem())
 			}
@@ -256,7 +253,8 @@
 	return &packing.Item{ID: d.demand.Job, Request: d.demand.Request}
 }
 
-// packVacant packs tasks into machines that have room until none has, and returns how many are left.
+// packVacant packs tasks into machines with room until none has any, and returns how many tasks are
+// left.
 func (d *demandPlan) packVacant(tasks int) (left int) {
 next:
 	for ; tasks > 0; tasks-- {
@@ -271,22 +269,22 @@
 	return 0
 }
 
-// addWork counts the work of some tasks on machines of a type.
+// addWork adds the work of some tasks to that of a machine type.
 func (d *demandPlan) addWork(machineType string, tasks int) {
 	if !d.demand.Elastic {
-		d.machineSeconds[machineType] = math.Inf(1) // gangs and replicas need all their places
+		d.machineSeconds[machineType] = math.Inf(1) // gangs and replicas need all their machines at once
 		return
 	}
 	share := d.Catalog.Capacity(machineType).Share(d.demand.Request)
 	d.machineSeconds[machineType] += float64(tasks) * d.demand.TaskSeconds * share
 }
 
-// openMachine counts a new machine.
+// openMachine adds a new machine to the plan.
 func (d *demandPlan) openMachine(o Offer) {
-	// This prevents a job from waiting for ever because the machines at hand count as enough while
-	// none of them may or can take it.
-	patience := time.Duration(float64(d.Catalog.StartupTime(o.Type)) * onDemandHorizonStartups)
-	if d.demand.Urgent || d.Now.Sub(d.demand.WaitingSince) > patience || !d.anyPermitted() {
+	// Without this a job could wait forever: the existing machines count as enough although none of
+	// them may or can run it.
+	maxWait := time.Duration(float64(d.Catalog.StartupTime(o.Type)) * onDemandHorizonStartups)
+	if d.demand.Urgent || d.Now.Sub(d.demand.WaitingSince) > maxWait || !d.anyPermitted() {
 		d.minNewMachines[o]++
 	}
 	d.newMachines[o]++
@@ -294,7 +292,7 @@
 	d.newMachineTotal++
 }
 
-// anyPermitted reports whether a machine at hand, or about to be rented, may take the tasks at all.
+// anyPermitted reports whether any machine, existing or about to be rented, may run the tasks.
 func (d *demandPlan) anyPermitted() bool {
 	constraints := d.demand.Constraints
 	for i := range d.Fleet {
@@ -315,13 +313,13 @@
 	return false
 }
 
-// maxItemsPerEmptyBin bounds for how many tasks it is tried whether an empty machine holds them, as
-// tasks that take next to nothing never fill one. It bounds neither machines nor tasks: a machine
-// that holds more has room left, and the others are packed into it one by one.
+// maxItemsPerEmptyBin bounds the trial in itemsPerEmptyBin, as very small tasks never fill a machine.
+// It bounds neither machines nor tasks: a machine that holds more has room left, and the other tasks
+// are packed into it one by one.
 const maxItemsPerEmptyBin = 100
 
-// itemsPerEmptyBin returns how many items of a size an empty bin holds by the rules of the packing,
-// and whether other items may join them.
+// itemsPerEmptyBin returns how many items of one size an empty bin holds by the packing rules, and
+// whether the bin accepts other items beside them.
 func itemsPerEmptyBin(capacity, request packing.Resources) (n int, leavesRoom bool) {
 	b := packing.NewBin("", capacity)
 	s := &packing.Space{NoFirstFit: true}
@@ -335,24 +333,25 @@
 	return max(n, 1), b.AcceptsAny()
 }
 
-// candidate is an offer with what decides between offers.
+// candidate is an offer with the criteria for choosing between offers.
 type candidate struct {
 	offer           Offer
-	outageSuspected bool    // its zone is probably cut off
-	cost            float64 // the price of the share of a machine that a task takes
-	machinesInZone  int     // that its zone has
+	outageSuspected bool    // of its zone
+	cost            float64 // price of the share of a machine that a task takes
+	machinesInZone  int     // existing and planned
 }
 
-// better reports whether an offer is to be preferred: what is rented in a zone that is cut off is of
-// use only when that is back; then the price decides, and then in which zone the fewest machines are.
-func (c *candidate) better(than *candidate) bool {
-	if c.outageSuspected != than.outageSuspected {
-		return than.outageSuspected
+// better reports whether an offer is preferred to another: first one in a zone without a suspected
+// outage, as machines in the other are useless until it recovers; then the lower cost; then the zone
+// with fewer machines.
+func (c *candidate) better(other *candidate) bool {
+	if c.outageSuspected != other.outageSuspected {
+		return other.outageSuspected
 	}
-	return c.cost < than.cost || c.cost == than.cost && c.machinesInZone < than.machinesInZone
+	return c.cost < other.cost || c.cost == other.cost && c.machinesInZone < other.machinesInZone
 }
 
-// chooseOffer picks what to rent for a task, spot instances where the job permits.
+// chooseOffer returns the best available offer for a task, and whether there is one.
 func (d *demandPlan) chooseOffer() (Offer, bool) {
 	var best candidate
 	found := false
@@ -371,7 +370,7 @@
 				}
 			}
 			cost := price * share
-			// Most offers are dearer than the best one so far, whatever their zone.
+			// Most offers cost more than the best one so far in every zone: skip the zones.
 			if found && !best.outageSuspected && cost > best.cost {
 				continue
 			}
@@ -390,7 +389,7 @@
 	return best.offer, found
 }
 
-// available reports whether an offer may be rented for the demand now.
+// available reports whether an offer may be requested for the demand now.
 func (d *demandPlan) available(o Offer) bool {
 	return d.demand.Constraints.Permits(o) && !d.Now.Before(d.planner.refusedUntil[o]) &&
 		!d.ScaleOutBlocked(o.Type, o.Zone) && d.demand.Constraints.PermitsZone(o.Zone)
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -14,7 +14,7 @@
 func (unconstrained) Permits(Offer) bool      { return true }
 func (unconstrained) PermitsZone(string) bool { return true }
 
-// newPlanInput is a plan for so many tasks that fill a machine each, of hours of work.
+// newPlanInput returns the input of a plan for tasks that each fill a machine for ten hours.
 func newPlanInput(now time.Time, tasks int) PlanInput {
 	types := map[string]records.MachineType{"c4": {Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20, Zones: []string{"a"}}}
 	return PlanInput{
--- a/internal/autoscaler/request.go
+++ b/internal/autoscaler/request.go
@@ -1,5 +1,5 @@
-// Package autoscaler decides which machines to rent from the cloud and which to return, and has the
-// requests to the cloud and what it tells of its machines; package cloud sends them.
+// Package autoscaler decides which machines to rent from the cloud and which to return. It defines the
+// requests to the cloud and the entries of the cloud's machine list; package cloud transports them.
 package autoscaler
 
 import (
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Errors of the cloud, by what follows from them.
+// Errors of the cloud, by how the caller has to react.
 var (
 	ErrNoCapacity     = errors.New("cloud: no capacity")
-	ErrUnavailable    = errors.New("cloud: refused for now") // 429, or 503 in an outage: not executed
-	ErrUnknownOutcome = errors.New("cloud did not answer")   // may have been, or may yet be, executed
-	ErrUnexpected     = errors.New("cloud: unexpected answer")
+	ErrUnavailable    = errors.New("cloud: temporarily unavailable") // 429, or 503 in an outage: not executed
+	ErrUnknownOutcome = errors.New("cloud: no response")             // may have been executed, or may be yet
+	ErrUnexpected     = errors.New("cloud: unexpected response")
 )
 
-// MinCharge is what a machine costs at least (PROTOCOL, price).
+// MinCharge is the minimum time for which a machine is charged (PROTOCOL, price).
 const MinCharge = 60 * time.Second
 
-// The protocol's bounds of one request.
+// Limits of one request, set by the protocol.
 const (
 	MaxRentCount   = 50  // machines that one request rents
 	MaxReturnNames = 100 // machines that one request returns
 )
 
-// RentalRequest asks for machines. Its name is never used again, so that it can be repeated.
+// RentalRequest requests machines. It is idempotent: its name is unique, so it can be retried.
 type RentalRequest struct {
 	Name  string `json:"booking"`
 	Type  string `json:"rig"`
@@ -33,10 +33,10 @@
 	Count int    `json:"count"`
 }
 
-// Offer is what the request asks for.
+// Offer returns the requested offer.
 func (r RentalRequest) Offer() Offer { return Offer{r.Type, r.Zone, r.Spot} }
 
-// CloudMachine is a machine in the cloud's list.
+// CloudMachine is an entry of the cloud's machine list.
 type CloudMachine struct {
 	Machine string  `json:"uid"`
 	Addr    string  `json:"addr"`
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -9,80 +9,81 @@
 )
 
 const (
-	// manySilentShare is the share of machines that may be silent for each of them to be taken
-	// for dead.
+	// manySilentShare is the share of silent machines up to which each of them is assumed to have
+	// failed on its own.
 	manySilentShare = 1.0 / 4
 
-	// fewUnreconciledShare is the share of the machines on record whose work is worth less than
-	// the wait of all others, and failoverGraceIntervals how many heartbeat intervals all are
-	// given to find the new leader: they try the old one for up to two.
+	// fewUnreconciledShare is the share of inherited machines whose work is worth less than the time
+	// for which all others would wait for them. failoverGraceIntervals is how many heartbeat
+	// intervals machines have to find the new leader: they try the old one for up to two.
 	fewUnreconciledShare   = 1.0 / 20
 	failoverGraceIntervals = 2
 )
 
-// FleetCounts counts the machines of a fleet by how they were heard.
+// FleetCounts counts the machines of a fleet by the state of their heartbeats.
 type FleetCounts struct {
-	Up           int // have been heard under this term
-	Silent       int // of these, silent for some heartbeat intervals
-	Overdue      int // of these, silent for so long that their zone may be the cause
-	Unreachable  int // of these, receive no answers
+	Up           int // heard in this term
+	Silent       int // of Up: no heartbeat for more than 3 intervals
+	Overdue      int // of Up: silent for long enough that a zone outage may be the cause
+	Unreachable  int // of Up: send heartbeats but receive no responses
 	Inherited    int // on record at the failover
-	Unreconciled int // of these, not heard under this term yet
+	Unreconciled int // of Inherited: not heard in this term yet
 }
 
-// ReturnConditions tells what the decision about a machine depends on beside the machine.
+// ReturnConditions provides the conditions of a return decision that lie outside the machine.
 type ReturnConditions interface {
 	// KeptForOperator reports whether the machine is empty and kept for an operator.
 	KeptForOperator(m *fleet.Machine) bool
-	// WaitsForZone reports whether the tasks of the machine are best waited for until its zone is
-	// back; one in its place would take the startup time.
+	// WaitsForZone reports whether to wait for the recovery of the machine's zone rather than to
+	// replace the machine, which takes startup.
 	WaitsForZone(m *fleet.Machine, startup time.Duration) bool
-	// OutageSuspected reports whether a zone is probably cut off.
+	// OutageSuspected reports whether a zone outage is suspected.
 	OutageSuspected(zone string) bool
-	// ReturnsWhenEmpty reports whether a cordoned machine is to be returned when it is empty.
+	// ReturnsWhenEmpty reports whether a cordoned machine is returned once it is empty.
 	ReturnsWhenEmpty(m *fleet.Machine) bool
-	// OnDemandShortage reports whether on-demand machines of a type were too few lately.
+	// OnDemandShortage reports whether on-demand machines of a type were short recently.
 	OnDemandShortage(machineType string) bool
 	// Reconciled reports whether every machine of earlier terms has been heard or is gone.
 	Reconciled() bool
 }
 
-// ReturnPolicy decides which machines are returned to the cloud. It is plain data without clock or
-// I/O; its owner passes the time in and serializes the calls.
+// ReturnPolicy decides which machines are returned to the cloud. It does no I/O and reads no clock. It
+// is not safe for concurrent use.
 type ReturnPolicy struct {
 	heartbeatInterval time.Duration
 	lease             time.Duration
 	idleStartups      float64 // how long, in startup times, an idle machine is kept
 
-	manyUnreachable    bool      // more than a few machines report and receive no answers
-	mostSilent         bool      // more machines are silent than heard
-	manySilentAt       time.Time // when last more than a few were silent, or a zone was cut off
-	manyUnreconciledAt time.Time // when last more than a few of those on record were not heard yet
+	manyUnreachable    bool      // more than a few machines are unreachable
+	mostSilent         bool      // more than half of the machines are silent
+	manySilentAt       time.Time // last time that many machines were silent or an outage was suspected
+	manyUnreconciledAt time.Time // last time that more than a few machines were not reconciled
 }
 
-// NewReturnPolicy returns the policy of a term that has counted nothing yet.
+// NewReturnPolicy returns the policy of a new term. An idle machine is kept for idleStartups startup
+// times.
 func NewReturnPolicy(heartbeatInterval, lease time.Duration, idleStartups float64) *ReturnPolicy {
 	return &ReturnPolicy{heartbeatInterval: heartbeatInterval, lease: lease, idleStartups: idleStartups}
 }
 
-// Observe takes in how the fleet was heard, before the decisions about its machines.
-func (p *ReturnPolicy) Observe(n FleetCounts, outageSuspected bool, now time.Time) {
-	// Where many receive nothing it is more likely the leader that answers too late.
-	p.manyUnreachable = float64(n.Unreachable) > max(manySilentShare*float64(n.Up), 2)
-	p.mostSilent = n.Silent > 2 && 2*n.Silent > n.Up
-	// Without this, many that fell silent at once would be returned a few at a time, each being one
-	// of few that have been silent for long, or one of the last to come back.
-	if float64(n.Overdue) > manySilentShare*float64(n.Up) || outageSuspected {
+// Observe records the counts of the fleet. It is called before each round of ShouldReturn.
+func (p *ReturnPolicy) Observe(counts FleetCounts, outageSuspected bool, now time.Time) {
+	// If many machines receive no response, the leader most likely responds too late.
+	p.manyUnreachable = float64(counts.Unreachable) > max(manySilentShare*float64(counts.Up), 2)
+	p.mostSilent = counts.Silent > 2 && 2*counts.Silent > counts.Up
+	// Without this, machines that fell silent together would be returned a few at a time: each is one
+	// of few that have been silent for long, or one of the last to recover.
+	if float64(counts.Overdue) > manySilentShare*float64(counts.Up) || outageSuspected {
 		p.manySilentAt = now
 	}
-	// Without this, the last machines of a zone that comes back would be returned: they are few
-	// then, and just about to be heard.
-	if float64(n.Unreconciled) > fewUnreconciledShare*float64(n.Inherited) {
+	// Without this, the last machines of a recovering zone would be returned: they are few by then,
+	// and about to be heard.
+	if float64(counts.Unreconciled) > fewUnreconciledShare*float64(counts.Inherited) {
 		p.manyUnreconciledAt = now
 	}
 }
 
-// ShouldReturn reports whether a machine is to be returned now.
+// ShouldReturn reports whether to return a machine to the cloud now.
 func (p *ReturnPolicy) ShouldReturn(m *fleet.Machine, catalog Catalog, cond ReturnConditions, now time.Time) bool {
 	startup := max(catalog.StartupTime(m.Type), p.heartbeatInterval)
 	switch {
@@ -91,23 +92,23 @@
 	case m.LeaseExpired && !m.Failed && cond.WaitsForZone(m, startup):
 		return false
 	case !m.HasStatus && !m.Inherited && cond.OutageSuspected(m.Zone):
-		return false // it may well be up
+		return false // it may be up but unreachable
 	case m.LeaseExpired:
-		// Its tasks are gone. Where most machines are silent, the fault is more likely the
-		// leader's than theirs, and they may yet be heard of.
+		// Its tasks are gone. If most machines are silent, the fault is more likely the leader's,
+		// and they may be heard again.
 		return !p.mostSilent || now.Sub(m.LastHeard()) > 4*p.lease
 	case m.AwaitsReconciliation():
 		return p.inheritedTimedOut(m, now)
 	case m.HasStatus && now.Sub(m.LastStatusAt) > p.silenceLimit(m, now):
 		return true
 	case m.HasStatus && !m.Reconciled && now.Sub(m.LastStatusAt) > p.lease:
-		// Brought up by a late copy of a heartbeat, maybe: nothing else would end that.
+		// A late copy of a heartbeat may have marked it as up; nothing else would undo that.
 		return true
 	case m.UnreachableFor(now) > p.lease:
-		// What it had is gone with its lease, or goes with its return.
+		// Its tasks end with its lease or with its return.
 		return !p.manyUnreachable || m.UnreachableFor(now) > 4*p.lease
 	case m.UnansweredProbesFor(now) > p.lease:
-		return true // no answer, and what it has is not known: its return is proof
+		return true // its tasks are unknown; its return proves that they are gone
 	case !m.HasStatus:
 		return !m.RequestedAt.IsZero() && now.Sub(m.RequestedAt) > 3*startup+p.heartbeatInterval
 	case !m.Empty():
@@ -122,20 +123,20 @@
 	return p.idleTooLong(m, startup, catalog, cond, now)
 }
 
-// inheritedTimedOut reports whether a machine that has not been heard since the failover is waited
-// for no longer. Time alone does not reconcile it, as an older leader may be renewing its lease; its
-// return does. All work of before stands still until then: the last few that neither report nor
-// answer are not waited for as long as their work would be worth it alone.
+// inheritedTimedOut reports whether the wait for a machine that has not been heard since the failover
+// is over. Time alone does not reconcile it, as an older leader may still renew its lease; its return
+// does. Work of earlier terms is held until then, so the last few machines get a shorter wait than
+// their own work would justify.
 func (p *ReturnPolicy) inheritedTimedOut(m *fleet.Machine, now time.Time) bool {
 	silent := now.Sub(m.SilentSince)
-	few := now.Sub(p.manyUnreconciledAt) > p.heartbeatInterval
-	return silent > p.lease || silent > failoverGraceIntervals*p.heartbeatInterval && few
+	fewLeft := now.Sub(p.manyUnreconciledAt) > p.heartbeatInterval
+	return silent > p.lease || silent > failoverGraceIntervals*p.heartbeatInterval && fewLeft
 }
 
-// silenceLimit is how long a machine may be silent before it is returned without waiting for the
-// end of its lease: its return proves that its tasks are gone, and they start elsewhere that much
-// sooner. One that the cloud was about to preempt has most likely been taken; any other has most
-// likely died, unless many are silent, behind a network partition or because the leader stood still.
+// silenceLimit returns how long a machine may be silent before it is returned ahead of its lease
+// expiry: the return proves that its tasks are gone, and they start elsewhere sooner. A machine with a
+// preemption notice has most likely been preempted. Any other has most likely failed, unless many are
+// silent because of a network partition or a stalled leader.
 func (p *ReturnPolicy) silenceLimit(m *fleet.Machine, now time.Time) time.Duration {
 	if !m.PreemptionAt.IsZero() && now.After(m.PreemptionAt) {
 		return p.heartbeatInterval * 3 / 2
@@ -147,20 +148,20 @@
 	return math.MaxInt64
 }
 
-// idleTooLong reports whether a machine has had no work for so long that it is not worth its price.
+// idleTooLong reports whether a machine has been idle for longer than its price justifies.
 func (p *ReturnPolicy) idleTooLong(m *fleet.Machine, startup time.Duration, catalog Catalog, cond ReturnConditions, now time.Time) bool {
-	hold := time.Duration(float64(startup) * p.idleStartups)
+	idleLimit := time.Duration(float64(startup) * p.idleStartups)
 	if !m.Spot {
-		// The dearer a machine, the shorter it waits for work.
+		// The more expensive a machine, the shorter it is kept idle.
 		if t := catalog.Types[m.Type]; t.SpotPrice > 0 && t.SpotPrice < t.Price {
-			hold = time.Duration(float64(hold) * t.SpotPrice / t.Price)
+			idleLimit = time.Duration(float64(idleLimit) * t.SpotPrice / t.Price)
 		}
 	}
 	if !m.RequestedAt.IsZero() && now.Sub(m.RequestedAt) < MinCharge {
-		return false // it is paid for
+		return false // already charged for
 	}
 	if m.Spot && cond.OnDemandShortage(m.Type) {
-		return false // the next task for it would take an on-demand machine
+		return false // its next task would need an on-demand machine
 	}
-	return !m.EmptySince.IsZero() && now.Sub(m.EmptySince) > hold
+	return !m.EmptySince.IsZero() && now.Sub(m.EmptySince) > idleLimit
 }
