--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -2,99 +2,100 @@
 
 import "time"
 
-// Task is what a decision about a task on a machine depends on.
+// Task is the input of a decision about a task on a machine.
 type Task struct {
-	Running        bool // it makes progress; otherwise its image is being fetched, or it waits for its gang
-	WaitingForGang bool // for its gang
-	Stopping       bool // it was requested to stop already
-	Gang           bool // it moves together with its gang only
-	Service        bool // it is a replica of a service
-	Urgent         bool // its priority is urgent or critical
-
-	Remaining       time.Duration  // estimated, until it would end here; 0 for a replica
-	Ran             time.Duration  // work that is lost if it is stopped without saving
-	CanSave         bool           // it can save a checkpoint
-	SaveDuration    time.Duration  // how long that takes
-	RestartDuration time.Duration  // from its end here to its start elsewhere, where there is room
-	Slack           *time.Duration // until its job would be late; nil: it has no deadline
+	Running        bool // makes progress; otherwise it fetches its image or waits for its gang
+	WaitingForGang bool
+	Stopping       bool // a stop has been requested
+	Gang           bool // moves only together with its gang
+	Service        bool // is a replica of a service
+	Urgent         bool // has priority urgent or critical
+
+	Remaining       time.Duration  // estimated run time left; 0 for a replica
+	Ran             time.Duration  // work that is lost if the task is stopped without a checkpoint
+	CanSave         bool           // can save a checkpoint
+	SaveDuration    time.Duration  // time that saving a checkpoint takes
+	RestartDuration time.Duration  // from the end here to the start elsewhere, given room there
+	Slack           *time.Duration // time until the job is late; nil: no deadline
 
 	OtherReplicas int   // of a replica: others that run on machines not being drained
-	Place         Place // where else it could run
+	Place         Place // whether it could run elsewhere
 }
 
-// Place is whether a task could run elsewhere; a task of a gang only together with its gang.
+// Place tells whether a task could run on another machine; a gang task only together with its gang.
 type Place int
 
 // Places.
 const (
-	NotPermitted Place = iota // no other machine may take it, nor one that could be requested
-	NoRoom                    // none has room now
+	NotPermitted Place = iota // no other machine may run it, nor any that could be rented
+	NoRoom                    // no machine that may run it has room now
 	HasRoom                   // another machine has room
 )
 
-// Action is what becomes of a task on a machine that is being drained. Its text is shown to operators.
+// Action is what happens to a task on a machine that is being drained. Operators see its text.
 type Action string
 
 // Actions.
 const (
-	Finish  Action = "finishes"              // it ends where it is
-	Move    Action = "moves"                 // it is stopped now, saving where it can, and goes on elsewhere
+	Finish  Action = "finishes"              // runs to its end on this machine
+	Move    Action = "moves"                 // is stopped now, with a checkpoint if possible, and continues elsewhere
 	Wait    Action = "waits"                 // for its gang, for room elsewhere, or for another replica
-	Restart Action = "begins anew elsewhere" // it is stopped now, and its work is lost
-	Blocked Action = "blocked"               // it may run nowhere else
+	Restart Action = "begins anew elsewhere" // is stopped now, and its work is lost
+	Blocked Action = "blocked"               // may not run on any other machine
 )
 
 // Decision is an action with its reason.
 type Decision struct {
 	Action Action
-	Reason string        // for operators
-	Lost   time.Duration // work that is thrown away
+	Reason string        // shown to operators
+	Lost   time.Duration // work that is lost
 }
 
-// estimateErrorFactor is how many times as long as estimated a task may still run.
+// estimateErrorFactor bounds the error of an estimated run time, in both directions.
 const estimateErrorFactor = 1.5
 
-// moveBenefitFactor is how many times what a move costs a task must still have to run, to be moved
-// where no time limit demands it.
+// moveBenefitFactor is the minimum ratio of a task's remaining run time to the cost of moving it, for a
+// move without a deadline.
 const moveBenefitFactor = 2
 
-// deadline is how a task compares to the time at which its machine must be empty.
+// deadline compares a task with the time by which its machine must be empty.
 type deadline struct {
-	timeLeft    *time.Duration // until that time; nil: there is none
+	timeLeft    *time.Duration // until the deadline; nil: no deadline
 	atRisk      bool           // the task might not end in time
-	mustStopNow bool           // it might not, and would not have time to save later
-	expired     bool           // there is no time left, whatever the estimate was
+	mustStopNow bool           // at risk, and later there is no time to save a checkpoint
+	expired     bool           // no time is left, regardless of the estimate
 }
 
-func newDeadline(t Task, left *time.Duration, margin time.Duration) deadline {
-	d := deadline{timeLeft: left}
-	if left == nil {
+func newDeadline(t Task, timeLeft *time.Duration, margin time.Duration) deadline {
+	d := deadline{timeLeft: timeLeft}
+	if timeLeft == nil {
 		return d
 	}
-	d.atRisk = t.Service || time.Duration(float64(t.Remaining)*estimateErrorFactor) > *left
-	d.mustStopNow = d.atRisk && *left <= t.SaveDuration+margin
-	d.expired = *left <= margin
+	d.atRisk = t.Service || time.Duration(float64(t.Remaining)*estimateErrorFactor) > *timeLeft
+	d.mustStopNow = d.atRisk && *timeLeft <= t.SaveDuration+margin
+	d.expired = *timeLeft <= margin
 	return d
 }
 
-// cannotFinish reports whether a task does not end in time by any estimate.
+// cannotFinish reports whether a task misses the deadline even if the estimate is too long by
+// estimateErrorFactor.
 func (d deadline) cannotFinish(t Task) bool {
 	return time.Duration(float64(t.Remaining)/estimateErrorFactor) > *d.timeLeft
 }
 
-// Decide decides what becomes of a task. left is how long the machine has until it must be
-// empty, nil without such a time; margin is how long before that a command must be sent (a heartbeat
-// interval). The order of the rules is: work that has been done is thrown away only where the time
-// demands it; an urgent task with little slack goes on where it is; a task that can save moves.
-func Decide(t Task, left *time.Duration, margin time.Duration) Decision {
-	d := newDeadline(t, left, margin)
+// Decide returns what to do with a task. timeLeft is the time until the machine must be empty, nil
+// without a deadline; margin is how long before it a command must be sent (a heartbeat interval).
+// The rules in order of precedence: completed work is lost only if the deadline requires it; an urgent
+// task with little slack keeps running where it is; a task that can save a checkpoint moves.
+func Decide(t Task, timeLeft *time.Duration, margin time.Duration) Decision {
+	d := newDeadline(t, timeLeft, margin)
 	switch {
 	case t.Stopping:
 		return Decision{Action: Move, Reason: "is being stopped"}
 	case d.expired:
 		return decideExpired(t)
 	case t.Place == NotPermitted && !d.mustStopNow:
-		if left == nil && !t.Service {
+		if timeLeft == nil && !t.Service {
 			return Decision{Action: Finish, Reason: "no other machine may take it"}
 		}
 		return Decision{Action: Blocked, Reason: "no other machine may take it, nor one that could be rented"}
@@ -110,7 +111,7 @@
 	return decideRunning(t)
 }
 
-// decideNotRunning decides about a task that loses nothing but the fetch of its image.
+// decideNotRunning decides about a task that has not started: a move loses only its image fetch.
 func decideNotRunning(t Task) Decision {
 	switch {
 	case t.Remaining <= t.RestartDuration:
@@ -129,13 +130,13 @@
 	case t.CanSave:
 		return Decision{Action: Wait, Reason: "for room elsewhere, until it must save"}
 	case d.mustStopNow, t.Place == HasRoom && d.cannotFinish(t):
-		// What it has done is lost either way, and stopped now it starts elsewhere now.
+		// Its work is lost in any case; stopping now lets it start elsewhere sooner.
 		return Decision{Action: Restart, Reason: "cannot save and would not end in time", Lost: t.Ran}
 	}
 	return Decision{Action: Finish, Reason: "may just end in time"}
 }
 
-// decideRunning decides about a running task that is not pressed for time.
+// decideRunning decides about a running task that is not at risk.
 func decideRunning(t Task) Decision {
 	cost := t.SaveDuration + t.RestartDuration
 	switch {
@@ -151,7 +152,8 @@
 	return Decision{Action: Wait, Reason: "for room elsewhere"}
 }
 
-// decideReplica decides about a replica of a service, the last of which is kept as long as possible.
+// decideReplica decides about a replica of a service. The last running replica is kept as long as
+// possible.
 func decideReplica(t Task, d deadline) Decision {
 	switch {
 	case d.mustStopNow:
@@ -164,7 +166,7 @@
 	return Decision{Action: Wait, Reason: "for room elsewhere"}
 }
 
-// decideExpired decides about a task whose machine has no time left.
+// decideExpired decides about a task on a machine whose deadline has expired.
 func decideExpired(t Task) Decision {
 	const reason = "the time is over"
 	switch {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// fixSeed makes rapid draw the same cases at each run.
+// fixSeed makes rapid draw the same cases in each run.
 func fixSeed(t *testing.T) {
 	t.Helper()
 	for name, value := range map[string]string{"rapid.seed": "11", "rapid.nofailfile": "true"} {
@@ -21,53 +21,53 @@
 	}
 }
 
-// drawSeconds draws a duration of up to so many seconds.
+// drawSeconds draws a duration of 0 to limit seconds.
 func drawSeconds(t *rapid.T, limit int, name string) time.Duration {
 	return time.Duration(rapid.IntRange(0, limit).Draw(t, name)) * time.Second
 }
 
-// Whatever a task is like: work that has been done is thrown away only where the time demands
-// it, a task leaves where there is no time left, and an urgent one with no slack stays.
+// For random tasks: work is lost only if the deadline requires it, a task leaves its machine when the
+// deadline has expired, and an urgent task without slack stays.
 func TestDecideKeepsWorkUnlessTimeDemands(t *testing.T) {
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		task := drawTask(t)
 		const margin = 5 * time.Second
-		var left *time.Duration
-		if rapid.Bool().Draw(t, "by a time") {
+		var timeLeft *time.Duration
+		if rapid.Bool().Draw(t, "has deadline") {
 			l := drawSeconds(t, 400, "left") - 20*time.Second
-			left = &l
+			timeLeft = &l
 		}
-		d := Decide(task, left, margin)
+		d := Decide(task, timeLeft, margin)
 		leaves := d.Action == Move || d.Action == Restart
-		over := left != nil && *left <= margin
-		inTime := left == nil || time.Duration(float64(task.Remaining)*estimateErrorFactor) <= *left && !task.Service
+		expired := timeLeft != nil && *timeLeft <= margin
+		inTime := timeLeft == nil || time.Duration(float64(task.Remaining)*estimateErrorFactor) <= *timeLeft && !task.Service
 		switch {
 		case d.Reason == "":
-			t.Fatalf("no reason for %+v", task)
-		case over && !leaves:
-			t.Fatalf("there is no time left, and it %s: %+v", d.Action, task)
+			t.Fatalf("decision without a reason for %+v", task)
+		case expired && !leaves:
+			t.Fatalf("deadline expired but action is %q: %+v", d.Action, task)
 		case d.Lost > 0 && (d.Action != Restart || d.Lost != task.Ran):
-			t.Fatalf("%s, and %v of %v are lost", d.Action, d.Lost, task.Ran)
-		case d.Lost > 0 && inTime && !over:
-			t.Fatalf("thrown away, though it would end in time: %+v", d)
-		case d.Action == Restart && task.CanSave && !over:
-			t.Fatalf("thrown away, though it can save: %+v", task)
-		case d.Action == Move && !over && task.Running && !task.CanSave && !task.Service:
-			t.Fatalf("moved, though it cannot save: %+v", task)
-		case leaves && left == nil && task.Place != HasRoom:
-			t.Fatalf("stopped without room elsewhere, though there is no time limit: %+v", task)
-		case leaves && left == nil && task.Service && task.Running && task.OtherReplicas == 0:
-			t.Fatalf("the last replica is stopped: %+v", task)
-		case leaves && inTime && !over && task.Running && !task.Service && task.Urgent && hasNoSlack(task):
-			t.Fatalf("urgent work without slack is moved: %+v", task)
+			t.Fatalf("action %q loses %v of %v", d.Action, d.Lost, task.Ran)
+		case d.Lost > 0 && inTime && !expired:
+			t.Fatalf("work lost although the task would end in time: %+v", d)
+		case d.Action == Restart && task.CanSave && !expired:
+			t.Fatalf("work lost although the task can save a checkpoint: %+v", task)
+		case d.Action == Move && !expired && task.Running && !task.CanSave && !task.Service:
+			t.Fatalf("moved although the task cannot save a checkpoint: %+v", task)
+		case leaves && timeLeft == nil && task.Place != HasRoom:
+			t.Fatalf("stopped without room elsewhere and without a deadline: %+v", task)
+		case leaves && timeLeft == nil && task.Service && task.Running && task.OtherReplicas == 0:
+			t.Fatalf("last replica stopped: %+v", task)
+		case leaves && inTime && !expired && task.Running && !task.Service && task.Urgent && hasNoSlack(task):
+			t.Fatalf("urgent task without slack moved: %+v", task)
 		case d.Action == Blocked && task.Place != NotPermitted:
-			t.Fatalf("blocked, though there is a place: %+v", task)
+			t.Fatalf("blocked although another machine may run the task: %+v", task)
 		}
 	})
 }
 
-// drawTask draws a task of any kind.
+// drawTask draws a random task.
 func drawTask(t *rapid.T) Task {
 	task := Task{
 		Running:         rapid.Bool().Draw(t, "running"),
@@ -95,14 +95,14 @@
 	return task
 }
 
-// hasNoSlack reports whether a task cannot be moved without being late.
+// hasNoSlack reports whether moving a task makes its job late.
 func hasNoSlack(task Task) bool {
 	return task.Slack != nil && *task.Slack == 0 && task.SaveDuration+task.RestartDuration > 0
 }
 
-// An upgrade of random machines, on some of which tasks fail with the new version, ends: with all on the
-// new version or all back on the old one. Never are more machines out of service than it may
-// take, nor fewer in service than are to stay.
+// An upgrade of random machines, some of which are faulty with the new version, ends with all machines
+// on the new version or all back on the old one. It never has more than MaxOutOfService machines out
+// of service, nor fewer than MinInService in service.
 func TestRolloutEnds(t *testing.T) {
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -112,7 +112,7 @@
 			MaxOutOfService: rapid.IntRange(1, 4).Draw(t, "at once"),
 			MinInService:    rapid.IntRange(0, 3).Draw(t, "keep up"),
 		}
-		failPercent := rapid.SampledFrom([]int{0, 0, 30, 100}).Draw(t, "fails, percent")
+		failPercent := rapid.SampledFrom([]int{0, 0, 30, 100}).Draw(t, "fail percent")
 		fleet := drawFleet(t)
 		perZone := map[string]int{}
 		for _, m := range fleet {
@@ -120,45 +120,45 @@
 		}
 		for _, n := range perZone {
 			if n <= spec.MinInService {
-				t.Skip("it may take none of a zone")
+				t.Skip("no machine of a zone may be taken out of service")
 			}
 		}
 		r := NewRollout(spec, fleet.candidates())
 		const soak = 5 * time.Second
 		for step := 0; ; step++ {
 			if step > 2000 {
-				t.Fatalf("it does not end: %+v", r)
+				t.Fatalf("upgrade does not end: %+v", r)
 			}
 			r.DecideRollback(fleet.candidates())
 			if fleet.finished(r.Target, soak) {
 				break
 			}
 			zones, classes := fleet.inService()
-			taken := r.SelectOutOfService(spec, fleet.candidates(), zones, classes, soak)
-			if len(taken) > spec.MaxOutOfService {
-				t.Fatalf("%d machines are out of service, want at most %d", len(taken), spec.MaxOutOfService)
+			outOfService := r.SelectOutOfService(spec, fleet.candidates(), zones, classes, soak)
+			if len(outOfService) > spec.MaxOutOfService {
+				t.Fatalf("%d machines are out of service, want at most %d", len(outOfService), spec.MaxOutOfService)
 			}
 			for _, m := range fleet {
-				m.OutOfService = slices.Contains(taken, m.Name)
+				m.OutOfService = slices.Contains(outOfService, m.Name)
 			}
-			if failPercent == 0 { // machines that fail are out of service besides
+			if failPercent == 0 { // faulty machines are out of service in addition
 				fleet.checkMinInService(t, spec.MinInService)
 			}
 			fleet.step(t, r.Target, failPercent)
 		}
 		if failPercent == 0 && r.RolledBack {
-			t.Fatalf("rolled back, though nothing fails: %+v", r)
+			t.Fatalf("rolled back although no machine is faulty: %+v", r)
 		}
 		if failPercent == 100 && r.Previous != "" && !r.RolledBack && spec.MaxOutOfService < len(fleet)-2 {
-			t.Fatalf("not rolled back, though all fail: %+v", r)
+			t.Fatalf("not rolled back although all upgraded machines are faulty: %+v", r)
 		}
 	})
 }
 
-// simulatedMachine is a machine that is being upgraded.
+// simulatedMachine is a machine in a simulated upgrade.
 type simulatedMachine struct {
 	Candidate
-	steps int // for which it has been out of service
+	steps int // number of steps out of service
 }
 
 type simulatedFleet []*simulatedMachine
@@ -174,7 +174,7 @@
 			Cost:      drawSeconds(t, 100, "cost"),
 			Classes:   []string{"any"},
 		}}
-		if rapid.IntRange(0, 9).Draw(t, "has it") == 0 {
+		if rapid.IntRange(0, 9).Draw(t, "already upgraded") == 0 {
 			m.Version = "2"
 		}
 		fleet = append(fleet, m)
@@ -190,7 +190,7 @@
 	return all
 }
 
-// finished reports whether all machines have a version and have had it for long enough.
+// finished reports whether all machines have a version and are proven or past the soak time.
 func (f simulatedFleet) finished(version string, soak time.Duration) bool {
 	return !slices.ContainsFunc(f, func(m *simulatedMachine) bool {
 		return m.Version != version || m.VersionAge > 0 && m.VersionAge < soak && !m.Proven
@@ -209,26 +209,27 @@
 	return zones, classes
 }
 
-// checkMinInService fails if any machine is out of service while a zone has too few left.
-func (f simulatedFleet) checkMinInService(t *rapid.T, least int) {
+// checkMinInService fails the test if a machine is out of service while a zone has too few in service.
+func (f simulatedFleet) checkMinInService(t *rapid.T, minInService int) {
 	if !slices.ContainsFunc(f, func(m *simulatedMachine) bool { return m.OutOfService && !m.Faulty }) {
 		return
 	}
 	zones, _ := f.inService()
 	for _, m := range f {
-		if zones[m.Zone] < least {
-			t.Fatalf("%d machines are in service in zone %s, want at least %d", zones[m.Zone], m.Zone, least)
+		if zones[m.Zone] < minInService {
+			t.Fatalf("%d machines are in service in zone %s, want at least %d", zones[m.Zone], m.Zone, minInService)
 		}
 	}
 }
 
-// step lets a second pass: machines get their version, and show whether tasks fail with it.
+// step simulates one second: machines get their version, and those with version "2" become faulty at
+// the given rate.
 func (f simulatedFleet) step(t *rapid.T, version string, failPercent int) {
 	for _, m := range f {
 		switch {
 		case m.OutOfService:
 			m.steps++
-			if m.steps > 2 { // emptied, and given its version
+			if m.steps > 2 { // the machine has been emptied and upgraded
 				m.Version, m.steps, m.OutOfService, m.Empty = version, 0, false, false
 				m.Proven, m.Faulty, m.VersionAge, m.InService = false, false, time.Millisecond, true
 			}
@@ -243,50 +244,50 @@
 	}
 }
 
-// Windows start by the operators' local time, whatever the season.
+// Windows start at the same local time across daylight saving changes.
 func TestWindowsFollowLocalTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		window Window
 		at     string // in UTC
 		want   string // the next starts, in UTC, and whether the window is in force at the time
 	}{
-		"Sundays at two, winter": {
+		"Sundays at 02:00": {
 			Window{Rule: "FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0", TimeZone: "Europe/Warsaw", DurationS: 7200},
 			"2026-03-16T00:00", "03-22T01:00 03-29T01:00 04-05T00:00",
 		},
-		"the hour that there is not": {
+		"skipped hour in spring": {
 			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=30;BYSECOND=0", TimeZone: "Europe/Warsaw", DurationS: 3600},
 			"2026-03-27T12:00", "03-28T01:30 03-29T01:30 03-30T00:30",
 		},
-		"the hour that there is twice": {
+		"repeated hour in autumn": {
 			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=30;BYSECOND=0", TimeZone: "Europe/Warsaw", DurationS: 3600},
 			"2026-10-24T12:00", "10-25T00:30 10-26T01:30 10-27T01:30",
 		},
-		"where clocks stay": {
+		"zone without daylight saving": {
 			Window{Rule: "FREQ=MONTHLY;BYDAY=1MO;BYHOUR=4;BYMINUTE=0;BYSECOND=0", TimeZone: "Atlantic/Reykjavik", DurationS: 7200},
 			"2026-03-05T00:00", "04-06T04:00 05-04T04:00 06-01T04:00",
 		},
-		"within one": {
+		"during a window": {
 			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=0;BYSECOND=0", TimeZone: "UTC", DurationS: 3600},
-			"2026-06-01T02:59", "holds, 06-02T02:00 06-03T02:00 06-04T02:00",
+			"2026-06-01T02:59", "in force, 06-02T02:00 06-03T02:00 06-04T02:00",
 		},
-		"after it": {
+		"at the end of a window": {
 			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=0;BYSECOND=0", TimeZone: "UTC", DurationS: 3600},
 			"2026-06-01T03:00", "06-02T02:00 06-03T02:00 06-04T02:00",
 		},
-		"ahead of it": {
+		"lead time before a window": {
 			Window{Rule: "FREQ=DAILY;BYHOUR=2;BYMINUTE=0;BYSECOND=0", TimeZone: "UTC", DurationS: 3600, LeadS: 1800},
-			"2026-06-01T01:30", "holds until empty at 06-01T02:00, 06-01T02:00 06-02T02:00 06-03T02:00",
+			"2026-06-01T01:30", "in force, empty by 06-01T02:00, 06-01T02:00 06-02T02:00 06-03T02:00",
 		},
 		"every other week": {
 			Window{Rule: "FREQ=WEEKLY;INTERVAL=2;BYDAY=TU;BYHOUR=22;BYMINUTE=0;BYSECOND=0", TimeZone: "UTC", DurationS: 3600, FirstStart: "2026-06-02T22:00"},
 			"2026-06-03T00:00", "06-16T22:00 06-30T22:00 07-14T22:00",
 		},
-		"across the change": {
+		"window across the spring change": {
 			Window{Rule: "FREQ=DAILY;BYHOUR=1;BYMINUTE=0;BYSECOND=0", TimeZone: "Europe/Warsaw", DurationS: 4 * 3600},
-			"2026-03-29T03:59", "holds, 03-29T23:00 03-30T23:00 03-31T23:00",
+			"2026-03-29T03:59", "in force, 03-29T23:00 03-30T23:00 03-31T23:00",
 		},
-		"twice, and no more": {
+		"limited count": {
 			Window{Rule: "FREQ=DAILY;COUNT=2", TimeZone: "UTC", DurationS: 3600, FirstStart: "2026-06-01T10:00"},
 			"2026-06-01T12:00", "06-02T10:00",
 		},
@@ -306,9 +307,9 @@
 		text := strings.Join(got, " ")
 		spec := Spec{Kind: KindDrain, Window: &test.window}
 		if inForce, emptyBy, _ := spec.InForce(at); inForce && !emptyBy.IsZero() {
-			text = "holds until empty at " + emptyBy.UTC().Format("01-02T15:04") + ", " + text
+			text = "in force, empty by " + emptyBy.UTC().Format("01-02T15:04") + ", " + text
 		} else if inForce {
-			text = "holds, " + text
+			text = "in force, " + text
 		}
 		if text != test.want {
 			t.Errorf("%s:\n got %s\nwant %s", name, text, test.want)
@@ -316,8 +317,8 @@
 	}
 }
 
-// At any moment a window is in force just if it is by its own list of starts, and its next change is
-// one.
+// At random times a window is in force exactly if the list of its starts says so, and the reported next
+// change is a change.
 func TestInForceAgreesWithStarts(t *testing.T) {
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -341,21 +342,21 @@
 		}
 		inForce, emptyBy, next := w.inForce(at)
 		if inForce != want {
-			t.Fatalf("%+v at %v: in force %v, want %v", w, at, inForce, want)
+			t.Fatalf("%+v at %v: in force is %v, want %v", w, at, inForce, want)
 		}
 		if !next.After(at) {
-			t.Fatalf("at %v the next change is at %v, want a later time", at, next)
+			t.Fatalf("at %v: next change is %v, want a later time", at, next)
 		}
 		if after, _, _ := w.inForce(next); after == inForce && w.LeadS == 0 && w.NextStarts(next.Add(-time.Second), 1)[0] != next {
-			t.Fatalf("%+v: at %v nothing changes", w, next)
+			t.Fatalf("%+v: no change at the reported time %v", w, next)
 		}
 		if inForce && w.LeadS > 0 && (emptyBy.Before(at.Add(-w.length())) || emptyBy.After(at.Add(w.lead()))) {
-			t.Fatalf("empty by %v at %v, want a time from %v to %v", emptyBy, at, at.Add(-w.length()), at.Add(w.lead()))
+			t.Fatalf("deadline is %v at %v, want a time from %v to %v", emptyBy, at, at.Add(-w.length()), at.Add(w.lead()))
 		}
 	})
 }
 
-// A spec that is not valid is refused with the field's name.
+// Check rejects an invalid spec with an error that names the field.
 func TestCheckNamesInvalidField(t *testing.T) {
 	now := time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC)
 	rule := "FREQ=DAILY;BYHOUR=2;BYMINUTE=0;BYSECOND=0"
@@ -369,28 +370,28 @@
 			Spec{ID: "d-1", Zone: "north", Window: &Window{Rule: rule, TimeZone: "Europe/Warsaw", DurationS: 3600}},
 			"",
 		},
-		"no id":              {Spec{Zone: "north"}, "id:"},
-		"another id":         {Spec{ID: "d-../x", Zone: "north"}, "id:"},
-		"nothing said":       {Spec{ID: "d-1"}, "machines: nothing"},
-		"none at a time":     {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2"}, "at_once:"},
-		"too many at a time": {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2", MaxOutOfService: 1_000_001}, "at_once:"},
-		"to nothing":         {Spec{ID: "d-1", Kind: KindUpgrade, MaxOutOfService: 1}, "to_version:"},
-		"a version to drain": {Spec{ID: "d-1", Zone: "a", TargetVersion: "2"}, "to_version"},
-		"kind":               {Spec{ID: "d-1", Kind: "burn", Zone: "a"}, "kind:"},
-		"then":               {Spec{ID: "d-1", Zone: "a", WhenEmpty: "sell"}, "then:"},
-		"over already":       {Spec{ID: "d-1", Zone: "a", DeadlineMS: now.UnixMilli() - 1}, "by_ms:"},
-		"cordon by a time":   {Spec{ID: "d-1", Kind: KindCordon, Zone: "a", DeadlineMS: now.UnixMilli() + 1}, "by_ms:"},
-		"an empty name":      {Spec{ID: "d-1", Machines: []string{""}}, "empty name"},
-		"a long name":        {Spec{ID: "d-1", Zone: strings.Repeat("x", 201)}, "too long"},
-		"the whole fleet":    {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2", MaxOutOfService: 4000}, ""},
-		"names of a fleet":   {Spec{ID: "d-1", Machines: slices.Repeat([]string{"m-000101"}, 4000)}, ""},
-		"stays up":           {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2", MaxOutOfService: 1, MinInService: -1}, "keep_up:"},
-		"negative age":       {Spec{ID: "d-1", OlderThanS: -1}, "older_than_s:"},
-		"never": {
+		"no id":                       {Spec{Zone: "north"}, "id:"},
+		"another id":                  {Spec{ID: "d-../x", Zone: "north"}, "id:"},
+		"no selection":                {Spec{ID: "d-1"}, "machines: nothing"},
+		"none out of service":         {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2"}, "at_once:"},
+		"too many out of service":     {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2", MaxOutOfService: 1_000_001}, "at_once:"},
+		"no target version":           {Spec{ID: "d-1", Kind: KindUpgrade, MaxOutOfService: 1}, "to_version:"},
+		"target version of a drain":   {Spec{ID: "d-1", Zone: "a", TargetVersion: "2"}, "to_version"},
+		"unknown kind":                {Spec{ID: "d-1", Kind: "burn", Zone: "a"}, "kind:"},
+		"unknown choice when empty":   {Spec{ID: "d-1", Zone: "a", WhenEmpty: "sell"}, "then:"},
+		"deadline in the past":        {Spec{ID: "d-1", Zone: "a", DeadlineMS: now.UnixMilli() - 1}, "by_ms:"},
+		"cordon with a deadline":      {Spec{ID: "d-1", Kind: KindCordon, Zone: "a", DeadlineMS: now.UnixMilli() + 1}, "by_ms:"},
+		"an empty name":               {Spec{ID: "d-1", Machines: []string{""}}, "empty name"},
+		"a long name":                 {Spec{ID: "d-1", Zone: strings.Repeat("x", 201)}, "too long"},
+		"the whole fleet":             {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2", MaxOutOfService: 4000}, ""},
+		"names of a fleet":            {Spec{ID: "d-1", Machines: slices.Repeat([]string{"m-000101"}, 4000)}, ""},
+		"negative minimum in service": {Spec{ID: "d-1", Kind: KindUpgrade, TargetVersion: "2", MaxOutOfService: 1, MinInService: -1}, "keep_up:"},
+		"negative age":                {Spec{ID: "d-1", OlderThanS: -1}, "older_than_s:"},
+		"ended rule": {
 			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule + ";UNTIL=20200101T000000Z", TimeZone: "UTC", DurationS: 3600}},
 			"window.rule: no window comes",
 		},
-		"never, by the month": {
+		"impossible date": {
 			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: "FREQ=YEARLY;BYMONTH=2;BYMONTHDAY=30", TimeZone: "UTC", DurationS: 3600}},
 			"window.rule: no window comes",
 		},
@@ -402,12 +403,12 @@
 			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "Mars/Olympus", DurationS: 3600}},
 			"window.zone:",
 		},
-		"the machine's zone": {
+		"local time zone": {
 			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "Local", DurationS: 3600}},
 			"window.zone:",
 		},
-		"a moment": {Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 1}}, "window.for_s:"},
-		"without an end": {
+		"window too short": {Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 1}}, "window.for_s:"},
+		"overlapping windows": {
 			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 90000}},
 			"window.for_s: the next",
 		},
@@ -415,16 +416,16 @@
 			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: "FREQ=MINUTELY", TimeZone: "UTC", DurationS: 60}},
 			"window.rule: more often",
 		},
-		"starts": {
+		"invalid first start": {
 			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 60, FirstStart: "soon"}},
 			"window.starts:",
 		},
-		"a window and a time": {
+		"window and deadline": {
 			Spec{ID: "d-1", Zone: "a", DeadlineMS: now.UnixMilli() + 1, Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 60}},
 			"by_ms:",
 		},
-		"withdrawn beforehand": {Spec{ID: "d-1", Zone: "a", Stopped: true}, "stopped:"},
-		"not a number of hours": {
+		"stopped at the start": {Spec{ID: "d-1", Zone: "a", Stopped: true}, "stopped:"},
+		"negative lead time": {
 			Spec{ID: "d-1", Zone: "a", Window: &Window{Rule: rule, TimeZone: "UTC", DurationS: 60, LeadS: -1}},
 			"window.lead_s:",
 		},
--- a/internal/drain/golden_test.go
+++ b/internal/drain/golden_test.go
@@ -6,8 +6,8 @@
 	"drumpick/internal/goldentest"
 )
 
-// Drains, their states and their plans keep their forms: they are
-// stored, passed between controllers and shown to programs.
+// Drains, their states and their plans keep their JSON encoding: they are stored, sent between
+// controllers and read by programs.
 func TestGolden(t *testing.T) {
 	sum := Summary{Machines: 1, Finish: 2, Move: 3, Restart: 4, Wait: 5, Blocked: 6, LostS: 7.5, MachineLost: 8, EmptyS: 9.5}
 	spec := Spec{
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -1,6 +1,5 @@
-// Package drain decides which machines are cordoned, drained or upgraded when, and what becomes of each
-// task on them. It is pure: no clock and no I/O; the caller passes in the time, and carries out
-// what is decided.
+// Package drain decides which machines to cordon, drain or upgrade at which time, and what to do with
+// each task on them. It does no I/O and reads no clock; the caller executes the decisions.
 package drain
 
 import (
@@ -13,42 +12,43 @@
 
 // Kinds of drains.
 const (
-	KindCordon  = "cordon"  // the machines get no new tasks; what runs goes on
-	KindDrain   = "drain"   // no new tasks, and what runs ends or moves: graceful eviction
-	KindUpgrade = "upgrade" // the same, some machines at a time, until each has another version
+	KindCordon  = "cordon"  // the machines get no new tasks; running tasks continue
+	KindDrain   = "drain"   // like cordon, and running tasks end or move: graceful eviction
+	KindUpgrade = "upgrade" // a drain of some machines at a time, until each has the target version
 )
 
-// What becomes of an empty machine.
+// What happens to a drained machine once it is empty.
 const (
-	Keep   = "keep"   // it stays, empty, until the drain is stopped or it has its version
-	Return = "return" // it is returned to the cloud; others are requested where they are needed
+	Keep   = "keep"   // it stays empty until the drain is stopped or it has the target version
+	Return = "return" // it is returned to the cloud; replacements are rented as needed
 )
 
-// Spec is the drain that an operator asks for. It is stored as it is, and later versions must read it:
-// fields are only added. Of Machines, Type, Zone, OlderThanS and Version all that are given must match.
+// Spec is a drain as an operator requests it. It is stored in this form and later versions must be able
+// to read it, so fields are only ever added. A machine is selected if it matches all of Machines, Type,
+// Zone, OlderThanS and Version that are set.
 type Spec struct {
 	ID              string   `json:"id"`
 	Kind            string   `json:"kind"`
 	Machines        []string `json:"machines,omitempty"` // by name
 	Type            string   `json:"type,omitempty"`
 	Zone            string   `json:"zone,omitempty"`
-	OlderThanS      float64  `json:"older_than_s,omitempty"` // requested from the cloud at least so many seconds ago
+	OlderThanS      float64  `json:"older_than_s,omitempty"` // minimum time since the rental request
 	Version         string   `json:"version,omitempty"`      // of its worker
-	DeadlineMS      int64    `json:"by_ms,omitempty"`        // time of day by which it must be empty
+	DeadlineMS      int64    `json:"by_ms,omitempty"`        // Unix time by which machines must be empty; 0: none
 	WhenEmpty       string   `json:"then,omitempty"`
-	TargetVersion   string   `json:"to_version,omitempty"` // of an upgrade
-	MaxOutOfService int      `json:"at_once,omitempty"`    // machines of an upgrade that are out of service at a time
-	MinInService    int      `json:"keep_up,omitempty"`    // machines that stay in service in each zone, and for each class
-	Window          *Window  `json:"window,omitempty"`     // when it holds; nil: from now on until it is stopped
-	RequestedMS     int64    `json:"began_ms"`             // time of day when it was asked for
-	Stopped         bool     `json:"stopped,omitempty"`    // withdrawn
+	TargetVersion   string   `json:"to_version,omitempty"` // upgrade only
+	MaxOutOfService int      `json:"at_once,omitempty"`    // upgrade only: machines out of service at a time
+	MinInService    int      `json:"keep_up,omitempty"`    // upgrade only: machines in service to keep per zone and per job class
+	Window          *Window  `json:"window,omitempty"`     // when the drain is in force; nil: from now until stopped
+	RequestedMS     int64    `json:"began_ms"`             // Unix time of the request
+	Stopped         bool     `json:"stopped,omitempty"`    // by an operator
 
-	machineSet map[string]struct{} // Machines as a set, made when it is first needed
+	machineSet map[string]struct{} // Machines as a set, built on first use
 }
 
-// Bounds of what operators may ask for. Those of numbers of machines only refuse what no fleet
-// has. How many machines a drain may name depends on how many names its record holds, and is
-// checked where the record is written.
+// Bounds on values from operators. Those on numbers of machines exceed any fleet and reject only
+// nonsense. The number of machine names in a drain is limited by the size of its record and checked
+// where the record is written.
 const (
 	maxTextLength     = 200
 	maxIDDigits       = 40
@@ -57,14 +57,14 @@
 	olderThanLimitS   = 1e9
 )
 
-// ValidID reports whether an id has the form "d-" and digits.
+// ValidID reports whether an id is "d-" followed by digits.
 func ValidID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "d-")
 	return ok && len(digits) > 0 && len(digits) <= maxIDDigits && strings.Trim(digits, "0123456789") == ""
 }
 
-// Check sets the defaults of a spec and returns an error that names the first field which is not valid.
-// The errors name fields as operators do, by their JSON keys.
+// Check sets the defaults of a spec and returns an error that names the first invalid field by its JSON
+// key.
 func (s *Spec) Check(now time.Time) error {
 	if s.Kind == "" {
 		s.Kind = KindDrain
@@ -117,17 +117,17 @@
 	return nil
 }
 
-// Machine is what a drain selects machines by.
+// Machine holds the properties by which a drain selects machines.
 type Machine struct {
 	Name    string
 	Type    string
 	Zone    string
-	Version string        // of its worker; "" where it does not say
-	Age     time.Duration // since it was requested from the cloud; 0 where that is not known
+	Version string        // of its worker; "": not reported
+	Age     time.Duration // since the rental request; 0: unknown
 }
 
-// listsMachine reports whether a drain's list of machines has a name. It makes a set of the list, as
-// thousands of names would otherwise be compared with those of thousands of machines each time.
+// listsMachine reports whether Machines contains a name. It uses a set, as otherwise each pass would
+// compare thousands of names with thousands of machines.
 func (s *Spec) listsMachine(machine string) bool {
 	if s.machineSet == nil {
 		s.machineSet = make(map[string]struct{}, len(s.Machines))
@@ -139,7 +139,8 @@
 	return found
 }
 
-// Selects reports whether a drain applies to a machine, upgraded or not. It is not for concurrent use.
+// Selects reports whether a drain applies to a machine, upgraded or not. It is not safe for concurrent
+// use.
 func (s *Spec) Selects(m Machine) bool {
 	return (len(s.Machines) == 0 || s.listsMachine(m.Name)) &&
 		(s.Type == "" || s.Type == m.Type) && (s.Zone == "" || s.Zone == m.Zone) &&
@@ -147,15 +148,15 @@
 		(s.Version == "" || s.Version == m.Version || s.Kind == KindUpgrade && m.Version == s.TargetVersion)
 }
 
-// BlocksScaleOut reports whether machines of a type in a zone, yet to be requested, would be drained as
-// well: then none is requested there.
+// BlocksScaleOut reports whether new machines of a type in a zone would be drained as well; none are
+// rented there then.
 func (s *Spec) BlocksScaleOut(typ, zone string) bool {
 	return s.Kind != KindUpgrade && len(s.Machines) == 0 && s.OlderThanS == 0 && s.Version == "" &&
 		s.Selects(Machine{Type: typ, Zone: zone})
 }
 
-// InForce reports whether a drain is in force at a time. emptyBy is when its machines must be
-// empty, zero for no such time, and next when any of this changes next, zero for never.
+// InForce reports whether the drain is in force at a time. emptyBy is the time by which its machines
+// must be empty; zero: no deadline. next is when either result changes next; zero: never.
 func (s *Spec) InForce(at time.Time) (inForce bool, emptyBy, next time.Time) {
 	if s.Stopped {
 		return false, emptyBy, next
--- a/internal/drain/upgrade.go
+++ b/internal/drain/upgrade.go
@@ -6,61 +6,62 @@
 	"time"
 )
 
-// Candidate is a machine that a drain selects.
+// Candidate is a machine that an upgrade selects.
 type Candidate struct {
 	Machine
-	OutOfService bool          // already being drained for this upgrade
-	Empty        bool          // nothing is on it
-	InService    bool          // it could take tasks if no drain kept it from that
-	Cost         time.Duration // work that would be thrown away, or has to be waited for, to empty it
-	Proven       bool          // a task has completed on it since it has its version
-	Faulty       bool          // with its version, tasks fail on it that succeed elsewhere
-	VersionAge   time.Duration // since it has its version; 0: it has had no other
-	Classes      []string      // of jobs that may run on it
+	OutOfService bool          // already drained for this upgrade
+	Empty        bool          // has no tasks
+	InService    bool          // accepts tasks and is not cordoned
+	Cost         time.Duration // work to lose or to wait for until the machine is empty
+	Proven       bool          // a task has completed on it with its current version
+	Faulty       bool          // with its current version, it fails tasks that succeed elsewhere
+	VersionAge   time.Duration // time since it changed to its version; 0: no change seen
+	Classes      []string      // job classes that may run on it
 }
 
-// Rollout is the state of an upgrade that must outlive a leader.
+// Rollout is the state of an upgrade that must survive a failover.
 type Rollout struct {
-	Target     string `json:"want"`              // version that machines are to have
-	Previous   string `json:"from,omitempty"`    // version that most had at the start, to go back to
-	RolledBack bool   `json:"back,omitempty"`    // it is being rolled back
-	Reason     string `json:"why,omitempty"`     // why it is
+	Target     string `json:"want"`              // version that machines are to get
+	Previous   string `json:"from,omitempty"`    // most common version at the start, restored by a rollback
+	RolledBack bool   `json:"back,omitempty"`    // a rollback has been decided
+	Reason     string `json:"why,omitempty"`     // for the rollback
 	Blocked    string `json:"blocked,omitempty"` // why no more machines are taken out of service now
 }
 
-// NewRollout returns the rollout of an upgrade that starts from the version that most machines have.
-func NewRollout(s *Spec, all []Candidate) Rollout {
-	count := map[string]int{}
+// NewRollout returns the rollout of an upgrade. Previous is the most common version other than the
+// target.
+func NewRollout(s *Spec, candidates []Candidate) Rollout {
+	machinesByVersion := map[string]int{}
 	r := Rollout{Target: s.TargetVersion}
-	for _, m := range all {
+	for _, m := range candidates {
 		if m.Version == "" || m.Version == s.TargetVersion {
 			continue
 		}
-		count[m.Version]++
-		if count[m.Version] > count[r.Previous] || count[m.Version] == count[r.Previous] && m.Version < r.Previous {
+		machinesByVersion[m.Version]++
+		if machinesByVersion[m.Version] > machinesByVersion[r.Previous] || machinesByVersion[m.Version] == machinesByVersion[r.Previous] && m.Version < r.Previous {
 			r.Previous = m.Version
 		}
 	}
 	return r
 }
 
-// DecideRollback decides whether an upgrade is rolled back: where tasks that succeed elsewhere fail on machines of
-// the new version, and these are at least as many as those that have proven to work.
-func (r *Rollout) DecideRollback(all []Candidate) {
+// DecideRollback starts a rollback if machines with the target version are faulty, and at least as many
+// are faulty as are proven.
+func (r *Rollout) DecideRollback(candidates []Candidate) {
 	if r.RolledBack {
 		return
 	}
-	failed, proven := 0, 0
-	for _, m := range all {
+	faulty, proven := 0, 0
+	for _, m := range candidates {
 		switch {
 		case m.Version != r.Target:
 		case m.Faulty:
-			failed++
+			faulty++
 		case m.Proven:
 			proven++
 		}
 	}
-	if failed == 0 || failed < proven {
+	if faulty == 0 || faulty < proven {
 		return
 	}
 	r.RolledBack, r.Reason = true, "machines of version "+r.Target+" fail tasks that others run"
@@ -69,16 +70,16 @@
 	}
 }
 
-// SelectOutOfService returns the machines that are to be out of service now: those that are already, until they have
-// their version, and others by what emptying them costs, the cheapest first, as many as
-// the spec allows at a time. A machine that has its version, but has not proven to work, counts
-// as out of service for soak, so that a bad version is noticed on few machines.
+// SelectOutOfService returns the machines to have out of service now: those that are already, until
+// they have the target version, and further ones, cheapest to empty first, up to the spec's
+// MaxOutOfService. A machine that has the target version but is not proven counts as out of service
+// for the soak time, so that a bad version reaches only a few machines.
 //
-// zones and classes count the machines in service by zone, and by class where jobs are open,
-// without those out of service. Next changes them.
-func (r *Rollout) SelectOutOfService(s *Spec, all []Candidate, zones, classes map[string]int, soak time.Duration) []string {
+// The maps count the machines in service by zone and by class of open jobs. SelectOutOfService updates
+// them.
+func (r *Rollout) SelectOutOfService(s *Spec, candidates []Candidate, inServiceByZone, inServiceByClass map[string]int, soakTime time.Duration) []string {
 	r.Blocked = ""
-	outOfService, waiting, allowance := r.classify(s, all, soak)
+	outOfService, waiting, allowance := r.classify(s, candidates, soakTime)
 	if r.RolledBack && r.Previous == "" {
 		r.Blocked = "rolled back: no earlier version is known"
 		return outOfService
@@ -89,13 +90,13 @@
 			break
 		}
 		if m.InService && !m.Faulty {
-			if reason := tooFewLeft(s, m, zones, classes); reason != "" {
+			if reason := tooFewLeft(s, m, inServiceByZone, inServiceByClass); reason != "" {
 				r.Blocked = reason
 				continue
 			}
-			zones[m.Zone]--
+			inServiceByZone[m.Zone]--
 			for _, class := range m.Classes {
-				classes[class]--
+				inServiceByClass[class]--
 			}
 		}
 		outOfService = append(outOfService, m.Name)
@@ -104,21 +105,21 @@
 	return outOfService
 }
 
-// classify returns the machines that are out of service, those that wait for their version, and how many of
-// the latter may be taken out of service now.
-func (r *Rollout) classify(s *Spec, all []Candidate, soak time.Duration) (outOfService []string, waiting []Candidate, allowance int) {
+// classify returns the machines that are out of service, those that wait for the target version, and
+// how many of the latter may be taken out of service now.
+func (r *Rollout) classify(s *Spec, candidates []Candidate, soakTime time.Duration) (outOfService []string, waiting []Candidate, allowance int) {
 	allowance = s.MaxOutOfService
-	for _, m := range all {
+	for _, m := range candidates {
 		switch {
 		case m.Version == r.Target:
-			if m.VersionAge > 0 && m.VersionAge < soak && !m.Proven {
+			if m.VersionAge > 0 && m.VersionAge < soakTime && !m.Proven {
 				allowance--
 			}
 		case m.OutOfService:
 			outOfService = append(outOfService, m.Name)
 			allowance--
 		case r.RolledBack && r.Previous == "":
-			// Nobody knows what to go back to: what was upgraded stays as it is.
+			// No version to go back to is known: upgraded machines stay as they are.
 		default:
 			waiting = append(waiting, m)
 		}
@@ -126,8 +127,8 @@
 	return outOfService, waiting, allowance
 }
 
-// compare orders machines that wait for their version: of a rollback those first on which tasks
-// fail, as they are of no use meanwhile; then empty ones, then those that cost least.
+// compare orders machines that wait for the target version: in a rollback faulty ones first, as they
+// run no tasks meanwhile; then empty ones; then by cost.
 func (r *Rollout) compare(a, b Candidate) int {
 	if r.RolledBack && a.Faulty != b.Faulty {
 		return trueFirst(a.Faulty)
@@ -138,7 +139,7 @@
 	return cmp.Or(cmp.Compare(a.Cost, b.Cost), cmp.Compare(a.Name, b.Name))
 }
 
-// trueFirst compares a bool to its opposite.
+// trueFirst compares a with its opposite, ordering true before false.
 func trueFirst(a bool) int {
 	if a {
 		return -1
@@ -146,13 +147,14 @@
 	return 1
 }
 
-// tooFewLeft returns which zone or class would be left with too few machines; "" if none would.
-func tooFewLeft(s *Spec, m Candidate, zones, classes map[string]int) string {
-	if zones[m.Zone]-1 < s.MinInService {
+// tooFewLeft returns a text that names the zone or class that would have too few machines in service
+// without m; "" if none would.
+func tooFewLeft(s *Spec, m Candidate, inServiceByZone, inServiceByClass map[string]int) string {
+	if inServiceByZone[m.Zone]-1 < s.MinInService {
 		return "zone " + m.Zone + " would have too few machines in service"
 	}
 	for _, class := range m.Classes {
-		if classes[class]-1 < s.MinInService {
+		if inServiceByClass[class]-1 < s.MinInService {
 			return "jobs of " + class + " would have too few machines in service"
 		}
 	}
--- a/internal/drain/window.go
+++ b/internal/drain/window.go
@@ -4,29 +4,29 @@
 	"errors"
 	"fmt"
 	"time"
-	_ "time/tzdata" // controllers have no disk to read time zones from
+	_ "time/tzdata" // controllers have no time zone files on disk
 
 	"github.com/teambition/rrule-go"
 )
 
-// Window is when maintenance happens, by the operators' calendar. It is stored as it is.
+// Window is a recurring maintenance window. It is stored in this form.
 type Window struct {
-	Rule       string  `json:"rule"`             // RFC 5545 RRULE, with DTSTART in local time where it matters
-	TimeZone   string  `json:"zone"`             // IANA time zone in which the rule is read
-	DurationS  float64 `json:"for_s"`            // how long each window is
-	LeadS      float64 `json:"lead_s,omitempty"` // draining begins so long before, and machines are empty when it starts
-	FirstStart string  `json:"starts,omitempty"` // first day and time, as 2006-01-02T15:04 in that zone; the rule counts from it
+	Rule       string  `json:"rule"`             // RFC 5545 RRULE, optionally with DTSTART in local time
+	TimeZone   string  `json:"zone"`             // IANA time zone of the rule
+	DurationS  float64 `json:"for_s"`            // length of each window
+	LeadS      float64 `json:"lead_s,omitempty"` // draining begins this long before; machines are empty at the start
+	FirstStart string  `json:"starts,omitempty"` // DTSTART as 2006-01-02T15:04 in TimeZone
 }
 
 // Bounds of a window.
 const (
 	minWindowS        = 60
 	maxWindowS        = 7 * 86400.0
-	maxLookaheadYears = 2 // how far ahead the next window may be
+	maxLookaheadYears = 2 // a window must start within this time
 	maxLookahead      = maxLookaheadYears * 366 * 24 * time.Hour
 )
 
-// localTimeLayout is the layout of Window.Starts.
+// localTimeLayout is the layout of Window.FirstStart.
 const localTimeLayout = "2006-01-02T15:04"
 
 // parseRule parses a window's rule in its time zone.
@@ -47,7 +47,7 @@
 		option.Dtstart = start
 	}
 	if option.Dtstart.IsZero() {
-		// Counted from a day on which nothing depends: midnight of a Monday.
+		// An arbitrary fixed start, midnight of a Monday, so that results do not depend on the date.
 		option.Dtstart = time.Date(2024, 1, 1, 0, 0, 0, 0, location)
 	}
 	option.Dtstart = option.Dtstart.In(location)
@@ -58,8 +58,8 @@
 	return rule, nil
 }
 
-// Check returns an error that names the first field which is not valid. A rule whose next window starts
-// before one ends is refused, as it would never let its machines go.
+// Check returns an error that names the first invalid field. It rejects a rule whose windows overlap,
+// as the drain would never release its machines.
 func (w *Window) Check(now time.Time) error {
 	rule, err := w.parseRule()
 	switch {
@@ -85,7 +85,8 @@
 func (w *Window) length() time.Duration { return time.Duration(w.DurationS * float64(time.Second)) }
 func (w *Window) lead() time.Duration   { return time.Duration(w.LeadS * float64(time.Second)) }
 
-// startAfter returns the first start of the window after a time, and false if it is years away.
+// startAfter returns the first start of the window after a time, and false if there is none within
+// maxLookahead.
 func (w *Window) startAfter(rule *rrule.RRule, t time.Time) (time.Time, bool) {
 	next := rule.After(t, false)
 	for !next.IsZero() && !firstOccurrence(next).After(t) {
@@ -94,8 +95,8 @@
 	return firstOccurrence(next), !next.IsZero() && next.Sub(t) < maxLookahead
 }
 
-// firstOccurrence returns the earlier of two moments with the same local time, where clocks are set
-// back. Package time leaves open which one a local time means; RFC 5545, 3.3.5, takes the first.
+// firstOccurrence returns the earlier of two instants with the same local time, which exist when clocks
+// are set back. Package time may choose either; RFC 5545, section 3.3.5, requires the first.
 func firstOccurrence(t time.Time) time.Time {
 	for _, shift := range []time.Duration{30 * time.Minute, time.Hour, 2 * time.Hour} {
 		if earlier := t.Add(-shift); earlier.Format(time.DateTime) == t.Format(time.DateTime) {
@@ -105,12 +106,12 @@
 	return t
 }
 
-// inForce reports whether draining or maintenance is under way, by when machines must be
-// empty, and when this changes next.
+// inForce reports whether draining or maintenance is in progress, by when machines must be empty, and
+// when this changes next.
 func (w *Window) inForce(at time.Time) (inForce bool, emptyBy, next time.Time) {
 	rule, err := w.parseRule()
 	if err != nil {
-		return false, emptyBy, next // cannot happen: it was checked when it was stored
+		return false, emptyBy, next // unreachable: Check accepted the rule before it was stored
 	}
 	start, ok := w.startAfter(rule, at.Add(-w.length()))
 	if !ok {
@@ -126,7 +127,7 @@
 	return true, emptyBy, ends
 }
 
-// NextStarts lists the next n starts of a window, in its time zone, for operators to check.
+// NextStarts returns the next n starts of the window in its time zone, to show to operators.
 func (w *Window) NextStarts(at time.Time, n int) []time.Time {
 	rule, err := w.parseRule()
 	if err != nil {
