--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -13,12 +13,12 @@
 	"drumpick/internal/records"
 )
 
-// autoscalingState is what a term knows of the machines that it rents and returns.
+// autoscalingState is the scale-out and scale-in state of a term.
 type autoscalingState struct {
 	planner    *autoscaler.Planner
 	returns    *autoscaler.ReturnPolicy
-	returnedAt map[string]time.Time // when machines were returned: they may still be listed for a while
-	lastListed map[string]time.Time // until when machines are known to have been listed, or up
+	returnedAt map[string]time.Time // when machines were returned or lost; the cloud may list them for a while
+	lastListed map[string]time.Time // last time that machines were listed or up
 	listRead   bool                 // the cloud's list has been read under this term
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-// catalog is the machine types as the autoscaler sees them.
+// catalog returns the machine types for the autoscaler.
 func (s *Scheduler) catalog() autoscaler.Catalog {
 	return autoscaler.Catalog{Types: s.machineTypes, Names: s.typesByPrice}
 }
@@ -44,7 +44,7 @@
 	return s.catalog().Capacity(machineType)
 }
 
-// PlanRentals returns the requests for machines to send now.
+// PlanRentals returns the rental requests to send now, and tracks them as in flight.
 func (s *Scheduler) PlanRentals(now time.Time) []autoscaler.RentalRequest {
 	if !s.autoscaling.listRead || len(s.machineTypes) == 0 || s.overload.Level() > overload.Normal {
 		return nil
@@ -67,12 +67,12 @@
 	return requests
 }
 
-// supply lists the machines of the fleet for a rental plan.
+// supply returns the machines of the fleet for a rental plan.
 func (s *Scheduler) supply(now time.Time) []autoscaler.Machine {
 	machines := make([]autoscaler.Machine, 0, len(s.fleet.Sorted()))
 	for _, m := range s.fleet.Sorted() {
-		// While machines are drained, tasks that are to leave them wait for room as well; what is
-		// up and empty is for them, and no reason to rent more.
+		// During a drain, tasks that have to leave their machines also count as demand. Empty
+		// machines that are up serve them, so they count as vacant.
 		free := s.drains.anyInForce && m.Empty() && s.acceptsTasks(m, now)
 		machines = append(machines, autoscaler.Machine{
 			Offer:     offerOf(m),
@@ -84,12 +84,12 @@
 	return machines
 }
 
-// offerOf is the offer under which a machine was rented.
+// offerOf returns the offer under which a machine was rented.
 func offerOf(m *fleet.Machine) autoscaler.Offer {
 	return autoscaler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
 
-// demand lists the waiting tasks of jobs in the order in which these are served.
+// demand returns the waiting tasks of jobs, in the order in which the jobs are served.
 func (s *Scheduler) demand(now time.Time) []autoscaler.Demand {
 	var all []autoscaler.Demand
 	for _, j := range s.queue(now) {
@@ -114,7 +114,7 @@
 	return all
 }
 
-// jobConstraints are the constraints of a job for the autoscaler.
+// jobConstraints implements autoscaler.Constraints for a job.
 type jobConstraints struct{ job *Job }
 
 // Permits reports whether the job may use machines of an offer.
@@ -122,12 +122,12 @@
 	return c.job.permits(o.Type, o.Zone, o.Spot)
 }
 
-// PermitsZone reports whether the job may use a zone beside those where its other tasks stay.
+// PermitsZone reports whether the job may use a zone, given the zones where its other tasks stay.
 func (c jobConstraints) PermitsZone(zone string) bool {
 	return c.job.remainingByZone == nil || c.job.zoneAllowed(zone, c.job.remainingByZone)
 }
 
-// runningWork is what running tasks still need, in machine seconds by machine type.
+// runningWork returns the remaining work of running tasks, in machine seconds by machine type.
 func (s *Scheduler) runningWork(now time.Time) map[string]float64 {
 	sum := map[string]float64{}
 	for _, m := range s.fleet.Sorted() {
@@ -140,7 +140,8 @@
 	return sum
 }
 
-// MachinesRented takes in the machines that a request brought.
+// MachinesRented adds the machines that the cloud granted to a request. If they are fewer than
+// requested, the offer is backed off.
 func (s *Scheduler) MachinesRented(r autoscaler.RentalRequest, names []string, now time.Time) {
 	s.autoscaling.planner.Untrack(r)
 	for _, name := range names {
@@ -160,7 +161,8 @@
 	slog.Info("scale out", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "requested", r.Count, "machines", len(names), "term", s.term)
 }
 
-// RentalRefused takes in that a request brought nothing.
+// RentalRefused records that a request was refused. Without capacity in the cloud, the offer is backed
+// off.
 func (s *Scheduler) RentalRefused(r autoscaler.RentalRequest, noCapacity bool, now time.Time) {
 	s.autoscaling.planner.Untrack(r)
 	if noCapacity {
@@ -169,7 +171,7 @@
 	}
 }
 
-// MachinesToReturn returns which machines to give back to the cloud now. They are sent no new tasks.
+// MachinesToReturn returns the names of the machines to return to the cloud now. They get no new tasks.
 func (s *Scheduler) MachinesToReturn(now time.Time) []string {
 	s.observeSilence(now)
 	conditions := returnConditions{s, now}
@@ -180,7 +182,7 @@
 		}
 		switch {
 		case m.Returning:
-			names = append(names, m.Name) // an earlier request had no answer
+			names = append(names, m.Name) // an earlier request got no response
 		case s.autoscaling.returns.ShouldReturn(m, s.catalog(), conditions, now):
 			m.Returning = true
 			m.Bin.SetOpen(false)
@@ -192,31 +194,31 @@
 	return names
 }
 
-// observeSilence counts the machines that are not heard, and looks for zone outages.
+// observeSilence counts silent and unreachable machines and checks for zone outages.
 func (s *Scheduler) observeSilence(now time.Time) {
-	var n autoscaler.FleetCounts
+	var counts autoscaler.FleetCounts
 	for _, m := range s.fleet.Sorted() {
 		if !m.HasStatus {
 			continue
 		}
-		n.Up++
+		counts.Up++
 		if now.Sub(m.LastStatusAt) > 3*s.settings.HeartbeatInterval {
-			n.Silent++
+			counts.Silent++
 		}
 		if s.heartbeatOverdue(m, now) {
-			n.Overdue++
+			counts.Overdue++
 		}
 		if m.Unreachable() {
-			n.Unreachable++
+			counts.Unreachable++
 		}
 	}
 	s.observeZones(now)
-	unreachableMachines.Set(float64(n.Unreachable))
-	n.Inherited, n.Unreconciled = s.fleet.CountInherited()
-	s.autoscaling.returns.Observe(n, s.zoneHealth.AnySuspected(), now)
+	unreachableMachines.Set(float64(counts.Unreachable))
+	counts.Inherited, counts.Unreconciled = s.fleet.CountInherited()
+	s.autoscaling.returns.Observe(counts, s.zoneHealth.AnySuspected(), now)
 }
 
-// returnConditions answers the autoscaler's questions about a machine, as of a time.
+// returnConditions implements autoscaler.ReturnConditions at a given time.
 type returnConditions struct {
 	scheduler *Scheduler
 	now       time.Time
@@ -227,23 +229,24 @@
 	return r.scheduler.keptForOperator(m, r.now)
 }
 
-// WaitsForZone reports whether the tasks of the machine are best waited for until its zone is back.
+// WaitsForZone reports whether to wait for the recovery of the machine's zone rather than to replace
+// the machine, which takes startup.
 func (r returnConditions) WaitsForZone(m *fleet.Machine, startup time.Duration) bool {
 	s := r.scheduler
 	return s.zoneHealth.KeepWaiting(m.Zone, r.now.Sub(m.LastHeard()), startup, s.replaceableElsewhere(m, r.now), r.now)
 }
 
-// OutageSuspected reports whether a zone is probably cut off.
+// OutageSuspected reports whether a zone outage is suspected.
 func (r returnConditions) OutageSuspected(zone string) bool {
 	return r.scheduler.zoneHealth.Suspected(zone)
 }
 
-// ReturnsWhenEmpty reports whether a cordoned machine is to be returned when it is empty.
+// ReturnsWhenEmpty reports whether a cordoned machine is returned once it is empty.
 func (r returnConditions) ReturnsWhenEmpty(m *fleet.Machine) bool {
 	return r.scheduler.returnsWhenEmpty(m)
 }
 
-// OnDemandShortage reports whether on-demand machines of a type were too few lately.
+// OnDemandShortage reports whether on-demand machines of a type were short recently.
 func (r returnConditions) OnDemandShortage(machineType string) bool {
 	return r.scheduler.recentShortage(machineType, r.now)
 }
@@ -251,13 +254,13 @@
 // Reconciled reports whether every machine of earlier terms has been heard or is gone.
 func (r returnConditions) Reconciled() bool { return r.scheduler.reconciled }
 
-// isUnreachable reports whether a machine is known that receives no answers.
+// isUnreachable reports whether the named machine is known and receives no responses.
 func (s *Scheduler) isUnreachable(host string) bool {
 	m := s.fleet.Machines[host]
 	return m != nil && m.Unreachable()
 }
 
-// MachinesReturned removes machines that the cloud has taken back.
+// MachinesReturned removes machines whose return the cloud has confirmed.
 func (s *Scheduler) MachinesReturned(names []string, now time.Time) {
 	for _, name := range names {
 		s.autoscaling.returnedAt[name] = now
@@ -265,7 +268,8 @@
 	}
 }
 
-// ReconcileCloudList takes in the cloud's list of machines, requested at the time given.
+// ReconcileCloudList reconciles the fleet with the cloud's machine list, which was requested at
+// requestedAt.
 func (s *Scheduler) ReconcileCloudList(list []autoscaler.CloudMachine, requestedAt, now time.Time) {
 	s.autoscaling.listRead = true
 	listed := map[string]bool{}
@@ -286,7 +290,7 @@
 	s.forgetReturned(listed, now)
 }
 
-// machineFailed takes in that a machine stopped on its own, and all tasks on it with it.
+// machineFailed handles a machine that stopped on its own: all its tasks are lost.
 func (s *Scheduler) machineFailed(entry *autoscaler.CloudMachine, now time.Time) {
 	m := s.fleet.Machines[entry.Machine]
 	if m == nil {
@@ -310,18 +314,18 @@
 	}
 }
 
-// reconcileListedMachine takes in a machine that the cloud has.
+// reconcileListedMachine adds or updates a machine from its entry in the cloud's list.
 func (s *Scheduler) reconcileListedMachine(entry *autoscaler.CloudMachine, requestedAt, now time.Time) {
 	m := s.fleet.Machines[entry.Machine]
 	if m == nil {
 		m = s.fleet.GetOrCreate(entry.Machine, entry.Addr, entry.Type, entry.Zone, entry.Spot)
-		slog.Warn("unexpected machine", "machine", entry.Machine, "zone", entry.Zone, "status", entry.Status, "term", s.term)
+		slog.Warn("unknown machine in the cloud's list", "machine", entry.Machine, "zone", entry.Zone, "status", entry.Status, "term", s.term)
 		s.assignBin(m)
 	}
 	if m.Addr == "" {
 		m.Addr = entry.Addr
 	}
-	// Until then the list may have a machine that an earlier leader returned.
+	// Early in a term the list may still contain a machine that an earlier leader returned.
 	mayBeReturned := requestedAt.Sub(s.termStart) <= 2*s.settings.ListLag
 	switch {
 	case !mayBeReturned:
@@ -334,8 +338,8 @@
 	}
 }
 
-// removeUnlisted removes machines that the cloud has no more. A list tells how things were up to
-// twice the lag before it was requested. A machine that was there before that time, and is missing,
+// removeUnlisted removes machines that the cloud no longer has. A list can be stale by up to twice the
+// list lag at the time of its request. A machine last known before that time and missing from the list
 // is gone.
 func (s *Scheduler) removeUnlisted(listed map[string]bool, requestedAt, now time.Time) {
 	lag := s.settings.ListLag*5/2 + s.settings.HeartbeatInterval/4
@@ -350,12 +354,12 @@
 	}
 }
 
-// forgetReturned forgets returned machines of which no late heartbeat can come any more. Names rise
-// and are not used again, but heartbeats that name them come late.
+// forgetReturned drops returned machines whose last delayed heartbeats must have arrived. Names are
+// never reused, but delayed heartbeats can still carry them.
 func (s *Scheduler) forgetReturned(listed map[string]bool, now time.Time) {
-	wait := max(20*(s.settings.ListLag+s.settings.HeartbeatInterval), fleet.LateCopyLeases*s.settings.Lease)
+	retention := max(20*(s.settings.ListLag+s.settings.HeartbeatInterval), fleet.LateCopyLeases*s.settings.Lease)
 	for name, returnedAt := range s.autoscaling.returnedAt {
-		if now.Sub(returnedAt) > wait && !listed[name] {
+		if now.Sub(returnedAt) > retention && !listed[name] {
 			delete(s.autoscaling.returnedAt, name)
 			delete(s.autoscaling.lastListed, name)
 		}
--- a/internal/scheduler/drain_bench_test.go
+++ b/internal/scheduler/drain_bench_test.go
@@ -12,7 +12,7 @@
 	"drumpick/internal/records"
 )
 
-// newBusyFleet is a scheduler with that many machines, ten tasks running on each.
+// newBusyFleet returns a scheduler with that many machines and ten running tasks on each.
 func newBusyFleet(b *testing.B, machines int) (*Scheduler, time.Time) {
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -21,9 +21,9 @@
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
 	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
 	now := time.Unix(1_000_000, 0)
-	c := New(SettingsOf(cfg), 5, now)
-	c.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.1, Zones: cfg.Deployment.Zones}})
-	c.CheckReconciled(now)
+	s := New(SettingsOf(cfg), 5, now)
+	s.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.1, Zones: cfg.Deployment.Zones}})
+	s.CheckReconciled(now)
 	const perJob = 100
 	for i := range machines * 10 / perJob {
 		j := records.Job{
@@ -33,51 +33,51 @@
 		if i%2 == 0 {
 			j.CheckpointS, j.SaveS = 30, 4
 		}
-		c.AddJob(j, 10, now, now)
+		s.AddJob(j, 10, now, now)
 	}
-	reports := make([]*fleet.Heartbeat, machines)
-	for i := range reports {
-		h := fmt.Sprintf("m-%06d", i)
-		reports[i] = &fleet.Heartbeat{Machine: h, Addr: h, Type: "c4", Zone: cfg.Deployment.Zones[i%3], Spot: true, Incarnation: 1, FencingToken: 5, Version: "1"}
-		r := *reports[i]
-		m, _ := c.Reconcile(&r, true, now)
+	heartbeats := make([]*fleet.Heartbeat, machines)
+	for i := range heartbeats {
+		name := fmt.Sprintf("m-%06d", i)
+		heartbeats[i] = &fleet.Heartbeat{Machine: name, Addr: name, Type: "c4", Zone: cfg.Deployment.Zones[i%3], Spot: true, Incarnation: 1, FencingToken: 5, Version: "1"}
+		first := *heartbeats[i]
+		m, _ := s.Reconcile(&first, true, now)
 		m.Recorded = true
 	}
 	for round := range 2 {
 		now = now.Add(5 * time.Second)
-		for _, rep := range reports {
-			rep.Sequence++
-			r := *rep
-			m, _ := c.Reconcile(&r, true, now)
+		for _, hb := range heartbeats {
+			hb.Sequence++
+			sent := *hb
+			m, _ := s.Reconcile(&sent, true, now)
 			if round == 0 {
-				c.PlanMachine(m, now)
+				s.PlanMachine(m, now)
 			}
-			for _, o := range c.Respond(m, round == 0, now).Commands {
-				rep.Tasks = append(rep.Tasks, fleet.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: "running"})
+			for _, command := range s.Respond(m, round == 0, now).Commands {
+				hb.Tasks = append(hb.Tasks, fleet.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: "running"})
 			}
 		}
 	}
 	n := 0
-	for _, rep := range reports {
-		n += len(rep.Tasks)
+	for _, hb := range heartbeats {
+		n += len(hb.Tasks)
 	}
 	if n != machines*10 {
 		b.Fatalf("%d tasks run on %d machines", n, machines)
 	}
 	b.ResetTimer()
-	return c, now
+	return s, now
 }
 
-// BenchmarkDrainPlan plans the drain of a zone and the upgrade of all, at ten tasks a machine.
+// BenchmarkDrainPlan previews the drain of a zone and the upgrade of all machines, ten tasks on each.
 func BenchmarkDrainPlan(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		for name, spec := range map[string]drain.Spec{
 			"zone": {ID: "d-1", Kind: drain.KindDrain, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.KindUpgrade, TargetVersion: "2", MaxOutOfService: 100, MinInService: 100},
 		} {
 			b.Run(fmt.Sprintf("%s-%d", name, machines), func(b *testing.B) {
-				c, now := newBusyFleet(b, machines)
+				s, now := newBusyFleet(b, machines)
 				for b.Loop() {
-					if _, err := c.PreviewDrain(&spec, false, now); err != nil {
+					if _, err := s.PreviewDrain(&spec, false, now); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -86,17 +86,17 @@
 	}
 }
 
-// BenchmarkRunDrains is what the leader does each heartbeat interval while machines drain.
+// BenchmarkRunDrains measures the pass that the leader runs each heartbeat interval during a drain.
 func BenchmarkRunDrains(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		for name, spec := range map[string]drain.Spec{
 			"zone": {ID: "d-1", Kind: drain.KindDrain, Zone: "a"}, "upgrade": {ID: "d-1", Kind: drain.KindUpgrade, TargetVersion: "2", MaxOutOfService: 100, MinInService: 100},
 		} {
 			b.Run(fmt.Sprintf("%s-%d", name, machines), func(b *testing.B) {
-				c, now := newBusyFleet(b, machines)
-				c.SetDrain(spec, nil, 0)
+				s, now := newBusyFleet(b, machines)
+				s.SetDrain(spec, nil, 0)
 				for b.Loop() {
-					c.runDrains(now)
+					s.runDrains(now)
 				}
 			})
 		}
--- a/internal/scheduler/drain_pass.go
+++ b/internal/scheduler/drain_pass.go
@@ -12,11 +12,12 @@
 	"drumpick/internal/records"
 )
 
-// soakIntervals is for how many heartbeat intervals a machine with its new version counts as out of
-// service until a task has completed there.
+// soakIntervals is the number of heartbeat intervals for which an upgraded machine counts as out of
+// service unless a task completes on it earlier.
 const soakIntervals = 5
 
-// runDrains brings machines into the state that operators asked for.
+// runDrains runs one pass over all drains: it cordons and uncordons machines, evicts tasks and updates
+// the states of the drains.
 func (s *Scheduler) runDrains(now time.Time) {
 	s.drains.lastPass, s.drains.anyInForce = now, false
 	s.refreshOpenBins(now)
@@ -37,7 +38,7 @@
 	}
 }
 
-// assignDrains returns which drain is to have which machine.
+// assignDrains returns the drain of each machine that one selects.
 func (s *Scheduler) assignDrains(now time.Time) map[*fleet.Machine]*activeDrain {
 	selected := map[*fleet.Machine]*activeDrain{}
 	for _, d := range s.drains.list {
@@ -54,17 +55,17 @@
 	return selected
 }
 
-// selectForDrain selects the machines of a drain that is not an upgrade.
+// selectForDrain adds the machines of a drain that is not an upgrade.
 func (s *Scheduler) selectForDrain(d *activeDrain, selected map[*fleet.Machine]*activeDrain, now time.Time) {
 	for _, m := range s.fleet.Sorted() {
-		there := !m.Returning && (!m.LeaseExpired || s.keptForOperator(m, now))
-		if there && d.spec.Selects(toDrainMachine(m, now)) && d.takesPrecedence(selected[m]) {
+		eligible := !m.Returning && (!m.LeaseExpired || s.keptForOperator(m, now))
+		if eligible && d.spec.Selects(toDrainMachine(m, now)) && d.takesPrecedence(selected[m]) {
 			selected[m] = d
 		}
 	}
 }
 
-// selectForUpgrade selects the machines that an upgrade may take out of service now.
+// selectForUpgrade adds the machines that an upgrade may take out of service now.
 func (s *Scheduler) selectForUpgrade(d *activeDrain, selected map[*fleet.Machine]*activeDrain, now time.Time) {
 	classes := map[autoscaler.Offer][]string{}
 	candidates := s.upgradeCandidates(d, classes, now)
@@ -98,7 +99,7 @@
 	}
 }
 
-// cordonSelected cordons the machines that drains have selected, and no others.
+// cordonSelected cordons the selected machines and uncordons all others.
 func (s *Scheduler) cordonSelected(selected map[*fleet.Machine]*activeDrain, now time.Time) {
 	for _, m := range s.fleet.Sorted() {
 		switch d := selected[m]; {
@@ -119,7 +120,7 @@
 	s.placementStale = true
 }
 
-// uncordon brings a machine back into service. Tasks that were told to stop still do.
+// uncordon puts a machine back into service. Stops already requested stay in effect.
 func (s *Scheduler) uncordon(m *fleet.Machine, now time.Time) {
 	slog.Info("machine uncordoned", "machine", m.Name, "version", m.Version, "term", s.term)
 	m.Cordon = nil
@@ -128,9 +129,9 @@
 	s.lastBinRefresh = time.Time{}
 }
 
-// upgradeCandidates lists the machines that an upgrade is about.
+// upgradeCandidates returns the machines to which an upgrade applies. classes caches classesOf.
 func (s *Scheduler) upgradeCandidates(d *activeDrain, classes map[autoscaler.Offer][]string, now time.Time) []drain.Candidate {
-	var all []drain.Candidate
+	var candidates []drain.Candidate
 	outOfService := map[string]bool{}
 	for _, name := range d.state.OutOfService {
 		outOfService[name] = true
@@ -147,7 +148,7 @@
 			Proven:    m.Proven,
 			Faulty:    m.Faulty,
 			Classes:   s.classesOf(m, classes),
-			// A new leader finds out of service what the one before had.
+			// After a failover the stored state tells which machines were out of service.
 			OutOfService: m.Cordon == d || m.Cordon == nil && outOfService[m.Name],
 		}
 		if !m.VersionSince.IsZero() {
@@ -158,18 +159,18 @@
 				c.Cost += time.Duration(s.remainingSeconds(j, a, now) * float64(time.Second))
 			}
 		}
-		all = append(all, c)
+		candidates = append(candidates, c)
 	}
-	return all
+	return candidates
 }
 
-// upgradeApplies reports whether a machine that is there is to have the version of an upgrade.
+// upgradeApplies reports whether a machine is available and selected by an upgrade.
 func (s *Scheduler) upgradeApplies(d *activeDrain, m *fleet.Machine, view drain.Machine, now time.Time) bool {
 	return m.HasStatus && (!m.LeaseExpired || s.keptForOperator(m, now)) && !m.Returning && d.spec.Selects(view) && !d.isReplacement(m)
 }
 
-// classesOf lists the classes of open jobs that may run on a machine. Machines of the same offer share
-// the answer, which classes holds for one pass.
+// classesOf returns the classes of open jobs that may run on a machine, sorted. Machines of one offer
+// share the result, which classes caches for one pass.
 func (s *Scheduler) classesOf(m *fleet.Machine, classes map[autoscaler.Offer][]string) []string {
 	o := offerOf(m)
 	if list, ok := classes[o]; ok {
--- a/internal/scheduler/drain_plan.go
+++ b/internal/scheduler/drain_plan.go
@@ -8,14 +8,14 @@
 	"drumpick/internal/packing"
 )
 
-// drainPlanner works out what becomes of each task on the machines that a drain selects. Tasks that
-// move take the room that others would, so each has its place reserved until the plan is made.
+// drainPlanner computes the outcome of each task on the machines that a drain selects. It reserves room
+// for each task that moves, as tasks would otherwise share the same room, and releases it at the end.
 type drainPlanner struct {
 	scheduler  *Scheduler
 	spec       *drain.Spec
 	now        time.Time
-	timeLeft   *time.Duration // until the machines are to be empty; nil: there is no deadline
-	listTasks  bool           // the plan has the tasks of each machine
+	timeLeft   *time.Duration // until the machines must be empty; nil: no deadline
+	listTasks  bool           // whether the plan lists the tasks of each machine
 	finder     *placeFinder
 	plan       *drain.Plan
 	reserved   []reservedPlace
@@ -23,13 +23,13 @@
 	lateAnyway map[*Job]bool // jobs that are late anyway
 }
 
-// reservedPlace is room on a machine that is set aside while a plan is made.
+// reservedPlace is room on a machine that is reserved while a plan is computed.
 type reservedPlace struct {
 	machine *fleet.Machine
 	request packing.Resources
 }
 
-// planDrain works out a plan for a drain that begins now.
+// planDrain returns the plan of a drain that starts now.
 func (s *Scheduler) planDrain(spec *drain.Spec, now time.Time, listTasks bool) *drain.Plan {
 	_, deadline, _ := spec.InForce(now)
 	p := &drainPlanner{
@@ -44,7 +44,7 @@
 	}
 	p.finder = &placeFinder{
 		scheduler: s, now: now, noRoom: map[int]bool{}, allowed: map[*Job]bool{}, excluded: spec.BlocksScaleOut,
-		// Machines of an upgrade go one after the other: the rest is there for them.
+		// An upgrade drains a few machines at a time, so the others can take their tasks.
 		alsoDraining: func(m *fleet.Machine) bool { return spec.Kind != drain.KindUpgrade && p.selects(m) },
 	}
 	for _, m := range s.fleet.Sorted() {
@@ -62,16 +62,16 @@
 	return p.plan
 }
 
-// selects reports whether the drain is to have a machine.
+// selects reports whether the drain applies to a machine now.
 func (p *drainPlanner) selects(m *fleet.Machine) bool {
 	upgraded := p.spec.Kind == drain.KindUpgrade && m.Version == p.spec.TargetVersion
 	return !m.Returning && !m.LeaseExpired && p.spec.Selects(toDrainMachine(m, p.now)) && !upgraded
 }
 
-// planMachine adds a machine to the plan, with what becomes of its tasks.
+// planMachine adds a machine and the outcome of its tasks to the plan.
 func (p *drainPlanner) planMachine(m *fleet.Machine) {
-	all := &p.plan.Total
-	all.Machines++
+	total := &p.plan.Total
+	total.Machines++
 	machinePlan := drain.MachinePlan{Machine: m.Name, Zone: m.Zone}
 	for _, a := range m.Attempts() {
 		j := p.scheduler.jobOf(a)
@@ -84,21 +84,21 @@
 			machinePlan.Tasks = append(machinePlan.Tasks, taskPlan)
 		}
 	}
-	all.EmptyS = max(all.EmptyS, machinePlan.EmptyS)
+	total.EmptyS = max(total.EmptyS, machinePlan.EmptyS)
 	if p.spec.Kind == drain.KindUpgrade {
-		all.EmptyS = 0 // it depends on how soon machines have their version
+		total.EmptyS = 0 // unknown: depends on when machines get their version
 	}
 	if p.listTasks {
 		p.plan.Machines = append(p.plan.Machines, machinePlan)
 	}
 }
 
-// planTask decides about a task, and reserves its place if it moves.
+// planTask decides about a task and reserves room for it if it moves.
 func (p *drainPlanner) planTask(j *Job, a *fleet.Attempt) drain.TaskPlan {
 	s := p.scheduler
 	t := s.newDrainTask(j, a, p.now)
-	var to *fleet.Machine
-	t.Place, to = p.finder.findPlace(j, p.remainingZones(j))
+	var target *fleet.Machine
+	t.Place, target = p.finder.findPlace(j, p.remainingZones(j))
 	decision := drain.Decide(t, p.timeLeft, s.settings.HeartbeatInterval)
 	taskPlan := drain.TaskPlan{
 		Task: a.Task.String(), Class: j.Class, Action: decision.Action, Reason: decision.Reason, LostS: decision.Lost.Seconds(),
@@ -108,8 +108,8 @@
 	case drain.Move, drain.Restart:
 		taskPlan.LeavesAfterS = t.SaveDuration.Seconds()
 		delay = t.SaveDuration + t.RestartDuration + decision.Lost
-		if to != nil && !t.Stopping {
-			p.reserve(to, j.request)
+		if target != nil && !t.Stopping {
+			p.reserve(target, j.request)
 		}
 	default:
 		taskPlan.LeavesAfterS = t.Remaining.Seconds()
@@ -124,8 +124,8 @@
 	return taskPlan
 }
 
-// remainingZones counts the tasks of a job by zone without those that leave, where these decide about
-// it; nil elsewhere.
+// remainingZones counts the tasks of a job by zone, without those on drained machines. It returns nil
+// if the job has no zone constraint.
 func (p *drainPlanner) remainingZones(j *Job) map[string]int {
 	zones := p.scheduler.constrainedZoneCounts(j)
 	if zones == nil {
--- a/internal/scheduler/drain_preview.go
+++ b/internal/scheduler/drain_preview.go
@@ -11,24 +11,26 @@
 	"drumpick/internal/records"
 )
 
-// Errors of a drain that is refused.
+// Errors of a rejected drain.
 type (
-	// DrainTargetError is returned where there is no such machine, zone or machine type.
+	// DrainTargetError is returned if a drain names a machine, zone or machine type that does not
+	// exist, or if it selects no machine.
 	DrainTargetError struct{ Text string }
-	// DrainRefusedError is returned where a drain would leave jobs without any machine.
+	// DrainRefusedError is returned if a drain would leave jobs without any machine, or if too many
+	// drains are in force.
 	DrainRefusedError struct{ Text string }
 )
 
 func (e *DrainTargetError) Error() string  { return e.Text }
 func (e *DrainRefusedError) Error() string { return e.Text }
 
-// maxDrains is how many drains may be in force at a time, each of which is matched with every machine
-// at each pass. It does not bound the machines that are drained: a drain by type, zone, age or version
-// selects any number, and one by names as many as its record holds.
+// maxDrains is the maximum number of drains in force, as each pass matches every drain with every
+// machine. It does not bound the drained machines: a drain by type, zone, age or version selects any
+// number, and one by names as many as its record holds.
 const maxDrains = 64
 
-// PreviewDrain returns what a drain would do if it started now; it changes nothing. Without force, one
-// that would leave the jobs of a class without any machine is an error.
+// PreviewDrain returns the plan of a drain that starts now; it changes nothing. Without force, it
+// rejects a drain that would leave a class of jobs without any machine.
 func (s *Scheduler) PreviewDrain(spec *drain.Spec, force bool, now time.Time) (*drain.Plan, error) {
 	if err := s.checkDrain(spec); err != nil {
 		return nil, err
@@ -58,10 +60,11 @@
 	return p, nil
 }
 
-// previewWindows is how many windows to come a preview lists.
+// previewWindows is the number of upcoming windows that a preview lists.
 const previewWindows = 5
 
-// checkDrain returns an error where a drain names what is not there, or too many are in force.
+// checkDrain returns an error if a drain names a target that does not exist, or if too many drains are
+// in force.
 func (s *Scheduler) checkDrain(spec *drain.Spec) error {
 	for _, name := range spec.Machines {
 		if s.fleet.Machines[name] == nil {
@@ -86,8 +89,8 @@
 	return nil
 }
 
-// zonesBelowMinimum returns a warning for each zone of which an upgrade can take no machine out of
-// service now, as so many are to stay.
+// zonesBelowMinimum returns a warning for each zone in which an upgrade can take no machine out of
+// service now without going below minInService.
 func (s *Scheduler) zonesBelowMinimum(minInService int, now time.Time) []string {
 	inService := map[string]int{}
 	for _, m := range s.fleet.Sorted() {
@@ -104,7 +107,7 @@
 	return warnings
 }
 
-// checkCapacityLeft returns an error if there are jobs that could run nowhere any more.
+// checkCapacityLeft returns an error if a drain leaves open jobs without any machine that may run them.
 func (s *Scheduler) checkCapacityLeft(spec *drain.Spec, now time.Time) error {
 	finder := &placeFinder{scheduler: s, now: now, allowed: map[*Job]bool{}, excluded: spec.BlocksScaleOut,
 		alsoDraining: func(m *fleet.Machine) bool { return spec.Selects(toDrainMachine(m, now)) }}
@@ -128,7 +131,7 @@
 	return nil
 }
 
-// DrainView is a drain with how it stands.
+// DrainView is a drain with its state.
 type DrainView struct {
 	Spec  drain.Spec   `json:"drain"`
 	State *drain.State `json:"state,omitempty"`
--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/records"
 )
 
-// ReadDrain reads a drain from its record, and reports whether that is readable.
+// ReadDrain decodes a drain from its record. It logs an unreadable record and returns false.
 func ReadDrain(key string, value json.RawMessage) (drain.Spec, bool) {
 	var s drain.Spec
 	if err := json.Unmarshal(value, &s); err != nil || records.PrefixDrains+s.ID != key {
@@ -20,17 +20,18 @@
 }
 
 const (
-	// stateWriteIntervals is how often, in heartbeat intervals, the state of a drain is stored; a change
-	// of its phase is stored at once.
+	// stateWriteIntervals is the minimum time between two writes of a drain's state, in heartbeat
+	// intervals. A change of phase is written at once.
 	stateWriteIntervals = 5
-	// maxEndedDrains is how many drains that have ended stay on record: the operators' history of
-	// them, whatever the number of machines.
+	// maxEndedDrains is the number of ended drains that stay on record as history for operators,
+	// independent of the number of machines.
 	maxEndedDrains = 50
-	// bytesPerDrainRemoval is what the removal of a drain takes in a commit.
+	// bytesPerDrainRemoval is the size of a drain's removal in a commit.
 	bytesPerDrainRemoval = 500
 )
 
-// addDrainWrites stores the states of drains that have changed, and removes the oldest that have ended.
+// addDrainWrites adds the writes of changed drain states and the removal of the oldest ended drains to
+// a batch. It returns false if the batch is full.
 func (p *Persistence) addDrainWrites(b *writeBatch, now time.Time) bool {
 	for _, d := range p.scheduler.drains.list {
 		if d.stateDue(stateWriteIntervals*p.scheduler.settings.HeartbeatInterval, now) && !p.addDrainStateWrite(d, b, now) {
@@ -40,13 +41,13 @@
 	return p.removeEndedDrains(b)
 }
 
-// ended reports whether nothing of a drain is left to do.
+// ended reports whether a drain is stopped or complete.
 func (d *activeDrain) ended() bool { return d.spec.Stopped || d.state.Closed() }
 
-// isStored reports whether the store has the state of a drain as it is now.
+// isStored reports whether the store has the drain's current state.
 func (d *activeDrain) isStored() bool { return d.hasStored && d.state.EqualIgnoringTerm(&d.stored) }
 
-// stateDue reports whether the state of a drain is to be stored now.
+// stateDue reports whether the state of a drain has to be written now.
 func (d *activeDrain) stateDue(interval time.Duration, now time.Time) bool {
 	if d.state.Phase == "" || d.isStored() {
 		return false
@@ -55,9 +56,9 @@
 	return !samePhase || now.Sub(d.writtenAt) >= interval
 }
 
-// addDrainStateWrite stores the state of a drain. The machines out of service that do not fit into a value are
-// left out: this leader knows them, and the next one works them out again, taking empty machines
-// first, which are mostly these.
+// addDrainStateWrite adds the write of a drain's state to a batch; false if it does not fit. Machines
+// out of service that exceed the size of a value are left out: this leader has them in memory, and the
+// next one selects again, empty machines first, which are mostly the same ones.
 func (p *Persistence) addDrainStateWrite(d *activeDrain, b *writeBatch, now time.Time) bool {
 	state, complete := d.state, d.state
 	for len(state.OutOfService) > 0 && records.EncodedSize(state) > p.maxValueBytes {
@@ -80,7 +81,8 @@
 	return true
 }
 
-// removeEndedDrains makes room on record for new drains; their ids are in the order of time.
+// removeEndedDrains adds the removal of the oldest ended drains to a batch; false if it is full. The
+// order of ids is that of their creation.
 func (p *Persistence) removeEndedDrains(b *writeBatch) bool {
 	ended := 0
 	for _, d := range p.scheduler.drains.list {
@@ -108,7 +110,7 @@
 	return true
 }
 
-// ReplaceDrains takes in all drains on record; others are removed.
+// ReplaceDrains replaces the known drains by those on record.
 func (s *Scheduler) ReplaceDrains(found map[string]drain.Spec) {
 	var gone []string
 	for _, d := range s.drains.list {
@@ -124,8 +126,8 @@
 	}
 }
 
-// PreviewDrainPage returns what a drain would do: in all, and for the machines whose names follow
-// since, with up to limit tasks.
+// PreviewDrainPage returns the plan of a drain with one page of machines: those whose names follow
+// since, with up to limit tasks and machines in total.
 func (s *Scheduler) PreviewDrainPage(spec *drain.Spec, force bool, since string, limit int, now time.Time) (*drain.Plan, error) {
 	p, err := s.PreviewDrain(spec, force, now)
 	if err != nil {
@@ -148,7 +150,7 @@
 	return p, nil
 }
 
-// DrainView returns a drain with its state, and whether there is one of that id.
+// DrainView returns a drain with its state, and false if there is no drain with that id.
 func (s *Scheduler) DrainView(id string) (DrainView, bool) {
 	for _, d := range s.drains.list {
 		if d.spec.ID == id {
--- a/internal/scheduler/drain_state.go
+++ b/internal/scheduler/drain_state.go
@@ -10,14 +10,14 @@
 // drainCounts counts the machines of a drain.
 type drainCounts struct {
 	occupied  int // cordoned and not empty
-	upgraded  int // of those that an upgrade is about, have the target version
-	inUpgrade int // that an upgrade is about
+	upgraded  int // of inUpgrade, those that have the target version
+	inUpgrade int // selected by an upgrade
 }
 
-// missing is how many machines lack the target version.
+// missing returns the number of machines that lack the target version.
 func (n drainCounts) missing() int { return n.inUpgrade - n.upgraded }
 
-// updateDrainState works out the state of a drain, which operators see.
+// updateDrainState updates the state of a drain that operators see.
 func (s *Scheduler) updateDrainState(d *activeDrain, now time.Time) {
 	state := &d.state
 	if state.Phase == drain.PhaseStopped || state.Closed() && d.spec.Kind == drain.KindUpgrade && !d.spec.Stopped {
@@ -57,7 +57,7 @@
 	return n
 }
 
-// updatePhase works out the phase of a drain, and how many machines are left.
+// updatePhase updates the phase of a drain and the number of machines left.
 func (s *Scheduler) updatePhase(d *activeDrain, counts drainCounts, now time.Time) {
 	state := &d.state
 	switch {
@@ -77,8 +77,8 @@
 	}
 }
 
-// updateUpgradePhase works out the phase of an upgrade that is in force. Before every machine of
-// earlier terms has been heard it is not known whether all have the target version.
+// updateUpgradePhase updates the phase of an upgrade in force. Until every machine of earlier terms is
+// reconciled, it is unknown whether all have the target version.
 func (s *Scheduler) updateUpgradePhase(d *activeDrain, counts drainCounts, now time.Time) {
 	state, rollout := &d.state, d.state.Rollout
 	complete := counts.missing() == 0 && s.reconciled
@@ -94,8 +94,7 @@
 	}
 }
 
-// soaked reports whether every machine with the target version has shown that it works, or had the time
-// to.
+// soaked reports whether every machine with the target version is proven or past its soak time.
 func (s *Scheduler) soaked(d *activeDrain, now time.Time) bool {
 	for _, m := range s.fleet.Sorted() {
 		fresh := !m.VersionSince.IsZero() && now.Sub(m.VersionSince) < soakIntervals*s.settings.HeartbeatInterval
--- a/internal/scheduler/drain_tasks.go
+++ b/internal/scheduler/drain_tasks.go
@@ -11,7 +11,7 @@
 	"drumpick/internal/records"
 )
 
-// newDrainTask is what the decision about an attempt depends on, except where else it could go.
+// newDrainTask returns the input of the decision about an attempt, without its Place.
 func (s *Scheduler) newDrainTask(j *Job, a *fleet.Attempt, now time.Time) drain.Task {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	_, ran := a.Durations(now)
@@ -43,8 +43,8 @@
 	return t
 }
 
-// slack returns how much time a job has beyond what a task of it still needs, and whether anything is
-// due still.
+// slack returns the time from the end of a task, which needs remaining, to the job's next target, and
+// false if the job has no target that it can still meet.
 func (s *Scheduler) slack(j *Job, remaining time.Duration, now time.Time) (time.Duration, bool) {
 	age := now.Sub(j.releasedAt)
 	for _, t := range j.targets {
@@ -55,44 +55,44 @@
 	return 0, false
 }
 
-// drainMachine decides about each task of a machine that is being emptied.
+// drainMachine decides about each task on a machine that is being drained, and carries it out.
 func (s *Scheduler) drainMachine(m *fleet.Machine, d *activeDrain, finder *placeFinder) {
 	now := finder.now
-	left := d.timeLeft(now)
+	timeLeft := d.timeLeft(now)
 	for _, a := range slices.Clone(m.Attempts()) {
 		j := s.jobOf(a)
 		if j == nil || a.Stopping() || a.State() == fleet.Ended || a.State() == fleet.Planned || a.State() == fleet.Sent || a.Duplicate {
-			continue // on its way out, or not known well enough yet
+			continue // stops already, or has not been acknowledged yet
 		}
 		if j.Shape == records.ShapeGang {
-			s.drainGang(j, left, finder)
+			s.drainGang(j, timeLeft, finder)
 			continue
 		}
 		t := s.newDrainTask(j, a, now)
 		zones := s.constrainedZoneCounts(j)
 		if zones != nil {
-			zones[m.Zone]-- // it leaves
+			zones[m.Zone]-- // the task leaves
 		}
-		var to *fleet.Machine
-		t.Place, to = finder.findPlace(j, zones)
-		decision := drain.Decide(t, left, s.settings.HeartbeatInterval)
-		if t.Service && left == nil {
-			continue // replicas move in rounds, one of a job at a time
+		var target *fleet.Machine
+		t.Place, target = finder.findPlace(j, zones)
+		decision := drain.Decide(t, timeLeft, s.settings.HeartbeatInterval)
+		if t.Service && timeLeft == nil {
+			continue // replicas move in rebalancing rounds, one per job at a time
 		}
 		switch decision.Action {
 		case drain.Wait:
-			j.relocatingTasks++ // others are rented ahead where that is worth it
+			j.relocatingTasks++ // counts as demand for scale-out
 			j.remainingByZone = zones
 		case drain.Move, drain.Restart:
-			if to != nil {
-				s.addClaim(j, to, now)
+			if target != nil {
+				s.addClaim(j, target, now)
 			}
 			s.stopForDrain(j, a, decision, now)
 		}
 	}
 }
 
-// stopForDrain stops a task so that its machine is drained.
+// stopForDrain stops a task to drain its machine. The task gets its save time if it saves checkpoints.
 func (s *Scheduler) stopForDrain(j *Job, a *fleet.Attempt, decision drain.Decision, now time.Time) {
 	slog.Info("task evicted", "job", j.ID, "task", a.Task.String(), "machine", a.Machine.Name,
 		"reason", decision.Reason, "lost_s", decision.Lost.Seconds(), "term", s.term)
@@ -104,9 +104,9 @@
 	s.requestStop(a, stopDrained, grace, now)
 }
 
-// drainGang decides about a gang as a whole, of which some tasks are on machines that are being
-// emptied.
-func (s *Scheduler) drainGang(j *Job, left *time.Duration, finder *placeFinder) {
+// drainGang decides about a gang as a whole if some of its tasks are on machines that are being
+// drained.
+func (s *Scheduler) drainGang(j *Job, timeLeft *time.Duration, finder *placeFinder) {
 	now := finder.now
 	if j.gangBroken {
 		return
@@ -133,16 +133,16 @@
 		_, ran := a.Durations(now)
 		t.Ran = max(t.Ran, ran)
 	}
-	var to []*fleet.Machine
+	var targets []*fleet.Machine
 	if t.Place = drain.NotPermitted; finder.allowedAnywhere(j, staying) {
 		t.Place = drain.NoRoom
-		if to = finder.findGangRoom(j, len(leaving), staying); len(to) == len(leaving) {
+		if targets = finder.findGangRoom(j, len(leaving), staying); len(targets) == len(leaving) {
 			t.Place = drain.HasRoom
-		} else if to = finder.findGangRoom(j, len(j.attempts), nil); len(to) == len(j.attempts) {
-			t.Place = drain.HasRoom // all of it, away from where the others could have stayed
+		} else if targets = finder.findGangRoom(j, len(j.attempts), nil); len(targets) == len(j.attempts) {
+			t.Place = drain.HasRoom // the whole gang moves, including tasks that could have stayed
 		}
 	}
-	decision := drain.Decide(t, left, s.settings.HeartbeatInterval)
+	decision := drain.Decide(t, timeLeft, s.settings.HeartbeatInterval)
 	switch decision.Action {
 	case drain.Wait:
 		j.relocatingTasks += len(leaving)
@@ -153,14 +153,14 @@
 		slog.Info("gang evicted", "job", j.ID, "reason", decision.Reason, "lost_s", decision.Lost.Seconds(), "term", s.term)
 		s.stopGang(j, now)
 		if t.Place == drain.HasRoom {
-			for _, m := range to {
+			for _, m := range targets {
 				s.addClaim(j, m, now)
 			}
 		}
 	}
 }
 
-// countDrainOutcome counts what became of a task on a machine that was being emptied.
+// countDrainOutcome counts the outcome of a task on a machine that is being drained.
 func countDrainOutcome(a *fleet.Attempt, now time.Time) {
 	d, ok := a.Machine.Cordon.(*activeDrain)
 	if !ok || !d.evictsTasks() || a.State() == fleet.Sent {
@@ -184,7 +184,7 @@
 	}
 }
 
-// isService reports whether an attempt is of a service: the time that it ran is of use however it ends.
+// isService reports whether an attempt belongs to a service, whose run time is never lost work.
 func isService(a *fleet.Attempt) bool {
 	j, ok := a.Job.(*Job)
 	return ok && j.Shape == records.ShapeService
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -9,36 +9,36 @@
 	"drumpick/internal/fleet"
 )
 
-// activeDrain is a drain that operators asked for, with its state. Which machines it has cordoned is on
-// the machines themselves; a new leader works it out again.
+// activeDrain is a drain on record with its state. The machines that it has cordoned refer to it; a new
+// leader selects them again.
 type activeDrain struct {
 	spec         drain.Spec
 	state        drain.State
-	stored       drain.State // as the store has it
-	hasStored    bool        // the store has a state
-	revision     uint64      // of the stored state; 0: there is none
-	writtenAt    time.Time   // when the state was last given to the store
+	stored       drain.State // the state in the store, if hasStored
+	hasStored    bool        // the store has a state of the drain
+	revision     uint64      // of the stored state; 0: none
+	writtenAt    time.Time   // when the state was last submitted to the store
 	inForce      bool
-	deadline     time.Time       // by when its machines are to be empty; zero: there is none
-	everCordoned map[string]bool // machines that it has cordoned, those that are gone included
+	deadline     time.Time       // when its machines must be empty; zero: none
+	everCordoned map[string]bool // machines that it has cordoned, including removed ones
 }
 
-// evictsTasks reports whether the drain empties its machines.
+// evictsTasks reports whether the drain evicts tasks from its machines.
 func (d *activeDrain) evictsTasks() bool { return d.spec.Kind != drain.KindCordon }
 
-// upgradeInProgress reports whether the drain is an upgrade under way.
+// upgradeInProgress reports whether the drain is an upgrade that is in force and not complete.
 func (d *activeDrain) upgradeInProgress() bool {
 	return d.inForce && d.spec.Kind == drain.KindUpgrade && d.state.Rollout != nil && !d.state.Closed()
 }
 
-// isReplacement reports whether a machine was rented in place of one that an upgrade returned. It has
-// the version that the cloud gives; replacing it again, for as long as that is not the target, would
-// never end.
+// isReplacement reports whether a machine was rented after an upgrade with WhenEmpty Return was
+// requested. It has the version that the cloud provides; if that is not the target, replacing it again
+// would never end.
 func (d *activeDrain) isReplacement(m *fleet.Machine) bool {
 	return d.spec.WhenEmpty == drain.Return && !m.RequestedAt.IsZero() && m.RequestedAt.After(time.UnixMilli(d.spec.RequestedMS))
 }
 
-// timeLeft is how long the machines of the drain may take to be empty; nil: there is no deadline.
+// timeLeft returns the time until the machines of the drain must be empty; nil: no deadline.
 func (d *activeDrain) timeLeft(now time.Time) *time.Duration { return timeUntil(d.deadline, now) }
 
 func timeUntil(deadline, now time.Time) *time.Duration {
@@ -49,8 +49,8 @@
 	return &left
 }
 
-// takesPrecedence reports whether the drain goes before another one that wants the same machine: one
-// with a deadline goes first, then one that empties, then the older one.
+// takesPrecedence reports whether the drain gets a machine that another one selects as well: the
+// earlier deadline wins over a later one or none, then a drain that evicts tasks, then the older one.
 func (d *activeDrain) takesPrecedence(other *activeDrain) bool {
 	if other == nil {
 		return true
@@ -64,14 +64,14 @@
 	return !other.evictsTasks() && d.evictsTasks()
 }
 
-// drainSet is the drains that operators asked for.
+// drainSet holds the drains on record.
 type drainSet struct {
 	list       []*activeDrain // by id
-	lastPass   time.Time      // when they were last brought into force
-	anyInForce bool           // one is in force, and not done
+	lastPass   time.Time      // time of the last call of runDrains
+	anyInForce bool           // at least one is in force and not complete
 }
 
-// set adds or changes a drain; state is nil where there is none on record yet.
+// set adds or updates a drain. state is nil if none is on record yet.
 func (s *drainSet) set(spec drain.Spec, state *drain.State, revision uint64) {
 	i, found := slices.BinarySearchFunc(s.list, spec.ID, func(d *activeDrain, id string) int { return strings.Compare(d.spec.ID, id) })
 	if !found {
@@ -88,7 +88,7 @@
 	s.requestPass()
 }
 
-// remove removes a drain and returns it; nil: there is none of that id.
+// remove removes a drain and returns it; nil if there is none with that id.
 func (s *drainSet) remove(id string) *activeDrain {
 	i := slices.IndexFunc(s.list, func(d *activeDrain) bool { return d.spec.ID == id })
 	if i < 0 {
@@ -99,20 +99,20 @@
 	return d
 }
 
-// requestPass has the drains brought into force at the next tick.
+// requestPass makes the next tick run the drains.
 func (s *drainSet) requestPass() { s.lastPass = time.Time{} }
 
-// passDue reports whether the drains are to be brought into force now.
+// passDue reports whether the drains have to run now.
 func (s *drainSet) passDue(interval time.Duration, now time.Time) bool {
 	return len(s.list) > 0 && now.Sub(s.lastPass) >= interval
 }
 
-// SetDrain takes in a drain as it is on record; state is nil where there is none of it yet.
+// SetDrain adds or updates a drain from its record. state is nil if none is on record yet.
 func (s *Scheduler) SetDrain(spec drain.Spec, state *drain.State, revision uint64) {
 	s.drains.set(spec, state, revision)
 }
 
-// RemoveDrain forgets a drain whose record is gone.
+// RemoveDrain removes a drain whose record has been deleted, and uncordons its machines.
 func (s *Scheduler) RemoveDrain(id string) {
 	d := s.drains.remove(id)
 	if d == nil {
@@ -125,7 +125,8 @@
 	}
 }
 
-// toDrainMachine is what a drain sees of a machine.
+// toDrainMachine returns the properties of a machine by which drains select. A zero time leaves out the
+// age.
 func toDrainMachine(m *fleet.Machine, now time.Time) drain.Machine {
 	v := drain.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Version: m.Version}
 	if !m.RequestedAt.IsZero() && !now.IsZero() {
@@ -134,31 +135,31 @@
 	return v
 }
 
-// scaleOutBlocked reports whether no machine of a type is to be rented in a zone, as it would be drained.
+// scaleOutBlocked reports whether a drain in force would drain new machines of a type in a zone.
 func (s *Scheduler) scaleOutBlocked(machineType, zone string) bool {
 	return slices.ContainsFunc(s.drains.list, func(d *activeDrain) bool {
 		return d.inForce && d.spec.BlocksScaleOut(machineType, zone)
 	})
 }
 
-// isEmptying reports whether a machine is being emptied for an operator.
+// isEmptying reports whether a drain evicts tasks from a machine.
 func (s *Scheduler) isEmptying(m *fleet.Machine) bool {
 	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.evictsTasks()
 }
 
-// maxKeptSilenceLeases is for how many leases a machine that is kept for an operator may be silent.
+// maxKeptSilenceLeases is the number of leases for which a machine kept for an operator may be silent.
 const maxKeptSilenceLeases = 50
 
-// keptForOperator reports whether a machine is empty and kept for an operator, who may well have
-// switched it off: then its silence is no reason to return it, for a long time.
+// keptForOperator reports whether a machine is empty and kept for an operator, who may have switched it
+// off: it is not returned for being silent, for up to maxKeptSilenceLeases.
 func (s *Scheduler) keptForOperator(m *fleet.Machine, now time.Time) bool {
 	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.evictsTasks() && d.spec.WhenEmpty == drain.Keep && m.Reconciled && !m.Failed && m.Empty() &&
 		now.Sub(m.LastStatusAt) < maxKeptSilenceLeases*s.settings.Lease
 }
 
-// returnsWhenEmpty reports whether an empty cordoned machine is to be returned.
+// returnsWhenEmpty reports whether a cordoned machine is returned once it is empty.
 func (s *Scheduler) returnsWhenEmpty(m *fleet.Machine) bool {
 	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.evictsTasks() && d.spec.WhenEmpty == drain.Return
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -9,22 +9,24 @@
 )
 
 const (
-	// healthyRunIntervals is for how many heartbeat intervals a task has to run to show that its job can.
+	// healthyRunIntervals is the number of heartbeat intervals a task has to run to show that its job
+	// is not at fault.
 	healthyRunIntervals = 2
-	// minFaultyJobs is how many jobs have to fail on a machine to show that the machine is faulty.
+	// minFaultyJobs is the number of jobs that have to fail on a machine for it to be faulty.
 	minFaultyJobs = 2
-	// minFailingMachines is on how many machines a job has to fail to show that the job is at fault.
+	// minFailingMachines is the number of machines on which a job has to fail for the job to be at
+	// fault.
 	minFailingMachines = 3
-	// suspectIntervals is for how many heartbeat intervals a machine gets no tasks after a failure that
-	// may be the machine's or the job's.
+	// suspectIntervals is the number of heartbeat intervals for which a machine gets no tasks after a
+	// failure that may be due to the machine or the job.
 	suspectIntervals = 5
-	// minBackoffIntervals and maxBackoffIntervals bound, in heartbeat intervals, how long a failing job
-	// waits for its next try.
+	// minBackoffIntervals and maxBackoffIntervals bound the retry backoff of a failing job, in
+	// heartbeat intervals.
 	minBackoffIntervals = 4
 	maxBackoffIntervals = 60
 )
 
-// attemptFailed decides after an error whether the machine is faulty, or the job.
+// attemptFailed decides after a task error whether the machine or the job is at fault.
 func (s *Scheduler) attemptFailed(job *Job, machine *fleet.Machine, now time.Time) {
 	machine.FailedTasksByJob[job.ID]++
 	job.errorMachines[machine.Name] = true
@@ -32,7 +34,7 @@
 	case s.runsElsewhere(job, machine, now) || len(machine.FailedTasksByJob) >= minFaultyJobs:
 		s.markFaulty(machine)
 	case len(job.errorMachines) >= minFailingMachines:
-		// It fails wherever it goes: the machines are not to blame.
+		// The job fails on every machine, so the machines are not at fault.
 		s.delayRetry(job, now)
 		for host := range job.errorMachines {
 			if blamed := s.fleet.Machines[host]; blamed != nil {
@@ -47,7 +49,8 @@
 	}
 }
 
-// runsElsewhere reports whether a job has completed a task, or runs on another machine.
+// runsElsewhere reports whether a job has completed a task, or has run on another machine for
+// healthyRunIntervals.
 func (s *Scheduler) runsElsewhere(job *Job, machine *fleet.Machine, now time.Time) bool {
 	if job.doneCount > 0 {
 		return true
@@ -61,7 +64,8 @@
 	return false
 }
 
-// markFaulty cordons a machine that fails tasks which run elsewhere. It is returned once it is empty.
+// markFaulty takes a machine out of service that fails tasks which run elsewhere. The machine is
+// returned once it is empty.
 func (s *Scheduler) markFaulty(machine *fleet.Machine) {
 	if !machine.Faulty {
 		slog.Warn("machine faulty", "machine", machine.Name, "errors", len(machine.FailedTasksByJob), "term", s.term)
@@ -72,21 +76,21 @@
 	s.drains.requestPass() // an upgrade may have to be rolled back
 	for _, d := range s.drains.list {
 		if d.upgradeInProgress() && d.spec.Selects(toDrainMachine(machine, s.passTime)) && machine.Version == d.state.Rollout.Target && machine.Cordon == nil {
-			machine.Cordon = d // it stays, to get its earlier version back
+			machine.Cordon = d // keeps the machine, so that it gets its previous version back
 		}
 	}
 }
 
-// delayRetry has a failing job wait before its next try, twice as long as the last time.
+// delayRetry delays the next attempt of a failing job by exponential backoff.
 func (s *Scheduler) delayRetry(job *Job, now time.Time) {
 	interval := s.settings.HeartbeatInterval
 	job.backoff = min(max(2*job.backoff, minBackoffIntervals*interval), maxBackoffIntervals*interval)
 	job.retryAt = now.Add(job.backoff)
-	slog.Warn("job failing everywhere, retry delayed", "job", job.ID, "backoff", job.backoff, "term", s.term)
+	slog.Warn("job fails on all machines, retry delayed", "job", job.ID, "backoff", job.backoff, "term", s.term)
 }
 
-// handlePreemptionNotice empties a machine that the cloud is about to take back: it gets nothing new,
-// and what can save a checkpoint is stopped while there is time.
+// handlePreemptionNotice drains a machine that the cloud is about to preempt: it gets no new tasks, and
+// tasks that can save a checkpoint are stopped in time to do so.
 func (s *Scheduler) handlePreemptionNotice(machine *fleet.Machine, now time.Time) {
 	s.cancelPlanned(machine)
 	machine.Draining = true
@@ -95,24 +99,24 @@
 		if job == nil || attempt.Stopping() || attempt.State() != fleet.Running && attempt.State() != fleet.Waiting {
 			continue
 		}
-		left := machine.PreemptionAt.Sub(now).Seconds()
+		timeLeft := machine.PreemptionAt.Sub(now).Seconds()
 		if job.Shape == records.ShapeGang {
-			if job.CheckpointS > 0 && left > job.SaveS {
+			if job.CheckpointS > 0 && timeLeft > job.SaveS {
 				s.stopGang(job, now)
 			}
 			continue
 		}
 		if job.Shape == records.ShapeService {
-			continue // moved in rebalancing rounds, while another replica runs
+			continue // replicas move in rebalancing rounds, while another one runs
 		}
-		switch remains := s.remainingSeconds(job, attempt, now); {
+		switch remaining := s.remainingSeconds(job, attempt, now); {
 		case job.CheckpointS > 0:
-			if left > job.SaveS && remains > left {
+			if timeLeft > job.SaveS && remaining > timeLeft {
 				s.requestStop(attempt, stopPreemptionNotice, job.SaveS, now)
 			}
-		case remains > left:
-			// What it has done is lost with the machine in any case. Stopped now, it starts elsewhere now, and
-			// not when the machine is known to be gone.
+		case remaining > timeLeft:
+			// Its work is lost with the machine in any case. Stopped now, it starts elsewhere now
+			// instead of when the machine is known to be gone.
 			s.requestStop(attempt, stopPreemptionNotice, 0, now)
 		}
 	}
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -21,7 +21,7 @@
 	sort.Slice(s.typesByPrice, func(i, j int) bool {
 		a, b := s.machineTypes[s.typesByPrice[i]], s.machineTypes[s.typesByPrice[j]]
 		if (a.GPUs > 0) != (b.GPUs > 0) {
-			return b.GPUs > 0 // GPU types are packed separately and come last
+			return b.GPUs > 0 // GPU machines are packed separately and come last
 		}
 		if a.Price != b.Price {
 			return a.Price < b.Price
@@ -34,7 +34,7 @@
 	s.placementStale = true
 }
 
-// assignBin gives a machine's bin the capacity of its type, and adds it to the type's space.
+// assignBin sets the capacity of a machine's bin by its type and adds the bin to the type's space.
 func (s *Scheduler) assignBin(machine *fleet.Machine) {
 	t, ok := s.machineTypes[machine.Type]
 	if !ok {
@@ -51,25 +51,25 @@
 	}
 }
 
-// itemMovable reports whether the packing may move an item to another bin.
+// itemMovable reports whether packing may move an item to another bin.
 func (s *Scheduler) itemMovable(item *packing.Item) bool {
 	attempt, ok := item.Owner.(*fleet.Attempt)
 	return ok && s.movable(s.jobOf(attempt), attempt, s.passTime)
 }
 
-// suitableMoveTarget reports whether a bin is a good target for an item that moves. What was only planned
-// moves freely.
+// suitableMoveTarget reports whether a bin is a good target for an item that moves. Planned attempts
+// may move to any bin.
 func (s *Scheduler) suitableMoveTarget(item *packing.Item, to *packing.Bin) bool {
 	attempt, ok := item.Owner.(*fleet.Attempt)
 	if !ok || attempt.State() == fleet.Planned {
 		return true
 	}
-	// Without this, two machines could empty into each other.
+	// Without this, two machines could move their tasks to each other.
 	if slices.ContainsFunc(to.Owner.(*fleet.Machine).Attempts(), isStoppingOnMachine) {
 		return false
 	}
-	// What is on a machine moves only to where its image is: a move must not throw one fetch away to
-	// begin another.
+	// A dispatched task moves only to a machine that has its image: a move must not discard one image
+	// fetch to start another.
 	job := s.jobOf(attempt)
 	return job != nil && (s.fetchTime(job) == 0 || to.HasLabel(job.imageReadyLabel))
 }
--- a/internal/scheduler/zone_health.go
+++ b/internal/scheduler/zone_health.go
@@ -9,13 +9,12 @@
 	"drumpick/internal/zonehealth"
 )
 
-// heartbeatOverdue reports whether a machine has been silent for so long that an outage of its zone may be the
-// cause.
+// heartbeatOverdue reports whether a machine counts as silent for zone health.
 func (s *Scheduler) heartbeatOverdue(m *fleet.Machine, now time.Time) bool {
 	return float64(now.Sub(m.LastHeard())) > zonehealth.SilentAfterIntervals*float64(s.settings.HeartbeatInterval)
 }
 
-// observeZones examines in which zones an outage has to be suspected.
+// observeZones updates the zones with a suspected outage.
 func (s *Scheduler) observeZones(now time.Time) {
 	if !s.settings.ZoneHealth {
 		return
@@ -41,14 +40,14 @@
 	}
 }
 
-// replaceableElsewhere reports whether a replacement of a machine could be had, as far as known, in a
-// zone without a suspected outage. Capacity that was refused lately counts too: as long as work waits
-// it is requested again and again.
+// replaceableElsewhere reports whether a zone without a suspected outage may have capacity for a
+// replacement of a machine. An offer whose backoff ended less than two startup times ago counts as
+// refused: while work waits it is requested again and again.
 func (s *Scheduler) replaceableElsewhere(machine *fleet.Machine, now time.Time) bool {
 	machineType := s.machineTypes[machine.Type]
-	late := now.Add(-2 * s.startupTime(machine.Type))
+	recently := now.Add(-2 * s.startupTime(machine.Type))
 	refusedLately := func(zone string, spot bool) bool {
-		return !late.After(s.autoscaling.planner.RefusedUntil(autoscaler.Offer{Type: machine.Type, Zone: zone, Spot: spot}))
+		return !recently.After(s.autoscaling.planner.RefusedUntil(autoscaler.Offer{Type: machine.Type, Zone: zone, Spot: spot}))
 	}
 	for _, zone := range machineType.Zones {
 		if s.zoneHealth.Suspected(zone) {
