--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -53,25 +53,25 @@
 		}
 		var requests []drainRequest
 		for i := range rapid.IntRange(1, 3).Draw(t, "drains") {
-			w := drainRequest{spec: drain.Spec{ID: fmt.Sprint("d-", i), Kind: rapid.SampledFrom([]string{drain.KindDrain, drain.KindDrain, drain.KindCordon}).Draw(t, "kind")}}
-			w.from = rapid.IntRange(5, 100).Draw(t, "from step")
-			w.to = w.from + rapid.IntRange(1, 300).Draw(t, "duration in steps")
+			request := drainRequest{spec: drain.Spec{ID: fmt.Sprint("d-", i), Kind: rapid.SampledFrom([]string{drain.KindDrain, drain.KindDrain, drain.KindCordon}).Draw(t, "kind")}}
+			request.from = rapid.IntRange(5, 100).Draw(t, "from step")
+			request.to = request.from + rapid.IntRange(1, 300).Draw(t, "duration in steps")
 			if rapid.Bool().Draw(t, "a zone") {
-				w.spec.Zone = rapid.SampledFrom(cfg.Deployment.Zones).Draw(t, "zone")
+				request.spec.Zone = rapid.SampledFrom(cfg.Deployment.Zones).Draw(t, "zone")
 			} else {
-				w.spec.Machines = []string{fmt.Sprintf("m-%02d", rapid.IntRange(0, machines-1).Draw(t, "machine"))}
+				request.spec.Machines = []string{fmt.Sprintf("m-%02d", rapid.IntRange(0, machines-1).Draw(t, "machine"))}
 			}
-			if w.spec.Kind == drain.KindDrain && rapid.Bool().Draw(t, "has deadline") {
-				w.spec.DeadlineMS = f.now.Add(time.Duration(w.from)*500*time.Millisecond + time.Duration(rapid.IntRange(3, 60).Draw(t, "seconds to deadline"))*time.Second).UnixMilli()
+			if request.spec.Kind == drain.KindDrain && rapid.Bool().Draw(t, "has deadline") {
+				request.spec.DeadlineMS = f.now.Add(time.Duration(request.from)*500*time.Millisecond + time.Duration(rapid.IntRange(3, 60).Draw(t, "seconds to deadline"))*time.Second).UnixMilli()
 			}
-			if err := w.spec.Check(f.now); err != nil {
+			if err := request.spec.Check(f.now); err != nil {
 				t.Fatal(err)
 			}
-			requests = append(requests, w)
+			requests = append(requests, request)
 		}
 		anyDeadline := false // at least one drain has a deadline
-		for _, w := range requests {
-			anyDeadline = anyDeadline || w.spec.DeadlineMS != 0
+		for _, request := range requests {
+			anyDeadline = anyDeadline || request.spec.DeadlineMS != 0
 		}
 		for i := 0; i < 4000 && (i < 420 || len(f.scheduler.jobs) > 0); i++ {
 			if i%20 == 0 && len(arrivals) > 0 {
@@ -79,57 +79,57 @@
 				f.scheduler.AddJob(arrivals[0], 10, f.now, f.now)
 				arrivals = arrivals[1:]
 			}
-			for _, w := range requests {
+			for _, request := range requests {
 				switch i {
-				case w.from:
-					f.scheduler.SetDrain(w.spec, nil, 0)
-				case w.to:
-					w.spec.Stopped = true
-					f.scheduler.SetDrain(w.spec, nil, 0)
+				case request.from:
+					f.scheduler.SetDrain(request.spec, nil, 0)
+				case request.to:
+					request.spec.Stopped = true
+					f.scheduler.SetDrain(request.spec, nil, 0)
 				}
 			}
 			presentBefore := map[*fakeAttempt]bool{}
-			for _, h := range f.machines {
-				for _, s := range h.attempts {
-					presentBefore[s] = true
+			for _, machine := range f.machines {
+				for _, attempt := range machine.attempts {
+					presentBefore[attempt] = true
 				}
 			}
 			cordoned := map[string]bool{}
-			for _, h := range f.machines {
-				if m := f.scheduler.fleet.Machines[h.heartbeat.Machine]; m != nil && m.Cordon != nil {
-					cordoned[h.heartbeat.Machine] = true
+			for _, machine := range f.machines {
+				if m := f.scheduler.fleet.Machines[machine.heartbeat.Machine]; m != nil && m.Cordon != nil {
+					cordoned[machine.heartbeat.Machine] = true
 				}
 			}
 			f.step(i)
-			for _, h := range f.machines {
-				m := f.scheduler.fleet.Machines[h.heartbeat.Machine]
+			for _, machine := range f.machines {
+				m := f.scheduler.fleet.Machines[machine.heartbeat.Machine]
 				if m == nil {
 					continue // has not sent a heartbeat yet
 				}
-				for _, s := range h.attempts {
-					if cordoned[h.heartbeat.Machine] && m.Cordon != nil && !presentBefore[s] {
-						t.Fatalf("%s started on drained machine %s", s.Task, h.heartbeat.Machine)
+				for _, attempt := range machine.attempts {
+					if cordoned[machine.heartbeat.Machine] && m.Cordon != nil && !presentBefore[attempt] {
+						t.Fatalf("%s started on drained machine %s", attempt.Task, machine.heartbeat.Machine)
 					}
-					if j := f.jobs[s.job]; !anyDeadline && s.stopping && j.CheckpointS == 0 && f.scheduler.isEmptying(m) && j.Shape == records.ShapeArray && s.ranTwoRounds(f) {
-						t.Fatalf("%s, which cannot save a checkpoint, was stopped on %s", s.Task, h.heartbeat.Machine)
+					if j := f.jobs[attempt.job]; !anyDeadline && attempt.stopping && j.CheckpointS == 0 && f.scheduler.isEmptying(m) && j.Shape == records.ShapeArray && attempt.ranTwoRounds(f) {
+						t.Fatalf("%s, which cannot save a checkpoint, was stopped on %s", attempt.Task, machine.heartbeat.Machine)
 					}
 				}
 				d, ok := m.Cordon.(*activeDrain)
 				if ok && !d.deadline.IsZero() && f.now.Sub(d.deadline) > 10*time.Second {
-					for _, s := range h.attempts {
-						if s.Status != "ended" {
-							t.Fatalf("%s is still on %s, %v after the deadline", s.Task, h.heartbeat.Machine, f.now.Sub(d.deadline))
+					for _, attempt := range machine.attempts {
+						if attempt.Status != "ended" {
+							t.Fatalf("%s is still on %s, %v after the deadline", attempt.Task, machine.heartbeat.Machine, f.now.Sub(d.deadline))
 						}
 					}
 				}
 			}
 		}
 		for id := range f.scheduler.jobs {
-			st, done, running, _ := f.scheduler.Progress(id)
-			t.Errorf("job %s did not end: %s, %d done, %d running", id, st, done, running)
+			status, done, running, _ := f.scheduler.Progress(id)
+			t.Errorf("job %s did not end: %s, %d done, %d running", id, status, done, running)
 		}
-		for _, h := range f.machines {
-			if m := f.scheduler.fleet.Machines[h.heartbeat.Machine]; m.Bin.Reserved().CPU > 0 || m.Cordon != nil {
+		for _, machine := range f.machines {
+			if m := f.scheduler.fleet.Machines[machine.heartbeat.Machine]; m.Bin.Reserved().CPU > 0 || m.Cordon != nil {
 				t.Errorf("machine %s: reserved %+v, cordoned %v", m.Name, m.Bin.Reserved(), m.Cordon != nil)
 			}
 		}
@@ -138,7 +138,7 @@
 
 // ranTwoRounds reports whether a stopped task had run for more than two rebalancing intervals, which
 // rules out a stop by rebalancing.
-func (s *fakeAttempt) ranTwoRounds(f *fakeFleet) bool {
-	ran := f.runTimes[s.job] - s.remaining
+func (a *fakeAttempt) ranTwoRounds(f *fakeFleet) bool {
+	ran := f.runTimes[a.job] - a.remaining
 	return ran > 2*f.scheduler.settings.RebalanceInterval
 }
--- a/internal/scheduler/zone_health.go
+++ b/internal/scheduler/zone_health.go
@@ -46,14 +46,14 @@
 func (s *Scheduler) replaceableElsewhere(machine *fleet.Machine, now time.Time) bool {
 	machineType := s.machineTypes[machine.Type]
 	recently := now.Add(-2 * s.startupTime(machine.Type))
-	refusedLately := func(zone string, spot bool) bool {
+	refusedRecently := func(zone string, spot bool) bool {
 		return !recently.After(s.autoscaling.planner.RefusedUntil(autoscaler.Offer{Type: machine.Type, Zone: zone, Spot: spot}))
 	}
 	for _, zone := range machineType.Zones {
 		if s.zoneHealth.Suspected(zone) {
 			continue
 		}
-		if !refusedLately(zone, false) || machineType.SpotPrice > 0 && !refusedLately(zone, true) {
+		if !refusedRecently(zone, false) || machineType.SpotPrice > 0 && !refusedRecently(zone, true) {
 			return true
 		}
 	}
