--- a/internal/cancellation/confirmed.go
+++ b/internal/cancellation/confirmed.go
@@ -1,8 +1,8 @@
-// Package cancellation keeps the promise that a cancelled job's tasks are gone in time, where
-// the leader cannot learn of the cancellation from the store. Any controller confirms
-// cancellations to users; a leader out of touch with the store goes on renewing its workers'
-// leases only up to a bound, unless the others list all that they confirmed meanwhile. Each
-// keeps a log of that, and a list from it says how far back it is complete.
+// Package cancellation ensures that the tasks of a cancelled job end in time even while the leader
+// cannot read the cancellation from the store. Any controller may confirm cancellations to users. A
+// leader that cannot reach the store renews its workers' leases only up to a bound; it extends the
+// bound when every other controller lists the cancellations that it has confirmed in the meantime.
+// Each controller keeps a log of these, and each list states how far back it is complete.
 //
 // The package is pure: no I/O, no clock.
 package cancellation
@@ -15,56 +15,56 @@
 	"drumpick/internal/records"
 )
 
-// ConfirmedList lists the jobs whose cancellation a controller has confirmed to users, or may
-// be about to, in so many milliseconds before it was asked. It speaks for what this process
-// confirmed and for nothing that another did, an earlier one of the same name included.
+// ConfirmedList lists the jobs whose cancellation a controller has confirmed to users, or may be
+// about to confirm, within SpanMS milliseconds before the query. It covers only this process:
+// neither other controllers nor an earlier process of the same name.
 type ConfirmedList struct {
 	SpanMS int64    `msgpack:"reach_ms"` // how far back the list is complete
 	IDs    []string `msgpack:"ids,omitempty"`
 }
 
-// The bounds of a log and of a list: a list goes to the leader every quarter of a heartbeat
-// interval. None of them bounds machines or jobs: beyond them a list reaches less far back,
-// and a leader out of touch with the store that it does not cover lets leases expire, as if it
-// had not been received. At 41,000 jobs a day, all of them cancelled, 1,024 are confirmed in
-// 36 minutes; a list has to reach back for less than the cancellation time, which settings
-// bound.
+// Bounds of a log and of a list, which is sent to the leader every quarter of a heartbeat interval.
+// They don't bound the number of machines or jobs: beyond them a list covers a shorter span, and a
+// leader that cannot reach the store and gets too short a list lets leases expire, as if it had
+// received none. At 41,000 jobs a day, all cancelled, 1,024 are confirmed in 36 minutes; a list has
+// to cover less than the configured cancellation time, which is bounded.
 const (
 	maxLogEntries  = 4096
 	maxListedIDs   = 1024
-	maxListedBytes = 24 << 10 // of the ids in all
+	maxListedBytes = 24 << 10 // total length of the ids
 )
 
-// maxSpan is the longest span that makes sense; a longer one is no span of a list.
+// maxSpan is the longest span that is accepted as valid.
 const maxSpan = 10 * 365 * 24 * time.Hour
 
-// entryResolution is by how much the span of a list ends after an entry that it leaves out:
-// lists count in milliseconds.
+// entryResolution is the distance between an omitted entry and the start of the span of a list:
+// spans are in milliseconds.
 const entryResolution = time.Millisecond
 
-// Check returns what is wrong with a list that another controller sent.
+// Check returns an error that describes the first invalid field of a list from another controller,
+// or nil.
 func (c *ConfirmedList) Check() error {
 	bytes := 0
 	for _, id := range c.IDs {
 		bytes += len(id)
 		if !records.ValidID(id) {
-			return fmt.Errorf("told.ids: %q is no job", id)
+			return fmt.Errorf("told.ids: %q is not a valid job id", id)
 		}
 	}
 	switch {
 	case c.SpanMS < 0 || c.SpanMS > maxSpan.Milliseconds():
-		return fmt.Errorf("told.reach_ms: %d is no time before now", c.SpanMS)
+		return fmt.Errorf("told.reach_ms: %d is out of range", c.SpanMS)
 	case len(c.IDs) > maxListedIDs || bytes > maxListedBytes:
-		return fmt.Errorf("told.ids: %d of %d bytes, more than %d or %d", len(c.IDs), bytes, maxListedIDs, maxListedBytes)
+		return fmt.Errorf("told.ids: %d ids with %d bytes exceed the limit of %d ids or %d bytes", len(c.IDs), bytes, maxListedIDs, maxListedBytes)
 	}
 	return nil
 }
 
-// Log is what one process has confirmed. It is safe for concurrent use.
+// Log records the cancellations that one process has confirmed. It is safe for concurrent use.
 type Log struct {
 	mu            sync.Mutex // guards the fields below
 	completeFrom  time.Time
-	lastConfirmed time.Time // when anything was last confirmed, or the start
+	lastConfirmed time.Time // time of the last confirmation, or process start
 	entries       []entry   // oldest first
 }
 
@@ -76,32 +76,32 @@
 // NewLog returns the log of a process that starts now.
 func NewLog(now time.Time) *Log { return &Log{completeFrom: now, lastConfirmed: now} }
 
-// Add notes a cancellation, before it is confirmed to any user. That it was stored a while
-// ago, and is confirmed a while later, makes no difference: the first confirmation counts, and
-// is not before this.
+// Add records a cancellation and must be called before it is confirmed to any user. The time since
+// it was stored, and until it is confirmed, does not matter: the first confirmation counts, and it
+// is not earlier than now.
 func (l *Log) Add(id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastConfirmed = now
 	l.entries = append(l.entries, entry{id, now})
 	if excess := len(l.entries) - maxLogEntries; excess > 0 {
-		// Half at once, so that the rest is not copied each time.
+		// Drops half of the log at once, so that the rest is not copied on each call.
 		excess += maxLogEntries / 2
 		l.completeFrom = l.entries[excess-1].at.Add(entryResolution)
 		l.entries = append([]entry(nil), l.entries[excess:]...)
 	}
 }
 
-// SinceLastConfirmation returns for how long nothing has been confirmed, at least; for versions that know
-// no lists.
+// SinceLastConfirmation returns a lower bound of the time since the last confirmation, for versions
+// that don't support lists.
 func (l *Log) SinceLastConfirmation(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Sub(l.lastConfirmed)
 }
 
-// ConfirmedWithin lists what was confirmed in a span before now. Where that is more than a list
-// takes, it has the latest and says so by a shorter span.
+// ConfirmedWithin lists the cancellations confirmed in a span before now. If they exceed the bounds
+// of a list, it holds the latest ones and has a shorter span.
 func (l *Log) ConfirmedWithin(span time.Duration, now time.Time) ConfirmedList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,7 +115,7 @@
 		e := l.entries[i]
 		bytes += len(e.id)
 		if len(ids) == maxListedIDs || bytes > maxListedBytes {
-			// Complete only for what came after this one.
+			// The list is complete only for entries after this one.
 			from = e.at.Add(entryResolution)
 			break
 		}
--- a/internal/cancellation/confirmed_test.go
+++ b/internal/cancellation/confirmed_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// numberedIDs returns the ids of n jobs.
+// numberedIDs returns n job ids.
 func numberedIDs(n int) []string {
 	var ids []string
 	for i := range n {
@@ -17,7 +17,7 @@
 	return ids
 }
 
-// A list that makes no sense covers nothing, and says what is wrong with it.
+// An invalid list is rejected with an error that names the field, and it covers nothing.
 func TestInvalidListCoversNothing(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	bound := NewRenewalBound(cancelTime, leaseTime)
@@ -43,14 +43,14 @@
 			}
 			ids, ok := bound.Covers([]PeerAnswer{{Confirmed: &x.list}}, now)
 			if want := x.wantErr == "" && x.list.SpanMS >= 1001; ok != want || !ok && ids != nil {
-				t.Errorf("a span of %d ms: covers %v with %d ids, want %v", x.list.SpanMS, ok, len(ids), want)
+				t.Errorf("span of %d ms: got covered %v with %d ids, want %v", x.list.SpanMS, ok, len(ids), want)
 			}
 		})
 	}
 }
 
-// A log that has confirmed more than a list takes, or than it keeps, says how far back the
-// list is complete.
+// A log with more entries than it keeps, or than a list may hold, returns a list with the shorter
+// span for which it is complete.
 func TestTruncatedListHasShorterSpan(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	const confirmed, interval = maxLogEntries + 10, time.Second / 100
--- a/internal/cancellation/renewal_bound.go
+++ b/internal/cancellation/renewal_bound.go
@@ -6,60 +6,60 @@
 	"drumpick/internal/config"
 )
 
-// RenewalBound is until when a leader may renew leases. It lies some time after the last
-// contact: a moment before which every cancellation that was confirmed to anybody is known to
-// the leader.
+// RenewalBound tracks until when a leader may renew leases: a fixed span after the last contact.
+// The leader knows every cancellation that any controller confirmed before the contact.
 type RenewalBound struct {
-	span    time.Duration // from the contact on
+	span    time.Duration // after the contact
 	contact time.Time
 }
 
-// marginDivisor is the margin of the bound's span for what is under way, as one part in so many.
+// marginDivisor is the divisor of the span that gives its margin for messages in flight.
 const marginDivisor = 10
 
-// NewRenewalBound returns the bound of a leader that has had no contact yet. A worker's lease
-// counts from when it sent the heartbeat that was answered, so what is answered at the very
-// bound has expired a lease later; clocks drift apart, and a tenth is a margin for what is
-// under way.
+// NewRenewalBound returns the bound of a leader that has had no contact yet. cancel is the time
+// within which a cancelled job's tasks have to end. A worker's lease starts when it sends the
+// heartbeat, so a lease renewed just before the bound expires at most one lease after it. The span
+// is reduced by the clock drift and by a tenth for messages in flight.
 func NewRenewalBound(cancel, lease time.Duration) RenewalBound {
 	span := cancel - lease
 	return RenewalBound{span: span - config.Drift(span) - span/marginDivisor}
 }
 
-// RecordContact notes that the store was read: the answer was made after it was asked for.
-func (b *RenewalBound) RecordContact(asked time.Time) {
-	if asked.After(b.contact) {
-		b.contact = asked
+// RecordContact records that the store was read. The time of the request counts, as the response
+// may reflect any state since then.
+func (b *RenewalBound) RecordContact(askedAt time.Time) {
+	if askedAt.After(b.contact) {
+		b.contact = askedAt
 	}
 }
 
-// LastContact returns the moment before which every confirmed cancellation is known.
+// LastContact returns the time before which every confirmed cancellation is known.
 func (b *RenewalBound) LastContact() time.Time { return b.contact }
 
 // MayRenew reports whether leases may be renewed now.
 func (b *RenewalBound) MayRenew(now time.Time) bool { return now.Before(b.contact.Add(b.span)) }
 
-// RequiredSpan returns how far back the lists of others have to reach that are asked now and
-// given so long to answer.
+// RequiredSpan returns how far back the lists of the peers have to reach when they are queried now
+// with a timeout.
 func (b *RenewalBound) RequiredSpan(now time.Time, timeout time.Duration) time.Duration {
 	span := now.Sub(b.contact) + timeout
 	return span + 2*config.Drift(span) + timeout
 }
 
-// PeerAnswer is what one controller answered.
+// PeerAnswer is the answer of one controller.
 type PeerAnswer struct {
-	Confirmed             *ConfirmedList // nil from a version that lists no ids
-	SinceLastConfirmation time.Duration  // for how long it has confirmed nothing
+	Confirmed             *ConfirmedList // nil from a version that doesn't support lists
+	SinceLastConfirmation time.Duration  // lower bound
 }
 
-// Covers reports whether answers, asked for and all received by now, leave nothing out that
-// was confirmed between the contact and when they were asked for, and lists what that was.
-// Each has to reach back to the contact by itself: what a controller confirmed that has
-// restarted since, or that is not reached, nobody else knows.
+// Covers reports whether the answers, all received by now, include every cancellation confirmed
+// between the last contact and the query, and returns their job ids. Each answer has to reach back
+// to the contact by itself: no other controller knows what a restarted or unreachable one has
+// confirmed.
 func (b *RenewalBound) Covers(answers []PeerAnswer, now time.Time) (ids []string, ok bool) {
 	sinceContact := now.Sub(b.contact)
 	for _, answer := range answers {
-		// A quiet controller's list could be as long as its log; that it was quiet is enough.
+		// A controller without confirmations since the contact needs no list.
 		if answer.SinceLastConfirmation-config.Drift(answer.SinceLastConfirmation) >= sinceContact {
 			continue
 		}
--- a/internal/cancellation/renewal_bound_model_test.go
+++ b/internal/cancellation/renewal_bound_model_test.go
@@ -20,24 +20,24 @@
 	os.Exit(m.Run())
 }
 
-// mutant is one made on purpose around the package's own code, which the model has to find.
+// mutant is a bug injected around the package's code that the model check must detect.
 type mutant string
 
 const (
 	noMutant             mutant = ""
-	acceptMissing        mutant = "the answers of those who answer are enough"
-	ignoreSpan           mutant = "how far back a list reaches is not looked at"
-	contactAtAnswer      mutant = "the contact is when the answers came, not when they were asked for"
-	confirmBeforeLog     mutant = "a cancellation is confirmed before the log has it"
-	inheritSpan          mutant = "a process takes over the span of the one before it"
-	truncateList         mutant = "a list is cut short and keeps its span"
-	listOnlySinceQuery   mutant = "a list speaks for the time since it was asked for"
-	omitOwnList          mutant = "the leader's own confirmations are left out"
-	ignoreIDs            mutant = "ids are received and nothing is ended"
-	acceptStaleAnswers   mutant = "answers to an earlier inquiry are taken for answers to this one"
-	unboundedSinceLast   mutant = "a process that has just started has been quiet for ever"
-	contactAtWatchAnswer mutant = "the contact of a watch is when it came back"
-	boundTooWide         mutant = "leases are renewed for as long as a cancellation may take"
+	acceptMissing        mutant = "missing answers are ignored"
+	ignoreSpan           mutant = "the span of a list is ignored"
+	contactAtAnswer      mutant = "the contact is the time of the answers instead of the query"
+	confirmBeforeLog     mutant = "a cancellation is confirmed before it is logged"
+	inheritSpan          mutant = "a restarted process keeps the span of the previous one"
+	truncateList         mutant = "a truncated list keeps its span"
+	listOnlySinceQuery   mutant = "a list covers only the time since the query"
+	omitOwnList          mutant = "the leader's own confirmations are omitted"
+	ignoreIDs            mutant = "received ids are not cancelled"
+	acceptStaleAnswers   mutant = "answers to an earlier query are accepted"
+	unboundedSinceLast   mutant = "a restarted process reports a long time without confirmations"
+	contactAtWatchAnswer mutant = "the contact of a watch is the time of its answer"
+	boundTooWide         mutant = "leases are renewed for the whole cancellation time"
 )
 
 var allMutants = []mutant{
@@ -46,19 +46,19 @@
 }
 
 const (
-	cancelTime = 30 * time.Second // within which a cancelled job's tasks have to be gone
+	cancelTime = 30 * time.Second // within which a cancelled job's tasks have to end
 	leaseTime  = 12 * time.Second
-	// maxRenewalDelay is how long after a confirmation a lease may be renewed at most.
+	// maxRenewalDelay is the maximum time between a confirmation and a later lease renewal.
 	maxRenewalDelay = cancelTime - leaseTime
 	queryTimeout    = 2 * time.Second
 )
 
-// modelStart is when a model begins.
+// modelStart is the start time of a model run.
 var modelStart = time.Unix(1_000_000, 0)
 
-// clusterModel is a model of what was confirmed to users: controllers that store cancellations
-// and confirm them later, restart and answer late or never, and a leader that reaches the
-// store for a while. The leader is the first controller.
+// clusterModel models controllers that store cancellations, confirm them at once or later, restart,
+// and answer late or never, and a leader that can reach the store only part of the time. The leader
+// is controller 0.
 type clusterModel struct {
 	t               *rapid.T
 	mutant          mutant
@@ -68,17 +68,17 @@
 	clockRates      []float64 // by controller
 	stored          []string  // ids of cancelled jobs
 	unconfirmed     map[string]int
-	confirmedAt     map[string]time.Time // first
-	known           map[string]bool      // to the leader
-	previousAnswers []PeerAnswer         // of the inquiry before
+	confirmedAt     map[string]time.Time // first confirmation
+	known           map[string]bool      // by the leader
+	previousAnswers []PeerAnswer         // to the previous query
 }
 
-// clock returns what a controller's own clock shows.
+// clock returns the time on a controller's own clock.
 func (m *clusterModel) clock(controller int) time.Time {
 	return modelStart.Add(time.Duration(float64(m.now.Sub(modelStart)) * m.clockRates[controller]))
 }
 
-// confirm has a controller confirm a cancellation, or be about to.
+// confirm makes a controller confirm a cancellation or prepare to.
 func (m *clusterModel) confirm(controller int, id string) {
 	if m.mutant != confirmBeforeLog {
 		m.logs[controller].Add(id, m.clock(controller))
@@ -93,39 +93,41 @@
 	m.checkInvariant()
 }
 
-// checkInvariant holds the bound against what was confirmed.
+// checkInvariant fails if the bound allows renewals too long after the confirmation of a
+// cancellation that the leader does not know.
 func (m *clusterModel) checkInvariant() {
 	if !m.bound.MayRenew(m.clock(0)) {
 		return
 	}
 	for id, at := range m.confirmedAt {
 		if !m.known[id] && m.now.Sub(at) > maxRenewalDelay {
-			m.t.Fatalf("leases are renewed %v after the cancellation of %s was confirmed, which the leader does not know", m.now.Sub(at), id)
+			m.t.Fatalf("leases are renewed %v after the confirmation of the cancellation of %s, which is unknown to the leader", m.now.Sub(at), id)
 		}
 	}
 }
 
-// watchStore is an answer of the store: all that it had when it was asked.
-func (m *clusterModel) watchStore(took time.Duration) {
-	asked, storedThen := m.clock(0), len(m.stored)
+// watchStore models an answer of the store to a watch, with all cancellations stored by the time of
+// the request.
+func (m *clusterModel) watchStore(latency time.Duration) {
+	askedAt, storedBefore := m.clock(0), len(m.stored)
 	if rapid.Bool().Draw(m.t, "meanwhile") {
-		m.advanceTime(took / 2)
+		m.advanceTime(latency / 2)
 		m.randomEvent(true)
 	}
-	m.advanceTime(took / 2)
-	for _, id := range m.stored[:storedThen] {
+	m.advanceTime(latency / 2)
+	for _, id := range m.stored[:storedBefore] {
 		m.known[id] = true
 	}
 	if m.mutant == contactAtWatchAnswer {
-		asked = m.clock(0)
+		askedAt = m.clock(0)
 	}
-	m.bound.RecordContact(asked)
+	m.bound.RecordContact(askedAt)
 }
 
-// queryPeers has the leader ask every other controller once.
+// queryPeers makes the leader query every other controller once.
 func (m *clusterModel) queryPeers() {
-	asked, began := m.clock(0), m.now
-	span := m.bound.RequiredSpan(asked, queryTimeout)
+	askedAt, start := m.clock(0), m.now
+	span := m.bound.RequiredSpan(askedAt, queryTimeout)
 	answers, all := m.collectAnswers(span)
 	if m.mutant == acceptStaleAnswers && m.previousAnswers != nil {
 		answers, m.previousAnswers = m.previousAnswers, answers
@@ -136,8 +138,8 @@
 		own := m.logs[0].ConfirmedWithin(span, m.clock(0))
 		answers = append(answers, PeerAnswer{Confirmed: &own, SinceLastConfirmation: m.logs[0].SinceLastConfirmation(m.clock(0))})
 	}
-	if m.now.Sub(began) > queryTimeout {
-		return // it was given up
+	if m.now.Sub(start) > queryTimeout {
+		return // timed out
 	}
 	ids, ok := m.bound.Covers(answers, m.clock(0))
 	if !ok || !all && m.mutant != acceptMissing {
@@ -149,13 +151,13 @@
 		}
 	}
 	if m.mutant == contactAtAnswer {
-		asked = m.clock(0)
+		askedAt = m.clock(0)
 	}
-	m.bound.RecordContact(asked)
+	m.bound.RecordContact(askedAt)
 	m.checkInvariant()
 }
 
-// collectAnswers collects the other controllers' answers. all is false where one is missing.
+// collectAnswers returns the other controllers' answers. all is false if one is missing.
 func (m *clusterModel) collectAnswers(span time.Duration) (answers []PeerAnswer, all bool) {
 	all = true
 	for i := 1; i < len(m.logs); i++ {
@@ -178,7 +180,7 @@
 	return answers, all
 }
 
-// mutateAnswer changes an answer where that is the mistake.
+// mutateAnswer changes an answer for the mutants that affect answers.
 func (m *clusterModel) mutateAnswer(answer *PeerAnswer, span time.Duration) {
 	list := answer.Confirmed
 	if list == nil {
@@ -199,7 +201,8 @@
 	}
 }
 
-// randomEvent is anything but an inquiry or a watch. Time passes only outside of these.
+// randomEvent applies a random event other than a query or a watch. Time passes only if it is not
+// inside one of these.
 func (m *clusterModel) randomEvent(inside bool) {
 	controller := rapid.IntRange(0, len(m.logs)-1).Draw(m.t, "controller")
 	switch rapid.IntRange(0, 4).Draw(m.t, "event") {
@@ -218,7 +221,7 @@
 	}
 }
 
-// storeCancellation stores a cancellation, to be confirmed at once, later or by another.
+// storeCancellation stores a cancellation that is confirmed at once, or later by any controller.
 func (m *clusterModel) storeCancellation(controller int) {
 	id := fmt.Sprint("j-", len(m.stored)+1)
 	m.stored = append(m.stored, id)
@@ -229,8 +232,8 @@
 	}
 }
 
-// confirmLater confirms a cancellation that was stored before, by who stored it or, for a poll
-// or a repeated request, by the given controller.
+// confirmLater confirms a stored cancellation, by the controller that stored it or, for a poll or a
+// repeated request, by the given one.
 func (m *clusterModel) confirmLater(controller int) {
 	for id, by := range m.unconfirmed {
 		if rapid.Bool().Draw(m.t, "by another") {
@@ -242,7 +245,7 @@
 	}
 }
 
-// confirmAgain confirms any stored cancellation, once more or not.
+// confirmAgain confirms any stored cancellation, whether or not it has been confirmed before.
 func (m *clusterModel) confirmAgain(controller int) {
 	if len(m.stored) == 0 {
 		return
@@ -252,7 +255,7 @@
 	m.confirm(controller, id)
 }
 
-// restart restarts a controller's process, but for the leader's: that would be another leader.
+// restart restarts a controller's process, except the leader's, since that would begin a new term.
 func (m *clusterModel) restart(controller int) {
 	if controller == 0 {
 		return
@@ -265,13 +268,13 @@
 	m.logs[controller] = log
 }
 
-// runModel draws a sequence of events, with the leader in and out of touch with the store.
-func runModel(t *rapid.T, wrong mutant) {
+// runModel runs a random sequence of events, with the store reachable for the leader or not.
+func runModel(t *rapid.T, injected mutant) {
 	m := &clusterModel{
-		t: t, mutant: wrong, now: modelStart, bound: NewRenewalBound(cancelTime, leaseTime),
+		t: t, mutant: injected, now: modelStart, bound: NewRenewalBound(cancelTime, leaseTime),
 		unconfirmed: map[string]int{}, confirmedAt: map[string]time.Time{}, known: map[string]bool{},
 	}
-	if wrong == boundTooWide {
+	if injected == boundTooWide {
 		m.bound.span = cancelTime
 	}
 	for range rapid.IntRange(2, 4).Draw(t, "controllers") {
@@ -283,10 +286,10 @@
 		switch n := rapid.IntRange(0, 9).Draw(t, "next"); {
 		case n < 3 && !storeDown:
 			m.watchStore(time.Duration(rapid.IntRange(0, 8000).Draw(t, "took")) * time.Millisecond)
-			storeDown = rapid.IntRange(0, 4).Draw(t, "store goes away") == 0
+			storeDown = rapid.IntRange(0, 4).Draw(t, "store fails") == 0
 		case n < 5 && storeDown:
 			m.queryPeers()
-		case n == 9 && rapid.IntRange(0, 9).Draw(t, "store comes back") == 0:
+		case n == 9 && rapid.IntRange(0, 9).Draw(t, "store recovers") == 0:
 			storeDown = false
 		default:
 			m.randomEvent(false)
@@ -296,37 +299,37 @@
 	}
 }
 
-// Whatever is stored, confirmed, confirmed late, by others or again, by controllers that
-// restart, answer late or are of an earlier version: no lease is renewed beyond the bound of
-// a cancellation that the leader does not know.
+// No lease is renewed beyond the bound of a cancellation that is unknown to the leader, although
+// controllers confirm late, repeatedly or for one another, restart, answer late, or run an earlier
+// version.
 func TestNoRenewalBeyondUnknownCancellation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runModel(t, noMutant) })
 }
 
-// Each mistake is found: the property can fail.
+// The model check detects each mutant, which shows that the property can fail.
 func TestRenewalBoundModelDetectsMutants(t *testing.T) {
 	checks := flag.Lookup("rapid.checks").Value.String()
 	if err := flag.Set("rapid.checks", "20000"); err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = flag.Set("rapid.checks", checks) }()
-	for _, wrong := range allMutants {
+	for _, injected := range allMutants {
 		failed := false
-		rapid.Check(&failureRecorder{failed: &failed}, func(t *rapid.T) { runModel(t, wrong) })
+		rapid.Check(&failureRecorder{failed: &failed}, func(t *rapid.T) { runModel(t, injected) })
 		if !failed {
-			t.Errorf("not found: %s", wrong)
+			t.Errorf("mutant not detected: %s", injected)
 		}
 	}
 }
 
-// failureRecorder stands in for the test of a property that has to fail, and notes that it did.
+// failureRecorder is a testing.TB for a property that has to fail. It records the failure.
 type failureRecorder struct {
 	testing.TB
 	failed *bool
 }
 
 func (r *failureRecorder) Helper()               {}
-func (r *failureRecorder) Name() string          { return "mistake" }
+func (r *failureRecorder) Name() string          { return "mutant" }
 func (r *failureRecorder) Logf(string, ...any)   {}
 func (r *failureRecorder) Log(...any)            {}
 func (r *failureRecorder) Skipf(string, ...any)  {}
