--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -2,13 +2,13 @@
 // consensus-backed store on a lease of a fixed duration.
 //
 // Invariants:
-//   - The term is the revision at which the key was written, so terms only grow, and each
-//     belongs to one process. It is the fencing token that workers check.
-//   - A leader makes every write conditional on the key still being at its term, so a write
-//     of a deposed leader that arrives late fails.
-//   - A term counts as confirmed only up to the lease's expiry as the local clock sees it at
-//     the earliest: from when the request was sent, less the clock drift.
-//   - A leader that resigns deletes nothing. Its lease expires by itself, and nobody else
+//   - The term is the revision at which the key was written, so terms only grow, and each belongs
+//     to one process. It is the fencing token that workers check.
+//   - A leader makes every write conditional on the key still being at its term, so a late write of
+//     a deposed leader fails.
+//   - A term counts as confirmed only until the earliest time at which the lease may expire by the
+//     local clock: the duration counts from the sending of the request, less the clock drift.
+//   - A leader that resigns deletes nothing. Its lease expires by itself, and no other controller
 //     leads before that.
 package election
 
@@ -45,24 +45,24 @@
 	keepsWatermarks bool
 
 	mu               sync.Mutex // guards the fields below
-	leader           string     // node that leads, as far as known
+	leader           string     // last known leader
 	term             uint64     // this process's own term, 0 while it does not lead
 	confirmedUntil   time.Time
 	cancelTerm       context.CancelFunc // ends the term being served; nil while none is
 	noCampaignBefore time.Time
-	lastLeaseID      uint64 // of the last own term, whose key goes when the lease expires
+	lastLeaseID      uint64 // of this process's last term; its key is deleted when the lease expires
 }
 
-// wonTerm is a term that this process has won, with the lease that its key is held on.
+// wonTerm is a term that this process has won, with the lease that holds its key.
 type wonTerm struct {
 	number      uint64
 	leaseID     uint64
-	requestedAt time.Time // when the lease was asked for, from which it counts
+	requestedAt time.Time // when the lease was requested, which starts its duration
 }
 
-// New returns the election as one process takes part in it. incarnation must differ for every
-// start of the process; keepsWatermarks is written to the leader key and says whether a term
-// of this process keeps watermarks of what it dispatches.
+// New returns the election of one process. incarnation must differ for every start of the process.
+// keepsWatermarks is written to the leader key and states whether a term of this process keeps
+// watermarks of the tasks it dispatches.
 func New(store Store, node, incarnation string, leaseDuration time.Duration, keepsWatermarks bool) *Election {
 	return &Election{
 		store:           store,
@@ -73,14 +73,14 @@
 	}
 }
 
-// Leader returns the node that leads, "" when unknown.
+// Leader returns the node that leads, or "" if unknown.
 func (e *Election) Leader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader
 }
 
-// Term returns this process's own term, 0 when it does not lead, and until when its lease is
+// Term returns this process's own term, or 0 if it does not lead, and until when its lease is
 // certain not to have expired.
 func (e *Election) Term() (term uint64, confirmedUntil time.Time) {
 	e.mu.Lock()
@@ -88,8 +88,8 @@
 	return e.term, e.confirmedUntil
 }
 
-// Resign ends the term being served, if any, without deleting anything: the lease expires by
-// itself, so that nobody else leads before that.
+// Resign ends the term being served, if any, without deleting the key: the lease expires by itself,
+// so that no other controller leads before that.
 func (e *Election) Resign() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,8 +105,8 @@
 	e.leader = node
 }
 
-// Run follows the leader key and campaigns for it until ctx ends. lead is called with each
-// term won and must return when its context ends.
+// Run follows the leader key and campaigns for it until ctx ends. It calls lead with each term won;
+// lead must return when its context ends.
 func (e *Election) Run(ctx context.Context, lead func(ctx context.Context, term uint64)) {
 	for ctx.Err() == nil {
 		won, err := e.campaign(ctx)
@@ -120,8 +120,8 @@
 	}
 }
 
-// campaign waits for the leader key to change while another term holds it, and otherwise tries
-// to take it. It returns nil without an error when it is simply to be called again.
+// campaign waits for the leader key to change while another term holds it, and otherwise tries to
+// acquire it. It returns nil without an error if it should be called again.
 func (e *Election) campaign(ctx context.Context) (*wonTerm, error) {
 	row, err := e.store.Get(ctx, records.KeyLeader)
 	if err != nil {
@@ -143,22 +143,22 @@
 	return e.acquire(ctx, revision)
 }
 
-// decodeLeader reads the holder of the leader key. What is unreadable names no node.
+// decodeLeader decodes the holder of the leader key. An unreadable value yields an empty node.
 func decodeLeader(row *records.KeyValue) records.Leader {
 	var holder records.Leader
 	_ = json.Unmarshal(row.Value, &holder)
 	return holder
 }
 
-// heldByEarlierIncarnation reports whether the key is held by an earlier incarnation of this very node: there
+// heldByEarlierIncarnation reports whether an earlier incarnation of this node holds the key. There
 // is one process per node, so that one has ended.
 func (e *Election) heldByEarlierIncarnation(holder records.Leader) bool {
 	return holder.Node == e.node && holder.Incarnation != e.incarnation
 }
 
-// observeHolder takes in who holds the leader key while it cannot be taken. A key of this very
-// incarnation has nobody who serves it: either the term was resigned, and its lease is left to
-// expire, or it was won by a campaign that had got no answer.
+// observeHolder records the holder of a leader key that cannot be acquired now. If this incarnation
+// holds it, no process serves that term: either it was resigned, and its lease is left to expire,
+// or a campaign won it without receiving the answer.
 func (e *Election) observeHolder(ctx context.Context, holder records.Leader, row *records.KeyValue) {
 	if holder.Incarnation != e.incarnation {
 		e.setLeader(holder.Node)
@@ -168,7 +168,8 @@
 	e.mu.Lock()
 	lastLeaseID := e.lastLeaseID
 	e.mu.Unlock()
-	// Without this, the key would stay with a term that nobody serves until its lease expires.
+	// Without this check, the key would stay with a term that is not served until its lease
+	// expires.
 	if row.LeaseID != lastLeaseID {
 		slog.Info("late campaign revoked", "node", e.node, "term", row.Revision)
 		e.store.RevokeLease(ctx, row.LeaseID)
@@ -181,8 +182,8 @@
 	return time.Until(e.noCampaignBefore)
 }
 
-// acquire writes the leader key on a new lease, provided that the key is still at a revision.
-// It returns nil without an error when somebody else was faster.
+// acquire writes the leader key on a new lease if the key is still at the given revision. It
+// returns nil without an error if another controller was faster.
 func (e *Election) acquire(ctx context.Context, revision uint64) (*wonTerm, error) {
 	requestedAt := time.Now()
 	leaseID, err := e.store.GrantLease(ctx, e.leaseDuration)
@@ -201,8 +202,8 @@
 		e.store.RevokeLease(ctx, leaseID)
 		return nil, nil
 	}
-	// There was no answer: the commit may have been applied, or may yet be. Unless reading the
-	// key shows that it was, the lease is revoked, and with it a commit applied late.
+	// The outcome is unknown: the commit may have been applied, or may yet be. Unless a read shows
+	// that it was, the lease is revoked, which also invalidates a commit applied late.
 	row, readErr := e.store.Get(ctx, records.KeyLeader)
 	if readErr == nil && row != nil && row.LeaseID == leaseID && decodeLeader(row).Incarnation == e.incarnation {
 		return &wonTerm{number: row.Revision, leaseID: leaseID, requestedAt: requestedAt}, nil
@@ -226,8 +227,8 @@
 	return ctx.Err()
 }
 
-// serve runs lead for a term until the lease expires, the term is resigned, or ctx ends, and
-// returns once lead has.
+// serve runs lead for a term until the lease expires, the term is resigned, or ctx ends. It returns
+// once lead has returned.
 func (e *Election) serve(ctx context.Context, won wonTerm, lead func(context.Context, uint64)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -275,7 +276,7 @@
 		}
 		pause = e.leaseDuration / 4
 		requestedAt := time.Now()
-		// A renewal may take half of the duration, so that a lost packet leaves time for a retry.
+		// The timeout is half of the duration, so that a lost packet leaves time for a retry.
 		err := e.store.RenewLease(ctx, won.leaseID, e.leaseDuration/2)
 		if err == nil {
 			e.mu.Lock()
@@ -289,15 +290,15 @@
 		}
 		slog.Debug("lease renewal failed", "term", won.number, "node", e.node, "err", err)
 		if errors.Is(err, records.ErrThrottled) {
-			// Without quick retries the lease could be lost to users' requests: of several tries
-			// one is served.
+			// Retries quickly: a throttling store serves one of several requests, and users'
+			// requests could displace the renewals until the lease expires.
 			pause = e.leaseDuration/40 + rand.N(e.leaseDuration/40)
 		}
 	}
 }
 
-// leaseConfirmedUntil returns until when a lease is certain to last that was granted or renewed by a
-// request sent then: it counts from the sending, less the drift of the local clock.
+// leaseConfirmedUntil returns until when a lease granted or renewed by a request sent at
+// requestedAt is certain to last, allowing for the drift of the local clock.
 func (e *Election) leaseConfirmedUntil(requestedAt time.Time) time.Time {
 	return requestedAt.Add(e.leaseDuration - config.Drift(e.leaseDuration))
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -15,13 +15,13 @@
 	"drumpick/internal/simulation"
 )
 
-// A scenario starts and kills processes of nodes ("start n-0 s1", "kill n-0"), makes the store
-// fail ("outage on", "refuse n-0 on", "lose n-0 3": the next commit is applied 3 s late, without
-// an answer), lets time pass ("wait 5"), makes a leader resign, applies a campaign late
-// ("late n-0 s1"), or lets a leader of an old term write ("write TERM"). Leases last for 4 s.
+// A scenario starts and kills processes of nodes ("start n-0 s1", "kill n-0"), makes the store fail
+// ("outage on", "refuse n-0 on", "lose n-0 3": the next commit is applied 3 s late and gets no
+// answer), lets time pass ("wait 5"), makes a leader resign ("resign n-0"), applies a campaign late
+// ("late n-0 s1"), or makes a deposed leader write ("write TERM"). Leases last 4 s.
 func TestTraces(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
-		// The whole scenario is gathered first, as it is replayed within one synctest bubble.
+		// Each line replays the scenario so far within one synctest bubble.
 		lines := make(chan []string)
 		answers := make(chan []string)
 		go replayLines(t, lines, answers)
@@ -43,21 +43,21 @@
 	stopped  chan struct{}
 }
 
-// replayLines takes the lines of one scenario and answers each.
+// replayLines answers each line of one scenario.
 func replayLines(t *testing.T, lines <-chan []string, answers chan<- []string) {
 	defer close(answers)
 	var events [][]string
 	for line := range lines {
 		events = append(events, line)
 		var out []string
-		// Replayed from the start for every line: time is simulated, so this costs nothing,
-		// and a bubble cannot wait for anything outside of it.
+		// Replays from the start for every line: a bubble cannot wait for anything outside of it,
+		// and simulated time makes the replay cheap.
 		synctest.Test(t, func(t *testing.T) { out = replay(t, events) })
 		answers <- out
 	}
 }
 
-// replay runs the events of a scenario and returns what is seen after the last.
+// replay runs the events of a scenario and returns the state after the last one.
 func replay(t *testing.T, events [][]string) (last []string) {
 	state := simulation.NewStore()
 	nodes := map[string]*process{}
@@ -92,7 +92,7 @@
 			s, _ := strconv.Atoi(w[2])
 			nodes[w[1]].client.LoseAnswers(1, time.Duration(s)*time.Second)
 		case "late":
-			// A campaign that nobody waits for any more is applied, on a lease of its own.
+			// Applies an abandoned campaign, on a lease of its own.
 			c := state.Client("late")
 			leaseID, err := c.GrantLease(context.Background(), 4*time.Second)
 			if err == nil {
