--- a/internal/watermark/lease_expiry.go
+++ b/internal/watermark/lease_expiry.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// A new leader need not hear from a machine, or return it to the cloud, to know that its
-// tasks are gone: it is enough that its lease has expired. Whoever may have renewed the lease
-// is known. Once a term was reconciled, every machine that may hold tasks had shown it, and
-// workers drop what an earlier leader answers; so only the leaders of that term and of those
-// since can have renewed any lease. When each of them, asked by the new leader, has answered
-// no worker for the length of a lease, no lease is left but those that the new leader itself
-// has renewed: a lease counts from when the worker sent the heartbeat that was answered, and
-// what an earlier leader answers afterwards renews that of a worker which has nothing any
-// more.
+// A new leader knows that a machine's tasks are gone once its lease has expired, even if it neither
+// receives a heartbeat from the machine nor returns it to the cloud. The controllers that may have
+// renewed the lease are known: once a term is reconciled, every machine that may hold tasks has
+// acknowledged it, and workers ignore answers from earlier leaders. So only the leaders of that
+// term and of later ones can have renewed a lease. The new leader queries them; if none has
+// answered a worker for the length of a lease, all leases have expired except those that the new
+// leader has renewed itself. This holds because a lease starts when the worker sends the heartbeat,
+// and a later answer of an earlier leader only renews the lease of a worker without tasks.
 
-// PossibleRenewers lists, by name, the controllers that may have renewed a lease which the
-// leader of the given term has not. last is the attestation of the latest term known to be
-// reconciled, changes are all that took the leader's key since its revision. ok is false
-// where the controllers are not known.
+// PossibleRenewers returns the sorted names of the controllers that may have renewed leases in
+// terms earlier than the given one. last is the attestation of the latest term known to be
+// reconciled; changes are all acquisitions of the leader key since its revision. ok is false if the
+// controllers are not known.
 func PossibleRenewers(last Attestation, changes []LeaderChange, term uint64) (nodes []string, ok bool) {
 	if !last.Reconciled || last.Node == "" || last.Term >= term {
 		return nil, false
@@ -36,14 +35,14 @@
 	}
 	slices.Sort(nodes)
 	if !ok {
-		return nil, false // a log without the leader's own term is not the log it asked for
+		return nil, false // changes without the leader's own term are incomplete
 	}
 	return slices.Compact(nodes), true
 }
 
-// LeasesExpired reports whether each of the renewers has renewed no lease for as long as a
-// lease lasts, by how long ago, at least, each last may have; a renewer of which that is not
-// known is missing in sinceRenewal.
+// LeasesExpired reports whether no renewer has renewed a lease for at least the lease duration.
+// sinceRenewal is a lower bound of the time since the last renewal of each renewer; an unknown one
+// is missing.
 func LeasesExpired(renewers []string, sinceRenewal map[string]time.Duration, lease time.Duration) bool {
 	for _, node := range renewers {
 		since, known := sinceRenewal[node]
--- a/internal/watermark/lease_expiry_model_test.go
+++ b/internal/watermark/lease_expiry_model_test.go
@@ -6,82 +6,83 @@
 	"time"
 )
 
-// leaseModel is a model of lease expiry, checked over every order of events at a small size:
-// three controllers, up to three terms, a machine, ages in ticks instead of times. A
-// controller goes on believing that it leads until it hears otherwise; whoever believes it
-// may answer the worker, and answers may arrive a tick late; only the holder of the leader's
-// key sends a run command along, and only when the worker has shown its term. What decides is
-// the package's own code. When a leader takes the machine's lease to have expired, nothing
-// may be on it from then on, until the worker has shown its term.
+// leaseModel is a state of a model of lease expiry, explored over every order of events at a small
+// size: three controllers, up to three terms, one machine, and ages in ticks instead of times. A
+// controller believes that it leads until it learns otherwise, and may then answer the worker; an
+// answer arrives at most a tick late. Only the holder of the leader key adds a run command, and
+// only after the worker has shown its term. The package's code makes the decisions. Invariant: once
+// a leader assumes that the machine's lease has expired, no task is on the machine until the worker
+// has shown that leader's term.
 type leaseModel struct {
-	term          int8            // the latest one
-	leaderOf      [4]int8         // by term, the controller that took it
-	believedTerm  [3]int8         // by controller, the term that it believes to lead; 0: none
-	sinceRenewal  [3]int8         // by controller, the age of the renewal that it last noted
-	termAge       int8            // of the latest term
-	reconciled    int8            // the latest term that is attested to be reconciled
-	fencingToken  int8            // the latest that the worker has seen
-	leaseAge      int8            // of the last answered heartbeat, from when it was sent
+	term          int8            // the latest term
+	leaderOf      [4]int8         // by term, the controller elected
+	believedTerm  [3]int8         // by controller, the term that it believes to lead, or 0
+	sinceRenewal  [3]int8         // by controller, the age of the last renewal that it recorded
+	termAge       int8            // age of the latest term
+	reconciled    int8            // the latest term attested as reconciled
+	fencingToken  int8            // the highest that the worker has seen
+	leaseAge      int8            // age of the last answered heartbeat, since it was sent
 	running       bool            // a task is on the machine
-	expiredInTerm int8            // the term whose leader took the lease to have expired
-	reply         heartbeatAnswer // the one under way
+	expiredInTerm int8            // the term whose leader assumed that the lease has expired
+	reply         heartbeatAnswer // in flight, if any
 }
 
 // heartbeatAnswer is a leader's answer to the worker's heartbeat.
 type heartbeatAnswer struct {
 	from, term, age int8
-	run, underWay   bool
+	run, inFlight   bool
 }
 
 const (
-	leaseTicks = 2              // a lease has expired at an age above
-	maxAge     = leaseTicks + 2 // older ages make no difference
+	leaseTicks = 2              // a lease has expired at a greater age
+	maxAge     = leaseTicks + 2 // greater ages are equivalent
 )
 
-// leaseMutant is a mistake in how the package's code is used, which the model has to find.
+// leaseMutant is a bug injected into the use of the package's code that the model check must
+// detect.
 type leaseMutant string
 
 const (
 	noLeaseMutant            leaseMutant = ""
-	omitReconciledLeader     leaseMutant = "the leader of the reconciled term is left out"
-	omitLaterLeaders         leaseMutant = "those who led since are left out"
-	reconciledTooEarly       leaseMutant = "a term is attested as reconciled before the machine was heard"
-	renewalRecordedOnArrival leaseMutant = "a renewal is noted when the answer arrives"
+	omitReconciledLeader     leaseMutant = "the leader of the reconciled term is omitted"
+	omitLaterLeaders         leaseMutant = "the leaders since the reconciled term are omitted"
+	reconciledTooEarly       leaseMutant = "a term is attested as reconciled before the machine has shown it"
+	renewalRecordedOnArrival leaseMutant = "a renewal is recorded when the answer arrives"
 	leaseTooShort            leaseMutant = "a lease is a tick too short"
-	omitOwnEarlierTerm       leaseMutant = "the leader's own earlier term is forgotten"
+	omitOwnEarlierTerm       leaseMutant = "the leader's own earlier term is ignored"
 )
 
 func nextAge(age int8) int8 { return min(age+1, maxAge) }
 
-// successors lists the states that one event leads to, and reports whether the rule is broken in
-// this one.
-func (s leaseModel) successors(mistake leaseMutant) (states []leaseModel, broken bool) {
+// successors returns the states that one event leads to, and whether this state violates the
+// invariant.
+func (s leaseModel) successors(mutant leaseMutant) (states []leaseModel, violated bool) {
 	add := func(change func(*leaseModel)) {
-		following := s
-		change(&following)
-		states = append(states, following)
+		successor := s
+		change(&successor)
+		states = append(states, successor)
 	}
 	s.advanceTime(add)
 	for controller := range s.believedTerm {
-		s.controllerEvents(int8(controller), mistake, add)
+		s.controllerEvents(int8(controller), mutant, add)
 	}
-	s.deliverAnswer(mistake, add)
+	s.deliverAnswer(mutant, add)
 	leader := s.leaderOf[s.term]
 	if s.believedTerm[leader] != s.term {
 		return states, false
 	}
-	if s.fencingToken == s.term || mistake == reconciledTooEarly {
+	if s.fencingToken == s.term || mutant == reconciledTooEarly {
 		add(func(n *leaseModel) { n.reconciled = n.term })
 	}
-	if s.fencingToken < s.term && s.assumesExpired(mistake) {
+	if s.fencingToken < s.term && s.assumesExpired(mutant) {
 		add(func(n *leaseModel) { n.expiredInTerm = n.term })
 	}
 	return states, s.expiredInTerm == s.term && s.fencingToken < s.term && s.running
 }
 
-// advanceTime adds the state a tick later. An answer is under way for a tick at most.
+// advanceTime adds the state a tick later. An answer is in flight for at most a tick.
 func (s leaseModel) advanceTime(add func(func(*leaseModel))) {
-	if s.reply.age != 0 && s.reply.underWay {
+	if s.reply.age != 0 && s.reply.inFlight {
 		return
 	}
 	add(func(n *leaseModel) {
@@ -90,7 +91,7 @@
 		}
 		n.termAge = nextAge(n.termAge)
 		n.leaseAge = nextAge(n.leaseAge)
-		if n.reply.underWay {
+		if n.reply.inFlight {
 			n.reply.age++
 		}
 		if n.leaseAge > leaseTicks {
@@ -99,20 +100,20 @@
 	})
 }
 
-// controllerEvents adds what may happen at a controller.
-func (s leaseModel) controllerEvents(controller int8, mistake leaseMutant, add func(func(*leaseModel))) {
+// controllerEvents adds the states after an event at a controller.
+func (s leaseModel) controllerEvents(controller int8, mutant leaseMutant, add func(func(*leaseModel))) {
 	term := s.believedTerm[controller]
-	if term > 0 && !s.reply.underWay {
-		// The worker's heartbeat comes here and is answered.
+	if term > 0 && !s.reply.inFlight {
+		// It receives and answers the worker's heartbeat.
 		add(func(n *leaseModel) {
-			n.reply = heartbeatAnswer{from: controller, term: term, underWay: true, run: term == s.term && s.fencingToken == term}
-			if mistake != renewalRecordedOnArrival {
+			n.reply = heartbeatAnswer{from: controller, term: term, inFlight: true, run: term == s.term && s.fencingToken == term}
+			if mutant != renewalRecordedOnArrival {
 				n.sinceRenewal[controller] = 0
 			}
 		})
 	}
 	if term > 0 && term < s.term {
-		// It hears that another leads.
+		// It learns that another controller leads.
 		add(func(n *leaseModel) { n.believedTerm[controller] = 0 })
 	}
 	// Its process restarts.
@@ -131,9 +132,9 @@
 	}
 }
 
-// deliverAnswer adds what may happen to the answer under way.
-func (s leaseModel) deliverAnswer(mistake leaseMutant, add func(func(*leaseModel))) {
-	if !s.reply.underWay {
+// deliverAnswer adds the states after the loss or the arrival of the answer in flight.
+func (s leaseModel) deliverAnswer(mutant leaseMutant, add func(func(*leaseModel))) {
+	if !s.reply.inFlight {
 		return
 	}
 	// It is lost.
@@ -142,7 +143,7 @@
 	add(func(n *leaseModel) {
 		reply := n.reply
 		n.reply = heartbeatAnswer{}
-		if mistake == renewalRecordedOnArrival {
+		if mutant == renewalRecordedOnArrival {
 			n.sinceRenewal[reply.from] = 0
 		}
 		if reply.term >= n.fencingToken {
@@ -153,14 +154,14 @@
 	})
 }
 
-// assumesExpired reports whether the leader of the latest term takes the lease to have
-// expired, by the package's code.
-func (s leaseModel) assumesExpired(mistake leaseMutant) bool {
+// assumesExpired reports whether the leader of the latest term assumes, by the package's code, that
+// the lease has expired.
+func (s leaseModel) assumesExpired(mutant leaseMutant) bool {
 	leader := s.leaderOf[s.term]
 	last := Attestation{Term: uint64(s.reconciled), Reconciled: s.reconciled > 0, Node: fmt.Sprint(s.leaderOf[s.reconciled])}
 	var changes []LeaderChange
 	for term := s.reconciled + 1; term <= s.term; term++ {
-		if term == s.term || mistake != omitLaterLeaders {
+		if term == s.term || mutant != omitLaterLeaders {
 			changes = append(changes, LeaderChange{Term: uint64(term), Node: fmt.Sprint(s.leaderOf[term])})
 		}
 	}
@@ -170,31 +171,31 @@
 	}
 	sinceRenewal[fmt.Sprint(leader)] = time.Duration(s.termAge)
 	renewers, ok := PossibleRenewers(last, changes, uint64(s.term))
-	if mistake == omitReconciledLeader && ok {
+	if mutant == omitReconciledLeader && ok {
 		renewers = renewers[:0]
 		for _, change := range changes {
 			renewers = append(renewers, change.Node)
 		}
 	}
-	if mistake == omitOwnEarlierTerm {
+	if mutant == omitOwnEarlierTerm {
 		sinceRenewal[fmt.Sprint(leader)] = maxAge
 	}
 	lease := time.Duration(leaseTicks + 1)
-	if mistake == leaseTooShort {
+	if mutant == leaseTooShort {
 		lease--
 	}
 	return ok && LeasesExpired(renewers, sinceRenewal, lease)
 }
 
-// exploreLeases looks at up to maxStates states, the nearest first. It returns how many it
-// has seen and whether one breaks the rule.
-func exploreLeases(mistake leaseMutant, maxStates int) (seen int, broken bool) {
+// exploreLeases explores up to maxStates states breadth-first. It returns how many it has visited
+// and whether one violates the invariant.
+func exploreLeases(mutant leaseMutant, maxStates int) (seen int, violated bool) {
 	start := leaseModel{term: 1, believedTerm: [3]int8{1, 0, 0}, reconciled: 1, fencingToken: 1}
 	known := map[leaseModel]struct{}{start: {}}
 	queue := []leaseModel{start}
 	for i := 0; i < len(queue) && i < maxStates; i++ {
-		states, broken := queue[i].successors(mistake)
-		if broken {
+		states, violated := queue[i].successors(mutant)
+		if violated {
 			return i, true
 		}
 		for _, state := range states {
@@ -207,27 +208,27 @@
 	return min(len(queue), maxStates), false
 }
 
-// maxLeaseStates is how many states of the lease model are looked at: the last of the mistakes
-// is far out.
+// maxLeaseStates is the bound on the explored states of the lease model. The last of the mutants
+// needs a deep search.
 func maxLeaseStates() int { return 2 * *maxModelStates }
 
 func TestExpiredLeaseMeansNoTask(t *testing.T) {
-	seen, broken := exploreLeases(noLeaseMutant, maxLeaseStates())
+	seen, violated := exploreLeases(noLeaseMutant, maxLeaseStates())
 	t.Logf("%d states", seen)
-	if broken {
-		t.Errorf("after %d states a lease is taken to have expired with a task on the machine", seen)
+	if violated {
+		t.Errorf("after %d states: a lease is assumed to have expired with a task on the machine", seen)
 	}
 }
 
-// A model that finds nothing may check nothing: it has to find these mistakes.
+// The model check detects each mutant, which shows that the invariant can fail.
 func TestLeaseModelDetectsMutants(t *testing.T) {
-	for _, mistake := range []leaseMutant{
+	for _, mutant := range []leaseMutant{
 		omitReconciledLeader, omitLaterLeaders, reconciledTooEarly, renewalRecordedOnArrival, leaseTooShort, omitOwnEarlierTerm,
 	} {
-		seen, broken := exploreLeases(mistake, maxLeaseStates())
-		t.Logf("%s: %d states", mistake, seen)
-		if !broken {
-			t.Errorf("%s: not found in %d states", mistake, seen)
+		seen, violated := exploreLeases(mutant, maxLeaseStates())
+		t.Logf("%s: %d states", mutant, seen)
+		if !violated {
+			t.Errorf("%s: mutant not detected in %d states", mutant, seen)
 		}
 	}
 }
--- a/internal/watermark/mark.go
+++ b/internal/watermark/mark.go
@@ -1,25 +1,25 @@
 package watermark
 
-// Mark is the watermark of one job: tasks from it on were never dispatched.
+// Mark is the watermark of one job: tasks at or above it were never dispatched.
 type Mark struct {
-	Stored    int // what the store says
-	Requested int // what it is to say next
+	Stored    int // value in the store
+	Requested int // value requested for the next write
 }
 
-// RaiseDivisor is the share of a job that its watermark is raised by at once, as one in so
-// many: a raise is a change in the store, and what lies between the last task dispatched and
-// the watermark waits at a failover for nothing.
+// RaiseDivisor is the divisor of a job's task count that gives the increment of its watermark. Each
+// raise is a write to the store, but the tasks between the last dispatched one and the watermark
+// wait needlessly at a failover.
 const RaiseDivisor = 8
 
-// RaiseStep is by how many tasks the watermark of a job is raised at least: that of a small
-// job covers the whole job at once.
+// RaiseStep returns the increment, in tasks, of the watermark of a job with so many tasks. It
+// covers a small job at once.
 func RaiseStep(tasks int) int { return tasks/RaiseDivisor + RaiseDivisor }
 
-// Covers reports whether a task may be dispatched.
+// Covers reports whether a task is below the stored watermark and may be dispatched.
 func (m *Mark) Covers(task int) bool { return task < m.Stored }
 
-// Raise requests a watermark beyond a task of a job with so many, and reports whether that is
-// more than was requested before.
+// Raise requests a watermark above a task of a job with the given number of tasks. It reports
+// whether that exceeds the previous request.
 func (m *Mark) Raise(task, tasks int) bool {
 	if task < m.Requested {
 		return false
@@ -28,7 +28,7 @@
 	return true
 }
 
-// RecordStored notes what the store says; a watermark never falls.
+// RecordStored records the stored value; a watermark never decreases.
 func (m *Mark) RecordStored(stored int) {
 	m.Stored = max(m.Stored, stored)
 	m.Requested = max(m.Requested, m.Stored)
