--- a/internal/leader/attestation.go
+++ b/internal/leader/attestation.go
@@ -10,28 +10,28 @@
 	"drumpick/internal/watermark"
 )
 
-// recordsPerHoldoff is how often, in a firm span, the record that watermarks are complete is
-// stored, along with other writes.
+// recordsPerHoldoff is how many times per relaxation holdoff the attestation that watermarks are
+// complete is stored, along with other writes.
 const recordsPerHoldoff = 3
 
-// attestor tells the peers how the watermarks in the store stand: complete, or relaxed in an
-// outage of the store that all controllers share, when tasks are dispatched beyond watermarks
-// that cannot be stored. Watermarks are relaxed only once every peer has observed it, so that no
-// observer is left that would attest otherwise to a next leader.
+// attestor attests to the peers whether the watermarks in the store are complete, or relaxed: in an
+// outage of the store for all controllers, tasks are dispatched beyond watermarks that cannot be
+// stored. Watermarks are relaxed only once every peer has observed it, so that no observer can
+// attest otherwise to the next leader.
 type attestor struct {
 	*term
 	observer *watermark.Observer // this controller's own
 
-	// lastReconciled is the attestation of the latest reconciled term, as heard at the failover,
-	// which sets it before the other duties begin.
+	// lastReconciled is the latest attestation of a reconciled term. The failover sets it before
+	// the loops start.
 	lastReconciled watermark.Attestation
-	// announcedAt is when the peers were last told how the watermarks stand; announce's alone.
+	// announcedAt is when the peers were last sent an attestation. Only announce uses it.
 	announcedAt time.Time
 
 	mu           sync.Mutex // guards the fields below
 	current      watermark.Attestation
 	relaxedUntil time.Time // until then, all peers have observed that watermarks are relaxed
-	recordedAt   time.Time // when a record that watermarks are complete was last written
+	recordedAt   time.Time // when a StoredAttestation was last written
 }
 
 func newAttestor(t *term, observer *watermark.Observer) *attestor {
@@ -42,40 +42,40 @@
 	}
 }
 
-// relaxationHoldoff is how long after a record that its watermarks are complete a leader does not relax
-// them: that record serves a process of this node that starts within it. A controller has to be
-// back sooner for that; in an outage of the store task starts are held up for no longer.
+// relaxationHoldoff is how long after storing an attestation of complete watermarks a leader does
+// not relax them. A new process of this node can rely on the attestation only if it starts within
+// the holdoff; in an outage of the store, task starts are delayed by at most the holdoff.
 func (a *attestor) relaxationHoldoff() time.Duration {
 	return max(a.settings.HeartbeatInterval, a.settings.Lease/4)
 }
 
-// recordDue returns the record that watermarks are complete when it is time to store it, else nil.
+// recordDue returns the attestation of complete watermarks if it is due to be stored, else nil.
 func (a *attestor) recordDue(now time.Time) *watermark.StoredAttestation {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.current.Complete || now.Sub(a.recordedAt) < a.relaxationHoldoff()/recordsPerHoldoff {
 		return nil
 	}
-	a.recordedAt = now // whether it is answered or not: it may be stored late
+	a.recordedAt = now // even if unanswered, as it may be stored late
 	return &watermark.StoredAttestation{Term: a.number, Node: a.cfg.Node, AtMS: now.UnixMilli()}
 }
 
-// recordRevision takes in a revision at which the term held the leader key.
+// recordRevision records a revision at which the term held the leader key.
 func (a *attestor) recordRevision(revision uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.current.Revision = max(a.current.Revision, revision)
 }
 
-// announce tells the peers how the watermarks stand, when that has changed and once in a heartbeat
-// interval, since one of them may have started meanwhile. After an outage watermarks are complete
-// again when the store has all of them.
+// announce sends the attestation to the peers when it has changed, and once per heartbeat interval,
+// as a peer may have restarted. After an outage watermarks are complete again once all of them are
+// stored.
 func (a *attestor) announce(ctx context.Context) {
 	if !a.settings.Watermarks {
 		return
 	}
-	// In this order: once they are no longer relaxed, whatever was dispatched while they were is
-	// in what is looked at next.
+	// The order matters: if relaxed is false, the state read next includes all tasks dispatched
+	// while the watermarks were relaxed.
 	stored := !a.relaxed(time.Now())
 	a.state.mu.Lock()
 	stored = stored && a.state.scheduler.WatermarksStored()
@@ -89,7 +89,7 @@
 	}
 }
 
-// update takes in whether all watermarks are stored and all machines are reconciled.
+// update records whether all watermarks are stored and all machines are reconciled.
 func (a *attestor) update(stored, reconciled bool) (attestation watermark.Attestation, changed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,8 +103,8 @@
 	return a.current, changed
 }
 
-// requestRelaxation returns the attestation with which the leader tells its peers that it is about
-// to dispatch tasks beyond watermarks, which it cannot have stored.
+// requestRelaxation returns the attestation that tells peers that the leader is about to dispatch
+// tasks beyond watermarks, as it cannot store these.
 func (a *attestor) requestRelaxation() watermark.Attestation {
 	if !a.settings.Watermarks {
 		return watermark.Attestation{}
@@ -119,23 +119,22 @@
 	return a.current
 }
 
-// applyAcknowledgements takes in which peers have observed such an attestation. Watermarks are relaxed
-// only when all have.
+// applyAcknowledgements records the peers' answers to such an attestation. Watermarks are relaxed
+// only if all peers have observed it.
 func (a *attestor) applyAcknowledgements(attestation watermark.Attestation, answers []peer.Status, all bool, askedAt time.Time) {
-	took := time.Since(askedAt)
+	elapsed := time.Since(askedAt)
 	for _, answer := range answers {
-		// Without the last condition, a peer would count that was barred by a new leader and has
-		// restarted since it was asked: by its own account the store has been silent to it only
-		// since then.
+		// The last condition excludes a peer that has restarted since the query, after a new leader
+		// had made it reject this term: it reports the store as silent only since its restart.
 		storeSilent := time.Duration(answer.StoreSilentMS) * time.Millisecond
-		all = all && answer.Attestation != nil && attestation.ObservedBy(*answer.Attestation) && storeSilent > took
+		all = all && answer.Attestation != nil && attestation.ObservedBy(*answer.Attestation) && storeSilent > elapsed
 	}
 	if !all || attestation.Term == 0 {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	// Nor may a record that the store has, or may yet apply, attest otherwise.
+	// The stored attestation, or one that may yet be applied, must not attest otherwise either.
 	if a.current.Seq == attestation.Seq && !a.current.Complete && askedAt.Sub(a.recordedAt) > a.relaxationHoldoff() {
 		if a.relaxedUntil.IsZero() {
 			slog.Warn("watermarks relaxed", "term", a.number, "peers", len(answers))
--- a/internal/leader/attestation_query.go
+++ b/internal/leader/attestation_query.go
@@ -12,8 +12,9 @@
 	"drumpick/internal/watermark"
 )
 
-// earlierWatermarksComplete reports whether the watermarks that earlier leaders left are complete. It asks
-// after the term was won: from then on no observer takes in that an earlier leader relaxes them.
+// earlierWatermarksComplete reports whether the watermarks of earlier leaders are complete. It
+// queries the observers after the term was won: from then on they reject a relaxation by an earlier
+// leader.
 func (a *attestor) earlierWatermarksComplete(ctx context.Context) bool {
 	if !a.settings.Watermarks {
 		return false
@@ -33,8 +34,8 @@
 	return a.storedAttestationHolds(ctx, row)
 }
 
-// queryObservers asks all controllers, this one included, what they have observed of earlier
-// leaders' watermarks, and keeps the attestation of the latest reconciled term.
+// queryObservers queries the attestations that all controllers, this one included, have observed of
+// earlier leaders, and keeps the latest one of a reconciled term.
 func (a *attestor) queryObservers(ctx context.Context) (answered int, attestations []watermark.Attestation) {
 	request := watermark.Attestation{Term: a.number}
 	attestations = []watermark.Attestation{a.observer.Observe(request)}
@@ -52,15 +53,15 @@
 	return len(answers), attestations
 }
 
-// storedAttestationHolds reports whether the record that watermarks are complete, in the store, still holds.
-// It serves when all controllers have ended at once, so that none has observed anything.
+// storedAttestationHolds reports whether the stored attestation of complete watermarks still holds.
+// It is used when all controllers have ended at once, so that none has observed an attestation.
 func (a *attestor) storedAttestationHolds(ctx context.Context, row *records.KeyValue) bool {
 	var stored watermark.StoredAttestation
-	_ = json.Unmarshal(row.Value, &stored) // what is unreadable is of no term
+	_ = json.Unmarshal(row.Value, &stored) // an unreadable record has term 0
 	_, _, startedAt := a.store.Health()
 	timeBound := time.Duration(a.cfg.Deployment.TimeBoundMS * float64(time.Millisecond))
-	firmSpan := a.relaxationHoldoff() - config.Drift(a.relaxationHoldoff())
-	complete := stored.StillHolds(a.cfg.Node, startedAt, firmSpan, timeBound)
+	holdoff := a.relaxationHoldoff() - config.Drift(a.relaxationHoldoff())
+	complete := stored.StillHolds(a.cfg.Node, startedAt, holdoff, timeBound)
 	if complete {
 		changes, err := a.leaderChanges(ctx, row.Revision)
 		complete = err == nil && len(changes) == 1 && changes[0].Term == a.number
@@ -69,7 +70,7 @@
 	return complete
 }
 
-// leaderChanges lists who has taken the leader key since a revision.
+// leaderChanges returns the acquisitions of the leader key since a revision.
 func (t *term) leaderChanges(ctx context.Context, since uint64) ([]watermark.LeaderChange, error) {
 	events, _, err := t.store.Watch(ctx, records.KeyLeader, since, 0)
 	if err != nil {
@@ -84,7 +85,8 @@
 	return changes, nil
 }
 
-// decodeLeaderChange reads a write of the leader key. One that is unreadable keeps no watermarks.
+// decodeLeaderChange decodes a write of the leader key. An unreadable one counts as a leader
+// without watermarks.
 func decodeLeaderChange(event records.Event) watermark.LeaderChange {
 	var holder records.Leader
 	_ = json.Unmarshal(event.Value, &holder)
--- a/internal/leader/autoscaling.go
+++ b/internal/leader/autoscaling.go
@@ -12,17 +12,18 @@
 	"drumpick/internal/ctxtime"
 )
 
-// maxRentalRetries is how often a rental request is repeated that the cloud does not answer.
+// maxRentalRetries is the maximum number of retries of a rental request that the cloud does not
+// answer.
 const maxRentalRetries = 8
 
-// autoscaling carries out what the scheduler decides about scaling out and in, and reconciles its
+// autoscaling carries out the scheduler's decisions on scaling out and in, and reconciles its
 // machines with the cloud's list.
 type autoscaling struct {
 	*term
 	cloud Cloud
 }
 
-// runReconciliation reads the cloud's list of machines time after time.
+// runReconciliation reconciles machines with the cloud's list periodically.
 func (a *autoscaling) runReconciliation(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := max(a.reconcileCloudList(ctx), a.settings.HeartbeatInterval/4)
@@ -32,8 +33,8 @@
 	}
 }
 
-// reconcileCloudList reads the cloud's list of machines, and returns after which time to read it
-// again.
+// reconcileCloudList reconciles machines with the cloud's list once, and returns the delay until
+// the next time.
 func (a *autoscaling) reconcileCloudList(ctx context.Context) (pause time.Duration) {
 	pause = a.settings.ListLag + a.settings.HeartbeatInterval
 	askedAt := time.Now()
@@ -46,12 +47,12 @@
 	defer a.state.mu.Unlock()
 	a.state.scheduler.ReconcileCloudList(list, askedAt, time.Now())
 	if !a.state.scheduler.Reconciled() {
-		return a.settings.ListLag / 2 // work waits to hear which machines are gone
+		return a.settings.ListLag / 2 // tasks wait until the list shows which machines are gone
 	}
 	return pause
 }
 
-// runScaleOut rents the machines that the scheduler plans. It returns once every request has ended.
+// runScaleOut rents the machines that the scheduler plans. It returns once all requests have ended.
 func (a *autoscaling) runScaleOut(ctx context.Context) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
@@ -72,7 +73,8 @@
 	}
 }
 
-// rent repeats one request, which the cloud knows by its name, until it is answered.
+// rent retries one request, which the cloud identifies by its name, until it is answered or the
+// retries are exhausted.
 func (a *autoscaling) rent(ctx context.Context, request autoscaler.RentalRequest) {
 	pause := a.settings.HeartbeatInterval / 4
 	for retries := 0; ; retries++ {
@@ -103,11 +105,11 @@
 	}
 }
 
-// runScaleIn returns the machines that the scheduler has no more use for.
+// runScaleIn returns the machines that the scheduler no longer needs.
 func (a *autoscaling) runScaleIn(ctx context.Context) {
 	for ctxtime.Sleep(ctx, a.settings.HeartbeatInterval/2) == nil {
-		// Without going on while calls are full, hundreds of machines, of a zone that went silent,
-		// would be returned one call in each interval while all older work waits for the last.
+		// Repeats while calls are full. Otherwise hundreds of machines of an unreachable zone would
+		// be returned at one call per interval while all older work waits for the last.
 		for more := true; more && a.leaseConfirmed(); {
 			more = a.returnMachines(ctx)
 		}
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -10,18 +10,18 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// inFlightDivisor is the part of a heartbeat interval, one in so many, in which a response mostly
-// reaches its worker, relayed by another controller too.
+// inFlightDivisor is the divisor of the heartbeat interval that gives the time within which a
+// response usually reaches its worker, including a relay by another controller.
 const inFlightDivisor = 16
 
 var jobsCancelledByPeers = metrics.NewCounter("drumpick_jobs_cancelled_by_word_total")
 
-// cancelledJobs are jobs of which other controllers have reported that they are cancelled, before
-// this leader's watch of the store did or while the store does not answer it. They are kept until
-// the watch has come past that. The lock of the state guards it.
+// cancelledJobs are jobs that other controllers have reported as cancelled and that this leader's
+// watch has not yet reported, because it lags or the store does not answer. They are kept until the
+// watch has caught up. The state's lock guards the fields.
 type cancelledJobs struct {
-	deliveredBy    map[string]time.Time // by job, when what was dispatched of it before has reached its worker
-	lastReportedAt time.Time            // when the last was reported
+	deliveredBy    map[string]time.Time // by job, when its last dispatch has reached the worker
+	lastReportedAt time.Time            // time of the last report
 }
 
 func (c *cancelledJobs) contains(job string) bool {
@@ -29,15 +29,16 @@
 	return ok
 }
 
-// dropWatched takes in that all that the store had when it was asked is known.
+// dropWatched drops the jobs if the watch, by an answer requested at askedAt, includes all reports.
 func (c *cancelledJobs) dropWatched(askedAt time.Time) {
 	if askedAt.After(c.lastReportedAt) {
 		c.deliveredBy = nil
 	}
 }
 
-// cancelReported cancels jobs that peers report as cancelled. It is done before any lease is
-// renewed on that report: a heartbeat that is accepted from then on is answered with the kills.
+// cancelReported cancels jobs that peers report as cancelled. It must be called before any lease is
+// renewed based on that report, so that heartbeats accepted from then on are answered with the
+// kills.
 func (t *term) cancelReported(jobs []string) {
 	t.state.mu.Lock()
 	defer t.state.mu.Unlock()
@@ -54,8 +55,7 @@
 	}
 }
 
-// cancelLocked closes a job that is cancelled, and returns when what was dispatched of it before
-// has reached its worker.
+// cancelLocked closes a cancelled job and returns when its last dispatch has reached the worker.
 func (t *term) cancelLocked(job string) (arrival time.Time) {
 	cancelled := &t.state.cancelled
 	cancelled.lastReportedAt = time.Now()
@@ -70,14 +70,14 @@
 		arrival = dispatched.Add(t.settings.HeartbeatInterval / inFlightDivisor)
 	}
 	cancelled.deliveredBy[job] = arrival
-	t.state.scheduler.CloseJob(job) // the record of the closed job tells those that depend on it
+	t.state.scheduler.CloseJob(job) // dependents learn the outcome from the closed record
 	return arrival
 }
 
-// NotifyCancelled closes a job that is cancelled in the store, before its user is told so, and
-// reports whether none of its tasks is dispatched from then on. Without this, tasks could start
-// after a confirmed cancellation, as the watch is late where the store is slow or out of this
-// leader's reach alone. What is on its way to a worker by then is given a moment to arrive.
+// NotifyCancelled closes a job that is cancelled in the store, before the cancellation is confirmed
+// to its user, and reports whether no task of it is dispatched from then on. Otherwise tasks could
+// start after a confirmed cancellation, as the watch lags if the store is slow or unreachable for
+// this leader. The call waits until commands already in flight have reached their workers.
 func (l *Leader) NotifyCancelled(ctx context.Context, id string) bool {
 	select {
 	case <-l.loaded:
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/scheduler"
 )
 
-// commandLoop does what time alone brings about, and sends kills and probes to workers without
+// commandLoop runs the scheduler's periodic work, and sends kills and probes to workers without
 // waiting for their heartbeats.
 type commandLoop struct {
 	*term
@@ -17,11 +17,11 @@
 
 func (c *commandLoop) run(ctx context.Context) {
 	interval := c.settings.HeartbeatInterval / scheduler.TicksPerHeartbeat
-	for sleptFrom := time.Now(); ctxtime.Sleep(ctx, interval) == nil; sleptFrom = time.Now() {
+	for sleepStart := time.Now(); ctxtime.Sleep(ctx, interval) == nil; sleepStart = time.Now() {
 		now := time.Now()
 		mayStart := c.mayStartTasks()
 		c.state.mu.Lock()
-		c.state.scheduler.ObserveTick(now.Sub(sleptFrom), now)
+		c.state.scheduler.ObserveTick(now.Sub(sleepStart), now)
 		c.state.scheduler.Tick(now, mayStart)
 		urgent := c.state.scheduler.TakeUrgentCommands()
 		probes := c.state.scheduler.Probes(now)
@@ -41,7 +41,7 @@
 	}
 }
 
-// sendProbes asks machines what they have whose heartbeats cannot be relied on.
+// sendProbes queries the tasks of machines whose heartbeats are unreliable.
 func (c *commandLoop) sendProbes(probes []fleet.Probe) {
 	for _, probe := range probes {
 		c.workers.Go(func() {
@@ -56,12 +56,13 @@
 	}
 }
 
-// emptyCommandRequest is a request that only shows a worker the term, and makes it tell its status.
+// emptyCommandRequest returns a request without commands: it shows a worker the term, and the
+// worker answers with its status.
 func (t *term) emptyCommandRequest(incarnation uint64) fleet.CommandRequest {
 	return fleet.CommandRequest{FencingToken: t.number, Incarnation: incarnation, Commands: []fleet.Command{}}
 }
 
-// reconcileStatus takes in the status that a worker answered a direct command with.
+// reconcileStatus reconciles the status in a worker's answer to a direct command.
 func (t *term) reconcileStatus(status *fleet.Heartbeat) {
 	t.state.mu.Lock()
 	defer t.state.mu.Unlock()
--- a/internal/leader/commit_conflict.go
+++ b/internal/leader/commit_conflict.go
@@ -14,8 +14,8 @@
 	"drumpick/internal/scheduler"
 )
 
-// resolveConflict finds out which writes of a failed commit are to be tried again; ok is false
-// when the term is over, or ctx has ended before the store has answered.
+// resolveConflict returns the writes of a failed commit that have to be retried. ok is false if the
+// term has ended, or ctx ended before the store answered.
 func (p *persister) resolveConflict(
 	ctx context.Context, writes []scheduler.PendingWrite, conflict *records.ConflictError,
 ) (remaining []scheduler.PendingWrite, ok bool) {
@@ -24,11 +24,11 @@
 		p.election.Resign()
 		return nil, false
 	}
-	explained := false
+	matched := false
 	for _, write := range writes {
 		switch failed := write.GuardKey != "" && slices.Contains(conflict.Failed, write.GuardKey); {
 		case failed && write.GuardRevision != nil:
-			explained = true
+			matched = true
 			stored, err := p.refreshRevision(ctx, write)
 			if err != nil {
 				return nil, false
@@ -37,7 +37,7 @@
 				remaining = append(remaining, write)
 			}
 		case failed:
-			explained = true
+			matched = true
 			p.state.mu.Lock()
 			write.OnConflict()
 			p.state.mu.Unlock()
@@ -45,15 +45,15 @@
 			remaining = append(remaining, write)
 		}
 	}
-	if !explained {
+	if !matched {
 		slog.Error("unexpected commit conflict", "keys", strings.Join(conflict.Failed, " "), "term", p.number)
 	}
 	return remaining, true
 }
 
-// refreshRevision reads a key that only the leader writes and that is not at the revision where it
-// was known to be: mostly the write itself was applied, and its answer lost. stored reports that;
-// otherwise the write is repeated on what is there now.
+// refreshRevision reads a key that only the leader writes and that is not at its known revision.
+// Usually the write itself was applied and its answer lost, and stored is true; otherwise the write
+// has to be retried at the current revision.
 func (p *persister) refreshRevision(ctx context.Context, write scheduler.PendingWrite) (stored bool, err error) {
 	for {
 		row, err := p.store.Get(ctx, write.GuardKey)
@@ -66,8 +66,8 @@
 	}
 }
 
-// applyStoredRow takes in what the store has under the key of a write, nil for nothing, and reports
-// whether that is the write.
+// applyStoredRow records the revision of the row stored under the key of a write, nil for none, and
+// reports whether the row is that write.
 func (p *persister) applyStoredRow(write scheduler.PendingWrite, row *records.KeyValue) (stored bool) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
@@ -84,8 +84,8 @@
 	return stored
 }
 
-// isStored reports whether a change is what the store has. The store may keep a value in another
-// form, so that values are compared and not their bytes.
+// isStored reports whether an op is what the store holds. It compares decoded values, as the store
+// may re-encode them.
 func isStored(op records.Op, row *records.KeyValue) bool {
 	if op.Delete != "" || row == nil {
 		return (op.Delete != "") == (row == nil)
--- a/internal/leader/commit_conflict_test.go
+++ b/internal/leader/commit_conflict_test.go
@@ -7,7 +7,7 @@
 	"drumpick/internal/records"
 )
 
-// A change counts as stored when the store has the same value, in whatever form.
+// An op counts as stored if the store holds the same value in any encoding.
 func TestIsStored(t *testing.T) {
 	type value struct {
 		A int    `json:"a"`
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// dependencyReadShare is the share of the store's request rate that such reads may take.
+	// dependencyReadShare is the maximum share of the store's request rate for dependency reads.
 	dependencyReadShare = 0.25
-	// maxDependencyReads is how many of them are under way at once.
+	// maxDependencyReads is the maximum number of concurrent dependency reads.
 	maxDependencyReads = 8
 )
 
-// dependencyReader reads what has become of closed jobs that open ones depend on.
+// dependencyReader reads the records of closed jobs that open jobs depend on.
 type dependencyReader struct {
 	*term
 	limiter *rate.Limiter
-	// notBefore is, by job that was not closed when last read, when to read it again.
+	// notBefore is, by job without a closed record at the last read, when to read again.
 	notBefore map[string]time.Time
 }
 
@@ -51,18 +51,18 @@
 		if cascade {
 			d.persistSoon()
 		}
-		// Jobs that nothing depends on any more are forgotten.
+		// Drops jobs that no job depends on any more.
 		if len(d.notBefore) > 4*len(jobs)+64 {
 			clear(d.notBefore)
 		}
 	}
 }
 
-// readAll reads the records of closed jobs, as fast as the limit allows, and returns when all are
-// answered.
+// readAll reads the records of closed jobs, within the rate limit, and returns when all reads have
+// been answered.
 func (d *dependencyReader) readAll(ctx context.Context, jobs []string) {
 	var reads sync.WaitGroup
-	var absent []string // guarded by the lock of the state
+	var absent []string // guarded by the state's lock
 	slots := make(chan struct{}, maxDependencyReads)
 	now := time.Now()
 	for _, job := range jobs {
@@ -87,7 +87,7 @@
 	}
 }
 
-// read reads the record of one closed job, and adds the job to absent where there is none.
+// read reads the record of one closed job, and adds the job to absent if there is none.
 func (d *dependencyReader) read(ctx context.Context, job string, absent *[]string) {
 	row, err := d.store.Get(ctx, records.ClosedKey(job))
 	if err != nil {
@@ -98,7 +98,7 @@
 	defer d.state.mu.Unlock()
 	var closed records.ClosedJob
 	if row == nil || json.Unmarshal(row.Value, &closed) != nil {
-		// The job may be open, and the watch about to bring it.
+		// The job may still be open and unknown to the watch.
 		*absent = append(*absent, job)
 		return
 	}
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -13,9 +13,8 @@
 	"drumpick/internal/scheduler"
 )
 
-// loadDrains loads the drains that operators have asked for, and how far earlier terms came with
-// them.
-func (l *Leader) loadDrains(ctx context.Context, core *scheduler.Scheduler) error {
+// loadDrains loads the drains requested by operators and their progress in earlier terms.
+func (l *Leader) loadDrains(ctx context.Context, sched *scheduler.Scheduler) error {
 	states := map[string]*drain.State{}
 	revisions := map[string]uint64{}
 	_, err := l.store.List(ctx, records.PrefixDrainState, func(row records.KeyValue) error {
@@ -34,12 +33,12 @@
 	}
 	return l.loadPrefix(ctx, records.PrefixDrains, func(row records.KeyValue) {
 		if spec, ok := scheduler.ReadDrain(row.Key, row.Value); ok {
-			core.SetDrain(spec, states[spec.ID], revisions[spec.ID])
+			sched.SetDrain(spec, states[spec.ID], revisions[spec.ID])
 		}
 	})
 }
 
-// drainWatch follows the drains that operators ask for.
+// drainWatch watches the drains requested by operators.
 type drainWatch struct {
 	*term
 }
@@ -65,7 +64,7 @@
 	}
 }
 
-// relist takes in the list of all drains.
+// relist applies a list of all drains.
 func (w *drainWatch) relist(ctx context.Context) (revision uint64, err error) {
 	found := map[string]drain.Spec{}
 	revision, err = w.store.List(ctx, records.PrefixDrains, func(row records.KeyValue) error {
@@ -83,15 +82,15 @@
 	return revision, nil
 }
 
-// PreviewDrain returns what a drain would do: in all, and for up to limit tasks of machines behind
-// since.
+// PreviewDrain returns the plan of a drain: its totals, and up to limit tasks of machines whose
+// names sort after since.
 func (l *Leader) PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
 	return l.state.scheduler.PreviewDrainPage(spec, force, since, limit, time.Now())
 }
 
-// Drain returns how a drain stands; ok is false when it is not known.
+// Drain returns the state of a drain; ok is false if it is unknown.
 func (l *Leader) Drain(id string) (view scheduler.DrainView, ok bool) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -11,20 +11,20 @@
 	"drumpick/internal/scheduler"
 )
 
-// loadState loads what earlier terms left: open jobs, finished tasks, machines and watermarks. It
-// returns the revision of the list of open jobs, from which on changes are to be watched. Until it
-// has succeeded, no duty of the term runs.
+// loadState loads the state of earlier terms: open jobs, finished tasks, machines and watermarks.
+// It returns the revision of the list of open jobs, from which the watches start. No loop of the
+// term runs before it has succeeded.
 func (l *Leader) loadState(ctx context.Context) (revision uint64, err error) {
-	core := scheduler.New(l.settings, l.number, time.Now())
+	sched := scheduler.New(l.settings, l.number, time.Now())
 	limits := l.cfg.Deployment.State.Lowest()
-	persistence := scheduler.NewPersistence(core, limits.ValueKB, limits.TxnOps)
+	persistence := scheduler.NewPersistence(sched, limits.ValueKB, limits.TxnOps)
 	watermarksComplete := l.attestor.earlierWatermarksComplete(ctx)
 	now, wall := time.Now(), time.Now()
-	if err := l.loadMachineTypes(ctx, core); err != nil {
+	if err := l.loadMachineTypes(ctx, sched); err != nil {
 		return 0, err
 	}
 	revision, err = l.store.List(ctx, records.PrefixOpen, func(row records.KeyValue) error {
-		l.addJob(core, row, now, wall)
+		l.addJob(sched, row, now, wall)
 		return nil
 	})
 	if err != nil {
@@ -35,21 +35,21 @@
 	}
 	persistence.FinishLoading(watermarksComplete)
 	if l.cfg.Options.Operators {
-		if err := l.loadDrains(ctx, core); err != nil {
+		if err := l.loadDrains(ctx, sched); err != nil {
 			return 0, err
 		}
 	}
-	core.CheckReconciled(now)
-	jobs, machines := core.Counts()
+	sched.CheckReconciled(now)
+	jobs, machines := sched.Counts()
 	slog.Info("failover complete", "term", l.number, "node", l.cfg.Node, "jobs", jobs, "machines", machines)
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
-	l.state.scheduler = core
+	l.state.scheduler = sched
 	l.state.persistence = persistence
 	return revision, nil
 }
 
-func (l *Leader) loadMachineTypes(ctx context.Context, core *scheduler.Scheduler) error {
+func (l *Leader) loadMachineTypes(ctx context.Context, sched *scheduler.Scheduler) error {
 	row, err := l.store.Get(ctx, records.KeyMachineTypes)
 	if err != nil {
 		return fmt.Errorf("load %s: %w", records.KeyMachineTypes, err)
@@ -59,12 +59,12 @@
 	}
 	var stored records.MachineTypes
 	if json.Unmarshal(row.Value, &stored) == nil {
-		core.SetMachineTypes(stored.Types)
+		sched.SetMachineTypes(stored.Types)
 	}
 	return nil
 }
 
-// loadPersisted loads the records that a term keeps beside open jobs.
+// loadPersisted loads the records that terms keep besides open jobs.
 func (l *Leader) loadPersisted(ctx context.Context, persistence *scheduler.Persistence, now time.Time) error {
 	loadMachine := func(row records.KeyValue) { persistence.LoadMachinePage(row, now) }
 	if err := l.loadPrefix(ctx, records.PrefixFinishedTasks, persistence.LoadDonePage); err != nil {
--- a/internal/leader/fencing.go
+++ b/internal/leader/fencing.go
@@ -9,13 +9,14 @@
 	"drumpick/internal/workers"
 )
 
-// machineFencing makes every machine that earlier terms may have used show this term: from then on
-// it follows no older leader, and what it shows is all it runs.
+// machineFencing fences every machine that earlier terms may have used: once a machine has received
+// this term, it rejects older leaders, and the status it reports is complete.
 type machineFencing struct {
 	*term
 }
 
-// run calls the machines until all are reconciled, each round once the one before is answered.
+// run calls the machines until all are reconciled. A round starts once all calls of the previous
+// one have been answered.
 func (f *machineFencing) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.state.mu.Lock()
@@ -40,8 +41,8 @@
 	}
 }
 
-// fence shows a machine the term. A worker that has restarted refuses the call and tells
-// its new incarnation, with which it is tried once more.
+// fence sends a machine the term. A worker that has restarted refuses the call and returns its new
+// incarnation, with which the call is retried once.
 func (f *machineFencing) fence(machine scheduler.UnreconciledMachine) {
 	for range 2 {
 		outcome, status, err := f.workers.SendCommands(machine.Addr, f.emptyCommandRequest(machine.Incarnation))
--- a/internal/leader/job_watch.go
+++ b/internal/leader/job_watch.go
@@ -14,18 +14,18 @@
 	"drumpick/internal/scheduler"
 )
 
-// prefixWatch follows the records under a prefix.
+// prefixWatch is a watch of the records under a prefix.
 type prefixWatch struct {
 	prefix string
-	wait   time.Duration // for how long the store holds a request open without events
-	// relist takes in a list of all records in place of the events that the store no longer has,
-	// and returns its revision.
+	wait   time.Duration // how long the store keeps a request open without events
+	// relist applies a list of all records after the store has compacted the events since the
+	// watch's revision, and returns the revision of the list.
 	relist func(ctx context.Context) (revision uint64, err error)
-	// apply takes in an answer of the store, and when it was asked for.
+	// apply applies the events of an answer that was requested at askedAt.
 	apply func(events []records.Event, askedAt time.Time)
 }
 
-// follow runs a watch from a revision on until ctx ends.
+// follow runs a watch from revision since until ctx ends.
 func (t *term) follow(ctx context.Context, watch prefixWatch, since uint64) {
 	for ctx.Err() == nil {
 		askedAt := time.Now()
@@ -45,7 +45,7 @@
 	}
 }
 
-// jobWatch follows new and closed jobs.
+// jobWatch watches new and closed jobs.
 type jobWatch struct {
 	*term
 }
@@ -59,8 +59,7 @@
 	}, revision)
 }
 
-// apply takes in events. What the store answered was made after it was asked, so that up to then
-// nothing was missed.
+// apply applies events. The answer was made after askedAt, so no event before that is missed.
 func (w *jobWatch) apply(events []records.Event, askedAt time.Time) {
 	now := time.Now()
 	w.state.mu.Lock()
@@ -69,7 +68,7 @@
 		if event.Write != "" {
 			w.addJob(w.state.scheduler, records.KeyValue{Key: event.Write, Value: event.Value, Revision: event.Revision}, now, now)
 		} else if job, ok := strings.CutPrefix(event.Delete, records.PrefixOpen); ok {
-			w.state.scheduler.CloseJob(job) // the record of the closed job tells how it ended
+			w.state.scheduler.CloseJob(job) // the closed record holds the outcome
 		}
 	}
 	if len(events) > 0 && w.leaseConfirmed() {
@@ -79,7 +78,7 @@
 	w.contact.record(askedAt)
 }
 
-// relist takes in the list of all open jobs.
+// relist applies a list of all open jobs.
 func (w *jobWatch) relist(ctx context.Context) (revision uint64, err error) {
 	open := map[string]records.KeyValue{}
 	revision, err = w.store.List(ctx, records.PrefixOpen, func(row records.KeyValue) error {
@@ -104,17 +103,17 @@
 }
 
 // addJob adds the job of a record to a scheduler. Once the state of earlier terms is loaded, the
-// caller holds the state's lock.
-func (t *term) addJob(core *scheduler.Scheduler, row records.KeyValue, now, wall time.Time) {
+// caller must hold the state's lock.
+func (t *term) addJob(sched *scheduler.Scheduler, row records.KeyValue, now, wall time.Time) {
 	var job records.Job
 	if err := json.Unmarshal(row.Value, &job); err != nil || records.OpenKey(job.ID) != row.Key || job.Tasks <= 0 {
 		slog.Error("unreadable record", "key", row.Key, "err", err)
 		return
 	}
-	// Without this, an answer of the store from before a cancellation that comes in after the
-	// peers have reported it would open the job again.
+	// Without this check, an answer of the store from before a cancellation, received after the
+	// peers have reported it, would reopen the job.
 	if t.state.cancelled.contains(job.ID) {
 		return
 	}
-	core.AddJob(job, row.Revision, now, wall)
+	sched.AddJob(job, row.Revision, now, wall)
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,19 +1,19 @@
-// Package leader serves one term of leadership. It feeds what comes in from workers, peers, the
-// store and the cloud to a scheduler.Scheduler, carries its decisions out, and persists what the
-// next leader needs. What to decide is the scheduler's business; whether a decision may still be
-// carried out is decided here.
+// Package leader serves one term of leadership. It feeds events from workers, peers, the store and
+// the cloud to a scheduler.Scheduler, carries out its decisions, and persists what the next leader
+// needs. The scheduler makes the decisions; this package decides whether a decision may still be
+// carried out.
 //
 // Invariants:
 //   - Fencing by term: every command to a worker carries the term as its fencing token. A leader
-//     that meets a higher one resigns.
-//   - No write without the leader key: every commit compares the key with the term, so that what
-//     a deposed leader wrote late fails. Machines are scaled out and in only while the lease on
-//     the key is certain not to have expired.
-//   - Lease bound: workers' leases are renewed only as long as no cancellation that a user was
-//     told of can have been missed.
-//   - Record before use: a machine is given its first task, and a task beyond its watermark is
-//     dispatched, only once the record of it is in the store. In an outage that all controllers
-//     share, watermarks are relaxed once all peers know it.
+//     that sees a higher one resigns.
+//   - No write without the leader key: every commit compares the key with the term, so a late write
+//     of a deposed leader fails. Machines are scaled out and in only while the lease on the key is
+//     certain not to have expired.
+//   - Lease bound: workers' leases are renewed only as long as the leader cannot have missed a
+//     cancellation that was confirmed to a user.
+//   - Record before use: a machine gets its first task, and a task beyond its watermark is
+//     dispatched, only once the respective record is in the store. In an outage of the store for
+//     all controllers, watermarks are relaxed once all peers have acknowledged it.
 //   - No lock is held over I/O.
 package leader
 
@@ -57,13 +57,13 @@
 	List(ctx context.Context) ([]autoscaler.CloudMachine, error)
 }
 
-// Workers sends commands directly to workers. Go runs a call when there is room for one more.
+// Workers sends commands directly to workers. Go runs a call, within a limit on concurrent calls.
 type Workers interface {
 	Go(call func())
 	SendCommands(addr string, request fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error)
 }
 
-// Peers are the other controllers. QueryStatus asks all of them; all reports whether each one
+// Peers are the other controllers. QueryStatus queries all of them; all reports whether each one
 // has answered.
 type Peers interface {
 	QueryStatus(ctx context.Context, request peer.StatusRequest) (answers []peer.Status, all bool)
@@ -76,12 +76,12 @@
 	loops    []loopFunc // in the order in which they are started
 }
 
-// loopFunc is one of the loops of a term. It begins once the state of earlier terms is loaded, and
-// returns when ctx ends or its work is done. revision is the one of the store at the loading.
+// loopFunc is a loop of a term. It starts once the state of earlier terms is loaded, and returns
+// when ctx ends or its work is done. revision is the store revision of the loaded state.
 type loopFunc func(ctx context.Context, revision uint64)
 
-// New prepares a term; Run serves it. observer is this controller's own, and confirmed the log
-// of the cancellations that it has confirmed to users.
+// New prepares a term; Run serves it. observer is this controller's own; confirmed is the log of
+// the cancellations that this controller has confirmed to users.
 func New(
 	cfg *config.Config, store Store, cloud Cloud, elected *election.Election, peers Peers, workers Workers,
 	observer *watermark.Observer, confirmed *cancellation.Log, number uint64,
@@ -117,12 +117,12 @@
 	return l
 }
 
-// withoutRevision makes a duty of a loop that follows nothing in the store.
+// withoutRevision adapts a loop that watches no records in the store.
 func withoutRevision(run func(ctx context.Context)) loopFunc {
 	return func(ctx context.Context, _ uint64) { run(ctx) }
 }
 
-// Run serves the term until ctx ends, and returns once all of its duties have.
+// Run serves the term until ctx ends, and returns once all of its loops have returned.
 func (l *Leader) Run(ctx context.Context) {
 	defer context.AfterFunc(ctx, func() { l.closed.Store(true) })()
 	revision, ok := l.loadWithRetries(ctx)
@@ -141,8 +141,8 @@
 	running.Wait()
 }
 
-// loadWithRetries loads what earlier terms left, again and again until the store answers; ok is
-// false when ctx has ended before that.
+// loadWithRetries loads the state of earlier terms and retries until the store answers. ok is false
+// if ctx ended before.
 func (l *Leader) loadWithRetries(ctx context.Context) (revision uint64, ok bool) {
 	for {
 		askedAt := time.Now()
@@ -158,7 +158,7 @@
 	}
 }
 
-// term is what the duties of one term of leadership share.
+// term is the state that the loops of one term share.
 type term struct {
 	number    uint64
 	startedAt time.Time
@@ -171,7 +171,7 @@
 
 	loaded    chan struct{} // closed once the state of earlier terms is loaded
 	closed    atomic.Bool   // the term has ended or was resigned
-	writesDue chan struct{} // wakes the persister
+	writesDue chan struct{} // triggers the persister
 	contact   storeContact
 	state     state
 }
@@ -194,7 +194,7 @@
 	}
 }
 
-// state is the scheduler's state of a term, with what changes together with it.
+// state is the scheduler of a term and the data guarded by the same lock.
 type state struct {
 	mu          sync.Mutex // guards the fields below; never held over I/O
 	scheduler   *scheduler.Scheduler
@@ -207,7 +207,7 @@
 	return state{scheduler: scheduler.New(settings, term, time.Now()), committed: make(chan struct{})}
 }
 
-// persistSoon wakes the persister before its next round is due.
+// persistSoon triggers the persister before its next round is due.
 func (t *term) persistSoon() {
 	select {
 	case t.writesDue <- struct{}{}:
@@ -215,7 +215,7 @@
 	}
 }
 
-// maxValueBytes is the size of the largest value that the store takes.
+// maxValueBytes returns the maximum size of a value in the store.
 func (t *term) maxValueBytes() int {
 	return int(t.cfg.Deployment.State.Lowest().ValueKB * 1024)
 }
--- a/internal/leader/lease_expiry.go
+++ b/internal/leader/lease_expiry.go
@@ -11,29 +11,28 @@
 	"drumpick/internal/watermark"
 )
 
-// leaseExpiry waits, as long as machines are not reconciled after the failover, for the workers'
-// leases that earlier terms renewed to have expired: then the tasks that these machines had are
-// gone.
+// leaseExpiry waits, while machines are not reconciled after a failover, until all workers' leases
+// renewed by earlier terms have expired. The tasks on these machines are gone from then on.
 type leaseExpiry struct {
 	*term
 	attestor *attestor
 }
 
-// run asks the store only once the failover is complete, which does not wait for it.
+// run queries the store only after the failover, which does not wait for it.
 func (e *leaseExpiry) run(ctx context.Context) {
 	renewers := e.possibleRenewers(ctx)
 	if len(renewers) == 0 {
 		return
 	}
-	// Two clocks are involved: the worker's, for its lease, and the renewer's, for how long it has
-	// accepted no heartbeat.
+	// The drift covers two clocks: the worker's, for its lease, and the renewer's, for the time
+	// since its last renewal.
 	lease := e.settings.Lease + config.Drift(e.settings.Lease)
 	for ctxtime.Sleep(ctx, e.settings.HeartbeatInterval/4) == nil {
 		if e.reconciled() {
 			return
 		}
 		if time.Since(e.startedAt) < lease/2 {
-			continue // the last leader cannot have been silent for so long
+			continue // the last leader's renewals cannot be that old yet
 		}
 		if !watermark.LeasesExpired(renewers, e.sinceRenewals(ctx), lease) {
 			continue
@@ -53,8 +52,8 @@
 	return e.state.scheduler.Reconciled()
 }
 
-// possibleRenewers lists the nodes that may have renewed leases which this term has not; none
-// where that is not known.
+// possibleRenewers returns the nodes that may have renewed leases in earlier terms, or none if they
+// are not known.
 func (e *leaseExpiry) possibleRenewers(ctx context.Context) []string {
 	last := e.attestor.lastReconciled
 	if !last.Reconciled || !e.cfg.Options.LeaseExpiryProofs {
@@ -69,8 +68,8 @@
 	return nodes
 }
 
-// sinceRenewals returns, by node, how long ago at least each controller that answers has renewed a
-// lease. What this process renewed in an earlier term of its own was before this term.
+// sinceRenewals returns, by node that answers, a lower bound of the time since its last lease
+// renewal. This process's own renewals in earlier terms are older than this term.
 func (e *leaseExpiry) sinceRenewals(ctx context.Context) map[string]time.Duration {
 	since := map[string]time.Duration{e.cfg.Node: time.Since(e.startedAt)}
 	answers, _ := e.peers.QueryStatus(ctx, peer.StatusRequest{})
--- a/internal/leader/machine_types.go
+++ b/internal/leader/machine_types.go
@@ -11,11 +11,11 @@
 	"drumpick/internal/records"
 )
 
-// typesRefreshIntervals is every how many heartbeat intervals machine types are read again.
+// typesRefreshIntervals is the number of heartbeat intervals between two reads of machine types.
 const typesRefreshIntervals = 15
 
-// machineTypes keeps the scheduler's machine types at current prices, and stores the types, for
-// the other controllers, when anything but a spot price has changed.
+// machineTypes refreshes the scheduler's machine types and prices, and stores the types for the
+// other controllers when anything but a spot price has changed.
 type machineTypes struct {
 	*term
 	cloud Cloud
@@ -47,8 +47,8 @@
 	}
 }
 
-// storeIfChanged stores machine types unless they are stored already. What fails is tried again with
-// the next reading.
+// storeIfChanged stores machine types that differ from the stored ones. A failed write is retried
+// after the next read.
 func (m *machineTypes) storeIfChanged(ctx context.Context, types []records.MachineType) {
 	withoutPrices := jsonWithoutPrices(types)
 	if withoutPrices == m.storedJSON {
@@ -56,13 +56,12 @@
 	}
 	value := records.MachineTypes{Types: types}
 	if records.EncodedSize(value) > m.maxValueBytes() {
-		// Controllers ask the cloud where there is no such record.
+		// Without the record, controllers query the cloud.
 		slog.Warn("machine types too large to store", "types", len(types), "term", m.number)
 		m.storedJSON = withoutPrices
 		return
 	}
-	// Without the compare with the record's revision, a list could be stored late, after a newer
-	// one.
+	// The compare with the record's revision prevents a late write from overwriting a newer one.
 	if !m.revisionKnown && !m.readRevision(ctx) {
 		return
 	}
@@ -74,18 +73,18 @@
 	}
 }
 
-// jsonWithoutPrices encodes machine types without their spot prices, which move all the time.
+// jsonWithoutPrices encodes machine types without their spot prices, which change all the time.
 func jsonWithoutPrices(types []records.MachineType) string {
-	plain := make([]records.MachineType, len(types))
-	copy(plain, types)
-	for i := range plain {
-		plain[i].SpotPrice = 0
+	stripped := make([]records.MachineType, len(types))
+	copy(stripped, types)
+	for i := range stripped {
+		stripped[i].SpotPrice = 0
 	}
-	raw, _ := json.Marshal(plain)
+	raw, _ := json.Marshal(stripped)
 	return string(raw)
 }
 
-// readRevision reads the revision of the stored record, and reports whether the store has answered.
+// readRevision reads the revision of the stored record. It reports whether the store answered.
 func (m *machineTypes) readRevision(ctx context.Context) bool {
 	row, err := m.store.Get(ctx, records.KeyMachineTypes)
 	if err != nil {
--- a/internal/leader/persist.go
+++ b/internal/leader/persist.go
@@ -12,8 +12,8 @@
 	"drumpick/internal/scheduler"
 )
 
-// persister stores what the term has to persist, in commits as large as the store takes. Only one
-// commit of it is under way at a time.
+// persister stores the records of the term in commits of up to the store's maximum size, one commit
+// at a time.
 type persister struct {
 	*term
 	attestor *attestor
@@ -27,7 +27,7 @@
 	}
 }
 
-// awaitRound waits for the next round, and returns false when ctx has ended.
+// awaitRound waits for the next round. It returns false when ctx has ended.
 func (p *persister) awaitRound(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
@@ -43,7 +43,7 @@
 	return true
 }
 
-// persistAll stores batch after batch until nothing is due. It returns false when the term is over.
+// persistAll commits batches until no write is due. It returns false when the term has ended.
 func (p *persister) persistAll(ctx context.Context) bool {
 	for {
 		p.state.mu.Lock()
@@ -58,10 +58,10 @@
 	}
 }
 
-// commit stores a batch, again and again until it is stored or cannot be any more. It returns
-// false when the term is over. Every write is the same when repeated, and fails once it, or a
-// newer one of its key, was applied; so neither a lost answer nor a write that is applied late
-// does any harm.
+// commit stores a batch and retries until it is stored or cannot be stored any more. It returns
+// false when the term has ended. Writes are idempotent, and a repeated one fails once it, or a
+// newer one of its key, was applied. So neither a lost answer nor a write applied late does any
+// harm.
 func (p *persister) commit(ctx context.Context, writes []scheduler.PendingWrite) bool {
 	opCount := countOps(writes)
 	pause := p.settings.HeartbeatInterval / 20
@@ -105,7 +105,7 @@
 	return count
 }
 
-// buildTransaction puts writes together, with the compares under which all of them are valid.
+// buildTransaction merges writes into one transaction, with the compares that all of them require.
 func (p *persister) buildTransaction(writes []scheduler.PendingWrite) (compares []records.Compare, ops []records.Op) {
 	compares = p.leaderKeyCompare()
 	compared := map[string]bool{}
@@ -125,7 +125,7 @@
 	return compares, ops
 }
 
-// markStored takes in that writes are in the store, at a revision.
+// markStored records that writes were stored at a revision.
 func (p *persister) markStored(writes []scheduler.PendingWrite, revision uint64) {
 	p.state.mu.Lock()
 	for _, write := range writes {
@@ -143,7 +143,7 @@
 	p.attestor.recordRevision(revision)
 }
 
-// markUnanswered takes in that writes may yet be applied.
+// markUnanswered records that writes may still be applied.
 func (p *persister) markUnanswered(writes []scheduler.PendingWrite) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
@@ -154,9 +154,9 @@
 	}
 }
 
-// commitSeparately stores one by one what the store rejected as one commit. Without this, a limit
-// that falls without notice would stop the leader for good: a commit that is too large is rejected
-// however often it is repeated.
+// commitSeparately stores writes one by one after the store has rejected them as one commit.
+// Otherwise a limit of the store that is lowered without notice would block the leader for good, as
+// it rejects a commit that is too large on every retry.
 func (p *persister) commitSeparately(ctx context.Context, writes []scheduler.PendingWrite, cause error) bool {
 	slog.Warn("commit rejected as too large", "writes", len(writes), "term", p.number, "err", cause)
 	if len(writes) == 1 {
@@ -172,7 +172,7 @@
 	return true
 }
 
-// markTooLarge takes in that the store will never take a write as it is.
+// markTooLarge records that the store will never accept a write in its present form.
 func (p *persister) markTooLarge(write scheduler.PendingWrite) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
--- a/internal/leader/store_outage.go
+++ b/internal/leader/store_outage.go
@@ -11,24 +11,24 @@
 	"drumpick/internal/peer"
 )
 
-// storeOutage queries the peers while the store does not answer the leader. Which cancellations
-// they have confirmed to users since the last contact they report as well; where all have
-// answered, workers' leases may be renewed for longer, those of machines with tasks of cancelled
-// jobs too, as their tasks are killed. A controller that has restarted answers only for the time
-// since, so that a gap ends it. If the store serves a peer while it does not serve the leader, the
-// leader resigns once its lease on the leader key has expired.
+// storeOutage queries the peers while the store does not answer the leader. They also report the
+// cancellations that they have confirmed to users since the last contact. If all peers answer,
+// workers' leases may be renewed for longer, including those of machines with tasks of cancelled
+// jobs, as these tasks are killed. A restarted controller answers only for the time since its
+// start, and leases are not renewed if that leaves a gap. If the store serves a peer but not the
+// leader, the leader resigns once its lease on the leader key has expired.
 type storeOutage struct {
 	*term
 	attestor        *attestor
 	cancellationLog *cancellation.Log // the cancellations that this controller has confirmed to users
 
-	// servedElsewhereSince is since when, past the expiry of the lease on the leader key, the
-	// store serves peers and not the leader; zero while it does not.
+	// servedElsewhereSince is since when, after the lease on the leader key has expired, the store
+	// has served peers but not the leader; zero if it does not.
 	servedElsewhereSince time.Time
 }
 
-// run queries and announces one after the other, from here alone. Without this, a peer that
-// started only after an earlier attestation was sent could take it in after a later one.
+// run queries peers and announces attestations sequentially. Otherwise a peer that started after an
+// earlier attestation was sent could record it after a later one.
 func (o *storeOutage) run(ctx context.Context) {
 	for o.attestor.announce(ctx); ctxtime.Sleep(ctx, o.settings.HeartbeatInterval/4) == nil; {
 		lastOK, failing, _ := o.store.Health()
@@ -42,14 +42,14 @@
 	}
 }
 
-// queryPeers asks all peers once and takes in what they answer. It returns false when the leader
-// has resigned. lastOK is when the store last answered the leader.
+// queryPeers queries all peers once and applies their answers. It returns false if the leader has
+// resigned. lastOK is when the store last answered the leader.
 func (o *storeOutage) queryPeers(ctx context.Context, lastOK time.Time) bool {
 	interval := o.settings.HeartbeatInterval
 	askedAt := time.Now()
 	_, confirmedUntil := o.election.Term()
 	attestation := o.attestor.requestRelaxation()
-	span := o.contact.requiredSpan(askedAt, interval) // answers may take a moment, and so may this
+	span := o.contact.requiredSpan(askedAt, interval) // allows for the duration of the query
 	answers, all := o.peers.QueryStatus(ctx, peer.StatusRequest{Attestation: attestation, CancellationSpanMS: span.Milliseconds()})
 	o.attestor.applyAcknowledgements(attestation, answers, all, askedAt)
 	now := time.Now()
@@ -62,9 +62,9 @@
 			SinceLastConfirmation: time.Duration(answer.CancellationQuietMS) * time.Millisecond,
 		})
 	}
-	reach := o.summarizeStoreAccess(answers, sinceExpiry, now.Sub(askedAt))
-	if o.shouldResign(reach, askedAt, lastOK) {
-		slog.Warn("leader resigned", "term", o.number, "node", o.cfg.Node, "reason", "the store serves other controllers and not this one")
+	access := o.summarizeStoreAccess(answers, sinceExpiry, now.Sub(askedAt))
+	if o.shouldResign(access, askedAt, lastOK) {
+		slog.Warn("leader resigned", "term", o.number, "node", o.cfg.Node, "reason", "store serves other controllers but not this one")
 		o.election.Resign()
 		return false
 	}
@@ -73,54 +73,55 @@
 		o.cancelReported(cancelled)
 		o.contact.record(askedAt)
 	}
-	if all && reach.noneCanLead && !reach.served {
+	if all && access.noneCanLead && !access.served {
 		o.contact.setSoleLeaderUntil(askedAt.Add(interval))
 	}
 	return true
 }
 
-// peerStoreAccess is how the store serves the peers that have answered.
+// peerStoreAccess summarizes how the store serves the peers that have answered.
 type peerStoreAccess struct {
-	served           bool // it serves one of them now
-	servedPastExpiry bool // it has answered one of them since the lease on the leader key expired
-	noneCanLead      bool // it has answered none of them since, so that none can have been elected
+	served           bool // it serves a peer now
+	servedPastExpiry bool // it has answered a peer since the lease on the leader key expired
+	noneCanLead      bool // it has answered no peer since then, so none can have been elected
 }
 
-// summarizeStoreAccess sums up answers that took a while to come in. sinceExpiry is for how long the lease
-// on the leader key has not been certain; negative while it is.
-func (o *storeOutage) summarizeStoreAccess(answers []peer.Status, sinceExpiry, took time.Duration) peerStoreAccess {
-	reach := peerStoreAccess{noneCanLead: true}
+// summarizeStoreAccess summarizes the peers' answers to a query that took elapsed. sinceExpiry is
+// the time since the lease on the leader key was last certain; negative while it is.
+func (o *storeOutage) summarizeStoreAccess(answers []peer.Status, sinceExpiry, elapsed time.Duration) peerStoreAccess {
+	access := peerStoreAccess{noneCanLead: true}
 	for _, answer := range answers {
 		silent := time.Duration(answer.StoreSilentMS) * time.Millisecond
 		if silent < o.settings.HeartbeatInterval/2 && !answer.StoreFailing {
-			reach.served = true
+			access.served = true
 		}
-		if answer.StoreAnswered && silent < sinceExpiry-took {
-			reach.servedPastExpiry = true
+		if answer.StoreAnswered && silent < sinceExpiry-elapsed {
+			access.servedPastExpiry = true
 		}
 		// A controller that the store has never answered since its start cannot lead either,
-		// however short that is.
+		// however recent the start.
 		if answer.StoreAnswered && silent-config.Drift(silent) < sinceExpiry {
-			reach.noneCanLead = false
+			access.noneCanLead = false
 		}
 	}
-	return reach
+	return access
 }
 
-// shouldResign reports whether the store serves peers and not the leader, for so long that the leader
-// is to resign.
-func (o *storeOutage) shouldResign(reach peerStoreAccess, askedAt, lastOK time.Time) bool {
-	// Until the lease has expired nobody else can lead. Without the second condition, a leader
-	// could resign moments before the store fails for all: there would be none until it is back.
-	if !reach.served || !reach.servedPastExpiry {
+// shouldResign reports whether the store has served peers but not the leader for so long that the
+// leader has to resign.
+func (o *storeOutage) shouldResign(access peerStoreAccess, askedAt, lastOK time.Time) bool {
+	// No other controller can lead until the lease has expired. The second condition prevents the
+	// leader from resigning just before the store fails for all, which would leave no leader until
+	// it recovers.
+	if !access.served || !access.servedPastExpiry {
 		o.servedElsewhereSince = time.Time{}
 		return false
 	}
 	if o.servedElsewhereSince.IsZero() {
 		o.servedElsewhereSince = askedAt
 	}
-	// At the end of an outage that all shared, whoever asks first is served first. Only a request
-	// of the leader's that has failed after that tells.
+	// At the end of an outage for all controllers, the first to send a request is served first.
+	// Only a later failed request of the leader shows that it is excluded.
 	return time.Since(lastOK) > o.settings.HeartbeatInterval &&
 		o.store.FailedSince(o.servedElsewhereSince) &&
 		askedAt.Sub(o.servedElsewhereSince) >= o.settings.HeartbeatInterval/2
