--- a/internal/packing/bin.go
+++ b/internal/packing/bin.go
@@ -2,38 +2,38 @@
 
 import "slices"
 
-// Bin is a machine.
+// Bin is a machine that items are packed into.
 type Bin struct {
 	ID            string
 	Capacity      Resources // changed by SetCapacity only
-	PredictedLoad float64   // predicted use, as a share of the capacity; 0 where nothing is predicted
-	Owner         any       // the caller's; the packing never reads it
+	PredictedLoad float64   // predicted usage, as a share of the capacity; 0: no prediction
+	Owner         any       // set by the caller, not read by this package
 
 	open       bool
-	used       Resources // by the items
-	reserved   Resources // for items that are not here yet
-	free       Resources // of the capacity, neither used nor reserved
+	used       Resources // sum of the items' requests
+	reserved   Resources // for items that are not in the bin yet
+	free       Resources // capacity that is neither used nor reserved
 	gap        float64
 	items      []*Item
-	kindCounts [4]int // of the items
+	kindCounts [4]int // number of items by kind
 	labels     []string
 
-	space *Space // that has it in its index; nil: none
-	index int    // its place in that space
-	slot  slot   // the set of the index that has it
+	space *Space // space that indexes the bin; nil: none
+	index int    // position in Space.Bins
+	slot  slot   // index set that contains the bin
 }
 
-// NewBin returns an empty bin that takes items.
+// NewBin returns an empty, open bin.
 func NewBin(id string, capacity Resources) *Bin {
 	b := &Bin{ID: id, Capacity: capacity, open: true}
 	b.contentChanged()
 	return b
 }
 
-// Open reports whether the bin may take items.
+// Open reports whether items may be placed in the bin.
 func (b *Bin) Open() bool { return b.open }
 
-// SetOpen sets whether the bin may take items.
+// SetOpen sets whether items may be placed in the bin.
 func (b *Bin) SetOpen(open bool) {
 	if b.open == open {
 		return
@@ -44,7 +44,7 @@
 	}
 }
 
-// SetCapacity gives the bin another capacity, which may change the kinds of its items.
+// SetCapacity changes the capacity of the bin and reclassifies its items.
 func (b *Bin) SetCapacity(capacity Resources) {
 	if b.Capacity == capacity {
 		return
@@ -58,7 +58,7 @@
 	b.contentChanged()
 }
 
-// SetLabel gives the bin a label, or takes it away.
+// SetLabel adds a label to the bin, or removes it.
 func (b *Bin) SetLabel(name string, on bool) {
 	i := slices.Index(b.labels, name)
 	switch {
@@ -77,14 +77,14 @@
 // HasLabel reports whether the bin has a label.
 func (b *Bin) HasLabel(name string) bool { return slices.Contains(b.labels, name) }
 
-// Used is what the bin's items take together.
+// Used returns the sum of the requests of the bin's items.
 func (b *Bin) Used() Resources { return b.used }
 
-// Items are what the bin holds; the slice is the bin's own.
+// Items returns the bin's items. The slice must not be modified.
 func (b *Bin) Items() []*Item { return b.items }
 
-// Reserve reserves so much more room, or with a negative amount less. It may be room that
-// items still fill: then more is reserved than the bin has free, until they leave.
+// Reserve increases the reserved amount, or decreases it if the amount is negative. More may be
+// reserved than the bin has free, until items in it are removed.
 func (b *Bin) Reserve(amount Resources) {
 	b.reserved = b.reserved.Add(amount)
 	if b.reserved.CPU < eps && b.reserved.GPU < eps && b.reserved.Mem < eps {
@@ -93,19 +93,20 @@
 	b.contentChanged()
 }
 
-// Reserved is the room that is reserved.
+// Reserved returns the reserved amount.
 func (b *Bin) Reserved() Resources { return b.reserved }
 
-// Fits reports whether a request fits in every resource beside what is reserved.
+// Fits reports whether a request fits into what is neither used nor reserved, in every resource.
 func (b *Bin) Fits(request Resources) bool { return b.free.Fits(request) }
 
-// Gap is the space left in the fullest resource (Definition 1).
+// Gap returns the free share of the fullest resource (Definition 1).
 func (b *Bin) Gap() float64 { return b.gap }
 
-// Overloaded reports whether the bin holds, or is predicted to use, more than it has.
+// Overloaded reports whether the used or the predicted load exceeds the bin's capacity. The paper
+// calls such a bin hot.
 func (b *Bin) Overloaded() bool { return b.Capacity.Share(b.used) > 1+eps || b.PredictedLoad > 1+eps }
 
-// Add puts an item into the bin without checking any rule.
+// Add adds an item to the bin without checking any rule.
 func (b *Bin) Add(item *Item) {
 	item.kind = Classify(b.Capacity.Share(item.Request))
 	b.items = append(b.items, item)
@@ -114,7 +115,7 @@
 	b.contentChanged()
 }
 
-// Remove takes an item out.
+// Remove removes an item from the bin; it does nothing if the item is not in it.
 func (b *Bin) Remove(item *Item) {
 	i := slices.Index(b.items, item)
 	if i < 0 {
@@ -124,12 +125,12 @@
 	b.kindCounts[item.kind]--
 	b.used = b.used.Sub(item.Request)
 	if len(b.items) == 0 {
-		b.used = Resources{} // without this, the rounding of what came and went would stay
+		b.used = Resources{} // discards accumulated rounding errors
 	}
 	b.contentChanged()
 }
 
-// contentChanged updates what follows from the bin's content, and its place in the index.
+// contentChanged updates the fields derived from the bin's content, and its index set.
 func (b *Bin) contentChanged() {
 	b.free = b.Capacity.Sub(b.used).Sub(b.reserved)
 	b.gap = 1 - b.Capacity.Share(b.used.Add(b.reserved))
@@ -144,7 +145,7 @@
 	}
 }
 
-// The kinds of bins (Definition 3).
+// The following methods report the kind of the bin (Definition 3).
 func (b *Bin) empty() bool  { return len(b.items) == 0 }
 func (b *Bin) isTBin() bool { return b.kindCounts[Tiny] > 0 && len(b.items) == b.kindCounts[Tiny] }
 func (b *Bin) isSBin() bool { return b.kindCounts[Small] == 1 && len(b.items) == 1 }
@@ -154,13 +155,13 @@
 func (b *Bin) isUTBin() bool   { return b.isTBin() && b.Gap() >= Third-eps }
 func (b *Bin) isULLTBin() bool { return b.isLOrLTBin() && b.Gap() >= Third-eps }
 
-// AcceptsAny reports whether the paper lets any other item join those of the bin.
+// AcceptsAny reports whether the paper's rules allow adding some item to the bin.
 func (b *Bin) AcceptsAny() bool {
 	return b.Gap() > eps && (b.empty() || b.isTBin() || b.isLOrLTBin() || b.isSBin())
 }
 
-// Accepts reports whether an item may join those of the bin without any move, by the paper's
-// combinations or by filling up a T- or LT-bin.
+// Accepts reports whether an item with the given request may be added to the bin without any move,
+// by the paper's combinations or by TopUp.
 func (b *Bin) Accepts(request Resources) bool {
 	if !b.open || !b.Fits(request) {
 		return false
@@ -174,11 +175,11 @@
 	return b.empty()
 }
 
-// groups splits the bin's tiny items into groups of at most a third, any two of
-// which exceed a third together (Definition 4). First fit gives just that.
+// groups splits the bin's tiny items into groups of at most a third each, any two of which exceed a
+// third together (Definition 4). First fit ensures both.
 func (b *Bin) groups() [][]*Item {
 	var groups [][]*Item
-	var sums []Resources // of the groups
+	var sums []Resources // by group
 next:
 	for _, item := range b.items {
 		if item.kind != Tiny {
@@ -195,7 +196,7 @@
 	return groups
 }
 
-// soleItem returns the item of a kind in the bin, if there is just one.
+// soleItem returns the item of a kind, or nil if the bin does not hold exactly one.
 func (b *Bin) soleItem(kind Kind) *Item {
 	if b.kindCounts[kind] != 1 {
 		return nil
--- a/internal/packing/example_test.go
+++ b/internal/packing/example_test.go
@@ -6,7 +6,7 @@
 	"drumpick/internal/packing"
 )
 
-// A large item is placed in an empty bin, which is then filled with a group of tiny items.
+// A large item is placed in an empty bin, and a group of tiny items is moved to that bin.
 func ExampleSpace_Insert() {
 	space := &packing.Space{}
 	for _, id := range []string{"m-1", "m-2"} {
--- a/internal/packing/index.go
+++ b/internal/packing/index.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// binKinds is a set of the kinds of bins that the rules distinguish.
+// binKinds is a set of bin kinds.
 type binKinds uint8
 
-// Every bin is of just one of these kinds; the paper's kinds are unions of them.
+// Each bin has exactly one of the first seven kinds; the paper's kinds are unions of them.
 const (
 	emptyBins    binKinds = 1 << iota
 	utBins                // T-bin with a gap of at least a third
-	fullTBins             // T-bin with less
+	fullTBins             // T-bin with a smaller gap
 	ulltBins              // L- or LT-bin with a gap of at least a third
-	fullLTBins            // L- or LT-bin with less
+	fullLTBins            // L- or LT-bin with a smaller gap
 	sBins                 // one small item
 	otherBins             // any other combination
 	binKindCount = iota
@@ -24,7 +24,7 @@
 	allBins      = emptyBins | tBins | ltBins | sBins | otherBins
 )
 
-// binKind returns the place of the bin's kind among the kinds.
+// binKind returns the bit position of the bin's kind in binKinds.
 func (b *Bin) binKind() int {
 	var kind binKinds
 	switch {
@@ -46,22 +46,22 @@
 	return bits.TrailingZeros8(uint8(kind))
 }
 
-// gapSteps is how finely the index sorts bins by their gap.
+// gapSteps is the number of equal steps that the index divides gaps into.
 const gapSteps = 16
 
-// gapStep returns the step of the index for a gap.
+// gapStep returns the index step of a gap.
 func gapStep(gap float64) int { return min(max(int(math.Floor(gap*gapSteps)), 0), gapSteps) }
 
-// slot names a set of the index: bins of one kind whose gaps lie in one step.
+// slot identifies an index set: the bins of one kind whose gaps are in one step.
 type slot struct{ kind, gapStep int }
 
-// currentSlot returns the slot that the bin belongs to by its present content.
+// currentSlot returns the slot for the bin's current content.
 func (b *Bin) currentSlot() slot { return slot{b.binKind(), gapStep(b.Gap())} }
 
-// wordBits is how many bins a word of a set holds.
+// wordBits is the number of bins per word of a bit set.
 const wordBits = 64
 
-// bitSet is a bit set of places of bins in a space.
+// bitSet is a set of positions in Space.Bins.
 type bitSet []uint64
 
 func (s bitSet) assign(i int, on bool) {
@@ -76,7 +76,7 @@
 	return !slices.ContainsFunc(s, func(word uint64) bool { return word != 0 })
 }
 
-// sparseBitSet is a set that is mostly empty: its summary has the words that are not.
+// sparseBitSet is a bit set with a summary of its non-zero words.
 type sparseBitSet struct {
 	words   bitSet
 	summary bitSet
@@ -91,7 +91,7 @@
 	s.summary.assign(i/wordBits, s.words[i/wordBits] != 0)
 }
 
-// unionWord returns a word of the union of the sets of some kinds at a step.
+// unionWord returns one word of the union of the sets of some kinds at a gap step.
 func (s *Space) unionWord(kinds binKinds, step, word int) uint64 {
 	var union uint64
 	for ; kinds != 0; kinds &= kinds - 1 {
@@ -100,8 +100,8 @@
 	return union
 }
 
-// unionSummary returns a word of the union of the summaries of some kinds at a step: which words of
-// the union of their sets are not empty.
+// unionSummary returns one word of the union of the summaries of some kinds at a gap step. Its bits
+// mark the non-zero words of the union of the sets.
 func (s *Space) unionSummary(kinds binKinds, step, word int) uint64 {
 	var union uint64
 	for ; kinds != 0; kinds &= kinds - 1 {
@@ -110,13 +110,13 @@
 	return union
 }
 
-// anyBin calls f for the bins of the given kinds, open or not, in their order until it returns true, and
-// reports whether it did.
-func (s *Space) anyBin(among binKinds, f func(*Bin) bool) bool {
+// anyBin calls f for the bins of the given kinds, open or not, in order until f returns true. It
+// reports whether f returned true.
+func (s *Space) anyBin(kinds binKinds, f func(*Bin) bool) bool {
 	for word := range s.open {
 		var union uint64
 		for kind := range binKindCount {
-			if among>>kind&1 == 0 {
+			if kinds>>kind&1 == 0 {
 				continue
 			}
 			for step := range s.sets[kind] {
--- a/internal/packing/item.go
+++ b/internal/packing/item.go
@@ -1,9 +1,10 @@
 package packing
 
-// Kind is the type of an item by its size, the largest share that it takes of its bin (Definition 2).
+// Kind is the type of an item by its size: the largest share that it takes of any resource of its
+// bin (Definition 2).
 type Kind int
 
-// Kinds of items, from small to large: up to a third, up to a half, up to two thirds, and above.
+// Kinds of items by size: up to 1/3, up to 1/2, up to 2/3, and above.
 const (
 	Tiny Kind = iota
 	Small
@@ -11,7 +12,7 @@
 	Big
 )
 
-// Third is the size up to which an item is tiny, and the gap from which a bin is to be filled.
+// Third is the maximum size of a tiny item, and the minimum gap of an unfilled bin.
 const Third = 1.0 / 3
 
 // Classify returns the kind of an item of the given size.
@@ -27,15 +28,15 @@
 	return Big
 }
 
-// Item is a task on a machine, or about to be.
+// Item is a task that is placed, or to be placed, on a machine.
 type Item struct {
 	ID           string
-	Request      Resources // what it takes of its bin
-	Movable      bool      // it may be moved merely to fill or empty a bin; Space.Movable goes before this
-	PreferLabels []string  // labels of bins to prefer, the weightiest first
-	RequireLabel string    // a label that the bin must have; the item is then placed by the paper's rules only
-	ExcludeLabel string    // a label that the bin must not have, when the item is placed
-	Owner        any       // the caller's; the packing never reads it
+	Request      Resources // resources that it takes of its bin
+	Movable      bool      // it may be moved to fill or empty a bin; overridden by Space.Movable
+	PreferLabels []string  // labels of preferred bins, by descending weight
+	RequireLabel string    // a label that the bin must have; disables first fit
+	ExcludeLabel string    // a label that the bin must not have at placement
+	Owner        any       // set by the caller, not read by this package
 
-	kind Kind // in its bin
+	kind Kind // relative to its bin
 }
--- a/internal/packing/resources.go
+++ b/internal/packing/resources.go
@@ -7,7 +7,7 @@
 	Mem float64
 }
 
-// eps absorbs the rounding of decimal amounts that were added and subtracted.
+// eps absorbs the rounding errors of sums of decimal amounts.
 const eps = 1e-9
 
 // Add returns r + other.
@@ -25,12 +25,13 @@
 	return request.CPU <= r.CPU+eps && request.GPU <= r.GPU+eps && request.Mem <= r.Mem+eps
 }
 
-// Share returns the largest share that a request takes of any resource of the capacity r (section 3.8).
+// Share returns the largest share that a request takes of any resource of the capacity r
+// (section 3.8).
 func (r Resources) Share(request Resources) float64 {
 	return max(ratio(request.CPU, r.CPU), ratio(request.GPU, r.GPU), ratio(request.Mem, r.Mem))
 }
 
-// cannotFit is a share that is larger than any bin.
+// cannotFit is a share that exceeds any bin's capacity.
 const cannotFit = 2
 
 func ratio(request, capacity float64) float64 {
@@ -43,8 +44,8 @@
 	return request / capacity
 }
 
-// smallestShare returns the smallest share that a request takes of any resource of a capacity:
-// a bin with a smaller gap cannot take it.
+// smallestShare returns the smallest share that a request takes of any resource of a capacity. The
+// request does not fit into a bin with a smaller gap.
 func smallestShare(capacity, request Resources) float64 {
 	smallest := 1.0
 	for _, r := range [...]struct{ capacity, request float64 }{
--- a/internal/packing/search.go
+++ b/internal/packing/search.go
@@ -2,20 +2,22 @@
 
 import "math/bits"
 
-// gapMargin is subtracted from the gap that an item needs, so that rounding excludes no bin that may fit.
+// gapMargin is subtracted from the gap that an item needs, so that rounding errors exclude no bin
+// that may fit.
 const gapMargin = 1e-6
 
-// query is a search for a bin for one item.
+// query is the state of a search for a bin for one item.
 type query struct {
 	item     *Item
-	firstGap int                    // the first step of gaps at which the item may fit
-	kinds    [gapSteps + 1]binKinds // by step, the kinds of which there are bins
-	required bitSet                 // the bins with the label that the item requires; nil: it requires none
-	excluded bitSet                 // the bins with the label that the item excludes; nil: there are none
-	allowed  func(*Bin) bool        // nil: all
+	firstGap int                    // the lowest gap step at which the item may fit
+	kinds    [gapSteps + 1]binKinds // by gap step, the kinds to search, without those that have no bins
+	required bitSet                 // the bins with the required label; nil: none is required
+	excluded bitSet                 // the bins with the excluded label; nil: there are none
+	allowed  func(*Bin) bool        // nil: all bins are allowed
 }
 
-// filter returns those of the bins of a word that are open and have the labels that the item needs.
+// filter returns the bins of a word that are open and satisfy the item's required and excluded
+// labels.
 func (q *query) filter(open bitSet, word int, union uint64) uint64 {
 	union &= open[word]
 	if q.required != nil {
@@ -27,13 +29,13 @@
 	return union
 }
 
-// fits reports whether the item fits into a bin that the caller allows.
+// fits reports whether the bin is allowed and the item fits into it.
 func (q *query) fits(b *Bin) bool {
 	return b.Fits(q.item.Request) && (q.allowed == nil || q.allowed(b))
 }
 
-// search finds the best open bin of the given kinds that an item fits into.
-func (s *Space) search(item *Item, among binKinds, allowed func(*Bin) bool) *Bin {
+// search returns the best open bin of the given kinds that an item fits into, or nil.
+func (s *Space) search(item *Item, kinds binKinds, allowed func(*Bin) bool) *Bin {
 	q := query{item: item, allowed: allowed}
 	q.required = s.byLabel[item.RequireLabel]
 	if item.RequireLabel != "" && q.required == nil {
@@ -44,7 +46,7 @@
 	var all binKinds
 	for step := q.firstGap; step <= gapSteps; step++ {
 		for kind := range binKindCount {
-			if among>>kind&1 == 1 && s.counts[kind][step] > 0 {
+			if kinds>>kind&1 == 1 && s.counts[kind][step] > 0 {
 				q.kinds[step] |= 1 << kind
 			}
 		}
@@ -59,7 +61,7 @@
 	return s.searchFirst(&q)
 }
 
-// searchFirst finds the first bin.
+// searchFirst returns the first bin that matches the query, or nil.
 func (s *Space) searchFirst(q *query) *Bin {
 	for word := range s.open {
 		var union uint64
@@ -75,20 +77,19 @@
 	return nil
 }
 
-// searchRanked finds the bin that has the labels which the item prefers, the weightiest first, then the
-// fullest, then the first.
+// searchRanked returns the best bin that matches the query, or nil. Bins are ranked by the preferred
+// labels that they have, by weight, then by smallest gap, then by order.
 func (s *Space) searchRanked(q *query) *Bin {
-	// Which bins are candidates does not depend on the preferred labels: most searches end here, as
-	// none is.
+	// The candidates do not depend on the preferred labels. Most searches end here without any.
 	var found [gapSteps + 1]bool
-	some := false
+	anyFound := false
 	for step := q.firstGap; step <= gapSteps; step++ {
 		if q.kinds[step] != 0 {
 			found[step] = s.collectCandidates(q, step)
-			some = some || found[step]
+			anyFound = anyFound || found[step]
 		}
 	}
-	if !some {
+	if !anyFound {
 		return nil
 	}
 	n := len(q.item.PreferLabels)
@@ -109,18 +110,18 @@
 	return nil
 }
 
-// candidateWord is a word of a set, with at least one bin in it.
+// candidateWord is a non-zero word of a bit set.
 type candidateWord struct {
 	index int
 	bits  uint64
 }
 
-// collectCandidates collects the candidates of a step, and reports whether there are any.
+// collectCandidates stores the candidates of a gap step, and reports whether there are any.
 func (s *Space) collectCandidates(q *query, step int) bool {
 	found := s.candidates[step][:0]
 	for part := range len(s.open)/wordBits + 1 {
-		for some := s.unionSummary(q.kinds[step], step, part); some != 0; some &= some - 1 {
-			word := part*wordBits + bits.TrailingZeros64(some)
+		for summary := s.unionSummary(q.kinds[step], step, part); summary != 0; summary &= summary - 1 {
+			word := part*wordBits + bits.TrailingZeros64(summary)
 			union := q.filter(s.open, word, s.unionWord(q.kinds[step], step, word))
 			if union != 0 {
 				found = append(found, candidateWord{word, union})
@@ -131,8 +132,8 @@
 	return len(found) > 0
 }
 
-// fullest finds the fullest of the candidates that fits and has just the preferred labels of a tier, whose
-// bits are the labels, the weightiest the highest.
+// fullest returns the fullest candidate that fits and has exactly the preferred labels of a tier, or
+// nil. The bits of a tier are the preferred labels; the highest bit is the one with most weight.
 func (s *Space) fullest(q *query, candidates []candidateWord, preferred []bitSet, tier int) *Bin {
 	var found *Bin
 	for _, candidate := range candidates {
@@ -147,7 +148,7 @@
 	return found
 }
 
-// withLabels returns those of the bins of a word that have just the preferred labels of a tier.
+// withLabels returns the bins of a word that have exactly the preferred labels of a tier.
 func withLabels(candidate candidateWord, preferred []bitSet, tier int) uint64 {
 	union := candidate.bits
 	for i, labelled := range preferred {
--- a/internal/packing/space.go
+++ b/internal/packing/space.go
@@ -2,30 +2,29 @@
 
 import "slices"
 
-// Space is the bins that are packed together: machines of one type. They are
-// indexed by kind and gap, so that an item is placed, or found to have no room,
-// without a scan of every bin. The answers are those of a scan of all bins in
-// their order. A space is not for concurrent use.
+// Space is a set of bins that are packed together: machines of one type. Bins are indexed by kind
+// and gap, so that a search does not scan every bin. The results equal those of a scan of all bins in
+// order. A space is not safe for concurrent use.
 type Space struct {
-	Bins []*Bin // in their order; changed by Add and Remove only
-	// Ranked chooses among the bins that the paper's "exists b" leaves equal: by
-	// the labels that the item prefers, then the fullest, then the first. Otherwise
-	// the first one is taken.
+	Bins []*Bin // sorted by id; changed by Add and Remove only
+	// Ranked selects among the bins that a rule of the paper allows ("exists b") by preferred
+	// labels, then the fullest, then the first. Otherwise the first bin is selected.
 	Ranked bool
-	// NoFirstFit leaves first fit out, for the virtual bins of machines that may be requested.
+	// NoFirstFit disables first fit, for the virtual bins of machines that may be requested.
 	NoFirstFit bool
-	// Movable reports whether an item may be moved merely to fill or empty a bin;
-	// nil: as Item.Movable has it.
+	// Movable reports whether an item may be moved to fill or empty a bin; nil: Item.Movable is
+	// used.
 	Movable func(*Item) bool
-	// Worthwhile reports whether a move of an item into a bin is worth what it costs; nil: it always is.
+	// Worthwhile reports whether the benefit of moving an item into a bin exceeds the cost; nil:
+	// always.
 	Worthwhile func(item *Item, to *Bin) bool
 
-	sets    [binKindCount][gapSteps + 1]*sparseBitSet // the bins by kind and step of their gap; nil: none yet
-	counts  [binKindCount][gapSteps + 1]int           // of the bins in each set
-	open    bitSet                                    // the bins that may take items
+	sets    [binKindCount][gapSteps + 1]*sparseBitSet // the bins by kind and gap step; nil: not created yet
+	counts  [binKindCount][gapSteps + 1]int           // number of bins in each set
+	open    bitSet                                    // the open bins
 	byLabel map[string]bitSet                         // the bins with each label
 
-	candidates [gapSteps + 1][]candidateWord // of the search under way, kept for the next one to reuse
+	candidates [gapSteps + 1][]candidateWord // scratch memory of a search, reused by the next one
 }
 
 func (s *Space) movable(item *Item) bool {
@@ -35,10 +34,10 @@
 	return item.Movable
 }
 
-// Has reports whether the space has the bin.
+// Has reports whether the bin is in the space.
 func (s *Space) Has(b *Bin) bool { return b.space == s }
 
-// Add adds a bin, in the order of ids; bins of one id stay in the order in which they were added.
+// Add adds a bin, sorted by id; bins with the same id keep the order of addition.
 func (s *Space) Add(b *Bin) {
 	i := len(s.Bins)
 	for i > 0 && s.Bins[i-1].ID > b.ID {
@@ -52,7 +51,7 @@
 	s.indexBin(b, i)
 }
 
-// Remove removes a bin.
+// Remove removes a bin; it does nothing if the bin is not in the space.
 func (s *Space) Remove(b *Bin) {
 	if b.space != s {
 		return
@@ -67,7 +66,7 @@
 	words := len(s.Bins)/wordBits + 1
 	for kind := range s.sets {
 		for step := range s.sets[kind] {
-			s.sets[kind][step], s.counts[kind][step] = nil, 0 // made when it is needed
+			s.sets[kind][step], s.counts[kind][step] = nil, 0 // created on demand
 		}
 	}
 	s.open, s.byLabel = make(bitSet, words), map[string]bitSet{}
@@ -76,7 +75,7 @@
 	}
 }
 
-// indexBin puts a bin into the index.
+// indexBin adds the bin at position i to the index.
 func (s *Space) indexBin(b *Bin, i int) {
 	b.space, b.index = s, i
 	b.slot = b.currentSlot()
@@ -87,13 +86,13 @@
 	}
 }
 
-// setIndexed puts a bin into the set of its slot, or takes it out.
+// setIndexed adds a bin to the index set of its slot, or removes it.
 func (s *Space) setIndexed(b *Bin, on bool) {
-	at := &s.sets[b.slot.kind][b.slot.gapStep]
-	if *at == nil {
-		*at = newSparseBitSet(len(s.open))
+	bins := &s.sets[b.slot.kind][b.slot.gapStep]
+	if *bins == nil {
+		*bins = newSparseBitSet(len(s.open))
 	}
-	(*at).assign(b.index, on)
+	(*bins).assign(b.index, on)
 	if on {
 		s.counts[b.slot.kind][b.slot.gapStep]++
 	} else {
@@ -101,7 +100,7 @@
 	}
 }
 
-// binsWithLabel returns the set of the bins with a label, and adds it if there is none.
+// binsWithLabel returns the set of bins with a label, which it creates if there is none.
 func (s *Space) binsWithLabel(name string) bitSet {
 	bins := s.byLabel[name]
 	if bins == nil {
@@ -111,8 +110,8 @@
 	return bins
 }
 
-// setLabelled puts a bin into the set of a label, or takes it out. An empty set is forgotten: images, for
-// which there are labels, come and go.
+// setLabelled adds a bin to the set of a label, or removes it. Empty sets are deleted, since image
+// labels are added and removed all the time.
 func (s *Space) setLabelled(b *Bin, name string, on bool) {
 	bins := s.binsWithLabel(name)
 	bins.assign(b.index, on)
--- a/internal/packing/visbp.go
+++ b/internal/packing/visbp.go
@@ -1,58 +1,59 @@
-// Package packing is VISBP, the variable item size bin packing of section 3 of the paper that the
-// scheduler follows. Machines are bins, tasks are items, and the size of an item is the largest share
-// that it takes of any resource of its bin. The package is pure: no clock and no I/O; the caller decides
-// which of the moves it lists are carried out.
+// Package packing implements VISBP, the variable item size bin packing of section 3 of the paper that
+// the scheduler implements. Machines are bins, tasks are items, and the size of an item is the largest
+// share that it takes of any resource of its bin. The package is pure: no clock and no I/O. The caller
+// decides which of the returned moves are executed.
 //
-// The paper's words are kept:
+// The package uses the paper's terms:
 //
 //   - Items are Tiny (up to a third of a bin), Small (up to a half), Large (up to two thirds) or Big.
-//   - The gap of a bin is the share that is left of its fullest resource.
+//   - The gap of a bin is the free share of its fullest resource.
 //   - A T-bin holds tiny items only, an S-bin one small item, an L-bin one large item, and an LT-bin
 //     one large item with tiny ones. Two small items fill a bin, and so does a big one.
 //   - A UT-bin or ULLT-bin is an unfilled T-bin, or L- or LT-bin: one with a gap of at least a third.
-//   - A group is some tiny items that are moved together, of at most a third in all. Any two groups
-//     of a bin exceed a third together, so that a bin has few of them.
+//   - A group is a set of tiny items that are moved together, of at most a third in total. Any two
+//     groups of a bin exceed a third together, so that a bin has few groups.
 //
-// Insert places an item and fills the bin of a large one with groups out of T-bins. Change restores the
-// rules after an item has left, or moves groups out of a hot bin. Either lists a bounded number of
-// moves (Theorems 2 and 3).
+// Insert places an item, and fills the bin of a large item with groups from T-bins. Change restores
+// the rules after an item was removed, or moves groups out of an overloaded (hot) bin. Both return a
+// bounded number of moves (Theorems 2 and 3).
 package packing
 
 import "slices"
 
-// Most moves that Insert (Theorem 2) and Change (Theorem 3) may list.
+// Maximum number of moves that Insert (Theorem 2) and Change (Theorem 3) return.
 const (
 	MaxInsertMoves = 3
 	MaxChangeMoves = 7
 )
 
-// Move takes a group, or a single item, from one bin into another.
+// Move is a move of a group, or of a single item, from one bin to another.
 type Move struct {
 	Items    []*Item
 	From, To *Bin
 }
 
-// Rule is the rule by which a bin was found for an item.
+// Rule is the rule by which a bin was selected for an item.
 type Rule int
 
-// Rules, from the paper's own to the exceptions.
+// Rules: the paper's and the two exceptions.
 const (
-	NoBin     Rule = iota // nothing has room
+	NoBin     Rule = iota // no bin fits the item
 	PaperRule             // one of the paper's combinations
-	TopUp                 // a tiny item into a T- or LT-bin that is filled, with room to spare
-	FirstFit              // no combination is possible: any bin with room
+	TopUp                 // a tiny item into a filled T-, L- or LT-bin that it still fits into
+	FirstFit              // no combination is possible: any bin that the item fits into
 )
 
-// operation is one Insert or Change, with the moves that it has listed.
+// operation is one Insert or Change, with its moves so far.
 type operation struct {
 	space    *Space
-	allowed  func(*Bin) bool // the bins that items may be placed in; nil: all
+	allowed  func(*Bin) bool // whether items may be placed in a bin; nil: in all
 	maxMoves int
 	moves    []Move
 }
 
-// Insert finds a bin for an item, puts it there and lists the moves that the
-// paper asks for. allowed reports whether the item may be in a bin at all; nil: in any.
+// Insert selects a bin for an item, adds the item to it and returns the moves that the paper
+// requires. allowed reports whether items may be placed in a bin; nil: in all. Without a bin for the
+// item, Insert returns nil and NoBin.
 func (s *Space) Insert(item *Item, allowed func(*Bin) bool) (*Bin, []Move, Rule) {
 	o := &operation{space: s, allowed: allowed, maxMoves: MaxInsertMoves}
 	b, rule := o.place(item)
@@ -66,30 +67,30 @@
 	return b, o.moves, rule
 }
 
-// find finds the best open bin of the given kinds with room for an item.
-func (o *operation) find(item *Item, among binKinds) *Bin {
-	return o.space.search(item, among, o.allowed)
+// find returns the best allowed, open bin of the given kinds that an item fits into, or nil.
+func (o *operation) find(item *Item, kinds binKinds) *Bin {
+	return o.space.search(item, kinds, o.allowed)
 }
 
-// combinations are the kinds of bins, by the kind of an item, that the paper lets it join, the preferred
-// ones first. Every item may have an empty bin.
+// combinations lists the kinds of non-empty bins that the paper allows for an item, by the kind of the
+// item, the preferred ones first. Every item may be placed in an empty bin.
 var combinations = [...][]binKinds{Tiny: {ulltBins, utBins}, Small: {sBins}, Large: nil, Big: nil}
 
-// place finds a bin by the paper's rules, else by the two exceptions. The kind
-// of an item depends on the bin's capacity, which is the same for all of a space.
+// place selects a bin by the paper's rules, else by the two exceptions. The kind of an item depends
+// on the bin's capacity, which is the same for all bins of a space.
 func (o *operation) place(item *Item) (*Bin, Rule) {
 	if len(o.space.Bins) == 0 {
 		return nil, NoBin
 	}
 	kind := Classify(o.space.Bins[0].Capacity.Share(item.Request))
-	for _, among := range combinations[kind] {
-		if b := o.find(item, among); b != nil {
+	for _, kinds := range combinations[kind] {
+		if b := o.find(item, kinds); b != nil {
 			return b, PaperRule
 		}
 	}
 	if kind == Tiny {
-		// Requests are reserved in full, so the last third of a machine need not stay
-		// free for growth: a filled T- or LT-bin may be filled up.
+		// Requests are reserved in full, so the last third of a bin need not stay free for growth:
+		// a filled T-, L- or LT-bin may take more tiny items.
 		if b := o.find(item, tBins|ltBins); b != nil {
 			return b, TopUp
 		}
@@ -105,10 +106,10 @@
 	return nil, NoBin
 }
 
-// mayMove reports whether the operation may list another move.
+// mayMove reports whether the operation has fewer than the maximum number of moves.
 func (o *operation) mayMove() bool { return len(o.moves) < o.maxMoves }
 
-// move moves a group if every item of it may move, and the whole fits. It reports whether it did.
+// move moves a group if each item may be moved and the whole group fits. It reports whether it did.
 func (o *operation) move(group []*Item, from, to *Bin) bool {
 	var sum Resources
 	for _, item := range group {
@@ -128,7 +129,7 @@
 	return true
 }
 
-// fill moves groups out of T-bins into an L- or LT-bin while it has a gap of a third.
+// fill moves groups from T-bins into an L- or LT-bin while its gap is at least a third.
 func (o *operation) fill(b *Bin) {
 	for o.mayMove() && b.Gap() >= Third-eps {
 		if !o.fillFrom(b, utBins) && !o.fillFrom(b, tBins) {
@@ -137,9 +138,9 @@
 	}
 }
 
-// fillFrom moves one group out of a bin of the given kinds into b, and reports whether there was one.
-func (o *operation) fillFrom(b *Bin, among binKinds) bool {
-	return o.space.anyBin(among, func(source *Bin) bool {
+// fillFrom moves one group from a bin of the given kinds into b, and reports whether it did.
+func (o *operation) fillFrom(b *Bin, kinds binKinds) bool {
+	return o.space.anyBin(kinds, func(source *Bin) bool {
 		if source == b || !slices.ContainsFunc(source.items, o.space.movable) {
 			return false
 		}
@@ -152,8 +153,9 @@
 	})
 }
 
-// moveInto moves a group into the first bin of the given kinds that may take it.
-func (o *operation) moveInto(among binKinds, group []*Item, from *Bin) bool {
+// moveInto moves a group into the first bin of the given kinds that accepts it, and reports whether
+// it did.
+func (o *operation) moveInto(kinds binKinds, group []*Item, from *Bin) bool {
 	if !o.mayMove() {
 		return false
 	}
@@ -162,15 +164,16 @@
 			return false
 		}
 	}
-	return o.space.anyBin(among, func(b *Bin) bool { return b != from && o.move(group, from, b) })
+	return o.space.anyBin(kinds, func(b *Bin) bool { return b != from && o.move(group, from, b) })
 }
 
-// placeGroup moves a group out of its bin into one that may take it.
+// placeGroup moves a group into another bin, preferably a ULLT-bin, then a UT-bin, then an empty bin.
+// It reports whether it did.
 func (o *operation) placeGroup(group []*Item, from *Bin) bool {
 	return o.moveInto(ulltBins, group, from) || o.moveInto(utBins, group, from) || o.moveInto(emptyBins, group, from)
 }
 
-// adjust cools or fills an L- or LT-bin; the two exclude each other.
+// adjust relieves an overloaded L- or LT-bin, else fills it.
 func (o *operation) adjust(b *Bin) {
 	if b.Overloaded() {
 		o.relieve(b)
@@ -179,7 +182,7 @@
 	}
 }
 
-// relieve moves groups out while the bin is hot.
+// relieve moves groups out of a bin while it is overloaded.
 func (o *operation) relieve(b *Bin) {
 	for _, group := range b.groups() {
 		if !o.mayMove() || !b.Overloaded() {
@@ -192,23 +195,23 @@
 	}
 }
 
-// spread moves the groups of a bin into bins of the given kinds while these have room.
-func (o *operation) spread(b *Bin, among binKinds) {
+// spread moves the groups of a bin into bins of the given kinds, until one cannot be moved.
+func (o *operation) spread(b *Bin, kinds binKinds) {
 	if !slices.ContainsFunc(b.items, o.space.movable) {
 		return
 	}
 	for _, group := range b.groups() {
-		if !o.moveInto(among, group, b) {
+		if !o.moveInto(kinds, group, b) {
 			return
 		}
 	}
 }
 
-// otherBin returns the first open bin of the given kinds but one.
-func (o *operation) otherBin(among binKinds, but *Bin) *Bin {
+// otherBin returns the first open bin of the given kinds other than the excepted one, or nil.
+func (o *operation) otherBin(kinds binKinds, except *Bin) *Bin {
 	var found *Bin
-	o.space.anyBin(among, func(b *Bin) bool {
-		if b == but || !b.open {
+	o.space.anyBin(kinds, func(b *Bin) bool {
+		if b == except || !b.open {
 			return false
 		}
 		found = b
@@ -217,10 +220,10 @@
 	return found
 }
 
-// Change restores the rules of a bin after an item in it changed from the kind old to the kind now, or
-// when it is hot. A finished task is an item that changed to zero and has
-// left the bin, so what the paper does to the item itself falls away, and the
-// table of section 3.4 is reduced to the row "X to T".
+// Change restores the rules of a bin after an item changed from the kind old to the kind now, or if
+// the bin is overloaded, and returns the moves. A finished task is an item that shrank to zero and was
+// removed from the bin. The paper's steps for the item itself then do not apply, and the table of
+// section 3.4 is reduced to the row "X to T".
 func (s *Space) Change(b *Bin, old, now Kind, allowed func(*Bin) bool) []Move {
 	o := &operation{space: s, allowed: allowed, maxMoves: MaxChangeMoves}
 	switch {
@@ -239,7 +242,7 @@
 			o.spread(b, utBins)
 		}
 	default:
-		// An item that grew: the tiny ones around it are moved out.
+		// The item grew: the tiny items of the bin are moved out.
 		for _, group := range b.groups() {
 			o.placeGroup(group, b)
 		}
@@ -247,8 +250,8 @@
 	return o.moves
 }
 
-// afterLargeLeft moves what was packed around a large item to where it would have been placed without
-// that.
+// afterLargeLeft moves the tiny items that were packed with a removed large item into the bins where
+// they would have been placed without it.
 func (o *operation) afterLargeLeft(b *Bin) {
 	if o.otherBin(tBins, b) != nil {
 		o.spread(b, utBins)
@@ -257,7 +260,7 @@
 	}
 }
 
-// afterSmallLeft joins the small item that is left alone with another one.
+// afterSmallLeft moves the remaining small item of a bin to another bin with one small item.
 func (o *operation) afterSmallLeft(b *Bin) {
 	item := b.soleItem(Small)
 	if item == nil || len(b.items) != 1 {
--- a/internal/packing/visbp_test.go
+++ b/internal/packing/visbp_test.go
@@ -11,8 +11,8 @@
 	"drumpick/internal/scenario"
 )
 
-// A scenario packs items into bins of capacity 12 (so that a third is 4):
-// "insert NAME SIZE", "finish NAME", "hot BIN LOAD".
+// A scenario packs items into bins of capacity 12, so that a third is 4. Its commands are
+// "bins NAME...", "insert NAME SIZE [fixed]", "finish NAME" and "hot BIN LOAD".
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		p := &scenarioPacking{space: &Space{}, bins: map[string]*Bin{}, items: map[string]*Item{}}
@@ -20,7 +20,7 @@
 	})
 }
 
-// scenarioPacking is a space with the items that a scenario has put there.
+// scenarioPacking is a space with the items that a scenario has inserted.
 type scenarioPacking struct {
 	space *Space
 	bins  map[string]*Bin // by item
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// describe returns a line for each move, and one with the content of all bins.
+// describe returns a line for each move, and one with the content of all bins. A bin that violates
+// the combinations is marked with "!".
 func (p *scenarioPacking) describe(moves []Move) []string {
 	var lines []string
 	for _, move := range moves {
@@ -93,8 +94,8 @@
 	return strings.Join(ids, separator)
 }
 
-// Theorems 2 and 3 bound the moves; no item is lost and no bin is overfilled,
-// whatever is inserted and removed.
+// After any sequence of inserts and removals, the number of moves is within the bounds of Theorems 2
+// and 3, no item is lost and no bin exceeds its capacity.
 func TestMovesAreBounded(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	s := &Space{}
@@ -107,7 +108,7 @@
 			request := Resources{CPU: float64(1+random.IntN(16)) / 4, Mem: float64(random.IntN(16))}
 			b, moves, _ := s.Insert(&Item{Request: request, Movable: random.IntN(2) == 0}, nil)
 			if len(moves) > MaxInsertMoves {
-				t.Fatalf("insert lists %d moves, want at most %d", len(moves), MaxInsertMoves)
+				t.Fatalf("insert returns %d moves, want at most %d", len(moves), MaxInsertMoves)
 			}
 			if b != nil {
 				want++
@@ -118,14 +119,14 @@
 			b.Remove(item)
 			want--
 			if moves := s.Change(b, old, Tiny, nil); len(moves) > MaxChangeMoves {
-				t.Fatalf("change lists %d moves, want at most %d", len(moves), MaxChangeMoves)
+				t.Fatalf("change returns %d moves, want at most %d", len(moves), MaxChangeMoves)
 			}
 		}
 		checkContent(t, s, want)
 	}
 }
 
-// checkContent fails if a space does not hold so many items, or a bin more than it has.
+// checkContent checks the number of items in a space, and that no bin exceeds its capacity.
 func checkContent(t *testing.T, s *Space, items int) {
 	t.Helper()
 	n := 0
@@ -140,13 +141,13 @@
 	}
 }
 
-// scan is the search that the index stands for: a scan of every bin in order.
-func scan(s *Space, item *Item, among binKinds, allowed func(*Bin) bool) *Bin {
+// scan is the reference implementation of the search: a linear scan of all bins in order.
+func scan(s *Space, item *Item, kinds binKinds, allowed func(*Bin) bool) *Bin {
 	var best *Bin
 	var bestRank float64
 	for _, b := range s.Bins {
 		switch {
-		case !b.open, among>>b.binKind()&1 == 0, !b.Fits(item.Request), allowed != nil && !allowed(b),
+		case !b.open, kinds>>b.binKind()&1 == 0, !b.Fits(item.Request), allowed != nil && !allowed(b),
 			item.RequireLabel != "" && !b.HasLabel(item.RequireLabel), item.ExcludeLabel != "" && b.HasLabel(item.ExcludeLabel):
 			continue
 		case !s.Ranked:
@@ -165,7 +166,7 @@
 	return best
 }
 
-// testLabels are the labels that the randomized test gives to bins.
+// testLabels are the labels that the randomized test assigns to bins.
 var testLabels = []string{"img-1", "img-2", "spot"}
 
 // drawItem returns an item that prefers some labels, and may require or exclude one.
@@ -185,8 +186,8 @@
 	return item
 }
 
-// The index finds what a scan does, whatever bins and items are added and removed, opened, closed
-// and labelled, also where one resource is full and another is not.
+// The index returns the same bins as a linear scan after any sequence in which bins and items are
+// added and removed, and bins are opened, closed and labelled, also if only one resource is full.
 func TestIndexEqualsScan(t *testing.T) {
 	for _, ranked := range []bool{false, true} {
 		random := rand.New(rand.NewPCG(5, 6))
@@ -215,10 +216,10 @@
 				if random.IntN(3) == 0 {
 					allowed = func(b *Bin) bool { return b.index%3 > 0 }
 				}
-				for among := range allBins + 1 {
-					got, want := s.search(item, among, allowed), scan(s, item, among, allowed)
+				for kinds := range allBins + 1 {
+					got, want := s.search(item, kinds, allowed), scan(s, item, kinds, allowed)
 					if got != want {
-						t.Fatalf("ranked %v, step %d: the index finds %+v, want %+v", ranked, step, got, want)
+						t.Fatalf("ranked %v, step %d: the index returns %+v, want %+v", ranked, step, got, want)
 					}
 					if got != nil {
 						found++
@@ -230,7 +231,7 @@
 			}
 		}
 		if found < 3_000 {
-			t.Fatalf("only %d searches found anything, want at least 3000", found)
+			t.Fatalf("only %d searches found a bin, want at least 3000", found)
 		}
 	}
 }
@@ -246,8 +247,8 @@
 	return false
 }
 
-// Accepts agrees with Insert: an item may join what the paper's rules put together, or
-// fill up a bin of tiny items, and nothing else.
+// Accepts agrees with Insert: an item may be added if the bin stays one of the paper's combinations,
+// or to fill up a bin of tiny items, and not otherwise.
 func TestAcceptsAgreesWithInsert(t *testing.T) {
 	newItem := func(share float64) *Item { return &Item{Request: Resources{CPU: share * 12, Mem: 1}} }
 	for _, test := range []struct {
@@ -265,17 +266,17 @@
 			b.Add(newItem(share))
 		}
 		if got := b.Accepts(newItem(test.added).Request); got != test.want {
-			t.Errorf("%v can join %v: %v, want %v", test.added, test.present, got, test.want)
+			t.Errorf("%v is accepted by a bin with %v: %v, want %v", test.added, test.present, got, test.want)
 		}
 		s := &Space{NoFirstFit: true}
 		s.Add(b)
 		if in, _, _ := s.Insert(newItem(test.added), nil); (in != nil) != test.want {
-			t.Errorf("%v is inserted beside %v: %v, want %v", test.added, test.present, in != nil, test.want)
+			t.Errorf("%v is inserted into a bin with %v: %v, want %v", test.added, test.present, in != nil, test.want)
 		}
 	}
 	b := NewBin("b", Resources{CPU: 12, Mem: 100})
 	b.SetOpen(false)
 	if b.Accepts(newItem(0.25).Request) {
-		t.Error("an item can join a closed bin")
+		t.Error("a closed bin accepts an item")
 	}
 }
