--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -10,50 +10,50 @@
 	"drumpick/internal/quota"
 )
 
-// Attempt is one start of a task on one machine.
+// Attempt is one execution of a task on one machine.
 type Attempt struct {
 	Task            TaskID
-	Number          uint64 // names the attempt among those of its task, also to the worker
+	Number          uint64 // identifies the attempt among those of its task, also in the worker protocol
 	Machine         *Machine
 	Cause           string // why it ended, one of the Cause constants; "" before
-	CheckpointSaved bool   // it saved a checkpoint before it ended
+	CheckpointSaved bool   // a checkpoint was saved before it ended
 	SentSequence    uint64 // Machine.Sequence when its run command was sent
 
-	AssignedAt      time.Time // when it was planned, then sent, or found on the machine
-	RunningSince    time.Time // when it was first seen running
-	ImageReadySince time.Time // when it was first seen with its image there
-	StopRequestedAt time.Time // when it was first requested to stop
-	StopReason      string    // why; for whoever requests it, the table never reads it
+	AssignedAt      time.Time // when it was planned, then sent, or discovered on the machine
+	RunningSince    time.Time // when it was first reported as running
+	ImageReadySince time.Time // when it was first reported with its image present
+	StopRequestedAt time.Time // when a stop was first requested
+	StopReason      string    // set by the caller of RequestStop; the table does not read it
 
-	MayReap   bool          // the worker may forget it
-	Item      *packing.Item // its place in the machine's bin; nil once it has ended
-	Duplicate bool          // a duplicate attempt: not the one that counts as its task's
-	Job       any           // whose task it is; the planner's, and the table never reads it
-	Charge    quota.Charge  // what it counts for in the quota account; the table never reads it
+	MayReap   bool          // the worker may be told to forget it
+	Item      *packing.Item // its item in the machine's bin; nil once it has ended
+	Duplicate bool          // it is not the attempt that the task is tracked by
+	Job       any           // the planner's job; the table does not read it
+	Charge    quota.Charge  // its charge in the quota account; the table does not read it
 
 	state      State
 	listed     bool    // it is on its machine's list
-	stopping   bool    // it was requested to stop
-	graceS     float64 // seconds that it is given to save a checkpoint
-	lastSeenIn uint64  // Machine.statusCount of the last status that had it
-	ordinal    uint64  // rises with each attempt of the table
+	stopping   bool    // a stop was requested
+	graceS     float64 // seconds to save a checkpoint after the stop
+	lastSeenIn uint64  // Machine.statusCount of the last status that listed it
+	ordinal    uint64  // order of addition to the table
 }
 
 // State returns the state of the attempt.
 func (a *Attempt) State() State { return a.state }
 
-// OnMachine reports whether the attempt is on its machine's list: it was added, and not forgotten.
+// OnMachine reports whether the attempt is on its machine's list: it was added and not forgotten.
 func (a *Attempt) OnMachine() bool { return a.listed }
 
-// Stopping reports whether the attempt was requested to stop.
+// Stopping reports whether a stop of the attempt was requested.
 func (a *Attempt) Stopping() bool { return a.stopping }
 
-// MayBePresent reports whether the attempt may be on its machine: everything that was
-// ever sent and has not been seen to end, run commands in flight included.
+// MayBePresent reports whether the attempt may be on its machine: it was sent or reported, and no
+// status has shown its end. That includes run commands in flight.
 func (a *Attempt) MayBePresent() bool { return a.state != Planned && a.state != Ended }
 
-// Durations returns how long the attempt waited on its machine and how long it has run; one
-// that never ran has waited all the time.
+// Durations returns how long the attempt waited on its machine and how long it has been running; an
+// attempt that never ran has run for 0.
 func (a *Attempt) Durations(now time.Time) (waited, ran time.Duration) {
 	if a.RunningSince.IsZero() {
 		return now.Sub(a.AssignedAt), 0
@@ -61,16 +61,16 @@
 	return a.RunningSince.Sub(a.AssignedAt), now.Sub(a.RunningSince)
 }
 
-// MarkSent notes that the run command of a planned attempt is sent in the response to its machine's
-// last heartbeat.
+// MarkSent records that the run command of a planned attempt is sent in the response to its
+// machine's last heartbeat.
 func (a *Attempt) MarkSent(now time.Time) {
 	a.SentSequence, a.AssignedAt = a.Machine.Sequence, now
 	a.setState(Sent)
 }
 
-// RequestStop has the attempt killed, with graceS seconds to save a checkpoint, until a status shows
-// its end. The first reason stays, and the grace period only rises. It reports whether anything has
-// changed.
+// RequestStop requests that the attempt is killed, with graceS seconds to save a checkpoint. The kill
+// command is repeated until a status shows the end. The first reason is kept, and the grace period
+// never decreases. It reports whether anything has changed.
 func (a *Attempt) RequestStop(reason string, graceS float64, now time.Time) bool {
 	if a.stopping && graceS >= a.graceS {
 		return false
@@ -83,7 +83,7 @@
 	return true
 }
 
-// setState is the only place where the state of an attempt changes.
+// setState sets the state and notifies the listener. All state changes go through it.
 func (a *Attempt) setState(state State) {
 	if a.state == state {
 		return
@@ -92,20 +92,20 @@
 	a.notifyChanged()
 }
 
-// setItem gives the attempt its place in the machine's bin, or none.
+// setItem sets the attempt's item in the machine's bin; nil: none.
 func (a *Attempt) setItem(item *packing.Item) {
 	a.Item = item
 	a.notifyChanged()
 }
 
-// notifyChanged calls the table's listener, if there is one.
+// notifyChanged calls Table.OnChange if it is set.
 func (a *Attempt) notifyChanged() {
 	if onChange := a.Machine.table.OnChange; onChange != nil {
 		onChange(a)
 	}
 }
 
-// addAttempt puts an attempt on its machine's list and into the index by job.
+// addAttempt adds an attempt to its machine's list and to the index by job.
 func (m *Machine) addAttempt(a *Attempt) {
 	t := m.table
 	t.attemptsAdded++
@@ -120,7 +120,7 @@
 	a.notifyChanged()
 }
 
-// Forget removes an attempt and releases its room.
+// Forget removes an attempt from the table and its item from the machine's bin.
 func (m *Machine) Forget(a *Attempt) {
 	m.releaseItem(a)
 	i := slices.Index(m.attempts, a)
@@ -139,17 +139,17 @@
 
 // forgetAll removes all attempts of a machine, and returns those that had not ended.
 func (m *Machine) forgetAll() []*Attempt {
-	var gone []*Attempt
+	var lost []*Attempt
 	for _, a := range slices.Clone(m.attempts) {
 		m.Forget(a)
 		if a.state != Ended {
-			gone = append(gone, a)
+			lost = append(lost, a)
 		}
 	}
-	return gone
+	return lost
 }
 
-// AttemptsOfJob lists the attempts of a job, those of a machine oldest first, machines by name.
+// AttemptsOfJob returns the attempts of a job, sorted by machine name, then oldest first.
 func (t *Table) AttemptsOfJob(job string) []*Attempt {
 	list := make([]*Attempt, 0, len(t.attemptsByJob[job]))
 	for a := range t.attemptsByJob[job] {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -8,7 +8,8 @@
 	"github.com/mailru/easyjson"
 )
 
-// The worker protocol keeps its forms: heartbeats, responses to them and direct commands.
+// The encodings of the worker protocol do not change: heartbeats, their responses and direct
+// commands.
 func TestGolden(t *testing.T) {
 	fast := goldentest.Codec{
 		Tag:    "json",
@@ -28,8 +29,8 @@
 		{Name: "answer without orders", Unset: true, Value: HeartbeatResponse{FencingToken: 41, Commands: []Command{}}},
 		{Name: "order", Value: commands[0]},
 	}
-	// Both codecs write and read the same: controllers use the one, and the workers of the local
-	// cluster the other, also for GET /status.
+	// Both codecs use the same encoding. Controllers use easyjson, the workers of the local cluster
+	// the standard library, also for GET /status.
 	t.Run("easyjson", func(t *testing.T) { goldentest.Run(t, "golden-reports.json", fast, heartbeats) })
 	t.Run("standard library", func(t *testing.T) { goldentest.Run(t, "golden-reports.json", goldentest.JSON, heartbeats) })
 	goldentest.Run(t, "golden-orders.json", goldentest.JSON, []goldentest.Case{
--- a/internal/fleet/heartbeat_result.go
+++ b/internal/fleet/heartbeat_result.go
@@ -1,18 +1,19 @@
 package fleet
 
-// HeartbeatOutcome is what a leader makes of a heartbeat.
+// HeartbeatOutcome is how a leader responds to a heartbeat.
 type HeartbeatOutcome int
 
 const (
-	// HeartbeatUnavailable tells the worker to try again: the leader cannot answer now.
+	// HeartbeatUnavailable tells the worker to retry: the leader cannot respond now.
 	HeartbeatUnavailable HeartbeatOutcome = iota
-	// HeartbeatAccepted renews the worker's lease and gives it its commands.
+	// HeartbeatAccepted renews the worker's lease and returns its commands.
 	HeartbeatAccepted
-	// HeartbeatRedirected sends the worker away: this controller does not lead any more.
+	// HeartbeatRedirected redirects the worker: this controller is no longer the leader.
 	HeartbeatRedirected
 )
 
-// HeartbeatResult is a leader's answer to a heartbeat. Response counts only where it is accepted.
+// HeartbeatResult is a leader's result for a heartbeat. Response is valid only with
+// HeartbeatAccepted.
 type HeartbeatResult struct {
 	Outcome  HeartbeatOutcome
 	Response HeartbeatResponse
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -2,27 +2,28 @@
 
 import "slices"
 
-// Labels of a machine's bin that tasks may prefer: the cloud may preempt the machine, or it may not.
+// Labels of a machine's bin that tasks may prefer: spot machines, which the cloud may preempt, and
+// on-demand machines.
 const (
 	SpotLabel     = "spot"
 	OnDemandLabel = "firm"
 )
 
-// ImageLabel is the label of a machine that has an image, or fetches it.
+// ImageLabel returns the label of machines that have or fetch an image.
 func ImageLabel(name string) string { return "image " + name }
 
-// ImageReadyLabel is the label of a machine where an image has been used, not only requested.
+// ImageReadyLabel returns the label of machines on which an image has been used, not only requested.
 func ImageReadyLabel(name string) string { return "ready " + name }
 
-// image is one that a machine has, or fetches.
+// image is an image that a machine has or fetches.
 type image struct {
 	name   string
 	sizeGB float64
 }
 
-// UseImage notes that an image of gb gigabytes is fetched, or used, on a machine whose worker keeps
-// the images last used, up to a cache of cacheGB. An image larger than the cache is kept while it is
-// the one last used.
+// UseImage records that an image of gb gigabytes is fetched or used on the machine. It models the
+// worker's cache, which evicts the least recently used images above cacheGB. The most recently
+// used image is kept even if it is larger than the cache.
 func (m *Machine) UseImage(name string, gb, cacheGB float64) {
 	if n := len(m.images); n > 0 && m.images[n-1].name == name {
 		return
@@ -40,7 +41,7 @@
 	}
 }
 
-// evictImages forgets the n images that were not used for longest.
+// evictImages removes the n least recently used images.
 func (m *Machine) evictImages(n int) {
 	for _, old := range m.images[:n] {
 		m.Bin.SetLabel(ImageLabel(old.name), false)
--- a/internal/fleet/images_test.go
+++ b/internal/fleet/images_test.go
@@ -8,14 +8,14 @@
 	"drumpick/internal/forecast"
 )
 
-// A machine is believed to hold the images last used, as many as its cache takes;
-// an image larger than the cache is held while it is the one last used.
+// A machine's cache keeps the most recently used images, up to its size. An image larger than the
+// cache is kept while it is the most recently used one.
 func TestCacheKeepsLastUsedImages(t *testing.T) {
 	m := NewTable(5, time.Second, forecast.Params{Window: 1}).GetOrCreate("m-1", "m-1:1", "c4", "a", false)
 	for _, test := range []struct {
 		use  string
 		gb   float64
-		want string // the images held, the one last used at the end
+		want string // the images kept, least recently used first
 	}{
 		{"a", 4, "a"}, {"b", 4, "a b"}, {"a", 4, "b a"}, {"c", 3, "a c"}, {"c", 3, "a c"},
 		{"d", 2, "a c d"}, {"huge", 11, "huge"}, {"a", 4, "a"},
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// ExpireLeases finds reconciled machines whose lease has surely expired: none of their heartbeats was
-// answered with 200 for that long, and since they are reconciled no other leader can have renewed it.
-// It returns the attempts that are thereby gone.
+// ExpireLeases expires the leases of reconciled machines that have had neither a status nor a renewal
+// (a heartbeat answered with status 200) for longer than the lease. No other leader can have renewed
+// them, since the machines are reconciled. It returns the attempts that are lost.
 func (t *Table) ExpireLeases(now time.Time) []*Attempt {
-	var gone []*Attempt
+	var lost []*Attempt
 	for _, m := range t.Sorted() {
 		if !m.Reconciled || m.LeaseExpired || now.Sub(m.LeaseRenewedAt) <= t.Lease || now.Sub(m.LastStatusAt) <= t.Lease {
 			continue
 		}
 		m.LeaseExpired = true
-		gone = append(gone, m.forgetAll()...)
+		lost = append(lost, m.forgetAll()...)
 	}
-	return gone
+	return lost
 }
 
-// ExpireEarlierLeases notes that no lease which an earlier term granted is left: what the machines
-// ran that were not heard under our term is gone. It returns the number of these machines and the
-// attempts that are thereby gone.
-func (t *Table) ExpireEarlierLeases() (machines int, gone []*Attempt) {
+// ExpireEarlierLeases records that all leases granted in earlier terms have expired: machines that
+// still await reconciliation have stopped their tasks. It returns the number of these machines and
+// the attempts that are lost.
+func (t *Table) ExpireEarlierLeases() (machines int, lost []*Attempt) {
 	for _, m := range t.Sorted() {
 		if !m.AwaitsReconciliation() {
 			continue
 		}
 		machines++
 		m.EarlierLeasesExpired, m.LeaseExpired = true, true
-		gone = append(gone, m.forgetAll()...)
+		lost = append(lost, m.forgetAll()...)
 	}
-	return machines, gone
+	return machines, lost
 }
 
-// AwaitsReconciliation reports whether the machine may still hold what an earlier term sent: it was on
-// record when ours began, has not shown ours, and an earlier lease may be left.
+// AwaitsReconciliation reports whether the machine may still run tasks that an earlier term sent: it
+// was on record when this term began, no status has shown this term's fencing token, and a lease of
+// an earlier term may still be valid.
 func (m *Machine) AwaitsReconciliation() bool {
 	return m.Inherited && !m.Reconciled && !m.EarlierLeasesExpired
 }
 
-// LastHeard is when a machine was last heard under our term, or since when it is waited for.
+// LastHeard returns when the machine's last status of this term came in, or SilentSince if that is
+// later.
 func (m *Machine) LastHeard() time.Time {
 	if m.LastStatusAt.Before(m.SilentSince) {
 		return m.SilentSince
@@ -46,8 +48,8 @@
 	return m.LastStatusAt
 }
 
-// CountInherited counts the machines that earlier terms may have used, and those of
-// them that still await reconciliation.
+// CountInherited returns the number of machines that earlier terms may have used, and how many of
+// them still await reconciliation.
 func (t *Table) CountInherited() (all, unreconciled int) {
 	for _, m := range t.sorted {
 		if m.Inherited {
@@ -60,8 +62,7 @@
 	return all, unreconciled
 }
 
-// HasUnreconciled reports whether any machine that earlier terms may have used still awaits
-// reconciliation.
+// HasUnreconciled reports whether any machine still awaits reconciliation.
 func (t *Table) HasUnreconciled() bool {
 	for _, m := range t.Machines {
 		if m.AwaitsReconciliation() {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -7,8 +7,8 @@
 	"drumpick/internal/packing"
 )
 
-// Machine is one machine of the fleet, with all that the leader knows of it. Its owner also sets the
-// exported fields that the table only carries, such as Draining, Faulty and Cordon.
+// Machine is one machine of the fleet, with the leader's state of it. The table's owner sets the
+// exported fields that the table itself does not update, such as Draining, Faulty and Cordon.
 type Machine struct {
 	Name string
 	Addr string // host and port at which its worker takes direct commands
@@ -16,74 +16,74 @@
 	Zone string
 	Spot bool // the cloud may preempt it
 
-	// Incarnation, Sequence and FencingToken are those of the newest status that was applied.
-	Incarnation  uint64 // rises each time the worker restarts and forgets its tasks
+	// Incarnation, Sequence and FencingToken are from the newest applied status.
+	Incarnation  uint64 // rises with each restart of the worker, which loses its tasks
 	Sequence     uint64 // rises with each status of an incarnation
-	FencingToken uint64 // the newest term that the worker has obeyed
-
-	RequestedAt    time.Time // when it was requested from the cloud, as far as known
-	HasStatus      bool      // it has sent a heartbeat under this term, or answered a probe
-	LastStatusAt   time.Time // when a newer status last came in
-	LeaseRenewedAt time.Time // when a heartbeat of it was last answered with 200, which renews its lease
-	PreemptionAt   time.Time // when the cloud takes it; zero: no notice
-	SilentSince    time.Time // since when it is waited for, though it has sent nothing under this term
-
-	// Inherited, Reconciled and EarlierLeasesExpired decide whether tasks that an earlier leader
-	// started may still run here: see AwaitsReconciliation.
-	Inherited            bool // it was on record when this term began, so an earlier one may have used it
-	Reconciled           bool // a status has shown our term
-	EarlierLeasesExpired bool // nothing has been heard under our term, and no lease of an earlier one is left
-	Recorded             bool // the store has a record that it may hold tasks
-	Recording            bool // that record is being written
-	Unverified           bool // first known by a status, which may be a copy from a machine that is gone
-
-	Returning    bool // being returned to the cloud; nothing may be sent any more
+	FencingToken uint64 // the highest term that the worker has accepted
+
+	RequestedAt    time.Time // when it was requested from the cloud; zero: unknown
+	HasStatus      bool      // a heartbeat or probe answer came in during this term
+	LastStatusAt   time.Time // when a status was last applied
+	LeaseRenewedAt time.Time // when a heartbeat was last answered with status 200, which renews the lease
+	PreemptionAt   time.Time // when the cloud will preempt it; zero: no notice
+	SilentSince    time.Time // since when a first status of this term is awaited
+
+	// Inherited, Reconciled and EarlierLeasesExpired determine whether tasks of an earlier leader
+	// may still run here: see AwaitsReconciliation.
+	Inherited            bool // it was on record when this term began: an earlier term may have used it
+	Reconciled           bool // a status has shown this term's fencing token
+	EarlierLeasesExpired bool // all leases of earlier terms expired before a status of this term came in
+	Recorded             bool // the store has a record of it, as a machine that may run tasks
+	Recording            bool // the record is being written
+	Unverified           bool // first known from a status: maybe a late copy from a removed machine
+
+	Returning    bool // being returned to the cloud; nothing more may be sent to it
 	Draining     bool // takes no new tasks
-	LeaseExpired bool // it was silent beyond its lease: its worker has stopped its tasks
-	Failed       bool // the cloud reports that it stopped on its own
-	Faulty       bool // tasks fail on it that succeed elsewhere
+	LeaseExpired bool // its lease has expired: the worker has stopped its tasks
+	Failed       bool // the cloud reports that it stopped without a request
+	Faulty       bool // tasks fail on it that succeed on other machines
 
-	// Cordon is the drain that keeps new tasks away; nil: none. It is the planner's, and the table
-	// never reads it.
+	// Cordon is the drain that cordons the machine; nil: none. The planner sets it; the table does
+	// not read it.
 	Cordon any
-	// ReservedFor is the job for whose sake the machine empties; nil: none. It is the planner's, and
-	// the table never reads it.
+	// ReservedFor is the job that the machine is being emptied for; nil: none. The planner sets it;
+	// the table does not read it.
 	ReservedFor any
 
-	Version          string         // of its worker; "" where it does not say
-	VersionSince     time.Time      // when that version was first seen, if the worker had another before
-	Proven           bool           // a task has completed here since
-	FailedTasksByJob map[string]int // failed tasks by job since the last success
+	Version          string         // of its worker; "": unknown
+	VersionSince     time.Time      // when the version changed; zero: no change seen
+	Proven           bool           // a task has completed on it with this version
+	FailedTasksByJob map[string]int // number of failed tasks by job id since the last success
 
-	FullUntil    time.Time // until then no tasks are sent, as it refused one for want of room
+	FullUntil    time.Time // no tasks are sent until then, since it rejected one as full
 	EmptySince   time.Time
-	RelayedAt    time.Time // when a peer controller last relayed a heartbeat of it
-	RelayedSince time.Time // since when its heartbeats come that way
+	RelayedAt    time.Time // when a peer controller last relayed one of its heartbeats
+	RelayedSince time.Time // since when its heartbeats are relayed
 
-	Bin           *packing.Bin   // its room, and the items of the attempts on it
+	Bin           *packing.Bin   // its capacity and the items of the attempts on it
 	Forecast      *forecast.FUSD // of its load
-	ReleasedKinds []packing.Kind // kinds of the items that left since the last scheduling round
+	ReleasedKinds []packing.Kind // kinds of items removed since the last scheduling round
 
-	images []image // believed to be in its cache, the one last used at the end
+	images []image // expected in its cache, least recently used first
 
 	table    *Table
-	removed  bool       // it is in the table no more
-	attempts []*Attempt // in the order in which they were added
+	removed  bool       // it was removed from the table
+	attempts []*Attempt // in the order of addition
 
-	statusCount       uint64    // of the statuses applied
-	heartbeatSequence uint64    // of the last heartbeat applied
+	statusCount       uint64    // number of applied statuses
+	heartbeatSequence uint64    // sequence number of the last applied heartbeat
 	probeAnsweredAt   time.Time // when the last answer to a direct command came in
 	reachability      reachability
 	staleness         staleness
 }
 
-// Removed reports whether the machine was taken out of the table.
+// Removed reports whether the machine was removed from the table.
 func (m *Machine) Removed() bool { return m.removed }
 
-// Attempts lists what the machine holds, oldest first.
+// Attempts returns the attempts on the machine's list, oldest first. The slice must not be modified.
 func (m *Machine) Attempts() []*Attempt { return m.attempts }
 
-// Empty reports whether nothing is, or may be, on the machine.
+// Empty reports whether all attempts on the machine's list have ended.
 func (m *Machine) Empty() bool {
 	for _, a := range m.attempts {
 		if a.state != Ended {
@@ -93,8 +93,9 @@
 	return true
 }
 
-// PendingCommands lists the reaps and kills that are due for a machine. They are safe when they
-// arrive late, repeatedly, or both with a heartbeat response and as a direct command.
+// PendingCommands returns the reap and kill commands that are due for the machine. They are
+// idempotent: they may arrive late, repeatedly, or both in a heartbeat response and as a direct
+// command.
 func (m *Machine) PendingCommands() []Command {
 	commands := []Command{}
 	for _, a := range m.attempts {
@@ -111,7 +112,8 @@
 	return commands
 }
 
-// attempt finds an attempt by its task and number. A machine holds few, so a scan is enough.
+// attempt returns an attempt by its task and number, or nil. A machine has few, so a linear scan is
+// sufficient.
 func (m *Machine) attempt(task TaskID, number uint64) *Attempt {
 	for _, a := range m.attempts {
 		if a.Number == number && a.Task == task {
@@ -121,15 +123,15 @@
 	return nil
 }
 
-// Adopt puts the item of an attempt that was found on the machine into its bin.
+// Adopt adds the item of an attempt that was discovered on the machine to its bin.
 func (m *Machine) Adopt(a *Attempt, item *packing.Item) {
 	item.Owner = a
 	m.Bin.Add(item)
 	a.setItem(item)
 }
 
-// releaseItem takes the item of an attempt out of the bin, and notes its kind for the next
-// scheduling round, up to what a round can act on.
+// releaseItem removes the item of an attempt from the bin, and records its kind for the next
+// scheduling round, up to the number that a round can process.
 func (m *Machine) releaseItem(a *Attempt) {
 	if a.Item == nil {
 		return
--- a/internal/fleet/probe.go
+++ b/internal/fleet/probe.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// Probe is a request for a machine's status: a direct command with an empty list of commands. The answer,
-// unlike a heartbeat, cannot be a copy of anything from before the probe was sent.
+// Probe is a request for a machine's status: a direct command with an empty list of commands. Unlike
+// a heartbeat, its answer cannot be a late copy from before the probe was sent.
 type Probe struct {
-	Machine     string // its name
-	Addr        string // where its worker is
-	Incarnation uint64 // that is expected to answer
+	Machine     string // machine name
+	Addr        string // host and port of its worker
+	Incarnation uint64 // expected incarnation
 
 	sentAt      time.Time
 	statusCount uint64 // Machine.statusCount when the probe was sent
 }
 
-// DueProbes lists the machines that are to be probed, and notes that they are: those whose heartbeats lack
-// an attempt that should be there, and those from which only late heartbeats have come for a while.
+// DueProbes returns the probes that are due, and records them as sent. A machine is probed if its
+// heartbeats lack an attempt that it should have, or if only late heartbeats have come from it for
+// more than 1.5 heartbeat intervals.
 func (t *Table) DueProbes(heartbeatInterval time.Duration, now time.Time) []Probe {
 	var probes []Probe
 	for _, m := range t.sorted {
-		u := &m.staleness
-		onlyLate := !u.onlyLateSince.IsZero() && now.Sub(m.LastStatusAt) > heartbeatInterval*3/2 &&
-			now.Sub(u.onlyLateSince) > heartbeatInterval/2
-		if !onlyLate && u.missingSince.IsZero() || m.Returning || now.Sub(u.probedAt) < heartbeatInterval/2 {
+		s := &m.staleness
+		onlyLate := !s.onlyLateSince.IsZero() && now.Sub(m.LastStatusAt) > heartbeatInterval*3/2 &&
+			now.Sub(s.onlyLateSince) > heartbeatInterval/2
+		if !onlyLate && s.missingSince.IsZero() || m.Returning || now.Sub(s.probedAt) < heartbeatInterval/2 {
 			continue
 		}
-		u.probedAt = now
+		s.probedAt = now
 		probe := Probe{Machine: m.Name, Addr: m.Addr, Incarnation: m.Incarnation, sentAt: now, statusCount: m.statusCount}
 		if onlyLate {
-			probe.Addr, probe.Incarnation = u.addr, u.incarnation
+			probe.Addr, probe.Incarnation = s.addr, s.incarnation
 		}
 		probes = append(probes, probe)
 	}
 	return probes
 }
 
-// UnansweredProbesFor is for how long a machine has been probed in vain; 0 if it has not.
+// UnansweredProbesFor returns how long the machine has been probed for missing attempts without an
+// answer; 0 if it is not.
 func (m *Machine) UnansweredProbesFor(now time.Time) time.Duration {
 	if m.staleness.missingSince.IsZero() {
 		return 0
@@ -45,28 +47,27 @@
 	return now.Sub(m.staleness.missingSince)
 }
 
-// ApplyProbe applies the answer to a probe. Where its sequence number is behind what is known, the
-// machine has restarted, or what was known came from a copy: either way it has what the
-// answer shows and nothing else, but for run commands that may still be on their way. restarted
-// reports that case.
-func (t *Table) ApplyProbe(probe Probe, r *Heartbeat, now time.Time) (out ApplyResult, restarted bool) {
+// ApplyProbe applies the answer to a probe. If the answer is older than the machine's known state,
+// either the machine has restarted or the known state came from a late copy. In both cases, which
+// restarted reports, the machine has only the attempts in the answer, apart from run commands that
+// may still be in flight.
+func (t *Table) ApplyProbe(probe Probe, hb *Heartbeat, now time.Time) (out ApplyResult, restarted bool) {
 	m := t.Machines[probe.Machine]
-	if m == nil || r.Machine != probe.Machine {
+	if m == nil || hb.Machine != probe.Machine {
 		return ApplyResult{Stale: true}, false
 	}
-	if m.IsStale(r) {
-		// A status that was applied in between may be newer than the answer, which proves
-		// nothing then.
+	if m.IsStale(hb) {
+		// A status that was applied after the probe was sent may be newer than the answer.
 		if m.statusCount != probe.statusCount {
 			return ApplyResult{Stale: true, Machine: m}, false
 		}
 		m.staleness.restarted, restarted = true, true
-		m.Incarnation, m.Sequence, m.FencingToken = r.Incarnation, max(r.Sequence, 1)-1, 0
+		m.Incarnation, m.Sequence, m.FencingToken = hb.Incarnation, max(hb.Sequence, 1)-1, 0
 	}
 	m.staleness.missingSince = time.Time{}
-	out = t.Apply(r, false, now)
+	out = t.Apply(hb, false, now)
 	for _, a := range slices.Clone(m.attempts) {
-		if a.state == Sent && probe.sentAt.Sub(a.AssignedAt) > responseTimeout && !r.lists(a) {
+		if a.state == Sent && probe.sentAt.Sub(a.AssignedAt) > responseTimeout && !hb.lists(a) {
 			out.forget(m, a)
 		}
 	}
--- a/internal/fleet/staleness.go
+++ b/internal/fleet/staleness.go
@@ -2,123 +2,123 @@
 
 import "time"
 
-// A heartbeat may be a copy that comes late, and a machine may restart with its counters behind what
-// is known. What such a heartbeat lacks then proves nothing. A probe settles it: a direct command
-// with nothing in it, which the machine answers with its status (see probe.go).
+// A heartbeat may be a late copy, and a machine may restart with counters lower than the known ones.
+// An attempt that is missing in such a heartbeat may still run. A probe resolves this: an empty
+// direct command, which the machine answers with its status (see probe.go).
 
-// LateCopyLeases is for how many leases after a late copy further ones may come.
+// LateCopyLeases is the time after a late copy, in leases, during which more may come.
 const LateCopyLeases = 8
 
-// responseTimeout is how long after a heartbeat its worker still accepts the response (PROTOCOL),
-// with a margin.
+// responseTimeout is how long after sending a heartbeat a worker accepts the response, by the worker
+// protocol and with a margin.
 const responseTimeout = 5 * time.Second
 
-// staleness is the evidence against taking a machine's heartbeats as they are.
+// staleness tracks the signs that a machine's heartbeats may be late copies.
 type staleness struct {
-	lastLateAt    time.Time // when a status last came that was older than what is known
-	onlyLateSince time.Time // when the first of these came since the last status that was not late
+	lastLateAt    time.Time // when the last late status came in
+	onlyLateSince time.Time // when the first late status after the last current one came in; zero: none
 	incarnation   uint64    // of the last late status
 	addr          string    // of the last late status
-	restarted     bool      // it has restarted: copies from before may look newer than its present status
-	missingSince  time.Time // since when it is probed, as its heartbeats lack an attempt that should be there; zero: none
+	restarted     bool      // it has restarted: copies from before the restart may look newer than its current status
+	missingSince  time.Time // since when it is probed for a missing attempt; zero: not probed
 	probedAt      time.Time // when it was last probed
 }
 
-// IsStale reports whether a status is no newer than the last one that was applied. The fencing tokens
-// of a machine only rise as well: a lower one with a higher incarnation is a copy of what the machine
-// sent before it restarted, under an earlier leader.
-func (m *Machine) IsStale(r *Heartbeat) bool {
+// IsStale reports whether a status is not newer than the last applied one. The fencing tokens of a
+// machine never decrease: a lower token with a higher incarnation is a copy of a status that the
+// machine sent under an earlier leader, before it restarted.
+func (m *Machine) IsStale(hb *Heartbeat) bool {
 	if !m.HasStatus {
 		return false
 	}
-	return r.Incarnation < m.Incarnation || r.Incarnation == m.Incarnation && r.Sequence <= m.Sequence ||
-		r.FencingToken < m.FencingToken
+	return hb.Incarnation < m.Incarnation || hb.Incarnation == m.Incarnation && hb.Sequence <= m.Sequence ||
+		hb.FencingToken < m.FencingToken
 }
 
-// mayReceiveLateCopies reports whether late copies of heartbeats have to be expected.
+// mayReceiveLateCopies reports whether late copies of heartbeats must be expected.
 func (m *Machine) mayReceiveLateCopies(lease time.Duration, now time.Time) bool {
-	u := &m.staleness
-	return u.restarted || !u.lastLateAt.IsZero() && now.Sub(u.lastLateAt) < LateCopyLeases*lease
+	s := &m.staleness
+	return s.restarted || !s.lastLateAt.IsZero() && now.Sub(s.lastLateAt) < LateCopyLeases*lease
 }
 
-// Recency is how a heartbeat compares to what is known of its machine.
+// Recency is the age of a heartbeat relative to the known state of its machine.
 type Recency uint8
 
-// Recencies. Only a current heartbeat is applied; only a late one is refused.
+// Recencies. Only a Current heartbeat is applied; only a Late one is rejected.
 const (
 	Current   Recency = iota
-	Overtaken         // older than an answer to a direct command, but its worker still waits for the response
-	Late              // a late copy, or what looks like one
+	Overtaken         // older than an answer to a direct command, but the worker still waits for the response
+	Late              // a late copy, or indistinguishable from one
 )
 
-// IsOvertaken reports whether a heartbeat that is older than what is known is most likely no late copy,
-// but one whose worker still waits for the response: it was sent before the answer to a direct
-// command, came after that answer, and no newer heartbeat has come since.
-// Nothing is concluded from such a heartbeat, as it is older; but the response renews the lease.
+// IsOvertaken reports whether a stale heartbeat is most likely not a late copy: it was sent before
+// the answer to a direct command and arrived after it, no newer heartbeat has arrived since, and its
+// worker still waits for the response. Such a heartbeat is not applied, but the response renews the
+// lease.
 //
-// Without this, workers of a leader that is slow to apply heartbeats lost their leases though they
-// had sent heartbeats all the time: each answer to a probe overtook the heartbeat after it, which was
-// refused, so that the worker was probed again, and so on.
-func (m *Machine) IsOvertaken(r *Heartbeat, now time.Time) bool {
+// Otherwise, workers of a leader that applies heartbeats slowly lose their leases although they send
+// heartbeats: each answer to a probe overtakes a heartbeat, which is rejected as late, so that the
+// worker is probed again.
+func (m *Machine) IsOvertaken(hb *Heartbeat, now time.Time) bool {
 	return m.HasStatus && !m.LeaseExpired && now.Sub(m.probeAnsweredAt) < responseTimeout &&
-		r.Incarnation == m.Incarnation && m.heartbeatSequence < r.Sequence && r.Sequence < m.Sequence
+		hb.Incarnation == m.Incarnation && m.heartbeatSequence < hb.Sequence && hb.Sequence < m.Sequence
 }
 
-// Recency returns the recency of a heartbeat of a known machine, and notes one that is late.
-func (t *Table) Recency(r *Heartbeat, now time.Time) Recency {
-	m := t.Machines[r.Machine]
+// Recency returns the recency of a heartbeat of a known machine, and records a late one.
+func (t *Table) Recency(hb *Heartbeat, now time.Time) Recency {
+	m := t.Machines[hb.Machine]
 	switch {
-	case !m.IsStale(r):
+	case !m.IsStale(hb):
 		return Current
-	case m.IsOvertaken(r, now):
+	case m.IsOvertaken(hb, now):
 		return Overtaken
 	}
-	m.recordLate(r, now)
+	m.recordLate(hb, now)
 	return Late
 }
 
-// recordLate notes that a status came which is older than what is known.
-func (m *Machine) recordLate(r *Heartbeat, now time.Time) {
-	u := &m.staleness
-	u.lastLateAt = now
-	if u.onlyLateSince.IsZero() {
-		u.onlyLateSince = now
+// recordLate records that a late status came in.
+func (m *Machine) recordLate(hb *Heartbeat, now time.Time) {
+	s := &m.staleness
+	s.lastLateAt = now
+	if s.onlyLateSince.IsZero() {
+		s.onlyLateSince = now
 	}
-	u.incarnation, u.addr = r.Incarnation, r.Addr
+	s.incarnation, s.addr = hb.Incarnation, hb.Addr
 }
 
-// predatesTerm reports whether a heartbeat is from before its worker heard of our term, though the
-// machine is reconciled. Its worker may have been unreachable for incarnations and then restarted:
-// what it sent before comes after what it sends now, with a higher incarnation, and lacks the run
-// command that it has just been sent.
-func (m *Machine) predatesTerm(r *Heartbeat, term uint64) bool {
-	return m.Reconciled && r.FencingToken < term
+// predatesTerm reports whether a heartbeat of a reconciled machine was sent before its worker
+// received this term's fencing token. The worker may have been unreachable during several
+// incarnations. Late copies from then may arrive after its current status, have a higher
+// incarnation, and lack the attempt that was just sent.
+func (m *Machine) predatesTerm(hb *Heartbeat, term uint64) bool {
+	return m.Reconciled && hb.FencingToken < term
 }
 
-// confirmMissing reports whether an attempt that the machine should have is gone, as a status lacks
-// it. Where that is uncertain, the machine is to be probed.
-func (t *Table) confirmMissing(m *Machine, a *Attempt, r *Heartbeat, isHeartbeat bool, now time.Time) bool {
+// confirmMissing reports whether an attempt that a status does not list is gone from the machine. If
+// that is uncertain, the machine is marked to be probed.
+func (t *Table) confirmMissing(m *Machine, a *Attempt, hb *Heartbeat, isHeartbeat bool, now time.Time) bool {
 	switch {
 	case a.state == Planned:
 		return false
 	case a.state == Ended:
 		return true
-	case a.state == Sent && (!isHeartbeat || r.Sequence <= a.SentSequence):
-		// This prevents a double start: a run command in flight is given up only when
-		// a later heartbeat lacks it. An answer to a direct command or a status request may have
-		// been made before the response with the run command came in.
+	case a.state == Sent && (!isHeartbeat || hb.Sequence <= a.SentSequence):
+		// This prevents a double start: a run command in flight is considered lost only when a
+		// later heartbeat lacks the attempt. An answer to a direct command or a status request may
+		// have been created before the response with the run command arrived.
 		return false
-	case !isHeartbeat, a.state == Sent && !m.mayReceiveLateCopies(t.Lease, now) && !m.predatesTerm(r, t.Term):
+	case !isHeartbeat, a.state == Sent && !m.mayReceiveLateCopies(t.Lease, now) && !m.predatesTerm(hb, t.Term):
 		return true
 	}
-	// No machine forgets a task that it had, unless it restarts; and a copy of a heartbeat
-	// lacks what came later.
+	// A machine loses a task only by a restart, so this heartbeat may be a late copy from before
+	// the task started.
 	if m.staleness.missingSince.IsZero() {
 		m.staleness.missingSince = now
 	}
 	return false
 }
 
-// InLastStatus reports whether the last status that was applied lists an attempt; one that it lacks is
-// kept as long as that proves nothing.
+// InLastStatus reports whether the last applied status lists an attempt. An attempt that it does not
+// list stays in the table until it is confirmed as missing.
 func (m *Machine) InLastStatus(a *Attempt) bool { return a.lastSeenIn == m.statusCount }
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -3,20 +3,20 @@
 // State is the state of an attempt.
 type State uint8
 
-// States. Planned and Sent are the leader's own, the others are what workers report.
+// States. Planned and Sent are set by the leader; the others are reported by workers.
 const (
-	Planned State = iota // chosen for a machine, and nothing was sent
-	Sent                 // the run command is in a response, which may or may not arrive
+	Planned State = iota // assigned to a machine; nothing was sent yet
+	Sent                 // the run command was sent and may or may not arrive
 	Pulling              // its image is being fetched
-	Waiting              // for the other tasks of its gang
+	Waiting              // for the other tasks of the gang
 	Running
-	Checkpointing // it was stopped, and saves a checkpoint
+	Checkpointing // stopped; a checkpoint is being saved
 	Ended
 )
 
 var stateNames = [...]string{"planned", "sent", "pulling", "waiting", "running", "flushing", "ended"}
 
-// String returns the state in the worker protocol's words.
+// String returns the name of the state in the worker protocol.
 func (s State) String() string { return stateNames[s] }
 
 // parseState parses a state that a worker may report.
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -5,69 +5,70 @@
 	"time"
 )
 
-// ApplyResult is what a status changed.
+// ApplyResult describes the changes that a status made.
 type ApplyResult struct {
-	Stale       bool       // older than one already seen: nothing was changed
-	Machine     *Machine   // nil only when the status is not valid
-	Discovered  []*Attempt // on the machine, but unknown to us
+	Stale       bool       // not newer than the last applied status, or not valid: nothing was changed
+	Machine     *Machine   // nil only if the status is not valid or the machine is unknown
+	Discovered  []*Attempt // on the machine, but not in the table before
 	Ended       []*Attempt // newly ended
-	Running     []*Attempt // newly running: their images are there
-	Lost        []*Attempt // no longer on the machine, without a result
-	Reconciled  bool       // the machine has just been reconciled
+	Running     []*Attempt // newly running: their images are present
+	Lost        []*Attempt // no longer on the machine, without a reported end
+	Reconciled  bool       // this status reconciled the machine
 	FirstStatus bool       // the machine's first status of this term
-	Changed     bool       // any of its attempts changed
-	Upgraded    bool       // the worker has another version than before
+	Changed     bool       // any attempt of the machine changed
+	Upgraded    bool       // the worker's version changed
 }
 
-// Apply applies a status to its machine and the attempts there. isHeartbeat distinguishes a heartbeat,
-// whose worker has given up on or carried out every earlier response, from the answer to a direct
-// command or a status request, which may overtake a response.
-func (t *Table) Apply(r *Heartbeat, isHeartbeat bool, now time.Time) ApplyResult {
-	if r.Validate() != nil {
+// Apply applies a status to its machine and the machine's attempts. isHeartbeat tells a heartbeat,
+// before which the worker has executed or timed out every earlier response, from the answer to a
+// direct command or a status request, which may overtake a response.
+func (t *Table) Apply(hb *Heartbeat, isHeartbeat bool, now time.Time) ApplyResult {
+	if hb.Validate() != nil {
 		return ApplyResult{Stale: true}
 	}
-	unknown := t.Machines[r.Machine] == nil
-	m := t.GetOrCreate(r.Machine, r.Addr, r.Type, r.Zone, r.Spot)
+	unknown := t.Machines[hb.Machine] == nil
+	m := t.GetOrCreate(hb.Machine, hb.Addr, hb.Type, hb.Zone, hb.Spot)
 	m.Unverified = m.Unverified || unknown
 	out := ApplyResult{Machine: m, FirstStatus: !m.HasStatus}
-	// A late heartbeat must not change anything: its list of tasks is as old as it is.
-	if m.IsStale(r) {
-		if !isHeartbeat || !m.IsOvertaken(r, now) {
-			m.recordLate(r, now)
+	// A stale status must not change anything: its list of tasks is outdated.
+	if m.IsStale(hb) {
+		if !isHeartbeat || !m.IsOvertaken(hb, now) {
+			m.recordLate(hb, now)
 		}
 		out.Stale = true
 		return out
 	}
 	m.staleness.onlyLateSince = time.Time{}
-	m.updateReachability(r, isHeartbeat, t.Term, now)
-	if m.isNewIncarnation(r, isHeartbeat, t.Term) {
+	m.updateReachability(hb, isHeartbeat, t.Term, now)
+	if m.isNewIncarnation(hb, isHeartbeat, t.Term) {
 		out.forgetSent(m)
 	}
-	out.Upgraded = m.applyVersion(r.Version, now)
-	m.applyMachineStatus(r, isHeartbeat, now)
-	out.Reconciled = m.reconcile(r, isHeartbeat, t.Term)
+	out.Upgraded = m.applyVersion(hb.Version, now)
+	m.applyMachineStatus(hb, isHeartbeat, now)
+	out.Reconciled = m.reconcile(hb, isHeartbeat, t.Term)
 	m.statusCount++
-	for i := range r.Tasks {
-		m.applyTaskStatus(&r.Tasks[i], &out, now)
+	for i := range hb.Tasks {
+		m.applyTaskStatus(&hb.Tasks[i], &out, now)
 	}
-	t.forgetMissing(r, isHeartbeat, &out, now)
+	t.forgetMissing(hb, isHeartbeat, &out, now)
 	return out
 }
 
-// isNewIncarnation reports whether a status is of a new incarnation, whose worker has killed and forgotten
-// everything. A heartbeat does not prove that while it may be a copy from before the machine restarted.
-func (m *Machine) isNewIncarnation(r *Heartbeat, isHeartbeat bool, term uint64) bool {
-	mayBeCopy := isHeartbeat && (m.staleness.restarted || m.predatesTerm(r, term))
-	return m.HasStatus && r.Incarnation > m.Incarnation && !mayBeCopy
+// isNewIncarnation reports whether a status proves a new incarnation, whose worker has killed and
+// forgotten all earlier tasks. A heartbeat that may be a late copy from before a restart proves
+// nothing.
+func (m *Machine) isNewIncarnation(hb *Heartbeat, isHeartbeat bool, term uint64) bool {
+	mayBeCopy := isHeartbeat && (m.staleness.restarted || m.predatesTerm(hb, term))
+	return m.HasStatus && hb.Incarnation > m.Incarnation && !mayBeCopy
 }
 
-// applyVersion notes which version a worker has, and reports whether it had another before.
+// applyVersion stores the worker's version, and reports whether it changed.
 func (m *Machine) applyVersion(version string, now time.Time) (upgraded bool) {
 	if m.Version == version || version == "" {
 		return false
 	}
 	if m.HasStatus {
-		// What was wrong with the machine may have been the version.
+		// The cause of the machine's failures may have been the previous version.
 		m.VersionSince = now
 		m.Proven, m.Faulty, m.Draining = false, false, false
 		clear(m.FailedTasksByJob)
@@ -77,45 +78,46 @@
 	return upgraded
 }
 
-// applyMachineStatus notes what a status reports of the machine itself.
-func (m *Machine) applyMachineStatus(r *Heartbeat, isHeartbeat bool, now time.Time) {
+// applyMachineStatus applies the part of a status that concerns the machine itself.
+func (m *Machine) applyMachineStatus(hb *Heartbeat, isHeartbeat bool, now time.Time) {
 	m.HasStatus, m.LeaseExpired, m.LastStatusAt = true, false, now
-	m.Addr, m.Incarnation, m.Sequence = r.Addr, r.Incarnation, r.Sequence
+	m.Addr, m.Incarnation, m.Sequence = hb.Addr, hb.Incarnation, hb.Sequence
 	if isHeartbeat {
-		m.heartbeatSequence = r.Sequence
+		m.heartbeatSequence = hb.Sequence
 	} else {
 		m.probeAnsweredAt = now
 	}
-	m.FencingToken = max(m.FencingToken, r.FencingToken)
+	m.FencingToken = max(m.FencingToken, hb.FencingToken)
 	m.PreemptionAt = time.Time{}
-	if r.PreemptionNoticeS != nil {
-		m.PreemptionAt = now.Add(time.Duration(*r.PreemptionNoticeS * float64(time.Second)))
+	if hb.PreemptionNoticeS != nil {
+		m.PreemptionAt = now.Add(time.Duration(*hb.PreemptionNoticeS * float64(time.Second)))
 	}
 }
 
-// reconcile notes whether a status shows our term, and reports whether it is the first that does.
+// reconcile marks the machine as reconciled if a status shows this term's fencing token, and reports
+// whether it was not reconciled before.
 //
-// A worker that sends heartbeats and has seen no fencing token yet has never obeyed anyone; where
-// the store has no record of it either, no earlier leader can have sent it a run command
-// that is still under way. A machine on record is left out, as a late heartbeat from its start would
-// show the same. So is one that nobody knew of: then the status may be a copy of the first
-// heartbeat of a machine that an earlier leader returned.
-func (m *Machine) reconcile(r *Heartbeat, isHeartbeat bool, term uint64) bool {
-	neverCommanded := isHeartbeat && r.FencingToken == 0 && !m.Inherited && !m.Unverified && len(r.Tasks) == 0
-	if m.Reconciled || r.FencingToken != term && !neverCommanded {
+// A heartbeat without any fencing token also reconciles a machine that the store has no record of:
+// its worker has never accepted a command, and no earlier leader can have sent it a run command that
+// is still in flight. This excludes a machine on record, whose first heartbeat may come as a late
+// copy, and an unverified machine: the status may be a copy of the first heartbeat of a machine that
+// an earlier leader returned.
+func (m *Machine) reconcile(hb *Heartbeat, isHeartbeat bool, term uint64) bool {
+	neverCommanded := isHeartbeat && hb.FencingToken == 0 && !m.Inherited && !m.Unverified && len(hb.Tasks) == 0
+	if m.Reconciled || hb.FencingToken != term && !neverCommanded {
 		return false
 	}
 	m.Reconciled = true
 	return true
 }
 
-// applyTaskStatus applies what a status reports of one attempt.
-func (m *Machine) applyTaskStatus(r *TaskStatus, out *ApplyResult, now time.Time) {
-	task, _ := ParseTask(r.Task)
-	state, _ := parseState(r.Status)
-	a := m.attempt(task, r.Attempt)
+// applyTaskStatus applies the status of one attempt.
+func (m *Machine) applyTaskStatus(status *TaskStatus, out *ApplyResult, now time.Time) {
+	task, _ := ParseTask(status.Task)
+	state, _ := parseState(status.Status)
+	a := m.attempt(task, status.Attempt)
 	if a == nil {
-		m.addDiscovered(r, task, state, out, now)
+		m.addDiscovered(status, task, state, out, now)
 		return
 	}
 	a.lastSeenIn = m.statusCount
@@ -132,7 +134,7 @@
 			out.Running = append(out.Running, a)
 		}
 	}
-	a.Cause, a.CheckpointSaved = r.Cause, r.CheckpointSaved
+	a.Cause, a.CheckpointSaved = status.Cause, status.CheckpointSaved
 	a.setState(state)
 	if state == Ended {
 		m.releaseItem(a)
@@ -140,15 +142,15 @@
 	}
 }
 
-// addDiscovered adds an attempt that is on the machine though we knew nothing of it.
-func (m *Machine) addDiscovered(r *TaskStatus, task TaskID, state State, out *ApplyResult, now time.Time) {
+// addDiscovered adds an attempt that a status lists and the table does not have.
+func (m *Machine) addDiscovered(status *TaskStatus, task TaskID, state State, out *ApplyResult, now time.Time) {
 	a := &Attempt{
 		Task:            task,
-		Number:          r.Attempt,
+		Number:          status.Attempt,
 		Machine:         m,
 		AssignedAt:      now,
-		Cause:           r.Cause,
-		CheckpointSaved: r.CheckpointSaved,
+		Cause:           status.Cause,
+		CheckpointSaved: status.CheckpointSaved,
 		state:           state,
 		lastSeenIn:      m.statusCount,
 	}
@@ -161,7 +163,7 @@
 	out.Changed = true
 }
 
-// forgetSent forgets every attempt of a machine but those of which nothing was sent yet.
+// forgetSent forgets all attempts of a machine except planned ones, which were not sent yet.
 func (o *ApplyResult) forgetSent(m *Machine) {
 	for _, a := range slices.Clone(m.attempts) {
 		if a.state != Planned {
@@ -170,12 +172,12 @@
 	}
 }
 
-// forgetMissing forgets the attempts that the status lacks, where that proves that they are gone.
-func (t *Table) forgetMissing(r *Heartbeat, isHeartbeat bool, out *ApplyResult, now time.Time) {
+// forgetMissing forgets the attempts that the status does not list and that are confirmed as missing.
+func (t *Table) forgetMissing(hb *Heartbeat, isHeartbeat bool, out *ApplyResult, now time.Time) {
 	m := out.Machine
 	for i := 0; i < len(m.attempts); i++ {
 		a := m.attempts[i]
-		if a.lastSeenIn == m.statusCount || !t.confirmMissing(m, a, r, isHeartbeat, now) {
+		if a.lastSeenIn == m.statusCount || !t.confirmMissing(m, a, hb, isHeartbeat, now) {
 			continue
 		}
 		out.forget(m, a)
--- a/internal/fleet/status_test.go
+++ b/internal/fleet/status_test.go
@@ -18,7 +18,7 @@
 	task  = TaskID{Job: "j-000001", N: 0}
 )
 
-// status returns a status of machine m-1 in its first incarnation, which has obeyed our term.
+// status returns a status of machine m-1 in its first incarnation, with this term's fencing token.
 func status(sequence uint64, tasks ...TaskStatus) *Heartbeat {
 	return &Heartbeat{
 		Machine: "m-1", Addr: "m-1:9000", Type: "c4", Zone: "a",
@@ -30,7 +30,8 @@
 	return TaskStatus{Task: task.String(), Attempt: number, Status: Running.String()}
 }
 
-// newReconciledTable returns a table with machine m-1, which has sent a heartbeat with sequence number 10.
+// newReconciledTable returns a table with machine m-1, reconciled by a heartbeat with sequence
+// number 10.
 func newReconciledTable(t *testing.T) (*Table, *Machine) {
 	t.Helper()
 	table := NewTable(term, lease, forecast.Params{Window: 1})
@@ -48,7 +49,7 @@
 	return a
 }
 
-// A status that is older than the last one changes nothing, whatever it lists.
+// A status older than the last applied one changes nothing, whatever it lists.
 func TestLateStatusChangesNothing(t *testing.T) {
 	table, m := newReconciledTable(t)
 	newest := status(11, running(1))
@@ -57,10 +58,10 @@
 	lowerSequence, lowerIncarnation, lowerToken := status(10), status(12), status(12)
 	lowerSequence.Incarnation, lowerToken.Incarnation = 2, 2
 	lowerToken.FencingToken = term - 1
-	for name, r := range map[string]*Heartbeat{
+	for name, hb := range map[string]*Heartbeat{
 		"sequence": lowerSequence, "incarnation": lowerIncarnation, "fencing token": lowerToken,
 	} {
-		if out := table.Apply(r, true, start); !out.Stale || out.Changed {
+		if out := table.Apply(hb, true, start); !out.Stale || out.Changed {
 			t.Errorf("older by %s: got %+v, want it stale", name, out)
 		}
 		if len(m.Attempts()) != 1 || m.Sequence != 11 {
@@ -69,8 +70,8 @@
 	}
 }
 
-// A run command in flight is not given up by a status that may be older than its arrival; a later
-// heartbeat without the attempt proves that it never arrived.
+// A status that may have been created before the run command arrived does not make the attempt lost.
+// A later heartbeat without the attempt proves that the command never arrived.
 func TestRunCommandInFlightIsKept(t *testing.T) {
 	table, m := newReconciledTable(t)
 	a := send(table, m, start)
@@ -79,16 +80,17 @@
 	}
 	out := table.Apply(status(12), true, start)
 	if a.OnMachine() || len(out.Lost) != 1 {
-		t.Errorf("the attempt is on the machine: %v, gone: %d; want it gone after a later heartbeat", a.OnMachine(), len(out.Lost))
+		t.Errorf("the attempt is on the machine: %v, lost: %d; want it lost after a later heartbeat", a.OnMachine(), len(out.Lost))
 	}
 }
 
-// A heartbeat that lacks a running attempt may be a copy: the machine is probed, and the answer decides.
+// A heartbeat without a running attempt may be a late copy: the machine is probed, and the answer
+// determines whether the attempt is lost.
 func TestMissingAttemptIsProbed(t *testing.T) {
 	table, m := newReconciledTable(t)
 	table.Apply(status(11, running(1)), true, start)
 	if out := table.Apply(status(12), true, start); len(out.Lost) != 0 {
-		t.Fatalf("%d attempts are gone after a heartbeat, want none", len(out.Lost))
+		t.Fatalf("%d attempts are lost after a heartbeat, want none", len(out.Lost))
 	}
 	now := start.Add(time.Minute)
 	probes := table.DueProbes(5*time.Second, now)
@@ -100,12 +102,12 @@
 	}
 	out, restarted := table.ApplyProbe(probes[0], status(13), now)
 	if restarted || len(out.Lost) != 1 || len(m.Attempts()) != 0 {
-		t.Errorf("after the answer: restarted %v, %d gone, %d left; want 1 gone and none left", restarted, len(out.Lost), len(m.Attempts()))
+		t.Errorf("after the answer: restarted %v, %d lost, %d left; want 1 lost and none left", restarted, len(out.Lost), len(m.Attempts()))
 	}
 }
 
-// The answer to a probe with an older sequence number shows that the machine has restarted, unless another
-// status came in between.
+// An answer to a probe with a lower sequence number shows that the machine has restarted, unless
+// another status was applied after the probe was sent.
 func TestProbeFindsRestartedMachine(t *testing.T) {
 	table, m := newReconciledTable(t)
 	table.Apply(status(11, running(1)), true, start)
@@ -123,16 +125,15 @@
 	}
 }
 
-// A heartbeat that the answer to a probe has overtaken is not late as long as its worker waits for the
-// response.
+// A heartbeat overtaken by the answer to a probe is not late while its worker waits for the response.
 func TestOvertakenHeartbeat(t *testing.T) {
 	table, _ := newReconciledTable(t)
 	table.Apply(status(12), false, start)
 	if got := table.Recency(status(11), start.Add(time.Second)); got != Overtaken {
-		t.Errorf("within the worker's patience: got %v, want %v", got, Overtaken)
+		t.Errorf("within the response timeout: got %v, want %v", got, Overtaken)
 	}
 	if got := table.Recency(status(11), start.Add(responseTimeout)); got != Late {
-		t.Errorf("after it: got %v, want %v", got, Late)
+		t.Errorf("after the response timeout: got %v, want %v", got, Late)
 	}
 	if got := table.Recency(status(10), start.Add(time.Second)); got != Late {
 		t.Errorf("one that was applied before: got %v, want %v", got, Late)
@@ -142,21 +143,21 @@
 	}
 }
 
-// A worker that comes through another controller each time has not received the answers: it is
-// unreachable after two, and reachable again when it stays with one.
+// A worker whose heartbeats come through a different controller each time has not received the
+// answers: it is unreachable after two, and reachable again once it stays with a controller.
 func TestUnreachableAfterMissedAnswers(t *testing.T) {
 	table, m := newReconciledTable(t)
 	now := start
 	heartbeat := func(sequence uint64, via string) {
-		r := status(sequence)
-		r.Via = via
+		hb := status(sequence)
+		hb.Via = via
 		now = now.Add(10 * time.Second)
-		table.Apply(r, true, now)
+		table.Apply(hb, true, now)
 	}
 	m.MarkAnswered("controller-1", now)
 	heartbeat(20, "controller-2")
 	if m.Unreachable() {
-		t.Error("unreachable after one missed answer, want two")
+		t.Error("unreachable after one missed answer, want it after two")
 	}
 	m.MarkAnswered("controller-2", now)
 	heartbeat(30, "controller-1")
@@ -170,15 +171,15 @@
 	}
 }
 
-// The worker of a new incarnation has forgotten its tasks; an attempt that was only planned is kept.
+// A new incarnation of a worker has lost its tasks; an attempt that is only planned is kept.
 func TestNewIncarnationForgetsTasks(t *testing.T) {
 	table, m := newReconciledTable(t)
 	table.Apply(status(11, running(1)), true, start)
 	planned := table.Plan(m, TaskID{Job: "j-000002"}, 1, &packing.Item{}, start)
-	r := status(1)
-	r.Incarnation = 2
-	out := table.Apply(r, true, start)
+	hb := status(1)
+	hb.Incarnation = 2
+	out := table.Apply(hb, true, start)
 	if len(out.Lost) != 1 || out.Lost[0].Task != task || !planned.OnMachine() {
-		t.Errorf("gone are %d, the planned attempt is on the machine: %v; want only the running one gone", len(out.Lost), planned.OnMachine())
+		t.Errorf("%d attempts lost, the planned attempt is on the machine: %v; want only the running one lost", len(out.Lost), planned.OnMachine())
 	}
 }
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -9,19 +9,19 @@
 	"drumpick/internal/packing"
 )
 
-// Table holds all machines of one term. It has no lock of its own: the owner's guards it, and every
-// machine and attempt in it.
+// Table holds all machines of one term. It has no lock: the caller must hold the owner's lock for the
+// table and every machine and attempt in it.
 type Table struct {
 	Term     uint64
-	Lease    time.Duration       // a worker's lease with drift and margin
+	Lease    time.Duration       // duration of a worker's lease, with clock drift and margin
 	Machines map[string]*Machine // by name
-	Forecast forecast.Params     // of the forecasts of new machines
-	// OnChange, where it is set, is called with each attempt that was added, changed or forgotten.
+	Forecast forecast.Params     // parameters of the load forecasts of new machines
+	// OnChange, if set, is called for each attempt that is added, changed or forgotten.
 	OnChange func(a *Attempt)
 
-	sorted        []*Machine                       // by name; replaced, never changed in place
-	attemptsByJob map[string]map[*Attempt]struct{} // the attempts of all machines, by job
-	attemptsAdded uint64                           // since the term began
+	sorted        []*Machine                       // by name; copied on write
+	attemptsByJob map[string]map[*Attempt]struct{} // the attempts of all machines, by job id
+	attemptsAdded uint64                           // number of attempts added
 }
 
 // NewTable returns an empty table for a term.
@@ -35,18 +35,18 @@
 	}
 }
 
-// Sorted lists the machines by name, so that decisions repeat. The returned slice does not change
-// when machines come and go.
+// Sorted returns the machines sorted by name, for deterministic decisions. The returned slice does
+// not change when machines are added or removed.
 func (t *Table) Sorted() []*Machine { return t.sorted }
 
-// sortedIndex returns the place of a machine in the sorted list, and whether it is there.
+// sortedIndex returns the position of a machine in the sorted list, and whether it is present.
 func (t *Table) sortedIndex(name string) (int, bool) {
 	return slices.BinarySearchFunc(t.sorted, name, func(m *Machine, n string) int { return strings.Compare(m.Name, n) })
 }
 
-// GetOrCreate returns the machine of a name, and adds it when it is new. The caller sets Inherited on
-// one that the store recorded, which awaits reconciliation then; any other one has never been sent a
-// run command.
+// GetOrCreate returns the machine with the given name, and adds it if it is new. The caller sets
+// Inherited on a machine that the store has on record, which then awaits reconciliation. Any other
+// new machine has never been sent a run command.
 func (t *Table) GetOrCreate(name, addr, typ, zone string, spot bool) *Machine {
 	m := t.Machines[name]
 	if m == nil {
@@ -58,7 +58,7 @@
 	return m
 }
 
-// addMachine adds a machine whose bin is closed until its capacity is known.
+// addMachine adds a machine. Its bin is closed until its capacity is known.
 func (t *Table) addMachine(name, addr, typ, zone string, spot bool) *Machine {
 	m := &Machine{
 		table:            t,
@@ -81,7 +81,7 @@
 	return m
 }
 
-// Plan adds an attempt that is chosen for the machine, and of which nothing was sent yet.
+// Plan adds a planned attempt to a machine; nothing is sent yet.
 func (t *Table) Plan(m *Machine, task TaskID, number uint64, item *packing.Item, now time.Time) *Attempt {
 	a := &Attempt{Task: task, Number: number, Machine: m, Item: item, AssignedAt: now}
 	item.Owner = a
@@ -89,8 +89,7 @@
 	return a
 }
 
-// Remove removes a machine and returns the attempts that were, or may have been,
-// on it.
+// Remove removes a machine from the table and returns its attempts that had not ended.
 func (t *Table) Remove(name string) []*Attempt {
 	m := t.Machines[name]
 	if m == nil {
--- a/internal/fleet/task_id.go
+++ b/internal/fleet/task_id.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// TaskID identifies a task: number N of a job.
+// TaskID identifies a task: task number N of a job.
 type TaskID struct {
 	Job string // id of the job
 	N   int    // from 0
 }
 
-// String returns the form that ParseTask reads.
+// String returns the text form that ParseTask parses.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.N) }
 
-// ParseTask parses the form "j-000412/3".
+// ParseTask parses the text form of a task id, such as "j-000412/3".
 func ParseTask(s string) (TaskID, bool) {
 	job, n, ok := strings.Cut(s, "/")
 	i, err := strconv.Atoi(n)
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -1,10 +1,10 @@
-// Package fleet keeps what a leader knows of machines and of the attempts on them: the statuses that
-// workers send, commands to them, leases, and reconciliation after a failover. The table is plain
-// data without clock or I/O; its owner passes the time in and holds the lock.
+// Package fleet holds a leader's state of machines and of the attempts on them: the statuses that
+// workers send, commands to workers, leases, and reconciliation after a failover. The table has no
+// clock and no I/O; its owner passes the time and holds the lock.
 //
-// A status reaches the table as a Heartbeat: either a worker sent it by itself, or it answers a direct
-// command or a status request. Only a heartbeat can be a late copy, and only an answer can overtake a
-// response under way; see staleness.go and probe.go for what follows from that.
+// The table receives every status as a Heartbeat: either a worker sent it periodically, or it is the
+// answer to a direct command or a status request. Only a periodic heartbeat can be a late copy, and
+// only an answer can overtake a response in flight; staleness.go and probe.go handle these cases.
 package fleet
 
 //go:generate go run github.com/mailru/easyjson/easyjson -no_std_marshalers wire.go
@@ -14,13 +14,12 @@
 	"fmt"
 )
 
-// This file is the edge of the worker protocol. Its tags, verbs, causes and the errors that workers
-// get keep the protocol's words ("rig" for a machine type, "baton" for a fencing token, "shots" for
-// tasks, "orders" for commands); nothing else in the package does.
+// This file defines the messages of the worker protocol. Only its tags, verbs, causes and the errors
+// returned to workers use the names of the protocol ("rig" for a machine type, "baton" for a fencing
+// token, "shots" for tasks, "orders" for commands).
 
-// Heartbeat is a worker's status, sent as a heartbeat or as an answer. A leader reads
-// hundreds a second, so it and its parts have readers and writers of their own
-// (easyjson).
+// Heartbeat is a worker's status, sent as a heartbeat or as an answer. A leader decodes hundreds per
+// second, so the heartbeat and its parts use generated codecs (easyjson).
 //
 //easyjson:json
 type Heartbeat struct {
@@ -31,25 +30,25 @@
 	Spot              bool         `json:"loaners"`
 	Incarnation       uint64       `json:"stint"`
 	Sequence          uint64       `json:"tick"`
-	FencingToken      uint64       `json:"baton"`             // the newest that it has obeyed; 0: none
-	PreemptionNoticeS *float64     `json:"warning_s"`         // seconds until the cloud takes the machine; nil: no notice
+	FencingToken      uint64       `json:"baton"`             // the highest that the worker has accepted; 0: none
+	PreemptionNoticeS *float64     `json:"warning_s"`         // seconds until the cloud preempts the machine; nil: no notice
 	Version           string       `json:"version,omitempty"` // of the worker; optional
 	Tasks             []TaskStatus `json:"shots"`
-	// Via is the controller that the worker sent it to; "" where that is not known.
+	// Via is the controller that the worker sent it to; "": unknown.
 	Via string `json:"-"`
 }
 
-// Validate returns an error that names the first field which is missing or not valid. A status with one
-// unreadable part must be refused as a whole: what it seems to lack would be taken for gone.
-func (r *Heartbeat) Validate() error {
+// Validate returns an error that names the first missing or invalid field. A status with one invalid
+// part must be rejected as a whole: attempts that it fails to list would be considered lost.
+func (h *Heartbeat) Validate() error {
 	switch {
-	case r.Machine == "":
+	case h.Machine == "":
 		return errors.New("host is missing")
-	case r.Incarnation == 0:
+	case h.Incarnation == 0:
 		return errors.New("stint is missing or 0")
 	}
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
+	for i := range h.Tasks {
+		t := &h.Tasks[i]
 		if _, ok := ParseTask(t.Task); !ok {
 			return fmt.Errorf("shots[%d].shot %q names no task", i, t.Task)
 		}
@@ -64,10 +63,10 @@
 //
 //easyjson:json
 type TaskStatus struct {
-	Task            string `json:"shot"`   // a TaskID as text
+	Task            string `json:"shot"`   // text form of a TaskID
 	Attempt         uint64 `json:"try"`    // the attempt's number
-	Status          string `json:"status"` // a State as text, from Pulling on
-	Cause           string `json:"cause"`  // of the end, one of the Cause constants
+	Status          string `json:"status"` // name of a State, from Pulling on
+	Cause           string `json:"cause"`  // cause of the end, one of the Cause constants
 	CheckpointSaved bool   `json:"saved"`  // a checkpoint was saved
 }
 
@@ -76,12 +75,12 @@
 //easyjson:json
 type Command struct {
 	Verb    string   `json:"verb"`                  // one of the Verb constants
-	Task    string   `json:"shot"`                  // a TaskID as text
+	Task    string   `json:"shot"`                  // text form of a TaskID
 	Attempt uint64   `json:"try"`                   // the attempt's number
-	GraceS  *float64 `json:"wind_down_s,omitempty"` // of a kill, seconds to save a checkpoint
+	GraceS  *float64 `json:"wind_down_s,omitempty"` // of a kill: seconds to save a checkpoint
 }
 
-// HeartbeatResponse answers a heartbeat.
+// HeartbeatResponse is the response to a heartbeat.
 //
 //easyjson:json
 type HeartbeatResponse struct {
@@ -92,7 +91,7 @@
 // CommandRequest is the request body of a direct command, POST /orders.
 type CommandRequest struct {
 	FencingToken uint64    `json:"baton"` // the leader's term
-	Incarnation  uint64    `json:"stint"` // that the commands are meant for
+	Incarnation  uint64    `json:"stint"` // of the worker that the commands are for
 	Commands     []Command `json:"orders"`
 }
 
@@ -106,11 +105,11 @@
 // Causes of an attempt's end.
 const (
 	CauseDone         = "done"
-	CauseStopped      = "stopped"    // by a kill
-	CauseGangPeerLost = "mates_gone" // another task of its gang is gone
-	CauseGangTimeout  = "alone"      // its gang was not complete in time
+	CauseStopped      = "stopped"    // by a kill command
+	CauseGangPeerLost = "mates_gone" // another task of its gang was lost
+	CauseGangTimeout  = "alone"      // the gang was not complete in time
 	CauseError        = "error"
-	CauseFull         = "full"    // never started: the machine has no room
+	CauseFull         = "full"    // never started: the machine lacks capacity
 	CauseOtherAttempt = "busy"    // never started: another attempt of the task is on the machine
-	CauseUnknownTask  = "no_such" // never started: no such task is known
+	CauseUnknownTask  = "no_such" // never started: the task is unknown
 )
