--- a/internal/records/errors.go
+++ b/internal/records/errors.go
@@ -5,29 +5,30 @@
 	"fmt"
 )
 
-// Errors of the store, by what the caller may conclude from them.
+// Errors of the store. Each states whether the request may have been executed.
 var (
-	// ErrUnavailable means that the request was not executed.
+	// ErrUnavailable means that the store is unavailable and did not execute the request.
 	ErrUnavailable = errors.New("state service refused the request (503)")
-	// ErrThrottled means that the request was not executed.
+	// ErrThrottled means that the rate limit was exceeded and the request was not executed.
 	ErrThrottled = errors.New("state service: too many requests (429)")
-	// ErrUnknownOutcome means that the request may have been, or may yet be, executed.
+	// ErrUnknownOutcome means that the request may have been executed, or may still be.
 	ErrUnknownOutcome = errors.New("state service did not answer")
-	// ErrLeaseExpired means that the lease has ended.
+	// ErrLeaseExpired means that the lease has expired or does not exist.
 	ErrLeaseExpired = errors.New("state service: no such lease")
-	// ErrCompacted means that a watch has to start again from a fresh read.
+	// ErrCompacted means that the watch's revision is no longer kept: the caller must read the
+	// current state and watch from there.
 	ErrCompacted = errors.New("state service: revision too old, read again (410)")
-	// ErrInvalid means that the request was not executed, nor will it ever be.
+	// ErrInvalid means that the request was rejected; a retry cannot succeed.
 	ErrInvalid = errors.New("state service: malformed or too large (400)")
-	// ErrUnexpected means that the answer is none that the store's protocol knows.
+	// ErrUnexpected means that the response violates the store's protocol.
 	ErrUnexpected = errors.New("state service: unexpected answer")
 )
 
-// ConflictError lists the keys whose compares failed, so that the commit was not executed.
+// ConflictError reports that a commit was not executed because the compares of the Failed keys
+// did not hold.
 type ConflictError struct {
 	Failed   []string `json:"failed"`
 	Revision uint64   `json:"epoch"`
 }
 
-// Error names the keys.
-func (e *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", e.Failed) }
+func (e *ConflictError) Error() string { return fmt.Sprintf("commit conflict on keys: %v", e.Failed) }
--- a/internal/records/finished_tasks.go
+++ b/internal/records/finished_tasks.go
@@ -10,31 +10,33 @@
 	// minChunkTasks and maxChunkTasks bound how many tasks one chunk covers.
 	minChunkTasks = 64
 	maxChunkTasks = 16384
-	// bytesPerChunkTask is what a task may take of a value: half of a number of up to five
-	// digits and a comma in the worst pattern, and room to spare.
+	// bytesPerChunkTask bounds the bytes per task of a chunk. In the worst pattern, every second
+	// task finished, each two tasks take a number of up to five digits and a comma, so 3; the
+	// rest is a margin.
 	bytesPerChunkTask = 4
-	// partFillFactor leaves room in a value for the record's id.
+	// partFillFactor leaves space in a value for the record's id.
 	partFillFactor = 0.8
-	// maxTaskNumber bounds the numbers that are read.
+	// maxTaskNumber is the largest task number that ParseRanges accepts.
 	maxTaskNumber = 1 << 24
 )
 
-// PartID returns the id of the record with a part of a chunk of a job's finished tasks. Many
-// such records share a value (PagedRecords). Zeros before the chunk's number tell the parts
-// of a chunk apart and change nothing for a reader, of any version: it adds up all that it
-// finds of a chunk.
+// PartID returns the id of the record of one part of a chunk of a job's finished tasks. Many such
+// records share a value (PagedRecords). The number of leading zeros of the chunk number
+// distinguishes the parts of a chunk. Readers of every version ignore the zeros and merge all
+// records of a chunk.
 func PartID(id string, chunk, zeros int) string {
 	return id + "/" + strings.Repeat("0", zeros) + strconv.Itoa(chunk)
 }
 
-// ParsePartID is the reverse of PartID, whatever the zeros. ok is false where s is no such id.
+// ParsePartID parses an id that PartID returned, with any number of zeros. ok is false if s is not
+// such an id.
 func ParsePartID(s string) (id string, chunk int, ok bool) {
 	id, number, ok := strings.Cut(s, "/")
 	chunk, err := strconv.Atoi(number)
 	return id, chunk, ok && err == nil && chunk >= 0
 }
 
-// LeadingZeros returns how many zeros stand before the chunk's number in a part's id.
+// LeadingZeros returns the number of leading zeros of the chunk number in a part's id.
 func LeadingZeros(partID string) int {
 	_, number, _ := strings.Cut(partID, "/")
 	n, err := strconv.Atoi(number)
@@ -44,27 +46,27 @@
 	return len(number) - len(strconv.Itoa(n))
 }
 
-// ChunkBytes is the most that the ranges of n tasks take: in the worst pattern,
-// every second task finished, each takes a number of up to five digits and a comma.
-// They count from the start of a chunk of the size given.
+// ChunkBytes returns the maximum size in bytes of the ranges of n tasks in a chunk of the given
+// number of tasks. In the worst pattern, every second task finished, each finished task takes a
+// number of up to five digits and a comma.
 func ChunkBytes(n, chunk int) int { return (n+1)/2*(len(strconv.Itoa(chunk))+1) + 2 }
 
-// ChunkTasks is how many tasks one chunk covers: in the worst pattern all of
-// them fit into a value and, with room to spare, a commit.
+// ChunkTasks returns how many tasks one chunk covers: the worst pattern of them fits into a value
+// of valueKB KiB and, with a margin, into a commit.
 func ChunkTasks(valueKB float64) int {
 	return max(minChunkTasks, min(int(valueKB*1024/bytesPerChunkTask), maxChunkTasks))
 }
 
-// PartTasks is how many tasks of a chunk one record covers, so that the worst
-// pattern of them fits into a value of another size. Chunks stay as they are, since
-// the numbers in records count from their start.
+// PartTasks returns how many tasks of a chunk one record covers, so that their worst pattern fits
+// into a value of valueKB KiB. The chunk size itself must not change, since the numbers in records
+// count from the start of the chunk.
 func PartTasks(chunk int, valueKB float64) int {
 	n := int(pageFillBytes(valueKB)*partFillFactor) / (len(strconv.Itoa(chunk)) + 1) * 2
 	return max(1, min(n, chunk))
 }
 
-// FormatRanges returns the text form of a set of finished tasks out of n: "0-4,7". Numbers
-// count from the start of the chunk.
+// FormatRanges encodes a set of finished tasks out of n as text, such as "0-4,7". The numbers count
+// from the start of the chunk.
 func FormatRanges(done func(i int) bool, n int) string {
 	var b strings.Builder
 	for i := 0; i < n; i++ {
@@ -88,7 +90,7 @@
 	return b.String()
 }
 
-// ParseRanges calls each for every number of the text form that FormatRanges writes.
+// ParseRanges parses the text form of FormatRanges and calls each for every number.
 func ParseRanges(s string, each func(i int)) error {
 	if s == "" {
 		return nil
@@ -101,7 +103,7 @@
 			last, err = strconv.Atoi(high)
 		}
 		if err != nil || first < 0 || last < first || last > maxTaskNumber {
-			return errors.New("bad range " + strconv.Quote(part))
+			return errors.New("invalid task range " + strconv.Quote(part))
 		}
 		for i := first; i <= last; i++ {
 			each(i)
--- a/internal/records/finished_tasks_test.go
+++ b/internal/records/finished_tasks_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// everySecond is the worst pattern of finished tasks: no two of them make a range.
+// everySecond is the worst pattern of finished tasks: no two of them form a range.
 func everySecond(i int) bool { return i%2 == 0 }
 
-// The worst pattern of a chunk fits into a value of any size that the settings allow.
+// The worst pattern of a chunk fits into a value of each configurable size.
 func TestChunkInWorstPatternFitsValue(t *testing.T) {
 	for kb := 1; kb <= 64; kb *= 2 {
 		n := ChunkTasks(float64(kb))
@@ -20,7 +20,7 @@
 	}
 }
 
-// The worst pattern of a part fits into a value of any size that the settings may have later.
+// The worst pattern of a part fits into a value of each smaller size that may be configured later.
 func TestPartInWorstPatternFitsSmallerValue(t *testing.T) {
 	for kb := 1; kb <= 64; kb *= 2 {
 		for laterKB := 1; laterKB <= kb; laterKB *= 2 {
@@ -82,7 +82,7 @@
 	for _, text := range []string{"x", "3-1", "-", "1,,2", "0-99999999999"} {
 		t.Run(fmt.Sprintf("%q", text), func(t *testing.T) {
 			if ParseRanges(text, func(int) {}) == nil {
-				t.Errorf("%q is read as ranges", text)
+				t.Errorf("%q is parsed, want an error", text)
 			}
 		})
 	}
--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -7,8 +7,8 @@
 	"drumpick/internal/goldentest"
 )
 
-// Every record of the store and the parts of its requests and answers keep their forms:
-// controllers of several versions read them.
+// The encodings of all records, and of the parts of the store's requests and responses, do not
+// change: controllers of several versions read them.
 func TestGoldenRecords(t *testing.T) {
 	zone, due := "a", 300.5
 	job := Job{
@@ -42,7 +42,7 @@
 			PriorityCritical, PriorityUrgent, PriorityStandard, PriorityLow,
 		}},
 		{Name: "row", Direction: goldentest.Read, Value: row},
-		// The store of a local cluster keeps its records so.
+		// A local cluster's store writes its records in this form.
 		{Name: "row, written", Direction: goldentest.Written, Value: row},
 		{Name: "condition", Direction: goldentest.Written, Value: Compare{Key: "leader", Revision: 7}},
 		{Name: "change", Direction: goldentest.Written, Value: Op{Write: "types", Value: map[string]int{"n": 1}, LeaseID: 8, Delete: "whole"}},
@@ -56,7 +56,7 @@
 	}
 }
 
-// A value that many records share is an object of them by id; one record under a key of its
+// A value shared by many records is an object of records by id. A single record under a key of its
 // own, as earlier versions wrote it, is read as well.
 func TestGoldenSharedValues(t *testing.T) {
 	f := goldentest.Open(t, "golden-shared-values.json")
@@ -72,7 +72,7 @@
 		t.Run(name, func(t *testing.T) {
 			paged := NewPagedRecords(x.prefix, 8, func() string { return "1-1" })
 			if !paged.Put(x.id, x.value, 0) {
-				t.Fatal("the record has no place")
+				t.Fatal("the record does not fit on a page")
 			}
 			op, _, _ := paged.PrepareWrite(paged.DirtyPages()[0])
 			raw, err := json.Marshal(op)
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -1,8 +1,8 @@
 package records
 
-// Job is an accepted job, as users describe it plus when it was accepted. What users send
-// has a type of its own (package client): others build on that one, this one is for
-// controllers of several versions, and neither may change for the other's sake.
+// Job is an accepted job: the user's description plus the time of acceptance. The public API has a
+// separate type (package client), so that the API and the stored form can change independently;
+// controllers of several versions read the stored form.
 type Job struct {
 	ID          string   `json:"uid" msgpack:"uid"`
 	Class       string   `json:"jobclass"`
@@ -24,9 +24,9 @@
 	CheckpointS float64  `json:"snapshot_s"`
 	SaveS       float64  `json:"flush_s"`
 	DeadlineS   *float64 `json:"due_s"`
-	AcceptedMS  int64    `json:"accepted_ms"` // time of day, within the settings' bound
-	// Dependencies names the jobs that have to be done before any task of this one
-	// starts. Versions without it wrote records without it: none.
+	AcceptedMS  int64    `json:"accepted_ms"` // wall-clock time in ms, accurate to the configured bound
+	// Dependencies names the jobs that must be done before any task of this one starts. Records
+	// of versions without dependencies lack the field.
 	Dependencies []string `json:"prereqs,omitempty"`
 }
 
@@ -37,7 +37,7 @@
 	ShapeService = "service"
 )
 
-// States of jobs.
+// Statuses of jobs.
 const (
 	StatusPending   = "pending"
 	StatusRunning   = "running"
@@ -53,11 +53,11 @@
 	PriorityLow      = "low"
 )
 
-// ClosedJob is the final state of a job. What is omitted was not written by earlier
-// versions: a reader must do without it.
+// ClosedJob is the final state of a job. Earlier versions do not write the fields marked
+// omitempty; a reader must not depend on them.
 type ClosedJob struct {
 	Status  string `json:"status"`
 	Tasks   int    `json:"shots"`
-	AtMS    int64  `json:"at_ms,omitempty"`   // time of day when the job closed
-	Service bool   `json:"service,omitempty"` // no job may depend on it
+	AtMS    int64  `json:"at_ms,omitempty"`   // wall-clock time in ms when the job closed
+	Service bool   `json:"service,omitempty"` // the job is a service: no job may depend on it
 }
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Keys. Open and closed jobs live under different prefixes so that a failover
-// reads only what is still to be done, while final states are kept for good.
+// Keys. Open and closed jobs have different prefixes, so that a failover reads only the open jobs;
+// the states of closed jobs are kept forever.
 const (
-	// KeyLeader holds a Leader, on its lease.
+	// KeyLeader holds a Leader and is attached to the leader's lease.
 	KeyLeader = "leader"
 	// PrefixOpen is the prefix of open jobs; see OpenKey.
 	PrefixOpen = "jobs/open/"
@@ -15,21 +15,22 @@
 	PrefixFinishedTasks = "done/"
 	// PrefixMachines is the prefix of pages with machines.
 	PrefixMachines = "machines/"
-	// PrefixWatermarks is the prefix of pages with the jobs' watermarks: no task from the
-	// watermark on was ever dispatched (package watermark). Versions that keep no
-	// watermarks leave these keys alone.
+	// PrefixWatermarks is the prefix of pages with the jobs' watermarks: no task at or above the
+	// watermark has ever been dispatched (package watermark). Versions without watermarks do not
+	// touch these keys.
 	PrefixWatermarks = "sent/"
-	// KeyWatermarksComplete is when the last leader's watermarks were last complete.
+	// KeyWatermarksComplete holds a watermark.StoredAttestation: when the watermarks were last
+	// complete.
 	KeyWatermarksComplete = "whole"
-	// KeyMachineTypes holds the MachineTypes that were last read from the cloud.
+	// KeyMachineTypes holds the MachineTypes last read from the cloud.
 	KeyMachineTypes = "types"
-	// PrefixDrains is the prefix of what operators asked to be drained. Versions that know
-	// of no drains leave this prefix and the next alone.
+	// PrefixDrains is the prefix of the drains that operators requested. Versions without drains
+	// do not touch this prefix and the next.
 	PrefixDrains = "drains/"
-	// PrefixDrainState is the prefix of how far the drains are.
+	// PrefixDrainState is the prefix of the progress of drains.
 	PrefixDrainState = "drainstate/"
-	// KeyDrainSequence is written along with each new drain: of two that were planned beside
-	// the same others only one is stored.
+	// KeyDrainSequence is written in the commit of each new drain. Its compare lets only one of two
+	// drains be stored that were planned against the same set of drains.
 	KeyDrainSequence = "drainturn"
 )
 
@@ -39,10 +40,10 @@
 // ClosedKey returns the key of a closed job.
 func ClosedKey(id string) string { return PrefixClosed + id }
 
-// maxIDDigits bounds the length of a job's number.
+// maxIDDigits is the maximum number of digits in a job id.
 const maxIDDigits = 100
 
-// ValidID reports whether a job id has the form that users give it: "j-" and a number.
+// ValidID reports whether a job id has the form "j-" and a decimal number.
 func ValidID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "j-")
 	if !ok || len(digits) == 0 || len(digits) > maxIDDigits {
--- a/internal/records/keyvalue.go
+++ b/internal/records/keyvalue.go
@@ -10,13 +10,13 @@
 	LeaseID  uint64          `json:"hold"`
 }
 
-// Compare requires that a key was last changed at the given revision; 0 means absent.
+// Compare requires that the last change of a key has the given revision; 0: the key is absent.
 type Compare struct {
 	Key      string `json:"k"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Op is one change of a commit: a write or a delete.
+// Op is one operation of a commit: a write or a delete.
 type Op struct {
 	Write   string `json:"write,omitempty"`
 	Value   any    `json:"value,omitempty"`
--- a/internal/records/leader.go
+++ b/internal/records/leader.go
@@ -15,12 +15,11 @@
 	Watermarks bool `json:"marks,omitempty"`
 }
 
-// FormatWatermark returns the text form of a job's watermark: how far into the job tasks may
-// have been dispatched. Every number is equally wide, so that it never outgrows its place in
-// a page.
+// FormatWatermark encodes a job's watermark: tasks below it may have been dispatched. The encoding
+// has a fixed width, so that a rising watermark does not outgrow its page.
 func FormatWatermark(n int) json.RawMessage { return fmt.Appendf(nil, "\"%06d\"", n) }
 
-// ParseWatermark is the reverse of FormatWatermark.
+// ParseWatermark decodes a value that FormatWatermark encoded.
 func ParseWatermark(v json.RawMessage) (int, error) {
 	var text string
 	if err := json.Unmarshal(v, &text); err != nil {
@@ -28,7 +27,7 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err == nil && n < 0 {
-		err = errors.New("below zero")
+		err = errors.New("watermark is negative")
 	}
 	return n, err
 }
--- a/internal/records/machine.go
+++ b/internal/records/machine.go
@@ -1,6 +1,6 @@
 package records
 
-// Machine is a machine that may hold tasks. Many machines share a value (PagedRecords).
+// Machine is a machine that may run tasks. Many machines share a value (PagedRecords).
 type Machine struct {
 	Addr        string `json:"addr"`
 	Type        string `json:"rig"`
@@ -23,7 +23,7 @@
 	Zones     []string `json:"sites"`
 }
 
-// MachineTypes is the last known list of machine types.
+// MachineTypes is the list of machine types last read from the cloud.
 type MachineTypes struct {
 	Types []MachineType `json:"rigs"`
 }
--- a/internal/records/paged.go
+++ b/internal/records/paged.go
@@ -8,47 +8,48 @@
 	"strings"
 )
 
-// PagedRecords spreads many small records over few values of the store, the pages. The
-// store's rate limit counts changes, not bytes: a key of its own for each machine of a
-// large deployment would take the write rate of half a minute.
+// PagedRecords packs many small records into a few values of the store, the pages. The store's rate
+// limit counts changes, not bytes: with one key per machine, writing the machines of a large
+// deployment would take the write rate of half a minute.
 //
 // It is not safe for concurrent use.
 type PagedRecords struct {
 	prefix    string
-	fillBytes float64       // how far a page is filled
-	maxBytes  float64       // the largest page that can still be written
-	newName   func() string // returns a name that no other page ever had
+	fillBytes float64       // target size of a page
+	maxBytes  float64       // maximum size of a page that can be written
+	newName   func() string // returns a name that no page has ever had
 	pages     []*Page
-	writable  map[string]*Page // by record id, the page where the record is written
+	writable  map[string]*Page // by record id, the page that the record is written to
 }
 
 // Page is one value of the store: records by id.
 type Page struct {
 	Key string
-	// Revision is the one at which the store has the page, 0 where it has not: the compare
-	// of its next write or delete.
+	// Revision is the page's revision in the store, 0 if it is not stored. The next write or delete
+	// compares against it.
 	Revision uint64
 
 	entries           map[string]json.RawMessage
-	reserved          map[string]int // bytes kept for each record
+	reserved          map[string]int // bytes reserved for each record
 	reservedBytes     int            // their sum
-	dirty             bool           // differs from what was last taken to be written
-	readOnly          bool           // too large to be written again: it is only read, and deleted in the end
-	firstWritePending bool           // its first write may be executed at any time
+	dirty             bool           // differs from the last write that was prepared
+	readOnly          bool           // too large to be written again: it can only be read and deleted
+	firstWritePending bool           // its first write may still be executed
 }
 
 const (
-	// fillFactor is how far a page is filled: the rest is for what escapes take.
+	// fillFactor is the target size of a page, as a share of the value size; the rest is for
+	// escape sequences.
 	fillFactor = 15.0 / 16
-	// entryOverhead is what an entry takes beside its id and value: quotes, colon, comma.
+	// entryOverhead is the bytes of an entry beside its id and value: two quotes, colon, comma.
 	entryOverhead = 4
 )
 
-// pageFillBytes returns how many bytes of a value of the given size are filled.
+// pageFillBytes returns the target size of a page in bytes, for a value size of valueKB KiB.
 func pageFillBytes(valueKB float64) float64 { return valueKB * 1024 * fillFactor }
 
-// NewPagedRecords returns paged records without any, for keys under a prefix and values of a
-// size. newName has to return a name that no other page under the prefix ever had.
+// NewPagedRecords returns an empty set of records, for keys under a prefix and values of up to
+// valueKB KiB. newName must return a name that no page under the prefix has ever had.
 func NewPagedRecords(prefix string, valueKB float64, newName func() string) *PagedRecords {
 	return &PagedRecords{
 		prefix:    prefix,
@@ -59,40 +60,40 @@
 	}
 }
 
-// Put sets a record, for which up to reserve bytes are kept if there is room. It returns
-// false, and changes nothing, when the record has outgrown the page that it is in.
+// Put sets a record and reserves up to reserve bytes for it, as far as its page has space. It returns
+// false and changes nothing if the record has outgrown its page.
 func (p *PagedRecords) Put(id string, value json.RawMessage, reserve int) bool {
-	least := len(value) + len(id) + entryOverhead
-	need := max(reserve, len(value)) + len(id) + entryOverhead
+	minBytes := len(value) + len(id) + entryOverhead
+	reserveBytes := max(reserve, len(value)) + len(id) + entryOverhead
 	page := p.writable[id]
 	if page == nil {
-		need = max(min(need, int(p.fillBytes)), least)
-		page = p.pageWithRoom(need)
+		reserveBytes = max(min(reserveBytes, int(p.fillBytes)), minBytes)
+		page = p.pageWithRoom(reserveBytes)
 		p.writable[id] = page
 	} else {
 		free := int(p.fillBytes) - page.reservedBytes + page.reserved[id]
 		switch {
-		case least <= page.reserved[id]:
-			need = page.reserved[id]
-		case least > free && len(page.entries) > 1:
+		case minBytes <= page.reserved[id]:
+			reserveBytes = page.reserved[id]
+		case minBytes > free && len(page.entries) > 1:
 			return false
 		default:
-			need = max(min(need, free), least)
+			reserveBytes = max(min(reserveBytes, free), minBytes)
 		}
 	}
-	page.reservedBytes += need - page.reserved[id]
-	page.reserved[id] = need
+	page.reservedBytes += reserveBytes - page.reserved[id]
+	page.reserved[id] = reserveBytes
 	page.entries[id] = value
 	page.dirty = true
 	return true
 }
 
-// pageWithRoom returns a page with room for so many bytes, a new one if there is none. One
-// that is to be written in any case is preferred: it costs no further change.
-func (p *PagedRecords) pageWithRoom(need int) *Page {
+// pageWithRoom returns a page with the given free bytes, a new one if there is none. It prefers a
+// page that is already dirty, which costs no additional write.
+func (p *PagedRecords) pageWithRoom(bytes int) *Page {
 	var found *Page
 	for _, page := range p.pages {
-		if page.readOnly || float64(page.reservedBytes+need) > p.fillBytes {
+		if page.readOnly || float64(page.reservedBytes+bytes) > p.fillBytes {
 			continue
 		}
 		if found == nil || page.dirty && !found.dirty {
@@ -110,7 +111,7 @@
 	return found
 }
 
-// Remove takes a record out of every page.
+// Remove removes a record from all pages.
 func (p *PagedRecords) Remove(id string) {
 	delete(p.writable, id)
 	for _, page := range p.pages {
@@ -118,8 +119,8 @@
 	}
 }
 
-// RemoveReadOnlyCopies takes a record that is written elsewhere out of the pages that are not
-// written any more.
+// RemoveReadOnlyCopies removes a record from the read-only pages, other than the page that it is
+// written to.
 func (p *PagedRecords) RemoveReadOnlyCopies(id string) {
 	for _, page := range p.pages {
 		if page.readOnly && p.writable[id] != page {
@@ -138,9 +139,9 @@
 	page.dirty = true
 }
 
-// Load takes in a page as the store has it, of the given size in bytes. A record that is in
-// two pages stays in both: which is newer cannot be told. A record of a page that is too
-// large to be written again is in no page where it could be written.
+// Load adds a page read from the store, of the given size in bytes. A record that is in two pages
+// stays in both, since it is unknown which is newer. A page that is too large to be written again
+// becomes read-only, and its records have no writable page.
 func (p *PagedRecords) Load(key string, entries map[string]json.RawMessage, bytes int) *Page {
 	page := &Page{
 		Key:      key,
@@ -160,16 +161,16 @@
 	return page
 }
 
-// MarkFirstWritePending notes that the first write of a page had no answer: it may be executed yet.
-// A late execution could bring the page back after it was deleted, since the compare of a
-// first write, that the key is absent, holds again then. Such a page is therefore emptied
-// instead, for the next leader to delete, which none of this one's writes reaches late.
+// MarkFirstWritePending records that the first write of a page got no response and may still be
+// executed. A late execution could restore the page after its deletion, because the compare of a
+// first write, that the key is absent, then holds again. Such a page is therefore emptied instead
+// of deleted. The next leader deletes it: no late write of this leader executes in the next term.
 func (page *Page) MarkFirstWritePending() { page.firstWritePending = true }
 
-// HasWritable reports whether a record of that id has its place in a page that can be written.
+// HasWritable reports whether the record is in a page that can be written.
 func (p *PagedRecords) HasWritable(id string) bool { return p.writable[id] != nil }
 
-// IDs lists the records of all pages.
+// IDs returns the ids of the records in all pages.
 func (p *PagedRecords) IDs() map[string]bool {
 	ids := map[string]bool{}
 	for _, page := range p.pages {
@@ -180,7 +181,7 @@
 	return ids
 }
 
-// ReadOnlyEntries lists the records of the first page that can only be deleted.
+// ReadOnlyEntries returns the records of the first read-only page that still has any.
 func (p *PagedRecords) ReadOnlyEntries() map[string]json.RawMessage {
 	for _, page := range p.pages {
 		if page.readOnly && len(page.entries) > 0 {
@@ -190,9 +191,9 @@
 	return nil
 }
 
-// MarkTooLarge notes that the store refused a page as too large. It is not written again,
-// and the next ones are half as large. It returns the ids of the records that need another
-// place; none where the page has but one, for which there is no smaller page.
+// MarkTooLarge records that the store rejected a page as too large. The page becomes read-only, and
+// new pages are half as large. It returns the ids of the records that must be put into another
+// page. A page with a single record cannot be split: it stays as it is, and no ids are returned.
 func (p *PagedRecords) MarkTooLarge(page *Page) []string {
 	if len(page.entries) < 2 {
 		return nil
@@ -211,7 +212,8 @@
 	return ids
 }
 
-// DirtyPages lists the pages that differ from what was last taken to be written.
+// DirtyPages returns the pages that differ from their last prepared write and can be written or
+// deleted.
 func (p *PagedRecords) DirtyPages() []*Page {
 	var dirty []*Page
 	for _, page := range p.pages {
@@ -222,9 +224,9 @@
 	return dirty
 }
 
-// PrepareWrite returns the change that stores a page as it is now, its size in bytes, and
-// the ids of its records. A page without records is deleted, unless its first write is
-// still pending (MarkFirstWritePending), and no longer used.
+// PrepareWrite returns the operation that stores the current content of a page, the size in bytes
+// and the ids of its records. An empty page is deleted and discarded, unless its first write may
+// still be executed (MarkFirstWritePending).
 func (p *PagedRecords) PrepareWrite(page *Page) (op Op, bytes int, ids []string) {
 	page.dirty = false
 	if len(page.entries) == 0 && !page.firstWritePending {
@@ -247,8 +249,8 @@
 	}
 }
 
-// DecodeEntries reads the records of a page. Before there were pages, each record had a key of its
-// own: the last part of it is then the id.
+// DecodeEntries decodes the records of a page, by id. Versions without pages stored each record
+// under its own key: prefix and id.
 func DecodeEntries(prefix string, row KeyValue) (map[string]json.RawMessage, error) {
 	var entries map[string]json.RawMessage
 	if err := json.Unmarshal(row.Value, &entries); err == nil {
@@ -261,11 +263,12 @@
 	return map[string]json.RawMessage{strings.TrimPrefix(row.Key, prefix): row.Value}, nil
 }
 
-// machineTypeField is the field of Machine by which a single machine's record differs from a
-// page of them: no machine's id looks like it.
+// machineTypeField is the field of Machine that distinguishes the record of a single machine from a
+// page of machines. It is not a valid machine id.
 const machineTypeField = "rig"
 
-// EncodedSize returns how many bytes a value takes.
+// EncodedSize returns the size of a value's JSON encoding in bytes; math.MaxInt if it cannot be
+// encoded.
 func EncodedSize(value any) int {
 	raw, err := json.Marshal(value)
 	if err != nil {
--- a/internal/records/paged_test.go
+++ b/internal/records/paged_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// storedPages are the pages that a store has, by key.
+// storedPages is the content of a store: pages by key.
 type storedPages map[string]map[string]json.RawMessage
 
-// apply executes a change as the store would.
+// apply executes an operation as the store would.
 func (s storedPages) apply(op Op) {
 	if op.Delete != "" {
 		delete(s, op.Delete)
@@ -22,7 +22,7 @@
 	s[op.Write] = op.Value.(map[string]json.RawMessage)
 }
 
-// uniqueNames returns names that never repeat.
+// uniqueNames returns a function that returns a new name on each call.
 func uniqueNames(prefix string) func() string {
 	n := 0
 	return func() string {
@@ -31,9 +31,8 @@
 	}
 }
 
-// Whatever is put, grown and removed, each record is in just one page, no page
-// exceeds the value size, what the store has after every write is what was
-// put, and names are never used again.
+// After any sequence of puts and removals, each record is in exactly one page, no page exceeds the
+// value size, the store holds what was put, and no page name is reused.
 func TestPagedRecordsKeepEachRecordOnce(t *testing.T) {
 	r := rand.New(rand.NewPCG(7, 8))
 	paged := NewPagedRecords("machines/", 1, uniqueNames("5"))
@@ -71,18 +70,18 @@
 	checkReload(t, store)
 }
 
-// checkWrite checks the size and the name of a page that is written.
+// checkWrite checks the size and the name of a written page.
 func checkWrite(t *testing.T, op Op, bytes int, deleted map[string]bool) {
 	t.Helper()
 	if raw, _ := json.Marshal(op.Value); len(raw) > 1024 || bytes+2 < len(raw) {
-		t.Fatalf("%s takes %d bytes, want at most 1024 and what TakeWrite said: %d", op.Write, len(raw), bytes)
+		t.Fatalf("%s takes %d bytes, want at most 1024 and the size from PrepareWrite: %d", op.Write, len(raw), bytes)
 	}
 	if deleted[op.Write] {
-		t.Fatalf("%s is used again", op.Write)
+		t.Fatalf("page name %s is reused", op.Write)
 	}
 }
 
-// checkStoredOnce checks that the store has each record wanted, in one page.
+// checkStoredOnce checks that the store holds exactly the wanted records, each in one page.
 func checkStoredOnce(t *testing.T, store storedPages, want map[string]string) {
 	t.Helper()
 	got := map[string]string{}
@@ -99,22 +98,22 @@
 	}
 }
 
-// checkReload checks that a later leader reads the pages and goes on with them.
+// checkReload checks that a later leader can load the pages, and that none is dirty then.
 func checkReload(t *testing.T, store storedPages) {
 	t.Helper()
 	paged := NewPagedRecords("machines/", 1, func() string { return "6-1" })
-	held := 0
+	loaded := 0
 	for key, entries := range store {
-		held += len(entries)
+		loaded += len(entries)
 		raw, _ := json.Marshal(entries)
 		paged.Load(key, entries, len(raw))
 	}
-	if len(paged.IDs()) != held || held == 0 || len(paged.DirtyPages()) != 0 {
-		t.Errorf("read %d of %d records, %d pages are dirty, want none", len(paged.IDs()), held, len(paged.DirtyPages()))
+	if len(paged.IDs()) != loaded || loaded == 0 || len(paged.DirtyPages()) != 0 {
+		t.Errorf("read %d of %d records, %d pages are dirty, want none", len(paged.IDs()), loaded, len(paged.DirtyPages()))
 	}
 }
 
-// Records from before there were pages are read as what they are.
+// Single records of versions without pages are decoded as well as pages.
 func TestDecodeEntriesReadsEveryVersion(t *testing.T) {
 	for _, x := range []struct{ prefix, key, value, want string }{
 		{PrefixMachines, "machines/m-000231", `{"addr":"a:1","rig":"c4","site":"a","loaners":true,"stint":2}`, `[m-000231]`},
@@ -132,9 +131,9 @@
 	}
 }
 
-// A page that became too large to be written again is emptied in steps: what it holds is
-// put into others first. Between any two changes every record is in the store, for this
-// version and for an earlier one, which of two records of one id keeps the first.
+// A page that is too large to be written again is emptied in steps: its records are first written to
+// other pages. After each step every record is in the store, also as an earlier version reads it,
+// which keeps the first of two records with the same id.
 func TestOversizedPageIsEmptiedWithoutLoss(t *testing.T) {
 	for _, valueKB := range []float64{1, 2} {
 		t.Run(fmt.Sprintf("%g KiB", valueKB), func(t *testing.T) { emptyOversizedPage(t, valueKB) })
@@ -161,7 +160,7 @@
 	for ; ; steps++ {
 		for id, value := range paged.ReadOnlyEntries() {
 			if !paged.HasWritable(id) && !paged.Put(id, value, len(value)) {
-				t.Fatalf("%s has no place", id)
+				t.Fatalf("%s has outgrown its page", id)
 			}
 		}
 		dirty := paged.DirtyPages()
@@ -188,7 +187,7 @@
 	}
 }
 
-// firstRecords returns the records as a version reads them that keeps the first of each id.
+// firstRecords returns the records as read by a version that keeps the first of each id.
 func (s storedPages) firstRecords() map[string]string {
 	first := map[string]string{}
 	for _, key := range slices.Sorted(maps.Keys(s)) {
@@ -201,13 +200,13 @@
 	return first
 }
 
-// A page that the store refuses as too large is divided.
+// A page that the store rejects as too large is split.
 func TestPageRefusedAsTooLargeIsDivided(t *testing.T) {
-	const acceptedBytes = 1000 // less than the value size that the pages are made for
-	named := 0
+	const acceptedBytes = 1000 // less than the value size of the pages
+	pageCount := 0
 	paged := NewPagedRecords("done/", 4, func() string {
-		named++
-		return fmt.Sprint("1-", named)
+		pageCount++
+		return fmt.Sprint("1-", pageCount)
 	})
 	for i := range 40 {
 		paged.Put(fmt.Sprint("j-", i), fmt.Appendf(nil, "%q", strings.Repeat("x", 60)), 60)
@@ -220,14 +219,14 @@
 		entries := op.Value.(map[string]json.RawMessage)
 		ids := paged.MarkTooLarge(dirty[0])
 		if len(ids) != len(entries) {
-			t.Fatalf("%d records need another place, want %d", len(ids), len(entries))
+			t.Fatalf("%d records need another page, want %d", len(ids), len(entries))
 		}
 		for _, id := range ids {
 			paged.Put(id, entries[id], len(entries[id]))
 		}
 	}
-	if len(paged.IDs()) != 40 || named > 20 {
-		t.Errorf("%d records in %d pages, want 40 in at most 20", len(paged.IDs()), named)
+	if len(paged.IDs()) != 40 || pageCount > 20 {
+		t.Errorf("%d records in %d pages, want 40 in at most 20", len(paged.IDs()), pageCount)
 	}
 }
 
@@ -235,6 +234,6 @@
 	paged := NewPagedRecords("done/", 4, func() string { return "2-1" })
 	paged.Put("j-1", json.RawMessage(`"x"`), 1)
 	if ids := paged.MarkTooLarge(paged.DirtyPages()[0]); ids != nil {
-		t.Errorf("records that need another place: %v, want none", ids)
+		t.Errorf("records that need another page: %v, want none", ids)
 	}
 }
