--- a/internal/finishedtasks/layout.go
+++ b/internal/finishedtasks/layout.go
@@ -1,25 +1,25 @@
 package finishedtasks
 
-// Layout is how the finished tasks of a job are divided into records: into chunks, as earlier versions
-// write them, and these into parts, each of which has a record of its own.
+// Layout defines how the tasks of a job are divided into records: into chunks, for which earlier
+// versions write one record each, and the chunks into parts with one record each.
 type Layout struct {
-	ChunkTasks int // tasks of a chunk
-	PartTasks  int // tasks of a part
+	ChunkTasks int // tasks per chunk
+	PartTasks  int // tasks per part
 }
 
-// PartsPerChunk is how many parts a chunk has.
+// PartsPerChunk returns the number of parts of a chunk.
 func (l Layout) PartsPerChunk() int { return (l.ChunkTasks + l.PartTasks - 1) / l.PartTasks }
 
-// Part is the part that a task belongs to.
+// Part returns the part of a task.
 func (l Layout) Part(task int) int {
 	return task/l.ChunkTasks*l.PartsPerChunk() + task%l.ChunkTasks/l.PartTasks
 }
 
-// chunk is the chunk that a part belongs to.
+// chunk returns the chunk of a part.
 func (l Layout) chunk(part int) int { return part / l.PartsPerChunk() }
 
-// span returns the chunk of a part, and where in it the part begins and ends, for a job of so many
-// tasks.
+// span returns the chunk of a part and the half-open range [from, to) of the part within the chunk,
+// for a job with the given number of tasks.
 func (l Layout) span(part, tasks int) (chunk, from, to int) {
 	chunk = l.chunk(part)
 	from = part % l.PartsPerChunk() * l.PartTasks
--- a/internal/finishedtasks/layout_test.go
+++ b/internal/finishedtasks/layout_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Every task is in the span of its part, and parts do not overlap.
+// Every task is within the span of its part.
 func TestTasksAreInTheSpanOfTheirPart(t *testing.T) {
 	for _, l := range []Layout{{2048, 2048}, {2048, 614}, {100, 7}} {
 		const tasks = 5000
