--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -1,12 +1,12 @@
-// Package quota accounts for the resources that teams use. The account follows the events
-// that change it: every attempt has one charge, and a change of the attempt replaces that
-// charge by another. What a team uses is then read from the account in time that depends on how many
-// sizes of task the team has, not on how many attempts or machines there are.
+// Package quota accounts for the resources that teams use. The account is updated incrementally:
+// each attempt has one charge, and a change of the attempt replaces its charge. Reading the usage
+// of a team takes time proportional to the number of distinct task sizes of the team, not to the
+// number of attempts or machines.
 //
 // The package is pure: no I/O, no clock.
 package quota
 
-// Amount is what quotas are stated in. Memory has no quota.
+// Amount is an amount of the resources that have quotas. Memory has none.
 type Amount struct {
 	CPUs float64
 	GPUs float64
@@ -23,28 +23,28 @@
 	return Amount{a.CPUs + float64(n)*size.CPUs, a.GPUs + float64(n)*size.GPUs}
 }
 
-// Phase is how far the attempt that a charge is for has come.
+// Phase is the phase of the attempt that a charge is for.
 type Phase uint8
 
-// Phases. A charge of phase None counts for nothing.
+// Phases. A charge of phase None counts as zero.
 const (
 	None     Phase = iota
-	Planned        // chosen for a machine, and nothing was sent
+	Planned        // assigned to a machine; nothing was sent yet
 	Present        // may be on its machine
-	Stopping       // may be on its machine, and was requested to stop
+	Stopping       // may be on its machine, and has been requested to stop
 
-	numPhases = iota // how many there are
+	numPhases = iota // number of phases
 )
 
-// Charge is what one attempt counts for. The zero Charge counts for nothing.
+// Charge is what one attempt counts for. The zero Charge counts as zero.
 type Charge struct {
 	Phase  Phase
-	Shared bool   // the owner is not known, so that it counts for every team
-	Team   string // the owner, unless it is shared
-	Size   Amount // of the attempt's task
+	Shared bool   // the owner is unknown: it counts for every team
+	Team   string // the owner; ignored if Shared
+	Size   Amount // resources of the attempt's task
 }
 
-// Account holds the sums of all charges. It is not for concurrent use.
+// Account holds the sums of all charges. It is not safe for concurrent use.
 type Account struct {
 	teams  map[string]*phaseCounts
 	shared phaseCounts
@@ -53,13 +53,13 @@
 // phaseCounts counts charges by phase and size.
 type phaseCounts [numPhases]sizeCounts
 
-// sizeCounts counts charges by size, and keeps their sum until they change. The counts are
-// integers: a running sum of decimal amounts would drift as charges come and go, and never be
-// zero again.
+// sizeCounts counts charges by size and caches their sum until a count changes. The counts are
+// integers, since a running sum of decimal amounts accumulates rounding errors and does not return
+// to zero.
 type sizeCounts struct {
 	counts   map[Amount]int
-	sum      Amount // of all charges, unless they changed
-	sumStale bool   // since the sum was made
+	sum      Amount // of all charges; valid unless sumStale
+	sumStale bool   // a count has changed since sum was computed
 }
 
 func (s *sizeCounts) add(size Amount, n int) {
@@ -86,7 +86,7 @@
 // NewAccount returns an account without charges.
 func NewAccount() *Account { return &Account{teams: map[string]*phaseCounts{}} }
 
-// Replace takes one charge out of the account and puts another one in.
+// Replace removes the charge old from the account and adds the charge next.
 func (a *Account) Replace(old, next Charge) {
 	if old == next {
 		return
@@ -95,7 +95,7 @@
 	a.add(next, 1)
 }
 
-// add counts a charge n times more.
+// add adds n, which may be negative, to the count of a charge.
 func (a *Account) add(charge Charge, n int) {
 	if charge.Phase == None {
 		return
@@ -117,37 +117,37 @@
 }
 
 // addPhases adds the charges of some phases to an amount.
-func (c *phaseCounts) addPhases(amount Amount, of ...Phase) Amount {
+func (c *phaseCounts) addPhases(amount Amount, phases ...Phase) Amount {
 	if c == nil {
 		return amount
 	}
-	for _, phase := range of {
+	for _, phase := range phases {
 		amount = amount.Add(c[phase].total())
 	}
 	return amount
 }
 
-// InUse is what a team's attempts use that may be on machines, together with all that is shared.
+// InUse returns the usage of a team's attempts that may be on machines, plus all shared charges.
 func (a *Account) InUse(team string) Amount {
 	return a.sum(team, Present, Stopping)
 }
 
-// Committed is what is in use and what is planned.
+// Committed returns InUse plus the charges of planned attempts.
 func (a *Account) Committed(team string) Amount {
 	return a.sum(team, Planned, Present, Stopping)
 }
 
-// sum adds up the charges of some phases: the shared ones, then the team's.
-func (a *Account) sum(team string, of ...Phase) Amount {
-	return a.teams[team].addPhases(a.shared.addPhases(Amount{}, of...), of...)
+// sum returns the sum of the shared charges and the team's charges in some phases.
+func (a *Account) sum(team string, phases ...Phase) Amount {
+	return a.teams[team].addPhases(a.shared.addPhases(Amount{}, phases...), phases...)
 }
 
-// NotStopping is what is in use by a team's own attempts that were not requested to stop.
+// NotStopping returns the usage of a team's own attempts that have not been requested to stop.
 func (a *Account) NotStopping(team string) Amount {
 	return a.teams[team].addPhases(Amount{}, Present)
 }
 
-// Empty reports whether nothing is charged to anybody.
+// Empty reports whether the account holds no charges.
 func (a *Account) Empty() bool {
 	for _, counts := range a.teams {
 		if !counts.empty() {
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever charges come and go, the account equals the sum over all attempts, and is empty without any.
+// After any sequence of changes, the account equals the sum over all charges; without charges it is
+// empty.
 func TestAccountEqualsSumOfCharges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		account, charges := NewAccount(), make([]Charge, 8)
@@ -39,12 +40,12 @@
 	}
 }
 
-// sum adds up the charges of a team in some phases, with the shared ones or without. The sizes are
-// multiples of a quarter, so that no rounding depends on the order.
-func sum(charges []Charge, team string, withShared bool, of ...Phase) Amount {
+// sum returns the sum of a team's charges in some phases, with or without the shared charges. All
+// sizes are multiples of 1/4, so that the sums are exact in any order.
+func sum(charges []Charge, team string, withShared bool, phases ...Phase) Amount {
 	var total Amount
 	for _, charge := range charges {
-		for _, phase := range of {
+		for _, phase := range phases {
 			if charge.Phase == phase && (charge.Shared && withShared || !charge.Shared && charge.Team == team) {
 				total = total.Add(charge.Size)
 			}
--- a/internal/quota/example_test.go
+++ b/internal/quota/example_test.go
@@ -6,7 +6,8 @@
 	"drumpick/internal/quota"
 )
 
-// An attempt is charged as planned first; its charge is replaced as it starts, and taken out as it ends.
+// An attempt is first charged as planned. Its charge is replaced when it starts, and removed when it
+// ends.
 func ExampleAccount() {
 	account := quota.NewAccount()
 	size := quota.Amount{CPUs: 4, GPUs: 1}
