--- a/internal/fairshare/account.go
+++ b/internal/fairshare/account.go
@@ -1,6 +1,5 @@
-// Package fairshare decides what teams' guarantees mean for who goes first: which jobs are
-// entitled to their room, which of them can still start in time, and which machine types are too
-// scarce for them.
+// Package fairshare evaluates the guarantees of teams: which jobs are entitled to their resources,
+// which of them can still start in time, and which machine types have a shortage for them.
 //
 // The package is pure: no I/O, no clock.
 package fairshare
@@ -12,33 +11,35 @@
 	"drumpick/internal/packing"
 )
 
-// eps absorbs the rounding of decimal amounts that were added up.
+// eps absorbs the rounding errors of sums of decimal amounts.
 const eps = 1e-9
 
-// HasGuarantee reports whether a team is guaranteed anything.
+// HasGuarantee reports whether a team has a guarantee for any resource.
 func HasGuarantee(t config.Team) bool { return t.GuaranteedCPUs > 0 || t.GuaranteedGPUs > 0 }
 
-// Account adds up, by team, what unfinished jobs take of what their team is guaranteed.
+// Account sums the resources of unfinished jobs by team and compares them with the team's
+// guarantee.
 type Account struct {
 	teams     map[string]config.Team
 	onlyNamed bool // see NewAccount
 	charged   map[string]packing.Resources
 }
 
-// NewAccount returns an account without jobs. With onlyNamed, a guarantee does not concern
-// the resource that it does not name, CPUs or GPUs. Otherwise a team that is guaranteed no GPUs has
-// none of its own: a job that takes some is outside of the guarantee, with all that come after it.
+// NewAccount returns an account without jobs. With onlyNamed, a guarantee covers only the resources
+// it names; usage of any other resource does not count against it. Otherwise a resource that is
+// not named is guaranteed at 0: a job that requests GPUs of a team without guaranteed GPUs exceeds
+// the guarantee, and so do all later jobs of the team.
 func NewAccount(teams map[string]config.Team, onlyNamed bool) *Account {
 	return &Account{teams: teams, onlyNamed: onlyNamed, charged: map[string]packing.Resources{}}
 }
 
-// Charge adds the unfinished tasks of a job, n of size each, to its team's sum. Jobs must be charged in
-// the order of their acceptance.
+// Charge adds the n unfinished tasks of a job, each of the given size, to its team's sum. Jobs must
+// be charged in the order of their acceptance.
 //
-// entitled reports whether the job is entitled to its room, since all of its team's jobs up to
-// this one fit into the guarantee. mayPreempt reports whether it holds that room against
-// others, and may have them preempted for it: a job that takes of a resource which is not guaranteed
-// goes first, but takes nobody's place.
+// entitled reports whether the job is entitled to its resources: the team's jobs up to and
+// including this one fit into the guarantee. mayPreempt reports whether other tasks may be
+// preempted for it. An entitled job that also requests a resource that is not guaranteed is placed
+// first, but preempts nothing.
 func (a *Account) Charge(team string, n int, size packing.Resources) (entitled, mayPreempt bool) {
 	t := a.teams[team]
 	if !HasGuarantee(t) {
@@ -57,9 +58,9 @@
 	return entitled, mayPreempt
 }
 
-// CanStartInTime reports whether a job that is entitled to its room, and has waited for age, can still
-// start within the time that users expect of such jobs, after a heartbeat and the fetch of its
-// image. With within 0 nothing is expected.
+// CanStartInTime reports whether an entitled job that has waited for age can still start within its
+// target time, given one heartbeat interval and the fetch of its image. If within is 0, there is no
+// target and the result is false.
 func CanStartInTime(within, age, heartbeatInterval, fetch time.Duration) bool {
 	return within > 0 && age+heartbeatInterval+fetch < within
 }
--- a/internal/fairshare/account_test.go
+++ b/internal/fairshare/account_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// What jobs are entitled to never adds up to more than was guaranteed, in any resource that is named;
-// what may preempt takes of no other resource; and a job once left out of a guarantee does not
-// come in by another that is charged after it.
+// The entitled jobs of a team never exceed its guarantee in any named resource. A job that may
+// preempt requests no other resource. After a job that exceeds the guarantee, no later job of the
+// team is entitled.
 func TestEntitledWithinGuarantee(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		team := config.Team{
--- a/internal/fairshare/shortage.go
+++ b/internal/fairshare/shortage.go
@@ -2,22 +2,20 @@
 
 import "time"
 
-// ShortageTracker remembers for which machine types there were too few on-demand machines, which the
-// cloud does not preempt, for jobs of teams with a guarantee that may use no others.
+// ShortageTracker tracks the machine types that lack on-demand machines, which the cloud does not
+// preempt, for jobs of teams with a guarantee that may not use spot machines.
 type ShortageTracker struct {
-	lastShortage map[string]time.Time // when such a job last found no room, by machine type
+	last map[string]time.Time // when such a job last had no placement, by machine type
 }
 
-// NewShortageTracker returns a tracker that has seen no shortage.
-func NewShortageTracker() *ShortageTracker {
-	return &ShortageTracker{lastShortage: map[string]time.Time{}}
-}
+// NewShortageTracker returns a tracker without shortages.
+func NewShortageTracker() *ShortageTracker { return &ShortageTracker{last: map[string]time.Time{}} }
 
-// RecordShortage notes a job that found no room on on-demand machines of a type.
-func (s *ShortageTracker) RecordShortage(typ string, now time.Time) { s.lastShortage[typ] = now }
+// RecordShortage records that a job had no placement on the on-demand machines of a type.
+func (s *ShortageTracker) RecordShortage(typ string, now time.Time) { s.last[typ] = now }
 
-// ShortageWithin reports whether such a job found no room within a span of time up to now.
+// ShortageWithin reports whether a shortage of the type was recorded less than span ago.
 func (s *ShortageTracker) ShortageWithin(typ string, span time.Duration, now time.Time) bool {
-	last, ok := s.lastShortage[typ]
+	last, ok := s.last[typ]
 	return ok && now.Sub(last) < span
 }
--- a/internal/fairshare/shortage_test.go
+++ b/internal/fairshare/shortage_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A shortage counts for a span of time after it was noted, for its machine type only.
+// A shortage counts for the span after it was recorded, for its machine type only.
 func TestShortageWithin(t *testing.T) {
-	noted := time.Unix(1_000_000, 0)
+	recordedAt := time.Unix(1_000_000, 0)
 	tracker := NewShortageTracker()
-	tracker.RecordShortage("g8", noted)
+	tracker.RecordShortage("g8", recordedAt)
 	for _, test := range []struct {
 		machineType string
 		after       time.Duration
@@ -20,14 +20,14 @@
 		{"g8", time.Minute, false},
 		{"c4", 0, false},
 	} {
-		if got := tracker.ShortageWithin(test.machineType, time.Minute, noted.Add(test.after)); got != test.want {
+		if got := tracker.ShortageWithin(test.machineType, time.Minute, recordedAt.Add(test.after)); got != test.want {
 			t.Errorf("shortage of %s %v later: %v, want %v", test.machineType, test.after, got, test.want)
 		}
 	}
 }
 
-// A job can start in time while its wait, a heartbeat interval and the fetch are less than what users
-// expect; where nothing is expected, no job is said to.
+// A job can start in time while its wait, a heartbeat interval and the image fetch add up to less
+// than the target; without a target, no job can.
 func TestCanStartInTime(t *testing.T) {
 	const within, heartbeatInterval, fetch = 60 * time.Second, 5 * time.Second, 15 * time.Second
 	if !CanStartInTime(within, 39*time.Second, heartbeatInterval, fetch) {
@@ -37,6 +37,6 @@
 		t.Error("can start in time after 40s, want that it cannot")
 	}
 	if CanStartInTime(0, 0, 0, 0) {
-		t.Error("can start in time though nothing is expected")
+		t.Error("can start in time without a target, want that it cannot")
 	}
 }
