--- a/internal/goldentest/exchange.go
+++ b/internal/goldentest/exchange.go
@@ -14,26 +14,26 @@
 
 // Exchange is an HTTP request and its answer, as a golden file has them.
 type Exchange struct {
-	Method      string          `json:"method"`
-	URI         string          `json:"uri"`
-	ContentType string          `json:"content_type,omitempty"`
-	Request     json.RawMessage `json:"request,omitempty"`
-	Status      int             `json:"status"`
-	AnswerType  string          `json:"answer_type,omitempty"` // the answer's Content-Type
-	RetryAfter  string          `json:"retry_after,omitempty"` // the answer's Retry-After
-	Answer      json.RawMessage `json:"answer,omitempty"`
+	Method       string          `json:"method"`
+	URI          string          `json:"uri"`
+	RequestType  string          `json:"content_type,omitempty"`
+	Request      json.RawMessage `json:"request,omitempty"`
+	Status       int             `json:"status"`
+	ResponseType string          `json:"answer_type,omitempty"` // the answer's Content-Type
+	RetryAfter   string          `json:"retry_after,omitempty"` // the answer's Retry-After
+	Response     json.RawMessage `json:"answer,omitempty"`
 }
 
-// msgpackType is the content type of bodies that stand in a golden file as hexadecimal text.
-const msgpackType = "application/msgpack"
+// msgpackContentType is the content type of bodies that stand in a golden file as hexadecimal text.
+const msgpackContentType = "application/msgpack"
 
-// body returns a body as an Exchange has it: what is no JSON stands as text.
-func body(raw []byte, contentType string) json.RawMessage {
+// encodeBody returns a body as an Exchange has it: what is no JSON stands as text.
+func encodeBody(raw []byte, contentType string) json.RawMessage {
 	var compact bytes.Buffer
 	if len(raw) == 0 {
 		return nil
 	}
-	if contentType == msgpackType {
+	if contentType == msgpackContentType {
 		return fmt.Appendf(nil, "%q", hex.EncodeToString(raw))
 	}
 	if json.Compact(&compact, raw) == nil && bytes.Equal(compact.Bytes(), raw) {
@@ -70,22 +70,22 @@
 	f.Check(t, name, bytes.TrimSpace(out.Bytes()), true)
 }
 
-// Peer is the server of a client under test. It answers each request with the answer that is prepared, and keeps the
+// FakeServer is the server of a client under test. It answers each request with the answer that is prepared, and keeps the
 // exchange.
-type Peer struct {
+type FakeServer struct {
 	Addr string
 	// Forward, where set, gives the answers in place of those that are prepared.
 	Forward func(*http.Request) (*http.Response, error)
 
-	mu       sync.Mutex
-	prepared []Exchange
-	got      []Exchange
+	mu        sync.Mutex
+	queued    []Exchange
+	exchanges []Exchange
 }
 
-// NewPeer starts a server that ends with the test.
-func NewPeer(t *testing.T) *Peer {
+// NewFakeServer starts a server that ends with the test.
+func NewFakeServer(t *testing.T) *FakeServer {
 	t.Helper()
-	p := &Peer{}
+	p := &FakeServer{}
 	s := httptest.NewServer(http.HandlerFunc(p.serve))
 	t.Cleanup(s.Close)
 	p.Addr = s.Listener.Addr().String()
@@ -93,7 +93,7 @@
 }
 
 // serve answers with what is prepared, or with what Forward returns.
-func (p *Peer) serve(w http.ResponseWriter, r *http.Request) {
+func (p *FakeServer) serve(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body) // a request that is cut off shows in its body
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,17 +102,17 @@
 		return
 	}
 	x := Exchange{Status: http.StatusInternalServerError}
-	if n := len(p.got); n < len(p.prepared) {
-		x.Status, x.Answer = p.prepared[n].Status, p.prepared[n].Answer
+	if n := len(p.exchanges); n < len(p.queued) {
+		x.Status, x.Response = p.queued[n].Status, p.queued[n].Response
 	}
-	x.Method, x.URI, x.ContentType, x.Request = r.Method, r.RequestURI, r.Header.Get("Content-Type"), body(raw, "")
-	p.got = append(p.got, x)
+	x.Method, x.URI, x.RequestType, x.Request = r.Method, r.RequestURI, r.Header.Get("Content-Type"), encodeBody(raw, "")
+	p.exchanges = append(p.exchanges, x)
 	w.WriteHeader(x.Status)
-	_, _ = w.Write(x.Answer)
+	_, _ = w.Write(x.Response)
 }
 
 // forwardLocked answers with what Forward returns.
-func (p *Peer) forwardLocked(w http.ResponseWriter, r *http.Request, raw []byte) {
+func (p *FakeServer) forwardLocked(w http.ResponseWriter, r *http.Request, raw []byte) {
 	r.Body = io.NopCloser(bytes.NewReader(raw))
 	resp, err := p.Forward(r)
 	if err != nil {
@@ -122,33 +122,33 @@
 	defer resp.Body.Close()
 	answer, _ := io.ReadAll(resp.Body) // an answer that is cut off shows in its body
 	kind, answerKind := r.Header.Get("Content-Type"), resp.Header.Get("Content-Type")
-	p.got = append(p.got, Exchange{
-		Method: r.Method, URI: r.RequestURI, ContentType: kind, Request: body(raw, kind),
-		Status: resp.StatusCode, AnswerType: answerKind, Answer: body(answer, answerKind),
+	p.exchanges = append(p.exchanges, Exchange{
+		Method: r.Method, URI: r.RequestURI, RequestType: kind, Request: encodeBody(raw, kind),
+		Status: resp.StatusCode, ResponseType: answerKind, Response: encodeBody(answer, answerKind),
 	})
 	w.Header().Set("Content-Type", answerKind)
 	w.WriteHeader(resp.StatusCode)
 	_, _ = w.Write(answer)
 }
 
-// Answer prepares an answer: a status and a body.
-func (p *Peer) Answer(status int, text string) {
+// QueueResponse prepares an answer: a status and a body.
+func (p *FakeServer) QueueResponse(status int, text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.prepared = append(p.prepared, Exchange{Status: status, Answer: json.RawMessage(text)})
+	p.queued = append(p.queued, Exchange{Status: status, Response: json.RawMessage(text)})
 }
 
-// Exchanges returns what was asked and answered since the last call.
-func (p *Peer) Exchanges() []Exchange {
+// TakeExchanges returns what was asked and answered since the last call.
+func (p *FakeServer) TakeExchanges() []Exchange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	got := p.got
-	p.got, p.prepared = nil, nil
+	got := p.exchanges
+	p.exchanges, p.queued = nil, nil
 	return got
 }
 
-// Do sends a request to a handler's test function and returns the exchange.
-func Do(t *testing.T, test func(*http.Request) (*http.Response, error), method, uri, text string) Exchange {
+// DoRequest sends a request to a handler's test function and returns the exchange.
+func DoRequest(t *testing.T, test func(*http.Request) (*http.Response, error), method, uri, text string) Exchange {
 	t.Helper()
 	req := httptest.NewRequest(method, uri, bytes.NewBufferString(text))
 	resp, err := test(req)
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	return Exchange{
-		Method: method, URI: uri, Request: body([]byte(text), ""), Status: resp.StatusCode,
-		AnswerType: resp.Header.Get("Content-Type"), RetryAfter: resp.Header.Get("Retry-After"), Answer: body(raw, ""),
+		Method: method, URI: uri, Request: encodeBody([]byte(text), ""), Status: resp.StatusCode,
+		ResponseType: resp.Header.Get("Content-Type"), RetryAfter: resp.Header.Get("Retry-After"), Response: encodeBody(raw, ""),
 	}
 }
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -97,7 +97,7 @@
 func (f *File) Check(t *testing.T, name string, got []byte, isJSON bool) []byte {
 	t.Helper()
 	if *update {
-		f.set(t, name, got, isJSON)
+		f.setEntry(t, name, got, isJSON)
 	}
 	want := f.Bytes(t, name, isJSON)
 	if !bytes.Equal(got, want) {
@@ -110,8 +110,8 @@
 	return want
 }
 
-// set puts a form into the file that is written.
-func (f *File) set(t *testing.T, name string, got []byte, isJSON bool) {
+// setEntry puts a form into the file that is written.
+func (f *File) setEntry(t *testing.T, name string, got []byte, isJSON bool) {
 	t.Helper()
 	if f.checked[name] {
 		t.Errorf("%s: two forms are named %q", f.path, name)
@@ -167,9 +167,9 @@
 
 // Directions of a form.
 const (
-	Both    Direction = iota
-	Read              // the code only reads it
-	Written           // the code only writes it
+	ReadWrite Direction = iota
+	ReadOnly            // the code only reads it
+	WriteOnly           // the code only writes it
 )
 
 // Case is a form and a value of it in which every field is set.
@@ -177,8 +177,8 @@
 	Name      string
 	Value     any
 	Direction Direction
-	// Unset says that the value leaves fields unset on purpose: another case sets them all.
-	Unset bool
+	// AllowUnset says that the value leaves fields unset on purpose: another case sets them all.
+	AllowUnset bool
 }
 
 // Run compares each case with its entry of a golden file, in a subtest of its own: the value
@@ -189,13 +189,13 @@
 	f := Open(t, file)
 	for _, x := range cases {
 		t.Run(x.Name, func(t *testing.T) {
-			if !x.Unset {
-				for _, field := range Unset(x.Value, c.Tag) {
+			if !x.AllowUnset {
+				for _, field := range UnsetFields(x.Value, c.Tag) {
 					t.Errorf("the value of the test leaves the field %s unset", field)
 				}
 			}
 			f.compare(t, c, x, x.Name, x.Value)
-			if v := reflect.ValueOf(x.Value); v.Kind() == reflect.Struct && !x.Unset && x.Direction != Read {
+			if v := reflect.ValueOf(x.Value); v.Kind() == reflect.Struct && !x.AllowUnset && x.Direction != ReadOnly {
 				f.compare(t, c, x, x.Name+", zero", reflect.Zero(v.Type()).Interface())
 			}
 		})
@@ -207,7 +207,7 @@
 	t.Helper()
 	isJSON := c.Tag == "json"
 	var golden []byte
-	if x.Direction == Read && !*update {
+	if x.Direction == ReadOnly && !*update {
 		golden = f.Bytes(t, name, isJSON)
 	} else {
 		got, err := c.Encode(value)
@@ -216,7 +216,7 @@
 		}
 		golden = f.Check(t, name, got, isJSON)
 	}
-	if x.Direction == Written {
+	if x.Direction == WriteOnly {
 		return
 	}
 	to := reflect.New(reflect.TypeOf(value))
@@ -227,14 +227,14 @@
 	}
 }
 
-// Unset lists the exported fields of a value, and of all that is in it, that are zero or empty. A field that the tag
+// UnsetFields lists the exported fields of a value, and of all that is in it, that are zero or empty. A field that the tag
 // leaves out ("-") is not among them.
-func Unset(v any, tag string) []string {
-	return unset(reflect.ValueOf(v), tag, "")
+func UnsetFields(v any, tag string) []string {
+	return unsetFieldsAt(reflect.ValueOf(v), tag, "")
 }
 
-// unset lists the unset fields of a value that is found at a path.
-func unset(v reflect.Value, tag, at string) []string {
+// unsetFieldsAt lists the unset fields of a value that is found at a path.
+func unsetFieldsAt(v reflect.Value, tag, at string) []string {
 	if !v.IsValid() || v.IsZero() {
 		return []string{at}
 	}
@@ -242,7 +242,7 @@
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if v.Elem().Kind() == reflect.Struct {
-			return unset(v.Elem(), tag, at)
+			return unsetFieldsAt(v.Elem(), tag, at)
 		}
 	case reflect.Struct:
 		for _, field := range reflect.VisibleFields(v.Type()) {
@@ -250,7 +250,7 @@
 			if field.Anonymous || !field.IsExported() || name == "-" {
 				continue
 			}
-			all = append(all, unset(v.FieldByIndex(field.Index), tag, at+"."+field.Name)...)
+			all = append(all, unsetFieldsAt(v.FieldByIndex(field.Index), tag, at+"."+field.Name)...)
 		}
 	case reflect.Slice, reflect.Array:
 		if v.Len() == 0 {
@@ -260,14 +260,14 @@
 			if v.Index(i).Kind() == reflect.Uint8 {
 				break // a zero byte is as good as another
 			}
-			all = append(all, unset(v.Index(i), tag, fmt.Sprintf("%s[%d]", at, i))...)
+			all = append(all, unsetFieldsAt(v.Index(i), tag, fmt.Sprintf("%s[%d]", at, i))...)
 		}
 	case reflect.Map:
 		if v.Len() == 0 {
 			return []string{at}
 		}
 		for _, key := range v.MapKeys() {
-			all = append(all, unset(v.MapIndex(key), tag, fmt.Sprintf("%s[%v]", at, key))...)
+			all = append(all, unsetFieldsAt(v.MapIndex(key), tag, fmt.Sprintf("%s[%v]", at, key))...)
 		}
 	}
 	return all
--- a/internal/goldentest/golden_test.go
+++ b/internal/goldentest/golden_test.go
@@ -23,11 +23,11 @@
 	zero := 0.0
 	full := inner{1, "x"}
 	v := outer{inner: full, P: &full, F: &zero, L: []inner{full}, M: map[string]inner{"k": full}, B: []byte{0}}
-	if got := Unset(v, "json"); len(got) != 0 {
+	if got := UnsetFields(v, "json"); len(got) != 0 {
 		t.Errorf("of a value that is set: %v", got)
 	}
 	v = outer{inner: inner{S: "x"}, P: &inner{N: 1}, L: []inner{full, {N: 2}}, M: map[string]inner{"k": {S: "y"}}}
-	if got, want := Unset(v, "json"), []string{".N", ".P.S", ".F", ".L[1].S", ".M[k].N", ".B"}; !slices.Equal(got, want) {
+	if got, want := UnsetFields(v, "json"), []string{".N", ".P.S", ".F", ".L[1].S", ".M[k].N", ".B"}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -13,8 +13,8 @@
 
 const (
 	jsonType = "application/json"
-	// idleTime is how long an unused connection is kept.
-	idleTime = time.Minute
+	// idleTimeout is how long an unused connection is kept.
+	idleTimeout = time.Minute
 	// bufferBytes is the size of a connection's read and write buffers: there are many
 	// connections, and most messages are small.
 	bufferBytes = 4096
@@ -36,7 +36,7 @@
 	return &Client{host: &fasthttp.HostClient{
 		Addr:                      addr,
 		MaxConns:                  maxConns,
-		MaxIdleConnDuration:       idleTime,
+		MaxIdleConnDuration:       idleTimeout,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                neverRetry,
 		NoDefaultUserAgentHeader:  true,
@@ -102,8 +102,8 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// JSON sends a request whose body, unless it is nil, is written as JSON.
-func (c *Client) JSON(method, uri string, body any, deadline time.Time) (int, []byte, error) {
+// DoJSON sends a request whose body, unless it is nil, is written as DoJSON.
+func (c *Client) DoJSON(method, uri string, body any, deadline time.Time) (int, []byte, error) {
 	var raw []byte
 	if body != nil {
 		var err error
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -12,7 +12,7 @@
 
 const testTimeout = 5 * time.Second
 
-func TestJSONSendsBodyAndReadsAnswer(t *testing.T) {
+func TestDoJSONSendsBodyAndReadsResponse(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.WriteHeader(http.StatusCreated)
@@ -20,7 +20,7 @@
 	}))
 	defer server.Close()
 	client := New(strings.TrimPrefix(server.URL, "http://"), 1, testTimeout)
-	status, body, err := client.JSON("POST", "/a?b=c", map[string]int{"n": 1}, time.Now().Add(testTimeout))
+	status, body, err := client.DoJSON("POST", "/a?b=c", map[string]int{"n": 1}, time.Now().Add(testTimeout))
 	if want := `POST /a?b=c application/json {"n":1}`; err != nil || status != http.StatusCreated || string(body) != want {
 		t.Errorf("got %d %s, %v, want 201 %s", status, body, err, want)
 	}
--- a/internal/jobspec/golden_test.go
+++ b/internal/jobspec/golden_test.go
@@ -19,7 +19,7 @@
 	if err != nil || len(jobs) != 2 {
 		t.Fatalf("%d jobs, %v", len(jobs), err)
 	}
-	if unset := goldentest.Unset(jobs[1], "json"); len(unset) > 0 {
+	if unset := goldentest.UnsetFields(jobs[1], "json"); len(unset) > 0 {
 		t.Errorf("the file of the test leaves %v unset", unset)
 	}
 	f := goldentest.Open(t, "golden-jobs.json")
--- a/internal/jobspec/jobspec.go
+++ b/internal/jobspec/jobspec.go
@@ -42,28 +42,28 @@
 
 // fileJob is a job as its file has it. Amounts are per task, times in seconds.
 type fileJob struct {
-	ID          string   `yaml:"id"`
-	Name        string   `yaml:"name"` // by which other jobs of the file depend on it
-	Class       string   `yaml:"class"`
-	Team        string   `yaml:"team"`
-	Shape       string   `yaml:"shape"`
-	Priority    string   `yaml:"priority"`
-	Tasks       int      `yaml:"tasks"`
-	CPUs        float64  `yaml:"cpus"`
-	GPUs        float64  `yaml:"gpus"`
-	MemGB       float64  `yaml:"mem_gb"`
-	Image       string   `yaml:"image"`
-	ImageGB     float64  `yaml:"image_gb"`
-	Types       []string `yaml:"types"`
-	Zone        *string  `yaml:"zone"`
-	OneZone     bool     `yaml:"one_zone"`
-	Apart       bool     `yaml:"apart"`
-	Spot        bool     `yaml:"spot"`
-	EstimateS   float64  `yaml:"estimate_s"`
-	CheckpointS float64  `yaml:"checkpoint_s"`
-	SaveS       float64  `yaml:"save_s"`
-	DeadlineS   *float64 `yaml:"deadline_s"`
-	Needs       []string `yaml:"needs"`
+	ID           string   `yaml:"id"`
+	Name         string   `yaml:"name"` // by which other jobs of the file depend on it
+	Class        string   `yaml:"class"`
+	Team         string   `yaml:"team"`
+	Shape        string   `yaml:"shape"`
+	Priority     string   `yaml:"priority"`
+	Tasks        int      `yaml:"tasks"`
+	CPUs         float64  `yaml:"cpus"`
+	GPUs         float64  `yaml:"gpus"`
+	MemGB        float64  `yaml:"mem_gb"`
+	Image        string   `yaml:"image"`
+	ImageGB      float64  `yaml:"image_gb"`
+	Types        []string `yaml:"types"`
+	Zone         *string  `yaml:"zone"`
+	OneZone      bool     `yaml:"one_zone"`
+	SpreadZones  bool     `yaml:"apart"`
+	Spot         bool     `yaml:"spot"`
+	EstimateS    float64  `yaml:"estimate_s"`
+	CheckpointS  float64  `yaml:"checkpoint_s"`
+	SaveS        float64  `yaml:"save_s"`
+	DeadlineS    *float64 `yaml:"deadline_s"`
+	Dependencies []string `yaml:"needs"`
 }
 
 // NamedJob is a job with the name that it has in its file.
@@ -149,7 +149,7 @@
 	if j.ID == "" {
 		j.ID = newID()
 	}
-	dependencies, err := dependenciesOf(n, j, ids)
+	dependencies, err := resolveDependencies(n, j, ids)
 	if err != nil {
 		return NamedJob{}, err
 	}
@@ -162,18 +162,18 @@
 	return NamedJob{j.Name, client.Job{
 		ID: j.ID, Class: j.Class, Team: j.Team, Shape: j.Shape, Priority: j.Priority, Tasks: j.Tasks,
 		CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image, ImageGB: j.ImageGB, Types: j.Types, Zone: j.Zone,
-		OneZone: j.OneZone, Apart: j.Apart, Spot: j.Spot, EstimateS: j.EstimateS, CheckpointS: j.CheckpointS,
-		SaveS: j.SaveS, DeadlineS: j.DeadlineS, Needs: dependencies,
+		OneZone: j.OneZone, SpreadZones: j.SpreadZones, Spot: j.Spot, EstimateS: j.EstimateS, CheckpointS: j.CheckpointS,
+		SaveS: j.SaveS, DeadlineS: j.DeadlineS, Dependencies: dependencies,
 	}}, nil
 }
 
 // idPrefix begins the ids of jobs.
 const idPrefix = "j-"
 
-// dependenciesOf returns the ids of the jobs that a job depends on, which the file gives by name or id.
-func dependenciesOf(n *yaml.Node, j fileJob, ids map[string]string) ([]string, error) {
+// resolveDependencies returns the ids of the jobs that a job depends on, which the file gives by name or id.
+func resolveDependencies(n *yaml.Node, j fileJob, ids map[string]string) ([]string, error) {
 	var dependencies []string
-	for _, name := range j.Needs {
+	for _, name := range j.Dependencies {
 		id, ok := ids[name]
 		if !ok {
 			if !strings.HasPrefix(name, idPrefix) {
@@ -186,7 +186,7 @@
 	return dependencies, nil
 }
 
-var english = message.NewPrinter(language.English)
+var englishPrinter = message.NewPrinter(language.English)
 
 // validate checks a job by the schema. Errors name the line and the field.
 func validate(n *yaml.Node) error {
@@ -210,11 +210,11 @@
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
-	return describe(n, invalid)
+	return validationError(n, invalid)
 }
 
-// describe returns what is wrong with a job, with the line and the field.
-func describe(n *yaml.Node, invalid *jsonschema.ValidationError) error {
+// validationError returns what is wrong with a job, with the line and the field.
+func validationError(n *yaml.Node, invalid *jsonschema.ValidationError) error {
 	at, where := n, ""
 	for _, step := range invalid.InstanceLocation {
 		if next := fieldOf(at, step); at.Kind == yaml.MappingNode && next != nil {
@@ -230,5 +230,5 @@
 		}
 		return fmt.Errorf("line %d: %s is no field of a job", at.Line, extra.Properties[0])
 	}
-	return fmt.Errorf("line %d: %s%s", at.Line, where, invalid.ErrorKind.LocalizedString(english))
+	return fmt.Errorf("line %d: %s%s", at.Line, where, invalid.ErrorKind.LocalizedString(englishPrinter))
 }
--- a/internal/jobspec/jobspec_test.go
+++ b/internal/jobspec/jobspec_test.go
@@ -35,8 +35,8 @@
 		var got []string
 		for _, j := range jobs {
 			text := fmt.Sprintf("[%s %s %s %d", j.ID, j.Shape, j.Priority, j.Tasks)
-			if len(j.Needs) > 0 {
-				text += " needs " + strings.Join(j.Needs, " ")
+			if len(j.Dependencies) > 0 {
+				text += " needs " + strings.Join(j.Dependencies, " ")
 			}
 			got = append(got, text+"]")
 			if raw, err := json.Marshal(j.Job); err != nil || !strings.Contains(string(raw), `"owner":"t"`) {
--- a/internal/leader/attestation.go
+++ b/internal/leader/attestation.go
@@ -126,7 +126,7 @@
 	for _, answer := range answers {
 		// The last condition excludes a peer that has restarted since the query, after a new leader
 		// had made it reject this term: it reports the store as silent only since its restart.
-		storeSilent := time.Duration(answer.StoreSilentMS) * time.Millisecond
+		storeSilent := time.Duration(answer.SinceStoreResponseMS) * time.Millisecond
 		all = all && answer.Attestation != nil && attestation.ObservedBy(*answer.Attestation) && storeSilent > elapsed
 	}
 	if !all || attestation.Term == 0 {
--- a/internal/leader/attestation_query.go
+++ b/internal/leader/attestation_query.go
@@ -45,8 +45,8 @@
 		if answer.Attestation != nil {
 			attestations = append(attestations, *answer.Attestation)
 		}
-		if answer.Reconciled != nil && answer.Reconciled.NewerThan(lastReconciled) {
-			lastReconciled = *answer.Reconciled
+		if answer.LatestReconciled != nil && answer.LatestReconciled.NewerThan(lastReconciled) {
+			lastReconciled = *answer.LatestReconciled
 		}
 	}
 	a.lastReconciled = lastReconciled
@@ -59,8 +59,8 @@
 	var stored watermark.StoredAttestation
 	_ = json.Unmarshal(row.Value, &stored) // an unreadable record has term 0
 	_, _, startedAt := a.store.Health()
-	timeBound := time.Duration(a.cfg.Deployment.TimeBoundMS * float64(time.Millisecond))
-	holdoff := a.relaxationHoldoff() - config.Drift(a.relaxationHoldoff())
+	timeBound := time.Duration(a.cfg.Deployment.MaxClockErrorMS * float64(time.Millisecond))
+	holdoff := a.relaxationHoldoff() - config.MaxDrift(a.relaxationHoldoff())
 	complete := stored.StillHolds(a.cfg.Node, startedAt, holdoff, timeBound)
 	if complete {
 		changes, err := a.leaderChanges(ctx, row.Revision)
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -30,7 +30,7 @@
 }
 
 func newDependencyReader(t *term) *dependencyReader {
-	requestRate := max(t.cfg.Deployment.State.Lowest().RPS*dependencyReadShare, 1)
+	requestRate := max(t.cfg.Deployment.Store.Lowest().RPS*dependencyReadShare, 1)
 	return &dependencyReader{
 		term:      t,
 		limiter:   rate.NewLimiter(rate.Limit(requestRate), int(requestRate)),
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -16,7 +16,7 @@
 // term runs before it has succeeded.
 func (l *Leader) loadState(ctx context.Context) (revision uint64, err error) {
 	sched := scheduler.New(l.settings, l.number, time.Now())
-	limits := l.cfg.Deployment.State.Lowest()
+	limits := l.cfg.Deployment.Store.Lowest()
 	persistence := scheduler.NewPersistence(sched, limits.ValueKB, limits.TxnOps)
 	watermarksComplete := l.attestor.earlierWatermarksComplete(ctx)
 	now, wall := time.Now(), time.Now()
@@ -34,7 +34,7 @@
 		return 0, err
 	}
 	persistence.FinishLoading(watermarksComplete)
-	if l.cfg.Options.Operators {
+	if l.cfg.Options.OperatorAPI {
 		if err := l.loadDrains(ctx, sched); err != nil {
 			return 0, err
 		}
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -10,10 +10,10 @@
 // heartbeat waits for a record that its machine needs.
 const commitWaitDivisor = 16
 
-// Heartbeat processes a worker's heartbeat in stages: admit it, reconcile it with the known state
+// HandleHeartbeat processes a worker's heartbeat in stages: admit it, reconcile it with the known state
 // of the machine, wait for the machine's record to be stored, plan tasks for the machine, and
 // respond. Each stage may reject the heartbeat.
-func (l *Leader) Heartbeat(heartbeat *fleet.Heartbeat) fleet.HeartbeatResult {
+func (l *Leader) HandleHeartbeat(heartbeat *fleet.Heartbeat) fleet.HeartbeatResult {
 	x := heartbeatExchange{Leader: l, heartbeat: heartbeat}
 	if outcome := x.admit(); outcome != fleet.HeartbeatAccepted {
 		return fleet.HeartbeatResult{Outcome: outcome}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -111,7 +111,7 @@
 		withoutRevision(dependencies.run),
 		withoutRevision(expiry.run),
 	}
-	if cfg.Options.Operators {
+	if cfg.Options.OperatorAPI {
 		l.loops = append(l.loops, (&drainWatch{term: t}).run)
 	}
 	return l
@@ -217,5 +217,5 @@
 
 // maxValueBytes returns the maximum size of a value in the store.
 func (t *term) maxValueBytes() int {
-	return int(t.cfg.Deployment.State.Lowest().ValueKB * 1024)
+	return int(t.cfg.Deployment.Store.Lowest().ValueKB * 1024)
 }
--- a/internal/leader/lease_expiry.go
+++ b/internal/leader/lease_expiry.go
@@ -26,7 +26,7 @@
 	}
 	// The drift covers two clocks: the worker's, for its lease, and the renewer's, for the time
 	// since its last renewal.
-	lease := e.settings.Lease + config.Drift(e.settings.Lease)
+	lease := e.settings.Lease + config.MaxDrift(e.settings.Lease)
 	for ctxtime.Sleep(ctx, e.settings.HeartbeatInterval/4) == nil {
 		if e.reconciled() {
 			return
--- a/internal/leader/store_outage.go
+++ b/internal/leader/store_outage.go
@@ -59,7 +59,7 @@
 	for _, answer := range answers {
 		cancellations = append(cancellations, cancellation.PeerAnswer{
 			Confirmed:             answer.Cancellations,
-			SinceLastConfirmation: time.Duration(answer.CancellationQuietMS) * time.Millisecond,
+			SinceLastConfirmation: time.Duration(answer.SinceConfirmationMS) * time.Millisecond,
 		})
 	}
 	access := o.summarizeStoreAccess(answers, sinceExpiry, now.Sub(askedAt))
@@ -91,7 +91,7 @@
 func (o *storeOutage) summarizeStoreAccess(answers []peer.Status, sinceExpiry, elapsed time.Duration) peerStoreAccess {
 	access := peerStoreAccess{noneCanLead: true}
 	for _, answer := range answers {
-		silent := time.Duration(answer.StoreSilentMS) * time.Millisecond
+		silent := time.Duration(answer.SinceStoreResponseMS) * time.Millisecond
 		if silent < o.settings.HeartbeatInterval/2 && !answer.StoreFailing {
 			access.served = true
 		}
@@ -100,7 +100,7 @@
 		}
 		// A controller that the store has never answered since its start cannot lead either,
 		// however recent the start.
-		if answer.StoreAnswered && silent-config.Drift(silent) < sinceExpiry {
+		if answer.StoreAnswered && silent-config.MaxDrift(silent) < sinceExpiry {
 			access.noneCanLead = false
 		}
 	}
--- a/internal/linearizability/log.go
+++ b/internal/linearizability/log.go
@@ -22,35 +22,35 @@
 	Cancel = "cancel"
 )
 
-// noAnswer stands for an answer that never came: the request may have been carried out, or may yet be.
-const noAnswer = ""
+// noResponse stands for an answer that never came: the request may have been carried out, or may yet be.
+const noResponse = ""
 
 // NotFound is the answer that there is no such job.
 const NotFound = "not found"
 
-// Log collects answers. It is safe for concurrent use.
-type Log struct {
+// History collects answers. It is safe for concurrent use.
+type History struct {
 	mu    sync.Mutex
 	start time.Time
 	ops   []porcupine.Operation
 }
 
 // New returns an empty log.
-func New() *Log { return &Log{start: time.Now()} }
+func New() *History { return &History{start: time.Now()} }
 
 // request is the input of an operation.
 type request struct{ job, kind string }
 
-// never is the time of an answer that never came, in nanoseconds.
-const never = 1 << 62
+// noReturnNS is the time of an answer that never came, in nanoseconds.
+const noReturnNS = 1 << 62
 
-// Note logs an answer, "" for none, to a request that a client sent at a time.
-func (l *Log) Note(clientID int, job, kind, answer string, sent time.Time) {
+// Record logs an answer, "" for none, to a request that a client sent at a time.
+func (l *History) Record(clientID int, job, kind, answer string, sent time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	answered := time.Since(l.start).Nanoseconds()
-	if answer == noAnswer {
-		answered = never
+	if answer == noResponse {
+		answered = noReturnNS
 	}
 	l.ops = append(l.ops, porcupine.Operation{
 		ClientId: clientID, Input: request{job, kind}, Output: answer,
@@ -77,11 +77,11 @@
 	}
 	final := map[string]int{client.Done: done, client.Cancelled: cancelled}[answer] // 0: the answer is not final
 	switch {
-	case answer == noAnswer && kind == Submit && from == absent:
+	case answer == noResponse && kind == Submit && from == absent:
 		add(absent, open)
-	case answer == noAnswer && kind == Cancel && from == open:
+	case answer == noResponse && kind == Cancel && from == open:
 		add(open, cancelled, done)
-	case answer == noAnswer:
+	case answer == noResponse:
 		add(from)
 	case answer == NotFound:
 		if from == absent && kind != Submit {
@@ -105,7 +105,7 @@
 }
 
 var model = (&porcupine.NondeterministicModel{
-	Partition: byJob,
+	Partition: partitionByJob,
 	Init:      func() []any { return []any{absent} },
 	Step: func(state, in, out any) []any {
 		return nextStates(state.(int), in.(request).kind, out.(string))
@@ -113,8 +113,8 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%v: %v", in, out) },
 }).ToModel()
 
-// byJob splits operations by their jobs, in the order of the jobs' ids.
-func byJob(ops []porcupine.Operation) [][]porcupine.Operation {
+// partitionByJob splits operations by their jobs, in the order of the jobs' ids.
+func partitionByJob(ops []porcupine.Operation) [][]porcupine.Operation {
 	ofJob := map[string][]porcupine.Operation{}
 	for _, op := range ops {
 		id := op.Input.(request).job
@@ -129,7 +129,7 @@
 
 // Check returns what is wrong with the answers; nil: nothing. Every job that was accepted must have ended, with one
 // final answer.
-func (l *Log) Check() error {
+func (l *History) Check() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	final := map[string]string{}
@@ -143,32 +143,32 @@
 		}
 	}
 	for _, o := range l.ops {
-		if q := o.Input.(request); q.kind == Submit && o.Output != noAnswer && final[q.job] == "" {
+		if q := o.Input.(request); q.kind == Submit && o.Output != noResponse && final[q.job] == "" {
 			return fmt.Errorf("job %s was accepted and has no final answer", q.job)
 		}
 	}
-	return l.checkOrderLocked()
+	return l.checkLinearizableLocked()
 }
 
-// CheckOrder returns which answers fit into no order, whether or not every job has ended; nil: all do.
-func (l *Log) CheckOrder() error {
+// CheckLinearizable returns which answers fit into no order, whether or not every job has ended; nil: all do.
+func (l *History) CheckLinearizable() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.checkOrderLocked()
+	return l.checkLinearizableLocked()
 }
 
-func (l *Log) checkOrderLocked() error {
+func (l *History) checkLinearizableLocked() error {
 	for _, part := range model.Partition(l.ops) {
 		if !porcupine.CheckOperations(model, part) {
 			job := part[0].Input.(request).job
-			return fmt.Errorf("the answers about job %s fit into no order: %s", job, describe(part))
+			return fmt.Errorf("the answers about job %s fit into no order: %s", job, formatOperations(part))
 		}
 	}
 	return nil
 }
 
-// describe lists operations by the time of their requests.
-func describe(ops []porcupine.Operation) string {
+// formatOperations lists operations by the time of their requests.
+func formatOperations(ops []porcupine.Operation) string {
 	ops = slices.Clone(ops)
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
 	text := ""
--- a/internal/linearizability/log_test.go
+++ b/internal/linearizability/log_test.go
@@ -32,7 +32,7 @@
 			kind, answer, _ := strings.Cut(what, ":")
 			from, to, _ := strings.Cut(when, "-")
 			sec := func(s string) time.Duration { d, _ := time.ParseDuration(s + "s"); return d }
-			l.Note(1, "j-1", kind, strings.ReplaceAll(answer, "_", " "), l.start.Add(sec(from)))
+			l.Record(1, "j-1", kind, strings.ReplaceAll(answer, "_", " "), l.start.Add(sec(from)))
 			if answer != "" {
 				end := sec(from) + time.Millisecond
 				if to != "" {
--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -21,25 +21,25 @@
 
 // Programs are what a run starts.
 type Programs struct {
-	Self       string // this program
-	Controller string // the controllers' program
-	Options    string // the controllers' file of operators' settings
+	LoadTest    string // this program
+	Controller  string // the controllers' program
+	OptionsFile string // the controllers' file of operators' settings
 }
 
-// region is one deployment: a store, a cloud, controllers and workers of its own.
-type region struct {
-	size          Size
-	index         int
-	zones         []string
-	store         *child
-	processes     []*workerProcess // processes of workers
-	cluster       *localcluster.Cluster
-	client        *client.Client
-	perController []*client.Client // of one controller each
-	storeClient   *httpclient.Client
+// deployment is one deployment: a store, a cloud, controllers and workers of its own.
+type deployment struct {
+	size              Size
+	index             int
+	zones             []string
+	store             *child
+	workerProcesses   []*workerProcess // processes of workers
+	cluster           *localcluster.Cluster
+	client            *client.Client
+	controllerClients []*client.Client // of one controller each
+	storeClient       *httpclient.Client
 
-	mu         sync.Mutex
-	placements map[string]*workerProcess // by machine
+	mu               sync.Mutex
+	processByMachine map[string]*workerProcess // by machine
 }
 
 // workerProcess is a process of workers.
@@ -59,9 +59,9 @@
 	return zones
 }
 
-// openRegion starts a region's processes, and waits until every controller takes requests.
-func openRegion(ctx context.Context, size Size, index int, programs Programs, data string) (_ *region, err error) {
-	r := &region{size: size, index: index, zones: size.zoneNames(index), placements: map[string]*workerProcess{}}
+// startDeployment starts a region's processes, and waits until every controller takes requests.
+func startDeployment(ctx context.Context, size Size, index int, programs Programs, data string) (_ *deployment, err error) {
+	r := &deployment{size: size, index: index, zones: size.zoneNames(index), processByMachine: map[string]*workerProcess{}}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, r.close())
@@ -71,37 +71,37 @@
 	if err = os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	if r.store, err = startChild(programs.Self, filepath.Join(dir, "state.log"), "serve", RoleState, "--data", dir); err != nil {
+	if r.store, err = startChild(programs.LoadTest, filepath.Join(dir, "state.log"), "serve", RoleStore, "--data", dir); err != nil {
 		return nil, err
 	}
-	r.storeClient = httpclient.New(r.store.Service, 4, time.Second)
+	r.storeClient = httpclient.New(r.store.StoreAddr, 4, time.Second)
 	workers, realWorkers := size.share(size.Workers, index), size.share(size.RealWorkers, index)
-	if err = r.startProcesses(programs.Self, dir, realWorkers, workers-realWorkers); err != nil {
+	if err = r.startWorkerProcesses(programs.LoadTest, dir, realWorkers, workers-realWorkers); err != nil {
 		return nil, err
 	}
-	if err = r.startCluster(ctx, programs, dir, workers); err != nil {
+	if err = r.startControllers(ctx, programs, dir, workers); err != nil {
 		return nil, err
 	}
-	if err = r.setUpWorkers(); err != nil {
+	if err = r.configureWorkers(); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-// startCluster starts the region's controllers and cloud, and clients of them.
-func (r *region) startCluster(ctx context.Context, programs Programs, dir string, workers int) (err error) {
+// startControllers starts the region's controllers and cloud, and clients of them.
+func (r *deployment) startControllers(ctx context.Context, programs Programs, dir string, workers int) (err error) {
 	r.cluster, err = localcluster.Start(ctx, localcluster.Options{
-		Data:         dir,
-		Controller:   programs.Controller,
-		Arguments:    []string{"--options", programs.Options},
-		Zones:        r.zones,
-		Controllers:  r.size.Controllers,
-		Machines:     (workers + len(r.zones) - 1) / len(r.zones),
-		LogLevel:     "info",
-		Deployment:   r.size.deployment(r.index, r.zones),
-		MachineTypes: r.size.machineTypes(r.zones),
-		StoreAddr:    r.store.Service,
-		StartWorker:  r.startMachine,
+		DataDir:           dir,
+		ControllerProgram: programs.Controller,
+		ControllerArgs:    []string{"--options", programs.OptionsFile},
+		Zones:             r.zones,
+		Controllers:       r.size.Controllers,
+		MachinesPerZone:   (workers + len(r.zones) - 1) / len(r.zones),
+		LogLevel:          "info",
+		Deployment:        r.size.deploymentConfig(r.index, r.zones),
+		MachineTypes:      r.size.machineTypes(r.zones),
+		StoreAddr:         r.store.StoreAddr,
+		StartWorker:       r.startMachine,
 	})
 	if err != nil {
 		return err
@@ -112,34 +112,34 @@
 		if err != nil {
 			return err
 		}
-		r.perController = append(r.perController, c)
+		r.controllerClients = append(r.controllerClients, c)
 	}
 	return nil
 }
 
-// setUpWorkers tells the processes of workers where the controllers are.
-func (r *region) setUpWorkers() error {
-	setup := Setup{Types: r.size.machineTypes(r.zones)}
+// configureWorkers tells the processes of workers where the controllers are.
+func (r *deployment) configureWorkers() error {
+	setup := Setup{MachineTypes: r.size.machineTypes(r.zones)}
 	for _, controller := range r.cluster.Info.Controllers {
-		setup.Nodes = append(setup.Nodes, Node{controller.Name, controller.UserAddr})
+		setup.Controllers = append(setup.Controllers, ControllerAddr{controller.Name, controller.UserAddr})
 	}
-	for _, p := range r.processes {
-		if err := p.ask(http.MethodPost, "/setup", setup, nil); err != nil {
+	for _, p := range r.workerProcesses {
+		if err := p.request(http.MethodPost, "/setup", setup, nil); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startProcesses starts the processes of workers: one for each real one, and as many as the hollow ones need.
-func (r *region) startProcesses(program, dir string, realWorkers, hollowWorkers int) error {
+// startWorkerProcesses starts the processes of workers: one for each real one, and as many as the hollow ones need.
+func (r *deployment) startWorkerProcesses(program, dir string, realWorkers, hollowWorkers int) error {
 	for i := range realWorkers {
 		log := filepath.Join(dir, fmt.Sprintf("real-%d.log", i+1))
 		c, err := startChild(program, log, "serve", RoleWorkers)
 		if err != nil {
 			return err
 		}
-		r.processes = append(r.processes, &workerProcess{child: c, real: true, capacity: 1})
+		r.workerProcesses = append(r.workerProcesses, &workerProcess{child: c, real: true, capacity: 1})
 	}
 	for i := range (hollowWorkers + workersPerProcess - 1) / workersPerProcess {
 		log := filepath.Join(dir, fmt.Sprintf("hollow-%d.log", i+1))
@@ -148,45 +148,45 @@
 			return err
 		}
 		// One more than their share for each zone: zones hold equal parts, rounded up.
-		r.processes = append(r.processes, &workerProcess{child: c, capacity: workersPerProcess + len(r.zones)})
+		r.workerProcesses = append(r.workerProcesses, &workerProcess{child: c, capacity: workersPerProcess + len(r.zones)})
 	}
 	return nil
 }
 
-var errFull = errors.New("no process has room for another worker")
+var errNoCapacity = errors.New("no process has room for another worker")
 
 // startMachine starts a rented machine in the process that runs the fewest, the real ones first. It returns the
 // machine's address, and what ends the machine.
-func (r *region) startMachine(m *simulation.Machine) (addr string, end func(), err error) {
-	p := r.place(m.Name)
+func (r *deployment) startMachine(m *simulation.Machine) (addr string, end func(), err error) {
+	p := r.assignProcess(m.Name)
 	if p == nil {
-		return "", nil, errFull
+		return "", nil, errNoCapacity
 	}
-	placement := Placement{m.Name, autoscaler.RentalRequest{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}
-	var placed Placed
-	if err := p.ask(http.MethodPost, "/machines", placement, &placed); err != nil {
-		r.forgetMachine(m.Name)
+	placement := MachineRequest{m.Name, autoscaler.RentalRequest{Type: m.Type(), Zone: m.Zone, Spot: m.Spot}}
+	var placed MachineAddr
+	if err := p.request(http.MethodPost, "/machines", placement, &placed); err != nil {
+		r.releaseMachine(m.Name)
 		return "", nil, err
 	}
 	return placed.Addr, func() {
-		_ = p.ask(http.MethodPost, "/machines/end", Placement{Machine: m.Name}, nil) // what can't be reached has ended
-		r.forgetMachine(m.Name)
+		_ = p.request(http.MethodPost, "/machines/end", MachineRequest{Machine: m.Name}, nil) // what can't be reached has ended
+		r.releaseMachine(m.Name)
 	}, nil
 }
 
-// place chooses the process of a machine and counts the machine there; nil: none has room.
-func (r *region) place(machine string) *workerProcess {
+// assignProcess chooses the process of a machine and counts the machine there; nil: none has room.
+func (r *deployment) assignProcess(machine string) *workerProcess {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var best *workerProcess
-	for _, p := range r.processes {
+	for _, p := range r.workerProcesses {
 		if p.machines < p.capacity && (best == nil || p.preferredTo(best)) {
 			best = p
 		}
 	}
 	if best != nil {
 		best.machines++
-		r.placements[machine] = best
+		r.processByMachine[machine] = best
 	}
 	return best
 }
@@ -199,28 +199,28 @@
 	return p.machines < other.machines
 }
 
-// forgetMachine frees the place of a machine that has ended.
-func (r *region) forgetMachine(machine string) {
+// releaseMachine frees the place of a machine that has ended.
+func (r *deployment) releaseMachine(machine string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p := r.placements[machine]; p != nil {
+	if p := r.processByMachine[machine]; p != nil {
 		p.machines--
-		delete(r.placements, machine)
+		delete(r.processByMachine, machine)
 	}
 }
 
 // reboot restarts a machine: what runs there is lost, and it is back at once.
-func (r *region) reboot(machine string) {
+func (r *deployment) reboot(machine string) {
 	r.mu.Lock()
-	p := r.placements[machine]
+	p := r.processByMachine[machine]
 	r.mu.Unlock()
 	if p != nil {
-		_ = p.ask(http.MethodPost, "/machines/reboot", Placement{Machine: machine}, nil)
+		_ = p.request(http.MethodPost, "/machines/reboot", MachineRequest{Machine: machine}, nil)
 	}
 }
 
-// upload gives the workers the specifications of jobs, as users do.
-func (r *region) upload(jobs ...client.Job) error {
+// uploadJobs gives the workers the specifications of jobs, as users do.
+func (r *deployment) uploadJobs(jobs ...client.Job) error {
 	specs := make([]records.Job, 0, len(jobs))
 	for _, j := range jobs {
 		raw, err := json.Marshal(j)
@@ -233,8 +233,8 @@
 		}
 		specs = append(specs, spec)
 	}
-	for _, p := range r.processes {
-		if err := p.ask(http.MethodPost, "/jobs", specs, nil); err != nil {
+	for _, p := range r.workerProcesses {
+		if err := p.request(http.MethodPost, "/jobs", specs, nil); err != nil {
 			return err
 		}
 	}
@@ -243,12 +243,12 @@
 
 // leadership is who leads, and in which term; a zero term: nobody does.
 type leadership struct {
-	node string
-	term uint64
+	controller string
+	term       uint64
 }
 
-// leader reads from the store who leads.
-func (r *region) leader() leadership {
+// readLeader reads from the store who leads.
+func (r *deployment) readLeader() leadership {
 	deadline := time.Now().Add(time.Second)
 	status, raw, err := r.storeClient.Do(http.MethodGet, "/store/"+records.KeyLeader, "", nil, deadline)
 	if err != nil || status != http.StatusOK {
@@ -263,24 +263,24 @@
 }
 
 // finalStates asks each controller for the state of a job.
-func (r *region) finalStates(ctx context.Context, id string) []Final {
-	var all []Final
+func (r *deployment) finalStates(ctx context.Context, id string) []FinalState {
+	var all []FinalState
 	for i, controller := range r.cluster.Info.Controllers {
-		st, err := r.perController[i].Get(ctx, id)
+		st, err := r.controllerClients[i].Get(ctx, id)
 		if err != nil {
 			st.Status = err.Error()
 		}
-		all = append(all, Final{controller.Name, st.Status})
+		all = append(all, FinalState{controller.Name, st.Status})
 	}
 	return all
 }
 
 // history gathers what all workers ran.
-func (r *region) history() ([]simulation.TaskRun, error) {
+func (r *deployment) history() ([]simulation.TaskRun, error) {
 	var all []simulation.TaskRun
-	for _, p := range r.processes {
+	for _, p := range r.workerProcesses {
 		var ran []simulation.TaskRun
-		if err := p.ask(http.MethodGet, "/history", nil, &ran); err != nil {
+		if err := p.request(http.MethodGet, "/history", nil, &ran); err != nil {
 			return nil, err
 		}
 		all = append(all, ran...)
@@ -288,11 +288,11 @@
 	return all, nil
 }
 
-// counts adds up what the workers' processes count.
-func (r *region) counts() (sum WorkerCounts, err error) {
-	for _, p := range r.processes {
+// workerCounts adds up what the workers' processes count.
+func (r *deployment) workerCounts() (sum WorkerCounts, err error) {
+	for _, p := range r.workerProcesses {
 		var n WorkerCounts
-		if err := p.ask(http.MethodGet, "/counts", nil, &n); err != nil {
+		if err := p.request(http.MethodGet, "/counts", nil, &n); err != nil {
 			return sum, err
 		}
 		sum = sum.plus(n)
@@ -313,18 +313,18 @@
 	}
 }
 
-// sample reads what the region's processes take now.
-func (r *region) sample(m *meter) {
-	leader := r.leader().node
+// sampleProcesses reads what the region's processes take now.
+func (r *deployment) sampleProcesses(m *meter) {
+	leader := r.readLeader().controller
 	for _, controller := range r.cluster.Info.Controllers {
 		role := roleFollower
 		if controller.Name == leader {
 			role = roleLeader
 		}
-		m.sample(role, r.cluster.PID(controller.Name))
+		m.sample(role, r.cluster.ControllerPID(controller.Name))
 	}
-	m.sample(roleState, r.store.pid())
-	for _, p := range r.processes {
+	m.sample(roleStore, r.store.pid())
+	for _, p := range r.workerProcesses {
 		role := roleHollow
 		if p.real {
 			role = roleReal
@@ -334,12 +334,12 @@
 }
 
 // close ends all of the region's processes.
-func (r *region) close() error {
+func (r *deployment) close() error {
 	var err error
 	if r.cluster != nil {
 		err = r.cluster.Stop()
 	}
-	for _, p := range r.processes {
+	for _, p := range r.workerProcesses {
 		p.stop()
 	}
 	if r.store != nil {
--- a/internal/loadtest/golden_test.go
+++ b/internal/loadtest/golden_test.go
@@ -12,42 +12,42 @@
 // Results of measurements are kept and compared over versions, and the processes of a run exchange messages: both keep
 // their encoded forms.
 func TestGolden(t *testing.T) {
-	waits := Waits{Count: 1, P50: 2.5, P95: 3.5, P99: 4.5, Max: 5.5}
+	waits := LatencySummary{Count: 1, P50: 2.5, P95: 3.5, P99: 4.5, Max: 5.5}
 	traffic := Traffic{Messages: 1, Sent: 2, Received: 3}
 	r := Result{
-		Version: "v", At: time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC), Cores: 2,
-		Size: Size{Workers: 3, RealWorkers: 4, Tasks: 5, Rate: 6.5, Controllers: 7, Teams: 8, Zones: 9, Regions: 10, For: 11,
-			Faults: Faults{Compress: 1.5, Rack: true, Zone: true, Leader: true}, StoreRPS: 12.5, StoreWrites: 13.5},
-		Measured: 14.5, Workers: 15, Running: 16, Starts: Rates{Mean: 17.5, Peak: 18.5},
+		Version: "v", StartedAt: time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC), Cores: 2,
+		Size: Size{Workers: 3, RealWorkers: 4, Tasks: 5, StartRate: 6.5, Controllers: 7, Teams: 8, Zones: 9, Deployments: 10, MeasureTime: 11,
+			Faults: FaultConfig{TimeCompression: 1.5, Rack: true, Zone: true, Leader: true}, StoreRPS: 12.5, StoreWrites: 13.5},
+		MeasuredS: 14.5, Workers: 15, MaxRunning: 16, StartRate: StartRates{Mean: 17.5, Peak: 18.5},
 		Usage:   map[string]Usage{"controller": {Processes: 1, Cores: 2.5, PeakCores: 3.5, MemoryMB: 4.5}},
-		Traffic: map[string]Traffic{"reports": traffic}, Waits: map[string]Waits{"train": waits},
-		CommandToRunning: waits, UrgentInTime: 19.5, LeaseExpiries: 20,
-		LostStarts: 21, RejectedHeartbeats: 22, Jobs: 23, Finished: 24, Unanswered: 25,
+		Traffic: map[string]Traffic{"reports": traffic}, StartLatency: map[string]LatencySummary{"train": waits},
+		CommandToRunning: waits, UrgentOnTimeShare: 19.5, LeaseExpiries: 20,
+		LostStarts: 21, RejectedHeartbeats: 22, AcceptedJobs: 23, FinishedJobs: 24, UnansweredSubmissions: 25,
 		InjectedFaults: InjectedFaults{
-			Failures: 1, Restarts: 2, Racks: 3, Zones: 4, Failovers: []Failover{{Region: 1, LeaderS: 2.5, FirstStartS: 3.5}},
+			MachineFailures: 1, MachineRestarts: 2, RackFailures: 3, ZoneFailures: 4, Failovers: []Failover{{Deployment: 1, NewLeaderS: 2.5, FirstStartS: 3.5}},
 		},
-		Violations: []Violation{{Rule: "r", What: "w"}},
+		Violations: []Violation{{Rule: "r", Detail: "w"}},
 	}
 	// All but the run before, which is a result itself.
-	if unset := goldentest.Unset(r, "json"); len(unset) != 1 {
+	if unset := goldentest.UnsetFields(r, "json"); len(unset) != 1 {
 		t.Errorf("the value of the test leaves %v unset", unset)
 	}
 	both := r
 	both.WithoutTeams = &r
 	goldentest.Run(t, "golden-results.json", goldentest.JSON, []goldentest.Case{
-		{Name: "result", Value: both, Unset: true},
-		{Name: "result, empty", Value: Result{}, Unset: true},
+		{Name: "result", Value: both, AllowUnset: true},
+		{Name: "result, empty", Value: Result{}, AllowUnset: true},
 		{Name: "what happened", Value: r.InjectedFaults},
-		{Name: "setup", Value: Setup{Nodes: []Node{{Name: "n-1", Addr: "a:1"}}, Types: []records.MachineType{{
+		{Name: "setup", Value: Setup{Controllers: []ControllerAddr{{Name: "n-1", Addr: "a:1"}}, MachineTypes: []records.MachineType{{
 			Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"},
 		}}}},
-		{Name: "placement", Value: Placement{
+		{Name: "placement", Value: MachineRequest{
 			Machine: "m-1", Rental: autoscaler.RentalRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 3},
 		}},
-		{Name: "placed", Value: Placed{Addr: "a:1"}},
+		{Name: "placed", Value: MachineAddr{Addr: "a:1"}},
 		{Name: "counts of workers", Value: WorkerCounts{
 			Machines: 1, Running: 2, Starts: 3, LeaseExpiries: 4, Heartbeats: traffic, RejectedHeartbeats: 5, Commands: traffic,
 		}},
-		{Name: "child", Value: childAddrs{Addr: "a:1", Service: "a:2"}},
+		{Name: "child", Value: childAddrs{ControlAddr: "a:1", StoreAddr: "a:2"}},
 	})
 }
--- a/internal/loadtest/hollow_workers.go
+++ b/internal/loadtest/hollow_workers.go
@@ -23,24 +23,24 @@
 
 // Setup tells a process of workers what they need to know of their region.
 type Setup struct {
-	Nodes []Node                `json:"nodes"`
-	Types []records.MachineType `json:"types"`
+	Controllers  []ControllerAddr      `json:"nodes"`
+	MachineTypes []records.MachineType `json:"types"`
 }
 
-// Node is a controller as workers reach it.
-type Node struct {
+// ControllerAddr is a controller as workers reach it.
+type ControllerAddr struct {
 	Name string `json:"name"`
 	Addr string `json:"addr"`
 }
 
-// Placement is a rented machine that is to run in a process of workers.
-type Placement struct {
+// MachineRequest is a rented machine that is to run in a process of workers.
+type MachineRequest struct {
 	Machine string                   `json:"host"`
 	Rental  autoscaler.RentalRequest `json:"rent"`
 }
 
-// Placed is where a machine's worker takes direct commands.
-type Placed struct {
+// MachineAddr is where a machine's worker takes direct commands.
+type MachineAddr struct {
 	Addr string `json:"addr"`
 }
 
@@ -61,16 +61,16 @@
 	return Traffic{t.Messages + other.Messages, t.Sent + other.Sent, t.Received + other.Received}
 }
 
-// tally counts the traffic of one kind.
-type tally struct{ messages, sent, received atomic.Uint64 }
+// trafficCounter counts the traffic of one kind.
+type trafficCounter struct{ messages, sent, received atomic.Uint64 }
 
-func (t *tally) add(sent, received int) {
+func (t *trafficCounter) add(sent, received int) {
 	t.messages.Add(1)
 	t.sent.Add(uint64(sent))
 	t.received.Add(uint64(received))
 }
 
-func (t *tally) read() Traffic {
+func (t *trafficCounter) read() Traffic {
 	return Traffic{t.messages.Load(), t.sent.Load(), t.received.Load()}
 }
 
@@ -88,24 +88,24 @@
 // HollowWorkers runs workers whose tasks are timers: simulated machines, each behind a socket of its own and with a
 // connection of its own to a controller.
 type HollowWorkers struct {
-	env     *simulation.Environment
-	ctx     context.Context
-	workers *fasthttp.Server // of direct commands to all machines
+	env           *simulation.Environment
+	ctx           context.Context
+	commandServer *fasthttp.Server // of direct commands to all machines
 
-	mu     sync.Mutex // guards what follows, but for the counts
-	jobs   map[string]records.Job
-	byAddr map[string]*simulation.Machine // by the address where it takes commands
-	links  map[string]*connection         // by machine
-	nodes  []Node
+	mu            sync.Mutex // guards what follows, but for the counts
+	jobs          map[string]records.Job
+	machineByAddr map[string]*simulation.Machine // by the address where it takes commands
+	connections   map[string]*connection         // by machine
+	controllers   []ControllerAddr
 
-	heartbeats, commands tally
+	heartbeats, commands trafficCounter
 	rejectedHeartbeats   atomic.Uint64
 }
 
 // connection is a worker's connection to the controller that it sends heartbeats to.
 type connection struct {
-	node int
-	link *httpclient.Client
+	controller int
+	client     *httpclient.Client
 }
 
 // heartbeatTimeout is how long a worker waits for an answer (PROTOCOL).
@@ -115,17 +115,17 @@
 func NewHollowWorkers(ctx context.Context) *HollowWorkers {
 	h := &HollowWorkers{
 		env: simulation.NewEnvironment(ctx), ctx: ctx, jobs: map[string]records.Job{},
-		byAddr: map[string]*simulation.Machine{}, links: map[string]*connection{},
+		machineByAddr: map[string]*simulation.Machine{}, connections: map[string]*connection{},
 	}
 	env := h.env
 	env.HeartbeatInterval, env.Lease, env.CancelLimit = config.Seconds(heartbeatS), config.Seconds(leaseS), config.Seconds(cancelS)
 	env.GangStartTimeout, env.GangPeerTimeout = config.Seconds(gangWaitS), config.Seconds(gangPeerS)
 	env.MaxCommandDelay = maxCommandDelay
-	env.LookupJob = h.job
+	env.LookupJob = h.lookupJob
 	env.RunTime = h.runTime
-	env.Listen = h.open
+	env.Listen = h.listenForCommands
 	env.Heartbeat = simulation.HeartbeatOverHTTP(h.sendHeartbeat)
-	env.FirstNode = h.firstNode
+	env.FirstNode = h.firstController
 	commands := newApp()
 	commands.Use(func(c *fiber.Ctx) error {
 		err := c.Next()
@@ -135,9 +135,9 @@
 	simulation.ServeWorkers(commands, func(c *fiber.Ctx) *simulation.Machine {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		return h.byAddr[c.Context().LocalAddr().String()]
+		return h.machineByAddr[c.Context().LocalAddr().String()]
 	})
-	h.workers = &fasthttp.Server{Handler: commands.Handler(), ReduceMemoryUsage: true, NoDefaultServerHeader: true}
+	h.commandServer = &fasthttp.Server{Handler: commands.Handler(), ReduceMemoryUsage: true, NoDefaultServerHeader: true}
 	return h
 }
 
@@ -145,10 +145,10 @@
 	return fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: 256 << 20})
 }
 
-func listen() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
+func listenLocal() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
 
-// job returns a job's specification, as users uploaded it.
-func (h *HollowWorkers) job(id string) (records.Job, bool) {
+// lookupJob returns a job's specification, as users uploaded it.
+func (h *HollowWorkers) lookupJob(id string) (records.Job, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	j, ok := h.jobs[id]
@@ -157,41 +157,41 @@
 
 // runTime returns how long a task runs: 0.7 to 1.3 times its job's estimate, by its name.
 func (h *HollowWorkers) runTime(task string) time.Duration {
-	j, _ := h.job(jobOf(task))
+	j, _ := h.lookupJob(jobOf(task))
 	sum := fnv.New32a()
 	sum.Write([]byte(task))
 	return config.Seconds(j.EstimateS * (0.7 + 0.6*float64(sum.Sum32()%1000)/1000))
 }
 
-// firstNode spreads the workers' first heartbeats over the controllers.
-func (h *HollowWorkers) firstNode(host string) int {
+// firstController spreads the workers' first heartbeats over the controllers.
+func (h *HollowWorkers) firstController(host string) int {
 	sum := fnv.New32a()
 	sum.Write([]byte(host))
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return int(sum.Sum32()) % max(len(h.nodes), 1)
+	return int(sum.Sum32()) % max(len(h.controllers), 1)
 }
 
-// open opens the address where a machine takes commands.
-func (h *HollowWorkers) open(m *simulation.Machine) (string, func(), error) {
-	ln, err := listen()
+// listenForCommands opens the address where a machine takes commands.
+func (h *HollowWorkers) listenForCommands(m *simulation.Machine) (string, func(), error) {
+	ln, err := listenLocal()
 	if err != nil {
 		return "", nil, err
 	}
 	addr := ln.Addr().String()
 	h.mu.Lock()
-	h.byAddr[addr] = m
+	h.machineByAddr[addr] = m
 	h.mu.Unlock()
-	go func() { _ = h.workers.Serve(ln) }()
+	go func() { _ = h.commandServer.Serve(ln) }()
 	return addr, func() {
 		ln.Close()
 		h.mu.Lock()
-		delete(h.byAddr, addr)
-		old := h.links[m.Name]
-		delete(h.links, m.Name)
+		delete(h.machineByAddr, addr)
+		old := h.connections[m.Name]
+		delete(h.connections, m.Name)
 		h.mu.Unlock()
 		if old != nil {
-			old.link.Close()
+			old.client.Close()
 		}
 	}, nil
 }
@@ -199,18 +199,18 @@
 // connect returns a worker's connection to a controller, and closes the one to another.
 func (h *HollowWorkers) connect(host string, node int) *httpclient.Client {
 	h.mu.Lock()
-	was := h.links[host]
-	if was != nil && was.node == node {
+	was := h.connections[host]
+	if was != nil && was.controller == node {
 		h.mu.Unlock()
-		return was.link
+		return was.client
 	}
-	now := &connection{node, httpclient.New(h.nodes[node].Addr, 1, time.Second)}
-	h.links[host] = now
+	now := &connection{node, httpclient.New(h.controllers[node].Addr, 1, time.Second)}
+	h.connections[host] = now
 	h.mu.Unlock()
 	if was != nil {
-		was.link.Close()
+		was.client.Close()
 	}
-	return now.link
+	return now.client
 }
 
 // sendHeartbeat sends a worker's heartbeat to a controller.
@@ -223,30 +223,30 @@
 	return status, answer, err
 }
 
-// setUp takes in where the controllers are.
-func (h *HollowWorkers) setUp(s Setup) {
+// applySetup takes in where the controllers are.
+func (h *HollowWorkers) applySetup(s Setup) {
 	h.mu.Lock()
-	h.nodes = s.Nodes
+	h.controllers = s.Controllers
 	h.mu.Unlock()
-	h.env.Types = s.Types
-	for _, n := range s.Nodes {
+	h.env.Types = s.MachineTypes
+	for _, n := range s.Controllers {
 		h.env.Nodes = append(h.env.Nodes, n.Name)
 	}
 }
 
-// place starts a rented machine and waits until it takes commands.
-func (h *HollowWorkers) place(p Placement) (Placed, error) {
+// startMachine starts a rented machine and waits until it takes commands.
+func (h *HollowWorkers) startMachine(p MachineRequest) (MachineAddr, error) {
 	m := h.env.AddMachine(p.Machine, p.Rental)
-	for until := time.Now().Add(askTimeout); time.Now().Before(until); {
+	for until := time.Now().Add(childRequestTimeout); time.Now().Before(until); {
 		if addr := m.Addr(); addr != "" {
-			return Placed{addr}, nil
+			return MachineAddr{addr}, nil
 		}
 		if err := ctxtime.Sleep(h.ctx, 5*time.Millisecond); err != nil {
-			return Placed{}, err
+			return MachineAddr{}, err
 		}
 	}
-	m.Die()
-	return Placed{}, fmt.Errorf("machine %s does not come up", p.Machine)
+	m.Terminate()
+	return MachineAddr{}, fmt.Errorf("machine %s does not come up", p.Machine)
 }
 
 func (h *HollowWorkers) counts() WorkerCounts {
@@ -259,10 +259,10 @@
 // Mount serves the run that started the process.
 func (h *HollowWorkers) Mount(app *fiber.App) {
 	app.Post("/setup", func(c *fiber.Ctx) error {
-		return handle(c, func(s Setup) (any, error) { h.setUp(s); return fiber.Map{}, nil })
+		return handleJSON(c, func(s Setup) (any, error) { h.applySetup(s); return fiber.Map{}, nil })
 	})
 	app.Post("/jobs", func(c *fiber.Ctx) error {
-		return handle(c, func(jobs []records.Job) (any, error) {
+		return handleJSON(c, func(jobs []records.Job) (any, error) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			for _, j := range jobs {
@@ -272,10 +272,10 @@
 		})
 	})
 	app.Post("/machines", func(c *fiber.Ctx) error {
-		return handle(c, func(p Placement) (any, error) { return h.place(p) })
+		return handleJSON(c, func(p MachineRequest) (any, error) { return h.startMachine(p) })
 	})
-	app.Post("/machines/end", h.forMachine((*simulation.Machine).Die))
-	app.Post("/machines/reboot", h.forMachine((*simulation.Machine).Reboot))
+	app.Post("/machines/end", h.machineHandler((*simulation.Machine).Terminate))
+	app.Post("/machines/reboot", h.machineHandler((*simulation.Machine).Reboot))
 	app.Get("/counts", func(c *fiber.Ctx) error { return c.JSON(h.counts()) })
 	app.Get("/history", func(c *fiber.Ctx) error {
 		ran, _ := h.env.History()
@@ -283,10 +283,10 @@
 	})
 }
 
-// forMachine returns a handler that does something to a machine, by its name.
-func (h *HollowWorkers) forMachine(do func(*simulation.Machine)) fiber.Handler {
+// machineHandler returns a handler that does something to a machine, by its name.
+func (h *HollowWorkers) machineHandler(do func(*simulation.Machine)) fiber.Handler {
 	return func(c *fiber.Ctx) error {
-		return handle(c, func(p Placement) (any, error) {
+		return handleJSON(c, func(p MachineRequest) (any, error) {
 			m := h.env.Machine(p.Machine)
 			if m == nil {
 				return nil, fmt.Errorf("there is no machine %q here", p.Machine)
@@ -297,8 +297,8 @@
 	}
 }
 
-// handle reads a request's body and answers with what do returns.
-func handle[T any](c *fiber.Ctx, do func(T) (any, error)) error {
+// handleJSON reads a request's body and answers with what do returns.
+func handleJSON[T any](c *fiber.Ctx, do func(T) (any, error)) error {
 	var in T
 	if err := json.Unmarshal(c.Body(), &in); err != nil {
 		return c.Status(400).SendString(err.Error())
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -25,13 +25,13 @@
 // Roles of a run's processes, as arguments of this program.
 const (
 	RoleWorkers = "workers"
-	RoleState   = "state"
+	RoleStore   = "state"
 )
 
 // childAddrs is the first line of a child's output: where it is reached.
 type childAddrs struct {
-	Addr    string `json:"addr"`    // for the run that started it
-	Service string `json:"service"` // for controllers
+	ControlAddr string `json:"addr"`    // for the run that started it
+	StoreAddr   string `json:"service"` // for controllers
 }
 
 // child is a process of this program.
@@ -78,7 +78,7 @@
 		c.stop()
 		return nil, fmt.Errorf("%s: %w (see %s)", strings.Join(arguments, " "), err, logFile)
 	}
-	c.client = httpclient.New(c.Addr, 64, time.Second)
+	c.client = httpclient.New(c.ControlAddr, 64, time.Second)
 	return c, nil
 }
 
@@ -90,12 +90,12 @@
 	_ = c.cmd.Wait()
 }
 
-// askTimeout bounds a request to a child.
-const askTimeout = 30 * time.Second
+// childRequestTimeout bounds a request to a child.
+const childRequestTimeout = 30 * time.Second
 
-// ask sends a request to the child and reads the answer into out, unless that is nil.
-func (c *child) ask(method, path string, in, out any) error {
-	status, raw, err := c.client.JSON(method, path, in, time.Now().Add(askTimeout))
+// request sends a request to the child and reads the answer into out, unless that is nil.
+func (c *child) request(method, path string, in, out any) error {
+	status, raw, err := c.client.DoJSON(method, path, in, time.Now().Add(childRequestTimeout))
 	if err != nil {
 		return fmt.Errorf("%s %s: %w", method, path, err)
 	}
@@ -117,22 +117,22 @@
 	switch role {
 	case RoleWorkers:
 		NewHollowWorkers(ctx).Mount(app)
-	case RoleState:
+	case RoleStore:
 		requests := newStoreCounts()
 		addr, err := localcluster.ServeStore(ctx, filepath.Join(data, "state.db"), requests.count)
 		if err != nil {
 			return err
 		}
-		addrs.Service = addr
+		addrs.StoreAddr = addr
 		app.Get("/counts", func(c *fiber.Ctx) error { return c.JSON(requests.read()) })
 	default:
-		return &UsageError{"role", fmt.Sprintf("%q is neither %s nor %s", role, RoleWorkers, RoleState)}
+		return &UsageError{"role", fmt.Sprintf("%q is neither %s nor %s", role, RoleWorkers, RoleStore)}
 	}
-	ln, err := listen()
+	ln, err := listenLocal()
 	if err != nil {
 		return err
 	}
-	addrs.Addr = ln.Addr().String()
+	addrs.ControlAddr = ln.Addr().String()
 	if err := json.NewEncoder(out).Encode(addrs); err != nil {
 		return err
 	}
--- a/internal/loadtest/regression_test.go
+++ b/internal/loadtest/regression_test.go
@@ -14,7 +14,7 @@
 	var files []string
 	for _, n := range []int{100, 200, 300, 400} {
 		size := float64(n)
-		r := &Result{Size: Size{Workers: n}, Measured: 10, Usage: map[string]Usage{
+		r := &Result{Size: Size{Workers: n}, MeasuredS: 10, Usage: map[string]Usage{
 			roleLeader: {Cores: 0.1 + size/1000}, roleFollower: {Cores: size * size / 10000},
 		}}
 		file := filepath.Join(dir, string(rune('a'+n/100)))
@@ -27,14 +27,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !f.Beyond {
-		t.Errorf("%g workers are not marked as beyond what was run", f.Planned)
+	if !f.Extrapolated {
+		t.Errorf("%g workers are not marked as beyond what was run", f.PlannedSize)
 	}
 	near := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
-	for _, line := range f.Lines {
+	for _, line := range f.Models {
 		switch line.Cost {
 		case roleLeader + ", cores":
-			if !near(line.Fixed, 0.1) || !near(line.Slope, 0.001) || !near(line.Planned, 7.7) || !near(line.RSquared, 1) {
+			if !near(line.Intercept, 0.1) || !near(line.Slope, 0.001) || !near(line.AtPlannedSize, 7.7) || !near(line.RSquared, 1) {
 				t.Errorf("a line is not found: %+v", line)
 			}
 		case roleFollower + ", cores":
--- a/internal/loadtest/rules_test.go
+++ b/internal/loadtest/rules_test.go
@@ -16,18 +16,18 @@
 		return &UserJob{
 			Job: client.Job{ID: id, Team: "a", Tasks: tasks, CPUs: 1}, Submitted: at(0), Accepted: at(0),
 			CancelRequested: !cancelled.IsZero(), Cancelled: cancelled,
-			Finals: []Final{{"controller-1", status}, {"controller-2", status}},
+			FinalStates: []FinalState{{"controller-1", status}, {"controller-2", status}},
 		}
 	}
 	return &History{
-		Ran: []simulation.TaskRun{
+		Runs: []simulation.TaskRun{
 			{Task: "j-1/0", Machine: "m-1", Started: at(1), Running: at(2), Ended: at(5), Cause: "lost"},
 			{Task: "j-1/0", Machine: "m-2", Started: at(5), Running: at(6), Ended: at(9), Cause: "done"},
 			{Task: "j-1/1", Machine: "m-1", Started: at(1), Running: at(2), Ended: at(8), Cause: "done"},
 			{Task: "j-2/0", Machine: "m-3", Started: at(9), Running: at(9), Ended: at(12), Cause: "stopped"},
 		},
 		Jobs:   map[string]*UserJob{"j-1": job("j-1", 2, time.Time{}, client.Done), "j-2": job("j-2", 1, at(10), client.Cancelled)},
-		Limits: []Limits{{"a": 2}}, Cancel: 10 * time.Second,
+		Limits: []CPULimits{{"a": 2}}, CancelLimit: 10 * time.Second,
 	}
 }
 
@@ -40,19 +40,22 @@
 		rule    string
 		breakIt func(h *History)
 	}{
-		{"ran_twice", func(h *History) { h.Ran[1].Started = h.Ran[0].Ended.Add(-time.Millisecond); h.Limits = []Limits{nil} }},
-		{"ran_cancelled", func(h *History) { h.Ran[3].Ended = h.Ran[3].Ended.Add(9 * time.Second) }},
+		{"ran_twice", func(h *History) {
+			h.Runs[1].Started = h.Runs[0].Ended.Add(-time.Millisecond)
+			h.Limits = []CPULimits{nil}
+		}},
+		{"ran_cancelled", func(h *History) { h.Runs[3].Ended = h.Runs[3].Ended.Add(9 * time.Second) }},
 		{"started_cancelled", func(h *History) {
-			h.Ran[3].Started = h.Ran[3].Started.Add(6 * time.Second)
-			h.Ran[3].Ended = h.Ran[3].Started
+			h.Runs[3].Started = h.Runs[3].Started.Add(6 * time.Second)
+			h.Runs[3].Ended = h.Runs[3].Started
 		}},
 		{"quota", func(h *History) { h.Limits[0]["a"] = 1.5 }},
-		{"forgotten", func(h *History) { h.Jobs["j-1"].Finals[1].Status = "not found" }},
-		{"unfinished", func(h *History) { h.Jobs["j-1"].Finals[1].Status = client.Running }},
-		{"went_back", func(h *History) { h.Jobs["j-2"].Finals[0].Status = client.Done; h.Jobs["j-2"].Tasks = 0 }},
+		{"forgotten", func(h *History) { h.Jobs["j-1"].FinalStates[1].Status = "not found" }},
+		{"unfinished", func(h *History) { h.Jobs["j-1"].FinalStates[1].Status = client.Running }},
+		{"went_back", func(h *History) { h.Jobs["j-2"].FinalStates[0].Status = client.Done; h.Jobs["j-2"].Tasks = 0 }},
 		{"went_back", func(h *History) { h.Jobs["j-2"].CancelRequested = false }},
-		{"not_done", func(h *History) { h.Ran[2].Cause = "lost" }},
-		{"nothing_ran", func(h *History) { h.Ran = nil; clear(h.Jobs) }},
+		{"not_done", func(h *History) { h.Runs[2].Cause = "lost" }},
+		{"nothing_ran", func(h *History) { h.Runs = nil; clear(h.Jobs) }},
 	} {
 		h := correctHistory()
 		test.breakIt(h)
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -18,19 +18,19 @@
 
 // run is a load test under way.
 type run struct {
-	size    Size
-	regions []*region
-	users   *users
-	meter   *meter
-	log     io.Writer
+	size        Size
+	deployments []*deployment
+	users       *users
+	meter       *meter
+	log         io.Writer
 
 	maxRunning int // tasks, the most at a time so far
 }
 
 const (
-	// sampleEvery and progressEvery are how often a run samples, and logs its progress.
-	sampleEvery   = time.Second
-	progressEvery = 5 * time.Second
+	// sampleInterval and progressInterval are how often a run samples, and logs its progress.
+	sampleInterval   = time.Second
+	progressInterval = 5 * time.Second
 	// bootTimeout bounds how long the workers may take to come up.
 	bootTimeout = 2 * time.Minute
 	// bootIdleIntervals is for how many heartbeat intervals no worker comes up before it is taken that none will.
@@ -72,19 +72,19 @@
 	r := &run{size: size, meter: newMeter(), log: log}
 	defer func() {
 		end()
-		for _, region := range r.regions {
+		for _, region := range r.deployments {
 			err = errors.Join(err, region.close())
 		}
 		err = errors.Join(err, os.RemoveAll(data))
 	}()
-	for i := range size.Regions {
-		region, err := openRegion(ctx, size, i, programs, data)
+	for i := range size.Deployments {
+		region, err := startDeployment(ctx, size, i, programs, data)
 		if err != nil {
 			return nil, err
 		}
-		r.regions = append(r.regions, region)
+		r.deployments = append(r.deployments, region)
 	}
-	r.users = newUsers(ctx, size, r.regions)
+	r.users = newUsers(ctx, size, r.deployments)
 	return r.measure(ctx)
 }
 
@@ -94,41 +94,41 @@
 	defer stopSubmitting()
 	poll, stopPolling := context.WithCancel(ctx)
 	defer stopPolling()
-	go r.users.submitAll(submit)
-	go r.users.pollAll(poll)
-	if err := r.waitUp(ctx); err != nil {
+	go r.users.submitLoad(submit)
+	go r.users.pollOpenJobs(poll)
+	if err := r.waitForWorkers(ctx); err != nil {
 		return nil, err
 	}
-	result := &Result{At: time.Now().UTC(), Cores: runtime.NumCPU(), Size: r.size, Version: sources()}
-	before, err := r.counts()
+	result := &Result{StartedAt: time.Now().UTC(), Cores: runtime.NumCPU(), Size: r.size, Version: sourceVersion()}
+	before, err := r.readCounters()
 	if err != nil {
 		return nil, err
 	}
-	injector := &faults{size: r.size, regions: r.regions, rand: rand.New(rand.NewPCG(1, uint64(r.size.Workers)))}
+	injector := &faultInjector{size: r.size, deployments: r.deployments, rand: rand.New(rand.NewPCG(1, uint64(r.size.Workers)))}
 	injectorDone := make(chan struct{})
 	began := time.Now()
 	go func() {
 		defer close(injectorDone)
 		injector.run(ctx)
 	}()
-	if err := r.watch(ctx, "measuring", func() bool { return time.Since(began) >= r.size.For }); err != nil {
+	if err := r.sampleUntil(ctx, "measuring", func() bool { return time.Since(began) >= r.size.MeasureTime }); err != nil {
 		return nil, err
 	}
 	ended := time.Now()
-	result.Measured, result.Usage = ended.Sub(began).Seconds(), r.meter.usage()
-	after, err := r.counts()
+	result.MeasuredS, result.Usage = ended.Sub(began).Seconds(), r.meter.usage()
+	after, err := r.readCounters()
 	if err != nil {
 		return nil, err
 	}
-	result.Traffic = after.traffic(before)
-	result.Workers, result.Running = after.workers.Machines, r.maxRunning
+	result.Traffic = after.trafficSince(before)
+	result.Workers, result.MaxRunning = after.workers.Machines, r.maxRunning
 	result.LeaseExpiries = after.workers.LeaseExpiries - before.workers.LeaseExpiries
 	result.RejectedHeartbeats = after.workers.RejectedHeartbeats - before.workers.RejectedHeartbeats
 	stopSubmitting()
 	<-injectorDone
 	result.InjectedFaults = injector.injected
-	fmt.Fprintf(r.log, "waiting for %d jobs to end\n", r.users.left())
-	r.users.finish(ctx)
+	fmt.Fprintf(r.log, "waiting for %d jobs to end\n", r.users.openCount())
+	r.users.awaitCompletion(ctx)
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
@@ -138,7 +138,7 @@
 // evaluate works out what the workers and users saw, and checks the rules on it.
 func (r *run) evaluate(result *Result, began, ended time.Time) error {
 	var runs []simulation.TaskRun
-	for _, region := range r.regions {
+	for _, region := range r.deployments {
 		ofRegion, err := region.history()
 		if err != nil {
 			return err
@@ -148,31 +148,31 @@
 	r.users.mu.Lock()
 	defer r.users.mu.Unlock()
 	result.measureStarts(runs, r.users.jobs, began, ended)
-	result.Unanswered = r.users.unanswered
+	result.UnansweredSubmissions = r.users.unanswered
 	for _, j := range r.users.jobs {
 		if !j.Accepted.IsZero() {
-			result.Jobs++
+			result.AcceptedJobs++
 		}
 	}
-	result.Finished = result.Jobs - len(r.users.open)
-	h := &History{Ran: runs, Jobs: r.users.jobs, Cancel: config.Seconds(cancelS)}
-	for _, region := range r.regions {
-		limits := Limits{}
-		for _, t := range r.size.deployment(region.index, region.zones).Teams {
+	result.FinishedJobs = result.AcceptedJobs - len(r.users.openJobs)
+	h := &History{Runs: runs, Jobs: r.users.jobs, CancelLimit: config.Seconds(cancelS)}
+	for _, region := range r.deployments {
+		limits := CPULimits{}
+		for _, t := range r.size.deploymentConfig(region.index, region.zones).Teams {
 			limits[t.Name] = t.LimitCPUs
 		}
 		h.Limits = append(h.Limits, limits)
 	}
 	result.Violations = h.Check()
-	return r.users.fail
+	return r.users.err
 }
 
-// waitUp waits until the load has risen, and the workers are up or no more of them come.
-func (r *run) waitUp(ctx context.Context) error {
+// waitForWorkers waits until the load has risen, and the workers are up or no more of them come.
+func (r *run) waitForWorkers(ctx context.Context) error {
 	began := time.Now()
 	most, lastRise := 0, began
-	err := r.watch(ctx, "coming up", func() bool {
-		if up := r.up(); up > most {
+	err := r.sampleUntil(ctx, "coming up", func() bool {
+		if up := r.workersUp(); up > most {
 			most, lastRise = up, time.Now()
 		}
 		enough := most >= int(minUpShare*float64(r.size.Workers))
@@ -183,59 +183,59 @@
 	return err
 }
 
-// up counts the workers that are up.
-func (r *run) up() int {
+// workersUp counts the workers that are up.
+func (r *run) workersUp() int {
 	n := 0
-	for _, region := range r.regions {
+	for _, region := range r.deployments {
 		n += len(region.cluster.Environment.Machines())
 	}
 	return n
 }
 
-// watch samples, and logs the progress of a phase, until done returns true.
-func (r *run) watch(ctx context.Context, phase string, done func() bool) error {
+// sampleUntil samples, and logs the progress of a phase, until done returns true.
+func (r *run) sampleUntil(ctx context.Context, phase string, done func() bool) error {
 	var logged time.Time
 	for !done() {
-		for _, region := range r.regions {
-			region.sample(r.meter)
+		for _, region := range r.deployments {
+			region.sampleProcesses(r.meter)
 		}
-		counts, err := r.counts()
+		counts, err := r.readCounters()
 		if err != nil {
 			return err
 		}
 		r.maxRunning = max(r.maxRunning, counts.workers.Running)
-		if time.Since(logged) >= progressEvery {
+		if time.Since(logged) >= progressInterval {
 			logged = time.Now()
 			fmt.Fprintf(r.log, "%s: %d workers up, %d tasks running, %d starts so far, %d jobs open\n",
-				phase, counts.workers.Machines, counts.workers.Running, counts.workers.Starts, r.users.left())
+				phase, counts.workers.Machines, counts.workers.Running, counts.workers.Starts, r.users.openCount())
 		}
-		if err := ctxtime.Sleep(ctx, sampleEvery); err != nil {
+		if err := ctxtime.Sleep(ctx, sampleInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// counted is what the processes of all roles counted so far.
-type counted struct {
+// counters is what the processes of all roles counted so far.
+type counters struct {
 	workers                     WorkerCounts
 	store                       map[string]Traffic // by kind of request
 	submissions, polls, cancels Traffic
 }
 
-func (r *run) counts() (counted, error) {
-	all := counted{
+func (r *run) readCounters() (counters, error) {
+	all := counters{
 		store: map[string]Traffic{}, submissions: r.users.submissions.read(),
 		polls: r.users.polls.read(), cancels: r.users.cancels.read(),
 	}
-	for _, region := range r.regions {
-		workers, err := region.counts()
+	for _, region := range r.deployments {
+		workers, err := region.workerCounts()
 		if err != nil {
 			return all, err
 		}
 		all.workers = all.workers.plus(workers)
 		var store map[string]Traffic
-		if err := region.store.ask("GET", "/counts", nil, &store); err != nil {
+		if err := region.store.request("GET", "/counts", nil, &store); err != nil {
 			return all, err
 		}
 		for kind, t := range store {
@@ -245,8 +245,8 @@
 	return all, nil
 }
 
-// traffic returns the traffic since an earlier count, by kind.
-func (c counted) traffic(before counted) map[string]Traffic {
+// trafficSince returns the traffic since an earlier count, by kind.
+func (c counters) trafficSince(before counters) map[string]Traffic {
 	all := map[string]Traffic{
 		"report":       c.workers.Heartbeats.Minus(before.workers.Heartbeats),
 		"order":        c.workers.Commands.Minus(before.workers.Commands),
@@ -260,8 +260,8 @@
 	return all
 }
 
-// sources returns the commit that this program was built from; "unknown" where the build does not tell.
-func sources() string {
+// sourceVersion returns the commit that this program was built from; "unknown" where the build does not tell.
+func sourceVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
@@ -270,7 +270,7 @@
 	for _, setting := range info.Settings {
 		switch {
 		case setting.Key == "vcs.revision":
-			commit = setting.Value[:min(len(setting.Value), shortCommit)]
+			commit = setting.Value[:min(len(setting.Value), commitDigits)]
 		case setting.Key == "vcs.modified" && setting.Value == "true":
 			changed = ", changed"
 		}
@@ -278,5 +278,5 @@
 	return commit + changed
 }
 
-// shortCommit is how many digits of a commit are kept.
-const shortCommit = 8
+// commitDigits is how many digits of a commit are kept.
+const commitDigits = 8
--- a/internal/loadtest/sample.go
+++ b/internal/loadtest/sample.go
@@ -11,7 +11,7 @@
 const (
 	roleLeader   = "leader"
 	roleFollower = "follower"
-	roleState    = "state service"
+	roleStore    = "state service"
 	roleHollow   = "hollow workers"
 	roleReal     = "real worker"
 )
@@ -29,7 +29,7 @@
 type meter struct {
 	mu    sync.Mutex
 	last  map[int]reading
-	roles map[string]*account
+	roles map[string]*roleUsage
 }
 
 // reading is a sample of a process.
@@ -38,14 +38,14 @@
 	cpu float64 // seconds of a core so far
 }
 
-// account adds up the samples of a role.
-type account struct {
+// roleUsage adds up the samples of a role.
+type roleUsage struct {
 	cpu, seconds float64
 	peak, memory float64
 	pids         map[int]bool
 }
 
-func newMeter() *meter { return &meter{last: map[int]reading{}, roles: map[string]*account{}} }
+func newMeter() *meter { return &meter{last: map[int]reading{}, roles: map[string]*roleUsage{}} }
 
 // sample samples a process that has a role now. A process that can't be read has ended, and is left out.
 func (m *meter) sample(role string, pid int) {
@@ -69,7 +69,7 @@
 	defer m.mu.Unlock()
 	a := m.roles[role]
 	if a == nil {
-		a = &account{pids: map[int]bool{}}
+		a = &roleUsage{pids: map[int]bool{}}
 		m.roles[role] = a
 	}
 	a.pids[pid] = true
--- a/internal/loadtest/store_counts.go
+++ b/internal/loadtest/store_counts.go
@@ -17,18 +17,18 @@
 )
 
 // storeCounts counts the requests to a store by kind.
-type storeCounts struct{ kinds map[string]*tally }
+type storeCounts struct{ kinds map[string]*trafficCounter }
 
 func newStoreCounts() *storeCounts {
-	s := &storeCounts{kinds: map[string]*tally{}}
+	s := &storeCounts{kinds: map[string]*trafficCounter{}}
 	for _, kind := range []string{kindRead, kindList, kindWrite, kindCompare, kindWatch, kindLease} {
-		s.kinds[kind] = &tally{}
+		s.kinds[kind] = &trafficCounter{}
 	}
 	return s
 }
 
-// kindOf returns the kind of a request.
-func kindOf(method, path string, body []byte) string {
+// requestKind returns the kind of a request.
+func requestKind(method, path string, body []byte) string {
 	switch {
 	case path == "/watch":
 		return kindWatch
@@ -46,7 +46,7 @@
 
 // count is a handler that counts a request once it is answered.
 func (s *storeCounts) count(c *fiber.Ctx) error {
-	kind := kindOf(c.Method(), c.Path(), c.Body())
+	kind := requestKind(c.Method(), c.Path(), c.Body())
 	err := c.Next()
 	s.kinds[kind].add(len(c.Response().Body()), len(c.Body()))
 	return err
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -24,13 +24,13 @@
 
 // Options say what to run.
 type Options struct {
-	Data        string   // directory for records, settings and logs; it is made
-	Controller  string   // the controllers' program
-	Arguments   []string // of every controller, before --config
-	Zones       []string
-	Controllers int
-	Machines    int    // that a zone has, spot and ordinary ones each
-	LogLevel    string // of the controllers
+	DataDir           string   // directory for records, settings and logs; it is made
+	ControllerProgram string   // the controllers' program
+	ControllerArgs    []string // of every controller, before --config
+	Zones             []string
+	Controllers       int
+	MachinesPerZone   int    // that a zone has, spot and ordinary ones each
+	LogLevel          string // of the controllers
 	// RunTime, where set, returns how long tasks run; otherwise they run near their estimate.
 	RunTime func(task string) time.Duration
 	// Deployment, where set, replaces the deployment's settings.
@@ -62,7 +62,7 @@
 	cancel      context.CancelFunc
 	storeFile   *storeFile // nil if the store runs elsewhere
 	apps        []*fiber.App
-	controllers []*process
+	controllers []*supervisedProcess
 }
 
 // Info is how to reach a cluster, as the file in its directory has it.
@@ -95,8 +95,8 @@
 
 const infoFile = "region.json"
 
-// Find reads how to reach the cluster of a directory.
-func Find(data string) (Info, error) {
+// ReadInfo reads how to reach the cluster of a directory.
+func ReadInfo(data string) (Info, error) {
 	var i Info
 	raw, err := os.ReadFile(filepath.Join(data, infoFile))
 	if err == nil {
@@ -109,21 +109,21 @@
 }
 
 const (
-	// startTries is how often a cluster is started where another program took one of its ports in between.
-	startTries = 3
-	// portTaken is what a controller's log says then.
-	portTaken = "address already in use"
+	// maxStartAttempts is how often a cluster is started where another program took one of its ports in between.
+	maxStartAttempts = 3
+	// portInUseText is what a controller's log says then.
+	portInUseText = "address already in use"
 )
 
 // Start starts a cluster and waits until every controller can take requests.
 func Start(ctx context.Context, o Options) (*Cluster, error) {
-	if err := os.MkdirAll(o.Data, 0o700); err != nil {
+	if err := os.MkdirAll(o.DataDir, 0o700); err != nil {
 		return nil, err
 	}
 	var failed error
-	for range startTries {
+	for range maxStartAttempts {
 		c, err := startOnce(ctx, o)
-		if err == nil || !strings.Contains(err.Error(), portTaken) {
+		if err == nil || !strings.Contains(err.Error(), portInUseText) {
 			return c, err
 		}
 		failed = err
@@ -165,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(c.options.Data, infoFile), raw, 0o600)
+	return os.WriteFile(filepath.Join(c.options.DataDir, infoFile), raw, 0o600)
 }
 
 // Client returns a client of the cluster.
@@ -174,7 +174,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("a cluster without controllers: %v", err))
 	}
-	users.Every = config.Seconds(heartbeatS)
+	users.PollInterval = config.Seconds(heartbeatIntervalS)
 	return users
 }
 
@@ -188,7 +188,7 @@
 	}
 	c.cancel()
 	for _, m := range c.Environment.Machines() {
-		m.Die()
+		m.Terminate()
 	}
 	var errs []error
 	for _, app := range c.apps {
@@ -197,8 +197,8 @@
 	if c.storeFile != nil {
 		errs = append(errs, c.storeFile.close())
 	}
-	if i, err := Find(c.options.Data); err == nil && i.PID == os.Getpid() {
-		errs = append(errs, os.Remove(filepath.Join(c.options.Data, infoFile)))
+	if i, err := ReadInfo(c.options.DataDir); err == nil && i.PID == os.Getpid() {
+		errs = append(errs, os.Remove(filepath.Join(c.options.DataDir, infoFile)))
 	}
 	// Open watches outlast the timeout.
 	errs = slices.DeleteFunc(errs, func(err error) bool { return errors.Is(err, context.DeadlineExceeded) })
--- a/internal/localcluster/control.go
+++ b/internal/localcluster/control.go
@@ -67,7 +67,7 @@
 		return ctx.Status(http.StatusBadRequest).JSON(controlResult{Error: "to is missing: which version"})
 	}
 	machine := targetOf(ctx)
-	return answerCommand(ctx, machine+" comes back with version "+version, c.Upgrade(machine, version))
+	return answerCommand(ctx, machine+" comes back with version "+version, c.UpgradeWorker(machine, version))
 }
 
 func (c *Cluster) serveFailZone(ctx *fiber.Ctx) error {
@@ -111,8 +111,8 @@
 	return json.Unmarshal(raw, out)
 }
 
-// Command has a cluster do something, and returns the text of its answer.
-func (i Info) Command(path string) (string, error) {
+// PostCommand has a cluster do something, and returns the text of its answer.
+func (i Info) PostCommand(path string) (string, error) {
 	var result controlResult
 	err := i.Request(http.MethodPost, path, &result)
 	return result.Done, err
--- a/internal/localcluster/controllers.go
+++ b/internal/localcluster/controllers.go
@@ -27,13 +27,13 @@
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(c.options.Data, optionsFileName)
-	if err := os.WriteFile(path, []byte(operatorOptions), 0o600); err != nil {
+	path := filepath.Join(c.options.DataDir, optionsFileName)
+	if err := os.WriteFile(path, []byte(operatorOptionsText), 0o600); err != nil {
 		return err
 	}
 	for i := range c.Info.Controllers {
 		controller := &c.Info.Controllers[i]
-		if controller.ConfigPath, err = writeSettings(c.options.Data, c.controllerConfig(*controller)); err != nil {
+		if controller.ConfigPath, err = writeSettings(c.options.DataDir, c.controllerConfig(*controller)); err != nil {
 			return err
 		}
 	}
@@ -76,7 +76,7 @@
 		if controller.PeerAddr, err = chooseAddr(); err != nil {
 			return release, err
 		}
-		controller.LogPath = filepath.Join(o.Data, controller.Name+".log")
+		controller.LogPath = filepath.Join(o.DataDir, controller.Name+".log")
 		c.Info.Controllers = append(c.Info.Controllers, controller)
 	}
 	return release, nil
@@ -86,7 +86,7 @@
 func (c *Cluster) controllerConfig(controller Controller) *config.Config {
 	cfg := &config.Config{
 		Node: controller.Name, Zone: controller.Zone, UserAddr: controller.UserAddr, PeerAddr: controller.PeerAddr,
-		External:   config.External{Cloud: c.Info.CloudAddr, State: c.Info.StoreAddr},
+		External:   config.External{Cloud: c.Info.CloudAddr, Store: c.Info.StoreAddr},
 		Deployment: c.options.deployment(),
 	}
 	for _, other := range c.Info.Controllers {
@@ -112,16 +112,16 @@
 // startControllers starts the controllers, and the workers' connections to them.
 func (c *Cluster) startControllers() {
 	o := c.options
-	if o.Arguments == nil {
-		o.Arguments = []string{"--options", filepath.Join(o.Data, optionsFileName)}
+	if o.ControllerArgs == nil {
+		o.ControllerArgs = []string{"--options", filepath.Join(o.DataDir, optionsFileName)}
 	}
 	var links []*httpclient.Client
 	for _, controller := range c.Info.Controllers {
 		c.Environment.Nodes = append(c.Environment.Nodes, controller.Name)
 		links = append(links, httpclient.New(controller.UserAddr, workerConnections, dialTimeout))
-		p := &process{
+		p := &supervisedProcess{
 			name:         controller.Name,
-			args:         c.commandLine(controller, o.Controller, o.Arguments),
+			args:         c.commandLine(controller, o.ControllerProgram, o.ControllerArgs),
 			env:          []string{"LOG_LEVEL=" + o.LogLevel},
 			logPath:      controller.LogPath,
 			restartDelay: config.Seconds(o.deployment().Workers.HeartbeatS),
@@ -134,13 +134,13 @@
 	c.Environment.Heartbeat = simulation.HeartbeatOverHTTP(
 		func(_ string, node int, body []byte) (int, []byte, error) {
 			// Workers give an answer four seconds (PROTOCOL), in the local cluster's proportions less.
-			deadline := time.Now().Add(config.Seconds(2 * heartbeatS))
+			deadline := time.Now().Add(config.Seconds(2 * heartbeatIntervalS))
 			return links[node].Do(http.MethodPost, "/checkin", "application/json", body, deadline)
 		})
 }
 
-// readyPoll is how often a controller is asked whether it can take requests.
-const readyPoll = 20 * time.Millisecond
+// readyPollInterval is how often a controller is asked whether it can take requests.
+const readyPollInterval = 20 * time.Millisecond
 
 // waitReady waits until every controller can take requests.
 func (c *Cluster) waitReady(ctx context.Context) error {
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func waitControllerReady(ctx context.Context, controller Controller, p *process) error {
+func waitControllerReady(ctx context.Context, controller Controller, p *supervisedProcess) error {
 	probe := httpclient.New(controller.UserAddr, 1, time.Second)
 	defer probe.Close()
 	for {
@@ -163,24 +163,24 @@
 		if err := p.failure(); err != nil {
 			return err
 		}
-		if err := ctxtime.Sleep(ctx, readyPoll); err != nil {
+		if err := ctxtime.Sleep(ctx, readyPollInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// process returns a controller's process; nil: there is no such controller.
-func (c *Cluster) process(controller string) *process {
-	i := slices.IndexFunc(c.controllers, func(p *process) bool { return p.name == controller })
+// findProcess returns a controller's process; nil: there is no such controller.
+func (c *Cluster) findProcess(controller string) *supervisedProcess {
+	i := slices.IndexFunc(c.controllers, func(p *supervisedProcess) bool { return p.name == controller })
 	if i < 0 {
 		return nil
 	}
 	return c.controllers[i]
 }
 
-// PID returns the process of a controller; 0: it does not run now.
-func (c *Cluster) PID(controller string) int {
-	if p := c.process(controller); p != nil {
+// ControllerPID returns the process of a controller; 0: it does not run now.
+func (c *Cluster) ControllerPID(controller string) int {
+	if p := c.findProcess(controller); p != nil {
 		return p.pid()
 	}
 	return 0
--- a/internal/localcluster/drain_test.go
+++ b/internal/localcluster/drain_test.go
@@ -43,8 +43,8 @@
 	return v
 }
 
-// machinesOf returns the machine of each running task of a job.
-func (p *testCluster) machinesOf(id string) map[string]string {
+// runningTaskMachines returns the machine of each running task of a job.
+func (p *testCluster) runningTaskMachines(id string) map[string]string {
 	where := map[string]string{}
 	for _, m := range p.cluster.Environment.Machines() {
 		r, err := m.Status()
@@ -75,7 +75,7 @@
 func (p *testCluster) waitRunning(id string, n int) map[string]string {
 	p.t.Helper()
 	var where map[string]string
-	p.waitFor(id+" to run", func() bool { where = p.machinesOf(id); return len(where) >= n })
+	p.waitFor(id+" to run", func() bool { where = p.runningTaskMachines(id); return len(where) >= n })
 	return where
 }
 
@@ -90,13 +90,13 @@
 func TestDrainContinuesAfterLeaderIsKilled(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 3, nil)
-	p.followJob(1, batchJob("j-1", 1, 8, makeUrgent), 0)
-	p.followJob(2, batchJob("j-2", 4, 12, makeCheckpointing), 0)
+	p.submitAndFollow(1, batchJob("j-1", 1, 8, makeUrgent), 0)
+	p.submitAndFollow(2, batchJob("j-2", 4, 12, makeCheckpointing), 0)
 	here := p.waitRunning("j-1", 1)["j-1/0"]
 	p.waitRunning("j-2", 4)
 	// A machine with checkpointing tasks, too.
 	there := ""
-	for _, host := range p.machinesOf("j-2") {
+	for _, host := range p.runningTaskMachines("j-2") {
 		if host != here {
 			there = host
 		}
@@ -117,7 +117,7 @@
 		t.Errorf("work was lost: %+v", v.State.Actual)
 	}
 	moved := false
-	for host := range p.machinesOf("j-2") {
+	for host := range p.runningTaskMachines("j-2") {
 		moved = moved || host == there
 	}
 	if moved {
@@ -135,8 +135,8 @@
 func TestDrainSurvivesLossOfMachinesAndControllers(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 4, nil)
-	p.followJob(1, batchJob("j-1", 6, 6, makeCheckpointing), 0)
-	p.followJob(2, batchJob("j-2", 4, 4, nil), 0)
+	p.submitAndFollow(1, batchJob("j-1", 6, 6, makeCheckpointing), 0)
+	p.submitAndFollow(2, batchJob("j-2", 4, 4, nil), 0)
 	p.waitRunning("j-1", 4)
 	id := p.startDrain(drain.Spec{Zone: "north", DeadlineMS: time.Now().Add(12 * time.Second).UnixMilli()})
 	p.waitFor("a machine to be draining", func() bool {
@@ -145,7 +145,7 @@
 	})
 	for _, m := range p.cluster.Environment.Machines() {
 		if m.Zone == "north" {
-			m.Die()
+			m.Terminate()
 			break
 		}
 	}
@@ -171,14 +171,14 @@
 func TestDrainMovesGangAsWhole(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 5, nil)
-	p.followJob(1, batchJob("j-1", 2, 12, func(j *client.Job) {
+	p.submitAndFollow(1, batchJob("j-1", 2, 12, func(j *client.Job) {
 		j.Shape, j.CPUs, j.OneZone, j.Team, j.CheckpointS, j.SaveS = client.Group, 3, true, "desk", 2, 0.5
 	}), 0)
 	where := p.waitRunning("j-1", 2)
 	host := where["j-1/0"]
 	id := p.startDrain(drain.Spec{Machines: []string{host}})
 	p.waitFor("the gang to run elsewhere", func() bool {
-		now := p.machinesOf("j-1")
+		now := p.runningTaskMachines("j-1")
 		return len(now) == 2 && now["j-1/0"] != host && now["j-1/1"] != host
 	})
 	p.waitForPhase(id, "drained")
@@ -200,7 +200,7 @@
 func TestDrainOfLastZoneIsRefusedUnlessForced(t *testing.T) {
 	t.Parallel()
 	p := startTestCluster(t, 6, nil)
-	p.followJob(1, batchJob("j-1", 4, 5, makeCheckpointing), 0)
+	p.submitAndFollow(1, batchJob("j-1", 4, 5, makeCheckpointing), 0)
 	p.waitRunning("j-1", 2)
 	north := p.startDrain(drain.Spec{Zone: "north", DeadlineMS: time.Now().Add(4 * time.Second).UnixMilli()})
 	p.waitFor("the leader to know it", func() bool {
@@ -222,7 +222,7 @@
 	p.waitForPhase("d-2", "drained")
 	p.waitFor("all to stand still", func() bool { return p.cluster.Environment.Running() == 0 })
 	starts := p.cluster.Environment.Starts()
-	p.followJob(2, batchJob("j-2", 1, 1, nil), 0)
+	p.submitAndFollow(2, batchJob("j-2", 1, 1, nil), 0)
 	p.waitFor("the job to be known", func() bool {
 		st, err := p.cluster.Client().Get(t.Context(), "j-2")
 		return err == nil && st.Status == client.Pending
@@ -243,8 +243,8 @@
 // of no drains, leads for a while.
 func TestRollingUpgradeAcrossPartitionAndOlderVersion(t *testing.T) {
 	t.Parallel()
-	p := startTestCluster(t, 7, func(o *Options) { o.Machines = 2 })
-	p.followJob(1, batchJob("j-1", 24, 3, makeCheckpointing), 0)
+	p := startTestCluster(t, 7, func(o *Options) { o.MachinesPerZone = 2 })
+	p.submitAndFollow(1, batchJob("j-1", 24, 3, makeCheckpointing), 0)
 	p.waitRunning("j-1", 4)
 	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, TargetVersion: "2.0", MaxOutOfService: 2, MinInService: 1})
 	// An operator upgrades what is drained.
@@ -256,7 +256,7 @@
 		}
 		for _, name := range v.State.OutOfService {
 			if m, err := p.cluster.Client().Machine(t.Context(), name); err == nil && m.State == "drained" && m.Version != "2.0" {
-				if p.cluster.Upgrade(name, "2.0") == nil {
+				if p.cluster.UpgradeWorker(name, "2.0") == nil {
 					upgraded++
 				}
 			}
@@ -266,11 +266,11 @@
 	p.cluster.Environment.PartitionZone("north", true)
 	p.waitFor("the zone's tasks to run elsewhere or have ended", func() bool {
 		st, err := p.cluster.Client().Get(t.Context(), "j-1")
-		return len(p.lostRuns()) > 0 || err == nil && st.Over()
+		return len(p.lostRuns()) > 0 || err == nil && st.IsFinal()
 	})
 	for _, m := range p.cluster.Environment.Machines() {
 		if m.Zone == "north" && m.Version == "1.0" {
-			_ = p.cluster.Upgrade(m.Name, "2.0")
+			_ = p.cluster.UpgradeWorker(m.Name, "2.0")
 		}
 	}
 	p.cluster.Environment.PartitionZone("north", false)
@@ -279,14 +279,14 @@
 		t.Logf("without the version in production: %v", err)
 	} else {
 		for _, c := range p.cluster.Info.Controllers {
-			if err := p.cluster.Replace(c.Name, old, nil); err != nil {
+			if err := p.cluster.ReplaceProgram(c.Name, old, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 		// The text is of that version's log.
 		p.waitFor("it to lead", func() bool { return p.leader() != "" && p.productionLogged("leading") })
 		for _, c := range p.cluster.Info.Controllers {
-			_ = p.cluster.Replace(c.Name, p.cluster.options.Controller, []string{"--options", filepath.Join(p.cluster.options.Data, "drumpick.ini")})
+			_ = p.cluster.ReplaceProgram(c.Name, p.cluster.options.ControllerProgram, []string{"--options", filepath.Join(p.cluster.options.DataDir, "drumpick.ini")})
 		}
 	}
 	p.waitFor("all to have the version", func() bool {
@@ -316,9 +316,9 @@
 // A version on which tasks fail is rolled back, on few machines.
 func TestFailingVersionIsRolledBack(t *testing.T) {
 	t.Parallel()
-	p := startTestCluster(t, 8, func(o *Options) { o.Machines = 3 })
+	p := startTestCluster(t, 8, func(o *Options) { o.MachinesPerZone = 3 })
 	p.cluster.Environment.TaskFails = func(m *simulation.Machine, _ string) bool { return m.Version == "2.0" }
-	p.followJob(1, batchJob("j-1", 60, 2, nil), 0)
+	p.submitAndFollow(1, batchJob("j-1", 60, 2, nil), 0)
 	p.waitRunning("j-1", 4)
 	id := p.startDrain(drain.Spec{Kind: client.DrainUpgrade, TargetVersion: "2.0", MaxOutOfService: 1})
 	bad := map[string]bool{}
@@ -334,7 +334,7 @@
 				if v.State.Rollout.Target == "2.0" {
 					bad[name] = true
 				}
-				_ = p.cluster.Upgrade(name, v.State.Rollout.Target)
+				_ = p.cluster.UpgradeWorker(name, v.State.Rollout.Target)
 			}
 		}
 		return v.State.Phase == "rolled back"
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -10,24 +10,24 @@
 
 // Kill ends a controller, which starts again after a moment, or a machine, for good.
 func (c *Cluster) Kill(name string) error {
-	if p := c.process(name); p != nil {
+	if p := c.findProcess(name); p != nil {
 		slog.Debug("killing controller", "node", name)
 		p.kill()
 		return nil
 	}
 	for _, m := range c.Environment.Machines() {
 		if m.Name == name {
-			m.Die()
+			m.Terminate()
 			return nil
 		}
 	}
 	return fmt.Errorf("%q is neither a controller nor a machine that is up", name)
 }
 
-// Replace gives a controller another program from its next start on, and ends the one that runs: the step of an
+// ReplaceProgram gives a controller another program from its next start on, and ends the one that runs: the step of an
 // upgrade.
-func (c *Cluster) Replace(name, program string, arguments []string) error {
-	p := c.process(name)
+func (c *Cluster) ReplaceProgram(name, program string, arguments []string) error {
+	p := c.findProcess(name)
 	i := slices.IndexFunc(c.Info.Controllers, func(controller Controller) bool { return controller.Name == name })
 	if p == nil || i < 0 {
 		return fmt.Errorf("%q is no controller", name)
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// Upgrade gives a machine's worker another version, as an operator would. Whatever runs there is lost, so the
+// UpgradeWorker gives a machine's worker another version, as an operator would. Whatever runs there is lost, so the
 // machine should be drained.
-func (c *Cluster) Upgrade(machine, version string) error {
+func (c *Cluster) UpgradeWorker(machine, version string) error {
 	if !c.Environment.Upgrade(machine, version) {
 		return fmt.Errorf("there is no machine %q that is up", machine)
 	}
@@ -73,7 +73,7 @@
 	}
 	for _, controller := range c.Info.Controllers {
 		if controller.Zone == zone {
-			c.process(controller.Name).kill()
+			c.findProcess(controller.Name).kill()
 		}
 	}
 	return c.Environment.FailZone(zone), nil
--- a/internal/localcluster/golden_test.go
+++ b/internal/localcluster/golden_test.go
@@ -28,7 +28,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			send := func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
-			f.CheckExchange(t, x.name, goldentest.Do(t, send, x.method, x.uri, ""))
+			f.CheckExchange(t, x.name, goldentest.DoRequest(t, send, x.method, x.uri, ""))
 		})
 	}
 }
--- a/internal/localcluster/loopback_test.go
+++ b/internal/localcluster/loopback_test.go
@@ -50,7 +50,7 @@
 type testCluster struct {
 	t           *testing.T
 	cluster     *Cluster
-	log         *linearizability.Log
+	log         *linearizability.History
 	rand        *rand.Rand
 	wg          sync.WaitGroup
 	forceDrains bool // start drains that leave no machine for some jobs
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := Options{Data: t.TempDir(), Controller: daemon, Zones: []string{"north", "south"}, Controllers: 3, Machines: 5, LogLevel: "info"}
+	o := Options{DataDir: t.TempDir(), ControllerProgram: daemon, Zones: []string{"north", "south"}, Controllers: 3, MachinesPerZone: 5, LogLevel: "info"}
 	if change != nil {
 		change(&o)
 	}
@@ -103,13 +103,13 @@
 	return j
 }
 
-// followJob has a user submit a job and follow it to its end, and logs all answers.
-func (p *testCluster) followJob(who int, j client.Job, cancelAfter int) {
+// submitAndFollow has a user submit a job and follow it to its end, and logs all answers.
+func (p *testCluster) submitAndFollow(who int, j client.Job, cancelAfter int) {
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
 		c := p.cluster.Client()
-		c.Patience.Poll, c.Patience.Submit, c.Patience.Pause = time.Second, 2*time.Second, 100*time.Millisecond
+		c.RetryPolicy.RequestTimeout, c.RetryPolicy.SubmitTimeout, c.RetryPolicy.MinDelay = time.Second, 2*time.Second, 100*time.Millisecond
 		ctx := p.t.Context()
 		ask := func(kind string, do func() (client.Status, error)) client.Status {
 			for ctx.Err() == nil {
@@ -117,13 +117,13 @@
 				st, err := do()
 				switch {
 				case err == nil:
-					p.log.Note(who, j.ID, kind, st.Status, asked)
+					p.log.Record(who, j.ID, kind, st.Status, asked)
 					return st
 				case errors.Is(err, client.ErrNotFound):
-					p.log.Note(who, j.ID, kind, linearizability.NotFound, asked)
+					p.log.Record(who, j.ID, kind, linearizability.NotFound, asked)
 					return st
 				case errors.Is(err, client.ErrUnavailable):
-					p.log.Note(who, j.ID, kind, "", asked) // and once more
+					p.log.Record(who, j.ID, kind, "", asked) // and once more
 				default:
 					p.t.Errorf("%s of %s: %v", kind, j.ID, err)
 					return st
@@ -136,7 +136,7 @@
 			if polls == cancelAfter && cancelAfter > 0 {
 				ask(linearizability.Cancel, func() (client.Status, error) { return c.Cancel(ctx, j.ID) })
 			}
-			if ask(linearizability.Poll, func() (client.Status, error) { return c.Get(ctx, j.ID) }).Over() {
+			if ask(linearizability.Poll, func() (client.Status, error) { return c.Get(ctx, j.ID) }).IsFinal() {
 				return
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -185,11 +185,11 @@
 	t.Parallel()
 	p := startTestCluster(t, 1, nil)
 	for i := range 6 {
-		p.followJob(i, batchJob(fmt.Sprint("j-", 100+i), 4, 2, nil), 0)
+		p.submitAndFollow(i, batchJob(fmt.Sprint("j-", 100+i), 4, 2, nil), 0)
 	}
-	p.followJob(6, batchJob("j-200", 3, 3, func(j *client.Job) { j.Shape, j.CPUs, j.OneZone, j.Team = client.Group, 2, true, "desk" }), 0)
-	p.followJob(7, batchJob("j-201", 2, 0, func(j *client.Job) { j.Shape, j.Apart = client.Service, true }), 12)
-	p.followJob(8, batchJob("j-202", 8, 5, nil), 6)
+	p.submitAndFollow(6, batchJob("j-200", 3, 3, func(j *client.Job) { j.Shape, j.CPUs, j.OneZone, j.Team = client.Group, 2, true, "desk" }), 0)
+	p.submitAndFollow(7, batchJob("j-201", 2, 0, func(j *client.Job) { j.Shape, j.SpreadZones = client.Service, true }), 12)
+	p.submitAndFollow(8, batchJob("j-202", 8, 5, nil), 6)
 	p.waitFor("first starts", func() bool { return p.cluster.Environment.Starts() > 4 })
 	for round := range 3 {
 		switch victim := p.rand.IntN(3); {
@@ -203,11 +203,11 @@
 			}
 		default:
 			if ms := p.cluster.Environment.Machines(); len(ms) > 0 {
-				ms[p.rand.IntN(len(ms))].Die()
+				ms[p.rand.IntN(len(ms))].Terminate()
 			}
 		}
 		starts := p.cluster.Environment.Starts()
-		p.followJob(20+round, batchJob(fmt.Sprint("j-", 300+round), 3, 1, nil), 0)
+		p.submitAndFollow(20+round, batchJob(fmt.Sprint("j-", 300+round), 3, 1, nil), 0)
 		p.waitFor("starts after the fault", func() bool { return p.cluster.Environment.Starts() > starts })
 	}
 	p.checkAnswers()
@@ -218,7 +218,7 @@
 func TestRecordsOutliveRestart(t *testing.T) {
 	t.Parallel()
 	data := t.TempDir()
-	sameData := func(o *Options) { o.Data, o.Controllers = data, 1 }
+	sameData := func(o *Options) { o.DataDir, o.Controllers = data, 1 }
 	p := startTestCluster(t, 1, sameData)
 	c := p.cluster.Client()
 	ctx := t.Context()
@@ -228,11 +228,11 @@
 	if st, err := c.Cancel(ctx, "j-3"); err != nil || st.Status != client.Cancelled {
 		t.Fatalf("%+v, %v", st, err)
 	}
-	c.Every = 100 * time.Millisecond
+	c.PollInterval = 100 * time.Millisecond
 	if st, err := c.Wait(ctx, "j-1", nil); err != nil || st.Status != client.Done {
 		t.Fatalf("%+v, %v", st, err)
 	}
-	second := Options{Data: data, Controller: p.cluster.options.Controller, Zones: []string{"north"}, Controllers: 1}
+	second := Options{DataDir: data, ControllerProgram: p.cluster.options.ControllerProgram, Zones: []string{"north"}, Controllers: 1}
 	if _, err := Start(ctx, second); err == nil {
 		t.Error("a second cluster started on the same directory")
 	}
@@ -251,7 +251,7 @@
 			t.Errorf("%s: %+v, %v, want %s", id, st, err, want)
 		}
 	}
-	c.Every = 100 * time.Millisecond
+	c.PollInterval = 100 * time.Millisecond
 	if st, err := c.Wait(ctx, "j-2", nil); err != nil || st.Status != client.Done {
 		t.Errorf("j-2: %+v, %v", st, err)
 	}
@@ -324,7 +324,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	_, err = Start(ctx, Options{Data: t.TempDir(), Controller: bad, Zones: []string{"north"}, Controllers: 1})
+	_, err = Start(ctx, Options{DataDir: t.TempDir(), ControllerProgram: bad, Zones: []string{"north"}, Controllers: 1})
 	if err == nil || !strings.Contains(err.Error(), "controller-1 ends at once") {
 		t.Errorf("%v", err)
 	}
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -35,14 +35,14 @@
 }
 
 const (
-	// maxQuickEnds is how often in a row a process may end at once before it is given up.
-	maxQuickEnds = 3
-	// stopRetry is how often a process is killed anew until it has ended.
-	stopRetry = 50 * time.Millisecond
+	// maxQuickExits is how often in a row a process may end at once before it is given up.
+	maxQuickExits = 3
+	// killRetryInterval is how often a process is killed anew until it has ended.
+	killRetryInterval = 50 * time.Millisecond
 )
 
-// process is a controller that is started again whenever it ends.
-type process struct {
+// supervisedProcess is a controller that is started again whenever it ends.
+type supervisedProcess struct {
 	name         string
 	env          []string
 	logPath      string
@@ -51,15 +51,15 @@
 	quit  chan struct{} // closed by stop
 	ended chan struct{} // closed when run has returned
 
-	mu       sync.Mutex // guards what follows
-	args     []string
-	nextArgs []string // from the next start on, where set
-	cmd      *exec.Cmd
-	startErr error // why it was given up
+	mu           sync.Mutex // guards what follows
+	args         []string
+	nextArgs     []string // from the next start on, where set
+	cmd          *exec.Cmd
+	permanentErr error // why it was given up
 }
 
 // run keeps the process up until stop, or until it cannot be kept up.
-func (p *process) run() {
+func (p *supervisedProcess) run() {
 	defer close(p.ended)
 	quickEnds := 0
 	for {
@@ -74,7 +74,7 @@
 		killed := errors.As(err, &exit) && !exit.Exited()
 		if killed || time.Since(began) > p.restartDelay {
 			quickEnds = 0
-		} else if quickEnds++; quickEnds == maxQuickEnds {
+		} else if quickEnds++; quickEnds == maxQuickExits {
 			p.setFailure(fmt.Errorf("%s ends at once (%v): %s (see %s)", p.name, err, lastLine(p.logPath), p.logPath))
 			return
 		}
@@ -92,7 +92,7 @@
 func (e *startError) Error() string { return e.err.Error() }
 
 // runOnce starts the process and waits for its end. The error is a startError, or how it ended.
-func (p *process) runOnce() error {
+func (p *supervisedProcess) runOnce() error {
 	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return &startError{err}
@@ -124,21 +124,21 @@
 	return lines[len(lines)-1]
 }
 
-func (p *process) setFailure(err error) {
+func (p *supervisedProcess) setFailure(err error) {
 	p.mu.Lock()
-	p.startErr = err
+	p.permanentErr = err
 	p.mu.Unlock()
 }
 
 // failure returns why the process was given up; nil: it was not.
-func (p *process) failure() error {
+func (p *supervisedProcess) failure() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.startErr
+	return p.permanentErr
 }
 
 // pid returns the id of the process that runs now; 0: none does.
-func (p *process) pid() int {
+func (p *supervisedProcess) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil || p.cmd.Process == nil {
@@ -148,7 +148,7 @@
 }
 
 // kill ends the process as a crash would.
-func (p *process) kill() {
+func (p *supervisedProcess) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil && p.cmd.Process != nil {
@@ -157,14 +157,14 @@
 }
 
 // stop ends the process for good.
-func (p *process) stop() {
+func (p *supervisedProcess) stop() {
 	close(p.quit)
 	for {
 		p.kill()
 		select {
 		case <-p.ended:
 			return
-		case <-time.After(stopRetry):
+		case <-time.After(killRetryInterval):
 		}
 	}
 }
--- a/internal/localcluster/services.go
+++ b/internal/localcluster/services.go
@@ -47,7 +47,7 @@
 
 // serveStore serves the store, kept in a file.
 func (c *Cluster) serveStore() (err error) {
-	if c.storeFile, err = openStoreFile(filepath.Join(c.options.Data, storeFileName), c.Store); err != nil {
+	if c.storeFile, err = openStoreFile(filepath.Join(c.options.DataDir, storeFileName), c.Store); err != nil {
 		return err
 	}
 	c.Info.StoreAddr, err = c.serve(func(app *fiber.App) {
@@ -64,7 +64,7 @@
 	if err != nil {
 		return "", err
 	}
-	_, addr, err = serve(func(app *fiber.App) {
+	_, addr, err = serveOnLoopback(func(app *fiber.App) {
 		if onRequest != nil {
 			app.Use(onRequest)
 		}
@@ -85,7 +85,7 @@
 
 // serve opens an address that Stop closes, and returns it.
 func (c *Cluster) serve(mount func(*fiber.App)) (string, error) {
-	app, addr, err := serve(mount)
+	app, addr, err := serveOnLoopback(mount)
 	if err != nil {
 		return "", err
 	}
@@ -93,8 +93,8 @@
 	return addr, nil
 }
 
-// serve opens an address on loopback and serves what is mounted there.
-func serve(mount func(*fiber.App)) (*fiber.App, string, error) {
+// serveOnLoopback opens an address on loopback and serves what is mounted there.
+func serveOnLoopback(mount func(*fiber.App)) (*fiber.App, string, error) {
 	ln, err := listen()
 	if err != nil {
 		return nil, "", fmt.Errorf("local region: %w", err)
@@ -110,16 +110,16 @@
 	env, o := c.Environment, c.options
 	workers := o.deployment().Workers
 	env.HeartbeatInterval, env.Lease = config.Seconds(workers.HeartbeatS), config.Seconds(workers.LeaseS)
-	env.GangStartTimeout, env.GangPeerTimeout = config.Seconds(workers.GangWaitS), config.Seconds(workers.GangPeerS)
+	env.GangStartTimeout, env.GangPeerTimeout = config.Seconds(workers.GangWaitS), config.Seconds(workers.GangPeerLossS)
 	env.CancelLimit = config.Seconds(workers.CancelS)
-	env.BootTime = config.Seconds(startupS)
+	env.BootTime = config.Seconds(machineStartupS)
 	env.MaxCommandDelay = maxCommandDelay
-	env.ZoneCapacity, env.WorkerVersion = o.Machines, workerVersion
+	env.ZoneCapacity, env.WorkerVersion = o.MachinesPerZone, workerVersion
 	env.Types = o.MachineTypes
 	if env.Types == nil {
 		env.Types = defaultMachineTypes(o.Zones)
 	}
-	env.LookupJob = c.openJob
+	env.LookupJob = c.readOpenJob
 	env.RunTime = o.RunTime
 	if env.RunTime == nil {
 		env.RunTime = c.runTimeNearEstimate
@@ -133,14 +133,14 @@
 // runTimeNearEstimate returns how long a task runs: 0.7 to 1.3 times its job's estimate, by its name.
 func (c *Cluster) runTimeNearEstimate(task string) time.Duration {
 	id, _, _ := strings.Cut(task, "/")
-	j, _ := c.openJob(id)
+	j, _ := c.readOpenJob(id)
 	h := fnv.New32a()
 	h.Write([]byte(task))
 	return config.Seconds(j.EstimateS * (0.7 + 0.6*float64(h.Sum32()%1000)/1000))
 }
 
-// openJob reads an open job, as workers fetch what users uploaded.
-func (c *Cluster) openJob(id string) (records.Job, bool) {
+// readOpenJob reads an open job, as workers fetch what users uploaded.
+func (c *Cluster) readOpenJob(id string) (records.Job, bool) {
 	var j records.Job
 	value := c.Store.Value(records.OpenKey(id))
 	return j, value != "" && json.Unmarshal([]byte(value), &j) == nil
@@ -167,12 +167,12 @@
 			var closed records.ClosedJob
 			isNew := kv.Revision > since
 			if isNew && json.Unmarshal(kv.Value, &closed) == nil && closed.Status == records.StatusCancelled {
-				c.Environment.CancelConfirmed(strings.TrimPrefix(kv.Key, records.PrefixClosed))
+				c.Environment.RecordCancelConfirmation(strings.TrimPrefix(kv.Key, records.PrefixClosed))
 			}
 			since = max(since, kv.Revision)
 		}
 		c.Environment.CheckCancelled()
-		if ctxtime.Sleep(c.ctx, config.Seconds(heartbeatS)) != nil {
+		if ctxtime.Sleep(c.ctx, config.Seconds(heartbeatIntervalS)) != nil {
 			return
 		}
 	}
--- a/internal/localcluster/settings.go
+++ b/internal/localcluster/settings.go
@@ -14,10 +14,10 @@
 // The cluster's times, in seconds: heartbeats as often as workers may send them, the others in the proportions of the
 // users' deployments.
 const (
-	heartbeatS = 1.0
-	leaseS     = 6.0
-	cancelS    = 16.0
-	startupS   = 2.0
+	heartbeatIntervalS = 1.0
+	leaseS             = 6.0
+	cancelS            = 16.0
+	machineStartupS    = 2.0
 )
 
 // fdLimit gives a controller three quarters of so many connections for workers and users:
@@ -27,18 +27,18 @@
 // defaultDeployment returns the settings that the controllers share.
 func defaultDeployment(zones []string, controllers int) config.Deployment {
 	return config.Deployment{
-		Nodes: controllers, Zones: zones, TimeBoundMS: 100,
+		Nodes: controllers, Zones: zones, MaxClockErrorMS: 100,
 		Teams: []config.Team{
 			{Name: "desk", GuaranteedCPUs: 16}, {Name: "field", GuaranteedCPUs: 8, LimitCPUs: 32}, {Name: "archive"},
 		},
 		Objectives: []config.Objective{
-			{Kind: config.KindDeadline, Class: "export", Share: 0.9, Times: 1},
+			{Kind: config.KindDeadline, Class: "export", Share: 0.9, DeadlineFactor: 1},
 			{Kind: config.KindWait, Class: "export", WithinS: 10, Share: 0.9},
 			{Kind: "finished", Class: "index", WithinS: 60, Share: 0.9},
 		},
-		Workers:   config.Workers{HeartbeatS: heartbeatS, LeaseS: leaseS, GangWaitS: 15, GangPeerS: 3, CancelS: cancelS},
-		State:     config.State{RPS: 1000, WriteRPS: 200, ValueKB: 16, TxnOps: 16},
-		Cloud:     config.Cloud{RPS: 20, ListLagS: 0.5},
+		Workers:   config.Workers{HeartbeatS: heartbeatIntervalS, LeaseS: leaseS, GangWaitS: 15, GangPeerLossS: 3, CancelS: cancelS},
+		Store:     config.StoreLimits{RPS: 1000, WriteRPS: 200, ValueKB: 16, TxnOps: 16},
+		Cloud:     config.CloudLimits{RPS: 20, ListLagS: 0.5},
 		Resources: config.Resources{Cores: 1, RAMMB: 256, FDLimit: fdLimit},
 	}
 }
@@ -47,7 +47,7 @@
 func defaultMachineTypes(zones []string) []records.MachineType {
 	return []records.MachineType{{
 		Name: "c4", CPUs: 4, MemGB: 16, CacheGB: 50, FetchGBps: 1,
-		Price: 0.2, SpotPrice: 0.05, StartupS: startupS, Zones: zones,
+		Price: 0.2, SpotPrice: 0.05, StartupS: machineStartupS, Zones: zones,
 	}}
 }
 
@@ -64,5 +64,5 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// operatorOptions is the text of the operators' file of every controller.
-const operatorOptions = "[operator]\nenabled = true\n"
+// operatorOptionsText is the text of the operators' file of every controller.
+const operatorOptionsText = "[operator]\nenabled = true\n"
--- a/internal/localcluster/store_file.go
+++ b/internal/localcluster/store_file.go
@@ -21,13 +21,13 @@
 	quit   chan struct{} // closed by close
 	done   chan struct{} // closed when run has returned
 
-	mu       sync.Mutex // guards what follows
-	pending  []simulation.Change
-	revision uint64        // of the last change that was taken in
-	written  uint64        // up to which all is in the file
-	progress chan struct{} // closed, and replaced, when something was written
-	err      error         // of a write; later writes go on
-	closed   bool          // what comes now is lost, as with a process that has ended
+	mu               sync.Mutex // guards what follows
+	pending          []simulation.Change
+	enqueuedRevision uint64        // of the last change that was taken in
+	durableRevision  uint64        // up to which all is in the file
+	durableChanged   chan struct{} // closed, and replaced, when something was written
+	writeErr         error         // of a write; later writes go on
+	closed           bool          // what comes now is lost, as with a process that has ended
 }
 
 // Buckets of the file, and the keys of bucketMeta.
@@ -55,8 +55,8 @@
 		return nil, fmt.Errorf("state service: %s: %w", path, err)
 	}
 	f := &storeFile{
-		db: db, revision: kept.revision, written: kept.revision,
-		wakeup: make(chan struct{}, 1), progress: make(chan struct{}),
+		db: db, enqueuedRevision: kept.revision, durableRevision: kept.revision,
+		wakeup: make(chan struct{}, 1), durableChanged: make(chan struct{}),
 		quit: make(chan struct{}), done: make(chan struct{}),
 	}
 	s.Restore(kept.entries, kept.revision, kept.lastLease, kept.ttls)
@@ -117,7 +117,7 @@
 	f.mu.Lock()
 	if !f.closed {
 		f.pending = append(f.pending, c)
-		f.revision = c.Revision
+		f.enqueuedRevision = c.Revision
 	}
 	f.mu.Unlock()
 	select {
@@ -130,8 +130,8 @@
 func (f *storeFile) waitDurable(revision uint64) {
 	for {
 		f.mu.Lock()
-		lost := f.closed && revision > f.revision
-		finished, progress := f.written >= revision || f.err != nil || lost, f.progress
+		lost := f.closed && revision > f.enqueuedRevision
+		finished, progress := f.durableRevision >= revision || f.writeErr != nil || lost, f.durableChanged
 		f.mu.Unlock()
 		if finished {
 			return
@@ -158,11 +158,11 @@
 		}
 		err := f.db.Update(func(tx *bbolt.Tx) error { return writeBatch(tx, batch) })
 		f.mu.Lock()
-		if f.written = batch[len(batch)-1].Revision; err != nil {
-			f.err = err
+		if f.durableRevision = batch[len(batch)-1].Revision; err != nil {
+			f.writeErr = err
 		}
-		close(f.progress)
-		f.progress = make(chan struct{})
+		close(f.durableChanged)
+		f.durableChanged = make(chan struct{})
 		f.mu.Unlock()
 	}
 }
@@ -212,7 +212,7 @@
 func (f *storeFile) close() error {
 	f.mu.Lock()
 	f.closed = true
-	last := f.revision
+	last := f.enqueuedRevision
 	f.mu.Unlock()
 	f.waitDurable(last)
 	close(f.quit)
@@ -220,5 +220,5 @@
 	if err := f.db.Close(); err != nil {
 		return err
 	}
-	return f.err
+	return f.writeErr
 }
--- a/internal/operator/drain_plan.go
+++ b/internal/operator/drain_plan.go
@@ -18,24 +18,24 @@
 // which it is to plan another.
 const statusDrainUnread = fiber.StatusTooEarly
 
-// plan asks the leader what a drain would do.
-func (s *Server) plan(in request) peer.RelayReply {
+// planDrain asks the leader what a drain would do.
+func (s *Server) planDrain(in drainRequest) peer.RelayReply {
 	raw, err := json.Marshal(in)
 	if err != nil {
-		return failed(fiber.StatusBadRequest, err.Error())
+		return errorResponse(fiber.StatusBadRequest, err.Error())
 	}
-	return s.Answer(peer.RelayRequest{Method: methodPlanDrain, Body: raw})
+	return s.AskLeader(peer.RelayRequest{Method: methodPlanDrain, Body: raw})
 }
 
-// decidePlan answers, as the leader, what a drain would do.
-func decidePlan(l Local, body []byte) peer.RelayReply {
-	var in request
+// planDrainAsLeader answers, as the leader, what a drain would do.
+func planDrainAsLeader(l Leader, body []byte) peer.RelayReply {
+	var in drainRequest
 	if err := json.Unmarshal(body, &in); err != nil {
-		return failed(fiber.StatusBadRequest, err.Error())
+		return errorResponse(fiber.StatusBadRequest, err.Error())
 	}
 	for _, id := range in.Seen {
 		if _, ok := l.Drain(id); !ok {
-			return failed(statusDrainUnread, "the leader has not read the drain "+id)
+			return errorResponse(statusDrainUnread, "the leader has not read the drain "+id)
 		}
 	}
 	plan, err := l.PreviewDrain(&in.Spec, in.Force, in.Since, tasksPerPage)
@@ -43,11 +43,11 @@
 	var noCapacityLeft *scheduler.DrainRefusedError
 	switch {
 	case errors.As(err, &noMachine):
-		return failed(fiber.StatusNotFound, err.Error())
+		return errorResponse(fiber.StatusNotFound, err.Error())
 	case errors.As(err, &noCapacityLeft):
-		return failed(fiber.StatusConflict, err.Error())
+		return errorResponse(fiber.StatusConflict, err.Error())
 	case err != nil:
-		return failed(fiber.StatusServiceUnavailable, err.Error())
+		return errorResponse(fiber.StatusServiceUnavailable, err.Error())
 	}
-	return succeeded(plan)
+	return okResponse(plan)
 }
--- a/internal/operator/drain_request.go
+++ b/internal/operator/drain_request.go
@@ -10,8 +10,8 @@
 	"drumpick/internal/records"
 )
 
-// request is a drain as operators ask for it.
-type request struct {
+// drainRequest is a drain as operators ask for it.
+type drainRequest struct {
 	drain.Spec
 	// Force has a drain start although it leaves no machine for some jobs.
 	Force bool `json:"force,omitempty"`
@@ -27,8 +27,8 @@
 // the 64 KiB of a request.
 const maxSpecBytes = 48 << 10
 
-// parse reads a request and checks it; reason is what is wrong with it, "" if nothing.
-func (s *Server) parse(body []byte) (in request, reason string) {
+// parseRequest reads a request and checks it; reason is what is wrong with it, "" if nothing.
+func (s *Server) parseRequest(body []byte) (in drainRequest, reason string) {
 	if err := json.Unmarshal(body, &in); err != nil {
 		var wrongType *json.UnmarshalTypeError
 		if errors.As(err, &wrongType) && wrongType.Field != "" {
@@ -40,12 +40,12 @@
 	if err := in.Check(time.Now()); err != nil {
 		return in, err.Error()
 	}
-	return in, s.tooLarge(in.Spec)
+	return in, s.tooLargeReason(in.Spec)
 }
 
-// tooLarge returns why a drain does not fit into its record, "" if it does.
-func (s *Server) tooLarge(spec drain.Spec) string {
-	limit := min(s.valueBytes, maxSpecBytes)
+// tooLargeReason returns why a drain does not fit into its record, "" if it does.
+func (s *Server) tooLargeReason(spec drain.Spec) string {
+	limit := min(s.maxValueBytes, maxSpecBytes)
 	// The record grows when the drain is stopped. Without this, one could fit that cannot be stopped.
 	spec.Stopped = true
 	size := records.EncodedSize(spec)
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -24,24 +24,24 @@
 }
 
 func (s *Server) mountDrains(app *fiber.App) {
-	app.Get("/operator/drains", func(c *fiber.Ctx) error { return send(c, s.withTimeout(s.list)) })
+	app.Get("/operator/drains", func(c *fiber.Ctx) error { return sendJSON(c, s.withTimeout(s.listDrains)) })
 	app.Post("/operator/drains", func(c *fiber.Ctx) error {
-		return send(c, s.withTimeout(func(ctx context.Context) peer.RelayReply { return s.start(ctx, c.Body()) }))
+		return sendJSON(c, s.withTimeout(func(ctx context.Context) peer.RelayReply { return s.startDrain(ctx, c.Body()) }))
 	})
 	app.Post("/operator/drains/plan", func(c *fiber.Ctx) error {
-		in, reason := s.parse(c.Body())
+		in, reason := s.parseRequest(c.Body())
 		if reason != "" {
-			return send(c, failed(fiber.StatusBadRequest, reason))
+			return sendJSON(c, errorResponse(fiber.StatusBadRequest, reason))
 		}
-		return send(c, s.plan(in))
+		return sendJSON(c, s.planDrain(in))
 	})
 	app.Get("/operator/drains/:id", func(c *fiber.Ctx) error {
 		id := utils.CopyString(c.Params("id"))
-		return send(c, s.withTimeout(func(ctx context.Context) peer.RelayReply { return s.show(ctx, id) }))
+		return sendJSON(c, s.withTimeout(func(ctx context.Context) peer.RelayReply { return s.showDrain(ctx, id) }))
 	})
 	app.Post("/operator/drains/:id/stop", func(c *fiber.Ctx) error {
 		id := utils.CopyString(c.Params("id"))
-		return send(c, s.withTimeout(func(ctx context.Context) peer.RelayReply { return s.stop(ctx, id) }))
+		return sendJSON(c, s.withTimeout(func(ctx context.Context) peer.RelayReply { return s.stopDrain(ctx, id) }))
 	})
 }
 
@@ -52,46 +52,46 @@
 	return do(ctx)
 }
 
-func noSuchDrain(id string) peer.RelayReply {
-	return failed(fiber.StatusNotFound, "there is no drain "+id)
+func noSuchDrainResponse(id string) peer.RelayReply {
+	return errorResponse(fiber.StatusNotFound, "there is no drain "+id)
 }
 
-func unreadableRecord(err error) peer.RelayReply {
-	return failed(fiber.StatusConflict, "its record is unreadable: "+err.Error())
+func unreadableRecordResponse(err error) peer.RelayReply {
+	return errorResponse(fiber.StatusConflict, "its record is unreadable: "+err.Error())
 }
 
-// start stores a drain, if the leader finds that it can be. The same request again, under its id, is
+// startDrain stores a drain, if the leader finds that it can be. The same request again, under its id, is
 // answered as the first one was.
-func (s *Server) start(ctx context.Context, body []byte) peer.RelayReply {
-	in, reason := s.parse(body)
+func (s *Server) startDrain(ctx context.Context, body []byte) peer.RelayReply {
+	in, reason := s.parseRequest(body)
 	if reason != "" {
-		return failed(fiber.StatusBadRequest, reason)
+		return errorResponse(fiber.StatusBadRequest, reason)
 	}
 	for {
-		if out, done := s.tryStart(ctx, &in); done {
+		if out, done := s.tryStartDrain(ctx, &in); done {
 			return out
 		}
 	}
 }
 
-// tryStart tries once to plan and store a drain. done is false if it has to be tried again, beside
+// tryStartDrain tries once to plan and store a drain. done is false if it has to be tried again, beside
 // drains that were stored meanwhile.
-func (s *Server) tryStart(ctx context.Context, in *request) (out peer.RelayReply, done bool) {
-	stored, err := s.readStored(ctx, records.PrefixDrains+in.ID)
+func (s *Server) tryStartDrain(ctx context.Context, in *drainRequest) (out peer.RelayReply, done bool) {
+	stored, err := s.readStoredDrains(ctx, records.PrefixDrains+in.ID)
 	if err != nil {
-		return storeUnavailable, true
+		return storeUnavailableResponse, true
 	}
 	in.Seen = stored.ids
 	if stored.row != nil {
-		return answerRepeated(in.Spec, stored.row), true
+		return repeatedStartResponse(in.Spec, stored.row), true
 	}
-	switch out := s.plan(*in); out.Status {
+	switch out := s.planDrain(*in); out.Status {
 	case fiber.StatusOK:
 	case statusDrainUnread:
 		if ctxtime.Sleep(ctx, s.timeout/20) == nil {
 			return peer.RelayReply{}, false
 		}
-		return failed(fiber.StatusServiceUnavailable, "the leader has not read all drains yet; please retry"), true
+		return errorResponse(fiber.StatusServiceUnavailable, "the leader has not read all drains yet; please retry"), true
 	default:
 		return out, true
 	}
@@ -100,11 +100,11 @@
 	switch {
 	case err == nil:
 		slog.Info("drain accepted", "drain", in.ID, "kind", in.Kind, "zone", in.Zone, "machines", len(in.Machines))
-		return answer(fiber.StatusCreated, scheduler.DrainView{Spec: in.Spec}), true
+		return encodeJSON(fiber.StatusCreated, scheduler.DrainView{Spec: in.Spec}), true
 	case errors.As(err, &conflict):
 		return peer.RelayReply{}, false
 	}
-	return storeUnavailable, true // it may have been stored: the retry finds out
+	return storeUnavailableResponse, true // it may have been stored: the retry finds out
 }
 
 // storedDrains is what is stored when a drain is planned.
@@ -114,9 +114,9 @@
 	row      *records.KeyValue // the record of the drain that is planned, if there is one already
 }
 
-// readStored reads the drain sequence and then the stored drains, key among them. The order matters:
+// readStoredDrains reads the drain sequence and then the stored drains, key among them. The order matters:
 // the leader has to have read whatever drain is stored at the revision of the sequence.
-func (s *Server) readStored(ctx context.Context, key string) (storedDrains, error) {
+func (s *Server) readStoredDrains(ctx context.Context, key string) (storedDrains, error) {
 	var stored storedDrains
 	sequence, err := s.store.Get(ctx, records.KeyDrainSequence)
 	if err != nil {
@@ -146,43 +146,43 @@
 	return err
 }
 
-// answerRepeated answers a request for a drain that is stored already.
-func answerRepeated(spec drain.Spec, row *records.KeyValue) peer.RelayReply {
+// repeatedStartResponse answers a request for a drain that is stored already.
+func repeatedStartResponse(spec drain.Spec, row *records.KeyValue) peer.RelayReply {
 	var stored drain.Spec
 	if err := json.Unmarshal(row.Value, &stored); err != nil {
-		return unreadableRecord(err)
+		return unreadableRecordResponse(err)
 	}
 	same := stored
 	same.RequestedMS, same.Stopped = spec.RequestedMS, false
 	if !reflect.DeepEqual(same, spec) {
-		return failed(fiber.StatusConflict, "there is another drain of the id "+spec.ID)
+		return errorResponse(fiber.StatusConflict, "there is another drain of the id "+spec.ID)
 	}
-	return succeeded(scheduler.DrainView{Spec: stored})
+	return okResponse(scheduler.DrainView{Spec: stored})
 }
 
 // stopAttempts is how often it is tried to stop a drain whose record changes meanwhile.
 const stopAttempts = 4
 
-// stop stops a drain; to stop one again is no error.
-func (s *Server) stop(ctx context.Context, id string) peer.RelayReply {
+// stopDrain stops a drain; to stop one again is no error.
+func (s *Server) stopDrain(ctx context.Context, id string) peer.RelayReply {
 	if !drain.ValidID(id) {
-		return noSuchDrain(id)
+		return noSuchDrainResponse(id)
 	}
 	key := records.PrefixDrains + id
 	for range stopAttempts {
 		row, err := s.store.Get(ctx, key)
 		switch {
 		case err != nil:
-			return storeUnavailable
+			return storeUnavailableResponse
 		case row == nil:
-			return noSuchDrain(id)
+			return noSuchDrainResponse(id)
 		}
 		var spec drain.Spec
 		if err := json.Unmarshal(row.Value, &spec); err != nil {
-			return unreadableRecord(err)
+			return unreadableRecordResponse(err)
 		}
 		if spec.Stopped {
-			return succeeded(scheduler.DrainView{Spec: spec})
+			return okResponse(scheduler.DrainView{Spec: spec})
 		}
 		spec.Stopped = true
 		_, err = s.store.Commit(ctx, []records.Compare{{Key: key, Revision: row.Revision}}, []records.Op{{Write: key, Value: spec}})
@@ -190,22 +190,22 @@
 		switch {
 		case err == nil:
 			slog.Info("drain stopped", "drain", id)
-			return succeeded(scheduler.DrainView{Spec: spec})
+			return okResponse(scheduler.DrainView{Spec: spec})
 		case !errors.As(err, &conflict):
-			return storeUnavailable
+			return storeUnavailableResponse
 		}
 	}
-	return storeUnavailable
+	return storeUnavailableResponse
 }
 
 // maxListedNames is how many machines a list names of each drain; a drain by itself names all.
 const maxListedNames = 3
 
-// list returns all stored drains with their states.
-func (s *Server) list(ctx context.Context) peer.RelayReply {
-	states, err := s.readStates(ctx)
+// listDrains returns all stored drains with their states.
+func (s *Server) listDrains(ctx context.Context) peer.RelayReply {
+	states, err := s.readDrainStates(ctx)
 	if err != nil {
-		return storeUnavailable
+		return storeUnavailableResponse
 	}
 	out := Drains{Drains: []scheduler.DrainView{}}
 	if _, err := s.store.List(ctx, records.PrefixDrains, func(row records.KeyValue) error {
@@ -222,13 +222,13 @@
 		out.Drains = append(out.Drains, scheduler.DrainView{Spec: spec, State: state})
 		return nil
 	}); err != nil {
-		return storeUnavailable
+		return storeUnavailableResponse
 	}
-	return succeeded(out)
+	return okResponse(out)
 }
 
-// readStates reads the states of all drains, by id; what cannot be read is left out.
-func (s *Server) readStates(ctx context.Context) (map[string]*drain.State, error) {
+// readDrainStates reads the states of all drains, by id; what cannot be read is left out.
+func (s *Server) readDrainStates(ctx context.Context) (map[string]*drain.State, error) {
 	states := map[string]*drain.State{}
 	_, err := s.store.List(ctx, records.PrefixDrainState, func(row records.KeyValue) error {
 		var state drain.State
@@ -240,24 +240,24 @@
 	return states, err
 }
 
-// show returns one drain, as the leader knows it or, where none answers, as it is stored.
-func (s *Server) show(ctx context.Context, id string) peer.RelayReply {
+// showDrain returns one drain, as the leader knows it or, where none answers, as it is stored.
+func (s *Server) showDrain(ctx context.Context, id string) peer.RelayReply {
 	if !drain.ValidID(id) {
-		return noSuchDrain(id)
+		return noSuchDrainResponse(id)
 	}
-	if out := s.Answer(peer.RelayRequest{Method: methodDrain, ID: id}); out.Status == fiber.StatusOK {
+	if out := s.AskLeader(peer.RelayRequest{Method: methodDrain, ID: id}); out.Status == fiber.StatusOK {
 		return out
 	}
 	row, err := s.store.Get(ctx, records.PrefixDrains+id)
 	switch {
 	case err != nil:
-		return storeUnavailable
+		return storeUnavailableResponse
 	case row == nil:
-		return noSuchDrain(id)
+		return noSuchDrainResponse(id)
 	}
 	var view scheduler.DrainView
 	if err := json.Unmarshal(row.Value, &view.Spec); err != nil {
-		return unreadableRecord(err)
+		return unreadableRecordResponse(err)
 	}
 	if row, err := s.store.Get(ctx, records.PrefixDrainState+id); err == nil && row != nil {
 		var state drain.State
@@ -265,5 +265,5 @@
 			view.State = &state
 		}
 	}
-	return succeeded(view)
+	return okResponse(view)
 }
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -69,9 +69,9 @@
 	l := &goldenLeader{}
 	state := simulation.NewStore()
 	cfg := &config.Config{Node: "n-0"}
-	cfg.Deployment.State.ValueKB = 8
+	cfg.Deployment.Store.ValueKB = 8
 	leader, leads := "n-0", true
-	s := New(cfg, state.Client("n-0"), &fakePeers{unsupported: true}, func() string { return leader }, func() Local {
+	s := New(cfg, state.Client("n-0"), &fakePeers{unsupported: true}, func() string { return leader }, func() Leader {
 		if leads {
 			return l
 		}
@@ -82,8 +82,8 @@
 	f := goldentest.Open(t, "golden-operators.json")
 	check := func(name, method, uri, body string) {
 		t.Run(name, func(t *testing.T) {
-			x := goldentest.Do(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, method, uri, body)
-			x.Answer = beganMS.ReplaceAll(x.Answer, []byte(`"began_ms":1`))
+			x := goldentest.DoRequest(t, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }, method, uri, body)
+			x.Response = beganMS.ReplaceAll(x.Response, []byte(`"began_ms":1`))
 			f.CheckExchange(t, name, x)
 		})
 	}
@@ -106,7 +106,7 @@
 	stored("stored turn", "drainturn")
 	check("start again", "POST", "/operator/drains", goldenDrain)
 	check("start another under the same id", "POST", "/operator/drains", `{"id":"d-1","zone":"b"}`)
-	state.Load(map[string]records.KeyValue{"drainstate/d-1": {
+	state.ImportEntries(map[string]records.KeyValue{"drainstate/d-1": {
 		Key: "drainstate/d-1", Revision: 99,
 		Value: []byte(`{"phase":"upgrading","in_hand":["m-1"],"left":2,"plan":{},"seen":{}}`),
 	}})
@@ -132,12 +132,12 @@
 	} {
 		check("start, "+name, "POST", "/operator/drains", body)
 	}
-	l.readOnly("d-1")
+	l.setReadDrain("d-1")
 	l.planErr = &scheduler.DrainTargetError{Text: "there is no machine m-7"}
 	check("start, unknown machine", "POST", "/operator/drains", `{"id":"d-2","machines":["m-7"]}`)
 	l.planErr = &scheduler.DrainRefusedError{Text: "it would leave no machine at all"}
 	check("start, none left", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`)
-	state.Load(map[string]records.KeyValue{"drains/d-8": {Key: "drains/d-8", Revision: 100, Value: []byte(`{"id":"d-8","zone":7}`)}})
+	state.ImportEntries(map[string]records.KeyValue{"drains/d-8": {Key: "drains/d-8", Revision: 100, Value: []byte(`{"id":"d-8","zone":7}`)}})
 	check("stop, unreadable record", "POST", "/operator/drains/d-8/stop", "{}")
 	leads, leader = false, "n-1"
 	check("the leader knows no operators", "GET", "/operator/machines", "")
@@ -149,7 +149,7 @@
 
 // What controllers pass on to the leader keeps its wire format as well.
 func TestGoldenQuestions(t *testing.T) {
-	var in request
+	var in drainRequest
 	d := json.NewDecoder(bytes.NewBufferString(goldenDrain))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&in); err != nil {
@@ -158,25 +158,25 @@
 	in.RequestedMS, in.DeadlineMS, in.Stopped = 946684801000, 946684802000, true
 	goldentest.Run(t, "golden-questions.json", goldentest.JSON, []goldentest.Case{
 		{Name: "drain", Value: in},
-		{Name: "failure", Direction: goldentest.Written, Value: failure{"why"}},
+		{Name: "failure", Direction: goldentest.WriteOnly, Value: errorBody{"why"}},
 		{
-			Name: "page of machines", Unset: true, Direction: goldentest.Written,
+			Name: "page of machines", AllowUnset: true, Direction: goldentest.WriteOnly,
 			Value: Machines{Machines: []scheduler.MachineView{{Name: "m-1"}}, More: true},
 		},
-		{Name: "drains", Unset: true, Direction: goldentest.Written, Value: Drains{Drains: []scheduler.DrainView{{Spec: drain.Spec{ID: "d-1"}}}}},
+		{Name: "drains", AllowUnset: true, Direction: goldentest.WriteOnly, Value: Drains{Drains: []scheduler.DrainView{{Spec: drain.Spec{ID: "d-1"}}}}},
 	})
 	var asked []peer.RelayRequest
 	cfg := &config.Config{Node: "n-0"}
-	cfg.Deployment.State.ValueKB = 8
+	cfg.Deployment.Store.ValueKB = 8
 	peers := recordingPeers(func(r peer.RelayRequest) { asked = append(asked, r) })
-	s := New(cfg, nil, peers, func() string { return "n-1" }, func() Local { return nil }, time.Second)
+	s := New(cfg, nil, peers, func() string { return "n-1" }, func() Leader { return nil }, time.Second)
 	app := fiber.New()
 	s.Mount(app)
 	ask := func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
 	for _, uri := range []string{"/operator/machines?since=m-0", "/operator/machines/m-1"} {
-		goldentest.Do(t, ask, "GET", uri, "")
+		goldentest.DoRequest(t, ask, "GET", uri, "")
 	}
-	goldentest.Do(t, ask, "POST", "/operator/drains/plan", `{"id":"d-1","zone":"a"}`)
+	goldentest.DoRequest(t, ask, "POST", "/operator/drains/plan", `{"id":"d-1","zone":"a"}`)
 	f := goldentest.Open(t, "golden-passed-on.json")
 	for _, r := range asked {
 		t.Run(r.Method, func(t *testing.T) {
@@ -193,7 +193,7 @@
 // recordingPeers records what is passed on to the leader.
 type recordingPeers func(peer.RelayRequest)
 
-func (f recordingPeers) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
+func (f recordingPeers) RelayOperatorRequest(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
 	f(r)
 	return peer.RelayReply{Status: 200, Body: []byte("{}")}, nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -29,12 +29,12 @@
 
 // Peers reaches the leader.
 type Peers interface {
-	// Operate asks a node, as the leader, a question of an operator.
-	Operate(node string, r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, error)
+	// RelayOperatorRequest asks a node, as the leader, a question of an operator.
+	RelayOperatorRequest(node string, r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, error)
 }
 
-// Local is the leader that runs in this process.
-type Local interface {
+// Leader is the leader that runs in this process.
+type Leader interface {
 	// Machines returns a page of machines, those whose names sort behind since, and whether there
 	// are more.
 	Machines(since string, limit int) ([]scheduler.MachineView, bool)
@@ -48,20 +48,20 @@
 
 // Server answers operators.
 type Server struct {
-	node       string
-	store      Store
-	peers      Peers
-	leader     func() string // node that leads, "" when unknown
-	local      func() Local  // nil when this process does not lead
-	timeout    time.Duration // bounds the work on a request
-	valueBytes int           // size of a value that the store takes now and later
+	node          string
+	store         Store
+	peers         Peers
+	leaderNode    func() string // node that leads, "" when unknown
+	localLeader   func() Leader // nil when this process does not lead
+	timeout       time.Duration // bounds the work on a request
+	maxValueBytes int           // size of a value that the store takes now and later
 }
 
 // New returns a server; timeout bounds the work on a request.
-func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Local, timeout time.Duration) *Server {
+func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Leader, timeout time.Duration) *Server {
 	return &Server{
-		node: cfg.Node, store: store, peers: peers, leader: leader, local: local, timeout: timeout,
-		valueBytes: int(cfg.Deployment.State.Lowest().ValueKB * 1024),
+		node: cfg.Node, store: store, peers: peers, leaderNode: leader, localLeader: local, timeout: timeout,
+		maxValueBytes: int(cfg.Deployment.Store.Lowest().ValueKB * 1024),
 	}
 }
 
@@ -81,18 +81,18 @@
 func (s *Server) Mount(app *fiber.App) {
 	s.mountDrains(app)
 	app.Get("/operator/machines", func(c *fiber.Ctx) error {
-		return send(c, s.Answer(peer.RelayRequest{Method: methodMachines, ID: utils.CopyString(c.Query("since"))}))
+		return sendJSON(c, s.AskLeader(peer.RelayRequest{Method: methodMachines, ID: utils.CopyString(c.Query("since"))}))
 	})
 	app.Get("/operator/machines/:name", func(c *fiber.Ctx) error {
 		name, err := url.PathUnescape(c.Params("name"))
 		if err != nil {
-			return send(c, failed(fiber.StatusBadRequest, "the machine's name is not readable"))
+			return sendJSON(c, errorResponse(fiber.StatusBadRequest, "the machine's name is not readable"))
 		}
-		return send(c, s.Answer(peer.RelayRequest{Method: methodMachine, ID: utils.CopyString(name)}))
+		return sendJSON(c, s.AskLeader(peer.RelayRequest{Method: methodMachine, ID: utils.CopyString(name)}))
 	})
 }
 
-func send(c *fiber.Ctx, out peer.RelayReply) error {
+func sendJSON(c *fiber.Ctx, out peer.RelayReply) error {
 	if out.Status == fiber.StatusServiceUnavailable {
 		c.Set(fiber.HeaderRetryAfter, "1")
 	}
@@ -100,47 +100,47 @@
 	return c.Status(out.Status).Send(out.Body)
 }
 
-// Answer answers a question that only the leader can answer, by this process or through a peer.
-func (s *Server) Answer(r peer.RelayRequest) peer.RelayReply {
-	if s.local() != nil {
-		return s.Decide(r)
+// AskLeader answers a question that only the leader can answer, by this process or through a peer.
+func (s *Server) AskLeader(r peer.RelayRequest) peer.RelayReply {
+	if s.localLeader() != nil {
+		return s.HandleAsLeader(r)
 	}
-	node := s.leader()
+	node := s.leaderNode()
 	if node == "" || node == s.node {
-		return failed(fiber.StatusServiceUnavailable, "no controller leads now; please retry")
+		return errorResponse(fiber.StatusServiceUnavailable, "no controller leads now; please retry")
 	}
-	out, err := s.peers.Operate(node, r, s.timeout)
+	out, err := s.peers.RelayOperatorRequest(node, r, s.timeout)
 	if err != nil {
 		slog.Debug("leader does not answer operators", "node", node, "method", r.Method, "err", err)
-		return failed(fiber.StatusServiceUnavailable, "the leader does not answer, or is of an earlier version; please retry")
+		return errorResponse(fiber.StatusServiceUnavailable, "the leader does not answer, or is of an earlier version; please retry")
 	}
 	return out
 }
 
-// Decide answers a question as the leader.
-func (s *Server) Decide(r peer.RelayRequest) peer.RelayReply {
-	l := s.local()
+// HandleAsLeader answers a question as the leader.
+func (s *Server) HandleAsLeader(r peer.RelayRequest) peer.RelayReply {
+	l := s.localLeader()
 	if l == nil {
-		return failed(fiber.StatusServiceUnavailable, "this controller does not lead any more; please retry")
+		return errorResponse(fiber.StatusServiceUnavailable, "this controller does not lead any more; please retry")
 	}
 	switch r.Method {
 	case methodMachines:
 		machines, more := l.Machines(r.ID, machinesPerPage)
-		return succeeded(Machines{Machines: machines, More: more})
+		return okResponse(Machines{Machines: machines, More: more})
 	case methodMachine:
 		if m, ok := l.Machine(r.ID); ok {
-			return succeeded(m)
+			return okResponse(m)
 		}
-		return failed(fiber.StatusNotFound, "there is no machine "+r.ID)
+		return errorResponse(fiber.StatusNotFound, "there is no machine "+r.ID)
 	case methodDrain:
 		if view, ok := l.Drain(r.ID); ok {
-			return succeeded(view)
+			return okResponse(view)
 		}
-		return noSuchDrain(r.ID)
+		return noSuchDrainResponse(r.ID)
 	case methodPlanDrain:
-		return decidePlan(l, r.Body)
+		return planDrainAsLeader(l, r.Body)
 	}
-	return failed(fiber.StatusBadRequest, "unknown question")
+	return errorResponse(fiber.StatusBadRequest, "unknown question")
 }
 
 // Machines is a page of machines; the next one is asked for with the last name.
@@ -149,19 +149,21 @@
 	More     bool                    `json:"more"`
 }
 
-// failure is the body of an answer that carries an error.
-type failure struct {
+// errorBody is the body of an answer that carries an error.
+type errorBody struct {
 	Error string `json:"error"`
 }
 
-// storeUnavailable is the answer where the store does not answer.
-var storeUnavailable = failed(fiber.StatusServiceUnavailable, "the state service does not answer now; please retry")
+// storeUnavailableResponse is the answer where the store does not answer.
+var storeUnavailableResponse = errorResponse(fiber.StatusServiceUnavailable, "the state service does not answer now; please retry")
 
-func succeeded(v any) peer.RelayReply { return answer(fiber.StatusOK, v) }
+func okResponse(v any) peer.RelayReply { return encodeJSON(fiber.StatusOK, v) }
 
-func failed(status int, reason string) peer.RelayReply { return answer(status, failure{reason}) }
+func errorResponse(status int, reason string) peer.RelayReply {
+	return encodeJSON(status, errorBody{reason})
+}
 
-func answer(status int, v any) peer.RelayReply {
+func encodeJSON(status int, v any) peer.RelayReply {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return peer.RelayReply{Status: fiber.StatusServiceUnavailable}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -50,8 +50,8 @@
 	return l.machines[i], true
 }
 
-// readOnly has the leader know a single drain.
-func (l *fakeLeader) readOnly(id string) {
+// setReadDrain has the leader know a single drain.
+func (l *fakeLeader) setReadDrain(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.readDrains = map[string]bool{id: true}
@@ -82,14 +82,14 @@
 	unsupported  bool // the leader is of a version without the operators' API
 }
 
-func (w *fakePeers) Operate(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
+func (w *fakePeers) RelayOperatorRequest(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
 	if w.unsupported {
 		return peer.RelayReply{}, errors.New("status 404")
 	}
 	if raw, err := msgpack.Marshal(r); err != nil || len(raw) > 64<<10 {
 		return peer.RelayReply{}, fmt.Errorf("status 413: %d bytes, %w", len(raw), err)
 	}
-	return w.leaderServer.Decide(r), nil
+	return w.leaderServer.HandleAsLeader(r), nil
 }
 
 // testCluster is a leader and another controller over one store.
@@ -103,21 +103,21 @@
 
 func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
-	return newTestClusterWith(t, config.State{ValueKB: 8})
+	return newTestClusterWith(t, config.StoreLimits{ValueKB: 8})
 }
 
 // newTestClusterWith returns a cluster with the given limits of the store.
-func newTestClusterWith(t *testing.T, limits config.State) *testCluster {
+func newTestClusterWith(t *testing.T, limits config.StoreLimits) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
 		t: t, state: simulation.NewStore(), leader: &fakeLeader{}, peers: &fakePeers{}, apps: map[string]*fiber.App{},
 	}
 	cfg := &config.Config{Node: "n-0"}
-	cfg.Deployment.State = limits
+	cfg.Deployment.Store = limits
 	for _, node := range []string{"n-0", "n-1"} {
 		cfg := *cfg
 		cfg.Node = node
-		s := New(&cfg, cluster.state.Client(node), cluster.peers, func() string { return "n-0" }, func() Local {
+		s := New(&cfg, cluster.state.Client(node), cluster.peers, func() string { return "n-0" }, func() Leader {
 			if node == "n-0" {
 				return cluster.leader
 			}
@@ -132,7 +132,7 @@
 	return cluster
 }
 
-func (c *testCluster) ask(node, method, path, body string) (int, string) {
+func (c *testCluster) request(node, method, path, body string) (int, string) {
 	c.t.Helper()
 	req := httptest.NewRequest(method, path, bytes.NewBufferString(body))
 	resp, err := c.apps[node].Test(req, -1)
@@ -176,7 +176,7 @@
 		{"n-1", "POST", "/operator/drains/d-1/stop", "", 200, `"stopped":true`, 1},
 		{"n-0", "POST", "/operator/drains/d-1/stop", "", 200, `"stopped":true`, 1},
 	} {
-		status, text := cluster.ask(x.node, x.method, x.path, x.body)
+		status, text := cluster.request(x.node, x.method, x.path, x.body)
 		if status != x.status || !strings.Contains(text, x.want) {
 			t.Errorf("%s %s %.60s: %d %s, want %d %s", x.method, x.path, x.body, status, text, x.status, x.want)
 		}
@@ -187,19 +187,19 @@
 	cluster.leader.readDrains = map[string]bool{"d-1": true}
 	// What the leader refuses is not stored; with force, a drain that leaves no machine is.
 	cluster.leader.planErr = &scheduler.DrainTargetError{Text: "there is no machine m-7"}
-	status, text := cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","machines":["m-7"]}`)
+	status, text := cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-4","machines":["m-7"]}`)
 	if status != 404 || !strings.Contains(text, "m-7") {
 		t.Errorf("unknown machine: %d %s, want 404", status, text)
 	}
 	cluster.leader.planErr = &scheduler.DrainRefusedError{Text: "no machine for jobs of plan"}
-	status, text = cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a"}`)
+	status, text = cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a"}`)
 	if status != 409 || !strings.Contains(text, "plan") {
 		t.Errorf("none left: %d %s, want 409", status, text)
 	}
 	if n := len(cluster.state.Keys("drains/")); n != 1 {
 		t.Errorf("%d records after refusals, want 1", n)
 	}
-	if status, text := cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a","force":true}`); status != 201 {
+	if status, text := cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a","force":true}`); status != 201 {
 		t.Errorf("forced: %d %s, want 201", status, text)
 	}
 }
@@ -208,16 +208,16 @@
 // fail at once, and stored drains can still be read and stopped where the store answers.
 func TestStoreOrLeaderUnavailable(t *testing.T) {
 	cluster := newTestCluster(t)
-	if status, text := cluster.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 201 {
+	if status, text := cluster.request("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 201 {
 		t.Fatalf("%d %s", status, text)
 	}
 	cluster.peers.unsupported = true
 	for path, want := range map[string]int{"/operator/machines": 503, "/operator/drains/d-1": 200, "/operator/drains": 200} {
-		if status, text := cluster.ask("n-1", "GET", path, ""); status != want {
+		if status, text := cluster.request("n-1", "GET", path, ""); status != want {
 			t.Errorf("%s beside an earlier version: %d %s, want %d", path, status, text, want)
 		}
 	}
-	if status, _ := cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`); status != 503 {
+	if status, _ := cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`); status != 503 {
 		t.Errorf("a drain beside an earlier version: %d, want 503", status)
 	}
 	cluster.peers.unsupported = false
@@ -226,12 +226,12 @@
 		{"POST", "/operator/drains", `{"id":"d-2","zone":"a"}`}, {"POST", "/operator/drains/d-1/stop", ""},
 		{"GET", "/operator/drains", ""}, {"GET", "/operator/drains/d-1", ""},
 	} {
-		if status, text := cluster.ask("n-0", x[0], x[1], x[2]); status != 503 {
+		if status, text := cluster.request("n-0", x[0], x[1], x[2]); status != 503 {
 			t.Errorf("%s %s in an outage: %d %s, want 503", x[0], x[1], status, text)
 		}
 	}
 	cluster.state.SetOutage(false)
-	if status, text := cluster.ask("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
+	if status, text := cluster.request("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
 		t.Errorf("stopped afterwards: %d %s, want 200", status, text)
 	}
 }
@@ -247,7 +247,7 @@
 	}
 	seen, since := 0, ""
 	for more := true; more; {
-		status, text := cluster.ask("n-1", "GET", "/operator/machines?since="+since, "")
+		status, text := cluster.request("n-1", "GET", "/operator/machines?since="+since, "")
 		var page Machines
 		if err := json.Unmarshal([]byte(text), &page); err != nil || status != 200 || len(text) > 64<<10 {
 			t.Fatalf("%d, %d bytes, %v", status, len(text), err)
@@ -258,10 +258,10 @@
 	if seen != 450 {
 		t.Errorf("%d machines in all pages, want 450", seen)
 	}
-	if status, text := cluster.ask("n-1", "GET", "/operator/machines/m-000007", ""); status != 200 || !strings.Contains(text, "m-000007") {
+	if status, text := cluster.request("n-1", "GET", "/operator/machines/m-000007", ""); status != 200 || !strings.Contains(text, "m-000007") {
 		t.Errorf("%d %s", status, text)
 	}
-	if status, _ := cluster.ask("n-0", "GET", "/operator/machines/none", ""); status != 404 {
+	if status, _ := cluster.request("n-0", "GET", "/operator/machines/none", ""); status != 404 {
 		t.Errorf("an unknown machine: %d, want 404", status)
 	}
 }
@@ -271,13 +271,13 @@
 func TestConcurrentDrainsArePlannedTogether(t *testing.T) {
 	cluster := newTestCluster(t)
 	cluster.leader.afterPlan = func() {
-		if status, text := cluster.ask("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"b"}`); status != 201 {
+		if status, text := cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"b"}`); status != 201 {
 			t.Errorf("the first to be stored: %d %s, want 201", status, text)
 		}
 		cluster.leader.planErr = &scheduler.DrainRefusedError{Text: "no machine for jobs of plan"}
-		time.AfterFunc(100*time.Millisecond, func() { cluster.leader.readOnly("d-2") })
+		time.AfterFunc(100*time.Millisecond, func() { cluster.leader.setReadDrain("d-2") })
 	}
-	status, text := cluster.ask("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`)
+	status, text := cluster.request("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`)
 	if status != 409 || !strings.Contains(text, "no machine") {
 		t.Errorf("the second: %d %s, want 409", status, text)
 	}
@@ -292,14 +292,14 @@
 func TestDrainNamesAsManyMachinesAsItsRecordHolds(t *testing.T) {
 	kb := func(v float64) *float64 { return &v }
 	for _, x := range []struct {
-		state   config.State
+		state   config.StoreLimits
 		limit   int
 		atLeast int
 	}{
-		{config.State{ValueKB: 8}, 8 << 10, 700},
-		{config.State{ValueKB: 8, Next: config.UpcomingLimits{ValueKB: kb(2)}}, 2 << 10, 150},
-		{config.State{ValueKB: 16, Next: config.UpcomingLimits{ValueKB: kb(64)}}, 16 << 10, 1400},
-		{config.State{ValueKB: 64}, maxSpecBytes, 4000},
+		{config.StoreLimits{ValueKB: 8}, 8 << 10, 700},
+		{config.StoreLimits{ValueKB: 8, Next: config.UpcomingLimits{ValueKB: kb(2)}}, 2 << 10, 150},
+		{config.StoreLimits{ValueKB: 16, Next: config.UpcomingLimits{ValueKB: kb(64)}}, 16 << 10, 1400},
+		{config.StoreLimits{ValueKB: 64}, maxSpecBytes, 4000},
 	} {
 		cluster := newTestClusterWith(t, x.state)
 		cluster.state.SetLimits(x.state.Lowest().ValueKB, 16, 1000)
@@ -315,7 +315,7 @@
 			return string(raw)
 		}
 		ask := func(id string, n int) (int, string) {
-			return cluster.ask("n-1", "POST", "/operator/drains", `{"id":"`+id+`","machines":`+names(n)+`}`)
+			return cluster.request("n-1", "POST", "/operator/drains", `{"id":"`+id+`","machines":`+names(n)+`}`)
 		}
 		// Beside as many other drains as are stored at most, of the longest ids, where the limit of a
 		// request is what bounds.
@@ -326,7 +326,7 @@
 		cluster.leader.readDrains = map[string]bool{}
 		for i := range others {
 			id := fmt.Sprintf("d-%040d", i)
-			if status, text := cluster.ask("n-0", "POST", "/operator/drains", `{"id":"`+id+`","zone":"a"}`); status != 201 {
+			if status, text := cluster.request("n-0", "POST", "/operator/drains", `{"id":"`+id+`","zone":"a"}`); status != 201 {
 				t.Fatalf("%d %s", status, text)
 			}
 			cluster.leader.readDrains[id] = true
@@ -334,7 +334,7 @@
 		cluster.leader.planned = nil
 		status, text := ask("d-1", 5000)
 		var count, fit, limit int
-		var why failure
+		var why errorBody
 		if err := json.Unmarshal([]byte(text), &why); err != nil || status != 400 {
 			t.Fatalf("%+v: 5,000 names: %d %.200s", x.state, status, text)
 		}
@@ -357,19 +357,19 @@
 		if n := len(cluster.leader.planned); n != 1 || len(cluster.leader.planned[0].Machines) != fit {
 			t.Errorf("%+v: the leader planned %d drains, want 1 with %d names", x.state, n, fit)
 		}
-		if status, text := cluster.ask("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
+		if status, text := cluster.request("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
 			t.Errorf("%+v: stopped: %d %.200s, want 200", x.state, status, text)
 		}
-		if len(cluster.state.TooLarge()) > 0 {
-			t.Errorf("%+v: the state service refused %v", x.state, cluster.state.TooLarge())
+		if len(cluster.state.OversizedTransactions()) > 0 {
+			t.Errorf("%+v: the state service refused %v", x.state, cluster.state.OversizedTransactions())
 		}
 	}
 	// A record may be too large without any names.
-	cluster := newTestClusterWith(t, config.State{ValueKB: 1})
+	cluster := newTestClusterWith(t, config.StoreLimits{ValueKB: 1})
 	long := strings.Repeat("x", 190)
 	body := fmt.Sprintf(`{"id":"d-1","kind":"upgrade","at_once":1,"to_version":%[1]q,`+
 		`"type":%[1]q,"zone":%[1]q,"version":%[1]q,"machines":[%[1]q,%[1]q]}`, long)
-	if status, text := cluster.ask("n-0", "POST", "/operator/drains", body); status != 400 || !strings.Contains(text, "its record takes") {
+	if status, text := cluster.request("n-0", "POST", "/operator/drains", body); status != 400 || !strings.Contains(text, "its record takes") {
 		t.Errorf("long texts: %d %s, want 400", status, text)
 	}
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,8 +14,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// connectionsPerPeer is how many connections a controller has to each other one at most.
-const connectionsPerPeer = 16
+// maxConnectionsPerPeer is how many connections a controller has to each other one at most.
+const maxConnectionsPerPeer = 16
 
 // ErrUnsupported means that a peer answered that it does not know what it was asked.
 var ErrUnsupported = errors.New("peer: unexpected status")
@@ -31,7 +31,7 @@
 func NewPeers(peers []config.Peer, timeout time.Duration) *Peers {
 	p := &Peers{timeout: timeout, peers: peers}
 	for _, other := range peers {
-		p.clients = append(p.clients, httpclient.New(other.Addr, connectionsPerPeer, timeout))
+		p.clients = append(p.clients, httpclient.New(other.Addr, maxConnectionsPerPeer, timeout))
 	}
 	return p
 }
@@ -133,10 +133,10 @@
 	return reply, err
 }
 
-// Operate sends an operator's request to the node that leads. From a version without
+// RelayOperatorRequest sends an operator's request to the node that leads. From a version without
 // operators the error is ErrUnsupported.
-func (p *Peers) Operate(node string, request RelayRequest, timeout time.Duration) (RelayReply, error) {
+func (p *Peers) RelayOperatorRequest(node string, request RelayRequest, timeout time.Duration) (RelayReply, error) {
 	var reply RelayReply
-	err := p.callNode(node, pathOperate, request, &reply, timeout)
+	err := p.callNode(node, pathOperatorRequest, request, &reply, timeout)
 	return reply, err
 }
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -61,7 +61,7 @@
 	return func(request StatusRequest) Status { return StatusOf("n-1", store, confirmed, request) }
 }
 
-func TestStatusWithoutAnInquiryListsNoCancellations(t *testing.T) {
+func TestStatusWithoutSpanListsNoCancellations(t *testing.T) {
 	confirmed := cancellation.NewLog(time.Now().Add(-time.Minute))
 	answers, all := onePeer(t, Handlers{Status: statusHandler(confirmed)}).Status(t.Context())
 	if !all || len(answers) != 1 {
@@ -71,8 +71,8 @@
 	if got.Node != "n-1" || got.StoreAnswered || !got.StoreFailing {
 		t.Errorf("got %+v, want n-1 whose store fails and never answered", got)
 	}
-	if got.CancellationQuietMS < time.Minute.Milliseconds() || got.Cancellations != nil {
-		t.Errorf("got quiet for %d ms, %+v, want at least a minute and no list", got.CancellationQuietMS, got.Cancellations)
+	if got.SinceConfirmationMS < time.Minute.Milliseconds() || got.Cancellations != nil {
+		t.Errorf("got quiet for %d ms, %+v, want at least a minute and no list", got.SinceConfirmationMS, got.Cancellations)
 	}
 }
 
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestRelayPassesOverPeersThatCannotServe(t *testing.T) {
+func TestRelaySkipsUnavailablePeers(t *testing.T) {
 	peers := onePeer(t, Handlers{Relay: func(r RelayRequest) RelayReply {
 		if r.ID == "j-503" {
 			return RelayReply{Status: 503}
@@ -145,9 +145,9 @@
 	}
 }
 
-func TestNotifyCancelledTellsOutcomesApart(t *testing.T) {
+func TestNotifyCancelledOutcomes(t *testing.T) {
 	peers := NewPeers([]config.Peer{
-		{Node: "n-1", Addr: serve(t, Handlers{Cancelled: func(id string) bool { return id == "j-1" }})},
+		{Node: "n-1", Addr: serve(t, Handlers{NotifyCancelled: func(id string) bool { return id == "j-1" }})},
 		{Node: "n-2", Addr: unreachableAddr(t)},
 		{Node: "n-3", Addr: serve(t, Handlers{})}, // a version that does not know the call
 	}, callTimeout)
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -30,16 +30,16 @@
 	sinceRenewalMS := int64(70)
 	return goldenMessages{
 		status: Status{
-			Node: "n-1", StoreSilentMS: 12, StoreAnswered: true, StoreFailing: true, CancellationQuietMS: 4500,
+			Node: "n-1", SinceStoreResponseMS: 12, StoreAnswered: true, StoreFailing: true, SinceConfirmationMS: 4500,
 			Cancellations: &cancellation.ConfirmedList{SpanMS: 1000, IDs: []string{"j-1"}},
-			Attestation:   &attestation, Reconciled: &attestation, SinceRenewalMS: &sinceRenewalMS,
+			Attestation:   &attestation, LatestReconciled: &attestation, SinceRenewalMS: &sinceRenewalMS,
 		},
 		statusRequest: StatusRequest{Attestation: attestation, CancellationSpanMS: 1000},
 		progress:      Progress{Known: true, Status: "running", Done: 3, Running: 4, DependenciesClear: true, ClearAgeMS: 70},
 		batch:         HeartbeatBatch{From: "n-1", Heartbeats: [][]byte{[]byte(`{"host":"m-1"}`)}, DelayMS: 5, Zone: "a"},
 		batchReply: HeartbeatBatchReply{
-			Answers: []RelayReply{{Status: 200, Body: []byte(`{"baton":41,"orders":[]}`)}},
-			HeldMS:  6,
+			Answers:      []RelayReply{{Status: 200, Body: []byte(`{"baton":41,"orders":[]}`)}},
+			ProcessingMS: 6,
 		},
 		relayRequest: RelayRequest{Method: MethodPoll, ID: "j-1", Body: []byte("{}")},
 		relayReply:   RelayReply{Status: 201, Body: []byte(`{"uid":"j-1","status":"pending"}`)},
@@ -62,7 +62,7 @@
 		{Name: "bundle of answers", Value: m.batchReply},
 	})
 	goldentest.Run(t, "golden-methods.json", goldentest.JSON, []goldentest.Case{
-		{Name: "requests of users", Direction: goldentest.Written, Value: []string{
+		{Name: "requests of users", Direction: goldentest.WriteOnly, Value: []string{
 			MethodSubmit, MethodPoll, MethodCancel, MethodSubmitWithDependencies,
 		}},
 	})
@@ -73,15 +73,15 @@
 	m := newGoldenMessages()
 	app := fiber.New()
 	Mount(app, Handlers{
-		Operate:         func(RelayRequest) RelayReply { return m.relayReply },
-		Status:          func(StatusRequest) Status { return m.status },
-		Progress:        func(string) Progress { return m.progress },
-		Relay:           func(RelayRequest) RelayReply { return m.relayReply },
-		RelayHeartbeat:  func(HeartbeatRequest) RelayReply { return m.relayReply },
-		RelayHeartbeats: func(HeartbeatBatch) HeartbeatBatchReply { return m.batchReply },
-		Cancelled:       func(string) bool { return true },
+		RelayOperatorRequest: func(RelayRequest) RelayReply { return m.relayReply },
+		Status:               func(StatusRequest) Status { return m.status },
+		Progress:             func(string) Progress { return m.progress },
+		Relay:                func(RelayRequest) RelayReply { return m.relayReply },
+		RelayHeartbeat:       func(HeartbeatRequest) RelayReply { return m.relayReply },
+		RelayHeartbeats:      func(HeartbeatBatch) HeartbeatBatchReply { return m.batchReply },
+		NotifyCancelled:      func(string) bool { return true },
 	})
-	other := goldentest.NewPeer(t)
+	other := goldentest.NewFakeServer(t)
 	other.Forward = func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
 	peers := NewPeers([]config.Peer{{Node: "n-1", Addr: other.Addr}}, 10*time.Second)
 	f := goldentest.Open(t, "golden-calls.json")
@@ -90,7 +90,7 @@
 			if err := call(); err != nil {
 				t.Fatal(err)
 			}
-			got := other.Exchanges()
+			got := other.TakeExchanges()
 			if len(got) != 1 {
 				t.Fatalf("%d requests, want 1", len(got))
 			}
@@ -127,7 +127,7 @@
 			return err
 		},
 		"operate": func() error {
-			_, err := peers.Operate("n-1", m.relayRequest, time.Minute)
+			_, err := peers.RelayOperatorRequest("n-1", m.relayRequest, time.Minute)
 			return err
 		},
 	}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -16,7 +16,7 @@
 	pathRelay           = "/peer/relay"
 	pathRelayHeartbeat  = "/peer/checkin"
 	pathRelayHeartbeats = "/peer/checkins"
-	pathOperate         = "/peer/operate"
+	pathOperatorRequest = "/peer/operate"
 )
 
 // contentType is that of all messages.
@@ -24,19 +24,19 @@
 
 // Status is how the store serves a controller.
 type Status struct {
-	Node                string `msgpack:"node"`
-	StoreSilentMS       int64  `msgpack:"silent_ms"` // since the store's last answer, or since the start
-	StoreAnswered       bool   `msgpack:"answered"`  // the store has answered since the start
-	StoreFailing        bool   `msgpack:"failing"`   // its last request failed
-	CancellationQuietMS int64  `msgpack:"quiet_ms"`  // since a cancellation was last confirmed, or since the start
+	Node                 string `msgpack:"node"`
+	SinceStoreResponseMS int64  `msgpack:"silent_ms"` // since the store's last answer, or since the start
+	StoreAnswered        bool   `msgpack:"answered"`  // the store has answered since the start
+	StoreFailing         bool   `msgpack:"failing"`   // its last request failed
+	SinceConfirmationMS  int64  `msgpack:"quiet_ms"`  // since a cancellation was last confirmed, or since the start
 	// Cancellations are the confirmed ones, where the request asks for them. Versions that
 	// do not list them leave it out.
 	Cancellations *cancellation.ConfirmedList `msgpack:"told,omitempty"`
 	// Attestation is what it remembers of leaders' attestations. Versions without
 	// watermarks leave it out.
 	Attestation *watermark.Attestation `msgpack:"heard,omitempty"`
-	// Reconciled is the attestation of the latest reconciled term that it has heard of.
-	Reconciled *watermark.Attestation `msgpack:"settled,omitempty"`
+	// LatestReconciled is the attestation of the latest reconciled term that it has heard of.
+	LatestReconciled *watermark.Attestation `msgpack:"settled,omitempty"`
 	// SinceRenewalMS is since it may last have renewed a worker's lease, as leader, or since
 	// the start. Versions that do not say leave it out.
 	SinceRenewalMS *int64 `msgpack:"renewed_ms,omitempty"`
@@ -58,7 +58,7 @@
 		Node:                node,
 		StoreAnswered:       !lastOK.IsZero(),
 		StoreFailing:        failing,
-		CancellationQuietMS: confirmed.SinceLastConfirmation(now).Milliseconds(),
+		SinceConfirmationMS: confirmed.SinceLastConfirmation(now).Milliseconds(),
 	}
 	// A span that no clock could have measured asks for all there is.
 	spanMS := min(request.CancellationSpanMS, maxCancellationSpan.Milliseconds())
@@ -69,7 +69,7 @@
 	if !s.StoreAnswered {
 		lastOK = started
 	}
-	s.StoreSilentMS = time.Since(lastOK).Milliseconds()
+	s.SinceStoreResponseMS = time.Since(lastOK).Milliseconds()
 	return s
 }
 
@@ -83,7 +83,7 @@
 	reconciled := o.LatestReconciled()
 	sinceRenewalMS := sinceRenewal.Milliseconds()
 	s.Attestation = &remembered
-	s.Reconciled = &reconciled
+	s.LatestReconciled = &reconciled
 	s.SinceRenewalMS = &sinceRenewalMS
 	return s
 }
@@ -174,6 +174,6 @@
 
 // HeartbeatBatchReply has the answers to the heartbeats of a batch, in the same order.
 type HeartbeatBatchReply struct {
-	Answers []RelayReply `msgpack:"answers"`
-	HeldMS  int64        `msgpack:"held_ms,omitempty"` // how long the leader took over it
+	Answers      []RelayReply `msgpack:"answers"`
+	ProcessingMS int64        `msgpack:"held_ms,omitempty"` // how long the leader took over it
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,10 +15,10 @@
 	RelayHeartbeat func(HeartbeatRequest) RelayReply
 	// RelayHeartbeats takes in batches, as the leader; nil where none are relayed.
 	RelayHeartbeats func(HeartbeatBatch) HeartbeatBatchReply
-	// Cancelled takes in a cancellation, as the leader; nil: like a version that does not know it.
-	Cancelled func(id string) bool
-	// Operate answers operators' requests; nil where operators are not served.
-	Operate func(RelayRequest) RelayReply
+	// NotifyCancelled takes in a cancellation, as the leader; nil: like a version that does not know it.
+	NotifyCancelled func(id string) bool
+	// RelayOperatorRequest answers operators' requests; nil where operators are not served.
+	RelayOperatorRequest func(RelayRequest) RelayReply
 }
 
 // Mount serves the handlers on the back address.
@@ -26,9 +26,9 @@
 	// Versions without watermarks send an attestation that says nothing.
 	app.Post(pathStatus, handle(h.Status))
 	app.Post(pathProgress, handle(func(request JobRequest) Progress { return h.Progress(request.ID) }))
-	if h.Cancelled != nil {
+	if h.NotifyCancelled != nil {
 		app.Post(pathCancelled, handle(func(request JobRequest) CancelledReply {
-			return CancelledReply{Acknowledged: h.Cancelled(request.ID)}
+			return CancelledReply{Acknowledged: h.NotifyCancelled(request.ID)}
 		}))
 	}
 	app.Post(pathRelayHeartbeat, handle(h.RelayHeartbeat))
@@ -36,8 +36,8 @@
 		app.Post(pathRelayHeartbeats, handle(h.RelayHeartbeats))
 	}
 	app.Post(pathRelay, handle(h.Relay))
-	if h.Operate != nil {
-		app.Post(pathOperate, handle(h.Operate))
+	if h.RelayOperatorRequest != nil {
+		app.Post(pathOperatorRequest, handle(h.RelayOperatorRequest))
 	}
 }
 
--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -30,26 +30,26 @@
 		{Name: "machine types", Value: MachineTypes{Types: []MachineType{machineType}}},
 		{Name: "sent mark", Value: FormatWatermark(42)},
 		{Name: "finished tasks of a chunk", Value: FormatRanges(func(i int) bool { return i < 5 || i == 7 }, 9)},
-		{Name: "keys", Direction: goldentest.Written, Value: []string{
+		{Name: "keys", Direction: goldentest.WriteOnly, Value: []string{
 			KeyLeader, OpenKey("j-412"), ClosedKey("j-412"), PrefixFinishedTasks, PrefixMachines, PrefixWatermarks, KeyWatermarksComplete,
 			KeyMachineTypes, PrefixDrains, PrefixDrainState, KeyDrainSequence, PartID("j-412", 7, 2),
 		}},
-		{Name: "shapes", Direction: goldentest.Written, Value: []string{ShapeArray, ShapeGang, ShapeService}},
-		{Name: "states of jobs", Direction: goldentest.Written, Value: []string{
+		{Name: "shapes", Direction: goldentest.WriteOnly, Value: []string{ShapeArray, ShapeGang, ShapeService}},
+		{Name: "states of jobs", Direction: goldentest.WriteOnly, Value: []string{
 			StatusPending, StatusRunning, StatusDone, StatusCancelled,
 		}},
-		{Name: "priorities", Direction: goldentest.Written, Value: []string{
+		{Name: "priorities", Direction: goldentest.WriteOnly, Value: []string{
 			PriorityCritical, PriorityUrgent, PriorityStandard, PriorityLow,
 		}},
-		{Name: "row", Direction: goldentest.Read, Value: row},
+		{Name: "row", Direction: goldentest.ReadOnly, Value: row},
 		// A local cluster's store writes its records in this form.
-		{Name: "row, written", Direction: goldentest.Written, Value: row},
-		{Name: "condition", Direction: goldentest.Written, Value: Compare{Key: "leader", Revision: 7}},
-		{Name: "change", Direction: goldentest.Written, Value: Op{Write: "types", Value: map[string]int{"n": 1}, LeaseID: 8, Delete: "whole"}},
-		{Name: "event", Direction: goldentest.Read, Value: Event{
+		{Name: "row, written", Direction: goldentest.WriteOnly, Value: row},
+		{Name: "condition", Direction: goldentest.WriteOnly, Value: Compare{Key: "leader", Revision: 7}},
+		{Name: "change", Direction: goldentest.WriteOnly, Value: Op{Write: "types", Value: map[string]int{"n": 1}, LeaseID: 8, Delete: "whole"}},
+		{Name: "event", Direction: goldentest.ReadOnly, Value: Event{
 			Write: "types", Delete: "whole", Value: json.RawMessage(`{"n":1}`), Revision: 7,
 		}},
-		{Name: "conflict", Direction: goldentest.Read, Value: ConflictError{Failed: []string{"leader"}, Revision: 9}},
+		{Name: "conflict", Direction: goldentest.ReadOnly, Value: ConflictError{Failed: []string{"leader"}, Revision: 9}},
 	})
 	if n, err := ParseWatermark(FormatWatermark(42)); err != nil || n != 42 {
 		t.Errorf("the watermark is read as %d, %v, want 42", n, err)
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -40,9 +40,9 @@
 
 // Zone is what becomes free in one zone for the tasks of one job.
 type Zone struct {
-	Name       string
-	FreeAfterS []float64 // seconds until each further place is free, in any order
-	Committed  int       // places that others with a reservation there still lack
+	Name              string
+	FreeAfterS        []float64 // seconds until each further place is free, in any order
+	ReservedForOthers int       // places that others with a reservation there still lack
 }
 
 // ChooseZone returns the zone where n places are free soonest, once the others with a reservation there
@@ -50,7 +50,7 @@
 // same time it is the first by name.
 func ChooseZone(zones []Zone, n int) (name string, afterS float64) {
 	for _, zone := range zones {
-		places := zone.Committed + n
+		places := zone.ReservedForOthers + n
 		if len(zone.FreeAfterS) < places {
 			continue
 		}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// NotePeer notes that another controller, in a zone, has relayed something, if only that it
+// RecordPeer notes that another controller, in a zone, has relayed something, if only that it
 // is there.
-func (r *Router) NotePeer(node, zone string, now time.Time) {
+func (r *Router) RecordPeer(node, zone string, now time.Time) {
 	c := r.controllers[node]
 	if c == nil {
 		c = &controller{}
@@ -104,7 +104,7 @@
 	var target string
 	if via == r.self {
 		if recent {
-			r.noteReturn(w, previous, now)
+			r.recordReturn(w, previous, now)
 		}
 		nodes, _ := r.candidates(w, now)
 		target = r.leastLoaded(nodes)
@@ -137,9 +137,9 @@
 	w.via = via
 }
 
-// noteReturn notes that a worker which was assigned to another controller has come back. It
+// recordReturn notes that a worker which was assigned to another controller has come back. It
 // has found that controller unreachable; without this, such workers would be sent to and fro.
-func (r *Router) noteReturn(w *worker, from string, now time.Time) {
+func (r *Router) recordReturn(w *worker, from string, now time.Time) {
 	c := r.controllers[from]
 	if c == nil {
 		return
@@ -149,8 +149,8 @@
 	c.returned++
 }
 
-// mayTake reports whether a worker may be sent to a controller.
-func (r *Router) mayTake(node string, w *worker, now time.Time) bool {
+// isEligible reports whether a worker may be sent to a controller.
+func (r *Router) isEligible(node string, w *worker, now time.Time) bool {
 	c := r.controllers[node]
 	fresh := now.Sub(c.lastHeard) <= freshIntervals*r.interval
 	avoided := node == w.avoid && now.Before(w.avoidUntil)
@@ -166,7 +166,7 @@
 	var inZone []string
 	inZoneWorkers := 0
 	for node, c := range r.controllers {
-		if !r.mayTake(node, w, now) {
+		if !r.isEligible(node, w, now) {
 			continue
 		}
 		nodes = append(nodes, node)
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -47,24 +47,24 @@
 func runEvent(r *Router, words []string, now time.Time) (decisions []string, known bool) {
 	switch words[0] {
 	case "peer":
-		r.NotePeer(words[1], zoneOf(words[2:]), now)
+		r.RecordPeer(words[1], zoneOf(words[2:]), now)
 		return nil, true
 	case "heartbeat":
-		return []string{decision(r.Route(words[1], zoneOf(words[4:]), words[3], now))}, true
+		return []string{formatDecision(r.Route(words[1], zoneOf(words[4:]), words[3], now))}, true
 	case "heartbeats":
 		machines, _ := strconv.Atoi(words[1])
 		counts := map[string]int{}
 		for i := range machines {
-			counts[decision(r.Route(fmt.Sprint("m-", i), zoneOf(words[4:]), words[3], now))]++
+			counts[formatDecision(r.Route(fmt.Sprint("m-", i), zoneOf(words[4:]), words[3], now))]++
 		}
-		return lines(counts), true
+		return formatCounts(counts), true
 	case "loads":
-		return lines(loads(r)), true
+		return formatCounts(workersByController(r)), true
 	}
 	return nil, false
 }
 
-func decision(target string) string {
+func formatDecision(target string) string {
 	if target == "" {
 		return "answered"
 	}
@@ -79,7 +79,7 @@
 	return ""
 }
 
-func lines(counts map[string]int) []string {
+func formatCounts(counts map[string]int) []string {
 	var out []string
 	for name, n := range counts {
 		out = append(out, fmt.Sprint(n, " ", name))
@@ -88,8 +88,8 @@
 	return out
 }
 
-// loads returns how many workers send their heartbeats through each other controller.
-func loads(r *Router) map[string]int {
+// workersByController returns how many workers send their heartbeats through each other controller.
+func workersByController(r *Router) map[string]int {
 	workers := map[string]int{}
 	for node, c := range r.controllers {
 		workers[node] = c.workers
@@ -136,12 +136,12 @@
 // others is how many controllers there are beside the leader.
 func (m *clusterModel) others() int { return len(m.up) - 1 }
 
-// pass lets a heartbeat interval pass, and returns how many workers were moved.
-func (m *clusterModel) pass() (moved int) {
+// runInterval lets a heartbeat interval pass, and returns how many workers were moved.
+func (m *clusterModel) runInterval() (moved int) {
 	m.now = m.now.Add(testInterval)
 	for c := 1; c <= m.others(); c++ {
 		if m.up[c] {
-			m.router.NotePeer(node(c), m.controllerZones[c], m.now)
+			m.router.RecordPeer(node(c), m.controllerZones[c], m.now)
 			m.lastHeard[c] = m.now
 		}
 	}
@@ -175,7 +175,7 @@
 // checkBalanced checks that no controller holds far more than its share.
 func (m *clusterModel) checkBalanced() {
 	share := float64(len(m.assigned)) / float64(m.others())
-	for name, workers := range loads(m.router) {
+	for name, workers := range workersByController(m.router) {
 		if limit := share*overloadFactor*maxZoneFactor + 2; float64(workers) > limit {
 			m.t.Fatalf("%s holds %d of %d workers, of %d controllers, want at most %v", name, workers, len(m.assigned), m.others(), limit)
 		}
@@ -184,7 +184,7 @@
 
 // checkZones checks that no controller has room for a worker of its zone that is elsewhere.
 func (m *clusterModel) checkZones() {
-	workersOf := loads(m.router)
+	workersOf := workersByController(m.router)
 	for i, zone := range m.workerZones {
 		inZone, inZoneWorkers := 0, 0
 		for c := 1; c <= m.others(); c++ {
@@ -213,15 +213,15 @@
 			for c := 1; c <= m.others(); c++ {
 				m.up[c] = rapid.IntRange(0, 3).Draw(t, "up") > 0
 			}
-			m.pass()
+			m.runInterval()
 		}
 		for c := range m.up {
 			m.up[c] = true
 		}
 		for range 60 {
-			m.pass()
+			m.runInterval()
 		}
-		if moved := m.pass(); moved > 0 {
+		if moved := m.runInterval(); moved > 0 {
 			t.Fatalf("%d workers are still moved, want 0", moved)
 		}
 		m.checkBalanced()
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -14,17 +14,17 @@
 
 const (
 	extension      = ".trace"
-	decisionMark   = "> "
+	decisionPrefix = "> "
 	decisionIndent = "  "
-	commentMark    = "#"
+	commentPrefix  = "#"
 )
 
-// Replay takes in one event, given by its words, and returns the decisions that it leads to.
-type Replay = func(words []string) (decisions []string)
+// EventHandler takes in one event, given by its words, and returns the decisions that it leads to.
+type EventHandler = func(words []string) (decisions []string)
 
 // Run replays every scenario of testdata that matches a pattern, each in a subtest of its own. start begins a
 // scenario and returns what replays its events.
-func Run(t *testing.T, pattern string, start func(t *testing.T) Replay) {
+func Run(t *testing.T, pattern string, start func(t *testing.T) EventHandler) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("testdata", pattern))
 	if err != nil || len(files) == 0 {
@@ -38,7 +38,7 @@
 }
 
 // runFile replays one scenario and compares it with its file; with -update it writes the file instead.
-func runFile(t *testing.T, file string, replay Replay) {
+func runFile(t *testing.T, file string, replay EventHandler) {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -60,19 +60,19 @@
 }
 
 // replayAll replays the events of a scenario's lines, and returns the lines with the decisions of now.
-func replayAll(lines []string, replay Replay) []string {
+func replayAll(lines []string, replay EventHandler) []string {
 	var got []string
 	for _, line := range lines {
 		trimmed := strings.TrimSpace(line)
-		if strings.HasPrefix(trimmed, decisionMark) {
+		if strings.HasPrefix(trimmed, decisionPrefix) {
 			continue
 		}
 		got = append(got, line)
-		if trimmed == "" || strings.HasPrefix(trimmed, commentMark) {
+		if trimmed == "" || strings.HasPrefix(trimmed, commentPrefix) {
 			continue
 		}
 		for _, decision := range replay(strings.Fields(trimmed)) {
-			got = append(got, decisionIndent+decisionMark+decision)
+			got = append(got, decisionIndent+decisionPrefix+decision)
 		}
 	}
 	return got
@@ -80,7 +80,7 @@
 
 // Diff shows where two texts differ, line by line, by their longest common subsequence.
 func Diff(a, b []string) string {
-	lcs := commonLengths(a, b)
+	lcs := lcsLengths(a, b)
 	var out strings.Builder
 	for i, j := 0, 0; i < len(a) || j < len(b); {
 		switch {
@@ -98,8 +98,8 @@
 	return out.String()
 }
 
-// commonLengths returns, for each i and j, the length of the longest common subsequence of a[i:] and b[j:].
-func commonLengths(a, b []string) [][]int {
+// lcsLengths returns, for each i and j, the length of the longest common subsequence of a[i:] and b[j:].
+func lcsLengths(a, b []string) [][]int {
 	lcs := make([][]int, len(a)+1)
 	for i := range lcs {
 		lcs[i] = make([]int, len(b)+1)
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -44,8 +44,8 @@
 	if teams > 1 {
 		cfg.Options.Guarantees, cfg.Options.Reservations = true, true
 	}
-	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-	cfg.Deployment.State.ValueKB = 8
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerLossS: 5, CancelS: 30}
+	cfg.Deployment.Store.ValueKB = 8
 	cfg.Deployment.Cloud.ListLagS = 3
 	cfg.Deployment.Zones = []string{"a", "b"}
 	f := &benchFleet{now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(1, 2)), dependencies: dependencies, teams: teams}
--- a/internal/scheduler/closed_jobs_test.go
+++ b/internal/scheduler/closed_jobs_test.go
@@ -13,8 +13,8 @@
 // at a time, no table has grown. Equivalent jobs have equal class numbers throughout.
 func TestClosedJobsReleaseState(t *testing.T) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
-	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-	cfg.Deployment.State.ValueKB = 8
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerLossS: 5, CancelS: 30}
+	cfg.Deployment.Store.ValueKB = 8
 	now := time.Unix(1_000_000, 0)
 	s := New(SettingsOf(cfg), 5, now)
 	add := func(id, image string, cpus float64) *Job {
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -31,7 +31,7 @@
 	factor := 1.0
 	for _, o := range s.settings.Objectives {
 		if o.Class == class && o.Kind == config.KindDeadline {
-			factor = max(factor, o.Times)
+			factor = max(factor, o.DeadlineFactor)
 		}
 	}
 	return factor
@@ -146,4 +146,4 @@
 
 // DependenciesClear reports whether no dependency of an open job, direct or indirect, is cancelled or
 // in an unknown state.
-func (s *Scheduler) DependenciesClear(id string) bool { return s.dependencies.Unobstructed(id) }
+func (s *Scheduler) DependenciesClear(id string) bool { return s.dependencies.DependenciesClear(id) }
--- a/internal/scheduler/drain_bench_test.go
+++ b/internal/scheduler/drain_bench_test.go
@@ -18,8 +18,8 @@
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	b.Cleanup(func() { slog.SetDefault(old) })
 	cfg := &config.Config{Options: config.DefaultOptions()}
-	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
-	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerLossS: 5, CancelS: 44}
+	cfg.Deployment.Store.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
 	now := time.Unix(1_000_000, 0)
 	s := New(SettingsOf(cfg), 5, now)
 	s.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.1, Zones: cfg.Deployment.Zones}})
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -22,8 +22,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const machines = 6
 		cfg := &config.Config{Options: config.DefaultOptions()}
-		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-		cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b"}, []config.Team{{Name: "team"}}
+		cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerLossS: 5, CancelS: 30}
+		cfg.Deployment.Store.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b"}, []config.Team{{Name: "team"}}
 		f := &fakeFleet{t: t, now: time.Unix(1_000_000, 0), jobs: map[string]records.Job{}, runTimes: map[string]time.Duration{}, preemptedAt: map[string]time.Time{}, started: map[string]bool{}}
 		f.scheduler = New(SettingsOf(cfg), 5, f.now)
 		f.scheduler.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: fakeMachineCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: cfg.Deployment.Zones}})
--- a/internal/scheduler/fake_fleet_test.go
+++ b/internal/scheduler/fake_fleet_test.go
@@ -63,8 +63,8 @@
 // newFakeFleet returns a fleet with machinesPerZone machines in each of two zones.
 func newFakeFleet(t *rapid.T, options config.Options, teams []config.Team, machinesPerZone int) *fakeFleet {
 	cfg := &config.Config{Options: options}
-	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b"}, teams
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerLossS: 5, CancelS: 30}
+	cfg.Deployment.Store.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b"}, teams
 	f := &fakeFleet{
 		t: t, now: time.Unix(1_000_000, 0), teams: teams,
 		jobs: map[string]records.Job{}, runTimes: map[string]time.Duration{},
--- a/internal/scheduler/finished_tasks_test.go
+++ b/internal/scheduler/finished_tasks_test.go
@@ -113,10 +113,10 @@
 
 func settingsWithValueKB(valueKB, nextKB float64) Settings {
 	cfg := &config.Config{Options: config.DefaultOptions()}
-	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-	cfg.Deployment.State.ValueKB = valueKB
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerLossS: 5, CancelS: 30}
+	cfg.Deployment.Store.ValueKB = valueKB
 	if nextKB > 0 {
-		cfg.Deployment.State.Next.ValueKB = &nextKB
+		cfg.Deployment.Store.Next.ValueKB = &nextKB
 	}
 	return SettingsOf(cfg)
 }
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -16,9 +16,9 @@
 			Version: "1.0", TaskCount: 1, Tasks: []TaskView{task},
 		}},
 		{Name: "task", Value: task},
-		{Name: "drain", Unset: true, Value: DrainView{Spec: drain.Spec{ID: "d-1"}, State: &drain.State{Phase: drain.PhaseDraining}}},
-		{Name: "drain that no leader has seen", Unset: true, Value: DrainView{Spec: drain.Spec{ID: "d-1"}}},
-		{Name: "states of machines", Direction: goldentest.Written, Value: []string{
+		{Name: "drain", AllowUnset: true, Value: DrainView{Spec: drain.Spec{ID: "d-1"}, State: &drain.State{Phase: drain.PhaseDraining}}},
+		{Name: "drain that no leader has seen", AllowUnset: true, Value: DrainView{Spec: drain.Spec{ID: "d-1"}}},
+		{Name: "states of machines", Direction: goldentest.WriteOnly, Value: []string{
 			MachineBooting, MachineUp, MachineUnreconciled, MachineSilent, MachineUnreachable, MachinePreempting, MachineFaulty,
 			MachineReturning, MachineCordoned, MachineDraining, MachineDrained,
 		}},
--- a/internal/scheduler/large_fleet_test.go
+++ b/internal/scheduler/large_fleet_test.go
@@ -19,8 +19,8 @@
 // newLimitsScheduler returns a reconciled scheduler with three zones that has read the cloud's list.
 func newLimitsScheduler(types []records.MachineType) (*Scheduler, time.Time) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
-	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerS: 5, CancelS: 44}
-	cfg.Deployment.State.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerLossS: 5, CancelS: 44}
+	cfg.Deployment.Store.ValueKB, cfg.Deployment.Zones, cfg.Deployment.Teams = 8, []string{"a", "b", "c"}, []config.Team{{Name: "team"}}
 	now := time.Unix(1_000_000, 0)
 	s := New(SettingsOf(cfg), 5, now)
 	for i := range types {
--- a/internal/scheduler/persistence_test.go
+++ b/internal/scheduler/persistence_test.go
@@ -15,7 +15,7 @@
 func newTestPersistence(term uint64, valueKB float64) (*Scheduler, *Persistence, time.Time) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, CancelS: 30}
-	cfg.Deployment.State.ValueKB = valueKB
+	cfg.Deployment.Store.ValueKB = valueKB
 	cfg.Options.Watermarks = true
 	now := time.Unix(1_000_000, 0)
 	s := New(SettingsOf(cfg), term, now)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -135,7 +135,7 @@
 		switch {
 		case objective.Class != job.Class:
 		case objective.Kind == config.KindDeadline && job.DeadlineS != nil:
-			targets = append(targets, *job.DeadlineS*max(objective.Times, 1)-job.blockedSeconds())
+			targets = append(targets, *job.DeadlineS*max(objective.DeadlineFactor, 1)-job.blockedSeconds())
 		case objective.Kind == config.KindWait:
 			targets = append(targets, objective.WithinS+job.EstimateS)
 		case objective.WithinS > 0:
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -138,7 +138,7 @@
 	}
 	var zones []reservation.Zone
 	for name, freeAfter := range byZone {
-		zones = append(zones, reservation.Zone{Name: name, FreeAfterS: freeAfter, Committed: committed[name]})
+		zones = append(zones, reservation.Zone{Name: name, FreeAfterS: freeAfter, ReservedForOthers: committed[name]})
 	}
 	return reservation.ChooseZone(zones, job.pending())
 }
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -17,7 +17,7 @@
 // that need a whole zone arrive. It returns the time from arrival to start of each gang that started.
 func startDelaysUnderLoad(t *rapid.T, begin float64, slots int, gangs []int, runs []int) map[string]time.Duration {
 	options := config.DefaultOptions()
-	options.Reservations, options.BeginS = begin > 0, max(begin, 1)
+	options.Reservations, options.BeginWithinS = begin > 0, max(begin, 1)
 	f := newFakeFleet(t, options, []config.Team{{Name: "team"}}, slots)
 	add := func(id, shape string, tasks int, cpus float64, run int) {
 		j := records.Job{
--- a/internal/scheduler/scenario_test.go
+++ b/internal/scheduler/scenario_test.go
@@ -57,14 +57,14 @@
 		return r.scheduler
 	}
 	cfg := &config.Config{Options: config.DefaultOptions()}
-	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30}
-	cfg.Deployment.State.ValueKB = 8
+	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerLossS: 5, CancelS: 30}
+	cfg.Deployment.Store.ValueKB = 8
 	cfg.Deployment.Cloud.ListLagS = 3
 	cfg.Deployment.Zones = []string{"a", "b"}
 	cfg.Deployment.Teams = append(r.teams, config.Team{Name: "team"})
 	cfg.Deployment.Objectives = r.objectives
 	cfg.Options.Watermarks, cfg.Options.ZoneHealth, cfg.Options.Guarantees = r.watermarks, r.zoneHealth, r.guarantees
-	cfg.Options.Reservations, cfg.Options.BeginS = r.beginS > 0, r.beginS
+	cfg.Options.Reservations, cfg.Options.BeginWithinS = r.beginS > 0, r.beginS
 	r.scheduler = New(SettingsOf(cfg), r.term, r.now)
 	r.scheduler.SetMachineTypes(append(r.types, records.MachineType{
 		Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, SpotPrice: 0.05, StartupS: 20, CacheGB: 40, FetchGBps: 0.2, Zones: []string{"a", "b"},
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -38,31 +38,31 @@
 func SettingsOf(c *config.Config) Settings {
 	workers := c.Deployment.Workers
 	interval, lease := config.Seconds(workers.HeartbeatS), config.Seconds(workers.LeaseS)
-	chunkTasks := records.ChunkTasks(c.Deployment.State.ValueKB)
+	chunkTasks := records.ChunkTasks(c.Deployment.Store.ValueKB)
 	s := Settings{
 		HeartbeatInterval: interval,
 		// A worker's lease expires by its own clock, so clock drift is added, and a margin for the
 		// delivery time of an answer.
-		Lease:                   lease + config.Drift(lease) + interval/4,
+		Lease:                   lease + config.MaxDrift(lease) + interval/4,
 		RebalanceInterval:       time.Duration(float64(interval) * c.Options.RoundIntervals),
-		GangPeerTimeout:         config.Seconds(workers.GangPeerS),
+		GangPeerTimeout:         config.Seconds(workers.GangPeerLossS),
 		ListLag:                 config.Seconds(c.Deployment.Cloud.ListLagS),
 		ChunkTasks:              chunkTasks,
-		PartTasks:               records.PartTasks(chunkTasks, c.Deployment.State.Lowest().ValueKB),
+		PartTasks:               records.PartTasks(chunkTasks, c.Deployment.Store.Lowest().ValueKB),
 		IdleStartups:            c.Options.IdleStartups,
 		CapacityBackoffStartups: c.Options.CapacityBackoffStartups,
 		Zones:                   c.Deployment.Zones,
 		Objectives:              c.Deployment.Objectives,
 		Teams:                   map[string]config.Team{},
 		Forecast: forecast.Params{
-			Up: c.Options.AlphaUp, Down: c.Options.AlphaDown,
-			Window: c.Options.Window, Percentile: c.Options.Percentile,
+			Up: c.Options.ForecastAlphaUp, Down: c.Options.ForecastAlphaDown,
+			Window: c.Options.ForecastWindow, Percentile: c.Options.ForecastPercentile,
 		},
 		Watermarks:   c.Options.Watermarks,
 		LoadShedding: c.Options.LoadShedding,
 		Guarantees:   c.Options.Guarantees,
 		ZoneHealth:   c.Options.ZoneHealth,
-		BeginWithin:  config.Seconds(c.Options.BeginS),
+		BeginWithin:  config.Seconds(c.Options.BeginWithinS),
 	}
 	if c.Options.Reservations {
 		s.ReservationBound = s.BeginWithin
--- a/internal/scheduler/slo.go
+++ b/internal/scheduler/slo.go
@@ -34,12 +34,12 @@
 			setSLOGauges(line)
 		}
 		level := slog.LevelInfo
-		if line.ShareInTime() < sloWarnShare || line.Waiting != "" && float64(line.LongestWait) > waitWarnShare*float64(bound) {
+		if line.ShareInTime() < sloWarnShare || line.LongestWaitingJob != "" && float64(line.LongestWait) > waitWarnShare*float64(bound) {
 			level = slog.LevelWarn
 		}
 		slog.Log(context.Background(), level, "service level", "by", line.Dimension, "name", line.Name,
 			"arrived", line.Arrived, "begun", line.Started, "done", line.Done, "late", line.Late,
-			"longest_s", line.LongestWait.Round(time.Second).Seconds(), "waiting", line.Waiting, "term", s.term)
+			"longest_s", line.LongestWait.Round(time.Second).Seconds(), "waiting", line.LongestWaitingJob, "term", s.term)
 	}
 }
 
