--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -27,10 +27,10 @@
 
 	status           string
 	cause            string // why it ended
-	saved            bool   // its progress was saved at its end
+	checkpointSaved  bool   // its progress was saved at its end
 	startedAt        time.Time
 	statusSince      time.Time
-	statusEnds       time.Time     // when the status ends by itself; zero: it does not
+	statusEndsAt     time.Time     // when the status ends by itself; zero: it does not
 	runningSince     time.Time     // zero: it has not run
 	initialProgress  time.Duration // when it began to run
 	peerMissingSince time.Time     // zero: no task of the gang is missing
@@ -79,18 +79,18 @@
 	for _, a := range m.tasks {
 		gang := a.job.Shape == records.ShapeGang
 		switch {
-		case a.status == statusPulling && !now.Before(a.statusEnds):
-			m.imageReadyLocked(a)
-		case a.status == statusWaiting && !a.statusEnds.IsZero() && !now.Before(a.statusEnds):
-			m.endLocked(a, fleet.CauseGangTimeout)
-		case a.status == statusRunning && gang && m.peersMissingLocked(a, now):
+		case a.status == statusPulling && !now.Before(a.statusEndsAt):
+			m.onImageReadyLocked(a)
+		case a.status == statusWaiting && !a.statusEndsAt.IsZero() && !now.Before(a.statusEndsAt):
+			m.endAttemptLocked(a, fleet.CauseGangTimeout)
+		case a.status == statusRunning && gang && m.gangPeerTimedOutLocked(a, now):
 			m.env.saveProgressLocked(a, a.checkpointAt(now))
-			m.endLocked(a, fleet.CauseGangPeerLost)
-		case a.status == statusRunning && !a.statusEnds.IsZero() && !now.Before(a.statusEnds):
-			m.completeLocked(a)
-		case a.status == statusFlushing && !now.Before(a.statusEnds):
-			a.saved = true
-			m.endLocked(a, fleet.CauseStopped)
+			m.endAttemptLocked(a, fleet.CauseGangPeerLost)
+		case a.status == statusRunning && !a.statusEndsAt.IsZero() && !now.Before(a.statusEndsAt):
+			m.completeAttemptLocked(a)
+		case a.status == statusFlushing && !now.Before(a.statusEndsAt):
+			a.checkpointSaved = true
+			m.endAttemptLocked(a, fleet.CauseStopped)
 		}
 	}
 }
@@ -104,11 +104,11 @@
 		switch c.Verb {
 		case fleet.VerbRun:
 			if a == nil {
-				m.startLocked(key, c)
+				m.startAttemptLocked(key, c)
 			}
 		case fleet.VerbKill:
 			if a != nil && a.status != statusEnded {
-				m.killLocked(a, c)
+				m.killAttemptLocked(a, c)
 			}
 		case fleet.VerbReap:
 			if a != nil && a.status == statusEnded {
@@ -118,8 +118,8 @@
 	}
 }
 
-// startLocked takes an attempt in, and checks the rules while it does.
-func (m *Machine) startLocked(key string, c fleet.Command) {
+// startAttemptLocked takes an attempt in, and checks the rules while it does.
+func (m *Machine) startAttemptLocked(key string, c fleet.Command) {
 	env := m.env
 	id, _ := fleet.ParseTask(c.Task)
 	now := time.Now()
@@ -129,8 +129,8 @@
 		status: statusPulling, startedAt: now, statusSince: now,
 	}
 	m.tasks[key] = a
-	if cause := m.refusalLocked(a, known); cause != "" {
-		m.endLocked(a, cause)
+	if cause := m.rejectionCauseLocked(a, known); cause != "" {
+		m.endAttemptLocked(a, cause)
 		return
 	}
 	if env.attempts[id.Job] == nil {
@@ -146,8 +146,8 @@
 		}
 		m.imageReadyAt[job.Image] = now.Add(fetch)
 	}
-	if a.statusEnds = m.imageReadyAt[job.Image]; !now.Before(a.statusEnds) {
-		m.imageReadyLocked(a)
+	if a.statusEndsAt = m.imageReadyAt[job.Image]; !now.Before(a.statusEndsAt) {
+		m.onImageReadyLocked(a)
 	}
 	m.wake()
 }
@@ -155,8 +155,8 @@
 // epsilon absorbs rounding in sums of resources.
 const epsilon = 1e-9
 
-// refusalLocked returns why the worker does not take an attempt, "" if it does.
-func (m *Machine) refusalLocked(a *attempt, jobKnown bool) (cause string) {
+// rejectionCauseLocked returns why the worker does not take an attempt, "" if it does.
+func (m *Machine) rejectionCauseLocked(a *attempt, jobKnown bool) (cause string) {
 	cpus, mem := a.job.CPUs, a.job.MemGB
 	for _, other := range m.tasks {
 		if other == a || other.status == statusEnded {
@@ -176,37 +176,37 @@
 	return ""
 }
 
-// imageReadyLocked goes on with an attempt whose image is there.
-func (m *Machine) imageReadyLocked(a *attempt) {
+// onImageReadyLocked goes on with an attempt whose image is there.
+func (m *Machine) onImageReadyLocked(a *attempt) {
 	now := time.Now()
-	a.statusSince, a.statusEnds = now, time.Time{}
+	a.statusSince, a.statusEndsAt = now, time.Time{}
 	if m.env.completed[a.taskID.Job][a.task] {
-		m.endLocked(a, fleet.CauseDone) // its result is kept
+		m.endAttemptLocked(a, fleet.CauseDone) // its result is kept
 		return
 	}
 	if a.job.Shape != records.ShapeGang || m.env.GangStartTimeout == 0 {
-		m.runLocked(a, now)
+		m.startRunningLocked(a, now)
 		return
 	}
-	a.status, a.statusEnds = statusWaiting, now.Add(m.env.GangStartTimeout)
-	m.env.startGangLocked(a, now)
+	a.status, a.statusEndsAt = statusWaiting, now.Add(m.env.GangStartTimeout)
+	m.env.startGangIfReadyLocked(a, now)
 }
 
-// runLocked lets an attempt run on from the saved progress.
-func (m *Machine) runLocked(a *attempt, now time.Time) {
-	a.status, a.statusSince, a.statusEnds = statusRunning, now, time.Time{}
+// startRunningLocked lets an attempt run on from the saved progress.
+func (m *Machine) startRunningLocked(a *attempt, now time.Time) {
+	a.status, a.statusSince, a.statusEndsAt = statusRunning, now, time.Time{}
 	a.runningSince = now
 	a.initialProgress = m.env.savedProgress[a.checkpointKey()]
 	if a.job.Shape != records.ShapeService {
-		a.statusEnds = now.Add(max(m.env.RunTime(a.task)-a.initialProgress, 0))
+		a.statusEndsAt = now.Add(max(m.env.RunTime(a.task)-a.initialProgress, 0))
 	}
 }
 
-// completeLocked ends an attempt whose task is done, and with it its whole gang.
-func (m *Machine) completeLocked(a *attempt) {
+// completeAttemptLocked ends an attempt whose task is done, and with it its whole gang.
+func (m *Machine) completeAttemptLocked(a *attempt) {
 	env, job := m.env, a.taskID.Job
 	if env.TaskFails != nil && env.TaskFails(m, a.task) {
-		m.endLocked(a, fleet.CauseError)
+		m.endAttemptLocked(a, fleet.CauseError)
 		return
 	}
 	gang := a.job.Shape == records.ShapeGang
@@ -225,12 +225,12 @@
 	}
 	for _, p := range done {
 		env.completed[job][p.attempt.task] = true
-		p.machine.endLocked(p.attempt, fleet.CauseDone)
+		p.machine.endAttemptLocked(p.attempt, fleet.CauseDone)
 	}
 }
 
-// killLocked stops an attempt, which saves its progress where it can and is given the time.
-func (m *Machine) killLocked(a *attempt, c fleet.Command) {
+// killAttemptLocked stops an attempt, which saves its progress where it can and is given the time.
+func (m *Machine) killAttemptLocked(a *attempt, c fleet.Command) {
 	now, grace := time.Now(), 0.0
 	if c.GraceS != nil {
 		grace = *c.GraceS
@@ -240,16 +240,16 @@
 	case a.status == statusRunning && canSave && grace >= a.job.SaveS:
 		m.env.saveProgressLocked(a, a.progressAt(now))
 		a.status, a.statusSince = statusFlushing, now
-		a.statusEnds = now.Add(time.Duration(a.job.SaveS * float64(time.Second)))
+		a.statusEndsAt = now.Add(time.Duration(a.job.SaveS * float64(time.Second)))
 		if a.job.SaveS == 0 {
-			a.saved = true
-			m.endLocked(a, fleet.CauseStopped)
+			a.checkpointSaved = true
+			m.endAttemptLocked(a, fleet.CauseStopped)
 		}
 	default:
 		if a.status == statusRunning {
 			m.env.saveProgressLocked(a, a.checkpointAt(now))
 		}
-		m.endLocked(a, fleet.CauseStopped)
+		m.endAttemptLocked(a, fleet.CauseStopped)
 	}
 }
 
@@ -260,22 +260,24 @@
 			if a.status == statusRunning {
 				m.env.saveProgressLocked(a, a.checkpointAt(time.Now()))
 			}
-			m.endAtLocked(a, causeLost, at)
+			m.endAttemptAtLocked(a, causeLost, at)
 		}
 	}
 	clear(m.tasks)
 }
 
-// endLocked ends an attempt now.
-func (m *Machine) endLocked(a *attempt, cause string) { m.endAtLocked(a, cause, time.Now()) }
+// endAttemptLocked ends an attempt now.
+func (m *Machine) endAttemptLocked(a *attempt, cause string) {
+	m.endAttemptAtLocked(a, cause, time.Now())
+}
 
-// endAtLocked ends an attempt that was over at a time.
-func (m *Machine) endAtLocked(a *attempt, cause string, at time.Time) {
+// endAttemptAtLocked ends an attempt that was over at a time.
+func (m *Machine) endAttemptAtLocked(a *attempt, cause string, at time.Time) {
 	env := m.env
 	if cause != fleet.CauseDone && a.job.Shape != records.ShapeService {
 		env.lostWork += max(a.progressAt(time.Now())-env.savedProgress[a.checkpointKey()], 0)
 	}
-	a.status, a.cause, a.statusSince, a.statusEnds = statusEnded, cause, at, time.Time{}
+	a.status, a.cause, a.statusSince, a.statusEndsAt = statusEnded, cause, at, time.Time{}
 	if live := env.attempts[a.taskID.Job]; live != nil {
 		if delete(live, a); len(live) == 0 {
 			delete(env.attempts, a.taskID.Job)
--- a/internal/simulation/cancel_confirm_test.go
+++ b/internal/simulation/cancel_confirm_test.go
@@ -32,13 +32,13 @@
 			c.store.SetRefused(c.env.Nodes[leader], false)
 		},
 		"the leader without store and peers": func(c *cluster, leader int, cancel func()) {
-			c.isolate(leader, true)
+			c.isolateFromControlPlane(leader, true)
 			for range 6 {
 				cancel()
 				sleep(1)
 			}
 			sleep(10)
-			c.isolate(leader, false)
+			c.isolateFromControlPlane(leader, false)
 		},
 		"in an election": func(c *cluster, leader int, cancel func()) {
 			c.killNode(leader)
@@ -56,14 +56,14 @@
 				sleep(2)
 				const jobs = 12
 				for n := range jobs {
-					c.submit(n%3, records.Job{ID: id(n + 1), Tasks: 3000, CPUs: 1, EstimateS: 1})
+					c.submit(n%3, records.Job{ID: jobID(n + 1), Tasks: 3000, CPUs: 1, EstimateS: 1})
 				}
 				sleep(35)
 				leader, next := c.leaderIndex(), 0
 				scenario(c, leader, func() {
 					// As users do, until it is confirmed; then the next.
 					if next < jobs {
-						if _, st := c.ask((leader+1+next%2)%3, peer.MethodCancel, id(next+1)); st == records.StatusCancelled {
+						if _, st := c.ask((leader+1+next%2)%3, peer.MethodCancel, jobID(next+1)); st == records.StatusCancelled {
 							next++
 						}
 					}
@@ -72,7 +72,7 @@
 					t.Error("no cancellation was confirmed")
 				}
 				for n := range jobs {
-					c.ask(0, peer.MethodCancel, id(n+1))
+					c.ask(0, peer.MethodCancel, jobID(n+1))
 				}
 				sleep(60)
 			})
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -22,10 +22,10 @@
 }
 
 // cloudLatency is how long a call to the cloud takes.
-const cloudLatency = 20 * latency
+const cloudLatency = 20 * networkLatency
 
-// admit lets a call through to the cloud, after its latency.
-func (c *CloudClient) admit(ctx context.Context) error {
+// beginCall lets a call through to the cloud, after its latency.
+func (c *CloudClient) beginCall(ctx context.Context) error {
 	if err := ctxtime.Sleep(ctx, cloudLatency); err != nil {
 		return err
 	}
@@ -37,12 +37,12 @@
 
 // Types returns the machine types that can be rented.
 func (c *CloudClient) Types(ctx context.Context) ([]records.MachineType, error) {
-	return append([]records.MachineType(nil), c.Environment.Types...), c.admit(ctx)
+	return append([]records.MachineType(nil), c.Environment.Types...), c.beginCall(ctx)
 }
 
 // Rent starts machines, and returns their names.
 func (c *CloudClient) Rent(ctx context.Context, r autoscaler.RentalRequest) ([]string, error) {
-	if err := c.admit(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	machines, err := c.Environment.rent(r)
@@ -55,7 +55,7 @@
 
 // Return ends machines.
 func (c *CloudClient) Return(ctx context.Context, machines []string) error {
-	if err := c.admit(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return err
 	}
 	c.Environment.returnMachines(machines)
@@ -64,7 +64,7 @@
 
 // List returns the machines as the cloud knows them.
 func (c *CloudClient) List(ctx context.Context) ([]autoscaler.CloudMachine, error) {
-	if err := c.admit(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	return c.Environment.CloudMachines(), nil
@@ -80,7 +80,7 @@
 	}
 	free := env.ZoneCapacity
 	for _, m := range env.machines {
-		if !m.gone && m.Zone == r.Zone && m.Spot == r.Spot {
+		if !m.terminated && m.Zone == r.Zone && m.Spot == r.Spot {
 			free--
 		}
 	}
@@ -146,7 +146,7 @@
 		if !m.up {
 			status = cloudBooting
 		}
-		if m.gone {
+		if m.terminated {
 			status = cloudFailed
 		}
 		list = append(list, autoscaler.CloudMachine{
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -41,22 +41,22 @@
 	env   *Environment
 	cfg   *config.Config
 
-	leaderLease time.Duration // life of the leader's
-	paced       bool          // leaders keep to their share of the write rate
-	starts      int           // of controllers
+	leaderLease       time.Duration // life of the leader's
+	limitLeaderWrites bool          // leaders keep to their share of the write rate
+	starts            int           // of controllers
 
 	mu    sync.Mutex // guards what follows
 	nodes []*node    // nil while down
 
 	// Faults of controllers and of the ways to them.
-	olderVersion map[int]bool          // nodes that keep no watermarks and relay no heartbeats
-	unreachable  map[int]bool          // nodes that workers cannot reach
-	isolated     map[int]bool          // nodes that no other can reach
-	onlyNodeOf   map[string]int        // the one node that workers of a zone can reach
-	delays       map[int]time.Duration // by how much later a node gets what others send to it
-	copyDelays   []time.Duration       // after each of these, a copy of every heartbeat comes to another node
-	keepsCopy    func() bool           // whether a copy of a heartbeat is kept for the next leader; nil: none is
-	keptCopies   [][]byte              // such copies
+	olderVersion    map[int]bool          // nodes that keep no watermarks and relay no heartbeats
+	unreachable     map[int]bool          // nodes that workers cannot reach
+	isolated        map[int]bool          // nodes that no other can reach
+	onlyNodeForZone map[string]int        // the one node that workers of a zone can reach
+	delays          map[int]time.Duration // by how much later a node gets what others send to it
+	copyDelays      []time.Duration       // after each of these, a copy of every heartbeat comes to another node
+	shouldKeepCopy  func() bool           // whether a copy of a heartbeat is kept for the next leader; nil: none is
+	keptCopies      [][]byte              // such copies
 
 	heartbeatCounts []int // that workers sent to each node
 
@@ -86,7 +86,7 @@
 		prepare(c)
 		c.startAll()
 		ended := make(chan struct{})
-		go c.checkUntil(ended)
+		go c.checkRulesUntil(ended)
 		scenario(c)
 		close(ended)
 		c.env.CheckCancelled()
@@ -110,14 +110,14 @@
 	cfg.Options.Watermarks, cfg.Options.HeartbeatRelay, cfg.Options.LeaseExpiryProofs = true, true, true
 	cfg.Deployment = config.Deployment{
 		Nodes: 3, Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "team"}, {Name: "other"}},
-		Workers: config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerS: 5, CancelS: 30},
-		State:   config.State{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16},
-		Cloud:   config.Cloud{RPS: 4, ListLagS: 3},
+		Workers: config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerLossS: 5, CancelS: 30},
+		Store:   config.StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 16},
+		Cloud:   config.CloudLimits{RPS: 4, ListLagS: 3},
 	}
 	c := &cluster{
 		t: t, ctx: ctx, store: NewStore(), env: NewEnvironment(ctx), cfg: cfg, leaderLease: 4 * time.Second,
 		olderVersion: map[int]bool{}, unreachable: map[int]bool{}, isolated: map[int]bool{},
-		onlyNodeOf: map[string]int{}, delays: map[int]time.Duration{},
+		onlyNodeForZone: map[string]int{}, delays: map[int]time.Duration{},
 		jobs: map[string]records.Job{}, cancelledJobs: map[string]bool{},
 	}
 	env := c.env
@@ -149,8 +149,8 @@
 	}
 }
 
-// checkUntil checks what must hold all along, several times in a heartbeat interval.
-func (c *cluster) checkUntil(ended chan struct{}) {
+// checkRulesUntil checks what must hold all along, several times in a heartbeat interval.
+func (c *cluster) checkRulesUntil(ended chan struct{}) {
 	idle := &idleCheck{env: c.env}
 	for {
 		select {
@@ -169,13 +169,13 @@
 	c.starts++
 	ctx, cancel := context.WithCancel(c.ctx)
 	n := &node{name: name, client: c.store.Client(name), cancel: cancel, stopped: make(chan struct{})}
-	if c.paced {
-		n.client.SetWriteShare(c.cfg.Deployment.State.Lowest().WriteRPS / 2)
+	if c.limitLeaderWrites {
+		n.client.SetWriteShare(c.cfg.Deployment.Store.Lowest().WriteRPS / 2)
 	}
 	cfg := c.nodeConfig(i)
 	n.election = election.New(n.client, name, fmt.Sprint("start-", c.starts), c.leaderLease, cfg.Options.Watermarks)
 	peers := &peerNetwork{c, i}
-	n.server = api.New(cfg, n.client, peers, n.election.Leader, func() api.Local {
+	n.server = api.New(cfg, n.client, peers, n.election.Leader, func() api.Leader {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if n.leader == nil {
@@ -186,7 +186,7 @@
 	n.server.SetMachineTypes(c.env.Types)
 	go n.server.WatchPeers(ctx)
 	if cfg.Options.HeartbeatRelay {
-		go n.server.OfferRelay(ctx)
+		go n.server.AnnounceRelay(ctx)
 	}
 	cloud := &CloudClient{Environment: c.env, Alive: func() bool { return ctx.Err() == nil }}
 	go func() {
@@ -260,7 +260,7 @@
 	return -1
 }
 
-func id(n int) string { return "j-" + strconv.Itoa(n) }
+func jobID(n int) string { return "j-" + strconv.Itoa(n) }
 
 // isCompleted reports whether all of a job's tasks have completed.
 func (c *cluster) isCompleted(j records.Job) bool {
@@ -276,9 +276,9 @@
 	return time.Duration(4+h.Sum32()%8) * time.Second
 }
 
-// after does something a while later. A goroutine that sleeps, not a timer's: under the race detector
+// runAfter does something a while later. A goroutine that sleeps, not a timer's: under the race detector
 // tens of thousands of those in one process end it (Go 1.26, a fault in its record of stacks).
-func after(d time.Duration, do func()) {
+func runAfter(d time.Duration, do func()) {
 	go func() {
 		time.Sleep(d)
 		do()
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -124,7 +124,7 @@
 
 // The leader dies in the middle of a cascade; the next goes on with it.
 func TestFailoverContinuesCancellationOfDependents(t *testing.T) {
-	runScenarioWith(t, func(c *cluster) { c.cfg.Deployment.State.TxnOps = 2 }, func(c *cluster) {
+	runScenarioWith(t, func(c *cluster) { c.cfg.Deployment.Store.TxnOps = 2 }, func(c *cluster) {
 		sleep(2)
 		c.submit(0, dependentJob("j-900", 1))
 		c.submit(0, dependentJob("j-1", 2))
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -58,10 +58,10 @@
 	savedProgress map[string]time.Duration   // by attempt.checkpointKey
 
 	// Faults.
-	partitioned     map[string]bool // zones that are not reachable
-	commandsBlocked map[string]bool // zones that no direct commands reach
-	commandDelay    func() (command, answer time.Duration)
-	bootTime        func() time.Duration // replaces BootTime; nil: it does not
+	partitioned      map[string]bool // zones that are not reachable
+	commandsBlocked  map[string]bool // zones that no direct commands reach
+	pickCommandDelay func() (command, answer time.Duration)
+	pickBootTime     func() time.Duration // replaces BootTime; nil: it does not
 
 	// What users were told of jobs, for the rules.
 	acceptedAt      map[string]time.Time // when a user was first told that the job is known
@@ -71,12 +71,12 @@
 	violations      []string
 
 	// What happened so far.
-	runs               []TaskRun
-	costs              []RentalCost
-	starts             int
-	leaseExpiries      int
-	lostWork           time.Duration // run time that has to be done again
-	longestAfterCancel time.Duration // for how long a cancelled job's task was seen on its machine
+	runs             []TaskRun
+	costs            []RentalCost
+	starts           int
+	leaseExpiries    int
+	lostWork         time.Duration // run time that has to be done again
+	maxCancelLatency time.Duration // for how long a cancelled job's task was seen on its machine
 }
 
 // NewEnvironment returns an environment without machines, alive until ctx ends.
@@ -118,7 +118,7 @@
 	defer env.mu.Unlock()
 	var up []*Machine
 	for _, m := range env.machines {
-		if m.up && !m.gone {
+		if m.up && !m.terminated {
 			up = append(up, m)
 		}
 	}
@@ -132,7 +132,7 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	m := env.machines[machine]
-	if m == nil || m.gone || !m.up {
+	if m == nil || m.terminated || !m.up {
 		return false
 	}
 	m.loseTasksLocked(time.Now())
@@ -148,7 +148,7 @@
 	n := 0
 	for _, m := range env.Machines() {
 		if m.Zone == zone {
-			m.Die()
+			m.Terminate()
 			n++
 		}
 	}
@@ -160,6 +160,6 @@
 func (env *Environment) SetBootTime(by func() time.Duration) (before func() time.Duration) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	before, env.bootTime = env.bootTime, by
+	before, env.pickBootTime = env.pickBootTime, by
 	return before
 }
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -127,7 +127,7 @@
 				submit()
 				sleep(30)
 				for range 14 {
-					randomFault(c, r)
+					injectRandomFault(c, r)
 					if r.IntN(2) == 0 {
 						submit()
 					}
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// isolate cuts a controller off from the store and the other controllers, but not from workers.
-func (c *cluster) isolate(i int, on bool) {
+// isolateFromControlPlane cuts a controller off from the store and the other controllers, but not from workers.
+func (c *cluster) isolateFromControlPlane(i int, on bool) {
 	c.setIsolated(i, on)
 	hang := time.Duration(0)
 	if on {
@@ -25,9 +25,9 @@
 	c.mu.Lock()
 	clear(c.isolated)
 	clear(c.delays)
-	clear(c.onlyNodeOf)
+	clear(c.onlyNodeForZone)
 	clear(c.unreachable)
-	c.keepsCopy, c.onJobEvent = nil, nil // copies that come late go on coming
+	c.shouldKeepCopy, c.onJobEvent = nil, nil // copies that come late go on coming
 	c.mu.Unlock()
 	c.store.SetOutage(false)
 	for i, name := range strings.Fields(nodeNames)[:len(c.nodes)] {
@@ -46,13 +46,13 @@
 		c.env.BlockCommands(z, false)
 	}
 	for _, m := range c.env.Machines() {
-		m.Hang(false)
+		m.SetHung(false)
 		m.SetUnreachable(false)
 		m.SetIsolated(false)
 	}
 }
 
-func randomProcessFault(c *cluster, r *rand.Rand) {
+func injectRandomProcessFault(c *cluster, r *rand.Rand) {
 	ms := c.env.Machines()
 	switch i := r.IntN(3); r.IntN(4) {
 	case 0:
@@ -65,10 +65,10 @@
 		}
 	case 1:
 		if c.node(i) != nil {
-			c.isolate(i, true)
+			c.isolateFromControlPlane(i, true)
 			sleep(float64(1 + r.IntN(40)))
 			if c.node(i) != nil {
-				c.isolate(i, false)
+				c.isolateFromControlPlane(i, false)
 			}
 		}
 	case 2:
@@ -88,8 +88,8 @@
 	}
 }
 
-// randomFault is one of what may happen, by chance.
-func randomFault(c *cluster, r *rand.Rand) {
+// injectRandomFault is one of what may happen, by chance.
+func injectRandomFault(c *cluster, r *rand.Rand) {
 	i := r.IntN(3)
 	ms := c.env.Machines()
 	switch r.IntN(10) {
@@ -120,18 +120,18 @@
 	case 8:
 		for _, m := range ms {
 			if r.IntN(3) == 0 {
-				m.Hang(r.IntN(2) == 0)
+				m.SetHung(r.IntN(2) == 0)
 			}
 		}
 	case 9:
 		if len(ms) > 0 {
-			ms[r.IntN(len(ms))].Die()
+			ms[r.IntN(len(ms))].Terminate()
 		}
 	}
 }
 
-// restart ends a controller and starts it anew a while later; -1: none.
-func (c *cluster) restart(i int, pause float64) {
+// restartNode ends a controller and starts it anew a while later; -1: none.
+func (c *cluster) restartNode(i int, pause float64) {
 	if i >= 0 && c.node(i) != nil {
 		c.killNode(i)
 		sleep(pause)
@@ -139,8 +139,8 @@
 	}
 }
 
-// lateWrites has all controllers' transactions held up.
-func (c *cluster) lateWrites(by func() (time.Duration, bool)) {
+// setLateWrites has all controllers' transactions held up.
+func (c *cluster) setLateWrites(by func() (time.Duration, bool)) {
 	for k := range c.nodes {
 		if n := c.node(k); n != nil {
 			n.client.SetLateWrites(by)
@@ -156,7 +156,7 @@
 		busy := len(m.tasks) > 0
 		c.env.mu.Unlock()
 		if busy && len(ms) < n && r.IntN(3) > 0 {
-			m.Hang(true)
+			m.SetHung(true)
 			ms = append(ms, m)
 		}
 	}
@@ -164,26 +164,26 @@
 	go func() {
 		sleep(float64(s))
 		for _, m := range ms {
-			m.Hang(false)
+			m.SetHung(false)
 		}
 		close(over)
 	}()
 	return over
 }
 
-// connectMachines lets all workers send heartbeats again.
-func (c *cluster) connectMachines() {
+// reconnectMachines lets all workers send heartbeats again.
+func (c *cluster) reconnectMachines() {
 	for _, m := range c.env.Machines() {
 		m.SetIsolated(false)
 	}
 }
 
-// keepCopies keeps copies of a third of the heartbeats for the next leader.
-func (c *cluster) keepCopies(seed uint64) {
+// keepHeartbeatCopies keeps copies of a third of the heartbeats for the next leader.
+func (c *cluster) keepHeartbeatCopies(seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 4))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keepsCopy = func() bool { return r.IntN(3) == 0 }
+	c.shouldKeepCopy = func() bool { return r.IntN(3) == 0 }
 }
 
 // randomBootTimes has most machines up within two seconds.
--- a/internal/simulation/fault_pair_list_test.go
+++ b/internal/simulation/fault_pair_list_test.go
@@ -22,23 +22,23 @@
 		c.store.SetOutage(true)
 		sleep(float64(r.IntN(45)))
 		if r.IntN(2) == 0 {
-			randomFault(c, r)
+			injectRandomFault(c, r)
 		}
 		c.store.SetRefused(c.env.Nodes[l], false)
 		c.store.SetOutage(false)
 	}},
 	{"transactions late, and the leader ends", func(c *cluster, r *rand.Rand) {
-		c.lateWrites(randomLateWrites(r.Uint64()))
+		c.setLateWrites(randomLateWrites(r.Uint64()))
 		sleep(float64(r.IntN(15)))
-		c.restart(c.leaderIndex(), 2*r.Float64())
+		c.restartNode(c.leaderIndex(), 2*r.Float64())
 	}},
 	{"the leader without store and peers", func(c *cluster, r *rand.Rand) {
 		if l := c.leaderIndex(); l >= 0 {
-			c.isolate(l, true)
+			c.isolateFromControlPlane(l, true)
 			sleep(float64(4 + r.IntN(12)))
 			c.cancelSome(r, 1)
 			sleep(float64(r.IntN(30)))
-			c.isolate(l, false)
+			c.isolateFromControlPlane(l, false)
 		}
 	}},
 	{"a slow store, and anything", func(c *cluster, r *rand.Rand) {
@@ -46,7 +46,7 @@
 			n.client.SetDelay(time.Duration(r.IntN(3000)) * time.Millisecond)
 			defer n.client.SetDelay(0)
 		}
-		randomFault(c, r)
+		injectRandomFault(c, r)
 		sleep(float64(r.IntN(10)))
 	}},
 	{"all end, and one is back at once", func(c *cluster, r *rand.Rand) {
@@ -82,12 +82,12 @@
 		}
 	}},
 	{"process and network faults together", func(c *cluster, r *rand.Rand) {
-		randomProcessFault(c, r)
-		randomFault(c, r)
+		injectRandomProcessFault(c, r)
+		injectRandomFault(c, r)
 	}},
 	{"leadership changes back and forth", func(c *cluster, r *rand.Rand) {
 		for range 3 {
-			c.restart(c.leaderIndex(), r.Float64())
+			c.restartNode(c.leaderIndex(), r.Float64())
 			sleep(float64(r.IntN(6)))
 		}
 	}},
@@ -104,10 +104,10 @@
 				defer n.client.SetDelay(0)
 			}
 		case 2:
-			c.restart(c.leaderIndex(), r.Float64())
+			c.restartNode(c.leaderIndex(), r.Float64())
 		}
 		for range 4 {
-			randomJob(c, r)
+			submitRandomJob(c, r)
 			sleep(r.Float64())
 			c.cancelSome(r, 1)
 			sleep(2 * r.Float64())
@@ -116,27 +116,27 @@
 	}},
 	{"carried out at once, and the answer lost", func(c *cluster, r *rand.Rand) {
 		pick := randomLateWrites(r.Uint64())
-		c.lateWrites(func() (time.Duration, bool) {
+		c.setLateWrites(func() (time.Duration, bool) {
 			_, lost := pick()
 			return 0, lost
 		})
 		for range 3 {
-			randomJob(c, r)
+			submitRandomJob(c, r)
 			sleep(4 * r.Float64())
 			c.cancelSome(r, 1)
 		}
 		if r.IntN(2) == 0 {
-			c.restart(c.leaderIndex(), r.Float64())
+			c.restartNode(c.leaderIndex(), r.Float64())
 		}
 		sleep(float64(r.IntN(10)))
-		c.lateWrites(nil)
+		c.setLateWrites(nil)
 	}},
 	{"at the limit, cancelled on machines that hang or are cut off, and the leader ends", func(c *cluster, r *rand.Rand) {
 		c.mu.Lock()
 		n := len(c.jobs)
 		c.mu.Unlock()
 		for k := range 3 {
-			c.offer(k, records.Job{ID: id(n + 1 + k), Team: "limited", Tasks: 6 + r.IntN(6), CPUs: 2, EstimateS: 10})
+			c.submitToAny(k, records.Job{ID: jobID(n + 1 + k), Team: "limited", Tasks: 6 + r.IntN(6), CPUs: 2, EstimateS: 10})
 		}
 		sleep(float64(5 + r.IntN(25)))
 		hung := c.hangMachines(r, 2, 1+r.IntN(25))
@@ -144,14 +144,14 @@
 			c.env.PartitionZone("b", true)
 		}
 		for k := range 2 {
-			c.cancel(r.IntN(3), id(n+1+k))
+			c.cancel(r.IntN(3), jobID(n+1+k))
 		}
 		sleep(2 * r.Float64())
 		l := max(c.leaderIndex(), 0)
 		c.killNode(l)
 		sleep(float64(r.IntN(12)))
 		c.startNode(l)
-		c.cancel(r.IntN(3), id(n+3))
+		c.cancel(r.IntN(3), jobID(n+3))
 		<-hung
 		c.env.PartitionZone("b", false)
 	}},
@@ -175,43 +175,43 @@
 	}},
 	{"machines up at once, writes late, and the leader ends", func(c *cluster, r *rand.Rand) {
 		previous := c.env.SetBootTime(func() time.Duration { return time.Second })
-		c.lateWrites(randomLateWrites(r.Uint64()))
+		c.setLateWrites(randomLateWrites(r.Uint64()))
 		for _, m := range c.env.Machines() {
 			if r.IntN(2) == 0 {
-				m.Die()
+				m.Terminate()
 			}
 		}
 		for range 2 {
-			randomJob(c, r)
+			submitRandomJob(c, r)
 			sleep(1 + 4*r.Float64())
 		}
-		c.restart(c.leaderIndex(), float64(r.IntN(6)))
+		c.restartNode(c.leaderIndex(), float64(r.IntN(6)))
 		c.env.SetBootTime(previous)
 	}},
 	{"old heartbeats at every controller as a new leader begins", func(c *cluster, r *rand.Rand) {
-		c.keepCopies(r.Uint64())
+		c.keepHeartbeatCopies(r.Uint64())
 		sleep(float64(2 + r.IntN(10)))
 		for _, m := range c.env.Machines() {
 			switch r.IntN(6) {
 			case 0:
 				m.Reboot()
 			case 1:
-				m.Die()
+				m.Terminate()
 			}
 		}
 		sleep(float64(r.IntN(20)))
-		c.restart(c.leaderIndex(), r.Float64())
+		c.restartNode(c.leaderIndex(), r.Float64())
 		sleep(float64(r.IntN(8)))
-		c.restart(c.leaderIndex(), r.Float64())
+		c.restartNode(c.leaderIndex(), r.Float64())
 	}},
 	{"four one-task jobs a second, a quarter cancelled", func(c *cluster, r *rand.Rand) {
 		c.mu.Lock()
 		n := len(c.jobs)
 		c.mu.Unlock()
 		for k := range 120 {
-			at, job := r.IntN(3), id(n+1+k)
+			at, job := r.IntN(3), jobID(n+1+k)
 			go func() {
-				c.offer(at, records.Job{ID: job, Tasks: 1, CPUs: 1, EstimateS: 8})
+				c.submitToAny(at, records.Job{ID: job, Tasks: 1, CPUs: 1, EstimateS: 8})
 				if k%4 == 0 {
 					sleep(float64(k%5) / 2)
 					c.cancel((at+1)%3, job)
@@ -239,15 +239,15 @@
 		n := len(c.jobs)
 		c.mu.Unlock()
 		for k := range 3 {
-			j := records.Job{ID: id(n + 1 + k), Tasks: 30, CPUs: 2, EstimateS: 10}
+			j := records.Job{ID: jobID(n + 1 + k), Tasks: 30, CPUs: 2, EstimateS: 10}
 			if k == 2 {
 				j.Priority = records.PriorityUrgent
 			}
-			c.offer(k, j)
+			c.submitToAny(k, j)
 		}
 		sleep(float64(15 + r.IntN(20)))
 		c.cancelSome(r, 1)
-		c.restart(c.leaderIndex(), 2*r.Float64())
+		c.restartNode(c.leaderIndex(), 2*r.Float64())
 		sleep(float64(r.IntN(15)))
 		c.mu.Lock()
 		clear(c.delays)
@@ -258,9 +258,9 @@
 		n := len(c.jobs)
 		c.mu.Unlock()
 		zone := []string{"a", "b"}[r.IntN(2)]
-		c.offer(0, records.Job{ID: id(n + 1), Tasks: 8, CPUs: 2, OneZone: true, EstimateS: 10})
-		c.offer(1, records.Job{ID: id(n + 2), Tasks: 12, CPUs: 2, Zone: &zone, EstimateS: 10})
-		c.offer(2, records.Job{ID: id(n + 3), Shape: records.ShapeGang, Tasks: 3, CPUs: 2, OneZone: true, EstimateS: 10})
+		c.submitToAny(0, records.Job{ID: jobID(n + 1), Tasks: 8, CPUs: 2, OneZone: true, EstimateS: 10})
+		c.submitToAny(1, records.Job{ID: jobID(n + 2), Tasks: 12, CPUs: 2, Zone: &zone, EstimateS: 10})
+		c.submitToAny(2, records.Job{ID: jobID(n + 3), Shape: records.ShapeGang, Tasks: 3, CPUs: 2, OneZone: true, EstimateS: 10})
 		sleep(float64(3 + r.IntN(25)))
 		switch r.IntN(3) {
 		case 0:
@@ -268,7 +268,7 @@
 		case 1:
 			for _, m := range c.env.Machines() {
 				if m.Zone == zone && r.IntN(2) == 0 {
-					m.Die()
+					m.Terminate()
 				}
 			}
 		case 2:
@@ -276,7 +276,7 @@
 			sleep(float64(r.IntN(30)))
 		}
 		if r.IntN(2) == 0 {
-			c.restart(c.leaderIndex(), r.Float64())
+			c.restartNode(c.leaderIndex(), r.Float64())
 		}
 		sleep(float64(r.IntN(15)))
 		c.env.PartitionZone(zone, false)
@@ -296,17 +296,17 @@
 		c.mu.Lock()
 		n := len(c.jobs) + 1
 		c.mu.Unlock()
-		j := records.Job{ID: id(n), Tasks: 1 + r.IntN(3), CPUs: 1, EstimateS: 10}
-		c.offer(0, j)
+		j := records.Job{ID: jobID(n), Tasks: 1 + r.IntN(3), CPUs: 1, EstimateS: 10}
+		c.submitToAny(0, j)
 		for k := 0; k < 3000 && !c.isCompleted(j); k++ {
 			sleep(0.02)
 		}
 		wait := time.Duration(r.IntN(60)) * time.Millisecond
 		for k := range 3 {
-			after(wait+time.Duration(r.IntN(20))*time.Millisecond, func() { c.cancel(k, id(n)) })
+			runAfter(wait+time.Duration(r.IntN(20))*time.Millisecond, func() { c.cancel(k, jobID(n)) })
 			for range 4 {
-				after(wait+time.Duration(r.IntN(1500))*time.Millisecond, func() { c.ask(k, peer.MethodPoll, id(n)) })
-				after(wait+time.Duration(r.IntN(1500))*time.Millisecond, func() { c.submit(k, j) })
+				runAfter(wait+time.Duration(r.IntN(1500))*time.Millisecond, func() { c.ask(k, peer.MethodPoll, jobID(n)) })
+				runAfter(wait+time.Duration(r.IntN(1500))*time.Millisecond, func() { c.submit(k, j) })
 			}
 		}
 		sleep(3)
@@ -320,25 +320,25 @@
 			return
 		}
 		c.mu.Lock()
-		c.onlyNodeOf[zone] = i
+		c.onlyNodeForZone[zone] = i
 		c.mu.Unlock()
 		c.env.BlockCommands(zone, true)
-		c.isolate(i, true)
+		c.isolateFromControlPlane(i, true)
 		sleep(float64(2 + r.IntN(10)))
 		c.cancelSome(r, 2)
 		sleep(float64(10 + r.IntN(30)))
 		c.mu.Lock()
-		delete(c.onlyNodeOf, zone)
+		delete(c.onlyNodeForZone, zone)
 		c.mu.Unlock()
 		c.env.BlockCommands(zone, false)
-		c.isolate(i, false)
+		c.isolateFromControlPlane(i, false)
 	}},
 	{"at the limit, a new leader, machines that cannot be asked, and a cancellation", func(c *cluster, r *rand.Rand) {
 		c.mu.Lock()
 		n := len(c.jobs)
 		c.mu.Unlock()
 		for k := range 3 {
-			c.offer(k, records.Job{ID: id(n + 1 + k), Team: "limited", Tasks: 10, CPUs: 2, EstimateS: 10})
+			c.submitToAny(k, records.Job{ID: jobID(n + 1 + k), Team: "limited", Tasks: 10, CPUs: 2, EstimateS: 10})
 		}
 		sleep(float64(5 + r.IntN(20)))
 		z := []string{"a", "b"}[r.IntN(2)]
@@ -351,13 +351,13 @@
 		l := max(c.leaderIndex(), 0)
 		c.killNode(l)
 		sleep(float64(r.IntN(8)))
-		c.cancel((l+1)%3, id(n+1))
+		c.cancel((l+1)%3, jobID(n+1))
 		sleep(float64(r.IntN(12)))
-		c.cancel((l+2)%3, id(n+2))
+		c.cancel((l+2)%3, jobID(n+2))
 		c.startNode(l)
 		sleep(float64(r.IntN(10)))
 		c.env.BlockCommands(z, false)
-		c.connectMachines()
+		c.reconnectMachines()
 	}},
 	{"workers reach no controller, and direct commands reach them", func(c *cluster, r *rand.Rand) {
 		for _, m := range c.env.Machines() {
@@ -366,10 +366,10 @@
 		sleep(float64(r.IntN(8)))
 		c.cancelSome(r, 1)
 		if r.IntN(2) == 0 {
-			c.restart(c.leaderIndex(), 3*r.Float64())
+			c.restartNode(c.leaderIndex(), 3*r.Float64())
 		}
 		sleep(float64(r.IntN(35)))
-		c.connectMachines()
+		c.reconnectMachines()
 	}},
 	{"leaders change ten times in two minutes", func(c *cluster, r *rand.Rand) {
 		out := r.IntN(2) == 0
@@ -380,7 +380,7 @@
 			if k == 6 {
 				c.store.SetOutage(false)
 			}
-			c.restart(c.leaderIndex(), r.Float64())
+			c.restartNode(c.leaderIndex(), r.Float64())
 			if r.IntN(3) == 0 {
 				c.cancelSome(r, 1)
 			}
@@ -391,7 +391,7 @@
 		hung := c.hangMachines(r, 8, 1+r.IntN(40))
 		c.cancelSome(r, 3)
 		if r.IntN(2) == 0 {
-			c.restart(c.leaderIndex(), r.Float64())
+			c.restartNode(c.leaderIndex(), r.Float64())
 		}
 		<-hung
 	}},
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -31,7 +31,7 @@
 					}
 					return 70 * time.Second
 				}
-				checkRecords(c)
+				installRecordCheck(c)
 				sleep(2)
 				for n := range 8 {
 					c.submit(n%3, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: 2 + n%2, CPUs: 2, EstimateS: 70})
@@ -57,7 +57,7 @@
 					}
 				}
 				sleep(120)
-				c.wantAllKnown()
+				c.wantAllJobsKnown()
 				c.wantNoVanishedMachines()
 				if got := c.env.Starts(); got != 20 {
 					t.Errorf("%d starts of 20 tasks: what was done, or ran, was begun again", got)
@@ -92,7 +92,7 @@
 								} else if how == "unreachable" {
 									m.SetUnreachable(on)
 								} else {
-									m.Hang(on)
+									m.SetHung(on)
 								}
 							}
 						}
@@ -108,7 +108,7 @@
 					c.startNode(l)
 					set(false)
 					sleep(420)
-					c.wantAllKnown()
+					c.wantAllJobsKnown()
 					c.wantNoVanishedMachines()
 				})
 			})
@@ -124,7 +124,7 @@
 			t.Parallel()
 			runScenario(t, func(c *cluster) {
 				c.env.RunTime = mixedRunTime
-				checkRecords(c)
+				installRecordCheck(c)
 				sleep(2)
 				n := 0
 				all := func(d time.Duration) {
@@ -167,7 +167,7 @@
 					}
 				}
 				sleep(200)
-				c.wantAllKnown()
+				c.wantAllJobsKnown()
 				c.wantNoVanishedMachines()
 			})
 		})
@@ -239,13 +239,13 @@
 			c.pollAggressively(r.Uint64())
 		}
 		if r.IntN(2) == 0 {
-			c.keepCopies(r.Uint64())
+			c.keepHeartbeatCopies(r.Uint64())
 		}
-		checkRecords(c)
+		installRecordCheck(c)
 		sleep(2)
 		for range times {
 			for range 1 + r.IntN(2) {
-				randomJob(c, r)
+				submitRandomJob(c, r)
 			}
 			inject(c, r)
 		}
@@ -262,7 +262,7 @@
 			t.Errorf("a job after all faults: %d", status)
 		}
 		sleep(600)
-		c.wantAllKnown()
+		c.wantAllJobsKnown()
 		c.wantNoVanishedMachines()
 	})
 }
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -99,7 +99,7 @@
 			}, func(c *cluster) {
 				sleep(2)
 				scenario(c)
-				c.wantAllKnown()
+				c.wantAllJobsKnown()
 				c.wantNoVanishedMachines()
 			})
 		})
@@ -130,7 +130,7 @@
 				sleep(35)
 				c.killNode(c.leaderIndex())
 				sleep(10)
-				c.env.Machines()[0].Die()
+				c.env.Machines()[0].Terminate()
 				sleep(20)
 				for i := range 3 {
 					c.killNode(i)
@@ -146,7 +146,7 @@
 				c.submit(0, records.Job{ID: "j-9", Tasks: 4, CPUs: 4, EstimateS: 8})
 				c.killNode(c.leaderIndex())
 				sleep(60)
-				c.wantAllKnown()
+				c.wantAllJobsKnown()
 				c.wantNoVanishedMachines()
 			})
 		})
@@ -170,8 +170,8 @@
 					if who == "follower" {
 						cut = (old + 1) % 3
 					}
-					killed, starts := countLost(c), c.env.Starts()
-					c.isolate(cut, true)
+					killed, starts := countLostTasks(c), c.env.Starts()
+					c.isolateFromControlPlane(cut, true)
 					sleep(4)
 					if span > 5 {
 						// Its users are turned away at once.
@@ -187,13 +187,13 @@
 					c.ask((cut+1)%3, peer.MethodCancel, "j-2")
 					c.expectedDone = c.expectedDone[:1]
 					sleep(max(span-7, 1))
-					if n := countLost(c) - killed; n > 0 {
+					if n := countLostTasks(c) - killed; n > 0 {
 						t.Errorf("%d tasks were lost by their lease, of %d", n, starts)
 					}
 					c.env.CheckCancelled()
-					c.isolate(cut, false)
+					c.isolateFromControlPlane(cut, false)
 					sleep(120)
-					c.wantAllKnown()
+					c.wantAllJobsKnown()
 					c.wantNoVanishedMachines()
 				})
 			})
@@ -251,7 +251,7 @@
 				scenario(c)
 				c.submit(2, records.Job{ID: "j-3", Tasks: 4, EstimateS: 30})
 				sleep(200)
-				c.wantAllKnown()
+				c.wantAllJobsKnown()
 				c.wantNoVanishedMachines()
 			})
 		})
@@ -296,20 +296,20 @@
 						if c.node(i) == nil {
 							continue
 						}
-						j := records.Job{ID: id(jobs + 1), Tasks: 10 + r.IntN(40), CPUs: float64(1 + r.IntN(4)), EstimateS: 8}
+						j := records.Job{ID: jobID(jobs + 1), Tasks: 10 + r.IntN(40), CPUs: float64(1 + r.IntN(4)), EstimateS: 8}
 						if c.submit(i, j) == 201 {
 							jobs++
 							break
 						}
 					}
-					randomProcessFault(c, r)
+					injectRandomProcessFault(c, r)
 					if r.IntN(2) == 0 {
-						randomFault(c, r)
+						injectRandomFault(c, r)
 					}
 				}
 				endFaults(c)
 				sleep(300)
-				c.wantAllKnown()
+				c.wantAllJobsKnown()
 				c.wantNoVanishedMachines()
 				if len(c.expectedDone) == 0 {
 					t.Error("no job was accepted")
--- a/internal/simulation/final_checks_test.go
+++ b/internal/simulation/final_checks_test.go
@@ -8,9 +8,9 @@
 	"drumpick/internal/scheduler"
 )
 
-// wantAllKnown asks every controller for every accepted job as users do, every 5 s for 75 s at the
+// wantAllJobsKnown asks every controller for every accepted job as users do, every 5 s for 75 s at the
 // most, and wants an answer to each within 2 s, and all done in the end.
-func (c *cluster) wantAllKnown() {
+func (c *cluster) wantAllJobsKnown() {
 	c.t.Helper()
 	for i := range c.nodes {
 		if c.node(i) == nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// countLost counts the tasks that ended with their machine or lease.
-func countLost(c *cluster) int {
+// countLostTasks counts the tasks that ended with their machine or lease.
+func countLostTasks(c *cluster) int {
 	n := 0
 	ran, _ := c.env.History()
 	for _, r := range ran {
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -12,15 +12,15 @@
 func (env *Environment) gangPeersLocked(a *attempt) []gangPeer {
 	var peers []gangPeer
 	for other, m := range env.attempts[a.taskID.Job] {
-		if other.number == a.number && !m.gone && !m.hung {
+		if other.number == a.number && !m.terminated && !m.hung {
 			peers = append(peers, gangPeer{m, other})
 		}
 	}
 	return peers
 }
 
-// startGangLocked lets a gang's attempt run if all of its tasks wait for that.
-func (env *Environment) startGangLocked(a *attempt, now time.Time) {
+// startGangIfReadyLocked lets a gang's attempt run if all of its tasks wait for that.
+func (env *Environment) startGangIfReadyLocked(a *attempt, now time.Time) {
 	peers := env.gangPeersLocked(a)
 	if len(peers) < a.job.Tasks {
 		return
@@ -31,13 +31,13 @@
 		}
 	}
 	for _, p := range peers {
-		p.machine.runLocked(p.attempt, now)
+		p.machine.startRunningLocked(p.attempt, now)
 		p.machine.wake()
 	}
 }
 
-// peersMissingLocked reports whether a gang has been without one of its tasks for too long.
-func (m *Machine) peersMissingLocked(a *attempt, now time.Time) bool {
+// gangPeerTimedOutLocked reports whether a gang has been without one of its tasks for too long.
+func (m *Machine) gangPeerTimedOutLocked(a *attempt, now time.Time) bool {
 	if m.env.GangPeerTimeout == 0 || len(m.env.gangPeersLocked(a)) == a.job.Tasks {
 		a.peerMissingSince = time.Time{}
 		return false
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -15,7 +15,7 @@
 // The local cluster's store and cloud answer in the forms of the protocol.
 func TestGoldenServices(t *testing.T) {
 	state := NewStore()
-	state.Load(map[string]records.KeyValue{"types": {Key: "types", Value: []byte(`{"rigs":[]}`), Revision: 7}})
+	state.ImportEntries(map[string]records.KeyValue{"types": {Key: "types", Value: []byte(`{"rigs":[]}`), Revision: 7}})
 	env := NewEnvironment(t.Context())
 	env.Types = []records.MachineType{{
 		Name: "g8", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5,
@@ -46,7 +46,7 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			send := func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
-			f.CheckExchange(t, x.name, goldentest.Do(t, send, x.method, x.uri, x.body))
+			f.CheckExchange(t, x.name, goldentest.DoRequest(t, send, x.method, x.uri, x.body))
 		})
 	}
 }
--- a/internal/simulation/heartbeat.go
+++ b/internal/simulation/heartbeat.go
@@ -64,7 +64,7 @@
 func (m *Machine) nextHeartbeat() (h *sentHeartbeat, gone bool) {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
-	if m.gone {
+	if m.terminated {
 		return nil, true
 	}
 	if m.hung {
@@ -94,7 +94,7 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	switch leaderNode := slices.Index(env.Nodes, leader); {
-	case status == http.StatusOK && m.acceptsLocked(h, resp):
+	case status == http.StatusOK && m.acceptsAnswerLocked(h, resp):
 		m.fencingToken = resp.FencingToken
 		m.leaseStart = h.at
 		m.executeLocked(resp.Commands)
@@ -106,11 +106,11 @@
 	return node, 0, true
 }
 
-// acceptsLocked reports whether the worker takes an answer: it comes from no deposed leader, in time, and to the
+// acceptsAnswerLocked reports whether the worker takes an answer: it comes from no deposed leader, in time, and to the
 // same incarnation.
-func (m *Machine) acceptsLocked(h *sentHeartbeat, resp fleet.HeartbeatResponse) bool {
+func (m *Machine) acceptsAnswerLocked(h *sentHeartbeat, resp fleet.HeartbeatResponse) bool {
 	return h.body.Incarnation == m.incarnation && resp.FencingToken >= m.fencingToken &&
-		!m.gone && !m.hung && time.Since(h.at) < 2*m.env.HeartbeatInterval
+		!m.terminated && !m.hung && time.Since(h.at) < 2*m.env.HeartbeatInterval
 }
 
 // waitForNextHeartbeat waits for the heartbeat interval, or less when something changes. It reports whether the
@@ -120,8 +120,8 @@
 	wait, shortest := env.HeartbeatInterval, env.HeartbeatInterval/4
 	env.mu.Lock()
 	for _, a := range m.tasks {
-		if !a.statusEnds.IsZero() {
-			wait = min(wait, max(time.Until(a.statusEnds), shortest))
+		if !a.statusEndsAt.IsZero() {
+			wait = min(wait, max(time.Until(a.statusEndsAt), shortest))
 		}
 	}
 	env.mu.Unlock()
--- a/internal/simulation/heartbeat_network_test.go
+++ b/internal/simulation/heartbeat_network_test.go
@@ -28,7 +28,7 @@
 func (c *cluster) isHiddenFrom(i int, zone string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	only, ok := c.onlyNodeOf[zone]
+	only, ok := c.onlyNodeForZone[zone]
 	return ok && only != i
 }
 
@@ -41,10 +41,10 @@
 
 // heartbeat delivers a worker's heartbeat to a node.
 func (c *cluster) heartbeat(i int, r *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
-	time.Sleep(latency + c.delayOf(i))
+	time.Sleep(networkLatency + c.delayOf(i))
 	n := c.node(i)
 	if n == nil {
-		return Refused, fleet.HeartbeatResponse{}, ""
+		return StatusRefused, fleet.HeartbeatResponse{}, ""
 	}
 	if c.isUnreachable(i) || c.isHiddenFrom(i, r.Zone) {
 		return 0, fleet.HeartbeatResponse{}, ""
@@ -55,21 +55,21 @@
 	c.mu.Unlock()
 	c.keepHeartbeat(r)
 	for n, d := range copyDelays {
-		after(d, func() {
+		runAfter(d, func() {
 			if to := c.node((i + n) % len(c.nodes)); to != nil {
 				copied, _ := json.Marshal(r)
-				to.server.Heartbeat(copied)
+				to.server.HandleHeartbeat(copied)
 			}
 		})
 	}
 	body, _ := json.Marshal(r)
-	out := n.server.Heartbeat(body)
+	out := n.server.HandleHeartbeat(body)
 	var answer struct {
 		fleet.HeartbeatResponse
 		Leader string `json:"conductor"`
 	}
 	_ = json.Unmarshal(out.Body, &answer)
-	time.Sleep(latency) // on its way
+	time.Sleep(networkLatency) // on its way
 	return out.Status, answer.HeartbeatResponse, answer.Leader
 }
 
@@ -84,7 +84,7 @@
 func (c *cluster) keepHeartbeat(r *fleet.Heartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.keepsCopy != nil && c.keepsCopy() {
+	if c.shouldKeepCopy != nil && c.shouldKeepCopy() {
 		raw, _ := json.Marshal(r)
 		c.keptCopies = append(c.keptCopies, raw)
 	}
@@ -99,7 +99,7 @@
 	for _, raw := range kept {
 		for i := range c.nodes {
 			if n := c.node(i); n != nil && ctx.Err() == nil {
-				go n.server.Heartbeat(raw)
+				go n.server.HandleHeartbeat(raw)
 			}
 		}
 	}
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -38,7 +38,7 @@
 	defer env.mu.Unlock()
 	costs := slices.Clone(env.costs)
 	for _, m := range env.machines {
-		if !m.gone {
+		if !m.terminated {
 			costs = append(costs, m.cost(time.Time{}))
 		}
 	}
@@ -60,7 +60,7 @@
 	n := 0
 	for _, m := range env.machines {
 		for _, a := range m.tasks {
-			if a.status == statusRunning && !m.gone {
+			if a.status == statusRunning && !m.terminated {
 				n++
 			}
 		}
@@ -75,11 +75,11 @@
 	return env.leaseExpiries
 }
 
-// LongestAfterCancel returns for how long, at the most, a task of a cancelled job was seen on its machine.
-func (env *Environment) LongestAfterCancel() time.Duration {
+// MaxCancelLatency returns for how long, at the most, a task of a cancelled job was seen on its machine.
+func (env *Environment) MaxCancelLatency() time.Duration {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	return env.longestAfterCancel
+	return env.maxCancelLatency
 }
 
 // LostWork returns the run time of tasks that has to be done again, so far.
--- a/internal/simulation/idle_check_test.go
+++ b/internal/simulation/idle_check_test.go
@@ -35,7 +35,7 @@
 		return
 	}
 	for id := range x.env.acceptedAt {
-		host := x.env.idleBesideLocked(id)
+		host := x.env.findIdleMachineLocked(id)
 		if host == "" {
 			delete(x.idleSince, id)
 			continue
@@ -44,15 +44,15 @@
 		if !ok {
 			x.idleSince[id] = time.Now()
 		} else if time.Since(at) > maxIdle {
-			x.env.violateLocked("idle: %s waits beside %s for %v", id, host, maxIdle)
+			x.env.recordViolationLocked("idle: %s waits beside %s for %v", id, host, maxIdle)
 			delete(x.idleSince, id)
 		}
 	}
 }
 
-// idleBesideLocked names a machine with room for what waits of a job, "" if nothing does or there is none.
+// findIdleMachineLocked names a machine with room for what waits of a job, "" if nothing does or there is none.
 // A gang needs room for all that waits. The environment is locked.
-func (env *Environment) idleBesideLocked(id string) string {
+func (env *Environment) findIdleMachineLocked(id string) string {
 	j, ok := env.LookupJob(id)
 	if _, over := env.finalStates[id]; !ok || over || env.cancelRequested[id] || env.TaskFails != nil {
 		return ""
@@ -105,7 +105,7 @@
 			}
 		}
 		switch {
-		case m.gone, !m.up, !m.preemptionAt.IsZero(), cpus < -1e-9, m.typ.MemGB > 0 && mem < -1e-9, m.Spot && !j.Spot,
+		case m.terminated, !m.up, !m.preemptionAt.IsZero(), cpus < -1e-9, m.typ.MemGB > 0 && mem < -1e-9, m.Spot && !j.Spot,
 			j.Zone != nil && *j.Zone != m.Zone, len(j.Types) > 0 && !slices.Contains(j.Types, m.typ.Name),
 			j.SpreadZones && zones[m.Zone]+1 > (j.Tasks+1)/2, j.OneZone && len(zones) > 0 && zones[m.Zone] == 0:
 			continue
@@ -125,7 +125,7 @@
 	}
 	c.store.mu.Unlock()
 	c.env.mu.Lock()
-	bad = bad || c.env.commandDelay != nil
+	bad = bad || c.env.pickCommandDelay != nil
 	for _, on := range c.env.partitioned {
 		bad = bad || on
 	}
@@ -133,12 +133,12 @@
 		bad = bad || on
 	}
 	for _, m := range c.env.machines {
-		bad = bad || !m.gone && (m.hung || m.inboundLost || m.outboundLost)
+		bad = bad || !m.terminated && (m.hung || m.inboundLost || m.outboundLost)
 	}
 	c.env.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	bad = bad || c.leaderIndexLocked() < 0 || len(c.onlyNodeOf) > 0
+	bad = bad || c.leaderIndexLocked() < 0 || len(c.onlyNodeForZone) > 0
 	for i, n := range c.nodes {
 		bad = bad || c.isolated[i] || c.unreachable[i] || c.delays[i] > 0
 		if n != nil {
@@ -191,7 +191,7 @@
 				if x.busy > 0 {
 					_, _, _ = w.SendCommands("m-000001", runCommand("j-0/0", 1))
 				}
-				w.NoteSubmission("j-1", 201, time.Now())
+				w.CheckSubmission("j-1", 201, time.Now())
 				idle := &idleCheck{env: w}
 				for s := range 100 {
 					idle.check(x.faulty)
--- a/internal/simulation/jobs_test.go
+++ b/internal/simulation/jobs_test.go
@@ -98,7 +98,7 @@
 		if len(ms) < 3 {
 			t.Fatalf("%d machines are up, want 3 or more", len(ms))
 		}
-		ms[0].Die()
+		ms[0].Terminate()
 		ms[1].NotifyPreemption(8 * time.Second)
 		sleep(150)
 		c.wantDone(0, "j-1")
--- a/internal/simulation/late_writes_test.go
+++ b/internal/simulation/late_writes_test.go
@@ -20,7 +20,7 @@
 			r := rand.New(rand.NewPCG(seed, 35))
 			runScenarioWith(t, func(c *cluster) { c.env.ZoneCapacity = 12 }, func(c *cluster) {
 				c.env.RunTime = mixedRunTime
-				checkRecords(c)
+				installRecordCheck(c)
 				late := func() {
 					for i := range 3 {
 						if n := c.node(i); n != nil {
@@ -46,7 +46,7 @@
 					switch ms := c.env.Machines(); r.IntN(4) {
 					case 0:
 						if len(ms) > 0 {
-							ms[r.IntN(len(ms))].Die()
+							ms[r.IntN(len(ms))].Terminate()
 						}
 					case 1:
 						l := max(c.leaderIndex(), 0)
@@ -62,7 +62,7 @@
 					c.node(i).client.SetLateWrites(nil)
 				}
 				sleep(240)
-				c.wantAllKnown()
+				c.wantAllJobsKnown()
 				c.wantNoVanishedMachines()
 				if len(c.env.acceptedAt) < 6 {
 					t.Errorf("%d jobs were accepted", len(c.env.acceptedAt))
--- a/internal/simulation/lease_expiry_test.go
+++ b/internal/simulation/lease_expiry_test.go
@@ -47,7 +47,7 @@
 		c.env.PartitionZone("b", false)
 		c.env.BlockCommands("b", false)
 		c.mu.Lock()
-		clear(c.onlyNodeOf)
+		clear(c.onlyNodeForZone)
 		clear(c.isolated)
 		c.mu.Unlock()
 		for i := range 3 {
@@ -127,7 +127,7 @@
 			failoverBesidePartition(t, func(*cluster) {}, func(c *cluster, l int, old *leader.Leader) {
 				c.store.SetRefused(strings.Fields(nodeNames)[l], true)
 				c.mu.Lock()
-				c.isolated[l], c.onlyNodeOf["b"] = true, l
+				c.isolated[l], c.onlyNodeForZone["b"] = true, l
 				c.mu.Unlock()
 				c.env.BlockCommands("b", true)
 				if !more {
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -25,8 +25,8 @@
 	closeAddr func()
 	wakeup    chan struct{} // something has changed that the next heartbeat is to tell
 
-	up, gone     bool
-	preemptionAt time.Time // zero: no notice was given
+	up, terminated bool
+	preemptionAt   time.Time // zero: no notice was given
 
 	hung         bool
 	inboundLost  bool // heartbeats leave it, and nothing reaches it
@@ -88,25 +88,25 @@
 // removeLocked takes the machine away with all that is on it. It returns what closes the machine's address, which
 // is to be called without the lock.
 func (m *Machine) removeLocked() (closeAddr func()) {
-	if m.gone {
+	if m.terminated {
 		return func() {}
 	}
-	m.gone = true
+	m.terminated = true
 	m.loseTasksLocked(time.Now())
 	m.env.costs = append(m.env.costs, m.cost(time.Now()))
 	return m.closeAddr
 }
 
-// Die ends the machine without notice.
-func (m *Machine) Die() {
+// Terminate ends the machine without notice.
+func (m *Machine) Terminate() {
 	m.env.mu.Lock()
 	closeAddr := m.removeLocked()
 	m.env.mu.Unlock()
 	closeAddr()
 }
 
-// Hang makes the machine and its worker stand still; false lets them go on.
-func (m *Machine) Hang(on bool) {
+// SetHung makes the machine and its worker stand still; false lets them go on.
+func (m *Machine) SetHung(on bool) {
 	m.env.mu.Lock()
 	m.hung = on
 	m.env.mu.Unlock()
@@ -144,7 +144,7 @@
 	m.preemptionAt = time.Now().Add(in)
 	m.env.mu.Unlock()
 	m.wake()
-	time.AfterFunc(in, m.Die)
+	time.AfterFunc(in, m.Terminate)
 }
 
 // wake lets the worker send its next heartbeat soon.
@@ -155,16 +155,16 @@
 	}
 }
 
-// silentLocked reports whether the machine answers nobody.
-func (m *Machine) silentLocked() bool {
-	return m.gone || m.hung || !m.up || m.env.partitioned[m.Zone]
+// unresponsiveLocked reports whether the machine answers nobody.
+func (m *Machine) unresponsiveLocked() bool {
+	return m.terminated || m.hung || !m.up || m.env.partitioned[m.Zone]
 }
 
 // ExecuteCommands takes direct commands, and returns the status and the worker's heartbeat.
 func (m *Machine) ExecuteCommands(r fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
-	if m.silentLocked() || m.inboundLost {
+	if m.unresponsiveLocked() || m.inboundLost {
 		return workers.OutcomeUnknown, nil, errNoAnswer
 	}
 	if r.FencingToken < m.fencingToken || r.Incarnation != m.incarnation {
@@ -180,7 +180,7 @@
 func (m *Machine) Status() (*fleet.Heartbeat, error) {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
-	if m.silentLocked() || m.inboundLost {
+	if m.unresponsiveLocked() || m.inboundLost {
 		return nil, errNoAnswer
 	}
 	m.advanceLocked()
@@ -200,7 +200,7 @@
 	}
 	for _, a := range m.tasks {
 		r.Tasks = append(r.Tasks, fleet.TaskStatus{
-			Task: a.task, Attempt: a.number, Status: a.status, Cause: a.cause, CheckpointSaved: a.saved,
+			Task: a.task, Attempt: a.number, Status: a.status, Cause: a.cause, CheckpointSaved: a.checkpointSaved,
 		})
 	}
 	// A deep copy stands for what goes over the wire.
@@ -215,8 +215,8 @@
 	env := m.env
 	takes := env.BootTime
 	env.mu.Lock()
-	if env.bootTime != nil {
-		takes = env.bootTime()
+	if env.pickBootTime != nil {
+		takes = env.pickBootTime()
 	}
 	env.mu.Unlock()
 	if ctxtime.Sleep(env.ctx, takes) != nil {
@@ -228,19 +228,19 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	m.up, m.leaseStart = true, time.Now()
-	return !m.gone
+	return !m.terminated
 }
 
 // listen opens the machine's address. A machine that cannot open it never comes up.
 func (m *Machine) listen() bool {
 	addr, closeAddr, err := m.env.Listen(m)
 	if err != nil {
-		m.Die()
+		m.Terminate()
 		return false
 	}
 	m.env.mu.Lock()
 	m.addr, m.closeAddr = addr, closeAddr
-	gone := m.gone
+	gone := m.terminated
 	m.env.mu.Unlock()
 	if gone {
 		closeAddr()
--- a/internal/simulation/many_machines_test.go
+++ b/internal/simulation/many_machines_test.go
@@ -23,8 +23,8 @@
 	raceDivisor = 5 // by which the fleet is smaller under the race detector
 )
 
-// manyMachines returns how many machines there are.
-func manyMachines() int {
+// scaledFleetSize returns how many machines there are.
+func scaledFleetSize() int {
 	if raceEnabled {
 		return fleetSize / raceDivisor
 	}
@@ -65,23 +65,23 @@
 	t.Helper()
 	runScenarioWith(t, func(c *cluster) {
 		c.cfg.Deployment.Workers.HeartbeatS, c.cfg.Deployment.Workers.LeaseS, c.cfg.Deployment.Workers.CancelS = 5, 26, 46
-		c.cfg.Deployment.State = config.State{RPS: 500, WriteRPS: 60, ValueKB: 8, TxnOps: 16}
+		c.cfg.Deployment.Store = config.StoreLimits{RPS: 500, WriteRPS: 60, ValueKB: 8, TxnOps: 16}
 		c.cfg.Deployment.Cloud.RPS = 7
 		c.cfg.Options.ZoneHealth, c.cfg.Options.LoadShedding = true, true
 		w := c.env
 		w.HeartbeatInterval, w.Lease, w.CancelLimit = 5*time.Second, 26*time.Second, 46*time.Second
-		w.ZoneCapacity = manyMachines() / 4 // of a zone and kind
+		w.ZoneCapacity = scaledFleetSize() / 4 // of a zone and kind
 		w.RunTime = func(task string) time.Duration { return 8 * mixedRunTime(task) }
 		prepare(c)
 	}, func(c *cluster) {
 		sleep(2)
 		for n := range manyJobs {
-			c.submit(0, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: manyTasks * manyMachines() / fleetSize, EstimateS: 60})
+			c.submit(0, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: manyTasks * scaledFleetSize() / fleetSize, EstimateS: 60})
 		}
 		sleep(60)
 		ms := c.env.Machines()
-		if len(ms) < manyMachines()*9/10 {
-			t.Errorf("%d machines are up, want %d", len(ms), manyMachines())
+		if len(ms) < scaledFleetSize()*9/10 {
+			t.Errorf("%d machines are up, want %d", len(ms), scaledFleetSize())
 		}
 		before := c.env.LostWork()
 		least := scenario(c, ms)
@@ -95,7 +95,7 @@
 		}
 		lost := c.env.LostWork() - before
 		// Some work is stopped to fill and empty machines at the day's end in any case.
-		all := time.Duration(manyJobs*manyTasks*manyMachines()/fleetSize) * 8 * 7 * time.Second
+		all := time.Duration(manyJobs*manyTasks*scaledFleetSize()/fleetSize) * 8 * 7 * time.Second
 		t.Logf("work lost: %v, at least %v, of %v in all", lost, least, all)
 		// A notice stops what by its owner's estimate would not end in time, and some would.
 		if lost > least*23/20+all/50 {
@@ -109,11 +109,11 @@
 	t.Parallel()
 	runManyMachines(t, func(*cluster) {}, func(c *cluster, ms []*Machine) time.Duration {
 		for _, m := range ms {
-			m.Hang(true)
+			m.SetHung(true)
 		}
 		sleep(14)
 		for _, m := range ms {
-			m.Hang(false)
+			m.SetHung(false)
 		}
 		return 0
 	})
@@ -173,7 +173,7 @@
 	var boots atomic.Int32
 	runManyMachines(t, func(c *cluster) {
 		c.env.Listen = func(m *Machine) (string, func(), error) {
-			if n := int(boots.Add(1)); n > manyMachines() && n%2 == 0 {
+			if n := int(boots.Add(1)); n > scaledFleetSize() && n%2 == 0 {
 				return "", nil, errors.New("it does not boot")
 			}
 			return m.Name, func() {}, nil
@@ -190,7 +190,7 @@
 		}
 		least := c.env.unsavedWork(die)
 		for _, m := range die {
-			m.Die()
+			m.Terminate()
 		}
 		for _, m := range taken {
 			m.NotifyPreemption(12 * time.Second)
@@ -200,7 +200,7 @@
 		defer c.env.mu.Unlock()
 		for _, m := range taken {
 			for _, s := range m.tasks {
-				if s.status == statusRunning && time.Until(s.statusEnds) > 12*time.Second {
+				if s.status == statusRunning && time.Until(s.statusEndsAt) > 12*time.Second {
 					least += s.progressAt(time.Now())
 				}
 			}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -13,8 +13,8 @@
 // that the worker is sent on to. Status 0 means that nobody answered, Refused that nobody listened.
 type HeartbeatFunc func(node int, r *fleet.Heartbeat) (status int, resp fleet.HeartbeatResponse, leader string)
 
-// Refused is the status of a heartbeat to a controller that does not run.
-const Refused = -1
+// StatusRefused is the status of a heartbeat to a controller that does not run.
+const StatusRefused = -1
 
 var errNoAnswer = errors.New("no answer")
 
@@ -36,7 +36,7 @@
 // either longer than a heartbeat interval. nil: none is delayed.
 func (env *Environment) SetCommandDelay(by func() (command, answer time.Duration)) {
 	env.mu.Lock()
-	env.commandDelay = by
+	env.pickCommandDelay = by
 	env.mu.Unlock()
 }
 
@@ -45,11 +45,11 @@
 
 // SendCommands sends direct commands to a worker, and returns its answer.
 func (env *Environment) SendCommands(addr string, r fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
-	_ = ctxtime.Sleep(env.ctx, latency)
+	_ = ctxtime.Sleep(env.ctx, networkLatency)
 	env.mu.Lock()
 	m := env.machines[addr]
 	blocked := m != nil && (env.commandsBlocked[m.Zone] || m.inboundLost)
-	delay := env.commandDelay
+	delay := env.pickCommandDelay
 	env.mu.Unlock()
 	if blocked {
 		_ = ctxtime.Sleep(env.ctx, env.HeartbeatInterval) // it hangs until the caller gives up
@@ -64,7 +64,7 @@
 	return env.sendDelayed(m, r, commandDelay, answerDelay)
 }
 
-var errNoAnswerInTime = errors.New("no answer in time")
+var errAnswerTimeout = errors.New("no answer in time")
 
 // sendDelayed sends direct commands that are delayed on their way, and then their answer. Commands whose sender
 // has given up are carried out all the same.
@@ -74,13 +74,13 @@
 	if commandDelay >= env.HeartbeatInterval {
 		time.AfterFunc(commandDelay, func() { _, _, _ = m.ExecuteCommands(r) })
 		_ = ctxtime.Sleep(env.ctx, env.HeartbeatInterval)
-		return workers.OutcomeUnknown, nil, errNoAnswerInTime
+		return workers.OutcomeUnknown, nil, errAnswerTimeout
 	}
 	_ = ctxtime.Sleep(env.ctx, commandDelay)
 	outcome, answer, err := m.ExecuteCommands(r)
 	_ = ctxtime.Sleep(env.ctx, min(answerDelay, env.HeartbeatInterval))
 	if answerDelay >= env.HeartbeatInterval {
-		return workers.OutcomeUnknown, nil, errNoAnswerInTime
+		return workers.OutcomeUnknown, nil, errAnswerTimeout
 	}
 	return outcome, answer, err
 }
--- a/internal/simulation/older_records_test.go
+++ b/internal/simulation/older_records_test.go
@@ -75,7 +75,7 @@
 	runScenarioWith(t, func(c *cluster) {
 		announceLowerLimits(c)
 		rows := productionRecords(t)
-		c.store.Load(rows)
+		c.store.ImportEntries(rows)
 		for k, r := range rows {
 			if id, ok := strings.CutPrefix(k, "jobs/open/"); ok {
 				var j records.Job
@@ -146,8 +146,8 @@
 		if n := c.env.Starts(); n > 2500-1354+2 {
 			t.Errorf("%d starts, though 1354 of 2500 tasks were done", n)
 		}
-		if len(c.store.TooLarge()) > 0 {
-			t.Errorf("refused as too large: %v", c.store.TooLarge())
+		if len(c.store.OversizedTransactions()) > 0 {
+			t.Errorf("refused as too large: %v", c.store.OversizedTransactions())
 		}
 		if c.store.ThrottledWrites() > 5 {
 			t.Errorf("%d times too many changes a second", c.store.ThrottledWrites())
--- a/internal/simulation/peer_network_test.go
+++ b/internal/simulation/peer_network_test.go
@@ -40,7 +40,7 @@
 }
 
 func (f *peerNetwork) QueryStatus(_ context.Context, ask peer.StatusRequest) ([]peer.Status, bool) {
-	time.Sleep(latency)
+	time.Sleep(networkLatency)
 	var out []peer.Status
 	for i := range f.cluster.nodes {
 		n := f.cluster.node(i)
@@ -53,7 +53,7 @@
 			continue
 		}
 		s := peer.StatusOf(n.name, n.client, n.server.Cancellations(), ask)
-		s = s.WithAttestations(&n.observer, ask.Attestation, n.server.SinceRenewal())
+		s = s.WithAttestations(&n.observer, ask.Attestation, n.server.SinceWorkerRenewal())
 		out = append(out, s)
 	}
 	return out, len(out) == len(f.cluster.nodes)-1
@@ -71,18 +71,18 @@
 func (f *peerNetwork) RelayHeartbeat(node string, body []byte) (peer.RelayReply, error) {
 	for i := range f.cluster.nodes {
 		if n := f.cluster.node(i); n != nil && n.name == node && !f.hangIfPartitioned(i) {
-			return n.server.RelayedHeartbeat(peer.HeartbeatRequest{Body: body}), nil
+			return n.server.HandleRelayedHeartbeat(peer.HeartbeatRequest{Body: body}), nil
 		}
 	}
 	return peer.RelayReply{}, errors.New("no answer")
 }
 
 func (f *peerNetwork) RelayHeartbeats(node string, in peer.HeartbeatBatch, _ time.Duration) (peer.HeartbeatBatchReply, error) {
-	time.Sleep(latency)
+	time.Sleep(networkLatency)
 	for i := range f.cluster.nodes {
 		if n := f.cluster.node(i); n != nil && n.name == node && !f.cluster.isOlderVersion(i) && !f.cluster.arePartitioned(f.self, i) {
 			time.Sleep(f.cluster.delayOf(i))
-			return n.server.RelayedHeartbeats(in), nil
+			return n.server.HandleHeartbeatBatch(in), nil
 		}
 	}
 	return peer.HeartbeatBatchReply{}, errors.New("no answer")
@@ -109,11 +109,11 @@
 }
 
 func (f *peerNetwork) NotifyCancelled(node, id string) (bool, error) {
-	time.Sleep(latency)
+	time.Sleep(networkLatency)
 	for i := range f.cluster.nodes {
 		if n := f.cluster.node(i); n != nil && n.name == node && !f.hangIfPartitioned(i) {
 			time.Sleep(f.cluster.delayOf(i))
-			return n.server.NotifyCancelled(id), nil
+			return n.server.HandleCancellation(id), nil
 		}
 	}
 	return false, errors.New("no answer")
@@ -122,7 +122,7 @@
 func (f *peerNetwork) Relay(r peer.RelayRequest, _ time.Duration) (peer.RelayReply, bool) {
 	for i := range f.cluster.nodes {
 		if n := f.cluster.node(i); n != nil && i != f.self && !f.hangIfPartitioned(i) {
-			if out := n.server.Relay(r); out.Final(r) {
+			if out := n.server.HandleRelayedRequest(r); out.Final(r) {
 				return out, true
 			}
 		}
--- a/internal/simulation/random_users_test.go
+++ b/internal/simulation/random_users_test.go
@@ -12,8 +12,8 @@
 	"drumpick/internal/records"
 )
 
-// randomJob has users submit a job somewhere, and maybe cancel an older one.
-func randomJob(c *cluster, r *rand.Rand) {
+// submitRandomJob has users submit a job somewhere, and maybe cancel an older one.
+func submitRandomJob(c *cluster, r *rand.Rand) {
 	c.mu.Lock()
 	n, asked := len(c.jobs)+1, slices.Clone(c.expectedDone)
 	c.mu.Unlock()
@@ -41,7 +41,7 @@
 			j.Zone = &zone
 		}
 	}
-	c.offer(n%3, j) // whether it is accepted or its user gives up: no other job gets that id
+	c.submitToAny(n%3, j) // whether it is accepted or its user gives up: no other job gets that id
 	if r.IntN(3) == 0 && n > 3 {
 		c.cancel(r.IntN(3), fmt.Sprint("j-", 1+r.IntN(n)))
 	}
@@ -64,18 +64,18 @@
 		mu.Unlock()
 		for i := range 3 {
 			for _, ms := range []int{0, 1, 4, 20} {
-				after(time.Duration(ms)*time.Millisecond, func() { c.ask(i, peer.MethodPoll, id) })
+				runAfter(time.Duration(ms)*time.Millisecond, func() { c.ask(i, peer.MethodPoll, id) })
 			}
-			after(2*time.Millisecond, func() { c.submit(i, j) })
+			runAfter(2*time.Millisecond, func() { c.submit(i, j) })
 		}
 		if event == records.StatusDone && cancels {
-			after(time.Millisecond, func() { c.ask(from, peer.MethodCancel, id) }) // it is done, and stays so
+			runAfter(time.Millisecond, func() { c.ask(from, peer.MethodCancel, id) }) // it is done, and stays so
 		}
 		if event == "accepted" {
-			after(3*time.Millisecond, func() { c.submitInvalid(from, j) })
+			runAfter(3*time.Millisecond, func() { c.submitInvalid(from, j) })
 		}
 		if event == "accepted" && cancels {
-			after(time.Millisecond, func() { c.cancel(from, id) })
+			runAfter(time.Millisecond, func() { c.cancel(from, id) })
 		}
 	}
 }
@@ -99,6 +99,6 @@
 		raw, _ = json.Marshal(m)
 		asked := time.Now()
 		status, _ := c.request(i, peer.RelayRequest{Method: peer.MethodSubmit, Body: raw})
-		c.env.NoteSubmission(m["uid"].(string), status, asked)
+		c.env.CheckSubmission(m["uid"].(string), status, asked)
 	}
 }
--- a/internal/simulation/record_check_test.go
+++ b/internal/simulation/record_check_test.go
@@ -12,30 +12,30 @@
 // next one would need: no machine with tasks is missing, no watermark of an open job falls, no
 // finished task is forgotten, and what was deleted does not come back.
 type recordCheck struct {
-	cluster    *cluster
-	watermarks map[string]int
-	done       map[string]int
-	deleted    map[string]bool
-	failed     map[string]bool
+	cluster       *cluster
+	watermarks    map[string]int
+	finishedTasks map[string]int
+	deleted       map[string]bool
+	reported      map[string]bool
 }
 
-func checkRecords(c *cluster) *recordCheck {
-	r := &recordCheck{cluster: c, watermarks: map[string]int{}, done: map[string]int{}, deleted: map[string]bool{}, failed: map[string]bool{}}
+func installRecordCheck(c *cluster) *recordCheck {
+	r := &recordCheck{cluster: c, watermarks: map[string]int{}, finishedTasks: map[string]int{}, deleted: map[string]bool{}, reported: map[string]bool{}}
 	c.store.mu.Lock()
-	c.store.OnChange = r.changed
+	c.store.OnChange = r.checkChange
 	c.store.mu.Unlock()
 	return r
 }
 
 func (r *recordCheck) fail(format string, args ...any) {
-	if text := fmt.Sprintf(format, args...); !r.failed[text] {
-		r.failed[text] = true
+	if text := fmt.Sprintf(format, args...); !r.reported[text] {
+		r.reported[text] = true
 		r.cluster.t.Error(text)
 	}
 }
 
-// entries reads all records under a prefix; the store is locked.
-func (r *recordCheck) entries(prefix string, each func(id string, v json.RawMessage)) {
+// forEachEntry reads all records under a prefix; the store is locked.
+func (r *recordCheck) forEachEntry(prefix string, each func(id string, v json.RawMessage)) {
 	for key, row := range r.cluster.store.entries {
 		if strings.HasPrefix(key, prefix) {
 			all, err := records.DecodeEntries(prefix, row)
@@ -49,7 +49,7 @@
 	}
 }
 
-func (r *recordCheck) changed(ch Change) {
+func (r *recordCheck) checkChange(ch Change) {
 	for _, key := range ch.Deletes {
 		r.deleted[key] = r.deleted[key] || !strings.HasPrefix(key, records.KeyLeader)
 	}
@@ -59,12 +59,12 @@
 		}
 	}
 	hosts, marks, done := map[string]bool{}, map[string]int{}, map[string]int{}
-	r.entries(records.PrefixMachines, func(id string, _ json.RawMessage) { hosts[id] = true })
-	r.entries(records.PrefixWatermarks, func(id string, v json.RawMessage) {
+	r.forEachEntry(records.PrefixMachines, func(id string, _ json.RawMessage) { hosts[id] = true })
+	r.forEachEntry(records.PrefixWatermarks, func(id string, v json.RawMessage) {
 		n, _ := records.ParseWatermark(v)
 		marks[id] = max(marks[id], n)
 	})
-	r.entries(records.PrefixFinishedTasks, func(id string, v json.RawMessage) {
+	r.forEachEntry(records.PrefixFinishedTasks, func(id string, v json.RawMessage) {
 		var ranges string
 		_ = json.Unmarshal(v, &ranges)
 		job, _, _ := records.ParsePartID(id)
@@ -75,12 +75,12 @@
 			r.fail("the watermark of %s fell from %d to %d", id, n, marks[id])
 		}
 	}
-	for id, n := range r.done {
+	for id, n := range r.finishedTasks {
 		if _, open := r.cluster.store.entries[records.OpenKey(id)]; open && done[id] < n {
 			r.fail("%d of %d finished tasks of %s are forgotten", n-done[id], n, id)
 		}
 	}
-	r.watermarks, r.done = marks, done
+	r.watermarks, r.finishedTasks = marks, done
 	for _, m := range r.cluster.env.Machines() {
 		r.cluster.env.mu.Lock()
 		holds := ""
--- a/internal/simulation/restart_test.go
+++ b/internal/simulation/restart_test.go
@@ -57,10 +57,10 @@
 		c.submit(0, records.Job{ID: "j-1", Tasks: 8, EstimateS: 30})
 		sleep(32)
 		ms := c.env.Machines()
-		ms[0].Hang(true)
+		ms[0].SetHung(true)
 		c.killNode(c.leaderIndex())
 		sleep(9)
-		ms[0].Hang(false)
+		ms[0].SetHung(false)
 		sleep(100)
 		for i := range 3 {
 			if c.node(i) != nil {
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -14,8 +14,8 @@
 // checks those that concern answers to users. A violation is noted once and for good. rules_test.go breaks each rule
 // on purpose.
 
-// violateLocked notes that a rule was broken.
-func (env *Environment) violateLocked(format string, args ...any) {
+// recordViolationLocked notes that a rule was broken.
+func (env *Environment) recordViolationLocked(format string, args ...any) {
 	if text := fmt.Sprintf(format, args...); !slices.Contains(env.violations, text) {
 		env.violations = append(env.violations, text)
 	}
@@ -38,13 +38,13 @@
 			at, cancelled := env.cancelledAt[id.Job]
 			// A task counts from when it has its image until it exits, also while it waits for its gang or saves.
 			counts := a.status != statusEnded && a.status != statusPulling
-			if !cancelled || !counts || m.gone || time.Since(m.leaseStart) > env.Lease {
+			if !cancelled || !counts || m.terminated || time.Since(m.leaseStart) > env.Lease {
 				continue
 			}
 			if since := time.Since(at); since > env.CancelLimit {
-				env.violateLocked("ran_cancelled: %s still on %s", a.task, m.Name)
+				env.recordViolationLocked("ran_cancelled: %s still on %s", a.task, m.Name)
 			} else {
-				env.longestAfterCancel = max(env.longestAfterCancel, since)
+				env.maxCancelLatency = max(env.maxCancelLatency, since)
 			}
 		}
 	}
@@ -57,58 +57,58 @@
 	if at, ok := env.cancelledAt[id.Job]; ok {
 		switch since := now.Sub(at); {
 		case since > env.CancelLimit:
-			env.violateLocked("ran_cancelled: %s started %v after its cancellation", c.Task, since)
+			env.recordViolationLocked("ran_cancelled: %s started %v after its cancellation", c.Task, since)
 		case since > env.MaxCommandDelay:
-			env.violateLocked("started_cancelled: %s started %v after its cancellation was confirmed", c.Task, since)
+			env.recordViolationLocked("started_cancelled: %s started %v after its cancellation was confirmed", c.Task, since)
 		}
 	}
 	for _, dependency := range job.Dependencies {
 		done := len(env.completed[dependency])
 		if d, ok := env.LookupJob(dependency); ok && done < d.Tasks {
-			env.violateLocked("too_early: %s started, %d of %d tasks of %s are done", c.Task, done, d.Tasks, dependency)
+			env.recordViolationLocked("too_early: %s started, %d of %d tasks of %s are done", c.Task, done, d.Tasks, dependency)
 		}
 	}
 	zones := map[string]int{} // attempts of the job
 	for a, other := range env.attempts[id.Job] {
-		if !other.holdsTasksLocked(now) {
+		if !other.leaseValidLocked(now) {
 			continue
 		}
 		if a.task == c.Task && other != m {
-			env.violateLocked("ran_twice: %s started on %s while it is on %s", c.Task, m.Name, other.Name)
+			env.recordViolationLocked("ran_twice: %s started on %s while it is on %s", c.Task, m.Name, other.Name)
 		}
 		zones[other.Zone]++
 	}
 	if m.misplaced(job, zones) {
-		env.violateLocked("wrong_place: %s on %s", c.Task, m.Name)
+		env.recordViolationLocked("wrong_place: %s on %s", c.Task, m.Name)
 	}
-	env.checkLimitLocked(job.Team)
+	env.checkTeamLimitLocked(job.Team)
 }
 
 // misplaced reports whether a job's task must not be on the machine, given the attempts of the job by zone.
 func (m *Machine) misplaced(job records.Job, zones map[string]int) bool {
 	return job.OneZone && len(zones) > 1 ||
-		job.SpreadZones && zones[m.Zone] > mostInZone(job) ||
+		job.SpreadZones && zones[m.Zone] > maxTasksPerZone(job) ||
 		job.Zone != nil && *job.Zone != m.Zone ||
 		len(job.Types) > 0 && !slices.Contains(job.Types, m.typ.Name) ||
 		m.Spot && !job.Spot
 }
 
-// mostInZone returns how many tasks of a job that is spread over zones may be in one of them.
-func mostInZone(job records.Job) int { return (job.Tasks + 1) / 2 }
+// maxTasksPerZone returns how many tasks of a job that is spread over zones may be in one of them.
+func maxTasksPerZone(job records.Job) int { return (job.Tasks + 1) / 2 }
 
-// holdsTasksLocked reports whether what the machine has counts as there: its worker's lease has not ended.
-func (m *Machine) holdsTasksLocked(now time.Time) bool {
-	return !m.gone && now.Sub(m.leaseStart) <= m.env.Lease
+// leaseValidLocked reports whether what the machine has counts as there: its worker's lease has not ended.
+func (m *Machine) leaseValidLocked(now time.Time) bool {
+	return !m.terminated && now.Sub(m.leaseStart) <= m.env.Lease
 }
 
-// checkLimitLocked checks what a team's tasks use. What still waits for its image counts as well, which is stricter
+// checkTeamLimitLocked checks what a team's tasks use. What still waits for its image counts as well, which is stricter
 // than the rule.
-func (env *Environment) checkLimitLocked(team string) {
+func (env *Environment) checkTeamLimitLocked(team string) {
 	if len(env.Teams) == 0 {
 		return // no team has a limit
 	}
 	if cpus, gpus := env.teamUsageLocked(team); !env.withinLimit(team, cpus, gpus) {
-		env.violateLocked("quota: %s uses %g CPUs and %g GPUs", team, cpus, gpus)
+		env.recordViolationLocked("quota: %s uses %g CPUs and %g GPUs", team, cpus, gpus)
 	}
 }
 
@@ -117,7 +117,7 @@
 	now := time.Now()
 	for _, attempts := range env.attempts {
 		for a, m := range attempts {
-			if a.job.Team == team && m.holdsTasksLocked(now) {
+			if a.job.Team == team && m.leaseValidLocked(now) {
 				cpus, gpus = cpus+a.job.CPUs, gpus+a.job.GPUs
 			}
 		}
--- a/internal/simulation/rules_answers.go
+++ b/internal/simulation/rules_answers.go
@@ -11,19 +11,19 @@
 
 // finalState is a final state, and when a user was first told of it.
 type finalState struct {
-	status string
-	toldAt time.Time
+	status     string
+	reportedAt time.Time
 }
 
-// CancelRequested notes that a user asks to cancel a job.
-func (env *Environment) CancelRequested(id string) {
+// RecordCancelRequest notes that a user asks to cancel a job.
+func (env *Environment) RecordCancelRequest(id string) {
 	env.mu.Lock()
 	env.cancelRequested[id] = true
 	env.mu.Unlock()
 }
 
-// CancelConfirmed notes that a user was told that a job is cancelled.
-func (env *Environment) CancelConfirmed(id string) {
+// RecordCancelConfirmation notes that a user was told that a job is cancelled.
+func (env *Environment) RecordCancelConfirmation(id string) {
 	env.mu.Lock()
 	if _, ok := env.cancelledAt[id]; !ok {
 		env.cancelledAt[id] = time.Now()
@@ -31,14 +31,14 @@
 	env.mu.Unlock()
 }
 
-// cancelWanted reports whether a user asked to cancel a job, or one that it depends on.
-func (env *Environment) cancelWanted(id string) bool {
+// mayBeCancelled reports whether a user asked to cancel a job, or one that it depends on.
+func (env *Environment) mayBeCancelled(id string) bool {
 	env.mu.Lock()
 	_, confirmed := env.cancelledAt[id]
 	requested := env.cancelRequested[id] || confirmed
 	env.mu.Unlock()
 	j, _ := env.LookupJob(id)
-	return requested || slices.ContainsFunc(j.Dependencies, env.cancelWanted)
+	return requested || slices.ContainsFunc(j.Dependencies, env.mayBeCancelled)
 }
 
 // DependencyCancelledFor returns for how long a user has known that a job that this one depends on is cancelled.
@@ -56,23 +56,23 @@
 	return longest
 }
 
-// NoteSubmission checks the status that a user gets for a submission that was sent at a time.
-func (env *Environment) NoteSubmission(id string, status int, sent time.Time) {
+// CheckSubmission checks the status that a user gets for a submission that was sent at a time.
+func (env *Environment) CheckSubmission(id string, status int, sent time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	at, known := env.acceptedAt[id]
 	switch status {
 	case http.StatusOK, http.StatusCreated:
 		if status == http.StatusCreated && known && sent.After(at) {
-			env.violateLocked("went_back: %s was accepted, and a repeated submission of it is taken for a new job", id)
+			env.recordViolationLocked("went_back: %s was accepted, and a repeated submission of it is taken for a new job", id)
 		}
 		if j, ok := env.LookupJob(id); !ok || !env.placeable(j) {
-			env.violateLocked("odd: %s was accepted, and lacks a field or can never run", id)
+			env.recordViolationLocked("odd: %s was accepted, and lacks a field or can never run", id)
 		}
-		env.acceptLocked(id)
+		env.recordAcceptedLocked(id)
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if known && sent.After(at) {
-			env.violateLocked("forgotten: %s was accepted, and a repeated submission of it gets %d", id, status)
+			env.recordViolationLocked("forgotten: %s was accepted, and a repeated submission of it gets %d", id, status)
 		}
 	}
 }
@@ -96,46 +96,46 @@
 		j.CPUs <= t.CPUs+epsilon && j.GPUs <= t.GPUs+epsilon && j.MemGB <= t.MemGB+epsilon
 }
 
-// acceptLocked notes that a user was told that there is such a job.
-func (env *Environment) acceptLocked(id string) {
+// recordAcceptedLocked notes that a user was told that there is such a job.
+func (env *Environment) recordAcceptedLocked(id string) {
 	if _, known := env.acceptedAt[id]; !known {
 		env.acceptedAt[id] = time.Now()
 	}
 }
 
-// NoteNotFound checks that a user who asked at a time may be told that there is no such job.
-func (env *Environment) NoteNotFound(id string, asked time.Time) {
+// CheckNotFound checks that a user who asked at a time may be told that there is no such job.
+func (env *Environment) CheckNotFound(id string, asked time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	if at, known := env.acceptedAt[id]; known && asked.After(at) {
-		env.violateLocked("forgotten: %s was accepted and is not known", id)
+		env.recordViolationLocked("forgotten: %s was accepted and is not known", id)
 	}
 }
 
-// NoteAnswer checks the state of a job that a user is told who asked at a time. What anybody was told before that
+// CheckAnswer checks the state of a job that a user is told who asked at a time. What anybody was told before that
 // binds the answer, whichever controller gives it. It reports whether a final state is told for the first time.
-func (env *Environment) NoteAnswer(id, status string, asked time.Time) (first bool) {
-	orphanedFor, cancelWanted := env.DependencyCancelledFor(id), env.cancelWanted(id)
+func (env *Environment) CheckAnswer(id, status string, asked time.Time) (first bool) {
+	orphanedFor, cancelWanted := env.DependencyCancelledFor(id), env.mayBeCancelled(id)
 	j, known := env.LookupJob(id)
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	if !known {
-		env.violateLocked("invented: nobody submitted %s, which is called %s", id, status)
+		env.recordViolationLocked("invented: nobody submitted %s, which is called %s", id, status)
 	}
-	env.acceptLocked(id)
+	env.recordAcceptedLocked(id)
 	final := status == records.StatusDone || status == records.StatusCancelled
 	switch {
 	case status == records.StatusCancelled && !cancelWanted:
-		env.violateLocked("went_back: %s is called cancelled, which neither it nor one before it was", id)
+		env.recordViolationLocked("went_back: %s is called cancelled, which neither it nor one before it was", id)
 	case status != records.StatusCancelled && orphanedFor > env.CancelLimit:
-		env.violateLocked("orphaned: %s is called %s, %v after one before it was cancelled", id, status, orphanedFor)
+		env.recordViolationLocked("orphaned: %s is called %s, %v after one before it was cancelled", id, status, orphanedFor)
 	}
 	was, ended := env.finalStates[id]
-	if ended && was.status != status && (final || asked.After(was.toldAt)) {
-		env.violateLocked("went_back: %s was called %s, and is called %s", id, was.status, status)
+	if ended && was.status != status && (final || asked.After(was.reportedAt)) {
+		env.recordViolationLocked("went_back: %s was called %s, and is called %s", id, was.status, status)
 	}
 	if done := len(env.completed[id]); known && status == records.StatusDone && done < j.Tasks {
-		env.violateLocked("not_done: %s is called done with %d of %d tasks", id, done, j.Tasks)
+		env.recordViolationLocked("not_done: %s is called done with %d of %d tasks", id, done, j.Tasks)
 	}
 	if final && !ended {
 		env.finalStates[id] = finalState{status, time.Now()}
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -74,71 +74,71 @@
 			}
 		},
 		"ran_cancelled: j-1/0 started": func(w *Environment, run func(string, string, uint64)) {
-			w.CancelConfirmed("j-1")
+			w.RecordCancelConfirmation("j-1")
 			time.Sleep(w.CancelLimit + time.Second)
 			run("m-000001", "j-1/0", 1)
 		},
 		"ran_cancelled: j-1/0 still": func(w *Environment, run func(string, string, uint64)) {
 			run("m-000001", "j-1/0", 1)
-			w.CancelConfirmed("j-1")
+			w.RecordCancelConfirmation("j-1")
 			time.Sleep(w.CancelLimit + time.Second)
 			w.CheckCancelled()
 		},
 		"too_early": func(_ *Environment, run func(string, string, uint64)) { run("m-000001", "j-7/0", 1) },
 		"orphaned": func(w *Environment, _ func(string, string, uint64)) {
-			w.CancelConfirmed("j-1")
+			w.RecordCancelConfirmation("j-1")
 			time.Sleep(w.CancelLimit + time.Second)
-			w.NoteAnswer("j-7", records.StatusPending, time.Now())
+			w.CheckAnswer("j-7", records.StatusPending, time.Now())
 		},
 		"forgotten: j-1 was accepted and is": func(w *Environment, _ func(string, string, uint64)) {
-			w.NoteSubmission("j-1", 201, time.Now())
+			w.CheckSubmission("j-1", 201, time.Now())
 			later()
-			w.NoteNotFound("j-1", time.Now())
+			w.CheckNotFound("j-1", time.Now())
 		},
 		"forgotten: j-1 was accepted, and a": func(w *Environment, _ func(string, string, uint64)) {
-			w.NoteSubmission("j-1", 200, time.Now())
+			w.CheckSubmission("j-1", 200, time.Now())
 			later()
-			w.NoteSubmission("j-1", 422, time.Now())
+			w.CheckSubmission("j-1", 422, time.Now())
 		},
 		"invented": func(w *Environment, _ func(string, string, uint64)) {
-			w.NoteAnswer("j-99", records.StatusPending, time.Now())
+			w.CheckAnswer("j-99", records.StatusPending, time.Now())
 		},
 		"not_done": func(w *Environment, _ func(string, string, uint64)) {
-			w.NoteAnswer("j-1", records.StatusDone, time.Now())
+			w.CheckAnswer("j-1", records.StatusDone, time.Now())
 		},
 		"went_back: j-1 is called cancelled": func(w *Environment, _ func(string, string, uint64)) {
-			w.NoteAnswer("j-1", records.StatusCancelled, time.Now())
+			w.CheckAnswer("j-1", records.StatusCancelled, time.Now())
 		},
 		"went_back: j-1 was called": func(w *Environment, _ func(string, string, uint64)) {
-			w.CancelConfirmed("j-1")
-			w.NoteAnswer("j-1", records.StatusCancelled, time.Now())
+			w.RecordCancelConfirmation("j-1")
+			w.CheckAnswer("j-1", records.StatusCancelled, time.Now())
 			later()
-			w.NoteAnswer("j-1", records.StatusRunning, time.Now())
+			w.CheckAnswer("j-1", records.StatusRunning, time.Now())
 		},
 		"went_back: j-1 was accepted": func(w *Environment, _ func(string, string, uint64)) {
-			w.NoteSubmission("j-1", 201, time.Now())
+			w.CheckSubmission("j-1", 201, time.Now())
 			later()
-			w.NoteSubmission("j-1", 201, time.Now())
+			w.CheckSubmission("j-1", 201, time.Now())
 		},
-		"odd: j-3":  func(w *Environment, _ func(string, string, uint64)) { w.NoteSubmission("j-3", 201, time.Now()) },  // no such type
-		"odd: j-10": func(w *Environment, _ func(string, string, uint64)) { w.NoteSubmission("j-10", 201, time.Now()) }, // over its team's limit
-		"odd: j-98": func(w *Environment, _ func(string, string, uint64)) { w.NoteSubmission("j-98", 201, time.Now()) }, // it lacks a field
+		"odd: j-3":  func(w *Environment, _ func(string, string, uint64)) { w.CheckSubmission("j-3", 201, time.Now()) },  // no such type
+		"odd: j-10": func(w *Environment, _ func(string, string, uint64)) { w.CheckSubmission("j-10", 201, time.Now()) }, // over its team's limit
+		"odd: j-98": func(w *Environment, _ func(string, string, uint64)) { w.CheckSubmission("j-98", 201, time.Now()) }, // it lacks a field
 		"started_cancelled": func(w *Environment, run func(string, string, uint64)) {
-			w.CancelConfirmed("j-1")
+			w.RecordCancelConfirmation("j-1")
 			later()
 			run("m-000001", "j-1/0", 1)
 		},
 		"": func(w *Environment, run func(string, string, uint64)) { // asked before, answered after: no order is broken
 			asked := time.Now()
 			later()
-			w.NoteSubmission("j-1", 201, asked)
-			w.NoteNotFound("j-1", asked)
+			w.CheckSubmission("j-1", 201, asked)
+			w.CheckNotFound("j-1", asked)
 			run("m-000001", "j-1/0", 1)
-			w.CancelRequested("j-1")
-			w.CancelConfirmed("j-1")
-			w.NoteAnswer("j-1", records.StatusCancelled, asked)
-			w.NoteAnswer("j-1", records.StatusRunning, asked)
-			w.NoteSubmission("j-1", 200, time.Now())
+			w.RecordCancelRequest("j-1")
+			w.RecordCancelConfirmation("j-1")
+			w.CheckAnswer("j-1", records.StatusCancelled, asked)
+			w.CheckAnswer("j-1", records.StatusRunning, asked)
+			w.CheckSubmission("j-1", 200, time.Now())
 		},
 	} {
 		t.Run(want, func(t *testing.T) {
--- a/internal/simulation/serve_cloud.go
+++ b/internal/simulation/serve_cloud.go
@@ -11,8 +11,8 @@
 	"github.com/gofiber/fiber/v2/utils"
 )
 
-// defaultMachinePage and maxMachinePage are how many machines an answer to a list holds.
-const defaultMachinePage, maxMachinePage = 500, 500
+// defaultMachinesLimit and maxMachinesLimit are how many machines an answer to a list holds.
+const defaultMachinesLimit, maxMachinesLimit = 500, 500
 
 // Answers of the cloud.
 type (
@@ -60,7 +60,7 @@
 
 func serveMachines(c *fiber.Ctx, env *Environment) error {
 	since := c.Query("since")
-	limit := min(max(c.QueryInt("limit", defaultMachinePage), 1), maxMachinePage)
+	limit := min(max(c.QueryInt("limit", defaultMachinesLimit), 1), maxMachinesLimit)
 	page := []autoscaler.CloudMachine{}
 	more := false
 	for _, m := range env.CloudMachines() {
--- a/internal/simulation/serve_store.go
+++ b/internal/simulation/serve_store.go
@@ -56,18 +56,18 @@
 
 // storeServer serves a store over HTTP.
 type storeServer struct {
-	ctx     context.Context // open watches end with it
-	store   *Store
-	durable func(revision uint64)
+	ctx         context.Context // open watches end with it
+	store       *Store
+	waitDurable func(revision uint64)
 }
 
 // ServeStore serves the store's interface. durable waits until all up to a revision is persisted; no answer tells
 // of a change before that. nil: changes are as good as persisted at once. Open watches end with ctx.
 func ServeStore(ctx context.Context, app *fiber.App, s *Store, durable func(revision uint64)) {
-	server := &storeServer{ctx: ctx, store: s, durable: durable}
-	app.Use("/store", server.refuseInOutage)
-	app.Use("/commit", server.refuseInOutage)
-	app.Use("/grants", server.refuseInOutage)
+	server := &storeServer{ctx: ctx, store: s, waitDurable: durable}
+	app.Use("/store", server.rejectDuringOutage)
+	app.Use("/commit", server.rejectDuringOutage)
+	app.Use("/grants", server.rejectDuringOutage)
 	app.Get("/store", server.list)
 	app.Get("/store/*", server.get)
 	app.Post("/commit", server.commit)
@@ -79,14 +79,14 @@
 
 // answer answers once all that it may tell of is persisted.
 func (s *storeServer) answer(c *fiber.Ctx, status int, body any) error {
-	if s.durable != nil {
-		s.durable(s.store.Revision())
+	if s.waitDurable != nil {
+		s.waitDurable(s.store.Revision())
 	}
 	return c.Status(status).JSON(body)
 }
 
-// refuseInOutage refuses requests during an outage. Watches are not among them: they stay open.
-func (s *storeServer) refuseInOutage(c *fiber.Ctx) error {
+// rejectDuringOutage refuses requests during an outage. Watches are not among them: they stay open.
+func (s *storeServer) rejectDuringOutage(c *fiber.Ctx) error {
 	if s.store.refuses("") {
 		return c.Status(http.StatusServiceUnavailable).JSON(errorBody{"outage"})
 	}
--- a/internal/simulation/serve_worker.go
+++ b/internal/simulation/serve_worker.go
@@ -27,11 +27,11 @@
 		}
 		m := machineOf(c)
 		if m == nil {
-			return closeSilently(c)
+			return closeWithoutAnswer(c)
 		}
 		outcome, heartbeat, err := m.ExecuteCommands(r)
 		if err != nil {
-			return closeSilently(c)
+			return closeWithoutAnswer(c)
 		}
 		if outcome == workers.OutcomeRejected {
 			return c.Status(http.StatusConflict).JSON(heartbeat)
@@ -41,18 +41,18 @@
 	app.Get("/status", func(c *fiber.Ctx) error {
 		m := machineOf(c)
 		if m == nil {
-			return closeSilently(c)
+			return closeWithoutAnswer(c)
 		}
 		heartbeat, err := m.Status()
 		if err != nil {
-			return closeSilently(c)
+			return closeWithoutAnswer(c)
 		}
 		return c.JSON(heartbeat)
 	})
 }
 
-// closeSilently closes a request's connection without an answer.
-func closeSilently(c *fiber.Ctx) error {
+// closeWithoutAnswer closes a request's connection without an answer.
+func closeWithoutAnswer(c *fiber.Ctx) error {
 	c.Context().Conn().Close()
 	return nil
 }
--- a/internal/simulation/single_task_jobs_test.go
+++ b/internal/simulation/single_task_jobs_test.go
@@ -21,7 +21,7 @@
 	}{{"calm", false}, {"a failover and an outage", true}} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
-			runScenarioWith(t, func(c *cluster) { c.paced = true }, func(c *cluster) {
+			runScenarioWith(t, func(c *cluster) { c.limitLeaderWrites = true }, func(c *cluster) {
 				c.env.RunTime = func(string) time.Duration { return 8 * time.Second }
 				c.store.SetLimits(8, 16, 20)
 				sleep(2)
@@ -31,11 +31,11 @@
 				for k := range jobs {
 					go func() {
 						began := time.Now()
-						c.submitUntilTaken(k, records.Job{ID: id(k + 1), Tasks: 1, CPUs: 1, EstimateS: 8})
+						c.submitUntilTaken(k, records.Job{ID: jobID(k + 1), Tasks: 1, CPUs: 1, EstimateS: 8})
 						storeMax(&slowest, time.Since(began).Milliseconds())
 						if k%4 == 0 {
 							sleep(float64(k % 11))
-							c.cancelUntilAnswered(k, id(k+1))
+							c.cancelUntilAnswered(k, jobID(k+1))
 						}
 					}()
 					switch {
@@ -53,7 +53,7 @@
 					sleep(0.25)
 				}
 				sleep(60)
-				c.wantAllKnown()
+				c.wantAllJobsKnown()
 				c.wantNoVanishedMachines()
 				perJob := float64(c.store.Writes()) / jobs
 				measured := fmt.Sprintf("throttled %d times, slowest acceptance %d ms, at most %d ended jobs unstored",
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -23,7 +23,7 @@
 
 	mu                sync.Mutex // guards all fields below
 	writes            int        // operations of all transactions that passed the limits
-	tooLarge          []string   // transactions that were refused for good because of their size
+	oversizedTxns     []string   // transactions that were refused for good because of their size
 	throttledWrites   int        // transactions that were refused for the write rate
 	revision          uint64
 	entries           map[string]records.KeyValue
@@ -48,11 +48,11 @@
 	return s.writes
 }
 
-// TooLarge describes the transactions that were refused for good because of their size.
-func (s *Store) TooLarge() []string {
+// OversizedTransactions describes the transactions that were refused for good because of their size.
+func (s *Store) OversizedTransactions() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.tooLarge)
+	return slices.Clone(s.oversizedTxns)
 }
 
 // ThrottledWrites returns the number of transactions that were refused for the write rate.
@@ -89,7 +89,7 @@
 		if on {
 			l.timer.Stop()
 		} else {
-			s.armLocked(id, l)
+			s.resetLeaseTimerLocked(id, l)
 		}
 	}
 }
@@ -118,8 +118,8 @@
 	s.mu.Unlock()
 }
 
-// Load puts in what another run left, without what was attached to a lease.
-func (s *Store) Load(entries map[string]records.KeyValue) {
+// ImportEntries puts in what another run left, without what was attached to a lease.
+func (s *Store) ImportEntries(entries map[string]records.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, kv := range entries {
@@ -141,7 +141,7 @@
 	for id, ttl := range ttls {
 		l := &lease{ttl: ttl}
 		s.leases[id] = l
-		s.armLocked(id, l)
+		s.resetLeaseTimerLocked(id, l)
 	}
 }
 
@@ -216,7 +216,7 @@
 func (s *Store) commit(compares []records.Compare, ops []records.Op) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.admitLocked(compares, ops); err != nil {
+	if err := s.validateTxnLocked(compares, ops); err != nil {
 		return 0, err
 	}
 	s.writes += len(ops)
@@ -233,23 +233,23 @@
 	return s.revision, nil
 }
 
-// compareFactor is how many comparisons a transaction may have for each operation of the limit.
-const compareFactor = 4
+// maxComparesPerOp is how many comparisons a transaction may have for each operation of the limit.
+const maxComparesPerOp = 4
 
-// admitLocked checks a transaction's leases and the store's limits.
-func (s *Store) admitLocked(compares []records.Compare, ops []records.Op) error {
+// validateTxnLocked checks a transaction's leases and the store's limits.
+func (s *Store) validateTxnLocked(compares []records.Compare, ops []records.Op) error {
 	for _, op := range ops {
 		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
 			return records.ErrLeaseExpired
 		}
 	}
-	if s.maxTxnOps > 0 && (len(ops) > s.maxTxnOps || len(compares) > compareFactor*s.maxTxnOps) {
-		s.tooLarge = append(s.tooLarge, fmt.Sprint(len(ops), " changes"))
+	if s.maxTxnOps > 0 && (len(ops) > s.maxTxnOps || len(compares) > maxComparesPerOp*s.maxTxnOps) {
+		s.oversizedTxns = append(s.oversizedTxns, fmt.Sprint(len(ops), " changes"))
 		return fmt.Errorf("%w: too many changes", records.ErrInvalid)
 	}
 	for _, op := range ops {
 		if n := records.EncodedSize(op.Value); op.Write != "" && s.maxValueKB > 0 && float64(n) > s.maxValueKB*1024 {
-			s.tooLarge = append(s.tooLarge, fmt.Sprint(op.Write, " of ", n, " bytes"))
+			s.oversizedTxns = append(s.oversizedTxns, fmt.Sprint(op.Write, " of ", n, " bytes"))
 			return fmt.Errorf("%w: too large a value", records.ErrInvalid)
 		}
 	}
--- a/internal/simulation/store_client.go
+++ b/internal/simulation/store_client.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// latency is how long a message takes on its way.
-	latency = 5 * time.Millisecond
+	// networkLatency is how long a message takes on its way.
+	networkLatency = 5 * time.Millisecond
 	// requestTimeout is how long a caller waits for an answer, as the controllers' settings have it.
 	requestTimeout = time.Second
 	// listPageEntries is how many entries List asks for at a time.
@@ -32,12 +32,12 @@
 	lastOK, lastFailed time.Time
 	lastResponse       time.Time // refusals included
 
-	killed        bool
-	hang          time.Duration // how long calls hang without an answer; 0: they are answered
-	delay         time.Duration // by how much later calls reach the store
-	loseAnswers   int           // so many commits are carried out lateBy later, without an answer
-	lateBy        time.Duration
-	pickLateWrite func() (time.Duration, bool)
+	killed          bool
+	hang            time.Duration // how long calls hang without an answer; 0: they are answered
+	delay           time.Duration // by how much later calls reach the store
+	loseAnswers     int           // so many commits are carried out lostCommitDelay later, without an answer
+	lostCommitDelay time.Duration
+	pickLateWrite   func() (time.Duration, bool)
 }
 
 // Client returns the connection of a controller.
@@ -48,7 +48,7 @@
 // LoseAnswers makes the next n commits be carried out d later, without an answer.
 func (c *Client) LoseAnswers(n int, d time.Duration) {
 	c.mu.Lock()
-	c.loseAnswers, c.lateBy = n, d
+	c.loseAnswers, c.lostCommitDelay = n, d
 	c.mu.Unlock()
 }
 
@@ -84,16 +84,16 @@
 	c.mu.Unlock()
 }
 
-// admit lets a call through to the store, after its latency, or fails it as the injected faults say.
-func (c *Client) admit(ctx context.Context) error {
+// beginCall lets a call through to the store, after its latency, or fails it as the injected faults say.
+func (c *Client) beginCall(ctx context.Context) error {
 	c.mu.Lock()
 	delay, hang := c.delay, c.hang
 	c.mu.Unlock()
-	if err := ctxtime.Sleep(ctx, max(latency, hang, min(delay, requestTimeout))); err != nil {
+	if err := ctxtime.Sleep(ctx, max(networkLatency, hang, min(delay, requestTimeout))); err != nil {
 		return err
 	}
 	if delay >= requestTimeout {
-		c.noteFailure()
+		c.recordFailure()
 		return fmt.Errorf("%w: too slow", records.ErrUnknownOutcome)
 	}
 	refused := c.store.refuses(c.name)
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// noteFailure notes that a call got no answer.
-func (c *Client) noteFailure() {
+// recordFailure notes that a call got no answer.
+func (c *Client) recordFailure() {
 	c.mu.Lock()
 	c.lastFailed = time.Now()
 	c.mu.Unlock()
@@ -156,7 +156,7 @@
 
 // Get reads a key; nil: it is absent.
 func (c *Client) Get(ctx context.Context, key string) (*records.KeyValue, error) {
-	if err := c.admit(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	if kv, _, ok := c.store.get(key); ok {
@@ -167,7 +167,7 @@
 
 // List reads the keys under a prefix, and returns the revision of the first page.
 func (c *Client) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
-	if err := c.admit(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return 0, err
 	}
 	var first uint64
@@ -201,7 +201,7 @@
 			}
 		})
 	}
-	if err := c.admit(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return 0, err
 	}
 	lateBy, lost := c.losesAnswer()
@@ -212,7 +212,7 @@
 		if err := ctxtime.Sleep(ctx, requestTimeout); err != nil {
 			return 0, err
 		}
-		c.noteFailure()
+		c.recordFailure()
 		return 0, fmt.Errorf("%w: its answer is lost", records.ErrUnknownOutcome)
 	case lost:
 		time.AfterFunc(lateBy, func() { _, _ = c.store.commit(compares, ops) })
@@ -228,7 +228,7 @@
 	switch {
 	case c.loseAnswers > 0:
 		c.loseAnswers--
-		return c.lateBy, true
+		return c.lostCommitDelay, true
 	case c.pickLateWrite != nil:
 		return c.pickLateWrite()
 	}
@@ -237,7 +237,7 @@
 
 // GrantLease obtains a lease.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	if err := c.admit(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return 0, err
 	}
 	return c.store.grantLease(ttl), nil
@@ -245,7 +245,7 @@
 
 // RenewLease renews a lease.
 func (c *Client) RenewLease(ctx context.Context, id uint64, _ time.Duration) error {
-	if err := c.admit(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return err
 	}
 	if !c.store.renewLease(id) {
@@ -256,14 +256,14 @@
 
 // RevokeLease ends a lease.
 func (c *Client) RevokeLease(ctx context.Context, id uint64) {
-	if c.admit(ctx) == nil {
+	if c.beginCall(ctx) == nil {
 		c.store.revokeLease(id)
 	}
 }
 
 // Watch waits for a change under a prefix.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error) {
-	if err := c.admit(ctx); err != nil {
+	if err := c.beginCall(ctx); err != nil {
 		return nil, since, err
 	}
 	events, revision, err := c.store.watch(ctx, c.name, prefix, since, wait, func() bool {
--- a/internal/simulation/store_lease.go
+++ b/internal/simulation/store_lease.go
@@ -19,7 +19,7 @@
 	s.lastLease++
 	l := &lease{ttl: ttl}
 	s.leases[s.lastLease] = l
-	s.armLocked(s.lastLease, l)
+	s.resetLeaseTimerLocked(s.lastLease, l)
 	s.recordChangeLocked(Change{LeaseID: s.lastLease, TTL: ttl})
 	return s.lastLease
 }
@@ -30,7 +30,7 @@
 	defer s.mu.Unlock()
 	l := s.leases[id]
 	if l != nil {
-		s.armLocked(id, l)
+		s.resetLeaseTimerLocked(id, l)
 	}
 	return l != nil
 }
@@ -42,8 +42,8 @@
 	s.mu.Unlock()
 }
 
-// armLocked gives a lease its full time. During an outage no lease ends.
-func (s *Store) armLocked(id uint64, l *lease) {
+// resetLeaseTimerLocked gives a lease its full time. During an outage no lease ends.
+func (s *Store) resetLeaseTimerLocked(id uint64, l *lease) {
 	if l.timer != nil {
 		l.timer.Stop()
 	}
--- a/internal/simulation/store_limits_test.go
+++ b/internal/simulation/store_limits_test.go
@@ -11,8 +11,8 @@
 
 func announceLowerLimits(c *cluster) {
 	kb, ops, rps := 2.0, 5, 15.0
-	c.cfg.Deployment.State.Next = config.UpcomingLimits{ValueKB: &kb, TxnOps: &ops, WriteRPS: &rps}
-	c.paced = true
+	c.cfg.Deployment.Store.Next = config.UpcomingLimits{ValueKB: &kb, TxnOps: &ops, WriteRPS: &rps}
+	c.limitLeaderWrites = true
 }
 
 // Limits fall without any notice in the settings: a few writes are refused, none for
@@ -27,7 +27,7 @@
 		c.store.SetLimits(2, 5, 5)
 		c.submit(1, records.Job{ID: "j-3", Tasks: 300, EstimateS: 6})
 		sleep(20)
-		refused := len(c.store.TooLarge())
+		refused := len(c.store.OversizedTransactions())
 		if refused == 0 {
 			t.Error("nothing was refused: nothing was tested")
 		}
@@ -57,8 +57,8 @@
 		for _, id := range []string{"j-1", "j-2", "j-3"} {
 			c.wantDone(at, id)
 		}
-		if n := len(c.store.TooLarge()); n > 30 {
-			t.Errorf("%d writes were refused: %v", n, c.store.TooLarge()[:30])
+		if n := len(c.store.OversizedTransactions()); n > 30 {
+			t.Errorf("%d writes were refused: %v", n, c.store.OversizedTransactions()[:30])
 		}
 	})
 }
--- a/internal/simulation/store_outage_test.go
+++ b/internal/simulation/store_outage_test.go
@@ -60,7 +60,7 @@
 // wantNoneLost wants no task lost by its lease so far; gone wants none of a job on any machine.
 func (g *refusalScenario) wantNoneLost() {
 	g.cluster.t.Helper()
-	if n := countLost(g.cluster); n > 0 {
+	if n := countLostTasks(g.cluster); n > 0 {
 		g.cluster.t.Errorf("%d tasks of jobs that nobody cancelled were lost by their lease, of %d", n, g.starts)
 	}
 }
@@ -198,7 +198,7 @@
 			g.cluster.env.mu.Lock()
 			for _, s := range m.tasks {
 				if s.taskID.Job == "j-4" && s.status == statusRunning {
-					s.status, s.statusSince, s.statusEnds = statusFlushing, time.Now(), time.Now().Add(20*time.Second)
+					s.status, s.statusSince, s.statusEndsAt = statusFlushing, time.Now(), time.Now().Add(20*time.Second)
 				}
 			}
 			g.cluster.env.mu.Unlock()
@@ -329,9 +329,9 @@
 					c.ask(g.other, peer.MethodCancel, "j-5")
 				}
 				sleep(900)
-				c.wantAllKnown()
+				c.wantAllJobsKnown()
 				c.wantNoVanishedMachines()
-				t.Logf("longest on a machine after its cancellation: %v of %v", c.env.LongestAfterCancel(), c.env.CancelLimit)
+				t.Logf("longest on a machine after its cancellation: %v of %v", c.env.MaxCancelLatency(), c.env.CancelLimit)
 			})
 		})
 	}
--- a/internal/simulation/store_watch.go
+++ b/internal/simulation/store_watch.go
@@ -30,7 +30,7 @@
 		case disconnected():
 			return nil, since, records.ErrUnknownOutcome
 		case refused:
-			left = max(left, latency)
+			left = max(left, networkLatency)
 		case compacted:
 			return nil, since, records.ErrCompacted
 		case len(events) > 0 || left <= 0:
--- a/internal/simulation/teams_test.go
+++ b/internal/simulation/teams_test.go
@@ -13,17 +13,17 @@
 // Many teams with quotas, all at their limits: what they use is accounted for as attempts come
 // and go, and no fault may make a team use more than its limit, or wait beside room below it.
 
-const manyTeams = 48
+const teamCount = 48
 
 // runTeamsAtLimit runs a scenario with three controllers in which each team has ten times as much work as
 // its limit lets run. At the end every job has its one answer. (Scenarios hold several faults each: under the
 // race detector a process takes no more than some tens of thousands of timers.)
 func runTeamsAtLimit(t *testing.T, prepare, scenario func(c *cluster)) {
 	t.Helper()
-	const limit, jobs = 2, manyTeams
+	const limit, jobs = 2, teamCount
 	runScenarioWith(t, func(c *cluster) {
 		c.cfg.Deployment.Teams = nil
-		for i := range manyTeams {
+		for i := range teamCount {
 			team := config.Team{Name: fmt.Sprint("team-", i), GuaranteedCPUs: limit / 2, LimitCPUs: limit}
 			c.cfg.Deployment.Teams = append(c.cfg.Deployment.Teams, team)
 		}
@@ -55,7 +55,7 @@
 
 // cancelEvery has users cancel every n-th job, asking again until it is answered.
 func (c *cluster) cancelEvery(every int) {
-	for n := 0; n < manyTeams; n += every {
+	for n := 0; n < teamCount; n += every {
 		id := fmt.Sprint("j-", n)
 		for try := range 20 {
 			if status, _ := c.ask(try%3, peer.MethodCancel, id); status == 200 {
@@ -87,12 +87,12 @@
 		ms := c.env.Machines()
 		hung := ms[:len(ms)/2]
 		for _, m := range hung {
-			m.Hang(true)
+			m.SetHung(true)
 		}
 		c.cancelEvery(3)
 		c.restartLeader(9)
 		for _, m := range hung {
-			m.Hang(false)
+			m.SetHung(false)
 		}
 	})
 }
@@ -116,7 +116,7 @@
 		for i, m := range c.env.Machines() {
 			switch i % 3 {
 			case 0:
-				m.Die()
+				m.Terminate()
 			case 1:
 				m.NotifyPreemption(8 * time.Second)
 			}
--- a/internal/simulation/users_test.go
+++ b/internal/simulation/users_test.go
@@ -19,14 +19,14 @@
 	if n == nil {
 		return 0, ""
 	}
-	out := n.server.Answer(r)
+	out := n.server.HandleRequest(r)
 	var s struct{ Status string }
 	_ = json.Unmarshal(out.Body, &s)
 	return out.Status, s.Status
 }
 
-// jobEvent lets users react to what has just been told of a job.
-func (c *cluster) jobEvent(event, id string) {
+// notifyJobEvent lets users react to what has just been told of a job.
+func (c *cluster) notifyJobEvent(event, id string) {
 	c.mu.Lock()
 	react := c.onJobEvent
 	c.mu.Unlock()
@@ -35,8 +35,8 @@
 	}
 }
 
-// submission returns what a user sends of a job, with defaults for what the test leaves out.
-func (c *cluster) submission(j records.Job) []byte {
+// encodeSubmission returns what a user sends of a job, with defaults for what the test leaves out.
+func (c *cluster) encodeSubmission(j records.Job) []byte {
 	if j.Class == "" {
 		j.Class, j.Image = "any", "img"
 	}
@@ -63,15 +63,15 @@
 // submit has a user submit a job at a node, and returns the status.
 func (c *cluster) submit(i int, j records.Job) int {
 	asked := time.Now()
-	status, _ := c.request(i, peer.RelayRequest{Method: peer.MethodSubmit, Body: c.submission(j)})
-	c.env.NoteSubmission(j.ID, status, asked)
+	status, _ := c.request(i, peer.RelayRequest{Method: peer.MethodSubmit, Body: c.encodeSubmission(j)})
+	c.env.CheckSubmission(j.ID, status, asked)
 	if status == 201 {
 		c.mu.Lock()
 		if !c.cancelledJobs[j.ID] {
 			c.expectedDone = append(c.expectedDone, j.ID)
 		}
 		c.mu.Unlock()
-		c.jobEvent("accepted", j.ID)
+		c.notifyJobEvent("accepted", j.ID)
 	}
 	return status
 }
@@ -79,7 +79,7 @@
 // ask has a user poll or cancel a job at a node, and returns the status and the job's state.
 func (c *cluster) ask(i int, method, id string) (int, string) {
 	if method == peer.MethodCancel {
-		c.env.CancelRequested(id)
+		c.env.RecordCancelRequest(id)
 	}
 	asked := time.Now()
 	status, state := c.request(i, peer.RelayRequest{Method: method, ID: id})
@@ -87,14 +87,14 @@
 	switch {
 	case status == 200:
 		if state == records.StatusCancelled {
-			c.env.CancelConfirmed(id)
+			c.env.RecordCancelConfirmation(id)
 		}
-		final = c.env.NoteAnswer(id, state, asked)
+		final = c.env.CheckAnswer(id, state, asked)
 	case status == 404:
-		c.env.NoteNotFound(id, asked)
+		c.env.CheckNotFound(id, asked)
 	}
 	if final {
-		c.jobEvent(state, id)
+		c.notifyJobEvent(state, id)
 	}
 	return status, state
 }
@@ -113,8 +113,8 @@
 	}
 }
 
-// offer submits a job at a node, and at the next where that does not take it.
-func (c *cluster) offer(i int, j records.Job) {
+// submitToAny submits a job at a node, and at the next where that does not take it.
+func (c *cluster) submitToAny(i int, j records.Job) {
 	for k := range 3 {
 		if status := c.submit((i+k)%3, j); status == 201 || status == 200 {
 			return
--- a/internal/simulation/workload_test.go
+++ b/internal/simulation/workload_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	measure       = flag.Int("measure", 0, "machines of the measurements, which are not tests: 0 leaves them out")
-	runTimeFactor = flag.Float64("stretch", 1, "how many times as long the tasks of the measurements run")
+	measuredMachines = flag.Int("measure", 0, "machines of the measurements, which are not tests: 0 leaves them out")
+	runTimeFactor    = flag.Float64("stretch", 1, "how many times as long the tasks of the measurements run")
 )
 
 // workload is a deployment under steady load of three classes, in simulated time: an urgent one
@@ -24,20 +24,20 @@
 type workload struct {
 	*cluster
 	seed     uint64
-	jobs     map[string]*postedJob
+	jobs     map[string]*submittedJob
 	jobCount int
-	until    time.Time
+	loadEnd  time.Time
 }
 
-type postedJob struct {
-	class    string
-	postedAt time.Time
-	due      time.Duration
-	done     time.Duration // 0: not yet
+type submittedJob struct {
+	class       string
+	submittedAt time.Time
+	deadline    time.Duration
+	doneAfter   time.Duration // 0: not yet
 }
 
-// load keeps a share of the machines busy with jobs that come by chance.
-func (s *workload) load(machines int, share float64) {
+// generateLoad keeps a share of the machines busy with jobs that come by chance.
+func (s *workload) generateLoad(machines int, share float64) {
 	cpus := 4 * float64(machines) * share
 	for i, k := range []struct {
 		class, priority string
@@ -55,7 +55,7 @@
 		every := float64(k.tasks) * k.cpus * k.seconds / (cpus * k.of)
 		r := rand.New(rand.NewPCG(s.seed, uint64(i)))
 		go func() {
-			for time.Now().Before(s.until) {
+			for time.Now().Before(s.loadEnd) {
 				if ctxtime.Sleep(s.ctx, time.Duration(every*r.ExpFloat64()*float64(time.Second))) != nil {
 					return
 				}
@@ -74,7 +74,7 @@
 	s.jobCount++
 	j.ID = fmt.Sprint("j-", s.jobCount)
 	s.cluster.jobs[j.ID] = j
-	s.jobs[j.ID] = &postedJob{class: j.Class, postedAt: time.Now(), due: time.Duration(due * float64(time.Second))}
+	s.jobs[j.ID] = &submittedJob{class: j.Class, submittedAt: time.Now(), deadline: time.Duration(due * float64(time.Second))}
 	s.mu.Unlock()
 	for s.submit(s.jobCount%3, j) != 201 {
 		if ctxtime.Sleep(s.ctx, time.Second) != nil {
@@ -94,16 +94,16 @@
 		since = epoch
 		s.mu.Lock()
 		for _, e := range events {
-			if p := s.jobs[strings.TrimPrefix(e.Write, records.PrefixClosed)]; p != nil && p.done == 0 {
-				p.done = time.Since(p.postedAt)
+			if p := s.jobs[strings.TrimPrefix(e.Write, records.PrefixClosed)]; p != nil && p.doneAfter == 0 {
+				p.doneAfter = time.Since(p.submittedAt)
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-// missedShare returns which share of the jobs of a class missed their deadline, and how many jobs there are.
-func (s *workload) missedShare(class string) (share float64, n int) {
+// missedDeadlineShare returns which share of the jobs of a class missed their deadline, and how many jobs there are.
+func (s *workload) missedDeadlineShare(class string) (share float64, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	late := 0
@@ -111,7 +111,7 @@
 		if p.class != class {
 			continue
 		}
-		if n++; p.done == 0 || p.done > p.due {
+		if n++; p.doneAfter == 0 || p.doneAfter > p.deadline {
 			late++
 		}
 	}
@@ -124,7 +124,7 @@
 	defer s.env.mu.Unlock()
 	n := 0
 	for _, m := range s.env.machines {
-		if m.gone || !selected(m) {
+		if m.terminated || !selected(m) {
 			continue
 		}
 		for _, x := range m.tasks {
@@ -143,20 +143,20 @@
 ) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	runScenarioWith(t, func(c *cluster) {
-		c.cfg.Options.Operators = true
+		c.cfg.Options.OperatorAPI = true
 		c.cfg.Deployment.Workers.HeartbeatS, c.cfg.Deployment.Workers.LeaseS, c.cfg.Deployment.Workers.CancelS = 5, 24, 44
-		c.cfg.Deployment.State.WriteRPS, c.cfg.Deployment.State.RPS, c.cfg.Deployment.Cloud.ListLagS = 20, 150, 4
+		c.cfg.Deployment.Store.WriteRPS, c.cfg.Deployment.Store.RPS, c.cfg.Deployment.Cloud.ListLagS = 20, 150, 4
 		w := c.env
 		w.HeartbeatInterval, w.Lease, w.CancelLimit, w.WorkerVersion = 5*time.Second, 24*time.Second, 44*time.Second, "1"
 		w.ZoneCapacity = machines/4 + 1 // in each of two zones, cheap and ordinary
 		w.Types[0].FetchGBps, w.Types[0].CacheGB = 0.1, 40
-		c.paced = true
+		c.limitLeaderWrites = true
 		if prepare != nil {
 			prepare(c)
 		}
 	}, func(c *cluster) {
 		until := time.Now().Add(time.Duration(seconds * float64(time.Second)))
-		s := &workload{cluster: c, seed: seed, jobs: map[string]*postedJob{}, until: until}
+		s := &workload{cluster: c, seed: seed, jobs: map[string]*submittedJob{}, loadEnd: until}
 		c.env.RunTime = func(task string) time.Duration {
 			id, _, _ := strings.Cut(task, "/")
 			c.mu.Lock()
@@ -164,7 +164,7 @@
 			return time.Duration(c.jobs[id].EstimateS * (0.7 + 0.6*float64(len(task)*7919%100)/100) * float64(time.Second))
 		}
 		go s.recordCompletions()
-		s.load(machines, share)
+		s.generateLoad(machines, share)
 		scenario(s)
 	})
 }
@@ -174,7 +174,7 @@
 //
 //	go test ./internal/simulation -run MeasureDrain -measure 450 -v
 func TestMeasureDrain(t *testing.T) {
-	if *measure == 0 {
+	if *measuredMachines == 0 {
 		t.Skip("a measurement, taken by hand")
 	}
 	t.Log("| machines | way | empty after (s) | work lost (task s) | export late | index late | cleanup late | price |")
@@ -183,7 +183,7 @@
 		late := map[string]float64{}
 		const seeds = 3
 		for seed := range uint64(seeds) {
-			runWorkload(t, seed, *measure, 500, 0.45, nil, func(s *workload) {
+			runWorkload(t, seed, *measuredMachines, 500, 0.45, nil, func(s *workload) {
 				sleep(240)
 				north := func(m *Machine) bool { return m.Zone == "a" }
 				before := s.env.LostWork()
@@ -213,7 +213,7 @@
 				sleep(500)
 				lost += (s.env.LostWork() - before).Seconds() / seeds
 				for _, class := range []string{"export", "index", "cleanup"} {
-					l, _ := s.missedShare(class)
+					l, _ := s.missedDeadlineShare(class)
 					late[class] += l / seeds
 				}
 				_, bills := s.env.History()
@@ -223,7 +223,7 @@
 			})
 		}
 		t.Logf("| %d | %s | %.0f | %.0f | %.3f | %.3f | %.3f | %.2f |",
-			*measure, way, empty, lost, late["export"], late["index"], late["cleanup"], cost)
+			*measuredMachines, way, empty, lost, late["export"], late["index"], late["cleanup"], cost)
 	}
 }
 
@@ -243,12 +243,12 @@
 //
 //	go test ./internal/simulation -run MeasureUpgrade -measure 3000 -v -timeout 1h
 func TestMeasureUpgrade(t *testing.T) {
-	if *measure == 0 {
+	if *measuredMachines == 0 {
 		t.Skip("a measurement, taken by hand")
 	}
 	t.Log("| machines | upgraded after (s) | changes/s before | changes/s during | work lost (task s) | export late |")
 	start := time.Now()
-	runWorkload(t, 1, *measure, 100_000, 0.6, nil, func(s *workload) {
+	runWorkload(t, 1, *measuredMachines, 100_000, 0.6, nil, func(s *workload) {
 		sleep(300)
 		writes := s.writes()
 		sleep(100)
@@ -275,8 +275,8 @@
 			}
 		}
 		took := time.Since(began).Seconds()
-		s.until = time.Now()
-		l, _ := s.missedShare("export")
+		s.loadEnd = time.Now()
+		l, _ := s.missedDeadlineShare("export")
 		during, lost := float64(s.writes()-writes)/took, (s.env.LostWork() - before).Seconds()
 		t.Logf("| %d | %.0f | %.1f | %.1f | %.0f | %.3f |", up, took, rate, during, lost, l)
 	})
--- a/internal/slo/summary.go
+++ b/internal/slo/summary.go
@@ -23,8 +23,8 @@
 	Due       int    // those that have started, or have waited for longer than the bound
 	Late      int    // those that did not start within the bound
 
-	LongestWait time.Duration // of jobs that started until then, of others up to now
-	Waiting     string        // the job that has waited longest of those that have not started; "" if there is none
+	LongestWait       time.Duration // of jobs that started until then, of others up to now
+	LongestWaitingJob string        // the job that has waited longest of those that have not started; "" if there is none
 }
 
 // ShareInTime is the share of the jobs due that started in time; 1 where none is due.
@@ -41,8 +41,8 @@
 // group identifies a summary.
 type group struct{ dimension, name string }
 
-// summaries are being made, at one time and for one bound.
-type summaries struct {
+// summaryBuilder are being made, at one time and for one bound.
+type summaryBuilder struct {
 	tracker *Tracker
 	bound   time.Duration
 	now     time.Time
@@ -52,7 +52,7 @@
 // Summarize returns the summaries by class, team and largest, each by name. bound is how long a job may
 // wait to have started in time.
 func (t *Tracker) Summarize(bound time.Duration, now time.Time) []Summary {
-	sums := &summaries{tracker: t, bound: bound, now: now, byGroup: map[group]*Summary{}}
+	sums := &summaryBuilder{tracker: t, bound: bound, now: now, byGroup: map[group]*Summary{}}
 	byClass := map[string][]string{}
 	for _, id := range t.order {
 		j := t.jobs[id]
@@ -64,7 +64,7 @@
 		byClass[j.class] = append(byClass[j.class], id)
 	}
 	for class, ids := range byClass {
-		for _, id := range t.largest(ids) {
+		for _, id := range t.largestJobs(ids) {
 			sums.add(group{ByLargest, class}, id)
 		}
 	}
@@ -78,20 +78,20 @@
 	return all
 }
 
-// largest returns the largest share of some jobs by room, with all that are as large as the last of
+// largestJobs returns the largest share of some jobs by room, with all that are as large as the last of
 // these. It sorts ids.
-func (t *Tracker) largest(ids []string) []string {
-	slices.SortStableFunc(ids, func(x, y string) int { return cmp.Compare(t.jobs[y].room, t.jobs[x].room) })
+func (t *Tracker) largestJobs(ids []string) []string {
+	slices.SortStableFunc(ids, func(x, y string) int { return cmp.Compare(t.jobs[y].size, t.jobs[x].size) })
 	n := max(int(float64(len(ids))*largestShare), 1)
-	leastRoom := t.jobs[ids[n-1]].room
-	for n < len(ids) && t.jobs[ids[n]].room >= leastRoom {
+	leastRoom := t.jobs[ids[n-1]].size
+	for n < len(ids) && t.jobs[ids[n]].size >= leastRoom {
 		n++
 	}
 	return ids[:n]
 }
 
 // add counts a job in the summary of a group.
-func (s *summaries) add(g group, id string) {
+func (s *summaryBuilder) add(g group, id string) {
 	sum := s.byGroup[g]
 	if sum == nil {
 		sum = &Summary{Dimension: g.dimension, Name: g.name}
@@ -113,7 +113,7 @@
 		sum.Late++
 	}
 	sum.LongestWait = max(sum.LongestWait, waited)
-	if !started && (sum.Waiting == "" || j.waitsSince.Before(s.tracker.jobs[sum.Waiting].waitsSince)) {
-		sum.Waiting = id
+	if !started && (sum.LongestWaitingJob == "" || j.waitsSince.Before(s.tracker.jobs[sum.LongestWaitingJob].waitsSince)) {
+		sum.LongestWaitingJob = id
 	}
 }
--- a/internal/slo/tracker.go
+++ b/internal/slo/tracker.go
@@ -12,7 +12,7 @@
 // job is one that arrived.
 type job struct {
 	class, team string
-	room        float64   // that it needs at once, all tasks together
+	size        float64   // that it needs at once, all tasks together
 	waitsSince  time.Time // when it arrived, or when its dependencies were done
 	started     time.Time // zero: it has not
 	closed      bool      // it is done or cancelled
@@ -52,7 +52,7 @@
 	if t.jobs[id] != nil {
 		return
 	}
-	t.jobs[id] = &job{class: class, team: team, room: room, waitsSince: since}
+	t.jobs[id] = &job{class: class, team: team, size: room, waitsSince: since}
 	t.order = append(t.order, id)
 	// Without the second condition, a new leader that gets tens of thousands of open jobs at once would
 	// scan all of them for each that arrives, though none can be forgotten.
--- a/internal/slo/tracker_test.go
+++ b/internal/slo/tracker_test.go
@@ -26,7 +26,7 @@
 	got := map[string]string{}
 	for _, sum := range tracker.Summarize(100*time.Second, at(300)) {
 		got[sum.Dimension+" "+sum.Name] = fmt.Sprintf("%d arrived, %d started, %d done, %.2f in time, longest %v, waits %s",
-			sum.Arrived, sum.Started, sum.Done, sum.ShareInTime(), sum.LongestWait, sum.Waiting)
+			sum.Arrived, sum.Started, sum.Done, sum.ShareInTime(), sum.LongestWait, sum.LongestWaitingJob)
 	}
 	for what, want := range map[string]string{
 		"class scan":   "22 arrived, 21 started, 1 done, 0.91 in time, longest 4m57s, waits big-1",
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -18,11 +18,11 @@
 )
 
 var (
-	requestSeconds  = metrics.NewHistogram("drumpick_state_request_seconds")
-	refusedTotal    = metrics.NewCounter("drumpick_state_refused_total")
-	throttledTotal  = metrics.NewCounter("drumpick_state_throttled_total")
-	unansweredTotal = metrics.NewCounter("drumpick_state_unanswered_total")
-	heldBackTotal   = metrics.NewCounter("drumpick_state_users_held_back_total")
+	requestSeconds      = metrics.NewHistogram("drumpick_state_request_seconds")
+	refusedTotal        = metrics.NewCounter("drumpick_state_refused_total")
+	throttledTotal      = metrics.NewCounter("drumpick_state_throttled_total")
+	unansweredTotal     = metrics.NewCounter("drumpick_state_unanswered_total")
+	usersThrottledTotal = metrics.NewCounter("drumpick_state_users_held_back_total")
 )
 
 const (
@@ -31,10 +31,10 @@
 	// throttledRetries and userThrottledRetries are how often a throttled request is repeated.
 	throttledRetries     = 3
 	userThrottledRetries = 1
-	// firstRetryShare is the first pause before a retry, as a part of the timeout.
-	firstRetryShare = 20
-	// userWaitShare is how long a user's request waits for its turn, as a part of the timeout.
-	userWaitShare = 2
+	// retryPauseDivisor is the first pause before a retry, as a part of the timeout.
+	retryPauseDivisor = 20
+	// userWaitDivisor is how long a user's request waits for its turn, as a part of the timeout.
+	userWaitDivisor = 2
 )
 
 // Client is a client of the store. It is safe for concurrent use.
@@ -49,7 +49,7 @@
 	timeout      time.Duration
 	leaderWrites *rate.Limiter // the leader's own writes; users' requests do not wait for it
 	userRequests *userThrottle
-	userChanges  *userThrottle // what users' requests change
+	userWrites   *userThrottle // what users' requests change
 
 	started time.Time
 
@@ -76,7 +76,7 @@
 		timeout:      limits.Timeout,
 		leaderWrites: rate.NewLimiter(rate.Limit(leaderWriteRPS), max(int(leaderWriteRPS), 1)),
 		userRequests: newUserThrottle(limits.RPS, limits.Controllers),
-		userChanges:  newUserThrottle(limits.WriteRPS, limits.Controllers),
+		userWrites:   newUserThrottle(limits.WriteRPS, limits.Controllers),
 		started:      time.Now(),
 	}}
 }
@@ -113,21 +113,21 @@
 	return c.lastResponse
 }
 
-func (c *connection) noteOK() {
+func (c *connection) recordOK() {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastOK = now
 }
 
-func (c *connection) noteFailure() {
+func (c *connection) recordFailure() {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastFailure = now
 }
 
-func (c *connection) noteResponse() {
+func (c *connection) recordResponse() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastResponse = time.Now()
@@ -142,7 +142,7 @@
 type request struct {
 	method, uri string
 	body        any // nil for none
-	changes     int // how many keys it changes
+	writes      int // how many keys it changes
 	// shared is set for a request that serves many users at once, and is not held back.
 	shared bool
 }
@@ -154,39 +154,39 @@
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
-	status, body, err = c.http.JSON(r.method, r.uri, r.body, deadline)
+	status, body, err = c.http.DoJSON(r.method, r.uri, r.body, deadline)
 	if err != nil {
 		unansweredTotal.Inc()
-		c.noteFailure()
+		c.recordFailure()
 		return 0, nil, fmt.Errorf("%w: %s %s: %v", records.ErrUnknownOutcome, r.method, r.uri, err)
 	}
 	if timeout <= c.timeout { // watches wait on purpose
 		requestSeconds.UpdateDuration(began)
 	}
-	c.noteResponse()
+	c.recordResponse()
 	switch status {
 	case http.StatusServiceUnavailable:
 		refusedTotal.Inc()
-		c.noteFailure()
+		c.recordFailure()
 		return status, nil, records.ErrUnavailable
 	case http.StatusTooManyRequests:
 		throttledTotal.Inc()
 		return status, nil, records.ErrThrottled
 	}
-	c.noteOK()
+	c.recordOK()
 	return status, body, nil
 }
 
-// do sends a request and repeats it, for a short while, where it is throttled.
-func (c *Client) do(ctx context.Context, r request) (status int, body []byte, err error) {
+// sendWithRetries sends a request and repeats it, for a short while, where it is throttled.
+func (c *Client) sendWithRetries(ctx context.Context, r request) (status int, body []byte, err error) {
 	retries := throttledRetries
 	if c.forUsers {
 		retries = userThrottledRetries
 	}
-	pause := c.timeout / firstRetryShare
+	pause := c.timeout / retryPauseDivisor
 	for try := 0; ; try++ {
-		if c.forUsers && !r.shared && !c.waitForTurn(ctx, r.changes) {
-			heldBackTotal.Inc()
+		if c.forUsers && !r.shared && !c.waitForThrottle(ctx, r.writes) {
+			usersThrottledTotal.Inc()
 			return http.StatusTooManyRequests, nil, records.ErrThrottled
 		}
 		status, body, err = c.send(ctx, r, c.timeout)
@@ -194,10 +194,10 @@
 			return status, body, err
 		}
 		now := time.Now()
-		if r.changes > 0 {
-			c.userChanges.noteThrottled(now)
+		if r.writes > 0 {
+			c.userWrites.recordThrottled(now)
 		}
-		c.userRequests.noteThrottled(now)
+		c.userRequests.recordThrottled(now)
 		if try == retries {
 			return status, body, err
 		}
@@ -208,14 +208,14 @@
 	}
 }
 
-// waitForTurn waits for the turn of a user's request, and reports whether it has come soon
+// waitForThrottle waits for the turn of a user's request, and reports whether it has come soon
 // enough.
-func (c *Client) waitForTurn(ctx context.Context, changes int) bool {
-	end := time.Now().Add(c.timeout / userWaitShare)
+func (c *Client) waitForThrottle(ctx context.Context, changes int) bool {
+	end := time.Now().Add(c.timeout / userWaitDivisor)
 	wait := func(throttle *userThrottle, n int) bool {
 		for {
 			now := time.Now()
-			d := throttle.take(float64(n), now)
+			d := throttle.tryAcquire(float64(n), now)
 			if d == 0 {
 				return true
 			}
@@ -224,5 +224,5 @@
 			}
 		}
 	}
-	return (changes == 0 || wait(c.userChanges, changes)) && wait(c.userRequests, 1)
+	return (changes == 0 || wait(c.userWrites, changes)) && wait(c.userRequests, 1)
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -17,7 +17,7 @@
 var testLimits = Limits{WriteRPS: 20, MaxConnections: 4, Timeout: 100 * time.Millisecond}
 
 // Each answer of the store lets a caller conclude what it says, and nothing else.
-func TestGetTellsAnswersApart(t *testing.T) {
+func TestGetDistinguishesResponses(t *testing.T) {
 	cases := map[string]struct {
 		status       int
 		body         string
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -12,25 +12,25 @@
 	"drumpick/internal/records"
 )
 
-// goldenAnswer is an answer that the store gives.
-type goldenAnswer struct {
+// goldenResponse is an answer that the store gives.
+type goldenResponse struct {
 	status int
 	text   string
 }
 
 // goldenCase is a call of the client, the answers to its requests, and what it returns.
 type goldenCase struct {
-	answers []goldenAnswer
-	call    func() (any, error)
-	want    any
-	err     error
+	responses []goldenResponse
+	call      func() (any, error)
+	want      any
+	err       error
 }
 
-func answer(status int, text string) []goldenAnswer { return []goldenAnswer{{status, text}} }
+func oneResponse(status int, text string) []goldenResponse { return []goldenResponse{{status, text}} }
 
 // Every request to the store goes out as the protocol has it, and every answer of it is read.
 func TestGoldenRequests(t *testing.T) {
-	service := goldentest.NewPeer(t)
+	service := goldentest.NewFakeServer(t)
 	client := NewClient(service.Addr, Limits{RPS: 1000, WriteRPS: 1000, Controllers: 1, MaxConnections: 2, Timeout: 10 * time.Second})
 	f := goldentest.Open(t, "golden-requests.json")
 	for _, cases := range []map[string]goldenCase{
@@ -38,14 +38,14 @@
 	} {
 		for name, x := range cases {
 			t.Run(name, func(t *testing.T) {
-				for _, a := range x.answers {
-					service.Answer(a.status, a.text)
+				for _, a := range x.responses {
+					service.QueueResponse(a.status, a.text)
 				}
 				got, err := x.call()
 				if !reflect.DeepEqual(got, x.want) || !errors.Is(err, x.err) && !reflect.DeepEqual(err, x.err) {
 					t.Errorf("got %+v, %v, want %+v, %v", got, err, x.want, x.err)
 				}
-				f.CheckExchanges(t, name, service.Exchanges(), len(x.answers))
+				f.CheckExchanges(t, name, service.TakeExchanges(), len(x.responses))
 			})
 		}
 	}
@@ -73,16 +73,16 @@
 		{Write: "jobs/open/j-1", Value: json.RawMessage(`{"n":1}`), Revision: 8},
 		{Delete: "jobs/open/j-2", Revision: 9},
 	}
-	pages := []goldenAnswer{
+	pages := []goldenResponse{
 		{200, `{"rows":[` + rowText + `],"more":true,"epoch":9}`},
 		{200, `{"rows":[],"more":false,"epoch":11}`},
 	}
 	return map[string]goldenCase{
-		"read":               {answer(200, rowText), get, &row, nil},
-		"read an absent key": {answer(404, `{"epoch":9}`), get, (*records.KeyValue)(nil), nil},
+		"read":               {oneResponse(200, rowText), get, &row, nil},
+		"read an absent key": {oneResponse(404, `{"epoch":9}`), get, (*records.KeyValue)(nil), nil},
 		"list in pages":      {pages, list, []any{[]records.KeyValue{row}, uint64(9)}, nil},
-		"watch":              {answer(200, watchText), watch, []any{events, uint64(9)}, nil},
-		"watch, too old":     {answer(410, `{}`), watch, []any{[]records.Event(nil), uint64(5)}, records.ErrCompacted},
+		"watch":              {oneResponse(200, watchText), watch, []any{events, uint64(9)}, nil},
+		"watch, too old":     {oneResponse(410, `{}`), watch, []any{[]records.Event(nil), uint64(5)}, records.ErrCompacted},
 	}
 }
 
@@ -93,12 +93,12 @@
 	commitNothing := func() (any, error) { return client.Commit(ctx, nil, nil) }
 	conflict := &records.ConflictError{Failed: []string{"leader"}, Revision: 9}
 	return map[string]goldenCase{
-		"commit":                {answer(200, `{"epoch":9}`), commit, uint64(9), nil},
-		"commit nothing":        {answer(200, `{"epoch":9}`), commitNothing, uint64(9), nil},
-		"commit, conflict":      {answer(409, `{"failed":["leader"],"epoch":9}`), commit, uint64(0), conflict},
-		"commit, no such lease": {answer(400, `{"error":"no such lease"}`), commit, uint64(0), records.ErrLeaseExpired},
-		"commit, malformed":     {answer(400, `{"error":"value too large"}`), commit, uint64(0), records.ErrInvalid},
-		"commit, refused":       {answer(503, `{"error":"unavailable"}`), commit, uint64(0), records.ErrUnavailable},
+		"commit":                {oneResponse(200, `{"epoch":9}`), commit, uint64(9), nil},
+		"commit nothing":        {oneResponse(200, `{"epoch":9}`), commitNothing, uint64(9), nil},
+		"commit, conflict":      {oneResponse(409, `{"failed":["leader"],"epoch":9}`), commit, uint64(0), conflict},
+		"commit, no such lease": {oneResponse(400, `{"error":"no such lease"}`), commit, uint64(0), records.ErrLeaseExpired},
+		"commit, malformed":     {oneResponse(400, `{"error":"value too large"}`), commit, uint64(0), records.ErrInvalid},
+		"commit, refused":       {oneResponse(503, `{"error":"unavailable"}`), commit, uint64(0), records.ErrUnavailable},
 	}
 }
 
@@ -110,9 +110,9 @@
 		return nil, nil
 	}
 	return map[string]goldenCase{
-		"grant":         {answer(200, `{"hold":8}`), grant, uint64(8), nil},
-		"extend":        {answer(200, `{}`), renew, nil, nil},
-		"extend, ended": {answer(404, `{}`), renew, nil, records.ErrLeaseExpired},
-		"drop":          {answer(200, `{}`), revoke, nil, nil},
+		"grant":         {oneResponse(200, `{"hold":8}`), grant, uint64(8), nil},
+		"extend":        {oneResponse(200, `{}`), renew, nil, nil},
+		"extend, ended": {oneResponse(404, `{}`), renew, nil, records.ErrLeaseExpired},
+		"drop":          {oneResponse(200, `{}`), revoke, nil, nil},
 	}
 }
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -13,11 +13,11 @@
 	"drumpick/internal/records"
 )
 
-// pageRows is how many rows a page of a list has.
-const pageRows = 500
+// pageSize is how many rows a page of a list has.
+const pageSize = 500
 
-// leaseGone is the error by which the store refuses a commit that names an expired lease.
-const leaseGone = "no such lease"
+// noSuchLease is the error by which the store refuses a commit that names an expired lease.
+const noSuchLease = "no such lease"
 
 // Bodies of requests and answers.
 type (
@@ -28,30 +28,30 @@
 	leaseRequest struct {
 		LifeMS int64 `json:"life_ms"`
 	}
-	leaseAnswer struct {
+	leaseResponse struct {
 		LeaseID uint64 `json:"hold"`
 	}
-	// revisionAnswer answers a commit, and a read of an absent key.
-	revisionAnswer struct {
+	// revisionResponse answers a commit, and a read of an absent key.
+	revisionResponse struct {
 		Revision uint64 `json:"epoch"`
 	}
-	pageAnswer struct {
+	pageResponse struct {
 		Rows     []records.KeyValue `json:"rows"`
 		More     bool               `json:"more"`
 		Revision uint64             `json:"epoch"`
 	}
-	watchAnswer struct {
+	watchResponse struct {
 		Revision uint64          `json:"epoch"`
 		Events   []records.Event `json:"log"`
 	}
-	errorAnswer struct {
+	errorResponse struct {
 		Error string `json:"error"`
 	}
 )
 
 // Get reads a key. It returns nil when the key is absent.
 func (c *Client) Get(ctx context.Context, key string) (*records.KeyValue, error) {
-	status, body, err := c.do(ctx, request{method: http.MethodGet, uri: "/store/" + key})
+	status, body, err := c.sendWithRetries(ctx, request{method: http.MethodGet, uri: "/store/" + key})
 	if err != nil {
 		return nil, err
 	}
@@ -81,18 +81,18 @@
 	var revision uint64
 	since := ""
 	for {
-		uri := "/store?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(pageRows)
+		uri := "/store?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(pageSize)
 		if since != "" {
 			uri += "&since=" + url.QueryEscape(since)
 		}
-		status, body, err := c.do(ctx, request{method: http.MethodGet, uri: uri, shared: true})
+		status, body, err := c.sendWithRetries(ctx, request{method: http.MethodGet, uri: uri, shared: true})
 		if err != nil {
 			return 0, err
 		}
 		if status != http.StatusOK {
 			return 0, fmt.Errorf("%w: %d for list %s", records.ErrUnexpected, status, prefix)
 		}
-		var page pageAnswer
+		var page pageResponse
 		if err := json.Unmarshal(body, &page); err != nil {
 			return 0, fmt.Errorf("%w: %v", records.ErrUnexpected, err)
 		}
@@ -120,18 +120,18 @@
 	if ops == nil {
 		ops = []records.Op{}
 	}
-	status, body, err := c.do(ctx, request{
-		method:  http.MethodPost,
-		uri:     "/commit",
-		body:    commitRequest{Compares: compares, Ops: ops},
-		changes: len(ops),
+	status, body, err := c.sendWithRetries(ctx, request{
+		method: http.MethodPost,
+		uri:    "/commit",
+		body:   commitRequest{Compares: compares, Ops: ops},
+		writes: len(ops),
 	})
 	if err != nil {
 		return 0, err
 	}
 	switch status {
 	case http.StatusOK:
-		var answer revisionAnswer
+		var answer revisionResponse
 		if err := json.Unmarshal(body, &answer); err != nil || answer.Revision == 0 {
 			// It was executed, but what came back is unreadable: treat it as unknown.
 			return 0, fmt.Errorf("%w: unreadable commit answer", records.ErrUnknownOutcome)
@@ -144,9 +144,9 @@
 		}
 		return 0, &conflict
 	case http.StatusBadRequest:
-		var answer errorAnswer
+		var answer errorResponse
 		_ = json.Unmarshal(body, &answer) // without a text it is invalid as well
-		if answer.Error == leaseGone {
+		if answer.Error == noSuchLease {
 			return 0, records.ErrLeaseExpired
 		}
 		return 0, fmt.Errorf("%w: %s", records.ErrInvalid, answer.Error)
@@ -156,7 +156,7 @@
 
 // GrantLease obtains a lease of the given life and returns its id.
 func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
-	status, body, err := c.do(ctx, request{
+	status, body, err := c.sendWithRetries(ctx, request{
 		method: http.MethodPost,
 		uri:    "/grants",
 		body:   leaseRequest{LifeMS: life.Milliseconds()},
@@ -164,7 +164,7 @@
 	if err != nil {
 		return 0, err
 	}
-	var answer leaseAnswer
+	var answer leaseResponse
 	if status != http.StatusOK || json.Unmarshal(body, &answer) != nil || answer.LeaseID == 0 {
 		return 0, fmt.Errorf("%w: %d for grant", records.ErrUnexpected, status)
 	}
@@ -181,7 +181,7 @@
 	}, timeout)
 	switch {
 	case errors.Is(err, records.ErrThrottled):
-		c.userRequests.noteThrottled(time.Now()) // users make room
+		c.userRequests.recordThrottled(time.Now()) // users make room
 		return err
 	case err != nil:
 		return err
@@ -211,7 +211,7 @@
 	}
 	switch status {
 	case http.StatusOK:
-		var answer watchAnswer
+		var answer watchResponse
 		if err := json.Unmarshal(body, &answer); err != nil || answer.Revision < since {
 			return nil, since, fmt.Errorf("%w: unreadable watch answer", records.ErrUnexpected)
 		}
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -17,11 +17,11 @@
 	maxRate float64 // a second: what the store takes
 	minRate float64 // a second: what is always left to this controller's users
 
-	mu        sync.Mutex // guards the fields below
-	rate      float64    // as of the last cut; it has risen since
-	lastCut   time.Time  // zero: nothing is held back
-	tokens    float64
-	countedAt time.Time // when tokens were last counted
+	mu         sync.Mutex // guards the fields below
+	rate       float64    // as of the last cut; it has risen since
+	lastCut    time.Time  // zero: nothing is held back
+	tokens     float64
+	lastRefill time.Time // when tokens were last counted
 }
 
 const (
@@ -30,8 +30,8 @@
 	usersShare = 0.6
 	// cutFactor is what the rate is multiplied with at a cut.
 	cutFactor = 0.7
-	// fullRiseTime is how long the rate takes to rise from nothing to all of it.
-	fullRiseTime = 10 * time.Second
+	// recoveryTime is how long the rate takes to rise from nothing to all of it.
+	recoveryTime = 10 * time.Second
 	// minCutInterval is how long one cut is given to show before the next.
 	minCutInterval = 250 * time.Millisecond
 	// burstSeconds is for how long at its rate requests may be saved up.
@@ -50,11 +50,11 @@
 
 // rateLocked returns the rate at a time.
 func (t *userThrottle) rateLocked(now time.Time) float64 {
-	return min(t.maxRate, t.rate+t.maxRate*now.Sub(t.lastCut).Seconds()/fullRiseTime.Seconds())
+	return min(t.maxRate, t.rate+t.maxRate*now.Sub(t.lastCut).Seconds()/recoveryTime.Seconds())
 }
 
-// noteThrottled notes that the store has throttled a request.
-func (t *userThrottle) noteThrottled(now time.Time) {
+// recordThrottled notes that the store has throttled a request.
+func (t *userThrottle) recordThrottled(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now.Sub(t.lastCut) < minCutInterval {
@@ -63,14 +63,14 @@
 	rate := t.rateLocked(now)
 	if t.lastCut.IsZero() {
 		t.tokens = 0
-		t.countedAt = now
+		t.lastRefill = now
 	}
 	t.rate = max(rate*cutFactor, t.minRate)
 	t.lastCut = now
 }
 
-// take takes n of what may be sent, or returns how long to wait for them.
-func (t *userThrottle) take(n float64, now time.Time) (wait time.Duration) {
+// tryAcquire takes n of what may be sent, or returns how long to wait for them.
+func (t *userThrottle) tryAcquire(n float64, now time.Time) (wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lastCut.IsZero() || t.maxRate == 0 {
@@ -83,8 +83,8 @@
 	}
 	// At least one request of any size may be saved up.
 	burst := max(rate*burstSeconds, n)
-	t.tokens = min(t.tokens+rate*now.Sub(t.countedAt).Seconds(), burst)
-	t.countedAt = now
+	t.tokens = min(t.tokens+rate*now.Sub(t.lastRefill).Seconds(), burst)
+	t.lastRefill = now
 	if t.tokens >= n {
 		t.tokens -= n
 		return 0
--- a/internal/termcheck/termcheck.go
+++ b/internal/termcheck/termcheck.go
@@ -107,14 +107,14 @@
 		if banned.FieldsOnly && !declared.isField {
 			continue
 		}
-		if strings.Contains(words, " "+banned.Word+" ") && !c.excepted(banned.Word, packageDir) {
+		if strings.Contains(words, " "+banned.Word+" ") && !c.isExcepted(banned.Word, packageDir) {
 			found = append(found, banned)
 		}
 	}
 	return found
 }
 
-func (c Checker) excepted(word, packageDir string) bool {
+func (c Checker) isExcepted(word, packageDir string) bool {
 	return slices.ContainsFunc(c.Exceptions, func(e Exception) bool {
 		return e.Word == word && e.Package == packageDir
 	})
--- a/internal/termcheck/termcheck_test.go
+++ b/internal/termcheck/termcheck_test.go
@@ -10,7 +10,7 @@
 const moduleRoot = "../.."
 
 func TestNoBannedWordsInIdentifiers(t *testing.T) {
-	findings, err := Project().Check(moduleRoot)
+	findings, err := ProjectChecker().Check(moduleRoot)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,7 +20,7 @@
 }
 
 func TestEveryExceptionHasAReasonAndIsNeeded(t *testing.T) {
-	project := Project()
+	project := ProjectChecker()
 	withoutExceptions, err := Checker{Banned: project.Banned}.Check(moduleRoot)
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 `
 
 func TestCheckFindsEachKindOfDeclaration(t *testing.T) {
-	findings := checkSample(t, Project(), "pkg", sample)
+	findings := checkSample(t, ProjectChecker(), "pkg", sample)
 	got := make([]string, 0, len(findings))
 	for _, finding := range findings {
 		got = append(got, finding.String())
@@ -138,7 +138,7 @@
 
 func TestCheckReportsFilesThatCannotBeParsed(t *testing.T) {
 	root := writeSample(t, "pkg", "package")
-	if _, err := Project().Check(root); err == nil {
+	if _, err := ProjectChecker().Check(root); err == nil {
 		t.Error("got no error, want the parser's")
 	}
 }
--- a/internal/termcheck/words.go
+++ b/internal/termcheck/words.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Project returns the checker of this repository: its banned words and where they are allowed.
-func Project() Checker {
+// ProjectChecker returns the checker of this repository: its banned words and where they are allowed.
+func ProjectChecker() Checker {
 	return Checker{Banned: slices.Concat(protocolWords, withdrawnWords), Exceptions: exceptions}
 }
 
--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -17,8 +17,8 @@
 const (
 	// pathCommands is where a worker takes commands.
 	pathCommands = "/orders"
-	// connectionsPerWorker bounds the connections to one worker.
-	connectionsPerWorker = 2
+	// maxConnectionsPerWorker bounds the connections to one worker.
+	maxConnectionsPerWorker = 2
 	// maxAddresses bounds the addresses that are remembered: machines come and go. It lies
 	// above the largest fleet that one leader was seen to carry; beyond it all are forgotten at
 	// once, and each is made anew at its next call, which needs a new connection in any case.
@@ -56,16 +56,16 @@
 		return known
 	}
 	if len(c.clients) >= maxAddresses {
-		c.forgetLocked()
+		c.removeAllLocked()
 	}
-	client := httpclient.New(addr, connectionsPerWorker, c.timeout/2)
+	client := httpclient.New(addr, maxConnectionsPerWorker, c.timeout/2)
 	client.ClosePerCall = true
 	c.clients[addr] = client
 	return client
 }
 
-// forgetLocked forgets all addresses.
-func (c *Caller) forgetLocked() {
+// removeAllLocked forgets all addresses.
+func (c *Caller) removeAllLocked() {
 	for addr, client := range c.clients {
 		client.Close()
 		delete(c.clients, addr)
@@ -88,7 +88,7 @@
 // SendCommands sends commands to the worker at addr. Whether it executed or rejected them,
 // its heartbeat comes back. With an error the outcome is OutcomeUnknown.
 func (c *Caller) SendCommands(addr string, request fleet.CommandRequest) (Outcome, *fleet.Heartbeat, error) {
-	status, body, err := c.client(addr).JSON(http.MethodPost, pathCommands, request, time.Now().Add(c.timeout))
+	status, body, err := c.client(addr).DoJSON(http.MethodPost, pathCommands, request, time.Now().Add(c.timeout))
 	if err != nil {
 		return OutcomeUnknown, nil, fmt.Errorf("worker %s: %w", addr, err)
 	}
--- a/internal/workers/caller_test.go
+++ b/internal/workers/caller_test.go
@@ -15,7 +15,7 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:9000", i/256, i%256) }
 
-func TestAddressesOfWholeFleetAreRemembered(t *testing.T) {
+func TestAddressesOfWholeFleetAreCached(t *testing.T) {
 	const machines = 4500
 	c := NewCaller(2, time.Second)
 	first := c.client(address(0))
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestRememberedAddressesAreBounded(t *testing.T) {
+func TestCachedAddressesAreBounded(t *testing.T) {
 	c := NewCaller(2, time.Second)
 	for i := range 3 * maxAddresses {
 		if c.client(address(i)); len(c.clients) > maxAddresses {
@@ -63,7 +63,7 @@
 
 // Commands go out as the protocol writes them; whatever a worker answers that is not valid is
 // an error, never a heartbeat.
-func TestSendCommandsTellsAnswersApart(t *testing.T) {
+func TestSendCommandsDistinguishesResponses(t *testing.T) {
 	const executed = `{"host":"m-1","stint":1,"tick":9,"baton":41,"shots":[{"shot":"j-1/0","try":2,"status":"flushing"}]}`
 	const rejected = `{"host":"m-1","stint":2,"tick":1,"baton":41,"shots":null}`
 	for name, x := range map[string]struct {
@@ -100,7 +100,7 @@
 }
 
 // No more calls are under way than a caller has slots.
-func TestCallsUnderWayAreBounded(t *testing.T) {
+func TestConcurrentCallsAreBounded(t *testing.T) {
 	const slots, calls = 2, 10
 	c := NewCaller(slots, time.Second)
 	var mu sync.Mutex // guards running and most
--- a/internal/workers/golden_test.go
+++ b/internal/workers/golden_test.go
@@ -11,7 +11,7 @@
 
 // A command goes to a worker as the protocol has it, and the worker's heartbeat is read.
 func TestGoldenCommands(t *testing.T) {
-	worker := goldentest.NewPeer(t)
+	worker := goldentest.NewFakeServer(t)
 	c := NewCaller(1, 10*time.Second)
 	noticeS, graceS := 12.5, 4.0
 	request := fleet.CommandRequest{FencingToken: 41, Incarnation: 1, Commands: []fleet.Command{
@@ -34,12 +34,12 @@
 		"not carried out": {409, OutcomeRejected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			worker.Answer(x.status, text)
+			worker.QueueResponse(x.status, text)
 			outcome, got, err := c.SendCommands(worker.Addr, request)
 			if err != nil || outcome != x.want || !reflect.DeepEqual(*got, want) {
 				t.Errorf("got %d, %+v, %v, want %d, %+v", outcome, got, err, x.want, want)
 			}
-			f.CheckExchanges(t, name, worker.Exchanges(), 1)
+			f.CheckExchanges(t, name, worker.TakeExchanges(), 1)
 		})
 	}
 }
