--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -27,7 +27,7 @@
 // Each answer of the cloud lets a caller conclude what it says. A bad answer is never taken
 // as fact.
 func TestRentDistinguishesResponses(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		status  int
 		body    string
 		want    []string
@@ -41,10 +41,10 @@
 		"cut off":     {200, `{"hosts":`, nil, autoscaler.ErrUnexpected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			client := newFixedResponseClient(t, x.status, x.body)
+			client := newFixedResponseClient(t, test.status, test.body)
 			got, err := client.Rent(t.Context(), autoscaler.RentalRequest{Name: "r-1"})
-			if !errors.Is(err, x.wantErr) || !slices.Equal(got, x.want) || x.want == nil && got != nil {
-				t.Errorf("got %v, %v, want %v, %v", got, err, x.want, x.wantErr)
+			if !errors.Is(err, test.wantErr) || !slices.Equal(got, test.want) || test.want == nil && got != nil {
+				t.Errorf("got %v, %v, want %v, %v", got, err, test.want, test.wantErr)
 			}
 		})
 	}
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -42,7 +42,7 @@
 		Machine: "m 1", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Status: "up", AgeS: 60.5,
 	}}
 	f := goldentest.Open(t, "golden-requests.json")
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		answers []goldenResponse
 		call    func() (any, error)
 		want    any
@@ -57,14 +57,14 @@
 		"list in pages":     {pages, list, machines, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, a := range x.answers {
+			for _, a := range test.answers {
 				service.QueueResponse(a.status, a.text)
 			}
-			got, err := x.call()
-			if !reflect.DeepEqual(got, x.want) || !errors.Is(err, x.err) {
-				t.Errorf("got %+v, %v, want %+v, %v", got, err, x.want, x.err)
+			got, err := test.call()
+			if !reflect.DeepEqual(got, test.want) || !errors.Is(err, test.err) {
+				t.Errorf("got %+v, %v, want %+v, %v", got, err, test.want, test.err)
 			}
-			f.CheckExchanges(t, name, service.TakeExchanges(), len(x.answers))
+			f.CheckExchanges(t, name, service.TakeExchanges(), len(test.answers))
 		})
 	}
 }
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -151,7 +151,7 @@
 		{Node: "n-2", Addr: unreachableAddr(t)},
 		{Node: "n-3", Addr: serve(t, Handlers{})}, // a version that does not know the call
 	}, callTimeout)
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		node, job                             string
 		wantAcknowledged, fails, notSupported bool
 	}{
@@ -162,9 +162,9 @@
 		"unknown node":      {node: "n-9", job: "j-1", fails: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			acknowledged, err := peers.NotifyCancelled(x.node, x.job)
-			if acknowledged != x.wantAcknowledged || (err != nil) != x.fails || errors.Is(err, ErrUnsupported) != x.notSupported {
-				t.Errorf("got %v, %v, want %+v", acknowledged, err, x)
+			acknowledged, err := peers.NotifyCancelled(test.node, test.job)
+			if acknowledged != test.wantAcknowledged || (err != nil) != test.fails || errors.Is(err, ErrUnsupported) != test.notSupported {
+				t.Errorf("got %v, %v, want %+v", acknowledged, err, test)
 			}
 		})
 	}
--- a/internal/peer/messages_test.go
+++ b/internal/peer/messages_test.go
@@ -101,7 +101,7 @@
 // An earlier version knows no dependencies, and says so with a 400, which is no answer for
 // the user.
 func TestFinalReplies(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		status int
 		method string
 		want   bool
@@ -113,9 +113,9 @@
 		{503, MethodSubmit, false},
 		{0, MethodPoll, false},
 	} {
-		reply := RelayReply{Status: x.status}
-		if got := reply.Final(RelayRequest{Method: x.method}); got != x.want {
-			t.Errorf("%d for %s: got %v, want %v", x.status, x.method, got, x.want)
+		reply := RelayReply{Status: test.status}
+		if got := reply.Final(RelayRequest{Method: test.method}); got != test.want {
+			t.Errorf("%d for %s: got %v, want %v", test.status, test.method, got, test.want)
 		}
 	}
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -26,43 +26,43 @@
 )
 
 const (
-	// leaderWriteShare is the leader's part of the write rate; the rest stays free for users.
+	// leaderWriteShare is the leader's share of the write rate; the rest is left to users.
 	leaderWriteShare = 0.5
-	// throttledRetries and userThrottledRetries are how often a throttled request is repeated.
+	// throttledRetries and userThrottledRetries limit the retries of a throttled request.
 	throttledRetries     = 3
 	userThrottledRetries = 1
-	// retryPauseDivisor is the first pause before a retry, as a part of the timeout.
+	// The first pause before a retry is timeout / retryPauseDivisor.
 	retryPauseDivisor = 20
-	// userWaitDivisor is how long a user's request waits for its turn, as a part of the timeout.
+	// A user's request waits for the throttle for at most timeout / userWaitDivisor.
 	userWaitDivisor = 2
 )
 
 // Client is a client of the store. It is safe for concurrent use.
 type Client struct {
 	*connection
-	forUsers bool // its requests are users', and are held back where the store throttles
+	forUsers bool // requests are sent for users and pass the user throttles
 }
 
-// connection is what the views of one connection share.
+// connection is the state that all Clients of one store connection share.
 type connection struct {
 	http         *httpclient.Client
 	timeout      time.Duration
-	leaderWrites *rate.Limiter // the leader's own writes; users' requests do not wait for it
+	leaderWrites *rate.Limiter // limits the leader's own writes, not those of users
 	userRequests *userThrottle
-	userWrites   *userThrottle // what users' requests change
+	userWrites   *userThrottle // limits the keys that users' requests write
 
 	started time.Time
 
 	mu           sync.Mutex // guards the fields below
-	lastOK       time.Time  // when an answer last came in that was no refusal
-	lastFailure  time.Time  // when a request was last refused or not answered
-	lastResponse time.Time  // when anything last came back, a refusal included
+	lastOK       time.Time  // time of the last response other than 429 and 503
+	lastFailure  time.Time  // time of the last 503 or missing response
+	lastResponse time.Time  // time of the last response of any status
 }
 
-// Limits are the rates and bounds of a client.
+// Limits are the store's rate limits and the client's connection limits.
 type Limits struct {
-	RPS            float64 // requests that the store takes a second; 0: not known
-	WriteRPS       float64 // changes that the store takes a second; 0: not known
+	RPS            float64 // requests per second that the store accepts; 0: unknown
+	WriteRPS       float64 // key writes per second that the store accepts; 0: unknown
 	Controllers    int     // controllers that share the rates
 	MaxConnections int
 	Timeout        time.Duration
@@ -81,19 +81,20 @@
 	}}
 }
 
-// ForUsers returns the same connection for users' requests: where the store throttles they
-// wait a moment for their turn, or fail as throttled, and leave the rest to the leader.
+// ForUsers returns a client on the same connection for users' requests. While the store throttles,
+// they wait briefly for the user throttles or fail with records.ErrThrottled, so that the rest of
+// the store's rate stays available to the leader.
 func (c *Client) ForUsers() *Client { return &Client{connection: c.connection, forUsers: true} }
 
-// Health returns when the store last answered (zero: not since the start), whether it fails
-// now, and when the client started.
+// Health returns when the store last served a request (zero: not since the start), whether it has
+// failed since, and when the client started.
 func (c *Client) Health() (lastOK time.Time, failing bool, started time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastOK, c.failingLocked(), c.started
 }
 
-// FailedSince reports whether the last request failed, later than t.
+// FailedSince reports whether the store is failing and the last failure was after t.
 func (c *Client) FailedSince(t time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,8 +103,8 @@
 
 func (c *connection) failingLocked() bool { return c.lastFailure.After(c.lastOK) }
 
-// LastResponse returns when anything last came back from the store, a refusal included, or
-// when the client started.
+// LastResponse returns the time of the store's last response, of any status, or the start of the
+// client if there was none.
 func (c *Client) LastResponse() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +134,7 @@
 	c.lastResponse = time.Now()
 }
 
-// WaitForWrites waits until n of the leader's writes fit into its share of the write rate.
+// WaitForWrites blocks until the leader's share of the write rate allows n writes.
 func (c *Client) WaitForWrites(ctx context.Context, n int) error {
 	return c.leaderWrites.WaitN(ctx, min(n, c.leaderWrites.Burst()))
 }
@@ -142,15 +143,16 @@
 type request struct {
 	method, uri string
 	body        any // nil for none
-	writes      int // how many keys it changes
-	// shared is set for a request that serves many users at once, and is not held back.
+	writes      int // number of keys that the request writes or deletes
+	// shared marks a request that serves many users at once; it bypasses the user throttles.
 	shared bool
 }
 
-// send sends a request once. It fails where the store did not execute it, or may not have.
+// send sends a request once. It returns an error if the store did not execute the request or its
+// outcome is unknown.
 func (c *connection) send(ctx context.Context, r request, timeout time.Duration) (status int, body []byte, err error) {
-	began := time.Now()
-	deadline := began.Add(timeout)
+	start := time.Now()
+	deadline := start.Add(timeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
@@ -160,8 +162,8 @@
 		c.recordFailure()
 		return 0, nil, fmt.Errorf("%w: %s %s: %v", records.ErrUnknownOutcome, r.method, r.uri, err)
 	}
-	if timeout <= c.timeout { // watches wait on purpose
-		requestSeconds.UpdateDuration(began)
+	if timeout <= c.timeout { // excludes watches, which block until a change
+		requestSeconds.UpdateDuration(start)
 	}
 	c.recordResponse()
 	switch status {
@@ -177,14 +179,14 @@
 	return status, body, nil
 }
 
-// sendWithRetries sends a request and repeats it, for a short while, where it is throttled.
+// sendWithRetries sends a request and retries it a few times with backoff while it is throttled.
 func (c *Client) sendWithRetries(ctx context.Context, r request) (status int, body []byte, err error) {
 	retries := throttledRetries
 	if c.forUsers {
 		retries = userThrottledRetries
 	}
 	pause := c.timeout / retryPauseDivisor
-	for try := 0; ; try++ {
+	for retry := 0; ; retry++ {
 		if c.forUsers && !r.shared && !c.waitForThrottle(ctx, r.writes) {
 			usersThrottledTotal.Inc()
 			return http.StatusTooManyRequests, nil, records.ErrThrottled
@@ -198,7 +200,7 @@
 			c.userWrites.recordThrottled(now)
 		}
 		c.userRequests.recordThrottled(now)
-		if try == retries {
+		if retry == retries {
 			return status, body, err
 		}
 		if err := ctxtime.Sleep(ctx, pause/2+rand.N(pause)); err != nil {
@@ -208,9 +210,9 @@
 	}
 }
 
-// waitForThrottle waits for the turn of a user's request, and reports whether it has come soon
-// enough.
-func (c *Client) waitForThrottle(ctx context.Context, changes int) bool {
+// waitForThrottle blocks until the user throttles admit a request that writes so many keys. It
+// returns false if that takes too long or ctx ends.
+func (c *Client) waitForThrottle(ctx context.Context, writes int) bool {
 	end := time.Now().Add(c.timeout / userWaitDivisor)
 	wait := func(throttle *userThrottle, n int) bool {
 		for {
@@ -224,5 +226,5 @@
 			}
 		}
 	}
-	return (changes == 0 || wait(c.userWrites, changes)) && wait(c.userRequests, 1)
+	return (writes == 0 || wait(c.userWrites, writes)) && wait(c.userRequests, 1)
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -16,7 +16,8 @@
 
 var testLimits = Limits{WriteRPS: 20, MaxConnections: 4, Timeout: 100 * time.Millisecond}
 
-// Each answer of the store lets a caller conclude what it says, and nothing else.
+// Get maps each response of the store to one result or error. Only the store's own 404, with a
+// revision, means that a key is absent.
 func TestGetDistinguishesResponses(t *testing.T) {
 	cases := map[string]struct {
 		status       int
@@ -34,33 +35,33 @@
 		"teapot":    {status: 418, body: `{}`, wantErr: records.ErrUnexpected},
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer, ok := cases[strings.TrimPrefix(r.URL.Path, "/store/")]
+		response, ok := cases[strings.TrimPrefix(r.URL.Path, "/store/")]
 		if !ok {
 			t.Errorf("unexpected request %s", r.URL.Path)
 		}
-		w.WriteHeader(answer.status)
-		fmt.Fprint(w, answer.body)
+		w.WriteHeader(response.status)
+		fmt.Fprint(w, response.body)
 	}))
 	defer server.Close()
 	client := NewClient(strings.TrimPrefix(server.URL, "http://"), testLimits)
-	for key, x := range cases {
+	for key, test := range cases {
 		t.Run(key, func(t *testing.T) {
 			row, err := client.Get(context.Background(), key)
-			if !errors.Is(err, x.wantErr) {
-				t.Errorf("got error %v, want %v", err, x.wantErr)
+			if !errors.Is(err, test.wantErr) {
+				t.Errorf("got error %v, want %v", err, test.wantErr)
 			}
 			var revision uint64
 			if row != nil {
 				revision = row.Revision
 			}
-			if (row != nil) != (x.wantRevision != 0) || revision != x.wantRevision {
-				t.Errorf("got %+v, want revision %d", row, x.wantRevision)
+			if (row != nil) != (test.wantRevision != 0) || revision != test.wantRevision {
+				t.Errorf("got %+v, want revision %d", row, test.wantRevision)
 			}
 		})
 	}
 }
 
-// Where nobody listens a commit may have been executed, for all that the caller knows.
+// A commit without a response may have been executed, even if the connection was refused.
 func TestUnansweredCommitHasUnknownOutcome(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -73,6 +74,6 @@
 		t.Errorf("got error %v, want %v", err, records.ErrUnknownOutcome)
 	}
 	if _, failing, _ := client.Health(); !failing {
-		t.Error("a store that does not answer counts as healthy")
+		t.Error("a store that does not respond is reported as healthy")
 	}
 }
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,6 +1,7 @@
-// Package store is the client of the consensus-backed key-value store: it keeps requests
-// within the store's rates, and says what each answer, or none, lets a caller conclude.
+// Package store is the client of the consensus-backed key-value store. It keeps requests within
+// the store's rate limits and reports, for each response or missing response, whether the request
+// was executed.
 //
-// Package records has the records and the errors. The words of the store's protocol stand in
-// paths and in the struct tags of the bodies alone.
+// Package records has the records and the errors. The store's protocol names appear only in paths
+// and in the struct tags of the bodies.
 package store
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -12,13 +12,13 @@
 	"drumpick/internal/records"
 )
 
-// goldenResponse is an answer that the store gives.
+// goldenResponse is a response of the store.
 type goldenResponse struct {
 	status int
 	text   string
 }
 
-// goldenCase is a call of the client, the answers to its requests, and what it returns.
+// goldenCase is a call of the client, the responses to its requests, and the expected result.
 type goldenCase struct {
 	responses []goldenResponse
 	call      func() (any, error)
@@ -28,7 +28,7 @@
 
 func oneResponse(status int, text string) []goldenResponse { return []goldenResponse{{status, text}} }
 
-// Every request to the store goes out as the protocol has it, and every answer of it is read.
+// Requests to the store and its responses keep their wire format.
 func TestGoldenRequests(t *testing.T) {
 	service := goldentest.NewFakeServer(t)
 	client := NewClient(service.Addr, Limits{RPS: 1000, WriteRPS: 1000, Controllers: 1, MaxConnections: 2, Timeout: 10 * time.Second})
@@ -36,16 +36,16 @@
 	for _, cases := range []map[string]goldenCase{
 		goldenReads(t.Context(), client), goldenCommits(t.Context(), client), goldenLeases(t.Context(), client),
 	} {
-		for name, x := range cases {
+		for name, test := range cases {
 			t.Run(name, func(t *testing.T) {
-				for _, a := range x.responses {
-					service.QueueResponse(a.status, a.text)
+				for _, r := range test.responses {
+					service.QueueResponse(r.status, r.text)
 				}
-				got, err := x.call()
-				if !reflect.DeepEqual(got, x.want) || !errors.Is(err, x.err) && !reflect.DeepEqual(err, x.err) {
-					t.Errorf("got %+v, %v, want %+v, %v", got, err, x.want, x.err)
+				got, err := test.call()
+				if !reflect.DeepEqual(got, test.want) || !errors.Is(err, test.err) && !reflect.DeepEqual(err, test.err) {
+					t.Errorf("got %+v, %v, want %+v, %v", got, err, test.want, test.err)
 				}
-				f.CheckExchanges(t, name, service.TakeExchanges(), len(x.responses))
+				f.CheckExchanges(t, name, service.TakeExchanges(), len(test.responses))
 			})
 		}
 	}
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -13,25 +13,25 @@
 	"drumpick/internal/records"
 )
 
-// pageSize is how many rows a page of a list has.
+// pageSize is the maximum number of rows in a page of a list.
 const pageSize = 500
 
-// noSuchLease is the error by which the store refuses a commit that names an expired lease.
+// noSuchLease is the store's error text for a commit that names an expired lease.
 const noSuchLease = "no such lease"
 
-// Bodies of requests and answers.
+// Bodies of requests and responses.
 type (
 	commitRequest struct {
 		Compares []records.Compare `json:"when"`
 		Ops      []records.Op      `json:"writes"`
 	}
 	leaseRequest struct {
-		LifeMS int64 `json:"life_ms"`
+		TTLMS int64 `json:"life_ms"`
 	}
 	leaseResponse struct {
 		LeaseID uint64 `json:"hold"`
 	}
-	// revisionResponse answers a commit, and a read of an absent key.
+	// revisionResponse is the response to a commit.
 	revisionResponse struct {
 		Revision uint64 `json:"epoch"`
 	}
@@ -49,7 +49,7 @@
 	}
 )
 
-// Get reads a key. It returns nil when the key is absent.
+// Get reads a key. It returns nil if the key is absent.
 func (c *Client) Get(ctx context.Context, key string) (*records.KeyValue, error) {
 	status, body, err := c.sendWithRetries(ctx, request{method: http.MethodGet, uri: "/store/" + key})
 	if err != nil {
@@ -57,40 +57,40 @@
 	}
 	switch status {
 	case http.StatusNotFound:
-		// Only the store's own 404, which has a revision, counts as absent.
-		var answer struct {
+		// A 404 without a revision does not come from the store, for example from a proxy.
+		var response struct {
 			Revision *uint64 `json:"epoch"`
 		}
-		if json.Unmarshal(body, &answer) != nil || answer.Revision == nil {
-			return nil, fmt.Errorf("%w: 404 without epoch", records.ErrUnexpected)
+		if json.Unmarshal(body, &response) != nil || response.Revision == nil {
+			return nil, fmt.Errorf("%w: 404 response without epoch", records.ErrUnexpected)
 		}
 		return nil, nil
 	case http.StatusOK:
 		var row records.KeyValue
 		if err := json.Unmarshal(body, &row); err != nil || row.Key != key || row.Revision == 0 {
-			return nil, fmt.Errorf("%w: bad row for %s", records.ErrUnexpected, key)
+			return nil, fmt.Errorf("%w: invalid row for key %s", records.ErrUnexpected, key)
 		}
 		return &row, nil
 	}
-	return nil, fmt.Errorf("%w: %d for %s", records.ErrUnexpected, status, key)
+	return nil, fmt.Errorf("%w: status %d for key %s", records.ErrUnexpected, status, key)
 }
 
-// List calls each for every key under a prefix. The revision returned is that of the first
-// page: a watch from there misses nothing.
+// List calls each for every key under a prefix. It returns the revision of the first page: a watch
+// from there misses no change.
 func (c *Client) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
 	var revision uint64
-	since := ""
+	cursor := ""
 	for {
 		uri := "/store?under=" + url.QueryEscape(prefix) + "&limit=" + strconv.Itoa(pageSize)
-		if since != "" {
-			uri += "&since=" + url.QueryEscape(since)
+		if cursor != "" {
+			uri += "&since=" + url.QueryEscape(cursor)
 		}
 		status, body, err := c.sendWithRetries(ctx, request{method: http.MethodGet, uri: uri, shared: true})
 		if err != nil {
 			return 0, err
 		}
 		if status != http.StatusOK {
-			return 0, fmt.Errorf("%w: %d for list %s", records.ErrUnexpected, status, prefix)
+			return 0, fmt.Errorf("%w: status %d for list of %s", records.ErrUnexpected, status, prefix)
 		}
 		var page pageResponse
 		if err := json.Unmarshal(body, &page); err != nil {
@@ -103,7 +103,7 @@
 			if err := each(row); err != nil {
 				return 0, err
 			}
-			since = row.Key
+			cursor = row.Key
 		}
 		if !page.More || len(page.Rows) == 0 {
 			return revision, nil
@@ -111,11 +111,11 @@
 	}
 }
 
-// Commit applies the changes if all compares hold, and returns the revision. Where they do
-// not, the error is a records.ConflictError.
+// Commit applies the operations if all compares hold and returns the new revision. If one fails,
+// the error is a *records.ConflictError.
 func (c *Client) Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error) {
 	if compares == nil {
-		compares = []records.Compare{} // the store takes no null
+		compares = []records.Compare{} // the store rejects null
 	}
 	if ops == nil {
 		ops = []records.Op{}
@@ -131,12 +131,12 @@
 	}
 	switch status {
 	case http.StatusOK:
-		var answer revisionResponse
-		if err := json.Unmarshal(body, &answer); err != nil || answer.Revision == 0 {
-			// It was executed, but what came back is unreadable: treat it as unknown.
-			return 0, fmt.Errorf("%w: unreadable commit answer", records.ErrUnknownOutcome)
+		var response revisionResponse
+		if err := json.Unmarshal(body, &response); err != nil || response.Revision == 0 {
+			// The commit was executed, but its revision is unknown.
+			return 0, fmt.Errorf("%w: malformed commit response", records.ErrUnknownOutcome)
 		}
-		return answer.Revision, nil
+		return response.Revision, nil
 	case http.StatusConflict:
 		var conflict records.ConflictError
 		if err := json.Unmarshal(body, &conflict); err != nil {
@@ -144,35 +144,35 @@
 		}
 		return 0, &conflict
 	case http.StatusBadRequest:
-		var answer errorResponse
-		_ = json.Unmarshal(body, &answer) // without a text it is invalid as well
-		if answer.Error == noSuchLease {
+		var response errorResponse
+		_ = json.Unmarshal(body, &response) // a 400 without a text means ErrInvalid, too
+		if response.Error == noSuchLease {
 			return 0, records.ErrLeaseExpired
 		}
-		return 0, fmt.Errorf("%w: %s", records.ErrInvalid, answer.Error)
+		return 0, fmt.Errorf("%w: %s", records.ErrInvalid, response.Error)
 	}
-	return 0, fmt.Errorf("%w: %d for commit", records.ErrUnexpected, status)
+	return 0, fmt.Errorf("%w: status %d for commit", records.ErrUnexpected, status)
 }
 
-// GrantLease obtains a lease of the given life and returns its id.
-func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
+// GrantLease obtains a lease with the given time to live and returns its id.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	status, body, err := c.sendWithRetries(ctx, request{
 		method: http.MethodPost,
 		uri:    "/grants",
-		body:   leaseRequest{LifeMS: life.Milliseconds()},
+		body:   leaseRequest{TTLMS: ttl.Milliseconds()},
 	})
 	if err != nil {
 		return 0, err
 	}
-	var answer leaseResponse
-	if status != http.StatusOK || json.Unmarshal(body, &answer) != nil || answer.LeaseID == 0 {
-		return 0, fmt.Errorf("%w: %d for grant", records.ErrUnexpected, status)
+	var response leaseResponse
+	if status != http.StatusOK || json.Unmarshal(body, &response) != nil || response.LeaseID == 0 {
+		return 0, fmt.Errorf("%w: status %d for lease grant", records.ErrUnexpected, status)
 	}
-	return answer.LeaseID, nil
+	return response.LeaseID, nil
 }
 
-// RenewLease renews a lease. records.ErrLeaseExpired means that it has ended. A throttled
-// renewal is not repeated here: the caller knows how much time is left.
+// RenewLease renews a lease. records.ErrLeaseExpired means that it has expired. A throttled
+// renewal is not retried here: the caller knows how much time is left.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64, timeout time.Duration) error {
 	status, _, err := c.send(ctx, request{
 		method: http.MethodPost,
@@ -181,7 +181,7 @@
 	}, timeout)
 	switch {
 	case errors.Is(err, records.ErrThrottled):
-		c.userRequests.recordThrottled(time.Now()) // users make room
+		c.userRequests.recordThrottled(time.Now()) // slows users down in favor of the next renewal
 		return err
 	case err != nil:
 		return err
@@ -190,10 +190,10 @@
 	case status == http.StatusNotFound:
 		return records.ErrLeaseExpired
 	}
-	return fmt.Errorf("%w: %d for extend", records.ErrUnexpected, status)
+	return fmt.Errorf("%w: status %d for lease renewal", records.ErrUnexpected, status)
 }
 
-// RevokeLease ends a lease. Nothing depends on its success: a lease that stays expires.
+// RevokeLease revokes a lease. Errors are ignored: a lease that is not revoked expires.
 func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) {
 	_, _, _ = c.send(ctx, request{
 		method: http.MethodDelete,
@@ -201,8 +201,8 @@
 	}, c.timeout)
 }
 
-// Watch waits until something under a prefix changes after the given revision, or the wait is
-// over. It returns the changes and the revision to go on from.
+// Watch blocks until a key under a prefix changes after revision since, or until wait is over. It
+// returns the changes and the revision from which to continue.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error) {
 	uri := fmt.Sprintf("/watch?under=%s&since=%d&wait_ms=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
 	status, body, err := c.send(ctx, request{method: http.MethodGet, uri: uri}, wait+c.timeout)
@@ -211,13 +211,13 @@
 	}
 	switch status {
 	case http.StatusOK:
-		var answer watchResponse
-		if err := json.Unmarshal(body, &answer); err != nil || answer.Revision < since {
-			return nil, since, fmt.Errorf("%w: unreadable watch answer", records.ErrUnexpected)
+		var response watchResponse
+		if err := json.Unmarshal(body, &response); err != nil || response.Revision < since {
+			return nil, since, fmt.Errorf("%w: malformed watch response", records.ErrUnexpected)
 		}
-		return answer.Events, answer.Revision, nil
+		return response.Events, response.Revision, nil
 	case http.StatusGone:
 		return nil, since, records.ErrCompacted
 	}
-	return nil, since, fmt.Errorf("%w: %d for watch", records.ErrUnexpected, status)
+	return nil, since, fmt.Errorf("%w: status %d for watch", records.ErrUnexpected, status)
 }
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// userThrottle holds users' requests to what the store takes, so that the leader's own are
-// served: the renewal of its lease first of all. As long as the store throttles nobody it
-// lets everything pass. Each time the store does, the users' rate is cut by a part, down to
-// this controller's part of their share of the store's rate; then it rises again by itself.
+// userThrottle is a token bucket that adapts the rate of users' requests to what the store
+// accepts, so that the leader's own requests are served, above all its lease renewals. While the
+// store throttles no request, every request passes. Each 429 multiplies the rate by cutFactor,
+// down to this controller's part of the users' share of the store's rate; then the rate rises
+// linearly.
 //
-// Without it, users who poll and submit everywhere at once could take the leader's lease:
-// every request over the rate is answered with a 429, whoever sent it, and leaders lost their
-// leases by that, one after the other.
+// Without it, users who poll and submit at all controllers at once make leaders lose their leases
+// in succession: the store rejects every request over its rate with a 429, whoever sends it.
 type userThrottle struct {
-	maxRate float64 // a second: what the store takes
-	minRate float64 // a second: what is always left to this controller's users
+	maxRate float64 // per second: the store's rate limit
+	minRate float64 // per second: always available to this controller's users
 
 	mu         sync.Mutex // guards the fields below
-	rate       float64    // as of the last cut; it has risen since
-	lastCut    time.Time  // zero: nothing is held back
+	rate       float64    // per second, right after the last cut
+	lastCut    time.Time  // zero: the throttle is inactive
 	tokens     float64
-	lastRefill time.Time // when tokens were last counted
+	lastRefill time.Time
 }
 
 const (
-	// usersShare is the part of the store's rate that users' requests may take when it throttles,
-	// all controllers together.
+	// usersShare is the share of the store's rate that the users of all controllers keep while the
+	// store throttles.
 	usersShare = 0.6
-	// cutFactor is what the rate is multiplied with at a cut.
+	// cutFactor multiplies the rate at a cut.
 	cutFactor = 0.7
-	// recoveryTime is how long the rate takes to rise from nothing to all of it.
+	// recoveryTime is how long the rate takes to rise from zero to maxRate.
 	recoveryTime = 10 * time.Second
-	// minCutInterval is how long one cut is given to show before the next.
+	// minCutInterval lets one cut take effect before the next.
 	minCutInterval = 250 * time.Millisecond
-	// burstSeconds is for how long at its rate requests may be saved up.
+	// burstSeconds is the bucket size, in seconds at the current rate.
 	burstSeconds = 0.5
 )
 
-// newUserThrottle returns the throttle of one of so many controllers for a rate of the store
-// a second; 0: the rate is not known, and nothing is held back.
+// newUserThrottle returns the throttle of one of the given number of controllers, for a store rate
+// per second. If the rate is 0 (unknown), the throttle never delays a request.
 func newUserThrottle(rate float64, controllers int) *userThrottle {
 	return &userThrottle{
 		maxRate: rate,
@@ -48,12 +48,12 @@
 	}
 }
 
-// rateLocked returns the rate at a time.
+// rateLocked returns the rate at now, per second. The caller must hold mu.
 func (t *userThrottle) rateLocked(now time.Time) float64 {
 	return min(t.maxRate, t.rate+t.maxRate*now.Sub(t.lastCut).Seconds()/recoveryTime.Seconds())
 }
 
-// recordThrottled notes that the store has throttled a request.
+// recordThrottled cuts the rate after a 429 from the store.
 func (t *userThrottle) recordThrottled(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +69,7 @@
 	t.lastCut = now
 }
 
-// tryAcquire takes n of what may be sent, or returns how long to wait for them.
+// tryAcquire takes n tokens and returns 0, or takes none and returns how long to wait for them.
 func (t *userThrottle) tryAcquire(n float64, now time.Time) (wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +81,7 @@
 		t.lastCut = time.Time{}
 		return 0
 	}
-	// At least one request of any size may be saved up.
+	// The bucket holds at least one request of any size.
 	burst := max(rate*burstSeconds, n)
 	t.tokens = min(t.tokens+rate*now.Sub(t.lastRefill).Seconds(), burst)
 	t.lastRefill = now
--- a/internal/store/throttle_test.go
+++ b/internal/store/throttle_test.go
@@ -12,40 +12,40 @@
 	simulatedStep        = 5 * time.Millisecond
 	simulatedDuration    = 2 * time.Minute
 	simulatedWarmUp      = 10 * time.Second
-	leaderRPS            = 20 // requests of the leader's own
-	usersRPS             = 40 // requests of users at each controller
+	leaderRPS            = 20 // the leader's own requests
+	usersRPS             = 40 // users' requests, at each controller
 	leaderRetries        = 3
 	leaderRetryPause     = 50 * time.Millisecond
 )
 
-// loadSimulation simulates controllers whose users ask many times over what the store takes, and a
-// leader among them.
+// loadSimulation simulates controllers, one of them the leader, whose users together send several
+// times the request rate that the store accepts.
 type loadSimulation struct {
 	random       *rand.Rand
 	throttles    []*userThrottle // by controller, the leader first
-	useThrottles bool            // users ask the throttles first
+	useThrottles bool            // users' requests pass the throttles
 	now          time.Time
-	storeTokens  float64 // of the store: bursts of a second's worth
+	storeTokens  float64 // the store's token bucket, for bursts of one second
 	pending      []leaderRequest
 
 	leaderSent, leaderServed, usersServed float64
 }
 
-// leaderRequest is one that is repeated where it is throttled.
+// leaderRequest is a leader's request that is retried if it is throttled.
 type leaderRequest struct {
-	at  time.Time
-	try int
+	at      time.Time
+	retries int
 }
 
-func newLoadSimulation(throttled bool) *loadSimulation {
-	l := &loadSimulation{random: rand.New(rand.NewPCG(1, 2)), useThrottles: throttled, now: time.Unix(1_000_000, 0), storeTokens: simulatedRPS}
+func newLoadSimulation(useThrottles bool) *loadSimulation {
+	l := &loadSimulation{random: rand.New(rand.NewPCG(1, 2)), useThrottles: useThrottles, now: time.Unix(1_000_000, 0), storeTokens: simulatedRPS}
 	for range simulatedControllers {
 		l.throttles = append(l.throttles, newUserThrottle(simulatedRPS, simulatedControllers))
 	}
 	return l
 }
 
-// send sends a request to the store, and reports whether it was served; otherwise it was throttled.
+// send sends a request to the store and reports whether it was served rather than throttled.
 func (l *loadSimulation) send(throttle *userThrottle) bool {
 	if l.storeTokens < 1 {
 		throttle.recordThrottled(l.now)
@@ -55,7 +55,7 @@
 	return true
 }
 
-// arrives draws whether one of so many requests a second comes in this step.
+// arrives draws whether a request arrives in this step, at the given rate.
 func (l *loadSimulation) arrives(rps float64) bool {
 	return l.random.Float64() < rps*simulatedStep.Seconds()
 }
@@ -83,8 +83,8 @@
 		request := l.pending[0]
 		l.pending = l.pending[1:]
 		served := l.send(l.throttles[0])
-		if !served && request.try < leaderRetries {
-			l.pending = append(l.pending, leaderRequest{at: l.now.Add(leaderRetryPause), try: request.try + 1})
+		if !served && request.retries < leaderRetries {
+			l.pending = append(l.pending, leaderRequest{at: l.now.Add(leaderRetryPause), retries: request.retries + 1})
 			continue
 		}
 		if counted {
@@ -96,17 +96,17 @@
 	}
 }
 
-// servedLeaderShare is the part of the leader's requests that is served within their retries.
+// servedLeaderShare is the share of the leader's requests that is served within the retries.
 func (l *loadSimulation) servedLeaderShare() float64 { return l.leaderServed / l.leaderSent }
 
-// usersRateShare is the part of the store's rate that users get.
+// usersRateShare is the share of the store's rate that serves users' requests.
 func (l *loadSimulation) usersRateShare() float64 {
 	return l.usersServed / (simulatedDuration.Seconds() * simulatedRPS)
 }
 
-// Users ask and submit everywhere at once, many times over what the store takes, beside a
-// leader's own requests. Nearly all of the leader's are served within a few tries, users get
-// the rest, and once they are gone nothing is held back any more.
+// Users at all controllers together send several times the rate that the store accepts. The
+// throttles keep nearly all of the leader's own requests served within a few retries, leave users
+// the rest, and are inactive again after the load.
 func TestUserThrottleKeepsLeaderServed(t *testing.T) {
 	l := newLoadSimulation(true)
 	l.run()
@@ -118,19 +118,19 @@
 	for i, throttle := range l.throttles {
 		for range 100 {
 			if wait := throttle.tryAcquire(1, later); wait != 0 {
-				t.Fatalf("controller %d holds a request back for %v after the load, want 0", i, wait)
+				t.Fatalf("controller %d delays a request by %v after the load, want 0", i, wait)
 			}
 		}
 	}
 }
 
-// Without throttles the leader's lease would go unrenewed: the load of the test above is one
-// that they have to stand.
+// Checks that the load of TestUserThrottleKeepsLeaderServed starves the leader if users are not
+// throttled, so that its lease would expire.
 func TestLoadWithoutUserThrottleStarvesLeader(t *testing.T) {
 	l := newLoadSimulation(false)
 	l.run()
 	if l.servedLeaderShare() > 0.5 {
-		t.Errorf("%.2f of the leader's requests are served, want at most 0.5: nothing was tested", l.servedLeaderShare())
+		t.Errorf("%.2f of the leader's requests are served, want at most 0.5: the load is too low to test throttling", l.servedLeaderShare())
 	}
 }
 
@@ -138,7 +138,7 @@
 	for range 1000 {
 		throttle := newUserThrottle(simulatedRPS, simulatedControllers)
 		if wait := throttle.tryAcquire(1, time.Unix(1, 0)); wait != 0 {
-			t.Fatalf("held back for %v, want 0", wait)
+			t.Fatalf("request is delayed by %v, want 0", wait)
 		}
 	}
 }
--- a/internal/workers/caller_test.go
+++ b/internal/workers/caller_test.go
@@ -66,7 +66,7 @@
 func TestSendCommandsDistinguishesResponses(t *testing.T) {
 	const executed = `{"host":"m-1","stint":1,"tick":9,"baton":41,"shots":[{"shot":"j-1/0","try":2,"status":"flushing"}]}`
 	const rejected = `{"host":"m-1","stint":2,"tick":1,"baton":41,"shots":null}`
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		status int
 		body   string
 		want   Outcome
@@ -78,13 +78,13 @@
 		"malformed":         {400, `{}`, OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			worker := &fakeWorker{status: x.status, body: x.body}
+			worker := &fakeWorker{status: test.status, body: test.body}
 			server := httptest.NewServer(worker)
 			defer server.Close()
 			c := NewCaller(2, 5*time.Second)
 			outcome, heartbeat, err := c.SendCommands(strings.TrimPrefix(server.URL, "http://"), killRequest())
-			if outcome != x.want || (err == nil) != (x.want != OutcomeUnknown) {
-				t.Errorf("got %d, %v, want %d", outcome, err, x.want)
+			if outcome != test.want || (err == nil) != (test.want != OutcomeUnknown) {
+				t.Errorf("got %d, %v, want %d", outcome, err, test.want)
 			}
 			if err == nil && heartbeat.Machine != "m-1" || err != nil && heartbeat != nil {
 				t.Errorf("got %+v, %v, want the heartbeat of m-1 or an error", heartbeat, err)
--- a/internal/workers/golden_test.go
+++ b/internal/workers/golden_test.go
@@ -26,7 +26,7 @@
 		Tasks: []fleet.TaskStatus{{Task: "j-1/0", Attempt: 2, Status: "ended", Cause: fleet.CauseStopped, CheckpointSaved: true}},
 	}
 	f := goldentest.Open(t, "golden-orders.json")
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		status int
 		want   Outcome
 	}{
@@ -34,10 +34,10 @@
 		"not carried out": {409, OutcomeRejected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			worker.QueueResponse(x.status, text)
+			worker.QueueResponse(test.status, text)
 			outcome, got, err := c.SendCommands(worker.Addr, request)
-			if err != nil || outcome != x.want || !reflect.DeepEqual(*got, want) {
-				t.Errorf("got %d, %+v, %v, want %d, %+v", outcome, got, err, x.want, want)
+			if err != nil || outcome != test.want || !reflect.DeepEqual(*got, want) {
+				t.Errorf("got %d, %+v, %v, want %d, %+v", outcome, got, err, test.want, want)
 			}
 			f.CheckExchanges(t, name, worker.TakeExchanges(), 1)
 		})
