--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,8 +1,8 @@
-// Package cloud is the client of the cloud, where machines are rented by the second to scale
-// out and returned to scale in.
+// Package cloud is the client of the cloud API, which rents machines by the second to scale out
+// and takes them back to scale in.
 //
-// The errors are those of package autoscaler, which decides by them. The words of the cloud's
-// protocol stand in paths and struct tags alone.
+// Its errors are those of package autoscaler. The cloud's protocol names appear only in paths and
+// struct tags.
 package cloud
 
 import (
@@ -22,29 +22,29 @@
 )
 
 const (
-	// requestShare is the part of the cloud's rate that all calls take together, and
-	// rentalShare the part that rentals take of it.
+	// requestShare is the share of the cloud's rate limit that all calls together may use, and
+	// rentalShare the share of the rate limit that rentals may use.
 	requestShare = 0.9
 	rentalShare  = 0.5
 	// maxConnections bounds the connections to the cloud.
 	maxConnections = 8
-	// pageSize is how many machines a page of the list has.
+	// pageSize is the maximum number of machines in a page of a list.
 	pageSize = 500
-	// noCapacity is the error by which the cloud says that it has no such machines now.
+	// noCapacity is the cloud's error text if no machine of the type is available.
 	noCapacity = "no capacity"
 )
 
-// Client calls the cloud within its rate. It is safe for concurrent use.
+// Client calls the cloud within its rate limit. It is safe for concurrent use.
 type Client struct {
 	http     *httpclient.Client
-	requests *rate.Limiter // of all calls
-	rentals  *rate.Limiter // of rentals, besides
+	requests *rate.Limiter // for all calls
+	rentals  *rate.Limiter // for rentals, in addition
 	timeout  time.Duration
 }
 
-// NewClient returns a client that keeps to a share of the cloud's rate. Rentals have
-// a smaller one: while the cloud refuses, they are tried again and again, and lists
-// and returns, on which a failover waits, must not queue behind them.
+// NewClient returns a client that uses a share of the cloud's rate limit, in requests per second.
+// Rentals have a smaller share: they are retried while the cloud rejects them, and lists and
+// returns, on which a failover waits, must not queue behind them.
 func NewClient(addr string, rps float64, timeout time.Duration) *Client {
 	return &Client{
 		http:     httpclient.New(addr, maxConnections, timeout/2),
@@ -54,10 +54,10 @@
 	}
 }
 
-// newLimiter returns a limiter with bursts of a second's worth, at least of one request.
+// newLimiter returns a limiter with bursts of one second, at least of one request.
 func newLimiter(rps float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(rps), max(int(rps), 1)) }
 
-// Bodies of requests and answers.
+// Bodies of requests and responses.
 type (
 	rentalResponse struct {
 		Machines []string `json:"hosts"`
@@ -74,7 +74,7 @@
 	}
 )
 
-// call sends a request and reads the answer into out, unless that is nil.
+// call sends a request and decodes the response body into out, unless out is nil.
 func (c *Client) call(ctx context.Context, method, uri string, body, out any) error {
 	if err := c.requests.Wait(ctx); err != nil {
 		return err
@@ -95,44 +95,45 @@
 	case http.StatusTooManyRequests:
 		return autoscaler.ErrUnavailable
 	case http.StatusServiceUnavailable:
-		var answer errorResponse
-		_ = json.Unmarshal(raw, &answer) // without a text it is an outage
-		if answer.Error == noCapacity {
+		var response errorResponse
+		_ = json.Unmarshal(raw, &response) // a 503 without a text means ErrUnavailable
+		if response.Error == noCapacity {
 			return autoscaler.ErrNoCapacity
 		}
 		return autoscaler.ErrUnavailable
 	}
-	return fmt.Errorf("%w: %d for %s", autoscaler.ErrUnexpected, status, uri)
+	return fmt.Errorf("%w: status %d for %s", autoscaler.ErrUnexpected, status, uri)
 }
 
-// Types returns the types of machines that the cloud offers, at current prices.
+// Types returns the machine types that the cloud offers, at current prices.
 func (c *Client) Types(ctx context.Context) ([]records.MachineType, error) {
-	var answer records.MachineTypes
-	if err := c.call(ctx, http.MethodGet, "/machine_types", nil, &answer); err != nil {
+	var response records.MachineTypes
+	if err := c.call(ctx, http.MethodGet, "/machine_types", nil, &response); err != nil {
 		return nil, err
 	}
-	for _, t := range answer.Types {
+	for _, t := range response.Types {
 		if t.Name == "" || t.CPUs < 0 || t.MemGB < 0 || t.GPUs < 0 || t.StartupS < 0 || len(t.Zones) == 0 {
-			return nil, fmt.Errorf("%w: machine type %q makes no sense", autoscaler.ErrUnexpected, t.Name)
+			return nil, fmt.Errorf("%w: invalid machine type %q", autoscaler.ErrUnexpected, t.Name)
 		}
 	}
-	if len(answer.Types) == 0 {
+	if len(response.Types) == 0 {
 		return nil, fmt.Errorf("%w: no machine types", autoscaler.ErrUnexpected)
 	}
-	return answer.Types, nil
+	return response.Types, nil
 }
 
-// Rent asks for machines and returns those rented, up to the count.
+// Rent requests machines and returns the names of those rented, at most request.Count.
 func (c *Client) Rent(ctx context.Context, request autoscaler.RentalRequest) ([]string, error) {
 	if err := c.rentals.Wait(ctx); err != nil {
 		return nil, err
 	}
-	var answer rentalResponse
-	err := c.call(ctx, http.MethodPost, "/machines", request, &answer)
-	return answer.Machines, err
+	var response rentalResponse
+	err := c.call(ctx, http.MethodPost, "/machines", request, &response)
+	return response.Machines, err
 }
 
-// Return gives machines back; when it succeeds, they and all on them are gone.
+// Return returns machines to the cloud. If it succeeds, the machines and everything on them are
+// terminated.
 func (c *Client) Return(ctx context.Context, machines []string) error {
 	return c.call(ctx, http.MethodPost, "/machines/return", returnRequest{Machines: machines}, nil)
 }
@@ -140,11 +141,11 @@
 // List returns all rented machines.
 func (c *Client) List(ctx context.Context) ([]autoscaler.CloudMachine, error) {
 	var all []autoscaler.CloudMachine
-	since := ""
+	cursor := ""
 	for {
 		uri := "/machines?limit=" + strconv.Itoa(pageSize)
-		if since != "" {
-			uri += "&since=" + url.QueryEscape(since)
+		if cursor != "" {
+			uri += "&since=" + url.QueryEscape(cursor)
 		}
 		var page pageResponse
 		if err := c.call(ctx, http.MethodGet, uri, nil, &page); err != nil {
@@ -154,6 +155,6 @@
 		if !page.More || len(page.Machines) == 0 {
 			return all, nil
 		}
-		since = page.Machines[len(page.Machines)-1].Machine
+		cursor = page.Machines[len(page.Machines)-1].Machine
 	}
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -13,7 +13,7 @@
 	"drumpick/internal/autoscaler"
 )
 
-// newFixedResponseClient returns a client of a cloud that gives one answer to everything.
+// newFixedResponseClient returns a client of a fake cloud that gives every request the same response.
 func newFixedResponseClient(t *testing.T, status int, body string) *Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -24,8 +24,8 @@
 	return NewClient(strings.TrimPrefix(server.URL, "http://"), 1000, time.Second)
 }
 
-// Each answer of the cloud lets a caller conclude what it says. A bad answer is never taken
-// as fact.
+// Rent maps each response of the cloud to one result or error. A malformed response is never
+// reported as a rental.
 func TestRentDistinguishesResponses(t *testing.T) {
 	for name, test := range map[string]struct {
 		status  int
@@ -59,14 +59,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if types, err := newFixedResponseClient(t, 200, body).Types(t.Context()); err == nil {
-				t.Errorf("%s: taken for machine types %v", body, types)
+				t.Errorf("%s: accepted as machine types %v, want an error", body, types)
 			}
 		})
 	}
 }
 
-// Rentals that are refused and tried again leave room for lists and returns, and all
-// calls together stay below the cloud's rate.
+// Rentals that are rejected and retried must not delay lists and returns, and all calls together
+// must stay below the cloud's rate limit.
 func TestRentalsLeaveRoomForOtherCalls(t *testing.T) {
 	for _, rps := range []float64{0.5, 3, 4, 100} {
 		c := NewClient("127.0.0.1:1", rps, time.Second)
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -11,7 +11,7 @@
 	"drumpick/internal/records"
 )
 
-// goldenResponse is an answer that the cloud gives.
+// goldenResponse is a response of the cloud.
 type goldenResponse struct {
 	status int
 	text   string
@@ -19,7 +19,7 @@
 
 func oneResponse(status int, text string) []goldenResponse { return []goldenResponse{{status, text}} }
 
-// Every request to the cloud goes out as the protocol has it, and every answer of it is read.
+// Requests to the cloud and its responses keep their wire format.
 func TestGoldenRequests(t *testing.T) {
 	service := goldentest.NewFakeServer(t)
 	client := NewClient(service.Addr, 1000, 10*time.Second)
@@ -43,10 +43,10 @@
 	}}
 	f := goldentest.Open(t, "golden-requests.json")
 	for name, test := range map[string]struct {
-		answers []goldenResponse
-		call    func() (any, error)
-		want    any
-		err     error
+		responses []goldenResponse
+		call      func() (any, error)
+		want      any
+		err       error
 	}{
 		"machine types":     {oneResponse(200, typesText), types, machineTypes, nil},
 		"rent":              {oneResponse(200, `{"hosts":["m-1","m-2"]}`), rent, []string{"m-1", "m-2"}, nil},
@@ -57,14 +57,14 @@
 		"list in pages":     {pages, list, machines, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, a := range test.answers {
-				service.QueueResponse(a.status, a.text)
+			for _, r := range test.responses {
+				service.QueueResponse(r.status, r.text)
 			}
 			got, err := test.call()
 			if !reflect.DeepEqual(got, test.want) || !errors.Is(err, test.err) {
 				t.Errorf("got %+v, %v, want %+v, %v", got, err, test.want, test.err)
 			}
-			f.CheckExchanges(t, name, service.TakeExchanges(), len(test.answers))
+			f.CheckExchanges(t, name, service.TakeExchanges(), len(test.responses))
 		})
 	}
 }
--- a/internal/ctxtime/ctxtime.go
+++ b/internal/ctxtime/ctxtime.go
@@ -1,4 +1,4 @@
-// Package ctxtime waits for a time in ways that end with a context.
+// Package ctxtime provides waits that end early with a context.
 package ctxtime
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d. It returns early with the context's error when ctx ends first.
+// Sleep waits for d. If ctx ends first, it returns early with the error of ctx.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/ctxtime/ctxtime_test.go
+++ b/internal/ctxtime/ctxtime_test.go
@@ -9,9 +9,9 @@
 
 func TestSleepWaits(t *testing.T) {
 	const d = 20 * time.Millisecond
-	began := time.Now()
-	if err := Sleep(t.Context(), d); err != nil || time.Since(began) < d {
-		t.Errorf("got %v after %v, want nil after %v", err, time.Since(began), d)
+	start := time.Now()
+	if err := Sleep(t.Context(), d); err != nil || time.Since(start) < d {
+		t.Errorf("got %v after %v, want nil after %v", err, time.Since(start), d)
 	}
 }
 
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,5 +1,5 @@
-// Package httpclient makes the outgoing HTTP calls: long-lived connections to one address
-// each, a deadline on every call, and no retries behind the caller's back.
+// Package httpclient makes the outgoing HTTP calls. A client calls one address over long-lived
+// connections; every call has a deadline and none is retried implicitly.
 package httpclient
 
 import (
@@ -13,24 +13,24 @@
 
 const (
 	jsonType = "application/json"
-	// idleTimeout is how long an unused connection is kept.
+	// idleTimeout is how long an idle connection is kept open.
 	idleTimeout = time.Minute
-	// bufferBytes is the size of a connection's read and write buffers: there are many
-	// connections, and most messages are small.
+	// bufferBytes is the size of a connection's read and write buffers. It is small because there
+	// are many connections and most messages are small.
 	bufferBytes = 4096
 )
 
 // Client calls one address. It is safe for concurrent use.
 type Client struct {
 	host *fasthttp.HostClient
-	// ClosePerCall closes the connection after each call: where there are more addresses
-	// than sockets, and a call to each now and then. It is set before the first call.
+	// ClosePerCall closes the connection after each call. It is meant for more addresses than
+	// there are sockets, each called rarely, and must be set before the first call.
 	ClosePerCall bool
 }
 
-// New returns a client of the address with at most maxConns connections, which take up to
-// dialTimeout to open. It never repeats a request by itself: whether to repeat a commit or a
-// rental is for the caller to decide.
+// New returns a client of an address with at most maxConns connections, each opened within
+// dialTimeout. The client never retries a request: only the caller can decide whether a commit or
+// a rental may be repeated.
 func New(addr string, maxConns int, dialTimeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return &Client{host: &fasthttp.HostClient{
@@ -49,31 +49,31 @@
 
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// Addr returns the address called.
+// Addr returns the address that the client calls.
 func (c *Client) Addr() string { return c.host.Addr }
 
-// Close closes the connections that are not in use.
+// Close closes idle connections.
 func (c *Client) Close() { c.host.CloseIdleConnections() }
 
-// Response is an answer.
+// Response is an HTTP response.
 type Response struct {
 	Status     int
 	Body       []byte
-	RetryAfter time.Duration // 0 where the answer names none
+	RetryAfter time.Duration // from the Retry-After header; 0 if it is missing or not in seconds
 }
 
 // Do sends a request, with a body unless it is nil, and returns the status and body of the
-// answer.
+// response.
 func (c *Client) Do(method, uri, contentType string, body []byte, deadline time.Time) (int, []byte, error) {
 	response, err := c.DoResponse(method, uri, contentType, body, deadline)
 	return response.Status, response.Body, err
 }
 
-// DoResponse is Do with all that the answer says.
+// DoResponse is like Do and returns the whole response.
 func (c *Client) DoResponse(method, uri, contentType string, body []byte, deadline time.Time) (Response, error) {
-	request, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
-	defer fasthttp.ReleaseResponse(answer)
+	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://" + c.host.Addr + uri)
 	request.Header.SetMethod(method)
 	if c.ClosePerCall {
@@ -83,17 +83,17 @@
 		request.Header.SetContentType(contentType)
 		request.SetBodyRaw(body)
 	}
-	if err := c.host.DoDeadline(request, answer, deadline); err != nil {
+	if err := c.host.DoDeadline(request, response, deadline); err != nil {
 		return Response{}, err
 	}
 	return Response{
-		Status:     answer.StatusCode(),
-		Body:       append([]byte(nil), answer.Body()...), // the answer's buffer is used again
-		RetryAfter: parseRetryAfter(answer.Header.Peek(fasthttp.HeaderRetryAfter)),
+		Status:     response.StatusCode(),
+		Body:       append([]byte(nil), response.Body()...), // fasthttp reuses the response's buffer
+		RetryAfter: parseRetryAfter(response.Header.Peek(fasthttp.HeaderRetryAfter)),
 	}, nil
 }
 
-// parseRetryAfter reads a Retry-After header in seconds; 0 where it says nothing usable.
+// parseRetryAfter parses a Retry-After header in seconds. It returns 0 for any other value.
 func parseRetryAfter(header []byte) time.Duration {
 	seconds, err := strconv.Atoi(string(header))
 	if err != nil || seconds < 0 {
@@ -102,7 +102,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// DoJSON sends a request whose body, unless it is nil, is written as DoJSON.
+// DoJSON is like Do and encodes the body as JSON, unless it is nil.
 func (c *Client) DoJSON(method, uri string, body any, deadline time.Time) (int, []byte, error) {
 	var raw []byte
 	if body != nil {
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// A server that closes connections without an answer has each request once.
+// A server that closes connections without a response receives each request only once.
 func TestFailedRequestIsNotRepeated(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -57,7 +57,7 @@
 	}()
 	client := New(listener.Addr().String(), 1, testTimeout)
 	if _, _, err := client.Do("GET", "/", "", nil, time.Now().Add(testTimeout)); err == nil {
-		t.Error("a request without an answer is no error")
+		t.Error("a request without a response returns no error")
 	}
 	if got := len(accepted); got != 1 {
 		t.Errorf("%d requests, want 1", got)
