--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -55,7 +55,7 @@
 		"none":           `{"rigs":[]}`,
 		"without a name": `{"rigs":[{"label":"","sites":["a"]}]}`,
 		"negative":       `{"rigs":[{"label":"c4","vcpus":-4,"sites":["a"]}]}`,
-		"another form":   `[]`,
+		"not an object":  `[]`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			if types, err := newFixedResponseClient(t, 200, body).Types(t.Context()); err == nil {
--- a/internal/peer/batcher.go
+++ b/internal/peer/batcher.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// maxInFlightBatches bounds the batches that one node has not answered yet.
+	// maxInFlightBatches bounds the batches to one node that have no reply yet.
 	maxInFlightBatches = 4
-	// maxBatchBytes keeps a batch well below the 64 KiB of a request, in bytes of heartbeats.
+	// maxBatchBytes bounds the heartbeats of a batch, well below the request limit of 64 KiB.
 	maxBatchBytes = 40 << 10
 )
 
-// SendBatchFunc sends heartbeats to a node.
+// SendBatchFunc sends a batch of heartbeats to a node.
 type SendBatchFunc func(node string, heartbeats [][]byte) (HeartbeatBatchReply, error)
 
-// Batcher puts heartbeats for one node together: what comes within a window goes out at once,
-// or later where the node has not answered the batches before; these grow meanwhile. Without
-// that, a leader that takes a moment would be asked more and more at once.
+// Batcher batches heartbeats by node. A batch is sent at the end of its window, or once the node
+// has fewer than maxInFlightBatches unanswered batches; until then the batch grows. Without this
+// bound, a slow leader would receive ever more concurrent requests.
 //
 // It is safe for concurrent use.
 type Batcher struct {
@@ -25,11 +25,11 @@
 	send   SendBatchFunc
 
 	mu    sync.Mutex               // guards the fields below
-	open  map[string]*batch        // by node, the batch that takes more
-	slots map[string]chan struct{} // by node, what it has not answered yet
+	open  map[string]*batch        // by node, the batch that accepts heartbeats
+	slots map[string]chan struct{} // by node, one element per batch in flight
 }
 
-// batch is heartbeats that are sent together.
+// batch is a set of heartbeats that are sent together.
 type batch struct {
 	heartbeats [][]byte // guarded by the batcher until the batch is no longer open
 	bytes      int      // guarded by the batcher
@@ -39,67 +39,68 @@
 	err   error
 }
 
-// NewBatcher returns a batcher that sends through the function given.
+// NewBatcher returns a batcher that sends its batches by calling send.
 func NewBatcher(window time.Duration, send SendBatchFunc) *Batcher {
 	return &Batcher{window: window, send: send, open: map[string]*batch{}, slots: map[string]chan struct{}{}}
 }
 
-// Send sends a heartbeat along with others and waits for its answer.
+// Send sends a heartbeat in a batch and waits for the reply to it.
 func (b *Batcher) Send(node string, heartbeat []byte) (RelayReply, error) {
-	joined, index, first := b.add(node, heartbeat)
+	target, index, first := b.add(node, heartbeat)
 	if first {
-		b.deliver(node, joined)
+		b.deliver(node, target)
 	} else {
-		<-joined.done
+		<-target.done
 	}
-	if joined.err != nil {
-		return RelayReply{}, joined.err
+	if target.err != nil {
+		return RelayReply{}, target.err
 	}
-	return joined.reply.Answers[index], nil
+	return target.reply.Answers[index], nil
 }
 
-// add adds a heartbeat to the open batch of a node and returns its index there. first means
-// that the batch is new: whoever opened it delivers it.
-func (b *Batcher) add(node string, heartbeat []byte) (joined *batch, index int, first bool) {
+// add adds a heartbeat to the open batch of a node and returns its index in the batch. If first is
+// true, the batch is new and the caller must deliver it.
+func (b *Batcher) add(node string, heartbeat []byte) (target *batch, index int, first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	joined = b.open[node]
-	if joined == nil || joined.bytes+len(heartbeat) > maxBatchBytes {
-		joined = &batch{done: make(chan struct{})}
-		b.open[node] = joined
+	target = b.open[node]
+	if target == nil || target.bytes+len(heartbeat) > maxBatchBytes {
+		target = &batch{done: make(chan struct{})}
+		b.open[node] = target
 		first = true
 	}
 	if b.slots[node] == nil {
 		b.slots[node] = make(chan struct{}, maxInFlightBatches)
 	}
-	index = len(joined.heartbeats)
-	joined.heartbeats = append(joined.heartbeats, heartbeat)
-	joined.bytes += len(heartbeat)
-	return joined, index, first
+	index = len(target.heartbeats)
+	target.heartbeats = append(target.heartbeats, heartbeat)
+	target.bytes += len(heartbeat)
+	return target, index, first
 }
 
-// deliver sends a batch once its window is over and the node has a slot for it.
-func (b *Batcher) deliver(node string, joined *batch) {
-	slot := b.slot(node)
+// deliver sends a batch once its window is over and the node has a free slot.
+func (b *Batcher) deliver(node string, target *batch) {
+	slots := b.nodeSlots(node)
 	time.Sleep(b.window)
-	slot <- struct{}{}
-	b.seal(node, joined)
-	joined.reply, joined.err = b.send(node, joined.heartbeats)
-	<-slot
-	close(joined.done)
+	slots <- struct{}{}
+	b.seal(node, target)
+	target.reply, target.err = b.send(node, target.heartbeats)
+	<-slots
+	close(target.done)
 }
 
-func (b *Batcher) slot(node string) chan struct{} {
+// nodeSlots returns the semaphore of a node.
+func (b *Batcher) nodeSlots(node string) chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.slots[node]
 }
 
-// seal lets no more heartbeats into a batch.
-func (b *Batcher) seal(node string, joined *batch) {
+// seal closes a batch for further heartbeats.
+func (b *Batcher) seal(node string, target *batch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.open[node] == joined {
+	if b.open[node] == target {
 		delete(b.open, node)
 	}
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,10 +14,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxConnectionsPerPeer is how many connections a controller has to each other one at most.
+// maxConnectionsPerPeer bounds the connections to each other controller.
 const maxConnectionsPerPeer = 16
 
-// ErrUnsupported means that a peer answered that it does not know what it was asked.
+// ErrUnsupported means that a peer responded with a status other than 200: its version does not
+// support the call.
 var ErrUnsupported = errors.New("peer: unexpected status")
 
 // Peers calls the other controllers. It is safe for concurrent use.
@@ -36,7 +37,7 @@
 	return p
 }
 
-// call sends a request to the peer of the given index and reads its reply.
+// call sends a request to the peer with the given index and decodes its reply.
 func (p *Peers) call(i int, path string, request, reply any, timeout time.Duration) error {
 	raw, err := msgpack.Marshal(request)
 	if err != nil {
@@ -52,23 +53,23 @@
 	return msgpack.Unmarshal(body, reply)
 }
 
-// callNode is call for the peer of the given name.
+// callNode is like call, for the peer with the given node name.
 func (p *Peers) callNode(node, path string, request, reply any, timeout time.Duration) error {
 	for i, other := range p.peers {
 		if other.Node == node {
 			return p.call(i, path, request, reply, timeout)
 		}
 	}
-	return fmt.Errorf("peer %q is not known", node)
+	return fmt.Errorf("unknown peer %q", node)
 }
 
-// Status asks every other controller. all is true when every one answered.
+// Status queries every other controller. all is true if every one replied.
 func (p *Peers) Status(ctx context.Context) (answers []Status, all bool) {
 	return p.QueryStatus(ctx, StatusRequest{})
 }
 
-// QueryStatus is Status with a leader's attestation; a zero one says nothing. The timeout
-// bounds it, whatever the context says.
+// QueryStatus is like Status and sends the given request; a zero attestation in it has no effect.
+// Only the timeout bounds it: the context is ignored.
 func (p *Peers) QueryStatus(_ context.Context, request StatusRequest) (answers []Status, all bool) {
 	var mu sync.Mutex // guards answers
 	var wg sync.WaitGroup
@@ -88,23 +89,23 @@
 	return answers, len(answers) == len(p.peers)
 }
 
-// Progress asks a node how a job stands.
+// Progress returns the progress of a job from a node.
 func (p *Peers) Progress(node, id string) (Progress, error) {
 	var reply Progress
 	err := p.callNode(node, pathProgress, JobRequest{ID: id}, &reply, p.timeout/2)
 	return reply, err
 }
 
-// NotifyCancelled notifies a node that leads of a cancelled job. acknowledged means that it
-// starts none of the job's tasks from then on; from a version that does not know the call the
-// error is ErrUnsupported.
+// NotifyCancelled notifies the leader's node of a cancelled job. acknowledged means that the leader
+// starts none of the job's tasks from then on. The error is ErrUnsupported if the node's version
+// does not know the call.
 func (p *Peers) NotifyCancelled(node, id string) (acknowledged bool, err error) {
 	var reply CancelledReply
 	err = p.callNode(node, pathCancelled, JobRequest{ID: id}, &reply, p.timeout)
 	return reply.Acknowledged, err
 }
 
-// Relay sends a user's request to the peers in turn, until one has a final answer for it.
+// Relay sends a user's request to the peers one after the other until one gives a final reply.
 func (p *Peers) Relay(request RelayRequest, timeout time.Duration) (reply RelayReply, ok bool) {
 	for i := range p.peers {
 		var reply RelayReply
@@ -115,26 +116,26 @@
 	return RelayReply{}, false
 }
 
-// RelayHeartbeat sends a worker's heartbeat on to the node that leads.
+// RelayHeartbeat relays a worker's heartbeat to the leader's node.
 func (p *Peers) RelayHeartbeat(node string, body []byte) (RelayReply, error) {
 	var reply RelayReply
 	err := p.callNode(node, pathRelayHeartbeat, HeartbeatRequest{Body: body}, &reply, p.timeout)
 	return reply, err
 }
 
-// RelayHeartbeats sends a batch on to the node that leads. From a version that takes no
-// batches the error is ErrUnsupported.
+// RelayHeartbeats relays a batch to the leader's node. The error is ErrUnsupported if the node's
+// version accepts no batches.
 func (p *Peers) RelayHeartbeats(node string, batch HeartbeatBatch, timeout time.Duration) (HeartbeatBatchReply, error) {
 	var reply HeartbeatBatchReply
 	err := p.callNode(node, pathRelayHeartbeats, batch, &reply, timeout)
 	if err == nil && len(reply.Answers) != len(batch.Heartbeats) {
-		err = fmt.Errorf("peer %s: %d answers to %d reports", node, len(reply.Answers), len(batch.Heartbeats))
+		err = fmt.Errorf("peer %s: %d replies to %d heartbeats", node, len(reply.Answers), len(batch.Heartbeats))
 	}
 	return reply, err
 }
 
-// RelayOperatorRequest sends an operator's request to the node that leads. From a version without
-// operators the error is ErrUnsupported.
+// RelayOperatorRequest relays an operator's request to the leader's node. The error is
+// ErrUnsupported if the node's version has no operator API.
 func (p *Peers) RelayOperatorRequest(node string, request RelayRequest, timeout time.Duration) (RelayReply, error) {
 	var reply RelayReply
 	err := p.callNode(node, pathOperatorRequest, request, &reply, timeout)
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -14,10 +14,10 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// callTimeout is ample for a call on this machine.
+// callTimeout is ample for a local call.
 const callTimeout = 5 * time.Second
 
-// serve serves the handlers until the test ends, and returns their address.
+// serve serves the handlers until the test ends and returns the server's address.
 func serve(t *testing.T, h Handlers) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -31,7 +31,7 @@
 	return listener.Addr().String()
 }
 
-// unreachableAddr returns an address where nobody listens.
+// unreachableAddr returns an address without a listener.
 func unreachableAddr(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -42,20 +42,21 @@
 	return listener.Addr().String()
 }
 
-// onePeer returns a client of a controller n-1 with the given handlers.
+// onePeer serves the handlers as controller n-1 and returns a client of it.
 func onePeer(t *testing.T, h Handlers) *Peers {
 	t.Helper()
 	return NewPeers([]config.Peer{{Node: "n-1", Addr: serve(t, h)}}, callTimeout)
 }
 
-// failingStore has not answered since the start.
+// failingStore has served no request since the start.
 type failingStore struct{ started time.Time }
 
 func (s failingStore) Health() (lastOK time.Time, failing bool, started time.Time) {
 	return time.Time{}, true, s.started
 }
 
-// statusHandler answers as n-1, whose store fails, with the cancellations of a log.
+// statusHandler returns a status handler of controller n-1 with a failing store and the given log of
+// confirmed cancellations.
 func statusHandler(confirmed *cancellation.Log) func(StatusRequest) Status {
 	store := failingStore{started: time.Now()}
 	return func(request StatusRequest) Status { return StatusOf("n-1", store, confirmed, request) }
@@ -69,10 +70,10 @@
 	}
 	got := answers[0]
 	if got.Node != "n-1" || got.StoreAnswered || !got.StoreFailing {
-		t.Errorf("got %+v, want n-1 whose store fails and never answered", got)
+		t.Errorf("got %+v, want n-1 with a failing store that never answered", got)
 	}
 	if got.SinceConfirmationMS < time.Minute.Milliseconds() || got.Cancellations != nil {
-		t.Errorf("got quiet for %d ms, %+v, want at least a minute and no list", got.SinceConfirmationMS, got.Cancellations)
+		t.Errorf("got %d ms since a confirmation, list %+v, want at least a minute and no list", got.SinceConfirmationMS, got.Cancellations)
 	}
 }
 
@@ -82,7 +83,7 @@
 	status := statusHandler(confirmed)
 	peers := onePeer(t, Handlers{Status: func(request StatusRequest) Status {
 		if request.Term != 7 || request.CancellationSpanMS != 45_000 {
-			t.Errorf("asked with %+v, want term 7 and a span of 45 s", request)
+			t.Errorf("got request %+v, want term 7 and a span of 45 s", request)
 		}
 		return status(request)
 	}})
@@ -116,7 +117,7 @@
 		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
 	if _, err := peers.Progress("n-9", "j-1"); err == nil {
-		t.Error("progress of an unknown node is no error")
+		t.Error("progress from an unknown node returns no error")
 	}
 }
 
@@ -132,7 +133,7 @@
 		t.Errorf("got %q, %v, want %q", got.Body, ok, "poll j-1 x")
 	}
 	if got, ok := peers.Relay(RelayRequest{Method: "poll", ID: "j-503"}, callTimeout); ok {
-		t.Errorf("a peer that cannot serve counts as an answer: %+v", got)
+		t.Errorf("503 of a peer returned as the reply: %+v", got)
 	}
 }
 
@@ -152,18 +153,18 @@
 		{Node: "n-3", Addr: serve(t, Handlers{})}, // a version that does not know the call
 	}, callTimeout)
 	for name, test := range map[string]struct {
-		node, job                             string
-		wantAcknowledged, fails, notSupported bool
+		node, job                            string
+		wantAcknowledged, fails, unsupported bool
 	}{
-		"acknowledged":      {node: "n-1", job: "j-1", wantAcknowledged: true},
-		"not acknowledged":  {node: "n-1", job: "j-2"},
-		"unreachable":       {node: "n-2", job: "j-1", fails: true},
-		"a version without": {node: "n-3", job: "j-1", fails: true, notSupported: true},
-		"unknown node":      {node: "n-9", job: "j-1", fails: true},
+		"acknowledged":     {node: "n-1", job: "j-1", wantAcknowledged: true},
+		"not acknowledged": {node: "n-1", job: "j-2"},
+		"unreachable":      {node: "n-2", job: "j-1", fails: true},
+		"unsupported call": {node: "n-3", job: "j-1", fails: true, unsupported: true},
+		"unknown node":     {node: "n-9", job: "j-1", fails: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			acknowledged, err := peers.NotifyCancelled(test.node, test.job)
-			if acknowledged != test.wantAcknowledged || (err != nil) != test.fails || errors.Is(err, ErrUnsupported) != test.notSupported {
+			if acknowledged != test.wantAcknowledged || (err != nil) != test.fails || errors.Is(err, ErrUnsupported) != test.unsupported {
 				t.Errorf("got %v, %v, want %+v", acknowledged, err, test)
 			}
 		})
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,7 +1,7 @@
-// Package peer is what controllers ask each other on their back address, in msgpack: how the
-// store serves them, how jobs progress, and requests and heartbeats that one relays to
-// another.
+// Package peer is the msgpack protocol between controllers, on their peer address: the status
+// of the store connection, the progress of jobs, and requests and heartbeats that one controller
+// relays to another.
 //
-// Controllers of several versions ask each other. The words of the messages stand in struct
-// tags, paths and the names of the methods alone, and none of them may change.
+// Controllers of different versions call each other. The protocol names are the paths, the struct
+// tags and the method names; none of them may change.
 package peer
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// goldenMessages has an example of each message, with every field set.
+// goldenMessages is an example of each message, with every field set.
 type goldenMessages struct {
 	status        Status
 	statusRequest StatusRequest
@@ -46,8 +46,8 @@
 	}
 }
 
-// The messages between controllers keep their bytes. Those that the version in production
-// sends whole, production-messages.json has.
+// Messages between controllers keep their encoded bytes. Complete messages of the version in
+// production are in production-messages.json.
 func TestGoldenMessages(t *testing.T) {
 	m := newGoldenMessages()
 	codec := goldentest.Codec{Tag: "msgpack", Encode: msgpack.Marshal, Decode: msgpack.Unmarshal}
@@ -68,7 +68,7 @@
 	})
 }
 
-// Each call goes to its path as msgpack and is answered as msgpack.
+// Each call keeps its path and sends and receives msgpack.
 func TestGoldenCalls(t *testing.T) {
 	m := newGoldenMessages()
 	app := fiber.New()
@@ -103,7 +103,7 @@
 func goldenCalls(t *testing.T, peers *Peers, m goldenMessages) map[string]func() error {
 	return map[string]func() error{
 		"status": func() error {
-			_, _ = peers.QueryStatus(t.Context(), m.statusRequest) // what is left out shows in the exchanges
+			_, _ = peers.QueryStatus(t.Context(), m.statusRequest) // the exchanges show the result
 			return nil
 		},
 		"progress": func() error {
@@ -115,7 +115,7 @@
 			return err
 		},
 		"relay": func() error {
-			_, _ = peers.Relay(m.relayRequest, time.Minute) // as above
+			_, _ = peers.Relay(m.relayRequest, time.Minute) // the exchanges show the result
 			return nil
 		},
 		"checkin": func() error {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -19,38 +19,38 @@
 	pathOperatorRequest = "/peer/operate"
 )
 
-// contentType is that of all messages.
+// contentType is the content type of all messages.
 const contentType = "application/msgpack"
 
-// Status is how the store serves a controller.
+// Status is how the store serves a controller, and what the controller has recorded for leaders.
 type Status struct {
 	Node                 string `msgpack:"node"`
-	SinceStoreResponseMS int64  `msgpack:"silent_ms"` // since the store's last answer, or since the start
-	StoreAnswered        bool   `msgpack:"answered"`  // the store has answered since the start
-	StoreFailing         bool   `msgpack:"failing"`   // its last request failed
-	SinceConfirmationMS  int64  `msgpack:"quiet_ms"`  // since a cancellation was last confirmed, or since the start
-	// Cancellations are the confirmed ones, where the request asks for them. Versions that
-	// do not list them leave it out.
+	SinceStoreResponseMS int64  `msgpack:"silent_ms"` // since the store last served a request, or since the start
+	StoreAnswered        bool   `msgpack:"answered"`  // the store has served a request since the start
+	StoreFailing         bool   `msgpack:"failing"`   // the store has failed since it last served a request
+	SinceConfirmationMS  int64  `msgpack:"quiet_ms"`  // since the last confirmation of a cancellation, or since the start
+	// Cancellations lists confirmed cancellations if the request asks for them. Versions that do
+	// not list them omit it.
 	Cancellations *cancellation.ConfirmedList `msgpack:"told,omitempty"`
-	// Attestation is what it remembers of leaders' attestations. Versions without
-	// watermarks leave it out.
+	// Attestation is the latest attestation that the controller has recorded. Versions without
+	// watermarks omit it.
 	Attestation *watermark.Attestation `msgpack:"heard,omitempty"`
-	// LatestReconciled is the attestation of the latest reconciled term that it has heard of.
+	// LatestReconciled is the attestation of the latest reconciled term that the controller knows.
 	LatestReconciled *watermark.Attestation `msgpack:"settled,omitempty"`
-	// SinceRenewalMS is since it may last have renewed a worker's lease, as leader, or since
-	// the start. Versions that do not say leave it out.
+	// SinceRenewalMS is the time since the controller, as leader, may last have renewed a worker's
+	// lease, or since its start. Earlier versions omit it.
 	SinceRenewalMS *int64 `msgpack:"renewed_ms,omitempty"`
 }
 
-// StoreHealth is a client of the store as far as StatusOf asks it.
+// StoreHealth is the part of the store client that StatusOf needs.
 type StoreHealth interface {
-	// Health returns when the store last answered (zero: not since the start), whether it
-	// fails now, and when the client started.
+	// Health returns when the store last served a request (zero: not since the start), whether it
+	// has failed since, and when the client started.
 	Health() (lastOK time.Time, failing bool, started time.Time)
 }
 
-// StatusOf returns how the store serves a controller, and what that has confirmed of
-// cancellations.
+// StatusOf returns the status of a controller, without attestations. It includes the cancellations
+// that the controller has confirmed if the request asks for them.
 func StatusOf(node string, store StoreHealth, confirmed *cancellation.Log, request StatusRequest) Status {
 	lastOK, failing, started := store.Health()
 	now := time.Now()
@@ -60,7 +60,7 @@
 		StoreFailing:        failing,
 		SinceConfirmationMS: confirmed.SinceLastConfirmation(now).Milliseconds(),
 	}
-	// A span that no clock could have measured asks for all there is.
+	// An implausibly long span requests everything on record.
 	spanMS := min(request.CancellationSpanMS, maxCancellationSpan.Milliseconds())
 	if spanMS > 0 {
 		list := confirmed.ConfirmedWithin(time.Duration(spanMS)*time.Millisecond, now)
@@ -73,49 +73,49 @@
 	return s
 }
 
-// maxCancellationSpan bounds how far back a controller is asked for what it confirmed.
+// maxCancellationSpan bounds how far back a request may ask for confirmed cancellations.
 const maxCancellationSpan = 24 * time.Hour
 
-// WithAttestations adds what a controller remembers of leaders' attestations, having observed
-// one more, and how long ago it may last have renewed a lease.
-func (s Status) WithAttestations(o *watermark.Observer, heard watermark.Attestation, sinceRenewal time.Duration) Status {
-	remembered := o.Observe(heard)
+// WithAttestations records a received attestation and returns the status with the attestations on
+// record and the time since the controller may last have renewed a lease.
+func (s Status) WithAttestations(o *watermark.Observer, received watermark.Attestation, sinceRenewal time.Duration) Status {
+	latest := o.Observe(received)
 	reconciled := o.LatestReconciled()
 	sinceRenewalMS := sinceRenewal.Milliseconds()
-	s.Attestation = &remembered
+	s.Attestation = &latest
 	s.LatestReconciled = &reconciled
 	s.SinceRenewalMS = &sinceRenewalMS
 	return s
 }
 
-// StatusRequest is a leader's attestation of its watermarks, along with which a controller is
-// asked how the store serves it.
+// StatusRequest asks a controller for its status and carries a leader's attestation of its
+// watermarks.
 type StatusRequest struct {
 	watermark.Attestation
-	// CancellationSpanMS asks for the cancellations that it confirmed so long ago or later;
-	// 0: for none.
+	// CancellationSpanMS asks for the cancellations confirmed in the last so many milliseconds;
+	// 0 asks for none.
 	CancellationSpanMS int64 `msgpack:"told_ms,omitempty"`
 }
 
-// JobRequest names a job.
+// JobRequest is a request about one job.
 type JobRequest struct {
 	ID string `msgpack:"id"`
 }
 
-// CancelledReply is a leader's answer to a cancellation.
+// CancelledReply is the leader's reply to a cancellation.
 type CancelledReply struct {
-	// Acknowledged means that the leader starts none of the job's tasks any more.
+	// Acknowledged means that the leader starts none of the job's tasks from now on.
 	Acknowledged bool `msgpack:"heard"`
 }
 
-// Progress is how a job stands at the leader.
+// Progress is the progress of a job as the leader knows it.
 type Progress struct {
 	Known   bool   `msgpack:"known"`
 	Status  string `msgpack:"status"`
 	Done    int    `msgpack:"done"`
 	Running int    `msgpack:"running"`
-	// DependenciesClear means that no job which this one depends on is cancelled, as far as
-	// the leader knew ClearAgeMS ago. Earlier versions leave both out: then it is not known.
+	// DependenciesClear means that no dependency of the job, direct or indirect, was cancelled as
+	// far as the leader knew ClearAgeMS ago. Earlier versions omit both: it is unknown then.
 	DependenciesClear bool  `msgpack:"clear,omitempty"`
 	ClearAgeMS        int64 `msgpack:"clear_ms,omitempty"`
 }
@@ -125,27 +125,27 @@
 	MethodSubmit = "submit"
 	MethodPoll   = "poll"
 	MethodCancel = "withdraw"
-	// MethodSubmitWithDependencies is a submission that names dependencies. An earlier
-	// version would accept it, as MethodSubmit, for a job that waits for nothing; it does
-	// not know this method and answers 400.
+	// MethodSubmitWithDependencies is a submission with dependencies. Earlier versions would
+	// accept it as MethodSubmit and ignore the dependencies; they reject this method with a 400.
 	MethodSubmitWithDependencies = "submit_chain"
 )
 
-// RelayRequest is a user's request, relayed.
+// RelayRequest is a relayed request of a user or operator.
 type RelayRequest struct {
 	Method string `msgpack:"method"`
 	ID     string `msgpack:"id"`
 	Body   []byte `msgpack:"body"`
 }
 
-// RelayReply is the answer to a relayed request: an HTTP status and a body.
+// RelayReply is the reply to a relayed request: an HTTP status and a body.
 type RelayReply struct {
 	Status int    `msgpack:"status"`
 	Body   []byte `msgpack:"body"`
 }
 
-// Final reports whether a peer's answer to a request is one for the user. What is malformed
-// is not relayed, so a 400 for a submission with dependencies means that the peer knows none.
+// Final reports whether a peer's reply to a request may be returned to the user. Malformed requests
+// are not relayed, so a 400 for a submission with dependencies means that the peer's version does
+// not support dependencies.
 func (r *RelayReply) Final(request RelayRequest) bool {
 	switch r.Status {
 	case 0, http.StatusServiceUnavailable:
@@ -156,24 +156,24 @@
 	return true
 }
 
-// HeartbeatRequest is a worker's heartbeat that came to a controller which does not lead.
+// HeartbeatRequest is a worker's heartbeat, relayed by a follower.
 type HeartbeatRequest struct {
 	Body []byte `msgpack:"body"` // as the worker sent it
 }
 
-// HeartbeatBatch is workers' heartbeats that came to a controller which does not lead, as the
-// workers sent them. An empty one says that the sender could relay some.
+// HeartbeatBatch is a batch of workers' heartbeats, relayed by a follower as the workers sent them.
+// An empty batch announces that the sender can relay heartbeats.
 type HeartbeatBatch struct {
 	From       string   `msgpack:"from"`
 	Heartbeats [][]byte `msgpack:"bodies"`
-	// DelayMS is how long the sender's last batch waited before the leader got to it, and
-	// its answer on the way back.
+	// DelayMS is the delay of the sender's previous batch: its wait until the leader handled it
+	// plus the way back of the reply.
 	DelayMS int64  `msgpack:"late_ms,omitempty"`
 	Zone    string `msgpack:"zone,omitempty"` // the sender's
 }
 
-// HeartbeatBatchReply has the answers to the heartbeats of a batch, in the same order.
+// HeartbeatBatchReply has the replies to the heartbeats of a batch, in the same order.
 type HeartbeatBatchReply struct {
 	Answers      []RelayReply `msgpack:"answers"`
-	ProcessingMS int64        `msgpack:"held_ms,omitempty"` // how long the leader took over it
+	ProcessingMS int64        `msgpack:"held_ms,omitempty"` // how long the leader took to handle the batch
 }
--- a/internal/peer/messages_test.go
+++ b/internal/peer/messages_test.go
@@ -12,7 +12,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// productionMessages reads the messages of the version in production, by name.
+// productionMessages returns the encoded messages of the version in production, by name.
 func productionMessages(t *testing.T) map[string][]byte {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/production-messages.json")
@@ -32,9 +32,8 @@
 	return messages
 }
 
-// What the version in production sends is read as it was meant, and what this one sends
-// says the same to it: the fields that it knows have the same bytes, the new ones come
-// after them and are left out where they say nothing.
+// Messages of the version in production are decoded with the same meaning. This version encodes
+// the fields that both know to the same bytes; new fields come after them and are omitted if empty.
 func TestProductionMessagesAreReadAndWritten(t *testing.T) {
 	messages := productionMessages(t)
 	for name, want := range map[string]any{
@@ -61,7 +60,7 @@
 	}
 }
 
-// transcode writes a message and reads it as an earlier version does.
+// transcode encodes a message and decodes it into the type of an earlier version.
 func transcode(t *testing.T, message, earlier any) {
 	t.Helper()
 	raw, err := msgpack.Marshal(message)
@@ -73,7 +72,7 @@
 	}
 }
 
-// The version in production reads what it knows of an answer that says more.
+// The version in production decodes a progress reply with additional fields.
 func TestEarlierVersionReadsProgress(t *testing.T) {
 	type earlierProgress struct {
 		Known   bool   `msgpack:"known"`
@@ -88,7 +87,7 @@
 	}
 }
 
-// A version that knows of watermarks alone reads the attestation in a request for the status.
+// A version whose status request is only an attestation decodes a request with additional fields.
 func TestEarlierVersionReadsAttestation(t *testing.T) {
 	want := watermark.Attestation{Term: 5, Seq: 2, Complete: true, Revision: 9}
 	var got watermark.Attestation
@@ -98,8 +97,7 @@
 	}
 }
 
-// An earlier version knows no dependencies, and says so with a 400, which is no answer for
-// the user.
+// An earlier version without dependencies responds with a 400, which must not reach the user.
 func TestFinalReplies(t *testing.T) {
 	for _, test := range []struct {
 		status int
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -7,23 +7,24 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Handlers are what a controller answers its peers with.
+// Handlers handle the calls of a controller's peers.
 type Handlers struct {
 	Status         func(StatusRequest) Status
 	Progress       func(id string) Progress
 	Relay          func(RelayRequest) RelayReply
 	RelayHeartbeat func(HeartbeatRequest) RelayReply
-	// RelayHeartbeats takes in batches, as the leader; nil where none are relayed.
+	// RelayHeartbeats handles batches, as the leader; nil if batches are not supported.
 	RelayHeartbeats func(HeartbeatBatch) HeartbeatBatchReply
-	// NotifyCancelled takes in a cancellation, as the leader; nil: like a version that does not know it.
+	// NotifyCancelled handles a cancellation, as the leader, and reports whether it is acknowledged.
+	// If it is nil, the controller behaves like a version that does not know the call.
 	NotifyCancelled func(id string) bool
-	// RelayOperatorRequest answers operators' requests; nil where operators are not served.
+	// RelayOperatorRequest handles operators' requests; nil if they are not supported.
 	RelayOperatorRequest func(RelayRequest) RelayReply
 }
 
-// Mount serves the handlers on the back address.
+// Mount registers the handlers on the app of the controller's peer address.
 func Mount(app *fiber.App, h Handlers) {
-	// Versions without watermarks send an attestation that says nothing.
+	// Versions without watermarks send a zero attestation, which has no effect.
 	app.Post(pathStatus, handle(h.Status))
 	app.Post(pathProgress, handle(func(request JobRequest) Progress { return h.Progress(request.ID) }))
 	if h.NotifyCancelled != nil {
@@ -41,7 +42,7 @@
 	}
 }
 
-// handle reads a request and writes the reply to it.
+// handle returns a fiber handler that decodes a request and encodes the reply to it.
 func handle[Request, Reply any](answer func(Request) Reply) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		var request Request
--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -1,5 +1,5 @@
-// Package workers sends commands to workers, where a command cannot wait for the answer to
-// the worker's next heartbeat.
+// Package workers sends commands directly to workers if a command cannot wait for the answer to the
+// worker's next heartbeat.
 package workers
 
 import (
@@ -15,31 +15,31 @@
 )
 
 const (
-	// pathCommands is where a worker takes commands.
+	// pathCommands is the worker's path for commands.
 	pathCommands = "/orders"
 	// maxConnectionsPerWorker bounds the connections to one worker.
 	maxConnectionsPerWorker = 2
-	// maxAddresses bounds the addresses that are remembered: machines come and go. It lies
-	// above the largest fleet that one leader was seen to carry; beyond it all are forgotten at
-	// once, and each is made anew at its next call, which needs a new connection in any case.
+	// maxAddresses bounds the cached clients, as machines come and go. It is above the largest fleet
+	// that one leader has handled. At the bound the whole cache is cleared; this is cheap because
+	// every call opens a new connection anyway.
 	maxAddresses = 20_000
 )
 
-// Caller sends commands to workers, a bounded number at a time. It is safe for concurrent use.
+// Caller sends commands to workers, with bounded concurrency. It is safe for concurrent use.
 type Caller struct {
 	timeout time.Duration
-	slots   chan struct{} // one for each call under way
+	slots   chan struct{} // one element per running call
 
 	mu      sync.Mutex                    // guards clients
 	clients map[string]*httpclient.Client // by address
 }
 
-// NewCaller returns a caller that has at most maxCalls calls under way.
+// NewCaller returns a caller that runs at most maxCalls calls at a time.
 func NewCaller(maxCalls int, timeout time.Duration) *Caller {
 	return &Caller{timeout: timeout, slots: make(chan struct{}, maxCalls), clients: map[string]*httpclient.Client{}}
 }
 
-// Go runs f once a slot is free, without waiting for it.
+// Go runs f in a new goroutine once a slot is free. It does not block.
 func (c *Caller) Go(f func()) {
 	go func() {
 		c.slots <- struct{}{}
@@ -48,12 +48,12 @@
 	}()
 }
 
-// client returns the client of an address.
+// client returns the cached client of an address, or a new one.
 func (c *Caller) client(addr string) *httpclient.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if known := c.clients[addr]; known != nil {
-		return known
+	if cached := c.clients[addr]; cached != nil {
+		return cached
 	}
 	if len(c.clients) >= maxAddresses {
 		c.removeAllLocked()
@@ -64,7 +64,7 @@
 	return client
 }
 
-// removeAllLocked forgets all addresses.
+// removeAllLocked clears the client cache. The caller must hold mu.
 func (c *Caller) removeAllLocked() {
 	for addr, client := range c.clients {
 		client.Close()
@@ -72,21 +72,21 @@
 	}
 }
 
-// Outcome is what a worker did with the commands of a request.
+// Outcome is whether a worker executed the commands of a request.
 type Outcome int
 
 const (
-	// OutcomeUnknown means that no valid answer came: the commands may have been executed.
+	// OutcomeUnknown means that no valid response arrived: the commands may have been executed.
 	OutcomeUnknown Outcome = iota
 	// OutcomeExecuted means that the worker executed the commands.
 	OutcomeExecuted
-	// OutcomeRejected means that the worker executed none of them, because the fencing
-	// token or the incarnation of the request was out of date.
+	// OutcomeRejected means that the worker executed none of the commands because the fencing
+	// token or the incarnation of the request was outdated.
 	OutcomeRejected
 )
 
-// SendCommands sends commands to the worker at addr. Whether it executed or rejected them,
-// its heartbeat comes back. With an error the outcome is OutcomeUnknown.
+// SendCommands sends commands to the worker at addr. It returns the worker's heartbeat if the
+// worker executed or rejected them, and OutcomeUnknown with an error otherwise.
 func (c *Caller) SendCommands(addr string, request fleet.CommandRequest) (Outcome, *fleet.Heartbeat, error) {
 	status, body, err := c.client(addr).DoJSON(http.MethodPost, pathCommands, request, time.Now().Add(c.timeout))
 	if err != nil {
--- a/internal/workers/caller_test.go
+++ b/internal/workers/caller_test.go
@@ -23,7 +23,7 @@
 		c.client(address(i))
 	}
 	if c.client(address(0)) != first || len(c.clients) != machines {
-		t.Errorf("%d addresses are remembered, want %d", len(c.clients), machines)
+		t.Errorf("%d addresses are cached, want %d with the first client unchanged", len(c.clients), machines)
 	}
 }
 
@@ -31,12 +31,12 @@
 	c := NewCaller(2, time.Second)
 	for i := range 3 * maxAddresses {
 		if c.client(address(i)); len(c.clients) > maxAddresses {
-			t.Fatalf("%d addresses are remembered, want at most %d", len(c.clients), maxAddresses)
+			t.Fatalf("%d addresses are cached, want at most %d", len(c.clients), maxAddresses)
 		}
 	}
 }
 
-// fakeWorker gives one answer to every request, and keeps the last one.
+// fakeWorker gives every request the same response and records the last request.
 type fakeWorker struct {
 	status int
 	body   string
@@ -46,7 +46,7 @@
 }
 
 func (w *fakeWorker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
-	raw, _ := io.ReadAll(r.Body) // a request that is cut off shows in its body
+	raw, _ := io.ReadAll(r.Body) // an incomplete body fails the comparison
 	w.mu.Lock()
 	w.request = r.Method + " " + r.URL.Path + " " + string(raw)
 	w.mu.Unlock()
@@ -61,8 +61,8 @@
 	}}
 }
 
-// Commands go out as the protocol writes them; whatever a worker answers that is not valid is
-// an error, never a heartbeat.
+// Commands are sent in the wire format of the protocol. An invalid response of a worker is returned
+// as an error, never as a heartbeat.
 func TestSendCommandsDistinguishesResponses(t *testing.T) {
 	const executed = `{"host":"m-1","stint":1,"tick":9,"baton":41,"shots":[{"shot":"j-1/0","try":2,"status":"flushing"}]}`
 	const rejected = `{"host":"m-1","stint":2,"tick":1,"baton":41,"shots":null}`
@@ -99,12 +99,12 @@
 	}
 }
 
-// No more calls are under way than a caller has slots.
+// A caller never runs more calls at a time than it has slots.
 func TestConcurrentCallsAreBounded(t *testing.T) {
 	const slots, calls = 2, 10
 	c := NewCaller(slots, time.Second)
-	var mu sync.Mutex // guards running and most
-	running, most := 0, 0
+	var mu sync.Mutex // guards running and peak
+	running, peak := 0, 0
 	var wg sync.WaitGroup
 	for range calls {
 		wg.Add(1)
@@ -112,7 +112,7 @@
 			defer wg.Done()
 			mu.Lock()
 			running++
-			most = max(most, running)
+			peak = max(peak, running)
 			mu.Unlock()
 			time.Sleep(time.Millisecond)
 			mu.Lock()
@@ -121,7 +121,7 @@
 		})
 	}
 	wg.Wait()
-	if most > slots {
-		t.Errorf("%d calls were under way at once, want at most %d", most, slots)
+	if peak > slots {
+		t.Errorf("%d calls ran at a time, want at most %d", peak, slots)
 	}
 }
--- a/internal/workers/golden_test.go
+++ b/internal/workers/golden_test.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/goldentest"
 )
 
-// A command goes to a worker as the protocol has it, and the worker's heartbeat is read.
+// Commands to a worker and the heartbeat in its response keep their wire format.
 func TestGoldenCommands(t *testing.T) {
 	worker := goldentest.NewFakeServer(t)
 	c := NewCaller(1, 10*time.Second)
