--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -1,9 +1,9 @@
-// Package dependency keeps the graph of dependencies among jobs: which jobs are blocked by others, are
-// released, or are cancelled as a dependency is, and what priority and latest finish
-// the dependents impose on a job. It is pure: no I/O, no clock.
+// Package dependency maintains the dependency graph of jobs: which jobs are blocked, which are to be
+// cancelled because a dependency was cancelled, and the priority and deadlines that a job inherits
+// from its dependents. It is pure: no I/O, no clock.
 //
-// A job that is done or cancelled is forgotten once no open job names it. A job that an open one
-// names, but of which nothing is known, blocks its dependents until its owner has read its state.
+// A job that is done or cancelled is removed once no open job depends on it. A dependency with an
+// unknown state blocks its dependents until the owner of the graph has read its state.
 package dependency
 
 import (
@@ -12,57 +12,57 @@
 	"time"
 )
 
-// State is what is known of a job.
+// State is the state of a job as known to the graph.
 type State uint8
 
-// States. Done and Cancelled are final, and mean that the store has recorded it.
+// States. Done and Cancelled are final and recorded in the store.
 const (
-	Unknown   State = iota // not known, or not known yet; no dependent may start
+	Unknown   State = iota // no dependent may start
 	Open                   // accepted, and neither done nor cancelled
 	Done                   // all its tasks have succeeded
-	Cancelled              // by a user, or as a dependency was
+	Cancelled              // by a user, or because a dependency was cancelled
 )
 
-// Job is an open job as the graph sees it.
+// Job is an open job.
 type Job struct {
 	ID           string
-	Dependencies []string      // jobs that have to be done before
-	Rank         int           // of its own priority, 0 being the highest
-	Deadline     time.Time     // when it should be complete; zero: no deadline
-	LatestEnd    time.Time     // when it should be complete at the very latest; zero: no such time
-	Estimate     time.Duration // from its release to its end, by its owner's estimate
+	Dependencies []string      // ids of the jobs that must be done first
+	Rank         int           // rank of its own priority; 0 is the highest
+	Deadline     time.Time     // when it should be done; zero: none
+	LatestEnd    time.Time     // when it should be done at the very latest; zero: none
+	Estimate     time.Duration // estimated time from its release to its end
 }
 
-// Precedence is how urgent a job is, for its own sake or that of its dependents. Its fields mean the same as
-// those of Job.
+// Precedence is the urgency of a job, its own or with that inherited from its dependents. The fields
+// mean the same as those of Job.
 type Precedence struct {
 	Rank                int
 	Deadline, LatestEnd time.Time
 }
 
-// precedence returns the precedence of a job for its own sake.
+// precedence returns the job's own precedence.
 func (j *Job) precedence() Precedence {
 	return Precedence{Rank: j.Rank, Deadline: j.Deadline, LatestEnd: j.LatestEnd}
 }
 
 // node is a job of the graph.
 type node struct {
-	job          Job // only its ID, while nothing else is known
+	job          Job // only the ID is set until Add
 	state        State
-	toCancel     bool      // it is open and to be cancelled, as a dependency is
-	blocked      bool      // it is open and waits for a dependency
-	doneAt       time.Time // zero: not known
-	revision     uint64    // at which its final state was stored; 0: not known
+	toCancel     bool      // open and to be cancelled because a dependency was cancelled
+	blocked      bool      // open and waiting for a dependency
+	doneAt       time.Time // zero: unknown
+	revision     uint64    // store revision of its final state; 0: unknown
 	dependencies []*node
 	dependents   []*node    // open jobs that depend on it
-	precedence   Precedence // of an open job, for its own sake and that of its dependents
+	precedence   Precedence // of an open job, including that inherited from its dependents
 }
 
-// Graph holds the open jobs and those that open jobs depend on. It is not for concurrent use.
+// Graph holds the open jobs and their dependencies. It is not safe for concurrent use.
 type Graph struct {
 	nodes    map[string]*node
 	unknown  map[string]bool // see UnknownJobs
-	toCancel []string        // see ToCancel; may hold jobs that have been closed since
+	toCancel []string        // see ToCancel; may include jobs closed since
 	changed  map[string]bool // see Changed
 }
 
@@ -71,7 +71,7 @@
 	return &Graph{nodes: map[string]*node{}, unknown: map[string]bool{}, changed: map[string]bool{}}
 }
 
-// node returns the node of a job, and adds one of which nothing is known if there is none.
+// node returns the node of a job, adding one in state Unknown if there is none.
 func (g *Graph) node(id string) *node {
 	n := g.nodes[id]
 	if n == nil {
@@ -81,8 +81,8 @@
 	return n
 }
 
-// Add adds an open job. Only jobs that were accepted before can be named, so
-// there are no cycles; a job that is known already is left as it is.
+// Add adds an open job. It does nothing if the job is known already. Dependencies were accepted
+// before the job that names them, so there are no cycles.
 func (g *Graph) Add(job Job) {
 	n := g.node(job.ID)
 	if n.state != Unknown || n.dependencies != nil {
@@ -101,7 +101,7 @@
 	n.precedence = job.precedence()
 	n.blocked = n.hasUnfinishedDependency()
 	g.changed[job.ID] = true
-	for _, dependent := range n.dependents { // named it before it was known
+	for _, dependent := range n.dependents { // added before the job itself
 		g.updateBlocked(dependent)
 	}
 	g.propagatePrecedence(n)
@@ -113,8 +113,7 @@
 	}
 }
 
-// Close notes that a job is no longer open, whatever has become of it: its state is unknown until
-// SetFinal is called.
+// Close records that a job is no longer open. Its state is Unknown until SetFinal is called.
 func (g *Graph) Close(id string) {
 	if n := g.nodes[id]; n != nil && n.state == Open {
 		n.state = Unknown
@@ -125,9 +124,9 @@
 	}
 }
 
-// SetFinal notes the final state of a job, Done or Cancelled, that the store has recorded. doneAt is when
-// it was done, if that is known. revision is that of the record, from which EarliestStartRevision
-// follows for its dependents.
+// SetFinal sets the final state of a job, Done or Cancelled, once the store has recorded it. doneAt is
+// when it was done; zero if unknown. revision is the store revision of the record; it determines
+// EarliestStartRevision of the dependents.
 func (g *Graph) SetFinal(id string, state State, doneAt time.Time, revision uint64) {
 	n := g.nodes[id]
 	if n == nil || n.state == Done || n.state == Cancelled {
@@ -160,7 +159,7 @@
 	g.removeIfUnused(n)
 }
 
-// removeIfUnused forgets a job that is not open and that no open job names.
+// removeIfUnused removes a job that is not open and on which no open job depends.
 func (g *Graph) removeIfUnused(n *node) {
 	if n.state != Open && len(n.dependents) == 0 {
 		delete(g.nodes, n.job.ID)
@@ -169,12 +168,12 @@
 	}
 }
 
-// hasUnfinishedDependency reports whether any dependency is not known to be stored as done.
+// hasUnfinishedDependency reports whether any dependency is in a state other than Done.
 func (n *node) hasUnfinishedDependency() bool {
 	return slices.ContainsFunc(n.dependencies, func(dependency *node) bool { return dependency.state != Done })
 }
 
-// updateBlocked recomputes whether a job is blocked.
+// updateBlocked recomputes whether a job is blocked and records a change.
 func (g *Graph) updateBlocked(n *node) {
 	if blocked := n.hasUnfinishedDependency(); blocked != n.blocked {
 		n.blocked = blocked
@@ -182,8 +181,8 @@
 	}
 }
 
-// cancelWithDependents marks a job, and all its dependents however far, as to be cancelled, since a
-// dependency is; the nearest come first.
+// cancelWithDependents marks a job and all its direct and indirect dependents as to be cancelled, in
+// breadth-first order.
 func (g *Graph) cancelWithDependents(first *node) {
 	for queue := []*node{first}; len(queue) > 0; queue = queue[1:] {
 		n := queue[0]
@@ -196,7 +195,7 @@
 	}
 }
 
-// earliest is the earlier of two times, of which zero is none.
+// earliest returns the earlier of two times; zero means no time.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -204,7 +203,7 @@
 	return a
 }
 
-// subtract subtracts a duration from a time; zero stays no time.
+// subtract subtracts a duration from a time; a zero time stays zero.
 func subtract(t time.Time, d time.Duration) time.Time {
 	if t.IsZero() {
 		return t
@@ -212,8 +211,8 @@
 	return t.Add(-d)
 }
 
-// propagatePrecedence recomputes how urgent a job is by its dependents, and does the same for its
-// dependencies, as far as anything changes.
+// propagatePrecedence recomputes the precedence of a job from its dependents and, if it changes, that
+// of its direct and indirect dependencies.
 func (g *Graph) propagatePrecedence(first *node) {
 	for stack := []*node{first}; len(stack) > 0; {
 		n := stack[len(stack)-1]
@@ -235,13 +234,13 @@
 	}
 }
 
-// Blocked reports whether a job depends on one that is not known to be stored as done.
+// Blocked reports whether a job has a dependency in a state other than Done.
 func (g *Graph) Blocked(id string) bool {
 	n := g.nodes[id]
 	return n != nil && n.hasUnfinishedDependency()
 }
 
-// ReleasedAt returns when the last dependency of a job was done, as far as known; zero if none is.
+// ReleasedAt returns when the last dependency of a job was done, as far as known; zero if unknown.
 func (g *Graph) ReleasedAt(id string) time.Time {
 	var last time.Time
 	if n := g.nodes[id]; n != nil {
@@ -254,8 +253,8 @@
 	return last
 }
 
-// EarliestStartRevision returns the revision before which a job cannot have been started: the last of
-// those at which a dependency was stored as done, as far as known.
+// EarliestStartRevision returns the store revision before which a job cannot have been started: the
+// highest one at which a dependency was stored as done, as far as known.
 func (g *Graph) EarliestStartRevision(id string) uint64 {
 	last := uint64(0)
 	if n := g.nodes[id]; n != nil {
@@ -266,7 +265,7 @@
 	return last
 }
 
-// Precedence returns how urgent an open job is for its own sake and that of its dependents.
+// Precedence returns the precedence of an open job, including that inherited from its dependents.
 func (g *Graph) Precedence(id string) Precedence {
 	if n := g.nodes[id]; n != nil {
 		return n.precedence
@@ -274,8 +273,8 @@
 	return Precedence{}
 }
 
-// DependenciesClear reports whether of all dependencies of an open job, however far, none is cancelled or
-// unknown. A dependency that is done has none such of its own.
+// DependenciesClear reports whether no direct or indirect dependency of an open job is cancelled or
+// unknown. All dependencies of a job that is done are done.
 func (g *Graph) DependenciesClear(id string) bool {
 	n := g.nodes[id]
 	if n == nil || n.state != Open || n.toCancel {
@@ -297,13 +296,13 @@
 	return true
 }
 
-// UnknownJobs lists the jobs that open ones depend on and whose state is not known, by id.
+// UnknownJobs returns the ids of the dependencies of open jobs whose state is unknown, sorted.
 func (g *Graph) UnknownJobs() []string {
 	return sortedIDs(g.unknown)
 }
 
-// ToCancel lists the open jobs that are to be cancelled because a dependency is, the
-// nearest to it first.
+// ToCancel returns the ids of the open jobs that are to be cancelled because a dependency was
+// cancelled, direct dependents first.
 func (g *Graph) ToCancel() []string {
 	g.toCancel = slices.DeleteFunc(g.toCancel, func(id string) bool {
 		n := g.nodes[id]
@@ -312,8 +311,8 @@
 	return slices.Clone(g.toCancel)
 }
 
-// Changed lists the jobs that were blocked, released, or became more or less urgent since
-// it was last called, by id.
+// Changed returns the ids of the jobs that became blocked or released, or whose precedence changed,
+// since its last call, sorted.
 func (g *Graph) Changed() []string {
 	if len(g.changed) == 0 {
 		return nil
@@ -323,7 +322,7 @@
 	return ids
 }
 
-// sortedIDs returns the members of a set in order. It is never nil.
+// sortedIDs returns the members of a set, sorted. The result is never nil.
 func sortedIDs(set map[string]bool) []string {
 	ids := make([]string, 0, len(set))
 	for id := range set {
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -13,8 +13,8 @@
 )
 
 // A scenario adds jobs ("add j-2 needs=j-1 rank=3 due=100 last=150 takes=20"), ends them
-// ("done j-1 at=30", "cancelled j-1", "closed j-1") and shows jobs ("show j-1 ...").
-// Every event is followed by what it changed.
+// ("done j-1 at=30", "cancelled j-1", "closed j-1") and describes jobs ("show j-1 ...").
+// Each other event is followed by the jobs that it changed.
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		g := New()
@@ -47,7 +47,7 @@
 	})
 }
 
-// parseTime parses a time of a scenario, in seconds; zero if there is none.
+// parseTime parses a time in seconds. It returns the zero time if s is not a number.
 func parseTime(s string) time.Time {
 	n, err := strconv.Atoi(s)
 	if err != nil {
@@ -70,8 +70,9 @@
 	return j
 }
 
-// describe returns a line for each of the jobs, and for what its owner is to do.
-func describe(g *Graph, ids []string, withObstructed bool) []string {
+// describe returns a line for each of the jobs, the jobs to cancel and the unknown jobs. With
+// showClear it also tells which jobs have dependencies that are not clear.
+func describe(g *Graph, ids []string, showClear bool) []string {
 	var lines []string
 	for _, id := range ids {
 		line := id + " may start"
@@ -89,7 +90,7 @@
 		if !precedence.LatestEnd.IsZero() {
 			line += fmt.Sprint(", at the latest ", precedence.LatestEnd.Unix())
 		}
-		if withObstructed && !g.DependenciesClear(id) {
+		if showClear && !g.DependenciesClear(id) {
 			line += ", not clear"
 		}
 		lines = append(lines, line)
@@ -109,7 +110,7 @@
 	state State
 }
 
-// reference is a model of the graph that computes every answer from all jobs.
+// reference is a reference model of the graph that computes every result by a scan of all jobs.
 type reference map[string]*referenceJob
 
 func (r reference) blocked(id string) bool {
@@ -121,7 +122,7 @@
 	return false
 }
 
-// toCancel reports whether any dependency of a job, however far, is cancelled.
+// toCancel reports whether any direct or indirect dependency of a job is cancelled.
 func (r reference) toCancel(id string) bool {
 	for _, dependency := range r[id].Dependencies {
 		if state := r[dependency].state; state == Cancelled || state == Open && r.toCancel(dependency) {
@@ -135,15 +136,15 @@
 	precedence := Precedence{Rank: r[id].Rank, Deadline: r[id].Deadline}
 	for _, j := range r {
 		if j.state == Open && slices.Contains(j.Dependencies, id) {
-			imposed := r.precedence(j.ID)
-			precedence.Rank = min(precedence.Rank, imposed.Rank)
-			precedence.Deadline = earliest(precedence.Deadline, subtract(imposed.Deadline, j.Estimate))
+			inherited := r.precedence(j.ID)
+			precedence.Rank = min(precedence.Rank, inherited.Rank)
+			precedence.Deadline = earliest(precedence.Deadline, subtract(inherited.Deadline, j.Estimate))
 		}
 	}
 	return precedence
 }
 
-// drawJob returns a job that depends on up to three of the others.
+// drawJob returns a random job that depends on up to three of the others.
 func drawJob(random *rand.Rand, id string, others []string) Job {
 	j := Job{ID: id, Rank: random.IntN(4), Estimate: time.Duration(random.IntN(9)) * time.Second}
 	if random.IntN(3) == 0 {
@@ -160,8 +161,8 @@
 	return j
 }
 
-// Whatever jobs are added and closed in whatever order, the graph answers what a scan of all jobs does,
-// and it forgets the jobs that no open one names.
+// For random sequences of added and closed jobs, the graph returns the same results as the reference
+// model, and it removes the jobs on which no open job depends.
 func TestGraphEqualsReference(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 15 {
@@ -173,7 +174,7 @@
 				all[j.ID] = &referenceJob{Job: j, state: Open}
 				ids = append(ids, j.ID)
 				g.Add(j)
-				for _, id := range j.Dependencies { // the owner reads those that are closed
+				for _, id := range j.Dependencies { // the owner reads the state of closed ones
 					if state := all[id].state; state == Done || state == Cancelled {
 						g.SetFinal(id, state, time.Time{}, 1)
 					}
@@ -196,36 +197,36 @@
 func compareToReference(t *testing.T, g *Graph, all reference) {
 	t.Helper()
 	toCancel := g.ToCancel()
-	named := map[string]bool{}
+	needed := map[string]bool{}
 	for id, j := range all {
 		if j.state != Open {
 			continue
 		}
-		named[id] = true
+		needed[id] = true
 		for _, dependency := range j.Dependencies {
-			named[dependency] = true
+			needed[dependency] = true
 		}
 		if got, want := g.Blocked(id), all.blocked(id); got != want {
 			t.Fatalf("%s is blocked: %v, want %v", id, got, want)
 		}
-		cascades := all.toCancel(id)
-		if got := slices.Contains(toCancel, id); got != cascades {
-			t.Fatalf("%s is to be cancelled: %v, want %v", id, got, cascades)
+		wantCancel := all.toCancel(id)
+		if got := slices.Contains(toCancel, id); got != wantCancel {
+			t.Fatalf("%s is to be cancelled: %v, want %v", id, got, wantCancel)
 		}
-		if got := g.DependenciesClear(id); got == cascades {
-			t.Fatalf("%s is unobstructed: %v, want %v", id, got, !cascades)
+		if got := g.DependenciesClear(id); got == wantCancel {
+			t.Fatalf("dependencies of %s are clear: %v, want %v", id, got, !wantCancel)
 		}
 		if got, want := g.Precedence(id), all.precedence(id); got != want {
 			t.Fatalf("precedence of %s: %v, want %v", id, got, want)
 		}
 	}
-	if len(g.nodes) != len(named) || len(g.UnknownJobs()) != 0 {
-		t.Fatalf("%d jobs are held, want the %d that are open or named; unknown are %v, want none", len(g.nodes), len(named), g.UnknownJobs())
+	if len(g.nodes) != len(needed) || len(g.UnknownJobs()) != 0 {
+		t.Fatalf("graph holds %d jobs, want the %d that are open or needed by open ones; unknown are %v, want none", len(g.nodes), len(needed), g.UnknownJobs())
 	}
 }
 
-// A job with an earlier deadline is added as the last of a chain of a thousand, and cancelled again: the
-// most that one job changes.
+// Adds a job with a deadline at the end of a chain of 1,000 and cancels it again: the largest change
+// that one job can cause.
 func BenchmarkLongChain(b *testing.B) {
 	g := New()
 	last := ""
@@ -246,7 +247,7 @@
 	}
 }
 
-// A job that depends on four others is added with them, and all are done, among a thousand such.
+// Adds a job together with its four dependencies and finishes all five, among 1,000 such groups.
 func BenchmarkPipelines(b *testing.B) {
 	g := New()
 	add := func(n int) {
