--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -1,7 +1,7 @@
-// Package reservation decides for which job room is reserved that needs much of it at once: a gang
-// whose places never become free all together waits for ever beside small jobs that take them one by
-// one as they do. A job that has waited for a share of the bound gets a zone, and what becomes free
-// there is reserved for it until it starts.
+// Package reservation decides when and where capacity is reserved for a gang or other large job.
+// Without a reservation a gang starves: its places never become free all at once, as small jobs take
+// each one that does. A job that has waited for a share of the bound on its wait is assigned a zone,
+// and places that become free there are reserved for it until it starts.
 //
 // The package is pure: no I/O, no clock.
 package reservation
@@ -11,43 +11,43 @@
 	"time"
 )
 
-// AllZones stands for all zones together.
+// AllZones is the zone name that stands for all zones.
 const AllZones = "*"
 
 const (
-	// dueShare is the share of the bound that a job's wait, and a multiple of the time that it
-	// needs, have to reach before room is reserved for it; needFactor is that multiple.
+	// Places are reserved for a job once its wait plus needFactor times the time in which its places
+	// become free reaches dueShare of the bound.
 	dueShare   = 0.75
 	needFactor = 3
 )
 
-// Due reports whether room is to be reserved for a job by now. waited is how long it has waited, need
-// how long its room takes to become free, and bound how long it may wait. A reservation must not
-// start so late that the bound is missed all the same: places become free one after the
-// other, and those for whom room was reserved before get theirs first.
+// Due reports whether places must be reserved for a job now. waited is how long it has waited, need is
+// how long its places take to become free, and bound is how long it may wait. A reservation must not
+// start so late that the bound is missed: places become free one after the other, and earlier
+// reservations are served first.
 func Due(waited, need, bound time.Duration) bool {
 	return float64(waited)+needFactor*float64(need) >= dueShare*float64(bound)
 }
 
-// Urgent reports whether a job for which room is being reserved has no time left to lose: then places
-// that are free only in part are kept for it as well.
+// Urgent reports whether a job with a reservation can meet the bound only if it gets its places without
+// delay. Partially free places are then reserved for it, too.
 func Urgent(waited, need, bound time.Duration) bool { return waited+need >= bound }
 
-// EarliestWait is the wait before which room is reserved for no job, whatever it needs.
+// EarliestWait returns the wait before which no job gets a reservation, whatever its need.
 func EarliestWait(bound time.Duration) time.Duration {
 	return time.Duration(float64(bound) * dueShare / 2)
 }
 
-// Zone is what becomes free in one zone for the tasks of one job.
+// Zone describes when places for the tasks of one job become free in a zone.
 type Zone struct {
 	Name              string
-	FreeAfterS        []float64 // seconds until each further place is free, in any order
-	ReservedForOthers int       // places that others with a reservation there still lack
+	FreeAfterS        []float64 // seconds until each place is free, in any order
+	ReservedForOthers int       // places that other jobs with a reservation in the zone still need
 }
 
-// ChooseZone returns the zone where n places are free soonest, once the others with a reservation there
-// have theirs, and in how many seconds that is; "" if no zone will have as many. Of zones with the
-// same time it is the first by name.
+// ChooseZone returns the zone where n places are free first, after those reserved for others, and in
+// how many seconds. It returns "" if no zone will have enough places. Zones with equal times are
+// ordered by name.
 func ChooseZone(zones []Zone, n int) (name string, afterS float64) {
 	for _, zone := range zones {
 		places := zone.ReservedForOthers + n
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The zone with the earliest last place wins, after those who have a reservation there; of equal ones
-// the first by name, in whatever order they come.
+// ChooseZone chooses the zone whose last needed place is free first, after the places reserved for
+// others. Ties are broken by zone name, independent of the order of the zones.
 func TestChooseZone(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -18,7 +18,7 @@
 		{"no zones", nil, 1, "", 0},
 		{"too few places", []Zone{{"a", []float64{0, 1}, 0}}, 3, "", 0},
 		{"soonest last place", []Zone{{"a", []float64{9, 0}, 0}, {"b", []float64{4, 5}, 0}}, 2, "b", 5},
-		{"places committed to others", []Zone{{"a", []float64{1, 2, 30}, 1}, {"b", []float64{8, 9}, 0}}, 2, "b", 9},
+		{"places reserved for others", []Zone{{"a", []float64{1, 2, 30}, 1}, {"b", []float64{8, 9}, 0}}, 2, "b", 9},
 		{"equal zones", []Zone{{"b", []float64{3}, 0}, {"a", []float64{3}, 0}}, 1, "a", 3},
 	} {
 		zone, afterS := ChooseZone(test.zones, test.n)
@@ -28,8 +28,8 @@
 	}
 }
 
-// A reservation starts before its job is urgent, the earlier the longer its room takes to become free,
-// and never before EarliestWait unless that takes long.
+// A reservation is due before its job is urgent, and the earlier the longer its places take to become
+// free. It is not due at EarliestWait if they are free at once.
 func TestDueBeforeUrgent(t *testing.T) {
 	const bound = 100 * time.Second
 	for _, test := range []struct {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,8 +1,7 @@
-// Package routing decides which controller a worker sends its heartbeats to. Any controller
-// can hold workers' connections and relay their heartbeats to the leader many at a time,
-// which spares the leader most of what a heartbeat costs it: the connection, its reads and
-// writes, and the frame around the body. The leader alone answers, so nothing that the
-// safety rules rest on changes; it only tells workers where to go.
+// Package routing decides to which controller a worker sends its heartbeats. Any controller can hold
+// workers' connections and relay their heartbeats to the leader in batches. This saves the leader
+// most of the cost of a heartbeat: the connection, its reads and writes, and the HTTP framing. Only
+// the leader answers heartbeats, so the safety rules are not affected.
 //
 // The package is pure: no I/O, no clock.
 package routing
@@ -14,57 +13,57 @@
 )
 
 const (
-	// freshIntervals is for how many heartbeat intervals a controller that relayed
-	// something is taken to be able to.
+	// freshIntervals is for how many heartbeat intervals after its last relayed message a
+	// controller counts as able to relay.
 	freshIntervals = 2
-	// avoidLeases is for how many leases a worker that came back from a controller is not
+	// avoidLeases is for how many lease durations a worker that came back from a controller is not
 	// sent there again.
 	avoidLeases = 2
-	// maxReturned is how many workers may come back from a controller, in a heartbeat
-	// interval, before it gets no new ones until the next.
+	// maxReturned is how many workers may come back from a controller in a heartbeat interval
+	// before it is assigned no others in that interval.
 	maxReturned = 3
-	// overloadFactor is how many times its share a controller may hold before some of its
-	// workers are sent to others.
+	// overloadFactor is how many times its share of workers a controller may hold before some of
+	// them are moved to others.
 	overloadFactor = 1.25
-	// maxMovedShare is the part of all workers that is moved between controllers in a
-	// heartbeat interval at most.
+	// maxMovedShare is the maximum share of all workers that is moved between controllers in a
+	// heartbeat interval.
 	maxMovedShare = 1.0 / 16
-	// maxZoneFactor is how many times its share of all workers a controller may hold because
-	// they are in its zone.
+	// maxZoneFactor is how many times its share of all workers a controller may hold because they
+	// are in its zone.
 	maxZoneFactor = 2
 )
 
-// Router is a leader's view of which worker sends its heartbeats through which controller. It
-// is made anew with each term. It is not safe for concurrent use.
+// Router tracks, for one term of a leader, which worker sends its heartbeats through which
+// controller. It is not safe for concurrent use.
 type Router struct {
-	self        string        // the leader's own node
-	interval    time.Duration // between heartbeats
-	lease       time.Duration
-	controllers map[string]*controller // the other ones, by node
+	self        string                 // the leader's own node
+	interval    time.Duration          // between heartbeats
+	lease       time.Duration          // duration of workers' leases
+	controllers map[string]*controller // the other controllers, by node
 	workers     map[string]*worker     // by machine
 	lastSweep   time.Time
-	moved       int // workers sent from one controller to another since the last sweep
+	moved       int // workers moved between other controllers since the last sweep
 }
 
-// controller is another controller.
+// controller is a controller other than the leader.
 type controller struct {
-	zone      string // "" where it does not say
+	zone      string // "" if unknown
 	lastHeard time.Time
-	workers   int // that send their heartbeats through it
+	workers   int // workers assigned to it
 	returned  int // workers that came back from it since the last sweep
 }
 
-// worker is how one worker sends its heartbeats.
+// worker is the route of one worker's heartbeats.
 type worker struct {
 	zone          string
-	via           string // the controller that it sends them to, or was told to
+	via           string // the controller that it uses or was last told to use
 	lastHeartbeat time.Time
-	avoid         string    // a controller that it does not reach, or that does not reach the leader
-	avoidUntil    time.Time // how long that is believed
+	avoid         string    // a controller that the worker cannot reach or that cannot reach the leader
+	avoidUntil    time.Time // when avoid expires
 }
 
-// New returns a router for the leader on node self, for workers with the given time between
-// heartbeats and the given length of leases.
+// New returns a router for the leader on node self, for workers with the given heartbeat interval
+// and lease duration.
 func New(self string, interval, lease time.Duration) *Router {
 	return &Router{
 		self:        self,
@@ -75,8 +74,8 @@
 	}
 }
 
-// RecordPeer notes that another controller, in a zone, has relayed something, if only that it
-// is there.
+// RecordPeer records that another controller, in the given zone, has relayed a batch, which may be
+// empty.
 func (r *Router) RecordPeer(node, zone string, now time.Time) {
 	c := r.controllers[node]
 	if c == nil {
@@ -87,9 +86,9 @@
 	c.lastHeard = now
 }
 
-// Route takes in that the heartbeat of a worker in a zone came through a controller, the
-// leader's own included, and returns the controller that the worker is to use instead; "" if
-// it may stay.
+// Route records a heartbeat of a worker in the given zone that came through controller via, which may
+// be the leader itself. It returns the controller that the worker must use from now on, or "" if it
+// keeps using via.
 func (r *Router) Route(machine, zone, via string, now time.Time) string {
 	r.sweep(now)
 	w := r.workers[machine]
@@ -120,7 +119,7 @@
 	return target
 }
 
-// assign notes through which controller a worker sends its heartbeats.
+// assign records the controller through which a worker sends its heartbeats.
 func (r *Router) assign(w *worker, via string) {
 	if w.via == via {
 		return
@@ -137,8 +136,8 @@
 	w.via = via
 }
 
-// recordReturn notes that a worker which was assigned to another controller has come back. It
-// has found that controller unreachable; without this, such workers would be sent to and fro.
+// recordReturn records that a worker came back from the controller that it was assigned to, which it
+// could not use. Without this record, such a worker would be sent back and forth.
 func (r *Router) recordReturn(w *worker, from string, now time.Time) {
 	c := r.controllers[from]
 	if c == nil {
@@ -149,7 +148,7 @@
 	c.returned++
 }
 
-// isEligible reports whether a worker may be sent to a controller.
+// isEligible reports whether a worker may be assigned to another controller.
 func (r *Router) isEligible(node string, w *worker, now time.Time) bool {
 	c := r.controllers[node]
 	fresh := now.Sub(c.lastHeard) <= freshIntervals*r.interval
@@ -157,11 +156,11 @@
 	return fresh && c.returned <= maxReturned && !avoided
 }
 
-// candidates lists the controllers that a worker may be sent to, by name: those in its own
-// zone, if there are any and they hold no more than maxZoneFactor times their share of all
-// workers; ownZone is true then. Otherwise a zone that is cut off, with the controllers in
-// it, would silence workers of other zones, all at once, until these have found another
-// controller.
+// candidates returns the controllers that a worker may be assigned to, sorted by name: those in its
+// own zone if there are any and they hold no more than maxZoneFactor times their share of all
+// workers, with ownZone true, and otherwise all eligible ones. Without the preference for the own
+// zone, a partitioned zone would cut off workers of other zones, all at once, until they find
+// another controller.
 func (r *Router) candidates(w *worker, now time.Time) (nodes []string, ownZone bool) {
 	var inZone []string
 	inZoneWorkers := 0
@@ -176,7 +175,7 @@
 		}
 	}
 	if c := r.controllers[w.via]; c == nil || c.zone != w.zone {
-		inZoneWorkers++ // with this one; one that is there stays
+		inZoneWorkers++ // counts this worker, which is not in them yet
 	}
 	if len(inZone) > 0 && inZoneWorkers*len(nodes) <= maxZoneFactor*len(inZone)*len(r.workers) {
 		nodes, ownZone = inZone, true
@@ -185,8 +184,7 @@
 	return nodes, ownZone
 }
 
-// leastLoaded picks the controller with the fewest workers, those on their way included; ""
-// if there is none.
+// leastLoaded returns the controller with the fewest assigned workers, or "" if nodes is empty.
 func (r *Router) leastLoaded(nodes []string) string {
 	if len(nodes) == 0 {
 		return ""
@@ -199,9 +197,9 @@
 	})
 }
 
-// rebalance returns where a worker is sent from a controller outside of its zone, or from one
-// that has far more than its share; "" if it stays. Only a few workers are moved at a time:
-// after a controller has been away, the others hold all.
+// rebalance returns the controller to which a worker is moved from one outside its zone or from one
+// that holds far more than its share, or "" if the worker stays. Moves per interval are limited:
+// when a controller returns, the others hold all workers.
 func (r *Router) rebalance(w *worker, now time.Time) string {
 	if float64(r.moved) >= maxMovedShare*float64(len(r.workers)) {
 		return ""
@@ -222,16 +220,17 @@
 	target := r.leastLoaded(nodes)
 	held := r.controllers[w.via].workers
 	overloaded := float64(held) > share*overloadFactor
-	// A move has to help: otherwise a few workers would be sent round and round.
-	helps := held >= r.controllers[target].workers+2
-	if !overloaded || !helps {
+	// A move must reduce the difference; otherwise a few workers would be moved in circles.
+	reducesDifference := held >= r.controllers[target].workers+2
+	if !overloaded || !reducesDifference {
 		return ""
 	}
 	r.moved++
 	return target
 }
 
-// sweep forgets, once in a heartbeat interval, workers that have not been heard from for long.
+// sweep removes, at most once per heartbeat interval, the workers without a heartbeat for more than
+// two lease durations. It also resets the counters of the interval.
 func (r *Router) sweep(now time.Time) {
 	if now.Sub(r.lastSweep) < r.interval {
 		return
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -19,12 +19,12 @@
 	leaderNode   = "n-0"
 )
 
-// testStart is when a scenario begins.
+// testStart is the time 0 of a scenario.
 var testStart = time.Unix(1_000_000, 0)
 
-// A scenario tells a router of leader n-0 which heartbeats come through whom ("heartbeat m-1
-// via n-1", or "heartbeats 40 via n-1" for m-0 to m-39) and which other controller has relayed
-// something ("peer n-1"), each "in" a zone where that matters.
+// A scenario gives the router of leader n-0 heartbeats ("heartbeat m-1 via n-1", or "heartbeats 40
+// via n-1" for m-0 to m-39) and other controllers that have relayed something ("peer n-1"), each
+// with an optional zone ("in a").
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		r := New(leaderNode, testInterval, testLease)
@@ -43,7 +43,8 @@
 	})
 }
 
-// runEvent runs an event of a scenario and returns what the router decides.
+// runEvent runs an event of a scenario and returns the router's decisions. known is false for an
+// unknown event.
 func runEvent(r *Router, words []string, now time.Time) (decisions []string, known bool) {
 	switch words[0] {
 	case "peer":
@@ -88,7 +89,7 @@
 	return out
 }
 
-// workersByController returns how many workers send their heartbeats through each other controller.
+// workersByController returns the number of workers assigned to each other controller.
 func workersByController(r *Router) map[string]int {
 	workers := map[string]int{}
 	for node, c := range r.controllers {
@@ -97,8 +98,8 @@
 	return workers
 }
 
-// clusterModel is controllers that come and go, and workers that go where they are sent.
-// Controller 0 leads.
+// clusterModel is a model of controllers that start and stop, and of workers that use the
+// controllers assigned to them. Controller 0 is the leader.
 type clusterModel struct {
 	t               *rapid.T
 	router          *Router
@@ -107,7 +108,7 @@
 	up              []bool // by controller
 	lastHeard       []time.Time
 	workerZones     []string
-	assigned        []int // by worker, the controller
+	assigned        []int // by worker, the index of its controller
 }
 
 func node(controller int) string { return fmt.Sprint("n-", controller) }
@@ -133,10 +134,10 @@
 	return m
 }
 
-// others is how many controllers there are beside the leader.
+// others returns the number of controllers other than the leader.
 func (m *clusterModel) others() int { return len(m.up) - 1 }
 
-// runInterval lets a heartbeat interval pass, and returns how many workers were moved.
+// runInterval simulates one heartbeat interval and returns the number of workers that were moved.
 func (m *clusterModel) runInterval() (moved int) {
 	m.now = m.now.Add(testInterval)
 	for c := 1; c <= m.others(); c++ {
@@ -153,11 +154,11 @@
 	return moved
 }
 
-// heartbeat sends a worker's heartbeat, and reports whether the worker was moved.
+// heartbeat sends a worker's heartbeat and reports whether the worker was moved.
 func (m *clusterModel) heartbeat(worker int) bool {
 	via := m.assigned[worker]
 	if via > 0 && !m.up[via] {
-		via = 0 // it tries until it finds the leader
+		via = 0 // the worker tries other controllers until it reaches the leader
 	}
 	m.assigned[worker] = via
 	target := m.router.Route(fmt.Sprint("m-", worker), m.workerZones[worker], node(via), m.now)
@@ -172,17 +173,18 @@
 	return true
 }
 
-// checkBalanced checks that no controller holds far more than its share.
+// checkBalanced checks that no controller holds far more than its share of workers.
 func (m *clusterModel) checkBalanced() {
 	share := float64(len(m.assigned)) / float64(m.others())
 	for name, workers := range workersByController(m.router) {
 		if limit := share*overloadFactor*maxZoneFactor + 2; float64(workers) > limit {
-			m.t.Fatalf("%s holds %d of %d workers, of %d controllers, want at most %v", name, workers, len(m.assigned), m.others(), limit)
+			m.t.Fatalf("%s holds %d of %d workers among %d controllers, want at most %v", name, workers, len(m.assigned), m.others(), limit)
 		}
 	}
 }
 
-// checkZones checks that no controller has room for a worker of its zone that is elsewhere.
+// checkZones checks that no worker uses a controller outside its zone while those in its zone may
+// hold more workers.
 func (m *clusterModel) checkZones() {
 	workersOf := workersByController(m.router)
 	for i, zone := range m.workerZones {
@@ -202,10 +204,10 @@
 	}
 }
 
-// Whatever comes and goes: a worker is never sent to where it is, to the leader, or to a
-// controller that has not been heard from for long; once nothing changes any more, all
-// workers are answered where they are, no controller holds far more than its share, and none
-// has room for a worker of its zone that is elsewhere.
+// For random controller failures, a worker is never sent to the controller it uses, to the leader, or
+// to a controller that has not been heard from recently. Once all controllers are up, the router
+// stops moving workers, no controller holds far more than its share, and no worker is outside its
+// zone while the controllers in its zone may hold more.
 func TestRoutesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newClusterModel(t)
