--- a/internal/slo/summary.go
+++ b/internal/slo/summary.go
@@ -10,24 +10,25 @@
 const (
 	ByClass   = "class"
 	ByTeam    = "team"
-	ByLargest = "largest" // of a class, the largest tenth by room
+	ByLargest = "largest" // the largest tenth of the jobs of a class, by size
 )
 
-// Summary is how a class, a team or a class's largest were served. Cancelled jobs are in none.
+// Summary is the service of a class, of a team or of the largest jobs of a class. It excludes
+// cancelled jobs.
 type Summary struct {
 	Dimension string // ByClass, ByTeam or ByLargest
 	Name      string // of the class or team
-	Arrived   int    // all jobs
-	Started   int    // those of them that have started
-	Done      int    // those of them that are done
-	Due       int    // those that have started, or have waited for longer than the bound
-	Late      int    // those that did not start within the bound
+	Arrived   int    // number of all jobs
+	Started   int    // jobs that have started
+	Done      int    // jobs that are done
+	Due       int    // jobs that have started or have waited for longer than the bound
+	Late      int    // jobs that did not start within the bound
 
-	LongestWait       time.Duration // of jobs that started until then, of others up to now
-	LongestWaitingJob string        // the job that has waited longest of those that have not started; "" if there is none
+	LongestWait       time.Duration // until the start, or until now for jobs that have not started
+	LongestWaitingJob string        // the job waiting longest among those that have not started; "" if none
 }
 
-// ShareInTime is the share of the jobs due that started in time; 1 where none is due.
+// ShareInTime returns the share of the due jobs that started within the bound; 1 if none is due.
 func (s Summary) ShareInTime() float64 {
 	if s.Due == 0 {
 		return 1
@@ -35,13 +36,13 @@
 	return 1 - float64(s.Late)/float64(s.Due)
 }
 
-// largestShare is the share of a class that counts as its largest, one job at least.
+// largestShare is the share of the jobs of a class that ByLargest covers, at least one job.
 const largestShare = 0.1
 
 // group identifies a summary.
 type group struct{ dimension, name string }
 
-// summaryBuilder are being made, at one time and for one bound.
+// summaryBuilder builds the summaries for one bound at one time.
 type summaryBuilder struct {
 	tracker *Tracker
 	bound   time.Duration
@@ -49,8 +50,8 @@
 	byGroup map[group]*Summary
 }
 
-// Summarize returns the summaries by class, team and largest, each by name. bound is how long a job may
-// wait to have started in time.
+// Summarize returns the summaries, sorted by dimension and name. bound is the longest wait that counts
+// as in time.
 func (t *Tracker) Summarize(bound time.Duration, now time.Time) []Summary {
 	sums := &summaryBuilder{tracker: t, bound: bound, now: now, byGroup: map[group]*Summary{}}
 	byClass := map[string][]string{}
@@ -78,13 +79,13 @@
 	return all
 }
 
-// largestJobs returns the largest share of some jobs by room, with all that are as large as the last of
-// these. It sorts ids.
+// largestJobs returns the largestShare of the given jobs by size, and those as large as the smallest
+// of them. It sorts ids.
 func (t *Tracker) largestJobs(ids []string) []string {
 	slices.SortStableFunc(ids, func(x, y string) int { return cmp.Compare(t.jobs[y].size, t.jobs[x].size) })
 	n := max(int(float64(len(ids))*largestShare), 1)
-	leastRoom := t.jobs[ids[n-1]].size
-	for n < len(ids) && t.jobs[ids[n]].size >= leastRoom {
+	minSize := t.jobs[ids[n-1]].size
+	for n < len(ids) && t.jobs[ids[n]].size >= minSize {
 		n++
 	}
 	return ids[:n]
