--- a/internal/peer/batcher.go
+++ b/internal/peer/batcher.go
@@ -15,9 +15,9 @@
 // SendBatchFunc sends a batch of heartbeats to a node.
 type SendBatchFunc func(node string, heartbeats [][]byte) (HeartbeatBatchReply, error)
 
-// Batcher batches heartbeats by node. A batch is sent at the end of its window, or once the node
-// has fewer than maxInFlightBatches unanswered batches; until then the batch grows. Without this
-// bound, a slow leader would receive ever more concurrent requests.
+// Batcher batches heartbeats by node. A batch is sent at the end of its window, or later if the node
+// has maxInFlightBatches unanswered batches; until then it grows. Without this bound, a slow leader
+// would receive ever more concurrent requests.
 //
 // It is safe for concurrent use.
 type Batcher struct {
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -17,8 +17,8 @@
 // maxConnectionsPerPeer bounds the connections to each other controller.
 const maxConnectionsPerPeer = 16
 
-// ErrUnsupported means that a peer responded with a status other than 200: its version does not
-// support the call.
+// ErrUnsupported means that a peer responded with a status other than 200, as versions that do not
+// support the call do.
 var ErrUnsupported = errors.New("peer: unexpected status")
 
 // Peers calls the other controllers. It is safe for concurrent use.
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -57,7 +57,7 @@
 	}
 	switch status {
 	case http.StatusNotFound:
-		// A 404 without a revision does not come from the store, for example from a proxy.
+		// Only the store's own 404, which has a revision, means that the key is absent.
 		var response struct {
 			Revision *uint64 `json:"epoch"`
 		}
