--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -99,7 +99,8 @@
 	return openJobResponse(job.ID, peer.Progress{Status: records.StatusPending}), true
 }
 
-// duplicateIntervals is the number of heartbeat intervals for which more duplicates are expected after one.
+// duplicateIntervals is the number of heartbeat intervals for which more duplicates are expected
+// after one.
 const duplicateIntervals = 4
 
 // expectDuplicates reports whether a job was submitted here recently that another controller had
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -245,7 +245,7 @@
 }
 
 // tooLargeReason returns why a job cannot be stored, "" if it can: its record must not exceed the
-// store's limit on the size of a value, now or after an announced change.
+// store's current and upcoming limits on the size of a value.
 func (s *Server) tooLargeReason(job *records.Job) string {
 	limit := int(s.cfg.Deployment.Store.Lowest().ValueKB * 1024)
 	if limit == 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// validSettings are settings without any mistake.
+// validSettings are valid settings.
 const validSettings = `
 node_name = "n-0"
 zone = "a"
@@ -57,8 +57,7 @@
 	}
 }
 
-// Upcoming limits that are absent stay as they are; what keeps to the lowest limits is accepted before and
-// after the change.
+// Lowest takes the lower of each current and upcoming limit; a limit without an upcoming value stays.
 func TestLowestLimits(t *testing.T) {
 	now := StoreLimits{RPS: 150, WriteRPS: 20, ValueKB: 8, TxnOps: 16}
 	for _, x := range []struct {
@@ -81,7 +80,7 @@
 	}
 }
 
-// Every mistake is one error of one line that names the key, to readers and to programs.
+// Every invalid setting is a one-line error whose text and Key name the key.
 func TestInvalidSettingsNameTheKey(t *testing.T) {
 	for _, x := range []struct{ from, to, want, key string }{
 		{`node_name = "n-0"`, ``, "node_name is missing", "node_name"},
@@ -124,7 +123,7 @@
 	}
 }
 
-// Options that are not set keep their defaults; every mistake is an error that names the key.
+// Options that are not set keep their defaults; every invalid option is an error that names the key.
 func TestLoadOptions(t *testing.T) {
 	for _, x := range []struct{ text, want, key string }{
 		{"", "", ""},
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Every key of the settings is read into the configuration, and written alike: the local cluster
-// writes the settings of its controllers.
+// Every key of the settings is read into the configuration and written under the same name, since the
+// local cluster writes the settings of its controllers.
 func TestGoldenSettings(t *testing.T) {
 	rps, writeRPS, valueKB, txnOps := 11.5, 12.5, 13.5, 14
 	want := Config{
@@ -33,7 +33,7 @@
 		},
 	}
 	for _, field := range goldentest.UnsetFields(want, "toml") {
-		t.Errorf("the value of the test leaves the field %s unset", field)
+		t.Errorf("the value of this test leaves the field %s unset", field)
 	}
 	written, err := toml.Marshal(want)
 	if err != nil {
@@ -54,14 +54,14 @@
 	}
 }
 
-// Kinds of objectives keep their names, as settings hold them.
+// The kinds of objectives keep their names in the settings.
 func TestGoldenObjectives(t *testing.T) {
 	goldentest.Run(t, "golden-objectives.json", goldentest.JSON, []goldentest.Case{
 		{Name: "kinds", Direction: goldentest.WriteOnly, Value: []string{KindWait, KindDeadline, KindGuarantee}},
 	})
 }
 
-// Every key of the operators' file is read into an option of its own, whatever else is set.
+// Every key of the operators' file sets its own option, independently of the others.
 func TestGoldenOptions(t *testing.T) {
 	want := Options{
 		RoundIntervals: 3.5, ForecastAlphaUp: -0.3, ForecastAlphaDown: 0.6, ForecastWindow: 9, ForecastPercentile: 91, LeaderLeaseIntervals: 4.5, IdleStartups: 5.5,
@@ -72,13 +72,13 @@
 	got, defaults := reflect.ValueOf(want), reflect.ValueOf(DefaultOptions())
 	for i := range got.NumField() {
 		if got.Field(i).IsZero() || got.Field(i).Equal(defaults.Field(i)) {
-			t.Errorf("the value of the test leaves the field %s at its default", got.Type().Field(i).Name)
+			t.Errorf("the value of this test leaves the field %s at its default", got.Type().Field(i).Name)
 		}
 	}
 	if got, err := LoadOptions("testdata/golden-options.ini"); err != nil || got != want {
 		t.Errorf("the options are read as\n     %+v, %v\nwant %+v", got, err, want)
 	}
-	// One switch at a time: two that are exchanged read alike when both are on.
+	// One switch at a time: swapped switches would go unnoticed if both were on.
 	for key, want := range map[string]func(*Options) *bool{
 		"[operator]\nenabled":   func(o *Options) *bool { return &o.OperatorAPI },
 		"[takeover]\nmarks":     func(o *Options) *bool { return &o.Watermarks },
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -22,7 +22,7 @@
 	return c, nil
 }
 
-// Parse reads and validates settings from text. Its options are the defaults.
+// Parse reads and validates settings from text. The options are the defaults.
 func Parse(raw []byte) (*Config, error) {
 	c := &Config{Options: DefaultOptions()}
 	if err := toml.Unmarshal(raw, c); err != nil {
@@ -34,7 +34,7 @@
 	return c, nil
 }
 
-// decodeError names the place of a decoder's error, which otherwise is not in its text.
+// decodeError adds the position and the key to a decoder's error, whose text lacks them.
 func decodeError(err error) error {
 	var decode *toml.DecodeError
 	if !errors.As(err, &decode) {
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -6,8 +6,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Options are the operators' own settings (INI). All but one are ratios, factors or switches, so that
-// one file suits deployments of any size.
+// Options are the settings of operators (INI). All but BeginWithinS are factors, counts or switches, so
+// that one file suits deployments of any size.
 type Options struct {
 	// RoundIntervals is the length of a scheduling round, in heartbeat intervals.
 	RoundIntervals float64
@@ -19,37 +19,37 @@
 	ForecastWindow int
 	// ForecastPercentile is the percentile of the window that is taken as observed use, 1 to 100.
 	ForecastPercentile float64
-	// LeaderLeaseIntervals is the life of the leader's lease, in heartbeat intervals.
+	// LeaderLeaseIntervals is the duration of the leader's lease, in heartbeat intervals.
 	LeaderLeaseIntervals float64
-	// IdleStartups is how long an empty machine is kept, in startup times of its type.
+	// IdleStartups is how long an idle machine is kept, in startup times of its type.
 	IdleStartups float64
-	// CapacityBackoffStartups is the pause after the cloud had no capacity, in startup times.
+	// CapacityBackoffStartups is the backoff after the cloud had no capacity, in startup times.
 	CapacityBackoffStartups float64
-	// OperatorAPI serves the operators' API beside the users' one.
+	// OperatorAPI serves the operators' API in addition to the users' API.
 	OperatorAPI bool
-	// Watermarks stores how far jobs were dispatched, so that a new leader need not wait for all
-	// machines before it starts the rest.
+	// Watermarks stores up to which task jobs have been dispatched, so that a new leader need not wait
+	// for all machines before it dispatches the other tasks.
 	Watermarks bool
-	// LeaseExpiryProofs has a new leader conclude that the leases of silent machines have expired, from
-	// those controllers that may have renewed them. It needs Watermarks.
+	// LeaseExpiryProofs lets a new leader conclude that the leases of silent machines have expired, by
+	// asking the controllers that may have renewed them. It requires Watermarks.
 	LeaseExpiryProofs bool
-	// HeartbeatRelay has controllers relay workers' heartbeats to the leader in batches.
+	// HeartbeatRelay lets followers relay workers' heartbeats to the leader in batches.
 	HeartbeatRelay bool
-	// LoadShedding has a leader that falls behind leave out task starts and scale-out.
+	// LoadShedding lets an overloaded leader skip task starts and scale-out.
 	LoadShedding bool
-	// Guarantees puts work within a team's guarantee that can still start in time first, and makes
-	// room for it by preemption.
+	// Guarantees prioritizes tasks within a team's guarantee that can still start in time, and preempts
+	// other tasks for them.
 	Guarantees bool
-	// Reservations keeps room free for jobs that need much of it at once.
+	// Reservations reserves room for jobs that need much of it at once.
 	Reservations bool
-	// BeginWithinS is the time in seconds within which any job is to start, if there is room for it at all.
+	// BeginWithinS is the time in seconds within which any job should start, if there is room for it.
 	BeginWithinS float64
-	// ZoneHealth has the scheduler wait for the machines of a zone that is cut off, rather than give
-	// them up.
+	// ZoneHealth lets the scheduler wait for the machines of an unreachable zone instead of declaring
+	// them lost.
 	ZoneHealth bool
 }
 
-// DefaultOptions returns the options that hold where the INI file sets nothing.
+// DefaultOptions returns the options that apply if the INI file does not set them.
 func DefaultOptions() Options {
 	return Options{
 		RoundIntervals: 2, ForecastAlphaUp: -0.2, ForecastAlphaDown: 0.7, ForecastWindow: 8, ForecastPercentile: 90,
@@ -57,15 +57,15 @@
 	}
 }
 
-// optionKey is a key of the INI file with its section.
+// optionKey is the section and the name of a key in the INI file.
 type optionKey struct{ section, name string }
 
-// invalid returns the error for a key of the INI file.
+// invalid returns an Error for a key of the INI file.
 func (k optionKey) invalid(format string, args ...any) error {
 	return invalid(k.section+"."+k.name, "[%s] %s %s", k.section, k.name, fmt.Sprintf(format, args...))
 }
 
-// numberOption is an option that is a number, with its range.
+// numberOption is a numeric option with its range.
 type numberOption struct {
 	optionKey
 	value    *float64
@@ -78,7 +78,7 @@
 	value *bool
 }
 
-// windowKey is the only option that is a whole number, and maxWindow its upper bound.
+// windowKey is the key of the only integer option, and maxWindow its upper bound.
 var windowKey = optionKey{"forecast", "window"}
 
 const maxWindow = 1000
@@ -109,7 +109,8 @@
 	}
 }
 
-// LoadOptions reads the operators' INI file over the defaults. A key that is not known is an error.
+// LoadOptions reads the operators' INI file. Options that it does not set keep their defaults; an
+// unknown key is an error.
 func LoadOptions(path string) (Options, error) {
 	o := DefaultOptions()
 	file, err := ini.Load(path)
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Timing holds the time-outs of calls and the life of the leader's lease. All are ratios to the
-// heartbeat interval, bounded where users or workers wait.
+// Timing holds timeouts of calls and durations of leases. The timeouts and the leader's lease are
+// multiples of the heartbeat interval, with upper bounds where users or workers wait.
 type Timing struct {
-	HeartbeatInterval   time.Duration // between the heartbeats of a worker
-	LeaderLease         time.Duration // life of the leader's lease
-	StoreTimeout        time.Duration // time-out of a call to the key-value store
-	PeerTimeout         time.Duration // time-out of a call to another controller
-	CloudTimeout        time.Duration // time-out of a call to the cloud
-	WorkerTimeout       time.Duration // time-out of a direct command to a worker
-	RenewalWithoutStore time.Duration // how long a leader renews workers' leases without contact to the store
+	HeartbeatInterval   time.Duration // interval between a worker's heartbeats
+	LeaderLease         time.Duration // duration of the leader's lease
+	StoreTimeout        time.Duration // timeout of a call to the key-value store
+	PeerTimeout         time.Duration // timeout of a call to another controller
+	CloudTimeout        time.Duration // timeout of a call to the cloud's API
+	WorkerTimeout       time.Duration // timeout of a direct command to a worker
+	RenewalWithoutStore time.Duration // how long a leader without contact to the store renews workers' leases
 }
 
 // Timing derives the timing from the settings.
@@ -32,15 +32,16 @@
 }
 
 const (
-	// slowStoreCall is what a call to the key-value store may take now and then.
+	// slowStoreCall is the duration of an occasional slow call to the key-value store.
 	slowStoreCall = 300 * time.Millisecond
-	// lostHeartbeatDelay is how long a worker waits for an answer, and then before it tries the next node.
+	// lostHeartbeatDelay is the timeout of a worker's heartbeat plus the delay before it tries the
+	// next controller.
 	lostHeartbeatDelay = 5 * time.Second
 )
 
-// Warnings lists settings each of which is in range and that hold together badly: nothing breaks a
-// rule by them, but work is lost or an objective missed for nothing. Without them, a deployment with
-// other intervals would be found wanting only in its first outage.
+// Warnings lists combinations of settings that are each in range but do not fit together: no safety
+// rule is violated, but work is lost or an objective is missed without need. Without the warnings,
+// this would first show in an outage.
 func (c *Config) Warnings() []string {
 	timing, workers := c.Timing(), c.Deployment.Workers
 	lease := Seconds(workers.LeaseS)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,7 +6,7 @@
 	"net"
 )
 
-// validate checks all settings, and completes the number of controllers.
+// validate checks all settings, and sets the number of controllers if it is not set.
 func (c *Config) validate() error {
 	if c.Node == "" {
 		return missing("node_name")
@@ -14,13 +14,13 @@
 	if c.Zone == "" {
 		return missing("zone")
 	}
-	for _, a := range []struct{ key, addr string }{
+	for _, address := range []struct{ key, addr string }{
 		{"bind", c.UserAddr},
 		{"back", c.PeerAddr},
 		{"external.cloud", c.External.Cloud},
 		{"external.state", c.External.Store},
 	} {
-		if err := validateAddr(a.key, a.addr); err != nil {
+		if err := validateAddr(address.key, address.addr); err != nil {
 			return err
 		}
 	}
@@ -76,22 +76,22 @@
 	return d.validateTeams()
 }
 
-// numberSetting is a number of the settings with the range that it must be in.
+// numberSetting is a numeric setting with its range.
 type numberSetting struct {
 	key      string
 	value    float64
 	min, max float64
 }
 
-// numbers lists the numbers of the settings, in the order in which they are checked. The ranges only
-// keep out what no deployment has, and what would make a controller misbehave.
+// numbers lists the numeric settings, in the order in which they are checked. The ranges exclude only
+// values that no deployment has or that would make a controller misbehave.
 func (d *Deployment) numbers() []numberSetting {
 	const (
 		maxRate = 1e9
 		hourS   = 3600
 		dayS    = 86400
 	)
-	figures := []numberSetting{
+	numbers := []numberSetting{
 		{"facts.nodes", float64(d.Nodes), 1, 1000},
 		{"facts.time_bound_ms", d.MaxClockErrorMS, 0, hourS * 1e3},
 		{"facts.workers.report_s", d.Workers.HeartbeatS, 0.01, hourS},
@@ -111,22 +111,22 @@
 	}
 	next := d.Store.Next
 	if next.RPS != nil {
-		figures = append(figures, numberSetting{"facts.state.next.rps", *next.RPS, 1, maxRate})
+		numbers = append(numbers, numberSetting{"facts.state.next.rps", *next.RPS, 1, maxRate})
 	}
 	if next.WriteRPS != nil {
-		figures = append(figures, numberSetting{"facts.state.next.write_rps", *next.WriteRPS, 0.5, maxRate})
+		numbers = append(numbers, numberSetting{"facts.state.next.write_rps", *next.WriteRPS, 0.5, maxRate})
 	}
 	if next.ValueKB != nil {
-		figures = append(figures, numberSetting{"facts.state.next.value_kb", *next.ValueKB, 1, 64})
+		numbers = append(numbers, numberSetting{"facts.state.next.value_kb", *next.ValueKB, 1, 64})
 	}
 	if next.TxnOps != nil {
-		figures = append(figures, numberSetting{"facts.state.next.txn_ops", float64(*next.TxnOps), 2, 1e6})
+		numbers = append(numbers, numberSetting{"facts.state.next.txn_ops", float64(*next.TxnOps), 2, 1e6})
 	}
-	return figures
+	return numbers
 }
 
-// validate checks that the intervals go together: a lease outlasts the heartbeats that renew it, and a
-// cancellation takes long enough that leases can run out meanwhile.
+// validate checks that the intervals are consistent: a lease must be longer than the interval of the
+// heartbeats that renew it, and leases must be able to expire within the time of a cancellation.
 func (w Workers) validate() error {
 	if w.LeaseS <= w.HeartbeatS {
 		return invalid("facts.workers.lease_s",
--- a/internal/operator/drain_plan.go
+++ b/internal/operator/drain_plan.go
@@ -10,15 +10,15 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// tasksPerPage is how many tasks a page of a plan lists, so that it stays below 64 KiB. The rest
-// comes in further pages; the sums are of all tasks.
+// tasksPerPage is the number of tasks in a page of a plan, which keeps it below 64 KiB. Further tasks
+// follow in further pages; the totals cover all tasks.
 const tasksPerPage = 250
 
-// statusDrainUnread is a leader's answer, to controllers alone, that it has not read a drain beside
-// which it is to plan another.
+// statusDrainUnread is the status of a leader's reply to another controller if the leader has not read
+// a stored drain that it has to consider for the plan.
 const statusDrainUnread = fiber.StatusTooEarly
 
-// planDrain asks the leader what a drain would do.
+// planDrain returns the leader's plan of a drain.
 func (s *Server) planDrain(in drainRequest) peer.RelayReply {
 	raw, err := json.Marshal(in)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return s.AskLeader(peer.RelayRequest{Method: methodPlanDrain, Body: raw})
 }
 
-// planDrainAsLeader answers, as the leader, what a drain would do.
+// planDrainAsLeader returns the plan of a drain, as the leader.
 func planDrainAsLeader(l Leader, body []byte) peer.RelayReply {
 	var in drainRequest
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -39,12 +39,12 @@
 		}
 	}
 	plan, err := l.PreviewDrain(&in.Spec, in.Force, in.Since, tasksPerPage)
-	var noMachine *scheduler.DrainTargetError
-	var noCapacityLeft *scheduler.DrainRefusedError
+	var targetErr *scheduler.DrainTargetError
+	var refusedErr *scheduler.DrainRefusedError
 	switch {
-	case errors.As(err, &noMachine):
+	case errors.As(err, &targetErr):
 		return errorResponse(fiber.StatusNotFound, err.Error())
-	case errors.As(err, &noCapacityLeft):
+	case errors.As(err, &refusedErr):
 		return errorResponse(fiber.StatusConflict, err.Error())
 	case err != nil:
 		return errorResponse(fiber.StatusServiceUnavailable, err.Error())
--- a/internal/operator/drain_request.go
+++ b/internal/operator/drain_request.go
@@ -10,29 +10,28 @@
 	"drumpick/internal/records"
 )
 
-// drainRequest is a drain as operators ask for it.
+// drainRequest is an operator's request for a drain or for its plan.
 type drainRequest struct {
 	drain.Spec
-	// Force has a drain start although it leaves no machine for some jobs.
+	// Force starts the drain even if it leaves no machine for some jobs.
 	Force bool `json:"force,omitempty"`
-	// Since is the last machine of the page before, where a plan is asked for.
+	// Since is the last machine of the previous page of a plan.
 	Since string `json:"since,omitempty"`
-	// Seen are the ids of the drains beside which a new one is planned. A leader that has not read
-	// them all cannot tell whether together they leave enough machines.
+	// Seen are the ids of the stored drains. A leader that has not read all of them cannot tell
+	// whether they leave enough machines together with the new one.
 	Seen []string `json:"seen,omitempty"`
 }
 
-// maxSpecBytes bounds a drain's record where the store takes more: the request for the drain, and the
-// one that passes it on to the leader along with the ids of all stored drains, must each fit into
-// the 64 KiB of a request.
+// maxSpecBytes bounds a drain's record if the store accepts larger values. The request for the drain,
+// and the relayed request with the ids of all stored drains, must each fit the limit of 64 KiB.
 const maxSpecBytes = 48 << 10
 
-// parseRequest reads a request and checks it; reason is what is wrong with it, "" if nothing.
+// parseRequest decodes and checks a request; reason is what is wrong with it, "" if nothing.
 func (s *Server) parseRequest(body []byte) (in drainRequest, reason string) {
 	if err := json.Unmarshal(body, &in); err != nil {
-		var wrongType *json.UnmarshalTypeError
-		if errors.As(err, &wrongType) && wrongType.Field != "" {
-			return in, wrongType.Field + ": has the wrong type"
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) && typeErr.Field != "" {
+			return in, typeErr.Field + ": has the wrong type"
 		}
 		return in, "the body is not a JSON object"
 	}
@@ -43,10 +42,10 @@
 	return in, s.tooLargeReason(in.Spec)
 }
 
-// tooLargeReason returns why a drain does not fit into its record, "" if it does.
+// tooLargeReason returns why a drain exceeds the limit on its record, "" if it fits.
 func (s *Server) tooLargeReason(spec drain.Spec) string {
 	limit := min(s.maxValueBytes, maxSpecBytes)
-	// The record grows when the drain is stopped. Without this, one could fit that cannot be stopped.
+	// The record grows when the drain is stopped; without this, a drain could fit that cannot be stopped.
 	spec.Stopped = true
 	size := records.EncodedSize(spec)
 	if size <= limit {
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -18,7 +18,7 @@
 	"github.com/gofiber/fiber/v2/utils"
 )
 
-// Drains are all drains that are stored.
+// Drains is the list of all stored drains.
 type Drains struct {
 	Drains []scheduler.DrainView `json:"drains"`
 }
@@ -45,11 +45,11 @@
 	})
 }
 
-// withTimeout bounds the work on a request.
-func (s *Server) withTimeout(do func(context.Context) peer.RelayReply) peer.RelayReply {
+// withTimeout calls handle with a context that ends after the server's timeout.
+func (s *Server) withTimeout(handle func(context.Context) peer.RelayReply) peer.RelayReply {
 	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 	defer cancel()
-	return do(ctx)
+	return handle(ctx)
 }
 
 func noSuchDrainResponse(id string) peer.RelayReply {
@@ -60,8 +60,8 @@
 	return errorResponse(fiber.StatusConflict, "its record is unreadable: "+err.Error())
 }
 
-// startDrain stores a drain, if the leader finds that it can be. The same request again, under its id, is
-// answered as the first one was.
+// startDrain stores a drain if the leader's plan allows it. The request is idempotent: repeated with
+// the same id, it returns the stored drain.
 func (s *Server) startDrain(ctx context.Context, body []byte) peer.RelayReply {
 	in, reason := s.parseRequest(body)
 	if reason != "" {
@@ -74,8 +74,8 @@
 	}
 }
 
-// tryStartDrain tries once to plan and store a drain. done is false if it has to be tried again, beside
-// drains that were stored meanwhile.
+// tryStartDrain makes one attempt to plan and store a drain. done is false if it has to be retried,
+// since other drains were stored concurrently or the leader has not read all stored drains.
 func (s *Server) tryStartDrain(ctx context.Context, in *drainRequest) (out peer.RelayReply, done bool) {
 	stored, err := s.readStoredDrains(ctx, records.PrefixDrains+in.ID)
 	if err != nil {
@@ -104,18 +104,19 @@
 	case errors.As(err, &conflict):
 		return peer.RelayReply{}, false
 	}
-	return storeUnavailableResponse, true // it may have been stored: the retry finds out
+	return storeUnavailableResponse, true // it may have been stored; a retry resolves this
 }
 
-// storedDrains is what is stored when a drain is planned.
+// storedDrains is what the store holds when a drain is planned.
 type storedDrains struct {
 	sequence uint64            // revision of the drain sequence, read first
-	ids      []string          // of all drains
-	row      *records.KeyValue // the record of the drain that is planned, if there is one already
+	ids      []string          // ids of all drains
+	row      *records.KeyValue // record of the planned drain, nil if it is not stored yet
 }
 
-// readStoredDrains reads the drain sequence and then the stored drains, key among them. The order matters:
-// the leader has to have read whatever drain is stored at the revision of the sequence.
+// readStoredDrains reads the drain sequence and then all stored drains; key is that of the planned
+// drain. The order matters: the list contains every drain that is stored at the revision of the
+// sequence, and the leader must have read all of them.
 func (s *Server) readStoredDrains(ctx context.Context, key string) (storedDrains, error) {
 	var stored storedDrains
 	sequence, err := s.store.Get(ctx, records.KeyDrainSequence)
@@ -135,9 +136,8 @@
 	return stored, err
 }
 
-// storeDrain stores a new drain if none was stored since the sequence was read. Without this compare,
-// of two drains asked for at the same moment each could leave enough machines without the other, but
-// not both together.
+// storeDrain stores a new drain if no other was stored since the sequence was read. Without this
+// compare, two concurrent drains could be accepted that each leave enough machines, but not together.
 func (s *Server) storeDrain(ctx context.Context, spec drain.Spec, sequence uint64) error {
 	key := records.PrefixDrains + spec.ID
 	_, err := s.store.Commit(ctx,
@@ -146,24 +146,24 @@
 	return err
 }
 
-// repeatedStartResponse answers a request for a drain that is stored already.
+// repeatedStartResponse returns the response to a request for a drain whose id is already stored.
 func repeatedStartResponse(spec drain.Spec, row *records.KeyValue) peer.RelayReply {
 	var stored drain.Spec
 	if err := json.Unmarshal(row.Value, &stored); err != nil {
 		return unreadableRecordResponse(err)
 	}
-	same := stored
-	same.RequestedMS, same.Stopped = spec.RequestedMS, false
-	if !reflect.DeepEqual(same, spec) {
+	expected := stored
+	expected.RequestedMS, expected.Stopped = spec.RequestedMS, false
+	if !reflect.DeepEqual(expected, spec) {
 		return errorResponse(fiber.StatusConflict, "there is another drain of the id "+spec.ID)
 	}
 	return okResponse(scheduler.DrainView{Spec: stored})
 }
 
-// stopAttempts is how often it is tried to stop a drain whose record changes meanwhile.
+// stopAttempts bounds the attempts to stop a drain whose record changes concurrently.
 const stopAttempts = 4
 
-// stopDrain stops a drain; to stop one again is no error.
+// stopDrain stops a drain. Stopping a stopped drain is no error.
 func (s *Server) stopDrain(ctx context.Context, id string) peer.RelayReply {
 	if !drain.ValidID(id) {
 		return noSuchDrainResponse(id)
@@ -198,7 +198,7 @@
 	return storeUnavailableResponse
 }
 
-// maxListedNames is how many machines a list names of each drain; a drain by itself names all.
+// maxListedNames is the number of machines that a list names per drain; showDrain names all.
 const maxListedNames = 3
 
 // listDrains returns all stored drains with their states.
@@ -227,7 +227,7 @@
 	return okResponse(out)
 }
 
-// readDrainStates reads the states of all drains, by id; what cannot be read is left out.
+// readDrainStates reads the states of all drains, by id. States that cannot be decoded are left out.
 func (s *Server) readDrainStates(ctx context.Context) (map[string]*drain.State, error) {
 	states := map[string]*drain.State{}
 	_, err := s.store.List(ctx, records.PrefixDrainState, func(row records.KeyValue) error {
@@ -240,7 +240,7 @@
 	return states, err
 }
 
-// showDrain returns one drain, as the leader knows it or, where none answers, as it is stored.
+// showDrain returns one drain as the leader knows it or, if the leader does not answer, as stored.
 func (s *Server) showDrain(ctx context.Context, id string) peer.RelayReply {
 	if !drain.ValidID(id) {
 		return noSuchDrainResponse(id)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator serves the HTTP interface of operators, beside the one of users: machines, and
-// drains of them. Every controller serves it. What only the leader knows is asked of the leader;
-// records of drains are read and written in the store by any controller.
+// Package operator serves the HTTP interface of operators: machines and their drains. Every controller
+// serves it. Requests that need the leader's state are relayed to the leader; any controller reads and
+// writes the records of drains in the store.
 package operator
 
 import (
@@ -27,54 +27,54 @@
 	Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error)
 }
 
-// Peers reaches the leader.
+// Peers calls the other controllers.
 type Peers interface {
-	// RelayOperatorRequest asks a node, as the leader, a question of an operator.
+	// RelayOperatorRequest relays an operator's request to a node, as the leader.
 	RelayOperatorRequest(node string, r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, error)
 }
 
-// Leader is the leader that runs in this process.
+// Leader is the leader of the current term, if it runs in this process.
 type Leader interface {
-	// Machines returns a page of machines, those whose names sort behind since, and whether there
-	// are more.
+	// Machines returns up to limit machines whose names sort after since, and whether there are more.
 	Machines(since string, limit int) ([]scheduler.MachineView, bool)
 	Machine(name string) (scheduler.MachineView, bool)
 	// Drain returns a drain; ok is false if the leader has not read it from the store.
 	Drain(id string) (view scheduler.DrainView, ok bool)
-	// PreviewDrain returns a page of what a drain would do, behind the machine since; it changes
+	// PreviewDrain returns a page of the plan of a drain, with the machines after since. It changes
 	// nothing.
 	PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error)
 }
 
-// Server answers operators.
+// Server handles the requests of operators.
 type Server struct {
 	node          string
 	store         Store
 	peers         Peers
-	leaderNode    func() string // node that leads, "" when unknown
-	localLeader   func() Leader // nil when this process does not lead
-	timeout       time.Duration // bounds the work on a request
-	maxValueBytes int           // size of a value that the store takes now and later
+	leaderNode    func() string // name of the node that leads, "" if unknown
+	localLeader   func() Leader // nil if this process does not lead
+	timeout       time.Duration // bounds the handling of a request
+	maxValueBytes int           // largest value within the current and upcoming limits of the store
 }
 
-// New returns a server; timeout bounds the work on a request.
-func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Leader, timeout time.Duration) *Server {
+// New returns a server. leaderNode returns the name of the node that leads, "" if unknown; localLeader
+// returns nil if this process does not lead; timeout bounds the handling of a request.
+func New(cfg *config.Config, store Store, peers Peers, leaderNode func() string, localLeader func() Leader, timeout time.Duration) *Server {
 	return &Server{
-		node: cfg.Node, store: store, peers: peers, leaderNode: leader, localLeader: local, timeout: timeout,
+		node: cfg.Node, store: store, peers: peers, leaderNode: leaderNode, localLeader: localLeader, timeout: timeout,
 		maxValueBytes: int(cfg.Deployment.Store.Lowest().ValueKB * 1024),
 	}
 }
 
-// Questions that only the leader can answer, as controllers send them to each other.
+// Methods of requests that only the leader can answer, as controllers relay them to each other.
 const (
-	methodMachines  = "machines" // a page of machines, behind the one of the ID
+	methodMachines  = "machines" // a page of machines, after the one that the ID names
 	methodMachine   = "machine"
 	methodDrain     = "drain"
 	methodPlanDrain = "plan"
 )
 
-// machinesPerPage is how many machines an answer lists, so that it stays well below 64 KiB. The rest
-// comes in further pages.
+// machinesPerPage is the number of machines in a response, which keeps it well below 64 KiB. Further
+// machines follow in further pages.
 const machinesPerPage = 200
 
 // Mount registers the routes of operators.
@@ -100,7 +100,7 @@
 	return c.Status(out.Status).Send(out.Body)
 }
 
-// AskLeader answers a question that only the leader can answer, by this process or through a peer.
+// AskLeader returns the leader's reply to a request, in this process or from a peer.
 func (s *Server) AskLeader(r peer.RelayRequest) peer.RelayReply {
 	if s.localLeader() != nil {
 		return s.HandleAsLeader(r)
@@ -111,13 +111,13 @@
 	}
 	out, err := s.peers.RelayOperatorRequest(node, r, s.timeout)
 	if err != nil {
-		slog.Debug("leader does not answer operators", "node", node, "method", r.Method, "err", err)
+		slog.Debug("failed to relay operator request", "node", node, "method", r.Method, "err", err)
 		return errorResponse(fiber.StatusServiceUnavailable, "the leader does not answer, or is of an earlier version; please retry")
 	}
 	return out
 }
 
-// HandleAsLeader answers a question as the leader.
+// HandleAsLeader handles a request as the leader.
 func (s *Server) HandleAsLeader(r peer.RelayRequest) peer.RelayReply {
 	l := s.localLeader()
 	if l == nil {
@@ -143,18 +143,18 @@
 	return errorResponse(fiber.StatusBadRequest, "unknown question")
 }
 
-// Machines is a page of machines; the next one is asked for with the last name.
+// Machines is a page of machines. The last name selects the next page.
 type Machines struct {
 	Machines []scheduler.MachineView `json:"machines"`
 	More     bool                    `json:"more"`
 }
 
-// errorBody is the body of an answer that carries an error.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// storeUnavailableResponse is the answer where the store does not answer.
+// storeUnavailableResponse is the response if the store does not respond.
 var storeUnavailableResponse = errorResponse(fiber.StatusServiceUnavailable, "the state service does not answer now; please retry")
 
 func okResponse(v any) peer.RelayReply { return encodeJSON(fiber.StatusOK, v) }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -23,13 +23,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// fakeLeader is a leader that knows the machines and drains that it is given.
+// fakeLeader is a leader with the given machines and drains.
 type fakeLeader struct {
 	machines   []scheduler.MachineView
 	planErr    error
 	planned    []drain.Spec
 	mu         sync.Mutex
-	readDrains map[string]bool // drains that it has read
+	readDrains map[string]bool // ids of the drains that it has read
 	afterPlan  func()          // runs once, after the next plan
 }
 
@@ -50,7 +50,7 @@
 	return l.machines[i], true
 }
 
-// setReadDrain has the leader know a single drain.
+// setReadDrain sets the only drain that the leader has read.
 func (l *fakeLeader) setReadDrain(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,30 +69,30 @@
 		l.afterPlan = nil
 		f()
 	}
-	var none *scheduler.DrainRefusedError
-	if force && errors.As(l.planErr, &none) {
+	var refused *scheduler.DrainRefusedError
+	if force && errors.As(l.planErr, &refused) {
 		return &drain.Plan{}, nil
 	}
 	return &drain.Plan{}, l.planErr
 }
 
-// fakePeers reaches the leader's server with requests that fit the limit of a message.
+// fakePeers relays requests to the leader's server if they fit the limit of a message.
 type fakePeers struct {
 	leaderServer *Server
-	unsupported  bool // the leader is of a version without the operators' API
+	unsupported  bool // the leader runs a version without the operators' API
 }
 
-func (w *fakePeers) RelayOperatorRequest(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
-	if w.unsupported {
+func (p *fakePeers) RelayOperatorRequest(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
+	if p.unsupported {
 		return peer.RelayReply{}, errors.New("status 404")
 	}
 	if raw, err := msgpack.Marshal(r); err != nil || len(raw) > 64<<10 {
 		return peer.RelayReply{}, fmt.Errorf("status 413: %d bytes, %w", len(raw), err)
 	}
-	return w.leaderServer.HandleAsLeader(r), nil
+	return p.leaderServer.HandleAsLeader(r), nil
 }
 
-// testCluster is a leader and another controller over one store.
+// testCluster is a leader and a follower with one store.
 type testCluster struct {
 	t      *testing.T
 	state  *simulation.Store
@@ -150,7 +150,7 @@
 	return resp.StatusCode, string(raw)
 }
 
-// Requests about drains, to the leader or another controller, are answered and stored alike.
+// Requests about drains have the same responses and records at the leader and at a follower.
 func TestDrainRequests(t *testing.T) {
 	cluster := newTestCluster(t)
 	longNames := fmt.Sprintf(`{"id":"d-2","machines":[%q%s]}`, "m", strings.Repeat(`,"`+strings.Repeat("x", 180)+`"`, 60))
@@ -185,7 +185,7 @@
 		}
 	}
 	cluster.leader.readDrains = map[string]bool{"d-1": true}
-	// What the leader refuses is not stored; with force, a drain that leaves no machine is.
+	// A drain that the leader rejects is not stored, except with force if it leaves no machine.
 	cluster.leader.planErr = &scheduler.DrainTargetError{Text: "there is no machine m-7"}
 	status, text := cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-4","machines":["m-7"]}`)
 	if status != 404 || !strings.Contains(text, "m-7") {
@@ -194,18 +194,18 @@
 	cluster.leader.planErr = &scheduler.DrainRefusedError{Text: "no machine for jobs of plan"}
 	status, text = cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a"}`)
 	if status != 409 || !strings.Contains(text, "plan") {
-		t.Errorf("none left: %d %s, want 409", status, text)
+		t.Errorf("no machine left: %d %s, want 409", status, text)
 	}
 	if n := len(cluster.state.Keys("drains/")); n != 1 {
-		t.Errorf("%d records after refusals, want 1", n)
+		t.Errorf("%d records after rejected requests, want 1", n)
 	}
 	if status, text := cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-4","zone":"a","force":true}`); status != 201 {
 		t.Errorf("forced: %d %s, want 201", status, text)
 	}
 }
 
-// If the store does not answer, or the leader is of a version without the operators' API, requests
-// fail at once, and stored drains can still be read and stopped where the store answers.
+// If the store does not respond, or the leader runs a version without the operators' API, requests
+// fail at once. Stored drains can still be read and stopped whenever the store responds.
 func TestStoreOrLeaderUnavailable(t *testing.T) {
 	cluster := newTestCluster(t)
 	if status, text := cluster.request("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 201 {
@@ -214,11 +214,11 @@
 	cluster.peers.unsupported = true
 	for path, want := range map[string]int{"/operator/machines": 503, "/operator/drains/d-1": 200, "/operator/drains": 200} {
 		if status, text := cluster.request("n-1", "GET", path, ""); status != want {
-			t.Errorf("%s beside an earlier version: %d %s, want %d", path, status, text, want)
+			t.Errorf("%s with a leader of an earlier version: %d %s, want %d", path, status, text, want)
 		}
 	}
 	if status, _ := cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"a"}`); status != 503 {
-		t.Errorf("a drain beside an earlier version: %d, want 503", status)
+		t.Errorf("drain with a leader of an earlier version: %d, want 503", status)
 	}
 	cluster.peers.unsupported = false
 	cluster.state.SetOutage(true)
@@ -232,11 +232,11 @@
 	}
 	cluster.state.SetOutage(false)
 	if status, text := cluster.request("n-1", "POST", "/operator/drains/d-1/stop", ""); status != 200 {
-		t.Errorf("stopped afterwards: %d %s, want 200", status, text)
+		t.Errorf("stopped after the outage: %d %s, want 200", status, text)
 	}
 }
 
-// Machines are listed in pages that fit the limit of a message, and can be asked for singly.
+// Machines are listed in pages that fit the limit of a message, and can be requested singly.
 func TestMachinesArePaged(t *testing.T) {
 	cluster := newTestCluster(t)
 	for i := range 450 {
@@ -266,29 +266,29 @@
 	}
 }
 
-// Of two drains asked for at the same moment, each of which leaves enough machines without the other,
-// the second is planned once more, beside the first, by a leader that has read it.
+// If two concurrent drains each leave enough machines without the other, the one that is stored second
+// is planned again, together with the first, by a leader that has read the first.
 func TestConcurrentDrainsArePlannedTogether(t *testing.T) {
 	cluster := newTestCluster(t)
 	cluster.leader.afterPlan = func() {
 		if status, text := cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-2","zone":"b"}`); status != 201 {
-			t.Errorf("the first to be stored: %d %s, want 201", status, text)
+			t.Errorf("drain stored first: %d %s, want 201", status, text)
 		}
 		cluster.leader.planErr = &scheduler.DrainRefusedError{Text: "no machine for jobs of plan"}
 		time.AfterFunc(100*time.Millisecond, func() { cluster.leader.setReadDrain("d-2") })
 	}
 	status, text := cluster.request("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`)
 	if status != 409 || !strings.Contains(text, "no machine") {
-		t.Errorf("the second: %d %s, want 409", status, text)
+		t.Errorf("drain stored second: %d %s, want 409", status, text)
 	}
 	if keys := cluster.state.Keys("drains/"); len(keys) != 1 || keys[0] != "drains/d-2" {
 		t.Errorf("stored: %v, want drains/d-2 alone", keys)
 	}
 }
 
-// A drain names as many machines as its record holds, by the lowest value size of the settings and the
-// protocol's limit of a request; one more is refused with how many fit and what to use instead. The
-// largest drain that fits can be planned through another controller, and stopped.
+// A drain can name as many machines as fit its record, by the lower of the settings' lowest value size
+// and the protocol's limit of a request. One more is rejected, with the number that fits and the
+// alternatives. The largest drain that fits can be planned through a follower, and stopped.
 func TestDrainNamesAsManyMachinesAsItsRecordHolds(t *testing.T) {
 	kb := func(v float64) *float64 { return &v }
 	for _, x := range []struct {
@@ -317,8 +317,8 @@
 		ask := func(id string, n int) (int, string) {
 			return cluster.request("n-1", "POST", "/operator/drains", `{"id":"`+id+`","machines":`+names(n)+`}`)
 		}
-		// Beside as many other drains as are stored at most, of the longest ids, where the limit of a
-		// request is what bounds.
+		// If the limit of a request applies, it holds with the maximum number of other stored drains,
+		// all with ids of the maximum length.
 		others := 0
 		if x.limit == maxSpecBytes {
 			others = 64 + 50
@@ -334,17 +334,17 @@
 		cluster.leader.planned = nil
 		status, text := ask("d-1", 5000)
 		var count, fit, limit int
-		var why errorBody
-		if err := json.Unmarshal([]byte(text), &why); err != nil || status != 400 {
+		var failure errorBody
+		if err := json.Unmarshal([]byte(text), &failure); err != nil || status != 400 {
 			t.Fatalf("%+v: 5,000 names: %d %.200s", x.state, status, text)
 		}
-		_, err := fmt.Sscanf(why.Error, "machines: %d names, and only the first %d fit a record of %d bytes;", &count, &fit, &limit)
+		_, err := fmt.Sscanf(failure.Error, "machines: %d names, and only the first %d fit a record of %d bytes;", &count, &fit, &limit)
 		if err != nil || count != 5000 || limit != x.limit || fit < x.atLeast {
-			t.Fatalf("%+v: %q: %v", x.state, why.Error, err)
+			t.Fatalf("%+v: %q: %v", x.state, failure.Error, err)
 		}
 		for _, selector := range []string{"type", "zone", "older_than_s", "version"} {
-			if !strings.Contains(why.Error, selector) {
-				t.Errorf("%q does not name %s", why.Error, selector)
+			if !strings.Contains(failure.Error, selector) {
+				t.Errorf("%q does not name %s", failure.Error, selector)
 			}
 		}
 		wantReason := fmt.Sprintf("%d names, and only the first %d fit", fit+1, fit)
@@ -361,10 +361,10 @@
 			t.Errorf("%+v: stopped: %d %.200s, want 200", x.state, status, text)
 		}
 		if len(cluster.state.OversizedTransactions()) > 0 {
-			t.Errorf("%+v: the state service refused %v", x.state, cluster.state.OversizedTransactions())
+			t.Errorf("%+v: the store rejected %v", x.state, cluster.state.OversizedTransactions())
 		}
 	}
-	// A record may be too large without any names.
+	// A record can be too large even without any of its machine names.
 	cluster := newTestClusterWith(t, config.StoreLimits{ValueKB: 1})
 	long := strings.Repeat("x", 190)
 	body := fmt.Sprintf(`{"id":"d-1","kind":"upgrade","at_once":1,"to_version":%[1]q,`+
