--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -11,14 +11,14 @@
 
 // Statuses of attempts, as workers report them.
 const (
-	statusPulling  = "pulling" // the image is fetched
-	statusWaiting  = "waiting" // for the other tasks of the gang
+	statusPulling  = "pulling" // fetching the image
+	statusWaiting  = "waiting" // waiting for the other tasks of the gang
 	statusRunning  = "running"
-	statusFlushing = "flushing" // progress is saved before the end
+	statusFlushing = "flushing" // saving a checkpoint before the attempt ends
 	statusEnded    = "ended"
 )
 
-// attempt is one start of a task on a machine.
+// attempt is one execution of a task on a machine.
 type attempt struct {
 	task   string
 	taskID fleet.TaskID
@@ -27,16 +27,16 @@
 
 	status           string
 	cause            string // why it ended
-	checkpointSaved  bool   // its progress was saved at its end
+	checkpointSaved  bool   // a checkpoint was saved when it was stopped
 	startedAt        time.Time
 	statusSince      time.Time
-	statusEndsAt     time.Time     // when the status ends by itself; zero: it does not
-	runningSince     time.Time     // zero: it has not run
-	initialProgress  time.Duration // when it began to run
+	statusEndsAt     time.Time     // when the status times out or completes; zero: never
+	runningSince     time.Time     // zero: it has not run yet
+	initialProgress  time.Duration // progress when it began to run
 	peerMissingSince time.Time     // zero: no task of the gang is missing
 }
 
-// checkpointKey is what a task's saved progress is kept under: its name or, of gangs, its job's.
+// checkpointKey returns the key of the task's saved progress: the job's ID for gangs, the task's name otherwise.
 func (a *attempt) checkpointKey() string {
 	if a.job.Shape == records.ShapeGang {
 		return a.taskID.Job
@@ -52,22 +52,23 @@
 	return a.initialProgress + now.Sub(a.statusSince)
 }
 
-// checkpointAt returns the progress that a task has saved by itself until a time.
+// checkpointAt returns the progress in the last periodic checkpoint before a time.
 func (a *attempt) checkpointAt(now time.Time) time.Duration {
 	if a.job.CheckpointS <= 0 {
 		return 0
 	}
-	every := a.job.CheckpointS
-	return time.Duration(math.Floor(a.progressAt(now).Seconds()/every) * every * float64(time.Second))
+	interval := a.job.CheckpointS
+	return time.Duration(math.Floor(a.progressAt(now).Seconds()/interval) * interval * float64(time.Second))
 }
 
-// saveProgressLocked keeps an attempt's progress for the next attempts.
+// saveProgressLocked stores an attempt's progress for later attempts of the task. It never lowers it.
 func (env *Environment) saveProgressLocked(a *attempt, progress time.Duration) {
 	key := a.checkpointKey()
 	env.savedProgress[key] = max(env.savedProgress[key], progress)
 }
 
-// advanceLocked moves the machine on to the present: its lease, and the statuses that end by themselves.
+// advanceLocked applies everything that is due by now: the expiry of the worker's lease and the status changes of
+// its attempts.
 func (m *Machine) advanceLocked() {
 	now := time.Now()
 	if now.Sub(m.leaseStart) > m.env.Lease {
@@ -95,7 +96,7 @@
 	}
 }
 
-// executeLocked carries out a controller's commands.
+// executeLocked executes a controller's commands.
 func (m *Machine) executeLocked(commands []fleet.Command) {
 	m.advanceLocked()
 	for _, c := range commands {
@@ -118,7 +119,7 @@
 	}
 }
 
-// startAttemptLocked takes an attempt in, and checks the rules while it does.
+// startAttemptLocked starts an attempt and checks the rules that apply to a start.
 func (m *Machine) startAttemptLocked(key string, c fleet.Command) {
 	env := m.env
 	id, _ := fleet.ParseTask(c.Task)
@@ -155,7 +156,7 @@
 // epsilon absorbs rounding in sums of resources.
 const epsilon = 1e-9
 
-// rejectionCauseLocked returns why the worker does not take an attempt, "" if it does.
+// rejectionCauseLocked returns why the worker rejects an attempt, or "" if it accepts it.
 func (m *Machine) rejectionCauseLocked(a *attempt, jobKnown bool) (cause string) {
 	cpus, mem := a.job.CPUs, a.job.MemGB
 	for _, other := range m.tasks {
@@ -176,12 +177,12 @@
 	return ""
 }
 
-// onImageReadyLocked goes on with an attempt whose image is there.
+// onImageReadyLocked starts an attempt whose image has been fetched, or lets it wait for its gang.
 func (m *Machine) onImageReadyLocked(a *attempt) {
 	now := time.Now()
 	a.statusSince, a.statusEndsAt = now, time.Time{}
 	if m.env.completed[a.taskID.Job][a.task] {
-		m.endAttemptLocked(a, fleet.CauseDone) // its result is kept
+		m.endAttemptLocked(a, fleet.CauseDone) // the task already completed; its result is kept
 		return
 	}
 	if a.job.Shape != records.ShapeGang || m.env.GangStartTimeout == 0 {
@@ -192,7 +193,7 @@
 	m.env.startGangIfReadyLocked(a, now)
 }
 
-// startRunningLocked lets an attempt run on from the saved progress.
+// startRunningLocked runs an attempt from the saved progress.
 func (m *Machine) startRunningLocked(a *attempt, now time.Time) {
 	a.status, a.statusSince, a.statusEndsAt = statusRunning, now, time.Time{}
 	a.runningSince = now
@@ -202,7 +203,7 @@
 	}
 }
 
-// completeAttemptLocked ends an attempt whose task is done, and with it its whole gang.
+// completeAttemptLocked ends an attempt whose task is done, and all other attempts of its gang.
 func (m *Machine) completeAttemptLocked(a *attempt) {
 	env, job := m.env, a.taskID.Job
 	if env.TaskFails != nil && env.TaskFails(m, a.task) {
@@ -218,7 +219,7 @@
 		env.completed[job] = map[string]bool{}
 	}
 	if gang {
-		// When one task is done every one is, also where gangs go on whoever is missing.
+		// All tasks of a gang are done together, even if gangs may run with tasks missing.
 		for n := range a.job.Tasks {
 			env.completed[job][fleet.TaskID{Job: job, N: n}.String()] = true
 		}
@@ -229,7 +230,8 @@
 	}
 }
 
-// killAttemptLocked stops an attempt, which saves its progress where it can and is given the time.
+// killAttemptLocked stops an attempt. It first saves a checkpoint if the job supports that and the grace period is
+// long enough.
 func (m *Machine) killAttemptLocked(a *attempt, c fleet.Command) {
 	now, grace := time.Now(), 0.0
 	if c.GraceS != nil {
@@ -253,7 +255,7 @@
 	}
 }
 
-// loseTasksLocked drops every attempt, as lost at a time.
+// loseTasksLocked removes all attempts from the machine and records them as lost at a time.
 func (m *Machine) loseTasksLocked(at time.Time) {
 	for _, a := range m.tasks {
 		if a.status != statusEnded {
@@ -271,7 +273,7 @@
 	m.endAttemptAtLocked(a, cause, time.Now())
 }
 
-// endAttemptAtLocked ends an attempt that was over at a time.
+// endAttemptAtLocked ends an attempt and records a time as its end.
 func (m *Machine) endAttemptAtLocked(a *attempt, cause string, at time.Time) {
 	env := m.env
 	if cause != fleet.CauseDone && a.job.Shape != records.ShapeService {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -12,19 +12,19 @@
 	"drumpick/internal/records"
 )
 
-// CloudClient is the cloud as a controller sees it.
+// CloudClient is a controller's client of the simulated cloud.
 type CloudClient struct {
 	Environment *Environment
 	// Alive reports whether the controller still runs.
 	Alive func() bool
-	// LoseAnswers makes that many rentals be carried out without an answer.
+	// LoseAnswers is the number of coming rentals that are carried out but get no answer.
 	LoseAnswers int
 }
 
 // cloudLatency is how long a call to the cloud takes.
 const cloudLatency = 20 * networkLatency
 
-// beginCall lets a call through to the cloud, after its latency.
+// beginCall waits for the latency of a call. It returns an error if the controller no longer runs.
 func (c *CloudClient) beginCall(ctx context.Context) error {
 	if err := ctxtime.Sleep(ctx, cloudLatency); err != nil {
 		return err
@@ -40,7 +40,7 @@
 	return append([]records.MachineType(nil), c.Environment.Types...), c.beginCall(ctx)
 }
 
-// Rent starts machines, and returns their names.
+// Rent rents machines and returns their names.
 func (c *CloudClient) Rent(ctx context.Context, r autoscaler.RentalRequest) ([]string, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	return machines, err
 }
 
-// Return ends machines.
+// Return terminates machines.
 func (c *CloudClient) Return(ctx context.Context, machines []string) error {
 	if err := c.beginCall(ctx); err != nil {
 		return err
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// List returns the machines as the cloud knows them.
+// List returns the machines that the cloud lists, sorted by name.
 func (c *CloudClient) List(ctx context.Context) ([]autoscaler.CloudMachine, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return nil, err
@@ -70,8 +70,8 @@
 	return c.Environment.CloudMachines(), nil
 }
 
-// rent starts as many of the requested machines as there are, and returns their names. A repeated request is
-// answered as the first one.
+// rent starts as many of the requested machines as the zone has capacity for, and returns their names. Requests
+// are idempotent by name: a repeated one gets the answer of the first.
 func (env *Environment) rent(r autoscaler.RentalRequest) ([]string, error) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -96,14 +96,14 @@
 	return machines, nil
 }
 
-// AddMachine starts a machine that was rented elsewhere (RemoteMachines).
+// AddMachine starts a machine that another environment rented (RemoteMachines).
 func (env *Environment) AddMachine(name string, r autoscaler.RentalRequest) *Machine {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.addLocked(name, r)
 }
 
-// addLocked starts a machine.
+// addLocked adds a machine and boots it.
 func (env *Environment) addLocked(name string, r autoscaler.RentalRequest) *Machine {
 	m := newMachine(env, name, r)
 	env.machines[name] = m
@@ -111,7 +111,7 @@
 	return m
 }
 
-// returnMachines ends machines. When it returns, what was on them is gone.
+// returnMachines terminates machines. When it returns, their tasks have ended and their addresses are closed.
 func (env *Environment) returnMachines(machines []string) {
 	var closeAddrs []func()
 	env.mu.Lock()
@@ -136,7 +136,7 @@
 	cloudFailed  = "failed"
 )
 
-// CloudMachines returns the machines as the cloud knows them, sorted by name.
+// CloudMachines returns the machines that the cloud lists, sorted by name.
 func (env *Environment) CloudMachines() []autoscaler.CloudMachine {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -19,21 +19,21 @@
 	"drumpick/internal/watermark"
 )
 
-// These tests run whole controllers against the simulation, in synctest's time.
+// These tests run complete controllers against the simulation, in the virtual time of synctest.
 
-// node is a controller.
+// node is a running controller.
 type node struct {
 	name     string
 	client   *Client
 	election *election.Election
 	server   *api.Server
 	observer watermark.Observer
-	leader   *leader.Leader // nil unless it leads; guarded by cluster.mu
+	leader   *leader.Leader // nil if it is not the leader; guarded by cluster.mu
 	cancel   context.CancelFunc
 	stopped  chan struct{}
 }
 
-// cluster is the controllers of a scenario, their environment and their users.
+// cluster holds the controllers, the environment and the users of a scenario.
 type cluster struct {
 	t     *testing.T
 	ctx   context.Context
@@ -41,44 +41,44 @@
 	env   *Environment
 	cfg   *config.Config
 
-	leaderLease       time.Duration // life of the leader's
-	limitLeaderWrites bool          // leaders keep to their share of the write rate
-	starts            int           // of controllers
+	leaderLease       time.Duration // TTL of the leader's lease in the store
+	limitLeaderWrites bool          // leaders limit their writes to their share of the write rate
+	starts            int           // number of controller starts
 
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	nodes []*node    // nil while down
 
-	// Faults of controllers and of the ways to them.
-	olderVersion    map[int]bool          // nodes that keep no watermarks and relay no heartbeats
+	// Injected faults of controllers and of the network to them.
+	olderVersion    map[int]bool          // nodes of a version without watermarks and heartbeat relay
 	unreachable     map[int]bool          // nodes that workers cannot reach
-	isolated        map[int]bool          // nodes that no other can reach
-	onlyNodeForZone map[string]int        // the one node that workers of a zone can reach
-	delays          map[int]time.Duration // by how much later a node gets what others send to it
-	copyDelays      []time.Duration       // after each of these, a copy of every heartbeat comes to another node
-	shouldKeepCopy  func() bool           // whether a copy of a heartbeat is kept for the next leader; nil: none is
-	keptCopies      [][]byte              // such copies
+	isolated        map[int]bool          // nodes that no other node can reach
+	onlyNodeForZone map[string]int        // by zone, the only node that its workers can reach
+	delays          map[int]time.Duration // by node, the delay of messages from other nodes
+	copyDelays      []time.Duration       // a copy of every heartbeat reaches another node after each of these
+	shouldKeepCopy  func() bool           // decides whether to keep a copy of a heartbeat for the next leader; nil: never
+	keptCopies      [][]byte              // copies kept for the next leader
 
-	heartbeatCounts []int // that workers sent to each node
+	heartbeatCounts []int // number of heartbeats that workers sent to each node
 
-	// What users do and were told.
+	// State of the simulated users.
 	jobs              map[string]records.Job
-	expectedDone      []string               // jobs that were accepted and not cancelled
-	unansweredCancels []string               // jobs whose cancellation nobody has answered
-	cancelledJobs     map[string]bool        // jobs that are cancelled, or depend on one that is
-	onJobEvent        func(event, id string) // what users do when a job is accepted or final; may be nil
+	expectedDone      []string               // accepted jobs that are not cancelled
+	unansweredCancels []string               // jobs whose cancel request got no answer
+	cancelledJobs     map[string]bool        // cancelled jobs and their direct and indirect dependents
+	onJobEvent        func(event, id string) // called when a user is told that a job is accepted or final; may be nil
 }
 
 const nodeNames = "n-0 n-1 n-2 n-3 n-4 n-5 n-6"
 
-// sleep sleeps for so many seconds.
+// sleep sleeps for a number of seconds.
 func sleep(s float64) { time.Sleep(time.Duration(s * float64(time.Second))) }
 
-// runScenario runs a scenario with three controllers and checks the rules all along and at its end.
+// runScenario runs a scenario with three controllers, and checks the rules during the scenario and at its end.
 func runScenario(t *testing.T, scenario func(c *cluster)) {
 	runScenarioWith(t, func(*cluster) {}, scenario)
 }
 
-// runScenarioWith lets a scenario change the settings, or what is in the store, before it begins.
+// runScenarioWith is runScenario with a function that prepares settings and the store before the controllers start.
 func runScenarioWith(t *testing.T, prepare, scenario func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -91,16 +91,16 @@
 		close(ended)
 		c.env.CheckCancelled()
 		for _, violation := range c.env.Violations() {
-			t.Error("rule broken: " + violation)
+			t.Error("rule violated: " + violation)
 		}
 		if c.env.Starts() == 0 {
-			t.Error("nothing ran")
+			t.Error("no task was started")
 		}
 		cancel()
 		for i := range c.nodes {
 			c.killNode(i)
 		}
-		// A worker may be on its way to a controller: in the bubble nothing may outlast the test.
+		// Requests of workers may still be in flight, and no goroutine of a synctest bubble may outlast the test.
 		sleep(60)
 	})
 }
@@ -149,7 +149,7 @@
 	}
 }
 
-// checkRulesUntil checks what must hold all along, several times in a heartbeat interval.
+// checkRulesUntil checks the continuous rules four times in each heartbeat interval until ended is closed.
 func (c *cluster) checkRulesUntil(ended chan struct{}) {
 	idle := &idleCheck{env: c.env}
 	for {
@@ -163,7 +163,7 @@
 	}
 }
 
-// startNode starts a controller, with a new process's memory.
+// startNode starts a controller as a new process, without state of an earlier one.
 func (c *cluster) startNode(i int) {
 	name := strings.Fields(nodeNames)[i]
 	c.starts++
@@ -204,7 +204,7 @@
 	c.mu.Unlock()
 }
 
-// nodeConfig returns a controller's own configuration.
+// nodeConfig returns the configuration of a controller.
 func (c *cluster) nodeConfig(i int) *config.Config {
 	cfg := *c.cfg
 	cfg.Options.Watermarks = cfg.Options.Watermarks && !c.olderVersion[i]
@@ -224,7 +224,7 @@
 	c.mu.Unlock()
 }
 
-// killNode ends a controller as a crash would.
+// killNode ends a controller, as a crash would. It does nothing if the controller is down.
 func (c *cluster) killNode(i int) {
 	c.mu.Lock()
 	n := c.nodes[i]
@@ -237,14 +237,14 @@
 	}
 }
 
-// node returns a controller; nil: it is down.
+// node returns a controller, or nil if it is down.
 func (c *cluster) node(i int) *node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.nodes[i]
 }
 
-// leaderIndex returns the index of the node that leads, -1 if none does.
+// leaderIndex returns the index of the leader's node, or -1 if there is no leader.
 func (c *cluster) leaderIndex() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,23 +269,23 @@
 	return len(c.env.completed[j.ID]) >= j.Tasks
 }
 
-// mixedRunTime is how long tasks run: 4 to 11 seconds, so that some end at any time.
+// mixedRunTime returns a run time of 4 to 11 seconds by the task's name, so that tasks end at different times.
 func mixedRunTime(task string) time.Duration {
 	h := fnv.New32a()
 	h.Write([]byte(task))
 	return time.Duration(4+h.Sum32()%8) * time.Second
 }
 
-// runAfter does something a while later. A goroutine that sleeps, not a timer's: under the race detector
-// tens of thousands of those in one process end it (Go 1.26, a fault in its record of stacks).
-func runAfter(d time.Duration, do func()) {
+// runAfter calls f after a delay. It sleeps in a goroutine instead of using a timer: under the race detector tens of
+// thousands of timers in one process crash it (Go 1.26, a fault in the detector's record of stacks).
+func runAfter(d time.Duration, f func()) {
 	go func() {
 		time.Sleep(d)
-		do()
+		f()
 	}()
 }
 
-// upNodeFrom is a node that is up.
+// upNodeFrom returns the first node that is up, from i on and modulo three.
 func (c *cluster) upNodeFrom(i int) int {
 	for c.node(i%3) == nil {
 		i++
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,6 +1,6 @@
-// Package simulation provides the environment of controllers in tests: the key-value store, the cloud with its
-// machines and workers, and the network between them, with the faults that the protocol allows. It serves the
-// interfaces that controllers use, in whatever time a test runs on, and checks the protocol's rules meanwhile.
+// Package simulation simulates the environment of controllers: the key-value store, the cloud with its machines
+// and workers, and the network between them, including the faults that the protocol allows. It implements the
+// interfaces that controllers use, runs on the test's clock, and checks the protocol's rules while it runs.
 //
-// The same environment is served over HTTP by local clusters and load tests.
+// Local clusters and load tests serve the same environment over HTTP.
 package simulation
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -10,76 +10,76 @@
 	"drumpick/internal/records"
 )
 
-// Environment is the cloud with its machines and workers, and the network between workers and controllers. It
-// checks the protocol's rules all along. The exported fields are set before it is used.
+// Environment simulates the cloud with its machines and workers, and the network between workers and controllers.
+// It checks the protocol's rules while it runs. The exported fields must be set before first use.
 type Environment struct {
 	HeartbeatInterval time.Duration
-	Lease             time.Duration // a worker's, from its last answered heartbeat
+	Lease             time.Duration // a worker's lease, from its last answered heartbeat
 	BootTime          time.Duration
-	CancelLimit       time.Duration // for how long a cancelled job's tasks may still be on machines
-	GangStartTimeout  time.Duration // for how long a gang's task waits for the others to start; 0: it does not
-	GangPeerTimeout   time.Duration // for how long a gang runs without one of its tasks; 0: without limit
-	// MaxCommandDelay is for how long a start may be on its way to a machine. One that arrives later than that
-	// after a confirmed cancellation was sent after it.
+	CancelLimit       time.Duration // how long a cancelled job's tasks may still be on machines
+	GangStartTimeout  time.Duration // how long a gang's task waits for the others to start; 0: not at all
+	GangPeerTimeout   time.Duration // how long a gang runs without one of its tasks; 0: no limit
+	// MaxCommandDelay is how long a start command may take to reach a machine. A start that arrives later than
+	// this after a confirmed cancellation must have been sent after the confirmation.
 	MaxCommandDelay time.Duration
 
 	Nodes []string      // the controllers' names
-	Teams []config.Team // with their limits; may be nil
+	Teams []config.Team // with their limits; nil: no team has a limit
 	Types []records.MachineType
-	// ZoneCapacity is how many machines a zone has, spot and ordinary ones each.
+	// ZoneCapacity is the number of machines of each kind, spot and on-demand, in a zone.
 	ZoneCapacity int
-	// WorkerVersion is the version of new machines' workers.
+	// WorkerVersion is the worker version of new machines.
 	WorkerVersion string
-	// LookupJob returns what users submitted.
+	// LookupJob returns a job that users submitted.
 	LookupJob func(id string) (records.Job, bool)
-	// RunTime returns how long a task runs.
+	// RunTime returns the total run time of a task.
 	RunTime func(task string) time.Duration
-	// TaskFails reports whether a task fails on a machine; nil: none does.
+	// TaskFails reports whether a task fails on a machine; nil: no task fails.
 	TaskFails func(m *Machine, task string) bool
 
-	// Heartbeat delivers the workers' heartbeats.
+	// Heartbeat delivers the workers' heartbeats to controllers.
 	Heartbeat HeartbeatFunc
-	// FirstNode returns where a machine's worker reports first; nil: at the first controller.
+	// FirstNode returns the index of the controller that a machine's worker contacts first; nil: always 0.
 	FirstNode func(machine string) int
-	// Listen, where it is set, opens a machine's address when it is up; closeAddr closes it.
+	// Listen, if set, opens a machine's address once it has booted; closeAddr closes it.
 	Listen func(m *Machine) (addr string, closeAddr func(), err error)
-	// RemoteMachines says that machines are rented here and run elsewhere: Listen starts them there.
+	// RemoteMachines means that machines are rented here but run in another environment: Listen starts them there.
 	RemoteMachines bool
 
 	ctx context.Context
 
-	mu           sync.Mutex // guards what follows, the machines and their attempts
-	machineCount int        // rented so far; numbers their names
+	mu           sync.Mutex // guards the fields below, the machines and their attempts
+	machineCount int        // number of machines rented so far; the names of new machines contain it
 	machines     map[string]*Machine
-	rentals      map[string][]string              // machines by the name of the request that rented them
-	attempts     map[string]map[*attempt]*Machine // that have not ended, by job
+	rentals      map[string][]string              // machine names by the name of the rental request
+	attempts     map[string]map[*attempt]*Machine // attempts that have not ended, by job
 
 	completed     map[string]map[string]bool // tasks that have completed, by job
 	savedProgress map[string]time.Duration   // by attempt.checkpointKey
 
 	// Faults.
-	partitioned      map[string]bool // zones that are not reachable
-	commandsBlocked  map[string]bool // zones that no direct commands reach
+	partitioned      map[string]bool // zones that are unreachable
+	commandsBlocked  map[string]bool // zones that direct commands do not reach
 	pickCommandDelay func() (command, answer time.Duration)
-	pickBootTime     func() time.Duration // replaces BootTime; nil: it does not
+	pickBootTime     func() time.Duration // overrides BootTime if not nil
 
-	// What users were told of jobs, for the rules.
-	acceptedAt      map[string]time.Time // when a user was first told that the job is known
-	cancelRequested map[string]bool      // users have asked to cancel it, answered or not
+	// What users requested and were told about jobs; the rules refer to it.
+	acceptedAt      map[string]time.Time // when a user was first told that the job exists
+	cancelRequested map[string]bool      // jobs that a user asked to cancel, answered or not
 	cancelledAt     map[string]time.Time // when a user was first told that it is cancelled
 	finalStates     map[string]finalState
 	violations      []string
 
-	// What happened so far.
+	// History and counters.
 	runs             []TaskRun
 	costs            []RentalCost
 	starts           int
 	leaseExpiries    int
-	lostWork         time.Duration // run time that has to be done again
-	maxCancelLatency time.Duration // for how long a cancelled job's task was seen on its machine
+	lostWork         time.Duration // run time that must be repeated
+	maxCancelLatency time.Duration // longest time that a cancelled job's task stayed on a machine
 }
 
-// NewEnvironment returns an environment without machines, alive until ctx ends.
+// NewEnvironment returns an environment without machines. It runs until ctx ends.
 func NewEnvironment(ctx context.Context) *Environment {
 	return &Environment{
 		ctx:             ctx,
@@ -97,7 +97,7 @@
 	}
 }
 
-// firstNode returns the controller where a machine's worker reports first.
+// firstNode returns the index of the controller that a machine's worker contacts first.
 func (env *Environment) firstNode(m *Machine) int {
 	if env.FirstNode == nil {
 		return 0
@@ -105,7 +105,7 @@
 	return env.FirstNode(m.Name)
 }
 
-// Machine returns a machine by name; nil: there is none.
+// Machine returns the machine with a name, or nil.
 func (env *Environment) Machine(name string) *Machine {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -126,8 +126,8 @@
 	return up
 }
 
-// Upgrade gives a machine's worker another version, as an operator would: the worker ends with all that it runs,
-// and comes back in a new incarnation. It reports whether there is such a machine that is up.
+// Upgrade replaces the version of a machine's worker, as an operator would: the worker loses all of its tasks and
+// restarts in a new incarnation. It returns false if no such machine is up.
 func (env *Environment) Upgrade(machine, version string) bool {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -143,7 +143,7 @@
 	return true
 }
 
-// FailZone takes the power from all machines of a zone, and returns how many there were.
+// FailZone terminates all machines of a zone without notice, and returns their number.
 func (env *Environment) FailZone(zone string) int {
 	n := 0
 	for _, m := range env.Machines() {
@@ -155,11 +155,11 @@
 	return n
 }
 
-// SetBootTime sets how long each machine takes to come up from now on, nil: BootTime. It returns what was set
-// before.
-func (env *Environment) SetBootTime(by func() time.Duration) (before func() time.Duration) {
+// SetBootTime sets the function that returns the boot time of each new machine; nil: BootTime applies. It returns
+// the previous function.
+func (env *Environment) SetBootTime(pick func() time.Duration) (before func() time.Duration) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	before, env.pickBootTime = env.pickBootTime, by
+	before, env.pickBootTime = env.pickBootTime, pick
 	return before
 }
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// isolateFromControlPlane cuts a controller off from the store and the other controllers, but not from workers.
+// isolateFromControlPlane partitions a controller from the store and the other controllers, but not from workers;
+// false ends the partition.
 func (c *cluster) isolateFromControlPlane(i int, on bool) {
 	c.setIsolated(i, on)
 	hang := time.Duration(0)
@@ -20,14 +21,14 @@
 	}
 }
 
-// endFaults ends all faults.
+// endFaults ends all injected faults and starts the controllers that are down.
 func endFaults(c *cluster) {
 	c.mu.Lock()
 	clear(c.isolated)
 	clear(c.delays)
 	clear(c.onlyNodeForZone)
 	clear(c.unreachable)
-	c.shouldKeepCopy, c.onJobEvent = nil, nil // copies that come late go on coming
+	c.shouldKeepCopy, c.onJobEvent = nil, nil // late copies of heartbeats continue
 	c.mu.Unlock()
 	c.store.SetOutage(false)
 	for i, name := range strings.Fields(nodeNames)[:len(c.nodes)] {
@@ -41,9 +42,9 @@
 		n.SetDelay(0)
 	}
 	c.env.SetCommandDelay(nil)
-	for _, z := range []string{"a", "b"} {
-		c.env.PartitionZone(z, false)
-		c.env.BlockCommands(z, false)
+	for _, zone := range []string{"a", "b"} {
+		c.env.PartitionZone(zone, false)
+		c.env.BlockCommands(zone, false)
 	}
 	for _, m := range c.env.Machines() {
 		m.SetHung(false)
@@ -52,6 +53,7 @@
 	}
 }
 
+// injectRandomProcessFault injects a random fault of a process or machine and ends it after a random time.
 func injectRandomProcessFault(c *cluster, r *rand.Rand) {
 	ms := c.env.Machines()
 	switch i := r.IntN(3); r.IntN(4) {
@@ -88,7 +90,7 @@
 	}
 }
 
-// injectRandomFault is one of what may happen, by chance.
+// injectRandomFault starts or ends a random fault.
 func injectRandomFault(c *cluster, r *rand.Rand) {
 	i := r.IntN(3)
 	ms := c.env.Machines()
@@ -130,7 +132,8 @@
 	}
 }
 
-// restartNode ends a controller and starts it anew a while later; -1: none.
+// restartNode kills a controller and starts it again after a pause in seconds. It does nothing if i is -1 or the
+// controller is down.
 func (c *cluster) restartNode(i int, pause float64) {
 	if i >= 0 && c.node(i) != nil {
 		c.killNode(i)
@@ -139,16 +142,16 @@
 	}
 }
 
-// setLateWrites has all controllers' transactions held up.
-func (c *cluster) setLateWrites(by func() (time.Duration, bool)) {
+// setLateWrites calls Client.SetLateWrites for all running controllers.
+func (c *cluster) setLateWrites(pick func() (time.Duration, bool)) {
 	for k := range c.nodes {
 		if n := c.node(k); n != nil {
-			n.client.SetLateWrites(by)
+			n.client.SetLateWrites(pick)
 		}
 	}
 }
 
-// hangMachines has up to n machines with tasks hang for so many seconds. The channel is closed when they go on.
+// hangMachines makes up to n random machines with tasks hang for s seconds. The channel is closed when they resume.
 func (c *cluster) hangMachines(r *rand.Rand, n, s int) <-chan struct{} {
 	var ms []*Machine
 	for _, m := range c.env.Machines() {
@@ -160,25 +163,25 @@
 			ms = append(ms, m)
 		}
 	}
-	over := make(chan struct{})
+	resumed := make(chan struct{})
 	go func() {
 		sleep(float64(s))
 		for _, m := range ms {
 			m.SetHung(false)
 		}
-		close(over)
+		close(resumed)
 	}()
-	return over
+	return resumed
 }
 
-// reconnectMachines lets all workers send heartbeats again.
+// reconnectMachines ends the isolation of all machines.
 func (c *cluster) reconnectMachines() {
 	for _, m := range c.env.Machines() {
 		m.SetIsolated(false)
 	}
 }
 
-// keepHeartbeatCopies keeps copies of a third of the heartbeats for the next leader.
+// keepHeartbeatCopies keeps copies of a random third of the heartbeats for the next leader.
 func (c *cluster) keepHeartbeatCopies(seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 4))
 	c.mu.Lock()
@@ -186,7 +189,7 @@
 	c.shouldKeepCopy = func() bool { return r.IntN(3) == 0 }
 }
 
-// randomBootTimes has most machines up within two seconds.
+// randomBootTimes returns boot times for SetBootTime: 0.2 to 2 s for three in four machines, 20 s for the others.
 func randomBootTimes(seed uint64) func() time.Duration {
 	r := rand.New(rand.NewPCG(seed, 5))
 	var mu sync.Mutex
@@ -200,7 +203,7 @@
 	}
 }
 
-// randomLateWrites has half of a controller's transactions carried out 2 to 12 s late.
+// randomLateWrites returns delays for SetLateWrites: half of the commits are applied 2 to 12 s late.
 func randomLateWrites(seed uint64) func() (time.Duration, bool) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var mu sync.Mutex
@@ -211,8 +214,8 @@
 	}
 }
 
-// randomCommandDelays holds direct commands and their answers up, some for seconds, so that the machine goes
-// on before they come; many are not.
+// randomCommandDelays returns delays for SetCommandDelay: a third of the commands and of the answers are delayed by up
+// to 15 s, so that the machine's state can change before they arrive.
 func randomCommandDelays(seed uint64) func() (command, answer time.Duration) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	var mu sync.Mutex
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -13,11 +13,11 @@
 	"drumpick/internal/scheduler"
 )
 
-// The faults of docs/faults.md, each in scenarios of its own, and at the end of each what is
-// checked at the end of a day: every accepted job is known to every controller.
+// These tests inject each fault of docs/faults.md in scenarios of its own. At the end of each scenario, every accepted
+// job must be known to every controller.
 
-// A machine whose heartbeats arrive while nothing reaches it: it gets no starts once that shows, a gang begins
-// elsewhere, it is returned if it stays so and used again if it is reached.
+// A machine's heartbeats arrive while nothing reaches it. Once that is detected it must get no starts and a gang must
+// start elsewhere. It is returned if it stays unreachable, and used again if it becomes reachable.
 func TestMachineThatReceivesNothing(t *testing.T) {
 	unreachableFor := func(c *cluster, ms []*Machine, s float64) {
 		for _, m := range ms {
@@ -43,7 +43,7 @@
 			c.env.Machines()[0].SetUnreachable(true)
 			sleep(100)
 			if started := c.env.Starts(); started < 6 {
-				c.t.Errorf("the gang has not begun: %d starts", started)
+				c.t.Errorf("the gang has not started: %d starts", started)
 			}
 		},
 		"across a failover": func(c *cluster) {
@@ -79,7 +79,7 @@
 			sleep(15)
 			for _, v := range c.leaderMachines() {
 				if v.State == scheduler.MachineUnreachable {
-					c.t.Errorf("%s is reachable and is taken for unreachable", v.Name)
+					c.t.Errorf("%s is reachable but considered unreachable", v.Name)
 				}
 			}
 			sleep(120)
@@ -106,13 +106,13 @@
 	}
 }
 
-// Copies of heartbeats come late, to the same and to other controllers: by 2 s to four leases,
-// beside a failover, machines returned, leases that end and a restart of all. No machine
-// comes into being by them, and nothing runs twice.
+// Copies of heartbeats arrive late, by 2 s to four leases, at the same and at other controllers, during a failover,
+// returns of machines, lease expiries and a restart of all controllers. No machine may be recorded because of a copy,
+// and no task may run twice.
 func TestLateHeartbeatCopiesChangeNothing(t *testing.T) {
 	for _, x := range []struct {
-		name string
-		echo []time.Duration
+		name   string
+		delays []time.Duration
 	}{
 		{"soon", []time.Duration{2 * time.Second, 5 * time.Second}},
 		{"about a lease", []time.Duration{11 * time.Second, 14 * time.Second, 17 * time.Second}},
@@ -122,7 +122,7 @@
 			t.Parallel()
 			runScenario(t, func(c *cluster) {
 				c.env.RunTime = mixedRunTime
-				c.copyHeartbeats(x.echo...)
+				c.copyHeartbeats(x.delays...)
 				sleep(2)
 				for n := range 3 {
 					c.submit(n, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: 60, CPUs: 2, EstimateS: 8})
@@ -140,8 +140,8 @@
 					c.startNode(i)
 				}
 				sleep(60)
-				// Until then machines are empty and have been returned, and the copies
-				// of their heartbeats go on coming. A new leader does not know them.
+				// By now idle machines have been returned, while copies of their heartbeats still
+				// arrive. A new leader does not know these machines.
 				sleep(20)
 				c.submit(0, records.Job{ID: "j-9", Tasks: 4, CPUs: 4, EstimateS: 8})
 				c.killNode(c.leaderIndex())
@@ -153,7 +153,7 @@
 	}
 }
 
-// A controller loses the store and the others, but not its workers.
+// A controller loses the store and the other controllers, but not its workers: no task may be lost.
 func TestIsolatedControllerLosesNoTask(t *testing.T) {
 	for _, who := range []string{"leader", "follower"} {
 		for _, span := range []float64{5, 12, 90} {
@@ -166,32 +166,32 @@
 					c.submit(1, records.Job{ID: "j-2", Tasks: 4, EstimateS: 300})
 					sleep(33)
 					old := c.leaderIndex()
-					cut := old
+					isolated := old
 					if who == "follower" {
-						cut = (old + 1) % 3
+						isolated = (old + 1) % 3
 					}
-					killed, starts := countLostTasks(c), c.env.Starts()
-					c.isolateFromControlPlane(cut, true)
+					lostBefore, starts := countLostTasks(c), c.env.Starts()
+					c.isolateFromControlPlane(isolated, true)
 					sleep(4)
 					if span > 5 {
-						// Its users are turned away at once.
+						// Its users get 503 without a delay.
 						sleep(3)
 						began := time.Now()
-						if status, _ := c.ask(cut, peer.MethodPoll, "j-1"); status != 503 || time.Since(began) > time.Second/4 {
+						if status, _ := c.ask(isolated, peer.MethodPoll, "j-1"); status != 503 || time.Since(began) > time.Second/4 {
 							t.Errorf("a poll at the isolated controller: %d after %v", status, time.Since(began))
 						}
-						if c.node(cut).server.Ready() {
+						if c.node(isolated).server.Ready() {
 							t.Error("the isolated controller is ready")
 						}
 					}
-					c.ask((cut+1)%3, peer.MethodCancel, "j-2")
+					c.ask((isolated+1)%3, peer.MethodCancel, "j-2")
 					c.expectedDone = c.expectedDone[:1]
 					sleep(max(span-7, 1))
-					if n := countLostTasks(c) - killed; n > 0 {
-						t.Errorf("%d tasks were lost by their lease, of %d", n, starts)
+					if n := countLostTasks(c) - lostBefore; n > 0 {
+						t.Errorf("%d tasks were lost by lease expiry, of %d", n, starts)
 					}
 					c.env.CheckCancelled()
-					c.isolateFromControlPlane(cut, false)
+					c.isolateFromControlPlane(isolated, false)
 					sleep(120)
 					c.wantAllJobsKnown()
 					c.wantNoVanishedMachines()
@@ -201,10 +201,10 @@
 	}
 }
 
-// A process is back within a fraction of a second, in mid-election too; a machine with its
-// counters at the start.
+// A controller restarts within a fraction of a second, also during an election, or a machine reboots with its counters
+// reset. No job may be lost.
 func TestImmediateRestartLosesNothing(t *testing.T) {
-	back := func(c *cluster, pause float64, nodes ...int) {
+	restart := func(c *cluster, pause float64, nodes ...int) {
 		for _, i := range nodes {
 			c.killNode(i)
 		}
@@ -214,28 +214,28 @@
 		}
 	}
 	for name, scenario := range map[string]func(c *cluster){
-		"the leader":        func(c *cluster) { back(c, 0.05, c.leaderIndex()) },
-		"the leader, later": func(c *cluster) { back(c, 0.9, c.leaderIndex()) },
+		"the leader":        func(c *cluster) { restart(c, 0.05, c.leaderIndex()) },
+		"the leader, later": func(c *cluster) { restart(c, 0.9, c.leaderIndex()) },
 		"the leader with a commit under way": func(c *cluster) {
 			c.node(c.leaderIndex()).client.LoseAnswers(3, 2*time.Second)
 			sleep(0.6)
-			back(c, 0.05, c.leaderIndex())
+			restart(c, 0.05, c.leaderIndex())
 		},
 		"the leader twice": func(c *cluster) {
 			i := c.leaderIndex()
-			back(c, 0.1, i)
+			restart(c, 0.1, i)
 			sleep(0.3)
-			back(c, 0.1, i)
+			restart(c, 0.1, i)
 		},
-		"two at once": func(c *cluster) { i := c.leaderIndex(); back(c, 0.2, i, (i+1)%3) },
-		"all":         func(c *cluster) { back(c, 0.2, 0, 1, 2) },
+		"two at once": func(c *cluster) { i := c.leaderIndex(); restart(c, 0.2, i, (i+1)%3) },
+		"all":         func(c *cluster) { restart(c, 0.2, 0, 1, 2) },
 		"in an election": func(c *cluster) {
 			i := c.leaderIndex()
 			c.killNode(i)
 			for c.leaderIndex() < 0 {
 				sleep(0.01)
 			}
-			back(c, 0.05, c.leaderIndex())
+			restart(c, 0.05, c.leaderIndex())
 			c.startNode(i)
 		},
 		"a machine":     func(c *cluster) { rebootMachines(c, c.env.Machines()[:1]) },
@@ -258,8 +258,7 @@
 	}
 }
 
-// rebootMachines has machines back at once with their counters at the start, and wants them in use
-// again within a few heartbeats.
+// rebootMachines reboots machines with their counters reset, and requires that the leader uses them again within 5 s.
 func rebootMachines(c *cluster, ms []*Machine) {
 	for _, m := range ms {
 		m.Reboot()
@@ -279,8 +278,8 @@
 	}
 }
 
-// Faults of processes and of the network together, in any order: no rule breaks, and every job is known
-// and done in the end.
+// Random faults of processes and of the network, in any order, must violate no rule. At the end every job must be known
+// and done.
 func TestRandomProcessAndNetworkFaultsBreakNoRule(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/simulation/final_checks_test.go
+++ b/internal/simulation/final_checks_test.go
@@ -8,8 +8,8 @@
 	"drumpick/internal/scheduler"
 )
 
-// wantAllJobsKnown asks every controller for every accepted job as users do, every 5 s for 75 s at the
-// most, and wants an answer to each within 2 s, and all done in the end.
+// wantAllJobsKnown polls every controller for every accepted job, every 5 s for up to 75 s, until each poll is answered
+// within 2 s. It then requires that all jobs are done.
 func (c *cluster) wantAllJobsKnown() {
 	c.t.Helper()
 	for i := range c.nodes {
@@ -29,7 +29,7 @@
 			sleep(5)
 		}
 		if len(left) > 0 {
-			c.t.Errorf("node %d answers nothing about %v", i, left)
+			c.t.Errorf("node %d did not answer polls for %v", i, left)
 		}
 	}
 	for _, id := range c.expectedDone {
@@ -42,7 +42,7 @@
 	}
 }
 
-// leaderMachines returns the machines as the leader sees them; nil: nobody leads.
+// leaderMachines returns the leader's view of the machines, or nil if there is no leader.
 func (c *cluster) leaderMachines() []scheduler.MachineView {
 	i := c.leaderIndex()
 	if i < 0 {
@@ -52,7 +52,8 @@
 	return list
 }
 
-// wantNoVanishedMachines wants every machine that the leader or the store knows to be there, or returned.
+// wantNoVanishedMachines requires that every machine known to the leader exists, unless it is booting or being
+// returned.
 func (c *cluster) wantNoVanishedMachines() {
 	c.t.Helper()
 	here := map[string]bool{}
@@ -61,12 +62,12 @@
 	}
 	for _, v := range c.leaderMachines() {
 		if !here[v.Name] && v.State != scheduler.MachineBooting && v.State != scheduler.MachineReturning {
-			c.t.Errorf("the leader has %s as %s, which does not exist", v.Name, v.State)
+			c.t.Errorf("the leader lists %s as %s, but it does not exist", v.Name, v.State)
 		}
 	}
 }
 
-// countLostTasks counts the tasks that ended with their machine or lease.
+// countLostTasks returns the number of attempts that were lost with their machine or its lease.
 func countLostTasks(c *cluster) int {
 	n := 0
 	ran, _ := c.env.History()
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// gangPeer is an attempt of a gang's task, and the machine it is on.
+// gangPeer is an attempt of a gang's task and the machine that it is on.
 type gangPeer struct {
 	machine *Machine
 	attempt *attempt
 }
 
-// gangPeersLocked returns the tasks of a gang's attempt, itself included, that are on machines and have not ended.
+// gangPeersLocked returns all live attempts of a's gang with its attempt number, including a. Attempts on hung
+// machines are left out.
 func (env *Environment) gangPeersLocked(a *attempt) []gangPeer {
 	var peers []gangPeer
 	for other, m := range env.attempts[a.taskID.Job] {
@@ -19,7 +20,7 @@
 	return peers
 }
 
-// startGangIfReadyLocked lets a gang's attempt run if all of its tasks wait for that.
+// startGangIfReadyLocked starts a gang if all of its tasks are waiting to start.
 func (env *Environment) startGangIfReadyLocked(a *attempt, now time.Time) {
 	peers := env.gangPeersLocked(a)
 	if len(peers) < a.job.Tasks {
@@ -36,7 +37,8 @@
 	}
 }
 
-// gangPeerTimedOutLocked reports whether a gang has been without one of its tasks for too long.
+// gangPeerTimedOutLocked reports whether a task of a's gang has been missing for GangPeerTimeout. It tracks since
+// when one is missing.
 func (m *Machine) gangPeerTimedOutLocked(a *attempt, now time.Time) bool {
 	if m.env.GangPeerTimeout == 0 || len(m.env.gangPeersLocked(a)) == a.job.Tasks {
 		a.peerMissingSince = time.Time{}
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -12,17 +12,17 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// The local cluster's store and cloud answer in the forms of the protocol.
+// The responses of the simulated store and cloud match the protocol's golden files.
 func TestGoldenServices(t *testing.T) {
-	state := NewStore()
-	state.ImportEntries(map[string]records.KeyValue{"types": {Key: "types", Value: []byte(`{"rigs":[]}`), Revision: 7}})
+	store := NewStore()
+	store.ImportEntries(map[string]records.KeyValue{"types": {Key: "types", Value: []byte(`{"rigs":[]}`), Revision: 7}})
 	env := NewEnvironment(t.Context())
 	env.Types = []records.MachineType{{
 		Name: "g8", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5,
 		Price: 0.2, SpotPrice: 0.05, StartupS: 30, Zones: []string{"a"},
 	}}
 	app := fiber.New()
-	ServeStore(t.Context(), app, state, nil)
+	ServeStore(t.Context(), app, store, nil)
 	ServeCloud(app, env)
 	f := goldentest.Open(t, "golden-services.json")
 	for _, x := range []struct{ name, method, uri, body string }{
@@ -51,7 +51,7 @@
 	}
 }
 
-// A local cluster's history keeps its form.
+// The JSON form of a local cluster's history does not change.
 func TestGoldenHistory(t *testing.T) {
 	at := time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC)
 	goldentest.Run(t, "golden-history.json", goldentest.JSON, []goldentest.Case{
@@ -63,12 +63,12 @@
 	})
 }
 
-// A worker of the local region reads where it is sent, and what it is told.
-func TestGoldenAnswers(t *testing.T) {
+// HeartbeatOverHTTP returns the leader named in a redirect.
+func TestGoldenHeartbeatRedirect(t *testing.T) {
 	for answer, want := range map[string]string{`{"conductor":"n-1"}`: "n-1", `{}`: ""} {
-		report := HeartbeatOverHTTP(func(string, int, []byte) (int, []byte, error) { return 421, []byte(answer), nil })
-		if status, _, to := report(0, &fleet.Heartbeat{Machine: "m-1"}); status != 421 || to != want {
-			t.Errorf("%s is read as %d, %q", answer, status, to)
+		heartbeat := HeartbeatOverHTTP(func(string, int, []byte) (int, []byte, error) { return 421, []byte(answer), nil })
+		if status, _, leader := heartbeat(0, &fleet.Heartbeat{Machine: "m-1"}); status != 421 || leader != want {
+			t.Errorf("answer %s: got status %d and leader %q", answer, status, leader)
 		}
 	}
 }
--- a/internal/simulation/heartbeat.go
+++ b/internal/simulation/heartbeat.go
@@ -9,26 +9,25 @@
 	"drumpick/internal/fleet"
 )
 
-// heartbeatTimeout is how long a worker waits for an answer (PROTOCOL).
+// heartbeatTimeout is how long a worker waits for the answer to a heartbeat (PROTOCOL).
 const heartbeatTimeout = 4 * time.Second
 
-// retryDelay is how soon a worker tries the next controller after a heartbeat that was not taken.
+// retryDelay returns the delay before a worker tries the next controller after a heartbeat that was not accepted.
 func (env *Environment) retryDelay() time.Duration { return min(env.HeartbeatInterval/2, time.Second) }
 
-// redirectDelay is how soon a worker follows a redirection to another controller: at once, or after up to half a
-// second.
+// redirectDelay returns the delay before a worker follows a redirect. The protocol allows up to half a second.
 func (env *Environment) redirectDelay() time.Duration {
 	return min(env.HeartbeatInterval, time.Second) / 4
 }
 
-// sentHeartbeat is a heartbeat and the state of the worker that sent it.
+// sentHeartbeat is a heartbeat with the time and the reboot count of its machine when it was sent.
 type sentHeartbeat struct {
 	body    *fleet.Heartbeat
 	at      time.Time
 	reboots int
 }
 
-// run is the life of a machine: it boots, then sends heartbeats and runs tasks until it is gone.
+// run boots the machine, then sends heartbeats and runs tasks until the machine is terminated.
 func (m *Machine) run() {
 	env := m.env
 	if !m.boot() || env.RemoteMachines {
@@ -59,8 +58,8 @@
 	}
 }
 
-// nextHeartbeat returns the worker's next heartbeat, nil if none can leave the machine now, and reports whether the
-// machine is gone.
+// nextHeartbeat returns the worker's next heartbeat, or nil if none can leave the machine now. gone reports that the
+// machine is terminated.
 func (m *Machine) nextHeartbeat() (h *sentHeartbeat, gone bool) {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
@@ -77,15 +76,15 @@
 	return &sentHeartbeat{body: m.heartbeatLocked(), at: time.Now(), reboots: m.reboots}, false
 }
 
-// sendHeartbeat sends a heartbeat to a controller and carries out what the answer says. Where the heartbeat was not
-// taken it returns the controller to try next, and after which delay; otherwise the delay is 0. ok is false once
-// the environment has ended.
+// sendHeartbeat sends a heartbeat to a controller and executes the commands in the answer. If the heartbeat was not
+// accepted it returns the controller to try next and the delay before that; otherwise the delay is 0. ok is false
+// once the environment has ended.
 func (m *Machine) sendHeartbeat(node int, h *sentHeartbeat) (next int, delay time.Duration, ok bool) {
 	env := m.env
 	status, resp, leader := env.Heartbeat(node, h.body)
 	env.mu.Lock()
 	if m.inboundLost || m.reboots != h.reboots {
-		status = 0 // the answer does not reach it, or the process that asked is no more
+		status = 0 // the answer is lost, or the machine has rebooted since
 	}
 	env.mu.Unlock()
 	if status == 0 && ctxtime.Sleep(env.ctx, heartbeatTimeout) != nil {
@@ -106,15 +105,15 @@
 	return node, 0, true
 }
 
-// acceptsAnswerLocked reports whether the worker takes an answer: it comes from no deposed leader, in time, and to the
-// same incarnation.
+// acceptsAnswerLocked reports whether the worker accepts an answer: the fencing token is not older than the latest
+// one, the answer is in time, and the incarnation is the same.
 func (m *Machine) acceptsAnswerLocked(h *sentHeartbeat, resp fleet.HeartbeatResponse) bool {
 	return h.body.Incarnation == m.incarnation && resp.FencingToken >= m.fencingToken &&
 		!m.terminated && !m.hung && time.Since(h.at) < 2*m.env.HeartbeatInterval
 }
 
-// waitForNextHeartbeat waits for the heartbeat interval, or less when something changes. It reports whether the
-// environment goes on.
+// waitForNextHeartbeat waits for the heartbeat interval, or less if a task's status changes. It returns false once
+// the environment has ended.
 func (m *Machine) waitForNextHeartbeat() bool {
 	env := m.env
 	wait, shortest := env.HeartbeatInterval, env.HeartbeatInterval/4
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -12,27 +12,27 @@
 	Machine string    `json:"machine"`
 	Zone    string    `json:"zone"`
 	Started time.Time `json:"from"`
-	Running time.Time `json:"running,omitzero"` // when it ran; zero: it never did
+	Running time.Time `json:"running,omitzero"` // when it began to run; zero: it never ran
 	Ended   time.Time `json:"to"`
-	Cause   string    `json:"cause"` // as workers report it; causeLost with the machine
+	Cause   string    `json:"cause"` // as reported by workers, or causeLost
 }
 
-// causeLost is the cause of an attempt whose machine or lease is gone; no worker reports it.
+// causeLost is the cause of an attempt that ended with its machine or its lease; no worker reports it.
 const causeLost = "lost"
 
-// RentalCost is what a machine costs.
+// RentalCost is the cost of a machine.
 type RentalCost struct {
 	Machine string    `json:"machine"`
 	Type    string    `json:"type"`
 	Zone    string    `json:"zone"`
 	Spot    bool      `json:"spot"`
 	From    time.Time `json:"from"`
-	To      time.Time `json:"to"` // zero while it is rented
+	To      time.Time `json:"to"` // zero while it is still rented
 	Cost    float64   `json:"cost"`
 }
 
-// History returns the attempts that have ended, in the order of their ends, and what machines cost so far at
-// nominal prices.
+// History returns the attempts that have ended, in the order in which they were recorded, and the cost of all
+// machines so far at nominal prices.
 func (env *Environment) History() ([]TaskRun, []RentalCost) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -46,14 +46,14 @@
 	return slices.Clone(env.runs), costs
 }
 
-// Starts returns how many attempts were started.
+// Starts returns the number of attempts that were started.
 func (env *Environment) Starts() int {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.starts
 }
 
-// Running returns how many tasks run.
+// Running returns the number of running tasks.
 func (env *Environment) Running() int {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -68,21 +68,21 @@
 	return n
 }
 
-// LeaseExpiries returns how many leases of workers have ended.
+// LeaseExpiries returns the number of workers' leases that have expired.
 func (env *Environment) LeaseExpiries() int {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.leaseExpiries
 }
 
-// MaxCancelLatency returns for how long, at the most, a task of a cancelled job was seen on its machine.
+// MaxCancelLatency returns the longest time that a task of a cancelled job was seen on its machine.
 func (env *Environment) MaxCancelLatency() time.Duration {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.maxCancelLatency
 }
 
-// LostWork returns the run time of tasks that has to be done again, so far.
+// LostWork returns the run time of tasks that was lost so far and must be repeated.
 func (env *Environment) LostWork() time.Duration {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/internal/simulation/idle_check_test.go
+++ b/internal/simulation/idle_check_test.go
@@ -13,18 +13,17 @@
 	"drumpick/internal/records"
 )
 
-// maxIdle is how long a job may wait beside a machine that fits and has room, once all faults are over and while its
-// team is under its limit.
+// maxIdle is how long a job may wait while a suitable machine has room, its team is below its limit, and no fault is
+// active.
 const maxIdle = 90 * time.Second
 
-// idleCheck holds a deployment against that.
+// idleCheck checks that no job waits for longer than maxIdle although it could run.
 type idleCheck struct {
 	env       *Environment
-	idleSince map[string]time.Time // by job, since when it waits so
+	idleSince map[string]time.Time // by job, since when it has been waiting although it could run
 }
 
-// check looks at all jobs; faulty: there is a fault, and what was seen before counts
-// for nothing.
+// check checks all jobs. faulty means that a fault is active: the check starts over.
 func (x *idleCheck) check(faulty bool) {
 	x.env.mu.Lock()
 	defer x.env.mu.Unlock()
@@ -35,8 +34,8 @@
 		return
 	}
 	for id := range x.env.acceptedAt {
-		host := x.env.findIdleMachineLocked(id)
-		if host == "" {
+		machine := x.env.findIdleMachineLocked(id)
+		if machine == "" {
 			delete(x.idleSince, id)
 			continue
 		}
@@ -44,42 +43,42 @@
 		if !ok {
 			x.idleSince[id] = time.Now()
 		} else if time.Since(at) > maxIdle {
-			x.env.recordViolationLocked("idle: %s waits beside %s for %v", id, host, maxIdle)
+			x.env.recordViolationLocked("idle: %s is waiting though %s has had room for %v", id, machine, maxIdle)
 			delete(x.idleSince, id)
 		}
 	}
 }
 
-// findIdleMachineLocked names a machine with room for what waits of a job, "" if nothing does or there is none.
-// A gang needs room for all that waits. The environment is locked.
+// findIdleMachineLocked returns the name of a machine with room for a waiting task of a job that may run now, or "" if
+// there is none. A gang needs room for all of its waiting tasks. The caller holds the environment's lock.
 func (env *Environment) findIdleMachineLocked(id string) string {
 	j, ok := env.LookupJob(id)
-	if _, over := env.finalStates[id]; !ok || over || env.cancelRequested[id] || env.TaskFails != nil {
+	if _, final := env.finalStates[id]; !ok || final || env.cancelRequested[id] || env.TaskFails != nil {
 		return ""
 	}
-	if _, over := env.cancelledAt[id]; over {
+	if _, cancelled := env.cancelledAt[id]; cancelled {
 		return ""
 	}
-	for _, p := range j.Dependencies {
-		if pj, ok := env.LookupJob(p); !ok || len(env.completed[p]) < pj.Tasks || env.finalStates[p].status == "" {
+	for _, dependency := range j.Dependencies {
+		if d, ok := env.LookupJob(dependency); !ok || len(env.completed[dependency]) < d.Tasks || env.finalStates[dependency].status == "" {
 			return ""
 		}
 	}
-	waits, zones := j.Tasks-len(env.completed[id]), map[string]int{}
+	waiting, zones := j.Tasks-len(env.completed[id]), map[string]int{}
 	for _, m := range env.attempts[id] {
-		waits--
+		waiting--
 		zones[m.Zone]++
 	}
-	if waits <= 0 {
+	if waiting <= 0 {
 		return ""
 	}
 	if j.Shape != records.ShapeGang {
-		waits = 1
+		waiting = 1
 	}
 	cpus, gpus := env.teamUsageLocked(j.Team)
-	var host string
+	var machine string
 	free := map[*Machine]float64{}
-	for range waits {
+	for range waiting {
 		cpus, gpus = cpus+j.CPUs, gpus+j.GPUs
 		if !env.withinLimit(j.Team, cpus, gpus) {
 			return ""
@@ -88,20 +87,21 @@
 		if m == nil {
 			return ""
 		}
-		host = m.Name
+		machine = m.Name
 		free[m] += j.CPUs
 		zones[m.Zone]++
 	}
-	return host
+	return machine
 }
 
-// machineWithRoomLocked finds a machine for one more task of a job, beside what has been taken of each.
+// machineWithRoomLocked returns a machine with room for one more task of a job, or nil. taken are the CPUs already
+// assigned by machine, zones the job's tasks by zone.
 func (env *Environment) machineWithRoomLocked(j records.Job, zones map[string]int, taken map[*Machine]float64) *Machine {
 	for _, m := range env.machines {
 		cpus, mem := m.typ.CPUs-taken[m]-j.CPUs, m.typ.MemGB-j.MemGB
-		for _, s := range m.tasks {
-			if s.status != statusEnded {
-				cpus, mem = cpus-s.job.CPUs, mem-s.job.MemGB
+		for _, a := range m.tasks {
+			if a.status != statusEnded {
+				cpus, mem = cpus-a.job.CPUs, mem-a.job.MemGB
 			}
 		}
 		switch {
@@ -115,43 +115,43 @@
 	return nil
 }
 
-// anyFault reports whether any fault of the simulation is switched on. Late copies of reports are none: no
-// job waits longer for them.
+// anyFault reports whether any injected fault is active. Late copies of heartbeats do not count: no job may wait longer
+// because of them.
 func (c *cluster) anyFault() bool {
 	c.store.mu.Lock()
-	bad := c.store.outage
+	active := c.store.outage
 	for _, on := range c.store.refusedClients {
-		bad = bad || on
+		active = active || on
 	}
 	c.store.mu.Unlock()
 	c.env.mu.Lock()
-	bad = bad || c.env.pickCommandDelay != nil
+	active = active || c.env.pickCommandDelay != nil
 	for _, on := range c.env.partitioned {
-		bad = bad || on
+		active = active || on
 	}
 	for _, on := range c.env.commandsBlocked {
-		bad = bad || on
+		active = active || on
 	}
 	for _, m := range c.env.machines {
-		bad = bad || !m.terminated && (m.hung || m.inboundLost || m.outboundLost)
+		active = active || !m.terminated && (m.hung || m.inboundLost || m.outboundLost)
 	}
 	c.env.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	bad = bad || c.leaderIndexLocked() < 0 || len(c.onlyNodeForZone) > 0
+	active = active || c.leaderIndexLocked() < 0 || len(c.onlyNodeForZone) > 0
 	for i, n := range c.nodes {
-		bad = bad || c.isolated[i] || c.unreachable[i] || c.delays[i] > 0
+		active = active || c.isolated[i] || c.unreachable[i] || c.delays[i] > 0
 		if n != nil {
 			n.client.mu.Lock()
-			bad = bad || n.client.hang > 0 || n.client.delay > 0 || n.client.pickLateWrite != nil
+			active = active || n.client.hang > 0 || n.client.delay > 0 || n.client.pickLateWrite != nil
 			n.client.mu.Unlock()
 		}
 	}
-	return bad
+	return active
 }
 
-// The check is broken on purpose: a job that nobody starts beside an empty machine is named after
-// 90 s and not before, and one without room, over its team's limit, or in a fault is not.
+// idleCheck must report a job that is not started on an empty machine after 90 s and not before. It must not report a
+// job without room, above its team's limit, or during a fault.
 func TestIdleCheckReportsOnlyIdleJobs(t *testing.T) {
 	zone := "b"
 	for name, x := range map[string]struct {
@@ -175,32 +175,32 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, end := context.WithCancel(context.Background())
 				defer end()
-				w := newEnvironmentWithoutControllers(ctx)
-				w.CancelLimit, w.ZoneCapacity = time.Hour, 1
-				w.Teams = []config.Team{{Name: "limited", LimitCPUs: 3}, {Name: ""}}
+				env := newEnvironmentWithoutControllers(ctx)
+				env.CancelLimit, env.ZoneCapacity = time.Hour, 1
+				env.Teams = []config.Team{{Name: "limited", LimitCPUs: 3}, {Name: ""}}
 				if x.job.ID = "j-1"; x.job.Shape == "" {
 					x.job.Shape = records.ShapeArray
 				}
-				w.LookupJob = func(id string) (records.Job, bool) {
+				env.LookupJob = func(id string) (records.Job, bool) {
 					return map[string]records.Job{"j-0": {ID: "j-0", Team: "limited", Tasks: 1, CPUs: x.busy, Spot: true}, "j-1": x.job}[id], true
 				}
-				if _, err := w.rent(autoscaler.RentalRequest{Name: "r", Type: "c4", Zone: "a", Count: 1, Spot: true}); err != nil {
+				if _, err := env.rent(autoscaler.RentalRequest{Name: "r", Type: "c4", Zone: "a", Count: 1, Spot: true}); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(2 * time.Second)
 				if x.busy > 0 {
-					_, _, _ = w.SendCommands("m-000001", runCommand("j-0/0", 1))
+					_, _, _ = env.SendCommands("m-000001", runCommand("j-0/0", 1))
 				}
-				w.CheckSubmission("j-1", 201, time.Now())
-				idle := &idleCheck{env: w}
+				env.CheckSubmission("j-1", 201, time.Now())
+				idle := &idleCheck{env: env}
 				for s := range 100 {
 					idle.check(x.faulty)
-					if got := len(w.Violations()); got > 0 && s <= 90 {
-						t.Fatalf("after %d s: %v", s, w.Violations())
+					if got := len(env.Violations()); got > 0 && s <= 90 {
+						t.Fatalf("after %d s: %v", s, env.Violations())
 					}
 					time.Sleep(time.Second)
 				}
-				if got := w.Violations(); len(got) != x.want {
+				if got := env.Violations(); len(got) != x.want {
 					t.Error(fmt.Sprint(got))
 				}
 			})
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -11,35 +11,35 @@
 	"drumpick/internal/workers"
 )
 
-// Machine is a rented machine and its worker. What is not exported is guarded by the environment's lock.
+// Machine is a rented machine and its worker. The environment's lock guards the unexported fields.
 type Machine struct {
 	Name    string
 	Zone    string
 	Spot    bool
-	Version string // of its worker
+	Version string // of the worker
 
 	env       *Environment
 	typ       records.MachineType
 	rented    time.Time
 	addr      string
 	closeAddr func()
-	wakeup    chan struct{} // something has changed that the next heartbeat is to tell
+	wakeup    chan struct{} // signalled when the worker has a change to report
 
 	up, terminated bool
-	preemptionAt   time.Time // zero: no notice was given
+	preemptionAt   time.Time // zero: no preemption notice
 
 	hung         bool
-	inboundLost  bool // heartbeats leave it, and nothing reaches it
-	outboundLost bool // it reaches no controller, and direct commands reach it
+	inboundLost  bool // its heartbeats arrive, but nothing reaches it
+	outboundLost bool // its heartbeats reach no controller, but direct commands reach it
 
 	reboots      int
 	incarnation  uint64
 	sequence     uint64
 	fencingToken uint64
-	leaseStart   time.Time // when the last heartbeat that was answered was sent
+	leaseStart   time.Time // send time of the last answered heartbeat
 
-	tasks        map[string]*attempt  // by task and attempt
-	imageReadyAt map[string]time.Time // when each image is there
+	tasks        map[string]*attempt  // by task and attempt number
+	imageReadyAt map[string]time.Time // when each image has been fetched
 }
 
 func newMachine(env *Environment, name string, r autoscaler.RentalRequest) *Machine {
@@ -59,7 +59,7 @@
 // Type returns the name of the machine's type.
 func (m *Machine) Type() string { return m.typ.Name }
 
-// Addr returns where the machine takes direct commands; "": it does not yet.
+// Addr returns the address for direct commands, or "" while the machine boots.
 func (m *Machine) Addr() string {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
@@ -69,7 +69,7 @@
 	return m.addr
 }
 
-// cost returns what the machine cost until a time, or until now if that is zero.
+// cost returns the cost of the machine until a time, or until now if it is zero.
 func (m *Machine) cost(to time.Time) RentalCost {
 	end := to
 	if to.IsZero() {
@@ -85,8 +85,8 @@
 	}
 }
 
-// removeLocked takes the machine away with all that is on it. It returns what closes the machine's address, which
-// is to be called without the lock.
+// removeLocked terminates the machine with all of its tasks. It returns the function that closes the machine's
+// address, which must be called without the lock.
 func (m *Machine) removeLocked() (closeAddr func()) {
 	if m.terminated {
 		return func() {}
@@ -97,7 +97,7 @@
 	return m.closeAddr
 }
 
-// Terminate ends the machine without notice.
+// Terminate terminates the machine without notice.
 func (m *Machine) Terminate() {
 	m.env.mu.Lock()
 	closeAddr := m.removeLocked()
@@ -105,22 +105,22 @@
 	closeAddr()
 }
 
-// SetHung makes the machine and its worker stand still; false lets them go on.
+// SetHung makes the machine and its worker hang; false lets them continue.
 func (m *Machine) SetHung(on bool) {
 	m.env.mu.Lock()
 	m.hung = on
 	m.env.mu.Unlock()
 }
 
-// SetUnreachable keeps answers and commands from the machine, while its heartbeats arrive; false makes it reachable
-// again.
+// SetUnreachable drops all answers and commands to the machine, while its heartbeats still arrive; false makes it
+// reachable again.
 func (m *Machine) SetUnreachable(on bool) {
 	m.env.mu.Lock()
 	m.inboundLost = on
 	m.env.mu.Unlock()
 }
 
-// SetIsolated keeps the machine's worker from every controller, while direct commands reach it; false lets it send
+// SetIsolated drops all heartbeats of the machine, while direct commands still reach it; false lets it send
 // heartbeats again.
 func (m *Machine) SetIsolated(on bool) {
 	m.env.mu.Lock()
@@ -128,7 +128,7 @@
 	m.env.mu.Unlock()
 }
 
-// Reboot stops the machine and has it back at once, without its tasks and with its counters at the start.
+// Reboot restarts the machine at once, without its tasks and with all of its counters reset.
 func (m *Machine) Reboot() {
 	m.env.mu.Lock()
 	m.loseTasksLocked(time.Now())
@@ -138,7 +138,7 @@
 	m.wake()
 }
 
-// NotifyPreemption tells the worker that its machine will be taken, and takes it then.
+// NotifyPreemption gives the worker a preemption notice, and terminates the machine after the delay.
 func (m *Machine) NotifyPreemption(in time.Duration) {
 	m.env.mu.Lock()
 	m.preemptionAt = time.Now().Add(in)
@@ -147,7 +147,7 @@
 	time.AfterFunc(in, m.Terminate)
 }
 
-// wake lets the worker send its next heartbeat soon.
+// wake makes the worker send its next heartbeat soon.
 func (m *Machine) wake() {
 	select {
 	case m.wakeup <- struct{}{}:
@@ -155,12 +155,13 @@
 	}
 }
 
-// unresponsiveLocked reports whether the machine answers nobody.
+// unresponsiveLocked reports whether the machine answers no requests.
 func (m *Machine) unresponsiveLocked() bool {
 	return m.terminated || m.hung || !m.up || m.env.partitioned[m.Zone]
 }
 
-// ExecuteCommands takes direct commands, and returns the status and the worker's heartbeat.
+// ExecuteCommands executes direct commands, and returns the outcome and the worker's heartbeat. It rejects commands
+// with an older fencing token or for another incarnation.
 func (m *Machine) ExecuteCommands(r fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
@@ -176,7 +177,7 @@
 	return workers.OutcomeExecuted, m.heartbeatLocked(), nil
 }
 
-// Status returns the worker's heartbeat on demand.
+// Status returns the worker's current heartbeat on request.
 func (m *Machine) Status() (*fleet.Heartbeat, error) {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
@@ -187,7 +188,7 @@
 	return m.heartbeatLocked(), nil
 }
 
-// heartbeatLocked returns the worker's next heartbeat.
+// heartbeatLocked returns the worker's next heartbeat and increments its sequence number.
 func (m *Machine) heartbeatLocked() *fleet.Heartbeat {
 	m.sequence++
 	r := &fleet.Heartbeat{
@@ -203,23 +204,23 @@
 			Task: a.task, Attempt: a.number, Status: a.status, Cause: a.cause, CheckpointSaved: a.checkpointSaved,
 		})
 	}
-	// A deep copy stands for what goes over the wire.
+	// A deep copy, as if it had been sent over the wire.
 	raw, _ := json.Marshal(r)
 	var sent fleet.Heartbeat
 	_ = json.Unmarshal(raw, &sent)
 	return &sent
 }
 
-// boot brings the machine up. It reports whether the machine is still there then.
+// boot boots the machine. It returns false if the machine was terminated meanwhile or the environment has ended.
 func (m *Machine) boot() bool {
 	env := m.env
-	takes := env.BootTime
+	bootTime := env.BootTime
 	env.mu.Lock()
 	if env.pickBootTime != nil {
-		takes = env.pickBootTime()
+		bootTime = env.pickBootTime()
 	}
 	env.mu.Unlock()
-	if ctxtime.Sleep(env.ctx, takes) != nil {
+	if ctxtime.Sleep(env.ctx, bootTime) != nil {
 		return false
 	}
 	if env.Listen != nil && !m.listen() {
@@ -231,7 +232,7 @@
 	return !m.terminated
 }
 
-// listen opens the machine's address. A machine that cannot open it never comes up.
+// listen opens the machine's address. It terminates the machine and returns false if that fails.
 func (m *Machine) listen() bool {
 	addr, closeAddr, err := m.env.Listen(m)
 	if err != nil {
--- a/internal/simulation/many_machines_test.go
+++ b/internal/simulation/many_machines_test.go
@@ -11,19 +11,18 @@
 	"drumpick/internal/records"
 )
 
-// What becomes of work when many machines fail at once, at the size of the large
-// deployments. Rules hold, every job ends with its one answer, and what has to be run again
-// is not much more than what died with its machines.
+// These tests fail many machines at once, at the size of large deployments. No rule may be violated, every job must
+// be done, and the work lost may be little more than the unsaved work on the failed machines.
 
 const (
 	manyJobs  = 12
-	manyTasks = 640 // of each, half as many again in all as the machines hold
+	manyTasks = 640 // per job; together one and a half times the machines' capacity
 
 	fleetSize   = 1300
-	raceDivisor = 5 // by which the fleet is smaller under the race detector
+	raceDivisor = 5 // divides the fleet's size under the race detector
 )
 
-// scaledFleetSize returns how many machines there are.
+// scaledFleetSize returns the number of machines, which is smaller under the race detector.
 func scaledFleetSize() int {
 	if raceEnabled {
 		return fleetSize / raceDivisor
@@ -31,22 +30,22 @@
 	return fleetSize
 }
 
-// unsavedWork returns the run time of tasks on machines that no checkpoint has.
+// unsavedWork returns the run time of the machines' running tasks that no checkpoint contains.
 func (env *Environment) unsavedWork(ms []*Machine) time.Duration {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	var sum time.Duration
 	for _, m := range ms {
-		for _, s := range m.tasks {
-			if s.status == statusRunning {
-				sum += max(s.progressAt(time.Now())-env.savedProgress[s.checkpointKey()], 0)
+		for _, a := range m.tasks {
+			if a.status == statusRunning {
+				sum += max(a.progressAt(time.Now())-env.savedProgress[a.checkpointKey()], 0)
 			}
 		}
 	}
 	return sum
 }
 
-// machinesInZone returns the machines of a zone.
+// machinesInZone returns those machines that are in a zone.
 func machinesInZone(ms []*Machine, zone string) []*Machine {
 	var out []*Machine
 	for _, m := range ms {
@@ -57,10 +56,10 @@
 	return out
 }
 
-// runManyMachines runs a scenario on all machines, which returns the least work that could be lost, and checks what
-// was.
+// runManyMachines runs a scenario on all machines and checks the work lost. The scenario returns the minimum of work
+// that its faults must lose.
 func runManyMachines(
-	t *testing.T, prepare func(c *cluster), scenario func(c *cluster, ms []*Machine) (least time.Duration),
+	t *testing.T, prepare func(c *cluster), scenario func(c *cluster, ms []*Machine) (minLost time.Duration),
 ) {
 	t.Helper()
 	runScenarioWith(t, func(c *cluster) {
@@ -68,10 +67,10 @@
 		c.cfg.Deployment.Store = config.StoreLimits{RPS: 500, WriteRPS: 60, ValueKB: 8, TxnOps: 16}
 		c.cfg.Deployment.Cloud.RPS = 7
 		c.cfg.Options.ZoneHealth, c.cfg.Options.LoadShedding = true, true
-		w := c.env
-		w.HeartbeatInterval, w.Lease, w.CancelLimit = 5*time.Second, 26*time.Second, 46*time.Second
-		w.ZoneCapacity = scaledFleetSize() / 4 // of a zone and kind
-		w.RunTime = func(task string) time.Duration { return 8 * mixedRunTime(task) }
+		env := c.env
+		env.HeartbeatInterval, env.Lease, env.CancelLimit = 5*time.Second, 26*time.Second, 46*time.Second
+		env.ZoneCapacity = scaledFleetSize() / 4 // per zone and kind
+		env.RunTime = func(task string) time.Duration { return 8 * mixedRunTime(task) }
 		prepare(c)
 	}, func(c *cluster) {
 		sleep(2)
@@ -84,7 +83,7 @@
 			t.Errorf("%d machines are up, want %d", len(ms), scaledFleetSize())
 		}
 		before := c.env.LostWork()
-		least := scenario(c, ms)
+		minLost := scenario(c, ms)
 		sleep(250)
 		for n := range manyJobs {
 			for i := range 3 {
@@ -94,17 +93,17 @@
 			}
 		}
 		lost := c.env.LostWork() - before
-		// Some work is stopped to fill and empty machines at the day's end in any case.
+		// Some tasks are stopped in any case, to pack machines when the load falls.
 		all := time.Duration(manyJobs*manyTasks*scaledFleetSize()/fleetSize) * 8 * 7 * time.Second
-		t.Logf("work lost: %v, at least %v, of %v in all", lost, least, all)
-		// A notice stops what by its owner's estimate would not end in time, and some would.
-		if lost > least*23/20+all/50 {
-			t.Errorf("work lost: %v, where %v had to be, of %v in all", lost, least, all)
+		t.Logf("work lost: %v, unavoidable: %v, total: %v", lost, minLost, all)
+		// A preemption notice stops tasks that by their estimate would not end in time, though some would.
+		if lost > minLost*23/20+all/50 {
+			t.Errorf("work lost: %v, unavoidable: %v, total: %v, which is too much", lost, minLost, all)
 		}
 	})
 }
 
-// All hang and come back in the same second, within their leases: nothing is lost.
+// All machines hang and resume in the same second, within their leases. Nothing may be lost.
 func TestAllMachinesHangAndLoseNothing(t *testing.T) {
 	t.Parallel()
 	runManyMachines(t, func(*cluster) {}, func(c *cluster, ms []*Machine) time.Duration {
@@ -119,8 +118,7 @@
 	})
 }
 
-// The store is away, and the leader with it for a moment: when both are back all send heartbeats at
-// once, and nothing is lost.
+// The leader crashes during a store outage. Afterwards all machines send heartbeats at once, and nothing may be lost.
 func TestAllMachinesReportAfterStoreOutage(t *testing.T) {
 	t.Parallel()
 	runManyMachines(t, func(*cluster) {}, func(c *cluster, ms []*Machine) time.Duration {
@@ -133,7 +131,7 @@
 	})
 }
 
-// A zone loses its power while a new leader takes over.
+// A zone loses power during a failover.
 func TestZonePowerLossDuringFailover(t *testing.T) {
 	t.Parallel()
 	runManyMachines(t, func(*cluster) {}, func(c *cluster, ms []*Machine) time.Duration {
@@ -142,13 +140,13 @@
 			sleep(0.1)
 		}
 		sleep(0.3)
-		least := c.env.unsavedWork(machinesInZone(ms, "b"))
+		minLost := c.env.unsavedWork(machinesInZone(ms, "b"))
 		c.env.FailZone("b")
-		return least
+		return minLost
 	})
 }
 
-// All controllers end twice within a lease.
+// All controllers restart twice within a worker's lease.
 func TestAllControllersRestartTwiceWithinLease(t *testing.T) {
 	t.Parallel()
 	runManyMachines(t, func(*cluster) {}, func(c *cluster, ms []*Machine) time.Duration {
@@ -166,51 +164,51 @@
 	})
 }
 
-// A third of the machines dies while as many cheap ones are taken with notice, and every
-// second one that is to replace them fails to boot.
+// A third of the machines fails while as many spot machines are preempted with notice, and every second replacement
+// fails to boot.
 func TestThirdOfMachinesDiesAndThirdIsPreempted(t *testing.T) {
 	t.Parallel()
 	var boots atomic.Int32
 	runManyMachines(t, func(c *cluster) {
 		c.env.Listen = func(m *Machine) (string, func(), error) {
 			if n := int(boots.Add(1)); n > scaledFleetSize() && n%2 == 0 {
-				return "", nil, errors.New("it does not boot")
+				return "", nil, errors.New("machine failed to boot")
 			}
 			return m.Name, func() {}, nil
 		}
 	}, func(c *cluster, ms []*Machine) time.Duration {
-		var die, taken []*Machine
+		var failed, preempted []*Machine
 		for i, m := range ms {
 			switch {
 			case i%3 == 0:
-				die = append(die, m)
-			case m.Spot && len(taken) < len(ms)/3:
-				taken = append(taken, m)
+				failed = append(failed, m)
+			case m.Spot && len(preempted) < len(ms)/3:
+				preempted = append(preempted, m)
 			}
 		}
-		least := c.env.unsavedWork(die)
-		for _, m := range die {
+		minLost := c.env.unsavedWork(failed)
+		for _, m := range failed {
 			m.Terminate()
 		}
-		for _, m := range taken {
+		for _, m := range preempted {
 			m.NotifyPreemption(12 * time.Second)
 		}
-		// Of what is taken, what ends within the notice need not be lost.
+		// Tasks on preempted machines that end within the notice need not be lost.
 		c.env.mu.Lock()
 		defer c.env.mu.Unlock()
-		for _, m := range taken {
-			for _, s := range m.tasks {
-				if s.status == statusRunning && time.Until(s.statusEndsAt) > 12*time.Second {
-					least += s.progressAt(time.Now())
+		for _, m := range preempted {
+			for _, a := range m.tasks {
+				if a.status == statusRunning && time.Until(a.statusEndsAt) > 12*time.Second {
+					minLost += a.progressAt(time.Now())
 				}
 			}
 		}
-		return least
+		return minLost
 	})
 }
 
-// A version without watermarks, relaying nothing, leads for a while, and a zone is cut off for
-// less than a lease when it ends.
+// A controller of a version without watermarks and heartbeat relay leads for a while. When it crashes, a zone is
+// partitioned for less than a lease.
 func TestZonePartitionAfterOlderVersionLed(t *testing.T) {
 	t.Parallel()
 	runManyMachines(t, func(c *cluster) { c.olderVersion[1] = true }, func(c *cluster, ms []*Machine) time.Duration {
@@ -231,22 +229,21 @@
 	})
 }
 
-// An observer of the watermarks ends and comes back, then is cut from the others, and
-// the leader ends.
+// An observer of the watermarks restarts and is then isolated from the other controllers, before the leader crashes.
 func TestRestartedObserverIsIsolatedBeforeFailover(t *testing.T) {
 	t.Parallel()
 	runManyMachines(t, func(*cluster) {}, func(c *cluster, ms []*Machine) time.Duration {
-		l := c.leaderIndex()
-		w := (l + 1) % 3
-		c.killNode(w)
+		leaderNode := c.leaderIndex()
+		observer := (leaderNode + 1) % 3
+		c.killNode(observer)
 		sleep(2)
-		c.startNode(w)
+		c.startNode(observer)
 		sleep(6)
-		c.setIsolated(w, true)
+		c.setIsolated(observer, true)
 		sleep(4)
-		c.killNode(l)
+		c.killNode(leaderNode)
 		sleep(8)
-		c.setIsolated(w, false)
+		c.setIsolated(observer, false)
 		return 0
 	})
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -9,41 +9,41 @@
 	"drumpick/internal/workers"
 )
 
-// HeartbeatFunc delivers a worker's heartbeat to a controller, and returns the status, the answer, and the node
-// that the worker is sent on to. Status 0 means that nobody answered, Refused that nobody listened.
+// HeartbeatFunc delivers a worker's heartbeat to a controller. It returns the HTTP status, the answer, and the leader
+// that the worker is redirected to. Status 0 means no answer, StatusRefused a refused connection.
 type HeartbeatFunc func(node int, r *fleet.Heartbeat) (status int, resp fleet.HeartbeatResponse, leader string)
 
 // StatusRefused is the status of a heartbeat to a controller that does not run.
 const StatusRefused = -1
 
-var errNoAnswer = errors.New("no answer")
+var errNoAnswer = errors.New("worker did not answer")
 
-// PartitionZone makes a zone's machines unreachable, or reachable again.
+// PartitionZone makes a zone's machines unreachable; false makes them reachable again.
 func (env *Environment) PartitionZone(zone string, on bool) {
 	env.mu.Lock()
 	env.partitioned[zone] = on
 	env.mu.Unlock()
 }
 
-// BlockCommands keeps direct commands from a zone's machines, or lets them pass again.
+// BlockCommands drops direct commands to a zone's machines; false delivers them again.
 func (env *Environment) BlockCommands(zone string, on bool) {
 	env.mu.Lock()
 	env.commandsBlocked[zone] = on
 	env.mu.Unlock()
 }
 
-// SetCommandDelay sets by how much each direct command is delayed on its way, and then its answer. Nobody waits for
-// either longer than a heartbeat interval. nil: none is delayed.
-func (env *Environment) SetCommandDelay(by func() (command, answer time.Duration)) {
+// SetCommandDelay sets the function that returns the delay of each direct command and of its answer; nil: no delay.
+// Senders wait for either no longer than a heartbeat interval.
+func (env *Environment) SetCommandDelay(pick func() (command, answer time.Duration)) {
 	env.mu.Lock()
-	env.pickCommandDelay = by
+	env.pickCommandDelay = pick
 	env.mu.Unlock()
 }
 
-// Go runs f in a goroutine; with SendCommands it is a controller's way to the workers.
+// Go runs f in a goroutine. Together with SendCommands it implements the controllers' access to workers.
 func (env *Environment) Go(f func()) { go f() }
 
-// SendCommands sends direct commands to a worker, and returns its answer.
+// SendCommands sends direct commands to a worker and returns its answer.
 func (env *Environment) SendCommands(addr string, r fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
 	_ = ctxtime.Sleep(env.ctx, networkLatency)
 	env.mu.Lock()
@@ -52,7 +52,7 @@
 	delay := env.pickCommandDelay
 	env.mu.Unlock()
 	if blocked {
-		_ = ctxtime.Sleep(env.ctx, env.HeartbeatInterval) // it hangs until the caller gives up
+		_ = ctxtime.Sleep(env.ctx, env.HeartbeatInterval) // the call hangs until the caller's timeout
 	}
 	if m == nil || blocked {
 		return workers.OutcomeUnknown, nil, errNoAnswer
@@ -64,10 +64,10 @@
 	return env.sendDelayed(m, r, commandDelay, answerDelay)
 }
 
-var errAnswerTimeout = errors.New("no answer in time")
+var errAnswerTimeout = errors.New("worker did not answer within the timeout")
 
-// sendDelayed sends direct commands that are delayed on their way, and then their answer. Commands whose sender
-// has given up are carried out all the same.
+// sendDelayed delivers direct commands and their answer with delays. Commands that arrive after the sender's timeout
+// are executed nevertheless.
 func (env *Environment) sendDelayed(
 	m *Machine, r fleet.CommandRequest, commandDelay, answerDelay time.Duration,
 ) (workers.Outcome, *fleet.Heartbeat, error) {
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -2,6 +2,6 @@
 
 package simulation
 
-// raceEnabled makes the scenarios of many machines a fifth as large under the race detector, which
-// makes them many times as slow.
+// raceEnabled reports whether the race detector is on. It slows the scenarios with many machines down many times, so
+// they run at a fifth of their size.
 const raceEnabled = true
--- a/internal/simulation/random_users_test.go
+++ b/internal/simulation/random_users_test.go
@@ -12,10 +12,10 @@
 	"drumpick/internal/records"
 )
 
-// submitRandomJob has users submit a job somewhere, and maybe cancel an older one.
+// submitRandomJob submits a random job and may cancel an older one.
 func submitRandomJob(c *cluster, r *rand.Rand) {
 	c.mu.Lock()
-	n, asked := len(c.jobs)+1, slices.Clone(c.expectedDone)
+	n, accepted := len(c.jobs)+1, slices.Clone(c.expectedDone)
 	c.mu.Unlock()
 	j := records.Job{ID: fmt.Sprint("j-", n), Tasks: 2 + r.IntN(20), CPUs: float64(1 + r.IntN(4)), EstimateS: 10}
 	switch r.IntN(4) {
@@ -25,8 +25,8 @@
 			j.CheckpointS, j.SaveS = 10, 3
 		}
 	case 1:
-		if len(asked) > 0 {
-			j.Dependencies = []string{asked[r.IntN(len(asked))]}
+		if len(accepted) > 0 {
+			j.Dependencies = []string{accepted[r.IntN(len(accepted))]}
 		}
 	case 2:
 		zone := []string{"a", "b"}[r.IntN(2)]
@@ -41,14 +41,14 @@
 			j.Zone = &zone
 		}
 	}
-	c.submitToAny(n%3, j) // whether it is accepted or its user gives up: no other job gets that id
+	c.submitToAny(n%3, j) // accepted or not, its ID is not used again
 	if r.IntN(3) == 0 && n > 3 {
 		c.cancel(r.IntN(3), fmt.Sprint("j-", 1+r.IntN(n)))
 	}
 }
 
-// pollAggressively has users ask at all nodes, again and again within milliseconds, and repeat the
-// submission, whenever a job was accepted, ended or cancelled; some cancel at once.
+// pollAggressively makes users poll all nodes several times within milliseconds, and repeat the submission, whenever
+// a job is accepted, done or cancelled. Some cancel the job at once.
 func (c *cluster) pollAggressively(seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	var mu sync.Mutex
@@ -69,7 +69,7 @@
 			runAfter(2*time.Millisecond, func() { c.submit(i, j) })
 		}
 		if event == records.StatusDone && cancels {
-			runAfter(time.Millisecond, func() { c.ask(from, peer.MethodCancel, id) }) // it is done, and stays so
+			runAfter(time.Millisecond, func() { c.ask(from, peer.MethodCancel, id) }) // it must stay done
 		}
 		if event == "accepted" {
 			runAfter(3*time.Millisecond, func() { c.submitInvalid(from, j) })
@@ -80,8 +80,8 @@
 	}
 }
 
-// submitInvalid sends submissions that lack a field, fit no machine or are of no team, each under an id that
-// nobody else uses.
+// submitInvalid sends invalid submissions: with a missing or malformed field, too large for any machine, of an unknown
+// team or machine type. Each has an ID of its own.
 func (c *cluster) submitInvalid(i int, j records.Job) {
 	for k, change := range []func(m map[string]any){
 		func(m map[string]any) { delete(m, "vcpus") },
--- a/internal/simulation/record_check_test.go
+++ b/internal/simulation/record_check_test.go
@@ -8,9 +8,9 @@
 	"drumpick/internal/records"
 )
 
-// recordCheck holds what a leader has on record, at every change of the store, against what the
-// next one would need: no machine with tasks is missing, no watermark of an open job falls, no
-// finished task is forgotten, and what was deleted does not come back.
+// recordCheck checks at every change of the store that the records suffice for the next leader: every machine with
+// tasks has a record, no watermark of an open job falls, no finished task of an open job is lost, and no deleted key
+// is written again.
 type recordCheck struct {
 	cluster       *cluster
 	watermarks    map[string]int
@@ -34,11 +34,11 @@
 	}
 }
 
-// forEachEntry reads all records under a prefix; the store is locked.
+// forEachEntry calls each for all records under a prefix. The caller holds the store's lock.
 func (r *recordCheck) forEachEntry(prefix string, each func(id string, v json.RawMessage)) {
-	for key, row := range r.cluster.store.entries {
+	for key, entry := range r.cluster.store.entries {
 		if strings.HasPrefix(key, prefix) {
-			all, err := records.DecodeEntries(prefix, row)
+			all, err := records.DecodeEntries(prefix, entry)
 			if err != nil {
 				r.fail("%s: %v", key, err)
 			}
@@ -49,49 +49,49 @@
 	}
 }
 
-func (r *recordCheck) checkChange(ch Change) {
-	for _, key := range ch.Deletes {
+func (r *recordCheck) checkChange(change Change) {
+	for _, key := range change.Deletes {
 		r.deleted[key] = r.deleted[key] || !strings.HasPrefix(key, records.KeyLeader)
 	}
-	for _, row := range ch.Writes {
-		if r.deleted[row.Key] {
-			r.fail("%s is back after it was deleted", row.Key)
+	for _, entry := range change.Writes {
+		if r.deleted[entry.Key] {
+			r.fail("%s was written again after it was deleted", entry.Key)
 		}
 	}
-	hosts, marks, done := map[string]bool{}, map[string]int{}, map[string]int{}
-	r.forEachEntry(records.PrefixMachines, func(id string, _ json.RawMessage) { hosts[id] = true })
+	machines, watermarks, finishedTasks := map[string]bool{}, map[string]int{}, map[string]int{}
+	r.forEachEntry(records.PrefixMachines, func(id string, _ json.RawMessage) { machines[id] = true })
 	r.forEachEntry(records.PrefixWatermarks, func(id string, v json.RawMessage) {
 		n, _ := records.ParseWatermark(v)
-		marks[id] = max(marks[id], n)
+		watermarks[id] = max(watermarks[id], n)
 	})
 	r.forEachEntry(records.PrefixFinishedTasks, func(id string, v json.RawMessage) {
 		var ranges string
 		_ = json.Unmarshal(v, &ranges)
 		job, _, _ := records.ParsePartID(id)
-		_ = records.ParseRanges(ranges, func(int) { done[job]++ })
+		_ = records.ParseRanges(ranges, func(int) { finishedTasks[job]++ })
 	})
 	for id, n := range r.watermarks {
-		if _, open := r.cluster.store.entries[records.OpenKey(id)]; open && marks[id] < n {
-			r.fail("the watermark of %s fell from %d to %d", id, n, marks[id])
+		if _, open := r.cluster.store.entries[records.OpenKey(id)]; open && watermarks[id] < n {
+			r.fail("the watermark of %s fell from %d to %d", id, n, watermarks[id])
 		}
 	}
 	for id, n := range r.finishedTasks {
-		if _, open := r.cluster.store.entries[records.OpenKey(id)]; open && done[id] < n {
-			r.fail("%d of %d finished tasks of %s are forgotten", n-done[id], n, id)
+		if _, open := r.cluster.store.entries[records.OpenKey(id)]; open && finishedTasks[id] < n {
+			r.fail("%d of %d finished tasks of %s are no longer recorded", n-finishedTasks[id], n, id)
 		}
 	}
-	r.watermarks, r.finishedTasks = marks, done
+	r.watermarks, r.finishedTasks = watermarks, finishedTasks
 	for _, m := range r.cluster.env.Machines() {
 		r.cluster.env.mu.Lock()
-		holds := ""
-		for _, s := range m.tasks {
-			if s.status != statusEnded {
-				holds = s.task
+		task := ""
+		for _, a := range m.tasks {
+			if a.status != statusEnded {
+				task = a.task
 			}
 		}
 		r.cluster.env.mu.Unlock()
-		if holds != "" && !hosts[m.Name] {
-			r.fail("%s has %s and is not on record", m.Name, holds)
+		if task != "" && !machines[m.Name] {
+			r.fail("%s has task %s but no record", m.Name, task)
 		}
 	}
 }
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -10,25 +10,25 @@
 	"drumpick/internal/records"
 )
 
-// This file checks the rules of the protocol ("Rules") that concern tasks, by their names there; rules_answers.go
-// checks those that concern answers to users. A violation is noted once and for good. rules_test.go breaks each rule
-// on purpose.
+// This file checks the rules of the protocol ("Rules") that concern tasks, under the names they have there;
+// rules_answers.go checks those that concern answers to users. Each distinct violation is recorded once.
+// rules_test.go breaks each rule on purpose.
 
-// recordViolationLocked notes that a rule was broken.
+// recordViolationLocked records the violation of a rule.
 func (env *Environment) recordViolationLocked(format string, args ...any) {
 	if text := fmt.Sprintf(format, args...); !slices.Contains(env.violations, text) {
 		env.violations = append(env.violations, text)
 	}
 }
 
-// Violations returns which rules were broken.
+// Violations returns the violations recorded so far.
 func (env *Environment) Violations() []string {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return append([]string(nil), env.violations...)
 }
 
-// CheckCancelled checks that the tasks of cancelled jobs are gone from the machines in time.
+// CheckCancelled checks that no task of a cancelled job is on a machine for longer than CancelLimit.
 func (env *Environment) CheckCancelled() {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -36,7 +36,7 @@
 		for _, a := range m.tasks {
 			id, _ := fleet.ParseTask(a.task)
 			at, cancelled := env.cancelledAt[id.Job]
-			// A task counts from when it has its image until it exits, also while it waits for its gang or saves.
+			// A task counts from when its image is fetched until it exits, also while it waits for its gang or saves.
 			counts := a.status != statusEnded && a.status != statusPulling
 			if !cancelled || !counts || m.terminated || time.Since(m.leaseStart) > env.Lease {
 				continue
@@ -50,7 +50,7 @@
 	}
 }
 
-// checkStartLocked checks the rules when an attempt starts.
+// checkStartLocked checks the rules that apply when an attempt starts.
 func (env *Environment) checkStartLocked(m *Machine, c fleet.Command, job records.Job) {
 	id, _ := fleet.ParseTask(c.Task)
 	now := time.Now()
@@ -68,7 +68,7 @@
 			env.recordViolationLocked("too_early: %s started, %d of %d tasks of %s are done", c.Task, done, d.Tasks, dependency)
 		}
 	}
-	zones := map[string]int{} // attempts of the job
+	zones := map[string]int{} // number of the job's attempts by zone
 	for a, other := range env.attempts[id.Job] {
 		if !other.leaseValidLocked(now) {
 			continue
@@ -84,7 +84,8 @@
 	env.checkTeamLimitLocked(job.Team)
 }
 
-// misplaced reports whether a job's task must not be on the machine, given the attempts of the job by zone.
+// misplaced reports whether a task of the job must not be on the machine, given the number of the job's attempts by
+// zone.
 func (m *Machine) misplaced(job records.Job, zones map[string]int) bool {
 	return job.OneZone && len(zones) > 1 ||
 		job.SpreadZones && zones[m.Zone] > maxTasksPerZone(job) ||
@@ -93,16 +94,17 @@
 		m.Spot && !job.Spot
 }
 
-// maxTasksPerZone returns how many tasks of a job that is spread over zones may be in one of them.
+// maxTasksPerZone returns how many tasks of a job that is spread over zones may be in one zone.
 func maxTasksPerZone(job records.Job) int { return (job.Tasks + 1) / 2 }
 
-// leaseValidLocked reports whether what the machine has counts as there: its worker's lease has not ended.
+// leaseValidLocked reports whether the machine exists and its worker's lease has not expired. Otherwise its tasks do
+// not count.
 func (m *Machine) leaseValidLocked(now time.Time) bool {
 	return !m.terminated && now.Sub(m.leaseStart) <= m.env.Lease
 }
 
-// checkTeamLimitLocked checks what a team's tasks use. What still waits for its image counts as well, which is stricter
-// than the rule.
+// checkTeamLimitLocked checks that a team is within its limit. It also counts tasks that still fetch their image,
+// which is stricter than the rule.
 func (env *Environment) checkTeamLimitLocked(team string) {
 	if len(env.Teams) == 0 {
 		return // no team has a limit
@@ -112,7 +114,7 @@
 	}
 }
 
-// teamUsageLocked returns what a team's tasks use.
+// teamUsageLocked returns the CPUs and GPUs that a team's tasks use.
 func (env *Environment) teamUsageLocked(team string) (cpus, gpus float64) {
 	now := time.Now()
 	for _, attempts := range env.attempts {
@@ -125,7 +127,7 @@
 	return cpus, gpus
 }
 
-// withinLimit reports whether a team may use so much.
+// withinLimit reports whether a team's limit allows this usage.
 func (env *Environment) withinLimit(team string, cpus, gpus float64) bool {
 	return !slices.ContainsFunc(env.Teams, func(t config.Team) bool {
 		return t.Name == team &&
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -15,7 +15,7 @@
 	"drumpick/internal/records"
 )
 
-// newEnvironmentWithoutControllers returns an environment whose workers get no answer from controllers.
+// newEnvironmentWithoutControllers returns an environment whose workers get 503 for every heartbeat.
 func newEnvironmentWithoutControllers(ctx context.Context) *Environment {
 	env := NewEnvironment(ctx)
 	env.HeartbeatInterval, env.Lease, env.BootTime = 2*time.Second, time.Hour, time.Second
@@ -36,10 +36,10 @@
 	}
 }
 
-// Each rule of the protocol is broken on purpose and seen: a check that cannot fail is none.
+// Each rule of the protocol is violated on purpose and must be reported, which shows that its check can fail.
 func TestEachRuleIsReportedWhenBroken(t *testing.T) {
 	zone := "b"
-	later := func() { time.Sleep(time.Millisecond) }
+	advance := func() { time.Sleep(time.Millisecond) }
 	jobs := map[string]records.Job{}
 	for _, j := range []records.Job{
 		{ID: "j-1", Tasks: 4, CPUs: 1}, {ID: "j-2", Tasks: 2, CPUs: 1, Zone: &zone}, {ID: "j-3", Tasks: 2, CPUs: 1, Types: []string{"other"}},
@@ -51,7 +51,7 @@
 		j.Shape, j.Spot = records.ShapeArray, j.ID != "j-8"
 		jobs[j.ID] = j
 	}
-	for want, breaks := range map[string]func(w *Environment, run func(machine, task string, attempt uint64)){
+	for want, breakRule := range map[string]func(env *Environment, run func(machine, task string, attempt uint64)){
 		"ran_twice": func(_ *Environment, run func(string, string, uint64)) {
 			run("m-000001", "j-1/0", 1)
 			run("m-000002", "j-1/0", 2)
@@ -73,95 +73,95 @@
 				run("m-000001", fmt.Sprint("j-5/", n), 1)
 			}
 		},
-		"ran_cancelled: j-1/0 started": func(w *Environment, run func(string, string, uint64)) {
-			w.RecordCancelConfirmation("j-1")
-			time.Sleep(w.CancelLimit + time.Second)
+		"ran_cancelled: j-1/0 started": func(env *Environment, run func(string, string, uint64)) {
+			env.RecordCancelConfirmation("j-1")
+			time.Sleep(env.CancelLimit + time.Second)
 			run("m-000001", "j-1/0", 1)
 		},
-		"ran_cancelled: j-1/0 still": func(w *Environment, run func(string, string, uint64)) {
+		"ran_cancelled: j-1/0 still": func(env *Environment, run func(string, string, uint64)) {
 			run("m-000001", "j-1/0", 1)
-			w.RecordCancelConfirmation("j-1")
-			time.Sleep(w.CancelLimit + time.Second)
-			w.CheckCancelled()
+			env.RecordCancelConfirmation("j-1")
+			time.Sleep(env.CancelLimit + time.Second)
+			env.CheckCancelled()
 		},
 		"too_early": func(_ *Environment, run func(string, string, uint64)) { run("m-000001", "j-7/0", 1) },
-		"orphaned": func(w *Environment, _ func(string, string, uint64)) {
-			w.RecordCancelConfirmation("j-1")
-			time.Sleep(w.CancelLimit + time.Second)
-			w.CheckAnswer("j-7", records.StatusPending, time.Now())
-		},
-		"forgotten: j-1 was accepted and is": func(w *Environment, _ func(string, string, uint64)) {
-			w.CheckSubmission("j-1", 201, time.Now())
-			later()
-			w.CheckNotFound("j-1", time.Now())
-		},
-		"forgotten: j-1 was accepted, and a": func(w *Environment, _ func(string, string, uint64)) {
-			w.CheckSubmission("j-1", 200, time.Now())
-			later()
-			w.CheckSubmission("j-1", 422, time.Now())
-		},
-		"invented": func(w *Environment, _ func(string, string, uint64)) {
-			w.CheckAnswer("j-99", records.StatusPending, time.Now())
-		},
-		"not_done": func(w *Environment, _ func(string, string, uint64)) {
-			w.CheckAnswer("j-1", records.StatusDone, time.Now())
-		},
-		"went_back: j-1 is called cancelled": func(w *Environment, _ func(string, string, uint64)) {
-			w.CheckAnswer("j-1", records.StatusCancelled, time.Now())
-		},
-		"went_back: j-1 was called": func(w *Environment, _ func(string, string, uint64)) {
-			w.RecordCancelConfirmation("j-1")
-			w.CheckAnswer("j-1", records.StatusCancelled, time.Now())
-			later()
-			w.CheckAnswer("j-1", records.StatusRunning, time.Now())
-		},
-		"went_back: j-1 was accepted": func(w *Environment, _ func(string, string, uint64)) {
-			w.CheckSubmission("j-1", 201, time.Now())
-			later()
-			w.CheckSubmission("j-1", 201, time.Now())
-		},
-		"odd: j-3":  func(w *Environment, _ func(string, string, uint64)) { w.CheckSubmission("j-3", 201, time.Now()) },  // no such type
-		"odd: j-10": func(w *Environment, _ func(string, string, uint64)) { w.CheckSubmission("j-10", 201, time.Now()) }, // over its team's limit
-		"odd: j-98": func(w *Environment, _ func(string, string, uint64)) { w.CheckSubmission("j-98", 201, time.Now()) }, // it lacks a field
-		"started_cancelled": func(w *Environment, run func(string, string, uint64)) {
-			w.RecordCancelConfirmation("j-1")
-			later()
+		"orphaned": func(env *Environment, _ func(string, string, uint64)) {
+			env.RecordCancelConfirmation("j-1")
+			time.Sleep(env.CancelLimit + time.Second)
+			env.CheckAnswer("j-7", records.StatusPending, time.Now())
+		},
+		"forgotten: j-1 was accepted and is": func(env *Environment, _ func(string, string, uint64)) {
+			env.CheckSubmission("j-1", 201, time.Now())
+			advance()
+			env.CheckNotFound("j-1", time.Now())
+		},
+		"forgotten: j-1 was accepted, and a": func(env *Environment, _ func(string, string, uint64)) {
+			env.CheckSubmission("j-1", 200, time.Now())
+			advance()
+			env.CheckSubmission("j-1", 422, time.Now())
+		},
+		"invented": func(env *Environment, _ func(string, string, uint64)) {
+			env.CheckAnswer("j-99", records.StatusPending, time.Now())
+		},
+		"not_done": func(env *Environment, _ func(string, string, uint64)) {
+			env.CheckAnswer("j-1", records.StatusDone, time.Now())
+		},
+		"went_back: j-1 is reported as cancelled": func(env *Environment, _ func(string, string, uint64)) {
+			env.CheckAnswer("j-1", records.StatusCancelled, time.Now())
+		},
+		"went_back: j-1 was reported as": func(env *Environment, _ func(string, string, uint64)) {
+			env.RecordCancelConfirmation("j-1")
+			env.CheckAnswer("j-1", records.StatusCancelled, time.Now())
+			advance()
+			env.CheckAnswer("j-1", records.StatusRunning, time.Now())
+		},
+		"went_back: j-1 was accepted": func(env *Environment, _ func(string, string, uint64)) {
+			env.CheckSubmission("j-1", 201, time.Now())
+			advance()
+			env.CheckSubmission("j-1", 201, time.Now())
+		},
+		"odd: j-3":  func(env *Environment, _ func(string, string, uint64)) { env.CheckSubmission("j-3", 201, time.Now()) },  // unknown machine type
+		"odd: j-10": func(env *Environment, _ func(string, string, uint64)) { env.CheckSubmission("j-10", 201, time.Now()) }, // above its team's limit
+		"odd: j-98": func(env *Environment, _ func(string, string, uint64)) { env.CheckSubmission("j-98", 201, time.Now()) }, // incomplete
+		"started_cancelled": func(env *Environment, run func(string, string, uint64)) {
+			env.RecordCancelConfirmation("j-1")
+			advance()
 			run("m-000001", "j-1/0", 1)
 		},
-		"": func(w *Environment, run func(string, string, uint64)) { // asked before, answered after: no order is broken
+		"": func(env *Environment, run func(string, string, uint64)) { // requests sent before an answer are not bound by it
 			asked := time.Now()
-			later()
-			w.CheckSubmission("j-1", 201, asked)
-			w.CheckNotFound("j-1", asked)
+			advance()
+			env.CheckSubmission("j-1", 201, asked)
+			env.CheckNotFound("j-1", asked)
 			run("m-000001", "j-1/0", 1)
-			w.RecordCancelRequest("j-1")
-			w.RecordCancelConfirmation("j-1")
-			w.CheckAnswer("j-1", records.StatusCancelled, asked)
-			w.CheckAnswer("j-1", records.StatusRunning, asked)
-			w.CheckSubmission("j-1", 200, time.Now())
+			env.RecordCancelRequest("j-1")
+			env.RecordCancelConfirmation("j-1")
+			env.CheckAnswer("j-1", records.StatusCancelled, asked)
+			env.CheckAnswer("j-1", records.StatusRunning, asked)
+			env.CheckSubmission("j-1", 200, time.Now())
 		},
 	} {
 		t.Run(want, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, end := context.WithCancel(context.Background())
 				defer end()
-				w := newEnvironmentWithoutControllers(ctx)
-				w.CancelLimit, w.ZoneCapacity = 30*time.Second, 9
-				w.Teams = []config.Team{{Name: "limited", LimitCPUs: 4}, {Name: ""}}
-				w.LookupJob = func(id string) (records.Job, bool) { j, ok := jobs[id]; return j, ok }
+				env := newEnvironmentWithoutControllers(ctx)
+				env.CancelLimit, env.ZoneCapacity = 30*time.Second, 9
+				env.Teams = []config.Team{{Name: "limited", LimitCPUs: 4}, {Name: ""}}
+				env.LookupJob = func(id string) (records.Job, bool) { j, ok := jobs[id]; return j, ok }
 				for i, z := range []string{"a", "b", "a"} {
-					if _, err := w.rent(autoscaler.RentalRequest{Name: fmt.Sprint(i), Type: "c4", Zone: z, Count: 1, Spot: i == 2}); err != nil {
+					if _, err := env.rent(autoscaler.RentalRequest{Name: fmt.Sprint(i), Type: "c4", Zone: z, Count: 1, Spot: i == 2}); err != nil {
 						t.Fatal(err)
 					}
 				}
 				time.Sleep(2 * time.Second)
-				breaks(w, func(machine, task string, attempt uint64) {
-					if _, _, err := w.SendCommands(machine, runCommand(task, attempt)); err != nil {
+				breakRule(env, func(machine, task string, attempt uint64) {
+					if _, _, err := env.SendCommands(machine, runCommand(task, attempt)); err != nil {
 						t.Error(err)
 					}
 				})
-				if got := w.Violations(); len(got) != min(len(want), 1) || want != "" && !strings.HasPrefix(got[0], want) {
-					t.Errorf("broken: %q, want %s", got, want)
+				if got := env.Violations(); len(got) != min(len(want), 1) || want != "" && !strings.HasPrefix(got[0], want) {
+					t.Errorf("violations: %q, want %s", got, want)
 				}
 			})
 		})
--- a/internal/simulation/serve_cloud.go
+++ b/internal/simulation/serve_cloud.go
@@ -11,10 +11,10 @@
 	"github.com/gofiber/fiber/v2/utils"
 )
 
-// defaultMachinesLimit and maxMachinesLimit are how many machines an answer to a list holds.
+// defaultMachinesLimit and maxMachinesLimit bound the machines on a page of the machine list.
 const defaultMachinesLimit, maxMachinesLimit = 500, 500
 
-// Answers of the cloud.
+// Response bodies of the cloud.
 type (
 	rentResponse struct {
 		Machines []string `json:"hosts"`
@@ -25,7 +25,7 @@
 	}
 )
 
-// ServeCloud serves the cloud's interface.
+// ServeCloud registers the routes of the cloud's API.
 func ServeCloud(app *fiber.App, env *Environment) {
 	app.Get("/machine_types", func(c *fiber.Ctx) error { return c.JSON(records.MachineTypes{Types: env.Types}) })
 	app.Post("/machines", func(c *fiber.Ctx) error { return serveRent(c, env) })
--- a/internal/simulation/serve_store.go
+++ b/internal/simulation/serve_store.go
@@ -14,12 +14,12 @@
 	"github.com/gofiber/fiber/v2/utils"
 )
 
-// errorBody is the body of an answer that reports an error.
+// errorBody is the response body of an error.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// watchEvent is a change as a watch reports it.
+// watchEvent is a change in the answer to a watch.
 type watchEvent struct {
 	Write    string          `json:"write,omitempty"`
 	Delete   string          `json:"delete,omitempty"`
@@ -27,7 +27,7 @@
 	Revision uint64          `json:"stamp"`
 }
 
-// Answers of the store.
+// Response bodies of the store.
 type (
 	revisionResponse struct {
 		Revision uint64 `json:"epoch"`
@@ -47,7 +47,7 @@
 	emptyResponse struct{}
 )
 
-// Bounds of what requests to the store may ask for.
+// Bounds of request parameters.
 const (
 	defaultListLimit, maxListLimit = 1000, 1000
 	minLeaseMS, maxLeaseMS         = 100, 600_000
@@ -56,13 +56,13 @@
 
 // storeServer serves a store over HTTP.
 type storeServer struct {
-	ctx         context.Context // open watches end with it
+	ctx         context.Context // open watches end when it ends
 	store       *Store
 	waitDurable func(revision uint64)
 }
 
-// ServeStore serves the store's interface. durable waits until all up to a revision is persisted; no answer tells
-// of a change before that. nil: changes are as good as persisted at once. Open watches end with ctx.
+// ServeStore registers the routes of the store's API. durable blocks until all changes up to a revision are persisted;
+// no answer discloses a change before that. nil: changes count as persisted at once. Open watches end with ctx.
 func ServeStore(ctx context.Context, app *fiber.App, s *Store, durable func(revision uint64)) {
 	server := &storeServer{ctx: ctx, store: s, waitDurable: durable}
 	app.Use("/store", server.rejectDuringOutage)
@@ -77,7 +77,7 @@
 	app.Get("/watch", server.watch)
 }
 
-// answer answers once all that it may tell of is persisted.
+// answer sends a response after all changes so far, which it may disclose, are persisted.
 func (s *storeServer) answer(c *fiber.Ctx, status int, body any) error {
 	if s.waitDurable != nil {
 		s.waitDurable(s.store.Revision())
@@ -85,7 +85,7 @@
 	return c.Status(status).JSON(body)
 }
 
-// rejectDuringOutage refuses requests during an outage. Watches are not among them: they stay open.
+// rejectDuringOutage rejects requests during an outage with 503. It does not apply to watches, which stay open.
 func (s *storeServer) rejectDuringOutage(c *fiber.Ctx) error {
 	if s.store.refuses("") {
 		return c.Status(http.StatusServiceUnavailable).JSON(errorBody{"outage"})
@@ -110,7 +110,7 @@
 	return s.answer(c, http.StatusOK, kv)
 }
 
-// commitRequest is a transaction as it is sent.
+// commitRequest is the request body of a commit.
 type commitRequest struct {
 	Compares []records.Compare `json:"when"`
 	Ops      []struct {
@@ -123,7 +123,7 @@
 
 var errMalformedOp = errors.New("a change is either a write with a value or a delete")
 
-// operations returns the operations of a request, which outlive its buffer.
+// operations returns the operations of a request. Values are copied, as the request's buffer is reused.
 func (r *commitRequest) operations() ([]records.Op, error) {
 	var ops []records.Op
 	for _, op := range r.Ops {
--- a/internal/simulation/serve_worker.go
+++ b/internal/simulation/serve_worker.go
@@ -11,14 +11,14 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// ServeWorker serves a machine's own address. A machine that cannot be reached does not answer: the connection is
-// closed.
+// ServeWorker registers the routes of a machine's worker. Requests to an unreachable machine get no answer: their
+// connection is closed.
 func ServeWorker(app *fiber.App, m *Machine) {
 	ServeWorkers(app, func(*fiber.Ctx) *Machine { return m })
 }
 
-// ServeWorkers serves the addresses of machines. machineOf finds the one that a request is for, nil: none that is
-// there any more.
+// ServeWorkers registers the routes of many machines' workers. machineOf returns the machine that a request is for, or
+// nil if it no longer exists.
 func ServeWorkers(app *fiber.App, machineOf func(c *fiber.Ctx) *Machine) {
 	app.Post("/orders", func(c *fiber.Ctx) error {
 		var r fleet.CommandRequest
@@ -64,7 +64,7 @@
 	return func(node int, r *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
 		raw, err := json.Marshal(r)
 		if err != nil {
-			panic(fmt.Sprintf("heartbeat that cannot be encoded: %v", err))
+			panic(fmt.Sprintf("encode heartbeat: %v", err))
 		}
 		status, answer, err := send(r.Machine, node, raw)
 		if err != nil {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -16,25 +16,25 @@
 )
 
 // Store is an in-memory key-value store with the protocol's semantics: compare-and-swap transactions, leases and
-// watches. Faults of the whole store are injected here, those of one controller's connection in Client.
+// watches. It injects faults of the whole store; Client injects those of one controller's connection.
 type Store struct {
-	// OnChange, where it is set, is called with every change, in order and with the lock held.
+	// OnChange, if set, is called with every change, in order and with the lock held.
 	OnChange func(Change)
 
 	mu                sync.Mutex // guards all fields below
 	writes            int        // operations of all transactions that passed the limits
-	oversizedTxns     []string   // transactions that were refused for good because of their size
-	throttledWrites   int        // transactions that were refused for the write rate
+	oversizedTxns     []string   // descriptions of transactions that were rejected as too large
+	throttledWrites   int        // transactions that were rejected by the write rate limit
 	revision          uint64
 	entries           map[string]records.KeyValue
 	log               []records.Event
 	compactedRevision uint64 // changes up to this revision are not in the log
 	leases            map[uint64]*lease
 	lastLease         uint64
-	changed           chan struct{} // closed, and replaced, at every change
+	changed           chan struct{} // closed and replaced at every change
 
 	outage         bool            // all clients are refused
-	refusedClients map[string]bool // clients that are refused alone
+	refusedClients map[string]bool // clients that are refused individually
 
 	maxValueKB   float64 // 0: no limit
 	maxTxnOps    int     // 0: no limit
@@ -48,28 +48,28 @@
 	return s.writes
 }
 
-// OversizedTransactions describes the transactions that were refused for good because of their size.
+// OversizedTransactions returns descriptions of the transactions that were rejected as too large.
 func (s *Store) OversizedTransactions() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.oversizedTxns)
 }
 
-// ThrottledWrites returns the number of transactions that were refused for the write rate.
+// ThrottledWrites returns the number of transactions that were rejected by the write rate limit.
 func (s *Store) ThrottledWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.throttledWrites
 }
 
-// Change is what a revision changed, for whoever persists it.
+// Change is a change of the store, as passed to OnChange.
 type Change struct {
 	Revision     uint64
 	Writes       []records.KeyValue
 	Deletes      []string // keys
-	LeaseID      uint64   // the lease that was granted
+	LeaseID      uint64   // a lease that was granted
 	TTL          time.Duration
-	RevokedLease uint64 // a lease that has ended
+	RevokedLease uint64 // a lease that was revoked or has expired
 }
 
 // NewStore returns an empty store.
@@ -80,7 +80,8 @@
 	}
 }
 
-// SetOutage starts or ends an outage for all clients. Afterwards every lease has its full time again.
+// SetOutage starts or ends an outage for all clients. No lease expires during an outage; at its end every lease is
+// renewed for its full TTL.
 func (s *Store) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,14 +95,14 @@
 	}
 }
 
-// SetRefused makes the store refuse one client alone, or serve it again.
+// SetRefused makes the store refuse a single client; false serves it again.
 func (s *Store) SetRefused(client string, on bool) {
 	s.mu.Lock()
 	s.refusedClients[client] = on
 	s.mu.Unlock()
 }
 
-// refuses reports whether the store refuses a client now.
+// refuses reports whether the store currently refuses a client.
 func (s *Store) refuses(client string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +111,7 @@
 
 func (s *Store) refusesLocked(client string) bool { return s.outage || s.refusedClients[client] }
 
-// SetLimits sets the largest value and transaction and the write rate from now on. What is stored stays.
+// SetLimits sets the limits of values, transactions and the write rate. Entries already stored are kept.
 func (s *Store) SetLimits(valueKB float64, txnOps int, writeRPS float64) {
 	s.mu.Lock()
 	s.maxValueKB, s.maxTxnOps = valueKB, txnOps
@@ -118,7 +119,7 @@
 	s.mu.Unlock()
 }
 
-// ImportEntries puts in what another run left, without what was attached to a lease.
+// ImportEntries adds the entries of an earlier run, except those attached to a lease.
 func (s *Store) ImportEntries(entries map[string]records.KeyValue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +131,7 @@
 	}
 }
 
-// Restore puts in what the store itself had persisted when it ended. All leases have their full time again.
+// Restore restores the store's own persisted state. All leases are renewed for their full TTL.
 func (s *Store) Restore(entries []records.KeyValue, revision, lastLease uint64, ttls map[uint64]time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +153,7 @@
 	return s.revision
 }
 
-// get reads a key. It also returns the store's revision.
+// get returns the entry of a key and the store's revision.
 func (s *Store) get(key string) (kv records.KeyValue, revision uint64, found bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,14 +161,14 @@
 	return kv, s.revision, found
 }
 
-// Value returns a key's value as text, "" when absent.
+// Value returns a key's value as text, or "" if it is absent.
 func (s *Store) Value(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return string(s.entries[key].Value)
 }
 
-// List returns the entries under a prefix, sorted by key, as of one moment.
+// List returns a consistent snapshot of the entries under a prefix, sorted by key.
 func (s *Store) List(prefix string) []records.KeyValue {
 	entries, _, _ := s.page(prefix, "", math.MaxInt, math.MaxInt)
 	return entries
@@ -183,14 +184,14 @@
 }
 
 const (
-	// maxPageBytes is what an answer to a list holds; the rest comes in further pages.
+	// maxPageBytes is the maximum size of a list page; further entries come on further pages.
 	maxPageBytes = 512 << 10
-	// entryOverheadBytes is what an entry takes on a page beside its key and value.
+	// entryOverheadBytes is the size of an entry on a page without its key and value.
 	entryOverheadBytes = 64
 )
 
-// page returns the entries under a prefix whose keys come after since: at most limit of them, and no more than
-// maxBytes unless the first alone is larger. It reports whether there are more, and the store's revision.
+// page returns the entries under a prefix with keys greater than since: at most limit entries and maxBytes bytes, but
+// at least one entry if there is one. It also returns whether there are more entries, and the store's revision.
 func (s *Store) page(prefix, since string, limit, maxBytes int) (entries []records.KeyValue, more bool, revision uint64) {
 	s.mu.Lock()
 	revision = s.revision
@@ -211,8 +212,8 @@
 	return entries, false, revision
 }
 
-// commit applies a transaction as the protocol says. The order of the checks matters: what is refused for its
-// size or for the write rate is not compared, and a transaction whose comparison fails counts as written.
+// commit applies a transaction and returns its revision. The order of the checks is that of the protocol: the size and
+// write rate limits come before the compares, and a transaction with a failed compare uses up write rate.
 func (s *Store) commit(compares []records.Compare, ops []records.Op) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -233,10 +234,10 @@
 	return s.revision, nil
 }
 
-// maxComparesPerOp is how many comparisons a transaction may have for each operation of the limit.
+// maxComparesPerOp times the limit of operations is the maximum number of compares of a transaction.
 const maxComparesPerOp = 4
 
-// validateTxnLocked checks a transaction's leases and the store's limits.
+// validateTxnLocked checks that a transaction's leases exist and that it is within the store's limits.
 func (s *Store) validateTxnLocked(compares []records.Compare, ops []records.Op) error {
 	for _, op := range ops {
 		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
@@ -260,7 +261,7 @@
 	return nil
 }
 
-// compareLocked checks a transaction's comparisons, and returns a records.ConflictError with all that fail.
+// compareLocked evaluates a transaction's compares. It returns a records.ConflictError with all that failed.
 func (s *Store) compareLocked(compares []records.Compare) error {
 	var failed []string
 	for _, c := range compares {
@@ -274,7 +275,7 @@
 	return nil
 }
 
-// applyLocked carries out a transaction's operations at the current revision.
+// applyLocked applies a transaction's operations at the current revision.
 func (s *Store) applyLocked(ops []records.Op) (Change, error) {
 	var change Change
 	for _, op := range ops {
@@ -296,7 +297,7 @@
 	return change, nil
 }
 
-// recordChangeLocked hands a change to whoever persists it, and compacts the log.
+// recordChangeLocked passes a change to OnChange and compacts the log.
 func (s *Store) recordChangeLocked(c Change) {
 	if s.OnChange != nil {
 		c.Revision = s.revision
--- a/internal/simulation/store_client.go
+++ b/internal/simulation/store_client.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// networkLatency is how long a message takes on its way.
+	// networkLatency is the delivery time of a message.
 	networkLatency = 5 * time.Millisecond
-	// requestTimeout is how long a caller waits for an answer, as the controllers' settings have it.
+	// requestTimeout is how long a caller waits for an answer, as in the controllers' settings.
 	requestTimeout = time.Second
-	// listPageEntries is how many entries List asks for at a time.
+	// listPageEntries is the page size that List requests.
 	listPageEntries = 500
 )
 
-// Client is one controller's connection to the store. Faults of the connection are injected here.
+// Client is a controller's connection to the store. It injects faults of the connection.
 type Client struct {
 	store        *Store
 	name         string
 	started      time.Time
 	writeLimiter *rate.Limiter // of the leader's background writes; nil: no limit
 
-	mu                 sync.Mutex // guards what follows
+	mu                 sync.Mutex // guards the fields below
 	lastOK, lastFailed time.Time
-	lastResponse       time.Time // refusals included
+	lastResponse       time.Time // including refusals
 
 	killed          bool
-	hang            time.Duration // how long calls hang without an answer; 0: they are answered
-	delay           time.Duration // by how much later calls reach the store
-	loseAnswers     int           // so many commits are carried out lostCommitDelay later, without an answer
+	hang            time.Duration // calls hang for this time and get no answer; 0: calls are answered
+	delay           time.Duration // added to the latency of calls
+	loseAnswers     int           // this many commits are applied after lostCommitDelay and get no answer
 	lostCommitDelay time.Duration
 	pickLateWrite   func() (time.Duration, bool)
 }
@@ -45,46 +45,46 @@
 	return &Client{store: s, name: name, started: time.Now()}
 }
 
-// LoseAnswers makes the next n commits be carried out d later, without an answer.
+// LoseAnswers delays the next n commits by d and drops their answers.
 func (c *Client) LoseAnswers(n int, d time.Duration) {
 	c.mu.Lock()
 	c.loseAnswers, c.lostCommitDelay = n, d
 	c.mu.Unlock()
 }
 
-// SetLateWrites sets what decides for each commit whether it gets no answer, and how much later it is carried out,
-// after newer ones; 0: at once, only its answer is lost. nil: every commit is answered.
+// SetLateWrites sets the function that returns, for each commit, whether its answer is lost and after which delay it
+// is applied, possibly after newer commits; 0: at once. nil: every commit is answered.
 func (c *Client) SetLateWrites(pick func() (time.Duration, bool)) {
 	c.mu.Lock()
 	c.pickLateWrite = pick
 	c.mu.Unlock()
 }
 
-// SetDelay makes every call take so much longer; 0: it does not.
+// SetDelay adds a delay to every call; 0: no delay.
 func (c *Client) SetDelay(d time.Duration) {
 	c.mu.Lock()
 	c.delay = d
 	c.mu.Unlock()
 }
 
-// SetHang makes every call hang for so long without an answer; 0: calls are answered again.
+// SetHang makes every call hang for this time without an answer; 0: calls are answered again.
 func (c *Client) SetHang(d time.Duration) {
 	c.mu.Lock()
 	c.hang = d
 	c.mu.Unlock()
 	c.store.mu.Lock()
-	c.store.wakeWatchersLocked() // open watches are to see it
+	c.store.wakeWatchersLocked() // open watches check for the hang
 	c.store.mu.Unlock()
 }
 
-// Kill ends the connection of a process that has ended.
+// Kill closes the connection, as when the controller's process ends.
 func (c *Client) Kill() {
 	c.mu.Lock()
 	c.killed = true
 	c.mu.Unlock()
 }
 
-// beginCall lets a call through to the store, after its latency, or fails it as the injected faults say.
+// beginCall waits for the latency of a call. It returns an error if an injected fault makes the call fail.
 func (c *Client) beginCall(ctx context.Context) error {
 	c.mu.Lock()
 	delay, hang := c.delay, c.hang
@@ -94,7 +94,7 @@
 	}
 	if delay >= requestTimeout {
 		c.recordFailure()
-		return fmt.Errorf("%w: too slow", records.ErrUnknownOutcome)
+		return fmt.Errorf("%w: request timed out", records.ErrUnknownOutcome)
 	}
 	refused := c.store.refuses(c.name)
 	c.mu.Lock()
@@ -113,35 +113,36 @@
 	return nil
 }
 
-// recordFailure notes that a call got no answer.
+// recordFailure records that a call got no answer.
 func (c *Client) recordFailure() {
 	c.mu.Lock()
 	c.lastFailed = time.Now()
 	c.mu.Unlock()
 }
 
-// Health returns when the store last answered, whether the last request failed, and when the connection began.
+// Health returns the time of the last successful answer, whether the last request failed, and when the client was
+// created.
 func (c *Client) Health() (time.Time, bool, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastOK, c.lastFailed.After(c.lastOK), c.started
 }
 
-// LastResponse returns when the store last answered anything, a refusal included.
+// LastResponse returns the time of the store's last answer, including refusals.
 func (c *Client) LastResponse() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastResponse
 }
 
-// FailedSince reports whether the last request failed, later than t.
+// FailedSince reports whether the last request failed and did so after t.
 func (c *Client) FailedSince(t time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastFailed.After(c.lastOK) && c.lastFailed.After(t)
 }
 
-// WaitForWrites waits for the leader's share of the write rate.
+// WaitForWrites blocks until the leader's share of the write rate allows n writes.
 func (c *Client) WaitForWrites(ctx context.Context, n int) error {
 	if c.writeLimiter == nil {
 		return ctx.Err()
@@ -149,12 +150,12 @@
 	return c.writeLimiter.WaitN(ctx, min(n, c.writeLimiter.Burst()))
 }
 
-// SetWriteShare gives the client's controller its share of the write rate.
+// SetWriteShare sets the controller's share of the write rate, in writes per second.
 func (c *Client) SetWriteShare(writeRPS float64) {
 	c.writeLimiter = rate.NewLimiter(rate.Limit(writeRPS), max(int(writeRPS), 1))
 }
 
-// Get reads a key; nil: it is absent.
+// Get returns the entry of a key, or nil if it is absent.
 func (c *Client) Get(ctx context.Context, key string) (*records.KeyValue, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return nil, err
@@ -165,7 +166,7 @@
 	return nil, nil
 }
 
-// List reads the keys under a prefix, and returns the revision of the first page.
+// List calls each for all entries under a prefix, and returns the revision of the first page.
 func (c *Client) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return 0, err
@@ -188,13 +189,13 @@
 	return first, nil
 }
 
-// Commit applies a transaction, unless an injected fault delays it or loses its answer.
+// Commit applies a transaction and returns its revision, unless an injected fault delays it or drops its answer.
 func (c *Client) Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error) {
 	c.mu.Lock()
 	delay, killed := c.delay, c.killed
 	c.mu.Unlock()
 	if delay >= requestTimeout && !killed {
-		// It reaches the store all the same, when nobody waits for it any more.
+		// The commit reaches the store nevertheless, after the caller's timeout.
 		time.AfterFunc(delay, func() {
 			if !c.store.refuses(c.name) {
 				_, _ = c.store.commit(compares, ops)
@@ -207,21 +208,21 @@
 	lateBy, lost := c.losesAnswer()
 	switch {
 	case lost && lateBy == 0:
-		// It is carried out at once, and only its answer is lost.
+		// The commit is applied at once and only its answer is lost.
 		_, _ = c.store.commit(compares, ops)
 		if err := ctxtime.Sleep(ctx, requestTimeout); err != nil {
 			return 0, err
 		}
 		c.recordFailure()
-		return 0, fmt.Errorf("%w: its answer is lost", records.ErrUnknownOutcome)
+		return 0, fmt.Errorf("%w: answer lost", records.ErrUnknownOutcome)
 	case lost:
 		time.AfterFunc(lateBy, func() { _, _ = c.store.commit(compares, ops) })
-		return 0, fmt.Errorf("%w: lost", records.ErrUnknownOutcome)
+		return 0, fmt.Errorf("%w: commit delayed and answer lost", records.ErrUnknownOutcome)
 	}
 	return c.store.commit(compares, ops)
 }
 
-// losesAnswer decides whether a commit gets no answer, and how much later it is carried out then.
+// losesAnswer decides whether a commit's answer is lost, and after which delay the commit is then applied.
 func (c *Client) losesAnswer() (lateBy time.Duration, lost bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -235,7 +236,7 @@
 	return 0, false
 }
 
-// GrantLease obtains a lease.
+// GrantLease obtains a lease and returns its ID.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return 0, err
@@ -254,14 +255,14 @@
 	return nil
 }
 
-// RevokeLease ends a lease.
+// RevokeLease revokes a lease.
 func (c *Client) RevokeLease(ctx context.Context, id uint64) {
 	if c.beginCall(ctx) == nil {
 		c.store.revokeLease(id)
 	}
 }
 
-// Watch waits for a change under a prefix.
+// Watch waits for changes under a prefix after a revision.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return nil, since, err
--- a/internal/simulation/store_lease.go
+++ b/internal/simulation/store_lease.go
@@ -6,13 +6,13 @@
 	"drumpick/internal/records"
 )
 
-// lease is a lease of the store. Keys that are attached to it go when it ends.
+// lease is a lease in the store. Keys attached to it are deleted when it ends.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
 }
 
-// grantLease grants a lease and returns its id.
+// grantLease grants a lease and returns its ID.
 func (s *Store) grantLease(ttl time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,7 +24,7 @@
 	return s.lastLease
 }
 
-// renewLease renews a lease, and reports whether there is one.
+// renewLease renews a lease. It returns false if the lease does not exist.
 func (s *Store) renewLease(id uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 	s.mu.Unlock()
 }
 
-// resetLeaseTimerLocked gives a lease its full time. During an outage no lease ends.
+// resetLeaseTimerLocked restarts a lease's timer with the full TTL. No lease expires during an outage.
 func (s *Store) resetLeaseTimerLocked(id uint64, l *lease) {
 	if l.timer != nil {
 		l.timer.Stop()
@@ -56,7 +56,7 @@
 	})
 }
 
-// endLeaseLocked removes a lease and the keys attached to it.
+// endLeaseLocked deletes a lease and the keys attached to it.
 func (s *Store) endLeaseLocked(id uint64) {
 	if l := s.leases[id]; l != nil {
 		l.timer.Stop()
--- a/internal/simulation/store_limits_test.go
+++ b/internal/simulation/store_limits_test.go
@@ -9,14 +9,15 @@
 	"drumpick/internal/records"
 )
 
+// announceLowerLimits announces lower limits of the store in the configuration.
 func announceLowerLimits(c *cluster) {
 	kb, ops, rps := 2.0, 5, 15.0
 	c.cfg.Deployment.Store.Next = config.UpcomingLimits{ValueKB: &kb, TxnOps: &ops, WriteRPS: &rps}
 	c.limitLeaderWrites = true
 }
 
-// Limits fall without any notice in the settings: a few writes are refused, none for
-// ever, and the work goes on.
+// The store's limits are lowered without an announcement in the configuration. A few writes may be rejected, none of
+// them permanently, and no job may be lost.
 func TestUnannouncedLowerLimitsLoseNothing(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		c.env.RunTime = func(task string) time.Duration { return time.Duration(3+len(task)*7%9) * time.Second }
@@ -29,36 +30,36 @@
 		sleep(20)
 		refused := len(c.store.OversizedTransactions())
 		if refused == 0 {
-			t.Error("nothing was refused: nothing was tested")
+			t.Error("no write was rejected as too large, so the case is not tested")
 		}
 		c.killNode(c.leaderIndex())
-		// More submissions than changes are allowed are told to come back, and are taken then.
-		at, later := c.upNodeFrom(0), 0
+		// Submissions above the write rate limit are rejected, and accepted when they are retried.
+		node, rejected := c.upNodeFrom(0), 0
 		for i := range 20 {
-			if c.submit(at, dependentJob(fmt.Sprint("j-1", i), 1, "j-3")) != 201 {
-				later++
+			if c.submit(node, dependentJob(fmt.Sprint("j-1", i), 1, "j-3")) != 201 {
+				rejected++
 			}
 		}
-		if later == 0 {
-			t.Error("never too many changes a second: nothing was tested")
+		if rejected == 0 {
+			t.Error("no submission exceeded the write rate limit, so the case is not tested")
 		}
 		for i := range 20 {
-			got := 0
-			for try := 0; got != 201 && got != 200; try++ {
+			status := 0
+			for try := 0; status != 201 && status != 200; try++ {
 				if try == 20 {
-					t.Fatalf("j-1%d: %d after %d s", i, got, try)
+					t.Fatalf("j-1%d: %d after %d s", i, status, try)
 				}
 				sleep(1)
-				got = c.submit(at, dependentJob(fmt.Sprint("j-1", i), 1, "j-3"))
+				status = c.submit(node, dependentJob(fmt.Sprint("j-1", i), 1, "j-3"))
 			}
 		}
 		sleep(140)
-		c.wantDone(at, "j-119")
+		c.wantDone(node, "j-119")
 		for _, id := range []string{"j-1", "j-2", "j-3"} {
-			c.wantDone(at, id)
+			c.wantDone(node, id)
 		}
 		if n := len(c.store.OversizedTransactions()); n > 30 {
-			t.Errorf("%d writes were refused: %v", n, c.store.OversizedTransactions()[:30])
+			t.Errorf("%d writes were rejected as too large: %v", n, c.store.OversizedTransactions()[:30])
 		}
 	})
 }
--- a/internal/simulation/store_watch.go
+++ b/internal/simulation/store_watch.go
@@ -9,12 +9,12 @@
 	"drumpick/internal/records"
 )
 
-// maxWatchEvents is how many changes a watch can go back. It bounds no entries: a watch that is further behind is
-// told so, and lists the entries anew.
+// maxWatchEvents is the number of past changes that a watch can resume from. It loses no entries: a watch from an
+// older revision gets ErrCompacted and its client lists the entries again.
 const maxWatchEvents = 10_000
 
-// watch waits for a change under a prefix after a revision, and returns the changes and the revision they lead to.
-// Open watches stay open through an outage. disconnected is asked at every change of the store.
+// watch waits for changes under a prefix after a revision, and returns them and the revision they lead to. Open
+// watches stay open during an outage. disconnected is evaluated at every change of the store.
 func (s *Store) watch(
 	ctx context.Context, client, prefix string, since uint64, wait time.Duration, disconnected func() bool,
 ) ([]records.Event, uint64, error) {
@@ -60,7 +60,7 @@
 	return events
 }
 
-// wakeWatchersLocked lets all open watches look again.
+// wakeWatchersLocked makes all open watches check again for changes.
 func (s *Store) wakeWatchersLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/simulation/teams_test.go
+++ b/internal/simulation/teams_test.go
@@ -10,14 +10,14 @@
 	"drumpick/internal/records"
 )
 
-// Many teams with quotas, all at their limits: what they use is accounted for as attempts come
-// and go, and no fault may make a team use more than its limit, or wait beside room below it.
+// These tests run many teams at their limits. No fault may make a team use more than its limit, or wait while it is
+// below its limit and machines have room.
 
 const teamCount = 48
 
-// runTeamsAtLimit runs a scenario with three controllers in which each team has ten times as much work as
-// its limit lets run. At the end every job has its one answer. (Scenarios hold several faults each: under the
-// race detector a process takes no more than some tens of thousands of timers.)
+// runTeamsAtLimit runs a scenario with three controllers in which each team has ten times as much work as its limit
+// lets run at once. At the end every job must be done or cancelled. Each scenario contains several faults, as the race
+// detector allows only some tens of thousands of timers per process.
 func runTeamsAtLimit(t *testing.T, prepare, scenario func(c *cluster)) {
 	t.Helper()
 	const limit, jobs = 2, teamCount
@@ -28,7 +28,7 @@
 			c.cfg.Deployment.Teams = append(c.cfg.Deployment.Teams, team)
 		}
 		c.cfg.Options.Guarantees = true
-		c.env.ZoneCapacity = 8 // of a zone and kind: 32 machines of 4 CPUs, and 96 CPUs may be used
+		c.env.ZoneCapacity = 8 // per zone and kind: 32 machines with 128 CPUs; the limits add up to 96 CPUs
 		c.env.RunTime = mixedRunTime
 		prepare(c)
 	}, func(c *cluster) {
@@ -53,7 +53,7 @@
 	})
 }
 
-// cancelEvery has users cancel every n-th job, asking again until it is answered.
+// cancelEvery cancels every n-th job, and retries each request until it is answered.
 func (c *cluster) cancelEvery(every int) {
 	for n := 0; n < teamCount; n += every {
 		id := fmt.Sprint("j-", n)
@@ -66,7 +66,7 @@
 	}
 }
 
-// restartLeader ends the leader, and brings its controller back after a while.
+// restartLeader kills the leader and starts its controller again after a pause.
 func (c *cluster) restartLeader(seconds float64) {
 	leader := c.leaderIndex()
 	c.killNode(leader)
@@ -74,7 +74,7 @@
 	c.startNode(leader)
 }
 
-// The leader changes; a zone is cut off, and it changes; jobs are cancelled whose machines hang, and it changes.
+// Failovers: alone, while a zone is partitioned, and while machines of cancelled jobs hang.
 func TestTeamsAtLimitAcrossFailovers(t *testing.T) {
 	runTeamsAtLimit(t, func(*cluster) {}, func(c *cluster) {
 		c.restartLeader(6)
@@ -97,7 +97,8 @@
 	})
 }
 
-// The store is away; a version without watermarks leads in between; a third of the machines dies, and another is taken.
+// A store outage, a leader of a version without watermarks, and the loss of a third of the machines while another third
+// is preempted.
 func TestTeamsAtLimitAcrossVersionsAndMachineLosses(t *testing.T) {
 	runTeamsAtLimit(t, func(c *cluster) { c.olderVersion[1] = true }, func(c *cluster) {
 		c.store.SetOutage(true)
--- a/internal/simulation/users_test.go
+++ b/internal/simulation/users_test.go
@@ -10,10 +10,8 @@
 	"drumpick/internal/records"
 )
 
-// What users do and are told.
-
-// request sends a user's request to a node, and returns the status and the job's state in the answer; status 0: the
-// node is down.
+// request sends a user's request to a node, and returns the HTTP status and the job's state in the answer. Status 0
+// means that the node is down.
 func (c *cluster) request(i int, r peer.RelayRequest) (status int, state string) {
 	n := c.node(i)
 	if n == nil {
@@ -25,7 +23,7 @@
 	return out.Status, s.Status
 }
 
-// notifyJobEvent lets users react to what has just been told of a job.
+// notifyJobEvent calls onJobEvent, if set.
 func (c *cluster) notifyJobEvent(event, id string) {
 	c.mu.Lock()
 	react := c.onJobEvent
@@ -35,7 +33,8 @@
 	}
 }
 
-// encodeSubmission returns what a user sends of a job, with defaults for what the test leaves out.
+// encodeSubmission returns the request body for a job, with defaults for fields that the test leaves out, and records
+// the job as submitted.
 func (c *cluster) encodeSubmission(j records.Job) []byte {
 	if j.Class == "" {
 		j.Class, j.Image = "any", "img"
@@ -60,7 +59,7 @@
 	return raw
 }
 
-// submit has a user submit a job at a node, and returns the status.
+// submit submits a job to a node as a user, and returns the HTTP status.
 func (c *cluster) submit(i int, j records.Job) int {
 	asked := time.Now()
 	status, _ := c.request(i, peer.RelayRequest{Method: peer.MethodSubmit, Body: c.encodeSubmission(j)})
@@ -76,7 +75,7 @@
 	return status
 }
 
-// ask has a user poll or cancel a job at a node, and returns the status and the job's state.
+// ask polls or cancels a job at a node as a user, and returns the HTTP status and the job's state.
 func (c *cluster) ask(i int, method, id string) (int, string) {
 	if method == peer.MethodCancel {
 		c.env.RecordCancelRequest(id)
@@ -113,7 +112,7 @@
 	}
 }
 
-// submitToAny submits a job at a node, and at the next where that does not take it.
+// submitToAny submits a job to node i, and to the next nodes if that does not accept it.
 func (c *cluster) submitToAny(i int, j records.Job) {
 	for k := range 3 {
 		if status := c.submit((i+k)%3, j); status == 201 || status == 200 {
@@ -122,7 +121,7 @@
 	}
 }
 
-// cancel has a user cancel a job, who asks again in the end if nobody answers.
+// cancel cancels a job at a node as a user. A request without an answer is recorded and repeated at the end.
 func (c *cluster) cancel(i int, id string) {
 	switch status, st := c.ask(i, peer.MethodCancel, id); {
 	case st == records.StatusCancelled:
@@ -134,37 +133,38 @@
 	}
 }
 
-// cancelSome has users cancel that many of the jobs that were accepted, at any nodes.
+// cancelSome cancels n random accepted jobs at random nodes.
 func (c *cluster) cancelSome(r *rand.Rand, n int) {
 	for range n {
 		c.mu.Lock()
-		asked := slices.Clone(c.expectedDone)
+		accepted := slices.Clone(c.expectedDone)
 		c.mu.Unlock()
-		if len(asked) == 0 {
+		if len(accepted) == 0 {
 			return
 		}
-		// The latest are those that still run.
-		c.cancel(r.IntN(3), asked[max(len(asked)-1-r.IntN(5), 0)])
+		// The latest jobs are most likely still running.
+		c.cancel(r.IntN(3), accepted[max(len(accepted)-1-r.IntN(5), 0)])
 	}
 }
 
-// expectCancelledWithDependents takes a cancelled job, and all that need it, from those asked about in the end.
+// expectCancelledWithDependents removes a cancelled job and all of its dependents from the jobs that must be done at
+// the end.
 func (c *cluster) expectCancelledWithDependents(id string) {
 	c.expectCancelled(id)
 	c.mu.Lock()
-	var behind []string
+	var dependents []string
 	for x, j := range c.jobs {
 		if slices.Contains(j.Dependencies, id) {
-			behind = append(behind, x)
+			dependents = append(dependents, x)
 		}
 	}
 	c.mu.Unlock()
-	for _, x := range behind {
+	for _, x := range dependents {
 		c.expectCancelledWithDependents(x)
 	}
 }
 
-// expectCancelled takes a job from those that are asked about in the end.
+// expectCancelled removes a cancelled job from the jobs that must be done at the end.
 func (c *cluster) expectCancelled(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,8 +177,8 @@
 	}
 }
 
-// cancelUntilConfirmed has a user cancel a job, and ask again as users do until that is confirmed. A leader
-// that cannot be notified of it, as it is gone, holds that up for no longer than its lease may last.
+// cancelUntilConfirmed cancels a job and retries until that is confirmed. A crashed leader, which cannot be notified,
+// may delay the confirmation for no longer than its lease.
 func (c *cluster) cancelUntilConfirmed(i int, id string) {
 	c.t.Helper()
 	began := time.Now()
@@ -188,7 +188,7 @@
 			return
 		}
 		if status != 503 || time.Since(began) > c.leaderLease+2*time.Second {
-			c.t.Fatalf("withdraw %s at node %d: %d %q after %v", id, i, status, st, time.Since(began))
+			c.t.Fatalf("cancel %s at node %d: %d %q after %v", id, i, status, st, time.Since(began))
 		}
 		sleep(1)
 	}
@@ -203,7 +203,7 @@
 	}
 }
 
-// dependentJob makes a job that waits for others.
-func dependentJob(id string, tasks int, needs ...string) records.Job {
-	return records.Job{ID: id, Tasks: tasks, EstimateS: 10, Dependencies: needs}
+// dependentJob returns a job that depends on others.
+func dependentJob(id string, tasks int, dependencies ...string) records.Job {
+	return records.Job{ID: id, Tasks: tasks, EstimateS: 10, Dependencies: dependencies}
 }
--- a/internal/simulation/workload_test.go
+++ b/internal/simulation/workload_test.go
@@ -15,12 +15,13 @@
 )
 
 var (
-	measuredMachines = flag.Int("measure", 0, "machines of the measurements, which are not tests: 0 leaves them out")
-	runTimeFactor    = flag.Float64("stretch", 1, "how many times as long the tasks of the measurements run")
+	measuredMachines = flag.Int("measure", 0, "number of machines in the measurements; 0 skips them")
+	runTimeFactor    = flag.Float64("stretch", 1, "factor for the run times of tasks in the measurements")
 )
 
-// workload is a deployment under steady load of three classes, in simulated time: an urgent one
-// that cannot save and has a deadline, a common one of short tasks, and long ones that save.
+// workload is a cluster under a steady load of three job classes, in simulated time: urgent jobs without
+// checkpoints, standard jobs with short tasks, and low-priority jobs with long tasks and checkpoints. All have
+// deadlines.
 type workload struct {
 	*cluster
 	seed     uint64
@@ -33,48 +34,48 @@
 	class       string
 	submittedAt time.Time
 	deadline    time.Duration
-	doneAfter   time.Duration // 0: not yet
+	doneAfter   time.Duration // from submission to completion; 0: not done yet
 }
 
-// generateLoad keeps a share of the machines busy with jobs that come by chance.
+// generateLoad submits jobs at random times, such that they keep a share of the machines busy on average.
 func (s *workload) generateLoad(machines int, share float64) {
 	cpus := 4 * float64(machines) * share
 	for i, k := range []struct {
-		class, priority string
-		tasks           int
-		cpus, seconds   float64
-		saves, flush    float64
-		due             float64
-		of              float64 // of the load
+		class, priority    string
+		tasks              int
+		cpus, seconds      float64
+		checkpointS, saveS float64
+		deadlineS          float64
+		loadShare          float64 // share of the whole load
 	}{
 		{"export", records.PriorityUrgent, 8, 1, 25, 0, 0, 50, 0.25},
 		{"index", records.PriorityStandard, 40, 1, 18, 0, 0, 70, 0.35},
 		{"cleanup", records.PriorityLow, 12, 4, 70, 30, 4, 160, 0.4},
 	} {
-		k.seconds, k.due = k.seconds**runTimeFactor, k.due**runTimeFactor
-		every := float64(k.tasks) * k.cpus * k.seconds / (cpus * k.of)
+		k.seconds, k.deadlineS = k.seconds**runTimeFactor, k.deadlineS**runTimeFactor
+		meanInterval := float64(k.tasks) * k.cpus * k.seconds / (cpus * k.loadShare)
 		r := rand.New(rand.NewPCG(s.seed, uint64(i)))
 		go func() {
 			for time.Now().Before(s.loadEnd) {
-				if ctxtime.Sleep(s.ctx, time.Duration(every*r.ExpFloat64()*float64(time.Second))) != nil {
+				if ctxtime.Sleep(s.ctx, time.Duration(meanInterval*r.ExpFloat64()*float64(time.Second))) != nil {
 					return
 				}
 				s.submitUntilAccepted(records.Job{
 					Class: k.class, Team: "team", Shape: records.ShapeArray, Priority: k.priority, Tasks: k.tasks, CPUs: k.cpus, MemGB: 1,
 					Image: fmt.Sprint(k.class, r.IntN(6)), ImageGB: 0.5, Spot: true,
-					EstimateS: k.seconds, CheckpointS: k.saves, SaveS: k.flush, DeadlineS: &k.due,
-				}, k.due)
+					EstimateS: k.seconds, CheckpointS: k.checkpointS, SaveS: k.saveS, DeadlineS: &k.deadlineS,
+				}, k.deadlineS)
 			}
 		}()
 	}
 }
 
-func (s *workload) submitUntilAccepted(j records.Job, due float64) {
+func (s *workload) submitUntilAccepted(j records.Job, deadlineS float64) {
 	s.mu.Lock()
 	s.jobCount++
 	j.ID = fmt.Sprint("j-", s.jobCount)
 	s.cluster.jobs[j.ID] = j
-	s.jobs[j.ID] = &submittedJob{class: j.Class, submittedAt: time.Now(), deadline: time.Duration(due * float64(time.Second))}
+	s.jobs[j.ID] = &submittedJob{class: j.Class, submittedAt: time.Now(), deadline: time.Duration(deadlineS * float64(time.Second))}
 	s.mu.Unlock()
 	for s.submit(s.jobCount%3, j) != 201 {
 		if ctxtime.Sleep(s.ctx, time.Second) != nil {
@@ -83,15 +84,15 @@
 	}
 }
 
-// recordCompletions notes when jobs are over.
+// recordCompletions records when jobs end.
 func (s *workload) recordCompletions() {
 	var since uint64
 	for s.ctx.Err() == nil {
-		events, epoch, err := s.store.watch(s.ctx, "", records.PrefixClosed, since, time.Second, func() bool { return false })
+		events, revision, err := s.store.watch(s.ctx, "", records.PrefixClosed, since, time.Second, func() bool { return false })
 		if err != nil {
 			return
 		}
-		since = epoch
+		since = revision
 		s.mu.Lock()
 		for _, e := range events {
 			if p := s.jobs[strings.TrimPrefix(e.Write, records.PrefixClosed)]; p != nil && p.doneAfter == 0 {
@@ -102,7 +103,7 @@
 	}
 }
 
-// missedDeadlineShare returns which share of the jobs of a class missed their deadline, and how many jobs there are.
+// missedDeadlineShare returns the share of a class's jobs that missed their deadline, and the number of its jobs.
 func (s *workload) missedDeadlineShare(class string) (share float64, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +119,7 @@
 	return float64(late) / float64(max(n, 1)), n
 }
 
-// busyMachines returns how many of the machines that a drain selects hold tasks.
+// busyMachines returns how many of the selected machines have tasks.
 func (s *workload) busyMachines(selected func(*Machine) bool) int {
 	s.env.mu.Lock()
 	defer s.env.mu.Unlock()
@@ -127,8 +128,8 @@
 		if m.terminated || !selected(m) {
 			continue
 		}
-		for _, x := range m.tasks {
-			if x.status != statusEnded {
+		for _, a := range m.tasks {
+			if a.status != statusEnded {
 				n++
 				break
 			}
@@ -137,7 +138,7 @@
 	return n
 }
 
-// runWorkload runs a scenario beside a steady load.
+// runWorkload runs a scenario under a steady load.
 func runWorkload(
 	t *testing.T, seed uint64, machines int, seconds, share float64, prepare func(*cluster), scenario func(s *workload),
 ) {
@@ -146,10 +147,10 @@
 		c.cfg.Options.OperatorAPI = true
 		c.cfg.Deployment.Workers.HeartbeatS, c.cfg.Deployment.Workers.LeaseS, c.cfg.Deployment.Workers.CancelS = 5, 24, 44
 		c.cfg.Deployment.Store.WriteRPS, c.cfg.Deployment.Store.RPS, c.cfg.Deployment.Cloud.ListLagS = 20, 150, 4
-		w := c.env
-		w.HeartbeatInterval, w.Lease, w.CancelLimit, w.WorkerVersion = 5*time.Second, 24*time.Second, 44*time.Second, "1"
-		w.ZoneCapacity = machines/4 + 1 // in each of two zones, cheap and ordinary
-		w.Types[0].FetchGBps, w.Types[0].CacheGB = 0.1, 40
+		env := c.env
+		env.HeartbeatInterval, env.Lease, env.CancelLimit, env.WorkerVersion = 5*time.Second, 24*time.Second, 44*time.Second, "1"
+		env.ZoneCapacity = machines/4 + 1 // for each of two zones and two kinds, spot and on-demand
+		env.Types[0].FetchGBps, env.Types[0].CacheGB = 0.1, 40
 		c.limitLeaderWrites = true
 		if prepare != nil {
 			prepare(c)
@@ -169,13 +170,13 @@
 	})
 }
 
-// TestMeasureDrain compares ways to empty one of two zones for a storm: the drain, by a time
-// and without one; no new tasks and waiting; and what happens without any of it.
+// TestMeasureDrain compares ways to empty one of two zones before a power loss: a drain with and without a
+// deadline, a cordon, and doing nothing.
 //
 //	go test ./internal/simulation -run MeasureDrain -measure 450 -v
 func TestMeasureDrain(t *testing.T) {
 	if *measuredMachines == 0 {
-		t.Skip("a measurement, taken by hand")
+		t.Skip("measurement; set -measure to run it")
 	}
 	t.Log("| machines | way | empty after (s) | work lost (task s) | export late | index late | cleanup late | price |")
 	for _, way := range []string{"nothing happens", "drain", "drain by 60 s", "cordon and wait", "power fails at 60 s"} {
@@ -185,7 +186,7 @@
 		for seed := range uint64(seeds) {
 			runWorkload(t, seed, *measuredMachines, 500, 0.45, nil, func(s *workload) {
 				sleep(240)
-				north := func(m *Machine) bool { return m.Zone == "a" }
+				inZoneA := func(m *Machine) bool { return m.Zone == "a" }
 				before := s.env.LostWork()
 				began := time.Now()
 				spec := drain.Spec{ID: "d-1", Kind: drain.KindDrain, Zone: "a"}
@@ -205,7 +206,7 @@
 					s.env.FailZone("a")
 				}
 				if way != "nothing happens" {
-					for s.busyMachines(north) > 0 && time.Since(began) < 10*time.Minute {
+					for s.busyMachines(inZoneA) > 0 && time.Since(began) < 10*time.Minute {
 						sleep(1)
 					}
 					empty += time.Since(began).Seconds() / seeds
@@ -216,9 +217,9 @@
 					l, _ := s.missedDeadlineShare(class)
 					late[class] += l / seeds
 				}
-				_, bills := s.env.History()
-				for _, b := range bills {
-					cost += b.Cost / seeds
+				_, costs := s.env.History()
+				for _, rental := range costs {
+					cost += rental.Cost / seeds
 				}
 			})
 		}
@@ -227,7 +228,7 @@
 	}
 }
 
-// startDrain puts a drain on record, as operators do.
+// startDrain stores a drain request, as an operator's request does.
 func (s *workload) startDrain(d drain.Spec) {
 	for {
 		_, err := s.store.Client("operator").Commit(s.ctx, nil, []records.Op{{Write: records.PrefixDrains + d.ID, Value: d}})
@@ -238,13 +239,13 @@
 	}
 }
 
-// TestMeasureUpgrade rolls all machines over to another version, a tenth at a time, and logs
-// how long it took, how many changes the store took for it, and what was lost.
+// TestMeasureUpgrade upgrades all machines to another version, a tenth at a time. It logs the duration, the write
+// rate of the store before and during the upgrade, and the work lost.
 //
 //	go test ./internal/simulation -run MeasureUpgrade -measure 3000 -v -timeout 1h
 func TestMeasureUpgrade(t *testing.T) {
 	if *measuredMachines == 0 {
-		t.Skip("a measurement, taken by hand")
+		t.Skip("measurement; set -measure to run it")
 	}
 	t.Log("| machines | upgraded after (s) | changes/s before | changes/s during | work lost (task s) | export late |")
 	start := time.Now()
@@ -280,7 +281,7 @@
 		during, lost := float64(s.writes()-writes)/took, (s.env.LostWork() - before).Seconds()
 		t.Logf("| %d | %.0f | %.1f | %.1f | %.0f | %.3f |", up, took, rate, during, lost, l)
 	})
-	t.Logf("%v of this machine's time", time.Since(start).Round(time.Second))
+	t.Logf("%v of wall-clock time", time.Since(start).Round(time.Second))
 }
 
 func (s *workload) writes() int {
@@ -290,21 +291,21 @@
 func (s *workload) isIdle(m *Machine) bool {
 	s.env.mu.Lock()
 	defer s.env.mu.Unlock()
-	for _, x := range m.tasks {
-		if x.status != statusEnded {
+	for _, a := range m.tasks {
+		if a.status != statusEnded {
 			return false
 		}
 	}
 	return true
 }
 
-// isDrained reports whether the leader has drained a machine.
-func (s *workload) isDrained(host string) bool {
+// isDrained reports whether the leader considers a machine drained.
+func (s *workload) isDrained(machine string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range s.nodes {
 		if n != nil && n.leader != nil {
-			v, ok := n.leader.Machine(host)
+			v, ok := n.leader.Machine(machine)
 			return ok && v.State == "drained"
 		}
 	}
