--- a/internal/goldentest/exchange.go
+++ b/internal/goldentest/exchange.go
@@ -12,22 +12,23 @@
 	"testing"
 )
 
-// Exchange is an HTTP request and its answer, as a golden file has them.
+// Exchange is an HTTP request and its response, as stored in a golden file. Bodies are JSON or strings, see encodeBody.
 type Exchange struct {
 	Method       string          `json:"method"`
 	URI          string          `json:"uri"`
-	RequestType  string          `json:"content_type,omitempty"`
+	RequestType  string          `json:"content_type,omitempty"` // Content-Type header of the request
 	Request      json.RawMessage `json:"request,omitempty"`
 	Status       int             `json:"status"`
-	ResponseType string          `json:"answer_type,omitempty"` // the answer's Content-Type
-	RetryAfter   string          `json:"retry_after,omitempty"` // the answer's Retry-After
+	ResponseType string          `json:"answer_type,omitempty"` // Content-Type header of the response
+	RetryAfter   string          `json:"retry_after,omitempty"` // Retry-After header of the response
 	Response     json.RawMessage `json:"answer,omitempty"`
 }
 
-// msgpackContentType is the content type of bodies that stand in a golden file as hexadecimal text.
+// msgpackContentType is the content type of bodies that a golden file stores in hexadecimal.
 const msgpackContentType = "application/msgpack"
 
-// encodeBody returns a body as an Exchange has it: what is no JSON stands as text.
+// encodeBody returns a body as an Exchange stores it: compact JSON unchanged, MessagePack as a hexadecimal string, and
+// any other body as a string.
 func encodeBody(raw []byte, contentType string) json.RawMessage {
 	var compact bytes.Buffer
 	if len(raw) == 0 {
@@ -39,17 +40,17 @@
 	if json.Compact(&compact, raw) == nil && bytes.Equal(compact.Bytes(), raw) {
 		return raw
 	}
-	text, _ := json.Marshal(string(raw)) // a string always is
+	text, _ := json.Marshal(string(raw)) // never fails for a string
 	return text
 }
 
-// CheckExchange compares a request and its answer with an entry.
+// CheckExchange compares an exchange with a golden entry.
 func (f *File) CheckExchange(t *testing.T, name string, x Exchange) {
 	t.Helper()
 	f.checkValue(t, name, x)
 }
 
-// CheckExchanges compares requests and their answers, of which there must be n, with an entry.
+// CheckExchanges compares a list of n exchanges with a golden entry.
 func (f *File) CheckExchanges(t *testing.T, name string, xs []Exchange, n int) {
 	t.Helper()
 	if len(xs) != n {
@@ -58,7 +59,7 @@
 	f.checkValue(t, name, xs)
 }
 
-// checkValue compares a value, encoded as JSON, with an entry.
+// checkValue compares the JSON encoding of a value with a golden entry.
 func (f *File) checkValue(t *testing.T, name string, v any) {
 	t.Helper()
 	var out bytes.Buffer
@@ -70,88 +71,88 @@
 	f.Check(t, name, bytes.TrimSpace(out.Bytes()), true)
 }
 
-// FakeServer is the server of a client under test. It answers each request with the answer that is prepared, and keeps the
-// exchange.
+// FakeServer is an HTTP server for a client under test. It sends queued responses, or status 500 if the queue is
+// exhausted, and records each exchange.
 type FakeServer struct {
 	Addr string
-	// Forward, where set, gives the answers in place of those that are prepared.
+	// Forward, if set, returns the responses in place of the queued ones.
 	Forward func(*http.Request) (*http.Response, error)
 
 	mu        sync.Mutex
-	queued    []Exchange
+	queued    []Exchange // responses, by index of the request
 	exchanges []Exchange
 }
 
-// NewFakeServer starts a server that ends with the test.
+// NewFakeServer starts a server that is closed at the end of the test.
 func NewFakeServer(t *testing.T) *FakeServer {
 	t.Helper()
-	p := &FakeServer{}
-	s := httptest.NewServer(http.HandlerFunc(p.serve))
-	t.Cleanup(s.Close)
-	p.Addr = s.Listener.Addr().String()
-	return p
+	s := &FakeServer{}
+	httpServer := httptest.NewServer(http.HandlerFunc(s.serve))
+	t.Cleanup(httpServer.Close)
+	s.Addr = httpServer.Listener.Addr().String()
+	return s
 }
 
-// serve answers with what is prepared, or with what Forward returns.
-func (p *FakeServer) serve(w http.ResponseWriter, r *http.Request) {
-	raw, _ := io.ReadAll(r.Body) // a request that is cut off shows in its body
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.Forward != nil {
-		p.forwardLocked(w, r, raw)
+// serve handles a request with the next queued response or with Forward, and records the exchange.
+func (s *FakeServer) serve(w http.ResponseWriter, r *http.Request) {
+	raw, _ := io.ReadAll(r.Body) // a truncated request shows in the recorded body
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.Forward != nil {
+		s.forwardLocked(w, r, raw)
 		return
 	}
 	x := Exchange{Status: http.StatusInternalServerError}
-	if n := len(p.exchanges); n < len(p.queued) {
-		x.Status, x.Response = p.queued[n].Status, p.queued[n].Response
+	if n := len(s.exchanges); n < len(s.queued) {
+		x.Status, x.Response = s.queued[n].Status, s.queued[n].Response
 	}
 	x.Method, x.URI, x.RequestType, x.Request = r.Method, r.RequestURI, r.Header.Get("Content-Type"), encodeBody(raw, "")
-	p.exchanges = append(p.exchanges, x)
+	s.exchanges = append(s.exchanges, x)
 	w.WriteHeader(x.Status)
 	_, _ = w.Write(x.Response)
 }
 
-// forwardLocked answers with what Forward returns.
-func (p *FakeServer) forwardLocked(w http.ResponseWriter, r *http.Request, raw []byte) {
+// forwardLocked handles a request with Forward and records the exchange. The caller must hold s.mu.
+func (s *FakeServer) forwardLocked(w http.ResponseWriter, r *http.Request, raw []byte) {
 	r.Body = io.NopCloser(bytes.NewReader(raw))
-	resp, err := p.Forward(r)
+	resp, err := s.Forward(r)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	defer resp.Body.Close()
-	answer, _ := io.ReadAll(resp.Body) // an answer that is cut off shows in its body
-	kind, answerKind := r.Header.Get("Content-Type"), resp.Header.Get("Content-Type")
-	p.exchanges = append(p.exchanges, Exchange{
-		Method: r.Method, URI: r.RequestURI, RequestType: kind, Request: encodeBody(raw, kind),
-		Status: resp.StatusCode, ResponseType: answerKind, Response: encodeBody(answer, answerKind),
+	response, _ := io.ReadAll(resp.Body) // a truncated response shows in the recorded body
+	requestType, responseType := r.Header.Get("Content-Type"), resp.Header.Get("Content-Type")
+	s.exchanges = append(s.exchanges, Exchange{
+		Method: r.Method, URI: r.RequestURI, RequestType: requestType, Request: encodeBody(raw, requestType),
+		Status: resp.StatusCode, ResponseType: responseType, Response: encodeBody(response, responseType),
 	})
-	w.Header().Set("Content-Type", answerKind)
+	w.Header().Set("Content-Type", responseType)
 	w.WriteHeader(resp.StatusCode)
-	_, _ = w.Write(answer)
+	_, _ = w.Write(response)
 }
 
-// QueueResponse prepares an answer: a status and a body.
-func (p *FakeServer) QueueResponse(status int, text string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.queued = append(p.queued, Exchange{Status: status, Response: json.RawMessage(text)})
+// QueueResponse adds a response to the queue.
+func (s *FakeServer) QueueResponse(status int, responseBody string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.queued = append(s.queued, Exchange{Status: status, Response: json.RawMessage(responseBody)})
 }
 
-// TakeExchanges returns what was asked and answered since the last call.
-func (p *FakeServer) TakeExchanges() []Exchange {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	got := p.exchanges
-	p.exchanges, p.queued = nil, nil
+// TakeExchanges returns the exchanges since the last call, and clears the queue.
+func (s *FakeServer) TakeExchanges() []Exchange {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	got := s.exchanges
+	s.exchanges, s.queued = nil, nil
 	return got
 }
 
-// DoRequest sends a request to a handler's test function and returns the exchange.
-func DoRequest(t *testing.T, test func(*http.Request) (*http.Response, error), method, uri, text string) Exchange {
+// DoRequest sends a request with a handler's test function and returns the exchange.
+func DoRequest(t *testing.T, send func(*http.Request) (*http.Response, error), method, uri, requestBody string) Exchange {
 	t.Helper()
-	req := httptest.NewRequest(method, uri, bytes.NewBufferString(text))
-	resp, err := test(req)
+	req := httptest.NewRequest(method, uri, bytes.NewBufferString(requestBody))
+	resp, err := send(req)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +162,7 @@
 		t.Fatal(err)
 	}
 	return Exchange{
-		Method: method, URI: uri, Request: encodeBody([]byte(text), ""), Status: resp.StatusCode,
+		Method: method, URI: uri, Request: encodeBody([]byte(requestBody), ""), Status: resp.StatusCode,
 		ResponseType: resp.Header.Get("Content-Type"), RetryAfter: resp.Header.Get("Retry-After"), Response: encodeBody(raw, ""),
 	}
 }
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -1,10 +1,10 @@
-// Package goldentest compares the encoded forms that leave a process (messages, records, settings) with golden
-// files. Only tests use it. The flag -update-golden writes the files anew:
+// Package goldentest compares the encodings of data that leaves a process (messages, records, settings) with golden
+// files. Only tests use it. The flag -update-golden rewrites the files:
 //
 //	go test ./internal/records -run Golden -update-golden
 //
-// A test names its forms by the field names and bytes of the protocol and never by Go
-// identifiers, so it holds while those are renamed.
+// Golden files contain only the field names and bytes of the protocol and no Go identifiers, so they stay valid when
+// identifiers are renamed.
 package goldentest
 
 import (
@@ -21,19 +21,19 @@
 	"testing"
 )
 
-var update = flag.Bool("update-golden", false, "write the golden files from the present code")
+var update = flag.Bool("update-golden", false, "rewrite the golden files with the current encodings")
 
-// File is a golden file: a JSON object with an entry for each form. JSON forms stand there
-// as JSON, all others as hexadecimal text.
+// File is a golden file: a JSON object with an entry for each encoded value. JSON values are stored as JSON, all
+// others as hexadecimal strings.
 type File struct {
 	t       *testing.T
 	path    string
 	entries map[string]json.RawMessage
-	checked map[string]bool
+	checked map[string]bool // names of the entries that the test has used
 }
 
-// Open reads the golden file testdata/name. When the test ends, an entry that no form was
-// compared with is an error; with -update-golden the file is written instead.
+// Open reads the golden file testdata/name. The test fails at its end if an entry was not compared with any value.
+// With -update-golden the file is written instead.
 func Open(t *testing.T, name string) *File {
 	t.Helper()
 	f := &File{t: t, path: "testdata/" + name, entries: map[string]json.RawMessage{}, checked: map[string]bool{}}
@@ -50,7 +50,7 @@
 	return f
 }
 
-// WriteText writes a golden file that is no JSON, with -update-golden alone.
+// WriteText writes a golden file that is not JSON, and only with -update-golden.
 func WriteText(t *testing.T, path string, text []byte) {
 	t.Helper()
 	if !*update {
@@ -61,7 +61,7 @@
 	}
 }
 
-// close writes the file with -update-golden, and else checks that every entry was compared.
+// close writes the file with -update-golden, and otherwise checks that every entry was compared.
 func (f *File) close() {
 	if *update {
 		if err := f.write(); err != nil {
@@ -70,16 +70,16 @@
 		return
 	}
 	if strings.Contains(flag.Lookup("test.run").Value.String(), "/") {
-		return // only some subtests were run
+		return // only some subtests ran
 	}
 	for name := range f.entries {
 		if !f.checked[name] {
-			f.t.Errorf("%s: no test compares %q", f.path, name)
+			f.t.Errorf("%s: entry %q was not compared", f.path, name)
 		}
 	}
 }
 
-// write writes the entries in the order of their names.
+// write writes the entries in order of their names.
 func (f *File) write() error {
 	var compact, out bytes.Buffer
 	e := json.NewEncoder(&compact)
@@ -93,7 +93,7 @@
 	return errors.Join(os.MkdirAll("testdata", 0o755), os.WriteFile(f.path, out.Bytes(), 0o644))
 }
 
-// Check compares bytes with an entry, and returns the entry's bytes.
+// Check compares an encoded value with an entry, and returns the entry's bytes.
 func (f *File) Check(t *testing.T, name string, got []byte, isJSON bool) []byte {
 	t.Helper()
 	if *update {
@@ -110,22 +110,22 @@
 	return want
 }
 
-// setEntry puts a form into the file that is written.
+// setEntry sets an entry of the file to be written.
 func (f *File) setEntry(t *testing.T, name string, got []byte, isJSON bool) {
 	t.Helper()
 	if f.checked[name] {
-		t.Errorf("%s: two forms are named %q", f.path, name)
+		t.Errorf("%s: two values are named %q", f.path, name)
 	}
 	if !isJSON {
 		got = fmt.Appendf(nil, "%q", hex.EncodeToString(got))
 	}
 	if !json.Valid(got) {
-		t.Fatalf("%s: %s is no JSON: %s", f.path, name, got)
+		t.Fatalf("%s: %s is not valid JSON: %s", f.path, name, got)
 	}
 	f.entries[name] = slices.Clone(got)
 }
 
-// Bytes returns an entry's bytes: JSON without white space between its parts.
+// Bytes returns the bytes of an entry: compact JSON, or the bytes decoded from hexadecimal.
 func (f *File) Bytes(t *testing.T, name string, isJSON bool) []byte {
 	t.Helper()
 	f.checked[name] = true
@@ -152,9 +152,9 @@
 	return bin
 }
 
-// Codec encodes and decodes the forms of one kind.
+// Codec encodes and decodes values in one format.
 type Codec struct {
-	Tag    string // struct tag that names the fields
+	Tag    string // key of the struct tag that names the fields
 	Encode func(v any) ([]byte, error)
 	Decode func(raw []byte, v any) error // v is a pointer
 }
@@ -162,28 +162,28 @@
 // JSON is the codec of the standard library.
 var JSON = Codec{"json", json.Marshal, json.Unmarshal}
 
-// Direction says whether the code reads a form, writes it, or both.
+// Direction says whether the code under test decodes a value, encodes it, or both.
 type Direction int
 
-// Directions of a form.
+// Directions of a value.
 const (
 	ReadWrite Direction = iota
-	ReadOnly            // the code only reads it
-	WriteOnly           // the code only writes it
+	ReadOnly            // only decoded
+	WriteOnly           // only encoded
 )
 
-// Case is a form and a value of it in which every field is set.
+// Case is a named value in which every field is set.
 type Case struct {
 	Name      string
 	Value     any
 	Direction Direction
-	// AllowUnset says that the value leaves fields unset on purpose: another case sets them all.
+	// AllowUnset permits unset fields in the value; another case sets them all.
 	AllowUnset bool
 }
 
-// Run compares each case with its entry of a golden file, in a subtest of its own: the value
-// is written as exactly these bytes, and they are read as the value. The zero value of each
-// type, under the name with "zero" behind it, shows which fields may be left out.
+// Run compares each case with its entry of a golden file, in its own subtest: the value must encode to exactly the
+// entry's bytes, and these must decode to the value. The zero value of each struct type, as the entry "NAME, zero",
+// shows which fields are omitted when empty.
 func Run(t *testing.T, file string, c Codec, cases []Case) {
 	t.Helper()
 	f := Open(t, file)
@@ -191,7 +191,7 @@
 		t.Run(x.Name, func(t *testing.T) {
 			if !x.AllowUnset {
 				for _, field := range UnsetFields(x.Value, c.Tag) {
-					t.Errorf("the value of the test leaves the field %s unset", field)
+					t.Errorf("the test value does not set the field %s", field)
 				}
 			}
 			f.compare(t, c, x, x.Name, x.Value)
@@ -202,7 +202,8 @@
 	}
 }
 
-// compare compares the encoded value with an entry, and the decoded entry with the value, as the case says.
+// compare compares the encoded value with an entry, and the decoded entry with the value, in the directions of the
+// case.
 func (f *File) compare(t *testing.T, c Codec, x Case, name string, value any) {
 	t.Helper()
 	isJSON := c.Tag == "json"
@@ -219,30 +220,30 @@
 	if x.Direction == WriteOnly {
 		return
 	}
-	to := reflect.New(reflect.TypeOf(value))
-	if err := c.Decode(golden, to.Interface()); err != nil {
+	decoded := reflect.New(reflect.TypeOf(value))
+	if err := c.Decode(golden, decoded.Interface()); err != nil {
 		t.Errorf("%s: %v", name, err)
-	} else if got := to.Elem().Interface(); !reflect.DeepEqual(got, value) {
-		t.Errorf("%s is read as\n     %+v\nwant %+v", name, got, value)
+	} else if got := decoded.Elem().Interface(); !reflect.DeepEqual(got, value) {
+		t.Errorf("%s decodes to\n     %+v\nwant %+v", name, got, value)
 	}
 }
 
-// UnsetFields lists the exported fields of a value, and of all that is in it, that are zero or empty. A field that the tag
-// leaves out ("-") is not among them.
+// UnsetFields returns the paths of the exported fields in a value, including nested values, that are zero or empty. It
+// skips fields that the tag excludes with "-".
 func UnsetFields(v any, tag string) []string {
 	return unsetFieldsAt(reflect.ValueOf(v), tag, "")
 }
 
-// unsetFieldsAt lists the unset fields of a value that is found at a path.
-func unsetFieldsAt(v reflect.Value, tag, at string) []string {
+// unsetFieldsAt returns the paths of the unset fields of the value at a path.
+func unsetFieldsAt(v reflect.Value, tag, path string) []string {
 	if !v.IsValid() || v.IsZero() {
-		return []string{at}
+		return []string{path}
 	}
 	var all []string
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if v.Elem().Kind() == reflect.Struct {
-			return unsetFieldsAt(v.Elem(), tag, at)
+			return unsetFieldsAt(v.Elem(), tag, path)
 		}
 	case reflect.Struct:
 		for _, field := range reflect.VisibleFields(v.Type()) {
@@ -250,24 +251,24 @@
 			if field.Anonymous || !field.IsExported() || name == "-" {
 				continue
 			}
-			all = append(all, unsetFieldsAt(v.FieldByIndex(field.Index), tag, at+"."+field.Name)...)
+			all = append(all, unsetFieldsAt(v.FieldByIndex(field.Index), tag, path+"."+field.Name)...)
 		}
 	case reflect.Slice, reflect.Array:
 		if v.Len() == 0 {
-			return []string{at}
+			return []string{path}
 		}
 		for i := range v.Len() {
 			if v.Index(i).Kind() == reflect.Uint8 {
-				break // a zero byte is as good as another
+				break // a zero byte does not count as unset
 			}
-			all = append(all, unsetFieldsAt(v.Index(i), tag, fmt.Sprintf("%s[%d]", at, i))...)
+			all = append(all, unsetFieldsAt(v.Index(i), tag, fmt.Sprintf("%s[%d]", path, i))...)
 		}
 	case reflect.Map:
 		if v.Len() == 0 {
-			return []string{at}
+			return []string{path}
 		}
 		for _, key := range v.MapKeys() {
-			all = append(all, unsetFieldsAt(v.MapIndex(key), tag, fmt.Sprintf("%s[%v]", at, key))...)
+			all = append(all, unsetFieldsAt(v.MapIndex(key), tag, fmt.Sprintf("%s[%v]", path, key))...)
 		}
 	}
 	return all
--- a/internal/goldentest/golden_test.go
+++ b/internal/goldentest/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A field that a value leaves unset is listed, wherever it is; one that the form leaves out is not.
+// Unset fields are listed at any depth; fields excluded from the encoding are not.
 func TestUnsetListsFields(t *testing.T) {
 	type inner struct {
 		N int    `json:"n"`
@@ -24,7 +24,7 @@
 	full := inner{1, "x"}
 	v := outer{inner: full, P: &full, F: &zero, L: []inner{full}, M: map[string]inner{"k": full}, B: []byte{0}}
 	if got := UnsetFields(v, "json"); len(got) != 0 {
-		t.Errorf("of a value that is set: %v", got)
+		t.Errorf("all fields set: got %v, want none", got)
 	}
 	v = outer{inner: inner{S: "x"}, P: &inner{N: 1}, L: []inner{full, {N: 2}}, M: map[string]inner{"k": {S: "y"}}}
 	if got, want := UnsetFields(v, "json"), []string{".N", ".P.S", ".F", ".L[1].S", ".M[k].N", ".B"}; !slices.Equal(got, want) {
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -9,30 +9,31 @@
 	"drumpick/internal/ctxtime"
 )
 
-// Failover is how long a failover took in a region whose leader was killed.
+// Failover holds the times of a failover in a deployment, in seconds after its leader was killed. 0 means that
+// failoverTimeout passed first.
 type Failover struct {
 	Deployment  int     `json:"region"`
-	NewLeaderS  float64 `json:"leader_s"`  // until another controller led
-	FirstStartS float64 `json:"settled_s"` // until a task started again under it
+	NewLeaderS  float64 `json:"leader_s"`  // until another controller became leader
+	FirstStartS float64 `json:"settled_s"` // until the new leader's first task start
 }
 
-// InjectedFaults counts the faults that were injected.
+// InjectedFaults counts the faults injected during a run.
 type InjectedFaults struct {
-	MachineFailures int        `json:"failures"` // machines that failed, those of racks and zones included
+	MachineFailures int        `json:"failures"` // includes machines in failed racks and zones
 	MachineRestarts int        `json:"restarts"`
 	RackFailures    int        `json:"racks"`
 	ZoneFailures    int        `json:"zones"`
 	Failovers       []Failover `json:"takeovers,omitempty"`
 }
 
-// When the larger faults are injected, as shares of the time that is measured.
+// Injection times of the rack, zone and leader faults, as fractions of the measured time.
 const (
 	rackFailureAt = 0.25
 	zoneFailureAt = 0.5
 	leaderKillAt  = 0.6
 )
 
-// faultInjector injects what the size asks for while a run is measured.
+// faultInjector injects the faults that a Size requests while a run is measured.
 type faultInjector struct {
 	size        Size
 	deployments []*deployment
@@ -40,78 +41,78 @@
 	injected    InjectedFaults
 }
 
-// scheduledFault is one fault and when it happens.
+// scheduledFault is a fault and its time after the start of the measurement.
 type scheduledFault struct {
 	at     time.Duration
 	inject func(ctx context.Context)
 }
 
-// schedule returns the faults of the run, in the order of their times. Machines fail and restart as often as on the
-// planned day, in proportion to how many there are.
+// schedule returns the faults of the run in order of time. Machine failures and restarts occur at the rates of the
+// planned day, scaled to the number of workers.
 func (f *faultInjector) schedule() []scheduledFault {
 	var all []scheduledFault
 	days := f.size.MeasureTime.Seconds() * f.size.Faults.TimeCompression / (24 * 3600) * float64(f.size.Workers) / plannedWorkers
-	draw := func(perDay float64, do func(ctx context.Context)) {
+	scheduleRandom := func(perDay float64, inject func(ctx context.Context)) {
 		for n := perDay * days; n > 0; n-- {
 			if n >= 1 || f.rand.Float64() < n {
-				all = append(all, scheduledFault{time.Duration(f.rand.Float64() * float64(f.size.MeasureTime)), do})
+				all = append(all, scheduledFault{time.Duration(f.rand.Float64() * float64(f.size.MeasureTime)), inject})
 			}
 		}
 	}
-	draw(plannedFailuresPerDay, f.failMachine)
-	draw(plannedRestartsPerDay, f.restartMachine)
-	at := func(share float64, on bool, do func(ctx context.Context)) {
-		if on {
-			all = append(all, scheduledFault{time.Duration(share * float64(f.size.MeasureTime)), do})
+	scheduleRandom(plannedFailuresPerDay, f.failMachine)
+	scheduleRandom(plannedRestartsPerDay, f.restartMachine)
+	scheduleAt := func(share float64, enabled bool, inject func(ctx context.Context)) {
+		if enabled {
+			all = append(all, scheduledFault{time.Duration(share * float64(f.size.MeasureTime)), inject})
 		}
 	}
-	at(rackFailureAt, f.size.Faults.Rack, f.failRack)
-	at(zoneFailureAt, f.size.Faults.Zone, f.failZone)
-	at(leaderKillAt, f.size.Faults.Leader, f.killLeader)
+	scheduleAt(rackFailureAt, f.size.Faults.Rack, f.failRack)
+	scheduleAt(zoneFailureAt, f.size.Faults.Zone, f.failZone)
+	scheduleAt(leaderKillAt, f.size.Faults.Leader, f.killLeader)
 	slices.SortStableFunc(all, func(a, b scheduledFault) int { return int(a.at - b.at) })
 	return all
 }
 
-// run injects the faults, each at its time.
+// run injects each fault at its scheduled time, until ctx is cancelled.
 func (f *faultInjector) run(ctx context.Context) {
-	began := time.Now()
-	for _, e := range f.schedule() {
-		if ctxtime.Sleep(ctx, e.at-time.Since(began)) != nil {
+	start := time.Now()
+	for _, fault := range f.schedule() {
+		if ctxtime.Sleep(ctx, fault.at-time.Since(start)) != nil {
 			return
 		}
-		e.inject(ctx)
+		fault.inject(ctx)
 	}
 }
 
-// randomDeployment draws a region.
+// randomDeployment returns a random deployment.
 func (f *faultInjector) randomDeployment() *deployment {
 	return f.deployments[f.rand.IntN(len(f.deployments))]
 }
 
 func (f *faultInjector) failMachine(context.Context) {
-	if ms := f.randomDeployment().cluster.Environment.Machines(); len(ms) > 0 {
-		ms[f.rand.IntN(len(ms))].Terminate()
+	if machines := f.randomDeployment().cluster.Environment.Machines(); len(machines) > 0 {
+		machines[f.rand.IntN(len(machines))].Terminate()
 		f.injected.MachineFailures++
 	}
 }
 
 func (f *faultInjector) restartMachine(context.Context) {
-	r := f.randomDeployment()
-	if ms := r.cluster.Environment.Machines(); len(ms) > 0 {
-		r.reboot(ms[f.rand.IntN(len(ms))].Name)
+	d := f.randomDeployment()
+	if machines := d.cluster.Environment.Machines(); len(machines) > 0 {
+		d.reboot(machines[f.rand.IntN(len(machines))].Name)
 		f.injected.MachineRestarts++
 	}
 }
 
-// failRack takes the power from the workers behind one switch: neighbours in a zone.
+// failRack terminates the machines of one rack, which share a switch: the first machines of a random zone.
 func (f *faultInjector) failRack(context.Context) {
-	r := f.randomDeployment()
-	zone := r.zones[f.rand.IntN(len(r.zones))]
-	left := max(workersPerRack*f.size.Workers/plannedWorkers, 1)
+	d := f.randomDeployment()
+	zone := d.zones[f.rand.IntN(len(d.zones))]
+	remaining := max(workersPerRack*f.size.Workers/plannedWorkers, 1)
 	f.injected.RackFailures++
-	for _, m := range r.cluster.Environment.Machines() {
-		if m.Zone == zone && left > 0 {
-			left--
+	for _, m := range d.cluster.Environment.Machines() {
+		if m.Zone == zone && remaining > 0 {
+			remaining--
 			f.injected.MachineFailures++
 			m.Terminate()
 		}
@@ -119,34 +120,34 @@
 }
 
 func (f *faultInjector) failZone(context.Context) {
-	r := f.randomDeployment()
+	d := f.randomDeployment()
 	f.injected.ZoneFailures++
-	f.injected.MachineFailures += r.cluster.Environment.FailZone(r.zones[f.rand.IntN(len(r.zones))])
+	f.injected.MachineFailures += d.cluster.Environment.FailZone(d.zones[f.rand.IntN(len(d.zones))])
 }
 
-// failoverTimeout bounds how long a failover is followed.
+// failoverTimeout is the maximum time for which a failover is observed.
 const failoverTimeout = 60 * time.Second
 
-// killLeader kills a region's leader, and measures the failover.
+// killLeader kills the leader of a random deployment and measures the failover.
 func (f *faultInjector) killLeader(ctx context.Context) {
-	r := f.randomDeployment()
-	old := r.readLeader()
-	if old.term == 0 || r.cluster.Kill(old.controller) != nil {
+	d := f.randomDeployment()
+	old := d.readLeader()
+	if old.term == 0 || d.cluster.Kill(old.controller) != nil {
 		return
 	}
-	began := time.Now()
-	failover := Failover{Deployment: r.index}
-	for time.Since(began) < failoverTimeout && ctxtime.Sleep(ctx, 20*time.Millisecond) == nil {
-		if now := r.readLeader(); now.term > old.term {
-			failover.NewLeaderS = time.Since(began).Seconds()
+	start := time.Now()
+	failover := Failover{Deployment: d.index}
+	for time.Since(start) < failoverTimeout && ctxtime.Sleep(ctx, 20*time.Millisecond) == nil {
+		if now := d.readLeader(); now.term > old.term {
+			failover.NewLeaderS = time.Since(start).Seconds()
 			break
 		}
 	}
-	before, err := r.workerCounts()
-	for err == nil && time.Since(began) < failoverTimeout && ctxtime.Sleep(ctx, 50*time.Millisecond) == nil {
-		now, err := r.workerCounts()
+	before, err := d.workerCounts()
+	for err == nil && time.Since(start) < failoverTimeout && ctxtime.Sleep(ctx, 50*time.Millisecond) == nil {
+		now, err := d.workerCounts()
 		if err == nil && now.Starts > before.Starts {
-			failover.FirstStartS = time.Since(began).Seconds()
+			failover.FirstStartS = time.Since(start).Seconds()
 			break
 		}
 	}
--- a/internal/loadtest/golden_test.go
+++ b/internal/loadtest/golden_test.go
@@ -9,10 +9,10 @@
 	"drumpick/internal/records"
 )
 
-// Results of measurements are kept and compared over versions, and the processes of a run exchange messages: both keep
-// their encoded forms.
+// Results are stored and compared across versions, and the processes of a run exchange messages. The encoding of
+// both must not change.
 func TestGolden(t *testing.T) {
-	waits := LatencySummary{Count: 1, P50: 2.5, P95: 3.5, P99: 4.5, Max: 5.5}
+	latency := LatencySummary{Count: 1, P50: 2.5, P95: 3.5, P99: 4.5, Max: 5.5}
 	traffic := Traffic{Messages: 1, Sent: 2, Received: 3}
 	r := Result{
 		Version: "v", StartedAt: time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC), Cores: 2,
@@ -20,22 +20,22 @@
 			Faults: FaultConfig{TimeCompression: 1.5, Rack: true, Zone: true, Leader: true}, StoreRPS: 12.5, StoreWrites: 13.5},
 		MeasuredS: 14.5, Workers: 15, MaxRunning: 16, StartRate: StartRates{Mean: 17.5, Peak: 18.5},
 		Usage:   map[string]Usage{"controller": {Processes: 1, Cores: 2.5, PeakCores: 3.5, MemoryMB: 4.5}},
-		Traffic: map[string]Traffic{"reports": traffic}, StartLatency: map[string]LatencySummary{"train": waits},
-		CommandToRunning: waits, UrgentOnTimeShare: 19.5, LeaseExpiries: 20,
+		Traffic: map[string]Traffic{"reports": traffic}, StartLatency: map[string]LatencySummary{"train": latency},
+		CommandToRunning: latency, UrgentOnTimeShare: 19.5, LeaseExpiries: 20,
 		LostStarts: 21, RejectedHeartbeats: 22, AcceptedJobs: 23, FinishedJobs: 24, UnansweredSubmissions: 25,
 		InjectedFaults: InjectedFaults{
 			MachineFailures: 1, MachineRestarts: 2, RackFailures: 3, ZoneFailures: 4, Failovers: []Failover{{Deployment: 1, NewLeaderS: 2.5, FirstStartS: 3.5}},
 		},
 		Violations: []Violation{{Rule: "r", Detail: "w"}},
 	}
-	// All but the run before, which is a result itself.
+	// Only WithoutTeams is unset, which is a Result itself.
 	if unset := goldentest.UnsetFields(r, "json"); len(unset) != 1 {
-		t.Errorf("the value of the test leaves %v unset", unset)
+		t.Errorf("unset fields: got %v, want only WithoutTeams", unset)
 	}
-	both := r
-	both.WithoutTeams = &r
+	paired := r
+	paired.WithoutTeams = &r
 	goldentest.Run(t, "golden-results.json", goldentest.JSON, []goldentest.Case{
-		{Name: "result", Value: both, AllowUnset: true},
+		{Name: "result", Value: paired, AllowUnset: true},
 		{Name: "result, empty", Value: Result{}, AllowUnset: true},
 		{Name: "what happened", Value: r.InjectedFaults},
 		{Name: "setup", Value: Setup{Controllers: []ControllerAddr{{Name: "n-1", Addr: "a:1"}}, MachineTypes: []records.MachineType{{
--- a/internal/loadtest/rules.go
+++ b/internal/loadtest/history.go
@@ -12,53 +12,53 @@
 	"drumpick/internal/simulation"
 )
 
-// UserJob is what the users know of a job.
+// UserJob is a job as its user sees it.
 type UserJob struct {
 	client.Job
 	Deployment      int
-	Submitted       time.Time    // when it was first sent
-	Accepted        time.Time    // when its acceptance was told; zero: it never was
-	CancelRequested bool         // somebody asked to cancel it
-	Cancelled       time.Time    // when its cancellation was told; zero: it was not
-	FinalStates     []FinalState // at the end, by each controller
+	Submitted       time.Time    // time of the first submission
+	Accepted        time.Time    // time of the response that accepted it; zero if there was none
+	CancelRequested bool         // a user requested the cancellation
+	Cancelled       time.Time    // time of the response that confirmed the cancellation; zero if there was none
+	FinalStates     []FinalState // at the end of the run, one per controller
 }
 
-// FinalState is the state of a job at a controller, at the end of the run.
+// FinalState is the state of a job at the end of the run, as one controller reports it.
 type FinalState struct {
 	Controller string
-	Status     string // client.Done, client.Cancelled, or the answer or error instead
+	Status     string // client.Done or client.Cancelled; otherwise another status or the text of an error
 }
 
-// Violation is a rule of the protocol that was broken, by its name there.
+// Violation is a violated rule of the protocol, and a description of the case.
 type Violation struct {
 	Rule   string `json:"rule"`
 	Detail string `json:"what"`
 }
 
-// violation returns a violation of a rule, described by a format.
+// violation returns a violation of a rule with a formatted description.
 func violation(rule, format string, args ...any) Violation {
 	return Violation{rule, fmt.Sprintf(format, args...)}
 }
 
-// maxCommandDelay is for how long a start may be on its way to a worker (PROTOCOL): one that arrives
-// later after a cancellation was confirmed was sent after it.
+// maxCommandDelay is the maximum time from the sending of a start command to its arrival at a worker (PROTOCOL). A
+// start that arrives later than this after a confirmed cancellation was sent after the confirmation.
 const maxCommandDelay = 4 * time.Second
 
-// epsilon absorbs the rounding of decimal amounts.
+// epsilon is the tolerance for rounding errors in sums of CPUs.
 const epsilon = 1e-9
 
-// CPULimits are the CPUs that teams may use, by team. A team that is absent has no limit.
+// CPULimits maps teams to their CPU limits. A team without an entry has no limit.
 type CPULimits map[string]float64
 
-// History is what the workers and users of a run saw.
+// History holds what the workers and users of a run observed.
 type History struct {
-	Runs        []simulation.TaskRun // by all workers
+	Runs        []simulation.TaskRun // of all workers
 	Jobs        map[string]*UserJob
-	Limits      []CPULimits   // by region
-	CancelLimit time.Duration // within which a cancelled job's tasks have to be gone
+	Limits      []CPULimits   // by deployment
+	CancelLimit time.Duration // maximum time from a confirmed cancellation to the end of the job's tasks
 }
 
-// Check returns the violations of the rules.
+// Check returns the violations of the protocol's rules.
 func (h *History) Check() []Violation {
 	var all []Violation
 	all = append(all, h.checkDuplicateRuns()...)
@@ -71,36 +71,36 @@
 	return all
 }
 
-// jobOf returns the job of a task.
+// jobOf returns the ID of a task's job.
 func jobOf(task string) string {
 	id, _ := fleet.ParseTask(task)
 	return id.Job
 }
 
-// checkDuplicateRuns looks for tasks that started on one machine while they were on another.
+// checkDuplicateRuns reports tasks that started on one machine while they still ran on another.
 func (h *History) checkDuplicateRuns() []Violation {
-	ran := slices.Clone(h.Runs)
-	slices.SortFunc(ran, func(a, b simulation.TaskRun) int {
+	runs := slices.Clone(h.Runs)
+	slices.SortFunc(runs, func(a, b simulation.TaskRun) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), a.Started.Compare(b.Started))
 	})
 	var all []Violation
-	var last simulation.TaskRun // of the task, the one that ends last so far
-	for i, r := range ran {
-		if i > 0 && last.Task == r.Task {
-			if r.Started.Before(last.Ended) && r.Machine != last.Machine {
+	var lastToEnd simulation.TaskRun // the task's run with the latest end so far
+	for i, r := range runs {
+		if i > 0 && lastToEnd.Task == r.Task {
+			if r.Started.Before(lastToEnd.Ended) && r.Machine != lastToEnd.Machine {
 				all = append(all, violation("ran_twice", "%s started on %s at %v while it was on %s until %v",
-					r.Task, r.Machine, r.Started, last.Machine, last.Ended))
+					r.Task, r.Machine, r.Started, lastToEnd.Machine, lastToEnd.Ended))
 			}
-			if r.Ended.Before(last.Ended) {
+			if r.Ended.Before(lastToEnd.Ended) {
 				continue
 			}
 		}
-		last = r
+		lastToEnd = r
 	}
 	return all
 }
 
-// checkCancelled looks for tasks of cancelled jobs that started after the confirmation or stayed too long.
+// checkCancelled reports tasks of cancelled jobs that started after the confirmation or ran on for too long.
 func (h *History) checkCancelled() []Violation {
 	var all []Violation
 	for _, r := range h.Runs {
@@ -108,67 +108,67 @@
 		if j == nil || j.Cancelled.IsZero() {
 			continue
 		}
-		if late := r.Ended.Sub(j.Cancelled); late > h.CancelLimit {
+		if delay := r.Ended.Sub(j.Cancelled); delay > h.CancelLimit {
 			all = append(all, violation("ran_cancelled", "%s was on %s for %v after its job was cancelled",
-				r.Task, r.Machine, late))
+				r.Task, r.Machine, delay))
 		}
-		if late := r.Started.Sub(j.Cancelled); late > maxCommandDelay {
+		if delay := r.Started.Sub(j.Cancelled); delay > maxCommandDelay {
 			all = append(all, violation("started_cancelled", "%s started on %s %v after its cancellation was confirmed",
-				r.Task, r.Machine, late))
+				r.Task, r.Machine, delay))
 		}
 	}
 	return all
 }
 
-// usageChange is what a team's use changes by at a moment.
+// usageChange is a change of a team's CPU usage.
 type usageChange struct {
 	at   time.Time
 	cpus float64
 }
 
-// checkQuotas adds up what the teams' tasks used at every moment.
+// checkQuotas reports teams whose CPU usage exceeded their limit at any time.
 func (h *History) checkQuotas() []Violation {
-	type owner struct {
-		team   string
-		region int
+	type quotaKey struct {
+		team       string
+		deployment int
 	}
-	changes := map[owner][]usageChange{}
+	changes := map[quotaKey][]usageChange{}
 	for _, r := range h.Runs {
 		j := h.Jobs[jobOf(r.Task)]
 		if j == nil || h.Limits[j.Deployment][j.Team] == 0 {
 			continue
 		}
-		who := owner{j.Team, j.Deployment}
-		changes[who] = append(changes[who], usageChange{r.Started, j.CPUs}, usageChange{r.Ended, -j.CPUs})
+		key := quotaKey{j.Team, j.Deployment}
+		changes[key] = append(changes[key], usageChange{r.Started, j.CPUs}, usageChange{r.Ended, -j.CPUs})
 	}
 	var all []Violation
-	for who, list := range changes {
-		// What ends goes before what begins at the same moment.
+	for key, list := range changes {
+		// At equal times, ends come before starts.
 		slices.SortFunc(list, func(a, b usageChange) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.cpus, b.cpus)) })
-		used, most := 0.0, 0.0
+		used, peak := 0.0, 0.0
 		for _, c := range list {
 			used += c.cpus
-			most = max(most, used)
+			peak = max(peak, used)
 		}
-		if limit := h.Limits[who.region][who.team]; most > limit+epsilon {
-			all = append(all, violation("quota", "%s used %g CPUs of %g in region %d", who.team, most, limit, who.region))
+		if limit := h.Limits[key.deployment][key.team]; peak > limit+epsilon {
+			all = append(all, violation("quota", "%s used %g CPUs of %g in region %d", key.team, peak, limit, key.deployment))
 		}
 	}
 	slices.SortFunc(all, func(a, b Violation) int { return cmp.Compare(a.Detail, b.Detail) })
 	return all
 }
 
-// checkFinalStates compares what the controllers say at the end of each accepted job with each other and with what
-// ran.
+// checkFinalStates compares the final states of each accepted job between the controllers and with the tasks that
+// completed.
 func (h *History) checkFinalStates() []Violation {
-	done := map[string]map[string]bool{}
+	completed := map[string]map[string]bool{}
 	for _, r := range h.Runs {
 		if r.Cause == fleet.CauseDone {
 			id := jobOf(r.Task)
-			if done[id] == nil {
-				done[id] = map[string]bool{}
+			if completed[id] == nil {
+				completed[id] = map[string]bool{}
 			}
-			done[id][r.Task] = true
+			completed[id][r.Task] = true
 		}
 	}
 	var all []Violation
@@ -177,12 +177,12 @@
 		if j.Accepted.IsZero() {
 			continue
 		}
-		all = append(all, j.finalStateViolations(len(done[id]))...)
+		all = append(all, j.finalStateViolations(len(completed[id]))...)
 	}
 	return all
 }
 
-// finalStateViolations checks the final answers of a job of which so many tasks were seen to complete.
+// finalStateViolations checks the final states of a job of which done tasks have completed.
 func (j *UserJob) finalStateViolations(done int) []Violation {
 	var all []Violation
 	for _, f := range j.FinalStates {
--- a/internal/loadtest/rules_test.go
+++ b/internal/loadtest/history_test.go
@@ -8,7 +8,7 @@
 	"drumpick/internal/simulation"
 )
 
-// correctHistory returns one in which no rule is broken: two jobs of team a, one of them cancelled.
+// correctHistory returns a history without violations: two jobs of team a, one of them cancelled.
 func correctHistory() *History {
 	start := time.Unix(1_000_000, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
@@ -31,14 +31,14 @@
 	}
 }
 
-// Each rule that is broken on purpose is reported by its name, and nothing else is.
+// A violation of each rule is reported under the rule's name, and no other rule is reported.
 func TestEachViolationIsReported(t *testing.T) {
 	if got := correctHistory().Check(); len(got) > 0 {
 		t.Fatalf("a history without a violation: got %v, want none", got)
 	}
 	for _, test := range []struct {
-		rule    string
-		breakIt func(h *History)
+		rule      string
+		breakRule func(h *History)
 	}{
 		{"ran_twice", func(h *History) {
 			h.Runs[1].Started = h.Runs[0].Ended.Add(-time.Millisecond)
@@ -58,14 +58,14 @@
 		{"nothing_ran", func(h *History) { h.Runs = nil; clear(h.Jobs) }},
 	} {
 		h := correctHistory()
-		test.breakIt(h)
+		test.breakRule(h)
 		got := h.Check()
 		if len(got) == 0 {
 			t.Errorf("%s is not reported", test.rule)
 		}
-		for _, b := range got {
-			if b.Rule != test.rule {
-				t.Errorf("%s was broken, got %v", test.rule, b)
+		for _, v := range got {
+			if v.Rule != test.rule {
+				t.Errorf("violated %s, got %v", test.rule, v)
 			}
 		}
 	}
--- a/internal/loadtest/hollow_workers.go
+++ b/internal/loadtest/hollow_workers.go
@@ -21,47 +21,47 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Setup tells a process of workers what they need to know of their region.
+// Setup is the configuration that a worker process receives about its deployment.
 type Setup struct {
 	Controllers  []ControllerAddr      `json:"nodes"`
 	MachineTypes []records.MachineType `json:"types"`
 }
 
-// ControllerAddr is a controller as workers reach it.
+// ControllerAddr is the name of a controller and its address for workers.
 type ControllerAddr struct {
 	Name string `json:"name"`
 	Addr string `json:"addr"`
 }
 
-// MachineRequest is a rented machine that is to run in a process of workers.
+// MachineRequest names a machine of a worker process. Rental is set only in requests to start one.
 type MachineRequest struct {
 	Machine string                   `json:"host"`
 	Rental  autoscaler.RentalRequest `json:"rent"`
 }
 
-// MachineAddr is where a machine's worker takes direct commands.
+// MachineAddr is the address at which a machine's worker accepts direct commands.
 type MachineAddr struct {
 	Addr string `json:"addr"`
 }
 
-// Traffic counts messages of one kind, and the bytes of their bodies there and back.
+// Traffic counts the messages of one kind, and the bytes of their request and response bodies.
 type Traffic struct {
 	Messages uint64 `json:"messages"`
 	Sent     uint64 `json:"sent_bytes"`
 	Received uint64 `json:"received_bytes"`
 }
 
-// Minus returns the traffic since an earlier count.
+// Minus returns the difference to an earlier count.
 func (t Traffic) Minus(before Traffic) Traffic {
 	return Traffic{t.Messages - before.Messages, t.Sent - before.Sent, t.Received - before.Received}
 }
 
-// Plus adds two counts.
+// Plus returns the sum of two counts.
 func (t Traffic) Plus(other Traffic) Traffic {
 	return Traffic{t.Messages + other.Messages, t.Sent + other.Sent, t.Received + other.Received}
 }
 
-// trafficCounter counts the traffic of one kind.
+// trafficCounter counts the traffic of one message kind. It is safe for concurrent use.
 type trafficCounter struct{ messages, sent, received atomic.Uint64 }
 
 func (t *trafficCounter) add(sent, received int) {
@@ -74,44 +74,45 @@
 	return Traffic{t.messages.Load(), t.sent.Load(), t.received.Load()}
 }
 
-// WorkerCounts is what a process of workers counts.
+// WorkerCounts are the counts of a worker process since it started, and its current numbers of machines and
+// running tasks.
 type WorkerCounts struct {
 	Machines           int     `json:"machines"`
 	Running            int     `json:"running"`
 	Starts             int     `json:"starts"`
-	LeaseExpiries      int     `json:"lapses"` // leases that ended
+	LeaseExpiries      int     `json:"lapses"` // expired worker leases
 	Heartbeats         Traffic `json:"reports"`
-	RejectedHeartbeats uint64  `json:"refused"` // heartbeats not answered with 200
+	RejectedHeartbeats uint64  `json:"refused"` // heartbeats without a 200 response
 	Commands           Traffic `json:"orders"`  // direct commands
 }
 
-// HollowWorkers runs workers whose tasks are timers: simulated machines, each behind a socket of its own and with a
-// connection of its own to a controller.
+// HollowWorkers runs simulated workers whose tasks are timers. Each has its own listening socket and its own
+// connection to a controller.
 type HollowWorkers struct {
 	env           *simulation.Environment
 	ctx           context.Context
-	commandServer *fasthttp.Server // of direct commands to all machines
+	commandServer *fasthttp.Server // serves direct commands to all machines
 
-	mu            sync.Mutex // guards what follows, but for the counts
+	mu            sync.Mutex // guards jobs, machineByAddr, connections and controllers
 	jobs          map[string]records.Job
-	machineByAddr map[string]*simulation.Machine // by the address where it takes commands
-	connections   map[string]*connection         // by machine
+	machineByAddr map[string]*simulation.Machine // by command address
+	connections   map[string]*connection         // by machine name
 	controllers   []ControllerAddr
 
 	heartbeats, commands trafficCounter
 	rejectedHeartbeats   atomic.Uint64
 }
 
-// connection is a worker's connection to the controller that it sends heartbeats to.
+// connection is a worker's connection to the controller that receives its heartbeats.
 type connection struct {
-	controller int
+	controller int // index in HollowWorkers.controllers
 	client     *httpclient.Client
 }
 
-// heartbeatTimeout is how long a worker waits for an answer (PROTOCOL).
+// heartbeatTimeout is the time that a worker waits for the response to a heartbeat (PROTOCOL).
 const heartbeatTimeout = 4 * time.Second
 
-// NewHollowWorkers returns a process of workers without any.
+// NewHollowWorkers returns a set of hollow workers without machines.
 func NewHollowWorkers(ctx context.Context) *HollowWorkers {
 	h := &HollowWorkers{
 		env: simulation.NewEnvironment(ctx), ctx: ctx, jobs: map[string]records.Job{},
@@ -147,7 +148,7 @@
 
 func listenLocal() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
 
-// lookupJob returns a job's specification, as users uploaded it.
+// lookupJob returns the uploaded specification of a job.
 func (h *HollowWorkers) lookupJob(id string) (records.Job, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,7 +156,8 @@
 	return j, ok
 }
 
-// runTime returns how long a task runs: 0.7 to 1.3 times its job's estimate, by its name.
+// runTime returns the run time of a task: 0.7 to 1.3 times the job's estimate, derived from a hash of the task's
+// name.
 func (h *HollowWorkers) runTime(task string) time.Duration {
 	j, _ := h.lookupJob(jobOf(task))
 	sum := fnv.New32a()
@@ -163,16 +165,18 @@
 	return config.Seconds(j.EstimateS * (0.7 + 0.6*float64(sum.Sum32()%1000)/1000))
 }
 
-// firstController spreads the workers' first heartbeats over the controllers.
-func (h *HollowWorkers) firstController(host string) int {
+// firstController returns the index of the controller that gets a machine's first heartbeat. A hash of the name
+// spreads the machines over the controllers.
+func (h *HollowWorkers) firstController(machine string) int {
 	sum := fnv.New32a()
-	sum.Write([]byte(host))
+	sum.Write([]byte(machine))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return int(sum.Sum32()) % max(len(h.controllers), 1)
 }
 
-// listenForCommands opens the address where a machine takes commands.
+// listenForCommands opens the command address of a machine. It returns the address and a function that closes it
+// and the machine's connection.
 func (h *HollowWorkers) listenForCommands(m *simulation.Machine) (string, func(), error) {
 	ln, err := listenLocal()
 	if err != nil {
@@ -196,48 +200,48 @@
 	}, nil
 }
 
-// connect returns a worker's connection to a controller, and closes the one to another.
-func (h *HollowWorkers) connect(host string, node int) *httpclient.Client {
+// connect returns the connection of a machine to a controller. It closes a connection to another controller.
+func (h *HollowWorkers) connect(machine string, controller int) *httpclient.Client {
 	h.mu.Lock()
-	was := h.connections[host]
-	if was != nil && was.controller == node {
+	old := h.connections[machine]
+	if old != nil && old.controller == controller {
 		h.mu.Unlock()
-		return was.client
+		return old.client
 	}
-	now := &connection{node, httpclient.New(h.controllers[node].Addr, 1, time.Second)}
-	h.connections[host] = now
+	current := &connection{controller, httpclient.New(h.controllers[controller].Addr, 1, time.Second)}
+	h.connections[machine] = current
 	h.mu.Unlock()
-	if was != nil {
-		was.client.Close()
+	if old != nil {
+		old.client.Close()
 	}
-	return now.client
+	return current.client
 }
 
-// sendHeartbeat sends a worker's heartbeat to a controller.
-func (h *HollowWorkers) sendHeartbeat(host string, node int, body []byte) (int, []byte, error) {
-	status, answer, err := h.connect(host, node).Do("POST", "/checkin", "application/json", body, time.Now().Add(heartbeatTimeout))
-	h.heartbeats.add(len(body), len(answer))
+// sendHeartbeat sends a heartbeat to a controller and returns the status and body of the response.
+func (h *HollowWorkers) sendHeartbeat(machine string, controller int, body []byte) (int, []byte, error) {
+	status, response, err := h.connect(machine, controller).Do("POST", "/checkin", "application/json", body, time.Now().Add(heartbeatTimeout))
+	h.heartbeats.add(len(body), len(response))
 	if status != 200 {
 		h.rejectedHeartbeats.Add(1)
 	}
-	return status, answer, err
+	return status, response, err
 }
 
-// applySetup takes in where the controllers are.
+// applySetup sets the machine types and the controllers' addresses.
 func (h *HollowWorkers) applySetup(s Setup) {
 	h.mu.Lock()
 	h.controllers = s.Controllers
 	h.mu.Unlock()
 	h.env.Types = s.MachineTypes
-	for _, n := range s.Controllers {
-		h.env.Nodes = append(h.env.Nodes, n.Name)
+	for _, controller := range s.Controllers {
+		h.env.Nodes = append(h.env.Nodes, controller.Name)
 	}
 }
 
-// startMachine starts a rented machine and waits until it takes commands.
-func (h *HollowWorkers) startMachine(p MachineRequest) (MachineAddr, error) {
-	m := h.env.AddMachine(p.Machine, p.Rental)
-	for until := time.Now().Add(childRequestTimeout); time.Now().Before(until); {
+// startMachine starts a rented machine and waits until it accepts commands.
+func (h *HollowWorkers) startMachine(req MachineRequest) (MachineAddr, error) {
+	m := h.env.AddMachine(req.Machine, req.Rental)
+	for deadline := time.Now().Add(childRequestTimeout); time.Now().Before(deadline); {
 		if addr := m.Addr(); addr != "" {
 			return MachineAddr{addr}, nil
 		}
@@ -246,7 +250,7 @@
 		}
 	}
 	m.Terminate()
-	return MachineAddr{}, fmt.Errorf("machine %s does not come up", p.Machine)
+	return MachineAddr{}, fmt.Errorf("machine %s does not come up", req.Machine)
 }
 
 func (h *HollowWorkers) counts() WorkerCounts {
@@ -256,7 +260,7 @@
 	}
 }
 
-// Mount serves the run that started the process.
+// Mount registers the routes that the load test's main process calls.
 func (h *HollowWorkers) Mount(app *fiber.App) {
 	app.Post("/setup", func(c *fiber.Ctx) error {
 		return handleJSON(c, func(s Setup) (any, error) { h.applySetup(s); return fiber.Map{}, nil })
@@ -272,38 +276,39 @@
 		})
 	})
 	app.Post("/machines", func(c *fiber.Ctx) error {
-		return handleJSON(c, func(p MachineRequest) (any, error) { return h.startMachine(p) })
+		return handleJSON(c, func(req MachineRequest) (any, error) { return h.startMachine(req) })
 	})
 	app.Post("/machines/end", h.machineHandler((*simulation.Machine).Terminate))
 	app.Post("/machines/reboot", h.machineHandler((*simulation.Machine).Reboot))
 	app.Get("/counts", func(c *fiber.Ctx) error { return c.JSON(h.counts()) })
 	app.Get("/history", func(c *fiber.Ctx) error {
-		ran, _ := h.env.History()
-		return c.JSON(ran)
+		runs, _ := h.env.History()
+		return c.JSON(runs)
 	})
 }
 
-// machineHandler returns a handler that does something to a machine, by its name.
-func (h *HollowWorkers) machineHandler(do func(*simulation.Machine)) fiber.Handler {
+// machineHandler returns a handler that calls apply with the machine named in the request.
+func (h *HollowWorkers) machineHandler(apply func(*simulation.Machine)) fiber.Handler {
 	return func(c *fiber.Ctx) error {
-		return handleJSON(c, func(p MachineRequest) (any, error) {
-			m := h.env.Machine(p.Machine)
+		return handleJSON(c, func(req MachineRequest) (any, error) {
+			m := h.env.Machine(req.Machine)
 			if m == nil {
-				return nil, fmt.Errorf("there is no machine %q here", p.Machine)
+				return nil, fmt.Errorf("there is no machine %q here", req.Machine)
 			}
-			do(m)
+			apply(m)
 			return fiber.Map{}, nil
 		})
 	}
 }
 
-// handleJSON reads a request's body and answers with what do returns.
-func handleJSON[T any](c *fiber.Ctx, do func(T) (any, error)) error {
-	var in T
-	if err := json.Unmarshal(c.Body(), &in); err != nil {
+// handleJSON decodes the request body, and responds with the result of serve: status 400 for an invalid body, 409 for
+// an error of serve.
+func handleJSON[T any](c *fiber.Ctx, serve func(T) (any, error)) error {
+	var req T
+	if err := json.Unmarshal(c.Body(), &req); err != nil {
 		return c.Status(400).SendString(err.Error())
 	}
-	out, err := do(in)
+	out, err := serve(req)
 	if err != nil {
 		return c.Status(409).SendString(err.Error())
 	}
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -22,29 +22,29 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// Roles of a run's processes, as arguments of this program.
+// Roles of the child processes, as command-line arguments.
 const (
 	RoleWorkers = "workers"
 	RoleStore   = "state"
 )
 
-// childAddrs is the first line of a child's output: where it is reached.
+// childAddrs are the addresses that a child process writes as the first line of its output.
 type childAddrs struct {
-	ControlAddr string `json:"addr"`    // for the run that started it
-	StoreAddr   string `json:"service"` // for controllers
+	ControlAddr string `json:"addr"`    // for the process that started it
+	StoreAddr   string `json:"service"` // of the store, for the controllers; empty in other roles
 }
 
-// child is a process of this program.
+// child is a child process that runs the load test's executable in a role.
 type child struct {
 	cmd    *exec.Cmd
 	client *httpclient.Client
 	childAddrs
 }
 
-// childStartTimeout bounds how long a child may take to write its addresses.
+// childStartTimeout is the maximum time until a child writes its addresses.
 const childStartTimeout = 20 * time.Second
 
-// startChild starts this program in a role.
+// startChild starts a child process and waits for its addresses. The child's standard error goes to logFile.
 func startChild(program, logFile string, arguments ...string) (*child, error) {
 	log, err := os.Create(logFile)
 	if err != nil {
@@ -72,7 +72,7 @@
 	select {
 	case err = <-ready:
 	case <-time.After(childStartTimeout):
-		err = errors.New("it does not say where it is reached")
+		err = errors.New("timed out waiting for its addresses")
 	}
 	if err != nil {
 		c.stop()
@@ -84,16 +84,17 @@
 
 func (c *child) pid() int { return c.cmd.Process.Pid }
 
-// stop ends the process.
+// stop kills the process and waits for its end.
 func (c *child) stop() {
 	_ = c.cmd.Process.Kill()
 	_ = c.cmd.Wait()
 }
 
-// childRequestTimeout bounds a request to a child.
+// childRequestTimeout is the timeout of a request to a child.
 const childRequestTimeout = 30 * time.Second
 
-// request sends a request to the child and reads the answer into out, unless that is nil.
+// request sends a JSON request to the child and decodes the response into out, unless out is nil. A status other than
+// 200 is an error.
 func (c *child) request(method, path string, in, out any) error {
 	status, raw, err := c.client.DoJSON(method, path, in, time.Now().Add(childRequestTimeout))
 	if err != nil {
@@ -108,7 +109,7 @@
 	return json.Unmarshal(raw, out)
 }
 
-// ServeChild runs a role until it is told to stop, and writes to out where it is reached.
+// ServeChild runs a role until the process receives an interrupt or SIGTERM. It writes its addresses to out.
 func ServeChild(role, data string, out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/loadtest/regression.go
+++ b/internal/loadtest/regression.go
@@ -12,18 +12,18 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// By what the sizes of runs may differ.
+// Dimensions of the size over which costs can be fitted.
 const (
 	ByWorkers = "workers"
 	ByRate    = "rate"
 	ByTeams   = "teams"
 )
 
-// minSizes is how many sizes a fit needs: with fewer, a term that grows faster than its cause cannot be told from a
-// slope.
+// minSizes is the number of distinct sizes that a fit needs. With fewer, a superlinear term cannot be told from
+// the slope.
 const minSizes = 4
 
-// The planned size.
+// plannedSizes is the planned size in each dimension.
 var plannedSizes = map[string]float64{ByWorkers: plannedWorkers, ByRate: plannedRate, ByTeams: plannedTeams}
 
 const (
@@ -31,27 +31,27 @@
 	plannedTeams = 48
 )
 
-// CostModel is a cost that is fitted by a fixed part and a slope.
+// CostModel is the linear fit of one cost over the size.
 type CostModel struct {
 	Cost          string
 	Intercept     float64
 	Slope         float64
 	RSquared      float64
-	Residuals     []float64 // by size
-	Measured      []float64 // by size
-	AtPlannedSize float64   // at the planned size
+	Residuals     []float64 // one per run, in order of size
+	Measured      []float64 // one per run, in order of size
+	AtPlannedSize float64
 }
 
-// Regression are the costs over sizes.
+// Regression holds the cost models of a series of runs.
 type Regression struct {
 	By           string
-	Sizes        []float64
+	Sizes        []float64 // ascending
 	Models       []CostModel
-	PlannedSize  float64 // size
-	Extrapolated bool    // it is larger than what was run
+	PlannedSize  float64
+	Extrapolated bool // the planned size exceeds the largest size of the runs
 }
 
-// costs returns what is fitted, by name.
+// costs returns the costs of a run by name.
 func (r *Result) costs() map[string]float64 {
 	all := map[string]float64{}
 	for role, u := range r.Usage {
@@ -70,7 +70,7 @@
 	return all
 }
 
-// sizeBy returns the size by which runs differ.
+// sizeBy returns the size in one dimension.
 func (r *Result) sizeBy(by string) float64 {
 	switch by {
 	case ByRate:
@@ -81,7 +81,7 @@
 	return float64(r.Size.Workers)
 }
 
-// Fit fits a line to each cost over the results of runs whose sizes differ.
+// Fit reads results of runs from files and fits each cost linearly over one dimension of the size.
 func Fit(files []string, by string) (*Regression, error) {
 	if _, known := plannedSizes[by]; !known {
 		return nil, &UsageError{"by", fmt.Sprintf("%q is none of %s, %s, %s", by, ByWorkers, ByRate, ByTeams)}
@@ -110,50 +110,50 @@
 	return f, nil
 }
 
-// fitAll fits a line to each cost.
+// fitAll fits each cost.
 func (f *Regression) fitAll(results []*Result) {
 	costs := make([]map[string]float64, len(results))
 	for i, r := range results {
 		costs[i] = r.costs()
 	}
 	for _, cost := range slices.Sorted(maps.Keys(costs[0])) {
-		line := CostModel{Cost: cost}
-		for _, ofRun := range costs {
-			line.Measured = append(line.Measured, ofRun[cost])
+		model := CostModel{Cost: cost}
+		for _, runCosts := range costs {
+			model.Measured = append(model.Measured, runCosts[cost])
 		}
-		line.fit(f.Sizes, f.PlannedSize)
-		f.Models = append(f.Models, line)
+		model.fit(f.Sizes, f.PlannedSize)
+		f.Models = append(f.Models, model)
 	}
 }
 
-// fit works out the line and how far each size is from it.
-func (l *CostModel) fit(sizes []float64, at float64) {
-	l.Intercept, l.Slope = stat.LinearRegression(sizes, l.Measured, nil, false)
-	if l.RSquared = stat.RSquared(sizes, l.Measured, nil, l.Intercept, l.Slope); math.IsNaN(l.RSquared) {
-		l.RSquared = 1 // all are alike
+// fit computes the regression, its residuals, and the cost at the planned size.
+func (m *CostModel) fit(sizes []float64, plannedSize float64) {
+	m.Intercept, m.Slope = stat.LinearRegression(sizes, m.Measured, nil, false)
+	if m.RSquared = stat.RSquared(sizes, m.Measured, nil, m.Intercept, m.Slope); math.IsNaN(m.RSquared) {
+		m.RSquared = 1 // all measured values are equal
 	}
 	for i, size := range sizes {
-		l.Residuals = append(l.Residuals, l.Measured[i]-l.Intercept-l.Slope*size)
+		m.Residuals = append(m.Residuals, m.Measured[i]-m.Intercept-m.Slope*size)
 	}
-	l.AtPlannedSize = l.Intercept + l.Slope*at
+	m.AtPlannedSize = m.Intercept + m.Slope*plannedSize
 }
 
-// Print writes the fits as a table for people.
+// Print writes the cost models as a text table.
 func (f *Regression) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	beyond := ""
+	suffix := ""
 	if f.Extrapolated {
-		beyond = ", beyond what was run"
+		suffix = ", beyond what was run"
 	}
-	fmt.Fprintf(w, "cost\tfixed\tfor 1000 %s\tR2\tmeasured at %v\tresiduals\tat %g%s\n", f.By, f.Sizes, f.PlannedSize, beyond)
-	for _, l := range f.Models {
+	fmt.Fprintf(w, "cost\tfixed\tfor 1000 %s\tR2\tmeasured at %v\tresiduals\tat %g%s\n", f.By, f.Sizes, f.PlannedSize, suffix)
+	for _, m := range f.Models {
 		fmt.Fprintf(w, "%s\t%.3g\t%.3g\t%.3f\t%s\t%s\t%.3g\n",
-			l.Cost, l.Intercept, 1000*l.Slope, l.RSquared, formatValues(l.Measured), formatValues(l.Residuals), l.AtPlannedSize)
+			m.Cost, m.Intercept, 1000*m.Slope, m.RSquared, formatValues(m.Measured), formatValues(m.Residuals), m.AtPlannedSize)
 	}
 	return w.Flush()
 }
 
-// formatValues returns numbers as text, at three digits.
+// formatValues formats numbers with three significant digits.
 func formatValues(values []float64) string {
 	text := ""
 	for _, v := range values {
--- a/internal/loadtest/regression_test.go
+++ b/internal/loadtest/regression_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// A line is found with its fixed part; what grows faster than its cause shows in the residuals, and what is beyond
-// the sizes that were run is marked.
-func TestFitFindsLinesAndMarksWhatIsBeyond(t *testing.T) {
+// A linear cost is fitted with its intercept, a quadratic cost shows in the residuals, and a planned size above the
+// measured sizes is marked as extrapolated.
+func TestFitFindsLinesAndMarksExtrapolation(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
 	for _, n := range []int{100, 200, 300, 400} {
@@ -28,26 +28,26 @@
 		t.Fatal(err)
 	}
 	if !f.Extrapolated {
-		t.Errorf("%g workers are not marked as beyond what was run", f.PlannedSize)
+		t.Errorf("%g workers are not marked as extrapolated", f.PlannedSize)
 	}
-	near := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
-	for _, line := range f.Models {
-		switch line.Cost {
+	approxEqual := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+	for _, model := range f.Models {
+		switch model.Cost {
 		case roleLeader + ", cores":
-			if !near(line.Intercept, 0.1) || !near(line.Slope, 0.001) || !near(line.AtPlannedSize, 7.7) || !near(line.RSquared, 1) {
-				t.Errorf("a line is not found: %+v", line)
+			if !approxEqual(model.Intercept, 0.1) || !approxEqual(model.Slope, 0.001) || !approxEqual(model.AtPlannedSize, 7.7) || !approxEqual(model.RSquared, 1) {
+				t.Errorf("wrong fit of a linear cost: %+v", model)
 			}
 		case roleFollower + ", cores":
-			if !(line.Residuals[0] > 0 && line.Residuals[1] < 0 && line.Residuals[2] < 0 && line.Residuals[3] > 0) {
-				t.Errorf("a square does not show in the residuals: %+v", line)
+			if !(model.Residuals[0] > 0 && model.Residuals[1] < 0 && model.Residuals[2] < 0 && model.Residuals[3] > 0) {
+				t.Errorf("the residuals do not show a quadratic cost: %+v", model)
 			}
 		}
 	}
-	var usage *UsageError
-	if _, err := Fit(files[:3], ByWorkers); !errors.As(err, &usage) {
-		t.Errorf("three sizes are fitted: %v", err)
+	var usageErr *UsageError
+	if _, err := Fit(files[:3], ByWorkers); !errors.As(err, &usageErr) {
+		t.Errorf("fit over three sizes: got %v, want a usage error", err)
 	}
-	if _, err := Fit(files, ByTeams); !errors.As(err, &usage) {
-		t.Errorf("sizes that are alike are fitted: %v", err)
+	if _, err := Fit(files, ByTeams); !errors.As(err, &usageErr) {
+		t.Errorf("fit over equal sizes: got %v, want a usage error", err)
 	}
 }
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -16,40 +16,40 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
-	Version               string                    `json:"version"` // of the sources, by their commit
+	Version               string                    `json:"version"` // commit of the sources
 	StartedAt             time.Time                 `json:"at"`
-	Cores                 int                       `json:"cores"` // of the machine
+	Cores                 int                       `json:"cores"` // of the host
 	Size                  Size                      `json:"size"`
 	MeasuredS             float64                   `json:"measured_s"`
-	Workers               int                       `json:"workers"` // that were up at its end
-	MaxRunning            int                       `json:"running"` // tasks, the most at a time
+	Workers               int                       `json:"workers"` // up at the end of the measurement
+	MaxRunning            int                       `json:"running"` // maximum number of concurrently running tasks
 	StartRate             StartRates                `json:"starts"`
-	Usage                 map[string]Usage          `json:"usage"`    // by role
-	Traffic               map[string]Traffic        `json:"traffic"`  // by kind
-	StartLatency          map[string]LatencySummary `json:"waits"`    // from submission to a task's start, by class
-	CommandToRunning      LatencySummary            `json:"to_run"`   // from the command to running
-	UrgentOnTimeShare     float64                   `json:"in_time"`  // share of urgent tasks begun in time
-	LeaseExpiries         int                       `json:"lapses"`   // leases of workers that ended
-	LostStarts            int                       `json:"lost"`     // starts of jobs that were not cancelled that came to nothing
-	RejectedHeartbeats    uint64                    `json:"refused"`  // heartbeats not answered with 200
-	AcceptedJobs          int                       `json:"jobs"`     // accepted
-	FinishedJobs          int                       `json:"finished"` // of these, over at the end
+	Usage                 map[string]Usage          `json:"usage"`   // by role
+	Traffic               map[string]Traffic        `json:"traffic"` // by kind
+	StartLatency          map[string]LatencySummary `json:"waits"`   // from submission to the first start of a task, by class
+	CommandToRunning      LatencySummary            `json:"to_run"`  // from a task's start command until it runs
+	UrgentOnTimeShare     float64                   `json:"in_time"` // fraction of urgent tasks started within urgentStartTargetS
+	LeaseExpiries         int                       `json:"lapses"`  // expired worker leases
+	LostStarts            int                       `json:"lost"`    // task starts that did not complete, without those of cancelled jobs
+	RejectedHeartbeats    uint64                    `json:"refused"` // heartbeats without a 200 response
+	AcceptedJobs          int                       `json:"jobs"`
+	FinishedJobs          int                       `json:"finished"` // accepted jobs known to be final at the end
 	UnansweredSubmissions int                       `json:"unanswered"`
 	InjectedFaults        InjectedFaults            `json:"happened"`
-	// WithoutTeams is the same size without teams, run just before.
+	// WithoutTeams is the result of a run of the same size without teams, just before.
 	WithoutTeams *Result     `json:"without,omitempty"`
 	Violations   []Violation `json:"breaches"`
 }
 
-// StartRates are starts a second.
+// StartRates are rates of task starts per second.
 type StartRates struct {
 	Mean float64 `json:"mean"`
-	Peak float64 `json:"peak"` // over a second
+	Peak float64 `json:"peak"` // maximum over one second
 }
 
-// LatencySummary is a distribution of times, in seconds.
+// LatencySummary is a distribution of latencies, in seconds.
 type LatencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -58,7 +58,7 @@
 	Max   float64 `json:"max"`
 }
 
-// maxLatencyMS and digits bound the histograms: an hour in milliseconds, at three digits.
+// Range and precision of the latency histograms: up to an hour, with three significant digits.
 const (
 	maxLatencyMS    = 3_600_000
 	histogramDigits = 3
@@ -69,63 +69,63 @@
 }
 
 func recordLatency(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Milliseconds(), 1), maxLatencyMS)) // always within its bounds
+	_ = h.RecordValue(min(max(d.Milliseconds(), 1), maxLatencyMS)) // never fails: the value is within the histogram's range
 }
 
 func summarizeLatency(h *hdrhistogram.Histogram) LatencySummary {
-	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return LatencySummary{h.TotalCount(), at(50), at(95), at(99), float64(h.Max()) / 1000}
+	quantileS := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+	return LatencySummary{h.TotalCount(), quantileS(50), quantileS(95), quantileS(99), float64(h.Max()) / 1000}
 }
 
-// measureStarts works out the starts within a span.
-func (r *Result) measureStarts(ran []simulation.TaskRun, jobs map[string]*UserJob, from, to time.Time) {
-	waits := map[string]*hdrhistogram.Histogram{classUrgent: newHistogram(), classBulk: newHistogram()}
-	toRun := newHistogram()
-	first := map[string]time.Time{} // when a task began, by its name
+// measureStarts computes the start rates and latencies of the task starts between from and to.
+func (r *Result) measureStarts(runs []simulation.TaskRun, jobs map[string]*UserJob, from, to time.Time) {
+	startLatency := map[string]*hdrhistogram.Histogram{classUrgent: newHistogram(), classBulk: newHistogram()}
+	commandToRunning := newHistogram()
+	firstStart := map[string]time.Time{} // by task
 	perSecond := map[int]int{}
-	starts, inTime, urgent := 0, 0, 0
-	for _, x := range ran {
-		if at, known := first[x.Task]; !known || x.Started.Before(at) {
-			first[x.Task] = x.Started
+	starts, onTime, urgent := 0, 0, 0
+	for _, taskRun := range runs {
+		if at, known := firstStart[taskRun.Task]; !known || taskRun.Started.Before(at) {
+			firstStart[taskRun.Task] = taskRun.Started
 		}
-		if x.Started.Before(from) || x.Started.After(to) {
+		if taskRun.Started.Before(from) || taskRun.Started.After(to) {
 			continue
 		}
 		starts++
-		perSecond[int(x.Started.Sub(from).Seconds())]++
-		if !x.Running.IsZero() {
-			recordLatency(toRun, x.Running.Sub(x.Started))
+		perSecond[int(taskRun.Started.Sub(from).Seconds())]++
+		if !taskRun.Running.IsZero() {
+			recordLatency(commandToRunning, taskRun.Running.Sub(taskRun.Started))
 		}
-		if j := jobs[jobOf(x.Task)]; x.Cause != fleet.CauseDone && (j == nil || !j.CancelRequested) {
+		if j := jobs[jobOf(taskRun.Task)]; taskRun.Cause != fleet.CauseDone && (j == nil || !j.CancelRequested) {
 			r.LostStarts++
 		}
 	}
-	for task, at := range first {
+	for task, at := range firstStart {
 		j := jobs[jobOf(task)]
 		if j == nil || at.Before(from) || at.After(to) {
 			continue
 		}
-		wait := at.Sub(j.Submitted)
-		recordLatency(waits[j.Class], wait)
+		latency := at.Sub(j.Submitted)
+		recordLatency(startLatency[j.Class], latency)
 		if j.Class == classUrgent {
-			if urgent++; wait.Seconds() <= urgentStartTargetS {
-				inTime++
+			if urgent++; latency.Seconds() <= urgentStartTargetS {
+				onTime++
 			}
 		}
 	}
 	r.StartLatency = map[string]LatencySummary{}
-	for class, h := range waits {
+	for class, h := range startLatency {
 		r.StartLatency[class] = summarizeLatency(h)
 	}
-	r.CommandToRunning = summarizeLatency(toRun)
-	r.UrgentOnTimeShare = float64(inTime) / float64(max(urgent, 1))
+	r.CommandToRunning = summarizeLatency(commandToRunning)
+	r.UrgentOnTimeShare = float64(onTime) / float64(max(urgent, 1))
 	r.StartRate.Mean = float64(starts) / to.Sub(from).Seconds()
 	for _, n := range perSecond {
 		r.StartRate.Peak = max(r.StartRate.Peak, float64(n))
 	}
 }
 
-// Write stores the result as JSON.
+// Write writes the result to a JSON file.
 func (r *Result) Write(path string) error {
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -134,7 +134,7 @@
 	return os.WriteFile(path, append(raw, '\n'), 0o644)
 }
 
-// ReadResult reads a result.
+// ReadResult reads a result from a JSON file.
 func ReadResult(path string) (*Result, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -145,12 +145,12 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if r.Size.Workers < 1 || r.MeasuredS <= 0 {
-		return nil, fmt.Errorf("%s is no result of a run", path)
+		return nil, fmt.Errorf("%s is not a load test result: it has no workers or no measured time", path)
 	}
 	return r, nil
 }
 
-// Print writes the result as a table for people.
+// Print writes the result as a text table.
 func (r *Result) Print(out io.Writer) error {
 	if r.WithoutTeams != nil {
 		if err := r.WithoutTeams.Print(out); err != nil {
@@ -176,8 +176,8 @@
 	injected := r.InjectedFaults
 	fmt.Fprintf(w, "went wrong on purpose\t%d machines failed, %d restarted, %d racks, %d zones\n",
 		injected.MachineFailures, injected.MachineRestarts, injected.RackFailures, injected.ZoneFailures)
-	for _, t := range injected.Failovers {
-		fmt.Fprintf(w, "takeover in region %d\tled after %.1f s, started again after %.1f s\n", t.Deployment+1, t.NewLeaderS, t.FirstStartS)
+	for _, failover := range injected.Failovers {
+		fmt.Fprintf(w, "takeover in region %d\tled after %.1f s, started again after %.1f s\n", failover.Deployment+1, failover.NewLeaderS, failover.FirstStartS)
 	}
 	fmt.Fprintln(w, "\nrole\tprocesses\tcores, mean\tpeak\tMB")
 	for _, role := range slices.Sorted(maps.Keys(r.Usage)) {
@@ -190,8 +190,8 @@
 		perSecond := func(n uint64) float64 { return float64(n) / r.MeasuredS }
 		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\n", kind, perSecond(t.Messages), perSecond(t.Sent)/1000, perSecond(t.Received)/1000)
 	}
-	for _, b := range r.Violations[:min(len(r.Violations), 10)] {
-		fmt.Fprintf(w, "RULE BROKEN\t%s: %s\n", b.Rule, b.Detail)
+	for _, v := range r.Violations[:min(len(r.Violations), 10)] {
+		fmt.Fprintf(w, "RULE BROKEN\t%s: %s\n", v.Rule, v.Detail)
 	}
 	return w.Flush()
 }
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -16,7 +16,7 @@
 	"drumpick/internal/simulation"
 )
 
-// run is a load test under way.
+// run is a load test in progress.
 type run struct {
 	size        Size
 	deployments []*deployment
@@ -24,22 +24,22 @@
 	meter       *meter
 	log         io.Writer
 
-	maxRunning int // tasks, the most at a time so far
+	maxRunning int // maximum number of concurrently running tasks so far
 }
 
 const (
-	// sampleInterval and progressInterval are how often a run samples, and logs its progress.
+	// sampleInterval and progressInterval are the intervals of usage samples and of progress messages.
 	sampleInterval   = time.Second
 	progressInterval = 5 * time.Second
-	// bootTimeout bounds how long the workers may take to come up.
+	// bootTimeout is the maximum time until the workers are up and the load has reached its peak.
 	bootTimeout = 2 * time.Minute
-	// bootIdleIntervals is for how many heartbeat intervals no worker comes up before it is taken that none will.
+	// bootIdleIntervals is the number of heartbeat intervals without a new worker after which no more are expected.
 	bootIdleIntervals = 3
-	// minUpShare is the share of the workers that has to be up before it is measured.
+	// minUpShare is the fraction of the workers that must be up before the measurement starts.
 	minUpShare = 0.98
 )
 
-// RunPaired runs a size without teams, and then with them.
+// RunPaired runs a load test first without and then with teams. The result with teams includes the other.
 func RunPaired(ctx context.Context, size Size, programs Programs, log io.Writer) (*Result, error) {
 	if size.Teams == 0 {
 		return nil, &UsageError{"paired", "without teams there is nothing to compare"}
@@ -59,43 +59,44 @@
 	return with, nil
 }
 
-// Run runs a size and measures it. Progress goes to log.
+// Run runs a load test of the given size and measures it. It writes its progress to log.
 func Run(ctx context.Context, size Size, programs Programs, log io.Writer) (_ *Result, err error) {
 	if err := size.Check(); err != nil {
 		return nil, err
 	}
-	data, err := os.MkdirTemp("", "drumpick-scale-")
+	dataDir, err := os.MkdirTemp("", "drumpick-scale-")
 	if err != nil {
 		return nil, err
 	}
-	ctx, end := context.WithCancel(ctx)
+	ctx, cancel := context.WithCancel(ctx)
 	r := &run{size: size, meter: newMeter(), log: log}
 	defer func() {
-		end()
-		for _, region := range r.deployments {
-			err = errors.Join(err, region.close())
+		cancel()
+		for _, d := range r.deployments {
+			err = errors.Join(err, d.close())
 		}
-		err = errors.Join(err, os.RemoveAll(data))
+		err = errors.Join(err, os.RemoveAll(dataDir))
 	}()
 	for i := range size.Deployments {
-		region, err := startDeployment(ctx, size, i, programs, data)
+		d, err := startDeployment(ctx, size, i, programs, dataDir)
 		if err != nil {
 			return nil, err
 		}
-		r.deployments = append(r.deployments, region)
+		r.deployments = append(r.deployments, d)
 	}
 	r.users = newUsers(ctx, size, r.deployments)
 	return r.measure(ctx)
 }
 
-// measure submits the load, measures once it has come up, waits for the jobs that are left, and checks the rules.
+// measure submits the load, measures once the workers are up and the load has reached its peak, waits for the open
+// jobs, and checks the protocol's rules.
 func (r *run) measure(ctx context.Context) (*Result, error) {
-	submit, stopSubmitting := context.WithCancel(ctx)
+	submitCtx, stopSubmitting := context.WithCancel(ctx)
 	defer stopSubmitting()
-	poll, stopPolling := context.WithCancel(ctx)
+	pollCtx, stopPolling := context.WithCancel(ctx)
 	defer stopPolling()
-	go r.users.submitLoad(submit)
-	go r.users.pollOpenJobs(poll)
+	go r.users.submitLoad(submitCtx)
+	go r.users.pollOpenJobs(pollCtx)
 	if err := r.waitForWorkers(ctx); err != nil {
 		return nil, err
 	}
@@ -106,16 +107,16 @@
 	}
 	injector := &faultInjector{size: r.size, deployments: r.deployments, rand: rand.New(rand.NewPCG(1, uint64(r.size.Workers)))}
 	injectorDone := make(chan struct{})
-	began := time.Now()
+	start := time.Now()
 	go func() {
 		defer close(injectorDone)
 		injector.run(ctx)
 	}()
-	if err := r.sampleUntil(ctx, "measuring", func() bool { return time.Since(began) >= r.size.MeasureTime }); err != nil {
+	if err := r.sampleUntil(ctx, "measuring", func() bool { return time.Since(start) >= r.size.MeasureTime }); err != nil {
 		return nil, err
 	}
-	ended := time.Now()
-	result.MeasuredS, result.Usage = ended.Sub(began).Seconds(), r.meter.usage()
+	end := time.Now()
+	result.MeasuredS, result.Usage = end.Sub(start).Seconds(), r.meter.usage()
 	after, err := r.readCounters()
 	if err != nil {
 		return nil, err
@@ -132,22 +133,22 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	return result, r.evaluate(result, began, ended)
+	return result, r.evaluate(result, start, end)
 }
 
-// evaluate works out what the workers and users saw, and checks the rules on it.
-func (r *run) evaluate(result *Result, began, ended time.Time) error {
+// evaluate computes the results from the observations of the workers and users, and checks the protocol's rules.
+func (r *run) evaluate(result *Result, start, end time.Time) error {
 	var runs []simulation.TaskRun
-	for _, region := range r.deployments {
-		ofRegion, err := region.history()
+	for _, d := range r.deployments {
+		deploymentRuns, err := d.history()
 		if err != nil {
 			return err
 		}
-		runs = append(runs, ofRegion...)
+		runs = append(runs, deploymentRuns...)
 	}
 	r.users.mu.Lock()
 	defer r.users.mu.Unlock()
-	result.measureStarts(runs, r.users.jobs, began, ended)
+	result.measureStarts(runs, r.users.jobs, start, end)
 	result.UnansweredSubmissions = r.users.unanswered
 	for _, j := range r.users.jobs {
 		if !j.Accepted.IsZero() {
@@ -156,9 +157,9 @@
 	}
 	result.FinishedJobs = result.AcceptedJobs - len(r.users.openJobs)
 	h := &History{Runs: runs, Jobs: r.users.jobs, CancelLimit: config.Seconds(cancelS)}
-	for _, region := range r.deployments {
+	for _, d := range r.deployments {
 		limits := CPULimits{}
-		for _, t := range r.size.deploymentConfig(region.index, region.zones).Teams {
+		for _, t := range r.size.deploymentConfig(d.index, d.zones).Teams {
 			limits[t.Name] = t.LimitCPUs
 		}
 		h.Limits = append(h.Limits, limits)
@@ -167,47 +168,48 @@
 	return r.users.err
 }
 
-// waitForWorkers waits until the load has risen, and the workers are up or no more of them come.
+// waitForWorkers waits until the load has reached its peak and the workers are up. It stops waiting for workers when
+// no more of them appear, and altogether after bootTimeout. It then discards the samples taken so far.
 func (r *run) waitForWorkers(ctx context.Context) error {
-	began := time.Now()
-	most, lastRise := 0, began
-	err := r.sampleUntil(ctx, "coming up", func() bool {
-		if up := r.workersUp(); up > most {
-			most, lastRise = up, time.Now()
+	start := time.Now()
+	maxUp, lastIncrease := 0, start
+	err := r.sampleUntil(ctx, "starting up", func() bool {
+		if up := r.workersUp(); up > maxUp {
+			maxUp, lastIncrease = up, time.Now()
 		}
-		enough := most >= int(minUpShare*float64(r.size.Workers))
-		noMore := most > 0 && time.Since(lastRise) > bootIdleIntervals*config.Seconds(heartbeatS)
-		return (enough || noMore) && time.Since(began) >= r.size.taskTime()+rampTime || time.Since(began) > bootTimeout
+		enoughUp := maxUp >= int(minUpShare*float64(r.size.Workers))
+		stalled := maxUp > 0 && time.Since(lastIncrease) > bootIdleIntervals*config.Seconds(heartbeatS)
+		return (enoughUp || stalled) && time.Since(start) >= r.size.taskTime()+rampTime || time.Since(start) > bootTimeout
 	})
 	r.meter, r.maxRunning = newMeter(), 0
 	return err
 }
 
-// workersUp counts the workers that are up.
+// workersUp returns the number of workers that are up.
 func (r *run) workersUp() int {
 	n := 0
-	for _, region := range r.deployments {
-		n += len(region.cluster.Environment.Machines())
+	for _, d := range r.deployments {
+		n += len(d.cluster.Environment.Machines())
 	}
 	return n
 }
 
-// sampleUntil samples, and logs the progress of a phase, until done returns true.
+// sampleUntil samples the processes, and logs the progress of a phase, until done returns true.
 func (r *run) sampleUntil(ctx context.Context, phase string, done func() bool) error {
-	var logged time.Time
+	var lastLogged time.Time
 	for !done() {
-		for _, region := range r.deployments {
-			region.sampleProcesses(r.meter)
+		for _, d := range r.deployments {
+			d.sampleProcesses(r.meter)
 		}
-		counts, err := r.readCounters()
+		totals, err := r.readCounters()
 		if err != nil {
 			return err
 		}
-		r.maxRunning = max(r.maxRunning, counts.workers.Running)
-		if time.Since(logged) >= progressInterval {
-			logged = time.Now()
+		r.maxRunning = max(r.maxRunning, totals.workers.Running)
+		if time.Since(lastLogged) >= progressInterval {
+			lastLogged = time.Now()
 			fmt.Fprintf(r.log, "%s: %d workers up, %d tasks running, %d starts so far, %d jobs open\n",
-				phase, counts.workers.Machines, counts.workers.Running, counts.workers.Starts, r.users.openCount())
+				phase, totals.workers.Machines, totals.workers.Running, totals.workers.Starts, r.users.openCount())
 		}
 		if err := ctxtime.Sleep(ctx, sampleInterval); err != nil {
 			return err
@@ -216,36 +218,36 @@
 	return nil
 }
 
-// counters is what the processes of all roles counted so far.
+// counters holds the counts of all processes and users since the start of the run.
 type counters struct {
 	workers                     WorkerCounts
-	store                       map[string]Traffic // by kind of request
+	store                       map[string]Traffic // by request kind
 	submissions, polls, cancels Traffic
 }
 
 func (r *run) readCounters() (counters, error) {
-	all := counters{
+	totals := counters{
 		store: map[string]Traffic{}, submissions: r.users.submissions.read(),
 		polls: r.users.polls.read(), cancels: r.users.cancels.read(),
 	}
-	for _, region := range r.deployments {
-		workers, err := region.workerCounts()
+	for _, d := range r.deployments {
+		workers, err := d.workerCounts()
 		if err != nil {
-			return all, err
+			return totals, err
 		}
-		all.workers = all.workers.plus(workers)
+		totals.workers = totals.workers.plus(workers)
 		var store map[string]Traffic
-		if err := region.store.request("GET", "/counts", nil, &store); err != nil {
-			return all, err
+		if err := d.store.request("GET", "/counts", nil, &store); err != nil {
+			return totals, err
 		}
 		for kind, t := range store {
-			all.store[kind] = all.store[kind].Plus(t)
+			totals.store[kind] = totals.store[kind].Plus(t)
 		}
 	}
-	return all, nil
+	return totals, nil
 }
 
-// trafficSince returns the traffic since an earlier count, by kind.
+// trafficSince returns the traffic since an earlier reading, by message kind.
 func (c counters) trafficSince(before counters) map[string]Traffic {
 	all := map[string]Traffic{
 		"report":       c.workers.Heartbeats.Minus(before.workers.Heartbeats),
@@ -260,23 +262,24 @@
 	return all
 }
 
-// sourceVersion returns the commit that this program was built from; "unknown" where the build does not tell.
+// sourceVersion returns the commit that this program was built from, or "unknown" if the build has no such
+// information.
 func sourceVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	commit, changed := "unknown", ""
+	commit, suffix := "unknown", ""
 	for _, setting := range info.Settings {
 		switch {
 		case setting.Key == "vcs.revision":
 			commit = setting.Value[:min(len(setting.Value), commitDigits)]
 		case setting.Key == "vcs.modified" && setting.Value == "true":
-			changed = ", changed"
+			suffix = ", changed"
 		}
 	}
-	return commit + changed
+	return commit + suffix
 }
 
-// commitDigits is how many digits of a commit are kept.
+// commitDigits is the length of an abbreviated commit hash.
 const commitDigits = 8
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -1,6 +1,6 @@
-// Package loadtest runs deployments of a planned size on one machine: controllers as processes, and hollow workers,
-// which speak the whole protocol over sockets while their tasks are timers. It measures what each role costs, and
-// checks the rules of the protocol from outside, by what the workers and users saw.
+// Package loadtest runs deployments of a given size on one host, with controllers as processes. Hollow workers speak
+// the whole protocol over sockets, while their tasks are only timers. The package measures the resource usage of each
+// role, and checks the rules of the protocol against what the workers and users observed.
 package loadtest
 
 import (
@@ -12,62 +12,60 @@
 	"drumpick/internal/records"
 )
 
-// Size is what to run. All counts are of the whole run, over all regions.
+// Size describes a run. Counts are totals over all deployments, unless noted otherwise.
 type Size struct {
-	Workers     int           `json:"workers"`     // machines, the real ones included
-	RealWorkers int           `json:"real"`        // of these, those with a process of their own
-	Tasks       int           `json:"tasks"`       // that are to run at the same time
-	StartRate   float64       `json:"rate"`        // starts a second at the peak
-	Controllers int           `json:"controllers"` // of each region
-	Teams       int           `json:"teams"`       // with a guarantee and a limit; 0: one team without
+	Workers     int           `json:"workers"`     // includes the real workers
+	RealWorkers int           `json:"real"`        // workers with a process of their own
+	Tasks       int           `json:"tasks"`       // concurrently running tasks
+	StartRate   float64       `json:"rate"`        // task starts per second at the peak
+	Controllers int           `json:"controllers"` // per deployment
+	Teams       int           `json:"teams"`       // each with a guarantee and a limit; 0: one team without either
 	Zones       int           `json:"zones"`
 	Deployments int           `json:"regions"`
-	MeasureTime time.Duration `json:"for"` // how long it is measured once it runs
+	MeasureTime time.Duration `json:"for"` // duration of the measurement, after the workers are up
 	Faults      FaultConfig   `json:"faults"`
-	StoreRPS    float64       `json:"store_rps"` // of each region's store
-	StoreWrites float64       `json:"store_writes"`
+	StoreRPS    float64       `json:"store_rps"`    // maximum requests per second of each store
+	StoreWrites float64       `json:"store_writes"` // maximum writes per second of each store
 }
 
-// FaultConfig are the faults that are injected during a run.
+// FaultConfig selects the faults that are injected during a run.
 type FaultConfig struct {
-	TimeCompression float64 `json:"compress"` // seconds of the planned day that pass in one second; 0: no machine fails
-	Rack            bool    `json:"rack"`     // a rack's workers at once
-	Zone            bool    `json:"zone"`
-	Leader          bool    `json:"leader"` // a region's leader is killed
+	TimeCompression float64 `json:"compress"` // seconds of the planned day per second of the run; 0: no machine failures or restarts
+	Rack            bool    `json:"rack"`     // fail the machines of a rack at once
+	Zone            bool    `json:"zone"`     // fail the machines of a zone at once
+	Leader          bool    `json:"leader"`   // kill the leader of a deployment
 }
 
-// The day planned for: what fails of its workers (docs/CAPACITY.md).
+// The planned day: the number of workers and their failures (docs/CAPACITY.md).
 const (
 	plannedWorkers        = 7600
-	plannedFailuresPerDay = 120  // machines that fail on a day
-	plannedRestartsPerDay = 2500 // machines that are restarted or replaced on a day
-	workersPerRack        = 40   // of the planned size, those behind one switch
+	plannedFailuresPerDay = 120  // machines that fail
+	plannedRestartsPerDay = 2500 // machines that are restarted or replaced
+	workersPerRack        = 40   // behind one switch, at the planned size
 )
 
-// Limits of one run on one machine. They leave room for 7,600 workers in three regions; a size
-// beyond them is refused with the reason.
+// Limits of one run on one host. They allow 7,600 workers in three deployments. Check rejects larger sizes.
 const (
-	// MaxProcesses is how many processes a run may start.
+	// MaxProcesses is the maximum number of processes of a run.
 	MaxProcesses = 40
-	// maxMemoryMB is how much they may hold together.
+	// maxMemoryMB is the maximum estimated memory of these processes together.
 	maxMemoryMB = 10 << 10
-	// workersPerProcess is how many hollow workers share a process.
+	// workersPerProcess is the maximum number of hollow workers of a process, apart from rounding by zone.
 	workersPerProcess = 1900
 )
 
-// Memory that is estimated for each role before a run begins, in MB: more than was measured
-// (docs/CAPACITY.md).
+// Memory estimates for each role, above the measured usage (docs/CAPACITY.md).
 const (
 	controllerMB          = 120.0
-	controllerPerWorkerMB = 0.05 // for each worker of the region
+	controllerPerWorkerMB = 0.05 // per worker of the deployment
 	hollowProcessMB       = 80.0
 	hollowWorkerMB        = 0.25
 	realWorkerMB          = 40.0
 	storeMB               = 200.0
 )
 
-// UsageError is a command line that makes no sense, or a size that does not fit the machine. It names the
-// flag, unless the reason does.
+// UsageError reports an invalid command line or a size that exceeds the limits of the host. Flag is the name of the
+// flag; it is empty if Reason names it.
 type UsageError struct {
 	Flag, Reason string
 }
@@ -79,17 +77,17 @@
 	return fmt.Sprintf("--%s: %s", e.Flag, e.Reason)
 }
 
-// Check returns the first flag that is wrong, or what this machine cannot do.
+// Check returns a UsageError for the first invalid value, or for a size that exceeds the limits of one host.
 func (s *Size) Check() error {
 	for _, field := range []struct {
-		flag        string
-		value, from int
+		flag           string
+		value, minimum int
 	}{
 		{"workers", s.Workers, 1}, {"tasks", s.Tasks, 1}, {"controllers", s.Controllers, 1}, {"teams", s.Teams, 0},
 		{"zones", s.Zones, 1}, {"regions", s.Deployments, 1}, {"real-workers", s.RealWorkers, 0},
 	} {
-		if field.value < field.from {
-			return &UsageError{field.flag, fmt.Sprintf("%d is below %d", field.value, field.from)}
+		if field.value < field.minimum {
+			return &UsageError{field.flag, fmt.Sprintf("%d is below %d", field.value, field.minimum)}
 		}
 	}
 	switch {
@@ -110,58 +108,58 @@
 	case s.RealWorkers > s.Workers:
 		return &UsageError{"real-workers", fmt.Sprintf("%d are more than %d workers", s.RealWorkers, s.Workers)}
 	case s.taskTime() < time.Second:
-		reason := fmt.Sprintf("%d tasks at %g starts a second run for %v, less than 1s", s.Tasks, s.StartRate, s.taskTime())
+		reason := fmt.Sprintf("%d tasks at %g starts a second give a run time of %v, which is below 1s", s.Tasks, s.StartRate, s.taskTime())
 		return &UsageError{"rate", reason}
 	}
 	if n := s.processes(); n > MaxProcesses {
-		const format = "it takes %d processes with these controllers, regions and real workers, and %d are the most"
+		const format = "the run needs %d processes with these controllers, regions and real workers; the maximum is %d"
 		return &UsageError{"workers", fmt.Sprintf(format, n, MaxProcesses)}
 	}
 	if mb := s.estimatedMemoryMB(); mb > maxMemoryMB {
-		return &UsageError{"workers", fmt.Sprintf("it takes some %.0f MB, and %d MB are the most", mb, maxMemoryMB)}
+		return &UsageError{"workers", fmt.Sprintf("the run needs about %.0f MB of memory; the maximum is %d MB", mb, maxMemoryMB)}
 	}
 	return nil
 }
 
-// hollowProcesses returns how many processes the hollow workers of a region share.
+// hollowProcesses returns an upper bound of the number of hollow-worker processes of one deployment.
 func (s *Size) hollowProcesses() int {
 	n := (s.Workers + s.Deployments - 1) / s.Deployments
 	return (n + workersPerProcess - 1) / workersPerProcess
 }
 
-// processes returns how many processes a run starts, this one included.
+// processes returns the estimated number of processes of a run, including the calling one.
 func (s *Size) processes() int {
 	return 1 + s.RealWorkers + s.Deployments*(1+s.Controllers+s.hollowProcesses())
 }
 
-// estimatedMemoryMB returns the memory that is estimated for all processes.
+// estimatedMemoryMB returns the estimated memory of all processes of a run.
 func (s *Size) estimatedMemoryMB() float64 {
-	perRegion := storeMB + float64(s.Controllers)*controllerMB + float64(s.hollowProcesses())*hollowProcessMB
+	perDeployment := storeMB + float64(s.Controllers)*controllerMB + float64(s.hollowProcesses())*hollowProcessMB
 	perWorker := hollowWorkerMB + controllerPerWorkerMB*float64(s.Controllers)
-	return float64(s.Deployments)*perRegion + float64(s.Workers)*perWorker + float64(s.RealWorkers)*realWorkerMB
+	return float64(s.Deployments)*perDeployment + float64(s.Workers)*perWorker + float64(s.RealWorkers)*realWorkerMB
 }
 
-// taskTime returns how long a task runs, so that at the rate so many run at a time.
+// taskTime returns the run time of a task at which Tasks tasks run concurrently at a rate of StartRate.
 func (s *Size) taskTime() time.Duration {
 	return time.Duration(float64(s.Tasks) / s.StartRate * float64(time.Second))
 }
 
-// share splits a count over the regions; the first ones get what is left over.
-func (s *Size) share(count, region int) int {
+// share returns one deployment's part of a count. The first deployments get the remainder.
+func (s *Size) share(count, index int) int {
 	n := count / s.Deployments
-	if region < count%s.Deployments {
+	if index < count%s.Deployments {
 		n++
 	}
 	return n
 }
 
-// tasksPerWorker returns how many tasks a machine holds: no more than are to run, or the leader scales in the workers
-// that nobody needs.
+// tasksPerWorker returns the number of tasks that a machine holds. It is no larger than the load needs; otherwise the
+// leader scales in the idle workers.
 func (s *Size) tasksPerWorker() int {
 	return max(1, int(math.Ceil(float64(s.Tasks)/float64(s.Workers))))
 }
 
-// Times of the workers, in seconds: those of the large deployments.
+// Settings of the workers and machines. The times are those of large deployments.
 const (
 	heartbeatS   = 5.0
 	leaseS       = 24.0
@@ -176,7 +174,7 @@
 	machineMemGB = 64.0
 )
 
-// guaranteed and limited are a team's shares of what would be its part if all were alike.
+// guaranteeShare and limitShare are a team's guarantee and limit, as multiples of an equal share of the CPUs.
 const (
 	guaranteeShare = 0.4
 	limitShare     = 2.0
@@ -184,9 +182,9 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
 
-// deploymentConfig returns the settings that one region's controllers share.
-func (s *Size) deploymentConfig(region int, zones []string) *config.Deployment {
-	d := &config.Deployment{
+// deploymentConfig returns the settings of one deployment, which its controllers share.
+func (s *Size) deploymentConfig(index int, zones []string) *config.Deployment {
+	settings := &config.Deployment{
 		Nodes: s.Controllers, Zones: zones, MaxClockErrorMS: 100,
 		Objectives: []config.Objective{
 			{Kind: config.KindWait, Class: classUrgent, WithinS: urgentStartTargetS, Share: 0.95},
@@ -197,19 +195,19 @@
 		Cloud:     config.CloudLimits{RPS: 20, ListLagS: 3},
 		Resources: config.Resources{Cores: 1, RAMMB: 4096, FDLimit: 16000},
 	}
-	cpus := float64(s.share(s.Workers, region) * s.tasksPerWorker())
+	cpus := float64(s.share(s.Workers, index) * s.tasksPerWorker())
 	for i := range max(s.Teams, 1) {
 		t := config.Team{Name: teamName(i)}
 		if s.Teams > 0 {
-			part := cpus / float64(s.Teams)
-			t.GuaranteedCPUs, t.LimitCPUs = math.Floor(guaranteeShare*part), math.Max(math.Ceil(limitShare*part), 1)
+			equalShare := cpus / float64(s.Teams)
+			t.GuaranteedCPUs, t.LimitCPUs = math.Floor(guaranteeShare*equalShare), math.Max(math.Ceil(limitShare*equalShare), 1)
 		}
-		d.Teams = append(d.Teams, t)
+		settings.Teams = append(settings.Teams, t)
 	}
-	return d
+	return settings
 }
 
-// machineTypes returns the machine types that can be rented in a region.
+// machineTypes returns the machine types of a deployment with the given zones.
 func (s *Size) machineTypes(zones []string) []records.MachineType {
 	cpus := float64(s.tasksPerWorker())
 	return []records.MachineType{{
--- a/internal/loadtest/store_counts.go
+++ b/internal/loadtest/store_counts.go
@@ -6,7 +6,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// Kinds of requests to the store.
+// Kinds of store requests.
 const (
 	kindRead    = "read"
 	kindList    = "list"
@@ -16,7 +16,7 @@
 	kindLease   = "lease"
 )
 
-// storeCounts counts the requests to a store by kind.
+// storeCounts counts the requests to a store by kind, with the bytes of their bodies.
 type storeCounts struct{ kinds map[string]*trafficCounter }
 
 func newStoreCounts() *storeCounts {
@@ -27,7 +27,7 @@
 	return s
 }
 
-// requestKind returns the kind of a request.
+// requestKind returns the kind of a store request.
 func requestKind(method, path string, body []byte) string {
 	switch {
 	case path == "/watch":
@@ -44,7 +44,7 @@
 	return kindRead
 }
 
-// count is a handler that counts a request once it is answered.
+// count is a middleware that counts each request after its response.
 func (s *storeCounts) count(c *fiber.Ctx) error {
 	kind := requestKind(c.Method(), c.Path(), c.Body())
 	err := c.Next()
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/users.go
@@ -12,59 +12,59 @@
 	"drumpick/internal/ctxtime"
 )
 
-// Classes of the load, and the objective of urgent work.
+// Job classes of the load, and the start objective of urgent tasks.
 const (
 	classUrgent        = "urgent"
 	classBulk          = "bulk"
-	urgentStartTargetS = 2.8 // within which urgent tasks are to start
+	urgentStartTargetS = 2.8 // maximum time from submission to start
 )
 
-// The shape of the load. What is not urgent comes in arrays; nothing saves its progress.
+// Parameters of the load. Bulk jobs are job arrays. No task writes checkpoints.
 const (
-	urgentShare           = 0.04 // of all starts
+	urgentShare           = 0.04 // fraction of all task starts
 	urgentRunTimeS        = 5.0
-	urgentJobsPerS        = 1.0  // a second, over all regions
-	bulkJobsPerS          = 2.0  // a second, over all regions
-	cancelShare           = 0.02 // of the bulk jobs
+	urgentJobsPerS        = 1.0  // over all deployments
+	bulkJobsPerS          = 2.0  // over all deployments
+	cancelShare           = 0.02 // fraction of bulk jobs
 	pollInterval          = 5 * time.Second
 	imageCount            = 16
 	submitInterval        = 100 * time.Millisecond
-	maxConcurrentRequests = 64 // of users that are under way at once
+	maxConcurrentRequests = 64
 	completionTimeout     = 90 * time.Second
 )
 
-// users submit the load of a run, poll their jobs, and cancel some.
+// users submits the jobs of a run, polls them and cancels some.
 type users struct {
-	ctx         context.Context // ends with the run: nobody polls the next one's controllers
+	ctx         context.Context // cancelled at the end of the run, so that no request reaches a later run's controllers
 	size        Size
 	deployments []*deployment
 	rand        *rand.Rand
 
 	mu            sync.Mutex
 	jobs          map[string]*UserJob
-	openJobs      map[string]bool // accepted, and not known to be final
+	openJobs      map[string]bool // accepted and not known to be in a final state
 	lastJobNumber int
-	err           error
-	requestSlots  chan struct{} // bounds the requests under way
+	err           error         // makes the run fail
+	requestSlots  chan struct{} // limits the concurrent requests
 
 	submissions, polls, cancels trafficCounter
-	unanswered                  int // submissions that nobody took in time
+	unanswered                  int // submissions without a successful response, apart from those interrupted at the end
 }
 
-func newUsers(ctx context.Context, size Size, cells []*deployment) *users {
+func newUsers(ctx context.Context, size Size, deployments []*deployment) *users {
 	return &users{
-		ctx: ctx, size: size, deployments: cells, rand: rand.New(rand.NewPCG(uint64(size.Workers), uint64(size.Tasks))),
+		ctx: ctx, size: size, deployments: deployments, rand: rand.New(rand.NewPCG(uint64(size.Workers), uint64(size.Tasks))),
 		jobs: map[string]*UserJob{}, openJobs: map[string]bool{}, requestSlots: make(chan struct{}, maxConcurrentRequests),
 	}
 }
 
-// stream is work of one class that comes at a steady rate.
+// stream is the load of one job class, submitted at a constant rate.
 type stream struct {
 	class, priority string
-	jobsPerS        float64 // a second
-	tasksPerS       float64 // a second
-	runTimeS        float64 // seconds that a task runs
-	dueJobs         float64 // jobs that are to be submitted by now
+	jobsPerS        float64
+	tasksPerS       float64
+	runTimeS        float64 // run time of a task
+	dueJobs         float64 // jobs due and not yet submitted
 }
 
 func (s *Size) streams() []*stream {
@@ -74,16 +74,16 @@
 	}
 }
 
-// rampTime is how long the load takes to rise to its peak.
+// rampTime is the time over which the load rises linearly to its peak.
 const rampTime = 10 * time.Second
 
-// submitLoad submits work until ctx ends.
+// submitLoad submits jobs until ctx is cancelled.
 func (u *users) submitLoad(ctx context.Context) {
-	began, streams := time.Now(), u.size.streams()
-	last := began
+	start, streams := time.Now(), u.size.streams()
+	last := start
 	for ctxtime.Sleep(ctx, submitInterval) == nil {
 		now := time.Now()
-		ramp := min(now.Sub(began).Seconds()/rampTime.Seconds(), 1)
+		ramp := min(now.Sub(start).Seconds()/rampTime.Seconds(), 1)
 		for _, s := range streams {
 			for s.dueJobs += s.jobsPerS * now.Sub(last).Seconds(); s.dueJobs >= 1; s.dueJobs-- {
 				if tasks := int(s.tasksPerS/s.jobsPerS*ramp + u.rand.Float64()); tasks > 0 {
@@ -95,30 +95,30 @@
 	}
 }
 
-// submit has a user submit one job.
+// submit submits one job, and schedules its cancellation if the job is chosen for that.
 func (u *users) submit(ctx context.Context, s *stream, tasks int) {
 	u.mu.Lock()
 	u.lastJobNumber++
-	n := u.lastJobNumber
+	number := u.lastJobNumber
 	u.mu.Unlock()
-	region := n % len(u.deployments)
-	j := &UserJob{Deployment: region, Submitted: time.Now(), Job: client.Job{
-		ID: fmt.Sprintf("j-%06d", n), Class: s.class, Team: teamName(n / len(u.deployments) % max(u.size.Teams, 1)),
+	index := number % len(u.deployments)
+	j := &UserJob{Deployment: index, Submitted: time.Now(), Job: client.Job{
+		ID: fmt.Sprintf("j-%06d", number), Class: s.class, Team: teamName(number / len(u.deployments) % max(u.size.Teams, 1)),
 		Shape: client.Batch, Priority: s.priority, Spot: true,
 		Tasks: tasks, CPUs: 1, MemGB: taskMemGB, EstimateS: s.runTimeS,
 		Image: fmt.Sprint("image-", u.rand.IntN(imageCount)), ImageGB: imageGB,
 	}}
-	cancelled := s.class == classBulk && u.rand.Float64() < cancelShare
+	willCancel := s.class == classBulk && u.rand.Float64() < cancelShare
 	u.mu.Lock()
 	u.jobs[j.ID] = j
 	u.mu.Unlock()
 	u.startRequest(func() {
-		r := u.deployments[region]
-		if err := r.uploadJobs(j.Job); err != nil {
+		d := u.deployments[index]
+		if err := d.uploadJobs(j.Job); err != nil {
 			u.recordError(err)
 			return
 		}
-		st, _, err := r.client.Submit(ctx, j.Job)
+		st, _, err := d.client.Submit(ctx, j.Job)
 		u.submissions.add(submissionBytes, responseBytes)
 		u.mu.Lock()
 		defer u.mu.Unlock()
@@ -129,19 +129,19 @@
 			return
 		}
 		j.Accepted, u.openJobs[j.ID] = time.Now(), !st.IsFinal()
-		if cancelled {
+		if willCancel {
 			time.AfterFunc(u.size.taskTime()/2, func() { u.cancel(j) })
 		}
 	})
 }
 
-// Bytes of the users' messages, as they are: their bodies differ by a few bytes.
+// Typical sizes of the users' messages in bytes. The actual sizes differ by a few bytes.
 const (
 	submissionBytes = 330
 	responseBytes   = 60
 )
 
-// startRequest runs a user's request once fewer than maxConcurrentRequests are under way.
+// startRequest runs a request in a new goroutine once fewer than maxConcurrentRequests are running.
 func (u *users) startRequest(request func()) {
 	go func() {
 		u.requestSlots <- struct{}{}
@@ -150,14 +150,14 @@
 	}()
 }
 
-// recordError notes an error that makes the run fail.
+// recordError records an error that makes the run fail.
 func (u *users) recordError(err error) {
 	u.mu.Lock()
 	u.err = errors.Join(u.err, err)
 	u.mu.Unlock()
 }
 
-// cancel has a user cancel a job.
+// cancel requests the cancellation of a job, and records the time of the confirmation.
 func (u *users) cancel(j *UserJob) {
 	u.mu.Lock()
 	j.CancelRequested = true
@@ -173,30 +173,30 @@
 	}
 }
 
-// pollOpenJobs polls every open job at intervals until ctx ends.
+// pollOpenJobs polls every open job at pollInterval until ctx is cancelled.
 func (u *users) pollOpenJobs(ctx context.Context) {
 	for ctxtime.Sleep(ctx, pollInterval) == nil {
 		u.mu.Lock()
-		var ask []*UserJob
+		var toPoll []*UserJob
 		for id, open := range u.openJobs {
 			if open {
-				ask = append(ask, u.jobs[id])
+				toPoll = append(toPoll, u.jobs[id])
 			}
 		}
 		u.mu.Unlock()
-		var asked sync.WaitGroup
-		for _, j := range ask {
-			asked.Add(1)
+		var pending sync.WaitGroup
+		for _, j := range toPoll {
+			pending.Add(1)
 			u.startRequest(func() {
-				defer asked.Done()
+				defer pending.Done()
 				u.poll(ctx, j)
 			})
 		}
-		asked.Wait()
+		pending.Wait()
 	}
 }
 
-// poll polls a job once.
+// poll queries the state of a job, and removes the job from the open jobs if the state is final.
 func (u *users) poll(ctx context.Context, j *UserJob) {
 	st, err := u.deployments[j.Deployment].client.Get(ctx, j.ID)
 	u.polls.add(0, responseBytes)
@@ -208,18 +208,18 @@
 	u.mu.Unlock()
 }
 
-// openCount returns how many jobs are open.
+// openCount returns the number of open jobs.
 func (u *users) openCount() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.openJobs)
 }
 
-// awaitCompletion waits until every job is final, or for as long as that may take, and asks each controller for the state of
-// each.
+// awaitCompletion waits until every job is final or the timeout has passed. Then it queries the state of every
+// accepted job from each controller.
 func (u *users) awaitCompletion(ctx context.Context) {
-	until := time.Now().Add(3*u.size.taskTime() + completionTimeout)
-	for u.openCount() > 0 && time.Now().Before(until) && ctxtime.Sleep(ctx, time.Second) == nil {
+	deadline := time.Now().Add(3*u.size.taskTime() + completionTimeout)
+	for u.openCount() > 0 && time.Now().Before(deadline) && ctxtime.Sleep(ctx, time.Second) == nil {
 	}
 	u.mu.Lock()
 	all := make([]*UserJob, 0, len(u.jobs))
@@ -227,16 +227,16 @@
 		all = append(all, j)
 	}
 	u.mu.Unlock()
-	var asked sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, j := range all {
 		if j.Accepted.IsZero() {
 			continue
 		}
-		asked.Add(1)
+		pending.Add(1)
 		u.startRequest(func() {
-			defer asked.Done()
+			defer pending.Done()
 			j.FinalStates = u.deployments[j.Deployment].finalStates(ctx, j.ID)
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario replays kept scenarios in tests: files in which each line is an event, followed by the decisions
-// that it led to, marked with "> ". Run replays the events and compares the whole text.
+// Package scenario replays recorded scenarios in tests. In a scenario file, each line is an event, followed by lines
+// with the decisions that it caused, marked with "> ". Run replays the events and compares the decisions with the file.
 package scenario
 
 import (
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the scenarios anew from what the code now decides")
+var update = flag.Bool("update", false, "rewrite the scenario files with the current decisions")
 
 const (
 	extension      = ".trace"
@@ -19,11 +19,11 @@
 	commentPrefix  = "#"
 )
 
-// EventHandler takes in one event, given by its words, and returns the decisions that it leads to.
+// EventHandler handles one event, split into words, and returns the decisions that it causes.
 type EventHandler = func(words []string) (decisions []string)
 
-// Run replays every scenario of testdata that matches a pattern, each in a subtest of its own. start begins a
-// scenario and returns what replays its events.
+// Run replays every scenario file in testdata that matches pattern, each in its own subtest. start is called once per
+// scenario and returns the handler of its events.
 func Run(t *testing.T, pattern string, start func(t *testing.T) EventHandler) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("testdata", pattern))
@@ -37,7 +37,7 @@
 	}
 }
 
-// runFile replays one scenario and compares it with its file; with -update it writes the file instead.
+// runFile replays one scenario and compares the result with its file. With -update it writes the file instead.
 func runFile(t *testing.T, file string, replay EventHandler) {
 	t.Helper()
 	raw, err := os.ReadFile(file)
@@ -56,10 +56,10 @@
 		}
 		return
 	}
-	t.Errorf("%s differs (- kept, + now):\n%s", file, Diff(strings.Split(want, "\n"), got))
+	t.Errorf("%s differs (- file, + current):\n%s", file, Diff(strings.Split(want, "\n"), got))
 }
 
-// replayAll replays the events of a scenario's lines, and returns the lines with the decisions of now.
+// replayAll replays the events of a scenario and returns its lines with the current decisions.
 func replayAll(lines []string, replay EventHandler) []string {
 	var got []string
 	for _, line := range lines {
@@ -78,7 +78,7 @@
 	return got
 }
 
-// Diff shows where two texts differ, line by line, by their longest common subsequence.
+// Diff returns a line-by-line diff of two texts, based on their longest common subsequence.
 func Diff(a, b []string) string {
 	lcs := lcsLengths(a, b)
 	var out strings.Builder
--- a/internal/termcheck/words.go
+++ b/internal/termcheck/banned_words.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// ProjectChecker returns the checker of this repository: its banned words and where they are allowed.
+// ProjectChecker returns the checker with the banned words and exceptions of this repository.
 func ProjectChecker() Checker {
 	return Checker{Banned: slices.Concat(protocolWords, withdrawnWords), Exceptions: exceptions}
 }
 
-// protocolWords are the themed words of the protocol. They stay on the wire, in settings and in
-// stored records, and so in struct tags, string literals and comments.
+// protocolWords are the themed words of the protocol. They remain on the wire, in settings and in stored records, and
+// therefore in struct tags, string literals and comments.
 var protocolWords = []BannedWord{
 	{Word: "baton", UseInstead: "fencing token"},
 	{Word: "batons", UseInstead: "fencing tokens"},
@@ -68,5 +68,5 @@
 	{Word: "island", UseInstead: "partitioned controllers"},
 }
 
-// exceptions allow a word where it is the field's own word too.
+// exceptions allow a banned word in packages where it is also the usual technical term.
 var exceptions = []Exception{}
--- a/internal/termcheck/termcheck.go
+++ b/internal/termcheck/termcheck.go
@@ -1,6 +1,5 @@
-// Package termcheck keeps words that mean nothing to a newcomer out of Go identifiers: the themed
-// words of the protocol, which belong to struct tags and string literals, and withdrawn words of the
-// project's earlier style.
+// Package termcheck keeps words that a newcomer would not understand out of Go identifiers: the themed words of the
+// protocol, which are allowed only in struct tags and string literals, and metaphors of the project's earlier style.
 package termcheck
 
 import (
@@ -17,7 +16,7 @@
 
 // Finding is an identifier that contains a banned word.
 type Finding struct {
-	File       string // relative to the directory that was checked, with slashes
+	File       string // relative to the checked directory, with slashes
 	Line       int
 	Identifier string
 	Word       string
@@ -37,9 +36,9 @@
 
 // BannedWord is a word, or a sequence of words, that identifiers must not contain.
 type BannedWord struct {
-	Word       string // lower case; several words of one identifier are separated by a space
+	Word       string // lower case; consecutive words of an identifier are separated by a space
 	UseInstead string
-	FieldsOnly bool // banned as the name of a struct's field only; time.Tick is Go's own word
+	FieldsOnly bool // banned only in the names of struct fields, as for tick: time.Tick is a common Go term
 }
 
 // Exception allows a banned word in one package.
@@ -49,8 +48,8 @@
 	Reason  string
 }
 
-// Check parses every Go file below root, tests included, and returns what it found in order of
-// files and lines. Generated files are checked as well; testdata directories are not.
+// Check parses every Go file below root, including tests and generated files, and returns its findings in order of
+// files and lines. It skips testdata and hidden directories.
 func (c Checker) Check(root string) ([]Finding, error) {
 	var findings []Finding
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -99,7 +98,7 @@
 	return findings, nil
 }
 
-// bannedIn returns the banned words of an identifier that its package has no exception for.
+// bannedIn returns the banned words in an identifier for which its package has no exception.
 func (c Checker) bannedIn(declared declaration, packageDir string) []BannedWord {
 	words := " " + strings.Join(SplitWords(declared.Name), " ") + " "
 	var found []BannedWord
@@ -120,15 +119,14 @@
 	})
 }
 
-// declaration is an identifier where it is declared.
+// declaration is an identifier at its declaration.
 type declaration struct {
 	*ast.Ident
-	isField bool // of a struct
+	isField bool // the identifier names a struct field
 }
 
-// declarations returns the identifiers that a file declares, in the order of the source. Uses are
-// left out: what they refer to is declared in another place, which is checked there, or belongs to a
-// library.
+// declarations returns the identifiers that a file declares, in source order. It omits uses: their declarations are
+// checked elsewhere or belong to a library.
 func declarations(file *ast.File) []declaration {
 	declared := []declaration{{Ident: file.Name}}
 	add := func(expressions ...ast.Expr) {
@@ -191,8 +189,8 @@
 	}
 }
 
-// SplitWords splits an identifier at underscores, digits and changes of case, and returns its words
-// in lower case: wasHTTPBaton2 gives was, http, baton.
+// SplitWords splits an identifier at underscores, digits and changes of case, and returns its words in lower case.
+// For example, wasHTTPBaton2 gives was, http, baton.
 func SplitWords(identifier string) []string {
 	var words []string
 	runes := []rune(identifier)
@@ -216,8 +214,8 @@
 	return words
 }
 
-// startsWord reports whether the upper-case letter at index i begins a word: it follows a lower-case
-// letter, or is the last of a row of upper-case letters before a lower-case one.
+// startsWord reports whether the upper-case letter at index i starts a word. It does if it follows a lower-case letter,
+// or if it is the last of several upper-case letters before a lower-case one.
 func startsWord(runes []rune, i int) bool {
 	if !unicode.IsUpper(runes[i-1]) {
 		return true
--- a/internal/termcheck/termcheck_test.go
+++ b/internal/termcheck/termcheck_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// sample declares a banned word in each way that an identifier can be declared; each line with one
-// is followed by the words that must be found in it.
+// sample declares banned words in every kind of declaration. TestCheckFindsEachKindOfDeclaration lists the expected
+// findings.
 const sample = `package intake
 
 import shelf "sort"
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestCheckPassesTagsLiteralsCommentsAndParts(t *testing.T) {
+func TestCheckIgnoresTagsLiteralsCommentsAndPartsOfWords(t *testing.T) {
 	const clean = `package pkg
 
 // Machine was deaf; its baton is old.
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestExceptionHoldsInItsPackageAlone(t *testing.T) {
+func TestExceptionAppliesOnlyInItsPackage(t *testing.T) {
 	checker := Checker{
 		Banned:     []BannedWord{{Word: "tick", UseInstead: "sequence number"}},
 		Exceptions: []Exception{{Package: "clock", Word: "tick", Reason: "a clock's tick"}},
@@ -139,7 +139,7 @@
 func TestCheckReportsFilesThatCannotBeParsed(t *testing.T) {
 	root := writeSample(t, "pkg", "package")
 	if _, err := ProjectChecker().Check(root); err == nil {
-		t.Error("got no error, want the parser's")
+		t.Error("got no error, want a parse error")
 	}
 }
 
@@ -158,7 +158,7 @@
 	}
 }
 
-// checkSample checks a tree that holds one file.
+// checkSample checks a directory tree with a single file.
 func checkSample(t *testing.T, checker Checker, packageDir, source string) []Finding {
 	t.Helper()
 	findings, err := checker.Check(writeSample(t, packageDir, source))
@@ -168,7 +168,7 @@
 	return findings
 }
 
-// writeSample writes a file of a package below a new directory, which it returns.
+// writeSample writes a source file into a package directory below a new root directory, and returns the root.
 func writeSample(t *testing.T, packageDir, source string) string {
 	t.Helper()
 	root := t.TempDir()
