--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -22,12 +22,12 @@
 
 // FleetCounts counts the machines of a fleet by the state of their heartbeats.
 type FleetCounts struct {
-	Up           int // heard in this term
+	Up           int // have reported in this term
 	Silent       int // of Up: no heartbeat for more than 3 intervals
 	Overdue      int // of Up: silent for long enough that a zone outage may be the cause
 	Unreachable  int // of Up: send heartbeats but receive no responses
 	Inherited    int // on record at the failover
-	Unreconciled int // of Inherited: not heard in this term yet
+	Unreconciled int // of Inherited: not reconciled with this term yet
 }
 
 // ReturnConditions provides the conditions of a return decision that lie outside the machine.
@@ -43,7 +43,7 @@
 	ReturnsWhenEmpty(m *fleet.Machine) bool
 	// OnDemandShortage reports whether on-demand machines of a type were short recently.
 	OnDemandShortage(machineType string) bool
-	// Reconciled reports whether every machine of earlier terms has been heard or is gone.
+	// Reconciled reports whether every machine of earlier terms has reported or is gone.
 	Reconciled() bool
 }
 
@@ -77,7 +77,7 @@
 		p.manySilentAt = now
 	}
 	// Without this, the last machines of a recovering zone would be returned: they are few by then,
-	// and about to be heard.
+	// and about to report.
 	if float64(counts.Unreconciled) > fewUnreconciledShare*float64(counts.Inherited) {
 		p.manyUnreconciledAt = now
 	}
@@ -95,7 +95,7 @@
 		return false // it may be up but unreachable
 	case m.LeaseExpired:
 		// Its tasks are gone. If most machines are silent, the fault is more likely the leader's,
-		// and they may be heard again.
+		// and they may report again.
 		return !p.mostSilent || now.Sub(m.LastHeard()) > 4*p.lease
 	case m.AwaitsReconciliation():
 		return p.inheritedTimedOut(m, now)
@@ -123,10 +123,10 @@
 	return p.idleTooLong(m, startup, catalog, cond, now)
 }
 
-// inheritedTimedOut reports whether the wait for a machine that has not been heard since the failover
+// inheritedTimedOut reports whether the wait for a machine that has not reported since the failover
 // is over. Time alone does not reconcile it, as an older leader may still renew its lease; its return
-// does. Work of earlier terms is held until then, so the last few machines get a shorter wait than
-// their own work would justify.
+// does. Until then all work of earlier terms is held, so the last few machines that neither send
+// heartbeats nor answer probes get a shorter wait than their own work would justify.
 func (p *ReturnPolicy) inheritedTimedOut(m *fleet.Machine, now time.Time) bool {
 	silent := now.Sub(m.SilentSince)
 	fewLeft := now.Sub(p.manyUnreconciledAt) > p.heartbeatInterval
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -54,8 +54,8 @@
 // estimateErrorFactor bounds the error of an estimated run time, in both directions.
 const estimateErrorFactor = 1.5
 
-// moveBenefitFactor is the minimum ratio of a task's remaining run time to the cost of moving it, for a
-// move without a deadline.
+// moveBenefitFactor is the minimum ratio of a task's remaining run time, or of an urgent task's slack,
+// to the cost of moving it, for a move that no deadline requires.
 const moveBenefitFactor = 2
 
 // deadline compares a task with the time by which its machine must be empty.
--- a/internal/forecast/fusd.go
+++ b/internal/forecast/fusd.go
@@ -48,8 +48,8 @@
 	return f.estimate
 }
 
-// Predicted returns the forecast, capped at the reserved share: tasks cannot use more than they
-// requested, so FUSD's overshoot on a rise must not mark a machine as hot that is merely full.
+// Predicted returns the forecast, capped at the reserved share. Tasks cannot use more than they
+// requested, so FUSD's overshoot on a rise must not mark a merely full machine as overloaded.
 func (f *FUSD) Predicted(reserved float64) float64 { return math.Min(f.estimate, reserved) }
 
 // percentile returns the smallest value of the window that at least p percent of its values do not
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -11,7 +11,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// handleLostAttempt handles an attempt that is gone from its machine without a result.
+// handleLostAttempt handles an attempt that is no longer on its machine and left no result.
 func (s *Scheduler) handleLostAttempt(attempt *fleet.Attempt, now time.Time) {
 	job := s.jobs[attempt.Task.Job]
 	attemptsLostTotal.Inc()
@@ -96,9 +96,9 @@
 			s.discardAttempt(other) // its result is already known
 		}
 	}
-	for host := range job.errorMachines {
+	for name := range job.errorMachines {
 		// The job can succeed, so its earlier errors are the machines' fault.
-		if failed := s.fleet.Machines[host]; failed != nil && failed != machine {
+		if failed := s.fleet.Machines[name]; failed != nil && failed != machine {
 			s.markFaulty(failed)
 		}
 	}
@@ -142,8 +142,8 @@
 	s.urgentMachines[a.Machine.Name] = true
 }
 
-// releaseAttempt returns an attempt's task to the queue. The attempt is gone from its machine, or was
-// never sent.
+// releaseAttempt returns the task of an attempt to the queue. The attempt has ended, is no longer on
+// its machine, or was never sent.
 func (s *Scheduler) releaseAttempt(attempt *fleet.Attempt) {
 	job := s.jobs[attempt.Task.Job]
 	s.placementStale = true
--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -251,12 +251,12 @@
 	return r.scheduler.recentShortage(machineType, r.now)
 }
 
-// Reconciled reports whether every machine of earlier terms has been heard or is gone.
+// Reconciled reports whether every machine of earlier terms has reported or is gone.
 func (r returnConditions) Reconciled() bool { return r.scheduler.reconciled }
 
 // isUnreachable reports whether the named machine is known and receives no responses.
-func (s *Scheduler) isUnreachable(host string) bool {
-	m := s.fleet.Machines[host]
+func (s *Scheduler) isUnreachable(name string) bool {
+	m := s.fleet.Machines[name]
 	return m != nil && m.Unreachable()
 }
 
--- a/internal/scheduler/claims_test.go
+++ b/internal/scheduler/claims_test.go
@@ -13,30 +13,31 @@
 
 // Freed room must be claimed for the preemptor, or the preempted tasks take it again. With random
 // teams, gangs and arrays, the number of preempted tasks is bounded by the room that the preemptors'
-// tasks can use, each task moves at most once, every job ends, and no claim is left.
+// tasks can use, a job that tasks were preempted for starts, each task moves at most once, every job
+// ends, and no claim is left.
 func TestPreemptedRoomIsClaimed(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
 		machinesPerZone := rapid.IntRange(2, 5).Draw(t, "machines by zone")
 		f := newFakeFleet(t, config.DefaultOptions(), drawTeams(t, machinesPerZone), machinesPerZone)
-		var coming []records.Job
+		var arrivals []records.Job
 		tasks := 0
 		claimable := 0 // room that the tasks of preemptors can use, in tasks of the smallest size
 		for i := range rapid.IntRange(2, 7).Draw(t, "jobs") {
 			job := f.drawJob(t, i, machinesPerZone)
 			claimable += job.Tasks * int(job.CPUs)
 			tasks += job.Tasks
-			coming = append(coming, job)
+			arrivals = append(arrivals, job)
 		}
-		workerDies := rapid.IntRange(0, 200).Draw(t, "a worker dies at step")
+		workerFailsAt := rapid.IntRange(0, 200).Draw(t, "a worker dies at step")
 		preemptedBefore, movesBefore := preemptedTotal.Get(), movesTotal.Get()
 		for i := 0; i < 4000 && (i < 400 || len(f.scheduler.jobs) > 0); i++ {
-			if i%20 == 0 && len(coming) > 0 {
-				coming[0].AcceptedMS = f.now.UnixMilli()
-				f.scheduler.AddJob(coming[0], 10, f.now, f.now)
-				coming = coming[1:]
+			if i%20 == 0 && len(arrivals) > 0 {
+				arrivals[0].AcceptedMS = f.now.UnixMilli()
+				f.scheduler.AddJob(arrivals[0], 10, f.now, f.now)
+				arrivals = arrivals[1:]
 			}
-			if i == workerDies && workerDies > 0 {
+			if i == workerFailsAt && workerFailsAt > 0 {
 				claimable += f.restartWorker(f.machines[0])
 			}
 			f.step(i)
@@ -103,7 +104,7 @@
 }
 
 // restartWorker restarts a machine's worker, which loses its attempts. It returns the room that the
-// jobs of these may claim once more, in tasks of the smallest size.
+// jobs of these attempts may claim again, in tasks of the smallest size.
 func (f *fakeFleet) restartWorker(machine *fakeMachine) (claimable int) {
 	machine.heartbeat.Incarnation, machine.heartbeat.Sequence = machine.heartbeat.Incarnation+1, 0
 	f.workerFailedAt = f.now
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -9,7 +9,7 @@
 //
 //   - check: Recency and Reconcile reject a heartbeat older than the machine's latest status;
 //   - reconcile: the machine table (package fleet) compares the status with the known attempts and
-//     reports which are new, running, ended or gone;
+//     reports which are new, running, ended or lost;
 //   - account: attempts are adopted, released, or counted as done or failed, which frees their room and
 //     returns tasks to their jobs' queues;
 //   - plan: PlanMachine places waiting tasks by bin packing, in the scheduling order of their jobs;
@@ -17,8 +17,8 @@
 //     sent nowhere else.
 //
 // Tick does the periodic work: it expires leases, runs drains and rebalancing rounds, places waiting
-// tasks, preempts tasks for jobs that are entitled to their room, holds machines for large tasks, and
-// raises watermarks ahead of need.
+// tasks, preempts tasks for jobs that may preempt, holds machines for large tasks, and raises
+// watermarks ahead of need.
 //
 // After a failover, the scheduler is not reconciled until every machine that an earlier term may have
 // used has reported or is gone (Reconciled). Until then, only tasks start that cannot be on any of the
--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -30,15 +30,15 @@
 	bytesPerDrainRemoval = 500
 )
 
-// addDrainWrites adds the writes of changed drain states and the removal of the oldest ended drains to
-// a batch. It returns false if the batch is full.
-func (p *Persistence) addDrainWrites(b *writeBatch, now time.Time) bool {
+// appendDrainWrites appends the writes of changed drain states and the removal of the oldest ended
+// drains to a batch. It returns false if the batch is full.
+func (p *Persistence) appendDrainWrites(b *writeBatch, now time.Time) bool {
 	for _, d := range p.scheduler.drains.list {
-		if d.stateDue(stateWriteIntervals*p.scheduler.settings.HeartbeatInterval, now) && !p.addDrainStateWrite(d, b, now) {
+		if d.stateDue(stateWriteIntervals*p.scheduler.settings.HeartbeatInterval, now) && !p.appendDrainStateWrite(d, b, now) {
 			return false
 		}
 	}
-	return p.removeEndedDrains(b)
+	return p.appendDrainRemovals(b)
 }
 
 // ended reports whether a drain is stopped or complete.
@@ -56,10 +56,10 @@
 	return !samePhase || now.Sub(d.writtenAt) >= interval
 }
 
-// addDrainStateWrite adds the write of a drain's state to a batch; false if it does not fit. Machines
-// out of service that exceed the size of a value are left out: this leader has them in memory, and the
-// next one selects again, empty machines first, which are mostly the same ones.
-func (p *Persistence) addDrainStateWrite(d *activeDrain, b *writeBatch, now time.Time) bool {
+// appendDrainStateWrite appends the write of a drain's state to a batch; false if it does not fit.
+// Machines out of service that exceed the size of a value are left out: this leader has them in
+// memory, and the next one selects again, empty machines first, which are mostly the same ones.
+func (p *Persistence) appendDrainStateWrite(d *activeDrain, b *writeBatch, now time.Time) bool {
 	state, complete := d.state, d.state
 	for len(state.OutOfService) > 0 && records.EncodedSize(state) > p.maxValueBytes {
 		state.OutOfService = state.OutOfService[:len(state.OutOfService)/2]
@@ -81,9 +81,9 @@
 	return true
 }
 
-// removeEndedDrains adds the removal of the oldest ended drains to a batch; false if it is full. The
-// order of ids is that of their creation.
-func (p *Persistence) removeEndedDrains(b *writeBatch) bool {
+// appendDrainRemovals appends the removal of the oldest ended drains to a batch; false if it is full.
+// The drains are sorted by id, which is the order of their creation.
+func (p *Persistence) appendDrainRemovals(b *writeBatch) bool {
 	ended := 0
 	for _, d := range p.scheduler.drains.list {
 		if d.ended() {
@@ -112,13 +112,13 @@
 
 // ReplaceDrains replaces the known drains by those on record.
 func (s *Scheduler) ReplaceDrains(found map[string]drain.Spec) {
-	var gone []string
+	var removed []string
 	for _, d := range s.drains.list {
 		if _, ok := found[d.spec.ID]; !ok {
-			gone = append(gone, d.spec.ID)
+			removed = append(removed, d.spec.ID)
 		}
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		s.RemoveDrain(id)
 	}
 	for _, spec := range found {
--- a/internal/scheduler/drain_tasks.go
+++ b/internal/scheduler/drain_tasks.go
@@ -62,7 +62,7 @@
 	for _, a := range slices.Clone(m.Attempts()) {
 		j := s.jobOf(a)
 		if j == nil || a.Stopping() || a.State() == fleet.Ended || a.State() == fleet.Planned || a.State() == fleet.Sent || a.Duplicate {
-			continue // stops already, or has not been acknowledged yet
+			continue // stopping or ended, a duplicate, or not confirmed by its worker yet
 		}
 		if j.Shape == records.ShapeGang {
 			s.drainGang(j, timeLeft, finder)
@@ -117,7 +117,7 @@
 		switch {
 		case a.Stopping():
 			return
-		case s.isEmptying(a.Machine):
+		case s.isBeingDrained(a.Machine):
 			leaving = append(leaving, a)
 		default:
 			staying[a.Machine.Zone]++
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -142,8 +142,8 @@
 	})
 }
 
-// isEmptying reports whether a drain evicts tasks from a machine.
-func (s *Scheduler) isEmptying(m *fleet.Machine) bool {
+// isBeingDrained reports whether a drain evicts tasks from a machine.
+func (s *Scheduler) isBeingDrained(m *fleet.Machine) bool {
 	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.evictsTasks()
 }
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -29,8 +29,8 @@
 		f.scheduler.SetMachineTypes([]records.MachineType{{Name: "c4", CPUs: fakeMachineCPUs, MemGB: 16, Price: 0.2, StartupS: 20, CacheGB: 40, Zones: cfg.Deployment.Zones}})
 		f.scheduler.CheckReconciled(f.now)
 		for i := range machines {
-			host := fmt.Sprintf("m-%02d", i)
-			f.machines = append(f.machines, &fakeMachine{heartbeat: fleet.Heartbeat{Machine: host, Addr: host, Type: "c4", Zone: string("ab"[i%2]), Incarnation: 1, FencingToken: 5}})
+			name := fmt.Sprintf("m-%02d", i)
+			f.machines = append(f.machines, &fakeMachine{heartbeat: fleet.Heartbeat{Machine: name, Addr: name, Type: "c4", Zone: string("ab"[i%2]), Incarnation: 1, FencingToken: 5}})
 		}
 		var arrivals []records.Job
 		for i := range rapid.IntRange(1, 5).Draw(t, "jobs") {
@@ -110,7 +110,7 @@
 					if cordoned[machine.heartbeat.Machine] && m.Cordon != nil && !presentBefore[attempt] {
 						t.Fatalf("%s started on drained machine %s", attempt.Task, machine.heartbeat.Machine)
 					}
-					if j := f.jobs[attempt.job]; !anyDeadline && attempt.stopping && j.CheckpointS == 0 && f.scheduler.isEmptying(m) && j.Shape == records.ShapeArray && attempt.ranTwoRounds(f) {
+					if j := f.jobs[attempt.job]; !anyDeadline && attempt.stopping && j.CheckpointS == 0 && f.scheduler.isBeingDrained(m) && j.Shape == records.ShapeArray && attempt.ranTwoRounds(f) {
 						t.Fatalf("%s, which cannot save a checkpoint, was stopped on %s", attempt.Task, machine.heartbeat.Machine)
 					}
 				}
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -36,8 +36,8 @@
 	case len(job.errorMachines) >= minFailingMachines:
 		// The job fails on every machine, so the machines are not at fault.
 		s.delayRetry(job, now)
-		for host := range job.errorMachines {
-			if blamed := s.fleet.Machines[host]; blamed != nil {
+		for name := range job.errorMachines {
+			if blamed := s.fleet.Machines[name]; blamed != nil {
 				delete(blamed.FailedTasksByJob, job.ID)
 				blamed.FullUntil = time.Time{}
 				blamed.Bin.SetOpen(s.acceptsTasks(blamed, now))
--- a/internal/scheduler/fake_fleet_test.go
+++ b/internal/scheduler/fake_fleet_test.go
@@ -88,14 +88,14 @@
 func (f *fakeFleet) step(i int) {
 	f.now = f.now.Add(500 * time.Millisecond)
 	f.scheduler.Tick(f.now, true)
-	for host := range f.scheduler.urgentMachines {
+	for name := range f.scheduler.urgentMachines {
 		// Kill commands are sent at once.
 		for _, machine := range f.machines {
-			if machine.heartbeat.Machine == host {
-				f.applyCommands(machine, f.scheduler.fleet.Machines[host].PendingCommands())
+			if machine.heartbeat.Machine == name {
+				f.applyCommands(machine, f.scheduler.fleet.Machines[name].PendingCommands())
 			}
 		}
-		delete(f.scheduler.urgentMachines, host)
+		delete(f.scheduler.urgentMachines, name)
 	}
 	for n, machine := range f.machines {
 		f.advanceAttempts(machine)
--- a/internal/scheduler/finished_tasks_test.go
+++ b/internal/scheduler/finished_tasks_test.go
@@ -234,7 +234,8 @@
 	}
 }
 
-// Without lower coming limits, this version must write the same records as the previous one.
+// Without lower upcoming limits of the store, this version must write the same records as the previous
+// one.
 func TestFinishedTasksWithoutLowerLimitsAreWrittenInWholeChunks(t *testing.T) {
 	settings := settingsWithValueKB(8, 0)
 	if n := settings.finishedTaskLayout().PartsPerChunk(); n != 1 {
--- a/internal/scheduler/freed_room.go
+++ b/internal/scheduler/freed_room.go
@@ -12,9 +12,9 @@
 	current, previous packing.Resources
 }
 
-func (f *freedRoom) add(req packing.Resources, now time.Time, window time.Duration) {
+func (f *freedRoom) add(request packing.Resources, now time.Time, window time.Duration) {
 	f.advance(now, window)
-	f.current = f.current.Add(req)
+	f.current = f.current.Add(request)
 }
 
 // advance begins a new window once the current one has elapsed.
--- a/internal/scheduler/golden_test.go
+++ b/internal/scheduler/golden_test.go
@@ -7,7 +7,7 @@
 	"drumpick/internal/goldentest"
 )
 
-// Guards against changes of the encoded operator's views of machines and drains.
+// The operator's views of machines and drains keep their JSON encoding.
 func TestGoldenViews(t *testing.T) {
 	task := TaskView{Task: "j-412/3", Attempt: 2, State: "running", RanS: 4.5, Stopping: true}
 	goldentest.Run(t, "golden-views.json", goldentest.JSON, []goldentest.Case{
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -15,9 +15,9 @@
 	account := fairshare.NewAccount(s.settings.Teams, s.settings.Guarantees)
 	for _, job := range s.sortedJobs {
 		job.guaranteed, job.protected = account.Charge(job.Team, job.Tasks-job.doneCount, job.request)
-		job.canBeginInTime = job.guaranteed && s.settings.Guarantees && s.canStartInTime(job, s.settings.HeartbeatInterval, now)
-		if !job.start.entitlementKnown {
-			job.start.entitlementKnown, job.start.entitled = true, job.guaranteed
+		job.canStartInTime = job.guaranteed && s.settings.Guarantees && s.canStartInTime(job, s.settings.HeartbeatInterval, now)
+		if !job.start.guaranteedKnown {
+			job.start.guaranteedKnown, job.start.guaranteed = true, job.guaranteed
 		}
 	}
 }
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -11,7 +11,7 @@
 // heartbeats now.
 func (s *Scheduler) Recency(heartbeat *fleet.Heartbeat, now time.Time) fleet.Recency {
 	if s.fleet.Machines[heartbeat.Machine] == nil {
-		if _, gone := s.autoscaling.returnedAt[heartbeat.Machine]; gone {
+		if _, returned := s.autoscaling.returnedAt[heartbeat.Machine]; returned {
 			return fleet.Late
 		}
 		return fleet.Current
@@ -41,8 +41,8 @@
 // counts as unable to reach this one. Without relays, a leader that only the workers cannot reach
 // would take every machine for lost. A relayed worker is redirected here again from time to time, to
 // find out whether it can reach this controller now.
-func (s *Scheduler) NeedsRelay(host string, now time.Time) bool {
-	machine := s.fleet.Machines[host]
+func (s *Scheduler) NeedsRelay(name string, now time.Time) bool {
+	machine := s.fleet.Machines[name]
 	if machine == nil {
 		return false
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -67,9 +67,9 @@
 	// Scheduling order.
 	guaranteed     bool      // its use is within its team's guarantee
 	protected      bool      // it may preempt to use the guarantee, and is not preempted
-	canBeginInTime bool      // it can still start within the guarantee's time
+	canStartInTime bool      // it can still start within the guarantee's time
 	targets        []float64 // completion targets, in seconds from its release
-	rank           int       // twice the rank of its priority, 0 being the highest; one more if it is late
+	rank           int       // the lowest goes first: twice its precedence's rank, one more if it is late
 	turnAt         time.Time // orders jobs of the same rank, the earliest first
 
 	start startStages // progress of its first start
--- a/internal/scheduler/large_fleet_test.go
+++ b/internal/scheduler/large_fleet_test.go
@@ -105,14 +105,14 @@
 			CPUs: 4, MemGB: 1, Image: "img", EstimateS: 3600, Types: []string{types[i].Name}, AcceptedMS: now.UnixMilli(),
 		}, 10, now, now)
 	}
-	asked := 0
+	requested := 0
 	for _, r := range s.PlanRentals(now) {
-		if asked += r.Count; r.Count > autoscaler.MaxRentCount {
+		if requested += r.Count; r.Count > autoscaler.MaxRentCount {
 			t.Fatalf("one request for %d machines exceeds the protocol's maximum", r.Count)
 		}
 	}
-	if asked != want {
-		t.Errorf("%d machines are requested by one plan, want %d", asked, want)
+	if requested != want {
+		t.Errorf("%d machines are requested by one plan, want %d", requested, want)
 	}
 }
 
@@ -129,12 +129,12 @@
 	rented := 0
 	for range 2 * want / autoscaler.MaxRentCount {
 		for _, r := range s.PlanRentals(now) {
-			var hosts []string
+			var names []string
 			for range r.Count {
-				hosts = append(hosts, fmt.Sprintf("m-%06d", rented))
+				names = append(names, fmt.Sprintf("m-%06d", rented))
 				rented++
 			}
-			s.MachinesRented(r, hosts, now)
+			s.MachinesRented(r, names, now)
 		}
 		now = now.Add(s.settings.HeartbeatInterval / 4)
 	}
@@ -144,12 +144,12 @@
 	now = now.Add(time.Hour) // no machine sends a heartbeat
 	returned := 0
 	for range 2 * want / autoscaler.MaxReturnNames {
-		hosts := s.MachinesToReturn(now)
-		if len(hosts) > autoscaler.MaxReturnNames {
-			t.Fatalf("one request returns %d machines, more than the protocol's maximum", len(hosts))
+		names := s.MachinesToReturn(now)
+		if len(names) > autoscaler.MaxReturnNames {
+			t.Fatalf("one request returns %d machines, more than the protocol's maximum", len(names))
 		}
-		s.MachinesReturned(hosts, now)
-		returned += len(hosts)
+		s.MachinesReturned(names, now)
+		returned += len(names)
 	}
 	if returned != want {
 		t.Errorf("%d machines are returned, %d were rented", returned, want)
--- a/internal/scheduler/leader_api.go
+++ b/internal/scheduler/leader_api.go
@@ -82,9 +82,9 @@
 // need them.
 func (s *Scheduler) TakeUrgentCommands() []UrgentCommands {
 	var calls, unreachable []UrgentCommands
-	for host := range s.urgentMachines {
-		machine := s.fleet.Machines[host]
-		delete(s.urgentMachines, host)
+	for name := range s.urgentMachines {
+		machine := s.fleet.Machines[name]
+		delete(s.urgentMachines, name)
 		if machine == nil || machine.Addr == "" || !machine.HasStatus {
 			continue
 		}
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -197,7 +197,7 @@
 		func() bool { return p.appendWatermarkPages(b, now) },
 		func() bool { p.updateMachinePages(); return p.appendMachinePages(b) },
 		func() bool { p.updateFinishedPages(now); return p.appendFinishedPages(b) },
-		func() bool { return p.addDrainWrites(b, now) },
+		func() bool { return p.appendDrainWrites(b, now) },
 	}
 	for _, step := range steps {
 		if !step() {
@@ -211,8 +211,8 @@
 	return b.writes
 }
 
-// appendCancelledDependents closes the jobs that depend on a cancelled one. They precede all other
-// writes because users wait for them and the writes are small.
+// appendCancelledDependents appends the writes that close the jobs which depend on a cancelled one.
+// They precede all other writes because users wait for them and the writes are small.
 func (p *Persistence) appendCancelledDependents(b *writeBatch) bool {
 	s := p.scheduler
 	for _, id := range s.dependencies.ToCancel() {
@@ -229,7 +229,7 @@
 	return true
 }
 
-// appendCompleteJobs closes the jobs whose tasks are all done.
+// appendCompleteJobs appends the writes that close the jobs whose tasks are all done.
 func (p *Persistence) appendCompleteJobs(b *writeBatch, now time.Time) bool {
 	for j := range p.scheduler.completeJobs {
 		if j.closing {
@@ -243,7 +243,8 @@
 	return true
 }
 
-// appendAttestation stores the attestation that watermarks are complete; nil means that none is due.
+// appendAttestation appends the write of an attestation that watermarks are complete; nil: none is
+// due.
 func (p *Persistence) appendAttestation(b *writeBatch, attestation *watermark.StoredAttestation) bool {
 	if attestation == nil {
 		return true
@@ -307,8 +308,8 @@
 	}
 }
 
-// emptyReadOnlyPages copies the machines of pages that exceed the coming limits to writable pages. All
-// versions can read a machine that is in two pages.
+// emptyReadOnlyPages copies the machines of pages that exceed the store's upcoming limits to writable
+// pages. All versions can read a machine that is in two pages.
 func (p *Persistence) emptyReadOnlyPages() {
 	for name, raw := range p.machines.ReadOnlyEntries() {
 		if !p.machines.HasWritable(name) {
@@ -356,14 +357,14 @@
 		}
 		op, _, ids := pages.PrepareWrite(page)
 		entries, _ := op.Value.(map[string]json.RawMessage)
-		result := callbacks(ids, entries)
+		handlers := callbacks(ids, entries)
 		b.add(PendingWrite{
 			Ops:           []records.Op{op},
 			GuardKey:      page.Key,
 			GuardRevision: &page.Revision,
 			OnUnanswered:  page.MarkFirstWritePending,
-			OnStored:      result.onStored,
-			OnTooLarge:    func() { result.onMoved(pages.MarkTooLarge(page)) },
+			OnStored:      handlers.onStored,
+			OnTooLarge:    func() { handlers.onMoved(pages.MarkTooLarge(page)) },
 		})
 	}
 	return true
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -50,8 +50,9 @@
 }
 
 // cannotFit reports whether a turn's job cannot find room because an equivalent job that is served
-// before it found none. The served order has to be compared: a job with a shorter image fetch can
-// have an earlier turn and find only machines that are held for this job, which may use them.
+// before it found none. The order in which the two are served has to be compared: a job with a shorter
+// image fetch can have an earlier turn and find only machines that are held for the turn's job, which
+// may use them.
 func (p *placementPass) cannotFit(turn placementTurn) bool {
 	first := p.noRoom[turn.placementClass()]
 	return turn.placementClass() > 0 && first != nil && !servedBefore(turn.job, first)
--- a/internal/scheduler/placement_order_test.go
+++ b/internal/scheduler/placement_order_test.go
@@ -11,7 +11,7 @@
 // A placement pass visits the turns in order. Once a turn finds no room, it skips the equivalent ones,
 // except those of jobs with claims, also claims made during the pass. A deactivated job is skipped
 // until it is activated.
-func TestPlacingOrderSkipsEqualJobs(t *testing.T) {
+func TestPlacementOrderSkipsEquivalentJobs(t *testing.T) {
 	job := func(id string, imageClass int) *Job {
 		return &Job{Job: records.Job{ID: id, Tasks: 1}, placementClass: 1, imageClass: imageClass, turnAt: time.Unix(int64(id[0]), 0)}
 	}
--- a/internal/scheduler/preemption_search.go
+++ b/internal/scheduler/preemption_search.go
@@ -93,7 +93,7 @@
 			return
 		}
 	}
-	job.claimsNotBefore = s.now.Add(s.scheduler.settings.HeartbeatInterval) // a failed search is expensive
+	job.claimsNotBefore = s.now.Add(s.scheduler.settings.HeartbeatInterval) // a failed search examined every task
 }
 
 // listCandidates evaluates the machines that a job may use, in one zone or, with "", in all zones.
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -59,8 +59,8 @@
 	switch {
 	case x.guaranteed != y.guaranteed:
 		return trueFirst(x.guaranteed)
-	case x.canBeginInTime != y.canBeginInTime:
-		return trueFirst(x.canBeginInTime)
+	case x.canStartInTime != y.canStartInTime:
+		return trueFirst(x.canStartInTime)
 	}
 	return cmp.Compare(x.rank, y.rank)
 }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -18,24 +18,24 @@
 		return nil, true
 	}
 	wasUnreachable := s.isUnreachable(heartbeat.Machine)
-	return s.applyOutcome(s.fleet.Apply(heartbeat, isHeartbeat, now), wasUnreachable, now)
+	return s.handleApplyResult(s.fleet.Apply(heartbeat, isHeartbeat, now), wasUnreachable, now)
 }
 
-// applyOutcome updates the machine, its attempts and the reconciliation of the term after the machine
-// table has applied a status.
-func (s *Scheduler) applyOutcome(outcome fleet.ApplyResult, wasUnreachable bool, now time.Time) (*fleet.Machine, bool) {
-	machine := outcome.Machine
-	if outcome.Stale {
+// handleApplyResult updates the machine, its attempts and the reconciliation of the term after the
+// machine table has applied a status. It returns the machine, and whether the status was stale.
+func (s *Scheduler) handleApplyResult(result fleet.ApplyResult, wasUnreachable bool, now time.Time) (*fleet.Machine, bool) {
+	machine := result.Machine
+	if result.Stale {
 		return machine, true
 	}
 	if unreachable := machine.Unreachable(); unreachable != wasUnreachable {
 		s.recordReachability(machine, unreachable)
 	}
-	if outcome.FirstStatus {
+	if result.FirstStatus {
 		s.addToService(machine, now)
 	}
-	s.applyAttemptChanges(outcome, now)
-	s.updateReconciliation(outcome, now)
+	s.applyAttemptChanges(result, now)
+	s.updateReconciliation(result, now)
 	if !machine.PreemptionAt.IsZero() {
 		s.handlePreemptionNotice(machine, now)
 	}
@@ -45,7 +45,7 @@
 	case machine.EmptySince.IsZero():
 		machine.EmptySince = now
 	}
-	s.placementStale = s.placementStale || outcome.Changed
+	s.placementStale = s.placementStale || result.Changed
 	machine.Bin.SetOpen(s.acceptsTasks(machine, now))
 	return machine, false
 }
@@ -68,41 +68,41 @@
 	slog.Info("machine up", "machine", machine.Name, "type", machine.Type, "zone", machine.Zone, "spot", machine.Spot, "term", s.term)
 }
 
-// applyAttemptChanges handles the attempts that a status showed as new, running, ended or gone.
-func (s *Scheduler) applyAttemptChanges(outcome fleet.ApplyResult, now time.Time) {
-	machine := outcome.Machine
-	for _, attempt := range outcome.Lost {
+// applyAttemptChanges handles the attempts that a status showed as new, running, ended or lost.
+func (s *Scheduler) applyAttemptChanges(result fleet.ApplyResult, now time.Time) {
+	machine := result.Machine
+	for _, attempt := range result.Lost {
 		s.handleLostAttempt(attempt, now)
 	}
-	for _, attempt := range outcome.Discovered {
+	for _, attempt := range result.Discovered {
 		s.adoptAttempt(machine, attempt)
 		if attempt.State() == fleet.Ended {
 			s.handleEndedAttempt(attempt, now)
 		}
 	}
-	for _, attempt := range outcome.Running {
+	for _, attempt := range result.Running {
 		if job := s.jobOf(attempt); job != nil {
 			s.recordImageUse(machine, job)
 			machine.Bin.SetLabel(job.imageReadyLabel, true)
 			s.recordRunning(job, attempt, now)
 		}
 	}
-	for _, attempt := range outcome.Ended {
+	for _, attempt := range result.Ended {
 		s.handleEndedAttempt(attempt, now)
 	}
 }
 
 // updateReconciliation updates what a status of a machine changes in the reconciliation: of the
 // machine, and of the term as a whole.
-func (s *Scheduler) updateReconciliation(outcome fleet.ApplyResult, now time.Time) {
-	machine := outcome.Machine
-	if outcome.Reconciled {
+func (s *Scheduler) updateReconciliation(result fleet.ApplyResult, now time.Time) {
+	machine := result.Machine
+	if result.Reconciled {
 		s.placementStale = true
 	}
 	if machine.Reconciled && !s.reconciled {
 		s.clearUncertainSeenOn(machine)
 	}
-	if outcome.Upgraded {
+	if result.Upgraded {
 		slog.Info("worker version changed", "machine", machine.Name, "version", machine.Version, "term", s.term)
 		s.drains.requestPass() // the machine may return to service
 	}
@@ -193,12 +193,12 @@
 // ApplyProbe applies the status with which a machine answered a probe.
 func (s *Scheduler) ApplyProbe(probe fleet.Probe, heartbeat *fleet.Heartbeat, now time.Time) {
 	wasUnreachable := s.isUnreachable(probe.Machine)
-	outcome, restarted := s.fleet.ApplyProbe(probe, heartbeat, now)
+	result, restarted := s.fleet.ApplyProbe(probe, heartbeat, now)
 	if restarted {
 		slog.Info("machine restarted", "machine", probe.Machine, "incarnation", heartbeat.Incarnation, "sequence", heartbeat.Sequence,
-			"gone", len(outcome.Lost), "term", s.term)
+			"gone", len(result.Lost), "term", s.term)
 	}
-	s.applyOutcome(outcome, wasUnreachable, now)
+	s.handleApplyResult(result, wasUnreachable, now)
 }
 
 // ExpireLeases handles the attempts on machines whose lease has expired as lost.
@@ -213,8 +213,8 @@
 // ExpireEarlierLeases records that all leases granted by earlier terms have expired, and returns the
 // number of unreconciled machines whose tasks are thereby known to be gone.
 func (s *Scheduler) ExpireEarlierLeases(now time.Time) int {
-	n, gone := s.fleet.ExpireEarlierLeases()
-	for _, attempt := range gone {
+	n, lost := s.fleet.ExpireEarlierLeases()
+	for _, attempt := range lost {
 		s.handleLostAttempt(attempt, now)
 	}
 	s.placementStale = true
@@ -225,15 +225,15 @@
 }
 
 // RemoveMachine removes a machine that is known to be gone.
-func (s *Scheduler) RemoveMachine(host string, now time.Time) {
-	if machine := s.fleet.Machines[host]; machine != nil && s.spaces[machine.Type] != nil {
+func (s *Scheduler) RemoveMachine(name string, now time.Time) {
+	if machine := s.fleet.Machines[name]; machine != nil && s.spaces[machine.Type] != nil {
 		s.spaces[machine.Type].Remove(machine.Bin)
 	}
-	for _, attempt := range s.fleet.Remove(host) {
+	for _, attempt := range s.fleet.Remove(name) {
 		s.handleLostAttempt(attempt, now)
 	}
 	s.placementStale = true
-	s.removedMachines = append(s.removedMachines, host)
+	s.removedMachines = append(s.removedMachines, name)
 	if !s.reconciled {
 		s.CheckReconciled(now)
 	}
--- a/internal/scheduler/replicas.go
+++ b/internal/scheduler/replicas.go
@@ -7,7 +7,7 @@
 	"drumpick/internal/records"
 )
 
-// moveReplicas moves service replicas off machines that are being emptied: one replica of a job at a
+// moveReplicas moves service replicas off machines that are being drained: one replica of a job at a
 // time, and only if another one is running and a machine has room for it.
 func (s *Scheduler) moveReplicas(now time.Time) {
 	for _, job := range s.queue(now) {
@@ -43,7 +43,7 @@
 			continue
 		}
 		running++
-		mustLeave := attempt.Machine.Draining || s.isEmptying(attempt.Machine)
+		mustLeave := attempt.Machine.Draining || s.isBeingDrained(attempt.Machine)
 		if mustLeave && (leaving == nil || attempt.Task.N < leaving.Task.N) {
 			leaving = attempt
 		}
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -11,9 +11,10 @@
 	"drumpick/internal/reservation"
 )
 
-// reserveRoom claims room for jobs that have waited long: all places of a gang, in one zone, and one
-// place of an array. It runs before placement, because the packing inserts items one by one: beside a
-// steady queue of smaller jobs, a gang that needs twelve bins at once would find eleven at most.
+// reserveRoom claims room for jobs that have waited long, in the order in which their reservations are
+// due: all places of a gang, in one zone if it requires that, and one place of an array. It runs before
+// placement, because the packing inserts items one by one: beside a steady queue of smaller jobs, a
+// gang that needs twelve bins at once would find eleven at most.
 func (s *Scheduler) reserveRoom(now time.Time) {
 	if s.settings.ReservationBound <= 0 || !s.reconciled {
 		return
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -65,7 +65,7 @@
 // The largest jobs must start in time whatever small jobs arrive, within the limit that
 // docs/reservations.md states: three quarters of the reservation bound, plus the longest run time of
 // the running tasks for each gang that is due.
-func TestLargestJobsBeginWithinBound(t *testing.T) {
+func TestLargestJobsStartWithinBound(t *testing.T) {
 	useFixedSeed(t)
 	setRapidChecks(t, 25)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -191,12 +191,12 @@
 }
 
 // LoadMachine adds a recorded machine, which an earlier term may have used.
-func (s *Scheduler) LoadMachine(host string, record records.Machine, now time.Time) {
-	m := s.fleet.GetOrCreate(host, record.Addr, record.Type, record.Zone, record.Spot)
+func (s *Scheduler) LoadMachine(name string, record records.Machine, now time.Time) {
+	m := s.fleet.GetOrCreate(name, record.Addr, record.Type, record.Zone, record.Spot)
 	m.Recorded, m.Inherited = true, true
 	m.Incarnation = max(m.Incarnation, record.Incarnation)
 	m.SilentSince = now
-	s.autoscaling.lastListed[host] = now // it was rented before this term, so every later cloud list must contain it
+	s.autoscaling.lastListed[name] = now // it was rented before this term, so every later cloud list must contain it
 	s.assignBin(m)
 }
 
--- a/internal/scheduler/slo.go
+++ b/internal/scheduler/slo.go
@@ -29,7 +29,7 @@
 	}
 	s.lastSLOReport = now
 	for _, line := range s.slo.Summarize(bound, now) {
-		// Users choose class names freely, so only classes with an objective get metrics.
+		// Users choose class names freely: without this, the number of metrics would be unbounded.
 		if line.Dimension == slo.ByTeam || s.hasObjective(line.Name) {
 			setSLOGauges(line)
 		}
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -14,8 +14,8 @@
 // start counts from its last attempt: the time before counts as waiting for room.
 type startStages struct {
 	learnedAt, placedAt time.Time
-	entitled            bool // it was within its team's guarantee when it was first ordered
-	entitlementKnown    bool // entitled is set
+	guaranteed          bool // it was within its team's guarantee when it was first ordered
+	guaranteedKnown     bool // guaranteed is set
 	reported            bool // its start has been reported
 }
 
@@ -90,10 +90,10 @@
 	job.start.reported = true
 	wait := job.computeWaitBreakdown(attempt, now)
 	waitS, longest := now.Sub(job.releasedAt).Seconds(), wait.longest()
-	if job.start.entitled {
+	if job.start.guaranteed {
 		metrics.GetOrCreateHistogram(`drumpick_guarantee_wait_seconds{longest="` + longest + `"}`).Update(waitS)
 	}
-	slog.Debug("job started", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks, "entitled", job.start.entitled,
+	slog.Debug("job started", "job", job.ID, "class", job.Class, "team", job.Team, "tasks", job.Tasks, "entitled", job.start.guaranteed,
 		"wait_s", waitS, "longest", longest, "heard_s", wait.discovery.Seconds(), "room_s", wait.room.Seconds(),
 		"report_s", wait.dispatch.Seconds(), "fetch_s", wait.fetch.Seconds(), "mates_s", wait.gang.Seconds(),
 		"machine", wait.machine.Name, "type", wait.machine.Type, "term", s.term)
--- a/internal/scheduler/stop_reasons.go
+++ b/internal/scheduler/stop_reasons.go
@@ -19,9 +19,9 @@
 )
 
 // outcomeName returns the metric label for the outcome of an attempt without a result: the reason for
-// which the scheduler stopped it, or else the cause of its end. An attempt that is gone without having
-// ended is "lease" if its machine's lease expired, "unsent" if its run command never arrived, and
-// "lost" otherwise.
+// which the scheduler stopped it, or else the cause of its end. An attempt that is lost without a
+// reported end is "lease" if its machine's lease expired, "unsent" if its run command never arrived,
+// and "lost" otherwise.
 func outcomeName(attempt *fleet.Attempt) string {
 	switch {
 	case attempt.Stopping() && attempt.StopReason != "":
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -58,9 +58,9 @@
 		return MachineSilent
 	case machine.Unreachable():
 		return MachineUnreachable
-	case s.isEmptying(machine) && machine.Empty():
+	case s.isBeingDrained(machine) && machine.Empty():
 		return MachineDrained
-	case s.isEmptying(machine):
+	case s.isBeingDrained(machine):
 		return MachineDraining
 	case machine.Faulty:
 		return MachineFaulty
--- a/internal/scheduler/zone_health.go
+++ b/internal/scheduler/zone_health.go
@@ -41,8 +41,8 @@
 }
 
 // replaceableElsewhere reports whether a zone without a suspected outage may have capacity for a
-// replacement of a machine. An offer whose backoff ended less than two startup times ago counts as
-// refused: while work waits it is requested again and again.
+// replacement of a machine. An offer counts as refused during its backoff and for two startup times
+// after it, as it is requested again and again while work waits.
 func (s *Scheduler) replaceableElsewhere(machine *fleet.Machine, now time.Time) bool {
 	machineType := s.machineTypes[machine.Type]
 	recently := now.Add(-2 * s.startupTime(machine.Type))
--- a/internal/zonehealth/monitor.go
+++ b/internal/zonehealth/monitor.go
@@ -15,7 +15,7 @@
 // Count counts the machines of a zone that are up or were up.
 type Count struct {
 	Machines int // all of them
-	Silent   int // those without a heartbeat for SilentAfterIntervals
+	Silent   int // those without a heartbeat for SilentAfterIntervals heartbeat intervals
 }
 
 // heard returns the number of machines that are not silent.
@@ -134,8 +134,8 @@
 }
 
 // KeepWaiting reports whether to keep waiting for a machine whose lease has expired, as its zone has
-// a suspected outage or recovered a moment ago. silent is how long the machine has been silent,
-// replacementTime how long a replacement takes to become useful, and replaceable whether a zone
+// a suspected outage or recovered less than recoveryGraceLeases ago. silent is how long the machine has
+// been silent, replacementTime how long a replacement takes to start, and replaceable whether a zone
 // without a suspected outage can provide one.
 //
 // Waiting for as long as a replacement takes costs at most twice as much as the better of both
