--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -193,7 +193,7 @@
 // finished reports whether all machines have a version and are proven or past the soak time.
 func (f simulatedFleet) finished(version string, soak time.Duration) bool {
 	return !slices.ContainsFunc(f, func(m *simulatedMachine) bool {
-		return m.Version != version || m.VersionAge > 0 && m.VersionAge < soak && !m.Proven
+		return m.Version != version || m.VersionAge > 0 && m.VersionAge < soak && !m.HasCompletedTask
 	})
 }
 
@@ -231,14 +231,14 @@
 			m.steps++
 			if m.steps > 2 { // the machine has been emptied and upgraded
 				m.Version, m.steps, m.OutOfService, m.Empty = version, 0, false, false
-				m.Proven, m.Faulty, m.VersionAge, m.InService = false, false, time.Millisecond, true
+				m.HasCompletedTask, m.Faulty, m.VersionAge, m.InService = false, false, time.Millisecond, true
 			}
 		case m.VersionAge > 0:
 			m.VersionAge += time.Second
 			if m.Version == "2" && rapid.IntRange(1, 100).Draw(t, "fails") <= failPercent {
 				m.Faulty, m.InService = true, false
 			} else if m.VersionAge > 2*time.Second && !m.Faulty {
-				m.Proven = true
+				m.HasCompletedTask = true
 			}
 		}
 	}
--- a/internal/drain/upgrade.go
+++ b/internal/drain/upgrade.go
@@ -9,14 +9,14 @@
 // Candidate is a machine that an upgrade selects.
 type Candidate struct {
 	Machine
-	OutOfService bool          // already drained for this upgrade
-	Empty        bool          // has no tasks
-	InService    bool          // accepts tasks and is not cordoned
-	Cost         time.Duration // work to lose or to wait for until the machine is empty
-	Proven       bool          // a task has completed on it with its current version
-	Faulty       bool          // with its current version, it fails tasks that succeed elsewhere
-	VersionAge   time.Duration // time since it changed to its version; 0: no change seen
-	Classes      []string      // job classes that may run on it
+	OutOfService     bool          // already drained for this upgrade
+	Empty            bool          // has no tasks
+	InService        bool          // accepts tasks and is not cordoned
+	Cost             time.Duration // work to lose or to wait for until the machine is empty
+	HasCompletedTask bool          // a task has completed on it with its current version
+	Faulty           bool          // with its current version, it fails tasks that succeed elsewhere
+	VersionAge       time.Duration // time since it changed to its version; 0: no change seen
+	Classes          []string      // job classes that may run on it
 }
 
 // Rollout is the state of an upgrade that must survive a failover.
@@ -57,7 +57,7 @@
 		case m.Version != r.Target:
 		case m.Faulty:
 			faulty++
-		case m.Proven:
+		case m.HasCompletedTask:
 			proven++
 		}
 	}
@@ -112,7 +112,7 @@
 	for _, m := range candidates {
 		switch {
 		case m.Version == r.Target:
-			if m.VersionAge > 0 && m.VersionAge < soakTime && !m.Proven {
+			if m.VersionAge > 0 && m.VersionAge < soakTime && !m.HasCompletedTask {
 				allowance--
 			}
 		case m.OutOfService:
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -52,7 +52,7 @@
 
 	Version          string         // of its worker; "": unknown
 	VersionSince     time.Time      // when the version changed; zero: no change seen
-	Proven           bool           // a task has completed on it with this version
+	HasCompletedTask bool           // a task has completed on it with this version
 	FailedTasksByJob map[string]int // number of failed tasks by job id since the last success
 
 	FullUntil    time.Time // no tasks are sent until then, since it rejected one as full
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -70,7 +70,7 @@
 	if m.HasStatus {
 		// The cause of the machine's failures may have been the previous version.
 		m.VersionSince = now
-		m.Proven, m.Faulty, m.Draining = false, false, false
+		m.HasCompletedTask, m.Faulty, m.Draining = false, false, false
 		clear(m.FailedTasksByJob)
 		upgraded = true
 	}
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -89,7 +89,7 @@
 	machine := attempt.Machine
 	s.freedRoom.add(job.request, now, s.settings.HeartbeatInterval)
 	clear(machine.FailedTasksByJob)
-	machine.Proven = true
+	machine.HasCompletedTask = true
 	s.recordResult(job, attempt.Task.N)
 	for _, other := range job.attempts {
 		if other != attempt && (other.Task == attempt.Task || job.Shape == records.ShapeGang && other.Number != attempt.Number) {
--- a/internal/scheduler/drain_pass.go
+++ b/internal/scheduler/drain_pass.go
@@ -142,12 +142,12 @@
 			continue
 		}
 		c := drain.Candidate{
-			Machine:   view,
-			Empty:     m.Empty(),
-			InService: m.Cordon == nil && s.acceptsTasks(m, now),
-			Proven:    m.Proven,
-			Faulty:    m.Faulty,
-			Classes:   s.classesOf(m, classes),
+			Machine:          view,
+			Empty:            m.Empty(),
+			InService:        m.Cordon == nil && s.acceptsTasks(m, now),
+			HasCompletedTask: m.HasCompletedTask,
+			Faulty:           m.Faulty,
+			Classes:          s.classesOf(m, classes),
 			// After a failover the stored state tells which machines were out of service.
 			OutOfService: m.Cordon == d || m.Cordon == nil && outOfService[m.Name],
 		}
--- a/internal/scheduler/drain_state.go
+++ b/internal/scheduler/drain_state.go
@@ -98,7 +98,7 @@
 func (s *Scheduler) soaked(d *activeDrain, now time.Time) bool {
 	for _, m := range s.fleet.Sorted() {
 		fresh := !m.VersionSince.IsZero() && now.Sub(m.VersionSince) < soakIntervals*s.settings.HeartbeatInterval
-		if m.Version == d.state.Rollout.Target && fresh && !m.Proven {
+		if m.Version == d.state.Rollout.Target && fresh && !m.HasCompletedTask {
 			return false
 		}
 	}
