--- a/internal/leader/attestation.go
+++ b/internal/leader/attestation.go
@@ -44,7 +44,7 @@
 
 // relaxationHoldoff is how long after storing an attestation of complete watermarks a leader does
 // not relax them. A new process of this node can rely on the attestation only if it starts within
-// the holdoff; in an outage of the store, task starts are delayed by at most the holdoff.
+// the holdoff. In an outage of the store, task starts are delayed by at most the holdoff.
 func (a *attestor) relaxationHoldoff() time.Duration {
 	return max(a.settings.HeartbeatInterval, a.settings.Lease/4)
 }
@@ -124,8 +124,9 @@
 func (a *attestor) applyAcknowledgements(attestation watermark.Attestation, answers []peer.Status, all bool, askedAt time.Time) {
 	elapsed := time.Since(askedAt)
 	for _, answer := range answers {
-		// The last condition excludes a peer that has restarted since the query, after a new leader
-		// had made it reject this term: it reports the store as silent only since its restart.
+		// The last condition excludes a peer that has restarted since the query: it reports the
+		// store as silent only since then. Before the restart a new leader may have made it reject
+		// this term, which its new process does not know.
 		storeSilent := time.Duration(answer.SinceStoreResponseMS) * time.Millisecond
 		all = all && answer.Attestation != nil && attestation.ObservedBy(*answer.Attestation) && storeSilent > elapsed
 	}
--- a/internal/leader/attestation_query.go
+++ b/internal/leader/attestation_query.go
@@ -59,9 +59,9 @@
 	var stored watermark.StoredAttestation
 	_ = json.Unmarshal(row.Value, &stored) // an unreadable record has term 0
 	_, _, startedAt := a.store.Health()
-	timeBound := time.Duration(a.cfg.Deployment.MaxClockErrorMS * float64(time.Millisecond))
+	maxClockError := time.Duration(a.cfg.Deployment.MaxClockErrorMS * float64(time.Millisecond))
 	holdoff := a.relaxationHoldoff() - config.MaxDrift(a.relaxationHoldoff())
-	complete := stored.StillHolds(a.cfg.Node, startedAt, holdoff, timeBound)
+	complete := stored.StillHolds(a.cfg.Node, startedAt, holdoff, maxClockError)
 	if complete {
 		changes, err := a.leaderChanges(ctx, row.Revision)
 		complete = err == nil && len(changes) == 1 && changes[0].Term == a.number
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -29,7 +29,8 @@
 	return ok
 }
 
-// dropWatched drops the jobs if the watch, by an answer requested at askedAt, includes all reports.
+// dropWatched drops the jobs if a watch answer that was requested at askedAt is newer than the last
+// report, and so includes all of these cancellations.
 func (c *cancelledJobs) dropWatched(askedAt time.Time) {
 	if askedAt.After(c.lastReportedAt) {
 		c.deliveredBy = nil
@@ -55,7 +56,8 @@
 	}
 }
 
-// cancelLocked closes a cancelled job and returns when its last dispatch has reached the worker.
+// cancelLocked closes a cancelled job. It returns the time by which the job's last dispatch has
+// reached the worker, or the zero time if there was none. The caller must hold the state's lock.
 func (t *term) cancelLocked(job string) (arrival time.Time) {
 	cancelled := &t.state.cancelled
 	cancelled.lastReportedAt = time.Now()
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -46,9 +46,9 @@
 		d.state.mu.Unlock()
 		d.readAll(ctx, jobs)
 		d.state.mu.Lock()
-		cascade := d.state.scheduler.HasJobsToCancel()
+		hasJobsToCancel := d.state.scheduler.HasJobsToCancel()
 		d.state.mu.Unlock()
-		if cascade {
+		if hasJobsToCancel {
 			d.persistSoon()
 		}
 		// Drops jobs that no job depends on any more.
@@ -98,7 +98,7 @@
 	defer d.state.mu.Unlock()
 	var closed records.ClosedJob
 	if row == nil || json.Unmarshal(row.Value, &closed) != nil {
-		// The job may still be open and unknown to the watch.
+		// The job may be open and not yet reported by the watch.
 		*absent = append(*absent, job)
 		return
 	}
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -10,8 +10,8 @@
 // heartbeat waits for a record that its machine needs.
 const commitWaitDivisor = 16
 
-// HandleHeartbeat processes a worker's heartbeat in stages: admit it, reconcile it with the known state
-// of the machine, wait for the machine's record to be stored, plan tasks for the machine, and
+// HandleHeartbeat processes a worker's heartbeat in stages: admit it, reconcile it with the known
+// state of the machine, wait for the machine's record to be stored, plan tasks for the machine, and
 // respond. Each stage may reject the heartbeat.
 func (l *Leader) HandleHeartbeat(heartbeat *fleet.Heartbeat) fleet.HeartbeatResult {
 	x := heartbeatExchange{Leader: l, heartbeat: heartbeat}
@@ -54,7 +54,7 @@
 	}
 	x.now = time.Now()
 	// Without this check, leases would be renewed while cancellations may be missed: in an outage
-	// of the store in which peers confirm the leader, or while a watch hangs.
+	// of the store in which the peers report that none of them can lead, or while a watch hangs.
 	if !x.contact.mayRenewLeases(x.now) {
 		return fleet.HeartbeatUnavailable
 	}
@@ -114,8 +114,8 @@
 
 // planLocked plans tasks for the machine, and waits briefly for the watermarks that the plan
 // requires. It reports whether processing may continue. From here on the lock is held until the
-// response is built, and whether watermarks are relaxed is read under it, which the attestor relies
-// on.
+// response is built, and whether watermarks are relaxed is read under it: attestor.announce relies
+// on that.
 func (x *heartbeatExchange) planLocked() bool {
 	sched := x.state.scheduler
 	x.now = time.Now()
@@ -166,8 +166,9 @@
 }
 
 // awaitCommitLocked waits briefly until a record that the machine needs is stored, so that its
-// tasks start with this response instead of a heartbeat later. It releases the lock while it waits.
-// It reports whether the machine's heartbeat is still the latest and may still be accepted.
+// tasks start with this response instead of a heartbeat later. The caller must hold the state's
+// lock, which is released during the wait. It reports whether the machine's heartbeat is still the
+// latest and may still be accepted.
 func (l *Leader) awaitCommitLocked(machine *fleet.Machine, ready func() bool) bool {
 	incarnation, sequence := machine.Incarnation, machine.Sequence
 	// Heartbeats of the same bundle wait concurrently.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -57,7 +57,8 @@
 	List(ctx context.Context) ([]autoscaler.CloudMachine, error)
 }
 
-// Workers sends commands directly to workers. Go runs a call, within a limit on concurrent calls.
+// Workers sends commands directly to workers. Go runs a call in the background once fewer calls than
+// the limit are in progress.
 type Workers interface {
 	Go(call func())
 	SendCommands(addr string, request fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error)
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -17,8 +17,8 @@
 // mayStartTasks reports whether tasks may be started now: the lease on the leader key is certain
 // not to have expired, or, in an outage of the store for all controllers, every peer has just
 // reported that the store has not answered it since the lease was last certain. No peer can have
-// acquired the key before that, and a later election requires an answer of the store. Scaling out
-// and in requires the lease alone.
+// acquired the key before that, and a later election requires an answer of the store. The peers'
+// reports do not suffice for scaling out and in, which requires the lease.
 func (t *term) mayStartTasks() bool {
 	if t.leaseConfirmed() {
 		return true
--- a/internal/leader/lease_expiry.go
+++ b/internal/leader/lease_expiry.go
@@ -18,7 +18,8 @@
 	attestor *attestor
 }
 
-// run queries the store only after the failover, which does not wait for it.
+// run queries the store only after the failover is complete, so that the failover does not wait for
+// the answer.
 func (e *leaseExpiry) run(ctx context.Context) {
 	renewers := e.possibleRenewers(ctx)
 	if len(renewers) == 0 {
--- a/internal/leader/store_outage.go
+++ b/internal/leader/store_outage.go
@@ -87,7 +87,8 @@
 }
 
 // summarizeStoreAccess summarizes the peers' answers to a query that took elapsed. sinceExpiry is
-// the time since the lease on the leader key was last certain; negative while it is.
+// the time since the lease on the leader key was last certain not to have expired; negative while
+// that is certain.
 func (o *storeOutage) summarizeStoreAccess(answers []peer.Status, sinceExpiry, elapsed time.Duration) peerStoreAccess {
 	access := peerStoreAccess{noneCanLead: true}
 	for _, answer := range answers {
--- a/internal/leader/views.go
+++ b/internal/leader/views.go
@@ -32,7 +32,7 @@
 // DependenciesClear reports whether no dependency of a job is known to be cancelled, and the age of
 // that knowledge.
 func (l *Leader) DependenciesClear(id string) (age time.Duration, ok bool) {
-	// The order matters: events in between make the answer older, not wrong.
+	// The contact is read first: events between the two reads make age too high, but ok not wrong.
 	contact := l.contact.last()
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
