--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -45,7 +45,7 @@
 	keepsWatermarks bool
 
 	mu               sync.Mutex // guards the fields below
-	leader           string     // last known leader
+	leader           string     // node that leads, as last known; "" if unknown
 	term             uint64     // this process's own term, 0 while it does not lead
 	confirmedUntil   time.Time
 	cancelTerm       context.CancelFunc // ends the term being served; nil while none is
@@ -168,8 +168,8 @@
 	e.mu.Lock()
 	lastLeaseID := e.lastLeaseID
 	e.mu.Unlock()
-	// Without this check, the key would stay with a term that is not served until its lease
-	// expires.
+	// Without this revocation, the key of a term that no process serves would stay, and block the
+	// next election, until its lease expires.
 	if row.LeaseID != lastLeaseID {
 		slog.Info("late campaign revoked", "node", e.node, "term", row.Revision)
 		e.store.RevokeLease(ctx, row.LeaseID)
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -59,7 +59,7 @@
 
 // replay runs the events of a scenario and returns the state after the last one.
 func replay(t *testing.T, events [][]string) (last []string) {
-	state := simulation.NewStore()
+	store := simulation.NewStore()
 	nodes := map[string]*process{}
 	kill := func(name string) {
 		if p := nodes[name]; p != nil {
@@ -74,7 +74,7 @@
 		switch w[0] {
 		case "start":
 			ctx, cancel := context.WithCancel(context.Background())
-			p := &process{client: state.Client(w[1]), cancel: cancel, stopped: make(chan struct{})}
+			p := &process{client: store.Client(w[1]), cancel: cancel, stopped: make(chan struct{})}
 			p.election = election.New(p.client, w[1], w[2], 4*time.Second, false)
 			nodes[w[1]] = p
 			go func() {
@@ -85,15 +85,15 @@
 		case "kill":
 			kill(w[1])
 		case "outage":
-			state.SetOutage(w[1] == "on")
+			store.SetOutage(w[1] == "on")
 		case "refuse":
-			state.SetRefused(w[1], w[2] == "on")
+			store.SetRefused(w[1], w[2] == "on")
 		case "lose":
 			s, _ := strconv.Atoi(w[2])
 			nodes[w[1]].client.LoseAnswers(1, time.Duration(s)*time.Second)
 		case "late":
 			// Applies an abandoned campaign, on a lease of its own.
-			c := state.Client("late")
+			c := store.Client("late")
 			leaseID, err := c.GrantLease(context.Background(), 4*time.Second)
 			if err == nil {
 				_, err = c.Commit(context.Background(), []records.Compare{{Key: records.KeyLeader}},
@@ -109,7 +109,7 @@
 			time.Sleep(time.Duration(s * float64(time.Second)))
 		case "write":
 			term, _ := strconv.ParseUint(w[1], 10, 64)
-			_, err := state.Client("late").Commit(context.Background(),
+			_, err := store.Client("late").Commit(context.Background(),
 				[]records.Compare{{Key: records.KeyLeader, Revision: term}}, []records.Op{{Write: "x", Value: 1}})
 			var conflict *records.ConflictError
 			last = []string{fmt.Sprintf("refused: %v", errors.As(err, &conflict))}
