--- a/internal/cancellation/renewal_bound.go
+++ b/internal/cancellation/renewal_bound.go
@@ -59,7 +59,8 @@
 func (b *RenewalBound) Covers(answers []PeerAnswer, now time.Time) (ids []string, ok bool) {
 	sinceContact := now.Sub(b.contact)
 	for _, answer := range answers {
-		// A controller without confirmations since the contact needs no list.
+		// A controller without confirmations since the contact needs no list, which could hold as
+		// many earlier ones as its log.
 		if answer.SinceLastConfirmation-config.MaxDrift(answer.SinceLastConfirmation) >= sinceContact {
 			continue
 		}
--- a/internal/watermark/attestation.go
+++ b/internal/watermark/attestation.go
@@ -138,11 +138,12 @@
 }
 
 // StillHolds reports whether the leader that wrote a stored attestation cannot have relaxed the
-// watermarks since: a leader never does so within span of writing one, and that process has ended,
-// as this process of the same node started within the span. bound is the maximum error of either
-// process's time of day. An attestation that this process wrote itself does not hold, as it may
-// have relaxed the watermarks since.
-func (s StoredAttestation) StillHolds(node string, started time.Time, span, bound time.Duration) bool {
+// watermarks since. A leader never does so within span of writing one, and the process that wrote
+// it has ended: it ran on the given node, which now acquires the leader key, and this process of
+// that node started within the span. maxClockError is the maximum error of either process's time of
+// day. An attestation that this process wrote itself does not hold, as it may have relaxed the
+// watermarks since.
+func (s StoredAttestation) StillHolds(node string, started time.Time, span, maxClockError time.Duration) bool {
 	after := started.Sub(time.UnixMilli(s.AtMS))
-	return s.Term != 0 && s.Node == node && after > 2*bound && after <= span-2*bound
+	return s.Term != 0 && s.Node == node && after > 2*maxClockError && after <= span-2*maxClockError
 }
--- a/internal/watermark/failover_model_test.go
+++ b/internal/watermark/failover_model_test.go
@@ -171,7 +171,7 @@
 	if latest, ok := LatestComplete(remembered); ok {
 		return Trusted(latest, m.changesSince(int8(latest.Term), mutant), uint64(m.term))
 	}
-	const span, bound = 2 * time.Second, time.Second / 10
+	const span, maxClockError = 2 * time.Second, time.Second / 10
 	sent := time.Unix(1000, 0)
 	sinceSent := map[startTime]time.Duration{afterSpan: time.Hour, withinSpan: time.Second, beforeAttestation: -time.Second}
 	start := m.controllers[i].started
@@ -179,7 +179,7 @@
 		start = withinSpan
 	}
 	stored := StoredAttestation{Term: uint64(m.attestation.term), Node: fmt.Sprint(m.attestation.node), AtMS: sent.UnixMilli()}
-	if !stored.StillHolds(fmt.Sprint(i), sent.Add(sinceSent[start]), span, bound) {
+	if !stored.StillHolds(fmt.Sprint(i), sent.Add(sinceSent[start]), span, maxClockError) {
 		return false
 	}
 	changes := m.changesSince(m.attestation.term, mutant)
@@ -426,8 +426,8 @@
 	}
 	acknowledgements := bits.OnesCount8(l.acknowledged)
 	enough := acknowledgements == len(m.controllers)-1 || mutant == oneAcknowledgement && acknowledgements > 0
-	bound := m.attestation.withinSpan && m.attestation.term == l.term && mutant != relaxWithinSpan
-	if enough && !bound {
+	attestationHolds := m.attestation.withinSpan && m.attestation.term == l.term && mutant != relaxWithinSpan
+	if enough && !attestationHolds {
 		l.relaxed = true
 		l.watermarksComplete = false
 	}
@@ -492,15 +492,15 @@
 	events         eventBudget
 }
 
-func (s modelConfig) initialState() failoverModel {
+func (c modelConfig) initialState() failoverModel {
 	m := failoverModel{
 		keyHolder: none,
 		taskOn:    none,
-		delayed:   delayedAttestation{to: none, used: !s.delaysMessages},
-		budget:    s.events,
+		delayed:   delayedAttestation{to: none, used: !c.delaysMessages},
+		budget:    c.events,
 	}
-	m.controllers[2].withoutWatermarks = s.mixedVersions
-	if s.withLeader {
+	m.controllers[2].withoutWatermarks = c.mixedVersions
+	if c.withLeader {
 		m.elect(0, true, noFailoverMutant)
 		m.heartbeat(0, 1)
 		for i := range m.controllers {
@@ -517,17 +517,17 @@
 var maxModelStates = flag.Int("states", 150_000, "maximum number of model states to explore")
 
 func TestTaskIsNeverDispatchedTwice(t *testing.T) {
-	for _, size := range []modelConfig{
+	for _, config := range []modelConfig{
 		{events: eventBudget{terms: 3, restarts: 1, taskEnds: 1}},
 		{mixedVersions: true, events: eventBudget{terms: 3, restarts: 1, taskEnds: 1}},
 		{withLeader: true, events: eventBudget{terms: 3, restarts: 2}},
 		{withLeader: true, events: eventBudget{terms: 2, restarts: 1, outages: 1}},
 		{withLeader: true, delaysMessages: true, events: eventBudget{terms: 2, restarts: 1, outages: 1}},
 	} {
-		seen, violation := exploreFailovers(size.initialState(), noFailoverMutant, *maxModelStates)
-		t.Logf("%+v: %d states", size, seen)
+		seen, violation := exploreFailovers(config.initialState(), noFailoverMutant, *maxModelStates)
+		t.Logf("%+v: %d states", config, seen)
 		if violation != "" {
-			t.Errorf("%+v: %s", size, violation)
+			t.Errorf("%+v: %s", config, violation)
 		}
 	}
 }
@@ -536,7 +536,7 @@
 func TestFailoverModelDetectsMutants(t *testing.T) {
 	for _, x := range []struct {
 		mutant failoverMutant
-		size   modelConfig
+		config modelConfig
 	}{
 		{dispatchUncovered, modelConfig{events: eventBudget{terms: 2}}},
 		{ignoreLaterLeaders, modelConfig{mixedVersions: true, events: eventBudget{terms: 3}}},
@@ -550,7 +550,7 @@
 		{trustOwnRecord, modelConfig{withLeader: true, events: eventBudget{terms: 2, outages: 1}}},
 	} {
 		const maxStates = 400_000
-		seen, violation := exploreFailovers(x.size.initialState(), x.mutant, maxStates)
+		seen, violation := exploreFailovers(x.config.initialState(), x.mutant, maxStates)
 		t.Logf("%s, at %d states: %s", x.mutant, seen, violation)
 		if violation == "" {
 			t.Errorf("mutant not detected: %s, in %d states", x.mutant, seen)
--- a/internal/watermark/lease_expiry.go
+++ b/internal/watermark/lease_expiry.go
@@ -42,7 +42,7 @@
 
 // LeasesExpired reports whether no renewer has renewed a lease for at least the lease duration.
 // sinceRenewal is a lower bound of the time since the last renewal of each renewer; an unknown one
-// is missing.
+// is missing. Without renewers the result is false.
 func LeasesExpired(renewers []string, sinceRenewal map[string]time.Duration, lease time.Duration) bool {
 	for _, node := range renewers {
 		since, known := sinceRenewal[node]
--- a/internal/watermark/mark.go
+++ b/internal/watermark/mark.go
@@ -6,13 +6,13 @@
 	Requested int // value requested for the next write
 }
 
-// RaiseDivisor is the divisor of a job's task count that gives the increment of its watermark. Each
-// raise is a write to the store, but the tasks between the last dispatched one and the watermark
-// wait needlessly at a failover.
+// RaiseDivisor is the divisor of a job's task count that gives the increment of its watermark. A
+// small increment costs many writes to the store; with a large one, many tasks between the last
+// dispatched one and the watermark wait needlessly at a failover.
 const RaiseDivisor = 8
 
-// RaiseStep returns the increment, in tasks, of the watermark of a job with so many tasks. It
-// covers a small job at once.
+// RaiseStep returns the minimum increment, in tasks, of the watermark of a job with the given number
+// of tasks. The first increment covers all tasks of a small job.
 func RaiseStep(tasks int) int { return tasks/RaiseDivisor + RaiseDivisor }
 
 // Covers reports whether a task is below the stored watermark and may be dispatched.
