--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -27,7 +27,7 @@
 
 	MayReap   bool          // the worker may be told to forget it
 	Item      *packing.Item // its item in the machine's bin; nil once it has ended
-	Duplicate bool          // it is not the attempt that the task is tracked by
+	Duplicate bool          // a duplicate attempt: it does not count as its task's attempt
 	Job       any           // the planner's job; the table does not read it
 	Charge    quota.Charge  // its charge in the quota account; the table does not read it
 
@@ -52,8 +52,8 @@
 // status has shown its end. That includes run commands in flight.
 func (a *Attempt) MayBePresent() bool { return a.state != Planned && a.state != Ended }
 
-// Durations returns how long the attempt waited on its machine and how long it has been running; an
-// attempt that never ran has run for 0.
+// Durations returns how long the attempt waited on its machine and how long it has been running. An
+// attempt that never ran has waited all the time and run for 0.
 func (a *Attempt) Durations(now time.Time) (waited, ran time.Duration) {
 	if a.RunningSince.IsZero() {
 		return now.Sub(a.AssignedAt), 0
@@ -69,8 +69,8 @@
 }
 
 // RequestStop requests that the attempt is killed, with graceS seconds to save a checkpoint. The kill
-// command is repeated until a status shows the end. The first reason is kept, and the grace period
-// never decreases. It reports whether anything has changed.
+// command is repeated until a status shows the end. Of several requests, the first reason and the
+// shortest grace period count. It reports whether anything has changed.
 func (a *Attempt) RequestStop(reason string, graceS float64, now time.Time) bool {
 	if a.stopping && graceS >= a.graceS {
 		return false
--- a/internal/fleet/probe.go
+++ b/internal/fleet/probe.go
@@ -17,8 +17,8 @@
 }
 
 // DueProbes returns the probes that are due, and records them as sent. A machine is probed if its
-// heartbeats lack an attempt that it should have, or if only late heartbeats have come from it for
-// more than 1.5 heartbeat intervals.
+// heartbeats lack an attempt that it should have, or if no status of it was applied for more than
+// 1.5 heartbeat intervals and only late ones have come for more than half an interval.
 func (t *Table) DueProbes(heartbeatInterval time.Duration, now time.Time) []Probe {
 	var probes []Probe
 	for _, m := range t.sorted {
@@ -57,7 +57,8 @@
 		return ApplyResult{Stale: true}, false
 	}
 	if m.IsStale(hb) {
-		// A status that was applied after the probe was sent may be newer than the answer.
+		// A status that was applied after the probe was sent may be newer than the answer, which
+		// then proves nothing.
 		if m.statusCount != probe.statusCount {
 			return ApplyResult{Stale: true, Machine: m}, false
 		}
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -3,8 +3,8 @@
 import "time"
 
 // reachability tracks whether responses and commands reach a machine. A machine whose heartbeats
-// arrive while responses to it are lost is not silent. Without this check, tasks would be sent to it
-// forever, and one gang after another would wait for it.
+// arrive while responses and commands to it are lost is not silent. Without this record, tasks would
+// be sent to it forever, and one gang after another would wait for it.
 type reachability struct {
 	answered    bool      // the last heartbeat was answered with status 200
 	via         string    // controller that relayed the answer
@@ -18,8 +18,8 @@
 const unreachableMissedAnswers = 2
 
 // minReturnDelay is the minimum time in which a worker without a response returns to the same
-// controller. By the worker protocol it waits 4 s for the response and tries the next controller 1 s
-// later; there are at least two controllers. The result is reduced by a margin of 10%.
+// controller. By the worker protocol it waits 4 s for each response and tries the next controller
+// 1 s later; there are at least two controllers. A margin of 10% is subtracted.
 const minReturnDelay = 2 * (4 + 1) * time.Second * 9 / 10
 
 // updateReachability determines from a status whether the last answer has arrived. It has if
@@ -30,8 +30,8 @@
 //     stays with the controller that answered it.
 //
 // A heartbeat shows that the worker stayed with its controller if it has the next sequence number,
-// or if it comes sooner than the worker could return from another controller. The sequence number
-// alone is not sufficient, since a probe also raises it.
+// or if it comes sooner than the worker could return from another controller. The second condition
+// is needed because a probe raises the sequence number too, which then is not the next one.
 func (m *Machine) updateReachability(hb *Heartbeat, isHeartbeat bool, term uint64, now time.Time) {
 	last := &m.reachability
 	arrived := !isHeartbeat || m.FencingToken < term && hb.FencingToken == term
--- a/internal/fleet/staleness.go
+++ b/internal/fleet/staleness.go
@@ -13,7 +13,7 @@
 // protocol and with a margin.
 const responseTimeout = 5 * time.Second
 
-// staleness tracks the signs that a machine's heartbeats may be late copies.
+// staleness tracks the evidence that a machine's heartbeats may be late copies.
 type staleness struct {
 	lastLateAt    time.Time // when the last late status came in
 	onlyLateSince time.Time // when the first late status after the last current one came in; zero: none
