--- a/internal/fairshare/account.go
+++ b/internal/fairshare/account.go
@@ -58,9 +58,9 @@
 	return entitled, mayPreempt
 }
 
-// CanStartInTime reports whether an entitled job that has waited for age can still start within its
-// target time, given one heartbeat interval and the fetch of its image. If within is 0, there is no
+// CanStartInTime reports whether an entitled job that has waited for age can still start within the
+// target time, given one heartbeat interval and the fetch of its image. If target is 0, there is no
 // target and the result is false.
-func CanStartInTime(within, age, heartbeatInterval, fetch time.Duration) bool {
-	return within > 0 && age+heartbeatInterval+fetch < within
+func CanStartInTime(target, age, heartbeatInterval, fetch time.Duration) bool {
+	return target > 0 && age+heartbeatInterval+fetch < target
 }
--- a/internal/fairshare/shortage_test.go
+++ b/internal/fairshare/shortage_test.go
@@ -29,11 +29,11 @@
 // A job can start in time while its wait, a heartbeat interval and the image fetch add up to less
 // than the target; without a target, no job can.
 func TestCanStartInTime(t *testing.T) {
-	const within, heartbeatInterval, fetch = 60 * time.Second, 5 * time.Second, 15 * time.Second
-	if !CanStartInTime(within, 39*time.Second, heartbeatInterval, fetch) {
+	const target, heartbeatInterval, fetch = 60 * time.Second, 5 * time.Second, 15 * time.Second
+	if !CanStartInTime(target, 39*time.Second, heartbeatInterval, fetch) {
 		t.Error("cannot start in time after 39s, want that it can")
 	}
-	if CanStartInTime(within, 40*time.Second, heartbeatInterval, fetch) {
+	if CanStartInTime(target, 40*time.Second, heartbeatInterval, fetch) {
 		t.Error("can start in time after 40s, want that it cannot")
 	}
 	if CanStartInTime(0, 0, 0, 0) {
--- a/internal/finishedtasks/tracker.go
+++ b/internal/finishedtasks/tracker.go
@@ -10,8 +10,8 @@
 	"drumpick/internal/records"
 )
 
-// growthBytes is reserved for the growth of a record, in addition to twice its size. Tasks of a job
-// mostly finish in order, so that records grow little.
+// growthBytes is the space that a record gets for its growth in addition to twice its size. That
+// suffices mostly, since the tasks of a job mostly finish in order and thus form few ranges.
 const growthBytes = 48
 
 // Job is an open job.
@@ -35,16 +35,16 @@
 }
 
 // Tracker tracks the finished tasks of open jobs and writes them to records. A record holds one part
-// of a chunk; a part is small enough that its worst pattern fits into the smallest value size that
-// may be configured later. Readers of every version merge the records of a chunk. A record under
-// the chunk's own id, as earlier versions write it, covers the whole chunk and is never overwritten
-// with a part.
+// of a chunk; a part is so small that its worst pattern also fits into a value under a lower limit
+// that the store will have later. Each part has a record id of its own, and readers of every version
+// merge the records of a chunk. A record under the chunk's own id, as earlier versions write it,
+// covers the whole chunk and is never overwritten with a part.
 type Tracker struct {
-	layout Layout
-	pages  *records.PagedRecords
-	open   Jobs
-	jobs   map[string]*jobRecords // by job id
-	parts  map[string]jobPart     // by record id
+	layout   Layout
+	pages    *records.PagedRecords
+	openJobs Jobs
+	jobs     map[string]*jobRecords // by job id
+	parts    map[string]jobPart     // by record id
 }
 
 // jobPart identifies a part of a job.
@@ -69,8 +69,8 @@
 }
 
 // New returns a tracker without records, which writes to pages.
-func New(layout Layout, pages *records.PagedRecords, open Jobs) *Tracker {
-	return &Tracker{layout: layout, pages: pages, open: open, jobs: map[string]*jobRecords{}, parts: map[string]jobPart{}}
+func New(layout Layout, pages *records.PagedRecords, openJobs Jobs) *Tracker {
+	return &Tracker{layout: layout, pages: pages, openJobs: openJobs, jobs: map[string]*jobRecords{}, parts: map[string]jobPart{}}
 }
 
 // Pages returns the pages of the records.
@@ -127,7 +127,7 @@
 
 // WriteDirtyParts writes the records of all dirty parts to the pages.
 func (t *Tracker) WriteDirtyParts() {
-	for job := range t.open.OpenJobs() {
+	for job := range t.openJobs.OpenJobs() {
 		dirty := job.DirtyParts()
 		for part := range dirty {
 			delete(dirty, part)
@@ -198,7 +198,7 @@
 	var parts []pendingPart
 	for _, id := range ids {
 		p, known := t.parts[id]
-		job, open := t.open.OpenJob(p.job)
+		job, open := t.openJobs.OpenJob(p.job)
 		if known && open && !job.DirtyParts()[p.part] && t.recordsOf(p.job).ids[p.part] == id {
 			parts = append(parts, pendingPart{job, p.part, slices.Clone(job.DoneTasks())})
 		}
@@ -245,7 +245,7 @@
 func (t *Tracker) Rewrite(ids []string) {
 	for _, id := range ids {
 		p := t.parts[id]
-		if job, open := t.open.OpenJob(p.job); open {
+		if job, open := t.openJobs.OpenJob(p.job); open {
 			job.DirtyParts()[p.part] = true
 		}
 	}
--- a/internal/packing/index.go
+++ b/internal/packing/index.go
@@ -76,7 +76,7 @@
 	return !slices.ContainsFunc(s, func(word uint64) bool { return word != 0 })
 }
 
-// sparseBitSet is a bit set with a summary of its non-zero words.
+// sparseBitSet is a bit set in which most words are zero. The summary marks the non-zero words.
 type sparseBitSet struct {
 	words   bitSet
 	summary bitSet
--- a/internal/packing/visbp.go
+++ b/internal/packing/visbp.go
@@ -167,8 +167,8 @@
 	return o.space.anyBin(kinds, func(b *Bin) bool { return b != from && o.move(group, from, b) })
 }
 
-// placeGroup moves a group into another bin, preferably a ULLT-bin, then a UT-bin, then an empty bin.
-// It reports whether it did.
+// placeGroup moves a group into another bin and reports whether it did. As for a single tiny item,
+// it prefers a ULLT-bin, then a UT-bin, then an empty bin.
 func (o *operation) placeGroup(group []*Item, from *Bin) bool {
 	return o.moveInto(ulltBins, group, from) || o.moveInto(utBins, group, from) || o.moveInto(emptyBins, group, from)
 }
