--- a/cmd/drumpick-scale/main.go
+++ b/cmd/drumpick-scale/main.go
@@ -1,6 +1,6 @@
-// Command drumpick-scale runs deployments of a planned size on one machine, with workers whose tasks are timers beside
-// real processes, measures what each role costs, and works out what that comes to at other sizes. It is for planning
-// and tests; nothing of it is in the controllers' program.
+// Command drumpick-scale runs deployments of a planned size on one machine, measures the resources that each role uses,
+// and extrapolates them to other sizes. Most workers are simulated, with timers for tasks; some are real processes. It
+// serves capacity planning and tests; the controller binary contains none of it.
 package main
 
 import (
@@ -23,13 +23,13 @@
 // Exit codes.
 const (
 	exitOK          = 0
-	exitFailed      = 1 // a rule was broken, or the run failed
-	exitUsage       = 2 // the command line is wrong; nothing was started
+	exitFailed      = 1 // a protocol rule was violated, or the run failed
+	exitUsage       = 2 // invalid command line; nothing was started
 	exitInterrupted = 130
 )
 
-// errProtocolViolation says that a rule of the protocol was broken.
-var errProtocolViolation = errors.New("a rule of the protocol was broken")
+// errProtocolViolation means that a run violated a rule of the protocol.
+var errProtocolViolation = errors.New("a rule of the protocol was violated")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -37,25 +37,25 @@
 	os.Exit(execute(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// execute runs one command line and returns the exit code.
-func execute(ctx context.Context, args []string, out, errs io.Writer) int {
+// execute runs a command line and returns its exit code.
+func execute(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := newCommand()
 	root.SetArgs(args)
 	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetErr(errOut)
 	err := root.ExecuteContext(ctx)
 	var usage *loadtest.UsageError
 	switch {
 	case err == nil:
 		return exitOK
 	case ctx.Err() != nil:
-		fmt.Fprintln(errs, "drumpick-scale: interrupted")
+		fmt.Fprintln(errOut, "drumpick-scale: interrupted")
 		return exitInterrupted
 	case errors.As(err, &usage):
-		fmt.Fprintln(errs, "drumpick-scale:", err)
+		fmt.Fprintln(errOut, "drumpick-scale:", err)
 		return exitUsage
 	}
-	fmt.Fprintln(errs, "drumpick-scale:", err)
+	fmt.Fprintln(errOut, "drumpick-scale:", err)
 	return exitFailed
 }
 
@@ -100,48 +100,49 @@
 	}
 	f := cmd.Flags()
 	addSizeFlags(f, &size)
-	f.BoolVar(&paired, "paired", false, "play it without teams before")
-	f.StringVar(&file, "out", "", "`file` for the result as JSON")
-	f.StringVar(&programs.Controller, "daemon", "target/drumpick", "the controllers' `program`, built as deploy/service.toml says")
-	f.StringVar(&programs.OptionsFile, "options", "deploy/drumpick.ini", "the controllers' operators' settings `file`")
+	f.BoolVar(&paired, "paired", false, "run the same load without teams first, for comparison")
+	f.StringVar(&file, "out", "", "`file` to write the result to, as JSON")
+	f.StringVar(&programs.Controller, "daemon", "target/drumpick", "controller `program`, built as deploy/service.toml specifies")
+	f.StringVar(&programs.OptionsFile, "options", "deploy/drumpick.ini", "operators' settings `file` of the controllers")
 	return cmd
 }
 
-// addSizeFlags adds the flags that say what to run.
+// addSizeFlags adds the flags that set the size, duration and injected faults of a run.
 func addSizeFlags(f *pflag.FlagSet, size *loadtest.Size) {
-	f.IntVar(&size.Workers, "workers", size.Workers, "`machines` in all")
-	f.IntVar(&size.RealWorkers, "real-workers", size.RealWorkers, "of these, `machines` with a process of their own")
-	f.IntVar(&size.Tasks, "tasks", size.Tasks, "`tasks` that are to run at the same time")
-	f.Float64Var(&size.StartRate, "rate", size.StartRate, "task `starts` a second at the peak")
-	f.IntVar(&size.Controllers, "controllers", size.Controllers, "`controllers` of each region")
-	f.IntVar(&size.Teams, "teams", size.Teams, "`teams`, each with a guarantee and a limit; 0: one team without")
-	f.IntVar(&size.Zones, "zones", size.Zones, "`zones` in all")
-	f.IntVar(&size.Deployments, "regions", size.Deployments, "`regions`, each with a state service, a cloud and a leader of its own")
-	f.DurationVar(&size.MeasureTime, "for", size.MeasureTime, "`how long` it is measured once the load has risen")
-	f.Float64Var(&size.StoreRPS, "store-rps", size.StoreRPS, "`requests` a second that each state service takes")
-	f.Float64Var(&size.StoreWrites, "store-writes", size.StoreWrites, "`changes` a second that each state service takes")
-	f.Float64Var(&size.Faults.TimeCompression, "compress", 0, "`seconds` of the planned day, with its failures and restarts of machines, in one second; 0: none")
-	f.BoolVar(&size.Faults.Rack, "rack", false, "a rack's workers fail at once")
-	f.BoolVar(&size.Faults.Zone, "zone", false, "a zone's workers fail at once")
-	f.BoolVar(&size.Faults.Leader, "leader", false, "a leader is killed")
+	f.IntVar(&size.Workers, "workers", size.Workers, "total number of `machines`")
+	f.IntVar(&size.RealWorkers, "real-workers", size.RealWorkers, "number of these `machines` whose worker is a real process")
+	f.IntVar(&size.Tasks, "tasks", size.Tasks, "number of `tasks` running at the same time")
+	f.Float64Var(&size.StartRate, "rate", size.StartRate, "peak number of task `starts` per second")
+	f.IntVar(&size.Controllers, "controllers", size.Controllers, "number of `controllers` per region")
+	f.IntVar(&size.Teams, "teams", size.Teams, "number of `teams`, each with a guarantee and a limit; 0: one team with neither")
+	f.IntVar(&size.Zones, "zones", size.Zones, "total number of `zones`")
+	f.IntVar(&size.Deployments, "regions", size.Deployments, "number of `regions`, each with its own state service, cloud and leader")
+	f.DurationVar(&size.MeasureTime, "for", size.MeasureTime, "measurement `duration` after the ramp-up")
+	f.Float64Var(&size.StoreRPS, "store-rps", size.StoreRPS, "`requests` per second that each state service accepts")
+	f.Float64Var(&size.StoreWrites, "store-writes", size.StoreWrites, "`changes` per second that each state service accepts")
+	f.Float64Var(&size.Faults.TimeCompression, "compress", 0, "`seconds` of the planned day, with its machine failures and restarts, per second of the run; 0: no machine faults")
+	f.BoolVar(&size.Faults.Rack, "rack", false, "make all workers of a rack fail at the same time")
+	f.BoolVar(&size.Faults.Zone, "zone", false, "make all workers of a zone fail at the same time")
+	f.BoolVar(&size.Faults.Leader, "leader", false, "kill a leader")
 }
 
-// resolvePrograms checks the programs and files that a run needs.
+// resolvePrograms sets the path of this program, and checks that the controller program and the options file exist.
 func resolvePrograms(p *loadtest.Programs) (err error) {
 	if p.LoadTest, err = os.Executable(); err != nil {
 		return err
 	}
 	if _, err := os.Stat(p.Controller); err != nil {
-		const format = "there is no program %s; build it with go build -o %[1]s ./cmd/drumpick"
+		const format = "program %s does not exist; build it with go build -o %[1]s ./cmd/drumpick"
 		return &loadtest.UsageError{Flag: "daemon", Reason: fmt.Sprintf(format, p.Controller)}
 	}
 	if _, err := os.Stat(p.OptionsFile); err != nil {
-		return &loadtest.UsageError{Flag: "options", Reason: fmt.Sprintf("there is no file %s", p.OptionsFile)}
+		return &loadtest.UsageError{Flag: "options", Reason: fmt.Sprintf("file %s does not exist", p.OptionsFile)}
 	}
 	return nil
 }
 
-// printResult prints a result and writes it to a file, if one is named. It fails if a rule was broken.
+// printResult prints a result, and writes it to file unless that is "". It returns errProtocolViolation if the result has
+// violations.
 func printResult(r *loadtest.Result, file string, out io.Writer) error {
 	if err := r.Print(out); err != nil {
 		return err
@@ -153,37 +154,37 @@
 	}
 	if len(r.Violations) > 0 {
 		first := r.Violations[0]
-		return fmt.Errorf("%w: %s: %s (%d in all)", errProtocolViolation, first.Rule, first.Detail, len(r.Violations))
+		return fmt.Errorf("%w: %s: %s (%d in total)", errProtocolViolation, first.Rule, first.Detail, len(r.Violations))
 	}
 	return nil
 }
 
 func fitCommand() *cobra.Command {
-	var by string
+	var variable string
 	cmd := &cobra.Command{
-		Use: "fit FILE...", Short: "Fit costs to sizes, over the results of at least four runs",
+		Use: "fit FILE...", Short: "Fit resource use to deployment size, from the results of at least four runs",
 		RunE: func(cmd *cobra.Command, files []string) error {
-			fits, err := loadtest.Fit(files, by)
+			fits, err := loadtest.Fit(files, variable)
 			if err != nil {
 				return err
 			}
 			return fits.Print(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().StringVar(&by, "by", loadtest.ByWorkers, "what the sizes differ by: `workers`, rate or teams")
+	cmd.Flags().StringVar(&variable, "by", loadtest.ByWorkers, "size that the runs vary: `workers`, rate or teams")
 	return cmd
 }
 
-// serveCommand is the command that a run starts as processes of its own.
+// serveCommand returns the hidden command that a run starts as child processes.
 func serveCommand() *cobra.Command {
 	var data string
 	cmd := &cobra.Command{
-		Use: "serve ROLE", Short: "Play one role of a run", Hidden: true, Args: cobra.ExactArgs(1),
+		Use: "serve ROLE", Short: "Serve one role of a run", Hidden: true, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			slog.SetDefault(slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), nil)))
 			return loadtest.ServeChild(args[0], data, cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().StringVar(&data, "data", "", "`directory` of records")
+	cmd.Flags().StringVar(&data, "data", "", "`directory` of the run's data")
 	return cmd
 }
--- a/cmd/drumpick-scale/main_test.go
+++ b/cmd/drumpick-scale/main_test.go
@@ -13,7 +13,7 @@
 	"github.com/shirou/gopsutil/v4/process"
 )
 
-// The processes that a run starts are this program: here, the test's.
+// A run starts its own program as child processes, here the test binary.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
 		main()
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// countChildProcesses returns how many processes this one has started and not ended.
+// countChildProcesses returns the number of child processes of this one.
 func countChildProcesses(t *testing.T) int {
 	t.Helper()
 	self, err := process.NewProcess(int32(os.Getpid()))
@@ -31,13 +31,13 @@
 	}
 	all, err := self.Children()
 	if err != nil {
-		return 0 // there are none
+		return 0 // gopsutil reports no children as an error
 	}
 	return len(all)
 }
 
-// A run of real controllers with hollow workers and two that have processes of their own, the leader killed once: every
-// job gets one final answer, no rule breaks, nothing is left behind.
+// In a run of real controllers with simulated and two real workers and one leader killed, every job gets one final
+// answer, no rule is violated, and no process or directory is left behind.
 func TestRunWithFailoverLeavesNothingBehind(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
@@ -68,7 +68,7 @@
 	}
 	for _, role := range []string{"leader", "follower", "state service", "hollow workers", "real worker"} {
 		if u := r.Usage[role]; u.Processes == 0 || u.MemoryMB <= 0 {
-			t.Errorf("%s: nothing was measured", role)
+			t.Errorf("%s: no measurement", role)
 		}
 	}
 	if n := countChildProcesses(t); n > 0 {
@@ -79,15 +79,14 @@
 	}
 }
 
-// An invalid size, or one that does not fit the machine, is an error of one line that names the flag, and nothing is
-// started.
+// An invalid size, or one that exceeds the machine, gives a one-line error that names the flag, and starts no process.
 func TestInvalidSizeNamesFlagAndStartsNothing(t *testing.T) {
 	dir := t.TempDir()
 	daemon := filepath.Join(dir, "drumpick")
 	if err := os.WriteFile(daemon, nil, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for _, test := range []struct{ args, names string }{
+	for _, test := range []struct{ args, mention string }{
 		{"run --workers 0", "--workers"},
 		{"run --tasks -1", "--tasks"},
 		{"run --rate 0", "--rate"},
@@ -119,8 +118,8 @@
 			args = append(args, "--options", daemon)
 		}
 		code := execute(t.Context(), args, &out, &log)
-		if code != exitUsage || !strings.Contains(log.String(), test.names) || strings.Count(log.String(), "\n") != 1 {
-			t.Errorf("%s: exit code %d, said %q, want one line that names %s", test.args, code, log.String(), test.names)
+		if code != exitUsage || !strings.Contains(log.String(), test.mention) || strings.Count(log.String(), "\n") != 1 {
+			t.Errorf("%s: exit code %d, printed %q, want one line that names %s", test.args, code, log.String(), test.mention)
 		}
 	}
 	if n := countChildProcesses(t); n > 0 {
--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -32,35 +32,34 @@
 )
 
 const (
-	// memoryLimitShare is the share of the process's memory from which on garbage is collected
-	// more often.
+	// memoryLimitShare is the share of the process's memory that is set as the Go runtime's soft
+	// memory limit, above which it collects garbage more often.
 	memoryLimitShare = 0.7
-	// gcPercent is by how much the heap may grow until garbage is collected.
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection.
 	gcPercent = 200
 
-	// The file descriptors that the process may have open are divided up. Every worker keeps a
-	// connection, to the leader or to a controller that relays its heartbeats; users come beside
-	// them. The rest is for calls: to the store and to peers, and to workers one after the other.
+	// The process's file descriptor limit is split between these uses. Every worker keeps a
+	// connection to the leader or to a controller that relays its heartbeats, and users add theirs.
+	// The rest is for outgoing calls to the store, to peers and to workers.
 	userConnectionsPercent   = 75
 	peerConnectionsDivisor   = 16
 	storeConnectionsDivisor  = 20
 	workerConnectionsDivisor = 40
 
-	minConnections       = 16 // of each of the two servers
+	minConnections       = 16 // per server; there are two
 	minStoreConnections  = 8
 	minWorkerConnections = 4
 
-	// peerIdleTimeout is for how long a peer's connection may be silent.
+	// peerIdleTimeout is how long a peer's connection may be idle before it is closed.
 	peerIdleTimeout = 5 * time.Minute
-	// maxBodyBytes is the largest request body of the protocol.
+	// maxBodyBytes is the protocol's limit on the size of a request body.
 	maxBodyBytes = 64 << 10
 	// bufferBytes is the size of a connection's read and write buffers.
 	bufferBytes = 4096
 )
 
-// runDaemon serves until the process is killed, or an address can no longer be served. There is no
-// orderly shutdown: a controller may end at any moment, and its lease on the leader key expires by
-// itself.
+// runDaemon serves until the process is killed or a server fails. There is no graceful shutdown: a
+// controller may stop at any moment, and its lease on the leader key expires by itself.
 func runDaemon(cfg *config.Config) error {
 	setLogging(os.Getenv("LOG_LEVEL"))
 	limitRuntime(cfg.Deployment.Resources)
@@ -77,7 +76,7 @@
 	return <-failed
 }
 
-// limitRuntime keeps the Go runtime within the resources that the deployment gives to the process.
+// limitRuntime sets the Go runtime's processor and memory limits from the deployment's resources.
 func limitRuntime(resources config.Resources) {
 	runtime.GOMAXPROCS(max(1, int(resources.Cores)))
 	debug.SetMemoryLimit(int64(resources.RAMMB * memoryLimitShare * (1 << 20)))
@@ -90,7 +89,7 @@
 	}
 }
 
-// daemon is one controller: its clients, what it takes part in, and its servers.
+// daemon holds the clients, servers and election state of one controller.
 type daemon struct {
 	cfg    *config.Config
 	timing config.Timing
@@ -100,7 +99,7 @@
 	peers        *peer.Peers
 	workers      *workers.Caller
 	election     *election.Election
-	attestations watermark.Observer // what leaders have attested of their watermarks
+	attestations watermark.Observer // watermarks that leaders have attested
 
 	currentLeader atomic.Pointer[leader.Leader] // nil while this process does not lead
 	api           *api.Server
@@ -136,7 +135,7 @@
 	})
 }
 
-// leaderForAPI returns the leader in this process, or a nil interface.
+// leaderForAPI returns the leader in this process, or a nil interface if this process does not lead.
 func (d *daemon) leaderForAPI() api.Leader {
 	if l := d.currentLeader.Load(); l != nil {
 		return l
@@ -144,7 +143,7 @@
 	return nil
 }
 
-// leaderForOperators returns the leader in this process, or a nil interface.
+// leaderForOperators returns the leader in this process, or a nil interface if this process does not lead.
 func (d *daemon) leaderForOperators() operator.Leader {
 	if l := d.currentLeader.Load(); l != nil {
 		return l
@@ -152,7 +151,7 @@
 	return nil
 }
 
-// listeners are the sockets of the two addresses that a controller serves.
+// listeners holds the listening sockets of a controller's two addresses.
 type listeners struct {
 	user net.Listener
 	peer net.Listener
@@ -170,18 +169,17 @@
 	return listeners{user: user, peer: peers}, nil
 }
 
-// serve begins to serve both addresses. The channel gets an error when one cannot be served any
-// more.
-func (d *daemon) serve(on listeners) <-chan error {
+// serve starts serving both addresses. The channel receives an error when a server fails.
+func (d *daemon) serve(sockets listeners) <-chan error {
 	userApp := d.newUserApp()
 	peerApp := d.newPeerApp()
 	failed := make(chan error, 2)
-	go func() { failed <- userApp.Listener(on.user) }()
-	go func() { failed <- peerApp.Listener(on.peer) }()
+	go func() { failed <- userApp.Listener(sockets.user) }()
+	go func() { failed <- peerApp.Listener(sockets.peer) }()
 	return failed
 }
 
-// newUserApp serves users, workers and operators.
+// newUserApp returns the server for users, workers and operators.
 func (d *daemon) newUserApp() *fiber.App {
 	connections := d.cfg.Deployment.Resources.FDLimit * userConnectionsPercent / 100
 	app := newApp(connections, config.Seconds(d.cfg.Deployment.Workers.LeaseS))
@@ -192,7 +190,7 @@
 	return app
 }
 
-// newPeerApp serves the other controllers, and the metrics.
+// newPeerApp returns the server for the other controllers and for metrics.
 func (d *daemon) newPeerApp() *fiber.App {
 	app := newApp(d.cfg.Deployment.Resources.FDLimit/peerConnectionsDivisor, peerIdleTimeout)
 	peer.Mount(app, d.peerHandlers())
@@ -242,7 +240,7 @@
 	}
 }
 
-// startBackground starts what the controller does beside answering, which goes on until ctx ends.
+// startBackground starts the controller's background loops, which run until ctx ends.
 func (d *daemon) startBackground(ctx context.Context) {
 	if d.cfg.Options.HeartbeatRelay {
 		go d.api.AnnounceRelay(ctx)
@@ -252,7 +250,7 @@
 	go d.election.Run(ctx, d.leadTerm)
 }
 
-// leadTerm serves one term of leadership.
+// leadTerm runs a leader for one term, until ctx ends.
 func (d *daemon) leadTerm(ctx context.Context, term uint64) {
 	l := leader.New(d.cfg, d.store, d.cloud, d.election, d.peers, d.workers, &d.attestations, d.api.Cancellations(), term)
 	d.currentLeader.Store(l)
@@ -260,8 +258,8 @@
 	l.Run(ctx)
 }
 
-// refreshMachineTypes keeps the API's machine types: from the store, or from the cloud itself where
-// no leader has stored them yet.
+// refreshMachineTypes periodically updates the API's machine types from the store, or from the cloud
+// if no leader has stored them yet.
 func (d *daemon) refreshMachineTypes(ctx context.Context) {
 	interval := d.timing.HeartbeatInterval
 	retryPause := interval / 8
@@ -296,9 +294,9 @@
 	d.api.SetMachineTypes(types)
 }
 
-// newApp returns an HTTP server with the protocol's limits. A connection that is silent for as long
-// as idleTimeout is closed: workers that gave one up behind a network partition, or hung, come back
-// on another, and the old ones would use up all sockets in the end.
+// newApp returns an HTTP server with the protocol's limits. It closes a connection that has been idle
+// for idleTimeout: workers that hung, or abandoned a connection during a network partition, reconnect
+// on a new one, and the old ones would eventually exhaust the file descriptors.
 func newApp(connections int, idleTimeout time.Duration) *fiber.App {
 	return fiber.New(fiber.Config{
 		DisableStartupMessage: true,
--- a/cmd/drumpick/daemon_test.go
+++ b/cmd/drumpick/daemon_test.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp/fasthttputil"
 )
 
-// A body over 64 KiB is rejected by its announced length, before it is sent.
+// A body over 64 KiB is rejected by its Content-Length, before the body is sent.
 func TestBodyOverLimitIsRejected(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -40,15 +40,15 @@
 	}
 }
 
-// A connection that is silent is closed after the idle timeout, in simulated time; one that goes
-// on sending requests stays open.
+// An idle connection is closed after the idle timeout, in simulated time; a connection that keeps
+// sending requests stays open.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		app := newApp(16, 12*time.Second)
 		app.Get("/ready", func(c *fiber.Ctx) error { return c.SendStatus(200) })
 		listener := fasthttputil.NewInmemoryListener()
 		go func() { _ = app.Server().Serve(listener) }()
-		app.Handler() // as a listener would
+		app.Handler() // initializes the routes, as app.Listener does
 		conn, err := listener.Dial()
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/drumpick/deps_test.go
+++ b/cmd/drumpick/deps_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The daemon's start, memory and processor share are limited, so that it links none of the
-// client, the simulation and the tools around it.
+// The daemon's startup time, memory and processor share are limited, so it must not link the client,
+// the simulation or other tools.
 func TestDaemonLinksNoTools(t *testing.T) {
 	requireNotLinked(t, ".", []string{
 		"drumpick/client",
@@ -29,8 +29,8 @@
 	})
 }
 
-// The scheduler neither calls anybody nor knows who leads: all of its input can be given to it,
-// and all of its decisions read from it, in a test.
+// The scheduler makes no calls and does not know which controller leads, so that a test can supply
+// all of its input and read all of its decisions.
 func TestSchedulerLinksNoClients(t *testing.T) {
 	requireNotLinked(t, "drumpick/internal/scheduler", []string{
 		"drumpick/internal/store",
@@ -46,7 +46,7 @@
 	})
 }
 
-// requireNotLinked fails where a package links a forbidden one, or anything below it.
+// requireNotLinked fails the test if pkg depends on a forbidden package or on a subpackage of one.
 func requireNotLinked(t *testing.T, pkg string, forbidden []string) {
 	t.Helper()
 	out, err := exec.Command("go", "list", "-deps", pkg).Output()
@@ -56,7 +56,7 @@
 	for _, dependency := range strings.Fields(string(out)) {
 		for _, path := range forbidden {
 			if dependency == path || strings.HasPrefix(dependency, path+"/") {
-				t.Errorf("%s links %s, want nothing of %s", pkg, dependency, path)
+				t.Errorf("%s links %s, want no dependency on %s", pkg, dependency, path)
 			}
 		}
 	}
--- a/cmd/drumpick/golden_test.go
+++ b/cmd/drumpick/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Metrics keep their names. Those with labels are registered with their first value and are not
-// among these.
+// Metrics keep their names. Metrics with labels are registered with their first value and are not
+// checked here.
 func TestGoldenMetrics(t *testing.T) {
 	var names []string
 	for _, name := range metrics.ListMetricNames() {
--- a/cmd/drumpick/main.go
+++ b/cmd/drumpick/main.go
@@ -1,5 +1,5 @@
 // Command drumpick is the controller daemon of a cluster scheduler; see README.md. One controller
-// runs on each node; they elect a leader, and the others relay requests to it.
+// runs on each node. The controllers elect a leader, and the followers relay requests to it.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 )
 
-// version is set when a release is built.
+// version is the program's version, updated for each release.
 var version = "0.2.0-dev"
 
 func main() {
@@ -24,7 +24,7 @@
 	}
 }
 
-// settingsFlags are the files that the settings come from.
+// settingsFlags holds the paths of the settings files.
 type settingsFlags struct {
 	configPath  string
 	optionsPath string
@@ -42,7 +42,7 @@
 	return cfg, err
 }
 
-// newCommand is the command line: without a subcommand it runs the daemon.
+// newCommand returns the root command, which runs the daemon if no subcommand is given.
 func newCommand() *cobra.Command {
 	var flags settingsFlags
 	root := &cobra.Command{
@@ -86,8 +86,8 @@
 	}
 }
 
-// setLogging sends log messages of a level, by its name, and above to standard error. Any other
-// name stands for info.
+// setLogging logs messages of the named level and above to standard error. An unknown name selects
+// info.
 func setLogging(name string) {
 	level := slog.LevelInfo
 	switch strings.ToLower(name) {
--- a/cmd/drumpick/main_test.go
+++ b/cmd/drumpick/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Each command line gives its answer; a wrong one is an error of one line, which says what is wrong.
+// Each command line prints the expected text; an invalid one gives a one-line error with the reason.
 func TestCommandLine(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("node_name = \"n-0\"\n"), 0o600); err != nil {
--- a/cmd/drumpickctl/ctl_test.go
+++ b/cmd/drumpickctl/ctl_test.go
@@ -14,15 +14,15 @@
 	"drumpick/internal/localcluster"
 )
 
-// The commands against a local cluster with a real controller: what they print, and the exit codes that docs/client.md
-// promises.
+// The commands, run against a local cluster with a real controller, print the expected output and return the exit codes
+// of docs/client.md.
 func TestCommandsPrintAndExitAsDocumented(t *testing.T) {
 	dir := t.TempDir()
 	built := filepath.Join(dir, "drumpick")
 	if out, err := exec.Command("go", "build", "-o", built, "drumpick/cmd/drumpick").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	r, err := localcluster.Start(t.Context(), localcluster.Options{
+	cluster, err := localcluster.Start(t.Context(), localcluster.Options{
 		DataDir: dir, ControllerProgram: built, Zones: []string{"north"}, Controllers: 1, MachinesPerZone: 4, LogLevel: "info",
 		RunTime: func(string) time.Duration { return 50 * time.Millisecond },
 	})
@@ -30,20 +30,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := r.Stop(); err != nil {
+		if err := cluster.Stop(); err != nil {
 			t.Error(err)
 		}
 	})
 	run := func(in string, args ...string) (int, string, string) {
-		var out, errs bytes.Buffer
-		code := execute(t.Context(), append([]string{"--data", dir}, args...), strings.NewReader(in), &out, &errs)
-		return code, out.String(), errs.String()
+		var out, errOut bytes.Buffer
+		code := execute(t.Context(), append([]string{"--data", dir}, args...), strings.NewReader(in), &out, &errOut)
+		return code, out.String(), errOut.String()
 	}
 	const job = "class: c\nteam: archive\ncpus: 1\nmem_gb: 2\nimage: i\nestimate_s: 1\n"
-	code, out, errs := run(job+"id: j-1\ntasks: 3\n---\n"+job+"id: j-2\nneeds: [j-1]\n", "submit", "-", "--wait", "-o", "json")
+	code, out, errOut := run(job+"id: j-1\ntasks: 3\n---\n"+job+"id: j-2\nneeds: [j-1]\n", "submit", "-", "--wait", "-o", "json")
 	var states []client.Status
 	if err := json.Unmarshal([]byte(out), &states); code != exitOK || err != nil || len(states) != 2 || states[0].Status != client.Done || states[0].Done != 3 || states[1].Status != client.Done {
-		t.Fatalf("submit: %d, %s, %s, %v", code, out, errs, err)
+		t.Fatalf("submit: %d, %s, %s, %v", code, out, errOut, err)
 	}
 	file := filepath.Join(dir, "job.yaml")
 	if err := os.WriteFile(file, []byte(job+"id: j-3\nshape: service\n"), 0o600); err != nil {
@@ -52,7 +52,7 @@
 	for _, x := range []struct {
 		args []string
 		code int
-		want string // on standard output or, of errors, standard error
+		want string // part of standard output, or of standard error if the command fails
 	}{
 		{[]string{"submit", file}, exitOK, "j-3"},
 		{[]string{"submit", file}, exitOK, "j-3"},
@@ -73,18 +73,18 @@
 		{[]string{"local", "kill", "nobody"}, exitNotFound, "nobody"},
 		{[]string{"local", "cut", "west"}, exitNotFound, "north"},
 	} {
-		code, out, errs := run("", x.args...)
+		code, out, errOut := run("", x.args...)
 		if code != exitOK {
-			out = errs
+			out = errOut
 		}
 		if code != x.code || !strings.Contains(out, x.want) {
 			t.Errorf("%v: code %d, %q, want %d, %q", x.args, code, out, x.code, x.want)
 		}
 	}
-	if code, _, errs := run(strings.Replace(job, "archive", "nobody", 1), "submit", "-"); code != exitRefused || !strings.Contains(errs, "unknown team") {
-		t.Errorf("an unknown team: %d, %s", code, errs)
+	if code, _, errOut := run(strings.Replace(job, "archive", "nobody", 1), "submit", "-"); code != exitRefused || !strings.Contains(errOut, "unknown team") {
+		t.Errorf("an unknown team: %d, %s", code, errOut)
 	}
-	if code, _, errs := run(strings.Replace(job, "cpus: 1", "cpus: x", 1), "submit", "-"); code != exitUsage || !strings.Contains(errs, "line 3: cpus") {
-		t.Errorf("a bad file: %d, %s", code, errs)
+	if code, _, errOut := run(strings.Replace(job, "cpus: 1", "cpus: x", 1), "submit", "-"); code != exitUsage || !strings.Contains(errOut, "line 3: cpus") {
+		t.Errorf("a bad file: %d, %s", code, errOut)
 	}
 }
--- a/cmd/drumpickctl/demo.go
+++ b/cmd/drumpickctl/demo.go
@@ -23,7 +23,7 @@
 //go:embed sample.yaml
 var sampleJobs []byte
 
-// demo runs the sample jobs on a local cluster of their own.
+// demo runs the sample jobs on a new local cluster, in a temporary directory unless --data is set.
 func (f *globalFlags) demo(cmd *cobra.Command, o localcluster.Options) error {
 	data := f.dataDir
 	if data == "" {
@@ -37,65 +37,65 @@
 	return f.withCluster(cmd, o, data, func(cluster *localcluster.Cluster) error { return f.runSample(cmd, cluster) })
 }
 
-// runSample runs the sample jobs and prints what became of them.
+// runSample runs the sample jobs and prints the result.
 func (f *globalFlags) runSample(cmd *cobra.Command, cluster *localcluster.Cluster) error {
-	errs := cmd.ErrOrStderr()
-	fmt.Fprintf(errs, "three controllers, a state service and a cloud run on loopback; submitting sample jobs\n")
+	errOut := cmd.ErrOrStderr()
+	fmt.Fprintf(errOut, "three controllers, a state service and a cloud are running on loopback; submitting sample jobs\n")
 	jobs, err := jobspec.Read("sample.yaml", bytes.NewReader(sampleJobs), client.NewID)
 	if err != nil {
 		return err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	c := cluster.Client()
-	states, err := submitAll(cmd.Context(), c, jobs, errs)
+	states, err := submitAll(cmd.Context(), c, jobs, errOut)
 	if err != nil {
 		return err
 	}
 	if err := f.finishSample(cmd, c, jobs, states); err != nil {
 		return err
 	}
-	// What a cancelled service left running is gone within the time that cancellations have.
+	// The tasks of the cancelled service stop within the cancellation time limit.
 	for cluster.Environment.Running() > 0 {
 		if err := ctxtime.Sleep(cmd.Context(), 100*time.Millisecond); err != nil {
 			return err
 		}
 	}
-	h := cluster.History()
-	res := newSampleResult(jobs, states, h, began)
-	if err := f.printOutput(cmd.OutOrStdout(), res, func(w io.Writer) { showDemo(w, res, began) }); err != nil {
+	history := cluster.History()
+	res := newSampleResult(jobs, states, history, startedAt)
+	if err := f.printOutput(cmd.OutOrStdout(), res, func(w io.Writer) { showDemo(w, res, startedAt) }); err != nil {
 		return err
 	}
-	if len(h.Violations) > 0 {
-		return errors.New("rules of the protocol were broken: " + strings.Join(h.Violations, "; "))
+	if len(history.Violations) > 0 {
+		return errors.New("rules of the protocol were violated: " + strings.Join(history.Violations, "; "))
 	}
 	return nil
 }
 
-// finishSample waits until the jobs that end by themselves are final, cancels the others, and updates the states.
+// finishSample waits until the jobs that are not services are final, cancels the services, and updates states.
 func (f *globalFlags) finishSample(cmd *cobra.Command, c *client.Client, jobs []jobspec.NamedJob, states []client.Status) error {
-	var ending []client.Status
+	var finite []client.Status
 	for i, j := range jobs {
 		if j.Shape != client.Service {
-			ending = append(ending, states[i])
+			finite = append(finite, states[i])
 		}
 	}
-	if _, err := f.waitAll(cmd, c, ending); err != nil {
+	if _, err := f.waitAll(cmd, c, finite); err != nil {
 		return err
 	}
 	for i, j := range jobs {
-		finalState := c.Get
+		request := c.Get
 		if j.Shape == client.Service {
-			finalState = c.Cancel // a service runs until it is cancelled
+			request = c.Cancel // a service ends only when cancelled
 		}
 		var err error
-		if states[i], err = finalState(cmd.Context(), j.ID); err != nil {
+		if states[i], err = request(cmd.Context(), j.ID); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// jobResult is what became of a sample job. Times are in seconds since the demo began.
+// jobResult is the result of a sample job. Times are in seconds since the start of the demo.
 type jobResult struct {
 	Name        string   `json:"name"`
 	ID          string   `json:"id"`
@@ -108,43 +108,43 @@
 	Zones       []string `json:"zones"`
 }
 
-// sampleResult is what became of the sample jobs.
+// sampleResult is the result of the sample jobs.
 type sampleResult struct {
 	Jobs    []jobResult          `json:"jobs"`
 	History localcluster.History `json:"history"`
 	Cost    float64              `json:"cost"`
 }
 
-// newSampleResult works out what became of the sample jobs.
-func newSampleResult(jobs []jobspec.NamedJob, states []client.Status, h localcluster.History, began time.Time) sampleResult {
-	res := sampleResult{History: h}
+// newSampleResult computes the result of the sample jobs from their statuses and the cluster's history.
+func newSampleResult(jobs []jobspec.NamedJob, states []client.Status, history localcluster.History, startedAt time.Time) sampleResult {
+	res := sampleResult{History: history}
 	for i, j := range jobs {
 		out := jobResult{Name: j.Name, ID: j.ID, Status: states[i].Status, Tasks: j.Tasks}
 		machines, zones := map[string]bool{}, map[string]bool{}
-		for _, ran := range h.Runs {
-			if !strings.HasPrefix(ran.Task, j.ID+"/") {
+		for _, run := range history.Runs {
+			if !strings.HasPrefix(run.Task, j.ID+"/") {
 				continue
 			}
-			from, to := ran.Started.Sub(began).Seconds(), ran.Ended.Sub(began).Seconds()
+			from, to := run.Started.Sub(startedAt).Seconds(), run.Ended.Sub(startedAt).Seconds()
 			if out.Starts == 0 || from < out.FirstStartS {
 				out.FirstStartS = from
 			}
 			out.Starts++
 			out.LastEndS = max(out.LastEndS, to)
-			machines[ran.Machine], zones[ran.Zone] = true, true
+			machines[run.Machine], zones[run.Zone] = true, true
 		}
 		out.Machines, out.Zones = slices.Sorted(maps.Keys(machines)), slices.Sorted(maps.Keys(zones))
 		res.Jobs = append(res.Jobs, out)
 	}
-	for _, b := range h.Costs {
-		res.Cost += b.Cost
+	for _, rental := range history.Costs {
+		res.Cost += rental.Cost
 	}
 	return res
 }
 
-// showDemo prints a result, after a demo that began at a time.
-func showDemo(w io.Writer, res sampleResult, began time.Time) {
-	h := res.History
+// showDemo prints the result of a demo that started at startedAt.
+func showDemo(w io.Writer, res sampleResult, startedAt time.Time) {
+	history := res.History
 	fmt.Fprintln(w, "\nJOB\tID\tSTATUS\tTASKS\tSTARTS\tFIRST START\tLAST END\tMACHINES\tZONES")
 	for _, j := range res.Jobs {
 		first, last := fmt.Sprintf("%.1fs", j.FirstStartS), fmt.Sprintf("%.1fs", j.LastEndS)
@@ -155,20 +155,20 @@
 			abbreviateList(j.Machines), strings.Join(j.Zones, " "))
 	}
 	fmt.Fprintln(w, "\nMACHINE\tTYPE\tZONE\tKIND\tTASKS\tCOST")
-	for _, b := range h.Costs {
+	for _, rental := range history.Costs {
 		n := 0
-		for _, ran := range h.Runs {
-			if ran.Machine == b.Machine {
+		for _, run := range history.Runs {
+			if run.Machine == rental.Machine {
 				n++
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4f\n", b.Machine, b.Type, b.Zone, machineKind(b.Spot), n, b.Cost)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4f\n", rental.Machine, rental.Type, rental.Zone, machineKind(rental.Spot), n, rental.Cost)
 	}
 	fmt.Fprintf(w, "\n%d starts on %d machines in %.0fs, cost %.4f; rules broken: %d\n",
-		len(h.Runs), len(h.Costs), time.Since(began).Seconds(), res.Cost, len(h.Violations))
+		len(history.Runs), len(history.Costs), time.Since(startedAt).Seconds(), res.Cost, len(history.Violations))
 }
 
-// abbreviateList returns a list of names, shortened after the first few.
+// abbreviateList joins names and replaces all after the third by their number.
 func abbreviateList(names []string) string {
 	if len(names) > 3 {
 		return fmt.Sprintf("%s and %d more", strings.Join(names[:3], " "), len(names)-3)
--- a/cmd/drumpickctl/drains.go
+++ b/cmd/drumpickctl/drains.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-// drainFlags are the flags that describe a drain.
+// drainFlags holds the flags that describe a drain.
 type drainFlags struct {
 	spec                     client.Drain
 	cordon                   bool
@@ -30,26 +30,26 @@
 
 func (x *drainFlags) register(cmd *cobra.Command) {
 	fl := cmd.Flags()
-	fl.StringVar(&x.spec.ID, "id", "", "`id` of the drain, d- and digits (else a new one); repeated under it nothing happens twice")
-	fl.StringVar(&x.spec.Type, "type", "", "machines of a `type`")
-	fl.StringVar(&x.spec.Zone, "zone", "", "machines of a `zone`")
-	fl.DurationVar(&x.olderThan, "older-than", 0, "machines rented at least so long ago")
-	fl.StringVar(&x.spec.Version, "worker-version", "", "machines whose worker has a `version`")
-	fl.BoolVar(&x.cordon, "cordon", false, "mark only: no new tasks, what runs goes on")
-	fl.StringVar(&x.deadlineAt, "by", "", "`time` by which they must be empty, as 2006-01-02T15:04 here, or RFC 3339")
-	fl.DurationVar(&x.deadlineIn, "in", 0, "the same, from now on")
+	fl.StringVar(&x.spec.ID, "id", "", "`id` of the drain: d- and digits (default: a new id); starting a drain again under its id has no effect")
+	fl.StringVar(&x.spec.Type, "type", "", "select machines of a `type`")
+	fl.StringVar(&x.spec.Zone, "zone", "", "select machines in a `zone`")
+	fl.DurationVar(&x.olderThan, "older-than", 0, "select machines rented at least this long ago")
+	fl.StringVar(&x.spec.Version, "worker-version", "", "select machines whose worker has a `version`")
+	fl.BoolVar(&x.cordon, "cordon", false, "cordon only: no new tasks; running tasks continue")
+	fl.StringVar(&x.deadlineAt, "by", "", "`time` by which the machines must be empty, as 2006-01-02T15:04 in local time, or RFC 3339")
+	fl.DurationVar(&x.deadlineIn, "in", 0, "time from now by which the machines must be empty")
 	fl.StringVar(&x.spec.WhenEmpty, "then", client.WhenEmptyKeep, "`keep` empty machines, or return them to the cloud")
-	fl.StringVar(&x.upgradeTo, "upgrade-to", "", "roll machines over to a worker's `version`")
-	fl.IntVar(&x.spec.MaxOutOfService, "at-once", 0, "of an upgrade: how many machines are out of service at a time (1)")
-	fl.IntVar(&x.spec.MinInService, "keep-up", 0, "of an upgrade: how many stay in service in each zone, and for each class")
-	fl.StringVar(&x.windowRule, "window", "", "hold only in windows, by an RFC 5545 `RRULE` such as FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0")
-	fl.StringVar(&x.windowZone, "window-zone", "", "time `zone` of the windows, such as Europe/Warsaw (else TZ)")
-	fl.StringVar(&x.windowStart, "window-starts", "", "first window, as 2006-01-02T15:04 in that zone; the rule counts from it")
-	fl.DurationVar(&x.windowLength, "window-for", 2*time.Hour, "how long each window is")
-	fl.DurationVar(&x.windowLead, "window-lead", 0, "empty machines so long ahead that they are empty when a window starts")
+	fl.StringVar(&x.upgradeTo, "upgrade-to", "", "upgrade the machines' workers to a `version`")
+	fl.IntVar(&x.spec.MaxOutOfService, "at-once", 0, "of an upgrade: maximum number of machines out of service at a time (default 1)")
+	fl.IntVar(&x.spec.MinInService, "keep-up", 0, "of an upgrade: minimum number of machines in service in each zone and for each class")
+	fl.StringVar(&x.windowRule, "window", "", "drain only in windows given by an RFC 5545 `RRULE`, such as FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0")
+	fl.StringVar(&x.windowZone, "window-zone", "", "time `zone` of the windows, such as Europe/Warsaw (default: TZ)")
+	fl.StringVar(&x.windowStart, "window-starts", "", "start of the first window, as 2006-01-02T15:04 in that zone; the rule recurs from it")
+	fl.DurationVar(&x.windowLength, "window-for", 2*time.Hour, "duration of each window")
+	fl.DurationVar(&x.windowLead, "window-lead", 0, "how long before each window to start emptying machines")
 }
 
-// buildDrain returns the drain that the flags and the names of machines describe.
+// buildDrain returns the drain that the flags and the machine names describe.
 func (x *drainFlags) buildDrain(names []string, now time.Time) (client.Drain, error) {
 	d := x.spec
 	d.Machines, d.Kind, d.OlderThanS = names, client.DrainEmpty, x.olderThan.Seconds()
@@ -75,10 +75,10 @@
 	return d, err
 }
 
-// localTimeLayout is the form of times without a time zone.
+// localTimeLayout is the layout of times without a time zone.
 const localTimeLayout = "2006-01-02T15:04"
 
-// deadline returns the time by which the machines must be empty, in milliseconds; 0: there is none.
+// deadline returns the time by which the machines must be empty, in Unix milliseconds; 0: none.
 func (x *drainFlags) deadline(now time.Time) (int64, error) {
 	switch {
 	case x.deadlineAt != "" && x.deadlineIn != 0:
@@ -93,12 +93,12 @@
 		at, err = time.Parse(time.RFC3339, x.deadlineAt)
 	}
 	if err != nil {
-		return 0, usageError("--by: %q is no time such as 2026-01-31T22:00", x.deadlineAt)
+		return 0, usageError("--by: %q is not a time such as 2026-01-31T22:00", x.deadlineAt)
 	}
 	return at.UnixMilli(), nil
 }
 
-// buildWindow returns the windows in which the drain holds; nil: it always does.
+// buildWindow returns the recurring window in which the drain is active; nil: always active.
 func (x *drainFlags) buildWindow() (*client.Window, error) {
 	if x.windowRule == "" {
 		return nil, nil
@@ -108,7 +108,7 @@
 		zone = os.Getenv("TZ")
 	}
 	if zone == "" {
-		return nil, usageError("--window-zone is missing: the time zone that the rule is meant in")
+		return nil, usageError("--window-zone is missing: --window needs a time zone")
 	}
 	return &client.Window{
 		Rule: x.windowRule, TimeZone: zone, DurationS: x.windowLength.Seconds(), LeadS: x.windowLead.Seconds(), FirstStart: x.windowStart,
@@ -116,17 +116,17 @@
 }
 
 func drainCommand(f *globalFlags) *cobra.Command {
-	cmd := &cobra.Command{Use: "drain", Short: "Empty machines, for good, for a while, or to upgrade them"}
+	cmd := &cobra.Command{Use: "drain", Short: "Drain machines: plan, start, list, show and stop drains"}
 	cmd.AddCommand(planDrainCommand(f), startDrainCommand(f), listDrainsCommand(f),
-		singleDrainCommand(f, "show DRAIN", "Show a drain: what was planned, and what happened", (*client.Client).Drain),
-		singleDrainCommand(f, "stop DRAIN", "Withdraw a drain: its machines take tasks again", (*client.Client).StopDrain))
+		singleDrainCommand(f, "show DRAIN", "Show a drain, with its planned and actual effect", (*client.Client).Drain),
+		singleDrainCommand(f, "stop DRAIN", "Stop a drain: its machines accept tasks again", (*client.Client).StopDrain))
 	return cmd
 }
 
 func planDrainCommand(f *globalFlags) *cobra.Command {
 	var x drainFlags
 	cmd := &cobra.Command{
-		Use: "plan [MACHINE...]", Short: "Tell what a drain would do to each task and class; changes nothing",
+		Use: "plan [MACHINE...]", Short: "Show what a drain would do to each task and class, without starting it",
 		RunE: func(cmd *cobra.Command, names []string) error {
 			d, err := x.buildDrain(names, time.Now())
 			if err != nil {
@@ -136,12 +136,12 @@
 			if err != nil {
 				return err
 			}
-			d.Force = true // a plan may be of a drain that would not be started
-			p, err := c.PlanDrain(cmd.Context(), d)
+			d.Force = true // also plan a drain that would be rejected without --force
+			plan, err := c.PlanDrain(cmd.Context(), d)
 			if err != nil {
 				return err
 			}
-			return f.printOutput(cmd.OutOrStdout(), p, func(w io.Writer) { showPlan(w, p) })
+			return f.printOutput(cmd.OutOrStdout(), plan, func(w io.Writer) { showPlan(w, plan) })
 		},
 	}
 	x.register(cmd)
@@ -152,7 +152,7 @@
 	var x drainFlags
 	var wait, force bool
 	cmd := &cobra.Command{
-		Use: "start [MACHINE...]", Short: "Start a drain, of machines by name, type, zone, age or version",
+		Use: "start [MACHINE...]", Short: "Start a drain of machines selected by name, type, zone, age or version",
 		RunE: func(cmd *cobra.Command, names []string) error {
 			d, err := x.buildDrain(names, time.Now())
 			if err != nil {
@@ -175,8 +175,8 @@
 		},
 	}
 	x.register(cmd)
-	cmd.Flags().BoolVarP(&wait, "wait", "w", false, "wait until all machines are empty, or have their version")
-	cmd.Flags().BoolVar(&force, "force", false, "start it though it leaves no machine for some jobs")
+	cmd.Flags().BoolVarP(&wait, "wait", "w", false, "wait until all machines are empty or upgraded")
+	cmd.Flags().BoolVar(&force, "force", false, "start the drain even if it leaves no machine for some jobs")
 	return cmd
 }
 
@@ -188,35 +188,36 @@
 			if err != nil {
 				return err
 			}
-			all, err := c.Drains(cmd.Context())
+			drains, err := c.Drains(cmd.Context())
 			if err != nil {
 				return err
 			}
-			return f.printOutput(cmd.OutOrStdout(), all, func(w io.Writer) { showDrains(w, all) })
+			return f.printOutput(cmd.OutOrStdout(), drains, func(w io.Writer) { showDrains(w, drains) })
 		},
 	}
 }
 
 // showDrains prints a list of drains.
-func showDrains(w io.Writer, all []client.DrainView) {
+func showDrains(w io.Writer, drains []client.DrainView) {
 	fmt.Fprintln(w, "DRAIN\tKIND\tMEANS\tPHASE\tLEFT\tBEGAN")
-	for _, v := range all {
+	for _, v := range drains {
 		phase, left := phaseOf(v)
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Drain.ID, v.Drain.Kind, selectorText(v.Drain), phase, left, formatTime(v.Drain.RequestedMS))
 	}
 }
 
-// waitDrain polls a drain until nothing is left to do, and prints its progress.
+// waitDrain polls a drain until it is finished, and prints its progress. It returns an error if the drain was rolled
+// back.
 func waitDrain(cmd *cobra.Command, c *client.Client, v client.DrainView) (client.DrainView, error) {
-	shown := ""
+	lastShown := ""
 	for {
-		now, err := c.Drain(cmd.Context(), v.Drain.ID)
+		current, err := c.Drain(cmd.Context(), v.Drain.ID)
 		if err != nil {
 			return v, err
 		}
-		v = now
-		if phase, left := phaseOf(v); phase+left != shown {
-			shown = phase + left
+		v = current
+		if phase, left := phaseOf(v); phase+left != lastShown {
+			lastShown = phase + left
 			fmt.Fprintf(cmd.ErrOrStderr(), "%s: %s machines left\n", phase, left)
 		}
 		if v.State != nil {
@@ -235,7 +236,7 @@
 	}
 }
 
-// phaseOf returns a drain's phase, and how many machines are left.
+// phaseOf returns a drain's phase and the number of machines left, "-" if unknown.
 func phaseOf(v client.DrainView) (phase, left string) {
 	switch {
 	case v.State == nil && v.Drain.Stopped:
@@ -246,7 +247,7 @@
 	return v.State.Phase, fmt.Sprint(v.State.MachinesLeft)
 }
 
-// formatTime returns a time as text, "-" if there is none.
+// formatTime formats a time given in Unix milliseconds; 0 gives "-".
 func formatTime(ms int64) string {
 	if ms == 0 {
 		return "-"
@@ -254,7 +255,7 @@
 	return time.UnixMilli(ms).Format("2006-01-02 15:04:05")
 }
 
-// selectorText describes in a few words which machines a drain selects.
+// selectorText describes which machines a drain selects.
 func selectorText(d drain.Spec) string {
 	var words []string
 	if len(d.Machines) > 0 {
@@ -271,7 +272,7 @@
 	return strings.Join(words, ", ")
 }
 
-// showDrain prints a drain.
+// showDrain prints one drain and its progress.
 func showDrain(w io.Writer, v client.DrainView) {
 	d := v.Drain
 	phase, left := phaseOf(v)
@@ -315,7 +316,7 @@
 	}
 }
 
-// summaryColumns returns the columns of a summary.
+// summaryColumns returns the tab-separated columns of a summary.
 func summaryColumns(s client.DrainSummary) string {
 	empty := "-"
 	if s.EmptyS > 0 {
@@ -325,10 +326,10 @@
 		s.Machines, s.Finish, s.Move, s.Restart, s.Wait, s.Blocked, s.MachineLost, s.LostS, empty)
 }
 
-// showPlan prints what a drain would do.
-func showPlan(w io.Writer, p client.DrainPlan) {
+// showPlan prints a drain's plan: its effect on each task and class.
+func showPlan(w io.Writer, plan client.DrainPlan) {
 	fmt.Fprintln(w, "MACHINE\tZONE\tTASK\tCLASS\tWHAT\tUNTIL\tLOST\tLATE\tWHY")
-	for _, m := range p.Machines {
+	for _, m := range plan.Machines {
 		if len(m.Tasks) == 0 {
 			fmt.Fprintf(w, "%s\t%s\t-\t\tis empty\n", m.Machine, m.Zone)
 		}
@@ -337,21 +338,21 @@
 				m.Machine, m.Zone, t.Task, t.Class, t.Action, t.LeavesAfterS, t.LostS, t.LateS, t.Reason)
 		}
 	}
-	for _, m := range p.Machines {
+	for _, m := range plan.Machines {
 		if m.OmittedTasks > 0 {
 			fmt.Fprintf(w, "%s\t%s\tand %d more tasks\n", m.Machine, m.Zone, m.OmittedTasks)
 		}
 	}
 	fmt.Fprintln(w, "\nCLASS\tMACHINES\tFINISH\tMOVE\tBEGIN ANEW\tWAIT\tBLOCKED\tVANISHED\tWORK LOST\tEMPTY AFTER\tJOBS LATE BY IT\tLATE ANYWAY")
-	for _, class := range slices.Sorted(maps.Keys(p.Classes)) {
-		x := p.Classes[class]
+	for _, class := range slices.Sorted(maps.Keys(plan.Classes)) {
+		x := plan.Classes[class]
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", class, summaryColumns(x.Summary), x.Late, x.LateAnyway)
 	}
-	fmt.Fprintf(w, "all\t%s\n", summaryColumns(p.Total))
-	if len(p.WindowStarts) > 0 {
-		fmt.Fprintf(w, "\nnext windows\t%s\n", strings.Join(p.WindowStarts, ", "))
+	fmt.Fprintf(w, "all\t%s\n", summaryColumns(plan.Total))
+	if len(plan.WindowStarts) > 0 {
+		fmt.Fprintf(w, "\nnext windows\t%s\n", strings.Join(plan.WindowStarts, ", "))
 	}
-	for _, text := range p.Warnings {
+	for _, text := range plan.Warnings {
 		fmt.Fprintf(w, "note\t%s\n", text)
 	}
 }
--- a/cmd/drumpickctl/golden_test.go
+++ b/cmd/drumpickctl/golden_test.go
@@ -12,7 +12,7 @@
 	"drumpick/internal/simulation"
 )
 
-// Answers of a controller, with every field.
+// Responses of a controller, with every field set.
 const (
 	goldenStatus  = `{"uid":"j-1","status":"done","done":3,"running":4}`
 	goldenMachine = `{"name":"m-1","type":"g8","zone":"a","spot":true,"addr":"10.1.0.232:9000","state":"up","age_s":60.5,"version":"1.0","tasks":1,` +
@@ -26,13 +26,13 @@
 		`"classes":{"train":{"machines":1,"finish":2,"move":3,"lose":4,"lost_s":7.5,"late":1,"late_now":2}},"all":` + goldenSummary + `,"windows":["2026-01-31T22:00:00+01:00"],"warnings":["w"]}`
 )
 
-// What each command prints with --output json keeps its form, and so do its requests.
+// The JSON output and the requests of each command keep their format.
 func TestGoldenOutput(t *testing.T) {
 	t.Setenv("TZ", "UTC")
 	const job = "id: j-1\nclass: c\nteam: t\nshape: group\npriority: urgent\ntasks: 3\ncpus: 1.5\ngpus: 2\nmem_gb: 4\nimage: i\nimage_gb: 5\n" +
 		"types: [c4]\nzone: a\none_zone: true\napart: true\nspot: true\nestimate_s: 6\ncheckpoint_s: 7\nsave_s: 8\ndeadline_s: 9\nneeds: [j-7]\n"
 	server := goldentest.NewFakeServer(t)
-	output, asked := goldentest.Open(t, "golden-output.json"), goldentest.Open(t, "golden-requests.json")
+	output, requests := goldentest.Open(t, "golden-output.json"), goldentest.Open(t, "golden-requests.json")
 	for _, x := range []struct {
 		args, answer string
 	}{
@@ -52,10 +52,10 @@
 	} {
 		t.Run(x.args, func(t *testing.T) {
 			server.QueueResponse(200, x.answer)
-			var out, errs bytes.Buffer
+			var out, errOut bytes.Buffer
 			args := append(strings.Fields(x.args), "--server", server.Addr, "--output", "json")
-			if code := execute(t.Context(), args, strings.NewReader(job), &out, &errs); code != exitOK {
-				t.Fatalf("exit code %d: %s", code, errs.String())
+			if code := execute(t.Context(), args, strings.NewReader(job), &out, &errOut); code != exitOK {
+				t.Fatalf("exit code %d: %s", code, errOut.String())
 			}
 			var compact, indented bytes.Buffer
 			if err := json.Compact(&compact, out.Bytes()); err != nil {
@@ -63,14 +63,14 @@
 			}
 			output.Check(t, x.args, compact.Bytes(), true)
 			if err := json.Indent(&indented, compact.Bytes(), "", "  "); err != nil || indented.String()+"\n" != out.String() {
-				t.Errorf("%v: indented otherwise: %s", err, out.String())
+				t.Errorf("%v: not indented by two spaces: %s", err, out.String())
 			}
-			asked.CheckExchanges(t, x.args, server.TakeExchanges(), 1)
+			requests.CheckExchanges(t, x.args, server.TakeExchanges(), 1)
 		})
 	}
 }
 
-// What the commands of the local cluster print with --output json.
+// The JSON output of the local cluster's commands keeps its format.
 func TestGoldenLocal(t *testing.T) {
 	at := time.Date(2026, 1, 31, 22, 0, 0, 0, time.UTC)
 	history := localcluster.History{
--- a/cmd/drumpickctl/jobs.go
+++ b/cmd/drumpickctl/jobs.go
@@ -14,11 +14,12 @@
 	"github.com/spf13/cobra"
 )
 
-// maxConcurrentRequests bounds the requests of one command that are under way.
+// maxConcurrentRequests is the largest number of concurrent requests of one command.
 const maxConcurrentRequests = 8
 
-// forEachConcurrently does something for every item, several at a time, and returns the first error.
-func forEachConcurrently[T any](items []T, do func(i int, item T) error) error {
+// forEachConcurrently calls action for every item, up to maxConcurrentRequests at a time, and returns the error of the
+// first item that failed.
+func forEachConcurrently[T any](items []T, action func(i int, item T) error) error {
 	errs := make([]error, len(items))
 	slots := make(chan struct{}, maxConcurrentRequests)
 	var wg sync.WaitGroup
@@ -28,7 +29,7 @@
 		go func() {
 			defer wg.Done()
 			defer func() { <-slots }()
-			errs[i] = do(i, item)
+			errs[i] = action(i, item)
 		}()
 	}
 	wg.Wait()
@@ -47,7 +48,7 @@
 		Short: "Submit the jobs of a file (YAML or JSON; - is standard input)",
 		Long: `Submit the jobs of a file: one job, a list under "jobs", or several documents, in
 YAML or JSON (docs/client.md). All are checked before the first is sent. A job without an id
-gets one, which is printed before it is sent: submitted again under its id, nothing runs twice.`,
+gets one, which is printed before the job is sent: submitting it again under that id is safe.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			jobs, err := readJobs(cmd.InOrStdin(), args[0])
@@ -62,17 +63,17 @@
 			if err == nil && wait {
 				states, err = f.waitAll(cmd, c, states)
 			}
-			if perr := f.printStates(cmd.OutOrStdout(), states); err == nil {
-				err = perr
+			if printErr := f.printStates(cmd.OutOrStdout(), states); err == nil {
+				err = printErr
 			}
 			return err
 		},
 	}
-	cmd.Flags().BoolVarP(&wait, "wait", "w", false, "wait until all jobs are over, showing progress")
+	cmd.Flags().BoolVarP(&wait, "wait", "w", false, "wait until all jobs are final, showing progress")
 	return cmd
 }
 
-// readJobs reads the jobs of a file, or of in if that is "-".
+// readJobs reads the jobs from a file, or from in if file is "-".
 func readJobs(in io.Reader, file string) ([]jobspec.NamedJob, error) {
 	if file == "-" {
 		return jobspec.Read("standard input", in, client.NewID)
@@ -85,33 +86,33 @@
 	return jobspec.Read(file, opened, client.NewID)
 }
 
-// submitAll submits jobs in waves: one that depends on another of the file is sent once that one is accepted.
-func submitAll(ctx context.Context, c *client.Client, jobs []jobspec.NamedJob, errs io.Writer) ([]client.Status, error) {
+// submitAll submits jobs in waves: a job is sent once the jobs of the file that it depends on are accepted.
+func submitAll(ctx context.Context, c *client.Client, jobs []jobspec.NamedJob, errOut io.Writer) ([]client.Status, error) {
 	states := make([]client.Status, 0, len(jobs))
 	for _, j := range jobs {
 		states = append(states, client.Status{ID: j.ID, Status: "not accepted"})
 	}
-	for from := 0; from < len(jobs); {
-		to := from + waveLength(jobs[from:])
-		err := forEachConcurrently(jobs[from:to], func(i int, j jobspec.NamedJob) error {
+	for start := 0; start < len(jobs); {
+		end := start + waveLength(jobs[start:])
+		err := forEachConcurrently(jobs[start:end], func(i int, j jobspec.NamedJob) error {
 			if j.Name != "" {
-				fmt.Fprintf(errs, "%s is %s\n", j.Name, j.ID)
+				fmt.Fprintf(errOut, "%s is %s\n", j.Name, j.ID)
 			}
 			st, _, err := c.Submit(ctx, j.Job)
 			if err == nil {
-				states[from+i] = st
+				states[start+i] = st
 			}
 			return err
 		})
 		if err != nil {
 			return states, err
 		}
-		from = to
+		start = end
 	}
 	return states, nil
 }
 
-// waveLength returns how many jobs at the start of a list depend on none of each other.
+// waveLength returns the number of jobs at the start of the list that do not depend on each other.
 func waveLength(jobs []jobspec.NamedJob) int {
 	inWave := map[string]bool{}
 	for n, j := range jobs {
@@ -123,7 +124,7 @@
 	return len(jobs)
 }
 
-// waitAll waits until jobs are final, showing progress. Services are final only when they are cancelled.
+// waitAll waits until jobs are final, showing progress. A service is final only once it is cancelled.
 func (f *globalFlags) waitAll(cmd *cobra.Command, c *client.Client, states []client.Status) ([]client.Status, error) {
 	p := newProgress(cmd.ErrOrStderr(), states)
 	defer p.close()
@@ -148,7 +149,7 @@
 	return states, errs[0]
 }
 
-// printStates prints the states of jobs.
+// printStates prints the statuses of jobs.
 func (f *globalFlags) printStates(out io.Writer, states []client.Status) error {
 	return f.printOutput(out, states, func(w io.Writer) {
 		fmt.Fprintln(w, "JOB\tSTATUS\tDONE\tRUNNING")
@@ -161,7 +162,7 @@
 // jobRequest sends a request about a job.
 type jobRequest func(c *client.Client, ctx context.Context, id string) (client.Status, error)
 
-// jobRequestCommand returns a command that sends a request about each job and prints their states.
+// jobRequestCommand returns a command that sends a request about each job and prints their statuses.
 func jobRequestCommand(f *globalFlags, use, short string, send jobRequest) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.MinimumNArgs(1),
@@ -179,8 +180,8 @@
 				}
 				return err
 			})
-			if perr := f.printStates(cmd.OutOrStdout(), states); err == nil {
-				err = perr
+			if printErr := f.printStates(cmd.OutOrStdout(), states); err == nil {
+				err = printErr
 			}
 			return err
 		},
@@ -188,16 +189,16 @@
 }
 
 func getCommand(f *globalFlags) *cobra.Command {
-	return jobRequestCommand(f, "get JOB...", "Show how jobs stand", (*client.Client).Get)
+	return jobRequestCommand(f, "get JOB...", "Show the status of jobs", (*client.Client).Get)
 }
 
 func cancelCommand(f *globalFlags) *cobra.Command {
-	return jobRequestCommand(f, "cancel JOB...", "Cancel jobs, and all that need them", (*client.Client).Cancel)
+	return jobRequestCommand(f, "cancel JOB...", "Cancel jobs, and all jobs that depend on them", (*client.Client).Cancel)
 }
 
 func watchCommand(f *globalFlags) *cobra.Command {
 	return &cobra.Command{
-		Use: "watch JOB...", Short: "Show how jobs go on until they are over", Args: cobra.MinimumNArgs(1),
+		Use: "watch JOB...", Short: "Show the progress of jobs until they are final", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, ids []string) error {
 			c, err := f.newClient()
 			if err != nil {
@@ -208,8 +209,8 @@
 				states[i].ID = id
 			}
 			states, err = f.waitAll(cmd, c, states)
-			if perr := f.printStates(cmd.OutOrStdout(), states); err == nil {
-				err = perr
+			if printErr := f.printStates(cmd.OutOrStdout(), states); err == nil {
+				err = printErr
 			}
 			return err
 		},
--- a/cmd/drumpickctl/local.go
+++ b/cmd/drumpickctl/local.go
@@ -18,49 +18,50 @@
 )
 
 func localCommand(f *globalFlags) *cobra.Command {
-	cmd := &cobra.Command{Use: "local", Short: "Run a whole deployment on this machine"}
+	cmd := &cobra.Command{Use: "local", Short: "Run a local cluster on this machine"}
 	o := localcluster.Options{Zones: []string{"north", "south"}, Controllers: 3, MachinesPerZone: 6, LogLevel: "info"}
 	up := &cobra.Command{
-		Use: "up", Short: "Start a local region and stay until Ctrl-C", Args: cobra.NoArgs,
+		Use: "up", Short: "Start a local cluster and run it until Ctrl-C", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.withCluster(cmd, o, f.resolveDataDir(), func(r *localcluster.Cluster) error {
-				if err := f.printOutput(cmd.OutOrStdout(), r.Info, func(w io.Writer) { showCluster(w, f.resolveDataDir(), r.Info) }); err != nil {
+			return f.withCluster(cmd, o, f.resolveDataDir(), func(cluster *localcluster.Cluster) error {
+				if err := f.printOutput(cmd.OutOrStdout(), cluster.Info, func(w io.Writer) { showCluster(w, f.resolveDataDir(), cluster.Info) }); err != nil {
 					return err
 				}
 				<-cmd.Context().Done()
-				fmt.Fprintln(cmd.ErrOrStderr(), "ending; the records stay in", f.resolveDataDir())
+				fmt.Fprintln(cmd.ErrOrStderr(), "stopping; the data stays in", f.resolveDataDir())
 				return nil
 			})
 		},
 	}
 	demo := &cobra.Command{
-		Use: "demo", Short: "Start a local region, run sample jobs, show what happened, and end", Args: cobra.NoArgs,
+		Use: "demo", Short: "Start a local cluster, run sample jobs, show the result and stop", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.demo(cmd, o) },
 	}
 	for _, c := range []*cobra.Command{up, demo} {
 		c.Flags().StringVar(&o.ControllerProgram, "daemon", "",
-			"the controllers' `program` (else drumpick beside this one, or built from the sources here)")
+			"controller `program` (default: drumpick in the directory of this program, or built from the sources here)")
 		c.Flags().StringVar(&o.LogLevel, "log", o.LogLevel, "the controllers' LOG_LEVEL")
 	}
 	cmd.AddCommand(up, demo,
-		f.faultCommand("kill NAME", "Kill a controller, which comes back, or a machine, which does not", "/kill/", nil),
-		f.faultCommand("storm ZONE", "Take the power from a zone: its machines are gone, its controllers crash", "/storm/", nil),
+		f.faultCommand("kill NAME", "Kill a controller, which restarts, or a machine, which does not", "/kill/", nil),
+		f.faultCommand("storm ZONE", "Cut the power of a zone: its machines are lost, its controllers crash and restart", "/storm/", nil),
 	)
-	var span time.Duration
-	cut := f.faultCommand("cut ZONE", "Keep a zone's machines from being reached for a time", "/cut/",
-		func() string { return "?for=" + span.String() })
-	cut.Flags().DurationVar(&span, "for", 10*time.Second, "how long")
+	var duration time.Duration
+	cut := f.faultCommand("cut ZONE", "Make a zone's machines unreachable for a time", "/cut/",
+		func() string { return "?for=" + duration.String() })
+	cut.Flags().DurationVar(&duration, "for", 10*time.Second, "how long the machines are unreachable")
 	cmd.AddCommand(cut)
 	var version string
-	upgrade := f.faultCommand("upgrade MACHINE", "Give a machine's worker another version; what runs there is lost", "/upgrade/",
+	upgrade := f.faultCommand("upgrade MACHINE", "Change the version of a machine's worker; the tasks on it are lost", "/upgrade/",
 		func() string { return "?to=" + url.QueryEscape(version) })
-	upgrade.Flags().StringVar(&version, "to", "", "which `version`")
+	upgrade.Flags().StringVar(&version, "to", "", "target `version` of the worker")
 	_ = upgrade.MarkFlagRequired("to")
 	cmd.AddCommand(upgrade)
 	return cmd
 }
 
-// faultCommand returns a command that a running local cluster carries out.
+// faultCommand returns a command that sends a control request, such as an injected fault, to the running local cluster.
+// query, if set, returns the query string of the request.
 func (f *globalFlags) faultCommand(use, short, path string, query func() string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
@@ -83,53 +84,53 @@
 	}
 }
 
-// showCluster prints how to reach a local cluster.
-func showCluster(w io.Writer, data string, i localcluster.Info) {
-	fmt.Fprintf(w, "state service\t%s\ncloud\t%s\n", i.StoreAddr, i.CloudAddr)
-	for _, c := range i.Controllers {
+// showCluster prints the addresses and files of a local cluster.
+func showCluster(w io.Writer, data string, info localcluster.Info) {
+	fmt.Fprintf(w, "state service\t%s\ncloud\t%s\n", info.StoreAddr, info.CloudAddr)
+	for _, c := range info.Controllers {
 		fmt.Fprintf(w, "%s\t%s\tin %s\tsettings %s\tlog %s\n", c.Name, c.UserAddr, c.Zone, c.ConfigPath, c.LogPath)
 	}
 	fmt.Fprintf(w, "\nin another terminal\tdrumpickctl --data %s submit FILE\n", data)
 }
 
-// withCluster runs a local cluster while do runs, and leaves no process behind.
+// withCluster starts a local cluster, runs action and stops the cluster.
 func (f *globalFlags) withCluster(
-	cmd *cobra.Command, o localcluster.Options, data string, do func(*localcluster.Cluster) error,
+	cmd *cobra.Command, o localcluster.Options, data string, action func(*localcluster.Cluster) error,
 ) error {
 	o.DataDir = data
 	var err error
 	if o.ControllerProgram, err = controllerProgram(cmd.Context(), o.ControllerProgram, data, cmd.ErrOrStderr()); err != nil {
 		return err
 	}
-	r, err := localcluster.Start(cmd.Context(), o)
+	cluster, err := localcluster.Start(cmd.Context(), o)
 	if err != nil {
 		return err
 	}
-	err = do(r)
-	if stopErr := r.Stop(); err == nil {
+	err = action(cluster)
+	if stopErr := cluster.Stop(); err == nil {
 		err = stopErr
 	}
 	return err
 }
 
-// controllerProgram finds the controllers' program: the one named, one beside this program, or one built from the
-// sources that the working directory belongs to.
-func controllerProgram(ctx context.Context, named, data string, errs io.Writer) (string, error) {
-	if named != "" {
-		path, err := exec.LookPath(named)
+// controllerProgram returns the path of the controller program: the given one, else drumpick in this program's
+// directory, else one built from the sources that contain the working directory.
+func controllerProgram(ctx context.Context, program, data string, errOut io.Writer) (string, error) {
+	if program != "" {
+		path, err := exec.LookPath(program)
 		if err != nil {
 			return "", usageError("--daemon: %v", err)
 		}
 		return filepath.Abs(path)
 	}
 	if self, err := os.Executable(); err == nil {
-		if beside := filepath.Join(filepath.Dir(self), "drumpick"); isExecutable(beside) {
-			return beside, nil
+		if sibling := filepath.Join(filepath.Dir(self), "drumpick"); isExecutable(sibling) {
+			return sibling, nil
 		}
 	}
 	root, err := findSourceRoot()
 	if err != nil {
-		return "", usageError("--daemon is missing, and %v", err)
+		return "", usageError("--daemon is not set, and %v", err)
 	}
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return "", err
@@ -138,22 +139,22 @@
 	if err != nil {
 		return "", err
 	}
-	fmt.Fprintln(errs, "building the controllers' program")
+	fmt.Fprintln(errOut, "building the controller program")
 	build := exec.CommandContext(ctx, "go", "build", "-o", built, "./cmd/drumpick")
-	build.Dir, build.Stderr = root, errs
+	build.Dir, build.Stderr = root, errOut
 	if err := build.Run(); err != nil {
 		return "", fmt.Errorf("go build ./cmd/drumpick: %w", err)
 	}
 	return built, nil
 }
 
-// isExecutable reports whether a path is a file that can be run.
+// isExecutable reports whether path is a regular file with an execute permission.
 func isExecutable(path string) bool {
 	s, err := os.Stat(path)
 	return err == nil && s.Mode().IsRegular() && s.Mode().Perm()&0o111 != 0
 }
 
-// findSourceRoot returns the root of drumpick's sources above the working directory.
+// findSourceRoot returns the root of the drumpick sources that contain the working directory.
 func findSourceRoot() (string, error) {
 	dir, err := os.Getwd()
 	for err == nil {
@@ -161,11 +162,11 @@
 		if readErr == nil && strings.HasPrefix(string(raw), "module drumpick\n") {
 			return dir, nil
 		}
-		up := filepath.Dir(dir)
-		if up == dir {
-			err = errors.New("drumpick's sources are not above this directory")
+		parent := filepath.Dir(dir)
+		if parent == dir {
+			err = errors.New("the working directory is not within the drumpick sources")
 		}
-		dir = up
+		dir = parent
 	}
 	return "", err
 }
--- a/cmd/drumpickctl/machines.go
+++ b/cmd/drumpickctl/machines.go
@@ -18,19 +18,19 @@
 			if err != nil {
 				return err
 			}
-			ms, err := c.Machines(cmd.Context())
+			machines, err := c.Machines(cmd.Context())
 			if err != nil {
 				return err
 			}
-			return f.printOutput(cmd.OutOrStdout(), ms, func(w io.Writer) {
+			return f.printOutput(cmd.OutOrStdout(), machines, func(w io.Writer) {
 				fmt.Fprintln(w, "MACHINE\tTYPE\tZONE\tKIND\tSTATE\tTASKS\tVERSION")
-				for _, m := range ms {
+				for _, m := range machines {
 					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Type, m.Zone, machineKind(m.Spot), m.State, m.TaskCount, m.Version)
 				}
 			})
 		},
 	}, &cobra.Command{
-		Use: "show MACHINE", Short: "Show a machine and what is on it", Args: cobra.ExactArgs(1),
+		Use: "show MACHINE", Short: "Show a machine and the tasks on it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			c, err := f.newClient()
 			if err != nil {
--- a/cmd/drumpickctl/main.go
+++ b/cmd/drumpickctl/main.go
@@ -1,5 +1,5 @@
-// Command drumpickctl is the command-line client: it submits, watches and cancels jobs, shows machines and drains them,
-// and runs a whole deployment on one machine to try things out.
+// Command drumpickctl is the command-line client: it submits, watches and cancels jobs, shows and drains machines, and
+// runs a local cluster for experiments.
 package main
 
 import (
@@ -22,19 +22,19 @@
 	"github.com/spf13/cobra"
 )
 
-// Exit codes, as docs/client.md has them.
+// Exit codes, as documented in docs/client.md.
 const (
 	exitOK          = 0
-	exitFailed      = 1 // anything else
-	exitUsage       = 2 // the command line or a file is wrong; nothing was asked of anybody
-	exitRefused     = 3 // the service refuses the request for good
+	exitFailed      = 1 // any other error
+	exitUsage       = 2 // invalid command line or file; no request was sent
+	exitRefused     = 3 // the service rejected the request, and would reject it again
 	exitNotFound    = 4 // no such job, machine or drain
-	exitUnavailable = 5 // nobody took the request in time; it may be repeated
-	exitCancelled   = 6 // a job that was waited for ended cancelled
+	exitUnavailable = 5 // no controller accepted the request in time; it may be sent again
+	exitCancelled   = 6 // a job that the command waited for was cancelled
 	exitInterrupted = 130
 )
 
-// exitError carries an exit code.
+// exitError is an error with an exit code.
 type exitError struct {
 	code int
 	err  error
@@ -43,7 +43,7 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// usageError returns an error of the command line.
+// usageError returns an error with exit code exitUsage.
 func usageError(format string, args ...any) error {
 	return &exitError{exitUsage, fmt.Errorf(format, args...)}
 }
@@ -75,24 +75,24 @@
 	os.Exit(execute(ctx, os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
 }
 
-// execute runs one command line and returns the exit code.
-func execute(ctx context.Context, args []string, in io.Reader, out, errs io.Writer) int {
+// execute runs a command line and returns its exit code.
+func execute(ctx context.Context, args []string, in io.Reader, out, errOut io.Writer) int {
 	root := newCommand()
 	root.SetArgs(args)
 	root.SetIn(in)
 	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetErr(errOut)
 	err := root.ExecuteContext(ctx)
 	if err != nil {
 		if ctx.Err() != nil {
 			err = &exitError{exitInterrupted, errors.New("interrupted")}
 		}
-		fmt.Fprintln(errs, "drumpickctl:", err)
+		fmt.Fprintln(errOut, "drumpickctl:", err)
 	}
 	return exitCode(err)
 }
 
-// globalFlags are those of every command.
+// globalFlags holds the flags that all commands share.
 type globalFlags struct {
 	servers []string
 	dataDir string
@@ -104,7 +104,7 @@
 	f := &globalFlags{}
 	root := &cobra.Command{
 		Use:           "drumpickctl",
-		Short:         "Submit and watch jobs, look after machines, try drumpick on one machine",
+		Short:         "Submit and watch jobs, show and drain machines, run a local cluster",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRunE: func(cmd *cobra.Command, _ []string) error {
@@ -114,27 +114,28 @@
 			}
 			slog.SetDefault(slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), &slog.HandlerOptions{Level: level})))
 			if f.output != "table" && f.output != "json" {
-				return usageError("--output is table or json, not %q", f.output)
+				return usageError("--output must be table or json, not %q", f.output)
 			}
 			return nil
 		},
 	}
 	p := root.PersistentFlags()
-	p.StringSliceVarP(&f.servers, "server", "s", nil, "`host:port` of a controller, several with commas (DRUMPICK_SERVERS; else the local region)")
-	p.StringVar(&f.dataDir, "data", "", "`directory` of the local region (DRUMPICK_DATA)")
-	p.StringVarP(&f.output, "output", "o", "table", "`table` for people or json for programs")
-	p.BoolVarP(&f.verbose, "verbose", "v", false, "say more on standard error")
+	p.StringSliceVarP(&f.servers, "server", "s", nil, "`host:port` of a controller, or several separated by commas (DRUMPICK_SERVERS; default: the local cluster)")
+	p.StringVar(&f.dataDir, "data", "", "`directory` of the local cluster (DRUMPICK_DATA)")
+	p.StringVarP(&f.output, "output", "o", "table", "output format: `table` or json")
+	p.BoolVarP(&f.verbose, "verbose", "v", false, "log debug messages to standard error")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exitError{exitUsage, err} })
 	root.AddCommand(submitCommand(f), getCommand(f), watchCommand(f), cancelCommand(f), machineCommand(f), drainCommand(f), localCommand(f))
 	returnUsageErrors(root)
 	return root
 }
 
-// returnUsageErrors makes a wrong number of arguments, or an unknown command, an error of usage.
+// returnUsageErrors makes cmd and its subcommands return a usage error for a wrong number of arguments or an unknown
+// subcommand.
 func returnUsageErrors(cmd *cobra.Command) {
-	if check := cmd.Args; check != nil {
+	if validateArgs := cmd.Args; validateArgs != nil {
 		cmd.Args = func(cmd *cobra.Command, args []string) error {
-			if err := check(cmd, args); err != nil {
+			if err := validateArgs(cmd, args); err != nil {
 				return &exitError{exitUsage, err}
 			}
 			return nil
@@ -154,7 +155,7 @@
 	}
 }
 
-// resolveDataDir returns the local cluster's directory.
+// resolveDataDir returns the local cluster's directory: from --data, DRUMPICK_DATA or the user's cache directory.
 func (f *globalFlags) resolveDataDir() string {
 	switch {
 	case f.dataDir != "":
@@ -169,18 +170,18 @@
 	return filepath.Join(home, "drumpick", "local")
 }
 
-// newClient returns a client of the controllers that the command line, the environment or the local cluster names, in this
-// order.
+// newClient returns a client of the controllers that --server names, else of those in DRUMPICK_SERVERS, else of the
+// local cluster's.
 func (f *globalFlags) newClient() (*client.Client, error) {
 	addrs := f.servers
 	if len(addrs) == 0 && os.Getenv("DRUMPICK_SERVERS") != "" {
 		addrs = strings.Split(os.Getenv("DRUMPICK_SERVERS"), ",")
 	}
-	local := len(addrs) == 0
-	if local {
+	useLocalCluster := len(addrs) == 0
+	if useLocalCluster {
 		info, err := localcluster.ReadInfo(f.resolveDataDir())
 		if err != nil {
-			return nil, usageError("--server is missing, and %v", err)
+			return nil, usageError("--server is not set, and %v", err)
 		}
 		addrs = info.Addrs()
 	}
@@ -188,13 +189,13 @@
 	if err != nil {
 		return nil, &exitError{exitUsage, err}
 	}
-	if local {
-		c.PollInterval /= 5 // its times are short, and nobody else polls it
+	if useLocalCluster {
+		c.PollInterval /= 5 // a local cluster has shorter intervals and no other users
 	}
 	return c, nil
 }
 
-// printOutput writes a value for programs, or calls table for people.
+// printOutput writes v as JSON, or with --output table calls table, and aligns the columns that it writes.
 func (f *globalFlags) printOutput(out io.Writer, v any, table func(w io.Writer)) error {
 	if f.output == "json" {
 		e := json.NewEncoder(out)
--- a/cmd/drumpickctl/progress.go
+++ b/cmd/drumpickctl/progress.go
@@ -12,7 +12,7 @@
 	"golang.org/x/term"
 )
 
-// progress shows the progress of jobs: one line that changes at a terminal, else a line at each change.
+// progress shows the progress of jobs: on a terminal one line that is updated in place, else a line for each change.
 type progress struct {
 	out       io.Writer
 	terminal  bool
@@ -20,12 +20,12 @@
 	done      chan struct{}
 	ended     sync.WaitGroup
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	states   []client.Status
 	lastText string
 }
 
-// progressInterval is how often progress is shown, at the most.
+// progressInterval is the interval between updates of the shown progress.
 const progressInterval = 500 * time.Millisecond
 
 func newProgress(out io.Writer, states []client.Status) *progress {
@@ -38,7 +38,7 @@
 	return p
 }
 
-// run shows the progress until close.
+// run shows the progress until close is called.
 func (p *progress) run() {
 	defer p.ended.Done()
 	t := time.NewTicker(progressInterval)
@@ -57,14 +57,14 @@
 	}
 }
 
-// update takes in a job's new state.
+// update records the status of job i.
 func (p *progress) update(i int, st client.Status) {
 	p.mu.Lock()
 	p.states[i] = st
 	p.mu.Unlock()
 }
 
-// show shows the progress if it has changed, and at a terminal in any case.
+// show prints the progress if it has changed; on a terminal always, to update the elapsed time.
 func (p *progress) show() {
 	p.mu.Lock()
 	final, running, done := 0, 0, 0
@@ -78,16 +78,16 @@
 	same := text == p.lastText
 	p.lastText = text
 	p.mu.Unlock()
-	passed := time.Since(p.startedAt).Round(time.Second)
+	elapsed := time.Since(p.startedAt).Round(time.Second)
 	switch {
 	case p.terminal:
-		fmt.Fprintf(p.out, "\r\033[K%4s  %s", passed, text)
+		fmt.Fprintf(p.out, "\r\033[K%4s  %s", elapsed, text)
 	case !same:
-		fmt.Fprintf(p.out, "%4s  %s\n", passed, text)
+		fmt.Fprintf(p.out, "%4s  %s\n", elapsed, text)
 	}
 }
 
-// close shows the last state and ends.
+// close shows the final progress and stops run.
 func (p *progress) close() {
 	close(p.done)
 	p.ended.Wait()
