--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -1,6 +1,6 @@
-// Package localcluster runs a whole deployment on one machine: the store kept in a file, the cloud with its
-// machines and workers over HTTP on loopback, and controllers as processes. It is for newcomers, for trying things
-// out, and for tests.
+// Package localcluster runs a whole deployment on one machine: a store backed by a file, a simulated cloud with
+// machines and workers, both served over HTTP on loopback, and controllers as processes. It is for experiments and
+// tests.
 package localcluster
 
 import (
@@ -22,28 +22,28 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// Options say what to run.
+// Options configures a local cluster.
 type Options struct {
-	DataDir           string   // directory for records, settings and logs; it is made
-	ControllerProgram string   // the controllers' program
-	ControllerArgs    []string // of every controller, before --config
+	DataDir           string   // directory for the store file, settings and logs; created if missing
+	ControllerProgram string   // path of the controller program
+	ControllerArgs    []string // arguments of every controller, before --config; nil: the default options file
 	Zones             []string
 	Controllers       int
-	MachinesPerZone   int    // that a zone has, spot and ordinary ones each
-	LogLevel          string // of the controllers
-	// RunTime, where set, returns how long tasks run; otherwise they run near their estimate.
+	MachinesPerZone   int    // largest number of spot machines, and also of ordinary ones, in each zone
+	LogLevel          string // LOG_LEVEL of the controllers
+	// RunTime, if set, returns how long a task runs; otherwise tasks run for 0.7 to 1.3 times their estimate.
 	RunTime func(task string) time.Duration
-	// Deployment, where set, replaces the deployment's settings.
+	// Deployment, if set, replaces the default deployment settings.
 	Deployment *config.Deployment
-	// MachineTypes, where set, are the machines that can be rented.
+	// MachineTypes, if set, replaces the default machine types of the cloud.
 	MachineTypes []records.MachineType
-	// StoreAddr, where set, is the address of a store that runs already.
+	// StoreAddr, if set, is the address of a running store to use.
 	StoreAddr string
-	// StartWorker, where set, opens a machine's address, and has its worker run elsewhere.
+	// StartWorker, if set, starts a machine's worker outside the cluster and returns its address.
 	StartWorker func(m *simulation.Machine) (addr string, end func(), err error)
 }
 
-// deployment returns the settings that the controllers share.
+// deployment returns the deployment settings that all controllers share.
 func (o Options) deployment() config.Deployment {
 	if o.Deployment != nil {
 		return *o.Deployment
@@ -51,30 +51,30 @@
 	return defaultDeployment(o.Zones, o.Controllers)
 }
 
-// Cluster is a deployment that runs.
+// Cluster is a running local cluster.
 type Cluster struct {
 	Info        Info
 	Store       *simulation.Store
 	Environment *simulation.Environment
 
 	options     Options
-	ctx         context.Context // ends with Stop
+	ctx         context.Context // cancelled by Stop
 	cancel      context.CancelFunc
-	storeFile   *storeFile // nil if the store runs elsewhere
+	storeFile   *storeFile // nil if Options.StoreAddr is set
 	apps        []*fiber.App
 	controllers []*supervisedProcess
 }
 
-// Info is how to reach a cluster, as the file in its directory has it.
+// Info holds the addresses of a cluster, as its info file stores them.
 type Info struct {
 	PID         int          `json:"pid"`
-	ControlAddr string       `json:"control"` // of the cluster itself
+	ControlAddr string       `json:"control"` // address of the cluster's control API
 	StoreAddr   string       `json:"state"`
 	CloudAddr   string       `json:"cloud"`
 	Controllers []Controller `json:"controllers"`
 }
 
-// Controller is one of a cluster's controllers.
+// Controller describes a controller of a cluster.
 type Controller struct {
 	Name       string `json:"name"`
 	Zone       string `json:"zone"`
@@ -84,10 +84,10 @@
 	LogPath    string `json:"log"`
 }
 
-// Addrs returns the controllers' addresses for users.
-func (i Info) Addrs() []string {
+// Addrs returns the addresses at which the controllers serve users.
+func (info Info) Addrs() []string {
 	var addrs []string
-	for _, c := range i.Controllers {
+	for _, c := range info.Controllers {
 		addrs = append(addrs, c.UserAddr)
 	}
 	return addrs
@@ -95,47 +95,47 @@
 
 const infoFile = "region.json"
 
-// ReadInfo reads how to reach the cluster of a directory.
+// ReadInfo reads the info file of the cluster that runs in the directory data.
 func ReadInfo(data string) (Info, error) {
-	var i Info
+	var info Info
 	raw, err := os.ReadFile(filepath.Join(data, infoFile))
 	if err == nil {
-		err = json.Unmarshal(raw, &i)
+		err = json.Unmarshal(raw, &info)
 	}
 	if err != nil {
-		return i, fmt.Errorf("no local region runs in %s (drumpickctl local up starts one): %w", data, err)
+		return info, fmt.Errorf("no local cluster runs in %s (drumpickctl local up starts one): %w", data, err)
 	}
-	return i, nil
+	return info, nil
 }
 
 const (
-	// maxStartAttempts is how often a cluster is started where another program took one of its ports in between.
+	// maxStartAttempts is the number of attempts to start a cluster if another program takes one of its ports first.
 	maxStartAttempts = 3
-	// portInUseText is what a controller's log says then.
+	// portInUseText is what a controller logs if its port is taken.
 	portInUseText = "address already in use"
 )
 
-// Start starts a cluster and waits until every controller can take requests.
+// Start starts a cluster and waits until every controller is ready to serve requests.
 func Start(ctx context.Context, o Options) (*Cluster, error) {
 	if err := os.MkdirAll(o.DataDir, 0o700); err != nil {
 		return nil, err
 	}
-	var failed error
+	var lastErr error
 	for range maxStartAttempts {
 		c, err := startOnce(ctx, o)
 		if err == nil || !strings.Contains(err.Error(), portInUseText) {
 			return c, err
 		}
-		failed = err
+		lastErr = err
 	}
-	return nil, failed
+	return nil, lastErr
 }
 
 func startOnce(ctx context.Context, o Options) (_ *Cluster, err error) {
-	run, cancel := context.WithCancel(context.Background())
+	runCtx, cancel := context.WithCancel(context.Background())
 	c := &Cluster{
-		options: o, ctx: run, cancel: cancel,
-		Store: simulation.NewStore(), Environment: simulation.NewEnvironment(run),
+		options: o, ctx: runCtx, cancel: cancel,
+		Store: simulation.NewStore(), Environment: simulation.NewEnvironment(runCtx),
 	}
 	defer func() {
 		if err != nil {
@@ -159,7 +159,7 @@
 	return c, c.writeInfo()
 }
 
-// writeInfo writes how to reach the cluster, for Find.
+// writeInfo writes the info file, which ReadInfo reads.
 func (c *Cluster) writeInfo() error {
 	raw, err := json.MarshalIndent(c.Info, "", "  ")
 	if err != nil {
@@ -168,20 +168,20 @@
 	return os.WriteFile(filepath.Join(c.options.DataDir, infoFile), raw, 0o600)
 }
 
-// Client returns a client of the cluster.
+// Client returns a client of the cluster's controllers.
 func (c *Cluster) Client() *client.Client {
 	users, err := client.New(c.Info.Addrs()...)
 	if err != nil {
-		panic(fmt.Sprintf("a cluster without controllers: %v", err))
+		panic(fmt.Sprintf("client of the local cluster: %v", err))
 	}
 	users.PollInterval = config.Seconds(heartbeatIntervalS)
 	return users
 }
 
-// shutdownTimeout bounds how long an HTTP server waits for the requests under way.
+// shutdownTimeout is how long an HTTP server waits for requests in progress when it stops.
 const shutdownTimeout = time.Second
 
-// Stop ends everything that runs. The records stay.
+// Stop stops all controllers, machines and servers. The data directory remains, without the info file.
 func (c *Cluster) Stop() error {
 	for _, p := range c.controllers {
 		p.stop()
@@ -197,10 +197,10 @@
 	if c.storeFile != nil {
 		errs = append(errs, c.storeFile.close())
 	}
-	if i, err := ReadInfo(c.options.DataDir); err == nil && i.PID == os.Getpid() {
+	if info, err := ReadInfo(c.options.DataDir); err == nil && info.PID == os.Getpid() {
 		errs = append(errs, os.Remove(filepath.Join(c.options.DataDir, infoFile)))
 	}
-	// Open watches outlast the timeout.
+	// Ignore the shutdown timeout: open watches exceed it.
 	errs = slices.DeleteFunc(errs, func(err error) bool { return errors.Is(err, context.DeadlineExceeded) })
 	return errors.Join(errs...)
 }
--- a/internal/localcluster/control.go
+++ b/internal/localcluster/control.go
@@ -15,29 +15,29 @@
 	"github.com/gofiber/fiber/v2/utils"
 )
 
-// History is what happened in a cluster so far.
+// History holds the attempts, costs and rule violations of a cluster so far.
 type History struct {
 	Runs       []simulation.TaskRun    `json:"ran"`
 	Costs      []simulation.RentalCost `json:"bills"`
-	Violations []string                `json:"broken"` // of the protocol's rules
+	Violations []string                `json:"broken"` // of protocol rules
 }
 
-// History returns what ran and what it cost.
+// History returns the cluster's history so far.
 func (c *Cluster) History() History {
 	runs, costs := c.Environment.History()
 	return History{runs, costs, c.Environment.Violations()}
 }
 
-// controlResult is the answer to a command: what was done, or why it was not.
+// controlResult is the response to a control request: what was done, or why the request failed.
 type controlResult struct {
 	Done  string `json:"done,omitempty"`
 	Error string `json:"error,omitempty"`
 }
 
-// defaultPartition is how long a zone is unreachable if the command does not say.
+// defaultPartition is the duration of a partition if the request does not set one.
 const defaultPartition = "10s"
 
-// mountControl serves the commands by which other processes cause faults.
+// mountControl mounts the control API, through which other processes inject faults and read the history.
 func (c *Cluster) mountControl(app *fiber.App) {
 	app.Post("/kill/:name", c.serveKill)
 	app.Post("/cut/:name", c.servePartition)
@@ -52,13 +52,13 @@
 }
 
 func (c *Cluster) servePartition(ctx *fiber.Ctx) error {
-	span, err := time.ParseDuration(ctx.Query("for", defaultPartition))
-	if err != nil || span <= 0 {
+	duration, err := time.ParseDuration(ctx.Query("for", defaultPartition))
+	if err != nil || duration <= 0 {
 		return ctx.Status(http.StatusBadRequest).JSON(controlResult{Error: "for is no length of time such as 10s"})
 	}
 	zone := targetOf(ctx)
-	text := fmt.Sprintf("nobody reaches the machines of %s for %v", zone, span)
-	return answerCommand(ctx, text, c.PartitionZone(zone, span))
+	text := fmt.Sprintf("nobody reaches the machines of %s for %v", zone, duration)
+	return answerCommand(ctx, text, c.PartitionZone(zone, duration))
 }
 
 func (c *Cluster) serveUpgrade(ctx *fiber.Ctx) error {
@@ -76,7 +76,7 @@
 	return answerCommand(ctx, fmt.Sprintf("%s is without power: %d machines are gone", zone, n), err)
 }
 
-// targetOf returns what a command is for: the name of a controller, machine or zone.
+// targetOf returns the controller, machine or zone that a request names; "" if the name is invalid.
 func targetOf(ctx *fiber.Ctx) string {
 	name, err := url.PathUnescape(utils.CopyString(ctx.Params("name")))
 	if err != nil {
@@ -85,7 +85,7 @@
 	return name
 }
 
-// answerCommand answers with the text, or with why the command failed.
+// answerCommand responds with text, or with err if it is not nil.
 func answerCommand(ctx *fiber.Ctx, text string, err error) error {
 	if err != nil {
 		return ctx.Status(http.StatusNotFound).JSON(controlResult{Error: err.Error()})
@@ -93,15 +93,15 @@
 	return ctx.JSON(controlResult{Done: text})
 }
 
-// controlTimeout bounds a request to a cluster that runs in another process.
+// controlTimeout is the timeout of a control request.
 const controlTimeout = 10 * time.Second
 
-// Request sends a request to a cluster that runs in another process, and reads the answer into out.
-func (i Info) Request(method, path string, out any) error {
-	control := httpclient.New(i.ControlAddr, 1, time.Second)
+// Request sends a control request to a cluster that runs in another process, and decodes the response into out.
+func (info Info) Request(method, path string, out any) error {
+	control := httpclient.New(info.ControlAddr, 1, time.Second)
 	status, raw, err := control.Do(method, path, "application/json", nil, time.Now().Add(controlTimeout))
 	if err != nil {
-		return fmt.Errorf("the local region does not answer at %s: %w", i.ControlAddr, err)
+		return fmt.Errorf("local cluster does not respond at %s: %w", info.ControlAddr, err)
 	}
 	if status != http.StatusOK {
 		var result controlResult
@@ -111,9 +111,9 @@
 	return json.Unmarshal(raw, out)
 }
 
-// PostCommand has a cluster do something, and returns the text of its answer.
-func (i Info) PostCommand(path string) (string, error) {
+// PostCommand posts a control request to a cluster and returns the text of its response.
+func (info Info) PostCommand(path string) (string, error) {
 	var result controlResult
-	err := i.Request(http.MethodPost, path, &result)
+	err := info.Request(http.MethodPost, path, &result)
 	return result.Done, err
 }
--- a/internal/localcluster/controllers.go
+++ b/internal/localcluster/controllers.go
@@ -17,13 +17,13 @@
 	"drumpick/internal/simulation"
 )
 
-// optionsFileName is the operators' file of every controller.
+// optionsFileName is the operators' settings file that all controllers share.
 const optionsFileName = "drumpick.ini"
 
 // configureControllers chooses the controllers' addresses and writes their settings.
 func (c *Cluster) configureControllers() error {
 	release, err := c.chooseAddrs()
-	defer release() // as late as can be: until then no other program takes the ports
+	defer release() // held until the settings are written, so that no other program takes the ports earlier
 	if err != nil {
 		return err
 	}
@@ -40,13 +40,13 @@
 	return nil
 }
 
-// chosenAddrs holds all addresses that controllers of this process's clusters were given. None is given twice: between
-// the choice and the controller's start the port is free, and the controller of another cluster that had it would
-// answer in place of this one's.
+// chosenAddrs holds the addresses of the controllers of all clusters of this process, so that none is assigned twice.
+// A port is free between its choice and the controller's start. If another cluster's controller had the same address, it
+// could take the port and answer requests to this one.
 var chosenAddrs sync.Map
 
-// chooseAddrs names the controllers and chooses free ports for them, which are held until release is called, so that
-// none is chosen twice.
+// chooseAddrs names the controllers and chooses free ports for them. The ports stay open until release is called, so
+// that none is chosen twice.
 func (c *Cluster) chooseAddrs() (release func(), err error) {
 	o := c.options
 	var held []net.Listener
@@ -82,7 +82,7 @@
 	return release, nil
 }
 
-// controllerConfig returns a controller's settings.
+// controllerConfig returns the settings of a controller.
 func (c *Cluster) controllerConfig(controller Controller) *config.Config {
 	cfg := &config.Config{
 		Node: controller.Name, Zone: controller.Zone, UserAddr: controller.UserAddr, PeerAddr: controller.PeerAddr,
@@ -97,28 +97,28 @@
 	return cfg
 }
 
-// commandLine returns a controller's command line with a given program.
+// commandLine returns the command line that runs a controller with the given program and arguments.
 func (c *Cluster) commandLine(controller Controller, program string, arguments []string) []string {
 	line := append([]string{program}, arguments...)
 	return append(line, "--config", controller.ConfigPath)
 }
 
 const (
-	// workerConnections bounds the connections of all workers to one controller.
+	// workerConnections is the largest number of connections from all workers to one controller.
 	workerConnections = 1000
 	dialTimeout       = time.Second / 2
 )
 
-// startControllers starts the controllers, and the workers' connections to them.
+// startControllers starts the controllers and sets up the clients that send workers' heartbeats to them.
 func (c *Cluster) startControllers() {
 	o := c.options
 	if o.ControllerArgs == nil {
 		o.ControllerArgs = []string{"--options", filepath.Join(o.DataDir, optionsFileName)}
 	}
-	var links []*httpclient.Client
+	var clients []*httpclient.Client
 	for _, controller := range c.Info.Controllers {
 		c.Environment.Nodes = append(c.Environment.Nodes, controller.Name)
-		links = append(links, httpclient.New(controller.UserAddr, workerConnections, dialTimeout))
+		clients = append(clients, httpclient.New(controller.UserAddr, workerConnections, dialTimeout))
 		p := &supervisedProcess{
 			name:         controller.Name,
 			args:         c.commandLine(controller, o.ControllerProgram, o.ControllerArgs),
@@ -133,16 +133,16 @@
 	}
 	c.Environment.Heartbeat = simulation.HeartbeatOverHTTP(
 		func(_ string, node int, body []byte) (int, []byte, error) {
-			// Workers give an answer four seconds (PROTOCOL), in the local cluster's proportions less.
+			// The protocol's timeout is four seconds; a local cluster's intervals are shorter.
 			deadline := time.Now().Add(config.Seconds(2 * heartbeatIntervalS))
-			return links[node].Do(http.MethodPost, "/checkin", "application/json", body, deadline)
+			return clients[node].Do(http.MethodPost, "/checkin", "application/json", body, deadline)
 		})
 }
 
-// readyPollInterval is how often a controller is asked whether it can take requests.
+// readyPollInterval is the interval between readiness checks of a controller.
 const readyPollInterval = 20 * time.Millisecond
 
-// waitReady waits until every controller can take requests.
+// waitReady waits until every controller is ready to serve requests.
 func (c *Cluster) waitReady(ctx context.Context) error {
 	for i, controller := range c.Info.Controllers {
 		if err := waitControllerReady(ctx, controller, c.controllers[i]); err != nil {
@@ -169,7 +169,7 @@
 	}
 }
 
-// findProcess returns a controller's process; nil: there is no such controller.
+// findProcess returns the process of a controller, or nil if there is no such controller.
 func (c *Cluster) findProcess(controller string) *supervisedProcess {
 	i := slices.IndexFunc(c.controllers, func(p *supervisedProcess) bool { return p.name == controller })
 	if i < 0 {
@@ -178,7 +178,7 @@
 	return c.controllers[i]
 }
 
-// ControllerPID returns the process of a controller; 0: it does not run now.
+// ControllerPID returns the ID of the controller process that was started last, or 0 if there is none.
 func (c *Cluster) ControllerPID(controller string) int {
 	if p := c.findProcess(controller); p != nil {
 		return p.pid()
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Kill ends a controller, which starts again after a moment, or a machine, for good.
+// Kill kills a controller, which restarts after a delay, or a machine, permanently.
 func (c *Cluster) Kill(name string) error {
 	if p := c.findProcess(name); p != nil {
 		slog.Debug("killing controller", "node", name)
@@ -24,13 +24,13 @@
 	return fmt.Errorf("%q is neither a controller nor a machine that is up", name)
 }
 
-// ReplaceProgram gives a controller another program from its next start on, and ends the one that runs: the step of an
-// upgrade.
+// ReplaceProgram kills a controller and restarts it with another program, as in an upgrade. The controller uses the new
+// program from then on.
 func (c *Cluster) ReplaceProgram(name, program string, arguments []string) error {
 	p := c.findProcess(name)
 	i := slices.IndexFunc(c.Info.Controllers, func(controller Controller) bool { return controller.Name == name })
 	if p == nil || i < 0 {
-		return fmt.Errorf("%q is no controller", name)
+		return fmt.Errorf("%q is not a controller", name)
 	}
 	p.mu.Lock()
 	p.nextArgs = c.commandLine(c.Info.Controllers[i], program, arguments)
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// UpgradeWorker gives a machine's worker another version, as an operator would. Whatever runs there is lost, so the
-// machine should be drained.
+// UpgradeWorker changes the version of a machine's worker, as an operator would. Tasks on the machine are lost, so it
+// should be drained first.
 func (c *Cluster) UpgradeWorker(machine, version string) error {
 	if !c.Environment.Upgrade(machine, version) {
 		return fmt.Errorf("there is no machine %q that is up", machine)
@@ -55,18 +55,18 @@
 	return nil
 }
 
-// PartitionZone makes the machines of a zone unreachable for a time.
-func (c *Cluster) PartitionZone(zone string, span time.Duration) error {
+// PartitionZone makes the machines of a zone unreachable for a duration.
+func (c *Cluster) PartitionZone(zone string, duration time.Duration) error {
 	if err := c.checkZone(zone); err != nil {
 		return err
 	}
 	c.Environment.PartitionZone(zone, true)
-	time.AfterFunc(span, func() { c.Environment.PartitionZone(zone, false) })
+	time.AfterFunc(duration, func() { c.Environment.PartitionZone(zone, false) })
 	return nil
 }
 
-// FailZone takes the power from a zone: its machines are gone, its controllers crash. It returns how many machines
-// there were.
+// FailZone simulates a power failure in a zone: its machines are lost, and its controllers crash and restart. It returns
+// the number of machines lost.
 func (c *Cluster) FailZone(zone string) (int, error) {
 	if err := c.checkZone(zone); err != nil {
 		return 0, err
--- a/internal/localcluster/golden_test.go
+++ b/internal/localcluster/golden_test.go
@@ -10,11 +10,11 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// The control of a local cluster, which other processes call, keeps its forms.
+// The control API of a local cluster, which other processes call, keeps its format.
 func TestGoldenControl(t *testing.T) {
-	r := &Cluster{Environment: simulation.NewEnvironment(t.Context()), options: Options{Zones: []string{"a"}}}
+	cluster := &Cluster{Environment: simulation.NewEnvironment(t.Context()), options: Options{Zones: []string{"a"}}}
 	app := fiber.New()
-	r.mountControl(app)
+	cluster.mountControl(app)
 	f := goldentest.Open(t, "golden-control.json")
 	for _, x := range []struct{ name, method, uri string }{
 		{"cut", "POST", "/cut/a?for=1ms"},
--- a/internal/localcluster/loopback_test.go
+++ b/internal/localcluster/loopback_test.go
@@ -22,8 +22,8 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// These tests run real controllers, killed at points chosen from a seed, and check afterwards all answers to users.
-// They wait for conditions, never for a time; what bounds them is the timeout of the whole test run.
+// These tests run real controllers, kill them at points chosen from a seed, and afterwards check all responses to users.
+// They wait for conditions, never for a fixed time; only the timeout of the test run limits them.
 
 var buildController = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "drumpick-test-")
@@ -46,97 +46,98 @@
 	os.Exit(code)
 }
 
-// testCluster is a local cluster with users that log the answers they get.
+// testCluster is a local cluster with users that record their responses.
 type testCluster struct {
 	t           *testing.T
 	cluster     *Cluster
 	log         *linearizability.History
 	rand        *rand.Rand
 	wg          sync.WaitGroup
-	forceDrains bool // start drains that leave no machine for some jobs
+	forceDrains bool // also start drains that leave no machine for some jobs
 }
 
-func startTestCluster(t *testing.T, seed uint64, change func(*Options)) *testCluster {
+func startTestCluster(t *testing.T, seed uint64, modify func(*Options)) *testCluster {
 	t.Helper()
 	daemon, err := buildController()
 	if err != nil {
 		t.Fatal(err)
 	}
 	o := Options{DataDir: t.TempDir(), ControllerProgram: daemon, Zones: []string{"north", "south"}, Controllers: 3, MachinesPerZone: 5, LogLevel: "info"}
-	if change != nil {
-		change(&o)
+	if modify != nil {
+		modify(&o)
 	}
-	r, err := Start(t.Context(), o)
+	cluster, err := Start(t.Context(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &testCluster{t: t, cluster: r, log: linearizability.New(), rand: rand.New(rand.NewPCG(seed, 1))}
+	tc := &testCluster{t: t, cluster: cluster, log: linearizability.New(), rand: rand.New(rand.NewPCG(seed, 1))}
 	t.Cleanup(func() {
-		if err := r.Stop(); err != nil {
+		if err := cluster.Stop(); err != nil {
 			t.Error(err)
 		}
-		for _, c := range r.controllers {
+		for _, c := range cluster.controllers {
 			if c.cmd != nil && c.cmd.ProcessState == nil {
-				t.Errorf("%s was left behind", c.name)
+				t.Errorf("process of %s was left running", c.name)
 			}
 		}
 		if t.Failed() {
-			for _, c := range r.Info.Controllers {
+			for _, c := range cluster.Info.Controllers {
 				raw, _ := os.ReadFile(c.LogPath)
 				lines := strings.Split(string(raw), "\n")
 				t.Logf("%s, the end of its log:\n%s", c.Name, strings.Join(lines[max(0, len(lines)-60):], "\n"))
 			}
 		}
 	})
-	return p
+	return tc
 }
 
-// batchJob returns a batch of small tasks; change alters it.
-func batchJob(id string, tasks int, seconds float64, change func(*client.Job)) client.Job {
+// batchJob returns a batch job of small tasks, changed by modify unless that is nil.
+func batchJob(id string, tasks int, seconds float64, modify func(*client.Job)) client.Job {
 	j := client.Job{
 		ID: id, Class: "any", Team: "archive", Shape: client.Batch, Priority: client.Standard, Tasks: tasks,
 		CPUs: 1, MemGB: 2, Image: "img", ImageGB: 0.1, Spot: true, EstimateS: seconds,
 	}
-	if change != nil {
-		change(&j)
+	if modify != nil {
+		modify(&j)
 	}
 	return j
 }
 
-// submitAndFollow has a user submit a job and follow it to its end, and logs all answers.
-func (p *testCluster) submitAndFollow(who int, j client.Job, cancelAfter int) {
-	p.wg.Add(1)
+// submitAndFollow starts a user that submits a job, polls it until it is final and records all responses. The user
+// cancels the job after cancelAfter polls; 0: never.
+func (tc *testCluster) submitAndFollow(user int, j client.Job, cancelAfter int) {
+	tc.wg.Add(1)
 	go func() {
-		defer p.wg.Done()
-		c := p.cluster.Client()
+		defer tc.wg.Done()
+		c := tc.cluster.Client()
 		c.RetryPolicy.RequestTimeout, c.RetryPolicy.SubmitTimeout, c.RetryPolicy.MinDelay = time.Second, 2*time.Second, 100*time.Millisecond
-		ctx := p.t.Context()
-		ask := func(kind string, do func() (client.Status, error)) client.Status {
+		ctx := tc.t.Context()
+		request := func(kind string, send func() (client.Status, error)) client.Status {
 			for ctx.Err() == nil {
-				asked := time.Now()
-				st, err := do()
+				sentAt := time.Now()
+				st, err := send()
 				switch {
 				case err == nil:
-					p.log.Record(who, j.ID, kind, st.Status, asked)
+					tc.log.Record(user, j.ID, kind, st.Status, sentAt)
 					return st
 				case errors.Is(err, client.ErrNotFound):
-					p.log.Record(who, j.ID, kind, linearizability.NotFound, asked)
+					tc.log.Record(user, j.ID, kind, linearizability.NotFound, sentAt)
 					return st
 				case errors.Is(err, client.ErrUnavailable):
-					p.log.Record(who, j.ID, kind, "", asked) // and once more
+					tc.log.Record(user, j.ID, kind, "", sentAt) // outcome unknown: retry
 				default:
-					p.t.Errorf("%s of %s: %v", kind, j.ID, err)
+					tc.t.Errorf("%s of %s: %v", kind, j.ID, err)
 					return st
 				}
 			}
 			return client.Status{}
 		}
-		ask(linearizability.Submit, func() (client.Status, error) { st, _, err := c.Submit(ctx, j); return st, err })
+		request(linearizability.Submit, func() (client.Status, error) { st, _, err := c.Submit(ctx, j); return st, err })
 		for polls := 0; ctx.Err() == nil; polls++ {
 			if polls == cancelAfter && cancelAfter > 0 {
-				ask(linearizability.Cancel, func() (client.Status, error) { return c.Cancel(ctx, j.ID) })
+				request(linearizability.Cancel, func() (client.Status, error) { return c.Cancel(ctx, j.ID) })
 			}
-			if ask(linearizability.Poll, func() (client.Status, error) { return c.Get(ctx, j.ID) }).IsFinal() {
+			if request(linearizability.Poll, func() (client.Status, error) { return c.Get(ctx, j.ID) }).IsFinal() {
 				return
 			}
 			time.Sleep(200 * time.Millisecond)
@@ -144,34 +145,34 @@
 	}()
 }
 
-// waitFor waits for a condition.
-func (p *testCluster) waitFor(what string, is func() bool) {
-	p.t.Helper()
-	for !is() {
+// waitFor waits until condition returns true. what names it in the failure message.
+func (tc *testCluster) waitFor(what string, condition func() bool) {
+	tc.t.Helper()
+	for !condition() {
 		select {
-		case <-p.t.Context().Done():
-			p.t.Fatalf("waiting for %s", what)
+		case <-tc.t.Context().Done():
+			tc.t.Fatalf("waiting for %s", what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// checkAnswers waits for the users' last answers, and checks all answers and the protocol's rules.
-func (p *testCluster) checkAnswers() {
-	p.t.Helper()
-	p.wg.Wait()
-	if err := p.log.Check(); err != nil {
-		p.t.Error(err)
+// checkAnswers waits until all users are done, and checks their responses and the protocol's rules.
+func (tc *testCluster) checkAnswers() {
+	tc.t.Helper()
+	tc.wg.Wait()
+	if err := tc.log.Check(); err != nil {
+		tc.t.Error(err)
 	}
-	for _, b := range p.cluster.Environment.Violations() {
-		p.t.Error("rule broken: " + b)
+	for _, violation := range tc.cluster.Environment.Violations() {
+		tc.t.Error("rule violated: " + violation)
 	}
 }
 
-// leader returns the name of the controller that leads, "" if none does.
-func (p *testCluster) leader() string {
-	value := p.cluster.Store.Value("leader")
-	for _, c := range p.cluster.Info.Controllers {
+// leader returns the name of the leader, or "" if there is none.
+func (tc *testCluster) leader() string {
+	value := tc.cluster.Store.Value("leader")
+	for _, c := range tc.cluster.Info.Controllers {
 		if strings.Contains(value, `"`+c.Name+`"`) {
 			return c.Name
 		}
@@ -179,48 +180,48 @@
 	return ""
 }
 
-// Controllers, machines and a zone's power fail while users submit, cancel and poll: each job ends with one final
-// answer, and no rule is broken.
+// While controllers, machines and a zone's power fail and users submit, cancel and poll, each job gets one final
+// answer, and no protocol rule is violated.
 func TestEachJobEndsWithOneAnswerAcrossFailures(t *testing.T) {
 	t.Parallel()
-	p := startTestCluster(t, 1, nil)
+	tc := startTestCluster(t, 1, nil)
 	for i := range 6 {
-		p.submitAndFollow(i, batchJob(fmt.Sprint("j-", 100+i), 4, 2, nil), 0)
+		tc.submitAndFollow(i, batchJob(fmt.Sprint("j-", 100+i), 4, 2, nil), 0)
 	}
-	p.submitAndFollow(6, batchJob("j-200", 3, 3, func(j *client.Job) { j.Shape, j.CPUs, j.OneZone, j.Team = client.Group, 2, true, "desk" }), 0)
-	p.submitAndFollow(7, batchJob("j-201", 2, 0, func(j *client.Job) { j.Shape, j.SpreadZones = client.Service, true }), 12)
-	p.submitAndFollow(8, batchJob("j-202", 8, 5, nil), 6)
-	p.waitFor("first starts", func() bool { return p.cluster.Environment.Starts() > 4 })
+	tc.submitAndFollow(6, batchJob("j-200", 3, 3, func(j *client.Job) { j.Shape, j.CPUs, j.OneZone, j.Team = client.Group, 2, true, "desk" }), 0)
+	tc.submitAndFollow(7, batchJob("j-201", 2, 0, func(j *client.Job) { j.Shape, j.SpreadZones = client.Service, true }), 12)
+	tc.submitAndFollow(8, batchJob("j-202", 8, 5, nil), 6)
+	tc.waitFor("the first task starts", func() bool { return tc.cluster.Environment.Starts() > 4 })
 	for round := range 3 {
-		switch victim := p.rand.IntN(3); {
+		switch victim := tc.rand.IntN(3); {
 		case round == 0:
-			_ = p.cluster.Kill(p.leader())
+			_ = tc.cluster.Kill(tc.leader())
 		case victim == 0:
-			_, _ = p.cluster.FailZone(p.cluster.options.Zones[p.rand.IntN(2)])
+			_, _ = tc.cluster.FailZone(tc.cluster.options.Zones[tc.rand.IntN(2)])
 		case victim == 1:
-			for _, c := range p.cluster.Info.Controllers {
-				_ = p.cluster.Kill(c.Name)
+			for _, c := range tc.cluster.Info.Controllers {
+				_ = tc.cluster.Kill(c.Name)
 			}
 		default:
-			if ms := p.cluster.Environment.Machines(); len(ms) > 0 {
-				ms[p.rand.IntN(len(ms))].Terminate()
+			if ms := tc.cluster.Environment.Machines(); len(ms) > 0 {
+				ms[tc.rand.IntN(len(ms))].Terminate()
 			}
 		}
-		starts := p.cluster.Environment.Starts()
-		p.submitAndFollow(20+round, batchJob(fmt.Sprint("j-", 300+round), 3, 1, nil), 0)
-		p.waitFor("starts after the fault", func() bool { return p.cluster.Environment.Starts() > starts })
+		starts := tc.cluster.Environment.Starts()
+		tc.submitAndFollow(20+round, batchJob(fmt.Sprint("j-", 300+round), 3, 1, nil), 0)
+		tc.waitFor("task starts after the fault", func() bool { return tc.cluster.Environment.Starts() > starts })
 	}
-	p.checkAnswers()
+	tc.checkAnswers()
 }
 
-// The records outlive the cluster: what was accepted before its end runs after its next start, and what was final is
-// known.
-func TestRecordsOutliveRestart(t *testing.T) {
+// The store file persists across a restart: jobs accepted before the stop run after the next start, and final statuses
+// are still known.
+func TestStoreFilePersistsAcrossRestart(t *testing.T) {
 	t.Parallel()
 	data := t.TempDir()
 	sameData := func(o *Options) { o.DataDir, o.Controllers = data, 1 }
-	p := startTestCluster(t, 1, sameData)
-	c := p.cluster.Client()
+	tc := startTestCluster(t, 1, sameData)
+	c := tc.cluster.Client()
 	ctx := t.Context()
 	for _, j := range []client.Job{batchJob("j-1", 1, 0.5, nil), batchJob("j-2", 2, 600, nil), batchJob("j-3", 1, 600, nil)} {
 		submitNew(t, c, j)
@@ -232,14 +233,14 @@
 	if st, err := c.Wait(ctx, "j-1", nil); err != nil || st.Status != client.Done {
 		t.Fatalf("%+v, %v", st, err)
 	}
-	second := Options{DataDir: data, ControllerProgram: p.cluster.options.ControllerProgram, Zones: []string{"north"}, Controllers: 1}
+	second := Options{DataDir: data, ControllerProgram: tc.cluster.options.ControllerProgram, Zones: []string{"north"}, Controllers: 1}
 	if _, err := Start(ctx, second); err == nil {
 		t.Error("a second cluster started on the same directory")
 	}
-	if err := p.cluster.Stop(); err != nil {
+	if err := tc.cluster.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	p.cluster.controllers, p.cluster.apps, p.cluster.storeFile = nil, nil, nil
+	tc.cluster.controllers, tc.cluster.apps, tc.cluster.storeFile = nil, nil, nil
 
 	restarted := startTestCluster(t, 1, func(o *Options) {
 		sameData(o)
@@ -260,10 +261,9 @@
 	}
 }
 
-// submitNew submits a job that nobody has submitted before. Whether the last answer says that the job is new is
-// not checked: where the commit was carried out and only its answer came too late, the client repeats the request
-// and is told, rightly, that the job is known. What must hold in either case is that the job was unknown before
-// the submission, is known after it, and is not taken for new once more.
+// submitNew submits a job for the first time. It checks that the job is unknown before, known afterwards, and not
+// created again by a repeated submission. It does not check that the first submission reports the job as new: if the
+// commit succeeds but its response arrives too late, the client retries and is correctly told that the job is known.
 func submitNew(t *testing.T, c *client.Client, j client.Job) {
 	t.Helper()
 	ctx := t.Context()
@@ -281,11 +281,11 @@
 	}
 }
 
-// The store carries out a submission's commit and answers it later than the controller waits: the client's retry
+// The store executes a submission's commit, but its response arrives after the controller's timeout: the client's retry
 // is told that the job is known, and the job has been accepted once.
 func TestSubmissionWithLateCommitAnswerIsAcceptedOnce(t *testing.T) {
 	t.Parallel()
-	const answerDelay = time.Second // twice what a controller waits for the store's answer
+	const answerDelay = time.Second // twice a controller's timeout for store requests
 	var delayed atomic.Int32
 	delayFirst := func(c *fiber.Ctx) error {
 		err := c.Next()
@@ -298,8 +298,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := startTestCluster(t, 1, func(o *Options) { o.StoreAddr, o.Controllers = addr, 1 })
-	c := p.cluster.Client()
+	tc := startTestCluster(t, 1, func(o *Options) { o.StoreAddr, o.Controllers = addr, 1 })
+	c := tc.cluster.Client()
 	j := batchJob("j-1", 1, 600, nil)
 	if st, err := c.Get(t.Context(), j.ID); !errors.Is(err, client.ErrNotFound) {
 		t.Fatalf("before the submission: got %+v, %v, want %v", st, err, client.ErrNotFound)
@@ -308,24 +308,25 @@
 		t.Errorf("submission: got %+v, created %t, %v, want its state, not created", st, created, err)
 	}
 	if n := delayed.Load(); n < 1 {
-		t.Errorf("%d commits of the job came to the store, want at least one", n)
+		t.Errorf("the store got %d commits of the job, want at least one", n)
 	}
 	if st, err := c.Get(t.Context(), j.ID); err != nil || st.ID != j.ID {
 		t.Errorf("after the submission: got %+v, %v, want its state and no error", st, err)
 	}
 }
 
-// A program that cannot run is an error that says where to look, and nothing stays behind.
+// A controller program that exits immediately makes Start fail with the controller's name and log, and is not left
+// running.
 func TestControllerThatCannotRunIsReported(t *testing.T) {
 	t.Parallel()
 	bad, err := exec.LookPath("false")
 	if err != nil {
-		t.Skip("no program that fails")
+		t.Skip("the program false is not installed")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	_, err = Start(ctx, Options{DataDir: t.TempDir(), ControllerProgram: bad, Zones: []string{"north"}, Controllers: 1})
-	if err == nil || !strings.Contains(err.Error(), "controller-1 ends at once") {
+	if err == nil || !strings.Contains(err.Error(), "controller-1 exits immediately") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// processStarter starts processes from one thread that lives as long as this process: they are to be killed when
-// their parent ends, however it ends, and the system takes the end of the thread that started them for that.
+// processStarter returns a channel of functions that run on one OS thread, which lives as long as this process.
+// Pdeathsig kills a child when the thread that started it ends, so children must be started on a thread that never does.
 var processStarter = sync.OnceValue(func() chan func() {
-	work := make(chan func())
+	tasks := make(chan func())
 	go func() {
 		runtime.LockOSThread()
-		for f := range work {
+		for f := range tasks {
 			f()
 		}
 	}()
-	return work
+	return tasks
 })
 
-// StartProcess starts a process that is killed when this one ends, however it ends.
+// StartProcess starts a process that the kernel kills when this one ends for any reason.
 func StartProcess(cmd *exec.Cmd) error {
-	// A group of its own: a Ctrl-C at the terminal is for the cluster to act on.
+	// A separate process group keeps Ctrl-C at the terminal from reaching the child; the cluster handles it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	failed := make(chan error)
 	processStarter() <- func() { failed <- cmd.Start() }
@@ -35,47 +35,47 @@
 }
 
 const (
-	// maxQuickExits is how often in a row a process may end at once before it is given up.
+	// maxQuickExits is the number of consecutive immediate exits after which a process is not restarted.
 	maxQuickExits = 3
-	// killRetryInterval is how often a process is killed anew until it has ended.
+	// killRetryInterval is the interval at which stop kills a process until it has ended.
 	killRetryInterval = 50 * time.Millisecond
 )
 
-// supervisedProcess is a controller that is started again whenever it ends.
+// supervisedProcess is a controller process that is restarted whenever it ends.
 type supervisedProcess struct {
 	name         string
 	env          []string
 	logPath      string
-	restartDelay time.Duration // between an end and the next start
+	restartDelay time.Duration // delay between an exit and the next start
 
 	quit  chan struct{} // closed by stop
-	ended chan struct{} // closed when run has returned
+	ended chan struct{} // closed when run returns
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	args         []string
-	nextArgs     []string // from the next start on, where set
+	nextArgs     []string // replaces args at the next start, if set
 	cmd          *exec.Cmd
-	permanentErr error // why it was given up
+	permanentErr error // why it is no longer restarted; nil if it is
 }
 
-// run keeps the process up until stop, or until it cannot be kept up.
+// run starts the process again whenever it ends, until stop is called or a permanent failure occurs.
 func (p *supervisedProcess) run() {
 	defer close(p.ended)
-	quickEnds := 0
+	quickExits := 0
 	for {
-		began := time.Now()
+		startedAt := time.Now()
 		err := p.runOnce()
-		var start *startError
-		if errors.As(err, &start) {
-			p.setFailure(start.err)
+		var startErr *startError
+		if errors.As(err, &startErr) {
+			p.setFailure(startErr.err)
 			return
 		}
-		var exit *exec.ExitError
-		killed := errors.As(err, &exit) && !exit.Exited()
-		if killed || time.Since(began) > p.restartDelay {
-			quickEnds = 0
-		} else if quickEnds++; quickEnds == maxQuickExits {
-			p.setFailure(fmt.Errorf("%s ends at once (%v): %s (see %s)", p.name, err, lastLine(p.logPath), p.logPath))
+		var exitErr *exec.ExitError
+		killed := errors.As(err, &exitErr) && !exitErr.Exited()
+		if killed || time.Since(startedAt) > p.restartDelay {
+			quickExits = 0
+		} else if quickExits++; quickExits == maxQuickExits {
+			p.setFailure(fmt.Errorf("%s exits immediately (%v): %s (see %s)", p.name, err, lastLine(p.logPath), p.logPath))
 			return
 		}
 		select {
@@ -86,12 +86,12 @@
 	}
 }
 
-// startError says that a process could not be started.
+// startError means that a process could not be started.
 type startError struct{ err error }
 
 func (e *startError) Error() string { return e.err.Error() }
 
-// runOnce starts the process and waits for its end. The error is a startError, or how it ended.
+// runOnce starts the process and waits until it ends. It returns a startError, or the error of exec.Cmd.Wait.
 func (p *supervisedProcess) runOnce() error {
 	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return cmd.Wait()
 }
 
-// lastLine returns the last line of a log, or why it cannot be read.
+// lastLine returns the last line of a log file, or the error text if it cannot be read.
 func lastLine(path string) string {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -130,14 +130,14 @@
 	p.mu.Unlock()
 }
 
-// failure returns why the process was given up; nil: it was not.
+// failure returns why the process is no longer restarted, or nil if it is.
 func (p *supervisedProcess) failure() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.permanentErr
 }
 
-// pid returns the id of the process that runs now; 0: none does.
+// pid returns the ID of the process that was started last, or 0 if none was.
 func (p *supervisedProcess) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +147,7 @@
 	return p.cmd.Process.Pid
 }
 
-// kill ends the process as a crash would.
+// kill ends the process with SIGKILL, like a crash.
 func (p *supervisedProcess) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,7 +156,7 @@
 	}
 }
 
-// stop ends the process for good.
+// stop ends the process and its restarts, and waits until run has returned.
 func (p *supervisedProcess) stop() {
 	close(p.quit)
 	for {
--- a/internal/localcluster/services.go
+++ b/internal/localcluster/services.go
@@ -21,15 +21,16 @@
 
 const (
 	storeFileName = "state.db"
-	// maxRequestBytes bounds the body of a request to any service.
+	// maxRequestBytes is the size limit of a request body, for every service.
 	maxRequestBytes = 64 << 10
-	// workerVersion is the version of the workers of new machines.
+	// workerVersion is the version of the workers on new machines.
 	workerVersion = "1.0"
-	// maxCommandDelay is how long after a heartbeat its answer is still carried out (PROTOCOL).
+	// maxCommandDelay is how long after a heartbeat a worker still executes the commands in its response, as the
+	// protocol specifies.
 	maxCommandDelay = 4 * time.Second
 )
 
-// startServices serves the store, unless one runs already, the cloud and the control of the cluster.
+// startServices serves the store, unless Options.StoreAddr is set, the cloud and the control API.
 func (c *Cluster) startServices() (err error) {
 	if c.Info.StoreAddr = c.options.StoreAddr; c.Info.StoreAddr == "" {
 		if err = c.serveStore(); err != nil {
@@ -45,7 +46,7 @@
 	return err
 }
 
-// serveStore serves the store, kept in a file.
+// serveStore serves the store, which persists in a file.
 func (c *Cluster) serveStore() (err error) {
 	if c.storeFile, err = openStoreFile(filepath.Join(c.options.DataDir, storeFileName), c.Store); err != nil {
 		return err
@@ -56,8 +57,8 @@
 	return err
 }
 
-// ServeStore serves a store kept in a file, at an address of its own, until ctx ends. onRequest, where it is set,
-// is a handler that each request passes first.
+// ServeStore serves a store that persists in the file at path, until ctx ends, and returns its address. onRequest, if
+// set, handles every request first.
 func ServeStore(ctx context.Context, path string, onRequest fiber.Handler) (addr string, err error) {
 	store := simulation.NewStore()
 	file, err := openStoreFile(path, store)
@@ -83,7 +84,7 @@
 	return fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: maxRequestBytes})
 }
 
-// serve opens an address that Stop closes, and returns it.
+// serve serves what mount adds on a new loopback address, until Stop, and returns the address.
 func (c *Cluster) serve(mount func(*fiber.App)) (string, error) {
 	app, addr, err := serveOnLoopback(mount)
 	if err != nil {
@@ -93,11 +94,11 @@
 	return addr, nil
 }
 
-// serveOnLoopback opens an address on loopback and serves what is mounted there.
+// serveOnLoopback serves what mount adds on a new loopback address, and returns the app and the address.
 func serveOnLoopback(mount func(*fiber.App)) (*fiber.App, string, error) {
 	ln, err := listen()
 	if err != nil {
-		return nil, "", fmt.Errorf("local region: %w", err)
+		return nil, "", fmt.Errorf("listen on loopback: %w", err)
 	}
 	app := newApp()
 	mount(app)
@@ -105,7 +106,7 @@
 	return app, ln.Addr().String(), nil
 }
 
-// configureEnvironment sets up the cloud's machines and their workers.
+// configureEnvironment configures the simulated cloud, its machines and workers.
 func (c *Cluster) configureEnvironment() {
 	env, o := c.Environment, c.options
 	workers := o.deployment().Workers
@@ -130,7 +131,7 @@
 	}
 }
 
-// runTimeNearEstimate returns how long a task runs: 0.7 to 1.3 times its job's estimate, by its name.
+// runTimeNearEstimate returns the run time of a task: 0.7 to 1.3 times its job's estimate, by a hash of its name.
 func (c *Cluster) runTimeNearEstimate(task string) time.Duration {
 	id, _, _ := strings.Cut(task, "/")
 	j, _ := c.readOpenJob(id)
@@ -139,14 +140,15 @@
 	return config.Seconds(j.EstimateS * (0.7 + 0.6*float64(h.Sum32()%1000)/1000))
 }
 
-// readOpenJob reads an open job, as workers fetch what users uploaded.
+// readOpenJob reads an open job from the store, and reports whether there is one. It stands in for workers that fetch
+// what users uploaded.
 func (c *Cluster) readOpenJob(id string) (records.Job, bool) {
 	var j records.Job
 	value := c.Store.Value(records.OpenKey(id))
 	return j, value != "" && json.Unmarshal([]byte(value), &j) == nil
 }
 
-// serveWorker opens a machine's address.
+// serveWorker serves a machine's worker on a new loopback address.
 func serveWorker(m *simulation.Machine) (addr string, closeAddr func(), err error) {
 	app := newApp()
 	simulation.ServeWorker(app, m)
@@ -158,8 +160,8 @@
 	return ln.Addr().String(), func() { ln.Close() }, nil
 }
 
-// trackCancellations tells the environment which jobs users may know to be cancelled, so that it can check that
-// their tasks go.
+// trackCancellations reports the jobs whose cancellation is stored to the environment, so that it can check that their
+// tasks stop in time.
 func (c *Cluster) trackCancellations() {
 	var since uint64
 	for c.ctx.Err() == nil {
--- a/internal/localcluster/settings.go
+++ b/internal/localcluster/settings.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The cluster's times, in seconds: heartbeats as often as workers may send them, the others in the proportions of the
-// users' deployments.
+// Intervals and timeouts of a local cluster, in seconds. The heartbeat interval is the shortest that workers support;
+// the others keep their proportion to it in users' deployments.
 const (
 	heartbeatIntervalS = 1.0
 	leaseS             = 6.0
@@ -20,11 +20,11 @@
 	machineStartupS    = 2.0
 )
 
-// fdLimit gives a controller three quarters of so many connections for workers and users:
-// enough for 4,000 workers, one connection each. It is a bound, and reserves nothing.
+// fdLimit is a controller's limit of file descriptors. Three quarters are for connections of workers
+// and users, enough for 4,000 workers with one connection each. It is a limit and reserves nothing.
 const fdLimit = 6000
 
-// defaultDeployment returns the settings that the controllers share.
+// defaultDeployment returns the default deployment settings.
 func defaultDeployment(zones []string, controllers int) config.Deployment {
 	return config.Deployment{
 		Nodes: controllers, Zones: zones, MaxClockErrorMS: 100,
@@ -43,7 +43,7 @@
 	}
 }
 
-// defaultMachineTypes returns the machine types that can be rented.
+// defaultMachineTypes returns the default machine types of the cloud.
 func defaultMachineTypes(zones []string) []records.MachineType {
 	return []records.MachineType{{
 		Name: "c4", CPUs: 4, MemGB: 16, CacheGB: 50, FetchGBps: 1,
@@ -64,5 +64,5 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// operatorOptionsText is the text of the operators' file of every controller.
+// operatorOptionsText is the content of the operators' settings file.
 const operatorOptionsText = "[operator]\nenabled = true\n"
--- a/internal/localcluster/settings_test.go
+++ b/internal/localcluster/settings_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-// A controller of a local cluster takes a connection from each worker of a large fleet.
+// A controller of a local cluster accepts one connection from each worker of a large fleet.
 func TestControllerHasConnectionsForLargeFleet(t *testing.T) {
 	const fleet = 4000
 	if n := defaultDeployment([]string{"a"}, 3).Resources.FDLimit * 3 / 4; n < fleet {
-		t.Errorf("a controller takes %d connections of workers and users, %d workers come", n, fleet)
+		t.Errorf("a controller accepts %d connections of workers and users, want at least %d", n, fleet)
 	}
 }
 
-// Clusters of one process never give their controllers the same address, also while it is free.
-func TestControllersOfAllClustersHaveTheirOwnAddresses(t *testing.T) {
+// Clusters of one process never assign the same address to two controllers, even after it is released.
+func TestControllersOfAllClustersHaveDistinctAddresses(t *testing.T) {
 	const clusters, controllers = 200, 3
-	given := map[string]bool{}
+	assigned := map[string]bool{}
 	for range clusters {
 		c := &Cluster{options: Options{Zones: []string{"a"}, Controllers: controllers}}
 		release, err := c.chooseAddrs()
@@ -23,14 +23,14 @@
 		}
 		for _, controller := range c.Info.Controllers {
 			for _, addr := range []string{controller.UserAddr, controller.PeerAddr} {
-				if given[addr] {
-					t.Errorf("%s was given twice", addr)
+				if assigned[addr] {
+					t.Errorf("%s was assigned twice", addr)
 				}
-				given[addr] = true
+				assigned[addr] = true
 			}
 		}
 	}
-	if want := 2 * clusters * controllers; len(given) != want {
-		t.Errorf("%d addresses were given, want %d", len(given), want)
+	if want := 2 * clusters * controllers; len(assigned) != want {
+		t.Errorf("%d addresses were assigned, want %d", len(assigned), want)
 	}
 }
--- a/internal/localcluster/store_file.go
+++ b/internal/localcluster/store_file.go
@@ -13,67 +13,67 @@
 	"go.etcd.io/bbolt"
 )
 
-// storeFile persists a store's changes. They are written in order, as many at once as have come meanwhile. Whoever
-// tells of one waits until it is written (waitDurable).
+// storeFile persists a store's changes in a file, in order, and writes all pending changes in one transaction. A caller
+// that reports a change to a client must first wait until it is durable (waitDurable).
 type storeFile struct {
 	db     *bbolt.DB
 	wakeup chan struct{} // holds an element while changes are pending
 	quit   chan struct{} // closed by close
-	done   chan struct{} // closed when run has returned
+	done   chan struct{} // closed when run returns
 
-	mu               sync.Mutex // guards what follows
+	mu               sync.Mutex // guards the fields below
 	pending          []simulation.Change
-	enqueuedRevision uint64        // of the last change that was taken in
-	durableRevision  uint64        // up to which all is in the file
-	durableChanged   chan struct{} // closed, and replaced, when something was written
-	writeErr         error         // of a write; later writes go on
-	closed           bool          // what comes now is lost, as with a process that has ended
+	enqueuedRevision uint64        // of the last change enqueued
+	durableRevision  uint64        // up to which all changes have been written, or failed to be
+	durableChanged   chan struct{} // closed and replaced after each write
+	writeErr         error         // of the last failed write; later writes continue
+	closed           bool          // later changes are dropped, as after a process has ended
 }
 
-// Buckets of the file, and the keys of bucketMeta.
+// Buckets of the file, and the keys in bucketMeta.
 var (
 	bucketEntries = []byte("rows")
-	bucketLeases  = []byte("grants") // time to live by lease
+	bucketLeases  = []byte("grants") // lease ID -> time to live
 	bucketMeta    = []byte("meta")
 
 	keyRevision  = []byte("epoch")
 	keyLastLease = []byte("hold")
 )
 
-// openTimeout bounds how long the file's lock is waited for.
+// openTimeout is how long to wait for the file's lock.
 const openTimeout = time.Second
 
-// openStoreFile opens the file, puts what it holds into the store, and persists the store's changes from now on.
+// openStoreFile opens the file, restores its content into the store, and persists the store's changes from then on.
 func openStoreFile(path string, s *simulation.Store) (*storeFile, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout})
 	if err != nil {
-		return nil, fmt.Errorf("state service: %s: %w (is another region running on it?)", path, err)
+		return nil, fmt.Errorf("open store file %s: %w (is another local cluster using it?)", path, err)
 	}
-	var kept storeContent
-	if err := db.Update(kept.read); err != nil {
+	var content storeContent
+	if err := db.Update(content.read); err != nil {
 		db.Close()
-		return nil, fmt.Errorf("state service: %s: %w", path, err)
+		return nil, fmt.Errorf("read store file %s: %w", path, err)
 	}
 	f := &storeFile{
-		db: db, enqueuedRevision: kept.revision, durableRevision: kept.revision,
+		db: db, enqueuedRevision: content.revision, durableRevision: content.revision,
 		wakeup: make(chan struct{}, 1), durableChanged: make(chan struct{}),
 		quit: make(chan struct{}), done: make(chan struct{}),
 	}
-	s.Restore(kept.entries, kept.revision, kept.lastLease, kept.ttls)
+	s.Restore(content.entries, content.revision, content.lastLease, content.ttls)
 	s.OnChange = f.enqueue
 	go f.run()
 	return f, nil
 }
 
-// storeContent is what a file holds.
+// storeContent is the content of a store file.
 type storeContent struct {
 	entries   []records.KeyValue
 	revision  uint64
 	lastLease uint64
-	ttls      map[uint64]time.Duration // by lease
+	ttls      map[uint64]time.Duration // by lease ID
 }
 
-// read reads all that a file holds, and makes its buckets if it is new.
+// read reads the content of a file, and creates its buckets if it is new.
 func (c *storeContent) read(tx *bbolt.Tx) error {
 	for _, name := range [][]byte{bucketEntries, bucketLeases, bucketMeta} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -93,7 +93,7 @@
 	return tx.Bucket(bucketEntries).ForEach(func(key, raw []byte) error {
 		var kv records.KeyValue
 		if err := json.Unmarshal(raw, &kv); err != nil {
-			return fmt.Errorf("record %s: %w", key, err)
+			return fmt.Errorf("decode record %s: %w", key, err)
 		}
 		c.entries = append(c.entries, kv)
 		return nil
@@ -102,7 +102,7 @@
 
 const numberBytes = 8
 
-// decodeNumber decodes a number, 0 where there is none.
+// decodeNumber decodes a number; a missing or malformed one gives 0.
 func decodeNumber(raw []byte) uint64 {
 	if len(raw) != numberBytes {
 		return 0
@@ -112,7 +112,7 @@
 
 func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// enqueue takes a change in. It is called in the order of the changes, and does not wait.
+// enqueue queues a change for writing, without blocking. It must be called in the order of the changes.
 func (f *storeFile) enqueue(c simulation.Change) {
 	f.mu.Lock()
 	if !f.closed {
@@ -126,12 +126,13 @@
 	}
 }
 
-// waitDurable waits until all up to a revision is written, or cannot be.
+// waitDurable waits until all changes up to a revision are written, or cannot be because a write failed or the file is
+// closed.
 func (f *storeFile) waitDurable(revision uint64) {
 	for {
 		f.mu.Lock()
-		lost := f.closed && revision > f.enqueuedRevision
-		finished, progress := f.durableRevision >= revision || f.writeErr != nil || lost, f.durableChanged
+		dropped := f.closed && revision > f.enqueuedRevision
+		finished, progress := f.durableRevision >= revision || f.writeErr != nil || dropped, f.durableChanged
 		f.mu.Unlock()
 		if finished {
 			return
@@ -140,7 +141,7 @@
 	}
 }
 
-// run writes the pending changes until close.
+// run writes pending changes until close is called.
 func (f *storeFile) run() {
 	defer close(f.done)
 	for {
@@ -167,7 +168,7 @@
 	}
 }
 
-// writeBatch writes changes, in their order.
+// writeBatch writes changes in order, and the revision of the last one.
 func writeBatch(tx *bbolt.Tx, batch []simulation.Change) error {
 	for _, c := range batch {
 		if err := writeChange(tx, c); err != nil {
@@ -208,7 +209,7 @@
 	return nil
 }
 
-// close writes what is pending and closes the file.
+// close writes the pending changes and closes the file. It returns the error of the last failed write, if any.
 func (f *storeFile) close() error {
 	f.mu.Lock()
 	f.closed = true
