--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -163,8 +163,8 @@
 				return resp
 			}
 		default:
-			// The job may have been stored or may still be. The user's retry with the same id
-			// resolves this.
+			// The job may have been stored or may be stored later. The user's retry with the
+			// same id resolves this.
 			slog.Debug("failed to store job", "job", job.ID, "err", err)
 			return unavailableResponse
 		}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -49,7 +49,7 @@
 type controller struct {
 	zone      string // "" if unknown
 	lastHeard time.Time
-	workers   int // workers assigned to it
+	workers   int // workers assigned to it, including those that have not used it yet
 	returned  int // workers that came back from it since the last sweep
 }
 
