--- a/internal/api/requests.go
+++ b/internal/api/requests.go
@@ -20,7 +20,7 @@
 
 // HandleRequest handles a user's request. While the store fails here, the request is relayed to a peer
 // that the store serves. If it is not known yet whether there is one, the peers are asked after this
-// controller has tried; a peer that cannot serve the request replies at once, too.
+// controller has tried; a peer that cannot serve the request replies at once.
 func (s *Server) HandleRequest(r peer.RelayRequest) peer.RelayReply {
 	if s.peerStoreHealth.isIsolated() {
 		// Only the caches can be used. The user gets a response at once and tries another
