--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
-// Package client calls the HTTP API for users and operators. It submits, polls and cancels jobs, and
-// lists machines and drains, through any of several controllers, with the timeouts and retries that
-// the protocol requires.
+// Package client calls the HTTP API for users and operators. It submits, polls and cancels jobs, lists
+// machines, and plans, starts, lists and stops drains, through any of several controllers, with the
+// timeouts and retries that the protocol requires.
 //
 // A request that a controller cannot serve now is retried at the next one, for up to
 // RetryPolicy.TotalTimeout. All requests are idempotent: the caller chooses the ID of a job or drain,
@@ -44,9 +44,9 @@
 
 // Job is the body of a submission (POST /work in the protocol).
 //
-// The store's job record (internal/records) is a separate type with the same fields: it also holds
-// fields that the service adds, and controllers of several versions read it. This type changes only
-// with the protocol, because external programs depend on it.
+// The store's job record (internal/records) is a separate type, although it has the same fields: it
+// also holds what the service adds, and controllers of several versions read it. This type changes
+// only with the protocol, because external programs depend on it.
 type Job struct {
 	ID           string   `json:"uid"`               // "j-" and digits, unique; see NewID
 	Class        string   `json:"jobclass"`          // job class, which service-level objectives refer to
@@ -85,12 +85,12 @@
 var (
 	// ErrNotFound means that there is no such job, machine or drain.
 	ErrNotFound = errors.New("not found")
-	// ErrUnavailable means that no controller accepted the request in time. The same request may be
-	// sent again.
+	// ErrUnavailable means that no controller gave a final response in time. The request may have taken
+	// effect nevertheless; it may be sent again unchanged.
 	ErrUnavailable = errors.New("no controller accepted the request in time")
 )
 
-// RefusedError is returned for a request that the service rejects and would reject again.
+// RefusedError is returned for a request that the service rejects, and would reject again unchanged.
 type RefusedError struct {
 	Status int    // HTTP status: 400, 409 or 422
 	Reason string // error text in the response
@@ -98,12 +98,13 @@
 
 func (e *RefusedError) Error() string { return e.Reason }
 
-// RetryPolicy holds the timeouts and retry delays of a client.
+// RetryPolicy holds the timeouts and retry delays of a client. If a controller does not respond, the
+// next one is tried without a delay, until each has been tried once. Delays are randomly up to 25% longer.
 type RetryPolicy struct {
 	TotalTimeout   time.Duration // time after which a request is no longer retried
 	SubmitTimeout  time.Duration // timeout of one attempt to submit
 	RequestTimeout time.Duration // timeout of one attempt of any other request
-	MinDelay       time.Duration // shortest delay before a retry; Retry-After can extend it
+	MinDelay       time.Duration // delay before a retry, unless Retry-After asks for a longer one
 	MaxDelay       time.Duration // upper bound of the Retry-After delay
 }
 
--- a/client/operator.go
+++ b/client/operator.go
@@ -27,7 +27,7 @@
 // Task is one attempt of a task on a machine.
 type Task struct {
 	Task     string  `json:"task"`            // job ID and task index, such as "j-1/0"
-	Attempt  uint64  `json:"attempt"`         // attempt number
+	Attempt  uint64  `json:"attempt"`         // leader's term << 24 | number within the term
 	State    string  `json:"state"`           // such as "running"
 	RanS     float64 `json:"ran_s"`           // run time so far, in seconds
 	Stopping bool    `json:"stops,omitempty"` // being stopped
@@ -86,8 +86,8 @@
 // Points in time are in milliseconds since the Unix epoch, durations in seconds.
 type Drain struct {
 	drain.Spec
-	Force bool   `json:"force,omitempty"` // start it even if it leaves no machine for some jobs
-	Since string `json:"since,omitempty"` // plan only: return the page after this machine
+	Force bool   `json:"force,omitempty"` // start or plan it even if it leaves no machine for some jobs
+	Since string `json:"since,omitempty"` // plan only: return the page of machines after this one, by name
 }
 
 // DrainView is a drain and its progress.
@@ -96,10 +96,10 @@
 	State *DrainState `json:"state,omitempty"` // nil until a leader has seen the drain
 }
 
-// NewDrainID returns a drain ID made of the time in milliseconds, so that later IDs sort after earlier ones.
+// NewDrainID returns a new drain ID, made of the time in milliseconds, so that later IDs sort after earlier ones.
 func NewDrainID() string { return "d-" + strconv.FormatInt(time.Now().UnixMilli(), 10) }
 
-// PlanDrain predicts the effect of a drain without starting it.
+// PlanDrain returns the predicted effect of a drain, without starting it.
 func (c *Client) PlanDrain(ctx context.Context, d Drain) (DrainPlan, error) {
 	var all DrainPlan
 	for more := true; more; {
--- a/client/request.go
+++ b/client/request.go
@@ -46,11 +46,11 @@
 		if ctx.Err() != nil {
 			return response, ctx.Err()
 		}
-		// Another controller may be able to serve the request.
+		// Another controller may be able to serve this and later requests.
 		c.preferred.CompareAndSwap(uint32(index), uint32((index+1)%len(c.controllers)))
 		delay := max(c.RetryPolicy.MinDelay, min(response.RetryAfter, c.RetryPolicy.MaxDelay))
 		if sendErr != nil && attempt < len(c.controllers) {
-			delay = 0 // unreachable: try the next controller immediately
+			delay = 0 // no response: try the next controller immediately
 		}
 		delay += rand.N(delay/4 + 1)
 		if time.Now().Add(delay).After(giveUpAt) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// reasonNoSuchJob is the service's error text for an unknown job; it is omitted from ErrNotFound, which
-// says the same.
+// reasonNoSuchJob is the service's error text for an unknown job. finalAnswer leaves it out, because
+// ErrNotFound says the same.
 const reasonNoSuchJob = "no such job"
 
 // finalAnswer reports whether a response is final, and the error that it represents, if any. Any other
@@ -107,7 +107,7 @@
 	}
 }
 
-// encode encodes a request body as JSON; nil stays empty.
+// encode encodes a request body as JSON; a nil body gives nil, for a request without a body.
 func encode(body any) ([]byte, error) {
 	if body == nil {
 		return nil, nil
--- a/cmd/drumpick-scale/main.go
+++ b/cmd/drumpick-scale/main.go
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// printResult prints a result, and writes it to file unless that is "". It returns errProtocolViolation if the result has
-// violations.
+// printResult prints a result, and writes it to file unless that is "". If the result has violations, the error wraps
+// errProtocolViolation.
 func printResult(r *loadtest.Result, file string, out io.Writer) error {
 	if err := r.Print(out); err != nil {
 		return err
@@ -171,7 +171,7 @@
 			return fits.Print(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().StringVar(&variable, "by", loadtest.ByWorkers, "size that the runs vary: `workers`, rate or teams")
+	cmd.Flags().StringVar(&variable, "by", loadtest.ByWorkers, "size in which the runs differ: `workers`, rate or teams")
 	return cmd
 }
 
--- a/cmd/drumpick-scale/main_test.go
+++ b/cmd/drumpick-scale/main_test.go
@@ -36,8 +36,8 @@
 	return len(all)
 }
 
-// In a run of real controllers with simulated and two real workers and one leader killed, every job gets one final
-// answer, no rule is violated, and no process or directory is left behind.
+// In a run of real controllers, simulated workers and two real ones, with the leader killed once, every job gets one
+// final answer, no rule is violated, and no process or directory is left behind.
 func TestRunWithFailoverLeavesNothingBehind(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -40,7 +40,7 @@
 
 	// The process's file descriptor limit is split between these uses. Every worker keeps a
 	// connection to the leader or to a controller that relays its heartbeats, and users add theirs.
-	// The rest is for outgoing calls to the store, to peers and to workers.
+	// The rest is for outgoing calls: to the store, to peers, and to workers, a few at a time.
 	userConnectionsPercent   = 75
 	peerConnectionsDivisor   = 16
 	storeConnectionsDivisor  = 20
@@ -135,7 +135,7 @@
 	})
 }
 
-// leaderForAPI returns the leader in this process, or a nil interface if this process does not lead.
+// leaderForAPI returns the leader in this process, or a nil interface if it does not lead.
 func (d *daemon) leaderForAPI() api.Leader {
 	if l := d.currentLeader.Load(); l != nil {
 		return l
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// leaderForOperators returns the leader in this process, or a nil interface if this process does not lead.
+// leaderForOperators returns the leader in this process, or a nil interface if it does not lead.
 func (d *daemon) leaderForOperators() operator.Leader {
 	if l := d.currentLeader.Load(); l != nil {
 		return l
@@ -160,11 +160,11 @@
 func listen(cfg *config.Config) (listeners, error) {
 	user, err := net.Listen("tcp4", cfg.UserAddr)
 	if err != nil {
-		return listeners{}, fmt.Errorf("bind %s: %w", cfg.UserAddr, err)
+		return listeners{}, fmt.Errorf("serve users at %s (setting bind): %w", cfg.UserAddr, err)
 	}
 	peers, err := net.Listen("tcp4", cfg.PeerAddr)
 	if err != nil {
-		return listeners{}, fmt.Errorf("back %s: %w", cfg.PeerAddr, err)
+		return listeners{}, fmt.Errorf("serve peers at %s (setting back): %w", cfg.PeerAddr, err)
 	}
 	return listeners{user: user, peer: peers}, nil
 }
--- a/cmd/drumpickctl/drains.go
+++ b/cmd/drumpickctl/drains.go
@@ -38,7 +38,7 @@
 	fl.BoolVar(&x.cordon, "cordon", false, "cordon only: no new tasks; running tasks continue")
 	fl.StringVar(&x.deadlineAt, "by", "", "`time` by which the machines must be empty, as 2006-01-02T15:04 in local time, or RFC 3339")
 	fl.DurationVar(&x.deadlineIn, "in", 0, "time from now by which the machines must be empty")
-	fl.StringVar(&x.spec.WhenEmpty, "then", client.WhenEmptyKeep, "`keep` empty machines, or return them to the cloud")
+	fl.StringVar(&x.spec.WhenEmpty, "then", client.WhenEmptyKeep, "action on empty machines: `keep`, or return (to the cloud)")
 	fl.StringVar(&x.upgradeTo, "upgrade-to", "", "upgrade the machines' workers to a `version`")
 	fl.IntVar(&x.spec.MaxOutOfService, "at-once", 0, "of an upgrade: maximum number of machines out of service at a time (default 1)")
 	fl.IntVar(&x.spec.MinInService, "keep-up", 0, "of an upgrade: minimum number of machines in service in each zone and for each class")
@@ -46,7 +46,7 @@
 	fl.StringVar(&x.windowZone, "window-zone", "", "time `zone` of the windows, such as Europe/Warsaw (default: TZ)")
 	fl.StringVar(&x.windowStart, "window-starts", "", "start of the first window, as 2006-01-02T15:04 in that zone; the rule recurs from it")
 	fl.DurationVar(&x.windowLength, "window-for", 2*time.Hour, "duration of each window")
-	fl.DurationVar(&x.windowLead, "window-lead", 0, "how long before each window to start emptying machines")
+	fl.DurationVar(&x.windowLead, "window-lead", 0, "start emptying machines this long before each window, so that they are empty when it starts")
 }
 
 // buildDrain returns the drain that the flags and the machine names describe.
@@ -108,7 +108,7 @@
 		zone = os.Getenv("TZ")
 	}
 	if zone == "" {
-		return nil, usageError("--window-zone is missing: --window needs a time zone")
+		return nil, usageError("neither --window-zone nor TZ is set: --window needs a time zone")
 	}
 	return &client.Window{
 		Rule: x.windowRule, TimeZone: zone, DurationS: x.windowLength.Seconds(), LeadS: x.windowLead.Seconds(), FirstStart: x.windowStart,
--- a/cmd/drumpickctl/jobs.go
+++ b/cmd/drumpickctl/jobs.go
@@ -17,8 +17,8 @@
 // maxConcurrentRequests is the largest number of concurrent requests of one command.
 const maxConcurrentRequests = 8
 
-// forEachConcurrently calls action for every item, up to maxConcurrentRequests at a time, and returns the error of the
-// first item that failed.
+// forEachConcurrently calls action for every item, up to maxConcurrentRequests at a time, and returns the first error
+// in the order of the items.
 func forEachConcurrently[T any](items []T, action func(i int, item T) error) error {
 	errs := make([]error, len(items))
 	slots := make(chan struct{}, maxConcurrentRequests)
@@ -48,7 +48,8 @@
 		Short: "Submit the jobs of a file (YAML or JSON; - is standard input)",
 		Long: `Submit the jobs of a file: one job, a list under "jobs", or several documents, in
 YAML or JSON (docs/client.md). All are checked before the first is sent. A job without an id
-gets one, which is printed before the job is sent: submitting it again under that id is safe.`,
+gets one. The id of a job with a name is printed before the job is sent: submitting a job again
+under its id does not run it twice.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			jobs, err := readJobs(cmd.InOrStdin(), args[0])
@@ -124,7 +125,8 @@
 	return len(jobs)
 }
 
-// waitAll waits until jobs are final, showing progress. A service is final only once it is cancelled.
+// waitAll waits until jobs are final, showing progress. A service is final only once it is cancelled. A cancelled job
+// gives an error with exit code exitCancelled.
 func (f *globalFlags) waitAll(cmd *cobra.Command, c *client.Client, states []client.Status) ([]client.Status, error) {
 	p := newProgress(cmd.ErrOrStderr(), states)
 	defer p.close()
--- a/cmd/drumpickctl/local.go
+++ b/cmd/drumpickctl/local.go
@@ -93,7 +93,8 @@
 	fmt.Fprintf(w, "\nin another terminal\tdrumpickctl --data %s submit FILE\n", data)
 }
 
-// withCluster starts a local cluster, runs action and stops the cluster.
+// withCluster starts a local cluster, runs action and stops the cluster, also if action fails, so that no process is
+// left behind.
 func (f *globalFlags) withCluster(
 	cmd *cobra.Command, o localcluster.Options, data string, action func(*localcluster.Cluster) error,
 ) error {
@@ -130,7 +131,7 @@
 	}
 	root, err := findSourceRoot()
 	if err != nil {
-		return "", usageError("--daemon is not set, and %v", err)
+		return "", usageError("--daemon is not set, there is no drumpick in the directory of this program, and %v", err)
 	}
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return "", err
@@ -148,7 +149,7 @@
 	return built, nil
 }
 
-// isExecutable reports whether path is a regular file with an execute permission.
+// isExecutable reports whether path is a regular file that has an execute permission.
 func isExecutable(path string) bool {
 	s, err := os.Stat(path)
 	return err == nil && s.Mode().IsRegular() && s.Mode().Perm()&0o111 != 0
--- a/cmd/drumpickctl/main.go
+++ b/cmd/drumpickctl/main.go
@@ -195,7 +195,7 @@
 	return c, nil
 }
 
-// printOutput writes v as JSON, or with --output table calls table, and aligns the columns that it writes.
+// printOutput writes v as JSON with --output json, else what table writes, with its tab-separated columns aligned.
 func (f *globalFlags) printOutput(out io.Writer, v any, table func(w io.Writer)) error {
 	if f.output == "json" {
 		e := json.NewEncoder(out)
--- a/internal/jobspec/jobspec.go
+++ b/internal/jobspec/jobspec.go
@@ -43,7 +43,7 @@
 // fileJob is a job as written in a file. Resources are per task, durations in seconds.
 type fileJob struct {
 	ID           string   `yaml:"id"`
-	Name         string   `yaml:"name"` // other jobs of the file can refer to it in needs
+	Name         string   `yaml:"name"` // later jobs of the file can refer to it in needs
 	Class        string   `yaml:"class"`
 	Team         string   `yaml:"team"`
 	Shape        string   `yaml:"shape"`
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -39,8 +39,9 @@
 	MachineTypes []records.MachineType
 	// StoreAddr, if set, is the address of a running store to use.
 	StoreAddr string
-	// StartWorker, if set, starts a machine's worker outside the cluster and returns its address.
-	StartWorker func(m *simulation.Machine) (addr string, end func(), err error)
+	// StartWorker, if set, starts a rented machine with its worker outside this process. It returns the machine's
+	// address and a function that terminates the machine.
+	StartWorker func(m *simulation.Machine) (addr string, terminate func(), err error)
 }
 
 // deployment returns the deployment settings that all controllers share.
@@ -111,7 +112,7 @@
 const (
 	// maxStartAttempts is the number of attempts to start a cluster if another program takes one of its ports first.
 	maxStartAttempts = 3
-	// portInUseText is what a controller logs if its port is taken.
+	// portInUseText is what a controller logs if its port is taken. The error of its exit contains the log's last line.
 	portInUseText = "address already in use"
 )
 
@@ -170,12 +171,12 @@
 
 // Client returns a client of the cluster's controllers.
 func (c *Cluster) Client() *client.Client {
-	users, err := client.New(c.Info.Addrs()...)
+	userClient, err := client.New(c.Info.Addrs()...)
 	if err != nil {
 		panic(fmt.Sprintf("client of the local cluster: %v", err))
 	}
-	users.PollInterval = config.Seconds(heartbeatIntervalS)
-	return users
+	userClient.PollInterval = config.Seconds(heartbeatIntervalS)
+	return userClient
 }
 
 // shutdownTimeout is how long an HTTP server waits for requests in progress when it stops.
@@ -200,7 +201,7 @@
 	if info, err := ReadInfo(c.options.DataDir); err == nil && info.PID == os.Getpid() {
 		errs = append(errs, os.Remove(filepath.Join(c.options.DataDir, infoFile)))
 	}
-	// Ignore the shutdown timeout: open watches exceed it.
+	// Ignore the shutdown timeout: open watches of the store exceed it.
 	errs = slices.DeleteFunc(errs, func(err error) bool { return errors.Is(err, context.DeadlineExceeded) })
 	return errors.Join(errs...)
 }
--- a/internal/localcluster/control.go
+++ b/internal/localcluster/control.go
@@ -15,7 +15,7 @@
 	"github.com/gofiber/fiber/v2/utils"
 )
 
-// History holds the attempts, costs and rule violations of a cluster so far.
+// History holds the ended attempts, costs and rule violations of a cluster so far.
 type History struct {
 	Runs       []simulation.TaskRun    `json:"ran"`
 	Costs      []simulation.RentalCost `json:"bills"`
--- a/internal/localcluster/controllers.go
+++ b/internal/localcluster/controllers.go
@@ -41,8 +41,8 @@
 }
 
 // chosenAddrs holds the addresses of the controllers of all clusters of this process, so that none is assigned twice.
-// A port is free between its choice and the controller's start. If another cluster's controller had the same address, it
-// could take the port and answer requests to this one.
+// A port is free between its release and the controller's start. If another cluster's controller had the same address,
+// it could take the port and answer the requests to this one.
 var chosenAddrs sync.Map
 
 // chooseAddrs names the controllers and chooses free ports for them. The ports stay open until release is called, so
@@ -133,7 +133,7 @@
 	}
 	c.Environment.Heartbeat = simulation.HeartbeatOverHTTP(
 		func(_ string, node int, body []byte) (int, []byte, error) {
-			// The protocol's timeout is four seconds; a local cluster's intervals are shorter.
+			// By the protocol, workers wait four seconds for a response; a local cluster's intervals are shorter.
 			deadline := time.Now().Add(config.Seconds(2 * heartbeatIntervalS))
 			return clients[node].Do(http.MethodPost, "/checkin", "application/json", body, deadline)
 		})
--- a/internal/localcluster/drain_test.go
+++ b/internal/localcluster/drain_test.go
@@ -85,8 +85,9 @@
 // makeCheckpointing makes a job's tasks save checkpoints.
 func makeCheckpointing(j *client.Job) { j.CheckpointS, j.SaveS, j.CPUs = 2, 0.5, 2 }
 
-// The leader is killed after a drain is stored and before it is carried out. The next leader continues the drain: the
-// urgent task without checkpoints finishes on its machine, and checkpointing tasks move without losing work.
+// A drain starts while an urgent task without checkpoints runs, and the leader is killed after the drain is stored and
+// before it is carried out. The next leader continues the drain: the urgent task finishes on its machine, and
+// checkpointing tasks move without losing work.
 func TestDrainContinuesAfterLeaderIsKilled(t *testing.T) {
 	t.Parallel()
 	tc := startTestCluster(t, 3, nil)
@@ -283,7 +284,7 @@
 				t.Fatal(err)
 			}
 		}
-		// "leading" is the text that the version in production logs.
+		// "leading" is what the version in production logs when it becomes leader.
 		tc.waitFor("the version in production to lead", func() bool { return tc.leader() != "" && tc.productionLogged("leading") })
 		for _, c := range tc.cluster.Info.Controllers {
 			_ = tc.cluster.ReplaceProgram(c.Name, tc.cluster.options.ControllerProgram, []string{"--options", filepath.Join(tc.cluster.options.DataDir, "drumpick.ini")})
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -13,16 +13,17 @@
 )
 
 // processStarter returns a channel of functions that run on one OS thread, which lives as long as this process.
-// Pdeathsig kills a child when the thread that started it ends, so children must be started on a thread that never does.
+// Pdeathsig kills a child when the thread that started it ends, so children must be started on a thread that does not
+// end before this process.
 var processStarter = sync.OnceValue(func() chan func() {
-	tasks := make(chan func())
+	calls := make(chan func())
 	go func() {
 		runtime.LockOSThread()
-		for f := range tasks {
+		for f := range calls {
 			f()
 		}
 	}()
-	return tasks
+	return calls
 })
 
 // StartProcess starts a process that the kernel kills when this one ends for any reason.
@@ -35,7 +36,8 @@
 }
 
 const (
-	// maxQuickExits is the number of consecutive immediate exits after which a process is not restarted.
+	// maxQuickExits is the number of consecutive exits within restartDelay, other than by a signal, after which a
+	// process is not restarted.
 	maxQuickExits = 3
 	// killRetryInterval is the interval at which stop kills a process until it has ended.
 	killRetryInterval = 50 * time.Millisecond
@@ -55,7 +57,7 @@
 	args         []string
 	nextArgs     []string // replaces args at the next start, if set
 	cmd          *exec.Cmd
-	permanentErr error // why it is no longer restarted; nil if it is
+	permanentErr error // why it is no longer restarted; nil while it is
 }
 
 // run starts the process again whenever it ends, until stop is called or a permanent failure occurs.
@@ -130,7 +132,7 @@
 	p.mu.Unlock()
 }
 
-// failure returns why the process is no longer restarted, or nil if it is.
+// failure returns why the process is no longer restarted, or nil while it is.
 func (p *supervisedProcess) failure() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/localcluster/services.go
+++ b/internal/localcluster/services.go
@@ -160,8 +160,8 @@
 	return ln.Addr().String(), func() { ln.Close() }, nil
 }
 
-// trackCancellations reports the jobs whose cancellation is stored to the environment, so that it can check that their
-// tasks stop in time.
+// trackCancellations reports to the environment each job whose cancellation is stored, and which users may thus know to
+// be cancelled, so that the environment can check that its tasks stop in time.
 func (c *Cluster) trackCancellations() {
 	var since uint64
 	for c.ctx.Err() == nil {
