--- a/internal/termcheck/banned_words.go
+++ b/internal/termcheck/banned_words.go
@@ -36,7 +36,7 @@
 	{Word: "booking", UseInstead: "rental request"},
 }
 
-// withdrawnWords are metaphors of the project's earlier style.
+// withdrawnWords are metaphors and other private words of the project's earlier style.
 var withdrawnWords = []BannedWord{
 	{Word: "tenure", UseInstead: "election"},
 	{Word: "frontier", UseInstead: "watermark"},
@@ -66,6 +66,25 @@
 	{Word: "yard", UseInstead: "what it is, such as fake fleet"},
 	{Word: "friends", UseInstead: "peers"},
 	{Word: "island", UseInstead: "partitioned controllers"},
+	{Word: "patience", UseInstead: "timeout"},
+	{Word: "mistake", UseInstead: "mutant or injected bug"},
+	{Word: "mistakes", UseInstead: "mutants or injected bugs"},
+	{Word: "vouch", UseInstead: "attest"},
+	{Word: "vouched", UseInstead: "attested"},
+	{Word: "barred", UseInstead: "blocked or excluded"},
+	{Word: "unheard", UseInstead: "without a heartbeat"},
+	{Word: "mates", UseInstead: "peers"},
+	{Word: "verdict", UseInstead: "status"},
+	{Word: "hopeless", UseInstead: "cannot finish"},
+	{Word: "obey", UseInstead: "apply commands"},
+	{Word: "referral", UseInstead: "redirect"},
+	{Word: "wish", UseInstead: "request"},
+	{Word: "wishes", UseInstead: "requests"},
+	{Word: "gapes", UseInstead: "has wide gap"},
+	{Word: "duty", UseInstead: "loop"},
+	{Word: "duties", UseInstead: "loops"},
+	{Word: "spoil", UseInstead: "mutate"},
+	{Word: "candidacies", UseInstead: "elections"},
 }
 
 // exceptions allow a banned word in packages where it is also the usual technical term.
