--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -90,7 +90,7 @@
 			store.SetRefused(w[1], w[2] == "on")
 		case "lose":
 			s, _ := strconv.Atoi(w[2])
-			nodes[w[1]].client.LoseAnswers(1, time.Duration(s)*time.Second)
+			nodes[w[1]].client.LoseResponses(1, time.Duration(s)*time.Second)
 		case "late":
 			// Applies an abandoned campaign, on a lease of its own.
 			c := store.Client("late")
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -183,7 +183,7 @@
 
 // Run compares each case with its entry of a golden file, in its own subtest: the value must encode to exactly the
 // entry's bytes, and these must decode to the value. The zero value of each struct type, as the entry "NAME, zero",
-// shows which fields are omitted when empty.
+// shows which fields are omitted when empty; cases with AllowUnset or ReadOnly have no such entry.
 func Run(t *testing.T, file string, c Codec, cases []Case) {
 	t.Helper()
 	f := Open(t, file)
--- a/internal/linearizability/history.go
+++ b/internal/linearizability/history.go
@@ -1,6 +1,6 @@
 // Package linearizability records the responses to users of a deployment and checks afterwards that they are
-// linearizable. Every job is one register. The check covers concurrent requests and the responses of all controllers.
-// Only tests use the package.
+// linearizable: every job is one register, and all responses about it must fit into one order, whichever controllers
+// gave them and however many requests were concurrent. Only tests use the package.
 package linearizability
 
 import (
@@ -68,7 +68,7 @@
 )
 
 // nextStates returns the states that a job may have after a response, given its state before. A job may become done
-// at any time. Task counts and the difference between pending and running are not checked.
+// at any time. Task counts and the difference between pending and running are only for display and are not checked.
 func nextStates(from int, kind, response string) []any {
 	var next []any
 	add := func(states ...int) {
--- a/internal/linearizability/history_test.go
+++ b/internal/linearizability/history_test.go
@@ -7,7 +7,7 @@
 )
 
 // Check rejects histories that violate the protocol and accepts the others.
-func TestCheckFindsImpossibleAnswers(t *testing.T) {
+func TestCheckRejectsImpossibleResponses(t *testing.T) {
 	for name, test := range map[string]struct {
 		operations string // kind:response@from-to, in seconds; without to it returns after 1 ms
 		wantErr    string
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -10,7 +10,7 @@
 )
 
 // Failover holds the times of a failover in a deployment, in seconds after its leader was killed. 0 means that
-// failoverTimeout passed first.
+// the event was not observed within failoverTimeout.
 type Failover struct {
 	Deployment  int     `json:"region"`
 	NewLeaderS  float64 `json:"leader_s"`  // until another controller became leader
--- a/internal/loadtest/history.go
+++ b/internal/loadtest/history.go
@@ -182,7 +182,7 @@
 	return all
 }
 
-// finalStateViolations checks the final states of a job of which done tasks have completed.
+// finalStateViolations checks the final states of a job. done is the number of its tasks that completed.
 func (j *UserJob) finalStateViolations(done int) []Violation {
 	var all []Violation
 	for _, f := range j.FinalStates {
--- a/internal/loadtest/hollow_workers.go
+++ b/internal/loadtest/hollow_workers.go
@@ -44,7 +44,7 @@
 	Addr string `json:"addr"`
 }
 
-// Traffic counts the messages of one kind, and the bytes of their request and response bodies.
+// Traffic counts the messages of one kind, and the bytes of the bodies that the counting process sent and received.
 type Traffic struct {
 	Messages uint64 `json:"messages"`
 	Sent     uint64 `json:"sent_bytes"`
--- a/internal/loadtest/regression.go
+++ b/internal/loadtest/regression.go
@@ -35,7 +35,7 @@
 type CostModel struct {
 	Cost          string
 	Intercept     float64
-	Slope         float64
+	Slope         float64 // per unit of the size
 	RSquared      float64
 	Residuals     []float64 // one per run, in order of size
 	Measured      []float64 // one per run, in order of size
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -31,11 +31,11 @@
 	// sampleInterval and progressInterval are the intervals of usage samples and of progress messages.
 	sampleInterval   = time.Second
 	progressInterval = 5 * time.Second
-	// bootTimeout is the maximum time until the workers are up and the load has reached its peak.
+	// bootTimeout is the maximum wait for the workers and for the peak of the load; the measurement starts then anyway.
 	bootTimeout = 2 * time.Minute
 	// bootIdleIntervals is the number of heartbeat intervals without a new worker after which no more are expected.
 	bootIdleIntervals = 3
-	// minUpShare is the fraction of the workers that must be up before the measurement starts.
+	// minUpShare is the fraction of the workers that must be up to stop waiting for further ones.
 	minUpShare = 0.98
 )
 
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -16,7 +16,7 @@
 const (
 	classUrgent        = "urgent"
 	classBulk          = "bulk"
-	urgentStartTargetS = 2.8 // maximum time from submission to start
+	urgentStartTargetS = 2.8 // maximum time from submission to start, in seconds
 )
 
 // Parameters of the load. Bulk jobs are job arrays. No task writes checkpoints.
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -61,7 +61,7 @@
 	return time.Duration(math.Floor(a.progressAt(now).Seconds()/interval) * interval * float64(time.Second))
 }
 
-// saveProgressLocked stores an attempt's progress for later attempts of the task. It never lowers it.
+// saveProgressLocked stores an attempt's progress for later attempts of the task. It never lowers the stored progress.
 func (env *Environment) saveProgressLocked(a *attempt, progress time.Duration) {
 	key := a.checkpointKey()
 	env.savedProgress[key] = max(env.savedProgress[key], progress)
@@ -203,7 +203,8 @@
 	}
 }
 
-// completeAttemptLocked ends an attempt whose task is done, and all other attempts of its gang.
+// completeAttemptLocked ends an attempt whose run time is over: with an error if TaskFails says so, otherwise as done,
+// together with the other attempts of its gang if GangStartTimeout is set.
 func (m *Machine) completeAttemptLocked(a *attempt) {
 	env, job := m.env, a.taskID.Job
 	if env.TaskFails != nil && env.TaskFails(m, a.task) {
--- a/internal/simulation/cancel_before_outage_test.go
+++ b/internal/simulation/cancel_before_outage_test.go
@@ -8,7 +8,7 @@
 	"drumpick/internal/records"
 )
 
-// The store refuses the leader alone, another controller confirms cancellations, and then the store is
+// The store refuses only the leader, another controller confirms cancellations, and then the store is
 // down for all controllers, for longer than the cancellation limit, while workers send their heartbeats
 // to the old leader. The tasks of cancelled jobs end in time in every scenario. If the other
 // controllers can report which jobs these are, no other task is lost.
@@ -81,12 +81,12 @@
 	}
 }
 
-// confirmedBeforeOutage are scenarios of an outage after a confirmed cancellation. They guard against a
-// cancellation confirmed while the leader is refused that expires the leases of all work, with the
-// cancelled tasks running until then.
+// confirmedBeforeOutage are scenarios of an outage after a confirmed cancellation. They guard against
+// two faults of the first cancellation that is confirmed while the store refuses the leader: the
+// leases of all tasks expire, and the cancelled tasks run on until then.
 var confirmedBeforeOutage = map[string]struct {
 	nodes       int  // number of controllers; 0 means three
-	mayLoseWork bool // a controller that may have confirmed a cancellation, or the workers, cannot be reached
+	mayLoseWork bool // a controller that may have confirmed a cancellation cannot report it, or workers are unreachable
 	run         func(rs *refusalScenario)
 }{
 	"the refusal ends during the outage": {run: func(rs *refusalScenario) {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -17,8 +17,8 @@
 	Environment *Environment
 	// Alive reports whether the controller still runs.
 	Alive func() bool
-	// LoseAnswers is the number of coming rentals that are carried out but get no answer.
-	LoseAnswers int
+	// LoseResponses is the number of further rentals that are carried out but get no response.
+	LoseResponses int
 }
 
 // cloudLatency is how long a call to the cloud takes.
@@ -46,8 +46,8 @@
 		return nil, err
 	}
 	machines, err := c.Environment.rent(r)
-	if err == nil && c.LoseAnswers > 0 {
-		c.LoseAnswers--
+	if err == nil && c.LoseResponses > 0 {
+		c.LoseResponses--
 		return nil, autoscaler.ErrUnknownOutcome
 	}
 	return machines, err
@@ -71,7 +71,7 @@
 }
 
 // rent starts as many of the requested machines as the zone has capacity for, and returns their names. Requests
-// are idempotent by name: a repeated one gets the answer of the first.
+// are idempotent by name: a repeated one gets the response of the first.
 func (env *Environment) rent(r autoscaler.RentalRequest) ([]string, error) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -53,8 +53,8 @@
 	unreachable     map[int]bool          // nodes that workers cannot reach
 	isolated        map[int]bool          // nodes that no other node can reach
 	onlyNodeForZone map[string]int        // by zone, the only node that its workers can reach
-	delays          map[int]time.Duration // by node, the delay of messages from other nodes
-	copyDelays      []time.Duration       // a copy of every heartbeat reaches another node after each of these
+	delays          map[int]time.Duration // by node, the additional delay of heartbeats and peer messages to it
+	copyDelays      []time.Duration       // a copy of every heartbeat is delivered after each of these; see copyHeartbeats
 	shouldKeepCopy  func() bool           // decides whether to keep a copy of a heartbeat for the next leader; nil: never
 	keptCopies      [][]byte              // copies kept for the next leader
 
@@ -63,7 +63,7 @@
 	// State of the simulated users.
 	jobs              map[string]records.Job
 	expectedDone      []string               // accepted jobs that are not cancelled
-	unansweredCancels []string               // jobs whose cancel request got no answer
+	unansweredCancels []string               // jobs whose cancel request got no 200 response
 	cancelledJobs     map[string]bool        // cancelled jobs and their direct and indirect dependents
 	onJobEvent        func(event, id string) // called when a user is told that a job is accepted or final; may be nil
 }
@@ -149,7 +149,7 @@
 	}
 }
 
-// checkRulesUntil checks the continuous rules four times in each heartbeat interval until ended is closed.
+// checkRulesUntil checks the rules that hold at any time, four times in each heartbeat interval until ended is closed.
 func (c *cluster) checkRulesUntil(ended chan struct{}) {
 	idle := &idleCheck{env: c.env}
 	for {
@@ -285,7 +285,7 @@
 	}()
 }
 
-// upNodeFrom returns the first node that is up, from i on and modulo three.
+// upNodeFrom returns the index of the first of three nodes that is up, from i on.
 func (c *cluster) upNodeFrom(i int) int {
 	for c.node(i%3) == nil {
 		i++
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -161,9 +161,9 @@
 			c.submit(0, dependentJob("j-2", 2, "j-1"))
 			c.submit(0, dependentJob("j-3", 1, "j-2"))
 			sleep(27)
-			c.node(c.leaderIndex()).client.LoseAnswers(20, delay)
+			c.node(c.leaderIndex()).client.LoseResponses(20, delay)
 			sleep(20)
-			c.node(c.leaderIndex()).client.LoseAnswers(0, 0)
+			c.node(c.leaderIndex()).client.LoseResponses(0, 0)
 			sleep(60)
 			for i := range 3 {
 				c.wantDone(i, "j-3")
@@ -175,7 +175,7 @@
 // A user cancels a job as it completes. The user is told either done, and the job's dependents run,
 // or cancelled, and they are cancelled too.
 func TestCancelRacingCompletionGivesOneFinalState(t *testing.T) {
-	answers := map[string]int{}
+	finalStates := map[string]int{}
 	var end time.Duration // of the task of j-1, measured in the first run
 	for k := range 25 {
 		runScenario(t, func(c *cluster) {
@@ -195,7 +195,7 @@
 			}
 			time.Sleep(end - time.Since(began) + time.Duration(k-12)*5*time.Millisecond)
 			_, st := c.ask(c.upNodeFrom(k), peer.MethodCancel, "j-1")
-			answers[st]++
+			finalStates[st]++
 			if k%2 == 0 {
 				c.killNode(c.leaderIndex())
 			}
@@ -204,8 +204,8 @@
 			if _, state := c.ask(up, peer.MethodPoll, "j-3"); state != st {
 				t.Errorf("j-1 is %s, j-3 is %s", st, state)
 			}
-			if got, told := c.submit(up, dependentJob("j-4", 1, "j-1")), st; got != 201 {
-				t.Errorf("submission of a dependent of a job that is %s: %d", told, got)
+			if got, jobState := c.submit(up, dependentJob("j-4", 1, "j-1")), st; got != 201 {
+				t.Errorf("submission of a dependent of a job that is %s: %d", jobState, got)
 			}
 			sleep(40)
 			if _, state := c.ask(up, peer.MethodPoll, "j-4"); state != st {
@@ -213,7 +213,7 @@
 			}
 		})
 	}
-	if answers["done"] == 0 || answers["cancelled"] == 0 {
-		t.Errorf("answers: %v, want both done and cancelled", answers)
+	if finalStates["done"] == 0 || finalStates["cancelled"] == 0 {
+		t.Errorf("final states: %v, want both done and cancelled", finalStates)
 	}
 }
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -60,7 +60,7 @@
 	// Faults.
 	partitioned      map[string]bool // zones that are unreachable
 	commandsBlocked  map[string]bool // zones that direct commands do not reach
-	pickCommandDelay func() (command, answer time.Duration)
+	pickCommandDelay func() (command, response time.Duration)
 	pickBootTime     func() time.Duration // overrides BootTime if not nil
 
 	// What users requested and were told about jobs; the rules refer to it.
@@ -76,7 +76,7 @@
 	starts           int
 	leaseExpiries    int
 	lostWork         time.Duration // run time that must be repeated
-	maxCancelLatency time.Duration // longest time that a cancelled job's task stayed on a machine
+	maxCancelLatency time.Duration // longest time that a cancelled job's task was seen on its machine, within CancelLimit
 }
 
 // NewEnvironment returns an environment without machines. It runs until ctx ends.
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -28,7 +28,7 @@
 	clear(c.delays)
 	clear(c.onlyNodeForZone)
 	clear(c.unreachable)
-	c.shouldKeepCopy, c.onJobEvent = nil, nil // late copies of heartbeats continue
+	c.shouldKeepCopy, c.onJobEvent = nil, nil // copyDelays stays set: late copies of heartbeats continue
 	c.mu.Unlock()
 	c.store.SetOutage(false)
 	for i, name := range strings.Fields(nodeNames)[:len(c.nodes)] {
@@ -203,7 +203,7 @@
 	}
 }
 
-// randomLateWrites returns delays for SetLateWrites: half of the commits are applied 2 to 12 s late.
+// randomLateWrites returns delays for SetLateWrites: half of the commits get no response and are applied 2 to 12 s late.
 func randomLateWrites(seed uint64) func() (time.Duration, bool) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var mu sync.Mutex
@@ -214,12 +214,12 @@
 	}
 }
 
-// randomCommandDelays returns delays for SetCommandDelay: a third of the commands and of the answers are delayed by up
-// to 15 s, so that the machine's state can change before they arrive.
-func randomCommandDelays(seed uint64) func() (command, answer time.Duration) {
+// randomCommandDelays returns delays for SetCommandDelay: a third of the commands and of the responses are delayed by
+// up to 15 s, so that the machine's state can change before they arrive.
+func randomCommandDelays(seed uint64) func() (command, response time.Duration) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	var mu sync.Mutex
-	span := func() time.Duration {
+	randomDelay := func() time.Duration {
 		if r.IntN(3) > 0 {
 			return 0
 		}
@@ -228,6 +228,6 @@
 	return func() (time.Duration, time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
-		return span(), span()
+		return randomDelay(), randomDelay()
 	}
 }
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// The store is slow, up to timeouts of all calls, then refuses the leader alone, and then all
+// The store is slow, up to timeouts of all calls, then refuses only the leader, and then all
 // controllers for longer than the cancellation limit, while users submit, cancel and poll.
 func TestSlowStore(t *testing.T) {
 	for _, delay := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
@@ -215,7 +215,7 @@
 	}
 }
 
-// runFaultPairs runs a scenario that calls inject so many times and then ends all faults. It checks
+// runFaultPairs runs a scenario that calls inject the given number of times and then ends all faults. It checks
 // that every accepted job is known and done, and did not wait beside free capacity.
 func runFaultPairs(t *testing.T, r *rand.Rand, times int, inject func(c *cluster, r *rand.Rand)) {
 	runScenarioWith(t, func(c *cluster) {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -155,9 +155,9 @@
 
 // A controller loses the store and the other controllers, but not its workers: no task may be lost.
 func TestIsolatedControllerLosesNoTask(t *testing.T) {
-	for _, who := range []string{"leader", "follower"} {
-		for _, span := range []float64{5, 12, 90} {
-			t.Run(fmt.Sprint(who, " for ", span, " s"), func(t *testing.T) {
+	for _, role := range []string{"leader", "follower"} {
+		for _, seconds := range []float64{5, 12, 90} {
+			t.Run(fmt.Sprint(role, " for ", seconds, " s"), func(t *testing.T) {
 				t.Parallel()
 				runScenario(t, func(c *cluster) {
 					c.env.RunTime = func(string) time.Duration { return 40 * time.Second }
@@ -167,13 +167,13 @@
 					sleep(33)
 					old := c.leaderIndex()
 					isolated := old
-					if who == "follower" {
+					if role == "follower" {
 						isolated = (old + 1) % 3
 					}
 					lostBefore, starts := countLostTasks(c), c.env.Starts()
 					c.isolateFromControlPlane(isolated, true)
 					sleep(4)
-					if span > 5 {
+					if seconds > 5 {
 						// Its users get 503 without a delay.
 						sleep(3)
 						began := time.Now()
@@ -186,7 +186,7 @@
 					}
 					c.ask((isolated+1)%3, peer.MethodCancel, "j-2")
 					c.expectedDone = c.expectedDone[:1]
-					sleep(max(span-7, 1))
+					sleep(max(seconds-7, 1))
 					if n := countLostTasks(c) - lostBefore; n > 0 {
 						t.Errorf("%d tasks were lost by lease expiry, of %d", n, starts)
 					}
@@ -217,7 +217,7 @@
 		"the leader":        func(c *cluster) { restart(c, 0.05, c.leaderIndex()) },
 		"the leader, later": func(c *cluster) { restart(c, 0.9, c.leaderIndex()) },
 		"the leader with a commit under way": func(c *cluster) {
-			c.node(c.leaderIndex()).client.LoseAnswers(3, 2*time.Second)
+			c.node(c.leaderIndex()).client.LoseResponses(3, 2*time.Second)
 			sleep(0.6)
 			restart(c, 0.05, c.leaderIndex())
 		},
--- a/internal/simulation/final_checks_test.go
+++ b/internal/simulation/final_checks_test.go
@@ -56,12 +56,12 @@
 // returned.
 func (c *cluster) wantNoVanishedMachines() {
 	c.t.Helper()
-	here := map[string]bool{}
+	existing := map[string]bool{}
 	for _, m := range c.env.Machines() {
-		here[m.Name] = true
+		existing[m.Name] = true
 	}
 	for _, v := range c.leaderMachines() {
-		if !here[v.Name] && v.State != scheduler.MachineBooting && v.State != scheduler.MachineReturning {
+		if !existing[v.Name] && v.State != scheduler.MachineBooting && v.State != scheduler.MachineReturning {
 			c.t.Errorf("the leader lists %s as %s, but it does not exist", v.Name, v.State)
 		}
 	}
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -65,10 +65,10 @@
 
 // HeartbeatOverHTTP returns the leader named in a redirect.
 func TestGoldenHeartbeatRedirect(t *testing.T) {
-	for answer, want := range map[string]string{`{"conductor":"n-1"}`: "n-1", `{}`: ""} {
-		heartbeat := HeartbeatOverHTTP(func(string, int, []byte) (int, []byte, error) { return 421, []byte(answer), nil })
+	for response, want := range map[string]string{`{"conductor":"n-1"}`: "n-1", `{}`: ""} {
+		heartbeat := HeartbeatOverHTTP(func(string, int, []byte) (int, []byte, error) { return 421, []byte(response), nil })
 		if status, _, leader := heartbeat(0, &fleet.Heartbeat{Machine: "m-1"}); status != 421 || leader != want {
-			t.Errorf("answer %s: got status %d and leader %q", answer, status, leader)
+			t.Errorf("response %s: got status %d and leader %q", response, status, leader)
 		}
 	}
 }
--- a/internal/simulation/heartbeat.go
+++ b/internal/simulation/heartbeat.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/fleet"
 )
 
-// heartbeatTimeout is how long a worker waits for the answer to a heartbeat (PROTOCOL).
+// heartbeatTimeout is how long a worker waits for the response to a heartbeat (PROTOCOL).
 const heartbeatTimeout = 4 * time.Second
 
 // retryDelay returns the delay before a worker tries the next controller after a heartbeat that was not accepted.
@@ -35,8 +35,8 @@
 	}
 	node := env.firstNode(m)
 	for {
-		h, gone := m.nextHeartbeat()
-		if gone {
+		h, terminated := m.nextHeartbeat()
+		if terminated {
 			return
 		}
 		if h != nil {
@@ -58,9 +58,9 @@
 	}
 }
 
-// nextHeartbeat returns the worker's next heartbeat, or nil if none can leave the machine now. gone reports that the
-// machine is terminated.
-func (m *Machine) nextHeartbeat() (h *sentHeartbeat, gone bool) {
+// nextHeartbeat returns the worker's next heartbeat, or nil if none can leave the machine now. terminated reports that
+// the machine is terminated.
+func (m *Machine) nextHeartbeat() (h *sentHeartbeat, terminated bool) {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
 	if m.terminated {
@@ -76,15 +76,15 @@
 	return &sentHeartbeat{body: m.heartbeatLocked(), at: time.Now(), reboots: m.reboots}, false
 }
 
-// sendHeartbeat sends a heartbeat to a controller and executes the commands in the answer. If the heartbeat was not
-// accepted it returns the controller to try next and the delay before that; otherwise the delay is 0. ok is false
+// sendHeartbeat sends a heartbeat to a controller and executes the commands in the response. If the heartbeat was
+// not accepted it returns the controller to try next and the delay before that; otherwise the delay is 0. ok is false
 // once the environment has ended.
 func (m *Machine) sendHeartbeat(node int, h *sentHeartbeat) (next int, delay time.Duration, ok bool) {
 	env := m.env
 	status, resp, leader := env.Heartbeat(node, h.body)
 	env.mu.Lock()
 	if m.inboundLost || m.reboots != h.reboots {
-		status = 0 // the answer is lost, or the machine has rebooted since
+		status = 0 // the response is lost, or the machine has rebooted since
 	}
 	env.mu.Unlock()
 	if status == 0 && ctxtime.Sleep(env.ctx, heartbeatTimeout) != nil {
@@ -93,7 +93,7 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	switch leaderNode := slices.Index(env.Nodes, leader); {
-	case status == http.StatusOK && m.acceptsAnswerLocked(h, resp):
+	case status == http.StatusOK && m.acceptsResponseLocked(h, resp):
 		m.fencingToken = resp.FencingToken
 		m.leaseStart = h.at
 		m.executeLocked(resp.Commands)
@@ -105,9 +105,9 @@
 	return node, 0, true
 }
 
-// acceptsAnswerLocked reports whether the worker accepts an answer: the fencing token is not older than the latest
-// one, the answer is in time, and the incarnation is the same.
-func (m *Machine) acceptsAnswerLocked(h *sentHeartbeat, resp fleet.HeartbeatResponse) bool {
+// acceptsResponseLocked reports whether the worker accepts a response: it is not from a deposed leader (its fencing
+// token is at least the latest one), it arrives within two heartbeat intervals, and the incarnation is the same.
+func (m *Machine) acceptsResponseLocked(h *sentHeartbeat, resp fleet.HeartbeatResponse) bool {
 	return h.body.Incarnation == m.incarnation && resp.FencingToken >= m.fencingToken &&
 		!m.terminated && !m.hung && time.Since(h.at) < 2*m.env.HeartbeatInterval
 }
--- a/internal/simulation/heartbeat_network_test.go
+++ b/internal/simulation/heartbeat_network_test.go
@@ -74,8 +74,9 @@
 	return out.Status, resp.HeartbeatResponse, resp.Leader
 }
 
-// copyHeartbeats delivers a copy of every heartbeat after each of the given delays: the first to the
-// same node, each further one to the next node.
+// copyHeartbeats sets the delays after which copies of every heartbeat from now on are delivered in
+// addition. The copy of the first delay goes to the node that received the heartbeat, that of each
+// further delay to the next node. A copy to a node that is down then is dropped.
 func (c *cluster) copyHeartbeats(after ...time.Duration) {
 	c.mu.Lock()
 	c.copyDelays = after
@@ -92,7 +93,8 @@
 	}
 }
 
-// replayKept delivers the kept copies to every controller as a term begins, until the term ends.
+// replayKept delivers the heartbeat copies kept so far, once each, to every running controller as a
+// term begins, and discards them. It stops early if the term, and with it ctx, ends.
 func (c *cluster) replayKept(ctx context.Context) {
 	c.mu.Lock()
 	kept := c.keptCopies
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -75,7 +75,8 @@
 	return env.leaseExpiries
 }
 
-// MaxCancelLatency returns the longest time that a task of a cancelled job was seen on its machine.
+// MaxCancelLatency returns the longest time that a task of a cancelled job was seen on its machine. It leaves out
+// times above CancelLimit, which are violations.
 func (env *Environment) MaxCancelLatency() time.Duration {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/internal/simulation/idle_check_test.go
+++ b/internal/simulation/idle_check_test.go
@@ -94,8 +94,8 @@
 	return machine
 }
 
-// machineWithRoomLocked returns a machine with room for one more task of a job, or nil. taken are the CPUs already
-// assigned by machine, zones the job's tasks by zone.
+// machineWithRoomLocked returns a machine with room for one more task of a job, or nil. taken is the number of CPUs
+// already assigned on each machine, zones the number of the job's tasks in each zone.
 func (env *Environment) machineWithRoomLocked(j records.Job, zones map[string]int, taken map[*Machine]float64) *Machine {
 	for _, m := range env.machines {
 		cpus, mem := m.typ.CPUs-taken[m]-j.CPUs, m.typ.MemGB-j.MemGB
@@ -167,7 +167,7 @@
 		"no room":               {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, busy: 3},
 		"at its limit":          {job: records.Job{Team: "limited", Tasks: 2, CPUs: 2, Spot: true}, busy: 2},
 		"another zone":          {job: records.Job{Zone: &zone, Tasks: 2, CPUs: 2, Spot: true}},
-		"ordinary machines":     {job: records.Job{Tasks: 2, CPUs: 2}},
+		"on-demand machines":    {job: records.Job{Tasks: 2, CPUs: 2}},
 		"waits for another":     {job: records.Job{Tasks: 2, CPUs: 2, Spot: true, Dependencies: []string{"j-0"}}},
 		"during a fault":        {job: records.Job{Tasks: 2, CPUs: 2, Spot: true}, faulty: true},
 	} {
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -112,7 +112,7 @@
 	m.env.mu.Unlock()
 }
 
-// SetUnreachable drops all answers and commands to the machine, while its heartbeats still arrive; false makes it
+// SetUnreachable drops all responses and commands to the machine, while its heartbeats still arrive; false makes it
 // reachable again.
 func (m *Machine) SetUnreachable(on bool) {
 	m.env.mu.Lock()
@@ -139,12 +139,12 @@
 }
 
 // NotifyPreemption gives the worker a preemption notice, and terminates the machine after the delay.
-func (m *Machine) NotifyPreemption(in time.Duration) {
+func (m *Machine) NotifyPreemption(delay time.Duration) {
 	m.env.mu.Lock()
-	m.preemptionAt = time.Now().Add(in)
+	m.preemptionAt = time.Now().Add(delay)
 	m.env.mu.Unlock()
 	m.wake()
-	time.AfterFunc(in, m.Terminate)
+	time.AfterFunc(delay, m.Terminate)
 }
 
 // wake makes the worker send its next heartbeat soon.
@@ -166,7 +166,7 @@
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
 	if m.unresponsiveLocked() || m.inboundLost {
-		return workers.OutcomeUnknown, nil, errNoAnswer
+		return workers.OutcomeUnknown, nil, errNoResponse
 	}
 	if r.FencingToken < m.fencingToken || r.Incarnation != m.incarnation {
 		return workers.OutcomeRejected, m.heartbeatLocked(), nil
@@ -182,7 +182,7 @@
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
 	if m.unresponsiveLocked() || m.inboundLost {
-		return nil, errNoAnswer
+		return nil, errNoResponse
 	}
 	m.advanceLocked()
 	return m.heartbeatLocked(), nil
@@ -241,9 +241,9 @@
 	}
 	m.env.mu.Lock()
 	m.addr, m.closeAddr = addr, closeAddr
-	gone := m.terminated
+	terminated := m.terminated
 	m.env.mu.Unlock()
-	if gone {
+	if terminated {
 		closeAddr()
 	}
 	return true
--- a/internal/simulation/many_machines_test.go
+++ b/internal/simulation/many_machines_test.go
@@ -94,11 +94,11 @@
 		}
 		lost := c.env.LostWork() - before
 		// Some tasks are stopped in any case, to pack machines when the load falls.
-		all := time.Duration(manyJobs*manyTasks*scaledFleetSize()/fleetSize) * 8 * 7 * time.Second
-		t.Logf("work lost: %v, unavoidable: %v, total: %v", lost, minLost, all)
+		totalWork := time.Duration(manyJobs*manyTasks*scaledFleetSize()/fleetSize) * 8 * 7 * time.Second
+		t.Logf("work lost: %v, unavoidable: %v, total: %v", lost, minLost, totalWork)
 		// A preemption notice stops tasks that by their estimate would not end in time, though some would.
-		if lost > minLost*23/20+all/50 {
-			t.Errorf("work lost: %v, unavoidable: %v, total: %v, which is too much", lost, minLost, all)
+		if lost > minLost*23/20+totalWork/50 {
+			t.Errorf("work lost: %v, unavoidable: %v, total: %v, which is too much", lost, minLost, totalWork)
 		}
 	})
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -9,14 +9,14 @@
 	"drumpick/internal/workers"
 )
 
-// HeartbeatFunc delivers a worker's heartbeat to a controller. It returns the HTTP status, the answer, and the leader
-// that the worker is redirected to. Status 0 means no answer, StatusRefused a refused connection.
+// HeartbeatFunc delivers a worker's heartbeat to a controller. It returns the HTTP status, the response, and the
+// leader that the worker is redirected to. Status 0 means no response, StatusRefused a refused connection.
 type HeartbeatFunc func(node int, r *fleet.Heartbeat) (status int, resp fleet.HeartbeatResponse, leader string)
 
 // StatusRefused is the status of a heartbeat to a controller that does not run.
 const StatusRefused = -1
 
-var errNoAnswer = errors.New("worker did not answer")
+var errNoResponse = errors.New("worker did not respond")
 
 // PartitionZone makes a zone's machines unreachable; false makes them reachable again.
 func (env *Environment) PartitionZone(zone string, on bool) {
@@ -32,9 +32,9 @@
 	env.mu.Unlock()
 }
 
-// SetCommandDelay sets the function that returns the delay of each direct command and of its answer; nil: no delay.
+// SetCommandDelay sets the function that returns the delay of each direct command and of its response; nil: no delay.
 // Senders wait for either no longer than a heartbeat interval.
-func (env *Environment) SetCommandDelay(pick func() (command, answer time.Duration)) {
+func (env *Environment) SetCommandDelay(pick func() (command, response time.Duration)) {
 	env.mu.Lock()
 	env.pickCommandDelay = pick
 	env.mu.Unlock()
@@ -43,7 +43,7 @@
 // Go runs f in a goroutine. Together with SendCommands it implements the controllers' access to workers.
 func (env *Environment) Go(f func()) { go f() }
 
-// SendCommands sends direct commands to a worker and returns its answer.
+// SendCommands sends direct commands to a worker and returns its response.
 func (env *Environment) SendCommands(addr string, r fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
 	_ = ctxtime.Sleep(env.ctx, networkLatency)
 	env.mu.Lock()
@@ -55,32 +55,32 @@
 		_ = ctxtime.Sleep(env.ctx, env.HeartbeatInterval) // the call hangs until the caller's timeout
 	}
 	if m == nil || blocked {
-		return workers.OutcomeUnknown, nil, errNoAnswer
+		return workers.OutcomeUnknown, nil, errNoResponse
 	}
 	if delay == nil {
 		return m.ExecuteCommands(r)
 	}
-	commandDelay, answerDelay := delay()
-	return env.sendDelayed(m, r, commandDelay, answerDelay)
+	commandDelay, responseDelay := delay()
+	return env.sendDelayed(m, r, commandDelay, responseDelay)
 }
 
-var errAnswerTimeout = errors.New("worker did not answer within the timeout")
+var errResponseTimeout = errors.New("worker did not respond within the timeout")
 
-// sendDelayed delivers direct commands and their answer with delays. Commands that arrive after the sender's timeout
-// are executed nevertheless.
+// sendDelayed delivers direct commands and their response with delays. Commands that arrive after the sender's
+// timeout are executed nevertheless.
 func (env *Environment) sendDelayed(
-	m *Machine, r fleet.CommandRequest, commandDelay, answerDelay time.Duration,
+	m *Machine, r fleet.CommandRequest, commandDelay, responseDelay time.Duration,
 ) (workers.Outcome, *fleet.Heartbeat, error) {
 	if commandDelay >= env.HeartbeatInterval {
 		time.AfterFunc(commandDelay, func() { _, _, _ = m.ExecuteCommands(r) })
 		_ = ctxtime.Sleep(env.ctx, env.HeartbeatInterval)
-		return workers.OutcomeUnknown, nil, errAnswerTimeout
+		return workers.OutcomeUnknown, nil, errResponseTimeout
 	}
 	_ = ctxtime.Sleep(env.ctx, commandDelay)
-	outcome, answer, err := m.ExecuteCommands(r)
-	_ = ctxtime.Sleep(env.ctx, min(answerDelay, env.HeartbeatInterval))
-	if answerDelay >= env.HeartbeatInterval {
-		return workers.OutcomeUnknown, nil, errAnswerTimeout
+	outcome, response, err := m.ExecuteCommands(r)
+	_ = ctxtime.Sleep(env.ctx, min(responseDelay, env.HeartbeatInterval))
+	if responseDelay >= env.HeartbeatInterval {
+		return workers.OutcomeUnknown, nil, errResponseTimeout
 	}
-	return outcome, answer, err
+	return outcome, response, err
 }
--- a/internal/simulation/outage_test.go
+++ b/internal/simulation/outage_test.go
@@ -121,7 +121,8 @@
 	})
 }
 
-// A leader that the store alone refuses steps down, and users are served through the other controllers.
+// A leader that is the only controller refused by the store steps down, and users are served through
+// the other controllers.
 func TestLeaderRefusedAloneStepsDown(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		sleep(2)
@@ -156,7 +157,7 @@
 	runScenario(t, func(c *cluster) {
 		sleep(2)
 		n := c.node(1)
-		n.client.LoseAnswers(1, time.Second)
+		n.client.LoseResponses(1, time.Second)
 		if got := c.submit(1, records.Job{ID: "j-1", Tasks: 2, EstimateS: 30}); got != 503 {
 			t.Errorf("unanswered submission: %d, want 503", got)
 		}
@@ -165,7 +166,7 @@
 			t.Errorf("retry of the submission: %d, want 200", got)
 		}
 		sleep(20)
-		c.node(c.leaderIndex()).client.LoseAnswers(5, 3*time.Second)
+		c.node(c.leaderIndex()).client.LoseResponses(5, 3*time.Second)
 		sleep(60)
 		c.wantDone(0, "j-1")
 	})
--- a/internal/simulation/peer_network_test.go
+++ b/internal/simulation/peer_network_test.go
@@ -75,7 +75,7 @@
 			return n.server.HandleRelayedHeartbeat(peer.HeartbeatRequest{Body: body}), nil
 		}
 	}
-	return peer.RelayReply{}, errors.New("no answer")
+	return peer.RelayReply{}, errors.New("no response from the peer")
 }
 
 func (p *peerNetwork) RelayHeartbeats(node string, in peer.HeartbeatBatch, _ time.Duration) (peer.HeartbeatBatchReply, error) {
@@ -86,7 +86,7 @@
 			return n.server.HandleHeartbeatBatch(in), nil
 		}
 	}
-	return peer.HeartbeatBatchReply{}, errors.New("no answer")
+	return peer.HeartbeatBatchReply{}, errors.New("no response from the peer")
 }
 
 func (p *peerNetwork) Progress(node, id string) (peer.Progress, error) {
@@ -106,7 +106,7 @@
 			}, nil
 		}
 	}
-	return peer.Progress{}, errors.New("no answer")
+	return peer.Progress{}, errors.New("no response from the peer")
 }
 
 func (p *peerNetwork) NotifyCancelled(node, id string) (bool, error) {
@@ -117,7 +117,7 @@
 			return n.server.HandleCancellation(id), nil
 		}
 	}
-	return false, errors.New("no answer")
+	return false, errors.New("no response from the peer")
 }
 
 func (p *peerNetwork) Relay(r peer.RelayRequest, _ time.Duration) (peer.RelayReply, bool) {
--- a/internal/simulation/record_check_test.go
+++ b/internal/simulation/record_check_test.go
@@ -10,7 +10,7 @@
 
 // recordCheck checks at every change of the store that the records suffice for the next leader: every machine with
 // tasks has a record, no watermark of an open job falls, no finished task of an open job is lost, and no deleted key
-// is written again.
+// except the leader key is written again.
 type recordCheck struct {
 	cluster       *cluster
 	watermarks    map[string]int
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -11,7 +11,7 @@
 )
 
 // This file checks the rules of the protocol ("Rules") that concern tasks, under the names they have there;
-// rules_answers.go checks those that concern answers to users. Each distinct violation is recorded once.
+// rules_responses.go checks those that concern responses to users. Each distinct violation is recorded once.
 // rules_test.go breaks each rule on purpose.
 
 // recordViolationLocked records the violation of a rule.
@@ -97,8 +97,8 @@
 // maxTasksPerZone returns how many tasks of a job that is spread over zones may be in one zone.
 func maxTasksPerZone(job records.Job) int { return (job.Tasks + 1) / 2 }
 
-// leaseValidLocked reports whether the machine exists and its worker's lease has not expired. Otherwise its tasks do
-// not count.
+// leaseValidLocked reports whether the machine exists and its worker's lease has not expired. Otherwise the rules
+// ignore its tasks.
 func (m *Machine) leaseValidLocked(now time.Time) bool {
 	return !m.terminated && now.Sub(m.leaseStart) <= m.env.Lease
 }
--- a/internal/simulation/rules_answers.go
+++ b/internal/simulation/rules_responses.go
@@ -113,10 +113,11 @@
 	}
 }
 
-// CheckAnswer checks the job state in the answer to a request sent at a time. The answer must be consistent with all
-// answers received before that time, from any controller. first reports that it is the job's first final state.
-func (env *Environment) CheckAnswer(id, status string, asked time.Time) (first bool) {
-	orphanedFor, cancelWanted := env.DependencyCancelledFor(id), env.mayBeCancelled(id)
+// CheckJobState checks the job state in the response to a request sent at a time. The state must be consistent with all
+// responses received before that time, from any controller. Two different final states are a violation in any order.
+// first reports that it is the job's first final state.
+func (env *Environment) CheckJobState(id, status string, asked time.Time) (first bool) {
+	dependencyCancelledFor, mayBeCancelled := env.DependencyCancelledFor(id), env.mayBeCancelled(id)
 	j, known := env.LookupJob(id)
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -126,14 +127,14 @@
 	env.recordAcceptedLocked(id)
 	final := status == records.StatusDone || status == records.StatusCancelled
 	switch {
-	case status == records.StatusCancelled && !cancelWanted:
+	case status == records.StatusCancelled && !mayBeCancelled:
 		env.recordViolationLocked("went_back: %s is reported as cancelled, but neither it nor a dependency was cancelled", id)
-	case status != records.StatusCancelled && orphanedFor > env.CancelLimit:
-		env.recordViolationLocked("orphaned: %s is reported as %s, %v after a dependency was cancelled", id, status, orphanedFor)
+	case status != records.StatusCancelled && dependencyCancelledFor > env.CancelLimit:
+		env.recordViolationLocked("orphaned: %s is reported as %s, %v after a dependency was cancelled", id, status, dependencyCancelledFor)
 	}
-	was, ended := env.finalStates[id]
-	if ended && was.status != status && (final || asked.After(was.reportedAt)) {
-		env.recordViolationLocked("went_back: %s was reported as %s, and is now reported as %s", id, was.status, status)
+	previous, ended := env.finalStates[id]
+	if ended && previous.status != status && (final || asked.After(previous.reportedAt)) {
+		env.recordViolationLocked("went_back: %s was reported as %s, and is now reported as %s", id, previous.status, status)
 	}
 	if done := len(env.completed[id]); known && status == records.StatusDone && done < j.Tasks {
 		env.recordViolationLocked("not_done: %s is reported as done with %d of %d tasks done", id, done, j.Tasks)
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -88,7 +88,7 @@
 		"orphaned": func(env *Environment, _ func(string, string, uint64)) {
 			env.RecordCancelConfirmation("j-1")
 			time.Sleep(env.CancelLimit + time.Second)
-			env.CheckAnswer("j-7", records.StatusPending, time.Now())
+			env.CheckJobState("j-7", records.StatusPending, time.Now())
 		},
 		"forgotten: j-1 was accepted and is": func(env *Environment, _ func(string, string, uint64)) {
 			env.CheckSubmission("j-1", 201, time.Now())
@@ -101,19 +101,19 @@
 			env.CheckSubmission("j-1", 422, time.Now())
 		},
 		"invented": func(env *Environment, _ func(string, string, uint64)) {
-			env.CheckAnswer("j-99", records.StatusPending, time.Now())
+			env.CheckJobState("j-99", records.StatusPending, time.Now())
 		},
 		"not_done": func(env *Environment, _ func(string, string, uint64)) {
-			env.CheckAnswer("j-1", records.StatusDone, time.Now())
+			env.CheckJobState("j-1", records.StatusDone, time.Now())
 		},
 		"went_back: j-1 is reported as cancelled": func(env *Environment, _ func(string, string, uint64)) {
-			env.CheckAnswer("j-1", records.StatusCancelled, time.Now())
+			env.CheckJobState("j-1", records.StatusCancelled, time.Now())
 		},
 		"went_back: j-1 was reported as": func(env *Environment, _ func(string, string, uint64)) {
 			env.RecordCancelConfirmation("j-1")
-			env.CheckAnswer("j-1", records.StatusCancelled, time.Now())
+			env.CheckJobState("j-1", records.StatusCancelled, time.Now())
 			advance()
-			env.CheckAnswer("j-1", records.StatusRunning, time.Now())
+			env.CheckJobState("j-1", records.StatusRunning, time.Now())
 		},
 		"went_back: j-1 was accepted": func(env *Environment, _ func(string, string, uint64)) {
 			env.CheckSubmission("j-1", 201, time.Now())
@@ -128,7 +128,7 @@
 			advance()
 			run("m-000001", "j-1/0", 1)
 		},
-		"": func(env *Environment, run func(string, string, uint64)) { // requests sent before an answer are not bound by it
+		"": func(env *Environment, run func(string, string, uint64)) { // a state binds only requests sent after it was reported
 			asked := time.Now()
 			advance()
 			env.CheckSubmission("j-1", 201, asked)
@@ -136,8 +136,8 @@
 			run("m-000001", "j-1/0", 1)
 			env.RecordCancelRequest("j-1")
 			env.RecordCancelConfirmation("j-1")
-			env.CheckAnswer("j-1", records.StatusCancelled, asked)
-			env.CheckAnswer("j-1", records.StatusRunning, asked)
+			env.CheckJobState("j-1", records.StatusCancelled, asked)
+			env.CheckJobState("j-1", records.StatusRunning, asked)
 			env.CheckSubmission("j-1", 200, time.Now())
 		},
 	} {
--- a/internal/simulation/serve_store.go
+++ b/internal/simulation/serve_store.go
@@ -19,7 +19,7 @@
 	Error string `json:"error"`
 }
 
-// watchEvent is a change in the answer to a watch.
+// watchEvent is a change in the response to a watch.
 type watchEvent struct {
 	Write    string          `json:"write,omitempty"`
 	Delete   string          `json:"delete,omitempty"`
@@ -62,7 +62,7 @@
 }
 
 // ServeStore registers the routes of the store's API. durable blocks until all changes up to a revision are persisted;
-// no answer discloses a change before that. nil: changes count as persisted at once. Open watches end with ctx.
+// no response discloses a change before that. nil: changes count as persisted at once. Open watches end with ctx.
 func ServeStore(ctx context.Context, app *fiber.App, s *Store, durable func(revision uint64)) {
 	server := &storeServer{ctx: ctx, store: s, waitDurable: durable}
 	app.Use("/store", server.rejectDuringOutage)
@@ -77,8 +77,8 @@
 	app.Get("/watch", server.watch)
 }
 
-// answer sends a response after all changes so far, which it may disclose, are persisted.
-func (s *storeServer) answer(c *fiber.Ctx, status int, body any) error {
+// respond sends a response once all changes so far are persisted, as the response may disclose them.
+func (s *storeServer) respond(c *fiber.Ctx, status int, body any) error {
 	if s.waitDurable != nil {
 		s.waitDurable(s.store.Revision())
 	}
@@ -99,15 +99,15 @@
 	if entries == nil {
 		entries = []records.KeyValue{}
 	}
-	return s.answer(c, http.StatusOK, listResponse{Revision: revision, More: more, Entries: entries})
+	return s.respond(c, http.StatusOK, listResponse{Revision: revision, More: more, Entries: entries})
 }
 
 func (s *storeServer) get(c *fiber.Ctx) error {
 	kv, revision, ok := s.store.get(c.Params("*"))
 	if !ok {
-		return s.answer(c, http.StatusNotFound, revisionResponse{revision})
+		return s.respond(c, http.StatusNotFound, revisionResponse{revision})
 	}
-	return s.answer(c, http.StatusOK, kv)
+	return s.respond(c, http.StatusOK, kv)
 }
 
 // commitRequest is the request body of a commit.
@@ -149,9 +149,9 @@
 	var conflict *records.ConflictError
 	switch {
 	case err == nil:
-		return s.answer(c, http.StatusOK, revisionResponse{revision})
+		return s.respond(c, http.StatusOK, revisionResponse{revision})
 	case errors.As(err, &conflict):
-		return s.answer(c, http.StatusConflict, conflict)
+		return s.respond(c, http.StatusConflict, conflict)
 	case errors.Is(err, records.ErrThrottled):
 		return c.SendStatus(http.StatusTooManyRequests)
 	case errors.Is(err, records.ErrLeaseExpired):
@@ -168,7 +168,7 @@
 		return c.Status(http.StatusBadRequest).JSON(errorBody{"life_ms is not within 100 to 600000"})
 	}
 	id := s.store.grantLease(time.Duration(in.TTL) * time.Millisecond)
-	return s.answer(c, http.StatusOK, leaseResponse{id})
+	return s.respond(c, http.StatusOK, leaseResponse{id})
 }
 
 func (s *storeServer) renewLease(c *fiber.Ctx) error {
@@ -182,7 +182,7 @@
 func (s *storeServer) revokeLease(c *fiber.Ctx) error {
 	id, _ := strconv.ParseUint(c.Params("id"), 10, 64)
 	s.store.revokeLease(id)
-	return s.answer(c, http.StatusOK, emptyResponse{})
+	return s.respond(c, http.StatusOK, emptyResponse{})
 }
 
 func (s *storeServer) watch(c *fiber.Ctx) error {
@@ -200,5 +200,5 @@
 	for i, e := range events {
 		log[i] = watchEvent{Write: e.Write, Delete: e.Delete, Value: e.Value, Revision: e.Revision}
 	}
-	return s.answer(c, http.StatusOK, watchResponse{Revision: revision, Log: log})
+	return s.respond(c, http.StatusOK, watchResponse{Revision: revision, Log: log})
 }
--- a/internal/simulation/serve_worker.go
+++ b/internal/simulation/serve_worker.go
@@ -11,8 +11,8 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// ServeWorker registers the routes of a machine's worker. Requests to an unreachable machine get no answer: their
-// connection is closed.
+// ServeWorker registers the routes of a machine's worker. Requests to an unreachable machine get no response:
+// their connection is closed.
 func ServeWorker(app *fiber.App, m *Machine) {
 	ServeWorkers(app, func(*fiber.Ctx) *Machine { return m })
 }
@@ -27,11 +27,11 @@
 		}
 		m := machineOf(c)
 		if m == nil {
-			return closeWithoutAnswer(c)
+			return closeWithoutResponse(c)
 		}
 		outcome, heartbeat, err := m.ExecuteCommands(r)
 		if err != nil {
-			return closeWithoutAnswer(c)
+			return closeWithoutResponse(c)
 		}
 		if outcome == workers.OutcomeRejected {
 			return c.Status(http.StatusConflict).JSON(heartbeat)
@@ -41,32 +41,32 @@
 	app.Get("/status", func(c *fiber.Ctx) error {
 		m := machineOf(c)
 		if m == nil {
-			return closeWithoutAnswer(c)
+			return closeWithoutResponse(c)
 		}
 		heartbeat, err := m.Status()
 		if err != nil {
-			return closeWithoutAnswer(c)
+			return closeWithoutResponse(c)
 		}
 		return c.JSON(heartbeat)
 	})
 }
 
-// closeWithoutAnswer closes a request's connection without an answer.
-func closeWithoutAnswer(c *fiber.Ctx) error {
+// closeWithoutResponse closes a request's connection without a response.
+func closeWithoutResponse(c *fiber.Ctx) error {
 	c.Context().Conn().Close()
 	return nil
 }
 
 // HeartbeatOverHTTP returns a HeartbeatFunc that sends heartbeats as HTTP bodies.
 func HeartbeatOverHTTP(
-	send func(machine string, node int, body []byte) (status int, answer []byte, err error),
+	send func(machine string, node int, body []byte) (status int, response []byte, err error),
 ) HeartbeatFunc {
 	return func(node int, r *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
 		raw, err := json.Marshal(r)
 		if err != nil {
 			panic(fmt.Sprintf("encode heartbeat: %v", err))
 		}
-		status, answer, err := send(r.Machine, node, raw)
+		status, response, err := send(r.Machine, node, raw)
 		if err != nil {
 			return 0, fleet.HeartbeatResponse{}, ""
 		}
@@ -74,7 +74,7 @@
 			fleet.HeartbeatResponse
 			Leader string `json:"conductor"`
 		}
-		if json.Unmarshal(answer, &out) != nil && status == http.StatusOK {
+		if json.Unmarshal(response, &out) != nil && status == http.StatusOK {
 			return 0, fleet.HeartbeatResponse{}, ""
 		}
 		return status, out.HeartbeatResponse, out.Leader
--- a/internal/simulation/single_task_jobs_test.go
+++ b/internal/simulation/single_task_jobs_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// cancelUntilAnswered cancels a job every second, at one node after the other, until one answers.
+// cancelUntilAnswered cancels a job every second, at one node after the other, until one confirms its final state.
 func (c *cluster) cancelUntilAnswered(first int, id string) {
 	for try := first; ; try++ {
 		status, st := c.ask(try%3, peer.MethodCancel, id)
--- a/internal/simulation/store_client.go
+++ b/internal/simulation/store_client.go
@@ -15,7 +15,7 @@
 const (
 	// networkLatency is the delivery time of a message.
 	networkLatency = 5 * time.Millisecond
-	// requestTimeout is how long a caller waits for an answer, as in the controllers' settings.
+	// requestTimeout is how long a caller waits for a response, as in the controllers' settings.
 	requestTimeout = time.Second
 	// listPageEntries is the page size that List requests.
 	listPageEntries = 500
@@ -33,9 +33,9 @@
 	lastResponse       time.Time // including refusals
 
 	killed          bool
-	hang            time.Duration // calls hang for this time and get no answer; 0: calls are answered
+	hang            time.Duration // calls hang for this time and get no response; 0: calls are answered
 	delay           time.Duration // added to the latency of calls
-	loseAnswers     int           // this many commits are applied after lostCommitDelay and get no answer
+	loseResponses   int           // this many further commits get no response and are applied after lostCommitDelay
 	lostCommitDelay time.Duration
 	pickLateWrite   func() (time.Duration, bool)
 }
@@ -45,15 +45,15 @@
 	return &Client{store: s, name: name, started: time.Now()}
 }
 
-// LoseAnswers delays the next n commits by d and drops their answers.
-func (c *Client) LoseAnswers(n int, d time.Duration) {
+// LoseResponses drops the responses of the next n commits and applies them after d.
+func (c *Client) LoseResponses(n int, d time.Duration) {
 	c.mu.Lock()
-	c.loseAnswers, c.lostCommitDelay = n, d
+	c.loseResponses, c.lostCommitDelay = n, d
 	c.mu.Unlock()
 }
 
-// SetLateWrites sets the function that returns, for each commit, whether its answer is lost and after which delay it
-// is applied, possibly after newer commits; 0: at once. nil: every commit is answered.
+// SetLateWrites sets the function that returns, for each commit, whether its response is lost and after which delay it
+// is then applied, possibly after newer commits; 0: at once. nil: every commit is answered.
 func (c *Client) SetLateWrites(pick func() (time.Duration, bool)) {
 	c.mu.Lock()
 	c.pickLateWrite = pick
@@ -67,7 +67,7 @@
 	c.mu.Unlock()
 }
 
-// SetHang makes every call hang for this time without an answer; 0: calls are answered again.
+// SetHang makes every call hang for this time without a response; 0: calls are answered again.
 func (c *Client) SetHang(d time.Duration) {
 	c.mu.Lock()
 	c.hang = d
@@ -113,14 +113,14 @@
 	return nil
 }
 
-// recordFailure records that a call got no answer.
+// recordFailure records that a call got no response.
 func (c *Client) recordFailure() {
 	c.mu.Lock()
 	c.lastFailed = time.Now()
 	c.mu.Unlock()
 }
 
-// Health returns the time of the last successful answer, whether the last request failed, and when the client was
+// Health returns the time of the last successful response, whether the last request failed, and when the client was
 // created.
 func (c *Client) Health() (time.Time, bool, time.Time) {
 	c.mu.Lock()
@@ -128,7 +128,7 @@
 	return c.lastOK, c.lastFailed.After(c.lastOK), c.started
 }
 
-// LastResponse returns the time of the store's last answer, including refusals.
+// LastResponse returns the time of the store's last response, including refusals.
 func (c *Client) LastResponse() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +189,7 @@
 	return first, nil
 }
 
-// Commit applies a transaction and returns its revision, unless an injected fault delays it or drops its answer.
+// Commit applies a transaction and returns its revision, unless an injected fault delays it or drops its response.
 func (c *Client) Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error) {
 	c.mu.Lock()
 	delay, killed := c.delay, c.killed
@@ -205,30 +205,30 @@
 	if err := c.beginCall(ctx); err != nil {
 		return 0, err
 	}
-	lateBy, lost := c.losesAnswer()
+	lateBy, lost := c.losesResponse()
 	switch {
 	case lost && lateBy == 0:
-		// The commit is applied at once and only its answer is lost.
+		// The commit is applied at once and only its response is lost.
 		_, _ = c.store.commit(compares, ops)
 		if err := ctxtime.Sleep(ctx, requestTimeout); err != nil {
 			return 0, err
 		}
 		c.recordFailure()
-		return 0, fmt.Errorf("%w: answer lost", records.ErrUnknownOutcome)
+		return 0, fmt.Errorf("%w: response lost", records.ErrUnknownOutcome)
 	case lost:
 		time.AfterFunc(lateBy, func() { _, _ = c.store.commit(compares, ops) })
-		return 0, fmt.Errorf("%w: commit delayed and answer lost", records.ErrUnknownOutcome)
+		return 0, fmt.Errorf("%w: commit delayed and response lost", records.ErrUnknownOutcome)
 	}
 	return c.store.commit(compares, ops)
 }
 
-// losesAnswer decides whether a commit's answer is lost, and after which delay the commit is then applied.
-func (c *Client) losesAnswer() (lateBy time.Duration, lost bool) {
+// losesResponse decides whether a commit's response is lost, and after which delay the commit is then applied.
+func (c *Client) losesResponse() (lateBy time.Duration, lost bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.loseAnswers > 0:
-		c.loseAnswers--
+	case c.loseResponses > 0:
+		c.loseResponses--
 		return c.lostCommitDelay, true
 	case c.pickLateWrite != nil:
 		return c.pickLateWrite()
--- a/internal/simulation/store_limits_test.go
+++ b/internal/simulation/store_limits_test.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/records"
 )
 
-// announceLowerLimits announces lower limits of the store in the configuration.
+// announceLowerLimits announces lower store limits in the configuration, and makes leaders limit their writes.
 func announceLowerLimits(c *cluster) {
 	kb, ops, rps := 2.0, 5, 15.0
 	c.cfg.Deployment.Store.Next = config.UpcomingLimits{ValueKB: &kb, TxnOps: &ops, WriteRPS: &rps}
--- a/internal/simulation/teams_test.go
+++ b/internal/simulation/teams_test.go
@@ -10,8 +10,8 @@
 	"drumpick/internal/records"
 )
 
-// These tests run many teams at their limits. No fault may make a team use more than its limit, or wait while it is
-// below its limit and machines have room.
+// These tests run many teams at their limits. The leader accounts what each team uses as attempts start and end. No
+// fault may make a team use more than its limit, or wait while it is below its limit and machines have room.
 
 const teamCount = 48
 
--- a/internal/simulation/users_test.go
+++ b/internal/simulation/users_test.go
@@ -10,7 +10,7 @@
 	"drumpick/internal/records"
 )
 
-// request sends a user's request to a node, and returns the HTTP status and the job's state in the answer. Status 0
+// request sends a user's request to a node, and returns the HTTP status and the job's state in the response. Status 0
 // means that the node is down.
 func (c *cluster) request(i int, r peer.RelayRequest) (status int, state string) {
 	n := c.node(i)
@@ -88,7 +88,7 @@
 		if state == records.StatusCancelled {
 			c.env.RecordCancelConfirmation(id)
 		}
-		final = c.env.CheckAnswer(id, state, asked)
+		final = c.env.CheckJobState(id, state, asked)
 	case status == 404:
 		c.env.CheckNotFound(id, asked)
 	}
@@ -121,7 +121,8 @@
 	}
 }
 
-// cancel cancels a job at a node as a user. A request without an answer is recorded and repeated at the end.
+// cancel cancels a job at a node as a user. A request without a 200 response is recorded, and runFaultPairs repeats it
+// at the end.
 func (c *cluster) cancel(i int, id string) {
 	switch status, st := c.ask(i, peer.MethodCancel, id); {
 	case st == records.StatusCancelled:
