--- a/client/request.go
+++ b/client/request.go
@@ -63,7 +63,7 @@
 }
 
 // reasonNoSuchJob is the service's error text for an unknown job. finalAnswer leaves it out, because
-// ErrNotFound says the same.
+// ErrNotFound means the same.
 const reasonNoSuchJob = "no such job"
 
 // finalAnswer reports whether a response is final, and the error that it represents, if any. Any other
--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -59,7 +59,7 @@
 )
 
 // runDaemon serves until the process is killed or a server fails. There is no graceful shutdown: a
-// controller may stop at any moment, and its lease on the leader key expires by itself.
+// controller may stop at any moment, and its lease on the leader key then expires.
 func runDaemon(cfg *config.Config) error {
 	setLogging(os.Getenv("LOG_LEVEL"))
 	limitRuntime(cfg.Deployment.Resources)
@@ -277,9 +277,9 @@
 }
 
 func (d *daemon) readMachineTypes(ctx context.Context) {
-	if row, err := d.store.Get(ctx, records.KeyMachineTypes); err == nil && row != nil {
+	if record, err := d.store.Get(ctx, records.KeyMachineTypes); err == nil && record != nil {
 		var stored records.MachineTypes
-		if json.Unmarshal(row.Value, &stored) == nil && len(stored.Types) > 0 {
+		if json.Unmarshal(record.Value, &stored) == nil && len(stored.Types) > 0 {
 			d.api.SetMachineTypes(stored.Types)
 		}
 	}
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -40,13 +40,13 @@
 }
 
 // storeCancelled moves an open job to the closed records as cancelled, unless its record has changed
-// since row was read. mayHaveStarted is as in jobCache.addClosed. It returns false if the commit
-// fails for any reason other than a conflict.
-func (s *Server) storeCancelled(ctx context.Context, id string, row *records.KeyValue, mayHaveStarted bool) bool {
-	job := decodeOpen(row)
+// since openRecord was read. mayHaveStarted is as in jobCache.addClosed. It returns false if the
+// commit fails for any reason other than a conflict.
+func (s *Server) storeCancelled(ctx context.Context, id string, openRecord *records.KeyValue, mayHaveStarted bool) bool {
+	job := decodeOpen(openRecord)
 	closed := records.ClosedJob{Status: records.StatusCancelled, Tasks: job.Tasks, Service: job.Shape == records.ShapeService}
 	_, err := s.store.Commit(ctx,
-		[]records.Compare{{Key: records.OpenKey(id), Revision: row.Revision}},
+		[]records.Compare{{Key: records.OpenKey(id), Revision: openRecord.Revision}},
 		[]records.Op{{Delete: records.OpenKey(id)}, {Write: records.ClosedKey(id), Value: closed}})
 	var conflict *records.ConflictError
 	switch {
--- a/internal/api/confirmations.go
+++ b/internal/api/confirmations.go
@@ -19,7 +19,7 @@
 )
 
 // pendingConfirmations tracks the cancelled jobs whose cancellation the leader has not acknowledged.
-// Until then users are not told that such a job is cancelled.
+// Until then no response reports such a job as cancelled.
 type pendingConfirmations struct {
 	leaderLease time.Duration
 
@@ -34,8 +34,8 @@
 // add records that the leader has to acknowledge a cancellation.
 //
 // When the map is full, cancellations older than the leader's lease are evicted: they no longer need
-// an acknowledgement (confirmCancelled). Nothing else is evicted, since a user could then be told of
-// a cancellation that the leader does not know.
+// an acknowledgement (confirmCancelled). Nothing else is evicted. Otherwise a cancellation that the
+// leader does not know could be confirmed to a user.
 func (c *pendingConfirmations) add(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,13 +63,13 @@
 	delete(c.since, id)
 }
 
-// confirmCancelled reports whether users may be told of a job's cancellation, which is stored. By
-// the protocol, none of the job's tasks may start after that, so the leader has to know first.
-// Usually its watch of the store reports the cancellation before a user asks. The watch lags if the
-// store is slow, rejects requests of the leader alone, or no longer has the leader's lease while
-// the leader still relies on it. Therefore the leader is notified and has to acknowledge. A leader
-// that cannot be reached starts no tasks after the expiry of any lease that it held when this
-// controller learned of the cancellation. Until then users are asked to retry.
+// confirmCancelled reports whether a stored cancellation of a job may be confirmed to users. By the
+// protocol, none of the job's tasks may start after that, so the leader has to know first. Usually
+// its watch of the store reports the cancellation before a user asks. The watch lags if the store
+// is slow, rejects requests of the leader alone, or no longer has the leader's lease while the
+// leader still relies on it. Therefore the leader is notified and has to acknowledge. A leader that
+// cannot be reached starts no tasks after the expiry of any lease that it held when this controller
+// stored or read the cancellation. Until then users are asked to retry.
 func (s *Server) confirmCancelled(ctx context.Context, id string) bool {
 	since, pending := s.confirmations.pendingSince(id)
 	if !pending {
--- a/internal/api/confirmations_test.go
+++ b/internal/api/confirmations_test.go
@@ -44,8 +44,8 @@
 	return err
 }
 
-// No response to a cancellation, a poll or a repeated submission tells a user that a job is cancelled
-// before the leader has acknowledged it or its lease has expired. Once confirmed, a cancellation stays
+// No response to a cancellation, a poll or a repeated submission reports a job as cancelled before
+// the leader has acknowledged it or its lease has expired. Once confirmed, a cancellation stays
 // confirmed.
 func TestCancellationIsReportedOnceLeaderKnows(t *testing.T) {
 	unsupported := unsupportedError(t)
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -65,16 +65,16 @@
 // dependencyResponse checks the dependencies of an open job, direct and indirect, before the job is
 // reported as open. If one is cancelled it cancels the job as well and returns a response that says
 // so; if their status is unknown it asks the user to retry. It returns false if the job may be
-// reported as open. Normally the leader cancels such jobs; without this check, a user could be told
-// that a job is pending long after a dependency was cancelled while no controller leads.
-func (s *Server) dependencyResponse(ctx context.Context, id string, row *records.KeyValue, readAt time.Time, p peer.Progress) (response, bool) {
-	dependencies := storedDependencies(row)
+// reported as open. Normally the leader cancels such jobs; without this check, a job could be
+// reported as pending long after a dependency was cancelled while no controller leads.
+func (s *Server) dependencyResponse(ctx context.Context, id string, openRecord *records.KeyValue, readAt time.Time, progress peer.Progress) (response, bool) {
+	dependencies := storedDependencies(openRecord)
 	if len(dependencies) == 0 {
 		return response{}, false
 	}
 	progressOf := func(other string) peer.Progress {
 		if other == id {
-			return p
+			return progress
 		}
 		return peer.Progress{}
 	}
@@ -82,7 +82,7 @@
 	case dependenciesClear:
 		return response{}, false
 	case dependencyCancelled:
-		if resp, ok := s.cancelDependent(ctx, id, row); ok {
+		if resp, ok := s.cancelDependent(ctx, id, openRecord); ok {
 			return resp, true
 		}
 	}
@@ -91,8 +91,8 @@
 
 // cancelDependent cancels a job because one of its dependencies is cancelled, and returns the response
 // with its final state. It returns false if that cannot be stored or read.
-func (s *Server) cancelDependent(ctx context.Context, id string, row *records.KeyValue) (response, bool) {
-	if !s.storeCancelled(ctx, id, row, false) {
+func (s *Server) cancelDependent(ctx context.Context, id string, openRecord *records.KeyValue) (response, bool) {
+	if !s.storeCancelled(ctx, id, openRecord, false) {
 		return response{}, false
 	}
 	if resp, ok := s.cachedResponse(ctx, id); ok {
@@ -134,8 +134,8 @@
 
 func (p dependencyPath) last() *pathStep { return &p[len(p)-1] }
 
-// pop removes the last job of the path, which was not cancelled up to clearAsOf, nor was any of its
-// dependencies.
+// pop removes the last job of the path: neither it nor any of its dependencies was cancelled up to
+// clearAsOf. The job before it is then clear up to that time at most.
 func (p *dependencyPath) pop(clearAsOf time.Time) {
 	*p = (*p)[:len(*p)-1]
 	if len(*p) > 0 && clearAsOf.Before(p.last().clearAsOf) {
@@ -251,20 +251,20 @@
 }
 
 // storedDependencies returns the direct dependencies in the record of an open job.
-func storedDependencies(row *records.KeyValue) []string {
+func storedDependencies(openRecord *records.KeyValue) []string {
 	var job struct {
 		Dependencies []string `json:"prereqs"`
 	}
-	_ = json.Unmarshal(row.Value, &job)
+	_ = json.Unmarshal(openRecord.Value, &job)
 	return job.Dependencies
 }
 
-// decodeOpen decodes an open job's record. The result is the zero job if row is nil; fields that cannot
-// be decoded are left zero.
-func decodeOpen(row *records.KeyValue) records.Job {
+// decodeOpen decodes an open job's record. The result is the zero job if openRecord is nil; fields
+// that cannot be decoded are left zero.
+func decodeOpen(openRecord *records.KeyValue) records.Job {
 	var job records.Job
-	if row != nil {
-		_ = json.Unmarshal(row.Value, &job)
+	if openRecord != nil {
+		_ = json.Unmarshal(openRecord.Value, &job)
 	}
 	return job
 }
--- a/internal/api/linearizability_test.go
+++ b/internal/api/linearizability_test.go
@@ -63,28 +63,28 @@
 	if err := ctxtime.Sleep(ctx, s.faults.delay()); err != nil {
 		return nil, records.ErrUnknownOutcome
 	}
-	row, err := s.Client.Get(ctx, key)
+	record, err := s.Client.Get(ctx, key)
 	if err == nil && s.faults.injectedBug == "stale cached read" {
 		s.mu.Lock()
 		if cached, ok := s.firstRead[key]; ok {
-			row = cached
+			record = cached
 		}
-		s.firstRead[key] = row
+		s.firstRead[key] = record
 		s.mu.Unlock()
 	}
 	if sleep := ctxtime.Sleep(ctx, s.faults.delay()); sleep != nil {
 		return nil, records.ErrUnknownOutcome
 	}
-	return row, err
+	return record, err
 }
 
 func (s *faultyStore) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
-	var rows []records.KeyValue
-	revision, err := s.Client.List(ctx, prefix, func(r records.KeyValue) error { rows = append(rows, r); return nil })
+	var list []records.KeyValue
+	revision, err := s.Client.List(ctx, prefix, func(r records.KeyValue) error { list = append(list, r); return nil })
 	if ctxtime.Sleep(ctx, s.faults.delay()) != nil {
 		return 0, records.ErrUnknownOutcome
 	}
-	for _, r := range rows {
+	for _, r := range list {
 		if s.faults.injectedBug == "incomplete list" && s.faults.intn(3) == 0 {
 			continue
 		}
@@ -204,10 +204,10 @@
 // finishJob stores an open job as done, as the leader does.
 func (cluster *testCluster) finishJob(id string) {
 	c := cluster.store.Client("leader")
-	if row, err := c.Get(context.Background(), records.OpenKey(id)); err == nil && row != nil {
+	if openRecord, err := c.Get(context.Background(), records.OpenKey(id)); err == nil && openRecord != nil {
 		closed := records.ClosedJob{Status: records.StatusDone, Tasks: 4}
 		_, _ = c.Commit(context.Background(),
-			[]records.Compare{{Key: records.OpenKey(id), Revision: row.Revision}},
+			[]records.Compare{{Key: records.OpenKey(id), Revision: openRecord.Revision}},
 			[]records.Op{{Delete: records.OpenKey(id)}, {Write: records.ClosedKey(id), Value: closed}})
 	}
 }
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -41,11 +41,11 @@
 	case job.open == nil:
 		return noSuchJobResponse
 	}
-	p := s.progress(id)
-	if resp, final := s.dependencyResponse(ctx, id, job.open, readAt, p); final {
+	progress := s.progress(id)
+	if resp, final := s.dependencyResponse(ctx, id, job.open, readAt, progress); final {
 		return resp
 	}
-	return openJobResponse(id, p)
+	return openJobResponse(id, progress)
 }
 
 // storedJob is a job as read from the store: open, closed, or neither if there is no such job.
@@ -61,9 +61,9 @@
 	// A job moves from the open to the closed records in one transaction. In this order, a job that
 	// moves between the reads is found by the second. Closed records are never deleted: if there is
 	// none now, there was none when the open record was found absent, so no such job existed then.
-	row, err := s.store.Get(ctx, records.OpenKey(id))
-	if err != nil || row != nil {
-		return storedJob{open: row}, err
+	openRecord, err := s.store.Get(ctx, records.OpenKey(id))
+	if err != nil || openRecord != nil {
+		return storedJob{open: openRecord}, err
 	}
 	closed, err := s.readClosed(ctx, id)
 	return storedJob{closed: closed}, err
@@ -71,12 +71,12 @@
 
 // readClosed reads a job's final state and caches it; it returns nil if there is none.
 func (s *Server) readClosed(ctx context.Context, id string) (*records.ClosedJob, error) {
-	row, err := s.store.Get(ctx, records.ClosedKey(id))
-	if err != nil || row == nil {
+	closedRecord, err := s.store.Get(ctx, records.ClosedKey(id))
+	if err != nil || closedRecord == nil {
 		return nil, err
 	}
 	var job records.ClosedJob
-	if err := json.Unmarshal(row.Value, &job); err != nil {
+	if err := json.Unmarshal(closedRecord.Value, &job); err != nil {
 		return nil, err
 	}
 	s.jobs.addClosed(id, job, true)
--- a/internal/api/response.go
+++ b/internal/api/response.go
@@ -70,8 +70,8 @@
 )
 
 // openJobResponse returns the response about a job without a final state.
-func openJobResponse(id string, p peer.Progress) response {
-	return response{outcomeOK, jobStatus{ID: id, Status: p.Status, Done: &p.Done, Running: &p.Running}}
+func openJobResponse(id string, progress peer.Progress) response {
+	return response{outcomeOK, jobStatus{ID: id, Status: progress.Status, Done: &progress.Done, Running: &progress.Running}}
 }
 
 // encodeJSON returns a reply with the body encoded as JSON, or a 503 if it cannot be encoded.
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -108,8 +108,8 @@
 }
 
 // A flood of polls uses no more than its share of the store's request rate. Of thousands of polls for
-// unknown jobs, those beyond the share are told to retry; a submission during the flood is accepted,
-// and a job that is submitted many times is committed once.
+// unknown jobs, those beyond the share get the response to retry; a submission during the flood is
+// accepted, and a job that is submitted many times is committed once.
 func TestPollFloodLeavesRoomForSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Node: "n-0"}
@@ -162,7 +162,7 @@
 		cfg.Deployment.Workers.HeartbeatS = 1.5
 		cfg.Deployment.Store.RPS, cfg.Deployment.Nodes = 70, 7
 		simulatedStore := simulation.NewStore()
-		rows := map[string]records.KeyValue{}
+		stored := map[string]records.KeyValue{}
 		var ids []string
 		for i := range 360 {
 			id := "j-" + strconv.Itoa(1000+i)
@@ -171,9 +171,9 @@
 			if i%6 == 0 {
 				key, value = records.ClosedKey(id), `{"status":"done","tasks":2}`
 			}
-			rows[key] = records.KeyValue{Key: key, Value: []byte(value), Revision: uint64(i + 1)}
+			stored[key] = records.KeyValue{Key: key, Value: []byte(value), Revision: uint64(i + 1)}
 		}
-		simulatedStore.ImportEntries(rows)
+		simulatedStore.ImportEntries(stored)
 		store := &countingStore{Client: simulatedStore.Client("n-0")}
 		s := api.New(cfg, store, unreachablePeers{}, func() string { return "" }, func() api.Leader { return nil })
 		var wg sync.WaitGroup
--- a/internal/api/shared_poll.go
+++ b/internal/api/shared_poll.go
@@ -95,8 +95,8 @@
 	s.coalescer.startNext()
 	sharedLists.Inc()
 	list.jobs = map[string]*records.KeyValue{}
-	_, list.err = s.store.List(ctx, records.PrefixOpen, func(row records.KeyValue) error {
-		list.jobs[strings.TrimPrefix(row.Key, records.PrefixOpen)] = &row
+	_, list.err = s.store.List(ctx, records.PrefixOpen, func(openRecord records.KeyValue) error {
+		list.jobs[strings.TrimPrefix(openRecord.Key, records.PrefixOpen)] = &openRecord
 		return nil
 	})
 	if list.err != nil {
@@ -112,8 +112,8 @@
 	if err != nil {
 		return unavailableResponse
 	}
-	if row := list.jobs[id]; row != nil {
-		return s.listedJobResponse(ctx, id, row, readAt)
+	if openRecord := list.jobs[id]; openRecord != nil {
+		return s.listedJobResponse(ctx, id, openRecord, readAt)
 	}
 	if resp, ok := s.cachedResponse(ctx, id); ok {
 		return resp
@@ -135,13 +135,13 @@
 // listedJobResponse returns the response about a job that is open in a shared list. It reads the
 // progress only if that needs no call to another controller or can change the response, which it can
 // if the job has dependencies.
-func (s *Server) listedJobResponse(ctx context.Context, id string, row *records.KeyValue, readAt time.Time) response {
-	p := peer.Progress{Status: records.StatusPending}
-	if len(storedDependencies(row)) > 0 || s.localLeader() != nil {
-		p = s.progress(id)
+func (s *Server) listedJobResponse(ctx context.Context, id string, openRecord *records.KeyValue, readAt time.Time) response {
+	progress := peer.Progress{Status: records.StatusPending}
+	if len(storedDependencies(openRecord)) > 0 || s.localLeader() != nil {
+		progress = s.progress(id)
 	}
-	if resp, final := s.dependencyResponse(ctx, id, row, readAt, p); final {
+	if resp, final := s.dependencyResponse(ctx, id, openRecord, readAt, progress); final {
 		return resp
 	}
-	return openJobResponse(id, p)
+	return openJobResponse(id, progress)
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -62,7 +62,7 @@
 }
 
 // rejectionResponse returns the response to a rejected submission. If the job was accepted earlier, the
-// response is its status, whatever has changed since then.
+// response is its status, even if the same submission would be rejected now.
 func (s *Server) rejectionResponse(ctx context.Context, id string, rejected *rejection) response {
 	resp := s.pollJob(ctx, id)
 	switch {
@@ -85,11 +85,11 @@
 	case !s.expectDuplicates():
 		return resp, false
 	}
-	row, err := s.store.Get(ctx, records.OpenKey(job.ID))
+	openRecord, err := s.store.Get(ctx, records.OpenKey(job.ID))
 	switch {
 	case err != nil:
 		return unavailableResponse, true
-	case row == nil:
+	case openRecord == nil:
 		return resp, false
 	}
 	s.jobs.addAccepted(job.ID)
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -38,10 +38,10 @@
 	}
 }
 
-// Track records that a request is in flight.
+// Track records that a rental request is in flight.
 func (p *Planner) Track(r RentalRequest) { p.inFlight[r.Name] = r }
 
-// Untrack records that a request has been answered or abandoned.
+// Untrack records that a rental request has been answered or abandoned.
 func (p *Planner) Untrack(r RentalRequest) { delete(p.inFlight, r.Name) }
 
 // BackOff starts the backoff of the request's offer; startup is the startup time of its machine type.
--- a/internal/cancellation/renewal_bound.go
+++ b/internal/cancellation/renewal_bound.go
@@ -53,9 +53,8 @@
 }
 
 // Covers reports whether the answers, all received by now, include every cancellation confirmed
-// between the last contact and the query, and returns their job ids. Each answer has to reach back
-// to the contact by itself: no other controller knows what a restarted or unreachable one has
-// confirmed.
+// between the last contact and the query, and returns their job ids. The span of every answer has to
+// include the contact: no other controller knows what a restarted or unreachable one has confirmed.
 func (b *RenewalBound) Covers(answers []PeerAnswer, now time.Time) (ids []string, ok bool) {
 	sinceContact := now.Sub(b.contact)
 	for _, answer := range answers {
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -297,7 +297,7 @@
 	return true
 }
 
-// UnknownJobs returns the ids of the dependencies of open jobs whose state is unknown, sorted.
+// UnknownJobs returns the sorted ids of the jobs in state Unknown that open jobs depend on.
 func (g *Graph) UnknownJobs() []string {
 	return sortedIDs(g.unknown)
 }
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -71,7 +71,7 @@
 }
 
 // describe returns a line for each of the jobs, the jobs to cancel and the unknown jobs. With
-// showClear it also tells which jobs have dependencies that are not clear.
+// showClear it also lists which jobs have dependencies that are not clear.
 func describe(g *Graph, ids []string, showClear bool) []string {
 	var lines []string
 	for _, id := range ids {
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -22,7 +22,7 @@
 	Place         Place // whether it could run elsewhere
 }
 
-// Place tells whether a task could run on another machine; a gang task only together with its gang.
+// Place is whether a task could run on another machine; a gang task only together with its gang.
 type Place int
 
 // Places.
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -8,8 +8,8 @@
 //     a deposed leader fails.
 //   - A term counts as confirmed only until the earliest time at which the lease may expire by the
 //     local clock: the duration counts from the sending of the request, less the clock drift.
-//   - A leader that resigns deletes nothing. Its lease expires by itself, and no other controller
-//     leads before that.
+//   - A leader that resigns deletes nothing. No other controller leads before its lease has
+//     expired.
 package election
 
 import (
@@ -88,8 +88,8 @@
 	return e.term, e.confirmedUntil
 }
 
-// Resign ends the term being served, if any, without deleting the key: the lease expires by itself,
-// so that no other controller leads before that.
+// Resign ends the term being served, if any, without deleting the key. No other controller leads
+// before the lease has expired.
 func (e *Election) Resign() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -123,18 +123,18 @@
 // campaign waits for the leader key to change while another term holds it, and otherwise tries to
 // acquire it. It returns nil without an error if it should be called again.
 func (e *Election) campaign(ctx context.Context) (*wonTerm, error) {
-	row, err := e.store.Get(ctx, records.KeyLeader)
+	record, err := e.store.Get(ctx, records.KeyLeader)
 	if err != nil {
 		return nil, err
 	}
 	revision := uint64(0)
-	if row != nil {
-		holder := decodeLeader(row)
+	if record != nil {
+		holder := decodeLeader(record)
 		if !e.heldByEarlierIncarnation(holder) {
-			e.observeHolder(ctx, holder, row)
-			return nil, e.awaitChange(ctx, row.Revision)
+			e.observeHolder(ctx, holder, record)
+			return nil, e.awaitChange(ctx, record.Revision)
 		}
-		revision = row.Revision
+		revision = record.Revision
 	}
 	e.setLeader("")
 	if wait := e.campaignBackoff(); wait > 0 {
@@ -144,9 +144,9 @@
 }
 
 // decodeLeader decodes the holder of the leader key. An unreadable value yields an empty node.
-func decodeLeader(row *records.KeyValue) records.Leader {
+func decodeLeader(record *records.KeyValue) records.Leader {
 	var holder records.Leader
-	_ = json.Unmarshal(row.Value, &holder)
+	_ = json.Unmarshal(record.Value, &holder)
 	return holder
 }
 
@@ -159,7 +159,7 @@
 // observeHolder records the holder of a leader key that cannot be acquired now. If this incarnation
 // holds it, no process serves that term: either it was resigned, and its lease is left to expire,
 // or a campaign won it without receiving the answer.
-func (e *Election) observeHolder(ctx context.Context, holder records.Leader, row *records.KeyValue) {
+func (e *Election) observeHolder(ctx context.Context, holder records.Leader, record *records.KeyValue) {
 	if holder.Incarnation != e.incarnation {
 		e.setLeader(holder.Node)
 		return
@@ -170,9 +170,9 @@
 	e.mu.Unlock()
 	// Without this revocation, the key of a term that no process serves would stay, and block the
 	// next election, until its lease expires.
-	if row.LeaseID != lastLeaseID {
-		slog.Info("late campaign revoked", "node", e.node, "term", row.Revision)
-		e.store.RevokeLease(ctx, row.LeaseID)
+	if record.LeaseID != lastLeaseID {
+		slog.Info("late campaign revoked", "node", e.node, "term", record.Revision)
+		e.store.RevokeLease(ctx, record.LeaseID)
 	}
 }
 
@@ -204,9 +204,9 @@
 	}
 	// The outcome is unknown: the commit may have been applied, or may yet be. Unless a read shows
 	// that it was, the lease is revoked, which also invalidates a commit applied late.
-	row, readErr := e.store.Get(ctx, records.KeyLeader)
-	if readErr == nil && row != nil && row.LeaseID == leaseID && decodeLeader(row).Incarnation == e.incarnation {
-		return &wonTerm{number: row.Revision, leaseID: leaseID, requestedAt: requestedAt}, nil
+	record, readErr := e.store.Get(ctx, records.KeyLeader)
+	if readErr == nil && record != nil && record.LeaseID == leaseID && decodeLeader(record).Incarnation == e.incarnation {
+		return &wonTerm{number: record.Revision, leaseID: leaseID, requestedAt: requestedAt}, nil
 	}
 	e.store.RevokeLease(ctx, leaseID)
 	return nil, err
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -25,7 +25,7 @@
 	StopRequestedAt time.Time // when a stop was first requested
 	StopReason      string    // set by the caller of RequestStop; the table does not read it
 
-	MayReap   bool          // the worker may be told to forget it
+	MayReap   bool          // the worker may get the command to forget it
 	Item      *packing.Item // its item in the machine's bin; nil once it has ended
 	Duplicate bool          // a duplicate attempt: it does not count as its task's attempt
 	Job       any           // the planner's job; the table does not read it
--- a/internal/fleet/heartbeat_result.go
+++ b/internal/fleet/heartbeat_result.go
@@ -4,7 +4,7 @@
 type HeartbeatOutcome int
 
 const (
-	// HeartbeatUnavailable tells the worker to retry: the leader cannot respond now.
+	// HeartbeatUnavailable requests a retry from the worker: the leader cannot respond now.
 	HeartbeatUnavailable HeartbeatOutcome = iota
 	// HeartbeatAccepted renews the worker's lease and returns its commands.
 	HeartbeatAccepted
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -39,7 +39,7 @@
 	return m.Inherited && !m.Reconciled && !m.EarlierLeasesExpired
 }
 
-// LastHeard returns when the machine's last status of this term came in, or SilentSince if that is
+// LastHeard returns when the machine's last status of this term arrived, or SilentSince if that is
 // later.
 func (m *Machine) LastHeard() time.Time {
 	if m.LastStatusAt.Before(m.SilentSince) {
--- a/internal/fleet/leases_test.go
+++ b/internal/fleet/leases_test.go
@@ -7,7 +7,7 @@
 	"drumpick/internal/forecast"
 )
 
-// A lease expires once neither a response nor a status came in for longer than its duration. The
+// A lease expires once neither a response nor a status has arrived for longer than its duration. The
 // machine's attempts are then returned as lost, exactly once.
 func TestExpireLeases(t *testing.T) {
 	table, m := newReconciledTable(t)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -22,7 +22,7 @@
 	FencingToken uint64 // the highest term that the worker has accepted
 
 	RequestedAt    time.Time // when it was requested from the cloud; zero: unknown
-	HasStatus      bool      // a heartbeat or probe answer came in during this term
+	HasStatus      bool      // a heartbeat or probe answer arrived during this term
 	LastStatusAt   time.Time // when a status was last applied
 	LeaseRenewedAt time.Time // when a heartbeat was last answered with status 200, which renews the lease
 	PreemptionAt   time.Time // when the cloud will preempt it; zero: no notice
@@ -32,7 +32,7 @@
 	// may still run here: see AwaitsReconciliation.
 	Inherited            bool // it was on record when this term began: an earlier term may have used it
 	Reconciled           bool // a status has shown this term's fencing token
-	EarlierLeasesExpired bool // all leases of earlier terms expired before a status of this term came in
+	EarlierLeasesExpired bool // all leases of earlier terms expired before a status of this term arrived
 	Recorded             bool // the store has a record of it, as a machine that may run tasks
 	Recording            bool // the record is being written
 	Unverified           bool // first known from a status: maybe a late copy from a removed machine
@@ -72,7 +72,7 @@
 
 	statusCount       uint64    // number of applied statuses
 	heartbeatSequence uint64    // sequence number of the last applied heartbeat
-	probeAnsweredAt   time.Time // when the last answer to a direct command came in
+	probeAnsweredAt   time.Time // when the last answer to a direct command arrived
 	reachability      reachability
 	staleness         staleness
 }
--- a/internal/fleet/staleness.go
+++ b/internal/fleet/staleness.go
@@ -15,8 +15,8 @@
 
 // staleness tracks the evidence that a machine's heartbeats may be late copies.
 type staleness struct {
-	lastLateAt    time.Time // when the last late status came in
-	onlyLateSince time.Time // when the first late status after the last current one came in; zero: none
+	lastLateAt    time.Time // when the last late status arrived
+	onlyLateSince time.Time // when the first late status after the last current one arrived; zero: none
 	incarnation   uint64    // of the last late status
 	addr          string    // of the last late status
 	restarted     bool      // it has restarted: copies from before the restart may look newer than its current status
@@ -77,7 +77,7 @@
 	return Late
 }
 
-// recordLate records that a late status came in.
+// recordLate records that a late status arrived.
 func (m *Machine) recordLate(hb *Heartbeat, now time.Time) {
 	s := &m.staleness
 	s.lastLateAt = now
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -19,9 +19,9 @@
 	Upgraded    bool       // the worker's version changed
 }
 
-// Apply applies a status to its machine and the machine's attempts. isHeartbeat tells a heartbeat,
-// before which the worker has executed or timed out every earlier response, from the answer to a
-// direct command or a status request, which may overtake a response.
+// Apply applies a status to its machine and the machine's attempts. isHeartbeat is true for a
+// heartbeat, before which the worker has executed or timed out every earlier response, and false for
+// the answer to a direct command or a status request, which may overtake a response.
 func (t *Table) Apply(hb *Heartbeat, isHeartbeat bool, now time.Time) ApplyResult {
 	if hb.Validate() != nil {
 		return ApplyResult{Stale: true}
--- a/internal/fleet/status_test.go
+++ b/internal/fleet/status_test.go
@@ -49,7 +49,7 @@
 	return a
 }
 
-// A status older than the last applied one changes nothing, whatever it lists.
+// A status older than the last applied one changes nothing, for any list of tasks.
 func TestLateStatusChangesNothing(t *testing.T) {
 	table, m := newReconciledTable(t)
 	newest := status(11, running(1))
--- a/internal/leader/attestation.go
+++ b/internal/leader/attestation.go
@@ -103,7 +103,7 @@
 	return a.current, changed
 }
 
-// requestRelaxation returns the attestation that tells peers that the leader is about to dispatch
+// requestRelaxation returns the attestation that the leader sends to its peers before it dispatches
 // tasks beyond watermarks, as it cannot store these.
 func (a *attestor) requestRelaxation() watermark.Attestation {
 	if !a.settings.Watermarks {
--- a/internal/leader/attestation_query.go
+++ b/internal/leader/attestation_query.go
@@ -26,12 +26,12 @@
 		slog.Info("watermarks checked", "term", a.number, "source", "peers", "attested", latest.Term, "complete", complete, "err", err)
 		return complete
 	}
-	row, err := a.store.Get(ctx, records.KeyWatermarksComplete)
-	if err != nil || row == nil {
+	record, err := a.store.Get(ctx, records.KeyWatermarksComplete)
+	if err != nil || record == nil {
 		slog.Info("watermarks checked", "term", a.number, "source", "none", "complete", false, "peers", answers, "err", err)
 		return false
 	}
-	return a.storedAttestationHolds(ctx, row)
+	return a.storedAttestationHolds(ctx, record)
 }
 
 // queryObservers queries the attestations that all controllers, this one included, have observed of
@@ -55,15 +55,15 @@
 
 // storedAttestationHolds reports whether the stored attestation of complete watermarks still holds.
 // It is used when all controllers have ended at once, so that none has observed an attestation.
-func (a *attestor) storedAttestationHolds(ctx context.Context, row *records.KeyValue) bool {
+func (a *attestor) storedAttestationHolds(ctx context.Context, record *records.KeyValue) bool {
 	var stored watermark.StoredAttestation
-	_ = json.Unmarshal(row.Value, &stored) // an unreadable record has term 0
+	_ = json.Unmarshal(record.Value, &stored) // an unreadable record has term 0
 	_, _, startedAt := a.store.Health()
 	maxClockError := time.Duration(a.cfg.Deployment.MaxClockErrorMS * float64(time.Millisecond))
 	holdoff := a.relaxationHoldoff() - config.MaxDrift(a.relaxationHoldoff())
 	complete := stored.StillHolds(a.cfg.Node, startedAt, holdoff, maxClockError)
 	if complete {
-		changes, err := a.leaderChanges(ctx, row.Revision)
+		changes, err := a.leaderChanges(ctx, record.Revision)
 		complete = err == nil && len(changes) == 1 && changes[0].Term == a.number
 	}
 	slog.Info("watermarks checked", "term", a.number, "source", "store", "attested", stored.Term, "node", stored.Node, "complete", complete)
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -72,7 +72,7 @@
 		arrival = dispatched.Add(t.settings.HeartbeatInterval / inFlightDivisor)
 	}
 	cancelled.deliveredBy[job] = arrival
-	t.state.scheduler.CloseJob(job) // dependents learn the outcome from the closed record
+	t.state.scheduler.CloseJob(job) // the closed record decides about its dependents
 	return arrival
 }
 
--- a/internal/leader/commit_conflict.go
+++ b/internal/leader/commit_conflict.go
@@ -56,9 +56,9 @@
 // has to be retried at the current revision.
 func (p *persister) refreshRevision(ctx context.Context, write scheduler.PendingWrite) (stored bool, err error) {
 	for {
-		row, err := p.store.Get(ctx, write.GuardKey)
+		stored, err := p.store.Get(ctx, write.GuardKey)
 		if err == nil {
-			return p.applyStoredRow(write, row), nil
+			return p.applyStoredRecord(write, stored), nil
 		}
 		if err := ctxtime.Sleep(ctx, p.settings.HeartbeatInterval/16+rand.N(p.settings.HeartbeatInterval/16)); err != nil {
 			return false, err
@@ -66,16 +66,16 @@
 	}
 }
 
-// applyStoredRow records the revision of the row stored under the key of a write, nil for none, and
-// reports whether the row is that write.
-func (p *persister) applyStoredRow(write scheduler.PendingWrite, row *records.KeyValue) (stored bool) {
+// applyStoredRecord saves the revision of the record stored under the key of a write, nil for none,
+// and reports whether the record is that write.
+func (p *persister) applyStoredRecord(write scheduler.PendingWrite, record *records.KeyValue) (stored bool) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
 	*write.GuardRevision = 0
-	if row != nil {
-		*write.GuardRevision = row.Revision
+	if record != nil {
+		*write.GuardRevision = record.Revision
 	}
-	stored = isStored(write.Ops[0], row)
+	stored = isStored(write.Ops[0], record)
 	if stored {
 		write.OnStored(*write.GuardRevision)
 	} else {
@@ -86,16 +86,16 @@
 
 // isStored reports whether an op is what the store holds. It compares decoded values, as the store
 // may re-encode them.
-func isStored(op records.Op, row *records.KeyValue) bool {
-	if op.Delete != "" || row == nil {
-		return (op.Delete != "") == (row == nil)
+func isStored(op records.Op, record *records.KeyValue) bool {
+	if op.Delete != "" || record == nil {
+		return (op.Delete != "") == (record == nil)
 	}
 	raw, err := json.Marshal(op.Value)
 	if err != nil {
 		return false
 	}
 	var written, found any
-	if json.Unmarshal(raw, &written) != nil || json.Unmarshal(row.Value, &found) != nil {
+	if json.Unmarshal(raw, &written) != nil || json.Unmarshal(record.Value, &found) != nil {
 		return false
 	}
 	return reflect.DeepEqual(written, found)
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -89,7 +89,7 @@
 
 // read reads the record of one closed job, and adds the job to absent if there is none.
 func (d *dependencyReader) read(ctx context.Context, job string, absent *[]string) {
-	row, err := d.store.Get(ctx, records.ClosedKey(job))
+	record, err := d.store.Get(ctx, records.ClosedKey(job))
 	if err != nil {
 		slog.Debug("dependency not read", "job", job, "err", err)
 		return
@@ -97,10 +97,10 @@
 	d.state.mu.Lock()
 	defer d.state.mu.Unlock()
 	var closed records.ClosedJob
-	if row == nil || json.Unmarshal(row.Value, &closed) != nil {
+	if record == nil || json.Unmarshal(record.Value, &closed) != nil {
 		// The job may be open and not yet reported by the watch.
 		*absent = append(*absent, job)
 		return
 	}
-	d.state.scheduler.ApplyClosedRecord(job, closed, row.Revision)
+	d.state.scheduler.ApplyClosedRecord(job, closed, record.Revision)
 }
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -17,22 +17,22 @@
 func (l *Leader) loadDrains(ctx context.Context, sched *scheduler.Scheduler) error {
 	states := map[string]*drain.State{}
 	revisions := map[string]uint64{}
-	_, err := l.store.List(ctx, records.PrefixDrainState, func(row records.KeyValue) error {
+	_, err := l.store.List(ctx, records.PrefixDrainState, func(record records.KeyValue) error {
 		var state drain.State
-		if err := json.Unmarshal(row.Value, &state); err != nil {
-			slog.Error("unreadable record", "key", row.Key, "err", err)
+		if err := json.Unmarshal(record.Value, &state); err != nil {
+			slog.Error("unreadable record", "key", record.Key, "err", err)
 			return nil
 		}
-		id := strings.TrimPrefix(row.Key, records.PrefixDrainState)
+		id := strings.TrimPrefix(record.Key, records.PrefixDrainState)
 		states[id] = &state
-		revisions[id] = row.Revision
+		revisions[id] = record.Revision
 		return nil
 	})
 	if err != nil {
 		return fmt.Errorf("load %s: %w", records.PrefixDrainState, err)
 	}
-	return l.loadPrefix(ctx, records.PrefixDrains, func(row records.KeyValue) {
-		if spec, ok := scheduler.ReadDrain(row.Key, row.Value); ok {
+	return l.loadPrefix(ctx, records.PrefixDrains, func(record records.KeyValue) {
+		if spec, ok := scheduler.ReadDrain(record.Key, record.Value); ok {
 			sched.SetDrain(spec, states[spec.ID], revisions[spec.ID])
 		}
 	})
@@ -67,8 +67,8 @@
 // relist applies a list of all drains.
 func (w *drainWatch) relist(ctx context.Context) (revision uint64, err error) {
 	found := map[string]drain.Spec{}
-	revision, err = w.store.List(ctx, records.PrefixDrains, func(row records.KeyValue) error {
-		if spec, ok := scheduler.ReadDrain(row.Key, row.Value); ok {
+	revision, err = w.store.List(ctx, records.PrefixDrains, func(record records.KeyValue) error {
+		if spec, ok := scheduler.ReadDrain(record.Key, record.Value); ok {
 			found[spec.ID] = spec
 		}
 		return nil
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -23,8 +23,8 @@
 	if err := l.loadMachineTypes(ctx, sched); err != nil {
 		return 0, err
 	}
-	revision, err = l.store.List(ctx, records.PrefixOpen, func(row records.KeyValue) error {
-		l.addJob(sched, row, now, wall)
+	revision, err = l.store.List(ctx, records.PrefixOpen, func(record records.KeyValue) error {
+		l.addJob(sched, record, now, wall)
 		return nil
 	})
 	if err != nil {
@@ -50,15 +50,15 @@
 }
 
 func (l *Leader) loadMachineTypes(ctx context.Context, sched *scheduler.Scheduler) error {
-	row, err := l.store.Get(ctx, records.KeyMachineTypes)
+	record, err := l.store.Get(ctx, records.KeyMachineTypes)
 	if err != nil {
 		return fmt.Errorf("load %s: %w", records.KeyMachineTypes, err)
 	}
-	if row == nil {
+	if record == nil {
 		return nil
 	}
 	var stored records.MachineTypes
-	if json.Unmarshal(row.Value, &stored) == nil {
+	if json.Unmarshal(record.Value, &stored) == nil {
 		sched.SetMachineTypes(stored.Types)
 	}
 	return nil
@@ -66,7 +66,7 @@
 
 // loadPersisted loads the records that terms keep besides open jobs.
 func (l *Leader) loadPersisted(ctx context.Context, persistence *scheduler.Persistence, now time.Time) error {
-	loadMachine := func(row records.KeyValue) { persistence.LoadMachinePage(row, now) }
+	loadMachine := func(record records.KeyValue) { persistence.LoadMachinePage(record, now) }
 	if err := l.loadPrefix(ctx, records.PrefixFinishedTasks, persistence.LoadDonePage); err != nil {
 		return err
 	}
@@ -80,8 +80,8 @@
 }
 
 func (l *Leader) loadPrefix(ctx context.Context, prefix string, load func(records.KeyValue)) error {
-	_, err := l.store.List(ctx, prefix, func(row records.KeyValue) error {
-		load(row)
+	_, err := l.store.List(ctx, prefix, func(record records.KeyValue) error {
+		load(record)
 		return nil
 	})
 	if err != nil {
--- a/internal/leader/job_watch.go
+++ b/internal/leader/job_watch.go
@@ -81,8 +81,8 @@
 // relist applies a list of all open jobs.
 func (w *jobWatch) relist(ctx context.Context) (revision uint64, err error) {
 	open := map[string]records.KeyValue{}
-	revision, err = w.store.List(ctx, records.PrefixOpen, func(row records.KeyValue) error {
-		open[strings.TrimPrefix(row.Key, records.PrefixOpen)] = row
+	revision, err = w.store.List(ctx, records.PrefixOpen, func(record records.KeyValue) error {
+		open[strings.TrimPrefix(record.Key, records.PrefixOpen)] = record
 		return nil
 	})
 	if err != nil {
@@ -96,18 +96,18 @@
 		return ok
 	}
 	w.state.scheduler.CloseUnlistedJobs(isOpen, revision)
-	for _, row := range open {
-		w.addJob(w.state.scheduler, row, now, now)
+	for _, record := range open {
+		w.addJob(w.state.scheduler, record, now, now)
 	}
 	return revision, nil
 }
 
 // addJob adds the job of a record to a scheduler. Once the state of earlier terms is loaded, the
 // caller must hold the state's lock.
-func (t *term) addJob(sched *scheduler.Scheduler, row records.KeyValue, now, wall time.Time) {
+func (t *term) addJob(sched *scheduler.Scheduler, record records.KeyValue, now, wall time.Time) {
 	var job records.Job
-	if err := json.Unmarshal(row.Value, &job); err != nil || records.OpenKey(job.ID) != row.Key || job.Tasks <= 0 {
-		slog.Error("unreadable record", "key", row.Key, "err", err)
+	if err := json.Unmarshal(record.Value, &job); err != nil || records.OpenKey(job.ID) != record.Key || job.Tasks <= 0 {
+		slog.Error("unreadable record", "key", record.Key, "err", err)
 		return
 	}
 	// Without this check, an answer of the store from before a cancellation, received after the
@@ -115,5 +115,5 @@
 	if t.state.cancelled.contains(job.ID) {
 		return
 	}
-	sched.AddJob(job, row.Revision, now, wall)
+	sched.AddJob(job, record.Revision, now, wall)
 }
--- a/internal/leader/machine_types.go
+++ b/internal/leader/machine_types.go
@@ -86,13 +86,13 @@
 
 // readRevision reads the revision of the stored record. It reports whether the store answered.
 func (m *machineTypes) readRevision(ctx context.Context) bool {
-	row, err := m.store.Get(ctx, records.KeyMachineTypes)
+	record, err := m.store.Get(ctx, records.KeyMachineTypes)
 	if err != nil {
 		return false
 	}
 	m.revision, m.revisionKnown = 0, true
-	if row != nil {
-		m.revision = row.Revision
+	if record != nil {
+		m.revision = record.Revision
 	}
 	return true
 }
--- a/internal/leader/persist.go
+++ b/internal/leader/persist.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// awaitRound waits for the next round. It returns false when ctx has ended.
+// awaitRound waits until writes are due, for a quarter of a heartbeat interval at most. It returns
+// false when ctx has ended.
 func (p *persister) awaitRound(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return false
@@ -155,8 +156,8 @@
 }
 
 // commitSeparately stores writes one by one after the store has rejected them as one commit.
-// Otherwise a limit of the store that is lowered without notice would block the leader for good, as
-// it rejects a commit that is too large on every retry.
+// Otherwise a limit of the store that is lowered without notice would block the leader permanently:
+// the store would reject the oversized commit on every retry.
 func (p *persister) commitSeparately(ctx context.Context, writes []scheduler.PendingWrite, cause error) bool {
 	slog.Warn("commit rejected as too large", "writes", len(writes), "term", p.number, "err", cause)
 	if len(writes) == 1 {
--- a/internal/loadtest/regression.go
+++ b/internal/loadtest/regression.go
@@ -19,8 +19,8 @@
 	ByTeams   = "teams"
 )
 
-// minSizes is the number of distinct sizes that a fit needs. With fewer, a superlinear term cannot be told from
-// the slope.
+// minSizes is the number of distinct sizes that a fit needs. With fewer, a superlinear term cannot
+// be distinguished from the slope.
 const minSizes = 4
 
 // plannedSizes is the planned size in each dimension.
--- a/internal/localcluster/loopback_test.go
+++ b/internal/localcluster/loopback_test.go
@@ -263,7 +263,8 @@
 
 // submitNew submits a job for the first time. It checks that the job is unknown before, known afterwards, and not
 // created again by a repeated submission. It does not check that the first submission reports the job as new: if the
-// commit succeeds but its response arrives too late, the client retries and is correctly told that the job is known.
+// commit succeeds but its response arrives too late, the client retries, and the response correctly reports the job as
+// known.
 func submitNew(t *testing.T, c *client.Client, j client.Job) {
 	t.Helper()
 	ctx := t.Context()
@@ -281,8 +282,8 @@
 	}
 }
 
-// The store executes a submission's commit, but its response arrives after the controller's timeout: the client's retry
-// is told that the job is known, and the job has been accepted once.
+// The store executes a submission's commit, but its response arrives after the controller's timeout: the response to
+// the client's retry reports the job as known, and the job has been accepted once.
 func TestSubmissionWithLateCommitAnswerIsAcceptedOnce(t *testing.T) {
 	t.Parallel()
 	const answerDelay = time.Second // twice a controller's timeout for store requests
--- a/internal/operator/drain_request.go
+++ b/internal/operator/drain_request.go
@@ -17,8 +17,8 @@
 	Force bool `json:"force,omitempty"`
 	// Since is the last machine of the previous page of a plan.
 	Since string `json:"since,omitempty"`
-	// Seen are the ids of the stored drains. A leader that has not read all of them cannot tell
-	// whether they leave enough machines together with the new one.
+	// Seen are the ids of the stored drains. A leader that has not read all of them cannot decide
+	// whether they and the new drain leave enough machines.
 	Seen []string `json:"seen,omitempty"`
 }
 
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -82,8 +82,8 @@
 		return storeUnavailableResponse, true
 	}
 	in.Seen = stored.ids
-	if stored.row != nil {
-		return repeatedStartResponse(in.Spec, stored.row), true
+	if stored.record != nil {
+		return repeatedStartResponse(in.Spec, stored.record), true
 	}
 	switch out := s.planDrain(*in); out.Status {
 	case fiber.StatusOK:
@@ -111,7 +111,7 @@
 type storedDrains struct {
 	sequence uint64            // revision of the drain sequence, read first
 	ids      []string          // ids of all drains
-	row      *records.KeyValue // record of the planned drain, nil if it is not stored yet
+	record   *records.KeyValue // record of the planned drain, nil if it is not stored yet
 }
 
 // readStoredDrains reads the drain sequence and then all stored drains; key is that of the planned
@@ -126,10 +126,10 @@
 	if sequence != nil {
 		stored.sequence = sequence.Revision
 	}
-	_, err = s.store.List(ctx, records.PrefixDrains, func(row records.KeyValue) error {
-		stored.ids = append(stored.ids, strings.TrimPrefix(row.Key, records.PrefixDrains))
-		if row.Key == key {
-			stored.row = &row
+	_, err = s.store.List(ctx, records.PrefixDrains, func(record records.KeyValue) error {
+		stored.ids = append(stored.ids, strings.TrimPrefix(record.Key, records.PrefixDrains))
+		if record.Key == key {
+			stored.record = &record
 		}
 		return nil
 	})
@@ -147,9 +147,9 @@
 }
 
 // repeatedStartResponse returns the response to a request for a drain whose id is already stored.
-func repeatedStartResponse(spec drain.Spec, row *records.KeyValue) peer.RelayReply {
+func repeatedStartResponse(spec drain.Spec, record *records.KeyValue) peer.RelayReply {
 	var stored drain.Spec
-	if err := json.Unmarshal(row.Value, &stored); err != nil {
+	if err := json.Unmarshal(record.Value, &stored); err != nil {
 		return unreadableRecordResponse(err)
 	}
 	expected := stored
@@ -170,22 +170,22 @@
 	}
 	key := records.PrefixDrains + id
 	for range stopAttempts {
-		row, err := s.store.Get(ctx, key)
+		record, err := s.store.Get(ctx, key)
 		switch {
 		case err != nil:
 			return storeUnavailableResponse
-		case row == nil:
+		case record == nil:
 			return noSuchDrainResponse(id)
 		}
 		var spec drain.Spec
-		if err := json.Unmarshal(row.Value, &spec); err != nil {
+		if err := json.Unmarshal(record.Value, &spec); err != nil {
 			return unreadableRecordResponse(err)
 		}
 		if spec.Stopped {
 			return okResponse(scheduler.DrainView{Spec: spec})
 		}
 		spec.Stopped = true
-		_, err = s.store.Commit(ctx, []records.Compare{{Key: key, Revision: row.Revision}}, []records.Op{{Write: key, Value: spec}})
+		_, err = s.store.Commit(ctx, []records.Compare{{Key: key, Revision: record.Revision}}, []records.Op{{Write: key, Value: spec}})
 		var conflict *records.ConflictError
 		switch {
 		case err == nil:
@@ -208,10 +208,10 @@
 		return storeUnavailableResponse
 	}
 	out := Drains{Drains: []scheduler.DrainView{}}
-	if _, err := s.store.List(ctx, records.PrefixDrains, func(row records.KeyValue) error {
+	if _, err := s.store.List(ctx, records.PrefixDrains, func(record records.KeyValue) error {
 		var spec drain.Spec
-		if err := json.Unmarshal(row.Value, &spec); err != nil {
-			slog.Error("unreadable record", "key", row.Key, "err", err)
+		if err := json.Unmarshal(record.Value, &spec); err != nil {
+			slog.Error("unreadable record", "key", record.Key, "err", err)
 			return nil
 		}
 		spec.Machines = spec.Machines[:min(len(spec.Machines), maxListedNames)]
@@ -230,10 +230,10 @@
 // readDrainStates reads the states of all drains, by id. States that cannot be decoded are left out.
 func (s *Server) readDrainStates(ctx context.Context) (map[string]*drain.State, error) {
 	states := map[string]*drain.State{}
-	_, err := s.store.List(ctx, records.PrefixDrainState, func(row records.KeyValue) error {
+	_, err := s.store.List(ctx, records.PrefixDrainState, func(record records.KeyValue) error {
 		var state drain.State
-		if json.Unmarshal(row.Value, &state) == nil {
-			states[strings.TrimPrefix(row.Key, records.PrefixDrainState)] = &state
+		if json.Unmarshal(record.Value, &state) == nil {
+			states[strings.TrimPrefix(record.Key, records.PrefixDrainState)] = &state
 		}
 		return nil
 	})
@@ -248,20 +248,20 @@
 	if out := s.AskLeader(peer.RelayRequest{Method: methodDrain, ID: id}); out.Status == fiber.StatusOK {
 		return out
 	}
-	row, err := s.store.Get(ctx, records.PrefixDrains+id)
+	record, err := s.store.Get(ctx, records.PrefixDrains+id)
 	switch {
 	case err != nil:
 		return storeUnavailableResponse
-	case row == nil:
+	case record == nil:
 		return noSuchDrainResponse(id)
 	}
 	var view scheduler.DrainView
-	if err := json.Unmarshal(row.Value, &view.Spec); err != nil {
+	if err := json.Unmarshal(record.Value, &view.Spec); err != nil {
 		return unreadableRecordResponse(err)
 	}
-	if row, err := s.store.Get(ctx, records.PrefixDrainState+id); err == nil && row != nil {
+	if stateRecord, err := s.store.Get(ctx, records.PrefixDrainState+id); err == nil && stateRecord != nil {
 		var state drain.State
-		if json.Unmarshal(row.Value, &state) == nil {
+		if json.Unmarshal(stateRecord.Value, &state) == nil {
 			view.State = &state
 		}
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -29,7 +29,7 @@
 
 // Peers calls the other controllers.
 type Peers interface {
-	// RelayOperatorRequest relays an operator's request to a node, as the leader.
+	// RelayOperatorRequest relays an operator's request to the leader's node.
 	RelayOperatorRequest(node string, r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, error)
 }
 
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -37,7 +37,8 @@
 	return p
 }
 
-// call sends a request to the peer with the given index and decodes its reply.
+// call sends a request to the peer with the given index and decodes its reply. Any HTTP status but
+// 200 gives ErrUnsupported.
 func (p *Peers) call(i int, path string, request, reply any, timeout time.Duration) error {
 	raw, err := msgpack.Marshal(request)
 	if err != nil {
--- a/internal/records/golden_test.go
+++ b/internal/records/golden_test.go
@@ -21,7 +21,7 @@
 		Name: "c4", CPUs: 4, GPUs: 1, MemGB: 16, CacheGB: 50, FetchGBps: 0.5, Price: 0.2, SpotPrice: 0.05,
 		StartupS: 30, Zones: []string{"a", "b"},
 	}
-	row := KeyValue{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Revision: 7, LeaseID: 8}
+	record := KeyValue{Key: "leader", Value: json.RawMessage(`{"node":"n-2"}`), Revision: 7, LeaseID: 8}
 	goldentest.Run(t, "golden-records.json", goldentest.JSON, []goldentest.Case{
 		{Name: "leader", Value: Leader{Node: "n-2", Incarnation: "start-3", Watermarks: true}},
 		{Name: "open job", Value: job},
@@ -41,9 +41,9 @@
 		{Name: "priorities", Direction: goldentest.WriteOnly, Value: []string{
 			PriorityCritical, PriorityUrgent, PriorityStandard, PriorityLow,
 		}},
-		{Name: "row", Direction: goldentest.ReadOnly, Value: row},
+		{Name: "row", Direction: goldentest.ReadOnly, Value: record},
 		// A local cluster's store writes its records in this form.
-		{Name: "row, written", Direction: goldentest.WriteOnly, Value: row},
+		{Name: "row, written", Direction: goldentest.WriteOnly, Value: record},
 		{Name: "condition", Direction: goldentest.WriteOnly, Value: Compare{Key: "leader", Revision: 7}},
 		{Name: "change", Direction: goldentest.WriteOnly, Value: Op{Write: "types", Value: map[string]int{"n": 1}, LeaseID: 8, Delete: "whole"}},
 		{Name: "event", Direction: goldentest.ReadOnly, Value: Event{
@@ -87,14 +87,14 @@
 			if err := json.Unmarshal(golden, &read); err != nil {
 				t.Fatal(err)
 			}
-			rows := []KeyValue{
+			stored := []KeyValue{
 				{Key: read.Write, Value: read.Value},
 				{Key: x.prefix + x.id, Value: x.value},
 			}
-			for _, row := range rows {
-				entries, err := DecodeEntries(x.prefix, row)
+			for _, record := range stored {
+				entries, err := DecodeEntries(x.prefix, record)
 				if err != nil || len(entries) != 1 || string(entries[x.id]) != string(x.value) {
-					t.Errorf("%s is read as %s, %v, want %s of %s", row.Key, entries, err, x.value, x.id)
+					t.Errorf("%s is read as %s, %v, want %s of %s", record.Key, entries, err, x.value, x.id)
 				}
 			}
 		})
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -29,8 +29,8 @@
 	PrefixDrains = "drains/"
 	// PrefixDrainState is the prefix of the progress of drains.
 	PrefixDrainState = "drainstate/"
-	// KeyDrainSequence is written in the commit of each new drain. Its compare lets only one of two
-	// drains be stored that were planned against the same set of drains.
+	// KeyDrainSequence is written, and compared with the revision read before, in the commit of
+	// each new drain. So of two drains planned against the same set of drains, only one is stored.
 	KeyDrainSequence = "drainturn"
 )
 
--- a/internal/records/paged.go
+++ b/internal/records/paged.go
@@ -251,16 +251,16 @@
 
 // DecodeEntries decodes the records of a page, by id. Versions without pages stored each record
 // under its own key: prefix and id.
-func DecodeEntries(prefix string, row KeyValue) (map[string]json.RawMessage, error) {
+func DecodeEntries(prefix string, record KeyValue) (map[string]json.RawMessage, error) {
 	var entries map[string]json.RawMessage
-	if err := json.Unmarshal(row.Value, &entries); err == nil {
+	if err := json.Unmarshal(record.Value, &entries); err == nil {
 		if _, isMachine := entries[machineTypeField]; !isMachine {
 			return entries, nil
 		}
-	} else if len(row.Value) == 0 || row.Value[0] != '"' {
-		return nil, fmt.Errorf("record %s: %w", row.Key, err)
+	} else if len(record.Value) == 0 || record.Value[0] != '"' {
+		return nil, fmt.Errorf("record %s: %w", record.Key, err)
 	}
-	return map[string]json.RawMessage{strings.TrimPrefix(row.Key, prefix): row.Value}, nil
+	return map[string]json.RawMessage{strings.TrimPrefix(record.Key, prefix): record.Value}, nil
 }
 
 // machineTypeField is the field of Machine that distinguishes the record of a single machine from a
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -33,8 +33,8 @@
 // delay. Partially free places are then reserved for it, too.
 func Urgent(waited, need, bound time.Duration) bool { return waited+need >= bound }
 
-// EarliestWait returns the wait before which no job gets a reservation, whatever its need. Due does
-// not check it; the caller must.
+// EarliestWait returns the wait before which no job gets a reservation, even with the largest need.
+// Due does not check it; the caller must.
 func EarliestWait(bound time.Duration) time.Duration {
 	return time.Duration(float64(bound) * dueShare / 2)
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -47,16 +47,16 @@
 
 // controller is a controller other than the leader.
 type controller struct {
-	zone      string // "" if unknown
-	lastHeard time.Time
-	workers   int // workers assigned to it, including those that have not used it yet
-	returned  int // workers that came back from it since the last sweep
+	zone        string // "" if unknown
+	lastContact time.Time
+	workers     int // workers assigned to it, including those that have not used it yet
+	returned    int // workers that came back from it since the last sweep
 }
 
 // worker is the route of one worker's heartbeats.
 type worker struct {
 	zone          string
-	via           string // the controller that it uses or was last told to use
+	via           string // the controller that it uses or was last assigned
 	lastHeartbeat time.Time
 	avoid         string    // a controller that the worker cannot reach or that cannot reach the leader
 	avoidUntil    time.Time // when avoid expires
@@ -83,7 +83,7 @@
 		r.controllers[node] = c
 	}
 	c.zone = zone
-	c.lastHeard = now
+	c.lastContact = now
 }
 
 // Route records a heartbeat of a worker in the given zone that came through controller via, which may
@@ -109,7 +109,7 @@
 		target = r.leastLoaded(nodes)
 	} else {
 		if c := r.controllers[via]; c != nil {
-			c.lastHeard = now
+			c.lastContact = now
 		}
 		target = r.rebalance(w, now)
 	}
@@ -151,7 +151,7 @@
 // isEligible reports whether a worker may be assigned to another controller.
 func (r *Router) isEligible(node string, w *worker, now time.Time) bool {
 	c := r.controllers[node]
-	fresh := now.Sub(c.lastHeard) <= freshIntervals*r.interval
+	fresh := now.Sub(c.lastContact) <= freshIntervals*r.interval
 	avoided := node == w.avoid && now.Before(w.avoidUntil)
 	return fresh && c.returned <= maxReturned && !avoided
 }
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -106,7 +106,7 @@
 	now             time.Time
 	controllerZones []string
 	up              []bool // by controller
-	lastHeard       []time.Time
+	lastContact     []time.Time
 	workerZones     []string
 	assigned        []int // by worker, the index of its controller
 }
@@ -117,11 +117,11 @@
 	others := rapid.IntRange(1, 4).Draw(t, "other controllers")
 	workers := rapid.IntRange(1, 60).Draw(t, "workers")
 	m := &clusterModel{
-		t:         t,
-		router:    New(leaderNode, testInterval, testLease),
-		now:       testStart,
-		up:        make([]bool, others+1),
-		lastHeard: make([]time.Time, others+1),
+		t:           t,
+		router:      New(leaderNode, testInterval, testLease),
+		now:         testStart,
+		up:          make([]bool, others+1),
+		lastContact: make([]time.Time, others+1),
 	}
 	zone := rapid.SampledFrom([]string{"", "a", "b"})
 	for range workers {
@@ -143,7 +143,7 @@
 	for c := 1; c <= m.others(); c++ {
 		if m.up[c] {
 			m.router.RecordPeer(node(c), m.controllerZones[c], m.now)
-			m.lastHeard[c] = m.now
+			m.lastContact[c] = m.now
 		}
 	}
 	for i := range m.assigned {
@@ -166,8 +166,8 @@
 		return false
 	}
 	c, err := strconv.Atoi(strings.TrimPrefix(target, "n-"))
-	if err != nil || c == via || c == 0 || m.now.Sub(m.lastHeard[c]) > freshIntervals*testInterval {
-		m.t.Fatalf("worker %d at %s is sent to %s, heard %v ago", worker, node(via), target, m.now.Sub(m.lastHeard[c]))
+	if err != nil || c == via || c == 0 || m.now.Sub(m.lastContact[c]) > freshIntervals*testInterval {
+		m.t.Fatalf("worker %d at %s is sent to %s, last contact %v ago", worker, node(via), target, m.now.Sub(m.lastContact[c]))
 	}
 	m.assigned[worker] = c
 	return true
@@ -205,9 +205,9 @@
 }
 
 // For random controller failures, a worker is never sent to the controller it uses, to the leader, or
-// to a controller that has not been heard from recently. Once all controllers are up, the router
-// stops moving workers, no controller holds far more than its share, and no worker is outside its
-// zone while the controllers in its zone may hold more.
+// to a controller without recent contact. Once all controllers are up, the router stops moving
+// workers, no controller holds far more than its share, and no worker is outside its zone while the
+// controllers in its zone may hold more.
 func TestRoutesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newClusterModel(t)
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -120,9 +120,9 @@
 			s.ApplyClosedRecord(job.ID, closed, revision)
 		},
 		// On a conflict the open record is gone: either a user cancelled the job, or an earlier try
-		// of this write was stored and its answer was lost. Only the closed record tells which; until
-		// it is read, no dependent starts or is cancelled. Otherwise a completed job could count as
-		// cancelled.
+		// of this write was stored and its answer was lost. Only the closed record shows which;
+		// until it is read, no dependent starts or is cancelled. Otherwise a completed job could
+		// count as cancelled.
 		OnConflict: func() { s.CloseJob(job.ID) },
 	}
 }
--- a/internal/scheduler/drain_pass.go
+++ b/internal/scheduler/drain_pass.go
@@ -148,7 +148,7 @@
 			HasCompletedTask: m.HasCompletedTask,
 			Faulty:           m.Faulty,
 			Classes:          s.classesOf(m, classes),
-			// After a failover the stored state tells which machines were out of service.
+			// After a failover the stored state shows which machines were out of service.
 			OutOfService: m.Cordon == d || m.Cordon == nil && outOfService[m.Name],
 		}
 		if !m.VersionSince.IsZero() {
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -6,9 +6,9 @@
 	"drumpick/internal/fleet"
 )
 
-// Recency compares a heartbeat with the latest status of its machine. A heartbeat that is late, or
-// comes from a returned machine, proves nothing, not even to which controller its worker sends
-// heartbeats now.
+// Recency returns the recency of a heartbeat relative to the latest status of its machine: Late for
+// a returned machine, Current for an unknown one. A Late heartbeat is no evidence of its worker's
+// state, nor of the controller that the worker uses now.
 func (s *Scheduler) Recency(heartbeat *fleet.Heartbeat, now time.Time) fleet.Recency {
 	if s.fleet.Machines[heartbeat.Machine] == nil {
 		if _, returned := s.autoscaling.returnedAt[heartbeat.Machine]; returned {
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -11,8 +11,9 @@
 )
 
 // movable reports whether an attempt may be moved to fill or empty a bin: only tasks of arrays that
-// are planned or were assigned less than a rebalancing interval ago, each once after it was sent.
-// Gangs never move; replicas move only in rebalancing rounds, one at a time.
+// are planned, or were assigned less than a rebalancing interval ago and have been reported. A task
+// on a machine is moved only if it was never moved before. Gangs never move; replicas move only in
+// rebalancing rounds, one at a time.
 func (s *Scheduler) movable(j *Job, a *fleet.Attempt, now time.Time) bool {
 	if j == nil || a.Stopping() || a.Duplicate || j.Shape != records.ShapeArray {
 		return false
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -28,7 +28,7 @@
 	GuardRevision *uint64
 	// OnUnanswered is called when the first write of the key got no answer.
 	OnUnanswered func()
-	// OnTooLarge is called when the store rejects the write for good because it is too large.
+	// OnTooLarge is called when the store rejects the write permanently because it is too large.
 	OnTooLarge func()
 }
 
@@ -73,8 +73,8 @@
 }
 
 // LoadDonePage loads a page of finished tasks. The jobs must have been loaded before.
-func (p *Persistence) LoadDonePage(row records.KeyValue) {
-	loadPage(records.PrefixFinishedTasks, p.finished.Pages(), row, func(id string, v json.RawMessage) error {
+func (p *Persistence) LoadDonePage(record records.KeyValue) {
+	loadPage(records.PrefixFinishedTasks, p.finished.Pages(), record, func(id string, v json.RawMessage) error {
 		job, chunk, ok := records.ParsePartID(id)
 		var ranges string
 		if !ok || json.Unmarshal(v, &ranges) != nil {
@@ -90,8 +90,8 @@
 }
 
 // LoadMachinePage loads a page of machines that an earlier term may have used.
-func (p *Persistence) LoadMachinePage(row records.KeyValue, now time.Time) {
-	loadPage(records.PrefixMachines, p.machines, row, func(name string, v json.RawMessage) error {
+func (p *Persistence) LoadMachinePage(record records.KeyValue, now time.Time) {
+	loadPage(records.PrefixMachines, p.machines, record, func(name string, v json.RawMessage) error {
 		var machine records.Machine
 		err := json.Unmarshal(v, &machine)
 		// The machine may hold tasks even if its record is unreadable.
@@ -101,8 +101,8 @@
 }
 
 // LoadWatermarkPage loads a page of watermarks. An unreadable watermark may cover any task.
-func (p *Persistence) LoadWatermarkPage(row records.KeyValue) {
-	readable := loadPage(records.PrefixWatermarks, p.watermarks, row, func(id string, v json.RawMessage) error {
+func (p *Persistence) LoadWatermarkPage(record records.KeyValue) {
+	readable := loadPage(records.PrefixWatermarks, p.watermarks, record, func(id string, v json.RawMessage) error {
 		n, err := records.ParseWatermark(v)
 		if err != nil {
 			p.watermarkUnreadable = true
@@ -136,16 +136,16 @@
 
 // loadPage loads a page and calls each with its entries. It reports whether the page itself could be
 // decoded.
-func loadPage(prefix string, pages *records.PagedRecords, row records.KeyValue, each func(id string, v json.RawMessage) error) bool {
-	entries, err := records.DecodeEntries(prefix, row)
+func loadPage(prefix string, pages *records.PagedRecords, record records.KeyValue, each func(id string, v json.RawMessage) error) bool {
+	entries, err := records.DecodeEntries(prefix, record)
 	if err != nil {
-		slog.Error("unreadable record", "key", row.Key, "err", err)
+		slog.Error("unreadable record", "key", record.Key, "err", err)
 		return false
 	}
-	pages.Load(row.Key, entries, len(row.Value)).Revision = row.Revision
+	pages.Load(record.Key, entries, len(record.Value)).Revision = record.Revision
 	for id, v := range entries {
 		if err := each(id, v); err != nil {
-			slog.Error("unreadable record", "key", row.Key, "id", id, "err", err)
+			slog.Error("unreadable record", "key", record.Key, "id", id, "err", err)
 		}
 	}
 	return true
@@ -172,7 +172,8 @@
 	maxOps     int
 }
 
-// tryReserve reserves room for more changes, and reports whether they fit. The first ones always fit.
+// tryReserve reserves room for the given numbers of operations and bytes, and reports whether they
+// fit. They always fit into an empty batch.
 func (b *writeBatch) tryReserve(ops, bytes int) bool {
 	if len(b.writes) > 0 && (b.ops+ops > b.maxOps || b.bytes+bytes > maxCommitBytes) {
 		return false
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -13,10 +13,10 @@
 // suffices for any job, without lost work.
 //
 // A job that is urgent only because of its dependents is served first but does not preempt: the
-// middle jobs of a chain are large and not pressed for time, and would stop hundreds of tasks during
-// their image fetches. No task is preempted for a gang that does not get all its places. Equivalent
-// jobs share one evaluation of the machines. Otherwise each urgent job in the queue would examine
-// every task.
+// middle jobs of a chain are large and have time to spare, and preemption for them would stop
+// hundreds of tasks that are still fetching their images. No task is preempted for a gang that does
+// not get all its places. Equivalent jobs share one evaluation of the machines. Otherwise each
+// urgent job in the queue would examine every task.
 func (s *Scheduler) preempt(now time.Time) {
 	if !s.reconciled {
 		return
--- a/internal/scheduler/preemption_victims.go
+++ b/internal/scheduler/preemption_victims.go
@@ -51,7 +51,7 @@
 
 // mayPreempt reports whether an attempt may be preempted for a job: it has lower priority, or its
 // team exceeds its guarantee and the job is protected by the guarantee of another team. Only attempts
-// of unprotected arrays are preempted.
+// of unprotected arrays are preempted, and for each job a task at most once.
 func (s *preemptionSearch) mayPreempt(job *Job, attempt *fleet.Attempt, excess map[string]quota.Amount) bool {
 	if attempt.Stopping() || !attempt.MayBePresent() || attempt.State() == fleet.Sent || attempt.Item == nil {
 		return false
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -62,9 +62,9 @@
 	t.Cleanup(func() { set(previous) })
 }
 
-// The largest jobs must start in time whatever small jobs arrive, within the limit that
-// docs/reservations.md states: three quarters of the reservation bound, plus the longest run time of
-// the running tasks for each gang that is due.
+// The largest jobs must start in time regardless of the small jobs that arrive, within the limit
+// that docs/reservations.md states: three quarters of the reservation bound, plus the longest run
+// time of the running tasks for each gang that is due.
 func TestLargestJobsStartWithinBound(t *testing.T) {
 	useFixedSeed(t)
 	setRapidChecks(t, 25)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -172,8 +172,8 @@
 
 // recordResult marks a task as done and its part as due to be stored. One result completes a whole
 // gang: if only some members' results are known, because the last leader stored only these or the
-// machines of the others are gone, the others would restart, wait for their peers in vain, and the
-// job would never complete.
+// machines of the others are gone, the others would restart and wait for their peers, and the job
+// would never complete.
 func (s *Scheduler) recordResult(job *Job, task int) {
 	if task >= job.Tasks || hasBit(job.done, task) || job.Shape == records.ShapeService {
 		return
--- a/internal/scheduler/slo.go
+++ b/internal/scheduler/slo.go
@@ -15,13 +15,15 @@
 const (
 	// sloReportsPerBound is the number of service-level reports per bound on a job's start.
 	sloReportsPerBound = 4
-	// A report is a warning if the share of jobs started in time is below sloWarnShare, or the longest
-	// wait exceeds waitWarnShare of the bound: before half of the jobs, or the bound, are missed.
+	// A line is logged as a warning if the share of jobs started in time is below sloWarnShare, or
+	// the longest wait exceeds waitWarnShare of the bound. So the warning comes before half of
+	// the jobs start late, or a wait exceeds the bound.
 	sloWarnShare, waitWarnShare = 0.6, 0.75
 )
 
 // reportSLO logs sloReportsPerBound times per bound how many jobs started in time: one line for each
-// class, each team and each class's largest jobs, as a warning if less than half may start in time.
+// class, each team and each class's largest jobs. The lines of teams and of classes with an
+// objective also update metrics.
 func (s *Scheduler) reportSLO(now time.Time) {
 	bound := s.settings.BeginWithin
 	if now.Sub(s.lastSLOReport) < bound/sloReportsPerBound {
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -25,9 +25,9 @@
 	machine                                *fleet.Machine // where its image was ready last
 }
 
-// longest returns the name of the longest part: waiting for the leader to learn of the job, for room,
-// for the watermark and the heartbeat whose answer carries the run command, for the image, or for the
-// rest of the gang to run. The names are label values of a metric.
+// longest returns the name of the longest part: waiting for the leader to read the job, for room,
+// for the watermark and the heartbeat whose answer carries the run command, for the image, or for
+// the rest of the gang to run. The names are label values of a metric.
 func (w waitBreakdown) longest() string {
 	part, longest := "heard", w.discovery
 	for _, x := range []struct {
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -188,18 +188,18 @@
 		if budget <= 0 {
 			return
 		}
-		left := j.Tasks - j.nextUntried
-		if left <= 0 || j.blocked || !s.startable(j, now) {
+		untried := j.Tasks - j.nextUntried
+		if untried <= 0 || j.blocked || !s.startable(j, now) {
 			continue
 		}
 		if j.Shape == records.ShapeGang {
 			s.raiseWatermark(j, 0)
-			budget -= left
+			budget -= untried
 			continue
 		}
-		if want := min(left, budget); j.watermark.Requested-j.nextUntried < want {
+		if want := min(untried, budget); j.watermark.Requested-j.nextUntried < want {
 			s.raiseWatermark(j, j.nextUntried+want-1)
 		}
-		budget -= left
+		budget -= untried
 	}
 }
--- a/internal/simulation/cancel_before_outage_test.go
+++ b/internal/simulation/cancel_before_outage_test.go
@@ -280,7 +280,7 @@
 	}},
 }
 
-// submitOutageJobs submits jobs of all shapes, one with a dependency, and one that nobody cancels.
+// submitOutageJobs submits jobs of all shapes, one with a dependency, and one that is not cancelled.
 func (c *cluster) submitOutageJobs() {
 	for id, j := range map[string]records.Job{
 		"j-1": {Tasks: 12}, "j-2": {Tasks: 4}, "j-3": {Tasks: 4, Shape: records.ShapeGang},
--- a/internal/simulation/cancel_confirm_test.go
+++ b/internal/simulation/cancel_confirm_test.go
@@ -8,11 +8,11 @@
 	"drumpick/internal/records"
 )
 
-// After a user has been told that a job is cancelled, none of its tasks starts, however late the
-// leader's watch of the store reports it (the environment checks this as rule started_cancelled).
-// Short tasks keep starting on few machines while the jobs are cancelled one by one at other
-// controllers. Guards against starts by a leader that is the only controller refused by the store, and
-// by a leader that reaches neither the store nor its peers.
+// After the cancellation of a job has been confirmed to a user, none of its tasks starts, however
+// late the leader's watch of the store reports the cancellation (the environment checks this as
+// rule started_cancelled). Short tasks keep starting on few machines while the jobs are cancelled
+// one by one at other controllers. Guards against starts by a leader that is the only controller
+// refused by the store, and by a leader that reaches neither the store nor its peers.
 func TestNoTaskStartsAfterConfirmedCancellation(t *testing.T) {
 	for name, scenario := range map[string]func(c *cluster, leader int, cancel func()){
 		"the store is slow for the leader": func(c *cluster, leader int, cancel func()) {
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -65,7 +65,7 @@
 	expectedDone      []string               // accepted jobs that are not cancelled
 	unansweredCancels []string               // jobs whose cancel request got no 200 response
 	cancelledJobs     map[string]bool        // cancelled jobs and their direct and indirect dependents
-	onJobEvent        func(event, id string) // called when a user is told that a job is accepted or final; may be nil
+	onJobEvent        func(event, id string) // called when a response reports a job as accepted or final; may be nil
 }
 
 const nodeNames = "n-0 n-1 n-2 n-3 n-4 n-5 n-6"
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -122,7 +122,7 @@
 	})
 }
 
-// The leader dies while it cancels a chain of dependents; the next leader cancels the rest.
+// The leader is killed while it cancels a chain of dependents; the next leader cancels the rest.
 func TestFailoverContinuesCancellationOfDependents(t *testing.T) {
 	runScenarioWith(t, func(c *cluster) { c.cfg.Deployment.Store.TxnOps = 2 }, func(c *cluster) {
 		sleep(2)
@@ -151,7 +151,7 @@
 
 // The leader's commit of a job's completion is applied, but its response is lost: the job is done
 // and its dependents run. Guards against reading the missing open record as a cancellation, which
-// would cancel dependents that nobody cancelled.
+// would cancel dependents without any cancellation request.
 func TestCompletedJobWithLostCommitResponseIsNotCancelled(t *testing.T) {
 	for _, delay := range []time.Duration{0, 3 * time.Second} {
 		runScenario(t, func(c *cluster) {
@@ -172,8 +172,8 @@
 	}
 }
 
-// A user cancels a job as it completes. The user is told either done, and the job's dependents run,
-// or cancelled, and they are cancelled too.
+// A user cancels a job as it completes. The response reports either done, and the job's dependents
+// run, or cancelled, and they are cancelled too.
 func TestCancelRacingCompletionGivesOneFinalState(t *testing.T) {
 	finalStates := map[string]int{}
 	var end time.Duration // of the task of j-1, measured in the first run
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -63,10 +63,10 @@
 	pickCommandDelay func() (command, response time.Duration)
 	pickBootTime     func() time.Duration // overrides BootTime if not nil
 
-	// What users requested and were told about jobs; the rules refer to it.
-	acceptedAt      map[string]time.Time // when a user was first told that the job exists
+	// Users' requests about jobs and the responses; the rules refer to them.
+	acceptedAt      map[string]time.Time // when a response first reported the job as known
 	cancelRequested map[string]bool      // jobs that a user asked to cancel, answered or not
-	cancelledAt     map[string]time.Time // when a user was first told that it is cancelled
+	cancelledAt     map[string]time.Time // when a response first reported the job as cancelled
 	finalStates     map[string]finalState
 	violations      []string
 
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -49,9 +49,9 @@
 	return started
 }
 
-// The leader dies while a zone is partitioned: tasks that were never dispatched start at once in the
-// other zone. Guards against machines that idle beside a full queue until the unreachable ones have
-// been returned.
+// The leader is killed while a zone is partitioned: tasks that were never dispatched start at once
+// in the other zone. Guards against machines that idle beside a full queue until the unreachable
+// ones have been returned.
 func TestFailoverStartsTasksNeverDispatched(t *testing.T) {
 	t.Parallel()
 	killLeader := func(c *cluster) { c.killNode(c.leaderIndex()) }
@@ -63,8 +63,8 @@
 	}
 }
 
-// All controllers die at once, so that no observer is left: the attestation in the store is used by
-// the process that restarts on the last leader's node in time.
+// All controllers are killed at once, so that no observer is left: the attestation in the store is
+// used by the process that restarts on the last leader's node in time.
 func TestStoredWatermarksAreUsedAfterAllControllersDied(t *testing.T) {
 	t.Parallel()
 	failOver := func(pause float64) func(c *cluster) {
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// The leader dies while machines with long tasks are partitioned, hang, or receive no responses. They
-// become reachable again before their leases expire or after, at any controller.
+// The leader is killed while machines with long tasks are partitioned, hang, or receive no
+// responses. They become reachable again before their leases expire or after, at any controller.
 func TestMachinesUnreachableAcrossFailover(t *testing.T) {
 	for _, fault := range []string{"partitioned", "unreachable", "hanging"} {
 		for _, seconds := range []float64{6, 10, 20, 45} {
@@ -160,7 +160,7 @@
 				c.store.SetRefused(c.env.Nodes[old], false)
 				runUsers(10)
 				setDelay(0)
-				// Repeats the cancellations that nobody confirmed.
+				// Repeats the cancellations that were not confirmed.
 				for i := 2; i <= n; i += 2 {
 					id := fmt.Sprint("j-", i)
 					if _, st := c.ask(0, peer.MethodCancel, id); st == records.StatusCancelled {
@@ -194,8 +194,8 @@
 	}
 }
 
-// Each fault pair of docs/faults.md by itself, three times in a scenario. -fault-pairs 60 runs ten
-// seeds of each.
+// Each scenario injects one fault pair of docs/faults.md three times. -fault-pairs 60 runs ten
+// seeds of each pair.
 func TestEachFaultPair(t *testing.T) {
 	for i, m := range faultPairs {
 		for seed := range max(*faultPairSeeds/6, 1) {
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// A controller restarts within a fraction of a second, also during an election, or a machine reboots with its counters
-// reset. No job may be lost.
+// A controller restarts within a fraction of a second, also during an election, or a machine reboots with its
+// incarnation and sequence number reset. No job may be lost.
 func TestImmediateRestartLosesNothing(t *testing.T) {
 	restart := func(c *cluster, pause float64, nodes ...int) {
 		for _, i := range nodes {
@@ -258,7 +258,8 @@
 	}
 }
 
-// rebootMachines reboots machines with their counters reset, and requires that the leader uses them again within 5 s.
+// rebootMachines reboots machines, which resets their incarnations and sequence numbers, and requires that the leader
+// uses them again within 5 s.
 func rebootMachines(c *cluster, ms []*Machine) {
 	for _, m := range ms {
 		m.Reboot()
--- a/internal/simulation/heartbeat_relay_test.go
+++ b/internal/simulation/heartbeat_relay_test.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// A follower that relays heartbeats dies: its workers switch to another controller, and no work is
-// lost. After its restart it receives heartbeats again.
+// A follower that relays heartbeats is killed: its workers switch to another controller, and no
+// work is lost. After its restart it receives heartbeats again.
 func TestWorkersSwitchFromDeadFollower(t *testing.T) {
 	runRelayScenario(t, func(*cluster) {}, func(c *cluster) {
 		leader := c.leaderIndex()
--- a/internal/simulation/jobs_test.go
+++ b/internal/simulation/jobs_test.go
@@ -90,7 +90,7 @@
 	})
 }
 
-// A machine dies and another is preempted with notice: the job is done all the same.
+// A machine fails and another is preempted with notice: the job is done all the same.
 func TestJobCompletesDespiteLostMachines(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		sleep(2)
--- a/internal/simulation/late_writes_test.go
+++ b/internal/simulation/late_writes_test.go
@@ -10,7 +10,7 @@
 )
 
 // Commits without a response are applied seconds later, after newer ones of the same controller, while
-// machines come and go and leaders die during a zone partition. Guards against a late commit that
+// machines fail and leaders are killed during a zone partition. Guards against a late commit that
 // reverts newer writes of its term because both compare nothing but the leader key.
 func TestLateWritesRevertNoNewerWrite(t *testing.T) {
 	for seed := range uint64(6) {
--- a/internal/simulation/lease_expiry_test.go
+++ b/internal/simulation/lease_expiry_test.go
@@ -85,10 +85,10 @@
 	return len(all) > 0
 }
 
-// The leader's process dies during a zone partition and restarts: the old process can renew no lease
-// any more, so one lease duration after its death the zone's tasks have ended, and its machines are
-// kept. If the process does not restart, it may still be renewing leases for all that the new leader
-// knows: the machines are returned.
+// The leader's process is killed during a zone partition and restarts: the old process can renew no
+// lease any more, so one lease duration after the kill the zone's tasks have ended, and its
+// machines are kept. If the process does not restart, the new leader cannot exclude that it still
+// renews leases: the machines are returned.
 func TestLeasesExpireInPartitionedZone(t *testing.T) {
 	t.Parallel()
 	failOver := func(restarts bool) func(*cluster, int, *leader.Leader) {
@@ -133,7 +133,7 @@
 				if !secondTakeover {
 					return
 				}
-				// A second leader takes over and dies before it is reconciled.
+				// A second leader is elected and is killed before it is reconciled.
 				for range 100 {
 					if sleep(0.2); c.leaderOtherThan(old) != nil {
 						break
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -128,7 +128,8 @@
 	m.env.mu.Unlock()
 }
 
-// Reboot restarts the machine at once, without its tasks and with all of its counters reset.
+// Reboot restarts the machine at once, without its tasks and with its incarnation, sequence number and fencing token
+// reset.
 func (m *Machine) Reboot() {
 	m.env.mu.Lock()
 	m.loseTasksLocked(time.Now())
--- a/internal/simulation/outage_test.go
+++ b/internal/simulation/outage_test.go
@@ -10,8 +10,8 @@
 )
 
 // A store outage longer than the leader's lease and the workers' leases ends no running task, as all
-// controllers attest that no user can have been told of a cancellation. As none of them can lead,
-// waiting tasks keep starting.
+// controllers attest that none of them has confirmed a cancellation to a user. As none of them can
+// lead, waiting tasks keep starting.
 func TestLongStoreOutageKeepsRunningTasks(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		c.env.RunTime = func(task string) time.Duration {
--- a/internal/simulation/restart_test.go
+++ b/internal/simulation/restart_test.go
@@ -6,7 +6,7 @@
 	"drumpick/internal/records"
 )
 
-// The leader dies while tasks run: they keep running, and none starts twice.
+// The leader is killed while tasks run: they keep running, and none starts twice.
 func TestFailoverKeepsRunningTasks(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		sleep(2)
@@ -27,7 +27,7 @@
 	})
 }
 
-// All controllers die at once and restart within the workers' lease: no running task is lost.
+// All controllers are killed at once and restart within the workers' lease: no running task is lost.
 func TestRestartOfAllControllersKeepsRunningTasks(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		sleep(2)
--- a/internal/simulation/rules_responses.go
+++ b/internal/simulation/rules_responses.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/records"
 )
 
-// finalState is a job's final state and when a user was first told of it.
+// finalState is a job's final state and when a response first reported it.
 type finalState struct {
 	status     string
 	reportedAt time.Time
@@ -22,7 +22,7 @@
 	env.mu.Unlock()
 }
 
-// RecordCancelConfirmation records that a user was told that a job is cancelled.
+// RecordCancelConfirmation records that a response reported a job as cancelled.
 func (env *Environment) RecordCancelConfirmation(id string) {
 	env.mu.Lock()
 	if _, ok := env.cancelledAt[id]; !ok {
@@ -41,8 +41,8 @@
 	return requested || slices.ContainsFunc(j.Dependencies, env.mayBeCancelled)
 }
 
-// DependencyCancelledFor returns the time since a user was first told that a dependency of a job, direct or
-// indirect, is cancelled; 0: none is.
+// DependencyCancelledFor returns the longest time since a response first reported a direct or indirect dependency of a
+// job as cancelled; 0: none was.
 func (env *Environment) DependencyCancelledFor(id string) time.Duration {
 	j, _ := env.LookupJob(id)
 	var longest time.Duration
@@ -97,14 +97,14 @@
 		j.CPUs <= t.CPUs+epsilon && j.GPUs <= t.GPUs+epsilon && j.MemGB <= t.MemGB+epsilon
 }
 
-// recordAcceptedLocked records that a user was told that a job exists.
+// recordAcceptedLocked records that a response reported a job as known.
 func (env *Environment) recordAcceptedLocked(id string) {
 	if _, known := env.acceptedAt[id]; !known {
 		env.acceptedAt[id] = time.Now()
 	}
 }
 
-// CheckNotFound checks that a user who asked at a time may be told that a job does not exist.
+// CheckNotFound checks a response that a job is not found: no response before the request may have reported it as known.
 func (env *Environment) CheckNotFound(id string, asked time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -46,16 +46,16 @@
 	client := NewClient(strings.TrimPrefix(server.URL, "http://"), testLimits)
 	for key, test := range cases {
 		t.Run(key, func(t *testing.T) {
-			row, err := client.Get(context.Background(), key)
+			record, err := client.Get(context.Background(), key)
 			if !errors.Is(err, test.wantErr) {
 				t.Errorf("got error %v, want %v", err, test.wantErr)
 			}
 			var revision uint64
-			if row != nil {
-				revision = row.Revision
+			if record != nil {
+				revision = record.Revision
 			}
-			if (row != nil) != (test.wantRevision != 0) || revision != test.wantRevision {
-				t.Errorf("got %+v, want revision %d", row, test.wantRevision)
+			if (record != nil) != (test.wantRevision != 0) || revision != test.wantRevision {
+				t.Errorf("got %+v, want revision %d", record, test.wantRevision)
 			}
 		})
 	}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -52,16 +52,16 @@
 }
 
 func goldenReads(ctx context.Context, client *Client) map[string]goldenCase {
-	const rowText = `{"k":"machines/1-1","value":{"m":1},"stamp":7,"hold":8}`
-	row := records.KeyValue{Key: "machines/1-1", Value: json.RawMessage(`{"m":1}`), Revision: 7, LeaseID: 8}
-	get := func() (any, error) { return client.Get(ctx, row.Key) }
+	const recordText = `{"k":"machines/1-1","value":{"m":1},"stamp":7,"hold":8}`
+	record := records.KeyValue{Key: "machines/1-1", Value: json.RawMessage(`{"m":1}`), Revision: 7, LeaseID: 8}
+	get := func() (any, error) { return client.Get(ctx, record.Key) }
 	list := func() (any, error) {
-		var rows []records.KeyValue
+		var found []records.KeyValue
 		revision, err := client.List(ctx, "machines/", func(r records.KeyValue) error {
-			rows = append(rows, r)
+			found = append(found, r)
 			return nil
 		})
-		return []any{rows, revision}, err
+		return []any{found, revision}, err
 	}
 	watch := func() (any, error) {
 		events, revision, err := client.Watch(ctx, "jobs/open/", 5, time.Second)
@@ -74,13 +74,13 @@
 		{Delete: "jobs/open/j-2", Revision: 9},
 	}
 	pages := []goldenResponse{
-		{200, `{"rows":[` + rowText + `],"more":true,"epoch":9}`},
+		{200, `{"rows":[` + recordText + `],"more":true,"epoch":9}`},
 		{200, `{"rows":[],"more":false,"epoch":11}`},
 	}
 	return map[string]goldenCase{
-		"read":               {oneResponse(200, rowText), get, &row, nil},
+		"read":               {oneResponse(200, recordText), get, &record, nil},
 		"read an absent key": {oneResponse(404, `{"epoch":9}`), get, (*records.KeyValue)(nil), nil},
-		"list in pages":      {pages, list, []any{[]records.KeyValue{row}, uint64(9)}, nil},
+		"list in pages":      {pages, list, []any{[]records.KeyValue{record}, uint64(9)}, nil},
 		"watch":              {oneResponse(200, watchText), watch, []any{events, uint64(9)}, nil},
 		"watch, too old":     {oneResponse(410, `{}`), watch, []any{[]records.Event(nil), uint64(5)}, records.ErrCompacted},
 	}
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -13,7 +13,7 @@
 	"drumpick/internal/records"
 )
 
-// pageSize is the maximum number of rows in a page of a list.
+// pageSize is the maximum number of records in a page of a list.
 const pageSize = 500
 
 // noSuchLease is the store's error text for a commit that names an expired lease.
@@ -36,7 +36,7 @@
 		Revision uint64 `json:"epoch"`
 	}
 	pageResponse struct {
-		Rows     []records.KeyValue `json:"rows"`
+		Records  []records.KeyValue `json:"rows"`
 		More     bool               `json:"more"`
 		Revision uint64             `json:"epoch"`
 	}
@@ -66,11 +66,11 @@
 		}
 		return nil, nil
 	case http.StatusOK:
-		var row records.KeyValue
-		if err := json.Unmarshal(body, &row); err != nil || row.Key != key || row.Revision == 0 {
-			return nil, fmt.Errorf("%w: invalid row for key %s", records.ErrUnexpected, key)
+		var record records.KeyValue
+		if err := json.Unmarshal(body, &record); err != nil || record.Key != key || record.Revision == 0 {
+			return nil, fmt.Errorf("%w: invalid record for key %s", records.ErrUnexpected, key)
 		}
-		return &row, nil
+		return &record, nil
 	}
 	return nil, fmt.Errorf("%w: status %d for key %s", records.ErrUnexpected, status, key)
 }
@@ -99,13 +99,13 @@
 		if revision == 0 {
 			revision = page.Revision
 		}
-		for _, row := range page.Rows {
-			if err := each(row); err != nil {
+		for _, record := range page.Records {
+			if err := each(record); err != nil {
 				return 0, err
 			}
-			cursor = row.Key
+			cursor = record.Key
 		}
-		if !page.More || len(page.Rows) == 0 {
+		if !page.More || len(page.Records) == 0 {
 			return revision, nil
 		}
 	}
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -12,7 +12,7 @@
 // rate; then the rate rises linearly.
 //
 // Without it, users who poll and submit at all controllers at once make leaders lose their leases
-// in succession: the store rejects every request over its rate with a 429, whoever sends it.
+// in succession: the store rejects every request over its rate with a 429, including the leader's.
 type userThrottle struct {
 	maxRate float64 // per second: the store's rate limit
 	minRate float64 // per second: always available to this controller's users
--- a/internal/watermark/attestation.go
+++ b/internal/watermark/attestation.go
@@ -6,10 +6,10 @@
 //
 // This holds only if every leader keeps watermarks. A leader of an older version, or with other
 // settings, does not, and in an outage of the store for all controllers a leader relaxes them: it
-// dispatches without storing them. A new leader therefore relies on an observer: a controller that
-// a leader of the term has told that the watermarks are complete, and has not told since that they
-// are relaxed. A leader relaxes them only once every other controller has acknowledged it, so one
-// observer is enough.
+// dispatches without storing them. A new leader therefore relies on an observer: a controller to
+// which a leader of the term has attested that the watermarks are complete, and not since then that
+// they are relaxed. A leader relaxes them only once every other controller has acknowledged it, so
+// one observer is enough.
 //
 // The package is pure: no I/O, no clock.
 package watermark
--- a/internal/watermark/failover_model_test.go
+++ b/internal/watermark/failover_model_test.go
@@ -67,11 +67,11 @@
 type controller struct {
 	withoutWatermarks bool // its version does not support them
 	started           startTime
-	// The state of its observer.
-	heardTerm, heardSeq int8
-	heardComplete       bool
-	minTerm             int8
-	leading             leadership
+	// The latest attestation that its observer has recorded, and the lowest term that it accepts.
+	observedTerm, observedSeq int8
+	observedComplete          bool
+	minTerm                   int8
+	leading                   leadership
 }
 
 // startTime is when a process started, relative to the last stored attestation of its own node.
@@ -94,7 +94,7 @@
 	restarted           uint8 // bit set of the controllers restarted since the first request
 	watermark           bool  // whether it knows it to be stored
 	taskLocationUnknown bool  // the task may be on a machine without a heartbeat in this term
-	heardSecond         bool  // the second machine has sent a heartbeat in this term
+	secondReported      bool  // the second machine has sent a heartbeat in this term
 	taskOn              int8  // the machine known to have the task, or none
 }
 
@@ -118,7 +118,7 @@
 
 func (c *controller) observer() *Observer {
 	latest := Attestation{
-		Term: uint64(c.heardTerm), Seq: uint64(c.heardSeq), Complete: c.heardComplete, Revision: uint64(c.heardTerm),
+		Term: uint64(c.observedTerm), Seq: uint64(c.observedSeq), Complete: c.observedComplete, Revision: uint64(c.observedTerm),
 	}
 	return &Observer{latest: latest, minTerm: uint64(c.minTerm)}
 }
@@ -137,7 +137,7 @@
 	default:
 		o.Observe(a)
 	}
-	c.heardTerm, c.heardSeq, c.heardComplete = int8(o.latest.Term), int8(o.latest.Seq), o.latest.Complete
+	c.observedTerm, c.observedSeq, c.observedComplete = int8(o.latest.Term), int8(o.latest.Seq), o.latest.Complete
 	c.minTerm = int8(o.minTerm)
 	return o.latest
 }
@@ -300,7 +300,7 @@
 		l.taskOn = none
 	}
 	if machine == 1 {
-		l.heardSecond = true
+		l.secondReported = true
 		l.taskLocationUnknown = false
 		// A task on this machine has to be below its watermark before the watermarks are complete.
 		l.watermarksComplete = l.watermarksComplete || l.taskOn == none || l.watermark
@@ -318,7 +318,7 @@
 		add(func(n *failoverModel) { n.heartbeat(i, machine) })
 		storing := m.holdsKey(i) && !m.storeDown
 		covered := c.withoutWatermarks || storing || c.leading.watermark || c.leading.relaxed || mutant == dispatchUncovered
-		if c.leading.taskOn != none || c.leading.taskLocationUnknown || !covered || machine == 1 && !c.leading.heardSecond {
+		if c.leading.taskOn != none || c.leading.taskLocationUnknown || !covered || machine == 1 && !c.leading.secondReported {
 			continue
 		}
 		if m.taskOn != none {
@@ -393,7 +393,7 @@
 // watermarkEvents adds the states after a leader makes its watermarks complete again.
 func (m *failoverModel) watermarkEvents(i int, add func(func(*failoverModel))) {
 	l := m.controllers[i].leading
-	if m.storesWatermarks(i) && !l.watermarksComplete && l.heardSecond && l.covered() {
+	if m.storesWatermarks(i) && !l.watermarksComplete && l.secondReported && l.covered() {
 		// The task, if dispatched while they were relaxed, is now below its stored watermark.
 		add(func(n *failoverModel) { n.controllers[i].leading.watermarksComplete = true })
 	}
--- a/internal/watermark/lease_expiry_model_test.go
+++ b/internal/watermark/lease_expiry_model_test.go
@@ -8,15 +8,15 @@
 
 // leaseModel is a state of a model of lease expiry, explored over every order of events at a small
 // size: three controllers, up to three terms, one machine, and ages in ticks instead of times. A
-// controller believes that it leads until it learns otherwise, and may then answer the worker; an
-// answer arrives at most a tick late. Only the holder of the leader key adds a run command, and
-// only after the worker has shown its term. The package's code makes the decisions. Invariant: once
-// a leader assumes that the machine's lease has expired, no task is on the machine until the worker
-// has shown that leader's term.
+// controller acts as the leader until it reads that another one leads, and may answer the worker
+// until then; an answer arrives at most a tick late. Only the holder of the leader key adds a run
+// command, and only after the worker has shown its term. The package's code makes the decisions.
+// Invariant: once a leader assumes that the machine's lease has expired, no task is on the machine
+// until the worker has shown that leader's term.
 type leaseModel struct {
 	term          int8            // the latest term
 	leaderOf      [4]int8         // by term, the controller elected
-	believedTerm  [3]int8         // by controller, the term that it believes to lead, or 0
+	believedTerm  [3]int8         // by controller, the term in which it acts as the leader, or 0
 	sinceRenewal  [3]int8         // by controller, the age of the last renewal that it recorded
 	termAge       int8            // age of the latest term
 	reconciled    int8            // the latest term attested as reconciled
@@ -113,7 +113,7 @@
 		})
 	}
 	if term > 0 && term < s.term {
-		// It learns that another controller leads.
+		// It reads that another controller leads.
 		add(func(n *leaseModel) { n.believedTerm[controller] = 0 })
 	}
 	// Its process restarts.
--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Outcome tells whether a worker executed the commands of a request.
+// Outcome is whether a worker executed the commands of a request.
 type Outcome int
 
 const (
--- a/internal/zonehealth/monitor.go
+++ b/internal/zonehealth/monitor.go
@@ -18,8 +18,8 @@
 	Silent   int // those without a heartbeat for SilentAfterIntervals heartbeat intervals
 }
 
-// heard returns the number of machines that are not silent.
-func (c Count) heard() int { return c.Machines - c.Silent }
+// responsive returns the number of machines that are not silent.
+func (c Count) responsive() int { return c.Machines - c.Silent }
 
 // Monitor tracks the zones during a term. It is not safe for concurrent use; its owner locks.
 type Monitor struct {
@@ -45,8 +45,8 @@
 	// most maxOthersSilentShare of all others: else the fault is more likely on the leader's side.
 	suspectSilentShare   = 3.0 / 4
 	maxOthersSilentShare = 1.0 / 4
-	// The outage is over when at least recoveredHeardShare of the zone's machines are heard.
-	recoveredHeardShare = 1.0 / 2
+	// The outage is over when at least recoveredShare of the zone's machines are not silent.
+	recoveredShare = 1.0 / 2
 	// recoveryGraceLeases is how long, in leases, the remaining machines have to recover after that.
 	recoveryGraceLeases = 1.0 / 2
 	// maxOutageLeases is how long, in leases, an outage stays suspected: a longer one is not taken for
@@ -99,16 +99,16 @@
 }
 
 // outageLikely reports whether nearly all machines of a zone are silent while most of the others are
-// heard.
+// not.
 func outageLikely(c, others Count) bool {
 	return c.Machines >= minMachines && others.Machines >= minMachines &&
 		float64(c.Silent) >= suspectSilentShare*float64(c.Machines) &&
 		float64(others.Silent) <= maxOthersSilentShare*float64(others.Machines)
 }
 
-// hasRecovered reports whether enough machines of a zone are heard to end its outage.
+// hasRecovered reports whether enough machines of a zone are responsive to end its outage.
 func hasRecovered(c Count) bool {
-	return c.Machines > 0 && float64(c.heard()) >= recoveredHeardShare*float64(c.Machines)
+	return c.Machines > 0 && float64(c.responsive()) >= recoveredShare*float64(c.Machines)
 }
 
 // suspectedTooLong reports whether an outage has been suspected for more than maxOutageLeases.
--- a/internal/zonehealth/monitor_test.go
+++ b/internal/zonehealth/monitor_test.go
@@ -12,8 +12,8 @@
 const lease = 24 * time.Second
 
 // For random counts of silent machines: suspicion of an outage begins only while the other zones are
-// heard and ends when the zone is heard again, or after maxOutageLeases. A zone that is wholly silent
-// while the others are heard is suspected at once.
+// responsive, and ends when the zone is responsive again or after maxOutageLeases. A zone whose
+// machines are all silent while the others are responsive is suspected at once.
 func TestOutageSuspectedOnlyWhileOthersAreHeard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, now := New(lease), time.Unix(1_000_000, 0)
@@ -35,7 +35,7 @@
 					t.Fatalf("outage of %s not suspected with counts %+v", zone, counts)
 				}
 				if m.Suspected(zone) && c.Machines > 0 && 2*c.Silent <= c.Machines {
-					t.Fatalf("outage of %s still suspected though half of its machines are heard: %+v", zone, counts)
+					t.Fatalf("outage of %s still suspected though half of its machines are responsive: %+v", zone, counts)
 				}
 				if m.Suspected(zone) && now.Sub(since[zone]) > maxOutageLeases*lease {
 					t.Fatalf("outage of %s still suspected after %v", zone, now.Sub(since[zone]))
