--- a/internal/api/confirmations.go
+++ b/internal/api/confirmations.go
@@ -24,7 +24,7 @@
 	leaderLease time.Duration
 
 	mu    sync.Mutex           // guards since
-	since map[string]time.Time // when this controller first learned of the cancellation, by job
+	since map[string]time.Time // when this controller first stored or read the cancellation, by job
 }
 
 func newPendingConfirmations(leaderLease time.Duration) *pendingConfirmations {
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -103,7 +103,7 @@
 type ClassPlan struct {
 	Summary
 	Late       int `json:"late"`     // jobs that miss their deadline because of the drain
-	LateAnyway int `json:"late_now"` // jobs that miss their deadline in any case
+	LateAnyway int `json:"late_now"` // jobs that miss their deadline without the drain as well
 }
 
 // Plan is the expected effect of a drain that starts now.
--- a/internal/scheduler/drain_plan.go
+++ b/internal/scheduler/drain_plan.go
@@ -20,7 +20,7 @@
 	plan       *drain.Plan
 	reserved   []reservedPlace
 	madeLate   map[*Job]bool // jobs that the drain makes late
-	lateAnyway map[*Job]bool // jobs that are late anyway
+	lateAnyway map[*Job]bool // jobs that are late without the drain as well
 }
 
 // reservedPlace is room on a machine that is reserved while a plan is computed.
--- a/internal/scheduler/drain_state.go
+++ b/internal/scheduler/drain_state.go
@@ -94,7 +94,8 @@
 	}
 }
 
-// soaked reports whether every machine with the target version is proven or past its soak time.
+// soaked reports whether every machine with the target version has completed a task with it, or is
+// past its soak time.
 func (s *Scheduler) soaked(d *activeDrain, now time.Time) bool {
 	for _, m := range s.fleet.Sorted() {
 		fresh := !m.VersionSince.IsZero() && now.Sub(m.VersionSince) < soakIntervals*s.settings.HeartbeatInterval
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -56,7 +56,7 @@
 	delays          map[int]time.Duration // by node, the additional delay of heartbeats and peer messages to it
 	copyDelays      []time.Duration       // a copy of every heartbeat is delivered after each of these; see copyHeartbeats
 	shouldKeepCopy  func() bool           // decides whether to keep a copy of a heartbeat for the next leader; nil: never
-	keptCopies      [][]byte              // copies kept for the next leader
+	keptHeartbeats  [][]byte              // copies kept for the next leader
 
 	heartbeatCounts []int // number of heartbeats that workers sent to each node
 
@@ -194,7 +194,7 @@
 		n.election.Run(ctx, func(ctx context.Context, term uint64) {
 			l := leader.New(cfg, n.client, cloud, n.election, peers, c.env, &n.observer, n.server.Cancellations(), term)
 			c.setLeader(n, l)
-			go c.replayKept(ctx)
+			go c.replayKeptHeartbeats(ctx)
 			l.Run(ctx)
 			c.setLeader(n, nil)
 		})
--- a/internal/simulation/heartbeat_network_test.go
+++ b/internal/simulation/heartbeat_network_test.go
@@ -83,22 +83,22 @@
 	c.mu.Unlock()
 }
 
-// keepHeartbeat keeps a copy of a heartbeat for replayKept if shouldKeepCopy selects it.
+// keepHeartbeat keeps a copy of a heartbeat for replayKeptHeartbeats if shouldKeepCopy selects it.
 func (c *cluster) keepHeartbeat(r *fleet.Heartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.shouldKeepCopy != nil && c.shouldKeepCopy() {
 		raw, _ := json.Marshal(r)
-		c.keptCopies = append(c.keptCopies, raw)
+		c.keptHeartbeats = append(c.keptHeartbeats, raw)
 	}
 }
 
-// replayKept delivers the heartbeat copies kept so far, once each, to every running controller as a
+// replayKeptHeartbeats delivers the heartbeat copies kept so far, once each, to every running controller as a
 // term begins, and discards them. It stops early if the term, and with it ctx, ends.
-func (c *cluster) replayKept(ctx context.Context) {
+func (c *cluster) replayKeptHeartbeats(ctx context.Context) {
 	c.mu.Lock()
-	kept := c.keptCopies
-	c.keptCopies = nil
+	kept := c.keptHeartbeats
+	c.keptHeartbeats = nil
 	c.mu.Unlock()
 	for _, raw := range kept {
 		for i := range c.nodes {
--- a/internal/watermark/failover_model_test.go
+++ b/internal/watermark/failover_model_test.go
@@ -27,7 +27,7 @@
 	attestation  storedRecord
 	controllers  [3]controller
 	taskOn       int8               // the machine that has the task, or none
-	fencingToken [2]int8            // by machine, the highest that it has seen
+	fencingToken [2]int8            // by machine, the highest that its worker has seen
 	delayed      delayedAttestation // the delayed message, if any
 	budget       eventBudget
 }
@@ -65,7 +65,7 @@
 
 // controller is a controller's process.
 type controller struct {
-	withoutWatermarks bool // its version does not support them
+	withoutWatermarks bool // its version does not support watermarks
 	started           startTime
 	// The latest attestation that its observer has recorded, and the lowest term that it accepts.
 	observedTerm, observedSeq int8
@@ -88,11 +88,11 @@
 	term, seq           int8
 	attestedComplete    bool  // as last attested
 	watermarksComplete  bool  // as far as it can know, all dispatched tasks are below watermarks
-	relaxing            bool  // it requests the relaxation, and the store does not answer its peers
-	relaxed             bool  // all peers have acknowledged it, and the leader continues
-	acknowledged        uint8 // bit set of the controllers that have acknowledged it
+	relaxing            bool  // the leader requests the relaxation, and the store does not answer its peers
+	relaxed             bool  // all peers have acknowledged the relaxation, and the leader continues
+	acknowledged        uint8 // bit set of the controllers that have acknowledged the relaxation
 	restarted           uint8 // bit set of the controllers restarted since the first request
-	watermark           bool  // whether it knows it to be stored
+	watermark           bool  // the leader knows that the task's watermark is stored
 	taskLocationUnknown bool  // the task may be on a machine without a heartbeat in this term
 	secondReported      bool  // the second machine has sent a heartbeat in this term
 	taskOn              int8  // the machine known to have the task, or none
