--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/records"
 )
 
-// SetMachineTypes sets the machine types that the cloud offers.
+// SetMachineTypes adds or updates machine types that the cloud offers, and the bins of their machines.
 func (s *Scheduler) SetMachineTypes(types []records.MachineType) {
 	for _, t := range types {
 		s.machineTypes[t.Name] = t
@@ -34,7 +34,8 @@
 	s.placementStale = true
 }
 
-// assignBin sets the capacity of a machine's bin by its type and adds the bin to the type's space.
+// assignBin sets the capacity of a machine's bin by the machine's type and adds the bin to the type's
+// space. It does nothing if the type is unknown.
 func (s *Scheduler) assignBin(machine *fleet.Machine) {
 	t, ok := s.machineTypes[machine.Type]
 	if !ok {
@@ -57,14 +58,14 @@
 	return ok && s.movable(s.jobOf(attempt), attempt, s.passTime)
 }
 
-// suitableMoveTarget reports whether a bin is a good target for an item that moves. Planned attempts
+// suitableMoveTarget reports whether packing may move an item to a bin. The items of planned attempts
 // may move to any bin.
 func (s *Scheduler) suitableMoveTarget(item *packing.Item, to *packing.Bin) bool {
 	attempt, ok := item.Owner.(*fleet.Attempt)
 	if !ok || attempt.State() == fleet.Planned {
 		return true
 	}
-	// Without this, two machines could move their tasks to each other.
+	// Without this check, two machines could move their tasks to each other.
 	if slices.ContainsFunc(to.Owner.(*fleet.Machine).Attempts(), isStoppingOnMachine) {
 		return false
 	}
--- a/internal/scheduler/moves.go
+++ b/internal/scheduler/moves.go
@@ -10,10 +10,10 @@
 	"drumpick/internal/records"
 )
 
-// movable reports whether an attempt may be moved to fill or empty a bin: only tasks of arrays that
-// are planned, or were assigned less than a rebalancing interval ago and have been reported. A task
-// on a machine is moved only if it was never moved before. Gangs never move; replicas move only in
-// rebalancing rounds, one at a time.
+// movable reports whether packing may move an attempt of job j, nil if none is open, to fill or
+// empty a bin. Only attempts of arrays move: planned ones, and those that a worker has reported and
+// that were assigned less than a rebalancing interval ago. A task on a machine moves only once.
+// Gangs never move; service replicas are moved only by moveReplicas.
 func (s *Scheduler) movable(j *Job, a *fleet.Attempt, now time.Time) bool {
 	if j == nil || a.Stopping() || a.Duplicate || j.Shape != records.ShapeArray {
 		return false
@@ -24,7 +24,8 @@
 	return a.State() == fleet.Planned || a.MayBePresent() && a.State() != fleet.Sent && now.Sub(a.AssignedAt) < s.settings.RebalanceInterval
 }
 
-// undoMoves reverts the effect of moves on the bins, which have to reflect the actual placement.
+// undoMoves returns the items of moves to the bins that they came from: until a move is executed, the
+// bins have to contain the items of the attempts that are on their machines or planned for them.
 func undoMoves(moves []packing.Move) {
 	for _, move := range slices.Backward(moves) {
 		for _, it := range move.Items {
@@ -36,9 +37,9 @@
 	}
 }
 
-// executeMoves carries out moves. A planned attempt moves at once. An attempt on a machine is stopped,
-// and its task starts elsewhere once the attempt is gone; until then, the destination's room is
-// claimed for the job.
+// executeMoves carries out moves. A planned attempt is discarded, and its task is queued again. An
+// attempt on a machine is stopped, and its task is queued once the attempt is gone; until then,
+// room at the destination is claimed for the job if it is free.
 func (s *Scheduler) executeMoves(moves []packing.Move, now time.Time) {
 	for _, move := range moves {
 		for _, item := range move.Items {
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -12,47 +12,51 @@
 	"drumpick/internal/watermark"
 )
 
-// PendingWrite is a change to be stored, with callbacks for its result.
+// PendingWrite is a set of operations that are stored together, with callbacks for the result. The
+// callbacks are called with the scheduler's lock held.
 type PendingWrite struct {
 	Ops      []records.Op
 	Compares []records.Compare
-	OnStored func(revision uint64) // called with its revision when it is stored
-	// GuardKey is the key of the compare that guards only this change: if it fails, the other changes
-	// of the commit still have to be stored.
+	OnStored func(revision uint64) // called with the store's revision after the write
+	// GuardKey is the key of the compare that guards only this write: if the compare fails, the other
+	// writes of the commit still have to be stored.
 	GuardKey   string
 	OnConflict func() // called when the compare of GuardKey failed
-	// GuardRevision is the revision of a key that only the leader writes, 0 if the key is absent. The
-	// code that stores the write keeps it up to date. It is set instead of OnConflict: on a conflict
-	// the key is read. Without it, an unanswered write could be applied after newer writes of the same
-	// term; the compare of the leader's key does not prevent that.
+	// GuardRevision is the revision of GuardKey if only the leader writes that key, 0 if the key is
+	// absent. It is set instead of Compares and OnConflict: package leader compares with it,
+	// updates it after each write, and reads the key on a conflict. Without this compare, an
+	// unanswered write could be applied after newer writes of the same term; the compare of the
+	// leader's key does not prevent that.
 	GuardRevision *uint64
-	// OnUnanswered is called when the first write of the key got no answer.
+	// OnUnanswered is called when the store did not answer a write that creates GuardKey: the write
+	// may still be applied. nil: ignored.
 	OnUnanswered func()
-	// OnTooLarge is called when the store rejects the write permanently because it is too large.
+	// OnTooLarge is called when the store rejects the write as too large; it will not be retried. nil:
+	// the write is abandoned.
 	OnTooLarge func()
 }
 
-// Persistence manages the records of a term in the store other than open jobs: machines that may hold
-// tasks, finished tasks, watermarks and drain states. It decides what to store next, and its owner
-// stores it. The caller of any method must hold the scheduler's lock.
+// Persistence decides which records of a term to store next; package leader stores them. The
+// records are closed jobs, machines that may hold tasks, finished tasks, watermarks and drain
+// states. The caller of any method except HalveCommitSize must hold the scheduler's lock.
 type Persistence struct {
 	scheduler           *Scheduler
 	machines            *records.PagedRecords
 	watermarks          *records.PagedRecords
 	finished            *finishedtasks.Tracker
-	maxOps              int       // maximum number of changes in one commit
-	maxValueBytes       int       // maximum size of a value
+	maxOps              int       // maximum number of operations in one commit
+	maxValueBytes       int       // maximum size of a value in the store
 	lastFinishedUpdate  time.Time // when the pages of finished tasks were last updated
 	lastWatermarkUpdate time.Time // when the pages of watermarks were last updated
 	watermarkNeeded     bool      // a task waits for a stored watermark
 	closedJobs          []string  // closed jobs whose watermarks can be removed
 
-	loadedWatermarks    map[string]int // by job, as read at the failover
-	watermarkUnreadable bool           // some watermarks could not be read
+	loadedWatermarks    map[string]int // by job id, as read at the failover
+	watermarkUnreadable bool           // a watermark or a page of them could not be decoded
 }
 
-// NewPersistence returns the persistence of a new term, with nothing loaded. The store accepts values
-// of up to valueKB KiB and commits of up to maxOps changes.
+// NewPersistence returns the persistence of a new term, without loaded records. The store accepts
+// values of up to valueKB KiB and commits of up to maxOps operations.
 func NewPersistence(s *Scheduler, valueKB float64, maxOps int) *Persistence {
 	pages := func(prefix string) *records.PagedRecords {
 		n := 0
@@ -72,7 +76,7 @@
 	}
 }
 
-// LoadDonePage loads a page of finished tasks. The jobs must have been loaded before.
+// LoadDonePage loads a page of finished tasks. All open jobs must have been added before (AddJob).
 func (p *Persistence) LoadDonePage(record records.KeyValue) {
 	loadPage(records.PrefixFinishedTasks, p.finished.Pages(), record, func(id string, v json.RawMessage) error {
 		job, chunk, ok := records.ParsePartID(id)
@@ -100,7 +104,8 @@
 	})
 }
 
-// LoadWatermarkPage loads a page of watermarks. An unreadable watermark may cover any task.
+// LoadWatermarkPage loads a page of watermarks. An unreadable watermark may cover any task, so the
+// loaded watermarks are then incomplete.
 func (p *Persistence) LoadWatermarkPage(record records.KeyValue) {
 	readable := loadPage(records.PrefixWatermarks, p.watermarks, record, func(id string, v json.RawMessage) error {
 		n, err := records.ParseWatermark(v)
@@ -115,8 +120,9 @@
 	p.watermarkUnreadable = p.watermarkUnreadable || !readable
 }
 
-// FinishLoading is called when all pages are loaded. complete means that earlier leaders dispatched no
-// task beyond the watermarks.
+// FinishLoading is called when all pages are loaded. It passes the watermarks to the scheduler, and
+// removes the finished tasks and watermarks of jobs that are not open. complete means that earlier
+// leaders dispatched no task beyond the stored watermarks.
 func (p *Persistence) FinishLoading(complete bool) {
 	for id := range p.finished.Pages().IDs() {
 		if job, _, _ := records.ParsePartID(id); p.scheduler.jobs[job] == nil {
@@ -134,9 +140,9 @@
 	p.scheduler.LoadWatermarks(p.loadedWatermarks, complete && !p.watermarkUnreadable)
 }
 
-// loadPage loads a page and calls each with its entries. It reports whether the page itself could be
-// decoded.
-func loadPage(prefix string, pages *records.PagedRecords, record records.KeyValue, each func(id string, v json.RawMessage) error) bool {
+// loadPage adds a stored page to pages and calls loadEntry with every entry of the page. It reports
+// whether the page could be decoded; errors of loadEntry are only logged.
+func loadPage(prefix string, pages *records.PagedRecords, record records.KeyValue, loadEntry func(id string, v json.RawMessage) error) bool {
 	entries, err := records.DecodeEntries(prefix, record)
 	if err != nil {
 		slog.Error("unreadable record", "key", record.Key, "err", err)
@@ -144,24 +150,25 @@
 	}
 	pages.Load(record.Key, entries, len(record.Value)).Revision = record.Revision
 	for id, v := range entries {
-		if err := each(id, v); err != nil {
+		if err := loadEntry(id, v); err != nil {
 			slog.Error("unreadable record", "key", record.Key, "id", id, "err", err)
 		}
 	}
 	return true
 }
 
-// RequestWatermark records that a task waits for a stored watermark.
+// RequestWatermark makes the next commit store raised watermarks without delay, because a task waits
+// for one.
 func (p *Persistence) RequestWatermark() { p.watermarkNeeded = true }
 
-// HalveCommitSize halves the maximum number of changes in a commit. It is called after the store
-// rejected a commit as too large.
+// HalveCommitSize halves the maximum number of operations in a commit, after the store has rejected a
+// commit as too large. Only the goroutine that calls NextWrites may call it.
 func (p *Persistence) HalveCommitSize() { p.maxOps = max(p.maxOps/2, 2) }
 
 const (
 	// maxCommitBytes keeps a commit well below the store's limit of 64 KiB.
 	maxCommitBytes = 40 << 10
-	// bytesPerOp is the size of a change without the entries of a page.
+	// bytesPerOp is the assumed size of an operation that writes no page.
 	bytesPerOp = 300
 )
 
@@ -172,8 +179,8 @@
 	maxOps     int
 }
 
-// tryReserve reserves room for the given numbers of operations and bytes, and reports whether they
-// fit. They always fit into an empty batch.
+// tryReserve reserves room in the batch for the given numbers of operations and bytes, and reports
+// whether they fit. They always fit into an empty batch.
 func (b *writeBatch) tryReserve(ops, bytes int) bool {
 	if len(b.writes) > 0 && (b.ops+ops > b.maxOps || b.bytes+bytes > maxCommitBytes) {
 		return false
@@ -184,13 +191,13 @@
 
 func (b *writeBatch) add(w PendingWrite) { b.writes = append(b.writes, w) }
 
-// NextWrites returns the writes of the next commit: first the jobs to be closed, then watermarks and
-// the machines about to be used, then finished tasks and drains. Writes that do not fit wait for the
-// next commit, where more urgent ones precede them again. attestation returns the record that the
-// watermarks are complete, or nil if none is due.
+// NextWrites returns the writes of the next commit, nil if there is nothing to store: first the
+// jobs to be closed, then watermarks and machines that are used, then finished tasks and drains.
+// Writes that do not fit wait for the next commit, which is built in the same order. attestation
+// returns the record that the watermarks are complete, or nil if none is due.
 func (p *Persistence) NextWrites(now time.Time, attestation func(now time.Time) *watermark.StoredAttestation) []PendingWrite {
 	b := &writeBatch{maxOps: p.maxOps}
-	// Each step appends one kind of record, and reports whether all of it fits.
+	// Each step appends the writes of one kind of record, and reports whether all of them fit.
 	steps := []func() bool{
 		func() bool { return p.appendCancelledDependents(b) },
 		func() bool { return p.appendCompleteJobs(b, now) },
@@ -212,8 +219,8 @@
 	return b.writes
 }
 
-// appendCancelledDependents appends the writes that close the jobs which depend on a cancelled one.
-// They precede all other writes because users wait for them and the writes are small.
+// appendCancelledDependents appends the writes that close the jobs which depend on a cancelled job.
+// These writes precede all others because they are small and users wait for them.
 func (p *Persistence) appendCancelledDependents(b *writeBatch) bool {
 	s := p.scheduler
 	for _, id := range s.dependencies.ToCancel() {
@@ -260,8 +267,8 @@
 	return true
 }
 
-// updateMachinePages adds the machines about to be used to the machine pages, and removes those that
-// are gone.
+// updateMachinePages adds the machines that hold or may be given tasks to the machine pages, and
+// removes the machines that are gone.
 func (p *Persistence) updateMachinePages() {
 	s := p.scheduler
 	for _, m := range s.fleet.Sorted() {
@@ -284,7 +291,7 @@
 	s.removedMachines = s.removedMachines[:0]
 }
 
-// appendMachinePages appends the writes of changed machine pages.
+// appendMachinePages appends the writes of changed machine pages, and reports whether all fit.
 func (p *Persistence) appendMachinePages(b *writeBatch) bool {
 	return p.appendPages(p.machines, b, func(ids []string, entries map[string]json.RawMessage) pageCallbacks {
 		return pageCallbacks{
@@ -309,8 +316,9 @@
 	}
 }
 
-// emptyReadOnlyPages copies the machines of pages that exceed the store's upcoming limits to writable
-// pages. All versions can read a machine that is in two pages.
+// emptyReadOnlyPages copies the machines of a page that exceeds the store's present or upcoming
+// limits to writable pages. Until the copies are stored, the machines are in two pages, which all
+// versions can read.
 func (p *Persistence) emptyReadOnlyPages() {
 	for name, raw := range p.machines.ReadOnlyEntries() {
 		if !p.machines.HasWritable(name) {
@@ -319,8 +327,8 @@
 	}
 }
 
-// updateFinishedPages adds finished tasks to their pages, once per heartbeat interval, and removes the
-// records of closed jobs.
+// updateFinishedPages removes the finished tasks of closed jobs from the pages. Once per heartbeat
+// interval, it also adds newly finished tasks and removes the watermarks of closed jobs.
 func (p *Persistence) updateFinishedPages(now time.Time) {
 	s := p.scheduler
 	p.finished.RemoveJobs(s.closedJobs)
@@ -333,7 +341,8 @@
 	}
 }
 
-// appendFinishedPages appends the writes of changed pages of finished tasks.
+// appendFinishedPages appends the writes of changed pages of finished tasks, and reports whether all
+// fit.
 func (p *Persistence) appendFinishedPages(b *writeBatch) bool {
 	return p.appendPages(p.finished.Pages(), b, func(ids []string, _ map[string]json.RawMessage) pageCallbacks {
 		return pageCallbacks{
@@ -346,11 +355,11 @@
 // pageCallbacks are the callbacks for the write of a page.
 type pageCallbacks struct {
 	onStored func(revision uint64)
-	onMoved  func(ids []string) // called with the ids to be moved if the store rejects the page as too large
+	onMoved  func(ids []string) // called if the store rejects the page as too large, with the ids to put into other pages
 }
 
-// appendPages appends the writes of changed pages, and reports whether all fit. callbacks is called
-// with the ids and entries of each page that is written.
+// appendPages appends the writes of changed pages, and reports whether all fit. callbacks returns the
+// callbacks for the write of a page with the given ids and entries.
 func (p *Persistence) appendPages(pages *records.PagedRecords, b *writeBatch, callbacks func(ids []string, entries map[string]json.RawMessage) pageCallbacks) bool {
 	for _, page := range pages.DirtyPages() {
 		if !b.tryReserve(1, p.maxValueBytes) {
@@ -371,8 +380,9 @@
 	return true
 }
 
-// appendWatermarkPages appends the writes of changed watermark pages. Watermarks are raised ahead of
-// need, so they are stored together after a delay, unless a task waits for one.
+// appendWatermarkPages appends the writes of changed watermark pages, and reports whether all fit.
+// Watermarks are raised ahead of need, so they are stored together, once per quarter of a heartbeat
+// interval, unless a task waits for one.
 func (p *Persistence) appendWatermarkPages(b *writeBatch, now time.Time) bool {
 	s := p.scheduler
 	if !p.watermarkNeeded && now.Sub(p.lastWatermarkUpdate) < s.settings.HeartbeatInterval/4 {
@@ -404,9 +414,9 @@
 	}
 }
 
-// requestWatermarksAgain marks the watermarks of jobs to be stored with their latest requested values.
-// Otherwise a watermark that was raised while its page was being written would be stored with its old
-// value.
+// requestWatermarksAgain marks the watermarks of the jobs with the given ids to be stored at once,
+// with the latest requested values. Otherwise a watermark that was raised while its page was being
+// written would be stored with its old value.
 func (p *Persistence) requestWatermarksAgain(ids []string) {
 	for _, id := range ids {
 		if j := p.scheduler.jobs[id]; j != nil {
--- a/internal/scheduler/persistence_test.go
+++ b/internal/scheduler/persistence_test.go
@@ -25,8 +25,8 @@
 func noAttestation(time.Time) *watermark.StoredAttestation { return nil }
 
 // Guards against storing outdated watermarks after the store rejects a page as too large, for example
-// because its limits were lowered. Watermarks raised while the page was being written must be stored
-// with their new values; otherwise the tasks of their jobs would wait forever.
+// because the store's limits were lowered. Watermarks that are raised while the page is being written
+// must be stored with their new values; otherwise tasks of these jobs would wait forever.
 func TestRefusedWatermarkPagesAreStoredWithLatestRequests(t *testing.T) {
 	s, p, now := newTestPersistence(1, 8)
 	p.FinishLoading(false)
@@ -86,8 +86,9 @@
 	}
 }
 
-// An unreadable page of watermarks may have contained any job, so all tasks of older jobs must be
-// uncertain.
+// A page of watermarks that cannot be read, in whole or in part, may have covered any task. All
+// tasks of jobs from earlier terms must then be uncertain; otherwise a task could be started a
+// second time.
 func TestUnreadableWatermarksMakeAllTasksUncertain(t *testing.T) {
 	for value, readable := range map[string]bool{
 		`{"j-1":"000004"}`: true, `{"j-1":"-2"}`: false, `{"j-1":7}`: false, `"torn`: false, `[]`: false,
--- a/internal/scheduler/place_finder.go
+++ b/internal/scheduler/place_finder.go
@@ -9,8 +9,8 @@
 	"drumpick/internal/packing"
 )
 
-// placeFinder finds where tasks could be placed at one point in time, without placing them. Jobs of
-// the same placement class share the result that there is no room.
+// placeFinder finds where tasks could be placed at one point in time, without placing them. Once a job
+// finds no room, the other jobs of its placement class are not tried.
 type placeFinder struct {
 	scheduler    *Scheduler
 	now          time.Time
@@ -20,9 +20,9 @@
 	alsoDraining func(m *fleet.Machine) bool // machines to treat as draining; nil: none
 }
 
-// allowedAnywhere reports whether one more task of the job may run outside of drains: on an existing
-// machine or one that could be rented, with room or not. zones counts the job's other tasks by zone;
-// nil if it has no zone constraint.
+// allowedAnywhere reports whether any machine outside of drains, existing or to be rented, could
+// run one more task of the job, whether or not it has room now. zones counts the job's other tasks
+// by zone; nil if the job has no zone constraint.
 func (p *placeFinder) allowedAnywhere(j *Job, zones map[string]int) bool {
 	ok, known := p.allowed[j]
 	if known && zones == nil {
@@ -49,8 +49,8 @@
 	return ok
 }
 
-// findPlace reports whether one more task of a job may be placed anywhere, and returns the machine
-// that has room for it now, nil if there is none.
+// findPlace reports whether one more task of a job may be placed anywhere, and returns a machine that
+// has room for the task now, nil if there is none. zones is as for allowedAnywhere.
 func (p *placeFinder) findPlace(j *Job, zones map[string]int) (drain.Place, *fleet.Machine) {
 	if !p.allowedAnywhere(j, zones) {
 		return drain.NotPermitted, nil
@@ -85,8 +85,9 @@
 	return nil
 }
 
-// findGangRoom finds places for n tasks of a gang whose other tasks stay; staying counts these by
-// zone. It returns fewer than n machines if there is no room for all n.
+// findGangRoom returns the machines that have room for n tasks of a gang, one entry per task; fewer
+// than n if there is not room for all. The gang's other tasks stay where they are; staying counts
+// them by zone.
 func (p *placeFinder) findGangRoom(j *Job, n int, staying map[string]int) []*fleet.Machine {
 	zones := []string{""}
 	if j.OneZone && len(staying) == 0 {
@@ -95,19 +96,19 @@
 	var found []*fleet.Machine
 	for _, zone := range zones {
 		found = found[:0]
-		count := map[string]int{}
-		maps.Copy(count, staying)
+		zoneCounts := map[string]int{}
+		maps.Copy(zoneCounts, staying)
 		if zone != "" {
-			count = map[string]int{zone: 1}
+			zoneCounts = map[string]int{zone: 1}
 		}
 		for len(found) < n {
-			m := p.findRoom(j, count)
+			m := p.findRoom(j, zoneCounts)
 			if m == nil {
 				break
 			}
 			m.Bin.Reserve(j.request)
 			found = append(found, m)
-			count[m.Zone]++
+			zoneCounts[m.Zone]++
 		}
 		for _, m := range found {
 			m.Bin.Reserve(packing.Resources{}.Sub(j.request))
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -41,25 +41,24 @@
 	}
 }
 
-// placementPass is the state of one pass over all waiting tasks.
+// placementPass is the state of one placement pass.
 type placementPass struct {
 	scheduler *Scheduler
 	now       time.Time
-	usedQuota map[string]quota.Amount // by team with a limit, including what this pass plans
+	usedQuota map[string]quota.Amount // by team with a limit, including tasks that this pass has planned
 	noRoom    []*Job                  // by placement class: the earliest served job that found no room
 }
 
 // cannotFit reports whether a turn's job cannot find room because an equivalent job that is served
-// before it found none. The order in which the two are served has to be compared: a job with a shorter
-// image fetch can have an earlier turn and find only machines that are held for the turn's job, which
-// may use them.
+// before it found none. An earlier turn alone does not show that: a job with a shorter image fetch can
+// have an earlier turn but be served later, and find only machines that are held for the turn's job.
 func (p *placementPass) cannotFit(turn placementTurn) bool {
 	first := p.noRoom[turn.placementClass()]
 	return turn.placementClass() > 0 && first != nil && !servedBefore(turn.job, first)
 }
 
-// placeTurn places the tasks of a turn's job. With noRoom, an equivalent job found no room, so only
-// the job's own claims are tried.
+// placeTurn places the waiting tasks of a turn's job as far as there is room. With noRoom, an
+// equivalent job found no room, so only the job's own claims are tried.
 func (p *placementPass) placeTurn(turn placementTurn, noRoom bool) {
 	s, job := p.scheduler, turn.job
 	if noRoom && len(job.claims) == 0 || !s.startable(job, p.now) || job.nextTask() < 0 {
@@ -74,15 +73,17 @@
 	if !turn.ready {
 		s.recordShortage(job, p.usedQuota[job.Team], p.now)
 	}
-	// Only the first job of a class that finds no room records a shortage of on-demand machines, so
-	// it has to be one whose team has a guarantee.
+	// The equivalent jobs served later are skipped and record no shortage of on-demand machines. So a
+	// job must not cause that if it needs on-demand machines but its limited team has no guarantee: it
+	// records no shortage itself.
 	if job.Spot || !job.teamLimited || fairshare.HasGuarantee(job.team) {
 		p.noRoom[turn.placementClass()] = job
 	}
 }
 
-// placeGangOrTasks places the tasks of a turn's job, a gang as a whole. It reports whether all tasks
-// that may start found room; with noRoom, true.
+// placeGangOrTasks places the waiting tasks of a turn's job: of a gang, all or none. It reports
+// whether all tasks that may start found room; with noRoom, it tries only the job's claims and
+// returns true.
 func (p *placementPass) placeGangOrTasks(turn placementTurn, noRoom bool) bool {
 	s, job := p.scheduler, turn.job
 	if job.Shape == records.ShapeGang {
@@ -105,8 +106,9 @@
 	return s.placeTasks(job, requiredLabel, p.usedQuota, zones, p.now)
 }
 
-// placeTasks places as many tasks of a job as possible, only on machines with requiredLabel unless
-// that is "". It reports whether all tasks that may start found room, and updates used and zones.
+// placeTasks places as many waiting tasks of a job as possible, only on machines with requiredLabel
+// unless that is "". It reports whether all tasks that may start found room. It updates used, the
+// quota used by team, and zones, the job's tasks by zone (nil without a zone constraint).
 func (s *Scheduler) placeTasks(job *Job, requiredLabel string, used map[string]quota.Amount, zones map[string]int, now time.Time) bool {
 	for {
 		task := job.nextTask()
@@ -149,9 +151,9 @@
 		!isHeldForEarlierJob(machine, i.job)
 }
 
-// insertTask finds a bin for one task by VISBP's insert operation, over the machine types that the
-// job allows, cheapest first, and plans the task there. It returns the machine, nil if there is no
-// room, and the moves that the insertion requires.
+// insertTask finds a bin for one task by VISBP's insert operation, trying the machine types from the
+// cheapest on, and plans an attempt there. It returns the machine, nil if there is no room, and the
+// moves that the insertion requires; the caller has to execute them.
 func (s *Scheduler) insertTask(in insertion, now time.Time) (*fleet.Machine, []packing.Move) {
 	job := in.job
 	item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferredLabels, RequireLabel: in.requiredLabel}
@@ -185,9 +187,10 @@
 	return nil, nil
 }
 
-// insertIntoType inserts into the machines of one type. After a recent shortage of on-demand
-// machines, tasks that may use spot machines try these first. Otherwise they would fill on-demand
-// machines that gangs wait for, while spot machines are empty.
+// insertIntoType inserts an item into the bins of one machine type; the results are those of
+// packing.Space.Insert. After a recent shortage of on-demand machines of the type, tasks that may use
+// spot machines try spot machines first. Otherwise they would fill on-demand machines that gangs wait
+// for, while spot machines are empty.
 func (s *Scheduler) insertIntoType(space *packing.Space, machineType string, job *Job, item *packing.Item,
 	allowed func(*packing.Bin) bool) (*packing.Bin, []packing.Move, packing.Rule) {
 	if job.Spot && s.recentShortage(machineType, s.passTime) {
@@ -199,8 +202,8 @@
 	return space.Insert(item, allowed)
 }
 
-// planAttempt records an attempt of a task as planned for a machine. The machine's bin must already
-// contain the item.
+// planAttempt records a new attempt of a task, with the given number, as planned for a machine, and
+// returns it. The machine's bin must already contain the item.
 func (s *Scheduler) planAttempt(job *Job, task int, number uint64, machine *fleet.Machine, item *packing.Item,
 	now time.Time) *fleet.Attempt {
 	attempt := s.fleet.Plan(machine, fleet.TaskID{Job: job.ID, N: task}, number, item, now)
@@ -211,7 +214,7 @@
 	return attempt
 }
 
-// recordImageUse records that a machine has or fetches a job's image.
+// recordImageUse records that a machine stores or fetches a job's image.
 func (s *Scheduler) recordImageUse(m *fleet.Machine, j *Job) {
 	m.UseImage(j.Image, j.ImageGB, s.machineTypes[m.Type].CacheGB)
 }
--- a/internal/scheduler/placement_class.go
+++ b/internal/scheduler/placement_class.go
@@ -2,12 +2,13 @@
 
 import "drumpick/internal/packing"
 
-// placementKey contains everything that decides whether a task of an unconstrained job has room.
+// placementKey contains everything that decides which machines can take a task of an unconstrained
+// job.
 type placementKey struct {
 	request packing.Resources
 	zone    string
 	spot    bool
-	image   string // for machines that have the image ready; else ""
+	image   string // only machines that have this image ready; "": all machines
 }
 
 // placementClasses maps placement keys to class numbers, from 1. Jobs of the same class are
@@ -22,7 +23,7 @@
 	return p[key]
 }
 
-// assign sets the class numbers that a job shares with equivalent jobs. A constrained job has none.
+// assign sets a job's placement class and image class. A constrained job (Job.unconstrained) has none.
 func (p placementClasses) assign(job *Job) {
 	if !job.unconstrained() {
 		return
@@ -36,7 +37,8 @@
 	job.imageClass = p.classOf(key)
 }
 
-// prune renumbers the open jobs' classes once most classes belong only to closed jobs.
+// prune discards the classes that belong only to closed jobs, once they are the majority, and
+// renumbers the classes of the open jobs.
 func (p placementClasses) prune(jobs map[string]*Job) {
 	if len(p) <= 4*len(jobs)+64 {
 		return
--- a/internal/scheduler/placement_order.go
+++ b/internal/scheduler/placement_order.go
@@ -9,15 +9,16 @@
 	"drumpick/internal/records"
 )
 
-// placementTurn is a job's entry in the placement order. A job that has to fetch its image can have
-// two: one for machines that have the image ready, and a later one for all machines.
+// placementTurn is a job's entry in the placement order. A job with an image to fetch can have two
+// turns: one for machines that have the image ready, and a later one for all machines.
 type placementTurn struct {
 	job   *Job
-	at    time.Time
-	ready bool
+	at    time.Time // orders the turns of jobs with equal precedence, the earliest first
+	ready bool      // only for machines that have the job's image ready
 }
 
-// placementClass returns the class of turns that have no room if this one has none; 0: no class.
+// placementClass returns the number of the class whose turns all find no room if this one finds
+// none; 0: no class.
 func (t placementTurn) placementClass() int {
 	if t.ready {
 		return t.job.imageClass
@@ -34,7 +35,7 @@
 
 func (p positions) remove(i int) { p[i/64] &^= 1 << (i % 64) }
 
-// next returns the first contained index that is at least from; -1: there is none.
+// next returns the smallest contained index that is at least from, -1 if there is none.
 func (p positions) next(from int) int {
 	if from>>6 >= len(p) {
 		return -1
@@ -50,14 +51,14 @@
 	}
 }
 
-// placementOrder is the order in which jobs are placed. It is rebuilt for all jobs when the queue is
-// stale. In between it tracks which jobs may have tasks to start, so that a placement pass skips the
-// others without visiting them.
+// placementOrder is the order of the turns in which jobs are placed. It is rebuilt when the
+// scheduling order is stale (Scheduler.queueStale). Between rebuilds, it tracks which jobs may have
+// tasks to start, so that placement passes skip the other jobs without visiting them.
 type placementOrder struct {
 	turns   []placementTurn
 	active  positions                     // turns of jobs that may have tasks to start
-	groups  map[equivalentTurns]positions // turns that have no room once an earlier one of the group has none
-	turnsOf map[*Job][]int                // indexes of a job's turns
+	groups  map[equivalentTurns]positions // turns of equivalent jobs: once one finds no room, the later ones find none either
+	turnsOf map[*Job][]int                // indexes of each job's turns, in ascending order
 }
 
 // equivalentTurns identifies turns of equivalent jobs that have the same relative order as the jobs.
@@ -66,10 +67,11 @@
 	ready      bool
 }
 
-// newPlacementOrder orders the jobs for placement. On machines that have to fetch its image first, a
-// job's turn is delayed by twice the fetch time: the place would be idle during the fetch, while a
-// job that arrived later can use it at once. Fetches can take as long as the tasks, and each machine
-// fetches each image separately.
+// newPlacementOrder returns the placement order of jobs, which must be in the order in which they
+// are served. A job's turn for all machines is later than its turn for machines with its image by
+// twice the fetch time: during a fetch, the place would be idle, while a job that arrived later
+// could use it at once. Fetches can take as long as the tasks, and each machine fetches each image
+// separately.
 func newPlacementOrder(jobs []*Job, fetchTime func(*Job) time.Duration) *placementOrder {
 	o := &placementOrder{groups: map[equivalentTurns]positions{}, turnsOf: make(map[*Job][]int, len(jobs))}
 	for _, job := range jobs {
@@ -102,7 +104,7 @@
 	return o
 }
 
-// activate records that a job may have tasks to start again.
+// activate records that a job may have tasks to start again, so that passes visit its turns.
 func (o *placementOrder) activate(j *Job) {
 	for _, i := range o.turnsOf[j] {
 		o.active.add(i)
@@ -112,8 +114,8 @@
 // turnIterator iterates over the turns of one placement pass.
 type turnIterator struct {
 	order     *placementOrder
-	remaining positions
-	exempt    positions // turns that skipEquivalent keeps
+	remaining positions // turns that are not skipped
+	exempt    positions // turns that skipEquivalent does not skip
 	at        int       // index of the last returned turn
 }
 
@@ -127,7 +129,7 @@
 	return p
 }
 
-// next returns the next turn, or false if there is none.
+// next returns the next turn that is not skipped, or false if there is none.
 func (p *turnIterator) next() (placementTurn, bool) {
 	if p.at = p.remaining.next(p.at + 1); p.at < 0 {
 		return placementTurn{}, false
@@ -135,10 +137,10 @@
 	return p.order.turns[p.at], true
 }
 
-// deactivate makes passes skip the last returned turn until its job is activated.
+// deactivate makes later passes skip the last returned turn until its job is activated.
 func (p *turnIterator) deactivate() { p.order.active.remove(p.at) }
 
-// skipEquivalent skips the remaining turns that are equivalent to the last returned one.
+// skipEquivalent skips the remaining turns of the last returned turn's group, except exempt ones.
 func (p *turnIterator) skipEquivalent() {
 	t := p.order.turns[p.at]
 	for w, same := range p.order.groups[equivalentTurns{t.job.imageClass, t.ready}] {
--- a/internal/scheduler/placement_order_test.go
+++ b/internal/scheduler/placement_order_test.go
@@ -8,20 +8,20 @@
 	"drumpick/internal/records"
 )
 
-// A placement pass visits the turns in order. Once a turn finds no room, it skips the equivalent ones,
-// except those of jobs with claims, also claims made during the pass. A deactivated job is skipped
-// until it is activated.
+// Guards against placement passes that skip a job which could be placed. After a turn finds no room, a
+// pass skips only the later equivalent turns, except those of jobs with claims, including claims made
+// during the pass. A deactivated turn is skipped only until its job is activated.
 func TestPlacementOrderSkipsEquivalentJobs(t *testing.T) {
 	job := func(id string, imageClass int) *Job {
 		return &Job{Job: records.Job{ID: id, Tasks: 1}, placementClass: 1, imageClass: imageClass, turnAt: time.Unix(int64(id[0]), 0)}
 	}
 	a, b, c, d, e := job("a", 2), job("b", 2), job("c", 3), job("d", 2), job("e", 2)
 	order := newPlacementOrder([]*Job{a, b, c, d, e}, func(*Job) time.Duration { return 0 })
-	play := func(each []*Job, at func(turns *turnIterator, j *Job)) (seen []string) {
-		turns := order.iterate(each)
+	play := func(exempt []*Job, onTurn func(turns *turnIterator, j *Job)) (seen []string) {
+		turns := order.iterate(exempt)
 		for turn, more := turns.next(); more; turn, more = turns.next() {
 			seen = append(seen, turn.job.ID)
-			at(turns, turn.job)
+			onTurn(turns, turn.job)
 		}
 		return seen
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -8,14 +8,14 @@
 )
 
 // preempt stops tasks of lower priority, or of teams that exceed their guarantee, for jobs that may
-// preempt and find no room, and claims the freed room for them. It first subtracts the room that
-// ending tasks are expected to free within a heartbeat interval: on hundreds of machines that soon
-// suffices for any job, without lost work.
+// preempt and find no room, and claims the freed room for these jobs. Jobs other than gangs preempt
+// only for tasks that do not fit into the room that ending tasks are expected to free within a
+// heartbeat interval: on hundreds of machines that soon suffices for any job, without lost work.
 //
 // A job that is urgent only because of its dependents is served first but does not preempt: the
-// middle jobs of a chain are large and have time to spare, and preemption for them would stop
-// hundreds of tasks that are still fetching their images. No task is preempted for a gang that does
-// not get all its places. Equivalent jobs share one evaluation of the machines. Otherwise each
+// middle jobs of a dependency chain are large and have time to spare, and preemption for them would
+// stop hundreds of tasks that are still fetching their images. No task is preempted for a gang that
+// does not get all its places. Equivalent jobs share one evaluation of the machines; otherwise each
 // urgent job in the queue would examine every task.
 func (s *Scheduler) preempt(now time.Time) {
 	if !s.reconciled {
@@ -48,8 +48,8 @@
 	}
 }
 
-// preemptors returns the waiting jobs that may preempt, in the order in which they are served, and
-// whether any of them is protected by a guarantee.
+// preemptors returns the jobs that may preempt and have waiting tasks, in the order in which they are
+// served, and whether any of these jobs is protected by its team's guarantee.
 func (s *Scheduler) preemptors(now time.Time) (jobs []*Job, anyProtected bool) {
 	for _, job := range s.queue(now) {
 		if !s.startable(job, now) || job.nextTask() < 0 {
--- a/internal/scheduler/preemption_search.go
+++ b/internal/scheduler/preemption_search.go
@@ -11,40 +11,40 @@
 	"drumpick/internal/records"
 )
 
-// preemptionCandidate is a machine that a job may use, with its free room and the attempts to stop
-// for one more task, as if all choices so far had been applied.
+// preemptionCandidate is a machine that a job may use, with the machine's free room and the
+// attempts to stop for one more task of the job, as if all choices made so far had been applied.
 type preemptionCandidate struct {
 	machine     *fleet.Machine
-	free        packing.Resources
-	victims     []*fleet.Attempt // attempts chosen to be stopped
-	nextVictims []*fleet.Attempt // attempts to stop for one more task
-	loss        float64          // lost work of nextVictims, in the unit of lostWork
-	feasible    bool             // room for one more task can be freed
-	version     int              // version of the machine at this evaluation
+	free        packing.Resources // unclaimed, including the room of victims
+	victims     []*fleet.Attempt  // attempts chosen to be stopped
+	nextVictims []*fleet.Attempt  // attempts to stop for one more task
+	loss        float64           // lost work of nextVictims, in the unit of lostWork
+	feasible    bool              // room for one more task can be freed
+	version     int               // preemptionSearch.versions of the machine when it was evaluated
 }
 
-// preemptionChoice is room for a number of tasks on a machine, and the attempts to stop for it.
+// preemptionChoice is room for a number of tasks on a machine, and the attempts to stop for that room.
 type preemptionChoice struct {
 	machine *fleet.Machine
 	victims []*fleet.Attempt
 	tasks   int
 }
 
-// candidateKey contains what the choice of victims depends on, except for the tasks that the job has
-// preempted before.
+// candidateKey contains everything about a job that the choice of victims depends on, except for the
+// tasks that were preempted for it before.
 type candidateKey struct {
 	placementClass int
 	rank           int
-	team           string
-	guaranteed     bool
+	team           string // "" if the job is not protected
+	protected      bool   // the job is protected by its team's guarantee
 }
 
-// preemptionSearch is a search for room by preemption, for all jobs of one pass that may preempt.
+// preemptionSearch frees room by preemption, for all jobs that may preempt at one tick.
 type preemptionSearch struct {
 	scheduler  *Scheduler
 	now        time.Time
-	excess     map[string]quota.Amount // usage of teams beyond their guarantees; loaded only if a protected job preempts
-	versions   map[*fleet.Machine]int  // number of changes that this search made to a machine
+	excess     map[string]quota.Amount // by team, usage beyond the guarantee; loaded only if a protected job preempts
+	versions   map[*fleet.Machine]int  // number of preemptionChoices of this search applied to a machine
 	candidates map[candidateKey][]*preemptionCandidate
 }
 
@@ -66,9 +66,9 @@
 	}
 }
 
-// makeRoomForTasks frees room for up to n tasks of a job that is not a gang.
+// makeRoomForTasks preempts for up to n tasks of a job that is not a gang, and claims the room.
 func (s *preemptionSearch) makeRoomForTasks(job *Job, n int) {
-	k := candidateKey{placementClass: job.placementClass, rank: job.precedence.Rank, guaranteed: job.protected}
+	k := candidateKey{placementClass: job.placementClass, rank: job.precedence.Rank, protected: job.protected}
 	if job.protected {
 		k.team = job.Team
 	}
@@ -82,7 +82,8 @@
 	s.apply(job, chosen, excess)
 }
 
-// makeRoomForGang frees room for all n tasks that a gang has no place for, or for none.
+// makeRoomForGang preempts for all n tasks of a gang that lack a place and claims the room, or does
+// neither.
 func (s *preemptionSearch) makeRoomForGang(job *Job, n int) {
 	zones := s.scheduler.constrainedZoneCounts(job)
 	for _, zone := range s.scheduler.zonesToTry(job, zones) {
@@ -96,7 +97,8 @@
 	job.claimsNotBefore = s.now.Add(s.scheduler.settings.HeartbeatInterval) // a failed search examined every task
 }
 
-// listCandidates evaluates the machines that a job may use, in one zone or, with "", in all zones.
+// listCandidates returns an evaluated candidate for each machine that a job may use, in one zone or,
+// with "", in all zones.
 func (s *preemptionSearch) listCandidates(job *Job, zone string) []*preemptionCandidate {
 	var list []*preemptionCandidate
 	for _, m := range s.scheduler.fleet.Sorted() {
@@ -114,15 +116,16 @@
 func (s *preemptionSearch) evaluate(j *Job, candidate *preemptionCandidate) {
 	candidate.free, candidate.victims, candidate.version = expectedRoom(candidate.machine), nil, s.versions[candidate.machine]
 	s.chooseVictims(j, candidate, s.excess)
-	// Free unclaimed room is left to placement. Only a gang claims it, as its places do not all become
-	// free at once.
+	// Room that is free and unclaimed is left to placement. Only for a gang it is claimed, because the
+	// gang's places do not all become free at once.
 	if candidate.feasible && j.Shape != records.ShapeGang && candidate.machine.Bin.Fits(j.request) {
 		candidate.feasible = false
 	}
 }
 
-// choosePlaces chooses places for up to n tasks, those with the least lost work first, and returns
-// for how many tasks it found none. It updates zones and excess.
+// choosePlaces chooses places for up to n tasks of a job, those with the least lost work first. It
+// returns the choices and the number of tasks without a place, and updates zones and excess. zones
+// counts the job's tasks by zone; nil if it has no zone constraint.
 func (s *preemptionSearch) choosePlaces(job *Job, n int, list []*preemptionCandidate, zones map[string]int,
 	excess map[string]quota.Amount) (chosen []preemptionChoice, missing int) {
 	for n > 0 {
@@ -156,8 +159,8 @@
 	return chosen, n
 }
 
-// cheapestCandidate returns the feasible candidate with the least lost work, nil if there is none.
-// It reevaluates candidates whose machine has changed.
+// cheapestCandidate returns the feasible candidate with the least lost work in a zone that the job may
+// use, nil if there is none. It reevaluates candidates for whose machine a choice was applied.
 func (s *preemptionSearch) cheapestCandidate(job *Job, list []*preemptionCandidate, zones map[string]int) *preemptionCandidate {
 	var best *preemptionCandidate
 	for _, candidate := range list {
@@ -174,7 +177,7 @@
 	return best
 }
 
-// apply preempts the chosen victims and claims their room for the job.
+// apply preempts the victims of the choices, claims the room for the job, and sets the teams' excess.
 func (s *preemptionSearch) apply(job *Job, chosen []preemptionChoice, excess map[string]quota.Amount) {
 	for _, choice := range chosen {
 		for _, victim := range choice.victims {
@@ -188,7 +191,8 @@
 	s.excess = excess
 }
 
-// preemptFor stops an attempt to make room for a job, with time to save a checkpoint if it has any.
+// preemptFor stops an attempt to make room for a job. If the attempt's own job takes checkpoints, the
+// attempt gets time to save one.
 func (s *preemptionSearch) preemptFor(job *Job, victim *fleet.Attempt) {
 	victimJob := s.scheduler.jobOf(victim)
 	graceS := 0.0
--- a/internal/scheduler/preemption_victims.go
+++ b/internal/scheduler/preemption_victims.go
@@ -10,8 +10,9 @@
 	"drumpick/internal/records"
 )
 
-// chooseVictims sets which attempts to stop on a candidate machine to make room for one more task of
-// a job, those with the least lost work first. A job preempts the same task at most once.
+// chooseVictims sets candidate.nextVictims, loss and feasible: which attempts to stop on the
+// machine for one more task of a job, those with the least lost work first. excess is the usage by
+// team beyond the guarantees; it is not changed.
 func (s *preemptionSearch) chooseVictims(job *Job, candidate *preemptionCandidate, excess map[string]quota.Amount) {
 	candidate.nextVictims, candidate.loss, candidate.feasible = nil, 0, true
 	free, excessAfter := candidate.free, excess
@@ -32,8 +33,8 @@
 	}
 }
 
-// cheapestVictim returns the preemptible attempt on a machine with the least lost work, and that
-// loss; nil if there is none.
+// cheapestVictim returns the attempt on a candidate machine that may be preempted with the least lost
+// work, nil if there is none, and that lost work in the unit of lostWork.
 func (s *preemptionSearch) cheapestVictim(job *Job, candidate *preemptionCandidate, excess map[string]quota.Amount) (*fleet.Attempt, float64) {
 	var cheapest *fleet.Attempt
 	least := 0.0
@@ -49,9 +50,10 @@
 	return cheapest, least
 }
 
-// mayPreempt reports whether an attempt may be preempted for a job: it has lower priority, or its
-// team exceeds its guarantee and the job is protected by the guarantee of another team. Only attempts
-// of unprotected arrays are preempted, and for each job a task at most once.
+// mayPreempt reports whether an attempt may be preempted for a job: the attempt's job has a lower
+// priority, or its team exceeds the guarantee and the preempting job is protected by another team's
+// guarantee. Only reported attempts of unprotected arrays are preempted, and a task at most once for
+// each preempting job.
 func (s *preemptionSearch) mayPreempt(job *Job, attempt *fleet.Attempt, excess map[string]quota.Amount) bool {
 	if attempt.Stopping() || !attempt.MayBePresent() || attempt.State() == fleet.Sent || attempt.Item == nil {
 		return false
@@ -70,9 +72,10 @@
 	return job.protected && victimJob.Team != job.Team && (teamExcess.CPUs > quotaEpsilon || teamExcess.GPUs > quotaEpsilon)
 }
 
-// lostWork returns the machine time that stopping an attempt loses, in seconds times its share of the
-// machine. It returns false for a task without checkpoints that has run for more than half its
-// estimate: it is left to finish.
+// lostWork returns the machine time that is lost if an attempt of job is stopped, in seconds times the
+// share of the machine that a task takes. It is the time to save a checkpoint or, without checkpoints,
+// the run time so far; half a second for an attempt that is not running yet. It returns false for a
+// task without checkpoints that has run for more than half its estimate and is left to finish.
 func (s *Scheduler) lostWork(job *Job, attempt *fleet.Attempt, now time.Time) (float64, bool) {
 	share := attempt.Machine.Bin.Capacity.Share(job.request)
 	if attempt.RunningSince.IsZero() {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -11,12 +11,13 @@
 	"drumpick/internal/records"
 )
 
+// priorityRank is the rank of each job priority; jobs with a lower rank are served first.
 var priorityRank = map[string]int{
 	records.PriorityCritical: 0, records.PriorityUrgent: 1, records.PriorityStandard: 2, records.PriorityLow: 3,
 }
 
-// queue returns the open jobs that are not blocked, in the order in which they are served. It
-// rebuilds the order, guarantees and placement order if they are stale.
+// queue returns the open jobs that are not blocked, in the order in which they are served. If the
+// queue is stale, it first recomputes that order, the jobs' guarantees and the placement order.
 func (s *Scheduler) queue(now time.Time) []*Job {
 	if s.queueStale {
 		s.queueStale = false
@@ -53,8 +54,9 @@
 	return x.turnAt.Before(y.turnAt)
 }
 
-// comparePrecedence compares jobs by what takes precedence over their turns: jobs within a guarantee
-// first, of these the ones that can still start in time, then by rank.
+// comparePrecedence compares jobs by the criteria that precede their turns: jobs within a guarantee
+// first, of these the ones that can still start in time, then by rank. The result is negative if x is
+// first, 0 if the turns decide.
 func comparePrecedence(x, y *Job) int {
 	switch {
 	case x.guaranteed != y.guaranteed:
@@ -91,8 +93,8 @@
 // assignTurns sets each job's rank and turn. Critical and urgent jobs rank before the rest. Within a
 // rank, a job's turn is its release time plus a share of the slack until its next target, plus a
 // multiple of the time that its remaining work would occupy all machines. Jobs with little slack and
-// short jobs thus go first, and no job starves. A job that can no longer meet any target ranks after
-// those that can, until it is very late.
+// short jobs thus go first, and no job starves. Among jobs of equal priority, a job that can no longer
+// meet any target ranks last, until it is very late.
 func (s *Scheduler) assignTurns(now time.Time) {
 	machinesUp := 0
 	for _, machine := range s.fleet.Sorted() {
@@ -114,8 +116,8 @@
 	}
 }
 
-// nextTarget returns the first target that a job can still meet, and its last target. The age and the
-// targets are in seconds since the job's release.
+// nextTarget returns the first target that a job can still meet, the last one if it can meet none, and
+// its last target. The age and the targets are in seconds since the job's release.
 func (j *Job) nextTarget(age float64) (next, last float64) {
 	last = j.targets[len(j.targets)-1]
 	for _, target := range j.targets {
@@ -127,8 +129,9 @@
 }
 
 // completionTargets returns when a job should be complete, in seconds from its release, the soonest
-// first: by its class's objectives, its deadline and its dependents' deadlines. A job's own deadline
-// counts from its acceptance, including the time while it was blocked.
+// first: by the objectives of its class, its deadline and its dependents' deadlines; without any of
+// these, a default. A job's own deadline counts from its acceptance, so the time while the job was
+// blocked is subtracted.
 func (s *Scheduler) completionTargets(job *Job) []float64 {
 	var targets []float64
 	for _, objective := range s.settings.Objectives {
@@ -156,21 +159,24 @@
 }
 
 const (
-	// workWeight is the multiple of the time for a job's own work that delays its turn.
+	// workWeight is the delay of a job's turn, as a multiple of the time that the job's remaining work
+	// would occupy all machines.
 	workWeight = 3
-	// slackWeight is the share of the slack until a job's next target that delays its turn.
+	// slackWeight is the delay of a job's turn, as a share of the slack until the job's next target.
 	slackWeight = 0.5
 	// likelyRunFactor is the multiple of the estimate that a job's slowest task is likely to run.
 	likelyRunFactor = 1.5
-	// minRunFactor is the share of the estimate that a task runs at least.
+	// minRunFactor is the share of the estimate that a task is assumed to run at least.
 	minRunFactor = 0.5
-	// veryLateFactor is the multiple of its last target after which a late job ranks normally again.
+	// veryLateFactor is the multiple of a job's last target at which a late job ranks as if it were
+	// not late; age and target are counted from the job's acceptance.
 	veryLateFactor = 3
-	// defaultTargetIntervals is the target of jobs without any other, in heartbeat intervals.
+	// defaultTargetIntervals is the target of jobs without any other target, in heartbeat intervals.
 	defaultTargetIntervals = 100
 )
 
-// smallestShare returns the smallest share that a task of the job takes of any machine type it allows.
+// smallestShare returns the share of a machine that one task of the job takes, on the allowed machine
+// type where that is smallest; at most 1.
 func (s *Scheduler) smallestShare(j *Job) float64 {
 	share := 1.0
 	for name, t := range s.machineTypes {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -6,7 +6,7 @@
 	"drumpick/internal/quota"
 )
 
-// quotaEpsilon is the tolerance for rounding errors when quota amounts are compared.
+// quotaEpsilon is the tolerance for rounding errors when quota amounts are compared or divided.
 const quotaEpsilon = 1e-9
 
 // setTeam sets the configuration of the job's team.
@@ -18,15 +18,16 @@
 func (j *Job) taskQuota() quota.Amount { return quota.Amount{CPUs: j.request.CPU, GPUs: j.request.GPU} }
 
 // updateCharge updates the quota account for an attempt. The machine table calls it on each change of
-// the attempt; it is also called when the attempt's job is added or closed.
+// the attempt; the scheduler also calls it when the attempt's job is added or closed.
 func (s *Scheduler) updateCharge(a *fleet.Attempt) {
 	next := s.chargeOf(a)
 	s.quotaUsage.Replace(a.Charge, next)
 	a.Charge = next
 }
 
-// chargeOf returns the quota charge of an attempt that is planned or may be on a machine. Until it is
-// proven gone, an attempt whose job is closed or unknown is charged to every team.
+// chargeOf returns the quota charge of an attempt, the zero charge if it has ended or was
+// forgotten. An attempt whose job is closed or unknown is charged to every team until it is proven
+// gone.
 func (s *Scheduler) chargeOf(attempt *fleet.Attempt) quota.Charge {
 	var charge quota.Charge
 	switch {
@@ -50,8 +51,8 @@
 	return charge
 }
 
-// withinLimit reports whether one more task of the job, in addition to what is used, is within its
-// team's limit.
+// withinLimit reports whether one more task of the job is within its team's limit, given what the team
+// uses already.
 func (s *Scheduler) withinLimit(job *Job, used quota.Amount) bool {
 	team := job.team
 	sum := used.Add(job.taskQuota())
@@ -59,7 +60,8 @@
 		(team.LimitGPUs == 0 || sum.GPUs <= team.LimitGPUs+quotaEpsilon)
 }
 
-// waitingWithinLimit returns how many of a job's waiting tasks fit within its team's limit.
+// waitingWithinLimit returns how many of a job's waiting and relocating tasks fit within its team's
+// limit. The result can be negative if the team uses more than its limit.
 func (s *Scheduler) waitingWithinLimit(job *Job) int {
 	n := job.pending() + job.relocatingTasks
 	if !job.teamLimited {
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -16,8 +16,9 @@
 	"pgregory.net/rapid"
 )
 
-// scanUsage computes a team's usage from every attempt on every machine, as the reference for the
-// quota account.
+// scanUsage computes a team's usage by scanning every attempt on every machine, as the reference for
+// the quota account. inUse counts attempts that may be present, committed also planned ones, and
+// notStopping only the team's own present attempts without a requested stop.
 func scanUsage(s *Scheduler, team string) (inUse, committed, notStopping quota.Amount) {
 	for _, m := range s.fleet.Sorted() {
 		for _, a := range m.Attempts() {
@@ -45,7 +46,7 @@
 	return inUse, committed, notStopping
 }
 
-// checkUsage compares the quota account with the scan, for every team.
+// checkUsage compares the quota account with scanUsage, for every team.
 func checkUsage(t *rapid.T, s *Scheduler, after string) {
 	same := func(a, b quota.Amount) bool {
 		return math.Abs(a.CPUs-b.CPUs) < quotaEpsilon && math.Abs(a.GPUs-b.GPUs) < quotaEpsilon
@@ -64,8 +65,8 @@
 	}
 }
 
-// checkDerivedState compares incrementally updated state with a scan of all jobs: which jobs may have
-// tasks to start, and which are complete.
+// checkDerivedState compares two incrementally updated sets with a scan of all jobs: the active
+// turns of jobs with tasks to start, and the complete jobs.
 func checkDerivedState(t *rapid.T, s *Scheduler, after string) {
 	for i, turn := range s.order.turns {
 		if !turn.job.closed && !turn.job.hasNoQueuedTasks() && s.order.active.next(i) != i {
@@ -84,7 +85,7 @@
 	*fakeFleet
 	t          *rapid.T
 	teams      []config.Team
-	heartbeats []fleet.Heartbeat // all that arrived; late copies are drawn from these
+	heartbeats []fleet.Heartbeat // all heartbeats so far; late copies are drawn from them
 	submitted  []records.Job
 	drains     int
 }
@@ -127,8 +128,8 @@
 	e.scheduler.AddJob(j, 10, e.now, e.now)
 }
 
-// sendHeartbeat sends a heartbeat of a machine, and executes the commands of the answer unless the
-// answer is lost.
+// sendHeartbeat sends a heartbeat of a random machine, and executes the commands of the answer unless
+// the answer is lost.
 func (e *randomEvents) sendHeartbeat() {
 	machine := e.pickMachine()
 	e.advanceAttempts(machine)
@@ -154,8 +155,8 @@
 	}
 }
 
-// addUnknownAttempt adds an attempt that this term did not start to a machine: of a known or unknown
-// job, or of a task that its job does not have.
+// addUnknownAttempt adds an attempt that this term did not start to a random machine. Its job may be
+// unknown, or may not have the task.
 func (e *randomEvents) addUnknownAttempt() {
 	id := fleet.TaskID{Job: fmt.Sprint("j-", rapid.IntRange(0, 12).Draw(e.t, "job")), N: rapid.IntRange(0, 8).Draw(e.t, "task")}
 	machine := e.pickMachine()
@@ -165,7 +166,7 @@
 	})
 }
 
-// failover begins the next term with the state that the store contains.
+// failover begins the next term with the open jobs and the recorded machines of the last one.
 func (e *randomEvents) failover() {
 	before := e.scheduler
 	e.scheduler = New(before.settings, before.term+1, e.now)
@@ -182,6 +183,7 @@
 	}
 }
 
+// pickJob returns the id of a random open job, or "".
 func (e *randomEvents) pickJob() string {
 	for _, j := range e.submitted {
 		if e.scheduler.jobs[j.ID] != nil && rapid.Bool().Draw(e.t, "this job") {
--- a/internal/scheduler/rebalance.go
+++ b/internal/scheduler/rebalance.go
@@ -8,8 +8,9 @@
 	"drumpick/internal/packing"
 )
 
-// rebalance runs a rebalancing round: it predicts the load of every machine, and runs VISBP's change
-// operation on bins that are overloaded or have a wide gap.
+// rebalance runs a rebalancing round: it predicts the load of every machine, runs VISBP's change
+// operation on bins that are overloaded or where ended tasks left a gap of at least a third, and moves
+// service replicas off machines that are being drained.
 func (s *Scheduler) rebalance(now time.Time) {
 	s.lastRebalance = now
 	s.queueStale = true
@@ -43,7 +44,8 @@
 	s.moveReplicas(now)
 }
 
-// ObserveUsage adds a machine's usage at a heartbeat to its load forecast.
+// ObserveUsage adds a machine's load at a heartbeat to its forecast: the share of its capacity that
+// its running, checkpointing and waiting attempts request.
 func (s *Scheduler) ObserveUsage(m *fleet.Machine) {
 	var sum packing.Resources
 	for _, a := range m.Attempts() {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -9,8 +9,9 @@
 	"drumpick/internal/records"
 )
 
-// Reconcile applies a worker's heartbeat, or its status in an answer to a command, and returns its
-// machine. It reports whether the status is stale; a stale status changes nothing.
+// Reconcile applies the status in a worker's heartbeat (isHeartbeat) or in its answer to a command. It
+// returns the worker's machine, and whether the status is stale; a stale status changes nothing. The
+// machine is nil if a stale status is invalid or its machine is unknown.
 func (s *Scheduler) Reconcile(heartbeat *fleet.Heartbeat, isHeartbeat bool, now time.Time) (*fleet.Machine, bool) {
 	heartbeatsTotal.Inc()
 	// A late copy of a heartbeat must not add a returned machine again.
@@ -22,7 +23,7 @@
 }
 
 // handleApplyResult updates the machine, its attempts and the reconciliation of the term after the
-// machine table has applied a status. It returns the machine, and whether the status was stale.
+// machine table has applied a status. It returns the same results as Reconcile.
 func (s *Scheduler) handleApplyResult(result fleet.ApplyResult, wasUnreachable bool, now time.Time) (*fleet.Machine, bool) {
 	machine := result.Machine
 	if result.Stale {
@@ -50,7 +51,8 @@
 	return machine, false
 }
 
-// recordReachability logs that a machine became reachable or unreachable for commands.
+// recordReachability logs that a machine became reachable or unreachable for commands, and requests a
+// placement pass.
 func (s *Scheduler) recordReachability(machine *fleet.Machine, unreachable bool) {
 	s.placementStale = true
 	message := "machine reachable"
@@ -92,8 +94,8 @@
 	}
 }
 
-// updateReconciliation updates what a status of a machine changes in the reconciliation: of the
-// machine, and of the term as a whole.
+// updateReconciliation updates the reconciliation of the term after a status of a machine, and logs a
+// change of the worker's version.
 func (s *Scheduler) updateReconciliation(result fleet.ApplyResult, now time.Time) {
 	machine := result.Machine
 	if result.Reconciled {
@@ -127,8 +129,9 @@
 	}
 }
 
-// isBrokenGang reports whether a gang started running under an earlier term and lost a member, so that
-// it cannot complete. A gang whose members still wait can, with its current attempt number.
+// isBrokenGang reports whether a job is a gang that started running under an earlier term and lost a
+// member, so that it cannot complete. A gang whose members still wait for each other can complete: the
+// missing tasks start with the gang's current attempt number.
 func (j *Job) isBrokenGang() bool {
 	if j.Shape != records.ShapeGang || j.gangAttempt == 0 || len(j.attempts) >= j.Tasks {
 		return false
@@ -141,7 +144,8 @@
 	return false
 }
 
-// adoptAttempt adds an attempt that a worker reports and this term does not know.
+// adoptAttempt adds an attempt that a worker reports and this term does not know. It becomes the
+// current attempt of its task or, if it cannot, a duplicate that is stopped.
 func (s *Scheduler) adoptAttempt(machine *fleet.Machine, attempt *fleet.Attempt) {
 	job, task := s.jobs[attempt.Task.Job], attempt.Task.N
 	attempt.Duplicate = true
@@ -156,8 +160,8 @@
 		machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Request: job.request})
 		s.recordImageUse(machine, job)
 	}
-	// If an unknown machine reports tasks, the heartbeat is a late copy from a returned machine, or the
-	// machine lacks its record: its tasks use room and are stopped.
+	// An unverified machine that reports tasks was returned and the heartbeat is a late copy, or its
+	// record is missing. Its tasks use room and are stopped.
 	becomesCurrent := !machine.Unverified && job.attempts[task] == nil && !hasBit(job.done, task) &&
 		(job.Shape != records.ShapeGang || job.gangAttempt == 0 || job.gangAttempt == attempt.Number)
 	if becomesCurrent && !s.startedThisTerm(attempt) {
@@ -168,7 +172,7 @@
 		}
 		return
 	}
-	// A duplicate attempt is stopped, and blocks new attempts of its task until it is gone.
+	// Until a duplicate is gone, no new attempt of its task starts.
 	job.duplicates[task]++
 	s.requestStop(attempt, stopDuplicate, 0, time.Time{})
 }
@@ -180,12 +184,12 @@
 		attempt.MayReap = true
 		return
 	}
-	// Its size is unknown, so it occupies the whole machine until it is gone.
+	// The attempt's size is unknown, so it occupies the whole machine until it is gone.
 	machine.Adopt(attempt, &packing.Item{ID: attempt.Task.String(), Request: machine.Bin.Capacity})
 	s.requestStop(attempt, stopJobClosed, 0, time.Time{})
 }
 
-// Probes lists the machines to be asked for their status.
+// Probes returns the probes to send now: direct requests for a machine's status.
 func (s *Scheduler) Probes(now time.Time) []fleet.Probe {
 	return s.fleet.DueProbes(s.settings.HeartbeatInterval, now)
 }
@@ -201,7 +205,8 @@
 	s.handleApplyResult(result, wasUnreachable, now)
 }
 
-// ExpireLeases handles the attempts on machines whose lease has expired as lost.
+// ExpireLeases expires the leases that are due: their machines take no tasks, and the attempts on them
+// count as lost.
 func (s *Scheduler) ExpireLeases(now time.Time) {
 	for _, a := range s.fleet.ExpireLeases(now) {
 		a.Machine.Bin.SetOpen(false)
@@ -224,7 +229,7 @@
 	return n
 }
 
-// RemoveMachine removes a machine that is known to be gone.
+// RemoveMachine removes a machine that is known to be gone. The attempts on it count as lost.
 func (s *Scheduler) RemoveMachine(name string, now time.Time) {
 	if machine := s.fleet.Machines[name]; machine != nil && s.spaces[machine.Type] != nil {
 		s.spaces[machine.Type].Remove(machine.Bin)
--- a/internal/scheduler/replicas.go
+++ b/internal/scheduler/replicas.go
@@ -8,7 +8,8 @@
 )
 
 // moveReplicas moves service replicas off machines that are being drained: one replica of a job at a
-// time, and only if another one is running and a machine has room for it.
+// time, only while another one is running, and only to a machine that has room. If none has, the
+// replica counts as relocating, for scale-out.
 func (s *Scheduler) moveReplicas(now time.Time) {
 	for _, job := range s.queue(now) {
 		if job.Shape != records.ShapeService {
@@ -19,8 +20,8 @@
 		if leaving == nil {
 			continue
 		}
-		// A replica moves only to room that exists: otherwise it would be stopped and wait for room,
-		// although it could have continued on its machine.
+		// Without existing room, the replica would be stopped and wait for room, although it could
+		// have continued on its machine.
 		if to := s.roomForReplica(job, leaving, now); to != nil {
 			s.addClaim(job, to, now)
 			s.requestStop(leaving, stopMoved, job.SaveS, now)
@@ -30,8 +31,9 @@
 	}
 }
 
-// replicaToMove returns the first replica that has to leave its machine while another one is running.
-// It returns nil if there is none or a replica is already moving.
+// replicaToMove returns the replica with the lowest task number that runs on a machine that it has to
+// leave. It returns nil if there is none, if no other replica of the job is running, or if any replica
+// is being stopped.
 func (s *Scheduler) replicaToMove(job *Job) *fleet.Attempt {
 	running := 0
 	var leaving *fleet.Attempt
@@ -55,7 +57,7 @@
 }
 
 // roomForReplica returns a machine with room for a replica that leaves another machine, in the zone
-// with the fewest replicas of its job; nil if there is none.
+// with the fewest other replicas of the job; nil if there is none.
 func (s *Scheduler) roomForReplica(job *Job, leaving *fleet.Attempt, now time.Time) *fleet.Machine {
 	replicasByZone := s.tasksByZone(job, true)
 	if replicasByZone[leaving.Machine.Zone]--; replicasByZone[leaving.Machine.Zone] == 0 {
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -11,16 +11,16 @@
 	"drumpick/internal/reservation"
 )
 
-// reserveRoom claims room for jobs that have waited long, in the order in which their reservations are
-// due: all places of a gang, in one zone if it requires that, and one place of an array. It runs before
-// placement, because the packing inserts items one by one: beside a steady queue of smaller jobs, a
-// gang that needs twelve bins at once would find eleven at most.
+// reserveRoom claims room for jobs whose reservation is due, in the order of dueReservations: all
+// places of a gang, in one zone if the gang requires that, and one place of an array. It runs
+// before placement, because packing inserts items one by one: beside a steady queue of smaller
+// jobs, a gang that needs twelve bins at once would find eleven at most.
 func (s *Scheduler) reserveRoom(now time.Time) {
 	if s.settings.ReservationBound <= 0 || !s.reconciled {
 		return
 	}
 	s.queue(now)
-	committed := map[string]int{} // places that earlier reservations still wait for, by zone
+	committed := map[string]int{} // by zone, places that gangs earlier in this order still wait for
 	for _, job := range s.dueReservations(now) {
 		if job.Shape != records.ShapeGang {
 			s.reserveArrayPlace(job, now)
@@ -34,8 +34,8 @@
 	}
 }
 
-// dueReservations returns the jobs whose reservation is due, the longest waiting first. Jobs that
-// missed the reservation bound come last until they have waited twice the bound.
+// dueReservations returns the jobs whose reservation is due, the longest waiting first. Jobs that have
+// waited longer than the reservation bound come last until they have waited twice the bound.
 func (s *Scheduler) dueReservations(now time.Time) []*Job {
 	var due []*Job
 	for _, job := range s.reservationCandidates {
@@ -56,13 +56,13 @@
 	return due
 }
 
-// beginReservation chooses the zone of a gang's reservation once that is due, and reports whether it
-// chose one.
+// beginReservation sets the zone of a gang's reservation if room has to be reserved from now on, given
+// the time until it is free, and reports whether it did.
 func (s *Scheduler) beginReservation(job *Job, committed map[string]int, now time.Time) bool {
 	if now.Before(job.reservationCheckAt) {
 		return false
 	}
-	// Estimating the end of every task is expensive, so the next check is delayed.
+	// Each check estimates the end of every task, which is expensive, so the next one is delayed.
 	job.reservationCheckAt = now.Add(s.settings.HeartbeatInterval / 4)
 	waited := now.Sub(job.waitStart())
 	zone, seconds := s.chooseReservationZone(job, committed, now)
@@ -75,8 +75,9 @@
 	return true
 }
 
-// listReservationCandidates lists, in queue order, the jobs that may need a reservation until the
-// queue is rebuilt: gangs, which may have to restart, and arrays that have not started.
+// listReservationCandidates lists, in scheduling order, the jobs that may need a reservation until the
+// queue is rebuilt: gangs, which may have to restart, and arrays that have not started. It drops the
+// reserved zones of all other jobs.
 func (s *Scheduler) listReservationCandidates() {
 	s.reservationCandidates = s.reservationCandidates[:0]
 	for _, j := range s.sortedJobs {
@@ -88,7 +89,8 @@
 	}
 }
 
-// waitStart returns when a job began to wait for its start, or a broken gang for its restart.
+// waitStart returns when a job began to wait for its start or, if it is a gang that broke later,
+// for its restart.
 func (j *Job) waitStart() time.Time {
 	if j.gangBrokenAt.After(j.releasedAt) {
 		return j.gangBrokenAt
@@ -97,7 +99,7 @@
 }
 
 // updateReservationNeed reports whether a reservation is due for a job, and drops the job's reserved
-// zone if not.
+// zone if none is.
 func (s *Scheduler) updateReservationNeed(job *Job, now time.Time) bool {
 	if s.reservationDue(job, now) {
 		return true
@@ -106,8 +108,9 @@
 	return false
 }
 
-// reservationDue reports whether room has to be reserved for a job: all places of a gang, the first
-// place of an array.
+// reservationDue reports whether a reservation is due for a job, for all places of a gang or the first
+// place of an array: the job has waited long enough, has no attempts and may start within its team's
+// limit. For a gang, beginReservation also considers the time until room is free.
 func (s *Scheduler) reservationDue(job *Job, now time.Time) bool {
 	waited := now.Sub(job.waitStart())
 	switch {
@@ -123,8 +126,10 @@
 	return reservation.Due(waited, 0, s.settings.ReservationBound) && s.waitingWithinLimit(job) > 0
 }
 
-// chooseReservationZone returns the zone where a job's places become free soonest, and in how many
-// seconds; committed places are left to earlier reservations. The zone is "" if none has enough.
+// chooseReservationZone returns the zone where places for all waiting tasks of a gang become free
+// soonest, and in how many seconds. In each zone, the committed number of places is left to earlier
+// reservations. The zone is reservation.AllZones if the job may use several, and "" if no zone has
+// enough places.
 func (s *Scheduler) chooseReservationZone(job *Job, committed map[string]int, now time.Time) (zone string, seconds float64) {
 	byZone := map[string][]float64{}
 	for _, machine := range s.fleet.Sorted() {
@@ -144,9 +149,10 @@
 	return reservation.ChooseZone(zones, job.pending())
 }
 
-// reserveGangPlaces claims a place in the reserved zone for each waiting task of a gang: free places,
-// and, once the job is urgent and no earlier reservation waits in the zone, the places that become
-// free soonest. It returns how many of the places are not free yet.
+// reserveGangPlaces claims places in the reserved zone for the waiting tasks of a gang: those that are
+// free and, once reservation.Urgent holds and no earlier reservation waits in the zone (behindOther),
+// also those that become free soonest. It returns how many of the places are not free yet. If the zone
+// has too few places, it drops the reserved zone and returns 0.
 func (s *Scheduler) reserveGangPlaces(job *Job, behindOther bool, now time.Time) (lacking int) {
 	places := s.releaseAndListPlaces(job, now)
 	n := job.pending()
@@ -169,9 +175,9 @@
 	return lacking
 }
 
-// releaseAndListPlaces releases a job's claims and lists the places in its reserved zone, the soonest
-// first. Machines that the job had claims on are preferred: small tasks would otherwise refill a
-// partly free machine, and it would never become free as a whole.
+// releaseAndListPlaces releases a job's claims and returns the places for its tasks in its reserved
+// zone, the soonest free first. Machines that the job had claims on are preferred: small tasks would
+// otherwise refill a partly free machine, which would never become free as a whole.
 func (s *Scheduler) releaseAndListPlaces(job *Job, now time.Time) []machineWait {
 	claimedBefore := map[*fleet.Machine]bool{}
 	for _, c := range job.claims {
@@ -194,7 +200,8 @@
 	return places
 }
 
-// reserveArrayPlace claims the place that becomes free soonest for an array that has not started.
+// reserveArrayPlace claims the place that becomes free soonest for an array that has not started
+// and has no claim. Machines with claims of any job are left out.
 func (s *Scheduler) reserveArrayPlace(job *Job, now time.Time) {
 	job.reservedZone = reservation.AllZones
 	if len(job.claims) > 0 {
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -13,12 +13,14 @@
 	"pgregory.net/rapid"
 )
 
-// startDelaysUnderLoad simulates a fleet on which small jobs with later turns always wait, while gangs
-// that need a whole zone arrive. It returns the time from arrival to start of each gang that started.
-func startDelaysUnderLoad(t *rapid.T, begin float64, slots int, gangs []int, runs []int) map[string]time.Duration {
+// startDelaysUnderLoad simulates a fleet on which small jobs with later turns always wait, while
+// gangs that need a whole zone arrive, each at one of arrivalSteps. boundS is the reservation bound
+// in seconds, 0 for no reservations; runTimesS are the run times of the small jobs in seconds. It
+// returns the time from arrival to start of each gang that started.
+func startDelaysUnderLoad(t *rapid.T, boundS float64, machinesPerZone int, arrivalSteps []int, runTimesS []int) map[string]time.Duration {
 	options := config.DefaultOptions()
-	options.Reservations, options.BeginWithinS = begin > 0, max(begin, 1)
-	f := newFakeFleet(t, options, []config.Team{{Name: "team"}}, slots)
+	options.Reservations, options.BeginWithinS = boundS > 0, max(boundS, 1)
+	f := newFakeFleet(t, options, []config.Team{{Name: "team"}}, machinesPerZone)
 	add := func(id, shape string, tasks int, cpus float64, run int) {
 		j := records.Job{
 			ID: id, Team: "team", Image: "img", MemGB: 1, Shape: shape, Priority: records.PriorityStandard, CPUs: cpus, Tasks: tasks,
@@ -27,27 +29,27 @@
 		f.jobs[id], f.runTimes[id] = j, time.Duration(run)*time.Second
 		f.scheduler.AddJob(j, 10, f.now, f.now)
 	}
-	arrived, began := map[string]time.Time{}, map[string]time.Duration{}
+	arrived, startDelays := map[string]time.Time{}, map[string]time.Duration{}
 	for i := range 600 { // steps of half a second
 		if i%4 == 0 {
 			// Slightly more work than all machines can do in two seconds.
-			run := runs[i/4%len(runs)]
-			add(fmt.Sprint("j-1000", i), records.ShapeArray, 1+2*fakeMachineCPUs*slots*2/run, 1, run)
+			run := runTimesS[i/4%len(runTimesS)]
+			add(fmt.Sprint("j-1000", i), records.ShapeArray, 1+2*fakeMachineCPUs*machinesPerZone*2/run, 1, run)
 		}
-		for n, at := range gangs {
+		for n, at := range arrivalSteps {
 			if id := fmt.Sprint("j-9", n); i == at {
-				add(id, records.ShapeGang, slots, fakeMachineCPUs, 10)
+				add(id, records.ShapeGang, machinesPerZone, fakeMachineCPUs, 10)
 				arrived[id] = f.now
 			}
 		}
 		f.step(i)
 		for id, at := range arrived {
-			if _, known := began[id]; !known && f.started[id] {
-				began[id] = f.now.Sub(at)
+			if _, known := startDelays[id]; !known && f.started[id] {
+				startDelays[id] = f.now.Sub(at)
 			}
 		}
 	}
-	return began
+	return startDelays
 }
 
 // setRapidChecks sets the number of cases of rapid.Check until the test ends.
@@ -62,30 +64,30 @@
 	t.Cleanup(func() { set(previous) })
 }
 
-// The largest jobs must start in time regardless of the small jobs that arrive, within the limit
-// that docs/reservations.md states: three quarters of the reservation bound, plus the longest run
-// time of the running tasks for each gang that is due.
+// Guards against large jobs that starve because small jobs fill each place that becomes free. A
+// gang must start within the limit that docs/reservations.md states: three quarters of the
+// reservation bound, plus the longest run time of the running tasks for each gang that is due.
 func TestLargestJobsStartWithinBound(t *testing.T) {
 	useFixedSeed(t)
 	setRapidChecks(t, 25)
 	rapid.Check(t, func(t *rapid.T) {
-		begin := float64(rapid.IntRange(40, 80).Draw(t, "begin"))
-		runs := rapid.SliceOfN(rapid.IntRange(4, 16), 3, 8).Draw(t, "runs")
-		gangs := rapid.SliceOfN(rapid.IntRange(40, 120), 1, 3).Draw(t, "gangs")
-		began := startDelaysUnderLoad(t, begin, rapid.IntRange(3, 5).Draw(t, "slots"), gangs, runs)
+		boundS := float64(rapid.IntRange(40, 80).Draw(t, "begin"))
+		runTimesS := rapid.SliceOfN(rapid.IntRange(4, 16), 3, 8).Draw(t, "runs")
+		arrivalSteps := rapid.SliceOfN(rapid.IntRange(40, 120), 1, 3).Draw(t, "gangs")
+		startDelays := startDelaysUnderLoad(t, boundS, rapid.IntRange(3, 5).Draw(t, "slots"), arrivalSteps, runTimesS)
 		const longestRun, heartbeats = 16 * time.Second, 8 * time.Second
-		most := time.Duration(begin*0.75*float64(time.Second)) + time.Duration(len(gangs)+1)*longestRun + heartbeats
-		for n := range gangs {
-			if wait, ok := began[fmt.Sprint("j-9", n)]; !ok || wait > most {
-				t.Errorf("gang %d of %v: began %v, after %v, want at most %v", n, gangs, ok, wait, most)
+		limit := time.Duration(boundS*0.75*float64(time.Second)) + time.Duration(len(arrivalSteps)+1)*longestRun + heartbeats
+		for n := range arrivalSteps {
+			if wait, ok := startDelays[fmt.Sprint("j-9", n)]; !ok || wait > limit {
+				t.Errorf("gang %d of %v: began %v, after %v, want at most %v", n, arrivalSteps, ok, wait, limit)
 			}
 		}
 	})
 	// Without reservations no gang starts, so the property depends on them.
 	setRapidChecks(t, 1)
 	rapid.Check(t, func(t *rapid.T) {
-		if began := startDelaysUnderLoad(t, 0, 4, []int{60}, []int{5, 9, 16}); len(began) > 0 {
-			t.Errorf("gang started without reservations: %v, want none", began)
+		if startDelays := startDelaysUnderLoad(t, 0, 4, []int{60}, []int{5, 9, 16}); len(startDelays) > 0 {
+			t.Errorf("gang started without reservations: %v, want none", startDelays)
 		}
 	})
 }
--- a/internal/scheduler/room_forecast.go
+++ b/internal/scheduler/room_forecast.go
@@ -20,7 +20,8 @@
 }
 
 // secondsUntilRoom estimates in how many seconds a machine will have room for one task of the job if
-// no other tasks are placed there.
+// no other tasks are placed there. The estimate is late by one task end: it is the end after the one
+// that frees enough room, or the last end. It is 0 if the machine has no attempts.
 func (s *Scheduler) secondsUntilRoom(job *Job, machine *fleet.Machine, now time.Time) float64 {
 	free := machine.Bin.Capacity.Sub(machine.Bin.Used())
 	ends := s.expectedEnds(machine, now)
@@ -36,8 +37,9 @@
 	return ends[len(ends)-1].seconds
 }
 
-// secondsUntilPlaces estimates in how many seconds a machine will have unclaimed room for one, two and
-// more tasks of the job if no other tasks are placed there.
+// secondsUntilPlaces estimates in how many seconds a machine will have unclaimed room for one, two
+// and more tasks of the job if no other tasks are placed there: one ascending value for each task
+// that fits.
 func (s *Scheduler) secondsUntilPlaces(j *Job, m *fleet.Machine, now time.Time) []float64 {
 	var seconds []float64
 	free := m.Bin.Capacity.Sub(m.Bin.Used()).Sub(m.Bin.Reserved())
@@ -55,7 +57,8 @@
 	room    packing.Resources
 }
 
-// expectedEnds returns the expected ends of the attempts on a machine, the soonest first.
+// expectedEnds returns the expected ends of the attempts on a machine, the soonest first. Attempts of
+// jobs that are not open count as ending at once.
 func (s *Scheduler) expectedEnds(machine *fleet.Machine, now time.Time) []expectedEnd {
 	ends := make([]expectedEnd, 0, 16) // most machines run few tasks
 	for _, attempt := range machine.Attempts() {
--- a/internal/scheduler/scenario_events_test.go
+++ b/internal/scheduler/scenario_events_test.go
@@ -12,8 +12,8 @@
 	"drumpick/internal/records"
 )
 
-// schedulerEvents are the events of a scenario other than settings. Each returns the decisions to be
-// compared with the scenario.
+// schedulerEvents are the events of a scenario other than settings, by name. Each returns lines that
+// describe the scheduler's decisions, to be compared with the scenario's "  > " lines.
 var schedulerEvents = map[string]func(*replay, *Scheduler, eventInput) []string{
 	// Jobs.
 	"job": func(r *replay, s *Scheduler, in eventInput) []string {
@@ -142,7 +142,8 @@
 	"drains":     (*replay).listDrains,
 }
 
-// parseJob parses a job from the arguments of an event.
+// parseJob parses a job from an event's id and arguments, with defaults for arguments that are
+// missing.
 func (r *replay) parseJob(in eventInput) records.Job {
 	a := in.args
 	job := records.Job{
--- a/internal/scheduler/scenario_test.go
+++ b/internal/scheduler/scenario_test.go
@@ -31,7 +31,7 @@
 
 	sequences map[string]uint64                   // last sequence number of each machine
 	requests  map[string]autoscaler.RentalRequest // scale-out requests by name
-	probes    map[string]fleet.Probe              // machines of the last probe event
+	probes    map[string]fleet.Probe              // probes of the last probe event, by machine
 
 	// Settings.
 	teams      []config.Team
@@ -73,7 +73,7 @@
 }
 
 // runEvent replays one line, "at SECONDS EVENT ...", with seconds since the start of the scenario, and
-// returns the decisions.
+// returns lines that describe the scheduler's decisions.
 func (r *replay) runEvent(words []string) []string {
 	r.t.Helper()
 	if words[0] != "at" || len(words) < 3 {
@@ -93,7 +93,7 @@
 	return handle(r, r.ensureScheduler(), in)
 }
 
-// eventInput holds the words after an event's name; words like "key=value" are arguments as well.
+// eventInput holds the words after an event's name. args contains each word split at its "=".
 type eventInput struct {
 	words []string
 	args  map[string]string
--- a/internal/scheduler/scenario_workers_test.go
+++ b/internal/scheduler/scenario_workers_test.go
@@ -8,9 +8,9 @@
 	"drumpick/internal/fleet"
 )
 
-// sendHeartbeat replays a machine's heartbeat and returns the commands of the answer:
-// "heartbeat m-1 incarnation=1 j-1/0:ATTEMPT=running ...". The machine is added to the fleet first,
-// unless the event has the argument "unknown".
+// sendHeartbeat replays a machine's heartbeat, "heartbeat m-1 incarnation=1 j-1/0:ATTEMPT=running
+// ...", and returns the commands of the answer. The machine is added to the fleet first, unless it
+// was returned or the event has the argument "unknown".
 func (r *replay) sendHeartbeat(s *Scheduler, in eventInput) []string {
 	h := r.parseHeartbeat(in)
 	if _, returned := s.autoscaling.returnedAt[h.Machine]; !returned && in.args["unknown"] == "" {
@@ -19,7 +19,8 @@
 	return r.answerHeartbeat(s, h, in.args["run"] != "no")
 }
 
-// sendLateHeartbeat replays a heartbeat that arrives late. Its machine may be unknown.
+// sendLateHeartbeat replays a heartbeat that arrives late. Its machine may be unknown and is not added
+// first.
 func (r *replay) sendLateHeartbeat(s *Scheduler, in eventInput) []string {
 	return r.answerHeartbeat(s, r.parseHeartbeat(in), in.args["run"] != "no")
 }
@@ -56,8 +57,8 @@
 	return r.takeUrgentCommands()
 }
 
-// parseHeartbeat parses a heartbeat or a status. The sequence number defaults to the next one of the
-// machine.
+// parseHeartbeat parses a heartbeat or a status from an event. The sequence number defaults to the
+// next one of the machine.
 func (r *replay) parseHeartbeat(in eventInput) *fleet.Heartbeat {
 	name, a := in.words[0], in.args
 	h := &fleet.Heartbeat{
@@ -107,7 +108,8 @@
 	return linesOrDefault(lines, "no orders")
 }
 
-// takeUrgentCommands returns the commands to be sent at once, and clears them.
+// takeUrgentCommands returns the commands to be sent before the next heartbeats, and marks them as
+// sent.
 func (r *replay) takeUrgentCommands() []string {
 	var lines, names []string
 	for name := range r.scheduler.urgentMachines {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -20,7 +20,7 @@
 	settings  Settings
 	term      uint64
 	termStart time.Time
-	sequence  uint64    // last number assigned to an attempt or a rental request in this term
+	sequence  uint64    // last sequence number given to an attempt or a rental request of this term
 	passTime  time.Time // time of the current or last placement pass or rebalancing round
 
 	// Jobs and their scheduling order.
@@ -30,14 +30,14 @@
 	placementClasses placementClasses
 	sortedJobs       []*Job          // jobs that are not blocked, in scheduling order
 	order            *placementOrder // placement order of the same jobs
-	queueStale       bool            // the order has to be recomputed
+	queueStale       bool            // sortedJobs and order have to be recomputed
 
 	// Machines.
 	fleet          *fleet.Table
 	machineTypes   map[string]records.MachineType
 	typesByPrice   []string                  // names of machine types, cheapest first
 	spaces         map[string]*packing.Space // bins by machine type
-	lastBinRefresh time.Time                 // when it was last checked which machines accept tasks
+	lastBinRefresh time.Time                 // when refreshOpenBins last checked which machines accept tasks
 	quotaUsage     *quota.Account            // resources used by attempts, by team
 	urgentMachines map[string]bool           // machines that need commands at once, before their next heartbeat
 	zoneHealth     *zonehealth.Monitor       // detects suspected zone outages
@@ -54,7 +54,7 @@
 	claimOwners           []*Job // jobs that have claims
 	reservationCandidates []*Job // jobs that may need a reservation
 	machineHolders        []*Job // jobs for which machines are held
-	lastMachineHolder     *Job   // the last of them in scheduling order, for the current placement pass
+	lastMachineHolder     *Job   // result of lastHoldingJob for the current placement pass; nil: none
 
 	// Failover and reconciliation.
 	reconciled bool // every machine that an earlier term may have used has reported or is gone
@@ -103,8 +103,8 @@
 	return s
 }
 
-// AddJob adds an open job from its record, read at wall-clock time wall. A job that is already known
-// is returned unchanged.
+// AddJob adds an open job from its record, which is stored at the given revision and was read at time
+// now, wall by wall-clock time. It returns the job; a job that is already known stays unchanged.
 func (s *Scheduler) AddJob(record records.Job, revision uint64, now, wall time.Time) *Job {
 	if job := s.jobs[record.ID]; job != nil {
 		return job
@@ -142,7 +142,9 @@
 	return job
 }
 
-// LoadDone marks the tasks in stored ranges of a chunk as done.
+// LoadDone marks tasks as done that are stored as done: ranges of the tasks of a chunk, counted from
+// the chunk's first task. It returns an error if the ranges are malformed, and does nothing if the job
+// is not open.
 func (s *Scheduler) LoadDone(id string, chunk int, ranges string) error {
 	job := s.jobs[id]
 	if job == nil {
@@ -162,7 +164,7 @@
 	})
 }
 
-// setDone marks a task as done that was not done before.
+// setDone marks task n of a job as done. The task must not be done yet.
 func (s *Scheduler) setDone(j *Job, n int) {
 	j.done[n/64] |= 1 << (n % 64)
 	if j.doneCount++; j.doneCount == j.Tasks {
@@ -170,10 +172,10 @@
 	}
 }
 
-// recordResult marks a task as done and its part as due to be stored. One result completes a whole
-// gang: if only some members' results are known, because the last leader stored only these or the
-// machines of the others are gone, the others would restart and wait for their peers, and the job
-// would never complete.
+// recordResult marks a task as done and its part as due to be stored, unless the task is done
+// already or belongs to a service. One result completes a whole gang. Otherwise, if the last leader
+// stored only some members' results, or the machines of the others are gone, the others would
+// restart and wait for their peers, and the job would never complete.
 func (s *Scheduler) recordResult(job *Job, task int) {
 	if task >= job.Tasks || hasBit(job.done, task) || job.Shape == records.ShapeService {
 		return
@@ -190,7 +192,7 @@
 	}
 }
 
-// LoadMachine adds a recorded machine, which an earlier term may have used.
+// LoadMachine adds a machine from its stored record. An earlier term may have used it.
 func (s *Scheduler) LoadMachine(name string, record records.Machine, now time.Time) {
 	m := s.fleet.GetOrCreate(name, record.Addr, record.Type, record.Zone, record.Spot)
 	m.Recorded, m.Inherited = true, true
@@ -200,7 +202,8 @@
 	s.assignBin(m)
 }
 
-// CloseJob removes a job that is no longer open, for any reason, and stops its attempts.
+// CloseJob removes a job that is no longer open, for any reason, stops its attempts, and updates the
+// jobs that depend on it.
 func (s *Scheduler) CloseJob(id string) {
 	s.dependencies.Close(id)
 	s.applyDependencyChanges()
@@ -221,8 +224,8 @@
 	}
 }
 
-// LastDispatched returns when the last task in flight of a job was sent: one that its machine has not
-// reported yet. The job may be closed. Zero means that none is in flight.
+// LastDispatched returns when the last task in flight of a job was sent, zero if none is in flight. A
+// task is in flight until its machine has reported it. The job may be closed.
 func (s *Scheduler) LastDispatched(id string) time.Time {
 	var last time.Time
 	for _, a := range s.fleet.AttemptsOfJob(id) {
@@ -248,13 +251,15 @@
 	return attempt.Number>>attemptSequenceBits == s.term
 }
 
-// NextRentalNumbers returns the numbers from which the unique name of a rental request is built.
+// NextRentalNumbers returns the term and a new sequence number, which make the name of a rental
+// request unique.
 func (s *Scheduler) NextRentalNumbers() (term, seq uint64) {
 	s.sequence++
 	return s.term, s.sequence
 }
 
-// Progress returns the status of an open job and its numbers of done and running tasks, for display.
+// Progress returns the status of an open job and its numbers of done and running tasks, for
+// display. ok is false if the job is not open.
 func (s *Scheduler) Progress(id string) (status string, done, running int, ok bool) {
 	job := s.jobs[id]
 	if job == nil {
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -11,14 +11,14 @@
 // Settings configure a Scheduler. All durations derive from the platform's configuration.
 type Settings struct {
 	HeartbeatInterval       time.Duration
-	Lease                   time.Duration // of a worker, including clock drift and the delivery time of an answer
+	Lease                   time.Duration // after which a worker's lease has expired, including clock drift and the delivery of an answer
 	RebalanceInterval       time.Duration // between rebalancing rounds
 	GangPeerTimeout         time.Duration // within which a gang's tasks detect a lost peer
 	ListLag                 time.Duration // how far the cloud's list of machines may lag behind
 	ChunkTasks              int           // tasks per chunk of finished tasks
 	PartTasks               int           // tasks per part of a chunk; a record holds one part
 	IdleStartups            float64       // how long an empty machine is kept, in startup times of its type
-	CapacityBackoffStartups float64       // pause after the cloud had no capacity, in startup times
+	CapacityBackoffStartups float64       // pause after the cloud had no capacity for an offer, in startup times of its type
 	Zones                   []string
 	Objectives              []config.Objective
 	Teams                   map[string]config.Team
@@ -27,14 +27,14 @@
 	Watermarks   bool // a task is sent only below a stored watermark
 	LoadShedding bool // starts are delayed while the leader falls behind
 	Guarantees   bool // jobs within a guarantee that can start in time go first and may preempt
-	ZoneHealth   bool // machines in a zone with a suspected outage are waited for before they are replaced
+	ZoneHealth   bool // zone outages are detected, and machines of such a zone are waited for before they are replaced
 
 	GuaranteeWithin  time.Duration // within which a guaranteed job must start; 0: no objective states it
-	BeginWithin      time.Duration // within which any job should start, for the SLO report
+	BeginWithin      time.Duration // within which any job should start; the bound of the SLO report
 	ReservationBound time.Duration // within which any job must start, even the largest; 0: no reservations
 }
 
-// SettingsOf derives the settings from a configuration.
+// SettingsOf derives the settings of a Scheduler from the platform's configuration.
 func SettingsOf(c *config.Config) Settings {
 	workers := c.Deployment.Workers
 	interval, lease := config.Seconds(workers.HeartbeatS), config.Seconds(workers.LeaseS)
--- a/internal/scheduler/slo.go
+++ b/internal/scheduler/slo.go
@@ -16,14 +16,14 @@
 	// sloReportsPerBound is the number of service-level reports per bound on a job's start.
 	sloReportsPerBound = 4
 	// A line is logged as a warning if the share of jobs started in time is below sloWarnShare, or
-	// the longest wait exceeds waitWarnShare of the bound. So the warning comes before half of
-	// the jobs start late, or a wait exceeds the bound.
+	// if the longest wait of a job that has not started exceeds waitWarnShare of the bound. So the
+	// warning comes before half of the jobs start late, or a wait exceeds the bound.
 	sloWarnShare, waitWarnShare = 0.6, 0.75
 )
 
-// reportSLO logs sloReportsPerBound times per bound how many jobs started in time: one line for each
-// class, each team and each class's largest jobs. The lines of teams and of classes with an
-// objective also update metrics.
+// reportSLO logs how many jobs started within the bound (Settings.BeginWithin), sloReportsPerBound
+// times per bound: one line for each class, each team and the largest jobs of each class. The lines
+// of teams and of classes with an objective also update metrics.
 func (s *Scheduler) reportSLO(now time.Time) {
 	bound := s.settings.BeginWithin
 	if now.Sub(s.lastSLOReport) < bound/sloReportsPerBound {
@@ -31,7 +31,7 @@
 	}
 	s.lastSLOReport = now
 	for _, line := range s.slo.Summarize(bound, now) {
-		// Users choose class names freely: without this, the number of metrics would be unbounded.
+		// Users choose class names freely, so metrics for all classes would be unbounded in number.
 		if line.Dimension == slo.ByTeam || s.hasObjective(line.Name) {
 			setSLOGauges(line)
 		}
@@ -52,7 +52,7 @@
 	}
 }
 
-// hasObjective reports whether an objective applies to a class.
+// hasObjective reports whether any configured objective applies to a class.
 func (s *Scheduler) hasObjective(class string) bool {
 	return slices.ContainsFunc(s.settings.Objectives, func(o config.Objective) bool { return o.Class == class })
 }
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -10,24 +10,25 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// startStages records when a starting job reached each stage; for a gang, its last task. A retried
-// start counts from its last attempt: the time before counts as waiting for room.
+// startStages records when the leader read a job and when it last placed a task of the job. So a
+// retried start counts from its last attempt: the time before counts as waiting for room.
 type startStages struct {
 	learnedAt, placedAt time.Time
-	guaranteed          bool // it was within its team's guarantee when it was first ordered
+	guaranteed          bool // the job was within its team's guarantee when it first entered the queue
 	guaranteedKnown     bool // guaranteed is set
-	reported            bool // its start has been reported
+	reported            bool // the job's start has been logged
 }
 
 // waitBreakdown divides the time that a job waited for its start by what it waited for.
 type waitBreakdown struct {
 	discovery, room, dispatch, fetch, gang time.Duration
-	machine                                *fleet.Machine // where its image was ready last
+	machine                                *fleet.Machine // where the job's image was ready last
 }
 
-// longest returns the name of the longest part: waiting for the leader to read the job, for room,
-// for the watermark and the heartbeat whose answer carries the run command, for the image, or for
-// the rest of the gang to run. The names are label values of a metric.
+// longest returns the name of the longest part of the wait: for the leader to read the job
+// ("heard"), for room, for the watermark and the heartbeat whose answer carries the run command
+// ("report"), for the image ("fetch"), or for the rest of the gang to run ("mates"). The names are
+// label values of a metric.
 func (w waitBreakdown) longest() string {
 	part, longest := "heard", w.discovery
 	for _, x := range []struct {
@@ -41,7 +42,8 @@
 	return part
 }
 
-// computeWaitBreakdown divides a job's wait until now; attempt is its last one to be reported running.
+// computeWaitBreakdown divides a job's wait until now. attempt is the last attempt of the job that was
+// reported running.
 func (j *Job) computeWaitBreakdown(attempt *fleet.Attempt, now time.Time) waitBreakdown {
 	placed, sent, ready := j.start.placedAt, attempt.AssignedAt, attempt.ImageReadySince
 	wait := waitBreakdown{machine: attempt.Machine}
@@ -64,7 +66,8 @@
 	return wait
 }
 
-// hasStarted reports whether a job with a running task has started: a gang has once all its tasks run.
+// hasStarted reports whether a job of which a task has run has started: a gang, only once all its
+// tasks have run.
 func (j *Job) hasStarted() bool {
 	if j.Shape != records.ShapeGang {
 		return true
@@ -77,8 +80,9 @@
 	return len(j.attempts) == j.Tasks
 }
 
-// recordRunning records that a task is reported running. Once its job has started, it logs the job's
-// start latency and what the job waited for, to show why a guarantee was missed.
+// recordRunning records that an attempt of a job is reported running. When the job has started, it
+// logs once the start latency and what the job waited for, to show why a guarantee was missed. It
+// logs no start by an attempt of an earlier term.
 func (s *Scheduler) recordRunning(job *Job, attempt *fleet.Attempt, now time.Time) {
 	if !job.hasStarted() {
 		return
--- a/internal/scheduler/start_latency_test.go
+++ b/internal/scheduler/start_latency_test.go
@@ -9,8 +9,9 @@
 	"drumpick/internal/config"
 )
 
-// A job's start latency is logged once, for a gang when all its tasks run. Its parts count from the
-// last attempt to start; the time of an earlier failed attempt counts as waiting for room.
+// Guards against a start latency that is logged more than once, before all tasks of a gang run, or
+// with wrong parts. The parts count from the last attempt to start the job; the time of an earlier
+// failed attempt counts as waiting for room.
 func TestStartLatencyReportedOnce(t *testing.T) {
 	var log bytes.Buffer
 	previous := slog.Default()
--- a/internal/scheduler/stop_reasons.go
+++ b/internal/scheduler/stop_reasons.go
@@ -6,22 +6,22 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Reasons for which the scheduler stops attempts, as named in metrics and logs.
+// Reasons for which the scheduler stops an attempt, as named in metrics and logs.
 const (
-	stopJobClosed        = "over"      // its job is closed or unknown
+	stopJobClosed        = "over"      // the job is closed or unknown
 	stopDuplicate        = "stray"     // the task has another attempt
 	stopMoved            = "moved"     // moved to fill or empty a bin, or a service replica that leaves its machine
 	stopPreempted        = "preempted" // for a job of higher priority
 	stopForGuarantee     = "guarantee" // for a job within its guarantee
 	stopPreemptionNotice = "notice"    // the cloud preempts the machine
-	stopGangMember       = "mates"     // another task of its gang was lost or is being stopped
+	stopGangMember       = "mates"     // another task of the gang was lost, ended without a result or is being stopped
 	stopDrained          = "drained"   // an operator drains the machine
 )
 
-// outcomeName returns the metric label for the outcome of an attempt without a result: the reason for
-// which the scheduler stopped it, or else the cause of its end. An attempt that is lost without a
-// reported end is "lease" if its machine's lease expired, "unsent" if its run command never arrived,
-// and "lost" otherwise.
+// outcomeName returns the metric label for the outcome of an attempt without a result: the reason
+// for which the scheduler stopped it, or else the reported cause of its end. Without a reported
+// end, the outcome is "lease" if the machine's lease expired, "unsent" if the worker never reported
+// the attempt, and "lost" otherwise.
 func outcomeName(attempt *fleet.Attempt) string {
 	switch {
 	case attempt.Stopping() && attempt.StopReason != "":
@@ -36,9 +36,9 @@
 	return "lost"
 }
 
-// countWastedStart counts an attempt that ended without a result, and returns its outcome. The metric
-// shows work lost by many individually small decisions: under high load, it was a third of the starts
-// of a class.
+// countWastedStart counts an attempt that ended without a result, unless it was only planned or its
+// job is closed, and returns its outcome. The metric shows work that is lost by many individually
+// small decisions: under high load, it was a third of the starts of a class.
 func (s *Scheduler) countWastedStart(a *fleet.Attempt) string {
 	outcome := outcomeName(a)
 	if a.State() != fleet.Planned && a.StopReason != stopJobClosed {
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -9,7 +9,8 @@
 	"drumpick/internal/records"
 )
 
-// Tick does the periodic work. Without canRun it only expires leases.
+// Tick does the periodic work. canRun means that the leader may start tasks; without it, Tick only
+// expires leases.
 func (s *Scheduler) Tick(now time.Time, canRun bool) {
 	s.ExpireLeases(now)
 	if !canRun {
@@ -34,8 +35,8 @@
 	s.raiseWatermarksAhead(now)
 }
 
-// cancelStalePlans cancels the attempts planned for machines that take no new tasks. A silent machine
-// keeps its running tasks until its lease expires, but no planned ones.
+// cancelStalePlans cancels the attempts that are planned for machines which take no new tasks. A
+// silent machine keeps its running tasks until its lease expires, but not the planned ones.
 func (s *Scheduler) cancelStalePlans(now time.Time) {
 	for _, machine := range s.fleet.Sorted() {
 		silent := now.Sub(machine.LastStatusAt) > silentIntervals*s.settings.HeartbeatInterval
@@ -45,7 +46,7 @@
 	}
 }
 
-// endBackoffs lets jobs start again whose backoff after failures has ended.
+// endBackoffs lets jobs start tasks again whose backoff after failures has ended.
 func (s *Scheduler) endBackoffs(now time.Time) {
 	for _, job := range s.jobs {
 		if !job.retryAt.IsZero() && !now.Before(job.retryAt) {
@@ -55,10 +56,11 @@
 	}
 }
 
-// ObserveTick updates the overload level from the time between the request for a tick and the tick.
-// The delay of other events counts instead if it is longer, since a due timer runs before all other
-// events. While the leader falls behind, it delays starts first, then planning, but never lease
-// expiry, task ends or cancellations.
+// ObserveTick updates the overload level from gap, the time that the leader waited for this tick: one
+// tick interval if it does not fall behind. The longest delay of other events since the last tick
+// (ObserveDelay) counts instead if it is longer, because a due timer runs before all other events.
+// While the leader falls behind, it delays starts first, then planning, but never lease expiry, task
+// ends or cancellations.
 func (s *Scheduler) ObserveTick(gap time.Duration, now time.Time) {
 	if !s.settings.LoadShedding {
 		return
@@ -84,7 +86,7 @@
 	return slog.LevelWarn
 }
 
-// shedsStart reports whether the job's starts wait until the leader is less overloaded.
+// shedsStart reports whether the job's tasks must not start until the leader is less overloaded.
 func (s *Scheduler) shedsStart(j *Job) bool {
 	switch s.overload.Level() {
 	case overload.Overloaded:
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -16,13 +16,14 @@
 	Spot      bool       `json:"spot"`
 	Addr      string     `json:"addr"`
 	State     string     `json:"state"`
-	AgeS      float64    `json:"age_s,omitempty"` // since its rental; 0: unknown
+	AgeS      float64    `json:"age_s,omitempty"` // seconds since its rental was requested; 0: unknown
 	Version   string     `json:"version,omitempty"`
 	TaskCount int        `json:"tasks"`
 	Tasks     []TaskView `json:"on_it,omitempty"`
 }
 
-// TaskView is the operator's view of an attempt on a machine.
+// TaskView is the operator's view of an attempt on a machine. RanS is how long it has been running, in
+// seconds; 0 if it has ended or never ran.
 type TaskView struct {
 	Task     string  `json:"task"`
 	Attempt  uint64  `json:"attempt"`
@@ -35,7 +36,7 @@
 const (
 	MachineBooting      = "booting"
 	MachineUp           = "up"
-	MachineUnreconciled = "unsettled" // has not reported since the failover
+	MachineUnreconciled = "unsettled" // has not shown the current term since the failover
 	MachineSilent       = "silent"
 	MachineUnreachable  = "deaf"    // sends heartbeats, but no command reaches it
 	MachinePreempting   = "noticed" // the cloud is about to preempt it
@@ -72,6 +73,7 @@
 	return MachineUp
 }
 
+// machineView returns the view of a machine without the list of its tasks.
 func (s *Scheduler) machineView(machine *fleet.Machine, now time.Time) MachineView {
 	view := MachineView{
 		Name: machine.Name, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Addr: machine.Addr,
@@ -88,12 +90,12 @@
 	return view
 }
 
-// ListMachines lists up to limit machines whose names follow since, sorted by name and without their
-// tasks. more reports whether others follow.
-func (s *Scheduler) ListMachines(since string, limit int, now time.Time) (list []MachineView, more bool) {
+// ListMachines returns up to limit machines whose names sort after the name after, sorted by name and
+// without their tasks. more reports whether further machines follow.
+func (s *Scheduler) ListMachines(after string, limit int, now time.Time) (list []MachineView, more bool) {
 	all := s.fleet.Sorted()
 	byName := func(machine *fleet.Machine, name string) int { return strings.Compare(machine.Name, name) }
-	i, found := slices.BinarySearchFunc(all, since, byName)
+	i, found := slices.BinarySearchFunc(all, after, byName)
 	if found {
 		i++
 	}
@@ -104,7 +106,7 @@
 	return list, end < len(all)
 }
 
-// DescribeMachine returns one machine with its tasks, and whether it is known.
+// DescribeMachine returns the view of a machine with its tasks, and whether the machine is known.
 func (s *Scheduler) DescribeMachine(name string, now time.Time) (MachineView, bool) {
 	machine := s.fleet.Machines[name]
 	if machine == nil {
--- a/internal/scheduler/waiting_tasks.go
+++ b/internal/scheduler/waiting_tasks.go
@@ -6,13 +6,13 @@
 // ones, in order.
 type waitingTasks struct {
 	nextUntried         int      // tasks from this number on were never taken from the queue
-	untriedHaveAttempts bool     // some of these may have an attempt, adopted after a failover
+	untriedHaveAttempts bool     // some tasks from nextUntried on may have an attempt, adopted after a failover
 	retries             []int    // tasks to retry
 	inRetries           []uint64 // bit set of the tasks in retries
 }
 
-// appendRetry appends a task to the retries unless they contain it: a task with a duplicate attempt
-// can be returned to the queue twice.
+// appendRetry appends a task to the retries unless they already contain the task: one with a duplicate
+// attempt can be returned to the queue twice.
 func (w *waitingTasks) appendRetry(task int) {
 	if !hasBit(w.inRetries, task) {
 		w.inRetries[task/64] |= 1 << (task % 64)
@@ -26,7 +26,8 @@
 	w.retries = w.retries[1:]
 }
 
-// dequeueTask removes a task that is being started, if it is the next one, from the queue.
+// dequeueTask removes a task that is being started from the queue if it is the next retry or the next
+// untried task.
 func (w *waitingTasks) dequeueTask(task int) {
 	if len(w.retries) > 0 && w.retries[0] == task {
 		w.popRetry()
@@ -35,15 +36,15 @@
 	}
 }
 
-// queueRetry adds a task to the retries. An uncertain task is left out, and is added once it is no
-// longer uncertain.
+// queueRetry adds a task to the retries unless the task is uncertain: clearUncertain queues it later.
 func (j *Job) queueRetry(task int) {
 	if !j.isUncertain(task) {
 		j.appendRetry(task)
 	}
 }
 
-// pending returns the number of tasks that are neither done nor have an attempt.
+// pending returns the number of tasks that wait to be started: neither done nor with a current
+// attempt, including uncertain tasks.
 func (j *Job) pending() int {
 	n := len(j.retries) + j.countUncertain()
 	for i := j.nextUntried; i < j.Tasks; {
@@ -70,9 +71,9 @@
 	return max(n, 0)
 }
 
-// nextTask returns the next task to start, or -1 if there is none. A task with any attempt on a
-// machine is not started until that attempt is gone. While this delays the first retry, the untried
-// tasks come first.
+// nextTask returns the next task to start, or -1 if there is none. A task with any attempt, also a
+// duplicate, is not started until that attempt is gone. While a duplicate delays the first retry, the
+// untried tasks come first.
 func (j *Job) nextTask() int {
 	for len(j.retries) > 0 {
 		t := j.retries[0]
@@ -100,11 +101,11 @@
 	return -1
 }
 
-// hasNoQueuedTasks reports whether no task of the job waits to be started, including those that wait
-// for another attempt to be gone.
+// hasNoQueuedTasks reports whether the job's queue is empty. The queue also contains tasks that wait
+// until a duplicate attempt is gone, but no uncertain tasks.
 func (j *Job) hasNoQueuedTasks() bool { return len(j.retries) == 0 && j.nextUntried >= j.Tasks }
 
-// retryTask returns a task to the queue.
+// retryTask returns a task to its job's queue and activates the job's turns in the placement order.
 func (s *Scheduler) retryTask(j *Job, t int) {
 	j.queueRetry(t)
 	s.order.activate(j)
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -9,20 +9,21 @@
 	"drumpick/internal/watermark"
 )
 
-// watermarkState is the state of the watermarks in a term (package watermark).
+// watermarkState is a term's state of the watermarks (package watermark).
 type watermarkState struct {
 	raised map[*Job]struct{} // jobs whose raised watermarks have to be stored
 	// complete means that every task that any leader may have sent is below a stored or raised
 	// watermark.
 	complete bool
 	// relaxed means that every other controller was notified that watermarks are no longer complete,
-	// so that tasks beyond them may be sent.
+	// so tasks beyond their watermarks may be sent.
 	relaxed bool
 }
 
 func newWatermarkState() watermarkState { return watermarkState{raised: map[*Job]struct{}{}} }
 
-// isUncertain reports whether a task may be on a machine that has not reported since the failover.
+// isUncertain reports whether a task of the job may be on a machine that has not reported since the
+// failover.
 func (j *Job) isUncertain(task int) bool { return j.uncertain != nil && hasBit(j.uncertain, task) }
 
 // countUncertain returns the number of uncertain tasks that are not done.
@@ -34,7 +35,8 @@
 	return n
 }
 
-// markUncertain marks all tasks of a job as uncertain if an earlier leader may have sent any of them.
+// markUncertain marks all tasks of a job as uncertain, and takes them from the queue, if an earlier
+// leader may have sent any of them.
 func (s *Scheduler) markUncertain(j *Job) {
 	if s.reconciled || j.earliestStartRevision > s.term {
 		return
@@ -46,7 +48,9 @@
 	j.nextUntried = j.Tasks
 }
 
-// clearUncertain marks all tasks of a job as certain: the machines that hold any of them are known.
+// clearUncertain marks all tasks of a job as certain, and returns them to the queue unless they are
+// done or have an attempt. The caller must know that no unreconciled machine can hold any of the
+// tasks.
 func (s *Scheduler) clearUncertain(j *Job) {
 	if j.uncertain == nil {
 		return
@@ -65,8 +69,8 @@
 	}
 }
 
-// LoadWatermarks loads the stored watermarks, by job. If they are complete, only tasks below them are
-// uncertain: the others were never sent.
+// LoadWatermarks sets the stored watermarks, given by job id. If they are complete, only the tasks
+// below them stay uncertain: the other tasks were never sent.
 func (s *Scheduler) LoadWatermarks(stored map[string]int, complete bool) {
 	for id, j := range s.jobs {
 		n := min(stored[id], j.Tasks)
@@ -88,10 +92,10 @@
 	s.placementStale = true
 }
 
-// clearUncertainSeenOn marks the tasks that a machine reports under this term as certain: they had not
-// ended when the last leader stopped, so they were sent to no other machine. It leaves out tasks that
-// only a copy of an earlier heartbeat has shown and that still have to be probed: the machine may have
-// restarted since, and the task may have been sent to another machine that has not reported.
+// clearUncertainSeenOn marks the tasks that machine m reports under this term as certain: they had
+// not ended when the last leader stopped, so they were sent to no other machine. Tasks that only a
+// copy of an earlier heartbeat has shown stay uncertain until a probe shows them: the machine may
+// have restarted since, and the task may have been sent to another machine that has not reported.
 func (s *Scheduler) clearUncertainSeenOn(m *fleet.Machine) {
 	for _, a := range m.Attempts() {
 		j := s.jobOf(a)
@@ -101,8 +105,9 @@
 	}
 }
 
-// clearAllUncertain marks all tasks as certain, because every machine has reported. It raises the
-// watermarks beyond the tasks on machines: an earlier leader may have stored no watermarks.
+// clearAllUncertain marks all tasks of all jobs as certain. The caller must know that every machine
+// has reported or is gone. It raises the watermarks beyond the tasks on machines, because an
+// earlier leader may have stored no watermarks.
 func (s *Scheduler) clearAllUncertain() {
 	for _, j := range s.jobs {
 		s.clearUncertain(j)
@@ -118,7 +123,7 @@
 	s.watermarks.complete = s.settings.Watermarks
 }
 
-// raiseWatermark requests a watermark beyond task t.
+// raiseWatermark requests a watermark of job j beyond task t, for a gang beyond all its tasks.
 func (s *Scheduler) raiseWatermark(j *Job, t int) {
 	if !s.settings.Watermarks {
 		return
@@ -131,9 +136,10 @@
 	}
 }
 
-// raiseWatermarkForNewJob raises the watermark of a new job beyond the tasks that must not wait for the
-// store once they can be placed: the first tasks of urgent jobs, and all tasks of small jobs and of
-// jobs with dependencies. Otherwise each step of a dependency chain would wait for the store.
+// raiseWatermarkForNewJob raises the watermark of a new job beyond the tasks that must not wait for
+// the store once they can be placed: the first tasks of urgent and critical jobs, and all tasks of
+// small jobs and of jobs with dependencies. Otherwise each step of a dependency chain would wait
+// for the store.
 func (s *Scheduler) raiseWatermarkForNewJob(j *Job) {
 	switch {
 	case len(j.Dependencies) > 0 || j.Tasks <= 2*watermark.RaiseDivisor:
@@ -143,7 +149,7 @@
 	}
 }
 
-// belowWatermark reports whether the watermarks allow a planned task to be sent.
+// belowWatermark reports whether the watermarks allow a planned attempt to be sent.
 func (s *Scheduler) belowWatermark(a *fleet.Attempt) bool {
 	if !s.settings.Watermarks || s.watermarks.relaxed {
 		return true
@@ -152,7 +158,7 @@
 	return j == nil || j.watermark.Covers(a.Task.N)
 }
 
-// AwaitsWatermark reports whether any task planned for a machine waits for a stored watermark.
+// AwaitsWatermark reports whether any attempt planned for a machine waits for a stored watermark.
 func (s *Scheduler) AwaitsWatermark(m *fleet.Machine) bool {
 	for _, a := range m.Attempts() {
 		if a.State() == fleet.Planned && !s.belowWatermark(a) {
@@ -162,8 +168,8 @@
 	return false
 }
 
-// aheadTasksPerMachine is the number of tasks, per machine that accepts tasks, for which watermarks are
-// raised before there is room: about as many as start until the next tick's write is stored.
+// aheadTasksPerMachine is the number of tasks, per machine that accepts tasks, for which watermarks
+// are raised before there is room: about as many as start until the next tick's write is stored.
 const aheadTasksPerMachine = 1.0 / 2
 
 // countAcceptingMachines returns the number of machines that accept tasks.
@@ -177,8 +183,9 @@
 	return n
 }
 
-// raiseWatermarksAhead raises the watermarks of the jobs that are next in scheduling order, so that a
-// task that is placed while a heartbeat is answered need not wait for the store.
+// raiseWatermarksAhead raises the watermarks of the jobs that are next in scheduling order, for
+// aheadTasksPerMachine tasks per machine. So a task that is placed while a heartbeat is answered need
+// not wait for the store.
 func (s *Scheduler) raiseWatermarksAhead(now time.Time) {
 	if !s.settings.Watermarks {
 		return
--- a/internal/scheduler/zone_health.go
+++ b/internal/scheduler/zone_health.go
@@ -9,12 +9,14 @@
 	"drumpick/internal/zonehealth"
 )
 
-// heartbeatOverdue reports whether a machine counts as silent for zone health.
+// heartbeatOverdue reports whether a machine counts as silent for zone health: nothing was heard of it
+// for zonehealth.SilentAfterIntervals heartbeat intervals.
 func (s *Scheduler) heartbeatOverdue(m *fleet.Machine, now time.Time) bool {
 	return float64(now.Sub(m.LastHeard())) > zonehealth.SilentAfterIntervals*float64(s.settings.HeartbeatInterval)
 }
 
-// observeZones updates the zones with a suspected outage.
+// observeZones counts the machines and the silent machines of each zone, and updates which zones
+// have a suspected outage.
 func (s *Scheduler) observeZones(now time.Time) {
 	if !s.settings.ZoneHealth {
 		return
@@ -42,7 +44,7 @@
 
 // replaceableElsewhere reports whether a zone without a suspected outage may have capacity for a
 // replacement of a machine. An offer counts as refused during its backoff and for two startup times
-// after it, as it is requested again and again while work waits.
+// after that, because it is requested again and again while work waits.
 func (s *Scheduler) replaceableElsewhere(machine *fleet.Machine, now time.Time) bool {
 	machineType := s.machineTypes[machine.Type]
 	recently := now.Add(-2 * s.startupTime(machine.Type))
