--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -13,7 +13,7 @@
 )
 
 // PendingWrite is a set of operations that are stored together, with callbacks for the result. The
-// callbacks are called with the scheduler's lock held.
+// callbacks are called with the leader's lock on the scheduler held.
 type PendingWrite struct {
 	Ops      []records.Op
 	Compares []records.Compare
@@ -38,7 +38,7 @@
 
 // Persistence decides which records of a term to store next; package leader stores them. The
 // records are closed jobs, machines that may hold tasks, finished tasks, watermarks and drain
-// states. The caller of any method except HalveCommitSize must hold the scheduler's lock.
+// states. The caller of any method except HalveCommitSize must hold the leader's lock on the scheduler.
 type Persistence struct {
 	scheduler           *Scheduler
 	machines            *records.PagedRecords
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// updateReconciliation updates the reconciliation of the term after a status of a machine, and logs a
-// change of the worker's version.
+// updateReconciliation updates the reconciliation of the term after a status of a machine. It also
+// requests a drain pass if the worker's version changed.
 func (s *Scheduler) updateReconciliation(result fleet.ApplyResult, now time.Time) {
 	machine := result.Machine
 	if result.Reconciled {
--- a/internal/scheduler/room_forecast.go
+++ b/internal/scheduler/room_forecast.go
@@ -20,8 +20,9 @@
 }
 
 // secondsUntilRoom estimates in how many seconds a machine will have room for one task of the job if
-// no other tasks are placed there. The estimate is late by one task end: it is the end after the one
-// that frees enough room, or the last end. It is 0 if the machine has no attempts.
+// no other tasks are placed there. The estimate can be late by one task end: it is the first expected
+// end if there is room now, else the end after the one that frees enough room, or the last end. It is 0
+// if the machine has no attempts.
 func (s *Scheduler) secondsUntilRoom(job *Job, machine *fleet.Machine, now time.Time) float64 {
 	free := machine.Bin.Capacity.Sub(machine.Bin.Used())
 	ends := s.expectedEnds(machine, now)
--- a/internal/scheduler/scenario_workers_test.go
+++ b/internal/scheduler/scenario_workers_test.go
@@ -8,9 +8,9 @@
 	"drumpick/internal/fleet"
 )
 
-// sendHeartbeat replays a machine's heartbeat, "heartbeat m-1 incarnation=1 j-1/0:ATTEMPT=running
-// ...", and returns the commands of the answer. The machine is added to the fleet first, unless it
-// was returned or the event has the argument "unknown".
+// sendHeartbeat replays a machine's heartbeat and returns the commands of the answer:
+// "heartbeat m-1 incarnation=1 j-1/0:ATTEMPT=running ...". The machine is added to the fleet first,
+// unless it was returned or the event has the argument "unknown".
 func (r *replay) sendHeartbeat(s *Scheduler, in eventInput) []string {
 	h := r.parseHeartbeat(in)
 	if _, returned := s.autoscaling.returnedAt[h.Machine]; !returned && in.args["unknown"] == "" {
@@ -108,8 +108,8 @@
 	return linesOrDefault(lines, "no orders")
 }
 
-// takeUrgentCommands returns the commands to be sent before the next heartbeats, and marks them as
-// sent.
+// takeUrgentCommands returns the commands to be sent at once, before the next heartbeats, and clears
+// the set of machines that need them.
 func (r *replay) takeUrgentCommands() []string {
 	var lines, names []string
 	for name := range r.scheduler.urgentMachines {
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -8,10 +8,10 @@
 	"drumpick/internal/records"
 )
 
-// Settings configure a Scheduler. All durations derive from the platform's configuration.
+// Settings configure a Scheduler. SettingsOf derives them from the platform's configuration.
 type Settings struct {
 	HeartbeatInterval       time.Duration
-	Lease                   time.Duration // after which a worker's lease has expired, including clock drift and the delivery of an answer
+	Lease                   time.Duration // after which a worker's lease has expired, including clock drift and the delivery time of an answer
 	RebalanceInterval       time.Duration // between rebalancing rounds
 	GangPeerTimeout         time.Duration // within which a gang's tasks detect a lost peer
 	ListLag                 time.Duration // how far the cloud's list of machines may lag behind
--- a/internal/scheduler/start_latency.go
+++ b/internal/scheduler/start_latency.go
@@ -66,8 +66,8 @@
 	return wait
 }
 
-// hasStarted reports whether a job of which a task has run has started: a gang, only once all its
-// tasks have run.
+// hasStarted reports whether a job with a running task has started: a gang has only if all its tasks
+// are running or have run.
 func (j *Job) hasStarted() bool {
 	if j.Shape != records.ShapeGang {
 		return true
@@ -81,8 +81,8 @@
 }
 
 // recordRunning records that an attempt of a job is reported running. When the job has started, it
-// logs once the start latency and what the job waited for, to show why a guarantee was missed. It
-// logs no start by an attempt of an earlier term.
+// logs once the start latency and what the job waited for, to show why a guarantee was missed. It does
+// not log the start if the attempt was started by an earlier term.
 func (s *Scheduler) recordRunning(job *Job, attempt *fleet.Attempt, now time.Time) {
 	if !job.hasStarted() {
 		return
--- a/internal/scheduler/stop_reasons.go
+++ b/internal/scheduler/stop_reasons.go
@@ -36,9 +36,9 @@
 	return "lost"
 }
 
-// countWastedStart counts an attempt that ended without a result, unless it was only planned or its
-// job is closed, and returns its outcome. The metric shows work that is lost by many individually
-// small decisions: under high load, it was a third of the starts of a class.
+// countWastedStart counts an attempt that ended without a result, unless it was only planned or was
+// stopped because its job is closed, and returns its outcome. The metric shows work that is lost by
+// many individually small decisions: under high load, it was a third of the starts of a class.
 func (s *Scheduler) countWastedStart(a *fleet.Attempt) string {
 	outcome := outcomeName(a)
 	if a.State() != fleet.Planned && a.StopReason != stopJobClosed {
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -22,8 +22,8 @@
 	Tasks     []TaskView `json:"on_it,omitempty"`
 }
 
-// TaskView is the operator's view of an attempt on a machine. RanS is how long it has been running, in
-// seconds; 0 if it has ended or never ran.
+// TaskView is the operator's view of an attempt on a machine. RanS is how long the attempt has been
+// running, in seconds; 0 if it has ended or never ran.
 type TaskView struct {
 	Task     string  `json:"task"`
 	Attempt  uint64  `json:"attempt"`
