--- a/internal/cancellation/confirmed.go
+++ b/internal/cancellation/confirmed.go
@@ -1,8 +1,9 @@
 // Package cancellation ensures that the tasks of a cancelled job end in time even while the leader
 // cannot read the cancellation from the store. Any controller may confirm cancellations to users. A
-// leader that cannot reach the store renews its workers' leases only up to a bound; it extends the
-// bound when every other controller lists the cancellations that it has confirmed in the meantime.
-// Each controller keeps a log of these, and each list states how far back it is complete.
+// leader that cannot reach the store renews its workers' leases only up to a bound. It extends the
+// bound when every other controller has listed the cancellations that it has confirmed in the
+// meantime. Each controller keeps a log of its confirmed cancellations, and each list states how
+// far back it is complete.
 //
 // The package is pure: no I/O, no clock.
 package cancellation
@@ -23,22 +24,22 @@
 	IDs    []string `msgpack:"ids,omitempty"`
 }
 
-// Bounds of a log and of a list, which is sent to the leader every quarter of a heartbeat interval.
-// They don't bound the number of machines or jobs: beyond them a list covers a shorter span, and a
-// leader that cannot reach the store and gets too short a list lets leases expire, as if it had
-// received none. At 41,000 jobs a day, all cancelled, 1,024 are confirmed in 36 minutes; a list has
-// to cover less than the configured cancellation time, which is bounded.
+// Bounds of a log and of a list, which a controller sends every quarter of a heartbeat interval to
+// a leader that cannot reach the store. They don't bound the number of machines or jobs: a list
+// that would exceed them covers a shorter span. A leader that receives too short a list lets leases
+// expire, as if it had received none. At 41,000 jobs a day, all cancelled, 1,024 are confirmed in
+// 36 minutes; a list has to cover less than the configured cancellation time, which is bounded.
 const (
 	maxLogEntries  = 4096
 	maxListedIDs   = 1024
 	maxListedBytes = 24 << 10 // total length of the ids
 )
 
-// maxSpan is the longest span that is accepted as valid.
+// maxSpan is the longest span of a list that Check accepts.
 const maxSpan = 10 * 365 * 24 * time.Hour
 
-// entryResolution is the distance between an omitted entry and the start of the span of a list:
-// spans are in milliseconds.
+// entryResolution is the time from an omitted entry to the start of the list's span, which is in
+// whole milliseconds.
 const entryResolution = time.Millisecond
 
 // Check returns an error that describes the first invalid field of a list from another controller,
@@ -63,22 +64,22 @@
 // Log records the cancellations that one process has confirmed. It is safe for concurrent use.
 type Log struct {
 	mu            sync.Mutex // guards the fields below
-	completeFrom  time.Time
-	lastConfirmed time.Time // time of the last confirmation, or process start
-	entries       []entry   // oldest first
+	completeFrom  time.Time  // the log holds every confirmation since then
+	lastConfirmed time.Time  // time of the last confirmation, or process start
+	entries       []entry    // oldest first
 }
 
 type entry struct {
-	id string
-	at time.Time
+	id string    // of the cancelled job
+	at time.Time // when it was added to the log
 }
 
 // NewLog returns the log of a process that starts now.
 func NewLog(now time.Time) *Log { return &Log{completeFrom: now, lastConfirmed: now} }
 
-// Add records a cancellation and must be called before it is confirmed to any user. The time since
-// it was stored, and until it is confirmed, does not matter: the first confirmation counts, and it
-// is not earlier than now.
+// Add records the cancellation of a job. It must be called before the cancellation is confirmed to
+// any user. How long ago the cancellation was stored, and how much later it is confirmed, does not
+// matter: the first confirmation counts, and it is not earlier than now.
 func (l *Log) Add(id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,16 +93,18 @@
 	}
 }
 
-// SinceLastConfirmation returns a lower bound of the time since the last confirmation, for versions
-// that don't support lists.
+// SinceLastConfirmation returns a lower bound of the time since the last confirmation by this
+// process. It serves versions that don't support lists, and makes a list unnecessary if it is long
+// enough.
 func (l *Log) SinceLastConfirmation(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Sub(l.lastConfirmed)
 }
 
-// ConfirmedWithin lists the cancellations confirmed in a span before now. If they exceed the bounds
-// of a list, it holds the latest ones and has a shorter span.
+// ConfirmedWithin lists the cancellations confirmed in a span before now, newest first. If they
+// exceed the bounds of a list, or the log does not reach back so far, the list holds the latest
+// ones and has a shorter span.
 func (l *Log) ConfirmedWithin(span time.Duration, now time.Time) ConfirmedList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/cancellation/confirmed_test.go
+++ b/internal/cancellation/confirmed_test.go
@@ -17,7 +17,9 @@
 	return ids
 }
 
-// An invalid list is rejected with an error that names the field, and it covers nothing.
+// An invalid list is rejected with an error that names the field, and covers no cancellation.
+// Otherwise a faulty answer of a controller could extend lease renewals past an unknown
+// cancellation.
 func TestInvalidListCoversNothing(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	bound := NewRenewalBound(cancelTime, leaseTime)
--- a/internal/cancellation/renewal_bound_model_test.go
+++ b/internal/cancellation/renewal_bound_model_test.go
@@ -64,12 +64,12 @@
 	mutant          mutant
 	now             time.Time
 	bound           RenewalBound
-	logs            []*Log    // by controller
-	clockRates      []float64 // by controller
-	stored          []string  // ids of cancelled jobs
-	unconfirmed     map[string]int
-	confirmedAt     map[string]time.Time // first confirmation
-	known           map[string]bool      // by the leader
+	logs            []*Log               // by controller
+	clockRates      []float64            // by controller
+	stored          []string             // ids of the jobs whose cancellation is stored
+	unconfirmed     map[string]int       // by job id, the controller that stored its cancellation
+	confirmedAt     map[string]time.Time // by job id, the first confirmation
+	known           map[string]bool      // by job id, whether the leader knows the cancellation
 	previousAnswers []PeerAnswer         // to the previous query
 }
 
@@ -78,7 +78,7 @@
 	return modelStart.Add(time.Duration(float64(m.now.Sub(modelStart)) * m.clockRates[controller]))
 }
 
-// confirm makes a controller confirm a cancellation or prepare to.
+// confirm makes a controller log a cancellation and confirm it.
 func (m *clusterModel) confirm(controller int, id string) {
 	if m.mutant != confirmBeforeLog {
 		m.logs[controller].Add(id, m.clock(controller))
@@ -106,8 +106,8 @@
 	}
 }
 
-// watchStore models an answer of the store to a watch, with all cancellations stored by the time of
-// the request.
+// watchStore models a watch that the store answers after latency with all cancellations stored by
+// the time of the request.
 func (m *clusterModel) watchStore(latency time.Duration) {
 	askedAt, storedBefore := m.clock(0), len(m.stored)
 	if rapid.Bool().Draw(m.t, "meanwhile") {
@@ -157,7 +157,8 @@
 	m.checkInvariant()
 }
 
-// collectAnswers returns the other controllers' answers. all is false if one is missing.
+// collectAnswers returns the other controllers' answers to a query for a span. all is false if one
+// is missing.
 func (m *clusterModel) collectAnswers(span time.Duration) (answers []PeerAnswer, all bool) {
 	all = true
 	for i := 1; i < len(m.logs); i++ {
@@ -201,9 +202,9 @@
 	}
 }
 
-// randomEvent applies a random event other than a query or a watch. Time passes only if it is not
-// inside one of these.
-func (m *clusterModel) randomEvent(inside bool) {
+// randomEvent applies a random event other than a query or a watch. During a query or a watch, the
+// event lets no time pass.
+func (m *clusterModel) randomEvent(duringRequest bool) {
 	controller := rapid.IntRange(0, len(m.logs)-1).Draw(m.t, "controller")
 	switch rapid.IntRange(0, 4).Draw(m.t, "event") {
 	case 0:
@@ -215,7 +216,7 @@
 	case 3:
 		m.confirmAgain(controller)
 	case 4:
-		if !inside {
+		if !duringRequest {
 			m.advanceTime(time.Duration(rapid.IntRange(0, 4000).Draw(m.t, "for")) * time.Millisecond)
 		}
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -44,13 +44,13 @@
 	leaseDuration   time.Duration
 	keepsWatermarks bool
 
-	mu               sync.Mutex // guards the fields below
-	leader           string     // node that leads, as last known; "" if unknown
-	term             uint64     // this process's own term, 0 while it does not lead
-	confirmedUntil   time.Time
+	mu               sync.Mutex         // guards the fields below
+	leader           string             // node that leads, as last known; "" if unknown
+	term             uint64             // this process's own term, 0 while it does not lead
+	confirmedUntil   time.Time          // until when the term's lease is certain to last; zero if term is 0
 	cancelTerm       context.CancelFunc // ends the term being served; nil while none is
-	noCampaignBefore time.Time
-	lastLeaseID      uint64 // of this process's last term; its key is deleted when the lease expires
+	noCampaignBefore time.Time          // set by Resign
+	lastLeaseID      uint64             // of this process's last term; its key is deleted when the lease expires
 }
 
 // wonTerm is a term that this process has won, with the lease that holds its key.
@@ -80,16 +80,17 @@
 	return e.leader
 }
 
-// Term returns this process's own term, or 0 if it does not lead, and until when its lease is
-// certain not to have expired.
+// Term returns this process's own term, or 0 if it does not lead, and until when the lease on the
+// leader key is certain not to have expired.
 func (e *Election) Term() (term uint64, confirmedUntil time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.term, e.confirmedUntil
 }
 
-// Resign ends the term being served, if any, without deleting the key. No other controller leads
-// before the lease has expired.
+// Resign ends the term being served, if any, without deleting the leader key. No other controller
+// leads before the lease on the key has expired, and this one does not campaign for two lease
+// durations.
 func (e *Election) Resign() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -151,7 +152,7 @@
 }
 
 // heldByEarlierIncarnation reports whether an earlier incarnation of this node holds the key. There
-// is one process per node, so that one has ended.
+// is one process per node, so the earlier one has ended.
 func (e *Election) heldByEarlierIncarnation(holder records.Leader) bool {
 	return holder.Node == e.node && holder.Incarnation != e.incarnation
 }
@@ -212,7 +213,8 @@
 	return nil, err
 }
 
-// awaitChange waits until the leader key changes.
+// awaitChange waits until the leader key changes after the revision since. It returns an error if
+// the store fails or ctx ends.
 func (e *Election) awaitChange(ctx context.Context, since uint64) error {
 	for ctx.Err() == nil {
 		events, revision, err := e.store.Watch(ctx, records.KeyLeader, since, e.leaseDuration/2)
@@ -227,8 +229,8 @@
 	return ctx.Err()
 }
 
-// serve runs lead for a term until the lease expires, the term is resigned, or ctx ends. It returns
-// once lead has returned.
+// serve runs lead for a term until the lease expires, the term is resigned, or ctx ends. It then
+// ends lead's context, and returns once lead has returned.
 func (e *Election) serve(ctx context.Context, won wonTerm, lead func(context.Context, uint64)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -267,7 +269,8 @@
 	}
 }
 
-// renewUntilLost renews the lease of a term until it has expired or ctx ends.
+// renewUntilLost renews the lease of a term until the store reports that it has expired, or ctx
+// ends.
 func (e *Election) renewUntilLost(ctx context.Context, won wonTerm) {
 	pause := e.leaseDuration / 4
 	for ctx.Err() == nil {
@@ -276,7 +279,7 @@
 		}
 		pause = e.leaseDuration / 4
 		requestedAt := time.Now()
-		// The timeout is half of the duration, so that a lost packet leaves time for a retry.
+		// The timeout is half of the lease duration, so that a lost packet leaves time for a retry.
 		err := e.store.RenewLease(ctx, won.leaseID, e.leaseDuration/2)
 		if err == nil {
 			e.mu.Lock()
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -69,52 +69,52 @@
 			delete(nodes, name)
 		}
 	}
-	for _, w := range events {
+	for _, words := range events {
 		last = nil
-		switch w[0] {
+		switch words[0] {
 		case "start":
 			ctx, cancel := context.WithCancel(context.Background())
-			p := &process{client: store.Client(w[1]), cancel: cancel, stopped: make(chan struct{})}
-			p.election = election.New(p.client, w[1], w[2], 4*time.Second, false)
-			nodes[w[1]] = p
+			p := &process{client: store.Client(words[1]), cancel: cancel, stopped: make(chan struct{})}
+			p.election = election.New(p.client, words[1], words[2], 4*time.Second, false)
+			nodes[words[1]] = p
 			go func() {
 				defer close(p.stopped)
 				p.election.Run(ctx, func(ctx context.Context, _ uint64) { <-ctx.Done() })
 			}()
 			time.Sleep(100 * time.Millisecond)
 		case "kill":
-			kill(w[1])
+			kill(words[1])
 		case "outage":
-			store.SetOutage(w[1] == "on")
+			store.SetOutage(words[1] == "on")
 		case "refuse":
-			store.SetRefused(w[1], w[2] == "on")
+			store.SetRefused(words[1], words[2] == "on")
 		case "lose":
-			s, _ := strconv.Atoi(w[2])
-			nodes[w[1]].client.LoseResponses(1, time.Duration(s)*time.Second)
+			s, _ := strconv.Atoi(words[2])
+			nodes[words[1]].client.LoseResponses(1, time.Duration(s)*time.Second)
 		case "late":
 			// Applies an abandoned campaign, on a lease of its own.
 			c := store.Client("late")
 			leaseID, err := c.GrantLease(context.Background(), 4*time.Second)
 			if err == nil {
 				_, err = c.Commit(context.Background(), []records.Compare{{Key: records.KeyLeader}},
-					[]records.Op{{Write: records.KeyLeader, Value: records.Leader{Node: w[1], Incarnation: w[2]}, LeaseID: leaseID}})
+					[]records.Op{{Write: records.KeyLeader, Value: records.Leader{Node: words[1], Incarnation: words[2]}, LeaseID: leaseID}})
 			}
 			if err != nil {
 				t.Error(err)
 			}
 		case "resign":
-			nodes[w[1]].election.Resign()
+			nodes[words[1]].election.Resign()
 		case "wait":
-			s, _ := strconv.ParseFloat(w[1], 64)
+			s, _ := strconv.ParseFloat(words[1], 64)
 			time.Sleep(time.Duration(s * float64(time.Second)))
 		case "write":
-			term, _ := strconv.ParseUint(w[1], 10, 64)
+			term, _ := strconv.ParseUint(words[1], 10, 64)
 			_, err := store.Client("late").Commit(context.Background(),
 				[]records.Compare{{Key: records.KeyLeader, Revision: term}}, []records.Op{{Write: "x", Value: 1}})
 			var conflict *records.ConflictError
 			last = []string{fmt.Sprintf("refused: %v", errors.As(err, &conflict))}
 		default:
-			t.Errorf("unknown event %v", w)
+			t.Errorf("unknown event %v", words)
 		}
 		if last == nil {
 			for _, n := range []string{"n-0", "n-1", "n-2"} {
--- a/internal/fairshare/account.go
+++ b/internal/fairshare/account.go
@@ -36,9 +36,9 @@
 // Charge adds the n unfinished tasks of a job, each of the given size, to its team's sum. Jobs must
 // be charged in the order of their acceptance.
 //
-// entitled reports whether the job is entitled to its resources: the team's jobs up to and
-// including this one fit into the guarantee. mayPreempt reports whether other tasks may be
-// preempted for it. An entitled job that also requests a resource that is not guaranteed is placed
+// entitled reports whether the job is entitled to its resources: the team's jobs up to and including
+// this one fit into the guarantee. mayPreempt reports whether other tasks may be preempted for it.
+// With onlyNamed, an entitled job that also requests a resource that is not guaranteed is placed
 // first, but preempts nothing.
 func (a *Account) Charge(team string, n int, size packing.Resources) (entitled, mayPreempt bool) {
 	t := a.teams[team]
@@ -59,8 +59,8 @@
 }
 
 // CanStartInTime reports whether an entitled job that has waited for age can still start within the
-// target time, given one heartbeat interval and the fetch of its image. If target is 0, there is no
-// target and the result is false.
+// target time if its start takes one heartbeat interval and the fetch of its image. If target is 0,
+// there is no target and the result is false.
 func CanStartInTime(target, age, heartbeatInterval, fetch time.Duration) bool {
 	return target > 0 && age+heartbeatInterval+fetch < target
 }
--- a/internal/fairshare/shortage.go
+++ b/internal/fairshare/shortage.go
@@ -5,7 +5,7 @@
 // ShortageTracker tracks the machine types that lack on-demand machines, which the cloud does not
 // preempt, for jobs of teams with a guarantee that may not use spot machines.
 type ShortageTracker struct {
-	last map[string]time.Time // when such a job last had no placement, by machine type
+	last map[string]time.Time // by machine type, when such a job last had no placement
 }
 
 // NewShortageTracker returns a tracker without shortages.
--- a/internal/finishedtasks/layout.go
+++ b/internal/finishedtasks/layout.go
@@ -1,7 +1,8 @@
 package finishedtasks
 
-// Layout defines how the tasks of a job are divided into records: into chunks, for which earlier
-// versions write one record each, and the chunks into parts with one record each.
+// Layout defines how the tasks of a job are divided into records. The tasks are divided into chunks,
+// for which earlier versions write one record each. Each chunk is divided into parts with one record
+// each.
 type Layout struct {
 	ChunkTasks int // tasks per chunk
 	PartTasks  int // tasks per part
@@ -10,7 +11,7 @@
 // PartsPerChunk returns the number of parts of a chunk.
 func (l Layout) PartsPerChunk() int { return (l.ChunkTasks + l.PartTasks - 1) / l.PartTasks }
 
-// Part returns the part of a task.
+// Part returns the number of a task's part, counted over all chunks of the job.
 func (l Layout) Part(task int) int {
 	return task/l.ChunkTasks*l.PartsPerChunk() + task%l.ChunkTasks/l.PartTasks
 }
--- a/internal/finishedtasks/layout_test.go
+++ b/internal/finishedtasks/layout_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Every task is within the span of its part.
+// Every task is within the span of its part. Otherwise the task could be missing from the record of
+// its part and run again after a failover.
 func TestTasksAreInTheSpanOfTheirPart(t *testing.T) {
 	for _, l := range []Layout{{2048, 2048}, {2048, 614}, {100, 7}} {
 		const tasks = 5000
--- a/internal/finishedtasks/tracker.go
+++ b/internal/finishedtasks/tracker.go
@@ -10,8 +10,8 @@
 	"drumpick/internal/records"
 )
 
-// growthBytes is the space that a record gets for its growth in addition to twice its size. That
-// suffices mostly, since the tasks of a job mostly finish in order and thus form few ranges.
+// growthBytes is the space that a record gets for growth, in addition to twice its size. That usually
+// suffices because the tasks of a job usually finish in order and thus form few ranges.
 const growthBytes = 48
 
 // Job is an open job.
@@ -35,10 +35,10 @@
 }
 
 // Tracker tracks the finished tasks of open jobs and writes them to records. A record holds one part
-// of a chunk; a part is so small that its worst pattern also fits into a value under a lower limit
-// that the store will have later. Each part has a record id of its own, and readers of every version
-// merge the records of a chunk. A record under the chunk's own id, as earlier versions write it,
-// covers the whole chunk and is never overwritten with a part.
+// of a chunk. A part is so small that its worst pattern also fits into a value under an upcoming lower
+// limit of the store. Each part has a record id of its own, and readers of every version merge the
+// records of a chunk. A record under the chunk's own id, as earlier versions write it, covers the
+// whole chunk and is never overwritten with a part.
 type Tracker struct {
 	layout   Layout
 	pages    *records.PagedRecords
@@ -57,15 +57,16 @@
 type jobRecords struct {
 	ids        map[int]string  // record id by part
 	usedIDs    map[string]bool // all record ids ever used
-	written    map[int]bool    // parts whose record was written in this term, and so is complete
+	written    map[int]bool    // parts whose record was written in this term, and is therefore complete
 	stored     map[int]bool    // parts whose complete record has been stored
 	superseded []supersededRecord
 }
 
-// supersededRecord is a record that is removed once all its parts are stored in other records.
+// supersededRecord is a record that is removed once all parts of which it holds tasks are stored in
+// other records.
 type supersededRecord struct {
 	id                  string
-	firstPart, lastPart int
+	firstPart, lastPart int // inclusive; -1: it holds no tasks of the job
 }
 
 // New returns a tracker without records, which writes to pages.
@@ -93,7 +94,8 @@
 }
 
 // Load adds a stored record of an open job: ranges of finished tasks of a chunk. A writable record
-// that holds tasks of a single part becomes the record of that part.
+// that holds tasks of a single part becomes the record of that part; any other record is superseded.
+// An error means that the ranges are invalid.
 func (t *Tracker) Load(id string, job Job, chunk int, ranges string) error {
 	r := t.recordsOf(job.JobID())
 	r.usedIDs[id] = true
@@ -119,7 +121,7 @@
 	r.superseded = append(r.superseded, supersededRecord{id, first, last})
 	if !t.pages.HasWritable(id) && first >= 0 {
 		for part := first; part <= last; part++ {
-			job.DirtyParts()[part] = true // so that its read-only page can be deleted
+			job.DirtyParts()[part] = true // so that the record's read-only page can be deleted
 		}
 	}
 	return nil
@@ -148,8 +150,9 @@
 }
 
 // putRecord writes the record of a part. A record that has outgrown its page gets a new id, and the
-// old record is removed once the new one is stored. Under the same id, an earlier version that
-// takes over in between could lose tasks: it keeps the first of two records with the same id.
+// old record is removed once the new one is stored. If both had the same id, a controller of an
+// earlier version that takes over in between could lose tasks: it keeps only the first of two records
+// with the same id.
 func (t *Tracker) putRecord(job string, part int, raw json.RawMessage, maxBytes int) {
 	r := t.recordsOf(job)
 	for {
@@ -192,8 +195,8 @@
 	done []uint64
 }
 
-// OnStored returns a callback that marks the current finished tasks of the records as stored. The
-// caller must call it once the records are stored.
+// OnStored returns a callback that marks the tasks of the given records as stored that are finished
+// now. The caller must call the callback once the records are stored.
 func (t *Tracker) OnStored(ids []string) func(revision uint64) {
 	var parts []pendingPart
 	for _, id := range ids {
@@ -219,8 +222,8 @@
 			stored[task/64] |= 1 << (task % 64)
 		}
 	}
-	// A loaded record that is only stored along with another record of its page does not count: it
-	// may hold fewer tasks than an older record of its part.
+	// A loaded record that is stored only because another record of its page changed does not count:
+	// it may hold fewer tasks than an older record of its part.
 	if r := t.recordsOf(p.job.JobID()); r.written[p.part] {
 		r.stored[p.part] = true
 		t.removeSuperseded(r)
@@ -241,7 +244,7 @@
 	})
 }
 
-// Rewrite writes records again that need another page.
+// Rewrite writes the parts of the given records again because the records need another page.
 func (t *Tracker) Rewrite(ids []string) {
 	for _, id := range ids {
 		p := t.parts[id]
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -19,20 +19,20 @@
 	CheckpointSaved bool   // a checkpoint was saved before it ended
 	SentSequence    uint64 // Machine.Sequence when its run command was sent
 
-	AssignedAt      time.Time // when it was planned, then sent, or discovered on the machine
+	AssignedAt      time.Time // when it was planned or discovered; once it is sent, when it was sent
 	RunningSince    time.Time // when it was first reported as running
 	ImageReadySince time.Time // when it was first reported with its image present
 	StopRequestedAt time.Time // when a stop was first requested
 	StopReason      string    // set by the caller of RequestStop; the table does not read it
 
-	MayReap   bool          // the worker may get the command to forget it
+	MayReap   bool          // the worker may get VerbReap, the command to forget it
 	Item      *packing.Item // its item in the machine's bin; nil once it has ended
-	Duplicate bool          // a duplicate attempt: it does not count as its task's attempt
+	Duplicate bool          // its task has another attempt that counts instead
 	Job       any           // the planner's job; the table does not read it
 	Charge    quota.Charge  // its charge in the quota account; the table does not read it
 
 	state      State
-	listed     bool    // it is on its machine's list
+	listed     bool    // it is on its machine's list of attempts
 	stopping   bool    // a stop was requested
 	graceS     float64 // seconds to save a checkpoint after the stop
 	lastSeenIn uint64  // Machine.statusCount of the last status that listed it
@@ -42,7 +42,8 @@
 // State returns the state of the attempt.
 func (a *Attempt) State() State { return a.state }
 
-// OnMachine reports whether the attempt is on its machine's list: it was added and not forgotten.
+// OnMachine reports whether the attempt is on its machine's list of attempts: it was added and not
+// forgotten.
 func (a *Attempt) OnMachine() bool { return a.listed }
 
 // Stopping reports whether a stop of the attempt was requested.
@@ -83,7 +84,7 @@
 	return true
 }
 
-// setState sets the state and notifies the listener. All state changes go through it.
+// setState sets the state and calls Table.OnChange if it differs. All state changes go through it.
 func (a *Attempt) setState(state State) {
 	if a.state == state {
 		return
@@ -105,7 +106,7 @@
 	}
 }
 
-// addAttempt adds an attempt to its machine's list and to the index by job.
+// addAttempt adds an attempt to the machine's list of attempts and to the table's index by job.
 func (m *Machine) addAttempt(a *Attempt) {
 	t := m.table
 	t.attemptsAdded++
--- a/internal/fleet/leases.go
+++ b/internal/fleet/leases.go
@@ -48,8 +48,8 @@
 	return m.LastStatusAt
 }
 
-// CountInherited returns the number of machines that earlier terms may have used, and how many of
-// them still await reconciliation.
+// CountInherited returns the number of machines in the table that earlier terms may have used, and how
+// many of these still await reconciliation.
 func (t *Table) CountInherited() (all, unreconciled int) {
 	for _, m := range t.sorted {
 		if m.Inherited {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -56,7 +56,7 @@
 	FailedTasksByJob map[string]int // number of failed tasks by job id since the last success
 
 	FullUntil    time.Time // no tasks are sent until then, since it rejected one as full
-	EmptySince   time.Time
+	EmptySince   time.Time // since when all attempts on it have ended; zero: not empty
 	RelayedAt    time.Time // when a peer controller last relayed one of its heartbeats
 	RelayedSince time.Time // since when its heartbeats are relayed
 
@@ -64,7 +64,7 @@
 	Forecast      *forecast.FUSD // of its load
 	ReleasedKinds []packing.Kind // kinds of items removed since the last scheduling round
 
-	images []image // expected in its cache, least recently used first
+	images []image // expected in its image cache, least recently used first
 
 	table    *Table
 	removed  bool       // it was removed from the table
@@ -130,8 +130,8 @@
 	a.setItem(item)
 }
 
-// releaseItem removes the item of an attempt from the bin, and records its kind for the next
-// scheduling round, up to the number that a round can process.
+// releaseItem removes the item of an attempt from the bin, and records the item's kind for the next
+// scheduling round, up to the number of kinds that a round can process.
 func (m *Machine) releaseItem(a *Attempt) {
 	if a.Item == nil {
 		return
--- a/internal/fleet/probe.go
+++ b/internal/fleet/probe.go
@@ -48,9 +48,9 @@
 }
 
 // ApplyProbe applies the answer to a probe. If the answer is older than the machine's known state,
-// either the machine has restarted or the known state came from a late copy. In both cases, which
-// restarted reports, the machine has only the attempts in the answer, apart from run commands that
-// may still be in flight.
+// either the machine has restarted or the known state came from a late copy. In both cases restarted
+// is true, and the machine has only the attempts in the answer, apart from run commands that may still
+// be in flight.
 func (t *Table) ApplyProbe(probe Probe, hb *Heartbeat, now time.Time) (out ApplyResult, restarted bool) {
 	m := t.Machines[probe.Machine]
 	if m == nil || hb.Machine != probe.Machine {
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -29,9 +29,10 @@
 //   - no attempt was sent that it should show, and it comes through the same controller: a worker
 //     stays with the controller that answered it.
 //
-// A heartbeat shows that the worker stayed with its controller if it has the next sequence number,
-// or if it comes sooner than the worker could return from another controller. The second condition
-// is needed because a probe raises the sequence number too, which then is not the next one.
+// A heartbeat shows that the worker stayed with its controller if it has the next sequence number, or
+// if it comes sooner than the worker could return from another controller. The second condition is
+// needed because a probe raises the sequence number too: that of the heartbeat after it is then not
+// the next one.
 func (m *Machine) updateReachability(hb *Heartbeat, isHeartbeat bool, term uint64, now time.Time) {
 	last := &m.reachability
 	arrived := !isHeartbeat || m.FencingToken < term && hb.FencingToken == term
@@ -80,8 +81,8 @@
 	m.reachability.answered, m.reachability.via, m.reachability.answeredAt = true, via, now
 }
 
-// RenewLease records that a heartbeat was answered with status 200 that was not applied. It does not
-// update the reachability.
+// RenewLease records that a heartbeat that was not applied was answered with status 200, which renews
+// the lease. It does not update the reachability.
 func (m *Machine) RenewLease(now time.Time) { m.LeaseRenewedAt = now }
 
 // Unreachable reports whether the machine's heartbeats arrive while recent answers did not reach it.
--- a/internal/fleet/staleness.go
+++ b/internal/fleet/staleness.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// A heartbeat may be a late copy, and a machine may restart with counters lower than the known ones.
-// An attempt that is missing in such a heartbeat may still run. A probe resolves this: an empty
-// direct command, which the machine answers with its status (see probe.go).
+// A heartbeat may be a late copy, and a machine may restart with an incarnation or sequence number
+// lower than the known one. An attempt that is missing in such a heartbeat may still run. A probe
+// resolves this: an empty direct command, which the machine answers with its status (see probe.go).
 
 // LateCopyLeases is the time after a late copy, in leases, during which more may come.
 const LateCopyLeases = 8
@@ -19,7 +19,7 @@
 	onlyLateSince time.Time // when the first late status after the last current one arrived; zero: none
 	incarnation   uint64    // of the last late status
 	addr          string    // of the last late status
-	restarted     bool      // it has restarted: copies from before the restart may look newer than its current status
+	restarted     bool      // a probe has found it restarted: copies from before the restart may look newer than its current status
 	missingSince  time.Time // since when it is probed for a missing attempt; zero: not probed
 	probedAt      time.Time // when it was last probed
 }
@@ -64,7 +64,7 @@
 		hb.Incarnation == m.Incarnation && m.heartbeatSequence < hb.Sequence && hb.Sequence < m.Sequence
 }
 
-// Recency returns the recency of a heartbeat of a known machine, and records a late one.
+// Recency returns the recency of a heartbeat of a known machine, and records a late heartbeat.
 func (t *Table) Recency(hb *Heartbeat, now time.Time) Recency {
 	m := t.Machines[hb.Machine]
 	switch {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -62,7 +62,8 @@
 	return m.HasStatus && hb.Incarnation > m.Incarnation && !mayBeCopy
 }
 
-// applyVersion stores the worker's version, and reports whether it changed.
+// applyVersion stores the worker's version, and reports whether it changed during this term. After a
+// change, earlier failures no longer count against the machine.
 func (m *Machine) applyVersion(version string, now time.Time) (upgraded bool) {
 	if m.Version == version || version == "" {
 		return false
--- a/internal/leader/attestation.go
+++ b/internal/leader/attestation.go
@@ -10,28 +10,28 @@
 	"drumpick/internal/watermark"
 )
 
-// recordsPerHoldoff is how many times per relaxation holdoff the attestation that watermarks are
-// complete is stored, along with other writes.
+// recordsPerHoldoff is how many times per relaxation holdoff the attestation of complete watermarks
+// is stored. It shares a commit with other writes that are due.
 const recordsPerHoldoff = 3
 
-// attestor attests to the peers whether the watermarks in the store are complete, or relaxed: in an
-// outage of the store for all controllers, tasks are dispatched beyond watermarks that cannot be
-// stored. Watermarks are relaxed only once every peer has observed it, so that no observer can
-// attest otherwise to the next leader.
+// attestor attests to the peers whether the watermarks in the store are complete or relaxed. In an
+// outage of the store for all controllers, the leader relaxes them: it dispatches tasks beyond
+// watermarks that it cannot store. It does so only once every peer has observed an attestation of
+// relaxed watermarks, so that no observer can attest to the next leader that they are complete.
 type attestor struct {
 	*term
-	observer *watermark.Observer // this controller's own
+	observer *watermark.Observer // of this controller
 
-	// lastReconciled is the latest attestation of a reconciled term. The failover sets it before
-	// the loops start.
+	// lastReconciled is the latest attestation of a reconciled term that any controller has
+	// reported; zero: none. The failover sets it before the loops start, so it needs no lock.
 	lastReconciled watermark.Attestation
-	// announcedAt is when the peers were last sent an attestation. Only announce uses it.
+	// announcedAt is when an attestation was last sent to the peers. Only announce uses it.
 	announcedAt time.Time
 
-	mu           sync.Mutex // guards the fields below
-	current      watermark.Attestation
-	relaxedUntil time.Time // until then, all peers have observed that watermarks are relaxed
-	recordedAt   time.Time // when a StoredAttestation was last written
+	mu           sync.Mutex            // guards the fields below
+	current      watermark.Attestation // of this term; without a sequence number until the first change
+	relaxedUntil time.Time             // until when watermarks are relaxed; zero: never in this term
+	recordedAt   time.Time             // when a StoredAttestation was last handed out to be stored; zero: never
 }
 
 func newAttestor(t *term, observer *watermark.Observer) *attestor {
@@ -42,40 +42,42 @@
 	}
 }
 
-// relaxationHoldoff is how long after storing an attestation of complete watermarks a leader does
-// not relax them. A new process of this node can rely on the attestation only if it starts within
-// the holdoff. In an outage of the store, task starts are delayed by at most the holdoff.
+// relaxationHoldoff returns for how long a leader must not relax watermarks after it has stored an
+// attestation that they are complete. A new process of the same node relies on the stored
+// attestation only if it starts within the holdoff. In an outage of the store, the holdoff delays
+// task starts by at most its own length.
 func (a *attestor) relaxationHoldoff() time.Duration {
 	return max(a.settings.HeartbeatInterval, a.settings.Lease/4)
 }
 
-// recordDue returns the attestation of complete watermarks if it is due to be stored, else nil.
-func (a *attestor) recordDue(now time.Time) *watermark.StoredAttestation {
+// takeDueRecord returns the attestation of complete watermarks if it is due to be stored, else nil.
+// The caller must store it: it counts as stored at now.
+func (a *attestor) takeDueRecord(now time.Time) *watermark.StoredAttestation {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.current.Complete || now.Sub(a.recordedAt) < a.relaxationHoldoff()/recordsPerHoldoff {
 		return nil
 	}
-	a.recordedAt = now // even if unanswered, as it may be stored late
+	a.recordedAt = now // also if the write gets no answer, because it may be applied late
 	return &watermark.StoredAttestation{Term: a.number, Node: a.cfg.Node, AtMS: now.UnixMilli()}
 }
 
-// recordRevision records a revision at which the term held the leader key.
+// recordRevision records a store revision at which the term held the leader key.
 func (a *attestor) recordRevision(revision uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.current.Revision = max(a.current.Revision, revision)
 }
 
-// announce sends the attestation to the peers when it has changed, and once per heartbeat interval,
-// as a peer may have restarted. After an outage watermarks are complete again once all of them are
-// stored.
+// announce updates the attestation and sends it to the peers if it has changed, and otherwise once
+// per heartbeat interval, because a restarted peer has lost it. After an outage of the store,
+// watermarks are complete again once all of them are stored. Calls must not overlap.
 func (a *attestor) announce(ctx context.Context) {
 	if !a.settings.Watermarks {
 		return
 	}
-	// The order matters: if relaxed is false, the state read next includes all tasks dispatched
-	// while the watermarks were relaxed.
+	// relaxed must be read before the scheduler's state. If it is false, that state includes all
+	// tasks that were dispatched while watermarks were relaxed.
 	stored := !a.relaxed(time.Now())
 	a.state.mu.Lock()
 	stored = stored && a.state.scheduler.WatermarksStored()
@@ -89,7 +91,8 @@
 	}
 }
 
-// update records whether all watermarks are stored and all machines are reconciled.
+// update records whether all watermarks are stored and all machines are reconciled. changed reports
+// whether the watermarks have just become complete, or the term reconciled.
 func (a *attestor) update(stored, reconciled bool) (attestation watermark.Attestation, changed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,8 +106,9 @@
 	return a.current, changed
 }
 
-// requestRelaxation returns the attestation that the leader sends to its peers before it dispatches
-// tasks beyond watermarks, as it cannot store these.
+// requestRelaxation returns the attestation of relaxed watermarks, which the leader sends to its
+// peers while it cannot store watermarks. Dispatching beyond watermarks has to wait for
+// applyAcknowledgements. The result is zero if watermarks are disabled.
 func (a *attestor) requestRelaxation() watermark.Attestation {
 	if !a.settings.Watermarks {
 		return watermark.Attestation{}
@@ -119,14 +123,16 @@
 	return a.current
 }
 
-// applyAcknowledgements records the peers' answers to such an attestation. Watermarks are relaxed
-// only if all peers have observed it.
+// applyAcknowledgements applies the peers' answers to an attestation from requestRelaxation that
+// was sent at askedAt; all reports whether every peer has answered. If every peer has observed the
+// attestation and the relaxation holdoff is over, it relaxes watermarks until a heartbeat interval
+// after askedAt.
 func (a *attestor) applyAcknowledgements(attestation watermark.Attestation, answers []peer.Status, all bool, askedAt time.Time) {
 	elapsed := time.Since(askedAt)
 	for _, answer := range answers {
 		// The last condition excludes a peer that has restarted since the query: it reports the
-		// store as silent only since then. Before the restart a new leader may have made it reject
-		// this term, which its new process does not know.
+		// store as silent at most since its start. Before the restart, a new leader may have made
+		// the peer reject this term; its new process does not know that.
 		storeSilent := time.Duration(answer.SinceStoreServedMS) * time.Millisecond
 		all = all && answer.Attestation != nil && attestation.ObservedBy(*answer.Attestation) && storeSilent > elapsed
 	}
@@ -135,7 +141,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	// The stored attestation, or one that may yet be applied, must not attest otherwise either.
+	// The holdoff must be over for the stored attestation of complete watermarks, and for one whose
+	// write may still be applied.
 	if a.current.Seq == attestation.Seq && !a.current.Complete && askedAt.Sub(a.recordedAt) > a.relaxationHoldoff() {
 		if a.relaxedUntil.IsZero() {
 			slog.Warn("watermarks relaxed", "term", a.number, "peers", len(answers))
@@ -144,7 +151,7 @@
 	}
 }
 
-// relaxed reports whether tasks beyond watermarks may be dispatched now.
+// relaxed reports whether tasks beyond watermarks may be dispatched at now.
 func (a *attestor) relaxed(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/leader/attestation_query.go
+++ b/internal/leader/attestation_query.go
@@ -12,14 +12,15 @@
 	"drumpick/internal/watermark"
 )
 
-// earlierWatermarksComplete reports whether the watermarks of earlier leaders are complete. It
-// queries the observers after the term was won: from then on they reject a relaxation by an earlier
-// leader.
+// earlierWatermarksComplete reports whether the watermarks of earlier leaders are known to be
+// complete: from the observers or, if none of them attests that, from the stored attestation. It
+// must be called after the term was won: once queried, an observer rejects a relaxation by an
+// earlier leader.
 func (a *attestor) earlierWatermarksComplete(ctx context.Context) bool {
 	if !a.settings.Watermarks {
 		return false
 	}
-	answers, attestations := a.queryObservers(ctx)
+	answered, attestations := a.queryObservers(ctx)
 	if latest, ok := watermark.LatestComplete(attestations); ok {
 		changes, err := a.leaderChanges(ctx, latest.Revision)
 		complete := err == nil && watermark.Trusted(latest, changes, a.number)
@@ -28,14 +29,14 @@
 	}
 	record, err := a.store.Get(ctx, records.KeyWatermarksComplete)
 	if err != nil || record == nil {
-		slog.Info("watermarks checked", "term", a.number, "source", "none", "complete", false, "peers", answers, "err", err)
+		slog.Info("watermarks checked", "term", a.number, "source", "none", "complete", false, "peers", answered, "err", err)
 		return false
 	}
 	return a.storedAttestationHolds(ctx, record)
 }
 
-// queryObservers queries the attestations that all controllers, this one included, have observed of
-// earlier leaders, and keeps the latest one of a reconciled term.
+// queryObservers returns the attestations of earlier leaders that this controller and the peers
+// have observed, and the number of peers that have answered. It sets lastReconciled.
 func (a *attestor) queryObservers(ctx context.Context) (answered int, attestations []watermark.Attestation) {
 	request := watermark.Attestation{Term: a.number}
 	attestations = []watermark.Attestation{a.observer.Observe(request)}
@@ -53,11 +54,12 @@
 	return len(answers), attestations
 }
 
-// storedAttestationHolds reports whether the stored attestation of complete watermarks still holds.
-// It is used when all controllers have ended at once, so that none has observed an attestation.
+// storedAttestationHolds reports whether the stored attestation of complete watermarks still holds
+// and no other term has begun since. It is used when all controllers have ended at once, so that
+// none of them has observed an attestation. A failed read counts as false.
 func (a *attestor) storedAttestationHolds(ctx context.Context, record *records.KeyValue) bool {
 	var stored watermark.StoredAttestation
-	_ = json.Unmarshal(record.Value, &stored) // an unreadable record has term 0
+	_ = json.Unmarshal(record.Value, &stored) // an unreadable record has term 0, which never holds
 	_, _, startedAt := a.store.Health()
 	maxClockError := time.Duration(a.cfg.Deployment.MaxClockErrorMS * float64(time.Millisecond))
 	holdoff := a.relaxationHoldoff() - config.MaxDrift(a.relaxationHoldoff())
@@ -70,7 +72,7 @@
 	return complete
 }
 
-// leaderChanges returns the acquisitions of the leader key since a revision.
+// leaderChanges returns the acquisitions of the leader key after the revision since.
 func (t *term) leaderChanges(ctx context.Context, since uint64) ([]watermark.LeaderChange, error) {
 	events, _, err := t.store.Watch(ctx, records.KeyLeader, since, 0)
 	if err != nil {
@@ -85,8 +87,8 @@
 	return changes, nil
 }
 
-// decodeLeaderChange decodes a write of the leader key. An unreadable one counts as a leader
-// without watermarks.
+// decodeLeaderChange decodes a write of the leader key. An unreadable value counts as a leader
+// without watermarks and without a node name.
 func decodeLeaderChange(event records.Event) watermark.LeaderChange {
 	var holder records.Leader
 	_ = json.Unmarshal(event.Value, &holder)
--- a/internal/leader/autoscaling.go
+++ b/internal/leader/autoscaling.go
@@ -12,18 +12,18 @@
 	"drumpick/internal/ctxtime"
 )
 
-// maxRentalRetries is the maximum number of retries of a rental request that the cloud does not
-// answer.
+// maxRentalRetries is the maximum number of retries of a rental request that the cloud neither
+// grants nor refuses for lack of capacity.
 const maxRentalRetries = 8
 
-// autoscaling carries out the scheduler's decisions on scaling out and in, and reconciles its
-// machines with the cloud's list.
+// autoscaling carries out the scheduler's decisions on scaling out and in, and reconciles the
+// scheduler's machines with the cloud's machine list.
 type autoscaling struct {
 	*term
 	cloud Cloud
 }
 
-// runReconciliation reconciles machines with the cloud's list periodically.
+// runReconciliation reconciles the machines with the cloud's list periodically until ctx ends.
 func (a *autoscaling) runReconciliation(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := max(a.reconcileCloudList(ctx), a.settings.HeartbeatInterval/4)
@@ -33,8 +33,8 @@
 	}
 }
 
-// reconcileCloudList reconciles machines with the cloud's list once, and returns the delay until
-// the next time.
+// reconcileCloudList reads the cloud's list once, reconciles the machines with it, and returns the
+// delay until the next read.
 func (a *autoscaling) reconcileCloudList(ctx context.Context) (pause time.Duration) {
 	pause = a.settings.ListLag + a.settings.HeartbeatInterval
 	askedAt := time.Now()
@@ -52,7 +52,8 @@
 	return pause
 }
 
-// runScaleOut rents the machines that the scheduler plans. It returns once all requests have ended.
+// runScaleOut rents the machines that the scheduler plans until ctx ends. It returns once all
+// requests in progress have ended.
 func (a *autoscaling) runScaleOut(ctx context.Context) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
@@ -73,8 +74,9 @@
 	}
 }
 
-// rent retries one request, which the cloud identifies by its name, until it is answered or the
-// retries are exhausted.
+// rent sends one rental request and tells the scheduler the result. It retries after every error
+// but a lack of capacity, up to maxRentalRetries times; the request's name makes it idempotent.
+// Nothing is sent while the lease on the leader key may have expired.
 func (a *autoscaling) rent(ctx context.Context, request autoscaler.RentalRequest) {
 	pause := a.settings.HeartbeatInterval / 4
 	for retries := 0; ; retries++ {
@@ -105,18 +107,20 @@
 	}
 }
 
-// runScaleIn returns the machines that the scheduler no longer needs.
+// runScaleIn returns to the cloud the machines that the scheduler no longer needs, until ctx ends.
 func (a *autoscaling) runScaleIn(ctx context.Context) {
 	for ctxtime.Sleep(ctx, a.settings.HeartbeatInterval/2) == nil {
-		// Repeats while calls are full. Otherwise hundreds of machines of an unreachable zone would
-		// be returned at one call per interval while all older work waits for the last.
+		// Repeats while each call returns the maximum number of machines. With one call per pause,
+		// older work would wait long until the last of hundreds of machines of an unreachable zone
+		// is returned.
 		for more := true; more && a.leaseConfirmed(); {
 			more = a.returnMachines(ctx)
 		}
 	}
 }
 
-// returnMachines returns as many machines as one call takes, and reports whether there may be more.
+// returnMachines returns up to autoscaler.MaxReturnNames machines to the cloud in one call, and
+// reports whether more may be due. After an error, more is false.
 func (a *autoscaling) returnMachines(ctx context.Context) (more bool) {
 	a.state.mu.Lock()
 	machines := a.state.scheduler.MachinesToReturn(time.Now())
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -11,17 +11,17 @@
 )
 
 // inFlightDivisor is the divisor of the heartbeat interval that gives the time within which a
-// response usually reaches its worker, including a relay by another controller.
+// heartbeat response usually reaches its worker, also if another controller relays it.
 const inFlightDivisor = 16
 
 var jobsCancelledByPeers = metrics.NewCounter("drumpick_jobs_cancelled_by_word_total")
 
-// cancelledJobs are jobs that other controllers have reported as cancelled and that this leader's
-// watch has not yet reported, because it lags or the store does not answer. They are kept until the
-// watch has caught up. The state's lock guards the fields.
+// cancelledJobs are jobs that a controller has reported as cancelled before this leader's watch of
+// open jobs has: the watch may lag, or the store may not answer. The jobs are kept until the watch
+// has caught up. The lock of state guards the fields.
 type cancelledJobs struct {
-	deliveredBy    map[string]time.Time // by job, when its last dispatch has reached the worker
-	lastReportedAt time.Time            // time of the last report
+	deliveredBy    map[string]time.Time // by job id, when its last run command has reached the worker; zero: none in flight
+	lastReportedAt time.Time            // when a job was last reported as cancelled
 }
 
 func (c *cancelledJobs) contains(job string) bool {
@@ -29,35 +29,36 @@
 	return ok
 }
 
-// dropWatched drops the jobs if a watch answer that was requested at askedAt is newer than the last
-// report, and so includes all of these cancellations.
+// dropWatched drops all jobs if the watch was requested at askedAt after the last report: the
+// answer to the watch then includes all of these cancellations.
 func (c *cancelledJobs) dropWatched(askedAt time.Time) {
 	if askedAt.After(c.lastReportedAt) {
 		c.deliveredBy = nil
 	}
 }
 
-// cancelReported cancels jobs that peers report as cancelled. It must be called before any lease is
-// renewed based on that report, so that heartbeats accepted from then on are answered with the
-// kills.
+// cancelReported closes jobs that peers report as cancelled. It must be called before any worker's
+// lease is renewed on the basis of that report, so that the responses to later heartbeats contain
+// the kill commands.
 func (t *term) cancelReported(jobs []string) {
 	t.state.mu.Lock()
 	defer t.state.mu.Unlock()
-	cancelled := 0
+	newlyCancelled := 0
 	for _, job := range jobs {
 		if !t.state.cancelled.contains(job) {
-			cancelled++
+			newlyCancelled++
 		}
 		t.cancelLocked(job)
 	}
-	if cancelled > 0 {
-		jobsCancelledByPeers.Add(cancelled)
-		slog.Info("jobs cancelled by peers", "jobs", cancelled, "term", t.number)
+	if newlyCancelled > 0 {
+		jobsCancelledByPeers.Add(newlyCancelled)
+		slog.Info("jobs cancelled by peers", "jobs", newlyCancelled, "term", t.number)
 	}
 }
 
-// cancelLocked closes a cancelled job. It returns the time by which the job's last dispatch has
-// reached the worker, or the zero time if there was none. The caller must hold the state's lock.
+// cancelLocked closes a cancelled job. It returns the time by which the job's last run command in
+// flight has reached its worker, or the zero time if none was in flight. The caller must hold the
+// state's lock.
 func (t *term) cancelLocked(job string) (arrival time.Time) {
 	cancelled := &t.state.cancelled
 	cancelled.lastReportedAt = time.Now()
@@ -72,14 +73,15 @@
 		arrival = dispatched.Add(t.settings.HeartbeatInterval / inFlightDivisor)
 	}
 	cancelled.deliveredBy[job] = arrival
-	t.state.scheduler.CloseJob(job) // the closed record decides about its dependents
+	t.state.scheduler.CloseJob(job) // its closed record in the store decides about the jobs that depend on it
 	return arrival
 }
 
-// NotifyCancelled closes a job that is cancelled in the store, before the cancellation is confirmed
-// to its user, and reports whether no task of it is dispatched from then on. Otherwise tasks could
-// start after a confirmed cancellation, as the watch lags if the store is slow or unreachable for
-// this leader. The call waits until commands already in flight have reached their workers.
+// NotifyCancelled closes a job that is cancelled in the store; it is called before the cancellation
+// is confirmed to a user. It returns true once no task of the job is dispatched any more and run
+// commands in flight have reached their workers, and false if the term or ctx has ended before.
+// Without it, tasks could start after a confirmed cancellation, because this leader's watch lags if
+// the store is slow or unreachable.
 func (l *Leader) NotifyCancelled(ctx context.Context, id string) bool {
 	select {
 	case <-l.loaded:
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// sendProbes queries the tasks of machines whose heartbeats are unreliable.
+// sendProbes requests the status of machines whose heartbeats may be late copies, and applies the
+// answers to the scheduler.
 func (c *commandLoop) sendProbes(probes []fleet.Probe) {
 	for _, probe := range probes {
 		c.workers.Go(func() {
@@ -56,13 +57,14 @@
 	}
 }
 
-// emptyCommandRequest returns a request without commands: it shows a worker the term, and the
-// worker answers with its status.
+// emptyCommandRequest returns a direct command request without commands for a worker's incarnation.
+// The worker learns the term from it and answers with its status.
 func (t *term) emptyCommandRequest(incarnation uint64) fleet.CommandRequest {
 	return fleet.CommandRequest{FencingToken: t.number, Incarnation: incarnation, Commands: []fleet.Command{}}
 }
 
-// reconcileStatus reconciles the status in a worker's answer to a direct command.
+// reconcileStatus reconciles the scheduler's state with the status in a worker's answer to a direct
+// command.
 func (t *term) reconcileStatus(status *fleet.Heartbeat) {
 	t.state.mu.Lock()
 	defer t.state.mu.Unlock()
--- a/internal/leader/commit_conflict.go
+++ b/internal/leader/commit_conflict.go
@@ -14,7 +14,9 @@
 	"drumpick/internal/scheduler"
 )
 
-// resolveConflict returns the writes of a failed commit that have to be retried. ok is false if the
+// resolveConflict handles a commit that failed on its compares, and returns the writes that have to
+// be retried. A write whose own guard has failed is dropped if the store already holds it, or after
+// its OnConflict was called. The term is resigned if the leader key has changed. ok is false if the
 // term has ended, or ctx ended before the store answered.
 func (p *persister) resolveConflict(
 	ctx context.Context, writes []scheduler.PendingWrite, conflict *records.ConflictError,
@@ -51,9 +53,10 @@
 	return remaining, true
 }
 
-// refreshRevision reads a key that only the leader writes and that is not at its known revision.
-// Usually the write itself was applied and its answer lost, and stored is true; otherwise the write
-// has to be retried at the current revision.
+// refreshRevision reads the guard key of a write, which only the leader writes and which is not at
+// its known revision. Usually the write was applied and its answer lost: then stored is true.
+// Otherwise the write has to be retried at the current revision. A failed read is retried; err is
+// set only if ctx ends.
 func (p *persister) refreshRevision(ctx context.Context, write scheduler.PendingWrite) (stored bool, err error) {
 	for {
 		stored, err := p.store.Get(ctx, write.GuardKey)
@@ -66,8 +69,9 @@
 	}
 }
 
-// applyStoredRecord saves the revision of the record stored under the key of a write, nil for none,
-// and reports whether the record is that write.
+// applyStoredRecord sets the known revision of a write's guard key to that of record, the record
+// under the key (nil: none). It reports whether record is what the write stores, and calls OnStored
+// if so.
 func (p *persister) applyStoredRecord(write scheduler.PendingWrite, record *records.KeyValue) (stored bool) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
@@ -84,8 +88,8 @@
 	return stored
 }
 
-// isStored reports whether an op is what the store holds. It compares decoded values, as the store
-// may re-encode them.
+// isStored reports whether an op has been applied, given the record under its key (nil: none). It
+// compares decoded values because the store may encode them differently.
 func isStored(op records.Op, record *records.KeyValue) bool {
 	if op.Delete != "" || record == nil {
 		return (op.Delete != "") == (record == nil)
--- a/internal/leader/commit_conflict_test.go
+++ b/internal/leader/commit_conflict_test.go
@@ -7,7 +7,8 @@
 	"drumpick/internal/records"
 )
 
-// An op counts as stored if the store holds the same value in any encoding.
+// A write whose answer was lost counts as stored if the store holds the same value in any encoding,
+// and a deletion if the store holds no record. Otherwise it would be retried without need.
 func TestIsStored(t *testing.T) {
 	type value struct {
 		A int    `json:"a"`
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// dependencyReadShare is the maximum share of the store's request rate for dependency reads.
+	// dependencyReadShare is the share of the store's request rate that dependency reads may use.
 	dependencyReadShare = 0.25
 	// maxDependencyReads is the maximum number of concurrent dependency reads.
 	maxDependencyReads = 8
@@ -25,7 +25,8 @@
 type dependencyReader struct {
 	*term
 	limiter *rate.Limiter
-	// notBefore is, by job without a closed record at the last read, when to read again.
+	// notBefore holds the time of the next read, by id of a job that had no closed record at the
+	// last one.
 	notBefore map[string]time.Time
 }
 
@@ -51,15 +52,15 @@
 		if hasJobsToCancel {
 			d.persistSoon()
 		}
-		// Drops jobs that no job depends on any more.
+		// Bounds the map, which also holds jobs that no open job depends on any more.
 		if len(d.notBefore) > 4*len(jobs)+64 {
 			clear(d.notBefore)
 		}
 	}
 }
 
-// readAll reads the records of closed jobs, within the rate limit, and returns when all reads have
-// been answered.
+// readAll reads the closed records of those jobs whose next read is due, within the rate limit. It
+// returns when all reads have ended.
 func (d *dependencyReader) readAll(ctx context.Context, jobs []string) {
 	var reads sync.WaitGroup
 	var absent []string // guarded by the state's lock
@@ -87,7 +88,8 @@
 	}
 }
 
-// read reads the record of one closed job, and adds the job to absent if there is none.
+// read reads the closed record of a job and applies it to the scheduler. It adds the job to absent
+// if the record is missing or unreadable.
 func (d *dependencyReader) read(ctx context.Context, job string, absent *[]string) {
 	record, err := d.store.Get(ctx, records.ClosedKey(job))
 	if err != nil {
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -13,7 +13,8 @@
 	"drumpick/internal/scheduler"
 )
 
-// loadDrains loads the drains requested by operators and their progress in earlier terms.
+// loadDrains loads into sched the drains requested by operators, with their progress in earlier
+// terms.
 func (l *Leader) loadDrains(ctx context.Context, sched *scheduler.Scheduler) error {
 	states := map[string]*drain.State{}
 	revisions := map[string]uint64{}
@@ -64,7 +65,8 @@
 	}
 }
 
-// relist applies a list of all drains.
+// relist reads all drains from the store, replaces the scheduler's drains by them, and returns the
+// revision of the list.
 func (w *drainWatch) relist(ctx context.Context) (revision uint64, err error) {
 	found := map[string]drain.Spec{}
 	revision, err = w.store.List(ctx, records.PrefixDrains, func(record records.KeyValue) error {
@@ -82,15 +84,15 @@
 	return revision, nil
 }
 
-// PreviewDrain returns the plan of a drain: its totals, and up to limit tasks of machines whose
-// names sort after since.
+// PreviewDrain returns the expected effect of a drain that starts now: its totals, and a page of
+// machines whose names sort after since, with up to limit machines and tasks together.
 func (l *Leader) PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
 	return l.state.scheduler.PreviewDrainPage(spec, force, since, limit, time.Now())
 }
 
-// Drain returns the state of a drain; ok is false if it is unknown.
+// Drain returns a drain with its state; ok is false if no drain has the id.
 func (l *Leader) Drain(id string) (view scheduler.DrainView, ok bool) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -11,9 +11,9 @@
 	"drumpick/internal/scheduler"
 )
 
-// loadState loads the state of earlier terms: open jobs, finished tasks, machines and watermarks.
-// It returns the revision of the list of open jobs, from which the watches start. No loop of the
-// term runs before it has succeeded.
+// loadState loads from the store what earlier terms have left: machine types, open jobs, finished
+// tasks, machines, watermarks and drains. It returns the revision of the list of open jobs, from
+// which the watches start. No loop of the term runs before loadState has succeeded.
 func (l *Leader) loadState(ctx context.Context) (revision uint64, err error) {
 	sched := scheduler.New(l.settings, l.number, time.Now())
 	limits := l.cfg.Deployment.Store.Lowest()
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// loadPersisted loads the records that terms keep besides open jobs.
+// loadPersisted loads the pages of finished tasks and machines, and of watermarks if these are
+// enabled.
 func (l *Leader) loadPersisted(ctx context.Context, persistence *scheduler.Persistence, now time.Time) error {
 	loadMachine := func(record records.KeyValue) { persistence.LoadMachinePage(record, now) }
 	if err := l.loadPrefix(ctx, records.PrefixFinishedTasks, persistence.LoadDonePage); err != nil {
--- a/internal/leader/fencing.go
+++ b/internal/leader/fencing.go
@@ -9,14 +9,15 @@
 	"drumpick/internal/workers"
 )
 
-// machineFencing fences every machine that earlier terms may have used: once a machine has received
-// this term, it rejects older leaders, and the status it reports is complete.
+// machineFencing sends this term to every machine that earlier terms may have used. Once a worker
+// has received it, the worker rejects commands of earlier leaders, so the status that it then
+// reports lists all tasks of earlier leaders.
 type machineFencing struct {
 	*term
 }
 
-// run calls the machines until all are reconciled. A round starts once all calls of the previous
-// one have been answered.
+// run sends the term to the unreconciled machines, in rounds, until all are reconciled or ctx ends.
+// A round starts once all calls of the previous round have ended.
 func (f *machineFencing) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.state.mu.Lock()
@@ -41,8 +42,9 @@
 	}
 }
 
-// fence sends a machine the term. A worker that has restarted refuses the call and returns its new
-// incarnation, with which the call is retried once.
+// fence sends the term to a machine. A worker that has restarted rejects the call and returns its
+// new incarnation, with which the call is retried once. Any other failure is left to the next
+// round.
 func (f *machineFencing) fence(machine scheduler.UnreconciledMachine) {
 	for range 2 {
 		outcome, status, err := f.workers.SendCommands(machine.Addr, f.emptyCommandRequest(machine.Incarnation))
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -6,8 +6,8 @@
 	"drumpick/internal/fleet"
 )
 
-// commitWaitDivisor is the divisor of the heartbeat interval that gives the maximum time a
-// heartbeat waits for a record that its machine needs.
+// commitWaitDivisor is the divisor of the heartbeat interval that gives the maximum time for which
+// a heartbeat waits until a record that its machine needs is stored.
 const commitWaitDivisor = 16
 
 // HandleHeartbeat processes a worker's heartbeat in stages: admit it, reconcile it with the known
@@ -32,17 +32,19 @@
 	return x.respondLocked()
 }
 
-// heartbeatExchange is the processing state of one heartbeat.
+// heartbeatExchange is the processing state of one heartbeat. The caller of its Locked methods must
+// hold the lock of state.
 type heartbeatExchange struct {
 	*Leader
 	heartbeat *fleet.Heartbeat
 	now       time.Time      // time used by the current stage
 	machine   *fleet.Machine // set by reconcileLocked
-	mayStart  bool           // tasks may be started; set by planLocked
+	mayStart  bool           // the response may start tasks; set by planLocked
 }
 
-// admit reports whether the leader accepts heartbeats now. It waits briefly for the state of
-// earlier terms to be loaded.
+// admit returns HeartbeatAccepted if the leader can process heartbeats now, else the outcome to
+// respond with. It waits up to half a heartbeat interval for the state of earlier terms to be
+// loaded.
 func (x *heartbeatExchange) admit() fleet.HeartbeatOutcome {
 	if !x.awaitLoaded(x.settings.HeartbeatInterval / 2) {
 		return fleet.HeartbeatUnavailable
@@ -53,14 +55,16 @@
 		return fleet.HeartbeatRedirected
 	}
 	x.now = time.Now()
-	// Without this check, leases would be renewed while cancellations may be missed: in an outage
-	// of the store in which the peers report that none of them can lead, or while a watch hangs.
+	// Without this check, workers' leases would be renewed while the leader may miss cancellations:
+	// in an outage of the store in which the peers report that none of them can lead, or while the
+	// watch of open jobs gets no answer.
 	if !x.contact.mayRenewLeases(x.now) {
 		return fleet.HeartbeatUnavailable
 	}
 	return fleet.HeartbeatAccepted
 }
 
+// awaitLoaded waits until the state of earlier terms is loaded. It returns false after the timeout.
 func (l *Leader) awaitLoaded(timeout time.Duration) bool {
 	select {
 	case <-l.loaded:
@@ -77,9 +81,9 @@
 	}
 }
 
-// reconcileLocked reconciles the status that the worker reports. It returns a result if the
-// heartbeat is not processed further: another leader has a higher term, or a later status is
-// already known.
+// reconcileLocked reconciles the state of the machine with the heartbeat, and sets x.machine. It
+// returns nil if processing continues, else the result to respond with: the worker knows a higher
+// term, a later status is already known, or the machine is not accepted.
 func (x *heartbeatExchange) reconcileLocked() *fleet.HeartbeatResult {
 	sched := x.state.scheduler
 	sched.ObserveDelay(time.Since(x.now))
@@ -99,23 +103,23 @@
 	return nil
 }
 
-// awaitRecordLocked waits briefly for the record of a machine that may get tasks to be stored, and
-// reports whether processing may continue.
+// awaitRecordLocked waits briefly until the record of a machine that may get tasks is stored. It
+// reports whether processing may continue, with or without the record.
 func (x *heartbeatExchange) awaitRecordLocked() bool {
 	m := x.machine
-	// A machine that has not shown the term and is not known to have tasks needs no record: its
-	// answer carries the term and no tasks. Otherwise a delayed copy of a heartbeat could record a
-	// machine that no longer exists, and the next failover would wait for it.
+	// A machine that is not reconciled and not known to have tasks needs no record: the response
+	// carries the term and no run command. Otherwise a late copy of a heartbeat could record a
+	// machine that no longer exists, and the next failover would wait for that machine.
 	if m.Recorded || !m.Reconciled && m.Empty() {
 		return true
 	}
 	return x.awaitCommitLocked(m, func() bool { return m.Recorded })
 }
 
-// planLocked plans tasks for the machine, and waits briefly for the watermarks that the plan
-// requires. It reports whether processing may continue. From here on the lock is held until the
-// response is built, and whether watermarks are relaxed is read under it: attestor.announce relies
-// on that.
+// planLocked plans tasks for the machine, and waits briefly until the watermarks that the plan
+// requires are stored. It reports whether processing may continue. After the wait, the lock is held
+// until the response is built, and attestor.relaxed is read under the lock: attestor.announce
+// relies on both.
 func (x *heartbeatExchange) planLocked() bool {
 	sched := x.state.scheduler
 	x.now = time.Now()
@@ -139,7 +143,7 @@
 }
 
 // watermarksStoredLocked reports whether all watermarks that the machine's plan requires are
-// stored, and requests the missing ones.
+// stored, and requests that missing ones are stored.
 func (x *heartbeatExchange) watermarksStoredLocked() bool {
 	awaits := x.state.scheduler.AwaitsWatermark(x.machine)
 	if awaits {
@@ -148,13 +152,14 @@
 	return !awaits
 }
 
-// respondLocked builds the response from the plan.
+// respondLocked builds the response from the plan, or rejects the heartbeat if its tasks may no
+// longer start.
 func (x *heartbeatExchange) respondLocked() fleet.HeartbeatResult {
 	sched := x.state.scheduler
 	response := sched.Respond(x.machine, x.mayStart, x.now)
 	// Without this check, tasks could start after the lease on the leader key has expired while the
-	// response was built. Commands recorded as sent are withdrawn when the next heartbeat does not
-	// show them.
+	// response was built. Run commands recorded as sent are withdrawn when the next heartbeat does
+	// not list their attempts.
 	if x.mayStart && !x.mayStartTasks() {
 		return fleet.HeartbeatResult{Outcome: fleet.HeartbeatUnavailable}
 	}
@@ -165,13 +170,14 @@
 	return fleet.HeartbeatResult{Outcome: fleet.HeartbeatAccepted, Response: response}
 }
 
-// awaitCommitLocked waits briefly until a record that the machine needs is stored, so that its
-// tasks start with this response instead of a heartbeat later. The caller must hold the state's
-// lock, which is released during the wait. It reports whether the machine's heartbeat is still the
-// latest and may still be accepted.
+// awaitCommitLocked waits until ready returns true, for heartbeatInterval/commitWaitDivisor at
+// most: a record that the machine needs is then stored, and its tasks start with this response
+// instead of a heartbeat later. The caller must hold the lock of state, which is released during
+// the wait. The result is not that of ready: it reports whether the machine's heartbeat is still
+// the latest and may still be accepted.
 func (l *Leader) awaitCommitLocked(machine *fleet.Machine, ready func() bool) bool {
 	incarnation, sequence := machine.Incarnation, machine.Sequence
-	// Heartbeats of the same bundle wait concurrently.
+	// The heartbeats of a batch that a peer relays wait concurrently.
 	timeout := time.NewTimer(l.settings.HeartbeatInterval / commitWaitDivisor)
 	defer timeout.Stop()
 	for waiting := true; waiting && !ready() && l.leaseConfirmed(); {
@@ -188,7 +194,7 @@
 	return l.state.scheduler.IsLatestHeartbeat(machine, incarnation, sequence) && l.contact.mayRenewLeases(time.Now())
 }
 
-// Recency compares a heartbeat with the latest known one of its machine.
+// Recency returns the recency of a heartbeat relative to the latest status of its machine.
 func (l *Leader) Recency(heartbeat *fleet.Heartbeat) fleet.Recency {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
@@ -203,7 +209,8 @@
 	return l.state.scheduler.NeedsRelay(heartbeat.Machine, time.Now())
 }
 
-// ObserveDelay records how long something waited for this controller, as measured by a peer.
+// ObserveDelay records how long messages of a peer waited for this controller, as measured by the
+// peer.
 func (l *Leader) ObserveDelay(delay time.Duration) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
--- a/internal/leader/job_watch.go
+++ b/internal/leader/job_watch.go
@@ -25,7 +25,8 @@
 	apply func(events []records.Event, askedAt time.Time)
 }
 
-// follow runs a watch from revision since until ctx ends.
+// follow runs a watch of the events after the revision since until ctx ends. After an error it
+// retries with a delay.
 func (t *term) follow(ctx context.Context, watch prefixWatch, since uint64) {
 	for ctx.Err() == nil {
 		askedAt := time.Now()
@@ -59,7 +60,8 @@
 	}, revision)
 }
 
-// apply applies events. The answer was made after askedAt, so no event before that is missed.
+// apply applies the events of an answer that was requested at askedAt: jobs opened and closed. The
+// answer was made after askedAt, so no event before askedAt is missed.
 func (w *jobWatch) apply(events []records.Event, askedAt time.Time) {
 	now := time.Now()
 	w.state.mu.Lock()
@@ -68,7 +70,7 @@
 		if event.Write != "" {
 			w.addJob(w.state.scheduler, records.KeyValue{Key: event.Write, Value: event.Value, Revision: event.Revision}, now, now)
 		} else if job, ok := strings.CutPrefix(event.Delete, records.PrefixOpen); ok {
-			w.state.scheduler.CloseJob(job) // the closed record holds the outcome
+			w.state.scheduler.CloseJob(job) // its closed record in the store holds the outcome
 		}
 	}
 	if len(events) > 0 && w.leaseConfirmed() {
@@ -78,7 +80,8 @@
 	w.contact.record(askedAt)
 }
 
-// relist applies a list of all open jobs.
+// relist reads all open jobs from the store, adds them to the scheduler, closes the scheduler's
+// other jobs, and returns the revision of the list.
 func (w *jobWatch) relist(ctx context.Context) (revision uint64, err error) {
 	open := map[string]records.KeyValue{}
 	revision, err = w.store.List(ctx, records.PrefixOpen, func(record records.KeyValue) error {
@@ -102,16 +105,16 @@
 	return revision, nil
 }
 
-// addJob adds the job of a record to a scheduler. Once the state of earlier terms is loaded, the
-// caller must hold the state's lock.
+// addJob adds the job of an open record to a scheduler, unless it is known as cancelled. Once the
+// state of earlier terms is loaded, the caller must hold the lock of state.
 func (t *term) addJob(sched *scheduler.Scheduler, record records.KeyValue, now, wall time.Time) {
 	var job records.Job
 	if err := json.Unmarshal(record.Value, &job); err != nil || records.OpenKey(job.ID) != record.Key || job.Tasks <= 0 {
 		slog.Error("unreadable record", "key", record.Key, "err", err)
 		return
 	}
-	// Without this check, an answer of the store from before a cancellation, received after the
-	// peers have reported it, would reopen the job.
+	// Without this check, the store's answer from before a cancellation would reopen the job if it
+	// arrives after a controller has reported the cancellation.
 	if t.state.cancelled.contains(job.ID) {
 		return
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -12,8 +12,9 @@
 //   - Lease bound: workers' leases are renewed only as long as the leader cannot have missed a
 //     cancellation that was confirmed to a user.
 //   - Record before use: a machine gets its first task, and a task beyond its watermark is
-//     dispatched, only once the respective record is in the store. In an outage of the store for
-//     all controllers, watermarks are relaxed once all peers have acknowledged it.
+//     dispatched, only once the machine's record or the watermark is in the store. In an outage of
+//     the store for all controllers, tasks are dispatched beyond watermarks once all peers have
+//     acknowledged that.
 //   - No lock is held over I/O.
 package leader
 
@@ -57,15 +58,16 @@
 	List(ctx context.Context) ([]autoscaler.CloudMachine, error)
 }
 
-// Workers sends commands directly to workers. Go runs a call in the background once fewer calls than
-// the limit are in progress.
+// Workers sends direct commands to workers. Go runs a call in the background once fewer calls than
+// the limit are in progress. SendCommands returns the worker's status, or an error if no valid
+// response arrived.
 type Workers interface {
 	Go(call func())
 	SendCommands(addr string, request fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error)
 }
 
-// Peers are the other controllers. QueryStatus queries all of them; all reports whether each one
-// has answered.
+// Peers are the other controllers. QueryStatus queries all of them and returns the answers
+// received; all reports whether every peer has answered.
 type Peers interface {
 	QueryStatus(ctx context.Context, request peer.StatusRequest) (answers []peer.Status, all bool)
 }
@@ -81,8 +83,9 @@
 // when ctx ends or its work is done. revision is the store revision of the loaded state.
 type loopFunc func(ctx context.Context, revision uint64)
 
-// New prepares a term; Run serves it. observer is this controller's own; confirmed is the log of
-// the cancellations that this controller has confirmed to users.
+// New prepares the term with the given number; Run serves it. observer is the observer of this
+// controller; confirmed is the log of the cancellations that this controller has confirmed to
+// users.
 func New(
 	cfg *config.Config, store Store, cloud Cloud, elected *election.Election, peers Peers, workers Workers,
 	observer *watermark.Observer, confirmed *cancellation.Log, number uint64,
@@ -93,7 +96,7 @@
 	jobs := &jobWatch{term: t}
 	commands := &commandLoop{term: t}
 	fencing := &machineFencing{term: t}
-	machines := &autoscaling{term: t, cloud: cloud}
+	scaling := &autoscaling{term: t, cloud: cloud}
 	types := &machineTypes{term: t, cloud: cloud}
 	outage := &storeOutage{term: t, attestor: attestor, cancellationLog: confirmed}
 	dependencies := newDependencyReader(t)
@@ -105,9 +108,9 @@
 		withoutRevision(commands.run),
 		withoutRevision(fencing.run),
 		withoutRevision(types.run),
-		withoutRevision(machines.runReconciliation),
-		withoutRevision(machines.runScaleOut),
-		withoutRevision(machines.runScaleIn),
+		withoutRevision(scaling.runReconciliation),
+		withoutRevision(scaling.runScaleOut),
+		withoutRevision(scaling.runScaleIn),
 		withoutRevision(outage.run),
 		withoutRevision(dependencies.run),
 		withoutRevision(expiry.run),
@@ -118,7 +121,7 @@
 	return l
 }
 
-// withoutRevision adapts a loop that watches no records in the store.
+// withoutRevision adapts a loop that needs no revision because it watches no records in the store.
 func withoutRevision(run func(ctx context.Context)) loopFunc {
 	return func(ctx context.Context, _ uint64) { run(ctx) }
 }
@@ -142,8 +145,8 @@
 	running.Wait()
 }
 
-// loadWithRetries loads the state of earlier terms and retries until the store answers. ok is false
-// if ctx ended before.
+// loadWithRetries loads the state of earlier terms and retries until that succeeds. ok is false if
+// ctx ended before.
 func (l *Leader) loadWithRetries(ctx context.Context) (revision uint64, ok bool) {
 	for {
 		askedAt := time.Now()
@@ -172,7 +175,7 @@
 
 	loaded    chan struct{} // closed once the state of earlier terms is loaded
 	closed    atomic.Bool   // the term has ended or was resigned
-	writesDue chan struct{} // triggers the persister
+	writesDue chan struct{} // triggers the persister; see persistSoon
 	contact   storeContact
 	state     state
 }
@@ -208,7 +211,7 @@
 	return state{scheduler: scheduler.New(settings, term, time.Now()), committed: make(chan struct{})}
 }
 
-// persistSoon triggers the persister before its next round is due.
+// persistSoon triggers the persister before its next round is due. It does not block.
 func (t *term) persistSoon() {
 	select {
 	case t.writesDue <- struct{}{}:
@@ -216,7 +219,7 @@
 	}
 }
 
-// maxValueBytes returns the maximum size of a value in the store.
+// maxValueBytes returns the maximum size of a value in the store, in bytes.
 func (t *term) maxValueBytes() int {
 	return int(t.cfg.Deployment.Store.Lowest().ValueKB * 1024)
 }
--- a/internal/leader/lease_expiry.go
+++ b/internal/leader/lease_expiry.go
@@ -11,22 +11,23 @@
 	"drumpick/internal/watermark"
 )
 
-// leaseExpiry waits, while machines are not reconciled after a failover, until all workers' leases
-// renewed by earlier terms have expired. The tasks on these machines are gone from then on.
+// leaseExpiry waits after a failover until all workers' leases that earlier terms renewed have
+// expired. The tasks of machines that are still not reconciled are gone from then on.
 type leaseExpiry struct {
 	*term
 	attestor *attestor
 }
 
-// run queries the store only after the failover is complete, so that the failover does not wait for
-// the answer.
+// run returns once it has recorded that the leases have expired, or all machines are reconciled, or
+// if the possible renewers are not known. It queries the store only after the failover is complete,
+// so that the failover does not wait for the answer.
 func (e *leaseExpiry) run(ctx context.Context) {
 	renewers := e.possibleRenewers(ctx)
 	if len(renewers) == 0 {
 		return
 	}
-	// The drift covers two clocks: the worker's, for its lease, and the renewer's, for the time
-	// since its last renewal.
+	// The drift is that between two clocks: the worker's measures the lease, and the renewer's the
+	// time since its last renewal.
 	lease := e.settings.Lease + config.MaxDrift(e.settings.Lease)
 	for ctxtime.Sleep(ctx, e.settings.HeartbeatInterval/4) == nil {
 		if e.reconciled() {
@@ -53,8 +54,8 @@
 	return e.state.scheduler.Reconciled()
 }
 
-// possibleRenewers returns the nodes that may have renewed leases in earlier terms, or none if they
-// are not known.
+// possibleRenewers returns the nodes that may have renewed leases in earlier terms, or nil if they
+// are not known or Options.LeaseExpiryProofs is off.
 func (e *leaseExpiry) possibleRenewers(ctx context.Context) []string {
 	last := e.attestor.lastReconciled
 	if !last.Reconciled || !e.cfg.Options.LeaseExpiryProofs {
@@ -69,8 +70,9 @@
 	return nodes
 }
 
-// sinceRenewals returns, by node that answers, a lower bound of the time since its last lease
-// renewal. This process's own renewals in earlier terms are older than this term.
+// sinceRenewals returns, for this node and each peer that answers, a lower bound of the time since
+// its last lease renewal. For this node that is the age of this term: its renewals in earlier terms
+// are older.
 func (e *leaseExpiry) sinceRenewals(ctx context.Context) map[string]time.Duration {
 	since := map[string]time.Duration{e.cfg.Node: time.Since(e.startedAt)}
 	answers, _ := e.peers.QueryStatus(ctx, peer.StatusRequest{})
--- a/internal/leader/machine_types.go
+++ b/internal/leader/machine_types.go
@@ -20,8 +20,8 @@
 	*term
 	cloud Cloud
 
-	storedJSON    string // the stored types without spot prices, as JSON
-	revision      uint64 // of the record, 0 for none
+	storedJSON    string // types last stored or too large to store, without spot prices, as JSON
+	revision      uint64 // of the record in the store, 0 for none; valid if revisionKnown
 	revisionKnown bool
 }
 
@@ -56,7 +56,7 @@
 	}
 	value := records.MachineTypes{Types: types}
 	if records.EncodedSize(value) > m.maxValueBytes() {
-		// Without the record, controllers query the cloud.
+		// Without the record, controllers query the cloud for the types.
 		slog.Warn("machine types too large to store", "types", len(types), "term", m.number)
 		m.storedJSON = withoutPrices
 		return
@@ -84,7 +84,8 @@
 	return string(raw)
 }
 
-// readRevision reads the revision of the stored record. It reports whether the store answered.
+// readRevision reads the revision of the stored record into m.revision. It reports whether the
+// store answered.
 func (m *machineTypes) readRevision(ctx context.Context) bool {
 	record, err := m.store.Get(ctx, records.KeyMachineTypes)
 	if err != nil {
--- a/internal/leader/persist.go
+++ b/internal/leader/persist.go
@@ -12,8 +12,8 @@
 	"drumpick/internal/scheduler"
 )
 
-// persister stores the records of the term in commits of up to the store's maximum size, one commit
-// at a time.
+// persister stores the records of the term in commits of up to the store's maximum size, one after
+// the other.
 type persister struct {
 	*term
 	attestor *attestor
@@ -44,11 +44,12 @@
 	return true
 }
 
-// persistAll commits batches until no write is due. It returns false when the term has ended.
+// persistAll commits batches of writes until none is due. It returns false when the term or ctx has
+// ended.
 func (p *persister) persistAll(ctx context.Context) bool {
 	for {
 		p.state.mu.Lock()
-		writes := p.state.persistence.NextWrites(time.Now(), p.attestor.recordDue)
+		writes := p.state.persistence.NextWrites(time.Now(), p.attestor.takeDueRecord)
 		p.state.mu.Unlock()
 		if len(writes) == 0 {
 			return true
@@ -59,10 +60,10 @@
 	}
 }
 
-// commit stores a batch and retries until it is stored or cannot be stored any more. It returns
-// false when the term has ended. Writes are idempotent, and a repeated one fails once it, or a
-// newer one of its key, was applied. So neither a lost answer nor a write applied late does any
-// harm.
+// commit stores a batch of writes and retries until it is stored or cannot be stored any more. It
+// returns false when the term or ctx has ended. Writes are idempotent, and a repeated write fails
+// on its compare once it, or a newer write of its key, was applied. So neither a lost answer nor a
+// write applied late does any harm.
 func (p *persister) commit(ctx context.Context, writes []scheduler.PendingWrite) bool {
 	opCount := countOps(writes)
 	pause := p.settings.HeartbeatInterval / 20
@@ -126,7 +127,8 @@
 	return compares, ops
 }
 
-// markStored records that writes were stored at a revision.
+// markStored records that writes were stored at a revision, and wakes the heartbeats that wait for
+// a commit.
 func (p *persister) markStored(writes []scheduler.PendingWrite, revision uint64) {
 	p.state.mu.Lock()
 	for _, write := range writes {
@@ -144,7 +146,8 @@
 	p.attestor.recordRevision(revision)
 }
 
-// markUnanswered records that writes may still be applied.
+// markUnanswered calls OnUnanswered of each write whose key was absent: the write got no answer and
+// may still be applied.
 func (p *persister) markUnanswered(writes []scheduler.PendingWrite) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
@@ -155,9 +158,10 @@
 	}
 }
 
-// commitSeparately stores writes one by one after the store has rejected them as one commit.
-// Otherwise a limit of the store that is lowered without notice would block the leader permanently:
-// the store would reject the oversized commit on every retry.
+// commitSeparately stores writes one by one after the store has rejected them as one commit. It
+// returns false when the term or ctx has ended. Without it, a limit of the store that is lowered
+// without notice would block the leader permanently: the store would reject the oversized commit on
+// every retry.
 func (p *persister) commitSeparately(ctx context.Context, writes []scheduler.PendingWrite, cause error) bool {
 	slog.Warn("commit rejected as too large", "writes", len(writes), "term", p.number, "err", cause)
 	if len(writes) == 1 {
@@ -173,7 +177,8 @@
 	return true
 }
 
-// markTooLarge records that the store will never accept a write in its present form.
+// markTooLarge records that the store will never accept a write in its present form. A write
+// without OnTooLarge is abandoned.
 func (p *persister) markTooLarge(write scheduler.PendingWrite) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
--- a/internal/leader/store_outage.go
+++ b/internal/leader/store_outage.go
@@ -11,24 +11,25 @@
 	"drumpick/internal/peer"
 )
 
-// storeOutage queries the peers while the store does not answer the leader. They also report the
-// cancellations that they have confirmed to users since the last contact. If all peers answer,
-// workers' leases may be renewed for longer, including those of machines with tasks of cancelled
-// jobs, as these tasks are killed. A restarted controller answers only for the time since its
-// start, and leases are not renewed if that leaves a gap. If the store serves a peer but not the
-// leader, the leader resigns once its lease on the leader key has expired.
+// storeOutage queries the peers while the store does not answer the leader. Each peer lists the
+// cancellations that it has confirmed to users since the leader's last contact. If all peers
+// answer, the leader cancels the listed jobs and may renew workers' leases for longer, also on
+// machines with tasks of these jobs, because the tasks are killed. A restarted peer lists only the
+// time since its start; if that leaves a gap, leases are not renewed. If the store serves a peer
+// but not the leader, the leader resigns once its lease on the leader key has expired.
 type storeOutage struct {
 	*term
 	attestor        *attestor
 	cancellationLog *cancellation.Log // the cancellations that this controller has confirmed to users
 
-	// servedElsewhereSince is since when, after the lease on the leader key has expired, the store
-	// has served peers but not the leader; zero if it does not.
+	// servedElsewhereSince is when a query first showed that the store serves a peer but not the
+	// leader, and has answered a peer since the lease on the leader key expired; zero if the last
+	// query did not show this.
 	servedElsewhereSince time.Time
 }
 
-// run queries peers and announces attestations sequentially. Otherwise a peer that started after an
-// earlier attestation was sent could record it after a later one.
+// run queries peers and announces attestations sequentially. Otherwise an earlier attestation that
+// is still in flight could be recorded by a peer that has restarted and forgotten a later one.
 func (o *storeOutage) run(ctx context.Context) {
 	for o.attestor.announce(ctx); ctxtime.Sleep(ctx, o.settings.HeartbeatInterval/4) == nil; {
 		lastOK, failing, _ := o.store.Health()
@@ -55,9 +56,9 @@
 	now := time.Now()
 	own := o.cancellationLog.ConfirmedWithin(span, now)
 	sinceExpiry := time.Since(confirmedUntil)
-	cancellations := []cancellation.PeerAnswer{{Confirmed: &own, SinceLastConfirmation: o.cancellationLog.SinceLastConfirmation(now)}}
+	cancellationAnswers := []cancellation.PeerAnswer{{Confirmed: &own, SinceLastConfirmation: o.cancellationLog.SinceLastConfirmation(now)}}
 	for _, answer := range answers {
-		cancellations = append(cancellations, cancellation.PeerAnswer{
+		cancellationAnswers = append(cancellationAnswers, cancellation.PeerAnswer{
 			Confirmed:             answer.Cancellations,
 			SinceLastConfirmation: time.Duration(answer.SinceConfirmationMS) * time.Millisecond,
 		})
@@ -68,7 +69,7 @@
 		o.election.Resign()
 		return false
 	}
-	cancelled, covered := o.contact.coveredBy(cancellations, now)
+	cancelled, covered := o.contact.coveredBy(cancellationAnswers, now)
 	if all && covered {
 		o.cancelReported(cancelled)
 		o.contact.record(askedAt)
@@ -81,14 +82,14 @@
 
 // peerStoreAccess summarizes how the store serves the peers that have answered.
 type peerStoreAccess struct {
-	served           bool // it serves a peer now
-	servedPastExpiry bool // it has answered a peer since the lease on the leader key expired
-	noneCanLead      bool // it has answered no peer since then, so none can have been elected
+	served           bool // the store serves a peer now
+	servedPastExpiry bool // it has certainly answered a peer since the lease on the leader key expired
+	noneCanLead      bool // it has certainly answered no peer since then, so none can have been elected
 }
 
-// summarizeStoreAccess summarizes the peers' answers to a query that took elapsed. sinceExpiry is
-// the time since the lease on the leader key was last certain not to have expired; negative while
-// that is certain.
+// summarizeStoreAccess summarizes what the peers have answered to a query that took elapsed.
+// sinceExpiry is the time since the lease on the leader key was last certain not to have expired;
+// negative while that is certain.
 func (o *storeOutage) summarizeStoreAccess(answers []peer.Status, sinceExpiry, elapsed time.Duration) peerStoreAccess {
 	access := peerStoreAccess{noneCanLead: true}
 	for _, answer := range answers {
@@ -111,9 +112,9 @@
 // shouldResign reports whether the store has served peers but not the leader for so long that the
 // leader has to resign.
 func (o *storeOutage) shouldResign(access peerStoreAccess, askedAt, lastOK time.Time) bool {
-	// No other controller can lead until the lease has expired. The second condition prevents the
-	// leader from resigning just before the store fails for all, which would leave no leader until
-	// it recovers.
+	// No other controller can lead before the lease on the leader key has expired. Without the
+	// condition servedPastExpiry, the leader could resign just before the store fails for all
+	// controllers, which would leave no leader until the store recovers.
 	if !access.served || !access.servedPastExpiry {
 		o.servedElsewhereSince = time.Time{}
 		return false
@@ -121,8 +122,9 @@
 	if o.servedElsewhereSince.IsZero() {
 		o.servedElsewhereSince = askedAt
 	}
-	// At the end of an outage for all controllers, the first to send a request is served first.
-	// Only a later failed request of the leader shows that it is excluded.
+	// At the end of an outage for all controllers, the store serves first whoever sends the first
+	// request. Only a later request of the leader that fails shows that the store excludes the
+	// leader.
 	return time.Since(lastOK) > o.settings.HeartbeatInterval &&
 		o.store.FailedSince(o.servedElsewhereSince) &&
 		askedAt.Sub(o.servedElsewhereSince) >= o.settings.HeartbeatInterval/2
--- a/internal/leader/store_outage_test.go
+++ b/internal/leader/store_outage_test.go
@@ -9,7 +9,8 @@
 )
 
 // The peers' reports on the store decide whether one of them can lead and whether the store
-// excludes only the leader. The lease on the leader key expired 10 s ago; the query took 1 s.
+// excludes only the leader. A wrong summary lets two leaders start tasks, or a leader resign that
+// nobody can replace. The lease on the leader key expired 10 s ago; the query took 1 s.
 func TestSummarizeStoreAccess(t *testing.T) {
 	o := &storeOutage{term: &term{settings: scheduler.Settings{HeartbeatInterval: 4 * time.Second}}}
 	const sinceExpiry, elapsed = 10 * time.Second, time.Second
--- a/internal/leader/views.go
+++ b/internal/leader/views.go
@@ -6,15 +6,15 @@
 	"drumpick/internal/scheduler"
 )
 
-// Machines returns up to limit machines, without their tasks, by name after since; more reports
-// whether others follow.
+// Machines returns up to limit machines without their tasks, sorted by name, from the first name
+// after since; more reports whether others follow.
 func (l *Leader) Machines(since string, limit int) (list []scheduler.MachineView, more bool) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
 	return l.state.scheduler.ListMachines(since, limit, time.Now())
 }
 
-// Machine returns one machine with its tasks; ok is false if it is unknown.
+// Machine returns a machine by name, with its tasks; ok is false if it is unknown.
 func (l *Leader) Machine(name string) (view scheduler.MachineView, ok bool) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
@@ -29,10 +29,11 @@
 	return l.state.scheduler.Progress(id)
 }
 
-// DependenciesClear reports whether no dependency of a job is known to be cancelled, and the age of
-// that knowledge.
+// DependenciesClear reports whether no dependency of an open job, direct or indirect, is cancelled
+// or in an unknown state, and returns the age of that knowledge.
 func (l *Leader) DependenciesClear(id string) (age time.Duration, ok bool) {
-	// The contact is read first: events between the two reads make age too high, but ok not wrong.
+	// The time of the contact is read before the scheduler's state: events applied between the two
+	// reads make age too high, but never too low.
 	contact := l.contact.last()
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
--- a/internal/packing/bin.go
+++ b/internal/packing/bin.go
@@ -13,7 +13,7 @@
 	used       Resources // sum of the items' requests
 	reserved   Resources // for items that are not in the bin yet
 	free       Resources // capacity that is neither used nor reserved
-	gap        float64
+	gap        float64   // see Gap
 	items      []*Item
 	kindCounts [4]int // number of items by kind
 	labels     []string
@@ -96,10 +96,11 @@
 // Reserved returns the reserved amount.
 func (b *Bin) Reserved() Resources { return b.reserved }
 
-// Fits reports whether a request fits into what is neither used nor reserved, in every resource.
+// Fits reports whether a request fits into the capacity that is neither used nor reserved, in every
+// resource.
 func (b *Bin) Fits(request Resources) bool { return b.free.Fits(request) }
 
-// Gap returns the free share of the fullest resource (Definition 1).
+// Gap returns the share of the fullest resource that is neither used nor reserved (Definition 1).
 func (b *Bin) Gap() float64 { return b.gap }
 
 // Overloaded reports whether the used or the predicted load exceeds the bin's capacity. The paper
@@ -130,7 +131,8 @@
 	b.contentChanged()
 }
 
-// contentChanged updates the fields derived from the bin's content, and its index set.
+// contentChanged updates the fields derived from the bin's content, and moves the bin to the index set
+// of its current slot.
 func (b *Bin) contentChanged() {
 	b.free = b.Capacity.Sub(b.used).Sub(b.reserved)
 	b.gap = 1 - b.Capacity.Share(b.used.Add(b.reserved))
@@ -175,8 +177,8 @@
 	return b.empty()
 }
 
-// groups splits the bin's tiny items into groups of at most a third each, any two of which exceed a
-// third together (Definition 4). First fit ensures both.
+// groups splits the bin's tiny items into groups of at most a third each, such that any two groups
+// exceed a third together (Definition 4). First fit ensures both.
 func (b *Bin) groups() [][]*Item {
 	var groups [][]*Item
 	var sums []Resources // by group
--- a/internal/packing/item.go
+++ b/internal/packing/item.go
@@ -1,7 +1,7 @@
 package packing
 
-// Kind is the type of an item by its size: the largest share that it takes of any resource of its
-// bin (Definition 2).
+// Kind is the type of an item by its size: the largest share that the item takes of any resource of
+// its bin (Definition 2).
 type Kind int
 
 // Kinds of items by size: up to 1/3, up to 1/2, up to 2/3, and above.
--- a/internal/packing/search.go
+++ b/internal/packing/search.go
@@ -16,17 +16,17 @@
 	allowed  func(*Bin) bool        // nil: all bins are allowed
 }
 
-// filter returns the bins of a word that are open and satisfy the item's required and excluded
-// labels.
-func (q *query) filter(open bitSet, word int, union uint64) uint64 {
-	union &= open[word]
+// filter returns those bins of a word of a bit set that are open and satisfy the item's required and
+// excluded labels. word is the index of the word, bins its content.
+func (q *query) filter(open bitSet, word int, bins uint64) uint64 {
+	bins &= open[word]
 	if q.required != nil {
-		union &= q.required[word]
+		bins &= q.required[word]
 	}
 	if q.excluded != nil {
-		union &^= q.excluded[word]
+		bins &^= q.excluded[word]
 	}
-	return union
+	return bins
 }
 
 // fits reports whether the bin is allowed and the item fits into it.
@@ -34,7 +34,8 @@
 	return b.Fits(q.item.Request) && (q.allowed == nil || q.allowed(b))
 }
 
-// search returns the best open bin of the given kinds that an item fits into, or nil.
+// search returns the best open bin of the given kinds that an item fits into, by Space.Ranked, or nil.
+// The space must not be empty.
 func (s *Space) search(item *Item, kinds binKinds, allowed func(*Bin) bool) *Bin {
 	q := query{item: item, allowed: allowed}
 	q.required = s.byLabel[item.RequireLabel]
@@ -64,12 +65,12 @@
 // searchFirst returns the first bin that matches the query, or nil.
 func (s *Space) searchFirst(q *query) *Bin {
 	for word := range s.open {
-		var union uint64
+		var matches uint64
 		for step := q.firstGap; step <= gapSteps; step++ {
-			union |= s.unionWord(q.kinds[step], step, word)
+			matches |= s.unionWord(q.kinds[step], step, word)
 		}
-		for union = q.filter(s.open, word, union); union != 0; union &= union - 1 {
-			if b := s.Bins[word*wordBits+bits.TrailingZeros64(union)]; q.fits(b) {
+		for matches = q.filter(s.open, word, matches); matches != 0; matches &= matches - 1 {
+			if b := s.Bins[word*wordBits+bits.TrailingZeros64(matches)]; q.fits(b) {
 				return b
 			}
 		}
@@ -80,7 +81,8 @@
 // searchRanked returns the best bin that matches the query, or nil. Bins are ranked by the preferred
 // labels that they have, by weight, then by smallest gap, then by order.
 func (s *Space) searchRanked(q *query) *Bin {
-	// The candidates do not depend on the preferred labels. Most searches end here without any.
+	// The candidates do not depend on the preferred labels. Most searches find no candidate and end
+	// here.
 	var found [gapSteps + 1]bool
 	anyFound := false
 	for step := q.firstGap; step <= gapSteps; step++ {
@@ -116,15 +118,16 @@
 	bits  uint64
 }
 
-// collectCandidates stores the candidates of a gap step, and reports whether there are any.
+// collectCandidates stores in s.candidates the non-zero words of the bins that a query may match at a
+// gap step, and reports whether there are any.
 func (s *Space) collectCandidates(q *query, step int) bool {
 	found := s.candidates[step][:0]
 	for part := range len(s.open)/wordBits + 1 {
 		for summary := s.unionSummary(q.kinds[step], step, part); summary != 0; summary &= summary - 1 {
 			word := part*wordBits + bits.TrailingZeros64(summary)
-			union := q.filter(s.open, word, s.unionWord(q.kinds[step], step, word))
-			if union != 0 {
-				found = append(found, candidateWord{word, union})
+			matches := q.filter(s.open, word, s.unionWord(q.kinds[step], step, word))
+			if matches != 0 {
+				found = append(found, candidateWord{word, matches})
 			}
 		}
 	}
@@ -137,9 +140,9 @@
 func (s *Space) fullest(q *query, candidates []candidateWord, preferred []bitSet, tier int) *Bin {
 	var found *Bin
 	for _, candidate := range candidates {
-		union := withLabels(candidate, preferred, tier)
-		for ; union != 0; union &= union - 1 {
-			b := s.Bins[candidate.index*wordBits+bits.TrailingZeros64(union)]
+		matches := withLabels(candidate, preferred, tier)
+		for ; matches != 0; matches &= matches - 1 {
+			b := s.Bins[candidate.index*wordBits+bits.TrailingZeros64(matches)]
 			if (found == nil || b.Gap() < found.Gap()) && q.fits(b) {
 				found = b
 			}
@@ -148,22 +151,22 @@
 	return found
 }
 
-// withLabels returns the bins of a word that have exactly the preferred labels of a tier.
+// withLabels returns the bins of a candidate word that have exactly the preferred labels of a tier.
 func withLabels(candidate candidateWord, preferred []bitSet, tier int) uint64 {
-	union := candidate.bits
+	matches := candidate.bits
 	for i, labelled := range preferred {
-		if union == 0 {
+		if matches == 0 {
 			break
 		}
 		wanted := tier>>(len(preferred)-1-i)&1 == 1
 		switch {
 		case wanted && labelled == nil:
-			union = 0
+			matches = 0
 		case wanted:
-			union &= labelled[candidate.index]
+			matches &= labelled[candidate.index]
 		case labelled != nil:
-			union &^= labelled[candidate.index]
+			matches &^= labelled[candidate.index]
 		}
 	}
-	return union
+	return matches
 }
--- a/internal/packing/space.go
+++ b/internal/packing/space.go
@@ -15,8 +15,8 @@
 	// Movable reports whether an item may be moved to fill or empty a bin; nil: Item.Movable is
 	// used.
 	Movable func(*Item) bool
-	// Worthwhile reports whether the benefit of moving an item into a bin exceeds the cost; nil:
-	// always.
+	// Worthwhile reports whether the benefit of moving an item into a bin exceeds the cost of the
+	// move; nil: always.
 	Worthwhile func(item *Item, to *Bin) bool
 
 	sets    [binKindCount][gapSteps + 1]*sparseBitSet // the bins by kind and gap step; nil: not created yet
@@ -100,7 +100,7 @@
 	}
 }
 
-// binsWithLabel returns the set of bins with a label, which it creates if there is none.
+// binsWithLabel returns the set of bins with a label. It creates the set if there is none.
 func (s *Space) binsWithLabel(name string) bitSet {
 	bins := s.byLabel[name]
 	if bins == nil {
--- a/internal/packing/visbp.go
+++ b/internal/packing/visbp.go
@@ -76,8 +76,8 @@
 // item, the preferred ones first. Every item may be placed in an empty bin.
 var combinations = [...][]binKinds{Tiny: {ulltBins, utBins}, Small: {sBins}, Large: nil, Big: nil}
 
-// place selects a bin by the paper's rules, else by the two exceptions. The kind of an item depends
-// on the bin's capacity, which is the same for all bins of a space.
+// place selects a bin by the paper's rules, else by the two exceptions TopUp and FirstFit; nil: no bin
+// fits. The kind of an item depends on the bin's capacity, which is the same for all bins of a space.
 func (o *operation) place(item *Item) (*Bin, Rule) {
 	if len(o.space.Bins) == 0 {
 		return nil, NoBin
@@ -109,7 +109,8 @@
 // mayMove reports whether the operation has fewer than the maximum number of moves.
 func (o *operation) mayMove() bool { return len(o.moves) < o.maxMoves }
 
-// move moves a group if each item may be moved and the whole group fits. It reports whether it did.
+// move moves a group if each item may be moved, the whole group fits and mayMove holds. It reports
+// whether it did.
 func (o *operation) move(group []*Item, from, to *Bin) bool {
 	var sum Resources
 	for _, item := range group {
@@ -129,7 +130,7 @@
 	return true
 }
 
-// fill moves groups from T-bins into an L- or LT-bin while its gap is at least a third.
+// fill moves groups from T-bins into an L- or LT-bin while the gap of the latter is at least a third.
 func (o *operation) fill(b *Bin) {
 	for o.mayMove() && b.Gap() >= Third-eps {
 		if !o.fillFrom(b, utBins) && !o.fillFrom(b, tBins) {
@@ -182,7 +183,7 @@
 	}
 }
 
-// relieve moves groups out of a bin while it is overloaded.
+// relieve moves groups out of a bin while the bin is overloaded.
 func (o *operation) relieve(b *Bin) {
 	for _, group := range b.groups() {
 		if !o.mayMove() || !b.Overloaded() {
@@ -251,7 +252,7 @@
 }
 
 // afterLargeLeft moves the tiny items that were packed with a removed large item into the bins where
-// they would have been placed without it.
+// they would have been placed without the large item.
 func (o *operation) afterLargeLeft(b *Bin) {
 	if o.otherBin(tBins, b) != nil {
 		o.spread(b, utBins)
@@ -260,7 +261,7 @@
 	}
 }
 
-// afterSmallLeft moves the remaining small item of a bin to another bin with one small item.
+// afterSmallLeft moves the small item that remains alone in a bin to another bin with one small item.
 func (o *operation) afterSmallLeft(b *Bin) {
 	item := b.soleItem(Small)
 	if item == nil || len(b.items) != 1 {
--- a/internal/packing/visbp_test.go
+++ b/internal/packing/visbp_test.go
@@ -29,18 +29,18 @@
 
 func (p *scenarioPacking) apply(t *testing.T, words []string) []string {
 	t.Helper()
-	switch event, names := words[0], words[1:]; event {
+	switch command, args := words[0], words[1:]; command {
 	case "bins":
-		for _, name := range names {
+		for _, name := range args {
 			p.space.Add(NewBin(name, Resources{CPU: 12, Mem: 12}))
 		}
 		return nil
 	case "insert":
-		size, err := strconv.ParseFloat(names[1], 64)
+		size, err := strconv.ParseFloat(args[1], 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		item := &Item{ID: names[0], Request: Resources{CPU: size}, Movable: len(names) < 3}
+		item := &Item{ID: args[0], Request: Resources{CPU: size}, Movable: len(args) < 3}
 		b, moves, rule := p.space.Insert(item, nil)
 		if b == nil {
 			return []string{"no bin"}
@@ -49,14 +49,14 @@
 		rules := [...]string{PaperRule: "", TopUp: " (topping up)", FirstFit: " (first fit)"}
 		return append([]string{"into " + b.ID + rules[rule]}, p.describe(moves)...)
 	case "finish":
-		item, b := p.items[names[0]], p.bins[names[0]]
+		item, b := p.items[args[0]], p.bins[args[0]]
 		old := item.kind
 		b.Remove(item)
 		return p.describe(p.space.Change(b, old, Tiny, nil))
 	case "hot":
 		for _, b := range p.space.Bins {
-			if b.ID == names[0] {
-				b.PredictedLoad, _ = strconv.ParseFloat(names[1], 64)
+			if b.ID == args[0] {
+				b.PredictedLoad, _ = strconv.ParseFloat(args[1], 64)
 				return p.describe(p.space.Change(b, Tiny, Tiny, nil))
 			}
 		}
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -26,7 +26,7 @@
 // Phase is the phase of the attempt that a charge is for.
 type Phase uint8
 
-// Phases. A charge of phase None counts as zero.
+// Phases. A charge of phase None adds nothing.
 const (
 	None     Phase = iota
 	Planned        // assigned to a machine; nothing was sent yet
@@ -36,7 +36,7 @@
 	numPhases = iota // number of phases
 )
 
-// Charge is what one attempt counts for. The zero Charge counts as zero.
+// Charge is what one attempt adds to the account. The zero Charge adds nothing.
 type Charge struct {
 	Phase  Phase
 	Shared bool   // the owner is unknown: it counts for every team
@@ -103,7 +103,8 @@
 	a.countsOf(charge)[charge.Phase].add(charge.Size, n)
 }
 
-// countsOf returns the counts that a charge belongs to.
+// countsOf returns the counts that a charge belongs to: those of its team, which it creates if
+// there are none, or the shared ones.
 func (a *Account) countsOf(charge Charge) *phaseCounts {
 	if charge.Shared {
 		return &a.shared
@@ -116,7 +117,7 @@
 	return counts
 }
 
-// addPhases adds the charges of some phases to an amount.
+// addPhases returns the amount plus the charges of some phases.
 func (c *phaseCounts) addPhases(amount Amount, phases ...Phase) Amount {
 	if c == nil {
 		return amount
--- a/internal/records/errors.go
+++ b/internal/records/errors.go
@@ -15,8 +15,8 @@
 	ErrUnknownOutcome = errors.New("state service did not answer")
 	// ErrLeaseExpired means that the lease has expired or does not exist.
 	ErrLeaseExpired = errors.New("state service: no such lease")
-	// ErrCompacted means that the watch's revision is no longer kept: the caller must read the
-	// current state and watch from there.
+	// ErrCompacted means that the store no longer keeps the events since the watch's revision: the
+	// caller must read the current state and watch from its revision.
 	ErrCompacted = errors.New("state service: revision too old, read again (410)")
 	// ErrInvalid means that the request was rejected; a retry cannot succeed.
 	ErrInvalid = errors.New("state service: malformed or too large (400)")
--- a/internal/records/finished_tasks.go
+++ b/internal/records/finished_tasks.go
@@ -10,30 +10,31 @@
 	// minChunkTasks and maxChunkTasks bound how many tasks one chunk covers.
 	minChunkTasks = 64
 	maxChunkTasks = 16384
-	// bytesPerChunkTask bounds the bytes per task of a chunk. In the worst pattern, every second
-	// task finished, each two tasks take a number of up to five digits and a comma, so 3; the
-	// rest is a margin.
+	// bytesPerChunkTask bounds the bytes per task of a chunk. In the worst pattern, with every
+	// second task finished, two tasks take a number of up to five digits and a comma: 3 bytes per
+	// task. The rest is a margin.
 	bytesPerChunkTask = 4
-	// partFillFactor leaves space in a value for the record's id.
+	// partFillFactor is the share of a page that the ranges of one part may take; the rest is for
+	// the record's id.
 	partFillFactor = 0.8
 	// maxTaskNumber is the largest task number that ParseRanges accepts.
 	maxTaskNumber = 1 << 24
 )
 
-// PartID returns the id of the record of one part of a chunk of a job's finished tasks. Many such
-// records share a value (PagedRecords). The number of leading zeros of the chunk number
-// distinguishes the parts of a chunk. Readers of every version ignore the zeros and merge all
-// records of a chunk.
-func PartID(id string, chunk, zeros int) string {
-	return id + "/" + strings.Repeat("0", zeros) + strconv.Itoa(chunk)
+// PartID returns the id of the record that holds the finished tasks of one part of a chunk of a
+// job. Many such records share a value (PagedRecords). The number of leading zeros of the chunk
+// number distinguishes the parts of a chunk. Readers of every version ignore the zeros and merge
+// all records of a chunk.
+func PartID(job string, chunk, zeros int) string {
+	return job + "/" + strings.Repeat("0", zeros) + strconv.Itoa(chunk)
 }
 
-// ParsePartID parses an id that PartID returned, with any number of zeros. ok is false if s is not
-// such an id.
-func ParsePartID(s string) (id string, chunk int, ok bool) {
-	id, number, ok := strings.Cut(s, "/")
+// ParsePartID parses an id that PartID returned, with any number of leading zeros. ok is false if s
+// is not such an id.
+func ParsePartID(s string) (job string, chunk int, ok bool) {
+	job, number, ok := strings.Cut(s, "/")
 	chunk, err := strconv.Atoi(number)
-	return id, chunk, ok && err == nil && chunk >= 0
+	return job, chunk, ok && err == nil && chunk >= 0
 }
 
 // LeadingZeros returns the number of leading zeros of the chunk number in a part's id.
@@ -47,11 +48,11 @@
 }
 
 // ChunkBytes returns the maximum size in bytes of the ranges of n tasks in a chunk of the given
-// number of tasks. In the worst pattern, every second task finished, each finished task takes a
-// number of up to five digits and a comma.
+// number of tasks. In the worst pattern, with every second task finished, each finished task takes
+// a number of as many digits as chunk has and a comma.
 func ChunkBytes(n, chunk int) int { return (n+1)/2*(len(strconv.Itoa(chunk))+1) + 2 }
 
-// ChunkTasks returns how many tasks one chunk covers: the worst pattern of them fits into a value
+// ChunkTasks returns how many tasks one chunk covers, so that their worst pattern fits into a value
 // of valueKB KiB and, with a margin, into a commit.
 func ChunkTasks(valueKB float64) int {
 	return max(minChunkTasks, min(int(valueKB*1024/bytesPerChunkTask), maxChunkTasks))
@@ -90,7 +91,8 @@
 	return b.String()
 }
 
-// ParseRanges parses the text form of FormatRanges and calls each for every number.
+// ParseRanges parses the text form of FormatRanges and calls each for every number in it. After an
+// error, each may have been called for the numbers before the invalid range.
 func ParseRanges(s string, each func(i int)) error {
 	if s == "" {
 		return nil
--- a/internal/records/finished_tasks_test.go
+++ b/internal/records/finished_tasks_test.go
@@ -39,6 +39,8 @@
 	}
 }
 
+// The id of a part's record is read as written, with its leading zeros. Otherwise finished tasks
+// would be assigned to another chunk after a failover and run again.
 func TestParsePartIDReversesPartID(t *testing.T) {
 	for _, x := range []struct {
 		id    string
@@ -60,6 +62,8 @@
 	}
 }
 
+// Ranges of finished tasks are read as written. Otherwise tasks would run again after a failover,
+// or never.
 func TestParseRangesReversesFormatRanges(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	for range 50 {
@@ -78,6 +82,8 @@
 	}
 }
 
+// A malformed or unbounded range is rejected. Otherwise a damaged record would mark tasks as
+// finished that never ran, or block the failover.
 func TestParseRangesRejectsMalformed(t *testing.T) {
 	for _, text := range []string{"x", "3-1", "-", "1,,2", "0-99999999999"} {
 		t.Run(fmt.Sprintf("%q", text), func(t *testing.T) {
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -24,7 +24,7 @@
 	CheckpointS float64  `json:"snapshot_s"`
 	SaveS       float64  `json:"flush_s"`
 	DeadlineS   *float64 `json:"due_s"`
-	AcceptedMS  int64    `json:"accepted_ms"` // wall-clock time in ms, accurate to the configured bound
+	AcceptedMS  int64    `json:"accepted_ms"` // wall-clock time in ms, accurate to the configured maximum clock error
 	// Dependencies names the jobs that must be done before any task of this one starts. Records
 	// of versions without dependencies lack the field.
 	Dependencies []string `json:"prereqs,omitempty"`
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -24,13 +24,14 @@
 	KeyWatermarksComplete = "whole"
 	// KeyMachineTypes holds the MachineTypes last read from the cloud.
 	KeyMachineTypes = "types"
-	// PrefixDrains is the prefix of the drains that operators requested. Versions without drains
-	// do not touch this prefix and the next.
+	// PrefixDrains is the prefix of the drains that operators requested. Versions without drains do
+	// not touch this prefix or PrefixDrainState.
 	PrefixDrains = "drains/"
 	// PrefixDrainState is the prefix of the progress of drains.
 	PrefixDrainState = "drainstate/"
-	// KeyDrainSequence is written, and compared with the revision read before, in the commit of
-	// each new drain. So of two drains planned against the same set of drains, only one is stored.
+	// KeyDrainSequence is written in the commit of each new drain and compared with the revision
+	// that was read when the drain was planned. So of two drains planned against the same set of
+	// drains, only one is stored.
 	KeyDrainSequence = "drainturn"
 )
 
--- a/internal/records/keyvalue.go
+++ b/internal/records/keyvalue.go
@@ -10,13 +10,15 @@
 	LeaseID  uint64          `json:"hold"`
 }
 
-// Compare requires that the last change of a key has the given revision; 0: the key is absent.
+// Compare is a condition of a commit: the last change of a key has the given revision; 0: the key
+// is absent.
 type Compare struct {
 	Key      string `json:"k"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Op is one operation of a commit: a write or a delete.
+// Op is one operation of a commit: a write of the key Write, or a delete of the key Delete. LeaseID
+// attaches a written key to a lease; 0: none.
 type Op struct {
 	Write   string `json:"write,omitempty"`
 	Value   any    `json:"value,omitempty"`
@@ -24,7 +26,8 @@
 	Delete  string `json:"delete,omitempty"`
 }
 
-// Event is one change that a watch reports.
+// Event is one change that a watch reports: a write of the key Write, or a delete of the key
+// Delete; the other one is "".
 type Event struct {
 	Write    string          `json:"write"`
 	Delete   string          `json:"delete"`
--- a/internal/records/paged.go
+++ b/internal/records/paged.go
@@ -10,7 +10,7 @@
 
 // PagedRecords packs many small records into a few values of the store, the pages. The store's rate
 // limit counts changes, not bytes: with one key per machine, writing the machines of a large
-// deployment would take the write rate of half a minute.
+// deployment would use up the allowed changes of half a minute.
 //
 // It is not safe for concurrent use.
 type PagedRecords struct {
@@ -31,17 +31,18 @@
 
 	entries           map[string]json.RawMessage
 	reserved          map[string]int // bytes reserved for each record
-	reservedBytes     int            // their sum
+	reservedBytes     int            // sum of reserved
 	dirty             bool           // differs from the last write that was prepared
 	readOnly          bool           // too large to be written again: it can only be read and deleted
-	firstWritePending bool           // its first write may still be executed
+	firstWritePending bool           // see MarkFirstWritePending
 }
 
 const (
-	// fillFactor is the target size of a page, as a share of the value size; the rest is for
-	// escape sequences.
+	// fillFactor is the target size of a page, as a share of the value size; the rest is for escape
+	// sequences in the JSON encoding.
 	fillFactor = 15.0 / 16
-	// entryOverhead is the bytes of an entry beside its id and value: two quotes, colon, comma.
+	// entryOverhead is the number of bytes of an entry besides its id and value: two quotes, a
+	// colon and a comma.
 	entryOverhead = 4
 )
 
@@ -60,8 +61,8 @@
 	}
 }
 
-// Put sets a record and reserves up to reserve bytes for it, as far as its page has space. It returns
-// false and changes nothing if the record has outgrown its page.
+// Put sets a record and reserves up to reserve bytes for its value, as far as its page has space.
+// It returns false and changes nothing if the record has outgrown its page.
 func (p *PagedRecords) Put(id string, value json.RawMessage, reserve int) bool {
 	minBytes := len(value) + len(id) + entryOverhead
 	reserveBytes := max(reserve, len(value)) + len(id) + entryOverhead
@@ -88,8 +89,8 @@
 	return true
 }
 
-// pageWithRoom returns a page with the given free bytes, a new one if there is none. It prefers a
-// page that is already dirty, which costs no additional write.
+// pageWithRoom returns a writable page with the given free bytes, or a new page if there is none.
+// It prefers a page that is already dirty, which costs no additional write.
 func (p *PagedRecords) pageWithRoom(bytes int) *Page {
 	var found *Page
 	for _, page := range p.pages {
@@ -119,8 +120,8 @@
 	}
 }
 
-// RemoveReadOnlyCopies removes a record from the read-only pages, other than the page that it is
-// written to.
+// RemoveReadOnlyCopies removes a record from the read-only pages, except from the page that the
+// record is written to.
 func (p *PagedRecords) RemoveReadOnlyCopies(id string) {
 	for _, page := range p.pages {
 		if page.readOnly && p.writable[id] != page {
@@ -140,8 +141,8 @@
 }
 
 // Load adds a page read from the store, of the given size in bytes. A record that is in two pages
-// stays in both, since it is unknown which is newer. A page that is too large to be written again
-// becomes read-only, and its records have no writable page.
+// stays in both because it is unknown which copy is newer. A page that is too large to be written
+// again becomes read-only, and its records have no writable page.
 func (p *PagedRecords) Load(key string, entries map[string]json.RawMessage, bytes int) *Page {
 	page := &Page{
 		Key:      key,
@@ -192,8 +193,9 @@
 }
 
 // MarkTooLarge records that the store rejected a page as too large. The page becomes read-only, and
-// new pages are half as large. It returns the ids of the records that must be put into another
-// page. A page with a single record cannot be split: it stays as it is, and no ids are returned.
+// new pages are half as large. It returns the ids of the records that the caller must put into
+// another page. A page with a single record cannot be split: it stays as it is, and no ids are
+// returned.
 func (p *PagedRecords) MarkTooLarge(page *Page) []string {
 	if len(page.entries) < 2 {
 		return nil
@@ -224,9 +226,9 @@
 	return dirty
 }
 
-// PrepareWrite returns the operation that stores the current content of a page, the size in bytes
-// and the ids of its records. An empty page is deleted and discarded, unless its first write may
-// still be executed (MarkFirstWritePending).
+// PrepareWrite returns the operation that stores the current content of a page, the size of the
+// content in bytes and the ids of its records. An empty page is deleted and discarded, unless its
+// first write may still be executed (MarkFirstWritePending).
 func (p *PagedRecords) PrepareWrite(page *Page) (op Op, bytes int, ids []string) {
 	page.dirty = false
 	if len(page.entries) == 0 && !page.firstWritePending {
--- a/internal/records/paged_test.go
+++ b/internal/records/paged_test.go
@@ -200,8 +200,9 @@
 	return first
 }
 
-// A page that the store rejects as too large is split.
-func TestPageRefusedAsTooLargeIsDivided(t *testing.T) {
+// A page that the store rejects as too large is split, and no record is lost. Otherwise a lowered
+// limit of the store would block the leader's writes.
+func TestPageRejectedAsTooLargeIsSplit(t *testing.T) {
 	const acceptedBytes = 1000 // less than the value size of the pages
 	pageCount := 0
 	paged := NewPagedRecords("done/", 4, func() string {
@@ -230,7 +231,9 @@
 	}
 }
 
-func TestRefusedPageOfOneRecordStays(t *testing.T) {
+// A page with a single record that the store rejects as too large is not split again. Otherwise its
+// record would move from page to page forever.
+func TestRejectedPageOfOneRecordStays(t *testing.T) {
 	paged := NewPagedRecords("done/", 4, func() string { return "2-1" })
 	paged.Put("j-1", json.RawMessage(`"x"`), 1)
 	if ids := paged.MarkTooLarge(paged.DirtyPages()[0]); ids != nil {
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -1,7 +1,7 @@
 // Package reservation decides when and where capacity is reserved for a gang or other large job.
-// Without a reservation a gang starves: its places never become free all at once, as small jobs take
-// each one that does. A job that has waited for a share of the bound on its wait is assigned a zone,
-// and places that become free there are reserved for it until it starts.
+// Without a reservation a gang starves: its places never become free all at once, as small jobs
+// take each one that does. Once a job has waited for a share of the bound on its wait, it is
+// assigned a zone, and places that become free there are reserved for it until it starts.
 //
 // The package is pure: no I/O, no clock.
 package reservation
@@ -15,8 +15,8 @@
 const AllZones = "*"
 
 const (
-	// Places are reserved for a job once its wait plus needFactor times the time in which its places
-	// become free reaches dueShare of the bound.
+	// Places are reserved for a job once its wait, plus needFactor times the time that its places take to
+	// become free, reaches dueShare of the bound on its wait.
 	dueShare   = 0.75
 	needFactor = 3
 )
@@ -33,8 +33,8 @@
 // delay. Partially free places are then reserved for it, too.
 func Urgent(waited, need, bound time.Duration) bool { return waited+need >= bound }
 
-// EarliestWait returns the wait before which no job gets a reservation, even with the largest need.
-// Due does not check it; the caller must.
+// EarliestWait returns the wait before which no job gets a reservation, however long its places
+// take to become free. Due does not check it; the caller must.
 func EarliestWait(bound time.Duration) time.Duration {
 	return time.Duration(float64(bound) * dueShare / 2)
 }
--- a/internal/watermark/attestation.go
+++ b/internal/watermark/attestation.go
@@ -4,12 +4,12 @@
 // next leader then knows which tasks can be on no machine; only the tasks below a watermark that no
 // machine has reported have to wait.
 //
-// This holds only if every leader keeps watermarks. A leader of an older version, or with other
-// settings, does not, and in an outage of the store for all controllers a leader relaxes them: it
-// dispatches without storing them. A new leader therefore relies on an observer: a controller to
-// which a leader of the term has attested that the watermarks are complete, and not since then that
-// they are relaxed. A leader relaxes them only once every other controller has acknowledged it, so
-// one observer is enough.
+// This holds only if every leader keeps watermarks. A leader of an older version, or with
+// watermarks disabled, does not keep them. In an outage of the store for all controllers, a leader
+// relaxes them: it dispatches tasks beyond watermarks without storing these. A new leader therefore
+// relies on an observer: a controller to which an earlier leader has attested that the watermarks
+// are complete, and not since then that they are relaxed. A leader relaxes them only once every
+// other controller has acknowledged that attestation, so one observer is enough.
 //
 // The package is pure: no I/O, no clock.
 package watermark
@@ -21,19 +21,19 @@
 
 // Attestation is a leader's statement about the watermarks in the store. An attestation without a
 // sequence number comes from a new leader that has made no statement yet; it makes observers reject
-// those of earlier terms.
+// the attestations of earlier terms.
 type Attestation struct {
 	Term uint64 `msgpack:"term"`
 	// Seq increases within a term each time the watermarks become complete or relaxed.
 	Seq uint64 `msgpack:"seq"`
-	// Complete means that every task that was ever dispatched, by any leader, is below a watermark;
-	// otherwise the watermarks are relaxed.
+	// Complete means that every task that was ever dispatched, by any leader, is below the stored
+	// watermark of its job; otherwise the watermarks are relaxed.
 	Complete bool `msgpack:"whole"`
 	// Revision is a store revision at which the term held the leader key.
 	Revision uint64 `msgpack:"epoch"`
-	// Reconciled means that every machine that may hold tasks has acknowledged the term
-	// (PossibleRenewers). Node is the controller that led the term. Versions that attest only
-	// watermarks omit both.
+	// Reconciled means that every machine that may hold tasks has acknowledged the term; see
+	// PossibleRenewers. Node is the controller that led the term. Versions that attest only
+	// watermarks omit both fields.
 	Reconciled bool   `msgpack:"settled,omitempty"`
 	Node       string `msgpack:"node,omitempty"`
 }
@@ -41,14 +41,14 @@
 // Observer is a controller's in-memory record of attestations. A process that has just started has
 // none and can attest nothing. It is safe for concurrent use.
 type Observer struct {
-	mu         sync.Mutex // guards the fields below
-	latest     Attestation
-	reconciled Attestation // of the latest reconciled term
+	mu         sync.Mutex  // guards the fields below
+	latest     Attestation // the latest with a sequence number; zero: none
+	reconciled Attestation // of the latest reconciled term; zero: none
 	minTerm    uint64      // attestations of earlier terms are rejected
 }
 
-// Observe records an attestation and returns the latest one recorded. It ignores an attestation
-// that is outdated by its term or its sequence number.
+// Observe records an attestation and returns the latest one recorded, or the zero value. It rejects
+// an attestation that is outdated by its term or its sequence number.
 func (o *Observer) Observe(a Attestation) Attestation {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -79,20 +79,21 @@
 	return o.reconciled
 }
 
-// NewerThan reports whether a is of a later term than other, or of a later revision in the same
-// term.
+// NewerThan reports whether a is of a later term than other, or of the same term with a later
+// revision.
 func (a Attestation) NewerThan(other Attestation) bool {
 	return a.Term > other.Term || a.Term == other.Term && a.Revision > other.Revision
 }
 
-// ObservedBy reports whether an observer that returned the given attestation has recorded a, and
-// none later.
-func (a Attestation) ObservedBy(remembered Attestation) bool {
-	return remembered.Term == a.Term && remembered.Seq == a.Seq
+// ObservedBy reports whether an observer whose latest attestation is latest has recorded a and no
+// later one.
+func (a Attestation) ObservedBy(latest Attestation) bool {
+	return latest.Term == a.Term && latest.Seq == a.Seq
 }
 
-// LatestComplete returns the newest attestation of complete watermarks among those of the
-// observers; one is enough. ok is false if there is none.
+// LatestComplete returns the newest attestation of complete watermarks among the latest
+// attestations of the observers; one observer is enough. ok is false if none attests complete
+// watermarks.
 func LatestComplete(attestations []Attestation) (latest Attestation, ok bool) {
 	for _, a := range attestations {
 		if a.Complete && a.NewerThan(latest) {
@@ -102,18 +103,19 @@
 	return latest, ok
 }
 
-// LeaderChange is a change of the leader key: the controller that acquired it, and whether it keeps
-// watermarks.
+// LeaderChange is an acquisition of the leader key: the term that it began, the controller that
+// acquired the key ("": unknown), and whether that leader keeps watermarks.
 type LeaderChange struct {
 	Term            uint64
 	KeepsWatermarks bool
 	Node            string
 }
 
-// Trusted reports whether watermarks are complete for the leader of a term: no leader without
-// watermarks has led since the attestation's revision. changes are all acquisitions of the leader
-// key since that revision. A leader in between that keeps watermarks but found no observer does no
-// harm: the tasks it dispatched are below them, and the observer would have recorded a relaxation.
+// Trusted reports whether the leader of a term may rely on the attestation a of complete
+// watermarks: no leader without watermarks has led since its revision. changes are all acquisitions
+// of the leader key after that revision. A leader in between that keeps watermarks but found no
+// observer does no harm: the tasks that it dispatched are below their watermarks, and the observer
+// would have recorded a relaxation.
 func Trusted(a Attestation, changes []LeaderChange, term uint64) bool {
 	if !a.Complete || a.Term > term {
 		return false
@@ -134,15 +136,15 @@
 type StoredAttestation struct {
 	Term uint64 `json:"term"`
 	Node string `json:"node"`
-	AtMS int64  `json:"at_ms"` // time of day of the write; the watermarks were complete then
+	AtMS int64  `json:"at_ms"` // wall-clock time of the write; the watermarks were complete then
 }
 
 // StillHolds reports whether the leader that wrote a stored attestation cannot have relaxed the
-// watermarks since. A leader never does so within span of writing one, and the process that wrote
-// it has ended: it ran on the given node, which now acquires the leader key, and this process of
-// that node started within the span. maxClockError is the maximum error of either process's time of
-// day. An attestation that this process wrote itself does not hold, as it may have relaxed the
-// watermarks since.
+// watermarks since. A leader never relaxes them within span of writing an attestation. The process
+// that wrote this one has ended within span: it ran on the given node, whose present process
+// started within span of the write. maxClockError is the maximum error of the wall clock of either
+// process. An attestation that the present process wrote itself does not hold, because it may have
+// relaxed the watermarks since.
 func (s StoredAttestation) StillHolds(node string, started time.Time, span, maxClockError time.Duration) bool {
 	after := started.Sub(time.UnixMilli(s.AtMS))
 	return s.Term != 0 && s.Node == node && after > 2*maxClockError && after <= span-2*maxClockError
--- a/internal/watermark/failover_model_test.go
+++ b/internal/watermark/failover_model_test.go
@@ -60,7 +60,7 @@
 type delayedAttestation struct {
 	to        int8 // the controller, or none
 	term, seq int8
-	used      bool // at most one message is delayed
+	used      bool // a message has been delayed, and no other will be
 }
 
 // controller is a controller's process.
@@ -87,11 +87,11 @@
 type leadership struct {
 	term, seq           int8
 	attestedComplete    bool  // as last attested
-	watermarksComplete  bool  // as far as it can know, all dispatched tasks are below watermarks
-	relaxing            bool  // the leader requests the relaxation, and the store does not answer its peers
+	watermarksComplete  bool  // as far as the leader knows, all dispatched tasks are below watermarks
+	relaxing            bool  // the leader has requested the relaxation in an outage of the store
 	relaxed             bool  // all peers have acknowledged the relaxation, and the leader continues
 	acknowledged        uint8 // bit set of the controllers that have acknowledged the relaxation
-	restarted           uint8 // bit set of the controllers restarted since the first request
+	restarted           uint8 // bit set of the controllers restarted since the first request for the relaxation
 	watermark           bool  // the leader knows that the task's watermark is stored
 	taskLocationUnknown bool  // the task may be on a machine without a heartbeat in this term
 	secondReported      bool  // the second machine has sent a heartbeat in this term
@@ -161,25 +161,25 @@
 // trustsWatermarks reports whether a new leader trusts the watermarks, with or without answers from
 // its peers.
 func (m *failoverModel) trustsWatermarks(i int, peersReached bool, mutant failoverMutant) bool {
-	var remembered []Attestation
+	var attestations []Attestation
 	for k := range m.controllers {
 		c := &m.controllers[k]
 		if k == i || peersReached && !c.withoutWatermarks {
-			remembered = append(remembered, c.observe(Attestation{Term: uint64(m.term)}, mutant))
+			attestations = append(attestations, c.observe(Attestation{Term: uint64(m.term)}, mutant))
 		}
 	}
-	if latest, ok := LatestComplete(remembered); ok {
+	if latest, ok := LatestComplete(attestations); ok {
 		return Trusted(latest, m.changesSince(int8(latest.Term), mutant), uint64(m.term))
 	}
 	const span, maxClockError = 2 * time.Second, time.Second / 10
-	sent := time.Unix(1000, 0)
-	sinceSent := map[startTime]time.Duration{afterSpan: time.Hour, withinSpan: time.Second, beforeAttestation: -time.Second}
+	writtenAt := time.Unix(1000, 0)
+	startAfterWrite := map[startTime]time.Duration{afterSpan: time.Hour, withinSpan: time.Second, beforeAttestation: -time.Second}
 	start := m.controllers[i].started
 	if mutant == trustOldRecord && start == afterSpan || mutant == trustOwnRecord && start == beforeAttestation {
 		start = withinSpan
 	}
-	stored := StoredAttestation{Term: uint64(m.attestation.term), Node: fmt.Sprint(m.attestation.node), AtMS: sent.UnixMilli()}
-	if !stored.StillHolds(fmt.Sprint(i), sent.Add(sinceSent[start]), span, maxClockError) {
+	stored := StoredAttestation{Term: uint64(m.attestation.term), Node: fmt.Sprint(m.attestation.node), AtMS: writtenAt.UnixMilli()}
+	if !stored.StillHolds(fmt.Sprint(i), writtenAt.Add(startAfterWrite[start]), span, maxClockError) {
 		return false
 	}
 	changes := m.changesSince(m.attestation.term, mutant)
@@ -204,14 +204,14 @@
 			continue
 		}
 		if m.holdsKey(i) && !m.storeDown {
-			// Its lease expires.
+			// The leader's lease on the key expires.
 			add(func(n *failoverModel) {
 				n.keyHolder = none
 				n.endTerm(i)
 			})
 		}
 		if c.leading.relaxed || c.leading.relaxing {
-			// Its peers' acknowledgements expire.
+			// The peers' acknowledgements of the relaxation expire.
 			add(func(n *failoverModel) {
 				l := &n.controllers[i].leading
 				l.relaxed, l.relaxing = false, false
@@ -452,7 +452,7 @@
 	if m.attestation.withinSpan {
 		add(func(n *failoverModel) { n.attestation.withinSpan = false })
 	}
-	// The key of an ended process is deleted when its lease expires.
+	// The leader key of an ended process is deleted when the lease on the key expires.
 	if m.keyHolder != none && !m.storeDown && !m.holdsKey(int(m.keyHolder)) {
 		add(func(n *failoverModel) { n.keyHolder = none })
 	}
@@ -512,10 +512,13 @@
 	return m
 }
 
-// maxModelStates bounds the explored states in CI; the search is breadth-first. 20 million cover
-// all states.
+// maxModelStates bounds the states that a breadth-first search explores in CI. With 20 million it
+// covers all states.
 var maxModelStates = flag.Int("states", 150_000, "maximum number of model states to explore")
 
+// No order of the modelled events lets a leader dispatch the task while it is on a machine. The
+// failure arises if a new leader trusts incomplete watermarks and the task's machine has sent no
+// heartbeat.
 func TestTaskIsNeverDispatchedTwice(t *testing.T) {
 	for _, config := range []modelConfig{
 		{events: eventBudget{terms: 3, restarts: 1, taskEnds: 1}},
--- a/internal/watermark/lease_expiry.go
+++ b/internal/watermark/lease_expiry.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// A new leader knows that a machine's tasks are gone once its lease has expired, even if it neither
-// receives a heartbeat from the machine nor returns it to the cloud. The controllers that may have
-// renewed the lease are known: once a term is reconciled, every machine that may hold tasks has
-// acknowledged it, and workers ignore answers from earlier leaders. So only the leaders of that
-// term and of later ones can have renewed a lease. The new leader queries them; if none has
-// answered a worker for the length of a lease, all leases have expired except those that the new
-// leader has renewed itself. This holds because a lease starts when the worker sends the heartbeat,
-// and a later answer of an earlier leader only renews the lease of a worker without tasks.
+// A new leader knows that a machine's tasks are gone once the machine's lease has expired, even if
+// no heartbeat of the machine arrives and the machine is not returned to the cloud. The controllers
+// that may have renewed the lease are known: once a term is reconciled, every machine that may hold
+// tasks has acknowledged the term, and workers ignore answers from earlier leaders. So only the
+// leaders of that term and of later terms can have renewed a lease. The new leader queries these
+// controllers. If none of them has answered a worker for the length of a lease, all leases have
+// expired except those that the new leader has renewed itself. This holds because a lease starts
+// when the worker sends the heartbeat, and a later answer of an earlier leader only renews the
+// lease of a worker without tasks.
 
 // PossibleRenewers returns the sorted names of the controllers that may have renewed leases in
 // terms earlier than the given one. last is the attestation of the latest term known to be
-// reconciled; changes are all acquisitions of the leader key since its revision. ok is false if the
-// controllers are not known.
+// reconciled; changes are all acquisitions of the leader key after its revision. ok is false, and
+// nodes nil, if the controllers are not known.
 func PossibleRenewers(last Attestation, changes []LeaderChange, term uint64) (nodes []string, ok bool) {
 	if !last.Reconciled || last.Node == "" || last.Term >= term {
 		return nil, false
@@ -41,8 +42,8 @@
 }
 
 // LeasesExpired reports whether no renewer has renewed a lease for at least the lease duration.
-// sinceRenewal is a lower bound of the time since the last renewal of each renewer; an unknown one
-// is missing. Without renewers the result is false.
+// sinceRenewal holds, by renewer, a lower bound of the time since its last renewal. The result is
+// false if the bound of any renewer is missing, or if there are no renewers.
 func LeasesExpired(renewers []string, sinceRenewal map[string]time.Duration, lease time.Duration) bool {
 	for _, node := range renewers {
 		since, known := sinceRenewal[node]
--- a/internal/watermark/lease_expiry_model_test.go
+++ b/internal/watermark/lease_expiry_model_test.go
@@ -7,21 +7,21 @@
 )
 
 // leaseModel is a state of a model of lease expiry, explored over every order of events at a small
-// size: three controllers, up to three terms, one machine, and ages in ticks instead of times. A
-// controller acts as the leader until it reads that another one leads, and may answer the worker
-// until then; an answer arrives at most a tick late. Only the holder of the leader key adds a run
-// command, and only after the worker has shown its term. The package's code makes the decisions.
-// Invariant: once a leader assumes that the machine's lease has expired, no task is on the machine
-// until the worker has shown that leader's term.
+// size: three controllers, up to three terms, one machine, and ages in ticks. A controller acts as
+// the leader until it reads that another one leads, and may answer the worker until then; an answer
+// arrives at most a tick late. Only the holder of the leader key adds a run command, and only after
+// the worker has shown its term. The package's code makes the decisions. Invariant: once a leader
+// assumes that the machine's lease has expired, no task is on the machine until the worker has
+// shown that leader's term.
 type leaseModel struct {
 	term          int8            // the latest term
 	leaderOf      [4]int8         // by term, the controller elected
 	believedTerm  [3]int8         // by controller, the term in which it acts as the leader, or 0
-	sinceRenewal  [3]int8         // by controller, the age of the last renewal that it recorded
+	sinceRenewal  [3]int8         // by controller, the age of the last lease renewal that it recorded
 	termAge       int8            // age of the latest term
 	reconciled    int8            // the latest term attested as reconciled
 	fencingToken  int8            // the highest that the worker has seen
-	leaseAge      int8            // age of the last answered heartbeat, since it was sent
+	leaseAge      int8            // ticks since the worker sent the last heartbeat whose answer arrived
 	running       bool            // a task is on the machine
 	expiredInTerm int8            // the term whose leader assumed that the lease has expired
 	reply         heartbeatAnswer // in flight, if any
@@ -104,7 +104,7 @@
 func (s leaseModel) controllerEvents(controller int8, mutant leaseMutant, add func(func(*leaseModel))) {
 	term := s.believedTerm[controller]
 	if term > 0 && !s.reply.inFlight {
-		// It receives and answers the worker's heartbeat.
+		// The controller receives and answers the worker's heartbeat.
 		add(func(n *leaseModel) {
 			n.reply = heartbeatAnswer{from: controller, term: term, inFlight: true, run: term == s.term && s.fencingToken == term}
 			if mutant != renewalRecordedOnArrival {
@@ -113,16 +113,16 @@
 		})
 	}
 	if term > 0 && term < s.term {
-		// It reads that another controller leads.
+		// The controller reads that another one leads.
 		add(func(n *leaseModel) { n.believedTerm[controller] = 0 })
 	}
-	// Its process restarts.
+	// The controller's process restarts.
 	add(func(n *leaseModel) {
 		n.believedTerm[controller] = 0
 		n.sinceRenewal[controller] = 0
 	})
 	if int(s.term) < len(s.leaderOf)-1 {
-		// It is elected.
+		// The controller is elected.
 		add(func(n *leaseModel) {
 			n.term++
 			n.leaderOf[n.term] = controller
@@ -137,9 +137,9 @@
 	if !s.reply.inFlight {
 		return
 	}
-	// It is lost.
+	// The answer is lost.
 	add(func(n *leaseModel) { n.reply = heartbeatAnswer{} })
-	// It arrives.
+	// The answer arrives.
 	add(func(n *leaseModel) {
 		reply := n.reply
 		n.reply = heartbeatAnswer{}
@@ -187,8 +187,8 @@
 	return ok && LeasesExpired(renewers, sinceRenewal, lease)
 }
 
-// exploreLeases explores up to maxStates states breadth-first. It returns how many it has visited
-// and whether one violates the invariant.
+// exploreLeases explores up to maxStates states breadth-first, until one violates the invariant. It
+// returns how many it has visited and whether one does.
 func exploreLeases(mutant leaseMutant, maxStates int) (seen int, violated bool) {
 	start := leaseModel{term: 1, believedTerm: [3]int8{1, 0, 0}, reconciled: 1, fencingToken: 1}
 	known := map[leaseModel]struct{}{start: {}}
@@ -208,10 +208,13 @@
 	return min(len(queue), maxStates), false
 }
 
-// maxLeaseStates is the bound on the explored states of the lease model. The last of the mutants
-// needs a deep search.
+// maxLeaseStates returns the bound on the explored states of the lease model. The last of the
+// mutants is detected only by a deep search.
 func maxLeaseStates() int { return 2 * *maxModelStates }
 
+// No order of the modelled events lets a leader assume that a machine's lease has expired while a
+// task is on the machine. The failure arises if a controller that may have renewed the lease is
+// left out.
 func TestExpiredLeaseMeansNoTask(t *testing.T) {
 	seen, violated := exploreLeases(noLeaseMutant, maxLeaseStates())
 	t.Logf("%d states", seen)
--- a/internal/watermark/mark.go
+++ b/internal/watermark/mark.go
@@ -18,8 +18,8 @@
 // Covers reports whether a task is below the stored watermark and may be dispatched.
 func (m *Mark) Covers(task int) bool { return task < m.Stored }
 
-// Raise requests a watermark above a task of a job with the given number of tasks. It reports
-// whether that exceeds the previous request.
+// Raise requests a watermark above a task of a job with the given number of tasks. It returns false
+// if the previous request already covers the task.
 func (m *Mark) Raise(task, tasks int) bool {
 	if task < m.Requested {
 		return false
