--- a/internal/cancellation/confirmed.go
+++ b/internal/cancellation/confirmed.go
@@ -102,9 +102,9 @@
 	return now.Sub(l.lastConfirmed)
 }
 
-// ConfirmedWithin lists the cancellations confirmed in a span before now, newest first. If they
-// exceed the bounds of a list, or the log does not reach back so far, the list holds the latest
-// ones and has a shorter span.
+// ConfirmedWithin lists the cancellations confirmed in a span before now, newest first. If the
+// cancellations exceed the bounds of a list, or the log does not reach back so far, the list holds
+// the latest ones and has a shorter span.
 func (l *Log) ConfirmedWithin(span time.Duration, now time.Time) ConfirmedList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -8,8 +8,8 @@
 //     a deposed leader fails.
 //   - A term counts as confirmed only until the earliest time at which the lease may expire by the
 //     local clock: the duration counts from the sending of the request, less the clock drift.
-//   - A leader that resigns deletes nothing. No other controller leads before its lease has
-//     expired.
+//   - A leader that resigns deletes nothing. No other controller leads before the lease on the
+//     leader's key has expired.
 package election
 
 import (
@@ -50,7 +50,7 @@
 	confirmedUntil   time.Time          // until when the term's lease is certain to last; zero if term is 0
 	cancelTerm       context.CancelFunc // ends the term being served; nil while none is
 	noCampaignBefore time.Time          // set by Resign
-	lastLeaseID      uint64             // of this process's last term; its key is deleted when the lease expires
+	lastLeaseID      uint64             // of this process's last term; the store deletes the leader key when it expires
 }
 
 // wonTerm is a term that this process has won, with the lease that holds its key.
@@ -158,8 +158,8 @@
 }
 
 // observeHolder records the holder of a leader key that cannot be acquired now. If this incarnation
-// holds it, no process serves that term: either it was resigned, and its lease is left to expire,
-// or a campaign won it without receiving the answer.
+// holds it, no process serves that term: either the term was resigned, and its lease is left to
+// expire, or a campaign of this process won the term without receiving the answer.
 func (e *Election) observeHolder(ctx context.Context, holder records.Leader, record *records.KeyValue) {
 	if holder.Incarnation != e.incarnation {
 		e.setLeader(holder.Node)
@@ -177,6 +177,7 @@
 	}
 }
 
+// campaignBackoff returns how long this process must not campaign yet; 0 or less: it may.
 func (e *Election) campaignBackoff() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fairshare/account.go
+++ b/internal/fairshare/account.go
@@ -1,5 +1,6 @@
 // Package fairshare evaluates the guarantees of teams: which jobs are entitled to their resources,
-// which of them can still start in time, and which machine types have a shortage for them.
+// which entitled jobs can still start in time, and which machine types lack machines for jobs of
+// such teams.
 //
 // The package is pure: no I/O, no clock.
 package fairshare
--- a/internal/finishedtasks/tracker.go
+++ b/internal/finishedtasks/tracker.go
@@ -77,6 +77,7 @@
 // Pages returns the pages of the records.
 func (t *Tracker) Pages() *records.PagedRecords { return t.pages }
 
+// recordsOf returns the state of a job's records, which it creates if there is none.
 func (t *Tracker) recordsOf(job string) *jobRecords {
 	r := t.jobs[job]
 	if r == nil {
@@ -213,6 +214,8 @@
 	}
 }
 
+// markStored adds the finished tasks of a part to the stored tasks of its job, and removes records
+// that are superseded by then.
 func (t *Tracker) markStored(p pendingPart) {
 	chunk, from, to := t.layout.span(p.part, p.job.TaskCount())
 	stored := p.job.StoredTasks()
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -112,8 +112,8 @@
 	return commands
 }
 
-// attempt returns an attempt by its task and number, or nil. A machine has few, so a linear scan is
-// sufficient.
+// attempt returns an attempt by its task and number, or nil. A machine has few attempts, so a
+// linear scan is sufficient.
 func (m *Machine) attempt(task TaskID, number uint64) *Attempt {
 	for _, a := range m.attempts {
 		if a.Number == number && a.Task == task {
--- a/internal/fleet/probe.go
+++ b/internal/fleet/probe.go
@@ -18,7 +18,7 @@
 
 // DueProbes returns the probes that are due, and records them as sent. A machine is probed if its
 // heartbeats lack an attempt that it should have, or if no status of it was applied for more than
-// 1.5 heartbeat intervals and only late ones have come for more than half an interval.
+// 1.5 heartbeat intervals and only late statuses have arrived for more than half an interval.
 func (t *Table) DueProbes(heartbeatInterval time.Duration, now time.Time) []Probe {
 	var probes []Probe
 	for _, m := range t.sorted {
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -26,7 +26,7 @@
 //   - the status answers a direct command,
 //   - the status shows a change that only an answer or a command can cause: this term's fencing
 //     token, or an attempt that was just sent, or
-//   - no attempt was sent that it should show, and it comes through the same controller: a worker
+//   - no attempt was sent that the status should list, and it comes through the same controller: a worker
 //     stays with the controller that answered it.
 //
 // A heartbeat shows that the worker stayed with its controller if it has the next sequence number, or
--- a/internal/fleet/staleness.go
+++ b/internal/fleet/staleness.go
@@ -89,7 +89,7 @@
 
 // predatesTerm reports whether a heartbeat of a reconciled machine was sent before its worker
 // received this term's fencing token. The worker may have been unreachable during several
-// incarnations. Late copies from then may arrive after its current status, have a higher
+// incarnations. Late copies from then may arrive after the worker's current status, have a higher
 // incarnation, and lack the attempt that was just sent.
 func (m *Machine) predatesTerm(hb *Heartbeat, term uint64) bool {
 	return m.Reconciled && hb.FencingToken < term
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -186,6 +186,7 @@
 	}
 }
 
+// forget forgets an attempt of a machine, and adds it to Lost unless it has ended.
 func (o *ApplyResult) forget(m *Machine, a *Attempt) {
 	m.Forget(a)
 	o.Changed = true
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -24,13 +24,15 @@
 	lastReportedAt time.Time            // when a job was last reported as cancelled
 }
 
+// contains reports whether a job is known as cancelled. The caller must hold the lock of state.
 func (c *cancelledJobs) contains(job string) bool {
 	_, ok := c.deliveredBy[job]
 	return ok
 }
 
 // dropWatched drops all jobs if the watch was requested at askedAt after the last report: the
-// answer to the watch then includes all of these cancellations.
+// answer to the watch then includes all of these cancellations. The caller must hold the lock of
+// state.
 func (c *cancelledJobs) dropWatched(askedAt time.Time) {
 	if askedAt.After(c.lastReportedAt) {
 		c.deliveredBy = nil
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -31,6 +31,7 @@
 	}
 }
 
+// sendUrgent sends commands to workers in the background, and reconciles the statuses in the answers.
 func (c *commandLoop) sendUrgent(commands []scheduler.UrgentCommands) {
 	for _, command := range commands {
 		c.workers.Go(func() {
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -80,6 +80,7 @@
 	return l.loadPrefix(ctx, records.PrefixWatermarks, persistence.LoadWatermarkPage)
 }
 
+// loadPrefix calls load with each record under a prefix.
 func (l *Leader) loadPrefix(ctx context.Context, prefix string, load func(records.KeyValue)) error {
 	_, err := l.store.List(ctx, prefix, func(record records.KeyValue) error {
 		load(record)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -39,7 +39,7 @@
 	"drumpick/internal/workers"
 )
 
-// Store is the part of the consensus-backed store that a leader needs.
+// Store is the part of the consensus-backed store that a leader needs. Package store implements it.
 type Store interface {
 	Get(ctx context.Context, key string) (*records.KeyValue, error)
 	List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error)
@@ -50,7 +50,8 @@
 	FailedSince(t time.Time) bool
 }
 
-// Cloud is the provider that machines are rented from.
+// Cloud is the provider that machines are rented from. Rent returns the names of the machines
+// granted, which may be fewer than requested.
 type Cloud interface {
 	Types(ctx context.Context) ([]records.MachineType, error)
 	Rent(ctx context.Context, request autoscaler.RentalRequest) ([]string, error)
@@ -165,7 +166,7 @@
 // term is the state that the loops of one term share.
 type term struct {
 	number    uint64
-	startedAt time.Time
+	startedAt time.Time // when this process prepared the term, after it had won it
 	cfg       *config.Config
 	settings  scheduler.Settings
 	store     Store
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -92,6 +92,7 @@
 	c.soleLeaderUntil = until
 }
 
+// soleLeader reports whether no peer can lead now.
 func (c *storeContact) soleLeader() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/packing/resources.go
+++ b/internal/packing/resources.go
@@ -34,6 +34,7 @@
 // cannotFit is a share that exceeds any bin's capacity.
 const cannotFit = 2
 
+// ratio returns the share that a request takes of a capacity, or cannotFit if there is no capacity.
 func ratio(request, capacity float64) float64 {
 	switch {
 	case request <= 0:
--- a/internal/records/keyvalue.go
+++ b/internal/records/keyvalue.go
@@ -2,7 +2,8 @@
 
 import "encoding/json"
 
-// KeyValue is a key with its value and the revision of its last change.
+// KeyValue is a key with its value, the revision of its last change, and the lease that it is
+// attached to (0: none).
 type KeyValue struct {
 	Key      string          `json:"k"`
 	Value    json.RawMessage `json:"value"`
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -1,7 +1,7 @@
 // Package reservation decides when and where capacity is reserved for a gang or other large job.
-// Without a reservation a gang starves: its places never become free all at once, as small jobs
-// take each one that does. Once a job has waited for a share of the bound on its wait, it is
-// assigned a zone, and places that become free there are reserved for it until it starts.
+// Without a reservation a gang starves: its places never become free all at once because small jobs
+// take each place that becomes free. Once a job has waited for a share of the bound on its wait, it
+// is assigned a zone, and places that become free there are reserved for it until it starts.
 //
 // The package is pure: no I/O, no clock.
 package reservation
--- a/internal/watermark/failover_model_test.go
+++ b/internal/watermark/failover_model_test.go
@@ -67,7 +67,8 @@
 type controller struct {
 	withoutWatermarks bool // its version does not support watermarks
 	started           startTime
-	// The latest attestation that its observer has recorded, and the lowest term that it accepts.
+	// The latest attestation that the controller's observer has recorded, and the lowest term that
+	// the observer accepts.
 	observedTerm, observedSeq int8
 	observedComplete          bool
 	minTerm                   int8
@@ -116,6 +117,7 @@
 	trustOwnRecord        failoverMutant = "a process trusts its own stored attestation"
 )
 
+// observer returns an Observer with the state that the controller has recorded.
 func (c *controller) observer() *Observer {
 	latest := Attestation{
 		Term: uint64(c.observedTerm), Seq: uint64(c.observedSeq), Complete: c.observedComplete, Revision: uint64(c.observedTerm),
@@ -270,6 +272,7 @@
 	}
 }
 
+// elect makes a controller the leader of a new term, with or without answers from its peers.
 func (m *failoverModel) elect(i int, peersReached bool, mutant failoverMutant) {
 	c := &m.controllers[i]
 	m.term++
@@ -390,7 +393,8 @@
 	}
 }
 
-// watermarkEvents adds the states after a leader makes its watermarks complete again.
+// watermarkEvents adds the states after a leader stores the task's watermark, or makes its
+// watermarks complete again.
 func (m *failoverModel) watermarkEvents(i int, add func(func(*failoverModel))) {
 	l := m.controllers[i].leading
 	if m.storesWatermarks(i) && !l.watermarksComplete && l.secondReported && l.covered() {
@@ -415,6 +419,9 @@
 	}
 }
 
+// requestRelaxation makes a leader ask another controller to acknowledge that its watermarks are
+// relaxed, and relaxes them once all have acknowledged and no stored attestation of the term is
+// within its span.
 func (m *failoverModel) requestRelaxation(i, other int, mutant failoverMutant) {
 	a := m.attest(i, false, mutant)
 	l := &m.controllers[i].leading
