--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,8 +1,8 @@
 // Package cloud is the client of the cloud API, which rents machines by the second to scale out
 // and takes them back to scale in.
 //
-// Its errors are those of package autoscaler, which decides by them. The cloud's protocol names
-// appear only in paths and struct tags.
+// Its errors are those of package autoscaler, which decides by them whether to retry. The names in the
+// cloud's protocol appear only in paths and struct tags.
 package cloud
 
 import (
@@ -28,9 +28,9 @@
 	rentalShare  = 0.5
 	// maxConnections bounds the connections to the cloud.
 	maxConnections = 8
-	// pageSize is the maximum number of machines in a page of a list.
+	// pageSize is the maximum number of machines in a page of the list of machines.
 	pageSize = 500
-	// noCapacity is the cloud's error text if no machine of the type is available.
+	// noCapacity is the cloud's error text if no machine of the requested type is available.
 	noCapacity = "no capacity"
 )
 
@@ -39,12 +39,12 @@
 	http     *httpclient.Client
 	requests *rate.Limiter // for all calls
 	rentals  *rate.Limiter // for rentals, in addition
-	timeout  time.Duration
+	timeout  time.Duration // of a call, without the wait for the rate limits
 }
 
-// NewClient returns a client that uses a share of the cloud's rate limit, in requests per second.
-// Rentals have a smaller share: they are retried while the cloud rejects them, and lists and
-// returns, on which a failover waits, must not queue behind them.
+// NewClient returns a client that uses a share of rps, the cloud's rate limit in requests per second.
+// Rentals have a smaller share: they are retried while the cloud rejects them, and lists and returns
+// must not queue behind rentals because a failover waits for lists and returns.
 func NewClient(addr string, rps float64, timeout time.Duration) *Client {
 	return &Client{
 		http:     httpclient.New(addr, maxConnections, timeout/2),
@@ -54,8 +54,8 @@
 	}
 }
 
-// newLimiter returns a limiter for rps requests per second. Its bursts are the requests of one second,
-// at least one.
+// newLimiter returns a limiter for rps requests per second. A burst is at most the requests of one
+// second, or one request if rps is lower than 1.
 func newLimiter(rps float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(rps), max(int(rps), 1)) }
 
 // Bodies of requests and responses.
@@ -75,7 +75,8 @@
 	}
 )
 
-// call sends a request and decodes the response body into out, unless out is nil.
+// call waits for the rate limit, sends a request, and decodes the response body into out, unless out is
+// nil.
 func (c *Client) call(ctx context.Context, method, uri string, body, out any) error {
 	if err := c.requests.Wait(ctx); err != nil {
 		return err
@@ -123,7 +124,7 @@
 	return response.Types, nil
 }
 
-// Rent requests machines and returns the names of those rented, at most request.Count.
+// Rent rents machines and returns their names, at most request.Count.
 func (c *Client) Rent(ctx context.Context, request autoscaler.RentalRequest) ([]string, error) {
 	if err := c.rentals.Wait(ctx); err != nil {
 		return nil, err
@@ -133,13 +134,13 @@
 	return response.Machines, err
 }
 
-// Return returns machines to the cloud. If it succeeds, the machines are gone, with everything on
-// them.
+// Return returns machines to the cloud. Once it succeeds, the machines no longer exist, nor do the tasks
+// and data on them.
 func (c *Client) Return(ctx context.Context, machines []string) error {
 	return c.call(ctx, http.MethodPost, "/machines/return", returnRequest{Machines: machines}, nil)
 }
 
-// List returns all rented machines.
+// List returns all rented machines, page by page.
 func (c *Client) List(ctx context.Context) ([]autoscaler.CloudMachine, error) {
 	var all []autoscaler.CloudMachine
 	cursor := ""
--- a/internal/config/error.go
+++ b/internal/config/error.go
@@ -2,20 +2,21 @@
 
 import "fmt"
 
-// Error reports a setting or an option that is missing, malformed or out of range. The errors of Load,
-// Parse and LoadOptions wrap it, for callers that need the key.
+// Error reports a setting or an option that is missing, malformed or out of range. For callers that need
+// the key, the errors of Load, Parse and LoadOptions about such a value wrap an Error.
 type Error struct {
-	// Key is the key of a setting, such as "facts.workers.lease_s", or "section.key" of an option.
+	// Key is the key of a setting, such as "facts.workers.lease_s", or the "section.key" of an option;
+	// "" if the file itself is malformed.
 	Key string
 	// Message describes the error in one line that names the key.
 	Message string
-	// Err is the parser's error, nil if the value could be parsed.
+	// Err is the TOML decoder's error, nil if there is none.
 	Err error
 }
 
 func (e *Error) Error() string { return e.Message }
 
-// Unwrap returns the error of the parser, if any.
+// Unwrap returns the decoder's error, nil if there is none.
 func (e *Error) Unwrap() error { return e.Err }
 
 // invalid returns an Error for a key. The format must name the key.
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads and validates a settings file.
+// Load reads and validates a settings file. The options are the defaults.
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -22,7 +22,7 @@
 	return c, nil
 }
 
-// Parse reads and validates settings from text. The options are the defaults.
+// Parse decodes and validates the text of a settings file. The options are the defaults.
 func Parse(raw []byte) (*Config, error) {
 	c := &Config{Options: DefaultOptions()}
 	if err := toml.Unmarshal(raw, c); err != nil {
@@ -34,7 +34,7 @@
 	return c, nil
 }
 
-// decodeError adds the position and the key to a decoder's error, whose text lacks them.
+// decodeError adds the position and the key to the error of the TOML decoder, whose text lacks both.
 func decodeError(err error) error {
 	var decode *toml.DecodeError
 	if !errors.As(err, &decode) {
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -6,32 +6,35 @@
 	"gopkg.in/ini.v1"
 )
 
-// Options are the settings of operators (INI). All but BeginWithinS are factors, counts or switches, so
-// that one file suits deployments of any size.
+// Options are the settings of operators (INI). All but BeginWithinS are factors, counts, percentages or
+// switches, so that one file suits deployments of any size.
 type Options struct {
 	// RoundIntervals is the length of a scheduling round, in heartbeat intervals.
 	RoundIntervals float64
-	// ForecastAlphaUp is the smoothing factor of the FUSD forecast while use rises, -1 to 0.
+	// ForecastAlphaUp is the smoothing factor of the FUSD forecast (package forecast) while a
+	// machine's utilization rises, -1 to 0.
 	ForecastAlphaUp float64
-	// ForecastAlphaDown is the smoothing factor of the FUSD forecast while use falls, 0 to 1.
+	// ForecastAlphaDown is the smoothing factor of the FUSD forecast while a machine's utilization
+	// falls, 0 to 0.999.
 	ForecastAlphaDown float64
 	// ForecastWindow is the number of heartbeats in the window of the FUSD forecast.
 	ForecastWindow int
-	// ForecastPercentile is the percentile of the window that is taken as observed use, 1 to 100.
+	// ForecastPercentile is the percentile of the window that counts as the observed utilization, 1 to 100.
 	ForecastPercentile float64
 	// LeaderLeaseIntervals is the duration of the leader's lease, in heartbeat intervals.
 	LeaderLeaseIntervals float64
-	// IdleStartups is how long an idle machine is kept, in startup times of its type.
+	// IdleStartups is how long an idle machine is kept, in startup times of the machine's type.
 	IdleStartups float64
-	// CapacityBackoffStartups is the backoff after the cloud had no capacity, in startup times.
+	// CapacityBackoffStartups is the backoff after the cloud had no capacity for a machine type, in
+	// startup times of the type.
 	CapacityBackoffStartups float64
 	// OperatorAPI serves the operators' API in addition to the users' API.
 	OperatorAPI bool
-	// Watermarks stores up to which task jobs have been dispatched, so that a new leader need not wait
-	// for all machines before it dispatches the other tasks.
+	// Watermarks stores, for each job, a task index that no dispatched task has reached. A new leader
+	// dispatches the tasks from there on without waiting for heartbeats of all machines.
 	Watermarks bool
-	// LeaseExpiryProofs lets a new leader conclude that the leases of silent machines have expired, by
-	// asking the controllers that may have renewed them. It requires Watermarks.
+	// LeaseExpiryProofs lets a new leader conclude that the leases of silent machines have expired: it
+	// asks the controllers that may have renewed these leases. It requires Watermarks.
 	LeaseExpiryProofs bool
 	// HeartbeatRelay lets followers relay workers' heartbeats to the leader in batches.
 	HeartbeatRelay bool
@@ -40,12 +43,12 @@
 	// Guarantees prioritizes tasks within a team's guarantee that can still start in time, and preempts
 	// other tasks for them.
 	Guarantees bool
-	// Reservations reserves capacity for gangs and other jobs that need much of it at once.
+	// Reservations reserves capacity for gangs and other jobs that need much capacity at once.
 	Reservations bool
 	// BeginWithinS is the time in seconds within which any job should start, if there is capacity for it.
 	BeginWithinS float64
-	// ZoneHealth lets the scheduler wait for the machines of an unreachable zone instead of declaring
-	// them lost.
+	// ZoneHealth lets the scheduler wait for the machines of an unreachable zone instead of returning
+	// them and starting their tasks elsewhere.
 	ZoneHealth bool
 }
 
@@ -57,7 +60,7 @@
 	}
 }
 
-// optionKey is the section and the name of a key in the INI file.
+// optionKey identifies a key in the INI file by its section and name.
 type optionKey struct{ section, name string }
 
 // invalid returns an Error for a key of the INI file.
@@ -65,14 +68,14 @@
 	return invalid(k.section+"."+k.name, "[%s] %s %s", k.section, k.name, fmt.Sprintf(format, args...))
 }
 
-// numberOption is a numeric option with its range.
+// numberOption is a numeric option with its key, the field that it sets, and its range, inclusive.
 type numberOption struct {
 	optionKey
 	value    *float64
 	min, max float64
 }
 
-// switchOption is an option that is on or off.
+// switchOption is an option that is on or off, with its key and the field that it sets.
 type switchOption struct {
 	optionKey
 	value *bool
@@ -109,7 +112,7 @@
 	}
 }
 
-// LoadOptions reads the operators' INI file. Options that it does not set keep their defaults; an
+// LoadOptions reads the operators' INI file. Options that the file does not set keep their defaults; an
 // unknown key is an error.
 func LoadOptions(path string) (Options, error) {
 	o := DefaultOptions()
@@ -132,7 +135,7 @@
 			continue
 		}
 		v, err := section.Key(option.name).Float64()
-		if err != nil || !(v >= option.min && v <= option.max) { // NaN is in no range
+		if err != nil || !(v >= option.min && v <= option.max) { // the negation rejects NaN
 			return option.invalid("must be a number from %v to %v", option.min, option.max)
 		}
 		*option.value = v
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -6,7 +6,7 @@
 )
 
 // Timing holds timeouts of calls and durations of leases. The timeouts and the leader's lease are
-// multiples of the heartbeat interval, with upper bounds where users or workers wait.
+// multiples of the heartbeat interval; timeouts of calls for which users or workers wait are bounded.
 type Timing struct {
 	HeartbeatInterval   time.Duration // interval between a worker's heartbeats
 	LeaderLease         time.Duration // duration of the leader's lease
@@ -14,10 +14,10 @@
 	PeerTimeout         time.Duration // timeout of a call to another controller
 	CloudTimeout        time.Duration // timeout of a call to the cloud's API
 	WorkerTimeout       time.Duration // timeout of a direct command to a worker
-	RenewalWithoutStore time.Duration // how long a leader without contact to the store renews workers' leases
+	RenewalWithoutStore time.Duration // how long a leader that cannot reach the store goes on renewing workers' leases
 }
 
-// Timing derives the timing from the settings.
+// Timing derives the timing from the settings and options.
 func (c *Config) Timing() Timing {
 	interval, workers := c.HeartbeatInterval(), c.Deployment.Workers
 	return Timing{
@@ -32,16 +32,16 @@
 }
 
 const (
-	// slowStoreCall is the duration of an occasional slow call to the key-value store.
+	// slowStoreCall is how long a call to the key-value store occasionally takes.
 	slowStoreCall = 300 * time.Millisecond
-	// lostHeartbeatDelay is the timeout of a worker's heartbeat plus the delay before it tries the
-	// next controller.
+	// lostHeartbeatDelay is the timeout of a worker's heartbeat plus the delay before the worker tries
+	// the next controller.
 	lostHeartbeatDelay = 5 * time.Second
 )
 
-// Warnings lists combinations of settings that are each in range but do not fit together: no safety
-// rule is violated, but work is lost or an objective is missed without need. Without the warnings,
-// this would first show in an outage.
+// Warnings returns a message for each combination of settings that are in range but do not fit together:
+// no safety rule is violated, but work is lost or an objective is missed without need. Without the
+// warnings, such a combination would first show in an outage.
 func (c *Config) Warnings() []string {
 	timing, workers := c.Timing(), c.Deployment.Workers
 	lease := Seconds(workers.LeaseS)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,7 +6,7 @@
 	"net"
 )
 
-// validate checks all settings, and sets the number of controllers if it is not set.
+// validate returns the error of the first invalid setting, and sets Deployment.Nodes if it is not set.
 func (c *Config) validate() error {
 	if c.Node == "" {
 		return missing("node_name")
@@ -76,7 +76,7 @@
 	return d.validateTeams()
 }
 
-// numberSetting is a numeric setting with its range.
+// numberSetting is a numeric setting with its key, value and range, inclusive.
 type numberSetting struct {
 	key      string
 	value    float64
@@ -126,7 +126,8 @@
 }
 
 // validate checks that the intervals are consistent: a lease must be longer than the interval of the
-// heartbeats that renew it, and leases must be able to expire within the time of a cancellation.
+// heartbeats that renew it, and shorter than the time within which all tasks of a cancelled job must
+// end, so that leases can expire within that time.
 func (w Workers) validate() error {
 	if w.LeaseS <= w.HeartbeatS {
 		return invalid("facts.workers.lease_s",
--- a/internal/ctxtime/ctxtime.go
+++ b/internal/ctxtime/ctxtime.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d. If ctx ends first, it returns early with the error of ctx.
+// Sleep waits for d and returns nil. If ctx ends first, it returns the error of ctx at once.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -2,8 +2,9 @@
 // cancelled because a dependency was cancelled, and the priority and deadlines that a job inherits
 // from its dependents. It is pure: no I/O, no clock.
 //
-// A job that is done or cancelled is removed once no open job depends on it. A dependency with an
-// unknown state blocks its dependents until the owner of the graph has read its state.
+// A job that is done or cancelled is removed once no open job depends on it. A dependency in state
+// Unknown blocks its dependents until the owner of the graph has read its record from the store and
+// called Add or SetFinal.
 package dependency
 
 import (
@@ -18,29 +19,29 @@
 // States. Done and Cancelled are final and recorded in the store.
 const (
 	Unknown   State = iota // not known or not read yet; no dependent may start
-	Open                   // accepted, and neither done nor cancelled
+	Open                   // accepted, neither done nor cancelled
 	Done                   // all its tasks have succeeded
-	Cancelled              // by a user, or because a dependency was cancelled
+	Cancelled              // cancelled by a user, or because a dependency was cancelled
 )
 
 // Job is an open job.
 type Job struct {
 	ID           string
 	Dependencies []string      // ids of the jobs that must be done first
-	Rank         int           // rank of its own priority; 0 is the highest
-	Deadline     time.Time     // when it should be done; zero: none
-	LatestEnd    time.Time     // when it should be done at the very latest; zero: none
-	Estimate     time.Duration // estimated time from its release to its end
+	Rank         int           // rank of its priority; 0 is the highest
+	Deadline     time.Time     // when the job should be done; zero: none
+	LatestEnd    time.Time     // when the job should be done at the very latest; zero: none
+	Estimate     time.Duration // estimated time from the end of its last dependency to its own end
 }
 
-// Precedence is the urgency of a job, its own or with that inherited from its dependents. The fields
-// mean the same as those of Job.
+// Precedence is the urgency of a job, with or without what the job inherits from its dependents. The
+// fields mean the same as those of Job.
 type Precedence struct {
 	Rank                int
 	Deadline, LatestEnd time.Time
 }
 
-// precedence returns the job's own precedence.
+// precedence returns the job's precedence without what it inherits from its dependents.
 func (j *Job) precedence() Precedence {
 	return Precedence{Rank: j.Rank, Deadline: j.Deadline, LatestEnd: j.LatestEnd}
 }
@@ -51,18 +52,18 @@
 	state        State
 	toCancel     bool      // open and to be cancelled because a dependency was cancelled
 	blocked      bool      // open and waiting for a dependency
-	doneAt       time.Time // zero: unknown
-	revision     uint64    // store revision of its final state; 0: unknown
+	doneAt       time.Time // when the job was done; zero: unknown
+	revision     uint64    // store revision of the record of its final state; 0: unknown
 	dependencies []*node
 	dependents   []*node    // open jobs that depend on it
-	precedence   Precedence // of an open job, including that inherited from its dependents
+	precedence   Precedence // of an open job, including what it inherits from its dependents
 }
 
 // Graph holds the open jobs and their dependencies. It is not safe for concurrent use.
 type Graph struct {
 	nodes    map[string]*node
 	unknown  map[string]bool // see UnknownJobs
-	toCancel []string        // see ToCancel; may include jobs closed since
+	toCancel []string        // see ToCancel; may include jobs that are no longer open
 	changed  map[string]bool // see Changed
 }
 
@@ -81,8 +82,8 @@
 	return n
 }
 
-// Add adds an open job. It does nothing if the job is known already. Dependencies were accepted
-// before the job that names them, so there are no cycles.
+// Add adds an open job. It does nothing if the job is already open, done or cancelled. A dependency is
+// accepted before any job that names it, so there are no cycles.
 func (g *Graph) Add(job Job) {
 	n := g.node(job.ID)
 	if n.state != Unknown || n.dependencies != nil {
@@ -101,7 +102,7 @@
 	n.precedence = job.precedence()
 	n.blocked = n.hasUnfinishedDependency()
 	g.changed[job.ID] = true
-	for _, dependent := range n.dependents { // added before the job itself
+	for _, dependent := range n.dependents { // these were added before this job
 		g.updateBlocked(dependent)
 	}
 	g.propagatePrecedence(n)
@@ -124,9 +125,9 @@
 	}
 }
 
-// SetFinal sets the final state of a job, Done or Cancelled, once the store has recorded it. doneAt is
-// when it was done; zero if unknown. revision is the store revision of the record; it determines
-// EarliestStartRevision of the dependents.
+// SetFinal sets the final state of a job, Done or Cancelled, once the store has recorded it. Only the
+// first call for a job has an effect. doneAt is when the job was done; zero if unknown. revision is the
+// store revision of the record; it determines EarliestStartRevision of the dependents.
 func (g *Graph) SetFinal(id string, state State, doneAt time.Time, revision uint64) {
 	n := g.nodes[id]
 	if n == nil || n.state == Done || n.state == Cancelled {
@@ -143,7 +144,8 @@
 	}
 }
 
-// unlink removes a job that is no longer open from the dependents of its dependencies.
+// unlink removes a job that is no longer open from the dependents of its dependencies, recomputes their
+// precedence, and removes the nodes that are no longer needed.
 func (g *Graph) unlink(n *node) {
 	for _, dependency := range n.dependencies {
 		if i := slices.Index(dependency.dependents, n); i >= 0 {
@@ -168,12 +170,12 @@
 	}
 }
 
-// hasUnfinishedDependency reports whether any dependency is in a state other than Done.
+// hasUnfinishedDependency reports whether any direct dependency is in a state other than Done.
 func (n *node) hasUnfinishedDependency() bool {
 	return slices.ContainsFunc(n.dependencies, func(dependency *node) bool { return dependency.state != Done })
 }
 
-// updateBlocked recomputes whether a job is blocked and records a change.
+// updateBlocked recomputes whether a job is blocked, and marks the job as changed if that differs.
 func (g *Graph) updateBlocked(n *node) {
 	if blocked := n.hasUnfinishedDependency(); blocked != n.blocked {
 		n.blocked = blocked
@@ -182,7 +184,7 @@
 }
 
 // cancelWithDependents marks a job and all its direct and indirect dependents as to be cancelled, in
-// breadth-first order.
+// breadth-first order. It skips jobs that are not open or already marked.
 func (g *Graph) cancelWithDependents(first *node) {
 	for queue := []*node{first}; len(queue) > 0; queue = queue[1:] {
 		n := queue[0]
@@ -195,7 +197,7 @@
 	}
 }
 
-// earliest returns the earlier of two times; zero means no time.
+// earliest returns the earlier of two times. A zero time means none: the other one is returned.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -234,14 +236,15 @@
 	}
 }
 
-// Blocked reports whether a job has a dependency in a state other than Done.
+// Blocked reports whether a job has a direct dependency in a state other than Done. It is false for a
+// job that is not in the graph.
 func (g *Graph) Blocked(id string) bool {
 	n := g.nodes[id]
 	return n != nil && n.hasUnfinishedDependency()
 }
 
-// ReleasedAt returns when the last dependency of a job was done, as far as known; zero if no such
-// time is known.
+// ReleasedAt returns the latest known time at which a dependency of a job was done; zero if none is
+// known.
 func (g *Graph) ReleasedAt(id string) time.Time {
 	var last time.Time
 	if n := g.nodes[id]; n != nil {
@@ -255,7 +258,7 @@
 }
 
 // EarliestStartRevision returns the store revision before which a job cannot have been started: the
-// highest one at which a dependency was stored as done, as far as known.
+// highest known revision at which a dependency was stored as done; 0 if none is known.
 func (g *Graph) EarliestStartRevision(id string) uint64 {
 	last := uint64(0)
 	if n := g.nodes[id]; n != nil {
@@ -266,7 +269,8 @@
 	return last
 }
 
-// Precedence returns the precedence of an open job, including that inherited from its dependents.
+// Precedence returns the precedence of an open job, including what it inherits from its dependents; the
+// zero value for a job that is not in the graph.
 func (g *Graph) Precedence(id string) Precedence {
 	if n := g.nodes[id]; n != nil {
 		return n.precedence
@@ -274,8 +278,9 @@
 	return Precedence{}
 }
 
-// DependenciesClear reports whether no direct or indirect dependency of an open job is cancelled or
-// unknown. All dependencies of a job that is done are done.
+// DependenciesClear reports whether a job is open and none of its direct and indirect dependencies is
+// cancelled, to be cancelled or unknown. It does not check the dependencies of a job that is done: all
+// of them are done, too.
 func (g *Graph) DependenciesClear(id string) bool {
 	n := g.nodes[id]
 	if n == nil || n.state != Open || n.toCancel {
@@ -312,8 +317,8 @@
 	return slices.Clone(g.toCancel)
 }
 
-// Changed returns the ids of the jobs that became blocked or released, or whose precedence changed,
-// since its last call, sorted.
+// Changed returns the sorted ids of the jobs that were added, became blocked or released, or changed
+// their precedence since the last call of Changed; nil if there are none.
 func (g *Graph) Changed() []string {
 	if len(g.changed) == 0 {
 		return nil
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -23,12 +23,13 @@
 // Client calls one address. It is safe for concurrent use.
 type Client struct {
 	host *fasthttp.HostClient
-	// ClosePerCall closes the connection after each call. It is meant for more addresses than
-	// there are sockets, each called rarely, and must be set before the first call.
+	// ClosePerCall closes the connection after each call. Without it, the clients of many rarely
+	// called addresses would keep more connections open than there are sockets. It must be set
+	// before the first call.
 	ClosePerCall bool
 }
 
-// New returns a client of an address with at most maxConns connections, each opened within
+// New returns a client of addr, a host:port, with at most maxConns connections, each opened within
 // dialTimeout. The client never retries a request: only the caller can decide whether a commit or
 // a rental may be repeated.
 func New(addr string, maxConns int, dialTimeout time.Duration) *Client {
@@ -49,7 +50,7 @@
 
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// Addr returns the address that the client calls.
+// Addr returns the address that the client calls, as host:port.
 func (c *Client) Addr() string { return c.host.Addr }
 
 // Close closes idle connections.
@@ -63,7 +64,8 @@
 }
 
 // Do sends a request, with a body unless it is nil, and returns the status and body of the
-// response.
+// response, whatever the status. An error means that no complete response arrived by the deadline;
+// the server may have executed the request.
 func (c *Client) Do(method, uri, contentType string, body []byte, deadline time.Time) (int, []byte, error) {
 	response, err := c.DoResponse(method, uri, contentType, body, deadline)
 	return response.Status, response.Body, err
@@ -102,7 +104,8 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// DoJSON is like Do and encodes the body as JSON, unless it is nil.
+// DoJSON is like Do and encodes the body as JSON, unless it is nil. If it cannot be encoded, DoJSON
+// returns the error and sends no request.
 func (c *Client) DoJSON(method, uri string, body any, deadline time.Time) (int, []byte, error) {
 	var raw []byte
 	if body != nil {
--- a/internal/operator/drain_plan.go
+++ b/internal/operator/drain_plan.go
@@ -10,15 +10,15 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// tasksPerPage is the number of tasks in a page of a plan, which keeps it below 64 KiB. Further tasks
-// follow in further pages; the totals cover all tasks.
+// tasksPerPage is the maximum number of tasks in a page of a plan, which keeps the page below the limit
+// of 64 KiB. Further tasks follow in further pages; the totals in each page cover all tasks.
 const tasksPerPage = 250
 
-// statusDrainUnread is the status of a leader's reply to another controller if the leader has not read
-// a stored drain that it has to consider for the plan.
+// statusDrainUnread is the status of the leader's reply to a plan request if the leader has not yet read
+// a stored drain that the plan must take into account.
 const statusDrainUnread = fiber.StatusTooEarly
 
-// planDrain returns the leader's plan of a drain.
+// planDrain returns the leader's reply to a plan request: the plan of the drain, or an error response.
 func (s *Server) planDrain(in drainRequest) peer.RelayReply {
 	raw, err := json.Marshal(in)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return s.AskLeader(peer.RelayRequest{Method: methodPlanDrain, Body: raw})
 }
 
-// planDrainAsLeader returns the plan of a drain, as the leader.
+// planDrainAsLeader handles a plan request as the leader; body is an encoded drainRequest.
 func planDrainAsLeader(l Leader, body []byte) peer.RelayReply {
 	var in drainRequest
 	if err := json.Unmarshal(body, &in); err != nil {
--- a/internal/operator/drain_request.go
+++ b/internal/operator/drain_request.go
@@ -10,23 +10,23 @@
 	"drumpick/internal/records"
 )
 
-// drainRequest is an operator's request for a drain or for its plan.
+// drainRequest is an operator's request to start a drain or to plan it.
 type drainRequest struct {
 	drain.Spec
-	// Force starts the drain even if it leaves no machine for some jobs.
+	// Force starts the drain even if the drain leaves no machine for some jobs.
 	Force bool `json:"force,omitempty"`
-	// Since is the last machine of the previous page of a plan.
+	// Since is the name of the last machine in the previous page of the plan, "" for the first page.
 	Since string `json:"since,omitempty"`
-	// Seen are the ids of the stored drains. A leader that has not read all of them cannot decide
-	// whether they and the new drain leave enough machines.
+	// Seen holds the ids of the stored drains. A leader that has not read all of these drains cannot
+	// decide whether they and the new drain together leave enough machines.
 	Seen []string `json:"seen,omitempty"`
 }
 
-// maxSpecBytes bounds a drain's record if the store accepts larger values. The request for the drain,
-// and the relayed request with the ids of all stored drains, must each fit the limit of 64 KiB.
+// maxSpecBytes bounds a drain's record even if the store accepts larger values. The operator's request,
+// and the request to the leader with the ids of all stored drains, must each fit the limit of 64 KiB.
 const maxSpecBytes = 48 << 10
 
-// parseRequest decodes and checks a request; reason is what is wrong with it, "" if nothing.
+// parseRequest decodes and checks a drainRequest; reason says what is wrong with it, "" if it is valid.
 func (s *Server) parseRequest(body []byte) (in drainRequest, reason string) {
 	if err := json.Unmarshal(body, &in); err != nil {
 		var typeErr *json.UnmarshalTypeError
@@ -42,10 +42,10 @@
 	return in, s.tooLargeReason(in.Spec)
 }
 
-// tooLargeReason returns why a drain exceeds the limit on its record, "" if it fits.
+// tooLargeReason returns why a drain's record would exceed its size limit, "" if it does not.
 func (s *Server) tooLargeReason(spec drain.Spec) string {
 	limit := min(s.maxValueBytes, maxSpecBytes)
-	// The record grows when the drain is stopped; without this, a drain could fit that cannot be stopped.
+	// Stopping a drain makes its record larger; without this, a drain could be stored that cannot be stopped.
 	spec.Stopped = true
 	size := records.EncodedSize(spec)
 	if size <= limit {
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -45,7 +45,7 @@
 	})
 }
 
-// withTimeout calls handle with a context that ends after the server's timeout.
+// withTimeout returns the reply of handle, called with a context that ends after the server's timeout.
 func (s *Server) withTimeout(handle func(context.Context) peer.RelayReply) peer.RelayReply {
 	ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 	defer cancel()
@@ -60,8 +60,8 @@
 	return errorResponse(fiber.StatusConflict, "its record is unreadable: "+err.Error())
 }
 
-// startDrain stores a drain if the leader's plan allows it. The request is idempotent: repeated with
-// the same id, it returns the stored drain.
+// startDrain stores a drain if the leader can plan it. The request is idempotent: a repeated request
+// returns the stored drain.
 func (s *Server) startDrain(ctx context.Context, body []byte) peer.RelayReply {
 	in, reason := s.parseRequest(body)
 	if reason != "" {
@@ -74,8 +74,8 @@
 	}
 }
 
-// tryStartDrain makes one attempt to plan and store a drain. done is false if it has to be retried,
-// since other drains were stored concurrently or the leader has not read all stored drains.
+// tryStartDrain makes one attempt to plan and store a drain. done is false if the caller has to retry:
+// another drain was stored concurrently, or the leader had not read all stored drains.
 func (s *Server) tryStartDrain(ctx context.Context, in *drainRequest) (out peer.RelayReply, done bool) {
 	stored, err := s.readStoredDrains(ctx, records.PrefixDrains+in.ID)
 	if err != nil {
@@ -104,19 +104,19 @@
 	case errors.As(err, &conflict):
 		return peer.RelayReply{}, false
 	}
-	return storeUnavailableResponse, true // it may have been stored; a retry resolves this
+	return storeUnavailableResponse, true // the drain may have been stored; the operator's retry shows it
 }
 
-// storedDrains is what the store holds when a drain is planned.
+// storedDrains is what the store holds before a drain is planned.
 type storedDrains struct {
-	sequence uint64            // revision of the drain sequence, read first
+	sequence uint64            // revision of the drain sequence (records.KeyDrainSequence); 0 if absent
 	ids      []string          // ids of all drains
 	record   *records.KeyValue // record of the planned drain, nil if it is not stored yet
 }
 
-// readStoredDrains reads the drain sequence and then all stored drains; key is that of the planned
-// drain. The order matters: the list contains every drain that is stored at the revision of the
-// sequence, and the leader must have read all of them.
+// readStoredDrains reads the drain sequence and then all stored drains; key is the key of the planned
+// drain. In this order, the list contains every drain that was stored up to the revision of the
+// sequence, and the leader must have read all of these.
 func (s *Server) readStoredDrains(ctx context.Context, key string) (storedDrains, error) {
 	var stored storedDrains
 	sequence, err := s.store.Get(ctx, records.KeyDrainSequence)
@@ -136,8 +136,9 @@
 	return stored, err
 }
 
-// storeDrain stores a new drain if no other was stored since the sequence was read. Without this
-// compare, two concurrent drains could be accepted that each leave enough machines, but not together.
+// storeDrain stores a new drain if no drain was stored since the given revision of the drain sequence,
+// and fails with a *records.ConflictError otherwise. Without this compare, two concurrent drains could
+// be accepted that each leave enough machines, but not together.
 func (s *Server) storeDrain(ctx context.Context, spec drain.Spec, sequence uint64) error {
 	key := records.PrefixDrains + spec.ID
 	_, err := s.store.Commit(ctx,
@@ -146,7 +147,8 @@
 	return err
 }
 
-// repeatedStartResponse returns the response to a request for a drain whose id is already stored.
+// repeatedStartResponse returns the response to the start of a drain whose id is already stored: the
+// stored drain if the request is the same, otherwise a 409.
 func repeatedStartResponse(spec drain.Spec, record *records.KeyValue) peer.RelayReply {
 	var stored drain.Spec
 	if err := json.Unmarshal(record.Value, &stored); err != nil {
@@ -160,10 +162,10 @@
 	return okResponse(scheduler.DrainView{Spec: stored})
 }
 
-// stopAttempts bounds the attempts to stop a drain whose record changes concurrently.
+// stopAttempts bounds the attempts to stop a drain whose record changes between the read and the commit.
 const stopAttempts = 4
 
-// stopDrain stops a drain. Stopping a stopped drain is no error.
+// stopDrain marks a stored drain as stopped. Stopping a stopped drain is no error.
 func (s *Server) stopDrain(ctx context.Context, id string) peer.RelayReply {
 	if !drain.ValidID(id) {
 		return noSuchDrainResponse(id)
@@ -198,10 +200,10 @@
 	return storeUnavailableResponse
 }
 
-// maxListedNames is the number of machines that a list names per drain; showDrain names all.
+// maxListedNames is the maximum number of machines that listDrains names per drain; showDrain names all.
 const maxListedNames = 3
 
-// listDrains returns all stored drains with their states.
+// listDrains returns all stored drains with their states. It logs and skips records that it cannot decode.
 func (s *Server) listDrains(ctx context.Context) peer.RelayReply {
 	states, err := s.readDrainStates(ctx)
 	if err != nil {
@@ -227,7 +229,7 @@
 	return okResponse(out)
 }
 
-// readDrainStates reads the states of all drains, by id. States that cannot be decoded are left out.
+// readDrainStates reads the states of all drains, by the drain's id. It skips states that it cannot decode.
 func (s *Server) readDrainStates(ctx context.Context) (map[string]*drain.State, error) {
 	states := map[string]*drain.State{}
 	_, err := s.store.List(ctx, records.PrefixDrainState, func(record records.KeyValue) error {
@@ -240,7 +242,7 @@
 	return states, err
 }
 
-// showDrain returns one drain as the leader knows it or, if the leader does not answer, as stored.
+// showDrain returns one drain as the leader knows it or, if the leader does not return it, as stored.
 func (s *Server) showDrain(ctx context.Context, id string) peer.RelayReply {
 	if !drain.ValidID(id) {
 		return noSuchDrainResponse(id)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator serves the HTTP interface of operators: machines and their drains. Every controller
-// serves it. Requests that need the leader's state are relayed to the leader; any controller reads and
-// writes the records of drains in the store.
+// Package operator serves the HTTP API of operators: views of machines, and drains of machines. Every
+// controller serves it. A request that needs the leader's state is relayed to the leader; the records of
+// drains are read from and written to the store by the controller that receives the request.
 package operator
 
 import (
@@ -29,20 +29,21 @@
 
 // Peers calls the other controllers.
 type Peers interface {
-	// RelayOperatorRequest relays an operator's request to the leader's node.
+	// RelayOperatorRequest relays an operator's request to the given node, the leader's.
 	RelayOperatorRequest(node string, r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, error)
 }
 
 // Leader is the leader of the current term, if it runs in this process.
 type Leader interface {
-	// Machines returns up to limit machines whose names sort after since, and whether there are more.
+	// Machines returns up to limit machines whose names sort after since, sorted by name, and whether
+	// more machines follow.
 	Machines(since string, limit int) ([]scheduler.MachineView, bool)
-	// Machine returns a machine, and false if there is none of that name.
+	// Machine returns a machine with its tasks, and false if there is no machine of that name.
 	Machine(name string) (scheduler.MachineView, bool)
 	// Drain returns a drain; ok is false if the leader has not read it from the store.
 	Drain(id string) (view scheduler.DrainView, ok bool)
-	// PreviewDrain returns a page of the plan of a drain, with the machines after since. It changes
-	// nothing.
+	// PreviewDrain returns a page of the plan of a drain: its totals, and up to limit tasks of machines
+	// whose names sort after since. It changes nothing.
 	PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error)
 }
 
@@ -51,10 +52,10 @@
 	node          string
 	store         Store
 	peers         Peers
-	leaderNode    func() string // name of the node that leads, "" if unknown
-	localLeader   func() Leader // nil if this process does not lead
+	leaderNode    func() string // returns the name of the node that leads, "" if unknown
+	localLeader   func() Leader // returns nil if this process does not lead
 	timeout       time.Duration // bounds the handling of a request
-	maxValueBytes int           // largest value within the current and upcoming limits of the store
+	maxValueBytes int           // maximum size of a value by the current and upcoming limits of the store
 }
 
 // New returns a server. leaderNode returns the name of the node that leads, "" if unknown; localLeader
@@ -66,16 +67,16 @@
 	}
 }
 
-// Methods of requests that only the leader can answer, as controllers relay them to each other.
+// Methods of the requests that only the leader can answer, by their names in relayed requests.
 const (
-	methodMachines  = "machines" // a page of machines, after the one that the ID names
+	methodMachines  = "machines" // a page of the machines whose names sort after the request's ID
 	methodMachine   = "machine"
 	methodDrain     = "drain"
 	methodPlanDrain = "plan"
 )
 
-// machinesPerPage is the number of machines in a response, which keeps it well below 64 KiB. Further
-// machines follow in further pages.
+// machinesPerPage is the maximum number of machines in a response, which keeps the response well below
+// the limit of 64 KiB. Further machines follow in further pages.
 const machinesPerPage = 200
 
 // Mount registers the routes of operators.
@@ -101,7 +102,8 @@
 	return c.Status(out.Status).Send(out.Body)
 }
 
-// AskLeader returns the leader's reply to a request, in this process or from a peer.
+// AskLeader returns the leader's reply to a request, from this process or from a peer. The reply is a 503
+// if no leader is known or the leader cannot be reached.
 func (s *Server) AskLeader(r peer.RelayRequest) peer.RelayReply {
 	if s.localLeader() != nil {
 		return s.HandleAsLeader(r)
@@ -118,7 +120,7 @@
 	return out
 }
 
-// HandleAsLeader handles a request as the leader.
+// HandleAsLeader handles a request as the leader. The reply is a 503 if this process does not lead.
 func (s *Server) HandleAsLeader(r peer.RelayRequest) peer.RelayReply {
 	l := s.localLeader()
 	if l == nil {
@@ -144,7 +146,7 @@
 	return errorResponse(fiber.StatusBadRequest, "unknown question")
 }
 
-// Machines is a page of machines. The last name selects the next page.
+// Machines is a page of machines. The name of its last machine, as since, selects the next page.
 type Machines struct {
 	Machines []scheduler.MachineView `json:"machines"`
 	More     bool                    `json:"more"`
@@ -155,7 +157,7 @@
 	Error string `json:"error"`
 }
 
-// storeUnavailableResponse is the response if the store does not respond.
+// storeUnavailableResponse is the response if a request could not be served because of the store.
 var storeUnavailableResponse = errorResponse(fiber.StatusServiceUnavailable, "the state service does not answer now; please retry")
 
 func okResponse(v any) peer.RelayReply { return encodeJSON(fiber.StatusOK, v) }
--- a/internal/peer/batcher.go
+++ b/internal/peer/batcher.go
@@ -6,22 +6,24 @@
 )
 
 const (
-	// maxInFlightBatches bounds the batches to one node that have no reply yet.
+	// maxInFlightBatches bounds the batches that are sent to one node and have no reply yet.
 	maxInFlightBatches = 4
-	// maxBatchBytes bounds the heartbeats of a batch, well below the request limit of 64 KiB.
+	// maxBatchBytes bounds the size of a batch's heartbeats, well below the request limit of 64 KiB.
 	maxBatchBytes = 40 << 10
 )
 
-// SendBatchFunc sends a batch of heartbeats to a node.
+// SendBatchFunc sends a batch of heartbeats to a node. Without an error, the reply has one element for
+// each heartbeat, in the same order.
 type SendBatchFunc func(node string, heartbeats [][]byte) (HeartbeatBatchReply, error)
 
-// Batcher batches heartbeats by node. A batch is sent at the end of its window, or later if the node
-// has maxInFlightBatches batches without a reply; until then it grows, up to maxBatchBytes. Without
-// the bound on batches in flight, a slow leader would receive ever more concurrent requests.
+// Batcher batches heartbeats by the node that they are sent to. A batch is sent when its window ends, or
+// later if the node has maxInFlightBatches batches without a reply; until then it grows, up to
+// maxBatchBytes. Without the bound on batches in flight, a slow leader would receive ever more
+// concurrent requests.
 //
 // It is safe for concurrent use.
 type Batcher struct {
-	window time.Duration
+	window time.Duration // how long a batch collects heartbeats
 	send   SendBatchFunc
 
 	mu    sync.Mutex               // guards the fields below
@@ -44,7 +46,7 @@
 	return &Batcher{window: window, send: send, open: map[string]*batch{}, slots: map[string]chan struct{}{}}
 }
 
-// Send sends a heartbeat in a batch and waits for the reply to it.
+// Send sends a heartbeat to a node as part of a batch, and returns the reply to this heartbeat.
 func (b *Batcher) Send(node string, heartbeat []byte) (RelayReply, error) {
 	target, index, first := b.add(node, heartbeat)
 	if first {
@@ -78,7 +80,8 @@
 	return target, index, first
 }
 
-// deliver sends a batch once its window is over and the node has a free slot.
+// deliver sends a batch once its window is over and the node has a free slot, and sets the batch's
+// reply.
 func (b *Batcher) deliver(node string, target *batch) {
 	slots := b.nodeSlots(node)
 	time.Sleep(b.window)
@@ -89,14 +92,14 @@
 	close(target.done)
 }
 
-// nodeSlots returns the semaphore of a node.
+// nodeSlots returns the semaphore that bounds a node's batches in flight.
 func (b *Batcher) nodeSlots(node string) chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.slots[node]
 }
 
-// seal closes a batch for further heartbeats.
+// seal makes sure that no further heartbeat is added to a batch.
 func (b *Batcher) seal(node string, target *batch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -28,7 +28,7 @@
 	clients []*httpclient.Client // by index of peers
 }
 
-// NewPeers returns a client of the other controllers.
+// NewPeers returns a client of the given controllers, all others of the deployment.
 func NewPeers(peers []config.Peer, timeout time.Duration) *Peers {
 	p := &Peers{timeout: timeout, peers: peers}
 	for _, other := range peers {
@@ -37,8 +37,8 @@
 	return p
 }
 
-// call sends a request to the peer with the given index and decodes its reply. Any HTTP status but
-// 200 gives ErrUnsupported.
+// call sends a request to the peer with the given index and decodes the peer's reply. Any HTTP status
+// but 200 is returned as ErrUnsupported.
 func (p *Peers) call(i int, path string, request, reply any, timeout time.Duration) error {
 	raw, err := msgpack.Marshal(request)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return msgpack.Unmarshal(body, reply)
 }
 
-// callNode is like call, for the peer with the given node name.
+// callNode is like call, for the peer with the given node name. It fails if there is no such peer.
 func (p *Peers) callNode(node, path string, request, reply any, timeout time.Duration) error {
 	for i, other := range p.peers {
 		if other.Node == node {
@@ -64,13 +64,13 @@
 	return fmt.Errorf("unknown peer %q", node)
 }
 
-// Status queries every other controller. all is true if every one replied.
+// Status returns the statuses of the other controllers that replied; all is true if every one did.
 func (p *Peers) Status(ctx context.Context) (statuses []Status, all bool) {
 	return p.QueryStatus(ctx, StatusRequest{})
 }
 
 // QueryStatus is like Status and sends the given request; a zero attestation in it has no effect.
-// Only the timeout bounds it: the context is ignored.
+// Only the timeout bounds the calls: the context is ignored.
 func (p *Peers) QueryStatus(_ context.Context, request StatusRequest) (statuses []Status, all bool) {
 	var mu sync.Mutex // guards statuses
 	var wg sync.WaitGroup
@@ -90,7 +90,7 @@
 	return statuses, len(statuses) == len(p.peers)
 }
 
-// Progress returns the progress of a job from a node.
+// Progress returns the progress of a job as the given node, the leader, knows it.
 func (p *Peers) Progress(node, id string) (Progress, error) {
 	var reply Progress
 	err := p.callNode(node, pathProgress, JobRequest{ID: id}, &reply, p.timeout/2)
@@ -98,7 +98,7 @@
 }
 
 // NotifyCancelled notifies the leader's node of a cancelled job. acknowledged means that the leader
-// dispatches none of the job's tasks from then on. The error is ErrUnsupported if the node's version
+// dispatches none of the job's tasks from then on. The error wraps ErrUnsupported if the node's version
 // does not know the call.
 func (p *Peers) NotifyCancelled(node, id string) (acknowledged bool, err error) {
 	var reply CancelledReply
@@ -106,7 +106,8 @@
 	return reply.Acknowledged, err
 }
 
-// Relay sends a user's request to the peers one after the other until one gives a final reply.
+// Relay sends a user's request to the peers one after the other until one gives a final reply. timeout
+// bounds each call. ok is false if no reply is final.
 func (p *Peers) Relay(request RelayRequest, timeout time.Duration) (reply RelayReply, ok bool) {
 	for i := range p.peers {
 		var reply RelayReply
@@ -117,15 +118,15 @@
 	return RelayReply{}, false
 }
 
-// RelayHeartbeat relays a worker's heartbeat to the leader's node.
+// RelayHeartbeat relays a worker's heartbeat, in the form that the worker sent, to the leader's node.
 func (p *Peers) RelayHeartbeat(node string, body []byte) (RelayReply, error) {
 	var reply RelayReply
 	err := p.callNode(node, pathRelayHeartbeat, HeartbeatRequest{Body: body}, &reply, p.timeout)
 	return reply, err
 }
 
-// RelayHeartbeats relays a batch to the leader's node. The error is ErrUnsupported if the node's
-// version accepts no batches.
+// RelayHeartbeats relays a batch to the leader's node. Without an error, the reply has one element for
+// each heartbeat. The error wraps ErrUnsupported if the node's version accepts no batches.
 func (p *Peers) RelayHeartbeats(node string, batch HeartbeatBatch, timeout time.Duration) (HeartbeatBatchReply, error) {
 	var reply HeartbeatBatchReply
 	err := p.callNode(node, pathRelayHeartbeats, batch, &reply, timeout)
@@ -135,7 +136,7 @@
 	return reply, err
 }
 
-// RelayOperatorRequest relays an operator's request to the leader's node. The error is
+// RelayOperatorRequest relays an operator's request to the leader's node. The error wraps
 // ErrUnsupported if the node's version has no operator API.
 func (p *Peers) RelayOperatorRequest(node string, request RelayRequest, timeout time.Duration) (RelayReply, error) {
 	var reply RelayReply
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -19,28 +19,28 @@
 	pathOperatorRequest = "/peer/operate"
 )
 
-// contentType is the content type of all messages.
+// contentType is the media type of all messages.
 const contentType = "application/msgpack"
 
-// Status is how the store serves a controller, and what the controller has recorded for leaders. The
-// store serves a request if it gives any response other than a 429 or 503.
+// Status reports how the store serves a controller, and what the controller has recorded for leaders.
+// The store serves a request if it responds with any status other than 429 and 503.
 type Status struct {
-	Node                string `msgpack:"node"`
-	SinceStoreServedMS  int64  `msgpack:"silent_ms"` // since the store last served a request, or since the start
-	StoreServed         bool   `msgpack:"answered"`  // the store has served a request since the start
+	Node                string `msgpack:"node"`      // name of the controller
+	SinceStoreServedMS  int64  `msgpack:"silent_ms"` // since the store last served a request, or since the start of the controller
+	StoreServed         bool   `msgpack:"answered"`  // the store has served a request since the start of the controller
 	StoreFailing        bool   `msgpack:"failing"`   // the store has failed since it last served a request
-	SinceConfirmationMS int64  `msgpack:"quiet_ms"`  // since a cancellation was last confirmed to a user, or since the start
-	// Cancellations lists confirmed cancellations if the request asks for them. Versions that do
-	// not list them omit it.
+	SinceConfirmationMS int64  `msgpack:"quiet_ms"`  // since a cancellation was last confirmed to a user, or since the start of the controller
+	// Cancellations lists the cancellations that the controller has confirmed to users; nil if the
+	// request does not ask for them. Versions that do not support the list omit it.
 	Cancellations *cancellation.ConfirmedList `msgpack:"told,omitempty"`
-	// Attestation is the latest attestation that the controller has recorded. Versions without
-	// watermarks omit it.
+	// Attestation is the latest attestation of a leader that the controller has recorded. Versions
+	// without watermarks omit it.
 	Attestation *watermark.Attestation `msgpack:"heard,omitempty"`
-	// LatestReconciled is the attestation of the latest reconciled term that the controller knows.
-	// Earlier versions omit it.
+	// LatestReconciled is the recorded attestation of the latest term that the controller knows to be
+	// reconciled. Earlier versions omit it.
 	LatestReconciled *watermark.Attestation `msgpack:"settled,omitempty"`
 	// SinceRenewalMS is the time since the controller, as leader, may last have renewed a worker's
-	// lease, or since its start. Earlier versions omit it.
+	// lease, or since the start of the controller. Earlier versions omit it.
 	SinceRenewalMS *int64 `msgpack:"renewed_ms,omitempty"`
 }
 
@@ -62,7 +62,7 @@
 		StoreFailing:        failing,
 		SinceConfirmationMS: confirmed.SinceLastConfirmation(now).Milliseconds(),
 	}
-	// A longer span requests all that is on record, and is cut so that the duration cannot overflow.
+	// The bound keeps the duration from overflowing; the list states the span that it covers.
 	spanMS := min(request.CancellationSpanMS, maxCancellationSpan.Milliseconds())
 	if spanMS > 0 {
 		list := confirmed.ConfirmedWithin(time.Duration(spanMS)*time.Millisecond, now)
@@ -75,11 +75,11 @@
 	return s
 }
 
-// maxCancellationSpan bounds how far back a request may ask for confirmed cancellations.
+// maxCancellationSpan bounds how far back the list of confirmed cancellations reaches.
 const maxCancellationSpan = 24 * time.Hour
 
-// WithAttestations records a received attestation and returns the status with the attestations on
-// record and the time since the controller may last have renewed a lease.
+// WithAttestations records a received attestation with o. It returns the status with the attestations
+// that o holds and with sinceRenewal, the time since the controller may last have renewed a lease.
 func (s Status) WithAttestations(o *watermark.Observer, received watermark.Attestation, sinceRenewal time.Duration) Status {
 	latest := o.Observe(received)
 	reconciled := o.LatestReconciled()
@@ -94,8 +94,8 @@
 // watermarks.
 type StatusRequest struct {
 	watermark.Attestation
-	// CancellationSpanMS asks for the cancellations confirmed in the last so many milliseconds;
-	// 0 asks for none.
+	// CancellationSpanMS asks for the cancellations confirmed within this time before the request, in
+	// milliseconds; 0 asks for none.
 	CancellationSpanMS int64 `msgpack:"told_ms,omitempty"`
 }
 
@@ -104,20 +104,22 @@
 	ID string `msgpack:"id"`
 }
 
-// CancelledReply is the leader's reply to a cancellation.
+// CancelledReply is the leader's reply to the notification of a cancelled job.
 type CancelledReply struct {
 	// Acknowledged means that the leader dispatches none of the job's tasks from now on.
 	Acknowledged bool `msgpack:"heard"`
 }
 
-// Progress is the progress of a job as the leader knows it.
+// Progress is the progress of an open job as the leader knows it. If Known is false the leader does not
+// know the job, and the other fields are not valid.
 type Progress struct {
 	Known   bool   `msgpack:"known"`
 	Status  string `msgpack:"status"`
-	Done    int    `msgpack:"done"`
-	Running int    `msgpack:"running"`
+	Done    int    `msgpack:"done"`    // number of tasks
+	Running int    `msgpack:"running"` // number of tasks
 	// DependenciesClear means that no dependency of the job, direct or indirect, was cancelled as
-	// far as the leader knew ClearAgeMS ago. Earlier versions omit both: it is unknown then.
+	// far as the leader knew ClearAgeMS milliseconds ago. Earlier versions omit both fields; false
+	// therefore means unknown.
 	DependenciesClear bool  `msgpack:"clear,omitempty"`
 	ClearAgeMS        int64 `msgpack:"clear_ms,omitempty"`
 }
@@ -127,8 +129,8 @@
 	MethodSubmit = "submit"
 	MethodPoll   = "poll"
 	MethodCancel = "withdraw"
-	// MethodSubmitWithDependencies is a submission with dependencies. Earlier versions would
-	// accept it as MethodSubmit and ignore the dependencies; they reject this method with a 400.
+	// MethodSubmitWithDependencies is a submission with dependencies. Earlier versions would accept
+	// it under MethodSubmit and ignore the dependencies; they reject this method with a 400.
 	MethodSubmitWithDependencies = "submit_chain"
 )
 
@@ -145,9 +147,9 @@
 	Body   []byte `msgpack:"body"`
 }
 
-// Final reports whether a peer's reply to a request may be returned to the user. Malformed requests
-// are not relayed, so a 400 for a submission with dependencies means that the peer's version does
-// not support dependencies.
+// Final reports whether a peer's reply may be returned to the user who sent the request. Malformed
+// submissions are not relayed, so a 400 for a submission with dependencies means that the peer's
+// version does not support dependencies.
 func (r *RelayReply) Final(request RelayRequest) bool {
 	switch r.Status {
 	case 0, http.StatusServiceUnavailable:
@@ -171,11 +173,11 @@
 	// DelayMS is the delay of the sender's previous batch: its wait until the leader handled it
 	// plus the way back of the reply.
 	DelayMS int64  `msgpack:"late_ms,omitempty"`
-	Zone    string `msgpack:"zone,omitempty"` // zone of the sender
+	Zone    string `msgpack:"zone,omitempty"` // zone of the sender, "" if unknown
 }
 
 // HeartbeatBatchReply has the replies to the heartbeats of a batch, in the same order.
 type HeartbeatBatchReply struct {
 	Replies      []RelayReply `msgpack:"answers"`
-	ProcessingMS int64        `msgpack:"held_ms,omitempty"` // how long the leader took to handle the batch
+	ProcessingMS int64        `msgpack:"held_ms,omitempty"` // how long the leader took to handle the batch, in milliseconds
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -7,22 +7,23 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Handlers handle the calls of a controller's peers.
+// Handlers handle the calls that a controller receives from its peers.
 type Handlers struct {
 	Status         func(StatusRequest) Status
 	Progress       func(id string) Progress
 	Relay          func(RelayRequest) RelayReply
 	RelayHeartbeat func(HeartbeatRequest) RelayReply
-	// RelayHeartbeats handles batches, as the leader; nil if batches are not supported.
+	// RelayHeartbeats handles batches of heartbeats, as the leader; nil if batches are not supported.
 	RelayHeartbeats func(HeartbeatBatch) HeartbeatBatchReply
-	// NotifyCancelled handles a cancellation, as the leader, and reports whether it is acknowledged.
-	// If it is nil, the controller behaves like a version that does not know the call.
+	// NotifyCancelled handles the notification of a cancelled job, as the leader, and reports whether
+	// it acknowledges the cancellation. If the handler is nil, the controller behaves like a version
+	// that does not know the call.
 	NotifyCancelled func(id string) bool
 	// RelayOperatorRequest handles operators' requests; nil if they are not supported.
 	RelayOperatorRequest func(RelayRequest) RelayReply
 }
 
-// Mount registers the handlers on the app of the controller's peer address.
+// Mount registers the handlers on the app that serves the controller's peer address.
 func Mount(app *fiber.App, h Handlers) {
 	// Versions without watermarks send a zero attestation, which has no effect.
 	app.Post(pathStatus, handle(h.Status))
@@ -42,7 +43,8 @@
 	}
 }
 
-// handle returns a fiber handler that decodes a request and encodes the reply to it.
+// handle returns a fiber handler that decodes a request, calls respond and encodes the reply. It responds
+// to a malformed request with a 400.
 func handle[Request, Reply any](respond func(Request) Reply) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		var request Request
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -19,17 +19,17 @@
 	// avoidLeases is for how many lease durations a worker that came back from a controller is not
 	// sent there again.
 	avoidLeases = 2
-	// maxReturned is how many workers may come back from a controller in a heartbeat interval
-	// before it is assigned no others in that interval.
+	// maxReturned is how many workers may come back from a controller in a heartbeat interval. If
+	// more come back, no worker is assigned to it for the rest of the interval.
 	maxReturned = 3
-	// overloadFactor is how many times its share of workers a controller may hold before some of
-	// them are moved to others.
+	// overloadFactor is how many times an equal share of the workers a controller may hold before
+	// some of its workers are moved to other controllers.
 	overloadFactor = 1.25
 	// maxMovedShare is the maximum share of all workers that is moved between controllers in a
 	// heartbeat interval.
 	maxMovedShare = 1.0 / 16
-	// maxZoneFactor is how many times its share of all workers a controller may hold because they
-	// are in its zone.
+	// maxZoneFactor is how many times an equal share of all workers the controllers of one zone may
+	// hold on average because these workers are in the same zone.
 	maxZoneFactor = 2
 )
 
@@ -37,26 +37,26 @@
 // controller. It is not safe for concurrent use.
 type Router struct {
 	self        string                 // the leader's own node
-	interval    time.Duration          // between heartbeats
+	interval    time.Duration          // between a worker's heartbeats
 	lease       time.Duration          // duration of workers' leases
 	controllers map[string]*controller // the other controllers, by node
 	workers     map[string]*worker     // by machine
 	lastSweep   time.Time
-	moved       int // workers moved between other controllers since the last sweep
+	moved       int // workers that rebalance has moved since the last sweep
 }
 
 // controller is a controller other than the leader.
 type controller struct {
-	zone        string // "" if unknown
-	lastContact time.Time
-	workers     int // workers assigned to it, including those that have not used it yet
-	returned    int // workers that came back from it since the last sweep
+	zone        string    // "" if unknown
+	lastContact time.Time // when it last relayed a batch or a heartbeat
+	workers     int       // workers assigned to it, including those that have not used it yet
+	returned    int       // workers that came back from it since the last sweep
 }
 
 // worker is the route of one worker's heartbeats.
 type worker struct {
 	zone          string
-	via           string // the controller that it uses or was last assigned
+	via           string // the controller that the worker uses or was last assigned
 	lastHeartbeat time.Time
 	avoid         string    // a controller that the worker cannot reach or that cannot reach the leader
 	avoidUntil    time.Time // when avoid expires
@@ -74,8 +74,8 @@
 	}
 }
 
-// RecordPeer records that another controller, in the given zone, has relayed a batch, which may be
-// empty.
+// RecordPeer records that another controller has relayed a batch, which may be empty. zone is the zone
+// of that controller, "" if unknown.
 func (r *Router) RecordPeer(node, zone string, now time.Time) {
 	c := r.controllers[node]
 	if c == nil {
@@ -136,8 +136,8 @@
 	w.via = via
 }
 
-// recordReturn records that a worker came back from the controller that it was assigned to, which it
-// could not use. Without this record, such a worker would be sent back and forth.
+// recordReturn records that a worker, assigned to controller from, came back to the leader because it
+// could not use that controller. Without this record, such a worker would be sent back and forth.
 func (r *Router) recordReturn(w *worker, from string, now time.Time) {
 	c := r.controllers[from]
 	if c == nil {
@@ -148,7 +148,7 @@
 	c.returned++
 }
 
-// isEligible reports whether a worker may be assigned to another controller.
+// isEligible reports whether a worker may be assigned to the given controller, one of r.controllers.
 func (r *Router) isEligible(node string, w *worker, now time.Time) bool {
 	c := r.controllers[node]
 	fresh := now.Sub(c.lastContact) <= freshIntervals*r.interval
@@ -156,11 +156,11 @@
 	return fresh && c.returned <= maxReturned && !avoided
 }
 
-// candidates returns the controllers that a worker may be assigned to, sorted by name: those in its
-// own zone if there are any and they hold no more than maxZoneFactor times their share of all
-// workers, with ownZone true, and otherwise all eligible ones. Without the preference for the own
-// zone, a partitioned zone would cut off workers of other zones, all at once, until they find
-// another controller.
+// candidates returns the controllers that a worker may be assigned to, sorted by name. If the eligible
+// controllers in the worker's zone hold no more than maxZoneFactor times their share of all workers,
+// it returns only these, and ownZone is true. Otherwise it returns all eligible controllers. Without
+// the preference for the own zone, the partition of a zone would cut off workers of other zones, all
+// at once, until they find another controller.
 func (r *Router) candidates(w *worker, now time.Time) (nodes []string, ownZone bool) {
 	var inZone []string
 	inZoneWorkers := 0
@@ -175,7 +175,7 @@
 		}
 	}
 	if c := r.controllers[w.via]; c == nil || c.zone != w.zone {
-		inZoneWorkers++ // counts this worker unless it is there already, so that one in its zone stays
+		inZoneWorkers++ // as if the worker moved there; a worker that uses its zone is already counted
 	}
 	if len(inZone) > 0 && inZoneWorkers*len(nodes) <= maxZoneFactor*len(inZone)*len(r.workers) {
 		nodes, ownZone = inZone, true
@@ -197,9 +197,10 @@
 	})
 }
 
-// rebalance returns the controller to which a worker is moved from one outside its zone or from one
-// that holds far more than its share, or "" if the worker stays. Moves per interval are limited:
-// when a controller returns, the others hold all workers.
+// rebalance returns the controller to which a worker is moved, or "" if the worker stays. A worker is
+// moved if its controller is outside its zone while its zone has room, or if its controller holds more
+// than overloadFactor times its share. Moves per interval are limited: when a controller comes back, the
+// others hold all workers, and many would move at once.
 func (r *Router) rebalance(w *worker, now time.Time) string {
 	if float64(r.moved) >= maxMovedShare*float64(len(r.workers)) {
 		return ""
@@ -220,7 +221,7 @@
 	target := r.leastLoaded(nodes)
 	held := r.controllers[w.via].workers
 	overloaded := float64(held) > share*overloadFactor
-	// A move must reduce the difference; otherwise a few workers would be moved in circles.
+	// A move must reduce the difference in load; otherwise a few workers would move in circles.
 	reducesDifference := held >= r.controllers[target].workers+2
 	if !overloaded || !reducesDifference {
 		return ""
--- a/internal/slo/summary.go
+++ b/internal/slo/summary.go
@@ -13,11 +13,11 @@
 	ByLargest = "largest" // the largest tenth of the jobs of a class, by size
 )
 
-// Summary is the service of a class, of a team or of the largest jobs of a class. It excludes
-// cancelled jobs.
+// Summary counts the jobs of one group: of a class, of a team, or the largest jobs of a class. It
+// excludes cancelled jobs.
 type Summary struct {
 	Dimension string // ByClass, ByTeam or ByLargest
-	Name      string // of the class or team
+	Name      string // name of the class or team
 	Arrived   int    // number of all jobs
 	Started   int    // jobs that have started
 	Done      int    // jobs that are done
@@ -28,7 +28,7 @@
 	LongestWaitingJob string        // the job waiting longest among those that have not started; "" if none
 }
 
-// ShareInTime returns the share of the due jobs that started within the bound; 1 if none is due.
+// ShareInTime returns the share of the due jobs that started within the bound, 0 to 1; 1 if none is due.
 func (s Summary) ShareInTime() float64 {
 	if s.Due == 0 {
 		return 1
@@ -36,7 +36,7 @@
 	return 1 - float64(s.Late)/float64(s.Due)
 }
 
-// largestShare is the share of the jobs of a class that ByLargest covers, at least one job.
+// largestShare is the share of a class's jobs that ByLargest covers; it covers at least one job.
 const largestShare = 0.1
 
 // group identifies a summary.
@@ -50,8 +50,8 @@
 	byGroup map[group]*Summary
 }
 
-// Summarize returns the summaries, sorted by dimension and name. bound is the longest wait that counts
-// as in time.
+// Summarize returns a summary of each group that has jobs, sorted by dimension and name. bound is the
+// longest wait that counts as in time. Jobs that have not started have waited until now.
 func (t *Tracker) Summarize(bound time.Duration, now time.Time) []Summary {
 	sums := &summaryBuilder{tracker: t, bound: bound, now: now, byGroup: map[group]*Summary{}}
 	byClass := map[string][]string{}
@@ -79,8 +79,8 @@
 	return all
 }
 
-// largestJobs returns the largestShare of the given jobs by size, and those as large as the smallest
-// of them. It sorts ids.
+// largestJobs returns the largestShare of the given jobs by size, and all jobs as large as the smallest
+// of them. ids must not be empty; largestJobs sorts it and returns a part of it.
 func (t *Tracker) largestJobs(ids []string) []string {
 	slices.SortStableFunc(ids, func(x, y string) int { return cmp.Compare(t.jobs[y].size, t.jobs[x].size) })
 	n := max(int(float64(len(ids))*largestShare), 1)
--- a/internal/slo/tracker.go
+++ b/internal/slo/tracker.go
@@ -3,7 +3,7 @@
 // groups separately because a day fails if less than half of any group is served, which averages do
 // not show.
 //
-// The package is pure: no I/O, no clock. It covers only the current term.
+// The package is pure: no I/O, no clock. A tracker covers only the current term of the leader.
 package slo
 
 import "time"
@@ -11,11 +11,11 @@
 // job is a job that has arrived.
 type job struct {
 	class, team string
-	size        float64   // resources that all its tasks need together; only compared, in any unit
-	waitsSince  time.Time // when it arrived, or when its dependencies were done
+	size        float64   // resources that all its tasks need together, in any unit; only compared
+	waitsSince  time.Time // when the job arrived, or when its dependencies were done
 	started     time.Time // zero: not started
 	closed      bool      // done or cancelled
-	done        bool
+	done        bool      // all its tasks have succeeded
 }
 
 // waited returns how long a job waited for its start, or has waited until now.
@@ -29,7 +29,7 @@
 // Tracker tracks the jobs that arrived, started and closed. It is not safe for concurrent use.
 type Tracker struct {
 	jobs   map[string]*job
-	order  []string // ids in the order of arrival
+	order  []string // ids of jobs in the order of arrival
 	closed int      // number of closed jobs
 }
 
@@ -46,7 +46,8 @@
 	keptJobs = maxJobs * 3 / 4
 )
 
-// JobArrived records a job of the given size that has waited since the given time.
+// JobArrived records a job of the given size that has waited since the given time. It does nothing if
+// the job is already tracked.
 func (t *Tracker) JobArrived(id, class, team string, size float64, since time.Time) {
 	if t.jobs[id] != nil {
 		return
@@ -75,7 +76,8 @@
 	t.order = kept
 }
 
-// ResetWait restarts a job's wait at the given time: before, the job waited for its dependencies.
+// ResetWait restarts a job's wait at the given time. Before that time the job waited for its
+// dependencies, which does not count.
 func (t *Tracker) ResetWait(id string, at time.Time) {
 	if j := t.jobs[id]; j != nil {
 		j.waitsSince = at
@@ -89,7 +91,8 @@
 	}
 }
 
-// JobClosed records that a job is done or cancelled. It may be called repeatedly.
+// JobClosed records that a job is done or, if done is false, cancelled. A job that is done without a
+// recorded start counts as started at the given time. JobClosed may be called repeatedly.
 func (t *Tracker) JobClosed(id string, done bool, at time.Time) {
 	j := t.jobs[id]
 	if j == nil {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -28,7 +28,8 @@
 const (
 	// leaderWriteShare is the leader's share of the write rate; the rest is left to users.
 	leaderWriteShare = 0.5
-	// throttledRetries and userThrottledRetries limit the retries of a throttled request.
+	// throttledRetries and userThrottledRetries limit the retries of a throttled request of the
+	// leader and of a user.
 	throttledRetries     = 3
 	userThrottledRetries = 1
 	// The first pause before a retry is timeout / retryPauseDivisor.
@@ -40,21 +41,21 @@
 // Client is a client of the store. It is safe for concurrent use.
 type Client struct {
 	*connection
-	forUsers bool // requests are sent for users and pass the user throttles
+	forUsers bool // the requests are users' requests, which wait for the user throttles
 }
 
 // connection is the state that all Clients of one store connection share.
 type connection struct {
 	http         *httpclient.Client
-	timeout      time.Duration
+	timeout      time.Duration // of a request
 	leaderWrites *rate.Limiter // limits the leader's own writes, not those of users
 	userRequests *userThrottle // limits the number of users' requests
 	userWrites   *userThrottle // limits the keys that users' requests write
 
-	started time.Time
+	started time.Time // when the client was created
 
 	mu           sync.Mutex // guards the fields below
-	lastOK       time.Time  // time of the last response other than 429 and 503
+	lastOK       time.Time  // time of the last response with a status other than 429 and 503
 	lastFailure  time.Time  // time of the last 503 or missing response
 	lastResponse time.Time  // time of the last response of any status
 }
@@ -63,12 +64,12 @@
 type Limits struct {
 	RPS            float64 // requests per second that the store accepts; 0: unknown
 	WriteRPS       float64 // key writes per second that the store accepts; 0: unknown
-	Controllers    int     // controllers that share the rates
+	Controllers    int     // number of controllers that share the rates
 	MaxConnections int
-	Timeout        time.Duration
+	Timeout        time.Duration // of a request, and of opening a connection
 }
 
-// NewClient returns a client for the store at addr.
+// NewClient returns a client for the leader's own requests to the store at addr, a host:port.
 func NewClient(addr string, limits Limits) *Client {
 	leaderWriteRPS := limits.WriteRPS * leaderWriteShare
 	return &Client{connection: &connection{
@@ -81,9 +82,9 @@
 	}}
 }
 
-// ForUsers returns a client on the same connection for users' requests. While the store throttles,
-// they wait briefly for the user throttles or fail with records.ErrThrottled, so that the rest of
-// the store's rate stays available to the leader.
+// ForUsers returns a client for users' requests that shares the connections of c. While the store
+// throttles, users' requests wait briefly for the user throttles or fail with records.ErrThrottled,
+// so that the rest of the store's rate stays available to the leader.
 func (c *Client) ForUsers() *Client { return &Client{connection: c.connection, forUsers: true} }
 
 // Health returns when the store last served a request (zero: not since the start), whether it has
@@ -94,13 +95,16 @@
 	return c.lastOK, c.failingLocked(), c.started
 }
 
-// FailedSince reports whether the store is failing and the last failure was after t.
+// FailedSince reports whether the store has served no request since its last failure, and that
+// failure was after t.
 func (c *Client) FailedSince(t time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failingLocked() && c.lastFailure.After(t)
 }
 
+// failingLocked reports whether the store has failed since it last served a request. The caller must
+// hold mu.
 func (c *connection) failingLocked() bool { return c.lastFailure.After(c.lastOK) }
 
 // LastResponse returns the time of the store's last response, of any status, or the start of the
@@ -134,7 +138,8 @@
 	c.lastResponse = time.Now()
 }
 
-// WaitForWrites blocks until the leader's share of the write rate allows n writes.
+// WaitForWrites blocks until the leader's share of the write rate allows n writes, or the writes of one
+// second if n is more. It returns an error if ctx ends first.
 func (c *Client) WaitForWrites(ctx context.Context, n int) error {
 	return c.leaderWrites.WaitN(ctx, min(n, c.leaderWrites.Burst()))
 }
@@ -142,14 +147,15 @@
 // request is a request to the store.
 type request struct {
 	method, uri string
-	body        any // nil for none
+	body        any // nil if the request has no body
 	writes      int // number of keys that the request writes or deletes
-	// shared marks a request that serves many users at once; it bypasses the user throttles.
+	// shared marks a request that serves many users at once; it does not wait for the user throttles.
 	shared bool
 }
 
-// send sends a request once. It returns an error if the store did not execute the request or its
-// outcome is unknown.
+// send sends a request once. It returns an error if the store is unavailable or throttles (503, 429), so
+// that the request was not executed, or if no response arrived, so that the outcome is unknown. The
+// caller handles all other statuses.
 func (c *connection) send(ctx context.Context, r request, timeout time.Duration) (status int, body []byte, err error) {
 	start := time.Now()
 	deadline := start.Add(timeout)
@@ -179,7 +185,8 @@
 	return status, body, nil
 }
 
-// sendWithRetries sends a request and retries it a few times with backoff while it is throttled.
+// sendWithRetries is like send, and retries a throttled request a few times with backoff. It returns
+// records.ErrThrottled without a request if a user's request does not pass the user throttles in time.
 func (c *Client) sendWithRetries(ctx context.Context, r request) (status int, body []byte, err error) {
 	retries := throttledRetries
 	if c.forUsers {
@@ -211,7 +218,7 @@
 }
 
 // waitForThrottle blocks until the user throttles admit a request that writes the given number of
-// keys. It returns false if that takes more than timeout / userWaitDivisor or ctx ends.
+// keys. It returns false if this would take more than timeout / userWaitDivisor or if ctx ends.
 func (c *Client) waitForThrottle(ctx context.Context, writes int) bool {
 	end := time.Now().Add(c.timeout / userWaitDivisor)
 	wait := func(throttle *userThrottle, n int) bool {
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -49,7 +49,7 @@
 	}
 )
 
-// Get reads a key. It returns nil if the key is absent.
+// Get reads the record of a key. It returns nil without an error if the key is absent.
 func (c *Client) Get(ctx context.Context, key string) (*records.KeyValue, error) {
 	status, body, err := c.sendWithRetries(ctx, request{method: http.MethodGet, uri: "/store/" + key})
 	if err != nil {
@@ -57,7 +57,7 @@
 	}
 	switch status {
 	case http.StatusNotFound:
-		// Only the store's own 404, which has a revision, means that the key is absent.
+		// Only a 404 by the store itself, which has a revision, means that the key is absent.
 		var response struct {
 			Revision *uint64 `json:"epoch"`
 		}
@@ -75,8 +75,8 @@
 	return nil, fmt.Errorf("%w: status %d for key %s", records.ErrUnexpected, status, key)
 }
 
-// List calls each for every key under a prefix. It returns the revision of the first page: a watch
-// from there misses no change.
+// List calls each for the record of every key under a prefix, page by page, and stops at the first
+// error. It returns the revision of the first page: a watch from that revision misses no change.
 func (c *Client) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
 	var revision uint64
 	cursor := ""
@@ -111,8 +111,8 @@
 	}
 }
 
-// Commit applies the operations if all compares hold and returns the new revision. If one fails,
-// the error is a *records.ConflictError.
+// Commit applies the operations in one transaction if all compares hold, and returns the new revision.
+// If a compare fails, nothing is applied and the error is a *records.ConflictError.
 func (c *Client) Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error) {
 	if compares == nil {
 		compares = []records.Compare{} // the store rejects null
@@ -133,7 +133,7 @@
 	case http.StatusOK:
 		var response revisionResponse
 		if err := json.Unmarshal(body, &response); err != nil || response.Revision == 0 {
-			// The commit was executed, but its revision is unknown.
+			// The store has applied the operations, but the revision is unknown.
 			return 0, fmt.Errorf("%w: malformed commit response", records.ErrUnknownOutcome)
 		}
 		return response.Revision, nil
@@ -145,7 +145,7 @@
 		return 0, &conflict
 	case http.StatusBadRequest:
 		var response errorResponse
-		_ = json.Unmarshal(body, &response) // a 400 without a text means ErrInvalid, too
+		_ = json.Unmarshal(body, &response) // a 400 without an error text means ErrInvalid, too
 		if response.Error == noSuchLease {
 			return 0, records.ErrLeaseExpired
 		}
@@ -154,7 +154,7 @@
 	return 0, fmt.Errorf("%w: status %d for commit", records.ErrUnexpected, status)
 }
 
-// GrantLease obtains a lease with the given time to live and returns its id.
+// GrantLease obtains a lease with the given time to live and returns the id of the lease.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	status, body, err := c.sendWithRetries(ctx, request{
 		method: http.MethodPost,
@@ -171,8 +171,8 @@
 	return response.LeaseID, nil
 }
 
-// RenewLease renews a lease. records.ErrLeaseExpired means that it has expired. A throttled
-// renewal is not retried here: the caller knows how much time is left.
+// RenewLease renews a lease. records.ErrLeaseExpired means that the lease has expired. A throttled
+// renewal is not retried here because only the caller knows how long the lease still lasts.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64, timeout time.Duration) error {
 	status, _, err := c.send(ctx, request{
 		method: http.MethodPost,
@@ -181,7 +181,7 @@
 	}, timeout)
 	switch {
 	case errors.Is(err, records.ErrThrottled):
-		c.userRequests.recordThrottled(time.Now()) // slows users down in favor of the next renewal
+		c.userRequests.recordThrottled(time.Now()) // leaves more of the rate to the next renewal
 		return err
 	case err != nil:
 		return err
@@ -202,7 +202,8 @@
 }
 
 // Watch blocks until a key under a prefix changes after revision since, or until wait is over. It
-// returns the changes and the revision from which to continue.
+// returns the changes and the revision from which to watch next, which is since in case of an error.
+// records.ErrCompacted means that the store no longer has the changes after since.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error) {
 	uri := fmt.Sprintf("/watch?under=%s&since=%d&wait_ms=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
 	status, body, err := c.send(ctx, request{method: http.MethodGet, uri: uri}, wait+c.timeout)
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -8,19 +8,19 @@
 // userThrottle is a token bucket that adapts the rate of users' requests to what the store
 // accepts, so that the leader's own requests are served, above all its lease renewals. While the
 // store throttles no request, every request passes. A 429 multiplies the rate by cutFactor, at most
-// once per minCutInterval and down to this controller's part of the users' share of the store's
-// rate; then the rate rises linearly.
+// once per minCutInterval and never below minRate; then the rate rises linearly.
 //
-// Without it, users who poll and submit at all controllers at once make leaders lose their leases
-// in succession: the store rejects every request over its rate with a 429, including the leader's.
+// Without the throttle, users who poll and submit at all controllers at once make one leader after
+// the other lose its lease: the store rejects every request over its rate with a 429, including the
+// leader's.
 type userThrottle struct {
-	maxRate float64 // per second: the store's rate limit
-	minRate float64 // per second: always available to this controller's users
+	maxRate float64 // the store's rate limit, per second; 0: unknown
+	minRate float64 // part of the users' share that this controller's users always have, per second
 
 	mu         sync.Mutex // guards the fields below
 	rate       float64    // per second, right after the last cut
 	lastCut    time.Time  // zero: the throttle is inactive
-	tokens     float64
+	tokens     float64    // in the bucket at lastRefill
 	lastRefill time.Time
 }
 
@@ -32,14 +32,14 @@
 	cutFactor = 0.7
 	// recoveryTime is how long the rate takes to rise from zero to maxRate.
 	recoveryTime = 10 * time.Second
-	// minCutInterval lets one cut take effect before the next.
+	// minCutInterval is the minimum time between two cuts, so that one takes effect before the next.
 	minCutInterval = 250 * time.Millisecond
-	// burstSeconds is the bucket size, in seconds at the current rate.
+	// burstSeconds is the size of the bucket, in seconds at the current rate.
 	burstSeconds = 0.5
 )
 
-// newUserThrottle returns the throttle of one of the given number of controllers, for a store rate
-// per second. If the rate is 0 (unknown), the throttle never delays a request.
+// newUserThrottle returns the throttle of one of the given number of controllers. rate is the store's
+// rate limit per second; if it is 0 (unknown), the throttle never delays a request.
 func newUserThrottle(rate float64, controllers int) *userThrottle {
 	return &userThrottle{
 		maxRate: rate,
@@ -69,7 +69,7 @@
 	t.lastCut = now
 }
 
-// tryAcquire takes n tokens and returns 0, or takes none and returns how long to wait for them.
+// tryAcquire takes n tokens and returns 0, or takes none and returns after how long to try again.
 func (t *userThrottle) tryAcquire(n float64, now time.Time) (wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +81,7 @@
 		t.lastCut = time.Time{}
 		return 0
 	}
-	// The bucket holds at least one request of any size.
+	// Without max, a request that needs more tokens than the bucket holds would never pass.
 	burst := max(rate*burstSeconds, n)
 	t.tokens = min(t.tokens+rate*now.Sub(t.lastRefill).Seconds(), burst)
 	t.lastRefill = now
--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -1,4 +1,4 @@
-// Package workers sends workers the commands that cannot wait for the response to their next
+// Package workers sends a worker the commands that cannot wait for the response to the worker's next
 // heartbeat.
 package workers
 
@@ -19,27 +19,27 @@
 	pathCommands = "/orders"
 	// maxConnectionsPerWorker bounds the connections to one worker.
 	maxConnectionsPerWorker = 2
-	// maxAddresses bounds the cached clients, as machines come and go. It is above the largest fleet
-	// that one leader has handled. At the bound the whole cache is cleared; this is cheap because
-	// every call opens a new connection anyway.
+	// maxAddresses bounds the cached clients: without it, the clients of returned machines would
+	// accumulate. It is above the largest fleet that one leader has handled. At the bound the whole
+	// cache is cleared; this is cheap because every call opens a new connection anyway.
 	maxAddresses = 20_000
 )
 
 // Caller sends commands to workers, with bounded concurrency. It is safe for concurrent use.
 type Caller struct {
-	timeout time.Duration
+	timeout time.Duration // of a call
 	slots   chan struct{} // one element per running call
 
 	mu      sync.Mutex                    // guards clients
 	clients map[string]*httpclient.Client // by address
 }
 
-// NewCaller returns a caller that runs at most maxCalls calls at a time.
+// NewCaller returns a caller that runs at most maxCalls calls at a time, each with the given timeout.
 func NewCaller(maxCalls int, timeout time.Duration) *Caller {
 	return &Caller{timeout: timeout, slots: make(chan struct{}, maxCalls), clients: map[string]*httpclient.Client{}}
 }
 
-// Go runs f in a new goroutine once a slot is free. It does not block.
+// Go runs f, which makes one call, in a new goroutine once a slot is free. It does not block.
 func (c *Caller) Go(f func()) {
 	go func() {
 		c.slots <- struct{}{}
@@ -48,7 +48,7 @@
 	}()
 }
 
-// client returns the cached client of an address, or a new one.
+// client returns the cached client of an address. If there is none, it creates and caches one.
 func (c *Caller) client(addr string) *httpclient.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,11 +72,11 @@
 	}
 }
 
-// Outcome is whether a worker executed the commands of a request.
+// Outcome reports whether a worker executed the commands of a request.
 type Outcome int
 
 const (
-	// OutcomeUnknown means that no valid response arrived: the commands may have been executed.
+	// OutcomeUnknown means that no valid response arrived: the worker may have executed the commands.
 	OutcomeUnknown Outcome = iota
 	// OutcomeExecuted means that the worker executed the commands.
 	OutcomeExecuted
