--- a/internal/api/confirmations_test.go
+++ b/internal/api/confirmations_test.go
@@ -78,8 +78,8 @@
 					{Method: peer.MethodPoll, ID: "j-1"},
 					{Method: peer.MethodSubmit, Body: []byte(validJob)},
 				}
-				if out := s.HandleRequest(requests[2]); out.Status != 201 {
-					t.Fatalf("submission: %d", out.Status)
+				if reply := s.HandleRequest(requests[2]); reply.Status != 201 {
+					t.Fatalf("submission: %d", reply.Status)
 				}
 				start := time.Now()
 				for time.Since(start) < 10*time.Second {
@@ -88,8 +88,8 @@
 						if time.Since(start) < x.confirmedAfter-500*time.Millisecond {
 							want = 503
 						}
-						if out := s.HandleRequest(r); out.Status != want {
-							t.Errorf("%s after %v: %d %s, want %d", r.Method, time.Since(start), out.Status, out.Body, want)
+						if reply := s.HandleRequest(r); reply.Status != want {
+							t.Errorf("%s after %v: %d %s, want %d", r.Method, time.Since(start), reply.Status, reply.Body, want)
 						}
 					}
 					time.Sleep(time.Second - time.Since(start)%time.Second)
--- a/internal/api/heartbeat_relay.go
+++ b/internal/api/heartbeat_relay.go
@@ -119,16 +119,16 @@
 		From: s.cfg.Node, Zone: s.cfg.Zone, Heartbeats: bodies,
 		DelayMS: s.relay.exchangeDelay(0).Milliseconds(),
 	}
-	out, err := s.peers.RelayHeartbeats(node, batch, time.Duration(batchTimeoutShare*float64(workerTimeout)))
+	reply, err := s.peers.RelayHeartbeats(node, batch, time.Duration(batchTimeoutShare*float64(workerTimeout)))
 	s.relay.recordResult(node, err, time.Now().Add(relayRetryIntervals*s.cfg.HeartbeatInterval()))
-	s.relay.exchangeDelay(time.Since(start) - time.Duration(out.ProcessingMS)*time.Millisecond)
+	s.relay.exchangeDelay(time.Since(start) - time.Duration(reply.ProcessingMS)*time.Millisecond)
 	if err != nil {
 		heartbeatsNotRelayed.Add(len(bodies))
 		slog.Debug("failed to relay heartbeats", "node", node, "heartbeats", len(bodies), "err", err)
-		return out, err
+		return reply, err
 	}
 	heartbeatsRelayed.Add(len(bodies))
-	return out, nil
+	return reply, nil
 }
 
 // AnnounceRelay sends empty batches to the leader periodically, until the context is cancelled, to
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -31,16 +31,16 @@
 		node = ""
 	}
 	if s.relay.canRelayTo(s.cfg.Options.HeartbeatRelay, node) {
-		out, err := s.relay.batcher.Send(node, body)
+		reply, err := s.relay.batcher.Send(node, body)
 		switch {
 		case err == nil:
-			return out
+			return reply
 		case s.relay.canRelayTo(true, node):
 			return encodeJSON(fiber.StatusMisdirectedRequest, redirectBody{})
 		}
 	} else if node != "" && !s.relay.unresponsive(s.cfg.Options.HeartbeatRelay, node) {
-		if out, err := s.peers.RelayHeartbeat(node, body); err == nil && out.Status == fiber.StatusOK {
-			return out
+		if reply, err := s.peers.RelayHeartbeat(node, body); err == nil && reply.Status == fiber.StatusOK {
+			return reply
 		}
 	}
 	return encodeJSON(fiber.StatusMisdirectedRequest, redirectBody{Leader: node})
@@ -49,8 +49,8 @@
 // HandleRelayedHeartbeat handles a single heartbeat that a peer relayed. A response of 200 renews the
 // worker's lease from the time when the worker sent the heartbeat, so the relay does not change what the
 // leader may conclude from the worker's silence.
-func (s *Server) HandleRelayedHeartbeat(in peer.HeartbeatRequest) peer.RelayReply {
-	return s.handleHeartbeatAsLeader(in.Body, "")
+func (s *Server) HandleRelayedHeartbeat(request peer.HeartbeatRequest) peer.RelayReply {
+	return s.handleHeartbeatAsLeader(request.Body, "")
 }
 
 // handleHeartbeatAsLeader handles a heartbeat as the leader. via is the controller that received the
--- a/internal/api/linearizability_test.go
+++ b/internal/api/linearizability_test.go
@@ -160,8 +160,8 @@
 	for i, n := range p.cluster.nodes {
 		if i != p.self {
 			time.Sleep(p.cluster.faults.delay() / 4)
-			if out := n.HandleRelayedRequest(r); out.Final(r) {
-				return out, true
+			if reply := n.HandleRelayedRequest(r); reply.Final(r) {
+				return reply, true
 			}
 		}
 	}
@@ -227,15 +227,15 @@
 		r.Body = []byte(editField(validJob, `uid="`+id+`"`))
 	}
 	start, node := time.Now(), cluster.nodes[cluster.faults.intn(3)]
-	out := node.HandleRequest(r)
+	reply := node.HandleRequest(r)
 	var s struct{ Status string }
-	_ = json.Unmarshal(out.Body, &s)
+	_ = json.Unmarshal(reply.Body, &s)
 	switch {
-	case out.Status == 404:
+	case reply.Status == 404:
 		s.Status = linearizability.NotFound
-	case out.Status >= 300:
+	case reply.Status >= 300:
 		s.Status = "" // the request may still be executed
-	case kind == linearizability.Submit && out.Status == 200 && s.Status == "":
+	case kind == linearizability.Submit && reply.Status == 200 && s.Status == "":
 		s.Status = records.StatusPending
 	}
 	if s.Status != "" || kind != linearizability.Poll {
--- a/internal/api/relay_routes.go
+++ b/internal/api/relay_routes.go
@@ -55,25 +55,25 @@
 
 // HandleHeartbeatBatch handles a batch of heartbeats that a peer relayed. It handles the heartbeats
 // concurrently, so that those that wait for the store delay the batch by no more than one commit.
-func (s *Server) HandleHeartbeatBatch(in peer.HeartbeatBatch) peer.HeartbeatBatchReply {
-	out := peer.HeartbeatBatchReply{Replies: make([]peer.RelayReply, len(in.Heartbeats))}
-	if in.From == "" {
-		return out
+func (s *Server) HandleHeartbeatBatch(batch peer.HeartbeatBatch) peer.HeartbeatBatchReply {
+	reply := peer.HeartbeatBatchReply{Replies: make([]peer.RelayReply, len(batch.Heartbeats))}
+	if batch.From == "" {
+		return reply
 	}
 	start := time.Now()
 	if l := s.localLeader(); l != nil {
-		s.routes.recordPeer(s.cfg, l, in.From, in.Zone, start)
-		l.ObserveDelay(time.Duration(in.DelayMS) * time.Millisecond)
+		s.routes.recordPeer(s.cfg, l, batch.From, batch.Zone, start)
+		l.ObserveDelay(time.Duration(batch.DelayMS) * time.Millisecond)
 	}
 	var wg sync.WaitGroup
-	for i, body := range in.Heartbeats {
+	for i, body := range batch.Heartbeats {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out.Replies[i] = s.handleHeartbeatAsLeader(body, in.From)
+			reply.Replies[i] = s.handleHeartbeatAsLeader(body, batch.From)
 		}()
 	}
 	wg.Wait()
-	out.ProcessingMS = time.Since(start).Milliseconds()
-	return out
+	reply.ProcessingMS = time.Since(start).Milliseconds()
+	return reply
 }
--- a/internal/api/requests.go
+++ b/internal/api/requests.go
@@ -38,17 +38,17 @@
 		}
 	}
 	if failing && servesPeer {
-		if out, ok := s.peers.Relay(r, relayTimeout()); ok {
-			return out
+		if reply, ok := s.peers.Relay(r, relayTimeout()); ok {
+			return reply
 		}
 	}
-	out := s.handleWithin(r, requestTimeout())
-	if _, failing, _ = s.store.Health(); out.Status == fiber.StatusServiceUnavailable && failing && !peersAsked {
+	reply := s.handleWithin(r, requestTimeout())
+	if _, failing, _ = s.store.Health(); reply.Status == fiber.StatusServiceUnavailable && failing && !peersAsked {
 		if other, ok := s.peers.Relay(r, relayTimeout()); ok {
 			return other
 		}
 	}
-	return out
+	return reply
 }
 
 // HandleRelayedRequest handles a user's request that a peer relayed.
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -47,7 +47,7 @@
 	RelayHeartbeat(node string, body []byte) (peer.RelayReply, error)
 	// RelayHeartbeats relays a batch of heartbeats to a node, as the leader. Without an error, the
 	// reply has one element for each heartbeat.
-	RelayHeartbeats(node string, in peer.HeartbeatBatch, timeout time.Duration) (peer.HeartbeatBatchReply, error)
+	RelayHeartbeats(node string, batch peer.HeartbeatBatch, timeout time.Duration) (peer.HeartbeatBatchReply, error)
 	// NotifyCancelled notifies a node, as the leader, of a cancelled job. acknowledged means that the
 	// leader dispatches none of the job's tasks from then on.
 	NotifyCancelled(node, id string) (acknowledged bool, err error)
@@ -160,16 +160,16 @@
 
 // respond handles a user's request and sends the response.
 func (s *Server) respond(c *fiber.Ctx, r peer.RelayRequest) error {
-	out := s.HandleRequest(r)
-	if out.Status == fiber.StatusServiceUnavailable {
+	reply := s.HandleRequest(r)
+	if reply.Status == fiber.StatusServiceUnavailable {
 		c.Set(fiber.HeaderRetryAfter, retryAfterS)
 	}
-	return sendJSON(c, out)
+	return sendJSON(c, reply)
 }
 
-func sendJSON(c *fiber.Ctx, out peer.RelayReply) error {
+func sendJSON(c *fiber.Ctx, reply peer.RelayReply) error {
 	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
-	return c.Status(out.Status).Send(out.Body)
+	return c.Status(reply.Status).Send(reply.Body)
 }
 
 // machineTypes holds the machine types that jobs may use.
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -183,13 +183,13 @@
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * 5 * time.Second / time.Duration(len(ids)))
 				for attempt := range 15 {
-					if out := s.HandleRequest(peer.RelayRequest{Method: "poll", ID: id}); out.Status == 200 {
+					if reply := s.HandleRequest(peer.RelayRequest{Method: "poll", ID: id}); reply.Status == 200 {
 						if attempt == 0 {
 							answeredFirst.Add(1)
 						}
 						return
-					} else if out.Status != 503 {
-						t.Errorf("poll of %s: %d", id, out.Status)
+					} else if reply.Status != 503 {
+						t.Errorf("poll of %s: %d", id, reply.Status)
 					}
 					time.Sleep(5 * time.Second)
 				}
@@ -245,11 +245,11 @@
 		{`{"host":"m-1","stint":1,"tick":1,"shots":null,"later":[1]}`, 200}, {long, 200},
 	} {
 		name := x.body[:min(len(x.body), 40)]
-		if out := s.HandleHeartbeat([]byte(x.body)); out.Status != x.want {
-			t.Errorf("%q: %d, want %d", name, out.Status, x.want)
+		if reply := s.HandleHeartbeat([]byte(x.body)); reply.Status != x.want {
+			t.Errorf("%q: %d, want %d", name, reply.Status, x.want)
 		}
-		if out := s.HandleRelayedHeartbeat(peer.HeartbeatRequest{Body: []byte(x.body)}); out.Status != x.want {
-			t.Errorf("%q through a peer: %d, want %d", name, out.Status, x.want)
+		if reply := s.HandleRelayedHeartbeat(peer.HeartbeatRequest{Body: []byte(x.body)}); reply.Status != x.want {
+			t.Errorf("%q through a peer: %d, want %d", name, reply.Status, x.want)
 		}
 	}
 	if l.heartbeats != 4 || l.tasks != 1800 {
--- a/internal/operator/drain_plan.go
+++ b/internal/operator/drain_plan.go
@@ -19,8 +19,8 @@
 const statusDrainUnread = fiber.StatusTooEarly
 
 // planDrain returns the leader's reply to a plan request: the plan of the drain, or an error response.
-func (s *Server) planDrain(in drainRequest) peer.RelayReply {
-	raw, err := json.Marshal(in)
+func (s *Server) planDrain(request drainRequest) peer.RelayReply {
+	raw, err := json.Marshal(request)
 	if err != nil {
 		return errorResponse(fiber.StatusBadRequest, err.Error())
 	}
@@ -29,16 +29,16 @@
 
 // planDrainAsLeader handles a plan request as the leader; body is an encoded drainRequest.
 func planDrainAsLeader(l Leader, body []byte) peer.RelayReply {
-	var in drainRequest
-	if err := json.Unmarshal(body, &in); err != nil {
+	var request drainRequest
+	if err := json.Unmarshal(body, &request); err != nil {
 		return errorResponse(fiber.StatusBadRequest, err.Error())
 	}
-	for _, id := range in.Seen {
+	for _, id := range request.Seen {
 		if _, ok := l.Drain(id); !ok {
 			return errorResponse(statusDrainUnread, "the leader has not read the drain "+id)
 		}
 	}
-	plan, err := l.PreviewDrain(&in.Spec, in.Force, in.Since, tasksPerPage)
+	plan, err := l.PreviewDrain(&request.Spec, request.Force, request.Since, tasksPerPage)
 	var targetErr *scheduler.DrainTargetError
 	var refusedErr *scheduler.DrainRefusedError
 	switch {
--- a/internal/operator/drain_request.go
+++ b/internal/operator/drain_request.go
@@ -27,19 +27,19 @@
 const maxSpecBytes = 48 << 10
 
 // parseRequest decodes and checks a drainRequest; reason says what is wrong with it, "" if it is valid.
-func (s *Server) parseRequest(body []byte) (in drainRequest, reason string) {
-	if err := json.Unmarshal(body, &in); err != nil {
+func (s *Server) parseRequest(body []byte) (request drainRequest, reason string) {
+	if err := json.Unmarshal(body, &request); err != nil {
 		var typeErr *json.UnmarshalTypeError
 		if errors.As(err, &typeErr) && typeErr.Field != "" {
-			return in, typeErr.Field + ": has the wrong type"
+			return request, typeErr.Field + ": has the wrong type"
 		}
-		return in, "the body is not a JSON object"
+		return request, "the body is not a JSON object"
 	}
-	in.RequestedMS = time.Now().UnixMilli()
-	if err := in.Check(time.Now()); err != nil {
-		return in, err.Error()
+	request.RequestedMS = time.Now().UnixMilli()
+	if err := request.Check(time.Now()); err != nil {
+		return request, err.Error()
 	}
-	return in, s.tooLargeReason(in.Spec)
+	return request, s.tooLargeReason(request.Spec)
 }
 
 // tooLargeReason returns why a drain's record would exceed its size limit, "" if it does not.
@@ -51,10 +51,10 @@
 	if size <= limit {
 		return ""
 	}
-	rest, fit := size, len(spec.Machines)
-	for fit > 0 && rest > limit {
+	remaining, fit := size, len(spec.Machines)
+	for fit > 0 && remaining > limit {
 		fit--
-		rest -= records.EncodedSize(spec.Machines[fit]) + len(",")
+		remaining -= records.EncodedSize(spec.Machines[fit]) + len(",")
 	}
 	if fit == 0 {
 		return fmt.Sprintf("its record takes %d bytes, and a value of the state service holds %d: "+
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -29,11 +29,11 @@
 		return sendJSON(c, s.withTimeout(func(ctx context.Context) peer.RelayReply { return s.startDrain(ctx, c.Body()) }))
 	})
 	app.Post("/operator/drains/plan", func(c *fiber.Ctx) error {
-		in, reason := s.parseRequest(c.Body())
+		request, reason := s.parseRequest(c.Body())
 		if reason != "" {
 			return sendJSON(c, errorResponse(fiber.StatusBadRequest, reason))
 		}
-		return sendJSON(c, s.planDrain(in))
+		return sendJSON(c, s.planDrain(request))
 	})
 	app.Get("/operator/drains/:id", func(c *fiber.Ctx) error {
 		id := utils.CopyString(c.Params("id"))
@@ -63,29 +63,29 @@
 // startDrain stores a drain if the leader can plan it. The request is idempotent: a repeated request
 // returns the stored drain.
 func (s *Server) startDrain(ctx context.Context, body []byte) peer.RelayReply {
-	in, reason := s.parseRequest(body)
+	request, reason := s.parseRequest(body)
 	if reason != "" {
 		return errorResponse(fiber.StatusBadRequest, reason)
 	}
 	for {
-		if out, done := s.tryStartDrain(ctx, &in); done {
-			return out
+		if reply, done := s.tryStartDrain(ctx, &request); done {
+			return reply
 		}
 	}
 }
 
 // tryStartDrain makes one attempt to plan and store a drain. done is false if the caller has to retry:
 // another drain was stored concurrently, or the leader had not read all stored drains.
-func (s *Server) tryStartDrain(ctx context.Context, in *drainRequest) (out peer.RelayReply, done bool) {
-	stored, err := s.readStoredDrains(ctx, records.PrefixDrains+in.ID)
+func (s *Server) tryStartDrain(ctx context.Context, request *drainRequest) (reply peer.RelayReply, done bool) {
+	stored, err := s.readStoredDrains(ctx, records.PrefixDrains+request.ID)
 	if err != nil {
 		return storeUnavailableResponse, true
 	}
-	in.Seen = stored.ids
+	request.Seen = stored.ids
 	if stored.record != nil {
-		return repeatedStartResponse(in.Spec, stored.record), true
+		return repeatedStartResponse(request.Spec, stored.record), true
 	}
-	switch out := s.planDrain(*in); out.Status {
+	switch planReply := s.planDrain(*request); planReply.Status {
 	case fiber.StatusOK:
 	case statusDrainUnread:
 		if ctxtime.Sleep(ctx, s.timeout/20) == nil {
@@ -93,14 +93,14 @@
 		}
 		return errorResponse(fiber.StatusServiceUnavailable, "the leader has not read all drains yet; please retry"), true
 	default:
-		return out, true
+		return planReply, true
 	}
-	err = s.storeDrain(ctx, in.Spec, stored.sequence)
+	err = s.storeDrain(ctx, request.Spec, stored.sequence)
 	var conflict *records.ConflictError
 	switch {
 	case err == nil:
-		slog.Info("drain accepted", "drain", in.ID, "kind", in.Kind, "zone", in.Zone, "machines", len(in.Machines))
-		return encodeJSON(fiber.StatusCreated, scheduler.DrainView{Spec: in.Spec}), true
+		slog.Info("drain accepted", "drain", request.ID, "kind", request.Kind, "zone", request.Zone, "machines", len(request.Machines))
+		return encodeJSON(fiber.StatusCreated, scheduler.DrainView{Spec: request.Spec}), true
 	case errors.As(err, &conflict):
 		return peer.RelayReply{}, false
 	}
@@ -209,7 +209,7 @@
 	if err != nil {
 		return storeUnavailableResponse
 	}
-	out := Drains{Drains: []scheduler.DrainView{}}
+	list := Drains{Drains: []scheduler.DrainView{}}
 	if _, err := s.store.List(ctx, records.PrefixDrains, func(record records.KeyValue) error {
 		var spec drain.Spec
 		if err := json.Unmarshal(record.Value, &spec); err != nil {
@@ -221,12 +221,12 @@
 		if state != nil {
 			state.OutOfService = state.OutOfService[:min(len(state.OutOfService), maxListedNames)]
 		}
-		out.Drains = append(out.Drains, scheduler.DrainView{Spec: spec, State: state})
+		list.Drains = append(list.Drains, scheduler.DrainView{Spec: spec, State: state})
 		return nil
 	}); err != nil {
 		return storeUnavailableResponse
 	}
-	return okResponse(out)
+	return okResponse(list)
 }
 
 // readDrainStates reads the states of all drains, by the drain's id. It skips states that it cannot decode.
@@ -247,8 +247,8 @@
 	if !drain.ValidID(id) {
 		return noSuchDrainResponse(id)
 	}
-	if out := s.AskLeader(peer.RelayRequest{Method: methodDrain, ID: id}); out.Status == fiber.StatusOK {
-		return out
+	if reply := s.AskLeader(peer.RelayRequest{Method: methodDrain, ID: id}); reply.Status == fiber.StatusOK {
+		return reply
 	}
 	record, err := s.store.Get(ctx, records.PrefixDrains+id)
 	switch {
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -151,15 +151,15 @@
 // The requests that controllers relay to the leader keep their wire format, because controllers of
 // different versions call each other.
 func TestGoldenRelayedRequests(t *testing.T) {
-	var in drainRequest
+	var request drainRequest
 	d := json.NewDecoder(bytes.NewBufferString(goldenDrain))
 	d.DisallowUnknownFields()
-	if err := d.Decode(&in); err != nil {
+	if err := d.Decode(&request); err != nil {
 		t.Fatal(err)
 	}
-	in.RequestedMS, in.DeadlineMS, in.Stopped = 946684801000, 946684802000, true
+	request.RequestedMS, request.DeadlineMS, request.Stopped = 946684801000, 946684802000, true
 	goldentest.Run(t, "golden-questions.json", goldentest.JSON, []goldentest.Case{
-		{Name: "drain", Value: in},
+		{Name: "drain", Value: request},
 		{Name: "failure", Direction: goldentest.WriteOnly, Value: errorBody{"why"}},
 		{
 			Name: "page of machines", AllowUnset: true, Direction: goldentest.WriteOnly,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -94,12 +94,12 @@
 	})
 }
 
-func sendJSON(c *fiber.Ctx, out peer.RelayReply) error {
-	if out.Status == fiber.StatusServiceUnavailable {
+func sendJSON(c *fiber.Ctx, reply peer.RelayReply) error {
+	if reply.Status == fiber.StatusServiceUnavailable {
 		c.Set(fiber.HeaderRetryAfter, "1")
 	}
 	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
-	return c.Status(out.Status).Send(out.Body)
+	return c.Status(reply.Status).Send(reply.Body)
 }
 
 // AskLeader returns the leader's reply to a request, from this process or from a peer. The reply is a 503
@@ -112,12 +112,12 @@
 	if node == "" || node == s.node {
 		return errorResponse(fiber.StatusServiceUnavailable, "no controller leads now; please retry")
 	}
-	out, err := s.peers.RelayOperatorRequest(node, r, s.timeout)
+	reply, err := s.peers.RelayOperatorRequest(node, r, s.timeout)
 	if err != nil {
 		slog.Debug("failed to relay operator request", "node", node, "method", r.Method, "err", err)
 		return errorResponse(fiber.StatusServiceUnavailable, "the leader does not answer, or is of an earlier version; please retry")
 	}
-	return out
+	return reply
 }
 
 // HandleAsLeader handles a request as the leader. The reply is a 503 if this process does not lead.
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -64,11 +64,11 @@
 
 func TestStatusWithoutSpanListsNoCancellations(t *testing.T) {
 	confirmed := cancellation.NewLog(time.Now().Add(-time.Minute))
-	answers, all := onePeer(t, Handlers{Status: statusHandler(confirmed)}).Status(t.Context())
-	if !all || len(answers) != 1 {
-		t.Fatalf("got %d answers, all %v, want 1, true", len(answers), all)
+	statuses, all := onePeer(t, Handlers{Status: statusHandler(confirmed)}).Status(t.Context())
+	if !all || len(statuses) != 1 {
+		t.Fatalf("got %d statuses, all %v, want 1, true", len(statuses), all)
 	}
-	got := answers[0]
+	got := statuses[0]
 	if got.Node != "n-1" || got.StoreServed || !got.StoreFailing {
 		t.Errorf("got %+v, want n-1 whose store fails and has never served it", got)
 	}
@@ -88,11 +88,11 @@
 		return status(request)
 	}})
 	request := StatusRequest{Attestation: watermark.Attestation{Term: 7}, CancellationSpanMS: 45_000}
-	answers, _ := peers.QueryStatus(t.Context(), request)
-	if len(answers) != 1 {
-		t.Fatalf("got %d answers, want 1", len(answers))
+	statuses, _ := peers.QueryStatus(t.Context(), request)
+	if len(statuses) != 1 {
+		t.Fatalf("got %d statuses, want 1", len(statuses))
 	}
-	if got := answers[0].Cancellations; got == nil || got.SpanMS != 45_000 || !slices.Equal(got.IDs, []string{"j-7"}) {
+	if got := statuses[0].Cancellations; got == nil || got.SpanMS != 45_000 || !slices.Equal(got.IDs, []string{"j-7"}) {
 		t.Errorf("got %+v, want j-7 in 45 s", got)
 	}
 }
@@ -105,8 +105,8 @@
 		{Node: "n-1", Addr: serve(t, Handlers{Status: statusHandler(confirmed)})},
 		{Node: "n-2", Addr: unreachableAddr(t)},
 	}, callTimeout)
-	if answers, all := peers.Status(t.Context()); all || len(answers) != 1 {
-		t.Errorf("one of two is unreachable: got %d answers, all %v, want 1, false", len(answers), all)
+	if statuses, all := peers.Status(t.Context()); all || len(statuses) != 1 {
+		t.Errorf("one of two is unreachable: got %d statuses, all %v, want 1, false", len(statuses), all)
 	}
 }
 
--- a/internal/slo/summary.go
+++ b/internal/slo/summary.go
@@ -53,30 +53,30 @@
 // Summarize returns a summary of each group that has jobs, sorted by dimension and name. bound is the
 // longest wait that counts as in time. Jobs that have not started have waited until now.
 func (t *Tracker) Summarize(bound time.Duration, now time.Time) []Summary {
-	sums := &summaryBuilder{tracker: t, bound: bound, now: now, byGroup: map[group]*Summary{}}
+	builder := &summaryBuilder{tracker: t, bound: bound, now: now, byGroup: map[group]*Summary{}}
 	byClass := map[string][]string{}
 	for _, id := range t.order {
 		j := t.jobs[id]
 		if j.closed && !j.done {
 			continue
 		}
-		sums.add(group{ByClass, j.class}, id)
-		sums.add(group{ByTeam, j.team}, id)
+		builder.add(group{ByClass, j.class}, id)
+		builder.add(group{ByTeam, j.team}, id)
 		byClass[j.class] = append(byClass[j.class], id)
 	}
 	for class, ids := range byClass {
 		for _, id := range t.largestJobs(ids) {
-			sums.add(group{ByLargest, class}, id)
+			builder.add(group{ByLargest, class}, id)
 		}
 	}
-	var all []Summary
-	for _, sum := range sums.byGroup {
-		all = append(all, *sum)
+	var summaries []Summary
+	for _, summary := range builder.byGroup {
+		summaries = append(summaries, *summary)
 	}
-	slices.SortFunc(all, func(x, y Summary) int {
+	slices.SortFunc(summaries, func(x, y Summary) int {
 		return cmp.Or(cmp.Compare(x.Dimension, y.Dimension), cmp.Compare(x.Name, y.Name))
 	})
-	return all
+	return summaries
 }
 
 // largestJobs returns the largestShare of the given jobs by size, and all jobs as large as the smallest
@@ -93,28 +93,28 @@
 
 // add counts a job in the summary of a group.
 func (s *summaryBuilder) add(g group, id string) {
-	sum := s.byGroup[g]
-	if sum == nil {
-		sum = &Summary{Dimension: g.dimension, Name: g.name}
-		s.byGroup[g] = sum
+	summary := s.byGroup[g]
+	if summary == nil {
+		summary = &Summary{Dimension: g.dimension, Name: g.name}
+		s.byGroup[g] = summary
 	}
 	j := s.tracker.jobs[id]
 	started, waited := !j.started.IsZero(), j.waited(s.now)
-	sum.Arrived++
+	summary.Arrived++
 	if started {
-		sum.Started++
+		summary.Started++
 	}
 	if j.done {
-		sum.Done++
+		summary.Done++
 	}
 	if started || waited > s.bound {
-		sum.Due++
+		summary.Due++
 	}
 	if waited > s.bound {
-		sum.Late++
+		summary.Late++
 	}
-	sum.LongestWait = max(sum.LongestWait, waited)
-	if !started && (sum.LongestWaitingJob == "" || j.waitsSince.Before(s.tracker.jobs[sum.LongestWaitingJob].waitsSince)) {
-		sum.LongestWaitingJob = id
+	summary.LongestWait = max(summary.LongestWait, waited)
+	if !started && (summary.LongestWaitingJob == "" || j.waitsSince.Before(s.tracker.jobs[summary.LongestWaitingJob].waitsSince)) {
+		summary.LongestWaitingJob = id
 	}
 }
