--- a/internal/api/confirmations_test.go
+++ b/internal/api/confirmations_test.go
@@ -79,7 +79,7 @@
 					{Method: peer.MethodSubmit, Body: []byte(validJob)},
 				}
 				if reply := s.HandleRequest(requests[2]); reply.Status != 201 {
-					t.Fatalf("submission: %d", reply.Status)
+					t.Fatalf("submission: status %d, want 201", reply.Status)
 				}
 				start := time.Now()
 				for time.Since(start) < 10*time.Second {
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -131,7 +131,7 @@
 		wg.Wait()
 		notFound, unavailable := status[404].Load(), status[503].Load()
 		if notFound == 0 || unavailable == 0 || notFound+unavailable != 3000 || store.gets.Load() > 400 {
-			t.Errorf("3000 polls: %d not found, %d to retry, %d reads", notFound, unavailable, store.gets.Load())
+			t.Errorf("3000 polls: %d not found, %d to retry, %d reads; want both responses, none other, and at most 400 reads", notFound, unavailable, store.gets.Load())
 		}
 		if got := s.HandleRequest(peer.RelayRequest{Method: "submit", Body: []byte(validJob)}).Status; got != 201 {
 			t.Errorf("submission during the flood: status %d, want 201", got)
@@ -139,16 +139,16 @@
 		time.Sleep(time.Minute)
 		for range 50 {
 			if got := s.HandleRequest(peer.RelayRequest{Method: "submit", Body: []byte(validJob)}).Status; got != 200 {
-				t.Errorf("submitted again: %d", got)
+				t.Errorf("submitted again: status %d, want 200", got)
 			}
 		}
 		for range 50 {
 			if got := s.HandleRequest(peer.RelayRequest{Method: "withdraw", ID: "j-1"}).Status; got != 200 {
-				t.Errorf("cancelled again: %d", got)
+				t.Errorf("cancelled again: status %d, want 200", got)
 			}
 		}
 		if n := store.commits.Load(); n != 2 {
-			t.Errorf("%d commits for one job and its cancellation", n)
+			t.Errorf("%d commits for one job and its cancellation, want 2", n)
 		}
 	})
 }
@@ -189,7 +189,7 @@
 						}
 						return
 					} else if reply.Status != 503 {
-						t.Errorf("poll of %s: %d", id, reply.Status)
+						t.Errorf("poll of %s: status %d, want 200 or 503", id, reply.Status)
 					}
 					time.Sleep(5 * time.Second)
 				}
@@ -201,7 +201,7 @@
 			t.Errorf("%d of 360 jobs got a response to the first poll, want at least 300", n)
 		}
 		if gets, lists := store.gets.Load(), store.lists.Load(); gets+lists > 250 {
-			t.Errorf("%d reads and %d lists for 360 jobs", gets, lists)
+			t.Errorf("%d reads and %d lists for 360 jobs, want at most 250 together", gets, lists)
 		}
 	})
 }
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -63,6 +63,6 @@
 		t.Error("a request without a response returns no error")
 	}
 	if got := len(accepted); got != 1 {
-		t.Errorf("%d requests, want 1", got)
+		t.Errorf("the server received %d requests, want 1", got)
 	}
 }
