--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -8,11 +8,12 @@
 	"drumpick/internal/records"
 )
 
-// cancelAttempts bounds the attempts to cancel a job whose record changes between the read and the commit.
+// cancelAttempts bounds the attempts to cancel a job whose record changes between the read and the
+// commit.
 const cancelAttempts = 4
 
-// cancelJob cancels a job. The response reports the job's final state, which is not "cancelled" if the job
-// was already done.
+// cancelJob cancels a job. The response reports the job's final state, which is not "cancelled" if
+// the job was already done.
 func (s *Server) cancelJob(ctx context.Context, id string) response {
 	if !records.ValidID(id) {
 		return noSuchJobResponse
--- a/internal/api/confirmations.go
+++ b/internal/api/confirmations.go
@@ -18,13 +18,13 @@
 	withheldCancellations = metrics.NewCounter("drumpick_cancellations_held_back_total")
 )
 
-// pendingConfirmations tracks the cancelled jobs whose cancellation the leader has not acknowledged yet.
-// No response reports such a job as cancelled until confirmCancelled allows it.
+// pendingConfirmations tracks the cancelled jobs whose cancellation the leader has not acknowledged
+// yet. No response reports such a job as cancelled until confirmCancelled allows it.
 type pendingConfirmations struct {
 	leaderLease time.Duration // duration of the leader's lease
 
 	mu    sync.Mutex           // guards since
-	since map[string]time.Time // when this controller first stored or read the cancellation, by job
+	since map[string]time.Time // by job id: when this controller first stored or read the cancellation
 }
 
 func newPendingConfirmations(leaderLease time.Duration) *pendingConfirmations {
@@ -33,9 +33,9 @@
 
 // add records that the leader has to acknowledge the cancellation of a job.
 //
-// When the map is full, add evicts the cancellations older than the leader's lease, which no longer need
-// an acknowledgement (confirmCancelled). It evicts no others: otherwise a cancellation that the leader
-// does not know could be confirmed to a user.
+// When the map is full, add evicts the cancellations older than the leader's lease, which no longer
+// need an acknowledgement (confirmCancelled). It evicts no others: otherwise a cancellation that the
+// leader does not know could be confirmed to a user.
 func (c *pendingConfirmations) add(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,8 +68,8 @@
 // cancellation first. Usually its watch of the store reports the cancellation before a user asks. The
 // watch lags if the store is slow, rejects only the leader's requests, or has already expired a lease
 // on which the leader still relies. Therefore the leader is notified and has to acknowledge. A leader
-// that cannot be reached starts no tasks after the expiry of any lease that it held when this controller
-// stored or read the cancellation; until then users are asked to retry.
+// that cannot be reached starts no tasks after the expiry of any lease that it held when this
+// controller stored or read the cancellation; until then users are asked to retry.
 func (s *Server) confirmCancelled(ctx context.Context, id string) bool {
 	since, pending := s.confirmations.pendingSince(id)
 	if !pending {
@@ -84,9 +84,9 @@
 	return true
 }
 
-// notifyLeader notifies the leader of a cancellation and reports whether the leader acknowledges it. The
-// result is true if no leader is known, because the next leader reads the store after its election. It
-// is false while this controller is elected but does not lead yet.
+// notifyLeader notifies the leader of a cancellation and reports whether the leader acknowledges it.
+// The result is true if no leader is known, because the next leader reads the store after its
+// election. It is false while this controller is elected but does not lead yet.
 func (s *Server) notifyLeader(ctx context.Context, id string) bool {
 	if l := s.localLeader(); l != nil {
 		return l.NotifyCancelled(ctx, id)
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -21,8 +21,8 @@
 	dependenciesClear                           // none is cancelled
 )
 
-// checkDependencies checks the dependencies of a submitted job, direct and indirect. The text is the
-// reason if they are invalid, and otherwise "".
+// checkDependencies checks the dependencies of a submitted job, direct and indirect. The second
+// result is the reason if the dependencies are invalid, and otherwise "".
 func (s *Server) checkDependencies(ctx context.Context, job *records.Job) (dependencyStatus, string) {
 	walker := s.newWalker()
 	result := dependenciesClear
@@ -64,8 +64,8 @@
 
 // dependencyResponse checks the dependencies of an open job, direct and indirect, before the job is
 // reported as open. It returns false if the job may be reported as open. If a dependency is cancelled,
-// it cancels the job as well and returns the response that says so. If the status of the dependencies is
-// unknown, the response asks the user to retry. readAt is a time before openRecord was read.
+// it cancels the job as well and returns the response that says so. If the status of the dependencies
+// is unknown, the response asks the user to retry. readAt is a time before openRecord was read.
 //
 // Normally the leader cancels such jobs. Without this check, while no controller leads, a job could be
 // reported as pending long after a dependency was cancelled.
@@ -115,8 +115,8 @@
 }
 
 // newWalker returns a walker whose findings are valid for half of the time within which the tasks
-// of a cancelled job must end. If a dependency is cancelled after a finding, the confirmation to its
-// user also follows the finding. So no dependent is reported as open for longer than this half after
+// of a cancelled job must end. A dependency that is cancelled after a finding is also confirmed as
+// cancelled only after the finding. So no dependent is reported as open for longer than this half after
 // the confirmation.
 func (s *Server) newWalker() *dependencyWalker {
 	return &dependencyWalker{s, config.Seconds(s.cfg.Deployment.Workers.CancelS) / 2}
@@ -136,8 +136,8 @@
 
 func (p dependencyPath) last() *pathStep { return &p[len(p)-1] }
 
-// pop removes the last job of the path: neither that job nor any of its dependencies was cancelled up to
-// clearAsOf. The job before it on the path is then known to be clear up to that time at most.
+// pop removes the last job of the path: neither that job nor any of its dependencies was cancelled up
+// to clearAsOf. The job before it on the path is then known to be clear up to that time at most.
 func (p *dependencyPath) pop(clearAsOf time.Time) {
 	*p = (*p)[:len(*p)-1]
 	if len(*p) > 0 && clearAsOf.Before(p.last().clearAsOf) {
@@ -145,9 +145,9 @@
 	}
 }
 
-// check checks all dependencies of an open job. dependencies are the direct ones; readAt is a time before
-// the job's record was read. progress returns the leader's view of a job, which saves reads of the store
-// if the leader knows the job.
+// check checks all dependencies of an open job. dependencies are the direct ones; readAt is a time
+// before the job's record was read. progress returns the leader's view of a job, which saves reads of
+// the store if the leader knows the job.
 func (w *dependencyWalker) check(
 	ctx context.Context, id string, dependencies []string, readAt time.Time, progress func(id string) peer.Progress,
 ) dependencyStatus {
@@ -207,8 +207,8 @@
 	return dependenciesClear
 }
 
-// descend checks the next dependency of the last job on the path, and appends the dependency to the path
-// if it may be open. The dependencies of a job with a final state need no check.
+// descend checks the next dependency of the last job on the path, and appends the dependency to the
+// path if it may be open. The dependencies of a job with a final state need no check.
 func (w *dependencyWalker) descend(ctx context.Context, path *dependencyPath) dependencyStatus {
 	job := path.last()
 	next := pathStep{id: job.unchecked[0], clearAsOf: time.Now()}
--- a/internal/api/dependency_cache.go
+++ b/internal/api/dependency_cache.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// invalidateClear removes all findings of setClear. It is called after the cancellation of any job: every
-// other job may depend on it.
+// invalidateClear removes all findings of setClear. It is called after the cancellation of any job:
+// every other job may depend on it.
 func (c *dependencyCache) invalidateClear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -79,8 +79,8 @@
 	return s, store, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
 }
 
-// Users' requests and their responses keep their wire format. A renamed field or path would break users'
-// clients.
+// Users' requests and their responses keep their wire format. A renamed field or path would break
+// users' clients.
 func TestGoldenUsers(t *testing.T) {
 	l := &goldenLeader{}
 	s, store, send := goldenServer(unreachablePeers{}, "n-0", func() api.Leader { return l })
--- a/internal/api/heartbeat_relay.go
+++ b/internal/api/heartbeat_relay.go
@@ -36,7 +36,7 @@
 )
 
 // heartbeatRelay relays workers' heartbeats to the leader in batches, and tracks whether the leader
-// accepts them.
+// accepts the batches.
 type heartbeatRelay struct {
 	batcher *peer.Batcher
 
@@ -48,17 +48,17 @@
 	delay         time.Duration // transmission time of the last batch and its reply, reported in the next batch
 }
 
-// canRelayTo reports whether heartbeats are relayed to a leader in batches. enabled is false if operators
-// have not enabled batches. To a suspended leader none are relayed until it has accepted an empty batch,
-// so that no worker waits for that leader.
+// canRelayTo reports whether heartbeats are relayed to a leader in batches. enabled is false if
+// operators have not enabled batches. A suspended leader gets no heartbeats until it has accepted an
+// empty batch, so that no worker waits for that leader.
 func (r *heartbeatRelay) canRelayTo(enabled bool, node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return enabled && node != "" && node != r.suspendedNode
 }
 
-// shouldAnnounce reports whether an empty batch should be sent to a leader now. It is false before retryAt
-// of a suspended leader.
+// shouldAnnounce reports whether an empty batch should be sent to a leader now. It is false before
+// retryAt of a suspended leader.
 func (r *heartbeatRelay) shouldAnnounce(node string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,10 +82,10 @@
 	return previous
 }
 
-// recordResult records whether a leader accepted a batch; err is nil if it did. It suspends the relay to
-// a leader that does not support batches, or after more than maxBatchFailures consecutive failures, and
-// tries the leader again at retryAt. A failure at another leader than the suspended one starts a new
-// count.
+// recordResult records whether a leader accepted a batch; err is nil if it did. It suspends the relay
+// to a leader that does not support batches, or after more than maxBatchFailures consecutive
+// failures, and tries the leader again at retryAt. A failure at another leader than the suspended one
+// starts a new count.
 func (r *heartbeatRelay) recordResult(node string, err error, retryAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -20,8 +20,8 @@
 func (s *Server) serveHeartbeat(c *fiber.Ctx) error { return sendJSON(c, s.HandleHeartbeat(c.Body())) }
 
 // HandleHeartbeat handles a heartbeat that a worker sent to this controller. Only the leader processes
-// it. Any other controller relays it if possible. Otherwise it redirects the worker to the leader or, if
-// no leader is known or a batch failed while the relay is not suspended, to the next controller.
+// it. Any other controller relays it if possible. Otherwise it redirects the worker to the leader or,
+// if no leader is known or a batch failed while the relay is not suspended, to the next controller.
 func (s *Server) HandleHeartbeat(body []byte) peer.RelayReply {
 	if s.localLeader() != nil {
 		return s.handleHeartbeatAsLeader(body, s.cfg.Node)
@@ -47,8 +47,8 @@
 }
 
 // HandleRelayedHeartbeat handles a single heartbeat that a peer relayed. A response of 200 renews the
-// worker's lease from the time when the worker sent the heartbeat, so the relay does not change what the
-// leader may conclude from the worker's silence.
+// worker's lease from the time when the worker sent the heartbeat, so the relay does not change what
+// the leader may conclude from the worker's silence.
 func (s *Server) HandleRelayedHeartbeat(request peer.HeartbeatRequest) peer.RelayReply {
 	return s.handleHeartbeatAsLeader(request.Body, "")
 }
--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -8,14 +8,14 @@
 	"drumpick/internal/records"
 )
 
-// maxCacheEntries bounds each cache of jobs: final states, accepted ids, dependencies. It does not bound
-// the jobs of a deployment: at 41,000 jobs a day a cache is full about every six hours, and half of its
-// entries are evicted. What an evicted entry held is read from the store again when it is needed, with
-// one or two requests.
+// maxCacheEntries bounds each cache of jobs: final states, accepted ids, dependencies. It does not
+// bound the jobs of a deployment: at 41,000 jobs a day a cache is full about every six hours, and
+// half of its entries are evicted. What an evicted entry held is read from the store again when it is
+// needed, with one or two requests.
 const maxCacheEntries = 20_000
 
-// evictHalf removes arbitrary entries of a full cache until it is less than half full. It does nothing if
-// the cache is not full.
+// evictHalf removes arbitrary entries of a full cache until it is less than half full. It does
+// nothing if the cache is not full.
 func evictHalf[V any](m map[string]V) {
 	if len(m) < maxCacheEntries {
 		return
@@ -54,8 +54,8 @@
 	return job, ok
 }
 
-// addClosed caches the final state of a job. mayHaveStarted is false for a job that is cancelled because
-// of a dependency: none of its tasks can have started, so the leader need not acknowledge the
+// addClosed caches the final state of a job. mayHaveStarted is false for a job that is cancelled
+// because of a dependency: none of its tasks can have started, so the leader need not acknowledge the
 // cancellation.
 //
 // All effects of a cancellation take place under the lock, before the final state can be read from the
--- a/internal/api/linearizability_test.go
+++ b/internal/api/linearizability_test.go
@@ -28,7 +28,8 @@
 	faults *faults
 }
 
-// faults draws the random delays and failures of a test cluster, and names its injected bug, "" for none.
+// faults draws the random delays and failures of a test cluster, and names its injected bug, "" for
+// none.
 type faults struct {
 	mu          sync.Mutex // guards random
 	random      *rand.Rand
--- a/internal/api/peer_store_health.go
+++ b/internal/api/peer_store_health.go
@@ -8,8 +8,8 @@
 	"drumpick/internal/ctxtime"
 )
 
-// peerStoreHealth holds what the other controllers last reported about the store. It is all false while
-// the store does not fail for this controller.
+// peerStoreHealth holds what the other controllers last reported about the store. All fields are false
+// while the store does not fail for this controller.
 type peerStoreHealth struct {
 	mu         sync.Mutex // guards the fields below
 	servesPeer bool       // the store serves another controller, but not this one
@@ -32,18 +32,18 @@
 	return h.isolated
 }
 
-// storeServesPeer reports whether the store served some other controller when the other controllers were
-// last asked, and whether they were asked since the store began to fail here.
+// storeServesPeer reports whether the store served some other controller when the other controllers
+// were last asked, and whether they were asked since the store began to fail here.
 func (h *peerStoreHealth) storeServesPeer() (servesPeer, peersAsked bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.servesPeer, h.peersAsked
 }
 
-// Ready reports whether this controller can serve requests. It is not ready if the store fails here, has
-// served no request for half a heartbeat interval, and either serves another controller or this
-// controller is isolated. In an outage of the store for all controllers it stays ready, because no other
-// controller could serve the requests either.
+// Ready reports whether this controller can serve requests. It is not ready if the store fails here,
+// has served no request for half a heartbeat interval, and either serves another controller or this
+// controller is isolated. In an outage of the store for all controllers it stays ready, because no
+// other controller could serve the requests either.
 func (s *Server) Ready() bool {
 	lastOK, failing, started := s.store.Health()
 	if lastOK.IsZero() {
@@ -56,9 +56,9 @@
 	return !servesPeer && !s.peerStoreHealth.isIsolated()
 }
 
-// WatchPeers asks the other controllers every quarter of a heartbeat interval, while the store fails here,
-// whether the store serves them. It returns when the context is cancelled. It is meant to run in the
-// background, so that no user's request waits for an unreachable controller.
+// WatchPeers asks the other controllers every quarter of a heartbeat interval, while the store fails
+// here, whether the store serves them. It returns when the context is cancelled. It is meant to run
+// in the background, so that no user's request waits for an unreachable controller.
 func (s *Server) WatchPeers(ctx context.Context) {
 	interval := s.cfg.HeartbeatInterval()
 	for ctxtime.Sleep(ctx, interval/4) == nil {
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -94,8 +94,8 @@
 	return s.closedJobResponse(ctx, id, job), true
 }
 
-// closedJobResponse returns the response about a job with a final state. It asks the user to retry if the
-// job is cancelled and the cancellation may not be confirmed yet.
+// closedJobResponse returns the response about a job with a final state. It asks the user to retry if
+// the job is cancelled and the cancellation may not be confirmed yet.
 func (s *Server) closedJobResponse(ctx context.Context, id string, job records.ClosedJob) response {
 	done, running := 0, 0
 	switch {
--- a/internal/api/requests.go
+++ b/internal/api/requests.go
@@ -18,9 +18,10 @@
 // relayTimeout bounds the handling of a request that a peer relayed, and the wait for a peer's reply.
 func relayTimeout() time.Duration { return requestTimeout() / 2 }
 
-// HandleRequest handles a user's request. While the store fails here, the request is relayed to the peers
-// if the store serves one of them. If that is not known yet, this controller tries first and relays the
-// request only if it cannot serve it; a peer that cannot serve the request replies at once.
+// HandleRequest handles a user's request. While the store fails here, the request is relayed to the
+// peers if the store serves one of them. If that is not known yet, this controller tries first and
+// relays the request only if it cannot serve it; a peer that cannot serve the request replies at
+// once.
 func (s *Server) HandleRequest(r peer.RelayRequest) peer.RelayReply {
 	if s.peerStoreHealth.isIsolated() {
 		// With no time, only cached states can be reported. For any other job, the user gets the
@@ -56,12 +57,14 @@
 	return s.handleWithin(r, relayTimeout())
 }
 
+// handleWithin handles a request here and returns the reply within the given timeout.
 func (s *Server) handleWithin(r peer.RelayRequest, timeout time.Duration) peer.RelayReply {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return s.dispatchRequest(ctx, r).encode()
 }
 
+// dispatchRequest calls the handler of the request's method.
 func (s *Server) dispatchRequest(ctx context.Context, r peer.RelayRequest) response {
 	switch r.Method {
 	case peer.MethodSubmit, peer.MethodSubmitWithDependencies:
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -75,8 +75,8 @@
 	NeedsRelay(heartbeat *fleet.Heartbeat) bool
 }
 
-// Server handles the requests of users and workers. Each part of its state has its own type, with its own
-// lock.
+// Server handles the requests of users and workers. Each part of its state has its own type, with its
+// own lock.
 type Server struct {
 	cfg         *config.Config
 	store       Store
@@ -97,8 +97,9 @@
 }
 
 // pollShare is the share of the store's request rate that polls at all controllers may use for reads of
-// single jobs. Without this limit, a flood of polls, or polls for unknown jobs, would starve submissions
-// and the renewal of the leader's lease. Polls beyond the limit share a list (shared_poll.go).
+// single jobs. Without this limit, a flood of polls, or polls for unknown jobs, would starve
+// submissions and the renewal of the leader's lease. Polls beyond the limit share a list
+// (shared_poll.go).
 const pollShare = 0.6
 
 // New returns a server. leaderNode returns the name of the node that leads, "" if unknown;
@@ -155,7 +156,8 @@
 	app.Post("/checkin", s.serveHeartbeat)
 }
 
-// retryAfterS is the value of the Retry-After header, in seconds: the shortest delay that users respect.
+// retryAfterS is the value of the Retry-After header, in seconds: the shortest delay that users
+// respect.
 const retryAfterS = "1"
 
 // respond handles a user's request and sends the response.
@@ -184,6 +186,7 @@
 	m.types = types
 }
 
+// get returns the machine types, nil if they are not known. The caller must not change them.
 func (m *machineTypes) get() []records.MachineType {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -29,9 +29,9 @@
  "apart":false,"loaners":true,"guess_s":10.0,"snapshot_s":0.0,"flush_s":0.0,"due_s":null}`
 
 // A scenario sends requests to one server: "submit" with changes to a valid job, such as "-uid" (left
-// out) or "shots=0"; "raw BODY" (a submission); "GET /path"; "POST /path"; "checkin". Other events change
-// the conditions: "types" (machine types become known), "outage on" and "outage off" (of the store),
-// "team" (no team exists any more) and "small" (a lower limit on the size of values).
+// out) or "shots=0"; "raw BODY" (a submission); "GET /path"; "POST /path"; "checkin". Other events
+// change the conditions: "types" (machine types become known), "outage on" and "outage off" (of the
+// store), "team" (no team exists any more) and "small" (a lower limit on the size of values).
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		store := simulation.NewStore()
@@ -108,9 +108,9 @@
 }
 
 // A flood of polls uses no more than its share of the store's request rate, so that it does not starve
-// submissions. Of thousands of polls for unknown jobs, those beyond the share get the response to retry,
-// and a submission after them is accepted. A job that is then submitted and cancelled many times causes
-// only two commits.
+// submissions. Of thousands of polls for unknown jobs, those beyond the share get the response to
+// retry, and a submission after them is accepted. A job that is then submitted and cancelled many
+// times causes only two commits.
 func TestPollFloodLeavesRoomForSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Node: "n-0"}
@@ -154,9 +154,9 @@
 }
 
 // After an outage with empty caches, the users of 300 open and 60 closed jobs poll one of seven
-// controllers every 5 s, spread over the interval: far more polls than its share of reads of single jobs.
-// Each user gets a response within 75 s, most of them to the first poll. Without shared lists, a user
-// whose polls always arrive when the reads are used up would never get a response.
+// controllers every 5 s, spread over the interval: far more polls than its share of reads of single
+// jobs. Each user gets a response within 75 s, most of them to the first poll. Without shared lists,
+// a user whose polls always arrive when the reads are used up would never get a response.
 func TestEveryPollIsAnsweredInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Node: "n-0"}
@@ -278,7 +278,8 @@
 	return peer.RelayReply{}, false
 }
 
-// editField changes one field of a JSON object: "name=value" sets or adds the field, "-name" removes it.
+// editField changes one field of a JSON object: "name=value" sets or adds the field, "-name" removes
+// it.
 func editField(body, change string) string {
 	name, value, set := strings.Cut(strings.TrimPrefix(change, "-"), "=")
 	i := strings.Index(body, `"`+name+`":`)
--- a/internal/api/shared_poll.go
+++ b/internal/api/shared_poll.go
@@ -16,10 +16,10 @@
 
 var sharedLists = metrics.NewCounter("drumpick_polls_shared_lists_total")
 
-// pollCoalescer serves polls that arrive faster than the rate limit allows reads of single jobs: one list
-// of the open jobs serves all polls that arrived before the list started. Without it, users who poll at
-// the same interval starve each other: with enough jobs, one user always polls when the reads are used
-// up, never gets a response and abandons the job.
+// pollCoalescer serves polls that arrive faster than the rate limit allows reads of single jobs: one
+// list of the open jobs serves all polls that arrived before the list started. Without it, users who
+// poll at the same interval starve each other: with enough jobs, one user always polls when the reads
+// are used up, never gets a response and abandons the job.
 type pollCoalescer struct {
 	mu          sync.Mutex // guards the fields below
 	activeUntil time.Time  // polls share lists up to this time
@@ -53,8 +53,8 @@
 	c.activeUntil = now.Add(userTimeout)
 }
 
-// join returns the next list. first is true if the caller is the first to join this list; the caller then
-// has to start the list after the given wait.
+// join returns the next list. first is true if the caller is the first to join this list; the caller
+// then has to start the list after the given wait.
 func (c *pollCoalescer) join() (list *openList, wait time.Duration, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,8 +86,8 @@
 	}
 }
 
-// listOpenJobs reads the open jobs after the given wait, for all polls that have joined the list by then.
-// It has its own timeout because the list does not belong to any single poll.
+// listOpenJobs reads the open jobs after the given wait, for all polls that have joined the list by
+// then. It has its own timeout because the list does not belong to any single poll.
 func (s *Server) listOpenJobs(list *openList, wait time.Duration) {
 	defer close(list.done)
 	ctx, cancel := context.WithTimeout(context.Background(), wait+requestTimeout())
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -11,8 +11,8 @@
 )
 
 // submitJob accepts a job, or returns the response that says why the job is not accepted. Its stages:
-// parse the request, check that the job can run, look for an earlier submission, check the dependencies,
-// store the job.
+// parse the request, check that the job can run, look for an earlier submission, check the
+// dependencies, store the job.
 func (s *Server) submitJob(ctx context.Context, body []byte) response {
 	sub, err := parseSubmission(body)
 	if err != nil {
@@ -63,8 +63,8 @@
 }
 
 // rejectionResponse returns the response to a rejected submission. If the job was accepted earlier, the
-// response is the job's status, although the same submission would be rejected now. If that is not known,
-// the response asks the user to retry.
+// response is the job's status, although the same submission would be rejected now. If that is not
+// known, the response asks the user to retry.
 func (s *Server) rejectionResponse(ctx context.Context, id string, rejected *rejection) response {
 	resp := s.pollJob(ctx, id)
 	switch {
@@ -105,9 +105,10 @@
 // them are expected.
 const duplicateIntervals = 4
 
-// expectDuplicates reports whether a job that was already stored was submitted here recently. If so, each
-// submitted job is read from the store before it is committed. Without this, users who submit each job
-// to every controller would waste the store's write rate on commits of which all but one fail.
+// expectDuplicates reports whether a job that was already stored was submitted here recently. If so,
+// each submitted job is read from the store before it is committed. Without this, users who submit
+// each job to every controller would waste the store's write rate on commits of which all but one
+// fail.
 func (s *Server) expectDuplicates() bool {
 	return s.jobs.hadDuplicateWithin(duplicateIntervals * s.cfg.HeartbeatInterval())
 }
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -223,8 +223,8 @@
 	return ""
 }
 
-// exceedsLimit reports whether a job needs more CPUs or GPUs at once than its team's limits: for one task
-// of a job array, for all tasks of any other job.
+// exceedsLimit reports whether a job needs more CPUs or GPUs at once than its team's limits: for one
+// task of a job array, for all tasks of any other job.
 func exceedsLimit(job *records.Job, team config.Team) bool {
 	concurrent := 1.0
 	if job.Shape != records.ShapeArray {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud API, which rents machines by the second to scale out
-// and takes them back to scale in.
+// Package cloud is the client of the cloud API, by which the leader rents machines by the second to
+// scale out and returns machines to scale in.
 //
 // Its errors are those of package autoscaler, which decides by them whether to retry. The names in the
 // cloud's protocol appear only in paths and struct tags.
@@ -134,8 +134,8 @@
 	return response.Machines, err
 }
 
-// Return returns machines to the cloud. Once it succeeds, the machines no longer exist, nor do the tasks
-// and data on them.
+// Return returns machines to the cloud. Once it succeeds, the machines no longer exist, nor do the
+// tasks and data on them.
 func (c *Client) Return(ctx context.Context, machines []string) error {
 	return c.call(ctx, http.MethodPost, "/machines/return", returnRequest{Machines: machines}, nil)
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -24,8 +24,8 @@
 	return NewClient(strings.TrimPrefix(server.URL, "http://"), 1000, time.Second)
 }
 
-// Rent maps each response of the cloud to one result or error. A malformed response must not be reported
-// as a rental: the leader would count on machines that do not exist.
+// Rent maps each response of the cloud to one result or error. A malformed response must not be
+// reported as a rental: the leader would count on machines that do not exist.
 func TestRentDistinguishesResponses(t *testing.T) {
 	for name, test := range map[string]struct {
 		status  int
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -61,7 +61,8 @@
 const (
 	KindWait     = "wait"     // tasks start within WithinS
 	KindDeadline = "deadline" // jobs end within DeadlineFactor times their deadline
-	// KindGuarantee is for tasks of any class that are within their team's guarantee: they start within WithinS.
+	// KindGuarantee is for tasks of any class that are within their team's guarantee: they start
+	// within WithinS.
 	KindGuarantee = "guarantee"
 )
 
--- a/internal/config/error.go
+++ b/internal/config/error.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Error reports a setting or an option that is missing, malformed or out of range. For callers that need
-// the key, the errors of Load, Parse and LoadOptions about such a value wrap an Error.
+// Error reports a setting or an option that is missing, malformed or out of range. For callers that
+// need the key, the errors of Load, Parse and LoadOptions about such a value wrap an Error.
 type Error struct {
 	// Key is the key of a setting, such as "facts.workers.lease_s", or the "section.key" of an option;
 	// "" if the file itself is malformed.
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -19,7 +19,8 @@
 	ForecastAlphaDown float64
 	// ForecastWindow is the number of heartbeats in the window of the FUSD forecast.
 	ForecastWindow int
-	// ForecastPercentile is the percentile of the window that counts as the observed utilization, 1 to 100.
+	// ForecastPercentile is the percentile of the window that counts as the observed utilization, 1
+	// to 100.
 	ForecastPercentile float64
 	// LeaderLeaseIntervals is the duration of the leader's lease, in heartbeat intervals.
 	LeaderLeaseIntervals float64
@@ -45,7 +46,8 @@
 	Guarantees bool
 	// Reservations reserves capacity for gangs and other jobs that need much capacity at once.
 	Reservations bool
-	// BeginWithinS is the time in seconds within which any job should start, if there is capacity for it.
+	// BeginWithinS is the time in seconds within which any job should start, if there is capacity for
+	// it.
 	BeginWithinS float64
 	// ZoneHealth lets the scheduler wait for the machines of an unreachable zone instead of returning
 	// them to the cloud as lost.
@@ -86,6 +88,7 @@
 
 const maxWindow = 1000
 
+// numbers lists the numeric options except the window.
 func (o *Options) numbers() []numberOption {
 	return []numberOption{
 		{optionKey{"rounds", "round_reports"}, &o.RoundIntervals, 1, 1000},
@@ -99,6 +102,7 @@
 	}
 }
 
+// switches lists the options that are on or off.
 func (o *Options) switches() []switchOption {
 	return []switchOption{
 		{optionKey{"operator", "enabled"}, &o.OperatorAPI},
@@ -171,6 +175,7 @@
 	return nil
 }
 
+// rejectUnknown returns an error for the first key of the file that is not an option.
 func (o *Options) rejectUnknown(file *ini.File) error {
 	known := map[optionKey]bool{windowKey: true}
 	for _, option := range o.numbers() {
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -39,9 +39,9 @@
 	lostHeartbeatDelay = 5 * time.Second
 )
 
-// Warnings returns a message for each combination of settings that are in range but do not fit together:
-// no safety rule is violated, but work is lost or an objective is missed without need. Without the
-// warnings, such a combination would first show in an outage.
+// Warnings returns a message for each combination of settings that are in range but do not fit
+// together: no safety rule is violated, but work is lost or an objective is missed without need.
+// Without the warnings, such a combination would first show in an outage.
 func (c *Config) Warnings() []string {
 	timing, workers := c.Timing(), c.Deployment.Workers
 	lease := Seconds(workers.LeaseS)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -43,6 +43,7 @@
 	return nil
 }
 
+// validatePeers checks that each peer has an address and a name that no other controller has.
 func (c *Config) validatePeers() error {
 	names := map[string]bool{c.Node: true}
 	for i, p := range c.Peers {
@@ -140,6 +141,8 @@
 	return nil
 }
 
+// validateTeams checks that team names are set and unique, and that amounts are finite and not
+// negative.
 func (d *Deployment) validateTeams() error {
 	names := map[string]bool{}
 	for i, t := range d.Teams {
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -20,7 +20,7 @@
 const (
 	Unknown   State = iota // not known or not read yet; no dependent may start
 	Open                   // accepted, neither done nor cancelled
-	Done                   // all its tasks have succeeded
+	Done                   // all tasks of the job have succeeded
 	Cancelled              // cancelled by a user, or because a dependency was cancelled
 )
 
--- a/internal/dependency/graph_test.go
+++ b/internal/dependency/graph_test.go
@@ -71,8 +71,8 @@
 	return j
 }
 
-// describe returns a line for each job of ids, one with all jobs to cancel and one with all unknown jobs.
-// If showClear is true, the lines also say which jobs have dependencies that are not clear.
+// describe returns a line for each job of ids, one with all jobs to cancel and one with all unknown
+// jobs. If showClear is true, the lines also say which jobs have dependencies that are not clear.
 func describe(g *Graph, ids []string, showClear bool) []string {
 	var lines []string
 	for _, id := range ids {
@@ -229,8 +229,8 @@
 	}
 }
 
-// Adds a job with a deadline at the end of a chain of 1,000 jobs and cancels that job again: the largest
-// change that one job can cause in the graph.
+// Adds a job with a deadline at the end of a chain of 1,000 jobs and cancels that job again: the
+// largest change that one job can cause in the graph.
 func BenchmarkLongChain(b *testing.B) {
 	g := New()
 	last := ""
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// A server that closes connections without a response receives each request only once. A repeated commit
-// or rental could be executed twice.
+// A server that closes connections without a response receives each request only once. A repeated
+// commit or rental could be executed twice.
 func TestFailedRequestIsNotRepeated(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/operator/drain_plan.go
+++ b/internal/operator/drain_plan.go
@@ -14,8 +14,8 @@
 // of 64 KiB. Further tasks follow in further pages; the totals in each page cover all tasks.
 const tasksPerPage = 250
 
-// statusDrainUnread is the status of the leader's reply to a plan request if the leader has not yet read
-// a stored drain that the plan must take into account.
+// statusDrainUnread is the status of the leader's reply to a plan request if the leader has not yet
+// read a stored drain that the plan must take into account.
 const statusDrainUnread = fiber.StatusTooEarly
 
 // planDrain returns the leader's reply to a plan request: the plan of the drain, or an error response.
--- a/internal/operator/drain_request.go
+++ b/internal/operator/drain_request.go
@@ -45,7 +45,8 @@
 // tooLargeReason returns why a drain's record would exceed its size limit, "" if it does not.
 func (s *Server) tooLargeReason(spec drain.Spec) string {
 	limit := min(s.maxValueBytes, maxSpecBytes)
-	// Stopping a drain makes its record larger; without this, a drain could be stored that cannot be stopped.
+	// Stopping a drain makes its record larger; without this, a drain could be stored that cannot be
+	// stopped.
 	spec.Stopped = true
 	size := records.EncodedSize(spec)
 	if size <= limit {
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -162,7 +162,8 @@
 	return okResponse(scheduler.DrainView{Spec: stored})
 }
 
-// stopAttempts bounds the attempts to stop a drain whose record changes between the read and the commit.
+// stopAttempts bounds the attempts to stop a drain whose record changes between the read and the
+// commit.
 const stopAttempts = 4
 
 // stopDrain marks a stored drain as stopped. Stopping a stopped drain is no error.
@@ -200,10 +201,12 @@
 	return storeUnavailableResponse
 }
 
-// maxListedNames is the maximum number of machines that listDrains names per drain; showDrain names all.
+// maxListedNames is the maximum number of machines that listDrains names per drain; showDrain names
+// all.
 const maxListedNames = 3
 
-// listDrains returns all stored drains with their states. It logs and skips records that it cannot decode.
+// listDrains returns all stored drains with their states. It logs and skips records that it cannot
+// decode.
 func (s *Server) listDrains(ctx context.Context) peer.RelayReply {
 	states, err := s.readDrainStates(ctx)
 	if err != nil {
@@ -229,7 +232,8 @@
 	return okResponse(list)
 }
 
-// readDrainStates reads the states of all drains, by the drain's id. It skips states that it cannot decode.
+// readDrainStates reads the states of all drains, by the drain's id. It skips states that it cannot
+// decode.
 func (s *Server) readDrainStates(ctx context.Context) (map[string]*drain.State, error) {
 	states := map[string]*drain.State{}
 	_, err := s.store.List(ctx, records.PrefixDrainState, func(record records.KeyValue) error {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
 // Package operator serves the HTTP API of operators: views of machines, and drains of machines. Every
-// controller serves it. A request that needs the leader's state is relayed to the leader; the records of
-// drains are read from and written to the store by the controller that receives the request.
+// controller serves it. A request that needs the leader's state is relayed to the leader; the records
+// of drains are read from and written to the store by the controller that receives the request.
 package operator
 
 import (
@@ -94,6 +94,7 @@
 	})
 }
 
+// sendJSON sends a reply as the response, with a Retry-After header if it is a 503.
 func sendJSON(c *fiber.Ctx, reply peer.RelayReply) error {
 	if reply.Status == fiber.StatusServiceUnavailable {
 		c.Set(fiber.HeaderRetryAfter, "1")
@@ -102,8 +103,8 @@
 	return c.Status(reply.Status).Send(reply.Body)
 }
 
-// AskLeader returns the leader's reply to a request, from this process or from a peer. The reply is a 503
-// if no leader is known or the leader cannot be reached.
+// AskLeader returns the leader's reply to a request, from this process or from a peer. The reply is a
+// 503 if no leader is known or the leader cannot be reached.
 func (s *Server) AskLeader(r peer.RelayRequest) peer.RelayReply {
 	if s.localLeader() != nil {
 		return s.HandleAsLeader(r)
@@ -166,6 +167,7 @@
 	return encodeJSON(status, errorBody{reason})
 }
 
+// encodeJSON returns a reply with v encoded as JSON, or a 503 without a body if v cannot be encoded.
 func encodeJSON(status int, v any) peer.RelayReply {
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -187,7 +187,8 @@
 		}
 	}
 	cluster.leader.readDrains = map[string]bool{"d-1": true}
-	// A drain that the leader rejects is not stored. Only a drain that would leave no machine can be forced.
+	// A drain that the leader rejects is not stored. Only a drain that would leave no machine can be
+	// forced.
 	cluster.leader.planErr = &scheduler.DrainTargetError{Text: "there is no machine m-7"}
 	status, text := cluster.request("n-1", "POST", "/operator/drains", `{"id":"d-4","machines":["m-7"]}`)
 	if status != 404 || !strings.Contains(text, "m-7") {
@@ -207,7 +208,8 @@
 }
 
 // If the store does not respond, or the leader runs a version without the operators' API, requests that
-// need either get a 503. Stored drains can still be read without the leader, and stopped after an outage.
+// need either get a 503. Stored drains can still be read without the leader, and stopped after an
+// outage.
 func TestStoreOrLeaderUnavailable(t *testing.T) {
 	cluster := newTestCluster(t)
 	if status, text := cluster.request("n-0", "POST", "/operator/drains", `{"id":"d-1","zone":"a"}`); status != 201 {
@@ -291,8 +293,8 @@
 
 // A drain can name as many machines as fit its record. The record's limit is the lower of the store's
 // lowest value size and maxSpecBytes. One machine more is rejected, with the number that fits and the
-// alternatives. The largest drain that fits can be planned through a follower, and stopped: otherwise an
-// operator could start a drain but not end it.
+// alternatives. The largest drain that fits can be planned through a follower, and stopped: otherwise
+// an operator could start a drain but not end it.
 func TestDrainNamesAsManyMachinesAsItsRecordHolds(t *testing.T) {
 	kb := func(v float64) *float64 { return &v }
 	for _, x := range []struct {
--- a/internal/peer/batcher.go
+++ b/internal/peer/batcher.go
@@ -16,8 +16,8 @@
 // each heartbeat, in the same order.
 type SendBatchFunc func(node string, heartbeats [][]byte) (HeartbeatBatchReply, error)
 
-// Batcher batches heartbeats by the node that they are sent to. A batch is sent when its window ends, or
-// later if the node has maxInFlightBatches batches without a reply; until then it grows, up to
+// Batcher batches heartbeats by the node that they are sent to. A batch is sent when its window ends,
+// or later if the node has maxInFlightBatches batches without a reply; until then it grows, up to
 // maxBatchBytes. Without the bound on batches in flight, a slow leader would receive ever more
 // concurrent requests.
 //
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// A peer that does not reply is left out, and all is false. A leader must not take the statuses for those
-// of all peers.
+// A peer that does not reply is left out, and all is false. A leader must not take the statuses for
+// those of all peers.
 func TestStatusLeavesOutUnreachablePeers(t *testing.T) {
 	confirmed := cancellation.NewLog(time.Now())
 	peers := NewPeers([]config.Peer{
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -170,8 +170,8 @@
 type HeartbeatBatch struct {
 	From       string   `msgpack:"from"` // node of the sender
 	Heartbeats [][]byte `msgpack:"bodies"`
-	// DelayMS is the delay of the sender's previous batch: its wait until the leader handled it
-	// plus the way back of the reply.
+	// DelayMS is the delay of the sender's previous batch, in milliseconds: the time until the leader
+	// began to handle the batch plus the way back of the reply.
 	DelayMS int64  `msgpack:"late_ms,omitempty"`
 	Zone    string `msgpack:"zone,omitempty"` // zone of the sender, "" if unknown
 }
--- a/internal/peer/messages_test.go
+++ b/internal/peer/messages_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Final rejects a peer's 503 and missing replies, and a 400 for a submission with dependencies: a version
-// without dependencies responds so to a valid submission, and this must not reach the user.
+// Final rejects a peer's 503 and missing replies, and a 400 for a submission with dependencies: a
+// version without dependencies responds so to a valid submission, and this must not reach the user.
 func TestFinalReplies(t *testing.T) {
 	for _, test := range []struct {
 		status int
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// handle returns a fiber handler that decodes a request, calls respond and encodes the reply. It responds
-// to a malformed request with a 400.
+// handle returns a fiber handler that decodes a request, calls respond and encodes the reply. It
+// responds to a malformed request with a 400.
 func handle[Request, Reply any](respond func(Request) Reply) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		var request Request
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -199,8 +199,8 @@
 
 // rebalance returns the controller to which a worker is moved, or "" if the worker stays. A worker is
 // moved if its controller is outside its zone while its zone has room, or if its controller holds more
-// than overloadFactor times its share. Moves per interval are limited: when a controller comes back, the
-// others hold all workers, and many would move at once.
+// than overloadFactor times its share. Moves per interval are limited: when a controller comes back,
+// the others hold all workers, and many would move at once.
 func (r *Router) rebalance(w *worker, now time.Time) string {
 	if float64(r.moved) >= maxMovedShare*float64(len(r.workers)) {
 		return ""
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -22,10 +22,10 @@
 // testStart is the time 0 of a scenario.
 var testStart = time.Unix(1_000_000, 0)
 
-// A scenario tells the router of leader n-0 about heartbeats ("heartbeat m-1 via n-1", or "heartbeats 40
-// via n-1" for m-0 to m-39) and about other controllers that have relayed a batch ("peer n-1"), each with
-// an optional zone ("in a"). "loads" lists the number of workers assigned to each other controller. Each
-// event starts with its time in seconds ("at 5").
+// A scenario tells the router of leader n-0 about heartbeats ("heartbeat m-1 via n-1", or "heartbeats
+// 40 via n-1" for m-0 to m-39) and about other controllers that have relayed a batch ("peer n-1"),
+// each with an optional zone ("in a"). "loads" lists the number of workers assigned to each other
+// controller. Each event starts with its time in seconds ("at 5").
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		r := New(leaderNode, testInterval, testLease)
@@ -208,9 +208,9 @@
 
 // For random controller failures, a worker is never sent to the controller that it uses, to the leader,
 // or to a controller without recent contact. Once all controllers are up, the router stops moving
-// workers, no controller holds far more than its share, and no worker uses a controller outside its zone
-// while the controllers in its zone may hold more. Otherwise workers would move in circles or overload
-// one controller.
+// workers, no controller holds far more than its share, and no worker uses a controller outside its
+// zone while the controllers in its zone may hold more. Otherwise workers would move in circles or
+// overload one controller.
 func TestRoutesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newClusterModel(t)
--- a/internal/slo/summary.go
+++ b/internal/slo/summary.go
@@ -28,7 +28,8 @@
 	LongestWaitingJob string        // the job waiting longest among those that have not started; "" if none
 }
 
-// ShareInTime returns the share of the due jobs that started within the bound, 0 to 1; 1 if none is due.
+// ShareInTime returns the share of the due jobs that started within the bound, 0 to 1; 1 if none is
+// due.
 func (s Summary) ShareInTime() float64 {
 	if s.Due == 0 {
 		return 1
--- a/internal/slo/tracker.go
+++ b/internal/slo/tracker.go
@@ -1,7 +1,7 @@
 // Package slo tracks service-level objectives: how many jobs of each class, of each team and of the
-// largest jobs of each class arrived, started and were done, and how long they waited. It reports
-// groups separately because a day fails if less than half of any group is served, which averages do
-// not show.
+// largest jobs of each class arrived, started and were done, and how long they waited. The package
+// reports groups separately because a day fails if less than half of any group is served, which
+// averages do not show.
 //
 // The package is pure: no I/O, no clock. A tracker covers only the current term of the leader.
 package slo
--- a/internal/slo/tracker_test.go
+++ b/internal/slo/tracker_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The summaries show that the largest jobs of a class start late although most jobs of the class start in
-// time. An average over the class would hide this.
+// The summaries show that the largest jobs of a class start late although most jobs of the class
+// start in time. An average over the class would hide this.
 func TestSummariesShowLargestJobs(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000+int64(s), 0) }
 	tracker := New()
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -153,9 +153,9 @@
 	shared bool
 }
 
-// send sends a request once. It returns an error if the store is unavailable or throttles (503, 429), so
-// that the request was not executed, or if no response arrived, so that the outcome is unknown. The
-// caller handles all other statuses.
+// send sends a request once. It returns an error if the store is unavailable or throttles (503, 429),
+// so that the request was not executed, or if no response arrived, so that the outcome is unknown.
+// The caller handles all other statuses.
 func (c *connection) send(ctx context.Context, r request, timeout time.Duration) (status int, body []byte, err error) {
 	start := time.Now()
 	deadline := start.Add(timeout)
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -16,8 +16,9 @@
 
 var testLimits = Limits{WriteRPS: 20, MaxConnections: 4, Timeout: 100 * time.Millisecond}
 
-// Get maps each response of the store to one result or error. Only a 404 by the store itself, which has a
-// revision, means that a key is absent: a proxy's 404 would make a stored job seem never accepted.
+// Get maps each response of the store to one result or error. Only a 404 by the store itself, which
+// has a revision, means that a key is absent: a proxy's 404 would make a stored job seem never
+// accepted.
 func TestGetDistinguishesResponses(t *testing.T) {
 	cases := map[string]struct {
 		status       int
--- a/internal/store/throttle_test.go
+++ b/internal/store/throttle_test.go
@@ -105,8 +105,9 @@
 }
 
 // Users at all controllers together send several times the rate that the store accepts. With the
-// throttles, nearly all of the leader's own requests are served within a few retries, so that the leader
-// keeps its lease. Users get the rest of the rate, and the throttles are inactive again after the load.
+// throttles, nearly all of the leader's own requests are served within a few retries, so that the
+// leader keeps its lease. Users get the rest of the rate, and the throttles are inactive again after
+// the load.
 func TestUserThrottleKeepsLeaderServed(t *testing.T) {
 	l := newLoadSimulation(true)
 	l.run()
--- a/internal/workers/caller_test.go
+++ b/internal/workers/caller_test.go
@@ -15,8 +15,8 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:9000", i/256, i%256) }
 
-// The clients of a whole fleet of 4,500 machines stay cached, so that the cache is not cleared again and
-// again.
+// The clients of a whole fleet of 4,500 machines stay cached, so that the cache is not cleared again
+// and again.
 func TestAddressesOfWholeFleetAreCached(t *testing.T) {
 	const machines = 4500
 	c := NewCaller(2, time.Second)
@@ -64,8 +64,8 @@
 	}}
 }
 
-// Commands are sent in the wire format of the protocol. An invalid response of a worker is an error with
-// OutcomeUnknown, never a heartbeat: the leader would take it as proof of what the worker runs.
+// Commands are sent in the wire format of the protocol. An invalid response of a worker is an error
+// with OutcomeUnknown, never a heartbeat: the leader would take it as proof of what the worker runs.
 func TestSendCommandsDistinguishesResponses(t *testing.T) {
 	const executed = `{"host":"m-1","stint":1,"tick":9,"baton":41,"shots":[{"shot":"j-1/0","try":2,"status":"flushing"}]}`
 	const rejected = `{"host":"m-1","stint":2,"tick":1,"baton":41,"shots":null}`
--- a/internal/workers/golden_test.go
+++ b/internal/workers/golden_test.go
@@ -9,8 +9,8 @@
 	"drumpick/internal/goldentest"
 )
 
-// Commands to a worker and the heartbeat in the worker's response keep their wire format. A renamed field
-// would break the commands to workers.
+// Commands to a worker and the heartbeat in the worker's response keep their wire format. A renamed
+// field would break the commands to workers.
 func TestGoldenCommands(t *testing.T) {
 	worker := goldentest.NewFakeServer(t)
 	c := NewCaller(1, 10*time.Second)
