--- a/client/operator.go
+++ b/client/operator.go
@@ -124,10 +124,10 @@
 
 // Drains returns all drains, including stopped ones.
 func (c *Client) Drains(ctx context.Context) ([]DrainView, error) {
-	var out struct {
+	var list struct {
 		Drains []DrainView `json:"drains"`
 	}
-	return out.Drains, c.requestJSON(ctx, http.MethodGet, "/operator/drains", nil, "drains", &out)
+	return list.Drains, c.requestJSON(ctx, http.MethodGet, "/operator/drains", nil, "drains", &list)
 }
 
 // Drain returns one drain and its progress.
--- a/client/request.go
+++ b/client/request.go
@@ -117,13 +117,13 @@
 
 // errorReason returns the error text of an error response.
 func errorReason(response httpclient.Response) string {
-	var f struct {
+	var body struct {
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(response.Body, &f) != nil || f.Error == "" {
+	if json.Unmarshal(response.Body, &body) != nil || body.Error == "" {
 		return fmt.Sprintf("no reason given (status %d)", response.Status)
 	}
-	return f.Error
+	return body.Error
 }
 
 func decode(response httpclient.Response, out any) error {
--- a/cmd/drumpick-scale/main.go
+++ b/cmd/drumpick-scale/main.go
@@ -76,7 +76,7 @@
 		StoreRPS: 1000, StoreWrites: 200,
 	}
 	var programs loadtest.Programs
-	var file string
+	var resultFile string
 	var paired bool
 	cmd := &cobra.Command{
 		Use: "run", Short: "Run a deployment, measure it, and check the rules", Args: cobra.NoArgs,
@@ -95,35 +95,35 @@
 			if err != nil {
 				return err
 			}
-			return printResult(result, file, cmd.OutOrStdout())
+			return printResult(result, resultFile, cmd.OutOrStdout())
 		},
 	}
-	f := cmd.Flags()
-	addSizeFlags(f, &size)
-	f.BoolVar(&paired, "paired", false, "run the same load without teams first, for comparison")
-	f.StringVar(&file, "out", "", "`file` to write the result to, as JSON")
-	f.StringVar(&programs.Controller, "daemon", "target/drumpick", "controller `program`, built as deploy/service.toml specifies")
-	f.StringVar(&programs.OptionsFile, "options", "deploy/drumpick.ini", "operators' settings `file` of the controllers")
+	flags := cmd.Flags()
+	addSizeFlags(flags, &size)
+	flags.BoolVar(&paired, "paired", false, "run the same load without teams first, for comparison")
+	flags.StringVar(&resultFile, "out", "", "`file` to write the result to, as JSON")
+	flags.StringVar(&programs.Controller, "daemon", "target/drumpick", "controller `program`, built as deploy/service.toml specifies")
+	flags.StringVar(&programs.OptionsFile, "options", "deploy/drumpick.ini", "operators' settings `file` of the controllers")
 	return cmd
 }
 
 // addSizeFlags adds the flags that set the size, duration and injected faults of a run.
-func addSizeFlags(f *pflag.FlagSet, size *loadtest.Size) {
-	f.IntVar(&size.Workers, "workers", size.Workers, "total number of `machines`")
-	f.IntVar(&size.RealWorkers, "real-workers", size.RealWorkers, "number of these `machines` whose worker is a real process")
-	f.IntVar(&size.Tasks, "tasks", size.Tasks, "number of `tasks` running at the same time")
-	f.Float64Var(&size.StartRate, "rate", size.StartRate, "peak number of task `starts` per second")
-	f.IntVar(&size.Controllers, "controllers", size.Controllers, "number of `controllers` per region")
-	f.IntVar(&size.Teams, "teams", size.Teams, "number of `teams`, each with a guarantee and a limit; 0: one team with neither")
-	f.IntVar(&size.Zones, "zones", size.Zones, "total number of `zones`")
-	f.IntVar(&size.Deployments, "regions", size.Deployments, "number of `regions`, each with its own state service, cloud and leader")
-	f.DurationVar(&size.MeasureTime, "for", size.MeasureTime, "measurement `duration` after the ramp-up")
-	f.Float64Var(&size.StoreRPS, "store-rps", size.StoreRPS, "`requests` per second that each state service accepts")
-	f.Float64Var(&size.StoreWrites, "store-writes", size.StoreWrites, "`changes` per second that each state service accepts")
-	f.Float64Var(&size.Faults.TimeCompression, "compress", 0, "`seconds` of the planned day, with its machine failures and restarts, per second of the run; 0: no machine faults")
-	f.BoolVar(&size.Faults.Rack, "rack", false, "make all workers of a rack fail at the same time")
-	f.BoolVar(&size.Faults.Zone, "zone", false, "make all workers of a zone fail at the same time")
-	f.BoolVar(&size.Faults.Leader, "leader", false, "kill a leader")
+func addSizeFlags(flags *pflag.FlagSet, size *loadtest.Size) {
+	flags.IntVar(&size.Workers, "workers", size.Workers, "total number of `machines`")
+	flags.IntVar(&size.RealWorkers, "real-workers", size.RealWorkers, "number of these `machines` whose worker is a real process")
+	flags.IntVar(&size.Tasks, "tasks", size.Tasks, "number of `tasks` running at the same time")
+	flags.Float64Var(&size.StartRate, "rate", size.StartRate, "peak number of task `starts` per second")
+	flags.IntVar(&size.Controllers, "controllers", size.Controllers, "number of `controllers` per region")
+	flags.IntVar(&size.Teams, "teams", size.Teams, "number of `teams`, each with a guarantee and a limit; 0: one team with neither")
+	flags.IntVar(&size.Zones, "zones", size.Zones, "total number of `zones`")
+	flags.IntVar(&size.Deployments, "regions", size.Deployments, "number of `regions`, each with its own state service, cloud and leader")
+	flags.DurationVar(&size.MeasureTime, "for", size.MeasureTime, "measurement `duration` after the ramp-up")
+	flags.Float64Var(&size.StoreRPS, "store-rps", size.StoreRPS, "`requests` per second that each state service accepts")
+	flags.Float64Var(&size.StoreWrites, "store-writes", size.StoreWrites, "`changes` per second that each state service accepts")
+	flags.Float64Var(&size.Faults.TimeCompression, "compress", 0, "`seconds` of the planned day, with its machine failures and restarts, per second of the run; 0: no machine faults")
+	flags.BoolVar(&size.Faults.Rack, "rack", false, "make all workers of a rack fail at the same time")
+	flags.BoolVar(&size.Faults.Zone, "zone", false, "make all workers of a zone fail at the same time")
+	flags.BoolVar(&size.Faults.Leader, "leader", false, "kill a leader")
 }
 
 // resolvePrograms sets the path of this program, and checks that the controller program and the options file exist.
@@ -175,7 +175,7 @@
 	return cmd
 }
 
-// serveCommand returns the hidden command that a run starts as child processes.
+// serveCommand returns the hidden command that the child processes of a run execute.
 func serveCommand() *cobra.Command {
 	var data string
 	cmd := &cobra.Command{
--- a/cmd/drumpick-scale/main_test.go
+++ b/cmd/drumpick-scale/main_test.go
@@ -13,7 +13,7 @@
 	"github.com/shirou/gopsutil/v4/process"
 )
 
-// A run starts its own program as child processes, here the test binary.
+// TestMain serves a role if a run started the test binary as a child process, as it starts its own program.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
 		main()
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// countChildProcesses returns the number of child processes of this one.
+// countChildProcesses returns the number of child processes of the test process.
 func countChildProcesses(t *testing.T) int {
 	t.Helper()
 	self, err := process.NewProcess(int32(os.Getpid()))
@@ -79,7 +79,8 @@
 	}
 }
 
-// An invalid size, or one that exceeds the machine, gives a one-line error that names the flag, and starts no process.
+// An invalid size, or one that exceeds the resources of this machine, gives a one-line error that names the flag, and
+// starts no process.
 func TestInvalidSizeNamesFlagAndStartsNothing(t *testing.T) {
 	dir := t.TempDir()
 	daemon := filepath.Join(dir, "drumpick")
--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -32,15 +32,16 @@
 )
 
 const (
-	// memoryLimitShare is the share of the process's memory that is set as the Go runtime's soft
-	// memory limit, above which it collects garbage more often.
+	// memoryLimitShare is the share of the memory that the controller may use which is set as the Go
+	// runtime's soft memory limit. Above that limit the runtime collects garbage more often.
 	memoryLimitShare = 0.7
 	// gcPercent is the heap growth, in percent, that triggers a garbage collection.
 	gcPercent = 200
 
 	// The process's file descriptor limit is split between these uses. Every worker keeps a
-	// connection to the leader or to a controller that relays its heartbeats, and users add theirs.
-	// The rest is for outgoing calls: to the store, to peers, and to workers, a few at a time.
+	// connection to the leader or to a controller that relays its heartbeats, and users have further
+	// ones. The rest is for peers' connections and outgoing calls: to the store, to peers, and to
+	// workers, a few at a time.
 	userConnectionsPercent   = 75
 	peerConnectionsDivisor   = 16
 	storeConnectionsDivisor  = 20
@@ -135,7 +136,7 @@
 	})
 }
 
-// leaderForAPI returns the leader in this process, or a nil interface if it does not lead.
+// leaderForAPI returns the leader in this process, or a nil interface if this process does not lead.
 func (d *daemon) leaderForAPI() api.Leader {
 	if l := d.currentLeader.Load(); l != nil {
 		return l
@@ -143,7 +144,8 @@
 	return nil
 }
 
-// leaderForOperators returns the leader in this process, or a nil interface if it does not lead.
+// leaderForOperators returns the leader in this process, or a nil interface if this process does not
+// lead.
 func (d *daemon) leaderForOperators() operator.Leader {
 	if l := d.currentLeader.Load(); l != nil {
 		return l
@@ -294,9 +296,10 @@
 	d.api.SetMachineTypes(types)
 }
 
-// newApp returns an HTTP server with the protocol's limits. It closes a connection that has been idle
-// for idleTimeout: workers that hung, or abandoned a connection during a network partition, reconnect
-// on a new one, and the old ones would eventually exhaust the file descriptors.
+// newApp returns an HTTP server with the protocol's limits, for up to the given number of
+// connections, at least minConnections. It closes a connection that has been idle for idleTimeout.
+// Otherwise the connections that workers abandoned after a hang or a network partition would
+// eventually exhaust the file descriptors.
 func newApp(connections int, idleTimeout time.Duration) *fiber.App {
 	return fiber.New(fiber.Config{
 		DisableStartupMessage: true,
--- a/cmd/drumpickctl/demo.go
+++ b/cmd/drumpickctl/demo.go
@@ -47,11 +47,11 @@
 	}
 	startedAt := time.Now()
 	c := cluster.Client()
-	states, err := submitAll(cmd.Context(), c, jobs, errOut)
+	statuses, err := submitAll(cmd.Context(), c, jobs, errOut)
 	if err != nil {
 		return err
 	}
-	if err := f.finishSample(cmd, c, jobs, states); err != nil {
+	if err := f.finishSample(cmd, c, jobs, statuses); err != nil {
 		return err
 	}
 	// The tasks of the cancelled service stop within the cancellation time limit.
@@ -61,8 +61,8 @@
 		}
 	}
 	history := cluster.History()
-	res := newSampleResult(jobs, states, history, startedAt)
-	if err := f.printOutput(cmd.OutOrStdout(), res, func(w io.Writer) { showDemo(w, res, startedAt) }); err != nil {
+	result := newSampleResult(jobs, statuses, history, startedAt)
+	if err := f.printOutput(cmd.OutOrStdout(), result, func(w io.Writer) { showDemo(w, result, startedAt) }); err != nil {
 		return err
 	}
 	if len(history.Violations) > 0 {
@@ -71,12 +71,12 @@
 	return nil
 }
 
-// finishSample waits until the jobs that are not services are final, cancels the services, and updates states.
-func (f *globalFlags) finishSample(cmd *cobra.Command, c *client.Client, jobs []jobspec.NamedJob, states []client.Status) error {
+// finishSample waits until the jobs that are not services are final, cancels the services, and updates statuses.
+func (f *globalFlags) finishSample(cmd *cobra.Command, c *client.Client, jobs []jobspec.NamedJob, statuses []client.Status) error {
 	var finite []client.Status
 	for i, j := range jobs {
 		if j.Shape != client.Service {
-			finite = append(finite, states[i])
+			finite = append(finite, statuses[i])
 		}
 	}
 	if _, err := f.waitAll(cmd, c, finite); err != nil {
@@ -88,7 +88,7 @@
 			request = c.Cancel // a service ends only when cancelled
 		}
 		var err error
-		if states[i], err = request(cmd.Context(), j.ID); err != nil {
+		if statuses[i], err = request(cmd.Context(), j.ID); err != nil {
 			return err
 		}
 	}
@@ -101,7 +101,7 @@
 	ID          string   `json:"id"`
 	Status      string   `json:"status"`
 	Tasks       int      `json:"tasks"`
-	Starts      int      `json:"starts"`
+	Starts      int      `json:"starts"` // number of attempts of its tasks
 	FirstStartS float64  `json:"first_start_s"`
 	LastEndS    float64  `json:"last_end_s"`
 	Machines    []string `json:"machines"`
@@ -116,37 +116,37 @@
 }
 
 // newSampleResult computes the result of the sample jobs from their statuses and the cluster's history.
-func newSampleResult(jobs []jobspec.NamedJob, states []client.Status, history localcluster.History, startedAt time.Time) sampleResult {
-	res := sampleResult{History: history}
+func newSampleResult(jobs []jobspec.NamedJob, statuses []client.Status, history localcluster.History, startedAt time.Time) sampleResult {
+	result := sampleResult{History: history}
 	for i, j := range jobs {
-		out := jobResult{Name: j.Name, ID: j.ID, Status: states[i].Status, Tasks: j.Tasks}
+		job := jobResult{Name: j.Name, ID: j.ID, Status: statuses[i].Status, Tasks: j.Tasks}
 		machines, zones := map[string]bool{}, map[string]bool{}
 		for _, run := range history.Runs {
 			if !strings.HasPrefix(run.Task, j.ID+"/") {
 				continue
 			}
 			from, to := run.Started.Sub(startedAt).Seconds(), run.Ended.Sub(startedAt).Seconds()
-			if out.Starts == 0 || from < out.FirstStartS {
-				out.FirstStartS = from
+			if job.Starts == 0 || from < job.FirstStartS {
+				job.FirstStartS = from
 			}
-			out.Starts++
-			out.LastEndS = max(out.LastEndS, to)
+			job.Starts++
+			job.LastEndS = max(job.LastEndS, to)
 			machines[run.Machine], zones[run.Zone] = true, true
 		}
-		out.Machines, out.Zones = slices.Sorted(maps.Keys(machines)), slices.Sorted(maps.Keys(zones))
-		res.Jobs = append(res.Jobs, out)
+		job.Machines, job.Zones = slices.Sorted(maps.Keys(machines)), slices.Sorted(maps.Keys(zones))
+		result.Jobs = append(result.Jobs, job)
 	}
 	for _, rental := range history.Costs {
-		res.Cost += rental.Cost
+		result.Cost += rental.Cost
 	}
-	return res
+	return result
 }
 
-// showDemo prints the result of a demo that started at startedAt.
-func showDemo(w io.Writer, res sampleResult, startedAt time.Time) {
-	history := res.History
+// showDemo prints the result of the sample jobs of a demo that started at startedAt.
+func showDemo(w io.Writer, result sampleResult, startedAt time.Time) {
+	history := result.History
 	fmt.Fprintln(w, "\nJOB\tID\tSTATUS\tTASKS\tSTARTS\tFIRST START\tLAST END\tMACHINES\tZONES")
-	for _, j := range res.Jobs {
+	for _, j := range result.Jobs {
 		first, last := fmt.Sprintf("%.1fs", j.FirstStartS), fmt.Sprintf("%.1fs", j.LastEndS)
 		if j.Starts == 0 {
 			first, last = "-", "-"
@@ -165,7 +165,7 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4f\n", rental.Machine, rental.Type, rental.Zone, machineKind(rental.Spot), n, rental.Cost)
 	}
 	fmt.Fprintf(w, "\n%d starts on %d machines in %.0fs, cost %.4f; rules broken: %d\n",
-		len(history.Runs), len(history.Costs), time.Since(startedAt).Seconds(), res.Cost, len(history.Violations))
+		len(history.Runs), len(history.Costs), time.Since(startedAt).Seconds(), result.Cost, len(history.Violations))
 }
 
 // abbreviateList joins names and replaces all after the third by their number.
--- a/cmd/drumpickctl/drains.go
+++ b/cmd/drumpickctl/drains.go
@@ -28,50 +28,50 @@
 	upgradeTo                string
 }
 
-func (x *drainFlags) register(cmd *cobra.Command) {
-	fl := cmd.Flags()
-	fl.StringVar(&x.spec.ID, "id", "", "`id` of the drain: d- and digits (default: a new id); starting a drain again under its id has no effect")
-	fl.StringVar(&x.spec.Type, "type", "", "select machines of a `type`")
-	fl.StringVar(&x.spec.Zone, "zone", "", "select machines in a `zone`")
-	fl.DurationVar(&x.olderThan, "older-than", 0, "select machines rented at least this long ago")
-	fl.StringVar(&x.spec.Version, "worker-version", "", "select machines whose worker has a `version`")
-	fl.BoolVar(&x.cordon, "cordon", false, "cordon only: no new tasks; running tasks continue")
-	fl.StringVar(&x.deadlineAt, "by", "", "`time` by which the machines must be empty, as 2006-01-02T15:04 in local time, or RFC 3339")
-	fl.DurationVar(&x.deadlineIn, "in", 0, "time from now by which the machines must be empty")
-	fl.StringVar(&x.spec.WhenEmpty, "then", client.WhenEmptyKeep, "action on empty machines: `keep`, or return (to the cloud)")
-	fl.StringVar(&x.upgradeTo, "upgrade-to", "", "upgrade the machines' workers to a `version`")
-	fl.IntVar(&x.spec.MaxOutOfService, "at-once", 0, "of an upgrade: maximum number of machines out of service at a time (default 1)")
-	fl.IntVar(&x.spec.MinInService, "keep-up", 0, "of an upgrade: minimum number of machines in service in each zone and for each class")
-	fl.StringVar(&x.windowRule, "window", "", "drain only in windows given by an RFC 5545 `RRULE`, such as FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0")
-	fl.StringVar(&x.windowZone, "window-zone", "", "time `zone` of the windows, such as Europe/Warsaw (default: TZ)")
-	fl.StringVar(&x.windowStart, "window-starts", "", "start of the first window, as 2006-01-02T15:04 in that zone; the rule recurs from it")
-	fl.DurationVar(&x.windowLength, "window-for", 2*time.Hour, "duration of each window")
-	fl.DurationVar(&x.windowLead, "window-lead", 0, "start emptying machines this long before each window, so that they are empty when it starts")
+func (f *drainFlags) register(cmd *cobra.Command) {
+	flagSet := cmd.Flags()
+	flagSet.StringVar(&f.spec.ID, "id", "", "`id` of the drain: d- and digits (default: a new id); starting a drain again under its id has no effect")
+	flagSet.StringVar(&f.spec.Type, "type", "", "select machines of a `type`")
+	flagSet.StringVar(&f.spec.Zone, "zone", "", "select machines in a `zone`")
+	flagSet.DurationVar(&f.olderThan, "older-than", 0, "select machines rented at least this long ago")
+	flagSet.StringVar(&f.spec.Version, "worker-version", "", "select machines whose worker has a `version`")
+	flagSet.BoolVar(&f.cordon, "cordon", false, "cordon only: no new tasks; running tasks continue")
+	flagSet.StringVar(&f.deadlineAt, "by", "", "`time` by which the machines must be empty, as 2006-01-02T15:04 in local time, or RFC 3339")
+	flagSet.DurationVar(&f.deadlineIn, "in", 0, "time from now by which the machines must be empty")
+	flagSet.StringVar(&f.spec.WhenEmpty, "then", client.WhenEmptyKeep, "action on empty machines: `keep`, or return (to the cloud)")
+	flagSet.StringVar(&f.upgradeTo, "upgrade-to", "", "upgrade the machines' workers to a `version`")
+	flagSet.IntVar(&f.spec.MaxOutOfService, "at-once", 0, "of an upgrade: maximum number of machines out of service at a time (default 1)")
+	flagSet.IntVar(&f.spec.MinInService, "keep-up", 0, "of an upgrade: minimum number of machines in service in each zone and for each class")
+	flagSet.StringVar(&f.windowRule, "window", "", "drain only in windows given by an RFC 5545 `RRULE`, such as FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0")
+	flagSet.StringVar(&f.windowZone, "window-zone", "", "time `zone` of the windows, such as Europe/Warsaw (default: TZ)")
+	flagSet.StringVar(&f.windowStart, "window-starts", "", "start of the first window, as 2006-01-02T15:04 in that zone; the rule recurs from it")
+	flagSet.DurationVar(&f.windowLength, "window-for", 2*time.Hour, "duration of each window")
+	flagSet.DurationVar(&f.windowLead, "window-lead", 0, "start emptying machines this long before each window, so that they are empty when it starts")
 }
 
 // buildDrain returns the drain that the flags and the machine names describe.
-func (x *drainFlags) buildDrain(names []string, now time.Time) (client.Drain, error) {
-	d := x.spec
-	d.Machines, d.Kind, d.OlderThanS = names, client.DrainEmpty, x.olderThan.Seconds()
+func (f *drainFlags) buildDrain(names []string, now time.Time) (client.Drain, error) {
+	d := f.spec
+	d.Machines, d.Kind, d.OlderThanS = names, client.DrainEmpty, f.olderThan.Seconds()
 	if d.ID == "" {
 		d.ID = client.NewDrainID()
 	}
 	switch {
-	case x.cordon && x.upgradeTo != "":
+	case f.cordon && f.upgradeTo != "":
 		return d, usageError("--cordon and --upgrade-to exclude each other")
-	case x.cordon:
+	case f.cordon:
 		d.Kind = client.DrainCordon
-	case x.upgradeTo != "":
-		d.Kind, d.TargetVersion = client.DrainUpgrade, x.upgradeTo
+	case f.upgradeTo != "":
+		d.Kind, d.TargetVersion = client.DrainUpgrade, f.upgradeTo
 		if d.MaxOutOfService == 0 {
 			d.MaxOutOfService = 1
 		}
 	}
 	var err error
-	if d.DeadlineMS, err = x.deadline(now); err != nil {
+	if d.DeadlineMS, err = f.deadline(now); err != nil {
 		return d, err
 	}
-	d.Window, err = x.buildWindow()
+	d.Window, err = f.buildWindow()
 	return d, err
 }
 
@@ -79,31 +79,31 @@
 const localTimeLayout = "2006-01-02T15:04"
 
 // deadline returns the time by which the machines must be empty, in Unix milliseconds; 0: none.
-func (x *drainFlags) deadline(now time.Time) (int64, error) {
+func (f *drainFlags) deadline(now time.Time) (int64, error) {
 	switch {
-	case x.deadlineAt != "" && x.deadlineIn != 0:
+	case f.deadlineAt != "" && f.deadlineIn != 0:
 		return 0, usageError("--by and --in exclude each other")
-	case x.deadlineIn != 0:
-		return now.Add(x.deadlineIn).UnixMilli(), nil
-	case x.deadlineAt == "":
+	case f.deadlineIn != 0:
+		return now.Add(f.deadlineIn).UnixMilli(), nil
+	case f.deadlineAt == "":
 		return 0, nil
 	}
-	at, err := time.ParseInLocation(localTimeLayout, x.deadlineAt, now.Location())
+	at, err := time.ParseInLocation(localTimeLayout, f.deadlineAt, now.Location())
 	if err != nil {
-		at, err = time.Parse(time.RFC3339, x.deadlineAt)
+		at, err = time.Parse(time.RFC3339, f.deadlineAt)
 	}
 	if err != nil {
-		return 0, usageError("--by: %q is not a time such as 2026-01-31T22:00", x.deadlineAt)
+		return 0, usageError("--by: %q is not a time such as 2026-01-31T22:00", f.deadlineAt)
 	}
 	return at.UnixMilli(), nil
 }
 
 // buildWindow returns the recurring window in which the drain is active; nil: always active.
-func (x *drainFlags) buildWindow() (*client.Window, error) {
-	if x.windowRule == "" {
+func (f *drainFlags) buildWindow() (*client.Window, error) {
+	if f.windowRule == "" {
 		return nil, nil
 	}
-	zone := x.windowZone
+	zone := f.windowZone
 	if zone == "" {
 		zone = os.Getenv("TZ")
 	}
@@ -111,7 +111,7 @@
 		return nil, usageError("neither --window-zone nor TZ is set: --window needs a time zone")
 	}
 	return &client.Window{
-		Rule: x.windowRule, TimeZone: zone, DurationS: x.windowLength.Seconds(), LeadS: x.windowLead.Seconds(), FirstStart: x.windowStart,
+		Rule: f.windowRule, TimeZone: zone, DurationS: f.windowLength.Seconds(), LeadS: f.windowLead.Seconds(), FirstStart: f.windowStart,
 	}, nil
 }
 
@@ -124,11 +124,11 @@
 }
 
 func planDrainCommand(f *globalFlags) *cobra.Command {
-	var x drainFlags
+	var flags drainFlags
 	cmd := &cobra.Command{
 		Use: "plan [MACHINE...]", Short: "Show what a drain would do to each task and class, without starting it",
 		RunE: func(cmd *cobra.Command, names []string) error {
-			d, err := x.buildDrain(names, time.Now())
+			d, err := flags.buildDrain(names, time.Now())
 			if err != nil {
 				return err
 			}
@@ -144,17 +144,17 @@
 			return f.printOutput(cmd.OutOrStdout(), plan, func(w io.Writer) { showPlan(w, plan) })
 		},
 	}
-	x.register(cmd)
+	flags.register(cmd)
 	return cmd
 }
 
 func startDrainCommand(f *globalFlags) *cobra.Command {
-	var x drainFlags
+	var flags drainFlags
 	var wait, force bool
 	cmd := &cobra.Command{
 		Use: "start [MACHINE...]", Short: "Start a drain of machines selected by name, type, zone, age or version",
 		RunE: func(cmd *cobra.Command, names []string) error {
-			d, err := x.buildDrain(names, time.Now())
+			d, err := flags.buildDrain(names, time.Now())
 			if err != nil {
 				return err
 			}
@@ -174,7 +174,7 @@
 			return f.printOutput(cmd.OutOrStdout(), v, func(w io.Writer) { showDrain(w, v) })
 		},
 	}
-	x.register(cmd)
+	flags.register(cmd)
 	cmd.Flags().BoolVarP(&wait, "wait", "w", false, "wait until all machines are empty or upgraded")
 	cmd.Flags().BoolVar(&force, "force", false, "start the drain even if it leaves no machine for some jobs")
 	return cmd
@@ -261,9 +261,9 @@
 	if len(d.Machines) > 0 {
 		words = append(words, abbreviateList(d.Machines))
 	}
-	for _, x := range [][2]string{{"type ", d.Type}, {"zone ", d.Zone}, {"version ", d.Version}, {"to version ", d.TargetVersion}} {
-		if x[1] != "" {
-			words = append(words, x[0]+x[1])
+	for _, selector := range [][2]string{{"type ", d.Type}, {"zone ", d.Zone}, {"version ", d.Version}, {"to version ", d.TargetVersion}} {
+		if selector[1] != "" {
+			words = append(words, selector[0]+selector[1])
 		}
 	}
 	if d.OlderThanS > 0 {
@@ -274,28 +274,28 @@
 
 // showDrain prints one drain and its progress.
 func showDrain(w io.Writer, v client.DrainView) {
-	d := v.Drain
+	spec := v.Drain
 	phase, left := phaseOf(v)
 	row := func(name, text string) {
 		if text != "" {
 			fmt.Fprintf(w, "%s\t%s\n", name, text)
 		}
 	}
-	row("drain", d.ID)
-	row("kind", d.Kind)
-	row("means", selectorText(d))
-	if d.DeadlineMS != 0 {
-		row("empty by", formatTime(d.DeadlineMS))
+	row("drain", spec.ID)
+	row("kind", spec.Kind)
+	row("means", selectorText(spec))
+	if spec.DeadlineMS != 0 {
+		row("empty by", formatTime(spec.DeadlineMS))
 	}
-	if d.Window != nil {
-		span := time.Duration(d.Window.DurationS * float64(time.Second))
-		row("window", fmt.Sprintf("%s in %s, for %v", d.Window.Rule, d.Window.TimeZone, span))
+	if spec.Window != nil {
+		span := time.Duration(spec.Window.DurationS * float64(time.Second))
+		row("window", fmt.Sprintf("%s in %s, for %v", spec.Window.Rule, spec.Window.TimeZone, span))
 	}
-	row("then", d.WhenEmpty)
-	if d.Kind == client.DrainUpgrade {
-		row("at once", fmt.Sprintf("%d, %d stay in service in each zone and for each class", d.MaxOutOfService, d.MinInService))
+	row("then", spec.WhenEmpty)
+	if spec.Kind == client.DrainUpgrade {
+		row("at once", fmt.Sprintf("%d, %d stay in service in each zone and for each class", spec.MaxOutOfService, spec.MinInService))
 	}
-	row("began", formatTime(d.RequestedMS))
+	row("began", formatTime(spec.RequestedMS))
 	row("phase", phase)
 	row("machines left", left)
 	s := v.State
@@ -308,11 +308,11 @@
 		row("rolled back", s.Rollout.Reason+", to version "+s.Rollout.Target)
 	}
 	fmt.Fprintln(w, "\n\tMACHINES\tFINISH\tMOVE\tBEGIN ANEW\tWAIT\tBLOCKED\tVANISHED\tWORK LOST\tEMPTY AFTER")
-	for _, x := range []struct {
+	for _, effect := range []struct {
 		name string
 		s    client.DrainSummary
 	}{{"planned", s.Plan}, {"seen", s.Actual}} {
-		fmt.Fprintf(w, "%s\t%s\n", x.name, summaryColumns(x.s))
+		fmt.Fprintf(w, "%s\t%s\n", effect.name, summaryColumns(effect.s))
 	}
 }
 
@@ -345,8 +345,8 @@
 	}
 	fmt.Fprintln(w, "\nCLASS\tMACHINES\tFINISH\tMOVE\tBEGIN ANEW\tWAIT\tBLOCKED\tVANISHED\tWORK LOST\tEMPTY AFTER\tJOBS LATE BY IT\tLATE ANYWAY")
 	for _, class := range slices.Sorted(maps.Keys(plan.Classes)) {
-		x := plan.Classes[class]
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", class, summaryColumns(x.Summary), x.Late, x.LateAnyway)
+		classPlan := plan.Classes[class]
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", class, summaryColumns(classPlan.Summary), classPlan.Late, classPlan.LateAnyway)
 	}
 	fmt.Fprintf(w, "all\t%s\n", summaryColumns(plan.Total))
 	if len(plan.WindowStarts) > 0 {
--- a/cmd/drumpickctl/jobs.go
+++ b/cmd/drumpickctl/jobs.go
@@ -60,11 +60,11 @@
 			if err != nil {
 				return err
 			}
-			states, err := submitAll(cmd.Context(), c, jobs, cmd.ErrOrStderr())
+			statuses, err := submitAll(cmd.Context(), c, jobs, cmd.ErrOrStderr())
 			if err == nil && wait {
-				states, err = f.waitAll(cmd, c, states)
+				statuses, err = f.waitAll(cmd, c, statuses)
 			}
-			if printErr := f.printStates(cmd.OutOrStdout(), states); err == nil {
+			if printErr := f.printStatuses(cmd.OutOrStdout(), statuses); err == nil {
 				err = printErr
 			}
 			return err
@@ -89,9 +89,9 @@
 
 // submitAll submits jobs in waves: a job is sent once the jobs of the file that it depends on are accepted.
 func submitAll(ctx context.Context, c *client.Client, jobs []jobspec.NamedJob, errOut io.Writer) ([]client.Status, error) {
-	states := make([]client.Status, 0, len(jobs))
+	statuses := make([]client.Status, 0, len(jobs))
 	for _, j := range jobs {
-		states = append(states, client.Status{ID: j.ID, Status: "not accepted"})
+		statuses = append(statuses, client.Status{ID: j.ID, Status: "not accepted"})
 	}
 	for start := 0; start < len(jobs); {
 		end := start + waveLength(jobs[start:])
@@ -101,19 +101,19 @@
 			}
 			st, _, err := c.Submit(ctx, j.Job)
 			if err == nil {
-				states[start+i] = st
+				statuses[start+i] = st
 			}
 			return err
 		})
 		if err != nil {
-			return states, err
+			return statuses, err
 		}
 		start = end
 	}
-	return states, nil
+	return statuses, nil
 }
 
-// waveLength returns the number of jobs at the start of the list that do not depend on each other.
+// waveLength returns how many jobs at the start of the list do not depend on each other.
 func waveLength(jobs []jobspec.NamedJob) int {
 	inWave := map[string]bool{}
 	for n, j := range jobs {
@@ -127,35 +127,35 @@
 
 // waitAll waits until jobs are final, showing progress. A service is final only once it is cancelled. A cancelled job
 // gives an error with exit code exitCancelled.
-func (f *globalFlags) waitAll(cmd *cobra.Command, c *client.Client, states []client.Status) ([]client.Status, error) {
-	p := newProgress(cmd.ErrOrStderr(), states)
+func (f *globalFlags) waitAll(cmd *cobra.Command, c *client.Client, statuses []client.Status) ([]client.Status, error) {
+	p := newProgress(cmd.ErrOrStderr(), statuses)
 	defer p.close()
 	var wg sync.WaitGroup
-	errs := make([]error, len(states))
-	for i, st := range states {
+	errs := make([]error, len(statuses))
+	for i, st := range statuses {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			states[i], errs[i] = c.Wait(cmd.Context(), st.ID, func(st client.Status) { p.update(i, st) })
+			statuses[i], errs[i] = c.Wait(cmd.Context(), st.ID, func(st client.Status) { p.update(i, st) })
 		}()
 	}
 	wg.Wait()
 	for i, err := range errs {
 		if err != nil {
-			return states, err
+			return statuses, err
 		}
-		if states[i].Status == client.Cancelled {
-			errs[0] = &exitError{exitCancelled, fmt.Errorf("job %s was cancelled", states[i].ID)}
+		if statuses[i].Status == client.Cancelled {
+			errs[0] = &exitError{exitCancelled, fmt.Errorf("job %s was cancelled", statuses[i].ID)}
 		}
 	}
-	return states, errs[0]
+	return statuses, errs[0]
 }
 
-// printStates prints the statuses of jobs.
-func (f *globalFlags) printStates(out io.Writer, states []client.Status) error {
-	return f.printOutput(out, states, func(w io.Writer) {
+// printStatuses prints the statuses of jobs.
+func (f *globalFlags) printStatuses(out io.Writer, statuses []client.Status) error {
+	return f.printOutput(out, statuses, func(w io.Writer) {
 		fmt.Fprintln(w, "JOB\tSTATUS\tDONE\tRUNNING")
-		for _, s := range states {
+		for _, s := range statuses {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", s.ID, s.Status, s.Done, s.Running)
 		}
 	})
@@ -173,16 +173,16 @@
 			if err != nil {
 				return err
 			}
-			states := make([]client.Status, len(ids))
+			statuses := make([]client.Status, len(ids))
 			err = forEachConcurrently(ids, func(i int, id string) error {
-				states[i].ID, states[i].Status = id, "unknown"
+				statuses[i].ID, statuses[i].Status = id, "unknown"
 				st, err := send(c, cmd.Context(), id)
 				if err == nil {
-					states[i] = st
+					statuses[i] = st
 				}
 				return err
 			})
-			if printErr := f.printStates(cmd.OutOrStdout(), states); err == nil {
+			if printErr := f.printStatuses(cmd.OutOrStdout(), statuses); err == nil {
 				err = printErr
 			}
 			return err
@@ -206,12 +206,12 @@
 			if err != nil {
 				return err
 			}
-			states := make([]client.Status, len(ids))
+			statuses := make([]client.Status, len(ids))
 			for i, id := range ids {
-				states[i].ID = id
+				statuses[i].ID = id
 			}
-			states, err = f.waitAll(cmd, c, states)
-			if printErr := f.printStates(cmd.OutOrStdout(), states); err == nil {
+			statuses, err = f.waitAll(cmd, c, statuses)
+			if printErr := f.printStatuses(cmd.OutOrStdout(), statuses); err == nil {
 				err = printErr
 			}
 			return err
--- a/cmd/drumpickctl/machines.go
+++ b/cmd/drumpickctl/machines.go
@@ -47,10 +47,10 @@
 }
 
 func showMachine(w io.Writer, m client.Machine) {
-	for _, x := range [][2]any{
+	for _, row := range [][2]any{
 		{"machine", m.Name}, {"type", m.Type}, {"zone", m.Zone}, {"kind", machineKind(m.Spot)}, {"address", m.Addr}, {"state", m.State},
 	} {
-		fmt.Fprintf(w, "%s\t%s\n", x[0], x[1])
+		fmt.Fprintf(w, "%s\t%s\n", row[0], row[1])
 	}
 	if m.Version != "" {
 		fmt.Fprintf(w, "version\t%s\n", m.Version)
--- a/cmd/drumpickctl/progress.go
+++ b/cmd/drumpickctl/progress.go
@@ -17,19 +17,19 @@
 	out       io.Writer
 	terminal  bool
 	startedAt time.Time
-	done      chan struct{}
+	done      chan struct{} // closed to stop run
 	ended     sync.WaitGroup
 
 	mu       sync.Mutex // guards the fields below
-	states   []client.Status
+	statuses []client.Status
 	lastText string
 }
 
 // progressInterval is the interval between updates of the shown progress.
 const progressInterval = 500 * time.Millisecond
 
-func newProgress(out io.Writer, states []client.Status) *progress {
-	p := &progress{out: out, startedAt: time.Now(), done: make(chan struct{}), states: append([]client.Status(nil), states...)}
+func newProgress(out io.Writer, statuses []client.Status) *progress {
+	p := &progress{out: out, startedAt: time.Now(), done: make(chan struct{}), statuses: append([]client.Status(nil), statuses...)}
 	if file, ok := out.(*os.File); ok {
 		p.terminal = term.IsTerminal(int(file.Fd()))
 	}
@@ -60,7 +60,7 @@
 // update records the status of job i.
 func (p *progress) update(i int, st client.Status) {
 	p.mu.Lock()
-	p.states[i] = st
+	p.statuses[i] = st
 	p.mu.Unlock()
 }
 
@@ -68,21 +68,21 @@
 func (p *progress) show() {
 	p.mu.Lock()
 	final, running, done := 0, 0, 0
-	for _, st := range p.states {
+	for _, st := range p.statuses {
 		if st.IsFinal() {
 			final++
 		}
 		running, done = running+st.Running, done+st.Done
 	}
-	text := fmt.Sprintf("%d of %d jobs over, %d tasks running, %d done", final, len(p.states), running, done)
-	same := text == p.lastText
+	text := fmt.Sprintf("%d of %d jobs over, %d tasks running, %d done", final, len(p.statuses), running, done)
+	unchanged := text == p.lastText
 	p.lastText = text
 	p.mu.Unlock()
 	elapsed := time.Since(p.startedAt).Round(time.Second)
 	switch {
 	case p.terminal:
 		fmt.Fprintf(p.out, "\r\033[K%4s  %s", elapsed, text)
-	case !same:
+	case !unchanged:
 		fmt.Fprintf(p.out, "%4s  %s\n", elapsed, text)
 	}
 }
--- a/internal/autoscaler/offer.go
+++ b/internal/autoscaler/offer.go
@@ -14,8 +14,8 @@
 	Spot       bool
 }
 
-// before reports whether an offer precedes another in a plan. Spot machines come first, as on-demand
-// machines are rented only for the work that spot machines leave.
+// before reports whether an offer precedes another in a plan. Spot machines come first,
+// because on-demand machines are rented only for the work that spot machines leave.
 func (o Offer) before(other Offer) bool {
 	if o.Spot != other.Spot {
 		return o.Spot
@@ -39,7 +39,7 @@
 	return packing.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemGB}
 }
 
-// StartupTime returns how long a machine of a type takes to start.
+// StartupTime returns how long a machine of a type takes to start; 0 for an unknown type.
 func (c Catalog) StartupTime(name string) time.Duration {
 	return time.Duration(c.Types[name].StartupS * float64(time.Second))
 }
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -24,8 +24,8 @@
 // Planner decides which machines to rent. It tracks the requests in flight and the offers for which
 // the cloud had no capacity. It does no I/O and reads no clock. It is not safe for concurrent use.
 type Planner struct {
-	backoffStartups float64 // backoff of a refused offer, in startup times
-	refusedUntil    map[Offer]time.Time
+	backoffStartups float64                  // backoff of a refused offer, in startup times
+	refusedUntil    map[Offer]time.Time      // end of the backoff, by offer
 	inFlight        map[string]RentalRequest // by name
 }
 
@@ -44,7 +44,7 @@
 // Untrack records that a rental request has been answered or abandoned.
 func (p *Planner) Untrack(r RentalRequest) { delete(p.inFlight, r.Name) }
 
-// BackOff starts the backoff of the request's offer; startup is the startup time of its machine type.
+// BackOff starts the backoff of a request's offer; startup is the startup time of the machine type.
 func (p *Planner) BackOff(r RentalRequest, startup time.Duration, now time.Time) {
 	p.refusedUntil[r.Offer()] = now.Add(time.Duration(float64(startup) * p.backoffStartups))
 }
@@ -56,7 +56,8 @@
 type Constraints interface {
 	// Permits reports whether the job may use machines of an offer.
 	Permits(o Offer) bool
-	// PermitsZone reports whether the job may use a zone, given the zones where its other tasks stay.
+	// PermitsZone reports whether the job may use a zone, given the zones of its tasks that need not
+	// move.
 	PermitsZone(zone string) bool
 }
 
@@ -100,16 +101,16 @@
 	PlanInput
 	planner         *Planner
 	spaces          map[string]*packing.Space // by type: vacant, requested and new machines with room
-	machinesInZone  map[string]int
-	newMachines     map[Offer]int
-	minNewMachines  map[Offer]int      // part of newMachines that is rented regardless of the work
-	machineSeconds  map[string]float64 // waiting work, by type
-	newMachineTotal int                // new machines of all offers
+	machinesInZone  map[string]int            // existing, requested and new machines, by zone
+	newMachines     map[Offer]int             // machines that packing opened, by offer
+	minNewMachines  map[Offer]int             // part of newMachines that is rented regardless of the work
+	machineSeconds  map[string]float64        // waiting work, by type
+	newMachineTotal int                       // new machines of all offers
 }
 
-// Plan returns the requests to send now; the caller names them. It requests the bins that packing
-// would open for the demand, minus the machines that are starting, and no more machines than the work
-// keeps busy for the planning horizon.
+// Plan returns the requests to send now; the caller names them. It requests the machines that bin
+// packing of the demand needs beside the vacant and requested ones, but no more than the work keeps
+// busy for the planning horizon.
 func (p *Planner) Plan(in PlanInput) []RentalRequest {
 	state := &plan{
 		PlanInput: in, planner: p, spaces: map[string]*packing.Space{}, machinesInZone: map[string]int{},
@@ -125,8 +126,8 @@
 	return state.requests(supplyByType)
 }
 
-// addSupply adds the machines of the fleet and those in flight. It returns the number of machines by
-// type that accept tasks now or soon.
+// addSupply adds the machines of the fleet and of the requests in flight to the plan. It returns the
+// number of machines, by type, that accept tasks now or once they have started.
 func (p *plan) addSupply() (supplyByType map[string]int) {
 	supplyByType = map[string]int{}
 	for _, m := range p.Fleet {
@@ -189,11 +190,11 @@
 		worthwhile := int(math.Ceil(work/horizon)) - supplyByType[o.Type]
 		n = min(n, max(worthwhile, p.minNewMachines[o]))
 	}
-	total := 0
-	for _, k := range supplyByType {
-		total += k
+	existing := 0
+	for _, count := range supplyByType {
+		existing += count
 	}
-	return p.Headroom(total, n)
+	return p.Headroom(existing, n)
 }
 
 // horizonStartups returns the planning horizon of an offer, in startup times.
@@ -221,7 +222,8 @@
 // pack packs the tasks into vacant machines and opens new machines for the rest. It assigns as many
 // tasks at once to a new machine as an empty one holds.
 func (d *demandPlan) pack() {
-	// What an empty machine holds of them is cached for consecutive offers of the same type.
+	// The number of tasks that an empty machine holds is cached for consecutive offers of the same
+	// type.
 	packedType, perMachine, leavesRoom := "", 0, false
 	for left := d.packVacant(d.demand.Tasks); left > 0; left = d.packVacant(left) {
 		o, found := d.chooseOffer()
@@ -229,7 +231,7 @@
 			return
 		}
 		if d.newMachineTotal >= maxNewMachines {
-			d.addWork(o.Type, left) // beyond this plan's bound, but still waiting work
+			d.addWork(o.Type, left) // these tasks exceed this plan's bound, but count as waiting work
 			return
 		}
 		d.openMachine(o)
@@ -237,12 +239,12 @@
 			packedType = o.Type
 			perMachine, leavesRoom = itemsPerEmptyBin(d.Catalog.Capacity(packedType), d.demand.Request)
 		}
-		k := min(left, perMachine)
-		d.addWork(o.Type, k)
-		left -= k
-		if k < perMachine || leavesRoom {
-			b := d.addBin(o) // has room for other tasks
-			for range k {
+		packed := min(left, perMachine)
+		d.addWork(o.Type, packed)
+		left -= packed
+		if packed < perMachine || leavesRoom {
+			b := d.addBin(o) // this machine has room for other tasks
+			for range packed {
 				b.Add(d.newItem())
 			}
 		}
@@ -269,7 +271,7 @@
 	return 0
 }
 
-// addWork adds the work of some tasks to that of a machine type.
+// addWork adds the work of some of the demand's tasks to the waiting work of a machine type.
 func (d *demandPlan) addWork(machineType string, tasks int) {
 	if !d.demand.Elastic {
 		d.machineSeconds[machineType] = math.Inf(1) // gangs and replicas need all their machines at once
@@ -281,8 +283,8 @@
 
 // openMachine adds a new machine to the plan.
 func (d *demandPlan) openMachine(o Offer) {
-	// Without this a job could wait forever: the existing machines count as enough although none of
-	// them may or can run it.
+	// Machines for these tasks are rented regardless of the amount of work. Otherwise a job could
+	// wait forever: the existing machines count as enough although none of them may or can run it.
 	maxWait := time.Duration(float64(d.Catalog.StartupTime(o.Type)) * onDemandHorizonStartups)
 	if d.demand.Urgent || d.Now.Sub(d.demand.WaitingSince) > maxWait || !d.anyPermitted() {
 		d.minNewMachines[o]++
@@ -292,7 +294,8 @@
 	d.newMachineTotal++
 }
 
-// anyPermitted reports whether any machine, existing or about to be rented, may run the tasks.
+// anyPermitted reports whether any machine, existing or about to be rented, may run the demand's
+// tasks.
 func (d *demandPlan) anyPermitted() bool {
 	constraints := d.demand.Constraints
 	for i := range d.Fleet {
@@ -313,19 +316,19 @@
 	return false
 }
 
-// maxItemsPerEmptyBin bounds the trial in itemsPerEmptyBin, as very small tasks never fill a machine.
-// It bounds neither machines nor tasks: a machine that holds more has room left, and the other tasks
-// are packed into it one by one.
+// maxItemsPerEmptyBin bounds the trial in itemsPerEmptyBin, because very small tasks never fill a
+// machine. It bounds neither machines nor tasks: a machine that holds more has room left, and the
+// other tasks are packed into it one by one.
 const maxItemsPerEmptyBin = 100
 
 // itemsPerEmptyBin returns how many items of one size an empty bin holds by the packing rules, and
 // whether the bin accepts other items beside them.
 func itemsPerEmptyBin(capacity, request packing.Resources) (n int, leavesRoom bool) {
 	b := packing.NewBin("", capacity)
-	s := &packing.Space{NoFirstFit: true}
-	s.Add(b)
+	space := &packing.Space{NoFirstFit: true}
+	space.Add(b)
 	for n < maxItemsPerEmptyBin {
-		if in, _, _ := s.Insert(&packing.Item{Request: request}, nil); in == nil {
+		if placedIn, _, _ := space.Insert(&packing.Item{Request: request}, nil); placedIn == nil {
 			break
 		}
 		n++
@@ -341,9 +344,9 @@
 	machinesInZone  int     // existing and planned
 }
 
-// better reports whether an offer is preferred to another: first one in a zone without a suspected
-// outage, as machines in the other are useless until it recovers; then the lower cost; then the zone
-// with fewer machines.
+// better reports whether an offer is preferred to another. An offer in a zone without a suspected
+// outage comes first, because machines in the other zone are useless until that zone recovers; then
+// the lower cost; then the zone with fewer machines.
 func (c *candidate) better(other *candidate) bool {
 	if c.outageSuspected != other.outageSuspected {
 		return other.outageSuspected
@@ -351,7 +354,7 @@
 	return c.cost < other.cost || c.cost == other.cost && c.machinesInZone < other.machinesInZone
 }
 
-// chooseOffer returns the best available offer for a task, and whether there is one.
+// chooseOffer returns the best available offer for a task of the demand, and whether there is one.
 func (d *demandPlan) chooseOffer() (Offer, bool) {
 	var best candidate
 	found := false
--- a/internal/autoscaler/request.go
+++ b/internal/autoscaler/request.go
@@ -10,8 +10,8 @@
 // Errors of the cloud, by how the caller has to react.
 var (
 	ErrNoCapacity     = errors.New("cloud: no capacity")
-	ErrUnavailable    = errors.New("cloud: temporarily unavailable") // 429, or 503 in an outage: not executed
-	ErrUnknownOutcome = errors.New("cloud: no response")             // may have been executed, or may be yet
+	ErrUnavailable    = errors.New("cloud: temporarily unavailable") // HTTP 429, or 503 in an outage: the request was not executed
+	ErrUnknownOutcome = errors.New("cloud: no response")             // the request may have been executed, or may be executed later
 	ErrUnexpected     = errors.New("cloud: unexpected response")
 )
 
@@ -44,8 +44,8 @@
 	Zone    string  `json:"site"`
 	Spot    bool    `json:"loaners"`
 	Status  string  `json:"status"`
-	AgeS    float64 `json:"age_s"`
+	AgeS    float64 `json:"age_s"` // seconds since it was requested
 }
 
-// StatusFailed is the status of a machine that stopped on its own.
+// StatusFailed is the status of a machine that failed, so that its tasks are lost.
 const StatusFailed = "failed"
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -13,9 +13,10 @@
 	// failed on its own.
 	manySilentShare = 1.0 / 4
 
-	// fewUnreconciledShare is the share of inherited machines whose work is worth less than the time
-	// for which all others would wait for them. failoverGraceIntervals is how many heartbeat
-	// intervals machines have to find the new leader: they try the old one for up to two.
+	// fewUnreconciledShare is the share of inherited machines up to which unreconciled ones count as
+	// few: their work is worth less than the time for which all others would wait for them.
+	// failoverGraceIntervals is how many heartbeat intervals machines have to find the new leader:
+	// they try the old one for up to two intervals.
 	fewUnreconciledShare   = 1.0 / 20
 	failoverGraceIntervals = 2
 )
@@ -23,8 +24,8 @@
 // FleetCounts counts the machines of a fleet by the state of their heartbeats.
 type FleetCounts struct {
 	Up           int // have reported in this term
-	Silent       int // of Up: no heartbeat for more than 3 intervals
-	Overdue      int // of Up: silent for long enough that a zone outage may be the cause
+	Silent       int // of Up: no heartbeat for more than 3 heartbeat intervals
+	Overdue      int // of Up: silent long enough to suspect a zone outage (zonehealth.SilentAfterIntervals)
 	Unreachable  int // of Up: send heartbeats but receive no responses
 	Inherited    int // on record at the failover
 	Unreconciled int // of Inherited: not reconciled with this term yet
@@ -35,7 +36,7 @@
 	// KeptForOperator reports whether the machine is empty and kept for an operator.
 	KeptForOperator(m *fleet.Machine) bool
 	// WaitsForZone reports whether to wait for the recovery of the machine's zone rather than to
-	// replace the machine, which takes startup.
+	// replace the machine; startup is how long a replacement takes to start.
 	WaitsForZone(m *fleet.Machine, startup time.Duration) bool
 	// OutageSuspected reports whether a zone outage is suspected.
 	OutageSuspected(zone string) bool
@@ -94,18 +95,18 @@
 	case !m.HasStatus && !m.Inherited && cond.OutageSuspected(m.Zone):
 		return false // it may be up but unreachable
 	case m.LeaseExpired:
-		// Its tasks are gone. If most machines are silent, the fault is more likely the leader's,
-		// and they may report again.
+		// The machine's tasks are gone. If most machines are silent, the fault is more likely the
+		// leader's, and the machines may report again.
 		return !p.mostSilent || now.Sub(m.LastHeard()) > 4*p.lease
 	case m.AwaitsReconciliation():
 		return p.inheritedTimedOut(m, now)
 	case m.HasStatus && now.Sub(m.LastStatusAt) > p.silenceLimit(m, now):
 		return true
 	case m.HasStatus && !m.Reconciled && now.Sub(m.LastStatusAt) > p.lease:
-		// A late copy of a heartbeat may have marked it as up; nothing else would undo that.
+		// A late copy of a heartbeat may have marked the machine as up; nothing else would undo that.
 		return true
 	case m.UnreachableFor(now) > p.lease:
-		// Its tasks end with its lease or with its return.
+		// The machine's tasks end when its lease expires or when it is returned.
 		return !p.manyUnreachable || m.UnreachableFor(now) > 4*p.lease
 	case m.UnansweredProbesFor(now) > p.lease:
 		return true // its tasks are unknown; its return proves that they are gone
@@ -158,7 +159,7 @@
 		}
 	}
 	if !m.RequestedAt.IsZero() && now.Sub(m.RequestedAt) < MinCharge {
-		return false // already charged for
+		return false // the minimum charge already pays for this time
 	}
 	if m.Spot && cond.OnDemandShortage(m.Type) {
 		return false // its next task would need an on-demand machine
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -5,7 +5,7 @@
 // Task is the input of a decision about a task on a machine.
 type Task struct {
 	Running        bool // makes progress; otherwise it fetches its image or waits for its gang
-	WaitingForGang bool
+	WaitingForGang bool // its gang does not run yet
 	Stopping       bool // a stop has been requested
 	Gang           bool // moves only together with its gang
 	Service        bool // is a replica of a service
@@ -15,8 +15,8 @@
 	Ran             time.Duration  // work that is lost if the task is stopped without a checkpoint
 	CanSave         bool           // can save a checkpoint
 	SaveDuration    time.Duration  // time that saving a checkpoint takes
-	RestartDuration time.Duration  // from the end here to the start elsewhere, given room there
-	Slack           *time.Duration // time until the job is late; nil: no deadline
+	RestartDuration time.Duration  // from its stop here to its start elsewhere, given room there
+	Slack           *time.Duration // from its expected end to its job's next target; nil: no target can be met
 
 	OtherReplicas int   // of a replica: others that run on machines not being drained
 	Place         Place // whether it could run elsewhere
@@ -78,7 +78,7 @@
 }
 
 // cannotFinish reports whether a task misses the deadline even if the estimate is too long by
-// estimateErrorFactor.
+// estimateErrorFactor. There must be a deadline.
 func (d deadline) cannotFinish(t Task) bool {
 	return time.Duration(float64(t.Remaining)/estimateErrorFactor) > *d.timeLeft
 }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -26,8 +26,9 @@
 	return time.Duration(rapid.IntRange(0, limit).Draw(t, name)) * time.Second
 }
 
-// For random tasks: work is lost only if the deadline requires it, a task leaves its machine when the
-// deadline has expired, and an urgent task without slack stays.
+// Guards against work lost without need. For random tasks: work is lost only if the deadline
+// requires it, a task leaves its machine when the deadline has expired, and an urgent task without
+// slack stays.
 func TestDecideKeepsWorkUnlessTimeDemands(t *testing.T) {
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -95,7 +96,7 @@
 	return task
 }
 
-// hasNoSlack reports whether moving a task makes its job late.
+// hasNoSlack reports whether a task has no slack, so that moving it makes its job late.
 func hasNoSlack(task Task) bool {
 	return task.Slack != nil && *task.Slack == 0 && task.SaveDuration+task.RestartDuration > 0
 }
@@ -222,8 +223,8 @@
 	}
 }
 
-// step simulates one second: machines get their version, and those with version "2" become faulty at
-// the given rate.
+// step simulates one second: machines that have been out of service for three steps get the
+// version, and upgraded machines with version "2" become faulty with a probability of failPercent.
 func (f simulatedFleet) step(t *rapid.T, version string, failPercent int) {
 	for _, m := range f {
 		switch {
@@ -317,8 +318,8 @@
 	}
 }
 
-// At random times a window is in force exactly if the list of its starts says so, and the reported next
-// change is a change.
+// At random times, a window is in force exactly if a start from NextStarts, with the lead time
+// before and the duration after it, covers the time; and the reported next change is a change.
 func TestInForceAgreesWithStarts(t *testing.T) {
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -126,8 +126,8 @@
 	Age     time.Duration // since the rental request; 0: unknown
 }
 
-// listsMachine reports whether Machines contains a name. It uses a set, as otherwise each pass would
-// compare thousands of names with thousands of machines.
+// listsMachine reports whether Machines contains a name. It uses a set, because otherwise each pass
+// would compare thousands of names with thousands of machines.
 func (s *Spec) listsMachine(machine string) bool {
 	if s.machineSet == nil {
 		s.machineSet = make(map[string]struct{}, len(s.Machines))
@@ -139,8 +139,8 @@
 	return found
 }
 
-// Selects reports whether a drain applies to a machine, upgraded or not. It is not safe for concurrent
-// use.
+// Selects reports whether a drain applies to a machine. An upgrade also selects machines that already
+// have its target version. Selects is not safe for concurrent use.
 func (s *Spec) Selects(m Machine) bool {
 	return (len(s.Machines) == 0 || s.listsMachine(m.Name)) &&
 		(s.Type == "" || s.Type == m.Type) && (s.Zone == "" || s.Zone == m.Zone) &&
@@ -148,8 +148,8 @@
 		(s.Version == "" || s.Version == m.Version || s.Kind == KindUpgrade && m.Version == s.TargetVersion)
 }
 
-// BlocksScaleOut reports whether new machines of a type in a zone would be drained as well; none are
-// rented there then.
+// BlocksScaleOut reports whether the drain would also drain new machines of a type in a zone. While
+// it is in force, no such machines are rented.
 func (s *Spec) BlocksScaleOut(typ, zone string) bool {
 	return s.Kind != KindUpgrade && len(s.Machines) == 0 && s.OlderThanS == 0 && s.Version == "" &&
 		s.Selects(Machine{Type: typ, Zone: zone})
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -10,14 +10,14 @@
 	PhaseUpgrading   = "upgrading"
 	PhaseRollingBack = "rolling back"
 	PhaseDone        = "done"        // every machine has the target version
-	PhaseRolledBack  = "rolled back" // every machine has the earlier version again
+	PhaseRolledBack  = "rolled back" // every machine has the earlier version again, or none is known
 	PhaseStopped     = "stopped"     // by an operator
 )
 
 // Summary counts tasks by outcome, planned or actual.
 type Summary struct {
 	Machines    int     `json:"machines"`
-	Finish      int     `json:"finish"` // tasks by action, up to Blocked
+	Finish      int     `json:"finish"` // number of tasks by action, from here to Blocked
 	Move        int     `json:"move"`
 	Restart     int     `json:"lose"`
 	Wait        int     `json:"wait,omitempty"`
@@ -52,7 +52,7 @@
 	MachinesLeft int      `json:"left"`              // machines that are not empty, or lack the target version
 	Blocked      string   `json:"blocked,omitempty"` // why the drain makes no progress; "": it does
 	Plan         Summary  `json:"plan"`              // estimate at the start of the drain
-	Actual       Summary  `json:"seen"`
+	Actual       Summary  `json:"seen"`              // outcome so far
 	BeganMS      int64    `json:"began_ms,omitempty"`
 	EndedMS      int64    `json:"ended_ms,omitempty"`
 	Term         uint64   `json:"term,omitempty"` // of the leader that stored the state
@@ -63,8 +63,8 @@
 	return s.Phase == PhaseDone || s.Phase == PhaseRolledBack || s.Phase == PhaseStopped
 }
 
-// EqualIgnoringTerm reports whether two states are equal except for the term, which operators do not
-// see.
+// EqualIgnoringTerm reports whether two states are equal except for the term. A change of the term
+// alone needs no write, because operators do not see the term.
 func (s *State) EqualIgnoringTerm(other *State) bool {
 	return s.Phase == other.Phase && s.rolloutOrZero() == other.rolloutOrZero() &&
 		slices.Equal(s.OutOfService, other.OutOfService) && s.MachinesLeft == other.MachinesLeft && s.Blocked == other.Blocked &&
@@ -79,7 +79,7 @@
 	return *s.Rollout
 }
 
-// TaskPlan is the planned outcome of one task. Times are estimates counted from now.
+// TaskPlan is the planned outcome of one task. Times are estimates, in seconds.
 type TaskPlan struct {
 	Task         string  `json:"task"`
 	Class        string  `json:"class"`
--- a/internal/drain/upgrade.go
+++ b/internal/drain/upgrade.go
@@ -28,8 +28,8 @@
 	Blocked    string `json:"blocked,omitempty"` // why no more machines are taken out of service now
 }
 
-// NewRollout returns the rollout of an upgrade. Previous is the most common version other than the
-// target.
+// NewRollout returns the rollout of an upgrade. Its Previous is the most common version of the
+// candidates other than the target, "" if none is known.
 func NewRollout(s *Spec, candidates []Candidate) Rollout {
 	machinesByVersion := map[string]int{}
 	r := Rollout{Target: s.TargetVersion}
@@ -46,7 +46,7 @@
 }
 
 // DecideRollback starts a rollback if machines with the target version are faulty, and at least as many
-// are faulty as are proven.
+// are faulty as have completed a task with it.
 func (r *Rollout) DecideRollback(candidates []Candidate) {
 	if r.RolledBack {
 		return
@@ -72,8 +72,8 @@
 
 // SelectOutOfService returns the machines to have out of service now: those that are already, until
 // they have the target version, and further ones, cheapest to empty first, up to the spec's
-// MaxOutOfService. A machine that has the target version but is not proven counts as out of service
-// for the soak time, so that a bad version reaches only a few machines.
+// MaxOutOfService. A machine that has the target version but has completed no task with it counts as
+// out of service for the soak time, so that a bad version reaches only a few machines.
 //
 // The maps count the machines in service by zone and by class of open jobs. SelectOutOfService updates
 // them.
@@ -127,8 +127,8 @@
 	return outOfService, waiting, allowance
 }
 
-// compare orders machines that wait for the target version: in a rollback faulty ones first, as they
-// run no tasks meanwhile; then empty ones; then by cost.
+// compare orders machines that wait for the target version: in a rollback faulty ones first, because
+// they run no tasks meanwhile; then empty ones; then by cost.
 func (r *Rollout) compare(a, b Candidate) int {
 	if r.RolledBack && a.Faulty != b.Faulty {
 		return trueFirst(a.Faulty)
@@ -139,7 +139,7 @@
 	return cmp.Or(cmp.Compare(a.Cost, b.Cost), cmp.Compare(a.Name, b.Name))
 }
 
-// trueFirst compares a with its opposite, ordering true before false.
+// trueFirst returns the order of a relative to !a, with true before false: -1 if a is true, else 1.
 func trueFirst(a bool) int {
 	if a {
 		return -1
--- a/internal/drain/window.go
+++ b/internal/drain/window.go
@@ -14,7 +14,7 @@
 	Rule       string  `json:"rule"`             // RFC 5545 RRULE, optionally with DTSTART in local time
 	TimeZone   string  `json:"zone"`             // IANA time zone of the rule
 	DurationS  float64 `json:"for_s"`            // length of each window
-	LeadS      float64 `json:"lead_s,omitempty"` // draining begins this long before; machines are empty at the start
+	LeadS      float64 `json:"lead_s,omitempty"` // draining begins this long before each window; machines are empty at its start
 	FirstStart string  `json:"starts,omitempty"` // DTSTART as 2006-01-02T15:04 in TimeZone
 }
 
@@ -59,7 +59,7 @@
 }
 
 // Check returns an error that names the first invalid field. It rejects a rule whose windows overlap,
-// as the drain would never release its machines.
+// because the drain would never release its machines.
 func (w *Window) Check(now time.Time) error {
 	rule, err := w.parseRule()
 	switch {
@@ -106,8 +106,9 @@
 	return t
 }
 
-// inForce reports whether draining or maintenance is in progress, by when machines must be empty, and
-// when this changes next.
+// inForce reports whether the window, or its lead time, is in progress. emptyBy is the time by
+// which machines must be empty, zero without a lead time; next is when the first result changes,
+// zero: never.
 func (w *Window) inForce(at time.Time) (inForce bool, emptyBy, next time.Time) {
 	rule, err := w.parseRule()
 	if err != nil {
@@ -127,7 +128,8 @@
 	return true, emptyBy, ends
 }
 
-// NextStarts returns the next n starts of the window in its time zone, to show to operators.
+// NextStarts returns up to n starts of the window after a time, in its time zone, to show to
+// operators.
 func (w *Window) NextStarts(at time.Time, n int) []time.Time {
 	rule, err := w.parseRule()
 	if err != nil {
--- a/internal/forecast/fusd.go
+++ b/internal/forecast/fusd.go
@@ -11,7 +11,7 @@
 
 // Params are the parameters that the paper does not fix.
 type Params struct {
-	Up         float64 // alpha, the weight of the previous forecast, while use rises; negative: overshoots
+	Up         float64 // alpha, the weight of the previous forecast, while use rises; negative: overshoots the use
 	Down       float64 // alpha while use falls
 	Window     int     // number of observations kept; at least 1
 	Percentile float64 // percentile of the window that serves as O(t), 0 to 100
@@ -48,8 +48,9 @@
 	return f.estimate
 }
 
-// Predicted returns the forecast, capped at the reserved share. Tasks cannot use more than they
-// requested, so FUSD's overshoot on a rise must not mark a merely full machine as overloaded.
+// Predicted returns the forecast, capped at reserved, the share of the machine's capacity that its
+// tasks reserve. Tasks cannot use more than they requested, so FUSD's overshoot on a rise must not
+// mark a merely full machine as overloaded.
 func (f *FUSD) Predicted(reserved float64) float64 { return math.Min(f.estimate, reserved) }
 
 // percentile returns the smallest value of the window that at least p percent of its values do not
--- a/internal/jobspec/jobspec.go
+++ b/internal/jobspec/jobspec.go
@@ -26,18 +26,18 @@
 
 var schema = sync.OnceValue(func() *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
-	c := jsonschema.NewCompiler()
+	compiler := jsonschema.NewCompiler()
 	if err == nil {
-		err = c.AddResource("job.json", doc)
+		err = compiler.AddResource("job.json", doc)
 	}
-	var s *jsonschema.Schema
+	var compiled *jsonschema.Schema
 	if err == nil {
-		s, err = c.Compile("job.json")
+		compiled, err = compiler.Compile("job.json")
 	}
 	if err != nil {
 		panic(fmt.Sprintf("invalid job schema: %v", err))
 	}
-	return s
+	return compiled
 })
 
 // fileJob is a job as written in a file. Resources are per task, durations in seconds.
@@ -68,7 +68,7 @@
 
 // NamedJob is a job with its name in the file.
 type NamedJob struct {
-	Name string
+	Name string // "" if the file gives none
 	client.Job
 }
 
@@ -111,14 +111,14 @@
 }
 
 // jobNodes returns the nodes of the jobs in a document.
-func jobNodes(n *yaml.Node) ([]*yaml.Node, error) {
-	list := n
-	if n.Kind == yaml.MappingNode {
-		if list = fieldOf(n, "jobs"); list == nil {
-			return []*yaml.Node{n}, nil
+func jobNodes(node *yaml.Node) ([]*yaml.Node, error) {
+	list := node
+	if node.Kind == yaml.MappingNode {
+		if list = fieldOf(node, "jobs"); list == nil {
+			return []*yaml.Node{node}, nil
 		}
-		if len(n.Content) != 2 {
-			return nil, fmt.Errorf("line %d: a document with jobs must not have other fields", n.Line)
+		if len(node.Content) != 2 {
+			return nil, fmt.Errorf("line %d: a document with jobs must not have other fields", node.Line)
 		}
 	}
 	if list.Kind != yaml.SequenceNode {
@@ -128,34 +128,34 @@
 }
 
 // fieldOf returns the value of a mapping's field, or nil if there is none.
-func fieldOf(n *yaml.Node, name string) *yaml.Node {
-	for i := 0; i+1 < len(n.Content); i += 2 {
-		if n.Content[i].Value == name {
-			return n.Content[i+1]
+func fieldOf(mapping *yaml.Node, name string) *yaml.Node {
+	for i := 0; i+1 < len(mapping.Content); i += 2 {
+		if mapping.Content[i].Value == name {
+			return mapping.Content[i+1]
 		}
 	}
 	return nil
 }
 
 // readJob reads one job. ids maps the names of earlier jobs to their IDs; readJob adds this job's name.
-func readJob(n *yaml.Node, newID func() string, ids map[string]string) (NamedJob, error) {
-	if err := validate(n); err != nil {
+func readJob(node *yaml.Node, newID func() string, ids map[string]string) (NamedJob, error) {
+	if err := validate(node); err != nil {
 		return NamedJob{}, err
 	}
 	j := fileJob{Shape: client.Batch, Priority: client.Standard, Tasks: 1}
-	if err := n.Decode(&j); err != nil {
-		return NamedJob{}, fmt.Errorf("line %d: %w", n.Line, err)
+	if err := node.Decode(&j); err != nil {
+		return NamedJob{}, fmt.Errorf("line %d: %w", node.Line, err)
 	}
 	if j.ID == "" {
 		j.ID = newID()
 	}
-	dependencies, err := resolveDependencies(n, j, ids)
+	dependencies, err := resolveDependencies(node, j, ids)
 	if err != nil {
 		return NamedJob{}, err
 	}
 	if j.Name != "" {
 		if _, duplicate := ids[j.Name]; duplicate {
-			return NamedJob{}, fmt.Errorf("line %d: name: %q is already the name of an earlier job", fieldOf(n, "name").Line, j.Name)
+			return NamedJob{}, fmt.Errorf("line %d: name: %q is already the name of an earlier job", fieldOf(node, "name").Line, j.Name)
 		}
 		ids[j.Name] = j.ID
 	}
@@ -171,13 +171,13 @@
 const idPrefix = "j-"
 
 // resolveDependencies returns the IDs of a job's dependencies, which the file gives by name or ID.
-func resolveDependencies(n *yaml.Node, j fileJob, ids map[string]string) ([]string, error) {
+func resolveDependencies(node *yaml.Node, j fileJob, ids map[string]string) ([]string, error) {
 	var dependencies []string
 	for _, name := range j.Dependencies {
 		id, ok := ids[name]
 		if !ok {
 			if !strings.HasPrefix(name, idPrefix) {
-				return nil, fmt.Errorf("line %d: needs: no earlier job has the name %q", fieldOf(n, "needs").Line, name)
+				return nil, fmt.Errorf("line %d: needs: no earlier job has the name %q", fieldOf(node, "needs").Line, name)
 			}
 			id = name
 		}
@@ -189,19 +189,19 @@
 var englishPrinter = message.NewPrinter(language.English)
 
 // validate checks a job against the schema. Errors name the line and the field.
-func validate(n *yaml.Node) error {
+func validate(node *yaml.Node) error {
 	var decoded any
-	if err := n.Decode(&decoded); err != nil {
-		return fmt.Errorf("line %d: %w", n.Line, err)
+	if err := node.Decode(&decoded); err != nil {
+		return fmt.Errorf("line %d: %w", node.Line, err)
 	}
 	// The schema library accepts only values decoded from JSON.
 	raw, err := json.Marshal(decoded)
 	if err != nil {
-		return fmt.Errorf("line %d: value cannot be represented in JSON: %w", n.Line, err)
+		return fmt.Errorf("line %d: value cannot be represented in JSON: %w", node.Line, err)
 	}
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(raw))
 	if err != nil {
-		return fmt.Errorf("line %d: %w", n.Line, err)
+		return fmt.Errorf("line %d: %w", node.Line, err)
 	}
 	var invalid *jsonschema.ValidationError
 	if err := schema().Validate(value); !errors.As(err, &invalid) {
@@ -210,12 +210,12 @@
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
-	return validationError(n, invalid)
+	return validationError(node, invalid)
 }
 
 // validationError returns an error with the line and field that violate the schema, and the reason.
-func validationError(n *yaml.Node, invalid *jsonschema.ValidationError) error {
-	node, field := n, ""
+func validationError(job *yaml.Node, invalid *jsonschema.ValidationError) error {
+	node, field := job, ""
 	for _, key := range invalid.InstanceLocation {
 		if next := fieldOf(node, key); node.Kind == yaml.MappingNode && next != nil {
 			node, field = next, key
--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -33,7 +33,7 @@
 	lag   time.Duration // peak timer delay, decaying with each observation
 	level Level
 
-	maxMachines int       // estimate of how many machines the leader can serve; 0: unknown
+	maxMachines int       // estimate of how many machines the leader can serve; 0: no limit known
 	stableSince time.Time // last time that load was shed; advances with each increase of maxMachines
 }
 
@@ -103,8 +103,8 @@
 // Lag returns the decaying peak of the timer delay.
 func (d *Detector) Lag() time.Duration { return d.lag }
 
-// ScaleOutHeadroom returns how many of the wanted machines a leader that already has machines may
-// request.
+// ScaleOutHeadroom returns how many of the wanted new machines the leader may request beside the
+// existing ones, whose number is machines.
 func (d *Detector) ScaleOutHeadroom(machines, wanted int) int {
 	if d.level > Normal {
 		return 0
--- a/internal/overload/detector_test.go
+++ b/internal/overload/detector_test.go
@@ -31,7 +31,7 @@
 	gap := step
 	for s := 0.0; s < 600; s += step {
 		now = now.Add(time.Duration(step * float64(time.Second)))
-		wait := queue / c.rate // queueing delay of what arrives now
+		wait := queue / c.rate // queueing delay, in seconds, of what arrives now
 		if d != nil {
 			d.Observe(time.Duration((step+max(wait-gap, 0))*float64(time.Second)), c.machines, now)
 		}
@@ -63,9 +63,9 @@
 	return lostTasks / (ended + lostTasks), endedInLastMinute / (60 * c.tasks / c.taskSeconds)
 }
 
-// The leader stalls for 30 s while it has more machines than it can catch up with. Without load
-// shedding the overload sustains itself and the leader never recovers; with it, the leader recovers
-// and loses few tasks.
+// Guards against an overload that sustains itself: the leader stalls for 30 s while it has more
+// machines than it can catch up with. Without load shedding it never recovers; with load shedding
+// it recovers and loses few tasks.
 func TestLeaderRecoversByShedding(t *testing.T) {
 	c := clusterModel{machines: 1300, rate: 1150, tasks: 4800, taskSeconds: 20}
 	if lost, last := c.simulate(nil); lost < 0.5 || last > 0.5 {
@@ -77,8 +77,8 @@
 	}
 }
 
-// The level follows the lag, and the headroom the number of machines served when the leader was late.
-// Both return to normal once the leader is on time again.
+// The level follows the lag of the leader's timer, and the headroom follows the number of machines
+// that were up when the leader was late. Both return to normal once the leader is on time again.
 func TestLevelAndHeadroomFollowLateness(t *testing.T) {
 	d, now := New(heartbeatInterval, observeInterval), time.Unix(1_000_000, 0)
 	observe := func(late time.Duration, up int) Level {
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -11,7 +11,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// handleLostAttempt handles an attempt that is no longer on its machine and left no result.
+// handleLostAttempt releases an attempt that is no longer on its machine and left no result. A lost
+// gang member stops its whole gang, unless the worker never confirmed the attempt.
 func (s *Scheduler) handleLostAttempt(attempt *fleet.Attempt, now time.Time) {
 	job := s.jobs[attempt.Task.Job]
 	attemptsLostTotal.Inc()
@@ -26,7 +27,8 @@
 	}
 }
 
-// handleEndedAttempt handles an attempt that a worker reports as ended.
+// handleEndedAttempt updates job and machine after a worker reported an attempt as ended, and
+// releases the attempt. A gang member that did not complete stops its whole gang.
 func (s *Scheduler) handleEndedAttempt(attempt *fleet.Attempt, now time.Time) {
 	job := s.jobs[attempt.Task.Job]
 	s.placementStale = true
@@ -40,7 +42,7 @@
 	wasCurrent := job.attempts[attempt.Task.N] == attempt
 	s.releaseAttempt(attempt)
 	if job.Shape == records.ShapeGang && wasCurrent && attempt.Cause != fleet.CauseDone {
-		first := !job.gangBroken // for later members, releaseAttempt claims the freed place
+		first := !job.gangBroken // once the gang is broken, releaseAttempt claims the freed place
 		s.stopGang(job, now)
 		if first {
 			s.claimFreedPlace(job, attempt)
@@ -60,12 +62,12 @@
 		"outcome", outcome, "saved", attempt.CheckpointSaved, "fetch_s", fetchTime.Seconds(), "run_s", runTime.Seconds(), "term", s.term)
 }
 
-// fullBackoffIntervals is for how many heartbeat intervals a machine gets no new tasks after it
-// rejected one for lack of room.
+// fullBackoffIntervals is for how many heartbeat intervals a machine gets no new tasks after its
+// worker rejected a task for lack of room.
 const fullBackoffIntervals = 2
 
 // applyEndCause updates job and machine according to why an attempt ended. The worker may reap the
-// attempt at once, but a completed one only when its result is stored.
+// attempt at once, but a completed attempt of an array or gang only when its result is stored.
 func (s *Scheduler) applyEndCause(job *Job, attempt *fleet.Attempt, now time.Time) {
 	machine := attempt.Machine
 	if attempt.Cause == fleet.CauseDone {
@@ -84,7 +86,8 @@
 	}
 }
 
-// handleCompletedTask handles an attempt that ended successfully.
+// handleCompletedTask records the result of an attempt that ended successfully, discards the attempts
+// that it supersedes, and clears the failures and the backoff of job and machine.
 func (s *Scheduler) handleCompletedTask(job *Job, attempt *fleet.Attempt, now time.Time) {
 	machine := attempt.Machine
 	s.freedRoom.add(job.request, now, s.settings.HeartbeatInterval)
@@ -93,7 +96,7 @@
 	s.recordResult(job, attempt.Task.N)
 	for _, other := range job.attempts {
 		if other != attempt && (other.Task == attempt.Task || job.Shape == records.ShapeGang && other.Number != attempt.Number) {
-			s.discardAttempt(other) // its result is already known
+			s.discardAttempt(other) // superseded by the completed attempt
 		}
 	}
 	for name := range job.errorMachines {
@@ -120,8 +123,9 @@
 	return "other"
 }
 
-// discardAttempt drops an attempt whose job is closed or whose result is known: by its state, it is
-// unplanned, reaped or stopped.
+// discardAttempt discards an attempt that is no longer needed, because its job is closed or its
+// task is done: it removes a planned one from its machine, lets the worker reap an ended one, and
+// stops others.
 func (s *Scheduler) discardAttempt(a *fleet.Attempt) {
 	switch a.State() {
 	case fleet.Planned:
@@ -133,8 +137,9 @@
 	}
 }
 
-// requestStop marks an attempt to be killed, with a grace period in seconds for its checkpoint. The
-// first reason is kept. The kill command is repeated until the worker reports the attempt as ended.
+// requestStop marks an attempt to be killed, with a grace period in seconds for its checkpoint. Of
+// several requests, the first reason and the shortest grace period count. The kill command is
+// repeated until the worker reports the attempt as ended.
 func (s *Scheduler) requestStop(a *fleet.Attempt, reason string, grace float64, now time.Time) {
 	if !a.RequestStop(reason, grace, now) {
 		return
@@ -142,8 +147,8 @@
 	s.urgentMachines[a.Machine.Name] = true
 }
 
-// releaseAttempt returns the task of an attempt to the queue. The attempt has ended, is no longer on
-// its machine, or was never sent.
+// releaseAttempt detaches an attempt from its job, and returns its task to the queue if that needs
+// another attempt. The attempt has ended, is no longer on its machine, or was never sent.
 func (s *Scheduler) releaseAttempt(attempt *fleet.Attempt) {
 	job := s.jobs[attempt.Task.Job]
 	s.placementStale = true
@@ -156,7 +161,8 @@
 	}
 }
 
-// releaseCurrent releases the current attempt of a task.
+// releaseCurrent releases the current attempt of a task. If the gang is broken, it claims the
+// freed place. After a gang's last attempt, it resets the gang.
 func (s *Scheduler) releaseCurrent(job *Job, attempt *fleet.Attempt) {
 	task := attempt.Task.N
 	delete(job.attempts, task)
@@ -175,7 +181,8 @@
 	}
 }
 
-// releaseDuplicate releases a duplicate attempt of a task.
+// releaseDuplicate releases a duplicate attempt of a task. After the last one, the task returns to
+// the queue if it is not done and has no current attempt.
 func (s *Scheduler) releaseDuplicate(job *Job, task int) {
 	if job.duplicates[task]--; job.duplicates[task] > 0 {
 		return
@@ -186,7 +193,8 @@
 	}
 }
 
-// cancelPlanned cancels the attempts that are planned for a machine but not yet sent.
+// cancelPlanned cancels the attempts that are planned for a machine but not yet sent, and returns
+// their tasks to the queue.
 func (s *Scheduler) cancelPlanned(m *fleet.Machine) {
 	for _, a := range slices.Clone(m.Attempts()) {
 		if a.State() == fleet.Planned {
@@ -196,7 +204,8 @@
 	}
 }
 
-// remainingSeconds estimates the remaining run time of an attempt, in seconds.
+// remainingSeconds estimates the remaining run time of an attempt, in seconds: at least a tenth of
+// the job's estimate.
 func (s *Scheduler) remainingSeconds(j *Job, a *fleet.Attempt, now time.Time) float64 {
 	if a.RunningSince.IsZero() {
 		return j.EstimateS
--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -17,9 +17,9 @@
 type autoscalingState struct {
 	planner    *autoscaler.Planner
 	returns    *autoscaler.ReturnPolicy
-	returnedAt map[string]time.Time // when machines were returned or lost; the cloud may list them for a while
-	lastListed map[string]time.Time // last time that machines were listed or up
-	listRead   bool                 // the cloud's list has been read under this term
+	returnedAt map[string]time.Time // when machines were returned or lost, by name; the cloud may still list them
+	lastListed map[string]time.Time // when the cloud last listed machines, or this term read their records, by name
+	listRead   bool                 // the cloud's machine list has been read in this term
 }
 
 func newAutoscalingState(settings Settings) autoscalingState {
@@ -44,7 +44,8 @@
 	return s.catalog().Capacity(machineType)
 }
 
-// PlanRentals returns the rental requests to send now, and tracks them as in flight.
+// PlanRentals returns the rental requests to send now, and tracks them as in flight. It returns none
+// while the cloud's list or the machine types are unknown, or while the leader sheds load.
 func (s *Scheduler) PlanRentals(now time.Time) []autoscaler.RentalRequest {
 	if !s.autoscaling.listRead || len(s.machineTypes) == 0 || s.overload.Level() > overload.Normal {
 		return nil
@@ -67,17 +68,17 @@
 	return requests
 }
 
-// supply returns the machines of the fleet for a rental plan.
+// supply returns the machines of the fleet as input of a rental plan.
 func (s *Scheduler) supply(now time.Time) []autoscaler.Machine {
 	machines := make([]autoscaler.Machine, 0, len(s.fleet.Sorted()))
 	for _, m := range s.fleet.Sorted() {
-		// During a drain, tasks that have to leave their machines also count as demand. Empty
-		// machines that are up serve them, so they count as vacant.
-		free := s.drains.anyInForce && m.Empty() && s.acceptsTasks(m, now)
+		// During a drain, tasks that have to leave their machines also count as demand. They
+		// can move to empty machines that are up, so these count as vacant.
+		emptyAndUp := s.drains.anyInForce && m.Empty() && s.acceptsTasks(m, now)
 		machines = append(machines, autoscaler.Machine{
 			Offer:     offerOf(m),
 			InService: inService(m),
-			Vacant:    (!m.HasStatus || free) && !m.Returning && !m.LeaseExpired,
+			Vacant:    (!m.HasStatus || emptyAndUp) && !m.Returning && !m.LeaseExpired,
 			Capacity:  m.Bin.Capacity,
 		})
 	}
@@ -89,7 +90,8 @@
 	return autoscaler.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
 
-// demand returns the waiting tasks of jobs, in the order in which the jobs are served.
+// demand returns the tasks that need machines, by job in the order in which jobs are served: waiting
+// tasks, and as many as block on-demand machines (tasksBlockingOnDemand).
 func (s *Scheduler) demand(now time.Time) []autoscaler.Demand {
 	var all []autoscaler.Demand
 	for _, j := range s.queue(now) {
@@ -122,12 +124,14 @@
 	return c.job.permits(o.Type, o.Zone, o.Spot)
 }
 
-// PermitsZone reports whether the job may use a zone, given the zones where its other tasks stay.
+// PermitsZone reports whether the job may use a zone, given the zones of its tasks that need not
+// move.
 func (c jobConstraints) PermitsZone(zone string) bool {
 	return c.job.remainingByZone == nil || c.job.zoneAllowed(zone, c.job.remainingByZone)
 }
 
-// runningWork returns the remaining work of running tasks, in machine seconds by machine type.
+// runningWork returns the remaining work of array tasks that occupy machines, in machine seconds by
+// machine type.
 func (s *Scheduler) runningWork(now time.Time) map[string]float64 {
 	sum := map[string]float64{}
 	for _, m := range s.fleet.Sorted() {
@@ -140,8 +144,8 @@
 	return sum
 }
 
-// MachinesRented adds the machines that the cloud granted to a request. If they are fewer than
-// requested, the offer is backed off.
+// MachinesRented adds the machines that the cloud granted for a rental request. If the cloud granted
+// fewer than requested, the offer is backed off.
 func (s *Scheduler) MachinesRented(r autoscaler.RentalRequest, names []string, now time.Time) {
 	s.autoscaling.planner.Untrack(r)
 	for _, name := range names {
@@ -161,7 +165,7 @@
 	slog.Info("scale out", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "requested", r.Count, "machines", len(names), "term", s.term)
 }
 
-// RentalRefused records that a request was refused. Without capacity in the cloud, the offer is backed
+// RentalRefused records that the cloud refused a rental request. With noCapacity, the offer is backed
 // off.
 func (s *Scheduler) RentalRefused(r autoscaler.RentalRequest, noCapacity bool, now time.Time) {
 	s.autoscaling.planner.Untrack(r)
@@ -171,7 +175,8 @@
 	}
 }
 
-// MachinesToReturn returns the names of the machines to return to the cloud now. They get no new tasks.
+// MachinesToReturn returns the names of the machines to return to the cloud now, at most
+// autoscaler.MaxReturnNames, and marks the machines as returning: they get no new tasks.
 func (s *Scheduler) MachinesToReturn(now time.Time) []string {
 	s.observeSilence(now)
 	conditions := returnConditions{s, now}
@@ -182,7 +187,7 @@
 		}
 		switch {
 		case m.Returning:
-			names = append(names, m.Name) // an earlier request got no response
+			names = append(names, m.Name) // requested before; the cloud has not confirmed it yet
 		case s.autoscaling.returns.ShouldReturn(m, s.catalog(), conditions, now):
 			m.Returning = true
 			m.Bin.SetOpen(false)
@@ -194,7 +199,8 @@
 	return names
 }
 
-// observeSilence counts silent and unreachable machines and checks for zone outages.
+// observeSilence passes the counts of silent and unreachable machines to the return policy, and
+// checks for zone outages.
 func (s *Scheduler) observeSilence(now time.Time) {
 	var counts autoscaler.FleetCounts
 	for _, m := range s.fleet.Sorted() {
@@ -218,7 +224,7 @@
 	s.autoscaling.returns.Observe(counts, s.zoneHealth.AnySuspected(), now)
 }
 
-// returnConditions implements autoscaler.ReturnConditions at a given time.
+// returnConditions implements autoscaler.ReturnConditions as of the time now.
 type returnConditions struct {
 	scheduler *Scheduler
 	now       time.Time
@@ -230,7 +236,7 @@
 }
 
 // WaitsForZone reports whether to wait for the recovery of the machine's zone rather than to replace
-// the machine, which takes startup.
+// the machine; startup is how long a replacement takes to start.
 func (r returnConditions) WaitsForZone(m *fleet.Machine, startup time.Duration) bool {
 	s := r.scheduler
 	return s.zoneHealth.KeepWaiting(m.Zone, r.now.Sub(m.LastHeard()), startup, s.replaceableElsewhere(m, r.now), r.now)
@@ -254,7 +260,7 @@
 // Reconciled reports whether every machine of earlier terms has reported or is gone.
 func (r returnConditions) Reconciled() bool { return r.scheduler.reconciled }
 
-// isUnreachable reports whether the named machine is known and receives no responses.
+// isUnreachable reports whether the named machine is known and recent answers did not reach it.
 func (s *Scheduler) isUnreachable(name string) bool {
 	m := s.fleet.Machines[name]
 	return m != nil && m.Unreachable()
@@ -290,7 +296,8 @@
 	s.forgetReturned(listed, now)
 }
 
-// machineFailed handles a machine that stopped on its own: all its tasks are lost.
+// machineFailed handles a machine that the cloud lists as failed: its attempts are lost, and its
+// lease counts as expired.
 func (s *Scheduler) machineFailed(entry *autoscaler.CloudMachine, now time.Time) {
 	m := s.fleet.Machines[entry.Machine]
 	if m == nil {
@@ -339,8 +346,8 @@
 }
 
 // removeUnlisted removes machines that the cloud no longer has. A list can be stale by up to twice the
-// list lag at the time of its request. A machine last known before that time and missing from the list
-// is gone.
+// list lag at the time of its request. A machine that is missing from it is gone if lastListed is
+// before that time.
 func (s *Scheduler) removeUnlisted(listed map[string]bool, requestedAt, now time.Time) {
 	lag := s.settings.ListLag*5/2 + s.settings.HeartbeatInterval/4
 	for _, m := range s.fleet.Sorted() {
@@ -354,8 +361,9 @@
 	}
 }
 
-// forgetReturned drops returned machines whose last delayed heartbeats must have arrived. Names are
-// never reused, but delayed heartbeats can still carry them.
+// forgetReturned forgets the names of returned machines that the cloud no longer lists, once their
+// last delayed heartbeats must have arrived. Until then the name shows that such a heartbeat is
+// late: names are never reused.
 func (s *Scheduler) forgetReturned(listed map[string]bool, now time.Time) {
 	retention := max(20*(s.settings.ListLag+s.settings.HeartbeatInterval), fleet.LateCopyLeases*s.settings.Lease)
 	for name, returnedAt := range s.autoscaling.returnedAt {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -18,8 +18,8 @@
 
 var benchMachines = flag.Int("machines", 450, "number of machines in the benchmarks")
 
-// benchFleet simulates a deployment for benchmarks: machines send heartbeats in turn and execute
-// commands, and a job arrives for each that ends.
+// benchFleet simulates a deployment for benchmarks: machines send heartbeats in turn and execute the
+// commands in the answers, and a new job arrives for each job that ends.
 type benchFleet struct {
 	scheduler     *Scheduler
 	now           time.Time
@@ -36,8 +36,9 @@
 	return newSharedBenchFleet(b, machines, 1, 5, dependencies)
 }
 
-// newSharedBenchFleet returns a fleet that teams share, each with a guarantee and a limit if there are
-// several. Each machine sends the given number of heartbeats before the measurement.
+// newSharedBenchFleet returns a fleet that the given number of teams share. If there are several,
+// each has a guarantee and a limit. Each machine sends the given number of heartbeats before the
+// measurement.
 func newSharedBenchFleet(b *testing.B, machines, teams, heartbeats int, dependencies bool) *benchFleet {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	cfg := &config.Config{Options: config.DefaultOptions()}
@@ -181,7 +182,7 @@
 }
 
 // BenchmarkPlanning measures a heartbeat, the placement pass that follows if the heartbeat changed
-// anything, and the answer, by fleet size.
+// anything, and the answer, by fleet size and number of teams.
 func BenchmarkPlanning(b *testing.B) {
 	for _, machines := range []int{1000, 4000, 8000} {
 		for _, teams := range []int{1, 8, 48} {
@@ -195,7 +196,7 @@
 	}
 }
 
-// BenchmarkTickShared measures a tick by fleet size.
+// BenchmarkTickShared measures a tick by fleet size and number of teams.
 func BenchmarkTickShared(b *testing.B) {
 	for _, machines := range []int{1000, 4000, 8000} {
 		for _, teams := range []int{1, 48} {
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -68,8 +68,8 @@
 // suspendClaims removes and returns all claims of a job, so that its own placement can use the room.
 func (s *Scheduler) suspendClaims(j *Job) []claim {
 	suspended := j.claims
-	for _, cl := range suspended {
-		cl.machine.Bin.Reserve(packing.Resources{}.Sub(j.request))
+	for _, claimed := range suspended {
+		claimed.machine.Bin.Reserve(packing.Resources{}.Sub(j.request))
 	}
 	j.claims = nil
 	return suspended
@@ -77,19 +77,20 @@
 
 // restoreClaims restores suspended claims.
 func (s *Scheduler) restoreClaims(j *Job, suspended []claim) {
-	for _, cl := range suspended {
-		cl.machine.Bin.Reserve(j.request)
+	for _, claimed := range suspended {
+		claimed.machine.Bin.Reserve(j.request)
 	}
 	j.claims = suspended
 }
 
-// placeInClaims places tasks of a job other than a gang in its claimed room, as far as that is free.
-// It updates used and zones; zones is nil if the job has no zone constraint.
+// placeInClaims places tasks of a job other than a gang in its claimed room, as far as that is
+// free. It updates used, the quota in use by team, and zones, the job's tasks and claims by zone.
+// zones is nil if the job has no zone constraint.
 func (s *Scheduler) placeInClaims(job *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
 	limited := job.teamLimited
 	for i := 0; i < len(job.claims); {
-		t, machine := job.nextTask(), job.claims[i].machine
-		if t < 0 || limited && !s.withinLimit(job, used[job.Team]) {
+		task, machine := job.nextTask(), job.claims[i].machine
+		if task < 0 || limited && !s.withinLimit(job, used[job.Team]) {
 			return
 		}
 		if !machine.Bin.Capacity.Sub(machine.Bin.Used()).Fits(job.request) {
@@ -98,7 +99,7 @@
 		}
 		s.releaseClaim(job, i)
 		if zones != nil {
-			zones[machine.Zone]-- // the claim was counted
+			zones[machine.Zone]-- // zones included the claim
 			if !job.zoneAllowed(machine.Zone, zones) {
 				continue
 			}
@@ -106,8 +107,8 @@
 		}
 		item := &packing.Item{ID: job.ID, Request: job.request, PreferLabels: job.preferredLabels}
 		machine.Bin.Add(item)
-		s.planAttempt(job, t, s.newAttemptNumber(), machine, item, now)
-		job.dequeueTask(t)
+		s.planAttempt(job, task, s.newAttemptNumber(), machine, item, now)
+		job.dequeueTask(task)
 		if limited {
 			used[job.Team] = used[job.Team].Add(job.taskQuota())
 		}
@@ -156,8 +157,8 @@
 	}
 }
 
-// claimableTasks returns how many claims a job may keep: one for each task that waits or, if these
-// are fewer than its claims, is being stopped.
+// claimableTasks returns how many claims a job may keep: one for each waiting task and, if it has
+// more claims than that, one for each task that is being stopped.
 func (s *Scheduler) claimableTasks(job *Job) int {
 	n := job.pending()
 	if n >= len(job.claims) {
@@ -171,14 +172,15 @@
 	return n
 }
 
-// claimsAwaitRoom reports whether claimed room is about to become free: an attempt on a claimed
-// machine is being stopped, or one of the job's own attempts, as for a move there.
+// claimsAwaitRoom reports whether the room that a job claims is about to be freed or used: its
+// gang, an attempt on a claimed machine, or an attempt of the job (which moves there) is being
+// stopped.
 func (s *Scheduler) claimsAwaitRoom(job *Job) bool {
 	if job.gangBroken {
 		return true
 	}
-	for _, cl := range job.claims {
-		if slices.ContainsFunc(cl.machine.Attempts(), isStoppingOnMachine) {
+	for _, claimed := range job.claims {
+		if slices.ContainsFunc(claimed.machine.Attempts(), isStoppingOnMachine) {
 			return true
 		}
 	}
@@ -207,7 +209,8 @@
 	return free
 }
 
-// missingClaims returns how many more claims a job may make in this pass.
+// missingClaims returns how many more claims a job may make in this pass. It returns 0 during the
+// job's claim backoff, and for a gang that could not start as a whole.
 func (s *Scheduler) missingClaims(job *Job, now time.Time) int {
 	if now.Before(job.claimsNotBefore) {
 		return 0
@@ -215,7 +218,7 @@
 	n := s.waitingWithinLimit(job)
 	if job.Shape == records.ShapeGang {
 		if n < job.pending() || job.gangAttempt == 0 && len(job.attempts)+len(job.duplicates) > 0 {
-			return 0 // the gang could not start as a whole
+			return 0
 		}
 		return n - len(job.claims)
 	}
--- a/internal/scheduler/claims_test.go
+++ b/internal/scheduler/claims_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// Freed room must be claimed for the preemptor, or the preempted tasks take it again. With random
-// teams, gangs and arrays, the number of preempted tasks is bounded by the room that the preemptors'
-// tasks can use, a job that tasks were preempted for starts, each task moves at most once, every job
-// ends, and no claim is left.
+// Guards against preempted tasks that take the freed room again before the preemptor uses it,
+// because no claim holds it. With random teams, gangs and arrays, the number of preempted tasks is
+// bounded by the room that the preemptors' tasks can use. A job that tasks were preempted for
+// starts, each task moves at most once, every job ends, and no claim is left.
 func TestPreemptedRoomIsClaimed(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -62,7 +62,7 @@
 	})
 }
 
-// drawTeams draws teams with guarantees, some of them with limits as well.
+// drawTeams draws teams with guarantees (0 for some); some of the teams also have limits.
 func drawTeams(t *rapid.T, machinesPerZone int) []config.Team {
 	var teams []config.Team
 	for i := range rapid.IntRange(1, 3).Draw(t, "teams") {
--- a/internal/scheduler/closed_jobs_test.go
+++ b/internal/scheduler/closed_jobs_test.go
@@ -9,8 +9,9 @@
 	"drumpick/internal/records"
 )
 
-// Closed jobs must release their state: after thousands of jobs with different sizes and images, a few
-// at a time, no table has grown. Equivalent jobs have equal class numbers throughout.
+// Guards against memory that grows with the number of closed jobs: after thousands of jobs with
+// different sizes and images, a few at a time, the tables of jobs and placement classes stay small.
+// Jobs of the same size and image have equal class numbers throughout.
 func TestClosedJobsReleaseState(t *testing.T) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 2, LeaseS: 12, GangWaitS: 30, GangPeerLossS: 5, CancelS: 30}
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -10,7 +10,7 @@
 	"drumpick/internal/records"
 )
 
-// addDependencies adds a job to the dependency graph.
+// addDependencies adds a job to the dependency graph, and updates the jobs that this affects.
 func (s *Scheduler) addDependencies(job *Job) {
 	node := dependency.Job{
 		ID: job.ID, Dependencies: job.Dependencies, Rank: priorityRank[job.Priority],
@@ -25,8 +25,8 @@
 	s.applyDependencyChanges()
 }
 
-// maxDeadlineFactor returns the largest multiple of its deadline that any objective allows a job of
-// the class; at least 1.
+// maxDeadlineFactor returns the largest multiple of the deadline that any objective allows jobs of
+// the class to take; at least 1.
 func (s *Scheduler) maxDeadlineFactor(class string) float64 {
 	factor := 1.0
 	for _, o := range s.settings.Objectives {
@@ -58,8 +58,9 @@
 			continue
 		}
 		job.blocked, job.precedence = s.dependencies.Blocked(id), s.dependencies.Precedence(id)
-		// Closed records written by versions without dependencies lack a time; waiting time counts from
-		// the acceptance then, as for a job without dependencies.
+		// Versions without dependencies wrote closed records without the time. If the last
+		// dependency has such a record, waiting time counts from the acceptance, as for a job
+		// without dependencies.
 		job.releasedAt, job.earliestStartRevision = job.Accepted, job.Revision
 		if at := s.dependencies.ReleasedAt(id); !job.blocked && !at.IsZero() {
 			job.releasedAt = job.Accepted.Add(max(at.Sub(time.UnixMilli(job.AcceptedMS)), 0))
@@ -77,9 +78,9 @@
 	}
 }
 
-// choosePreferredLabels sets which machines a job's tasks prefer. A job in a dependency chain that is
-// urgent and takes no checkpoints prefers on-demand machines, even to machines that have its image:
-// one preempted task starts from the beginning, and all dependents wait for it.
+// choosePreferredLabels sets which machines a job's tasks prefer. An urgent job in a dependency chain
+// that saves no checkpoints prefers on-demand machines, even to machines that have its image: a
+// preempted task would start from the beginning while all dependents wait.
 func (s *Scheduler) choosePreferredLabels(j *Job) {
 	j.preferredLabels = []string{fleet.ImageLabel(j.Image), fleet.SpotLabel}
 	inChain := len(j.Dependencies) > 0 || j.precedence.Rank < priorityRank[j.Priority]
@@ -137,13 +138,13 @@
 		"due_s", job.secondsFromRelease(job.precedence.Deadline), "term", s.term)
 }
 
-// UnreadDependencies lists the dependencies of open jobs whose state is not known, so that their
-// records have to be read.
+// UnreadDependencies returns the IDs of dependencies of open jobs that are in an unknown state. The
+// caller has to read their records.
 func (s *Scheduler) UnreadDependencies() []string { return s.dependencies.UnknownJobs() }
 
 // HasJobsToCancel reports whether any job has to be cancelled because one of its dependencies was.
 func (s *Scheduler) HasJobsToCancel() bool { return len(s.dependencies.ToCancel()) > 0 }
 
-// DependenciesClear reports whether no dependency of an open job, direct or indirect, is cancelled or
-// in an unknown state.
+// DependenciesClear reports whether none of an open job's direct and indirect dependencies is
+// cancelled or in an unknown state.
 func (s *Scheduler) DependenciesClear(id string) bool { return s.dependencies.DependenciesClear(id) }
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -10,7 +10,8 @@
 	"drumpick/internal/packing"
 )
 
-// PlanMachine plans attempts for a machine whose heartbeat is being answered.
+// PlanMachine plans attempts for a machine whose heartbeat is being answered. It runs a placement
+// pass if anything has changed, unless the leader sheds load.
 func (s *Scheduler) PlanMachine(m *fleet.Machine, now time.Time) {
 	if s.placementStale && s.overload.Level() == overload.Normal {
 		s.placeWaiting(now)
@@ -46,16 +47,17 @@
 	s.plannedAttempts = remaining
 }
 
-// mayReassign reports whether a planned attempt may move to another machine than planned. A move never
-// makes the placement worse: it adds no image fetch and replaces no on-demand machine by a spot
-// machine and no machine in use by an empty one.
+// mayReassign reports whether an attempt planned for another machine may move to this one. A move
+// never makes the placement worse: it adds no image fetch and replaces no on-demand machine by a
+// spot machine and no machine in use by an empty one.
 func (s *Scheduler) mayReassign(machine *fleet.Machine, job *Job, attempt *fleet.Attempt, now time.Time) bool {
 	planned := attempt.Machine
 	switch {
 	case planned == machine:
 		return false
 	case !s.belowWatermark(attempt):
-		// It cannot be sent in this answer, and would wait for this machine's next heartbeat instead.
+		// The attempt could not be sent in this answer, and would wait for this machine's next
+		// heartbeat instead.
 		return false
 	case !job.unconstrained(), !machine.Bin.Accepts(job.request), !job.permits(machine.Type, machine.Zone, machine.Spot):
 		return false
@@ -123,8 +125,9 @@
 	return true
 }
 
-// mayDispatch checks all placement rules again just before a run command is sent. It counts what may
-// be on machines, including run commands in flight, but not what is only planned.
+// mayDispatch checks all placement rules again just before a run command is sent. It counts the
+// attempts that may be on machines, including those whose run command is in flight, but not planned
+// ones.
 func (s *Scheduler) mayDispatch(attempt *fleet.Attempt, now time.Time) bool {
 	job, machine, task := s.jobOf(attempt), attempt.Machine, attempt.Task.N
 	switch {
--- a/internal/scheduler/drain_bench_test.go
+++ b/internal/scheduler/drain_bench_test.go
@@ -12,7 +12,8 @@
 	"drumpick/internal/records"
 )
 
-// newBusyFleet returns a scheduler with that many machines and ten running tasks on each.
+// newBusyFleet returns a scheduler with the given number of machines and ten running tasks on each,
+// and the current time.
 func newBusyFleet(b *testing.B, machines int) (*Scheduler, time.Time) {
 	old := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -68,7 +69,8 @@
 	return s, now
 }
 
-// BenchmarkDrainPlan previews the drain of a zone and the upgrade of all machines, ten tasks on each.
+// BenchmarkDrainPlan measures previews of the drain of a zone and of the upgrade of all machines, by
+// fleet size.
 func BenchmarkDrainPlan(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		for name, spec := range map[string]drain.Spec{
@@ -86,7 +88,8 @@
 	}
 }
 
-// BenchmarkRunDrains measures the pass that the leader runs each heartbeat interval during a drain.
+// BenchmarkRunDrains measures the pass that the leader runs each heartbeat interval during a drain,
+// by fleet size.
 func BenchmarkRunDrains(b *testing.B) {
 	for _, machines := range []int{1000, 3000, 10000} {
 		for name, spec := range map[string]drain.Spec{
--- a/internal/scheduler/drain_pass.go
+++ b/internal/scheduler/drain_pass.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// assignDrains returns the drain of each machine that one selects.
+// assignDrains updates which drains are in force. It returns the drain of each machine that at
+// least one of them selects.
 func (s *Scheduler) assignDrains(now time.Time) map[*fleet.Machine]*activeDrain {
 	selected := map[*fleet.Machine]*activeDrain{}
 	for _, d := range s.drains.list {
@@ -55,7 +56,7 @@
 	return selected
 }
 
-// selectForDrain adds the machines of a drain that is not an upgrade.
+// selectForDrain adds the machines of a drain other than an upgrade to selected.
 func (s *Scheduler) selectForDrain(d *activeDrain, selected map[*fleet.Machine]*activeDrain, now time.Time) {
 	for _, m := range s.fleet.Sorted() {
 		eligible := !m.Returning && (!m.LeaseExpired || s.keptForOperator(m, now))
@@ -65,7 +66,8 @@
 	}
 }
 
-// selectForUpgrade adds the machines that an upgrade may take out of service now.
+// selectForUpgrade updates the rollout of an upgrade, and adds the machines that it may take out of
+// service now to selected.
 func (s *Scheduler) selectForUpgrade(d *activeDrain, selected map[*fleet.Machine]*activeDrain, now time.Time) {
 	classes := map[autoscaler.Offer][]string{}
 	candidates := s.upgradeCandidates(d, classes, now)
@@ -129,7 +131,8 @@
 	s.lastBinRefresh = time.Time{}
 }
 
-// upgradeCandidates returns the machines to which an upgrade applies. classes caches classesOf.
+// upgradeCandidates returns the machines to which an upgrade applies, without those that the cloud is
+// about to preempt. classes caches the results of classesOf.
 func (s *Scheduler) upgradeCandidates(d *activeDrain, classes map[autoscaler.Offer][]string, now time.Time) []drain.Candidate {
 	var candidates []drain.Candidate
 	outOfService := map[string]bool{}
@@ -164,7 +167,8 @@
 	return candidates
 }
 
-// upgradeApplies reports whether a machine is available and selected by an upgrade.
+// upgradeApplies reports whether a machine is available, selected by an upgrade and not its
+// replacement.
 func (s *Scheduler) upgradeApplies(d *activeDrain, m *fleet.Machine, view drain.Machine, now time.Time) bool {
 	return m.HasStatus && (!m.LeaseExpired || s.keptForOperator(m, now)) && !m.Returning && d.spec.Selects(view) && !d.isReplacement(m)
 }
--- a/internal/scheduler/drain_plan.go
+++ b/internal/scheduler/drain_plan.go
@@ -9,7 +9,8 @@
 )
 
 // drainPlanner computes the outcome of each task on the machines that a drain selects. It reserves room
-// for each task that moves, as tasks would otherwise share the same room, and releases it at the end.
+// for each task that moves, so that no two tasks are planned in the same room, and releases it at the
+// end.
 type drainPlanner struct {
 	scheduler  *Scheduler
 	spec       *drain.Spec
@@ -29,7 +30,8 @@
 	request packing.Resources
 }
 
-// planDrain returns the plan of a drain that starts now.
+// planDrain returns the plan of a drain that starts now. With listTasks, it lists the machines and
+// tasks.
 func (s *Scheduler) planDrain(spec *drain.Spec, now time.Time, listTasks bool) *drain.Plan {
 	_, deadline, _ := spec.InForce(now)
 	p := &drainPlanner{
@@ -93,31 +95,31 @@
 	}
 }
 
-// planTask decides about a task and reserves room for it if it moves.
+// planTask returns the planned outcome of a task, and reserves room for it if it moves.
 func (p *drainPlanner) planTask(j *Job, a *fleet.Attempt) drain.TaskPlan {
 	s := p.scheduler
-	t := s.newDrainTask(j, a, p.now)
+	task := s.newDrainTask(j, a, p.now)
 	var target *fleet.Machine
-	t.Place, target = p.finder.findPlace(j, p.remainingZones(j))
-	decision := drain.Decide(t, p.timeLeft, s.settings.HeartbeatInterval)
+	task.Place, target = p.finder.findPlace(j, p.remainingZones(j))
+	decision := drain.Decide(task, p.timeLeft, s.settings.HeartbeatInterval)
 	taskPlan := drain.TaskPlan{
 		Task: a.Task.String(), Class: j.Class, Action: decision.Action, Reason: decision.Reason, LostS: decision.Lost.Seconds(),
 	}
 	delay := time.Duration(0)
 	switch decision.Action {
 	case drain.Move, drain.Restart:
-		taskPlan.LeavesAfterS = t.SaveDuration.Seconds()
-		delay = t.SaveDuration + t.RestartDuration + decision.Lost
-		if target != nil && !t.Stopping {
+		taskPlan.LeavesAfterS = task.SaveDuration.Seconds()
+		delay = task.SaveDuration + task.RestartDuration + decision.Lost
+		if target != nil && !task.Stopping {
 			p.reserve(target, j.request)
 		}
 	default:
-		taskPlan.LeavesAfterS = t.Remaining.Seconds()
+		taskPlan.LeavesAfterS = task.Remaining.Seconds()
 	}
-	if t.Slack == nil {
+	if task.Slack == nil {
 		p.lateAnyway[j] = true
-	} else if by := (delay - *t.Slack).Seconds(); by > 0 {
-		taskPlan.LateS = by
+	} else if lateBy := (delay - *task.Slack).Seconds(); lateBy > 0 {
+		taskPlan.LateS = lateBy
 		p.madeLate[j] = true
 	}
 	p.plan.AddDecision(j.Class, decision)
--- a/internal/scheduler/drain_preview.go
+++ b/internal/scheduler/drain_preview.go
@@ -24,24 +24,24 @@
 func (e *DrainTargetError) Error() string  { return e.Text }
 func (e *DrainRefusedError) Error() string { return e.Text }
 
-// maxDrains is the maximum number of drains in force, as each pass matches every drain with every
-// machine. It does not bound the drained machines: a drain by type, zone, age or version selects any
-// number, and one by names as many as its record holds.
+// maxDrains is the maximum number of drains in force, because each pass matches every drain with
+// every machine. It does not bound the number of drained machines: a drain by type, zone, age or
+// version selects any number, and a drain by names as many as its record can hold.
 const maxDrains = 64
 
 // PreviewDrain returns the plan of a drain that starts now; it changes nothing. Without force, it
-// rejects a drain that would leave a class of jobs without any machine.
+// rejects a drain, other than an upgrade, that would leave a class of jobs without any machine.
 func (s *Scheduler) PreviewDrain(spec *drain.Spec, force bool, now time.Time) (*drain.Plan, error) {
 	if err := s.checkDrain(spec); err != nil {
 		return nil, err
 	}
-	p := s.planDrain(spec, now, true)
-	if p.Total.Machines == 0 {
+	plan := s.planDrain(spec, now, true)
+	if plan.Total.Machines == 0 {
 		mustSelect := len(spec.Machines) > 0 || spec.Version != "" || spec.Kind == drain.KindUpgrade
 		if spec.Window == nil && mustSelect {
 			return nil, &DrainTargetError{"no machine is meant: nothing fits all that is said"}
 		}
-		p.Warnings = append(p.Warnings, "no machine that is there now is meant")
+		plan.Warnings = append(plan.Warnings, "no machine that is there now is meant")
 	}
 	if !force && spec.Kind != drain.KindUpgrade {
 		if err := s.checkCapacityLeft(spec, now); err != nil {
@@ -49,15 +49,15 @@
 		}
 	}
 	if spec.Kind == drain.KindUpgrade && spec.MinInService > 0 {
-		p.Warnings = append(p.Warnings, s.zonesBelowMinimum(spec.MinInService, now)...)
-		slices.Sort(p.Warnings)
+		plan.Warnings = append(plan.Warnings, s.zonesBelowMinimum(spec.MinInService, now)...)
+		slices.Sort(plan.Warnings)
 	}
 	if spec.Window != nil {
 		for _, at := range spec.Window.NextStarts(now, previewWindows) {
-			p.WindowStarts = append(p.WindowStarts, at.Format(time.RFC3339))
+			plan.WindowStarts = append(plan.WindowStarts, at.Format(time.RFC3339))
 		}
 	}
-	return p, nil
+	return plan, nil
 }
 
 // previewWindows is the number of upcoming windows that a preview lists.
@@ -107,7 +107,8 @@
 	return warnings
 }
 
-// checkCapacityLeft returns an error if a drain leaves open jobs without any machine that may run them.
+// checkCapacityLeft returns an error if a drain leaves open jobs without any machine that may run
+// them, or leaves no machine at all.
 func (s *Scheduler) checkCapacityLeft(spec *drain.Spec, now time.Time) error {
 	finder := &placeFinder{scheduler: s, now: now, allowed: map[*Job]bool{}, excluded: spec.BlocksScaleOut,
 		alsoDraining: func(m *fleet.Machine) bool { return spec.Selects(toDrainMachine(m, now)) }}
--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -23,10 +23,10 @@
 	// stateWriteIntervals is the minimum time between two writes of a drain's state, in heartbeat
 	// intervals. A change of phase is written at once.
 	stateWriteIntervals = 5
-	// maxEndedDrains is the number of ended drains that stay on record as history for operators,
+	// maxEndedDrains is the number of ended drains that stay in the store as history for operators,
 	// independent of the number of machines.
 	maxEndedDrains = 50
-	// bytesPerDrainRemoval is the size of a drain's removal in a commit.
+	// bytesPerDrainRemoval is the size, in bytes, that the removal of one drain counts in a commit.
 	bytesPerDrainRemoval = 500
 )
 
@@ -56,9 +56,10 @@
 	return !samePhase || now.Sub(d.writtenAt) >= interval
 }
 
-// appendDrainStateWrite appends the write of a drain's state to a batch; false if it does not fit.
-// Machines out of service that exceed the size of a value are left out: this leader has them in
-// memory, and the next one selects again, empty machines first, which are mostly the same ones.
+// appendDrainStateWrite appends the write of a drain's state to a batch. It returns false if the
+// write does not fit. A list of machines out of service that is too long for a value of the store
+// is cut: this leader has the whole list in memory, and the next one selects again, empty machines
+// first, which are mostly the same.
 func (p *Persistence) appendDrainStateWrite(d *activeDrain, b *writeBatch, now time.Time) bool {
 	state, complete := d.state, d.state
 	for len(state.OutOfService) > 0 && records.EncodedSize(state) > p.maxValueBytes {
@@ -81,8 +82,8 @@
 	return true
 }
 
-// appendDrainRemovals appends the removal of the oldest ended drains to a batch; false if it is full.
-// The drains are sorted by id, which is the order of their creation.
+// appendDrainRemovals appends the removal of the oldest ended drains to a batch. It returns false
+// if the batch is full. The drains are sorted by id, which is the order of their creation.
 func (p *Persistence) appendDrainRemovals(b *writeBatch) bool {
 	ended := 0
 	for _, d := range p.scheduler.drains.list {
@@ -110,7 +111,7 @@
 	return true
 }
 
-// ReplaceDrains replaces the known drains by those on record.
+// ReplaceDrains replaces the known drains by found, the drains on record by id.
 func (s *Scheduler) ReplaceDrains(found map[string]drain.Spec) {
 	var removed []string
 	for _, d := range s.drains.list {
@@ -127,27 +128,27 @@
 }
 
 // PreviewDrainPage returns the plan of a drain with one page of machines: those whose names follow
-// since, with up to limit tasks and machines in total.
+// since, with up to limit tasks and machines in total, but at least one machine.
 func (s *Scheduler) PreviewDrainPage(spec *drain.Spec, force bool, since string, limit int, now time.Time) (*drain.Plan, error) {
-	p, err := s.PreviewDrain(spec, force, now)
+	plan, err := s.PreviewDrain(spec, force, now)
 	if err != nil {
 		return nil, err
 	}
-	list := p.Machines
-	for len(list) > 0 && list[0].Machine <= since {
-		list = list[1:]
+	page := plan.Machines
+	for len(page) > 0 && page[0].Machine <= since {
+		page = page[1:]
 	}
-	for i := range list {
-		if over := len(list[i].Tasks) - limit; over > 0 {
-			list[i].Tasks, list[i].OmittedTasks = list[i].Tasks[:limit], over
+	for i := range page {
+		if omitted := len(page[i].Tasks) - limit; omitted > 0 {
+			page[i].Tasks, page[i].OmittedTasks = page[i].Tasks[:limit], omitted
 		}
-		if limit -= len(list[i].Tasks) + 1; limit < 0 && i > 0 {
-			list, p.Truncated = list[:i], true
+		if limit -= len(page[i].Tasks) + 1; limit < 0 && i > 0 {
+			page, plan.Truncated = page[:i], true
 			break
 		}
 	}
-	p.Machines = list
-	return p, nil
+	plan.Machines = page
+	return plan, nil
 }
 
 // DrainView returns a drain with its state, and false if there is no drain with that id.
--- a/internal/scheduler/drain_state.go
+++ b/internal/scheduler/drain_state.go
@@ -17,7 +17,7 @@
 // missing returns the number of machines that lack the target version.
 func (n drainCounts) missing() int { return n.inUpgrade - n.upgraded }
 
-// updateDrainState updates the state of a drain that operators see.
+// updateDrainState updates a drain's state, which operators see, unless that is final.
 func (s *Scheduler) updateDrainState(d *activeDrain, now time.Time) {
 	state := &d.state
 	if state.Phase == drain.PhaseStopped || state.Closed() && d.spec.Kind == drain.KindUpgrade && !d.spec.Stopped {
@@ -57,7 +57,8 @@
 	return n
 }
 
-// updatePhase updates the phase of a drain and the number of machines left.
+// updatePhase updates the phase of a drain and the number of machines that are still to be emptied or
+// upgraded.
 func (s *Scheduler) updatePhase(d *activeDrain, counts drainCounts, now time.Time) {
 	state := &d.state
 	switch {
@@ -78,7 +79,7 @@
 }
 
 // updateUpgradePhase updates the phase of an upgrade in force. Until every machine of earlier terms is
-// reconciled, it is unknown whether all have the target version.
+// reconciled, it is unknown whether all machines have the target version.
 func (s *Scheduler) updateUpgradePhase(d *activeDrain, counts drainCounts, now time.Time) {
 	state, rollout := &d.state, d.state.Rollout
 	complete := counts.missing() == 0 && s.reconciled
--- a/internal/scheduler/drain_tasks.go
+++ b/internal/scheduler/drain_tasks.go
@@ -11,9 +11,9 @@
 	"drumpick/internal/records"
 )
 
-// newDrainTask returns the input of the decision about an attempt, without its Place.
+// newDrainTask returns the input of drain.Decide for an attempt; the caller sets its Place.
 func (s *Scheduler) newDrainTask(j *Job, a *fleet.Attempt, now time.Time) drain.Task {
-	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+	toDuration := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	_, ran := a.Durations(now)
 	isGang := j.Shape == records.ShapeGang
 	t := drain.Task{
@@ -23,16 +23,16 @@
 		Gang:            isGang,
 		Service:         j.Shape == records.ShapeService,
 		Urgent:          j.precedence.Rank <= priorityRank[records.PriorityUrgent],
-		Remaining:       seconds(s.remainingSeconds(j, a, now)),
+		Remaining:       toDuration(s.remainingSeconds(j, a, now)),
 		Ran:             ran,
 		CanSave:         j.CheckpointS > 0,
-		SaveDuration:    seconds(j.SaveS),
+		SaveDuration:    toDuration(j.SaveS),
 		RestartDuration: s.settings.HeartbeatInterval + s.fetchTime(j),
 	}
 	if t.Service {
 		t.Remaining = 0
-		for _, o := range j.attempts {
-			if o != a && o.State() == fleet.Running && !o.Stopping() && o.Machine.Cordon == nil {
+		for _, other := range j.attempts {
+			if other != a && other.State() == fleet.Running && !other.Stopping() && other.Machine.Cordon == nil {
 				t.OtherReplicas++
 			}
 		}
@@ -43,8 +43,8 @@
 	return t
 }
 
-// slack returns the time from the end of a task, which needs remaining, to the job's next target, and
-// false if the job has no target that it can still meet.
+// slack returns the time between the end of a task, which is expected after remaining, and the
+// first of its job's targets that the task can meet. It returns false if there is no such target.
 func (s *Scheduler) slack(j *Job, remaining time.Duration, now time.Time) (time.Duration, bool) {
 	age := now.Sub(j.releasedAt)
 	for _, t := range j.targets {
@@ -55,14 +55,15 @@
 	return 0, false
 }
 
-// drainMachine decides about each task on a machine that is being drained, and carries it out.
+// drainMachine decides about each task on a machine that is being drained, and executes the
+// decisions.
 func (s *Scheduler) drainMachine(m *fleet.Machine, d *activeDrain, finder *placeFinder) {
 	now := finder.now
 	timeLeft := d.timeLeft(now)
 	for _, a := range slices.Clone(m.Attempts()) {
 		j := s.jobOf(a)
 		if j == nil || a.Stopping() || a.State() == fleet.Ended || a.State() == fleet.Planned || a.State() == fleet.Sent || a.Duplicate {
-			continue // stopping or ended, a duplicate, or not confirmed by its worker yet
+			continue // stopping, ended, a duplicate, planned, or not confirmed by its worker yet
 		}
 		if j.Shape == records.ShapeGang {
 			s.drainGang(j, timeLeft, finder)
@@ -105,7 +106,7 @@
 }
 
 // drainGang decides about a gang as a whole if some of its tasks are on machines that are being
-// drained.
+// drained, and executes the decision.
 func (s *Scheduler) drainGang(j *Job, timeLeft *time.Duration, finder *placeFinder) {
 	now := finder.now
 	if j.gangBroken {
@@ -160,7 +161,8 @@
 	}
 }
 
-// countDrainOutcome counts the outcome of a task on a machine that is being drained.
+// countDrainOutcome counts the outcome of an attempt that has ended or is lost in the state of the
+// drain that evicts tasks from its machine, if there is one.
 func countDrainOutcome(a *fleet.Attempt, now time.Time) {
 	d, ok := a.Machine.Cordon.(*activeDrain)
 	if !ok || !d.evictsTasks() || a.State() == fleet.Sent {
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -9,17 +9,17 @@
 	"drumpick/internal/fleet"
 )
 
-// activeDrain is a drain on record with its state. The machines that it has cordoned refer to it; a new
-// leader selects them again.
+// activeDrain is a drain on record with its state. The machines that it has cordoned refer to it by
+// their field Cordon; a new leader selects the machines again.
 type activeDrain struct {
 	spec         drain.Spec
 	state        drain.State
-	stored       drain.State // the state in the store, if hasStored
-	hasStored    bool        // the store has a state of the drain
-	revision     uint64      // of the stored state; 0: none
-	writtenAt    time.Time   // when the state was last submitted to the store
-	inForce      bool
-	deadline     time.Time       // when its machines must be empty; zero: none
+	stored       drain.State     // the state in the store, if hasStored
+	hasStored    bool            // the store has a state of the drain
+	revision     uint64          // of the stored state; 0: none
+	writtenAt    time.Time       // when the state was last submitted to the store
+	inForce      bool            // as of the last pass
+	deadline     time.Time       // when its machines must be empty, as of the last pass; zero: none
 	everCordoned map[string]bool // machines that it has cordoned, including removed ones
 }
 
@@ -32,8 +32,8 @@
 }
 
 // isReplacement reports whether a machine was rented after an upgrade with WhenEmpty Return was
-// requested. It has the version that the cloud provides; if that is not the target, replacing it again
-// would never end.
+// requested. Such a machine has the version that the cloud provides. If that is not the target
+// version, replacing machines would never end.
 func (d *activeDrain) isReplacement(m *fleet.Machine) bool {
 	return d.spec.WhenEmpty == drain.Return && !m.RequestedAt.IsZero() && m.RequestedAt.After(time.UnixMilli(d.spec.RequestedMS))
 }
@@ -49,8 +49,9 @@
 	return &left
 }
 
-// takesPrecedence reports whether the drain gets a machine that another one selects as well: the
-// earlier deadline wins over a later one or none, then a drain that evicts tasks, then the older one.
+// takesPrecedence reports whether the drain gets a machine that an older drain selects as well;
+// other is nil if none does. The earlier deadline wins over a later one or none, then a drain that
+// evicts tasks, then the older drain.
 func (d *activeDrain) takesPrecedence(other *activeDrain) bool {
 	if other == nil {
 		return true
@@ -66,12 +67,12 @@
 
 // drainSet holds the drains on record.
 type drainSet struct {
-	list       []*activeDrain // by id
+	list       []*activeDrain // sorted by id
 	lastPass   time.Time      // time of the last call of runDrains
 	anyInForce bool           // at least one is in force and not complete
 }
 
-// set adds or updates a drain. state is nil if none is on record yet.
+// set adds a drain, with its stored state or nil, or updates the spec of a known drain.
 func (s *drainSet) set(spec drain.Spec, state *drain.State, revision uint64) {
 	i, found := slices.BinarySearchFunc(s.list, spec.ID, func(d *activeDrain, id string) int { return strings.Compare(d.spec.ID, id) })
 	if !found {
@@ -102,12 +103,12 @@
 // requestPass makes the next tick run the drains.
 func (s *drainSet) requestPass() { s.lastPass = time.Time{} }
 
-// passDue reports whether the drains have to run now.
+// passDue reports whether runDrains is due; interval is the time between two passes.
 func (s *drainSet) passDue(interval time.Duration, now time.Time) bool {
 	return len(s.list) > 0 && now.Sub(s.lastPass) >= interval
 }
 
-// SetDrain adds or updates a drain from its record. state is nil if none is on record yet.
+// SetDrain adds a drain, with its stored state or nil, or updates the spec of a known drain.
 func (s *Scheduler) SetDrain(spec drain.Spec, state *drain.State, revision uint64) {
 	s.drains.set(spec, state, revision)
 }
@@ -125,8 +126,8 @@
 	}
 }
 
-// toDrainMachine returns the properties of a machine by which drains select. A zero time leaves out the
-// age.
+// toDrainMachine returns the properties of a machine by which drains select. If now is zero, the
+// age is left out.
 func toDrainMachine(m *fleet.Machine, now time.Time) drain.Machine {
 	v := drain.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Version: m.Version}
 	if !m.RequestedAt.IsZero() && !now.IsZero() {
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -13,10 +13,11 @@
 	"pgregory.net/rapid"
 )
 
-// Random drains by name or zone, with or without a deadline, start and stop at random times while
-// random jobs run. No invariant breaks, no task starts on a drained machine, machines are empty by the
-// deadline, without a deadline no running task that cannot save a checkpoint is stopped, and in the
-// end all jobs are done and no capacity is reserved.
+// Guards against drains that break placement rules or lose work. Random drains by name or zone,
+// with or without a deadline, start and stop at random times while random jobs run. No task may
+// start on a drained machine, and machines must be empty by the deadline. Without a deadline, no
+// running task that cannot save a checkpoint is stopped. In the end all jobs are done and no
+// capacity is reserved.
 func TestDrainsKeepInvariants(t *testing.T) {
 	useFixedSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -136,8 +137,8 @@
 	})
 }
 
-// ranTwoRounds reports whether a stopped task had run for more than two rebalancing intervals, which
-// rules out a stop by rebalancing.
+// ranTwoRounds reports whether a stopped attempt had run for more than two rebalancing intervals.
+// Then rebalancing has not stopped it.
 func (a *fakeAttempt) ranTwoRounds(f *fakeFleet) bool {
 	ran := f.runTimes[a.job] - a.remaining
 	return ran > 2*f.scheduler.settings.RebalanceInterval
--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -8,10 +8,12 @@
 	"drumpick/internal/records"
 )
 
-// startable reports whether any task of the job may be started now. After a failover, until
-// reconciliation completes, only tasks may start that no machine can already run: the tasks of jobs
-// accepted in this term, or released in it by a dependency that was stored as done, and of older jobs
-// those beyond the watermark. Jobs that need to know all their own or their team's tasks do not start.
+// startable reports whether tasks of the job may be started now. After a failover, until
+// reconciliation completes, a task may start only if no machine can already run it: its job was
+// accepted in this term, or released in this term by a dependency that was stored as done, or the
+// task is beyond the watermark. Until then, jobs do not start at all if their rules need all their
+// own or their team's tasks: gangs of earlier terms, jobs with a zone constraint, and jobs of teams
+// with a limit.
 func (s *Scheduler) startable(j *Job, now time.Time) bool {
 	if j.closed || j.blocked || j.closing || j.gangBroken || now.Before(j.retryAt) {
 		return false
@@ -25,7 +27,7 @@
 // silentIntervals is after how many heartbeat intervals without a status a machine is silent.
 const silentIntervals = 3
 
-// acceptsTasks reports whether a machine may be given new tasks.
+// acceptsTasks reports whether a machine may be given new tasks now, apart from free room.
 func (s *Scheduler) acceptsTasks(m *fleet.Machine, now time.Time) bool {
 	return m.HasStatus && m.Reconciled && inService(m) && m.PreemptionAt.IsZero() &&
 		now.Sub(m.LastStatusAt) < silentIntervals*s.settings.HeartbeatInterval && !now.Before(m.FullUntil)
@@ -36,9 +38,9 @@
 	return !m.Returning && !m.LeaseExpired && !m.Draining && m.Cordon == nil && !m.Unreachable()
 }
 
-// refreshOpenBins updates which bins are open, that is, whose machines accept tasks. It does so at
-// most eight times in a heartbeat interval, for changes by time alone; a heartbeat updates its
-// machine's bin at once.
+// refreshOpenBins sets the time of the pass, and opens the bins of the machines that accept tasks and
+// closes all others. Bins are updated at most eight times in a heartbeat interval, which suffices for
+// changes by time alone; a heartbeat updates its machine's bin at once.
 func (s *Scheduler) refreshOpenBins(now time.Time) {
 	s.passTime = now
 	if now.Sub(s.lastBinRefresh) < s.settings.HeartbeatInterval/8 {
@@ -60,13 +62,13 @@
 	return len(j.Types) == 0 || slices.Contains(j.Types, typ)
 }
 
-// couldHost reports whether a machine may be given tasks of the job, apart from free room.
+// couldHost reports whether a machine may be given tasks of the job now, apart from free room.
 func (s *Scheduler) couldHost(j *Job, m *fleet.Machine, now time.Time) bool {
 	return s.acceptsTasks(m, now) && j.permits(m.Type, m.Zone, m.Spot) && m.Bin.Capacity.Fits(j.request)
 }
 
-// tasksByZone counts the job's attempts on machines by zone; with planned, also its planned attempts
-// and its claims.
+// tasksByZone counts the job's attempts that may be on machines by zone, including duplicates; with
+// planned, also its planned attempts and its claims.
 func (s *Scheduler) tasksByZone(job *Job, planned bool) map[string]int {
 	counts := map[string]int{}
 	for _, attempt := range job.attempts {
@@ -93,8 +95,8 @@
 // job's tasks by zone.
 func (j *Job) zoneAllowed(zone string, counts map[string]int) bool {
 	if j.OneZone {
-		for z, k := range counts {
-			if z != zone && k > 0 {
+		for other, count := range counts {
+			if other != zone && count > 0 {
 				return false
 			}
 		}
@@ -102,7 +104,8 @@
 	return !j.SpreadZones || counts[zone]+1 <= (j.Tasks+1)/2
 }
 
-// constrainedZoneCounts counts the tasks of a job with a zone constraint by zone; nil for other jobs.
+// constrainedZoneCounts counts the tasks of a job with a zone constraint by zone, including planned
+// tasks and claims. It returns nil for other jobs.
 func (s *Scheduler) constrainedZoneCounts(j *Job) map[string]int {
 	if j.OneZone || j.SpreadZones {
 		return s.tasksByZone(j, true)
@@ -110,8 +113,8 @@
 	return nil
 }
 
-// zonesToTry returns the zones in which to try a gang one after the other; "" stands for all zones
-// together.
+// zonesToTry returns the zones in which to try to place a gang, one after the other; "" stands for
+// all zones together. zones holds the gang's tasks by zone.
 func (s *Scheduler) zonesToTry(j *Job, zones map[string]int) []string {
 	if j.OneZone && len(zones) == 0 {
 		return s.settings.Zones
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -26,7 +26,9 @@
 	maxBackoffIntervals = 60
 )
 
-// attemptFailed decides after a task error whether the machine or the job is at fault.
+// attemptFailed decides after a task error whether the machine is at fault and becomes faulty, or
+// the job and its retry is delayed. While that is unclear, the machine gets no tasks for
+// suspectIntervals.
 func (s *Scheduler) attemptFailed(job *Job, machine *fleet.Machine, now time.Time) {
 	machine.FailedTasksByJob[job.ID]++
 	job.errorMachines[machine.Name] = true
@@ -49,8 +51,8 @@
 	}
 }
 
-// runsElsewhere reports whether a job has completed a task, or has run on another machine for
-// healthyRunIntervals.
+// runsElsewhere reports whether a job has completed a task, or has a task that has run on another
+// machine for more than healthyRunIntervals.
 func (s *Scheduler) runsElsewhere(job *Job, machine *fleet.Machine, now time.Time) bool {
 	if job.doneCount > 0 {
 		return true
@@ -64,8 +66,8 @@
 	return false
 }
 
-// markFaulty takes a machine out of service that fails tasks which run elsewhere. The machine is
-// returned once it is empty.
+// markFaulty takes a machine out of service because it fails tasks that run elsewhere. The machine is
+// returned once it is empty, unless an upgrade cordons it to restore its previous version.
 func (s *Scheduler) markFaulty(machine *fleet.Machine) {
 	if !machine.Faulty {
 		slog.Warn("machine faulty", "machine", machine.Name, "errors", len(machine.FailedTasksByJob), "term", s.term)
@@ -81,7 +83,7 @@
 	}
 }
 
-// delayRetry delays the next attempt of a failing job by exponential backoff.
+// delayRetry delays the next attempts of a failing job by exponential backoff.
 func (s *Scheduler) delayRetry(job *Job, now time.Time) {
 	interval := s.settings.HeartbeatInterval
 	job.backoff = min(max(2*job.backoff, minBackoffIntervals*interval), maxBackoffIntervals*interval)
@@ -89,8 +91,9 @@
 	slog.Warn("job fails on all machines, retry delayed", "job", job.ID, "backoff", job.backoff, "term", s.term)
 }
 
-// handlePreemptionNotice drains a machine that the cloud is about to preempt: it gets no new tasks, and
-// tasks that can save a checkpoint are stopped in time to do so.
+// handlePreemptionNotice drains a machine that the cloud is about to preempt: it gets no new tasks.
+// Tasks that would not end in time, and gangs that save checkpoints, are stopped, if there is time
+// to save the checkpoints.
 func (s *Scheduler) handlePreemptionNotice(machine *fleet.Machine, now time.Time) {
 	s.cancelPlanned(machine)
 	machine.Draining = true
@@ -115,8 +118,8 @@
 				s.requestStop(attempt, stopPreemptionNotice, job.SaveS, now)
 			}
 		case remaining > timeLeft:
-			// Its work is lost with the machine in any case. Stopped now, it starts elsewhere now
-			// instead of when the machine is known to be gone.
+			// The task's work is lost with the machine in any case. If stopped now, the task starts
+			// elsewhere now instead of when the machine is known to be gone.
 			s.requestStop(attempt, stopPreemptionNotice, 0, now)
 		}
 	}
--- a/internal/scheduler/fake_fleet_test.go
+++ b/internal/scheduler/fake_fleet_test.go
@@ -27,7 +27,7 @@
 	t.Cleanup(func() { slog.SetDefault(old) })
 }
 
-// fakeFleet is a small fleet of machines that carry out the commands of a Scheduler, in simulated time.
+// fakeFleet is a small fleet of machines that execute the commands of a Scheduler, in simulated time.
 type fakeFleet struct {
 	t              *rapid.T
 	scheduler      *Scheduler
@@ -84,7 +84,8 @@
 	return f
 }
 
-// step advances the time by half a second. Every machine sends a heartbeat each fourth step.
+// step runs step i: it advances the time by half a second, runs a tick and sends the heartbeats
+// that are due. Every machine sends one each fourth step.
 func (f *fakeFleet) step(i int) {
 	f.now = f.now.Add(500 * time.Millisecond)
 	f.scheduler.Tick(f.now, true)
@@ -106,8 +107,8 @@
 	f.checkInvariants()
 }
 
-// heartbeat sends a heartbeat of a machine and applies the commands of the answer. Results are stored
-// at once.
+// heartbeat sends a heartbeat of a machine and applies the commands of the answer. The results of all
+// finished tasks count as stored at once, and complete jobs are closed.
 func (f *fakeFleet) heartbeat(machine *fakeMachine) {
 	machine.heartbeat.Sequence++
 	machine.heartbeat.Tasks = machine.heartbeat.Tasks[:0]
@@ -179,7 +180,7 @@
 	}
 }
 
-// gangMembers returns the attempts of the same job with the same attempt number.
+// gangMembers returns the attempts on all machines with the job and the attempt number of attempt.
 func (f *fakeFleet) gangMembers(attempt *fakeAttempt) []*fakeAttempt {
 	var members []*fakeAttempt
 	for _, machine := range f.machines {
@@ -243,8 +244,8 @@
 		if f.started[id] || len(j.preemptedTasks) == 0 || j.teamLimited {
 			continue
 		}
-		// A victim saves its checkpoint for up to 4 s, then the heartbeats of its machine and of the
-		// other one have to arrive.
+		// A preempted task saves its checkpoint for up to 4 s. Then the heartbeats of its machine
+		// and of the machine that is to run the job have to arrive.
 		if _, ok := f.preemptedAt[id]; !ok {
 			f.preemptedAt[id] = f.now
 		}
--- a/internal/scheduler/finished_tasks.go
+++ b/internal/scheduler/finished_tasks.go
@@ -6,12 +6,12 @@
 	"drumpick/internal/finishedtasks"
 )
 
-// finishedTaskLayout returns how finished tasks are divided into records.
+// finishedTaskLayout returns how a job's finished tasks are divided into chunks and parts.
 func (s *Settings) finishedTaskLayout() finishedtasks.Layout {
 	return finishedtasks.Layout{ChunkTasks: s.ChunkTasks, PartTasks: s.PartTasks}
 }
 
-// partOf returns the part of a job's finished tasks that contains a task.
+// partOf returns the index of the part of a job's finished tasks that contains a task.
 func (s *Scheduler) partOf(task int) int { return s.settings.finishedTaskLayout().Part(task) }
 
 // openJobs adapts the scheduler's open jobs to finishedtasks.Jobs.
@@ -43,11 +43,11 @@
 // TaskCount returns the number of tasks of the job.
 func (o openJob) TaskCount() int { return o.job.Tasks }
 
-// DoneTasks returns the bit set of finished tasks.
+// DoneTasks returns the bit set of the job's finished tasks.
 func (o openJob) DoneTasks() []uint64 { return o.job.done }
 
-// StoredTasks returns the bit set of finished tasks that are stored.
+// StoredTasks returns the bit set of the job's finished tasks whose result is stored.
 func (o openJob) StoredTasks() []uint64 { return o.job.stored }
 
-// DirtyParts returns the set of parts whose records have to be written.
+// DirtyParts returns the set of the job's parts, by index, whose records have to be written.
 func (o openJob) DirtyParts() map[int]bool { return o.job.dirtyParts }
--- a/internal/scheduler/finished_tasks_test.go
+++ b/internal/scheduler/finished_tasks_test.go
@@ -14,8 +14,8 @@
 	"drumpick/internal/records"
 )
 
-// pageStore holds the stored pages of finished tasks, by key. A term can fail at any point and leave
-// them to the next one.
+// pageStore holds the stored pages of finished tasks: by page key, the records of the page by id. A
+// term can fail between any two writes; the next term reads the pages that it left.
 type pageStore map[string]map[string]json.RawMessage
 
 func (s pageStore) keys() []string { return slices.Sorted(maps.Keys(s)) }
@@ -30,8 +30,8 @@
 	s[op.Write] = op.Value.(map[string]json.RawMessage)
 }
 
-// doneTasks returns the finished tasks of all records, by job. Every version reads the union of the
-// records.
+// doneTasks returns the finished tasks of all records, by job. Like every version, it reads the
+// union of the records.
 func (s pageStore) doneTasks(t *testing.T, chunkTasks int) map[string]map[int]bool {
 	done := map[string]map[int]bool{}
 	for _, m := range s {
@@ -60,9 +60,9 @@
 	term, lastPage int
 	maxBytes       int
 	chunkTasks     int
-	keyByID        map[string]string
-	bytesByKey     map[string]int
-	done           map[string]map[int]bool
+	keyByID        map[string]string       // page key by record id
+	bytesByKey     map[string]int          // bytes counted for each page
+	done           map[string]map[int]bool // finished tasks by job
 }
 
 func (s pageStore) startPreviousVersion(t *testing.T, term, chunkTasks, limit int) *previousVersionTerm {
--- a/internal/scheduler/freed_room.go
+++ b/internal/scheduler/freed_room.go
@@ -6,9 +6,9 @@
 	"drumpick/internal/packing"
 )
 
-// freedRoom measures how much room ending tasks free: in the current and in the previous time window.
+// freedRoom sums the room that completed tasks freed in the current and in the previous time window.
 type freedRoom struct {
-	since             time.Time
+	since             time.Time // start of the current window
 	current, previous packing.Resources
 }
 
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -10,8 +10,9 @@
 	"drumpick/internal/quota"
 )
 
-// placeGang places all waiting tasks of a gang or none. Tasks that replace members which never
-// arrived on a machine share the gang's attempt number.
+// placeGang places all waiting tasks of a gang or none, and reports whether it placed them. It
+// updates used, the quota in use by team. A member that never arrived on a machine is replaced
+// under the gang's attempt number.
 func (s *Scheduler) placeGang(job *Job, used map[string]quota.Amount, now time.Time) bool {
 	if job.gangAttempt == 0 && len(job.attempts)+len(job.duplicates) > 0 {
 		return false
@@ -25,7 +26,9 @@
 	return false
 }
 
-// placeGangInZone places all waiting tasks of a gang or none, in one zone or, with "", in all zones.
+// placeGangInZone places all waiting tasks of a gang or none, in one zone or, with "", in all
+// zones, and reports whether it placed them. zonesBefore holds the gang's tasks by zone; nil: no
+// zone constraint.
 func (s *Scheduler) placeGangInZone(job *Job, zone string, zonesBefore map[string]int, used map[string]quota.Amount, now time.Time) bool {
 	number, sequenceBefore := job.gangAttempt, s.sequence
 	if number == 0 {
@@ -71,7 +74,8 @@
 	return false
 }
 
-// stopGang stops all tasks of a gang so that a new attempt can start as a whole.
+// stopGang stops all tasks of a gang so that a new attempt can start as a whole. It cancels planned
+// attempts.
 func (s *Scheduler) stopGang(job *Job, now time.Time) {
 	if job.closed || job.doneCount == job.Tasks {
 		return
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -10,7 +10,8 @@
 )
 
 // assignGuarantees marks the jobs that fit into their team's guarantee together with the team's
-// earlier unfinished jobs, and those of them that can still start in time.
+// earlier unfinished jobs, those that are protected from preemption, and those that can still start
+// in time. A job's first mark is also kept in job.start.
 func (s *Scheduler) assignGuarantees(now time.Time) {
 	account := fairshare.NewAccount(s.settings.Teams, s.settings.Guarantees)
 	for _, job := range s.sortedJobs {
@@ -22,8 +23,8 @@
 	}
 }
 
-// canStartInTime reports whether a job that gets its room after a delay can start within the
-// guarantee's time.
+// canStartInTime reports whether a job that gets its room after a delay can start within the time
+// that the settings promise for guarantees (GuaranteeWithin).
 func (s *Scheduler) canStartInTime(job *Job, delay time.Duration, now time.Time) bool {
 	return fairshare.CanStartInTime(s.settings.GuaranteeWithin, now.Sub(job.releasedAt), delay, s.fetchTime(job))
 }
@@ -34,7 +35,7 @@
 
 // benefitsFromPreemption reports whether a job within a guarantee can still start in time after
 // preempting others. Without this check, tasks are preempted for gangs that are late anyway: on busy
-// days that was over a third of the starts of their class.
+// days such gangs were over a third of the starts of their class.
 func (s *Scheduler) benefitsFromPreemption(job *Job, now time.Time) bool {
 	if !s.settings.Guarantees || s.settings.GuaranteeWithin == 0 {
 		return true
@@ -42,8 +43,9 @@
 	return s.canStartInTime(job, preemptionIntervals*s.settings.HeartbeatInterval, now)
 }
 
-// recordShortage records a shortage of on-demand machines if a job that found no room may use only
-// these and its team has a guarantee. A job that waits because of its team's limit does not count.
+// recordShortage records a shortage of the on-demand machine types that fit a job that found no
+// room, if the job may not use spot machines and its team has a guarantee. A job that waits because
+// of its team's limit does not count. used is the team's quota in use.
 func (s *Scheduler) recordShortage(j *Job, used quota.Amount, now time.Time) {
 	if !s.settings.Guarantees || j.Spot || !fairshare.HasGuarantee(j.team) || j.teamLimited && !s.withinLimit(j, used) {
 		return
@@ -63,7 +65,7 @@
 
 // tasksBlockingOnDemand counts a job's tasks that run on on-demand machines of types with a recent
 // shortage, though the job may use spot machines. Spot machines are scaled out for as many tasks, so
-// that later ones do not need the on-demand machines.
+// that later tasks do not need the on-demand machines.
 func (s *Scheduler) tasksBlockingOnDemand(job *Job, now time.Time) int {
 	if !s.settings.Guarantees || !job.Spot || job.Shape != records.ShapeArray {
 		return 0
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -20,9 +20,9 @@
 }
 
 // RenewOvertaken answers a heartbeat that is older than the answer to a direct command but arrived
-// after it: it renews the worker's lease and repeats the commands that are safe when late. It returns
-// false if the heartbeat is late, or if its machine is not recorded: then the next leader would not
-// know that the machine may hold tasks.
+// after it: it renews the worker's lease and repeats the pending commands, which are safe when
+// late. It returns false if the heartbeat is late, or if its machine is not recorded: the next
+// leader would not know that the machine may hold tasks.
 func (s *Scheduler) RenewOvertaken(machine *fleet.Machine, heartbeat *fleet.Heartbeat, now time.Time) (fleet.HeartbeatResponse, bool) {
 	if machine == nil || !machine.Recorded || !machine.IsOvertaken(heartbeat, now) {
 		return fleet.HeartbeatResponse{}, false
@@ -35,12 +35,13 @@
 // redirected to this one again.
 const maxRelayLeases = 4
 
-// NeedsRelay reports whether a worker that sent its heartbeat to another controller cannot reach this
-// one, so that it has to be answered through that controller. An unknown worker, or one with a recent
-// status, is redirected here first. One that returns to the other controller, or has become silent,
-// counts as unable to reach this one. Without relays, a leader that only the workers cannot reach
-// would take every machine for lost. A relayed worker is redirected here again from time to time, to
-// find out whether it can reach this controller now.
+// NeedsRelay reports whether a worker that sent its heartbeat to another controller cannot reach
+// this one, so that it has to be answered through that controller. An unknown worker, or one with a
+// recent status, is redirected here first. A worker that was redirected and still sends to the
+// other controller, or whose last status is older than 1.5 heartbeat intervals, counts as unable to
+// reach this controller. Without relays, a leader that only the workers cannot reach would take
+// every machine for lost. After maxRelayLeases leases, a relayed worker is redirected here again,
+// in case it can reach this controller now.
 func (s *Scheduler) NeedsRelay(name string, now time.Time) bool {
 	machine := s.fleet.Machines[name]
 	if machine == nil {
@@ -61,8 +62,8 @@
 	return machine.HasStatus && now.Sub(machine.LastStatusAt) > s.settings.HeartbeatInterval*3/2
 }
 
-// RecordAnswer records that a heartbeat was answered with status 200, through the controller via if
-// that is not "".
+// RecordAnswer records that a machine's heartbeat was answered with HTTP status 200. via is the
+// controller that relayed the answer; "": none.
 func (s *Scheduler) RecordAnswer(m *fleet.Machine, via string, now time.Time) {
 	m.MarkAnswered(via, now)
 }
--- a/internal/scheduler/held_machines.go
+++ b/internal/scheduler/held_machines.go
@@ -7,8 +7,9 @@
 	"drumpick/internal/records"
 )
 
-// maxHeldMachineShare is the largest share of the accepting machines that are held, at least one
-// machine: a held machine is underused until its last small task ends.
+// maxHeldMachineShare is the largest share of the accepting machines that may be held; one machine
+// may always be. The share is small because a held machine is underused until its last small task
+// ends.
 const maxHeldMachineShare = 1.0 / 8
 
 // heldLabel is the label of bins whose machines are held.
@@ -16,28 +17,28 @@
 
 // holdMachines holds the machines that will have room soonest for waiting tasks that are larger than
 // others that wait. A held machine takes only tasks of the job it is held for and of jobs served
-// before that. Otherwise small tasks with later turns would fill every gap, and large tasks would
-// starve.
+// before that. Otherwise small tasks of jobs that are served later would fill every gap, and large
+// tasks would starve.
 func (s *Scheduler) holdMachines(now time.Time) {
 	heldBefore := s.releaseHeldMachines()
 	if !s.reconciled {
 		return
 	}
 	waiting, smallest := s.holdCandidates(now)
-	left := max(int(float64(s.countAcceptingMachines())*maxHeldMachineShare), 1)
+	remaining := max(int(float64(s.countAcceptingMachines())*maxHeldMachineShare), 1)
 	var list []machineWait
-	listed := 0 // placement class that list is for
+	listClass := 0 // placement class that list is for
 	for _, job := range waiting {
-		if left == 0 {
+		if remaining == 0 {
 			return
 		}
 		if job.placementClass == 0 || s.smallestShare(job) <= smallest+1e-9 || job.teamLimited {
 			continue
 		}
-		if listed != job.placementClass {
-			listed, list = job.placementClass, s.machinesToHold(job, heldBefore, list[:0], now)
+		if listClass != job.placementClass {
+			listClass, list = job.placementClass, s.machinesToHold(job, heldBefore, list[:0], now)
 		}
-		n := min(job.pending(), left, len(list))
+		n := min(job.pending(), remaining, len(list))
 		for _, candidate := range list[:n] {
 			candidate.machine.ReservedFor = job
 			candidate.machine.Bin.SetLabel(heldLabel, true)
@@ -46,7 +47,7 @@
 			s.machineHolders = append(s.machineHolders, job)
 		}
 		list = list[n:]
-		left -= n
+		remaining -= n
 	}
 }
 
@@ -77,8 +78,8 @@
 	return waiting, smallest
 }
 
-// machinesToHold appends to list the machines that may be held for a job, and sorts it by the time
-// until they have room.
+// machinesToHold appends the machines that may be held for a job to list, and returns list sorted
+// by the time until each machine has room for a task of the job.
 func (s *Scheduler) machinesToHold(job *Job, heldBefore map[*fleet.Machine]bool, list []machineWait, now time.Time) []machineWait {
 	for _, machine := range s.fleet.Sorted() {
 		if !machine.Bin.Open() || machine.ReservedFor != nil || !job.permits(machine.Type, machine.Zone, machine.Spot) ||
@@ -95,9 +96,10 @@
 	return list
 }
 
-// lastHoldingJob returns the last served job for which machines are held, nil if there is none or any
-// of these jobs is closed. Jobs served after it may use no held machine, so placement excludes these
-// by label. Checking each machine was most of the cost of placement on 1,300 machines.
+// lastHoldingJob returns the job that is served last among those for which machines are held, nil if
+// there is none or any of them is closed. Jobs served after it may use no held machine, so placement
+// excludes held machines by label. Checking each machine was most of the cost of placement on 1,300
+// machines.
 func (s *Scheduler) lastHoldingJob() *Job {
 	var last *Job
 	for _, holder := range s.machineHolders {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -17,7 +17,7 @@
 	Revision uint64 // revision of its record
 	Accepted time.Time
 
-	request               packing.Resources // of each task
+	request               packing.Resources // resources that each task needs
 	preferredLabels       []string          // labels of preferred machines, the most important first
 	imageReadyLabel       string            // label of machines that have its image ready
 	placementClass        int               // equal for jobs whose tasks fit the same machines; 0: none
@@ -61,7 +61,7 @@
 	reservationCheckAt time.Time                 // the need for a reservation is not checked before this time
 	preemptedTasks     map[fleet.TaskID]struct{} // tasks of other jobs that were preempted for it
 	movedTasks         map[int]struct{}          // own tasks that were moved to fill or empty a bin
-	relocatingTasks    int                       // own tasks that have to leave their machines but find no other
+	relocatingTasks    int                       // own tasks that have to leave their machines but find no room
 	remainingByZone    map[string]int            // own tasks by zone without the relocating ones; nil: no zone constraint
 
 	// Scheduling order.
--- a/internal/scheduler/large_fleet_test.go
+++ b/internal/scheduler/large_fleet_test.go
@@ -16,7 +16,8 @@
 // fleetSize is the number of machines of a large deployment.
 const fleetSize = 4000
 
-// newLimitsScheduler returns a reconciled scheduler with three zones that has read the cloud's list.
+// newLimitsScheduler returns a reconciled scheduler with three zones that has read the cloud's
+// list, and the current time.
 func newLimitsScheduler(types []records.MachineType) (*Scheduler, time.Time) {
 	cfg := &config.Config{Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, GangWaitS: 30, GangPeerLossS: 5, CancelS: 44}
@@ -44,7 +45,8 @@
 	return names
 }
 
-// An upgrade takes thousands of machines out of service at once if the operator requests it.
+// No limit below the fleet size bounds an upgrade: it takes thousands of machines out of service at
+// once if the operator requests that.
 func TestUpgradeWholeFleetAtOnce(t *testing.T) {
 	s, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	startMachines(s, fleetSize+100, now)
@@ -69,7 +71,7 @@
 	}
 }
 
-// A drain that names thousands of machines drains exactly these.
+// A drain that names thousands of machines drains all of them and no others.
 func TestDrainOfThousandsByName(t *testing.T) {
 	s, now := newLimitsScheduler([]records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16, Price: 0.2, StartupS: 20}})
 	names := startMachines(s, fleetSize+100, now)
--- a/internal/scheduler/leader_api.go
+++ b/internal/scheduler/leader_api.go
@@ -16,8 +16,8 @@
 // term or is gone.
 func (s *Scheduler) Reconciled() bool { return s.reconciled }
 
-// UnreconciledMachine is a machine whose status has not shown this term yet: its address, and the
-// known incarnation of its worker.
+// UnreconciledMachine is a machine that has not reported under this term yet: the address of its
+// worker, and the worker's latest known incarnation, at least 1.
 type UnreconciledMachine struct {
 	Addr        string
 	Incarnation uint64
@@ -51,7 +51,8 @@
 	}
 }
 
-// ObserveDelay records how long an event waited before the leader handled it.
+// ObserveDelay records how long an event waited before the leader handled it. The next Tick uses
+// the longest delay since the last one.
 func (s *Scheduler) ObserveDelay(d time.Duration) { s.maxDelay = max(s.maxDelay, d) }
 
 // SetWatermarksRelaxed sets whether tasks beyond their watermarks may be sent.
@@ -72,7 +73,7 @@
 	return s.fleet.Machines[m.Name] == m && m.Incarnation == incarnation && m.Sequence == sequence
 }
 
-// UrgentCommands are commands to be sent to a machine at once, before its next heartbeat.
+// UrgentCommands are commands to be sent to a machine's worker at once, before its next heartbeat.
 type UrgentCommands struct {
 	Addr string
 	Body fleet.CommandRequest
--- a/internal/zonehealth/monitor.go
+++ b/internal/zonehealth/monitor.go
@@ -47,7 +47,8 @@
 	maxOthersSilentShare = 1.0 / 4
 	// The outage is over when at least recoveredShare of the zone's machines are not silent.
 	recoveredShare = 1.0 / 2
-	// recoveryGraceLeases is how long, in leases, the remaining machines have to recover after that.
+	// recoveryGraceLeases is how long, in leases, the zone's remaining machines have to recover
+	// after the end of its outage.
 	recoveryGraceLeases = 1.0 / 2
 	// maxOutageLeases is how long, in leases, an outage stays suspected: a longer one is not taken for
 	// a mere partition.
@@ -117,8 +118,8 @@
 }
 
 // Suspected reports whether an outage of the named zone is suspected.
-func (m *Monitor) Suspected(name string) bool {
-	z := m.zones[name]
+func (m *Monitor) Suspected(zoneName string) bool {
+	z := m.zones[zoneName]
 	return z != nil && z.suspected
 }
 
@@ -133,15 +134,15 @@
 	return false
 }
 
-// KeepWaiting reports whether to keep waiting for a machine whose lease has expired, as its zone has
-// a suspected outage or recovered less than recoveryGraceLeases ago. silent is how long the machine has
-// been silent, replacementTime how long a replacement takes to start, and replaceable whether a zone
-// without a suspected outage can provide one.
+// KeepWaiting reports whether to keep waiting for a machine whose lease has expired, because the
+// zone zoneName has a suspected outage or recovered less than recoveryGraceLeases ago. silent is
+// how long the machine has been silent, replacementTime how long a replacement takes to start, and
+// replaceable whether a zone without a suspected outage can provide one.
 //
 // Waiting for as long as a replacement takes costs at most twice as much as the better of both
 // choices, however long the outage lasts. Where no replacement is possible, waiting costs only money.
-func (m *Monitor) KeepWaiting(name string, silent, replacementTime time.Duration, replaceable bool, now time.Time) bool {
-	z := m.zones[name]
+func (m *Monitor) KeepWaiting(zoneName string, silent, replacementTime time.Duration, replaceable bool, now time.Time) bool {
+	z := m.zones[zoneName]
 	switch {
 	case z == nil:
 		return false
--- a/internal/zonehealth/monitor_test.go
+++ b/internal/zonehealth/monitor_test.go
@@ -58,10 +58,10 @@
 }
 
 // countOthers returns the sum of the counts of all zones but one.
-func countOthers(counts map[string]Count, but string) Count {
+func countOthers(counts map[string]Count, excluded string) Count {
 	sum := Count{}
 	for zone, c := range counts {
-		if zone != but {
+		if zone != excluded {
 			sum.Machines += c.Machines
 			sum.Silent += c.Silent
 		}
