--- a/client/jobs.go
+++ b/client/jobs.go
@@ -34,7 +34,7 @@
 }
 
 // Wait polls a job until its status is final, and calls onChange, unless it is nil, with each new status.
-// It keeps polling while no controller is available: an accepted job runs nevertheless. With an error, it
+// It keeps polling while no controller is available: an accepted job runs nevertheless. With an error, Wait
 // returns the last status that it received.
 func (c *Client) Wait(ctx context.Context, id string, onChange func(Status)) (Status, error) {
 	var last Status
--- a/cmd/drumpick-scale/main.go
+++ b/cmd/drumpick-scale/main.go
@@ -1,6 +1,6 @@
-// Command drumpick-scale runs deployments of a planned size on one machine, measures the resources that each role uses,
-// and extrapolates them to other sizes. Most workers are simulated, with timers for tasks; some are real processes. It
-// serves capacity planning and tests; the controller binary contains none of it.
+// Command drumpick-scale runs deployments of a planned size on one machine, measures the resources that each role
+// uses, and extrapolates the results to other sizes. Most workers are simulated, with timers for tasks; some are real
+// processes. It serves capacity planning and tests; the controller binary contains none of it.
 package main
 
 import (
--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -32,8 +32,8 @@
 )
 
 const (
-	// memoryLimitShare is the share of the memory that the controller may use which is set as the Go
-	// runtime's soft memory limit. Above that limit the runtime collects garbage more often.
+	// memoryLimitShare is the share of the controller's memory (Resources.RAMMB) that is set as the
+	// Go runtime's soft memory limit, above which the runtime collects garbage more often.
 	memoryLimitShare = 0.7
 	// gcPercent is the heap growth, in percent, that triggers a garbage collection.
 	gcPercent = 200
--- a/cmd/drumpick/daemon_test.go
+++ b/cmd/drumpick/daemon_test.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// An idle connection is closed after the idle timeout, in simulated time; a connection that keeps
-// sending requests stays open.
+// Guards against abandoned connections that exhaust the file descriptors: an idle connection is
+// closed after the idle timeout, in simulated time, and a connection that keeps sending requests
+// stays open.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		app := newApp(16, 12*time.Second)
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -72,13 +72,13 @@
 	// If many machines receive no response, the leader most likely responds too late.
 	p.manyUnreachable = float64(counts.Unreachable) > max(manySilentShare*float64(counts.Up), 2)
 	p.mostSilent = counts.Silent > 2 && 2*counts.Silent > counts.Up
-	// Without this, machines that fell silent together would be returned a few at a time: each is one
-	// of few that have been silent for long, or one of the last to recover.
+	// Without manySilentAt, machines that fell silent together would be returned a few at a time:
+	// each is one of few that have been silent for long, or one of the last to recover.
 	if float64(counts.Overdue) > manySilentShare*float64(counts.Up) || outageSuspected {
 		p.manySilentAt = now
 	}
-	// Without this, the last machines of a recovering zone would be returned: they are few by then,
-	// and about to report.
+	// Without manyUnreconciledAt, the last machines of a recovering zone would be returned: they
+	// are few by then, and about to report.
 	if float64(counts.Unreconciled) > fewUnreconciledShare*float64(counts.Inherited) {
 		p.manyUnreconciledAt = now
 	}
@@ -93,7 +93,7 @@
 	case m.LeaseExpired && !m.Failed && cond.WaitsForZone(m, startup):
 		return false
 	case !m.HasStatus && !m.Inherited && cond.OutageSuspected(m.Zone):
-		return false // it may be up but unreachable
+		return false // the machine may be up but unreachable
 	case m.LeaseExpired:
 		// The machine's tasks are gone. If most machines are silent, the fault is more likely the
 		// leader's, and the machines may report again.
@@ -109,7 +109,7 @@
 		// The machine's tasks end when its lease expires or when it is returned.
 		return !p.manyUnreachable || m.UnreachableFor(now) > 4*p.lease
 	case m.UnansweredProbesFor(now) > p.lease:
-		return true // its tasks are unknown; its return proves that they are gone
+		return true // the machine's tasks are unknown; returning it proves that they are gone
 	case !m.HasStatus:
 		return !m.RequestedAt.IsZero() && now.Sub(m.RequestedAt) > 3*startup+p.heartbeatInterval
 	case !m.Empty():
@@ -125,9 +125,10 @@
 }
 
 // inheritedTimedOut reports whether the wait for a machine that has not reported since the failover
-// is over. Time alone does not reconcile it, as an older leader may still renew its lease; its return
-// does. Until then all work of earlier terms is held, so the last few machines that neither send
-// heartbeats nor answer probes get a shorter wait than their own work would justify.
+// is over. A timeout does not reconcile the machine, because an older leader may still renew its
+// lease; returning the machine does. Until then all work of earlier terms is held, so the last few
+// machines that neither send heartbeats nor answer probes get a shorter wait than their own work
+// would justify.
 func (p *ReturnPolicy) inheritedTimedOut(m *fleet.Machine, now time.Time) bool {
 	silent := now.Sub(m.SilentSince)
 	fewLeft := now.Sub(p.manyUnreconciledAt) > p.heartbeatInterval
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -130,7 +130,7 @@
 	case t.CanSave:
 		return Decision{Action: Wait, Reason: "for room elsewhere, until it must save"}
 	case d.mustStopNow, t.Place == HasRoom && d.cannotFinish(t):
-		// Its work is lost in any case; stopping now lets it start elsewhere sooner.
+		// The task's work is lost in any case; stopping it now lets it start elsewhere sooner.
 		return Decision{Action: Restart, Reason: "cannot save and would not end in time", Lost: t.Ran}
 	}
 	return Decision{Action: Finish, Reason: "may just end in time"}
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -191,7 +191,8 @@
 	return all
 }
 
-// finished reports whether all machines have a version and are proven or past the soak time.
+// finished reports whether all machines have a version, and have completed a task with it or are
+// past the soak time.
 func (f simulatedFleet) finished(version string, soak time.Duration) bool {
 	return !slices.ContainsFunc(f, func(m *simulatedMachine) bool {
 		return m.Version != version || m.VersionAge > 0 && m.VersionAge < soak && !m.HasCompletedTask
--- a/internal/drain/upgrade.go
+++ b/internal/drain/upgrade.go
@@ -70,10 +70,10 @@
 	}
 }
 
-// SelectOutOfService returns the machines to have out of service now: those that are already, until
-// they have the target version, and further ones, cheapest to empty first, up to the spec's
-// MaxOutOfService. A machine that has the target version but has completed no task with it counts as
-// out of service for the soak time, so that a bad version reaches only a few machines.
+// SelectOutOfService returns the machines to have out of service now: those that already are out of
+// service, until they have the target version, and further ones, cheapest to empty first, up to the
+// spec's MaxOutOfService. A machine that has the target version but has completed no task with it
+// counts as out of service for the soak time, so that a bad version reaches only a few machines.
 //
 // The maps count the machines in service by zone and by class of open jobs. SelectOutOfService updates
 // them.
--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -1,8 +1,8 @@
 // Package overload measures how late a leader runs and decides how much load it sheds. A leader
 // that receives more heartbeats than it has CPU time for responds late. Workers then retry at other
 // controllers, leases expire and lost work starts again, which adds load: without shedding the
-// leader does not recover. Task starts are the load that it can shed at once, as a task costs the
-// leader most when it starts and when it ends, and an idle machine costs almost nothing.
+// leader does not recover. Task starts are the load that it can shed at once, because a task costs
+// the leader most when it starts and when it ends, and an idle machine costs almost nothing.
 //
 // The package does no I/O and reads no clock.
 package overload
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -11,17 +11,18 @@
 	"drumpick/internal/records"
 )
 
-// claim reserves room for one task on a machine for one job. It holds room that was freed by
-// preemption, or that is free while a gang waits for its other places. Without claims, the preempted
-// tasks would be placed in the freed room again and be preempted again, because a gang cannot use
-// the first free machine until all its machines are free.
+// claim reserves room for one task on a machine for one job, until the job uses it: room freed by
+// preemption, room that a moving task will use, free room while a gang waits for its other places, or
+// the places of a reservation. Without claims, preempted tasks would be placed in the freed room again
+// and be preempted again, because a gang cannot use the first free machine until all its machines are
+// free.
 type claim struct {
 	machine *fleet.Machine
-	since   time.Time // when it was made, or when its room was last about to become free
+	since   time.Time // when the claim was made, or its room was last about to become free
 }
 
-// A claim on free room expires after claimTimeoutIntervals heartbeat intervals without a start. The
-// job then makes no claims for claimBackoffIntervals heartbeat intervals.
+// A claim whose room is free expires if the job does not use it for claimTimeoutIntervals heartbeat
+// intervals. The job then makes no claims for claimBackoffIntervals heartbeat intervals.
 const (
 	claimTimeoutIntervals = 2
 	claimBackoffIntervals = 4
@@ -115,8 +116,9 @@
 	}
 }
 
-// expireClaims releases claims whose job cannot start or whose machine is gone or closed, claims
-// beyond the job's waiting tasks, and claims whose room stayed unused for claimTimeoutIntervals.
+// expireClaims releases claims whose job cannot start or whose machine is gone or accepts no tasks,
+// claims beyond the job's waiting tasks, and claims whose room stayed unused for
+// claimTimeoutIntervals.
 func (s *Scheduler) expireClaims(now time.Time) {
 	owners := s.claimOwners
 	s.claimOwners = s.claimOwners[:0]
--- a/internal/scheduler/claims_test.go
+++ b/internal/scheduler/claims_test.go
@@ -103,8 +103,8 @@
 	return job
 }
 
-// restartWorker restarts a machine's worker, which loses its attempts. It returns the room that the
-// jobs of these attempts may claim again, in tasks of the smallest size.
+// restartWorker restarts a machine's worker, so that its attempts are lost. It returns the room
+// that the jobs of these attempts may claim again, in tasks of the smallest size.
 func (f *fakeFleet) restartWorker(machine *fakeMachine) (claimable int) {
 	machine.heartbeat.Incarnation, machine.heartbeat.Sequence = machine.heartbeat.Incarnation+1, 0
 	f.workerFailedAt = f.now
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -22,8 +22,8 @@
 }
 
 // reassignPlanned moves attempts that are planned for other machines to the machine whose heartbeat
-// is being answered, if it has room. Run commands are sent only in answers to heartbeats; otherwise a
-// task would wait for the next heartbeat of the machine that it was planned for.
+// is being answered, if it has room. Run commands are sent only in answers to heartbeats, so an
+// attempt that does not move has to wait for the next heartbeat of its planned machine.
 func (s *Scheduler) reassignPlanned(machine *fleet.Machine, now time.Time) {
 	if !machine.Bin.Open() || !machine.Bin.AcceptsAny() {
 		return
@@ -47,7 +47,7 @@
 	s.plannedAttempts = remaining
 }
 
-// mayReassign reports whether an attempt planned for another machine may move to this one. A move
+// mayReassign reports whether an attempt planned for another machine may move to machine. A move
 // never makes the placement worse: it adds no image fetch and replaces no on-demand machine by a
 // spot machine and no machine in use by an empty one.
 func (s *Scheduler) mayReassign(machine *fleet.Machine, job *Job, attempt *fleet.Attempt, now time.Time) bool {
--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -58,7 +58,7 @@
 
 // appendDrainStateWrite appends the write of a drain's state to a batch. It returns false if the
 // write does not fit. A list of machines out of service that is too long for a value of the store
-// is cut: this leader has the whole list in memory, and the next one selects again, empty machines
+// is cut: this leader has the whole list in memory, and the next leader selects again, empty machines
 // first, which are mostly the same.
 func (p *Persistence) appendDrainStateWrite(d *activeDrain, b *writeBatch, now time.Time) bool {
 	state, complete := d.state, d.state
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -152,8 +152,9 @@
 // maxKeptSilenceLeases is the number of leases for which a machine kept for an operator may be silent.
 const maxKeptSilenceLeases = 50
 
-// keptForOperator reports whether a machine is empty and kept for an operator, who may have switched it
-// off: it is not returned for being silent, for up to maxKeptSilenceLeases.
+// keptForOperator reports whether a machine is empty and kept for an operator, who may have
+// switched it off, so that its silence is no reason to return it. The result is false once the machine
+// has been silent for maxKeptSilenceLeases.
 func (s *Scheduler) keptForOperator(m *fleet.Machine, now time.Time) bool {
 	d, ok := m.Cordon.(*activeDrain)
 	return ok && d.evictsTasks() && d.spec.WhenEmpty == drain.Keep && m.Reconciled && !m.Failed && m.Empty() &&
--- a/internal/scheduler/held_machines.go
+++ b/internal/scheduler/held_machines.go
@@ -15,10 +15,10 @@
 // heldLabel is the label of bins whose machines are held.
 const heldLabel = "kept"
 
-// holdMachines holds the machines that will have room soonest for waiting tasks that are larger than
-// others that wait. A held machine takes only tasks of the job it is held for and of jobs served
-// before that. Otherwise small tasks of jobs that are served later would fill every gap, and large
-// tasks would starve.
+// holdMachines holds the machines that will have room soonest for waiting tasks that are larger
+// than others that wait. A held machine takes only tasks of the job that it is held for and of jobs
+// served before that job. Otherwise small tasks of jobs that are served later would fill every gap,
+// and large tasks would starve.
 func (s *Scheduler) holdMachines(now time.Time) {
 	heldBefore := s.releaseHeldMachines()
 	if !s.reconciled {
--- a/internal/zonehealth/monitor_test.go
+++ b/internal/zonehealth/monitor_test.go
@@ -69,9 +69,9 @@
 	return sum
 }
 
-// A silent machine in a zone with a suspected outage is waited for as long as a replacement would take
-// to start, and longer if no replacement is possible. One in a zone without an outage, or in a zone
-// that recovered more than half a lease ago, is not waited for.
+// A silent machine in a zone with a suspected outage is waited for as long as a replacement would
+// take to start, and longer if no replacement is possible. A machine in a zone without an outage,
+// or in a zone that recovered more than half a lease ago, is not waited for.
 func TestKeepWaiting(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	m := New(lease)
