--- a/internal/goldentest/exchange.go
+++ b/internal/goldentest/exchange.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// Exchange is an HTTP request and its response, as stored in a golden file. Bodies are JSON or strings, see encodeBody.
+// Exchange is an HTTP request and its response, as stored in a golden file. encodeBody describes the format of the
+// bodies.
 type Exchange struct {
 	Method       string          `json:"method"`
 	URI          string          `json:"uri"`
@@ -28,7 +29,7 @@
 const msgpackContentType = "application/msgpack"
 
 // encodeBody returns a body as an Exchange stores it: compact JSON unchanged, MessagePack as a hexadecimal string, and
-// any other body as a string.
+// any other body as a string. It returns nil for an empty body.
 func encodeBody(raw []byte, contentType string) json.RawMessage {
 	var compact bytes.Buffer
 	if len(raw) == 0 {
@@ -44,13 +45,14 @@
 	return text
 }
 
-// CheckExchange compares an exchange with a golden entry.
+// CheckExchange reports a test error if an exchange differs from the file's entry with the given name.
 func (f *File) CheckExchange(t *testing.T, name string, x Exchange) {
 	t.Helper()
 	f.checkValue(t, name, x)
 }
 
-// CheckExchanges compares a list of n exchanges with a golden entry.
+// CheckExchanges reports a test error if there are not n exchanges, or if they differ from the file's entry with the
+// given name.
 func (f *File) CheckExchanges(t *testing.T, name string, xs []Exchange, n int) {
 	t.Helper()
 	if len(xs) != n {
@@ -59,7 +61,7 @@
 	f.checkValue(t, name, xs)
 }
 
-// checkValue compares the JSON encoding of a value with a golden entry.
+// checkValue reports a test error if the JSON encoding of a value differs from the file's entry with the given name.
 func (f *File) checkValue(t *testing.T, name string, v any) {
 	t.Helper()
 	var out bytes.Buffer
@@ -74,16 +76,17 @@
 // FakeServer is an HTTP server for a client under test. It sends queued responses, or status 500 if the queue is
 // exhausted, and records each exchange.
 type FakeServer struct {
-	Addr string
-	// Forward, if set, returns the responses in place of the queued ones.
+	Addr string // host:port
+	// Forward, if set, returns the responses in place of the queued ones. If it returns an error, the server responds
+	// with status 500 and does not record the exchange.
 	Forward func(*http.Request) (*http.Response, error)
 
 	mu        sync.Mutex
-	queued    []Exchange // responses, by index of the request
-	exchanges []Exchange
+	queued    []Exchange // responses, by index of the request since the last TakeExchanges
+	exchanges []Exchange // since the last TakeExchanges
 }
 
-// NewFakeServer starts a server that is closed at the end of the test.
+// NewFakeServer starts a server, which is closed at the end of the test.
 func NewFakeServer(t *testing.T) *FakeServer {
 	t.Helper()
 	s := &FakeServer{}
@@ -139,7 +142,7 @@
 	s.queued = append(s.queued, Exchange{Status: status, Response: json.RawMessage(responseBody)})
 }
 
-// TakeExchanges returns the exchanges since the last call, and clears the queue.
+// TakeExchanges returns the exchanges since its last call, and clears the queue of responses.
 func (s *FakeServer) TakeExchanges() []Exchange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +151,7 @@
 	return got
 }
 
-// DoRequest sends a request with a handler's test function and returns the exchange.
+// DoRequest passes a request to the handler under test by calling send, and returns the exchange.
 func DoRequest(t *testing.T, send func(*http.Request) (*http.Response, error), method, uri, requestBody string) Exchange {
 	t.Helper()
 	req := httptest.NewRequest(method, uri, bytes.NewBufferString(requestBody))
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -28,12 +28,12 @@
 type File struct {
 	t       *testing.T
 	path    string
-	entries map[string]json.RawMessage
-	checked map[string]bool // names of the entries that the test has used
+	entries map[string]json.RawMessage // by name
+	checked map[string]bool            // names of the entries that the test has used
 }
 
 // Open reads the golden file testdata/name. The test fails at its end if an entry was not compared with any value.
-// With -update-golden the file is written instead.
+// With -update-golden, Open does not read the file, and the end of the test writes it.
 func Open(t *testing.T, name string) *File {
 	t.Helper()
 	f := &File{t: t, path: "testdata/" + name, entries: map[string]json.RawMessage{}, checked: map[string]bool{}}
@@ -50,7 +50,7 @@
 	return f
 }
 
-// WriteText writes a golden file that is not JSON, and only with -update-golden.
+// WriteText writes a golden file that is not JSON if -update-golden is set, and otherwise does nothing.
 func WriteText(t *testing.T, path string, text []byte) {
 	t.Helper()
 	if !*update {
@@ -61,7 +61,8 @@
 	}
 }
 
-// close writes the file with -update-golden, and otherwise checks that every entry was compared.
+// close writes the file if -update-golden is set. Otherwise it reports a test error for each entry that was not
+// compared, unless only some subtests ran.
 func (f *File) close() {
 	if *update {
 		if err := f.write(); err != nil {
@@ -79,7 +80,7 @@
 	}
 }
 
-// write writes the entries in order of their names.
+// write writes the entries to the file in order of their names.
 func (f *File) write() error {
 	var compact, out bytes.Buffer
 	e := json.NewEncoder(&compact)
@@ -93,7 +94,8 @@
 	return errors.Join(os.MkdirAll("testdata", 0o755), os.WriteFile(f.path, out.Bytes(), 0o644))
 }
 
-// Check compares an encoded value with an entry, and returns the entry's bytes.
+// Check reports a test error if the encoded value got differs from the entry with the given name, and returns the
+// entry's bytes. With -update-golden, it first sets the entry to got.
 func (f *File) Check(t *testing.T, name string, got []byte, isJSON bool) []byte {
 	t.Helper()
 	if *update {
@@ -110,7 +112,7 @@
 	return want
 }
 
-// setEntry sets an entry of the file to be written.
+// setEntry sets the entry with the given name, which close writes to the file.
 func (f *File) setEntry(t *testing.T, name string, got []byte, isJSON bool) {
 	t.Helper()
 	if f.checked[name] {
@@ -125,7 +127,8 @@
 	f.entries[name] = slices.Clone(got)
 }
 
-// Bytes returns the bytes of an entry: compact JSON, or the bytes decoded from hexadecimal.
+// Bytes returns the bytes of an entry: compact JSON, or the bytes decoded from hexadecimal. It marks the entry as
+// compared, and fails the test if the file has no such entry.
 func (f *File) Bytes(t *testing.T, name string, isJSON bool) []byte {
 	t.Helper()
 	f.checked[name] = true
@@ -177,13 +180,14 @@
 	Name      string
 	Value     any
 	Direction Direction
-	// AllowUnset permits unset fields in the value; another case sets them all.
+	// AllowUnset permits unset fields in Value. Another case or check must cover these fields.
 	AllowUnset bool
 }
 
 // Run compares each case with its entry of a golden file, in its own subtest: the value must encode to exactly the
-// entry's bytes, and these must decode to the value. The zero value of each struct type, as the entry "NAME, zero",
-// shows which fields are omitted when empty; cases with AllowUnset or ReadOnly have no such entry.
+// entry's bytes, and the entry must decode to the value. A case's Direction can omit one of the two. The entry
+// "NAME, zero" holds the zero value of a struct and shows which fields are omitted when empty; cases with AllowUnset
+// or ReadOnly have no such entry.
 func Run(t *testing.T, file string, c Codec, cases []Case) {
 	t.Helper()
 	f := Open(t, file)
@@ -202,8 +206,8 @@
 	}
 }
 
-// compare compares the encoded value with an entry, and the decoded entry with the value, in the directions of the
-// case.
+// compare compares the encoded value with the entry of the given name, and the decoded entry with the value. It
+// omits the comparison that the case's Direction excludes.
 func (f *File) compare(t *testing.T, c Codec, x Case, name string, value any) {
 	t.Helper()
 	isJSON := c.Tag == "json"
@@ -229,12 +233,12 @@
 }
 
 // UnsetFields returns the paths of the exported fields in a value, including nested values, that are zero or empty. It
-// skips fields that the tag excludes with "-".
+// skips fields whose struct tag with the key tag is "-".
 func UnsetFields(v any, tag string) []string {
 	return unsetFieldsAt(reflect.ValueOf(v), tag, "")
 }
 
-// unsetFieldsAt returns the paths of the unset fields of the value at a path.
+// unsetFieldsAt returns the paths of the unset fields in v. path is the path of v itself.
 func unsetFieldsAt(v reflect.Value, tag, path string) []string {
 	if !v.IsValid() || v.IsZero() {
 		return []string{path}
--- a/internal/goldentest/golden_test.go
+++ b/internal/goldentest/golden_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Unset fields are listed at any depth; fields excluded from the encoding are not.
+// UnsetFields lists unset fields at any depth, but no fields that are excluded from the encoding. If it missed one, a
+// golden file could lack that field unnoticed.
 func TestUnsetListsFields(t *testing.T) {
 	type inner struct {
 		N int    `json:"n"`
--- a/internal/linearizability/history.go
+++ b/internal/linearizability/history.go
@@ -1,6 +1,6 @@
 // Package linearizability records the responses to users of a deployment and checks afterwards that they are
 // linearizable: every job is one register, and all responses about it must fit into one order, whichever controllers
-// gave them and however many requests were concurrent. Only tests use the package.
+// sent them and however many requests were concurrent. Only tests use the package.
 package linearizability
 
 import (
@@ -31,21 +31,21 @@
 // History collects operations and their responses. It is safe for concurrent use.
 type History struct {
 	mu    sync.Mutex
-	start time.Time
+	start time.Time // operations store their times as nanoseconds since start
 	ops   []porcupine.Operation
 }
 
 // New returns an empty history.
 func New() *History { return &History{start: time.Now()} }
 
-// request is the input of an operation.
+// request is the input of an operation: the job's ID and the kind of operation.
 type request struct{ job, kind string }
 
 // noReturnNS is the return time of an operation without a response, in nanoseconds.
 const noReturnNS = 1 << 62
 
-// Record adds an operation that a client sent at the given time and that returns now. An empty response means that
-// there was none.
+// Record adds an operation that a client sent at the given time and that returns now. response is the job's status,
+// NotFound, or "" if the client got no response.
 func (h *History) Record(clientID int, job, kind, response string, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,8 +67,9 @@
 	cancelled
 )
 
-// nextStates returns the states that a job may have after a response, given its state before. A job may become done
-// at any time. Task counts and the difference between pending and running are only for display and are not checked.
+// nextStates returns the states that a job may have after an operation with the given response, if its state was from.
+// It returns nil if the response is impossible in that state. An open job may become done at any time. Task counts
+// and the difference between pending and running are only for display and are not checked.
 func nextStates(from int, kind, response string) []any {
 	var next []any
 	add := func(states ...int) {
@@ -114,7 +115,7 @@
 	DescribeOperation: func(in, out any) string { return fmt.Sprintf("%v: %v", in, out) },
 }).ToModel()
 
-// partitionByJob splits operations by job, in order of the job IDs.
+// partitionByJob groups operations by job and returns the groups in order of the job IDs.
 func partitionByJob(ops []porcupine.Operation) [][]porcupine.Operation {
 	byJob := map[string][]porcupine.Operation{}
 	for _, op := range ops {
@@ -151,7 +152,8 @@
 	return h.checkLinearizableLocked()
 }
 
-// CheckLinearizable returns an error if the history is not linearizable. Jobs need not have ended.
+// CheckLinearizable returns an error if the history is not linearizable. Unlike Check, it accepts jobs without a final
+// state.
 func (h *History) CheckLinearizable() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -168,7 +170,7 @@
 	return nil
 }
 
-// formatOperations formats operations in order of their request times.
+// formatOperations returns one line per operation, in order of the times at which the requests were sent.
 func formatOperations(ops []porcupine.Operation) string {
 	ops = slices.Clone(ops)
 	slices.SortFunc(ops, func(a, b porcupine.Operation) int { return int(a.Call - b.Call) })
--- a/internal/linearizability/history_test.go
+++ b/internal/linearizability/history_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Check rejects histories that violate the protocol and accepts the others.
+// Check rejects histories that violate the protocol and accepts the others. If it accepted too much, the simulation and
+// the load test would miss lost jobs and wrong responses.
 func TestCheckRejectsImpossibleResponses(t *testing.T) {
 	for name, test := range map[string]struct {
-		operations string // kind:response@from-to, in seconds; without to it returns after 1 ms
+		operations string // kind:response@from-to, in seconds; without -to, the operation returns after 1 ms
 		wantErr    string
 	}{
 		"plain":                    {"submit:pending@1 poll:running@2 poll:done@3 poll:done@4", ""},
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -37,15 +37,16 @@
 	}
 }
 
-// runFile replays one scenario and compares the result with its file. With -update it writes the file instead.
-func runFile(t *testing.T, file string, replay EventHandler) {
+// runFile replays one scenario and reports a test error if the result differs from its file. With -update, it writes
+// the result to the file instead.
+func runFile(t *testing.T, file string, handleEvent EventHandler) {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := strings.TrimRight(string(raw), "\n")
-	got := replayAll(strings.Split(want, "\n"), replay)
+	got := replayAll(strings.Split(want, "\n"), handleEvent)
 	text := strings.Join(got, "\n")
 	if text == want {
 		return
@@ -59,8 +60,9 @@
 	t.Errorf("%s differs (- file, + current):\n%s", file, Diff(strings.Split(want, "\n"), got))
 }
 
-// replayAll replays the events of a scenario and returns its lines with the current decisions.
-func replayAll(lines []string, replay EventHandler) []string {
+// replayAll replays the events in the lines of a scenario file. It returns the lines with the current decisions in
+// place of the recorded ones.
+func replayAll(lines []string, handleEvent EventHandler) []string {
 	var got []string
 	for _, line := range lines {
 		trimmed := strings.TrimSpace(line)
@@ -71,14 +73,15 @@
 		if trimmed == "" || strings.HasPrefix(trimmed, commentPrefix) {
 			continue
 		}
-		for _, decision := range replay(strings.Fields(trimmed)) {
+		for _, decision := range handleEvent(strings.Fields(trimmed)) {
 			got = append(got, decisionIndent+decisionPrefix+decision)
 		}
 	}
 	return got
 }
 
-// Diff returns a line-by-line diff of two texts, based on their longest common subsequence.
+// Diff returns a line-by-line diff based on the longest common subsequence. It marks lines that only a has with "- "
+// and lines that only b has with "+ ".
 func Diff(a, b []string) string {
 	lcs := lcsLengths(a, b)
 	var out strings.Builder
--- a/internal/termcheck/termcheck.go
+++ b/internal/termcheck/termcheck.go
@@ -19,7 +19,7 @@
 	File       string // relative to the checked directory, with slashes
 	Line       int
 	Identifier string
-	Word       string
+	Word       string // the banned word
 	UseInstead string
 }
 
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s:%d: identifier %s contains %q: use %s", f.File, f.Line, f.Identifier, f.Word, f.UseInstead)
 }
 
-// Checker looks for banned words in the identifiers that Go files declare.
+// Checker finds banned words in the identifiers that Go files declare.
 type Checker struct {
 	Banned     []BannedWord
 	Exceptions []Exception
@@ -38,7 +38,7 @@
 type BannedWord struct {
 	Word       string // lower case; consecutive words of an identifier are separated by a space
 	UseInstead string
-	FieldsOnly bool // banned only in the names of struct fields, as for tick: time.Tick is a common Go term
+	FieldsOnly bool // banned only in the names of struct fields; for example tick, because time.Tick is a common Go term
 }
 
 // Exception allows a banned word in one package.
@@ -78,8 +78,8 @@
 		return nil, err
 	}
 	relative = filepath.ToSlash(relative)
-	files := token.NewFileSet()
-	file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+	fileSet := token.NewFileSet()
+	file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return nil, fmt.Errorf("parse %s: %w", relative, err)
 	}
@@ -88,7 +88,7 @@
 		for _, banned := range c.bannedIn(identifier, filepath.ToSlash(filepath.Dir(relative))) {
 			findings = append(findings, Finding{
 				File:       relative,
-				Line:       files.Position(identifier.Pos()).Line,
+				Line:       fileSet.Position(identifier.Pos()).Line,
 				Identifier: identifier.Name,
 				Word:       banned.Word,
 				UseInstead: banned.UseInstead,
@@ -98,7 +98,8 @@
 	return findings, nil
 }
 
-// bannedIn returns the banned words in an identifier for which its package has no exception.
+// bannedIn returns the banned words that a declared identifier contains, without the words that an exception allows in
+// its package.
 func (c Checker) bannedIn(declared declaration, packageDir string) []BannedWord {
 	words := " " + strings.Join(SplitWords(declared.Name), " ") + " "
 	var found []BannedWord
@@ -125,8 +126,8 @@
 	isField bool // the identifier names a struct field
 }
 
-// declarations returns the identifiers that a file declares, in source order. It omits uses: their declarations are
-// checked elsewhere or belong to a library.
+// declarations returns the identifiers that a file declares, in source order. It omits uses of identifiers, because
+// each identifier is checked where it is declared, and those of libraries are not checked.
 func declarations(file *ast.File) []declaration {
 	declared := []declaration{{Ident: file.Name}}
 	add := func(expressions ...ast.Expr) {
@@ -178,6 +179,7 @@
 	return declared
 }
 
+// addFields passes the names in a list of parameters, results, type parameters or methods to add.
 func addFields(list *ast.FieldList, add func(...ast.Expr)) {
 	if list == nil {
 		return
