--- a/internal/loadtest/deployment.go
+++ b/internal/loadtest/deployment.go
@@ -29,7 +29,7 @@
 // deployment is one independent deployment with its own store, simulated cloud, controllers and workers.
 type deployment struct {
 	size              Size
-	index             int
+	index             int // of the run's deployments, from 0
 	zones             []string
 	store             *child
 	workerProcesses   []*workerProcess
@@ -50,7 +50,7 @@
 	machines int  // current number of machines; guarded by deployment.mu
 }
 
-// zoneNames returns the names of the zones of one deployment.
+// zoneNames returns the names of the zones of the deployment with the given index.
 func (s *Size) zoneNames(index int) []string {
 	var zones []string
 	for i := range s.share(s.Zones, index) {
@@ -212,7 +212,8 @@
 	}
 }
 
-// reboot restarts a machine: it loses its running tasks and is available again at once.
+// reboot restarts a machine: its running tasks are lost, and it is available again at once. It does nothing if no
+// worker process runs the machine.
 func (d *deployment) reboot(machine string) {
 	d.mu.Lock()
 	p := d.processByMachine[machine]
@@ -222,7 +223,8 @@
 	}
 }
 
-// uploadJobs uploads job specifications to the worker processes, as users do.
+// uploadJobs sends job specifications to every worker process, in place of the users' upload. Workers look up a task's
+// job in these specifications.
 func (d *deployment) uploadJobs(jobs ...client.Job) error {
 	specs := make([]records.Job, 0, len(jobs))
 	for _, j := range jobs {
@@ -244,13 +246,14 @@
 	return nil
 }
 
-// leadership is the leader and its term. A zero term means that there is no leader.
+// leadership is the name of the leader and its term, which is the revision of its record in the store. A zero term
+// means that no leader is known.
 type leadership struct {
 	controller string
 	term       uint64
 }
 
-// readLeader reads the current leader from the store. It returns the zero value if the read fails.
+// readLeader reads the current leader from the store. It returns the zero value if there is none or the read fails.
 func (d *deployment) readLeader() leadership {
 	deadline := time.Now().Add(time.Second)
 	status, raw, err := d.storeClient.Do(http.MethodGet, "/store/"+records.KeyLeader, "", nil, deadline)
@@ -265,7 +268,7 @@
 	return leadership{l.Node, kv.Revision}
 }
 
-// finalStates queries the state of a job from each controller. If a query fails, the error text is the state.
+// finalStates queries the state of a job from each controller. If a query fails, the status is the text of the error.
 func (d *deployment) finalStates(ctx context.Context, id string) []FinalState {
 	var all []FinalState
 	for i, controller := range d.cluster.Info.Controllers {
@@ -291,7 +294,8 @@
 	return all, nil
 }
 
-// workerCounts returns the sum of the counts of all worker processes.
+// workerCounts returns the sum of the counts of all worker processes. It returns an error if any of them does not
+// respond.
 func (d *deployment) workerCounts() (sum WorkerCounts, err error) {
 	for _, p := range d.workerProcesses {
 		var n WorkerCounts
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -12,9 +12,9 @@
 // Failover holds the times of a failover in a deployment, in seconds after its leader was killed. 0 means that
 // the event was not observed within failoverTimeout.
 type Failover struct {
-	Deployment  int     `json:"region"`
-	NewLeaderS  float64 `json:"leader_s"`  // until another controller became leader
-	FirstStartS float64 `json:"settled_s"` // until the new leader's first task start
+	Deployment  int     `json:"region"`    // index of the deployment, from 0
+	NewLeaderS  float64 `json:"leader_s"`  // until the store held a new term
+	FirstStartS float64 `json:"settled_s"` // until the first task start after that
 }
 
 // InjectedFaults counts the faults injected during a run.
@@ -26,7 +26,7 @@
 	Failovers       []Failover `json:"takeovers,omitempty"`
 }
 
-// Injection times of the rack, zone and leader faults, as fractions of the measured time.
+// Injection times of the rack, zone and leader faults, as fractions of Size.MeasureTime.
 const (
 	rackFailureAt = 0.25
 	zoneFailureAt = 0.5
@@ -54,7 +54,7 @@
 	days := f.size.MeasureTime.Seconds() * f.size.Faults.TimeCompression / (24 * 3600) * float64(f.size.Workers) / plannedWorkers
 	scheduleRandom := func(perDay float64, inject func(ctx context.Context)) {
 		for n := perDay * days; n > 0; n-- {
-			if n >= 1 || f.rand.Float64() < n {
+			if n >= 1 || f.rand.Float64() < n { // a remainder below 1 is the probability of one more fault
 				all = append(all, scheduledFault{time.Duration(f.rand.Float64() * float64(f.size.MeasureTime)), inject})
 			}
 		}
@@ -104,7 +104,8 @@
 	}
 }
 
-// failRack terminates the machines of one rack, which share a switch: the first machines of a random zone.
+// failRack terminates the machines of one rack, which share a switch. The first machines of a random zone stand for
+// the rack.
 func (f *faultInjector) failRack(context.Context) {
 	d := f.randomDeployment()
 	zone := d.zones[f.rand.IntN(len(d.zones))]
@@ -125,10 +126,11 @@
 	f.injected.MachineFailures += d.cluster.Environment.FailZone(d.zones[f.rand.IntN(len(d.zones))])
 }
 
-// failoverTimeout is the maximum time for which a failover is observed.
+// failoverTimeout is the maximum time for which killLeader observes a failover.
 const failoverTimeout = 60 * time.Second
 
-// killLeader kills the leader of a random deployment and measures the failover.
+// killLeader kills the leader of a random deployment and records the times of the failover. It does nothing if the
+// deployment has no leader.
 func (f *faultInjector) killLeader(ctx context.Context) {
 	d := f.randomDeployment()
 	old := d.readLeader()
--- a/internal/loadtest/history.go
+++ b/internal/loadtest/history.go
@@ -17,7 +17,7 @@
 	client.Job
 	Deployment      int
 	Submitted       time.Time    // time of the first submission
-	Accepted        time.Time    // time of the response that accepted it; zero if there was none
+	Accepted        time.Time    // time of the response that accepted the job; zero if there was none
 	CancelRequested bool         // a user requested the cancellation
 	Cancelled       time.Time    // time of the response that confirmed the cancellation; zero if there was none
 	FinalStates     []FinalState // at the end of the run, one per controller
@@ -29,7 +29,7 @@
 	Status     string // client.Done or client.Cancelled; otherwise another status or the text of an error
 }
 
-// Violation is a violated rule of the protocol, and a description of the case.
+// Violation names a violated rule of the protocol and describes how the rule was violated.
 type Violation struct {
 	Rule   string `json:"rule"`
 	Detail string `json:"what"`
@@ -40,8 +40,9 @@
 	return Violation{rule, fmt.Sprintf(format, args...)}
 }
 
-// maxCommandDelay is the maximum time from the sending of a start command to its arrival at a worker (PROTOCOL). A
-// start that arrives later than this after a confirmed cancellation was sent after the confirmation.
+// maxCommandDelay is the maximum time from the sending of a start command to its arrival at a worker (PROTOCOL). If a
+// start command arrives more than maxCommandDelay after the confirmation of a cancellation, it was sent after the
+// confirmation.
 const maxCommandDelay = 4 * time.Second
 
 // epsilon is the tolerance for rounding errors in sums of CPUs.
@@ -53,9 +54,9 @@
 // History holds what the workers and users of a run observed.
 type History struct {
 	Runs        []simulation.TaskRun // of all workers
-	Jobs        map[string]*UserJob
-	Limits      []CPULimits   // by deployment
-	CancelLimit time.Duration // maximum time from a confirmed cancellation to the end of the job's tasks
+	Jobs        map[string]*UserJob  // by job ID
+	Limits      []CPULimits          // by index of the deployment
+	CancelLimit time.Duration        // maximum time from a confirmed cancellation to the end of the job's tasks
 }
 
 // Check returns the violations of the protocol's rules.
@@ -100,7 +101,8 @@
 	return all
 }
 
-// checkCancelled reports tasks of cancelled jobs that started after the confirmation or ran on for too long.
+// checkCancelled reports tasks of cancelled jobs that started more than maxCommandDelay, or ended more than
+// CancelLimit, after the cancellation was confirmed.
 func (h *History) checkCancelled() []Violation {
 	var all []Violation
 	for _, r := range h.Runs {
@@ -158,8 +160,8 @@
 	return all
 }
 
-// checkFinalStates compares the final states of each accepted job between the controllers and with the tasks that
-// completed.
+// checkFinalStates reports accepted jobs that are not final, whose final state differs between controllers, or whose
+// final state contradicts their completed tasks and cancellation requests.
 func (h *History) checkFinalStates() []Violation {
 	completed := map[string]map[string]bool{}
 	for _, r := range h.Runs {
@@ -182,7 +184,8 @@
 	return all
 }
 
-// finalStateViolations checks the final states of a job. done is the number of its tasks that completed.
+// finalStateViolations returns the violations in the final states of a job. done is the number of its tasks that
+// completed.
 func (j *UserJob) finalStateViolations(done int) []Violation {
 	var all []Violation
 	for _, f := range j.FinalStates {
--- a/internal/loadtest/history_test.go
+++ b/internal/loadtest/history_test.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// A violation of each rule is reported under the rule's name, and no other rule is reported.
+// Check reports a violation of each rule under the rule's name, and reports no other rule. A rule that is never
+// reported would hide its violations in every load test.
 func TestEachViolationIsReported(t *testing.T) {
 	if got := correctHistory().Check(); len(got) > 0 {
 		t.Fatalf("a history without a violation: got %v, want none", got)
--- a/internal/loadtest/hollow_workers.go
+++ b/internal/loadtest/hollow_workers.go
@@ -33,7 +33,7 @@
 	Addr string `json:"addr"`
 }
 
-// MachineRequest names a machine of a worker process. Rental is set only in requests to start one.
+// MachineRequest names a machine to start, terminate or reboot. Rental is set only to start the machine.
 type MachineRequest struct {
 	Machine string                   `json:"host"`
 	Rental  autoscaler.RentalRequest `json:"rent"`
@@ -44,14 +44,15 @@
 	Addr string `json:"addr"`
 }
 
-// Traffic counts the messages of one kind, and the bytes of the bodies that the counting process sent and received.
+// Traffic counts the messages of one kind. Sent and Received are the bytes of the bodies that the counting process
+// sent and received.
 type Traffic struct {
 	Messages uint64 `json:"messages"`
 	Sent     uint64 `json:"sent_bytes"`
 	Received uint64 `json:"received_bytes"`
 }
 
-// Minus returns the difference to an earlier count.
+// Minus returns the traffic since an earlier count.
 func (t Traffic) Minus(before Traffic) Traffic {
 	return Traffic{t.Messages - before.Messages, t.Sent - before.Sent, t.Received - before.Received}
 }
@@ -74,11 +75,11 @@
 	return Traffic{t.messages.Load(), t.sent.Load(), t.received.Load()}
 }
 
-// WorkerCounts are the counts of a worker process since it started, and its current numbers of machines and
-// running tasks.
+// WorkerCounts are the counts of a worker process: the current numbers of its machines and running tasks, and
+// totals since the process started.
 type WorkerCounts struct {
 	Machines           int     `json:"machines"`
-	Running            int     `json:"running"`
+	Running            int     `json:"running"` // running tasks
 	Starts             int     `json:"starts"`
 	LeaseExpiries      int     `json:"lapses"` // expired worker leases
 	Heartbeats         Traffic `json:"reports"`
@@ -86,15 +87,15 @@
 	Commands           Traffic `json:"orders"`  // direct commands
 }
 
-// HollowWorkers runs simulated workers whose tasks are timers. Each has its own listening socket and its own
+// HollowWorkers runs simulated workers whose tasks are timers. Each worker has its own listening socket and its own
 // connection to a controller.
 type HollowWorkers struct {
 	env           *simulation.Environment
 	ctx           context.Context
 	commandServer *fasthttp.Server // serves direct commands to all machines
 
-	mu            sync.Mutex // guards jobs, machineByAddr, connections and controllers
-	jobs          map[string]records.Job
+	mu            sync.Mutex                     // guards jobs, machineByAddr, connections and controllers
+	jobs          map[string]records.Job         // uploaded job specifications, by job ID
 	machineByAddr map[string]*simulation.Machine // by command address
 	connections   map[string]*connection         // by machine name
 	controllers   []ControllerAddr
@@ -109,7 +110,7 @@
 	client     *httpclient.Client
 }
 
-// heartbeatTimeout is the time that a worker waits for the response to a heartbeat (PROTOCOL).
+// heartbeatTimeout is the maximum time that a worker waits for the response to a heartbeat (PROTOCOL).
 const heartbeatTimeout = 4 * time.Second
 
 // NewHollowWorkers returns a set of hollow workers without machines.
@@ -126,7 +127,7 @@
 	env.RunTime = h.runTime
 	env.Listen = h.listenForCommands
 	env.Heartbeat = simulation.HeartbeatOverHTTP(h.sendHeartbeat)
-	env.FirstNode = h.firstController
+	env.FirstController = h.firstController
 	commands := newApp()
 	commands.Use(func(c *fiber.Ctx) error {
 		err := c.Next()
@@ -148,7 +149,7 @@
 
 func listenLocal() (net.Listener, error) { return net.Listen("tcp4", "127.0.0.1:0") }
 
-// lookupJob returns the uploaded specification of a job.
+// lookupJob returns the uploaded specification of a job, and false if there is none.
 func (h *HollowWorkers) lookupJob(id string) (records.Job, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -175,8 +176,8 @@
 	return int(sum.Sum32()) % max(len(h.controllers), 1)
 }
 
-// listenForCommands opens the command address of a machine. It returns the address and a function that closes it
-// and the machine's connection.
+// listenForCommands opens the command address of a machine. It returns the address and a function that closes the
+// address and the machine's connection to a controller.
 func (h *HollowWorkers) listenForCommands(m *simulation.Machine) (string, func(), error) {
 	ln, err := listenLocal()
 	if err != nil {
@@ -200,7 +201,8 @@
 	}, nil
 }
 
-// connect returns the connection of a machine to a controller. It closes a connection to another controller.
+// connect returns the client of a machine for a controller, given by its index. If the machine's last connection was
+// to another controller, connect closes it.
 func (h *HollowWorkers) connect(machine string, controller int) *httpclient.Client {
 	h.mu.Lock()
 	old := h.connections[machine]
@@ -217,7 +219,8 @@
 	return current.client
 }
 
-// sendHeartbeat sends a heartbeat to a controller and returns the status and body of the response.
+// sendHeartbeat sends a machine's heartbeat to a controller, given by its index. It returns the status and body of
+// the response.
 func (h *HollowWorkers) sendHeartbeat(machine string, controller int, body []byte) (int, []byte, error) {
 	status, response, err := h.connect(machine, controller).Do("POST", "/checkin", "application/json", body, time.Now().Add(heartbeatTimeout))
 	h.heartbeats.add(len(body), len(response))
@@ -234,11 +237,12 @@
 	h.mu.Unlock()
 	h.env.Types = s.MachineTypes
 	for _, controller := range s.Controllers {
-		h.env.Nodes = append(h.env.Nodes, controller.Name)
+		h.env.Controllers = append(h.env.Controllers, controller.Name)
 	}
 }
 
-// startMachine starts a rented machine and waits until it accepts commands.
+// startMachine starts a rented machine and waits until it accepts commands. If that takes longer than
+// childRequestTimeout, it terminates the machine and returns an error.
 func (h *HollowWorkers) startMachine(req MachineRequest) (MachineAddr, error) {
 	m := h.env.AddMachine(req.Machine, req.Rental)
 	for deadline := time.Now().Add(childRequestTimeout); time.Now().Before(deadline); {
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -41,7 +41,7 @@
 	childAddrs
 }
 
-// childStartTimeout is the maximum time until a child writes its addresses.
+// childStartTimeout is the maximum time from the start of a child until it writes its addresses.
 const childStartTimeout = 20 * time.Second
 
 // startChild starts a child process and waits for its addresses. The child's standard error goes to logFile.
@@ -72,7 +72,7 @@
 	select {
 	case err = <-ready:
 	case <-time.After(childStartTimeout):
-		err = errors.New("timed out waiting for its addresses")
+		err = errors.New("timed out waiting for the child process to write its addresses")
 	}
 	if err != nil {
 		c.stop()
@@ -84,7 +84,7 @@
 
 func (c *child) pid() int { return c.cmd.Process.Pid }
 
-// stop kills the process and waits for its end.
+// stop kills the child process and waits until it has ended.
 func (c *child) stop() {
 	_ = c.cmd.Process.Kill()
 	_ = c.cmd.Wait()
@@ -109,7 +109,8 @@
 	return json.Unmarshal(raw, out)
 }
 
-// ServeChild runs a role until the process receives an interrupt or SIGTERM. It writes its addresses to out.
+// ServeChild runs a role until the process receives an interrupt or SIGTERM. It writes the addresses of its listeners
+// to out. data is the directory in which the store keeps its file; other roles ignore it.
 func ServeChild(role, data string, out io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/loadtest/regression.go
+++ b/internal/loadtest/regression.go
@@ -19,39 +19,39 @@
 	ByTeams   = "teams"
 )
 
-// minSizes is the number of distinct sizes that a fit needs. With fewer, a superlinear term cannot
-// be distinguished from the slope.
+// minSizes is the minimum number of distinct sizes for a fit. With fewer sizes, a superlinear cost cannot be
+// distinguished from a linear one.
 const minSizes = 4
 
 // plannedSizes is the planned size in each dimension.
 var plannedSizes = map[string]float64{ByWorkers: plannedWorkers, ByRate: plannedRate, ByTeams: plannedTeams}
 
 const (
-	plannedRate  = 2500
+	plannedRate  = 2500 // task starts per second
 	plannedTeams = 48
 )
 
 // CostModel is the linear fit of one cost over the size.
 type CostModel struct {
-	Cost          string
+	Cost          string // name of the cost with its unit; see Result.costs
 	Intercept     float64
 	Slope         float64 // per unit of the size
 	RSquared      float64
-	Residuals     []float64 // one per run, in order of size
+	Residuals     []float64 // measured minus fitted cost; one per run, in order of size
 	Measured      []float64 // one per run, in order of size
-	AtPlannedSize float64
+	AtPlannedSize float64   // fitted cost at the planned size
 }
 
 // Regression holds the cost models of a series of runs.
 type Regression struct {
-	By           string
-	Sizes        []float64 // ascending
+	By           string    // dimension of the size, such as ByWorkers
+	Sizes        []float64 // of the runs, ascending
 	Models       []CostModel
 	PlannedSize  float64
 	Extrapolated bool // the planned size exceeds the largest size of the runs
 }
 
-// costs returns the costs of a run by name.
+// costs returns the costs of a run by name, including those of its run without teams.
 func (r *Result) costs() map[string]float64 {
 	all := map[string]float64{}
 	for role, u := range r.Usage {
@@ -70,7 +70,7 @@
 	return all
 }
 
-// sizeBy returns the size in one dimension.
+// sizeBy returns the size of the run in one dimension.
 func (r *Result) sizeBy(by string) float64 {
 	switch by {
 	case ByRate:
@@ -81,7 +81,8 @@
 	return float64(r.Size.Workers)
 }
 
-// Fit reads results of runs from files and fits each cost linearly over one dimension of the size.
+// Fit reads results of runs from files and fits each cost linearly over one dimension of the size. It returns a
+// UsageError if the dimension is unknown, a file is unreadable, or the runs have fewer than minSizes distinct sizes.
 func Fit(files []string, by string) (*Regression, error) {
 	if _, known := plannedSizes[by]; !known {
 		return nil, &UsageError{"by", fmt.Sprintf("%q is none of %s, %s, %s", by, ByWorkers, ByRate, ByTeams)}
@@ -110,7 +111,7 @@
 	return f, nil
 }
 
-// fitAll fits each cost.
+// fitAll adds a model for each cost. results are in order of size.
 func (f *Regression) fitAll(results []*Result) {
 	costs := make([]map[string]float64, len(results))
 	for i, r := range results {
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -23,7 +23,7 @@
 	Cores                 int                       `json:"cores"` // of the host
 	Size                  Size                      `json:"size"`
 	MeasuredS             float64                   `json:"measured_s"`
-	Workers               int                       `json:"workers"` // up at the end of the measurement
+	Workers               int                       `json:"workers"` // workers that were up at the end of the measurement
 	MaxRunning            int                       `json:"running"` // maximum number of concurrently running tasks
 	StartRate             StartRates                `json:"starts"`
 	Usage                 map[string]Usage          `json:"usage"`   // by role
@@ -38,7 +38,7 @@
 	FinishedJobs          int                       `json:"finished"` // accepted jobs known to be final at the end
 	UnansweredSubmissions int                       `json:"unanswered"`
 	InjectedFaults        InjectedFaults            `json:"happened"`
-	// WithoutTeams is the result of a run of the same size without teams, just before.
+	// WithoutTeams is the result of the preceding run of the same size without teams. It is nil if there was none.
 	WithoutTeams *Result     `json:"without,omitempty"`
 	Violations   []Violation `json:"breaches"`
 }
@@ -77,7 +77,7 @@
 	return LatencySummary{h.TotalCount(), quantileS(50), quantileS(95), quantileS(99), float64(h.Max()) / 1000}
 }
 
-// measureStarts computes the start rates and latencies of the task starts between from and to.
+// measureStarts computes the rates, latencies and lost starts from the task starts between from and to.
 func (r *Result) measureStarts(runs []simulation.TaskRun, jobs map[string]*UserJob, from, to time.Time) {
 	startLatency := map[string]*hdrhistogram.Histogram{classUrgent: newHistogram(), classBulk: newHistogram()}
 	commandToRunning := newHistogram()
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -39,7 +39,8 @@
 	minUpShare = 0.98
 )
 
-// RunPaired runs a load test first without and then with teams. The result with teams includes the other.
+// RunPaired runs a load test without teams and then one with teams. It returns the second result, which includes the
+// first result and the violations of both.
 func RunPaired(ctx context.Context, size Size, programs Programs, log io.Writer) (*Result, error) {
 	if size.Teams == 0 {
 		return nil, &UsageError{"paired", "without teams there is nothing to compare"}
@@ -136,7 +137,8 @@
 	return result, r.evaluate(result, start, end)
 }
 
-// evaluate computes the results from the observations of the workers and users, and checks the protocol's rules.
+// evaluate adds to result what the workers and users observed between start and end, and the violations of the
+// protocol's rules. It returns the users' errors.
 func (r *run) evaluate(result *Result, start, end time.Time) error {
 	var runs []simulation.TaskRun
 	for _, d := range r.deployments {
@@ -168,8 +170,9 @@
 	return r.users.err
 }
 
-// waitForWorkers waits until the load has reached its peak and the workers are up. It stops waiting for workers when
-// no more of them appear, and altogether after bootTimeout. It then discards the samples taken so far.
+// waitForWorkers waits until the load has reached its peak and the workers are up, but at most for bootTimeout. If no
+// further worker appears for bootIdleIntervals heartbeat intervals, it waits only for the load. It then discards the
+// samples taken so far.
 func (r *run) waitForWorkers(ctx context.Context) error {
 	start := time.Now()
 	maxUp, lastIncrease := 0, start
@@ -247,7 +250,7 @@
 	return totals, nil
 }
 
-// trafficSince returns the traffic since an earlier reading, by message kind.
+// trafficSince returns the traffic since the counters had the values before, by message kind.
 func (c counters) trafficSince(before counters) map[string]Traffic {
 	all := map[string]Traffic{
 		"report":       c.workers.Heartbeats.Minus(before.workers.Heartbeats),
--- a/internal/loadtest/size.go
+++ b/internal/loadtest/size.go
@@ -48,8 +48,8 @@
 const (
 	// MaxProcesses is the maximum number of processes of a run.
 	MaxProcesses = 40
-	// maxMemoryMB is the maximum estimated memory of these processes together.
-	maxMemoryMB = 10 << 10
+	// maxMemoryMB is the maximum estimated memory of all processes of a run together.
+	maxMemoryMB = 10 << 10 // 10 GB
 	// workersPerProcess is the maximum number of hollow workers of a process, apart from rounding by zone.
 	workersPerProcess = 1900
 )
@@ -65,7 +65,7 @@
 )
 
 // UsageError reports an invalid command line or a size that exceeds the limits of the host. Flag is the name of the
-// flag; it is empty if Reason names it.
+// flag without dashes; it is empty if Reason is the complete message.
 type UsageError struct {
 	Flag, Reason string
 }
@@ -139,12 +139,13 @@
 	return float64(s.Deployments)*perDeployment + float64(s.Workers)*perWorker + float64(s.RealWorkers)*realWorkerMB
 }
 
-// taskTime returns the run time of a task at which Tasks tasks run concurrently at a rate of StartRate.
+// taskTime returns the run time per task that gives Tasks concurrent tasks at a rate of StartRate.
 func (s *Size) taskTime() time.Duration {
 	return time.Duration(float64(s.Tasks) / s.StartRate * float64(time.Second))
 }
 
-// share returns one deployment's part of a count. The first deployments get the remainder.
+// share returns the part of a total count that the deployment with the given index gets. The first deployments get
+// one more each if the count does not divide evenly.
 func (s *Size) share(count, index int) int {
 	n := count / s.Deployments
 	if index < count%s.Deployments {
@@ -182,7 +183,7 @@
 
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
 
-// deploymentConfig returns the settings of one deployment, which its controllers share.
+// deploymentConfig returns the settings that all controllers of the deployment with the given index share.
 func (s *Size) deploymentConfig(index int, zones []string) *config.Deployment {
 	settings := &config.Deployment{
 		Nodes: s.Controllers, Zones: zones, MaxClockErrorMS: 100,
--- a/internal/loadtest/store_counts.go
+++ b/internal/loadtest/store_counts.go
@@ -11,12 +11,12 @@
 	kindRead    = "read"
 	kindList    = "list"
 	kindWrite   = "write"
-	kindCompare = "compare"
+	kindCompare = "compare" // a commit that compares and writes nothing
 	kindWatch   = "watch"
 	kindLease   = "lease"
 )
 
-// storeCounts counts the requests to a store by kind, with the bytes of their bodies.
+// storeCounts counts the requests to a store and the bytes of the request and response bodies, by kind of request.
 type storeCounts struct{ kinds map[string]*trafficCounter }
 
 func newStoreCounts() *storeCounts {
--- a/internal/loadtest/usage.go
+++ b/internal/loadtest/usage.go
@@ -28,7 +28,7 @@
 // of the sample.
 type meter struct {
 	mu    sync.Mutex
-	last  map[int]reading
+	last  map[int]reading // by process ID
 	roles map[string]*roleUsage
 }
 
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -42,7 +42,7 @@
 
 	mu            sync.Mutex
 	jobs          map[string]*UserJob
-	openJobs      map[string]bool // accepted and not known to be in a final state
+	openJobs      map[string]bool // accepted jobs by ID; poll removes final ones; false: final when accepted
 	lastJobNumber int
 	err           error         // makes the run fail
 	requestSlots  chan struct{} // limits the concurrent requests
@@ -95,7 +95,8 @@
 	}
 }
 
-// submit submits one job, and schedules its cancellation if the job is chosen for that.
+// submit submits one job in a new goroutine. It cancels a random cancelShare of the bulk jobs after half of the task
+// run time.
 func (u *users) submit(ctx context.Context, s *stream, tasks int) {
 	u.mu.Lock()
 	u.lastJobNumber++
@@ -141,7 +142,7 @@
 	responseBytes   = 60
 )
 
-// startRequest runs a request in a new goroutine once fewer than maxConcurrentRequests are running.
+// startRequest runs a request in a new goroutine, which waits until fewer than maxConcurrentRequests are running.
 func (u *users) startRequest(request func()) {
 	go func() {
 		u.requestSlots <- struct{}{}
@@ -215,8 +216,8 @@
 	return len(u.openJobs)
 }
 
-// awaitCompletion waits until every job is final or the timeout has passed. Then it queries the state of every
-// accepted job from each controller.
+// awaitCompletion waits until no job is open, but at most three task run times plus completionTimeout. Then it sets
+// FinalStates of every accepted job.
 func (u *users) awaitCompletion(ctx context.Context) {
 	deadline := time.Now().Add(3*u.size.taskTime() + completionTimeout)
 	for u.openCount() > 0 && time.Now().Before(deadline) && ctxtime.Sleep(ctx, time.Second) == nil {
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -27,17 +27,17 @@
 	DataDir           string   // directory for the store file, settings and logs; created if missing
 	ControllerProgram string   // path of the controller program
 	ControllerArgs    []string // arguments of every controller, before --config; nil: the default options file
-	Zones             []string
-	Controllers       int
-	MachinesPerZone   int    // largest number of spot machines, and also of ordinary ones, in each zone
-	LogLevel          string // LOG_LEVEL of the controllers
-	// RunTime, if set, returns how long a task runs; otherwise tasks run for 0.7 to 1.3 times their estimate.
+	Zones             []string // names
+	Controllers       int      // number of controllers
+	MachinesPerZone   int      // maximum number of spot machines, and of on-demand machines, in each zone
+	LogLevel          string   // LOG_LEVEL of the controllers
+	// RunTime, if set, returns the run time of a task. Otherwise tasks run for 0.7 to 1.3 times their job's estimate.
 	RunTime func(task string) time.Duration
 	// Deployment, if set, replaces the default deployment settings.
 	Deployment *config.Deployment
 	// MachineTypes, if set, replaces the default machine types of the cloud.
 	MachineTypes []records.MachineType
-	// StoreAddr, if set, is the address of a running store to use.
+	// StoreAddr, if set, is the address of a running store. The cluster then starts no store of its own.
 	StoreAddr string
 	// StartWorker, if set, starts a rented machine with its worker outside this process. It returns the machine's
 	// address and a function that terminates the machine.
@@ -79,13 +79,13 @@
 type Controller struct {
 	Name       string `json:"name"`
 	Zone       string `json:"zone"`
-	UserAddr   string `json:"bind"`
-	PeerAddr   string `json:"back"`
+	UserAddr   string `json:"bind"` // serves users and workers
+	PeerAddr   string `json:"back"` // serves the other controllers
 	ConfigPath string `json:"config"`
 	LogPath    string `json:"log"`
 }
 
-// Addrs returns the addresses at which the controllers serve users.
+// Addrs returns the addresses at which the controllers serve users and workers.
 func (info Info) Addrs() []string {
 	var addrs []string
 	for _, c := range info.Controllers {
@@ -110,13 +110,16 @@
 }
 
 const (
-	// maxStartAttempts is the number of attempts to start a cluster if another program takes one of its ports first.
+	// maxStartAttempts is the maximum number of attempts to start a cluster. Start retries only if another program has
+	// taken one of the cluster's ports.
 	maxStartAttempts = 3
-	// portInUseText is what a controller logs if its port is taken. The error of its exit contains the log's last line.
+	// portInUseText is part of a controller's last log line if its port is taken. The error of startOnce contains this
+	// line.
 	portInUseText = "address already in use"
 )
 
-// Start starts a cluster and waits until every controller is ready to serve requests.
+// Start starts a cluster and waits until every controller is ready to serve requests. ctx limits only this wait; the
+// cluster runs until Stop.
 func Start(ctx context.Context, o Options) (*Cluster, error) {
 	if err := os.MkdirAll(o.DataDir, 0o700); err != nil {
 		return nil, err
@@ -132,6 +135,7 @@
 	return nil, lastErr
 }
 
+// startOnce makes one attempt to start a cluster. If the attempt fails, it stops what it has started.
 func startOnce(ctx context.Context, o Options) (_ *Cluster, err error) {
 	runCtx, cancel := context.WithCancel(context.Background())
 	c := &Cluster{
@@ -169,7 +173,7 @@
 	return os.WriteFile(filepath.Join(c.options.DataDir, infoFile), raw, 0o600)
 }
 
-// Client returns a client of the cluster's controllers.
+// Client returns a new client of the cluster's controllers.
 func (c *Cluster) Client() *client.Client {
 	userClient, err := client.New(c.Info.Addrs()...)
 	if err != nil {
@@ -179,10 +183,11 @@
 	return userClient
 }
 
-// shutdownTimeout is how long an HTTP server waits for requests in progress when it stops.
+// shutdownTimeout is the maximum time that a stopping HTTP server waits for requests in progress.
 const shutdownTimeout = time.Second
 
-// Stop stops all controllers, machines and servers. The data directory remains, without the info file.
+// Stop stops all controllers, machines and servers. It removes the info file if this process wrote it, and keeps the
+// rest of the data directory.
 func (c *Cluster) Stop() error {
 	for _, p := range c.controllers {
 		p.stop()
@@ -201,7 +206,7 @@
 	if info, err := ReadInfo(c.options.DataDir); err == nil && info.PID == os.Getpid() {
 		errs = append(errs, os.Remove(filepath.Join(c.options.DataDir, infoFile)))
 	}
-	// Ignore the shutdown timeout: open watches of the store exceed it.
+	// Ignore shutdown timeouts, because open watches of the store cause them.
 	errs = slices.DeleteFunc(errs, func(err error) bool { return errors.Is(err, context.DeadlineExceeded) })
 	return errors.Join(errs...)
 }
--- a/internal/localcluster/control.go
+++ b/internal/localcluster/control.go
@@ -15,7 +15,7 @@
 	"github.com/gofiber/fiber/v2/utils"
 )
 
-// History holds the ended attempts, costs and rule violations of a cluster so far.
+// History holds the ended attempts, the machines' costs and the rule violations of a cluster so far.
 type History struct {
 	Runs       []simulation.TaskRun    `json:"ran"`
 	Costs      []simulation.RentalCost `json:"bills"`
@@ -48,7 +48,7 @@
 
 func (c *Cluster) serveKill(ctx *fiber.Ctx) error {
 	name := targetOf(ctx)
-	return answerCommand(ctx, "killed "+name, c.Kill(name))
+	return respondToCommand(ctx, "killed "+name, c.Kill(name))
 }
 
 func (c *Cluster) servePartition(ctx *fiber.Ctx) error {
@@ -58,7 +58,7 @@
 	}
 	zone := targetOf(ctx)
 	text := fmt.Sprintf("nobody reaches the machines of %s for %v", zone, duration)
-	return answerCommand(ctx, text, c.PartitionZone(zone, duration))
+	return respondToCommand(ctx, text, c.PartitionZone(zone, duration))
 }
 
 func (c *Cluster) serveUpgrade(ctx *fiber.Ctx) error {
@@ -67,13 +67,13 @@
 		return ctx.Status(http.StatusBadRequest).JSON(controlResult{Error: "to is missing: which version"})
 	}
 	machine := targetOf(ctx)
-	return answerCommand(ctx, machine+" comes back with version "+version, c.UpgradeWorker(machine, version))
+	return respondToCommand(ctx, machine+" comes back with version "+version, c.UpgradeWorker(machine, version))
 }
 
 func (c *Cluster) serveFailZone(ctx *fiber.Ctx) error {
 	zone := targetOf(ctx)
 	n, err := c.FailZone(zone)
-	return answerCommand(ctx, fmt.Sprintf("%s is without power: %d machines are gone", zone, n), err)
+	return respondToCommand(ctx, fmt.Sprintf("%s is without power: %d machines are gone", zone, n), err)
 }
 
 // targetOf returns the controller, machine or zone that a request names; "" if the name is invalid.
@@ -85,8 +85,8 @@
 	return name
 }
 
-// answerCommand responds with text, or with err if it is not nil.
-func answerCommand(ctx *fiber.Ctx, text string, err error) error {
+// respondToCommand responds with text and status 200 or, if err is not nil, with err and status 404.
+func respondToCommand(ctx *fiber.Ctx, text string, err error) error {
 	if err != nil {
 		return ctx.Status(http.StatusNotFound).JSON(controlResult{Error: err.Error()})
 	}
@@ -96,7 +96,8 @@
 // controlTimeout is the timeout of a control request.
 const controlTimeout = 10 * time.Second
 
-// Request sends a control request to a cluster that runs in another process, and decodes the response into out.
+// Request sends a control request to a cluster that runs in another process, and decodes the response into out. If the
+// status is not 200, it returns the response's error text as the error.
 func (info Info) Request(method, path string, out any) error {
 	control := httpclient.New(info.ControlAddr, 1, time.Second)
 	status, raw, err := control.Do(method, path, "application/json", nil, time.Now().Add(controlTimeout))
@@ -111,7 +112,7 @@
 	return json.Unmarshal(raw, out)
 }
 
-// PostCommand posts a control request to a cluster and returns the text of its response.
+// PostCommand posts a control request to a cluster and returns the response's text, which says what was done.
 func (info Info) PostCommand(path string) (string, error) {
 	var result controlResult
 	err := info.Request(http.MethodPost, path, &result)
--- a/internal/localcluster/controllers.go
+++ b/internal/localcluster/controllers.go
@@ -17,7 +17,7 @@
 	"drumpick/internal/simulation"
 )
 
-// optionsFileName is the operators' settings file that all controllers share.
+// optionsFileName is the name of the operators' settings file, which all controllers share.
 const optionsFileName = "drumpick.ini"
 
 // configureControllers chooses the controllers' addresses and writes their settings.
@@ -41,12 +41,12 @@
 }
 
 // chosenAddrs holds the addresses of the controllers of all clusters of this process, so that none is assigned twice.
-// A port is free between its release and the controller's start. If another cluster's controller had the same address,
-// it could take the port and answer the requests to this one.
+// A port is free between its release and the controller's start. A controller of another cluster with the same address
+// could take the port in that time and receive this controller's requests.
 var chosenAddrs sync.Map
 
 // chooseAddrs names the controllers and chooses free ports for them. The ports stay open until release is called, so
-// that none is chosen twice.
+// that none is chosen twice. The caller must call release even after an error.
 func (c *Cluster) chooseAddrs() (release func(), err error) {
 	o := c.options
 	var held []net.Listener
@@ -104,7 +104,7 @@
 }
 
 const (
-	// workerConnections is the largest number of connections from all workers to one controller.
+	// workerConnections is the maximum number of connections from all workers to one controller.
 	workerConnections = 1000
 	dialTimeout       = time.Second / 2
 )
@@ -117,7 +117,7 @@
 	}
 	var clients []*httpclient.Client
 	for _, controller := range c.Info.Controllers {
-		c.Environment.Nodes = append(c.Environment.Nodes, controller.Name)
+		c.Environment.Controllers = append(c.Environment.Controllers, controller.Name)
 		clients = append(clients, httpclient.New(controller.UserAddr, workerConnections, dialTimeout))
 		p := &supervisedProcess{
 			name:         controller.Name,
@@ -132,17 +132,18 @@
 		go p.run()
 	}
 	c.Environment.Heartbeat = simulation.HeartbeatOverHTTP(
-		func(_ string, node int, body []byte) (int, []byte, error) {
+		func(_ string, controller int, body []byte) (int, []byte, error) {
 			// By the protocol, workers wait four seconds for a response; a local cluster's intervals are shorter.
 			deadline := time.Now().Add(config.Seconds(2 * heartbeatIntervalS))
-			return clients[node].Do(http.MethodPost, "/checkin", "application/json", body, deadline)
+			return clients[controller].Do(http.MethodPost, "/checkin", "application/json", body, deadline)
 		})
 }
 
 // readyPollInterval is the interval between readiness checks of a controller.
 const readyPollInterval = 20 * time.Millisecond
 
-// waitReady waits until every controller is ready to serve requests.
+// waitReady waits until every controller is ready to serve requests. It returns an error if ctx ends or a controller's
+// process is no longer restarted.
 func (c *Cluster) waitReady(ctx context.Context) error {
 	for i, controller := range c.Info.Controllers {
 		if err := waitControllerReady(ctx, controller, c.controllers[i]); err != nil {
@@ -178,7 +179,7 @@
 	return c.controllers[i]
 }
 
-// ControllerPID returns the ID of the controller process that was started last, or 0 if there is none.
+// ControllerPID returns the process ID of a controller's last start, or 0 if there is none.
 func (c *Cluster) ControllerPID(controller string) int {
 	if p := c.findProcess(controller); p != nil {
 		return p.pid()
--- a/internal/localcluster/drain_test.go
+++ b/internal/localcluster/drain_test.go
@@ -16,7 +16,7 @@
 
 // Tests of drains under injected faults, with real controllers.
 
-// startDrain starts a drain and returns its ID. An empty ID or kind gets a default.
+// startDrain starts a drain and returns its ID. If d has no ID or kind, it uses a new ID or client.DrainEmpty.
 func (tc *testCluster) startDrain(d drain.Spec) string {
 	tc.t.Helper()
 	if d.ID == "" {
@@ -85,8 +85,8 @@
 // makeCheckpointing makes a job's tasks save checkpoints.
 func makeCheckpointing(j *client.Job) { j.CheckpointS, j.SaveS, j.CPUs = 2, 0.5, 2 }
 
-// A drain starts while an urgent task without checkpoints runs, and the leader is killed after the drain is stored and
-// before it is carried out. The next leader continues the drain: the urgent task finishes on its machine, and
+// A drain starts while an urgent task without checkpoints runs. The leader is killed after it has stored the drain and
+// before it has completed it. The next leader continues the drain: the urgent task finishes on its machine, and
 // checkpointing tasks move without losing work.
 func TestDrainContinuesAfterLeaderIsKilled(t *testing.T) {
 	t.Parallel()
@@ -97,9 +97,9 @@
 	tc.waitRunning("j-2", 4)
 	// Also drain a machine that runs checkpointing tasks only.
 	otherMachine := ""
-	for _, host := range tc.runningTaskMachines("j-2") {
-		if host != urgentMachine {
-			otherMachine = host
+	for _, machine := range tc.runningTaskMachines("j-2") {
+		if machine != urgentMachine {
+			otherMachine = machine
 		}
 	}
 	names := []string{urgentMachine}
@@ -118,8 +118,8 @@
 		t.Errorf("work was lost: %+v", v.State.Actual)
 	}
 	tasksRemain := false
-	for host := range tc.runningTaskMachines("j-2") {
-		tasksRemain = tasksRemain || host == otherMachine
+	for machine := range tc.runningTaskMachines("j-2") {
+		tasksRemain = tasksRemain || machine == otherMachine
 	}
 	if tasksRemain {
 		t.Errorf("tasks are still on %s", otherMachine)
@@ -128,11 +128,11 @@
 		t.Fatal(err)
 	}
 	tc.waitForPhase(id, "stopped")
-	tc.checkAnswers()
+	tc.checkResponses()
 }
 
 // During a drain a machine is lost, the leader is killed while tasks move, and then all controllers are killed. No task
-// runs twice, the drain completes, and all jobs end.
+// may run twice, the drain must complete, and all jobs must end.
 func TestDrainSurvivesLossOfMachinesAndControllers(t *testing.T) {
 	t.Parallel()
 	tc := startTestCluster(t, 4, nil)
@@ -165,7 +165,7 @@
 		_ = tc.cluster.Kill(c.Name)
 	}
 	tc.waitForPhase(id, "drained")
-	tc.checkAnswers()
+	tc.checkResponses()
 }
 
 // A gang with a task on a draining machine is stopped as a whole, with checkpoints, and restarts as a whole elsewhere.
@@ -176,11 +176,11 @@
 		j.Shape, j.CPUs, j.OneZone, j.Team, j.CheckpointS, j.SaveS = client.Group, 3, true, "desk", 2, 0.5
 	}), 0)
 	machineByTask := tc.waitRunning("j-1", 2)
-	host := machineByTask["j-1/0"]
-	id := tc.startDrain(drain.Spec{Machines: []string{host}})
+	machine := machineByTask["j-1/0"]
+	id := tc.startDrain(drain.Spec{Machines: []string{machine}})
 	tc.waitFor("the gang to run elsewhere", func() bool {
 		now := tc.runningTaskMachines("j-1")
-		return len(now) == 2 && now["j-1/0"] != host && now["j-1/1"] != host
+		return len(now) == 2 && now["j-1/0"] != machine && now["j-1/1"] != machine
 	})
 	tc.waitForPhase(id, "drained")
 	stoppedTasks := map[string]bool{}
@@ -193,11 +193,11 @@
 	if len(stoppedTasks) != 2 {
 		t.Errorf("the gang was not stopped as a whole: %v", stoppedTasks)
 	}
-	tc.checkAnswers()
+	tc.checkResponses()
 }
 
-// With one of two zones drained, a drain of the other would leave no machine; it is rejected and changes nothing. If it
-// is forced, no task starts until one of the drains is stopped, and then all jobs end.
+// While one of two zones is drained, a drain of the other zone would leave no machine. It is rejected and changes
+// nothing. If the second drain is forced, no task starts until one of the drains is stopped. Then all jobs end.
 func TestDrainOfLastZoneIsRefusedUnlessForced(t *testing.T) {
 	t.Parallel()
 	tc := startTestCluster(t, 6, nil)
@@ -236,19 +236,19 @@
 			t.Error(err)
 		}
 	}
-	tc.checkAnswers()
+	tc.checkResponses()
 }
 
-// A rolling upgrade completes although a zone is partitioned for longer than a lease, its workers come back manually
-// upgraded with tasks that run elsewhere by then, and the version in production, which does not support drains, leads for
-// a while.
+// A rolling upgrade completes despite two disturbances. A zone is partitioned for longer than a lease, and an operator
+// upgrades the zone's workers meanwhile, while their tasks run elsewhere. Then the version in production leads for a
+// while, which does not support drains.
 func TestRollingUpgradeAcrossPartitionAndOlderVersion(t *testing.T) {
 	t.Parallel()
 	tc := startTestCluster(t, 7, func(o *Options) { o.MachinesPerZone = 2 })
 	tc.submitAndFollow(1, batchJob("j-1", 24, 3, makeCheckpointing), 0)
 	tc.waitRunning("j-1", 4)
 	id := tc.startDrain(drain.Spec{Kind: client.DrainUpgrade, TargetVersion: "2.0", MaxOutOfService: 2, MinInService: 1})
-	// Upgrades the drained machines, as an operator would.
+	// upgradeDrained upgrades the drained machines, as an operator would.
 	upgraded := 0
 	upgradeDrained := func() {
 		v, err := tc.cluster.Client().Drain(t.Context(), id)
@@ -300,7 +300,7 @@
 			t.Errorf("%s has version %s", m.Name, r.Version)
 		}
 	}
-	tc.checkAnswers()
+	tc.checkResponses()
 }
 
 // lostRuns returns the attempts that were lost because their machine failed or its lease expired.
@@ -314,7 +314,7 @@
 	return runs
 }
 
-// An upgrade to a version on which tasks fail is rolled back after at most two machines got it.
+// An upgrade to a version on which tasks fail is rolled back after at most two machines have been upgraded.
 func TestFailingVersionIsRolledBack(t *testing.T) {
 	t.Parallel()
 	tc := startTestCluster(t, 8, func(o *Options) { o.MachinesPerZone = 3 })
@@ -344,12 +344,12 @@
 		t.Errorf("%d machines got the failing version, want at most 2", len(upgradedMachines))
 	}
 	if !strings.Contains(v.State.Rollout.Reason, "2.0") || v.State.Rollout.Previous != "1.0" {
-		t.Errorf("%+v", v.State.Rollout)
+		t.Errorf("rollout: got %+v, want a reason that names 2.0, and previous version 1.0", v.State.Rollout)
 	}
-	tc.checkAnswers()
+	tc.checkResponses()
 }
 
-// productionVersion is the version field that the version in production logs when it starts.
+// productionVersion is the version field of the message that the version in production logs when it starts.
 const productionVersion = "version=0.1.0"
 
 // productionLogged reports whether a controller that runs the version in production has logged text since it last
@@ -370,7 +370,8 @@
 	return false
 }
 
-// buildProductionVersion builds the version in production, from the commit in deploy/service.toml.
+// buildProductionVersion builds the version in production from the commit in deploy/service.toml, and returns the path
+// of the executable.
 func buildProductionVersion(t *testing.T) (string, error) {
 	root := filepath.Join("..", "..")
 	raw, err := os.ReadFile(filepath.Join(root, "deploy", "service.toml"))
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Kill kills a controller, which restarts after a delay, or a machine, permanently.
+// Kill kills the controller or machine with the given name. A controller restarts after a delay, a machine does not.
 func (c *Cluster) Kill(name string) error {
 	if p := c.findProcess(name); p != nil {
 		slog.Debug("killing controller", "node", name)
@@ -24,8 +24,8 @@
 	return fmt.Errorf("%q is neither a controller nor a machine that is up", name)
 }
 
-// ReplaceProgram kills a controller and restarts it with another program, as in an upgrade. The controller uses the new
-// program from then on.
+// ReplaceProgram kills a controller, as in an upgrade. This and every later restart of the controller use the given
+// program and arguments.
 func (c *Cluster) ReplaceProgram(name, program string, arguments []string) error {
 	p := c.findProcess(name)
 	i := slices.IndexFunc(c.Info.Controllers, func(controller Controller) bool { return controller.Name == name })
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// UpgradeWorker changes the version of a machine's worker, as an operator would. Tasks on the machine are lost, so it
-// should be drained first.
+// UpgradeWorker changes the version of a machine's worker, as an operator would. Tasks on the machine are lost, so the
+// machine should be drained first. It returns an error if the machine is not up.
 func (c *Cluster) UpgradeWorker(machine, version string) error {
 	if !c.Environment.Upgrade(machine, version) {
 		return fmt.Errorf("there is no machine %q that is up", machine)
@@ -48,6 +48,7 @@
 	return nil
 }
 
+// checkZone returns an error if the cluster has no zone with the given name.
 func (c *Cluster) checkZone(zone string) error {
 	if !slices.Contains(c.options.Zones, zone) {
 		return fmt.Errorf("there is no zone %q, only %s", zone, strings.Join(c.options.Zones, ", "))
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// PartitionZone makes the machines of a zone unreachable for a duration.
+// PartitionZone makes the machines of a zone unreachable for a duration. It returns without waiting for its end.
 func (c *Cluster) PartitionZone(zone string, duration time.Duration) error {
 	if err := c.checkZone(zone); err != nil {
 		return err
--- a/internal/localcluster/golden_test.go
+++ b/internal/localcluster/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// The control API of a local cluster, which other processes call, keeps its format.
+// The control API of a local cluster keeps its format. A change would break the other processes that call it.
 func TestGoldenControl(t *testing.T) {
 	cluster := &Cluster{Environment: simulation.NewEnvironment(t.Context()), options: Options{Zones: []string{"a"}}}
 	app := fiber.New()
--- a/internal/localcluster/loopback_test.go
+++ b/internal/localcluster/loopback_test.go
@@ -46,23 +46,23 @@
 	os.Exit(code)
 }
 
-// testCluster is a local cluster with users that record their responses.
+// testCluster is a local cluster with users that record the responses that they get.
 type testCluster struct {
 	t           *testing.T
 	cluster     *Cluster
-	log         *linearizability.History
+	responses   *linearizability.History
 	rand        *rand.Rand
-	wg          sync.WaitGroup
-	forceDrains bool // also start drains that leave no machine for some jobs
+	wg          sync.WaitGroup // of the users
+	forceDrains bool           // also start drains that leave no machine for some jobs
 }
 
 func startTestCluster(t *testing.T, seed uint64, modify func(*Options)) *testCluster {
 	t.Helper()
-	daemon, err := buildController()
+	program, err := buildController()
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := Options{DataDir: t.TempDir(), ControllerProgram: daemon, Zones: []string{"north", "south"}, Controllers: 3, MachinesPerZone: 5, LogLevel: "info"}
+	o := Options{DataDir: t.TempDir(), ControllerProgram: program, Zones: []string{"north", "south"}, Controllers: 3, MachinesPerZone: 5, LogLevel: "info"}
 	if modify != nil {
 		modify(&o)
 	}
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tc := &testCluster{t: t, cluster: cluster, log: linearizability.New(), rand: rand.New(rand.NewPCG(seed, 1))}
+	tc := &testCluster{t: t, cluster: cluster, responses: linearizability.New(), rand: rand.New(rand.NewPCG(seed, 1))}
 	t.Cleanup(func() {
 		if err := cluster.Stop(); err != nil {
 			t.Error(err)
@@ -103,8 +103,8 @@
 	return j
 }
 
-// submitAndFollow starts a user that submits a job, polls it until it is final and records all responses. The user
-// cancels the job after cancelAfter polls; 0: never.
+// submitAndFollow starts a user that submits a job, polls it until its state is final, and records all responses. The
+// user cancels the job after cancelAfter polls; 0: never.
 func (tc *testCluster) submitAndFollow(user int, j client.Job, cancelAfter int) {
 	tc.wg.Add(1)
 	go func() {
@@ -118,13 +118,13 @@
 				st, err := send()
 				switch {
 				case err == nil:
-					tc.log.Record(user, j.ID, kind, st.Status, sentAt)
+					tc.responses.Record(user, j.ID, kind, st.Status, sentAt)
 					return st
 				case errors.Is(err, client.ErrNotFound):
-					tc.log.Record(user, j.ID, kind, linearizability.NotFound, sentAt)
+					tc.responses.Record(user, j.ID, kind, linearizability.NotFound, sentAt)
 					return st
 				case errors.Is(err, client.ErrUnavailable):
-					tc.log.Record(user, j.ID, kind, "", sentAt) // outcome unknown: retry
+					tc.responses.Record(user, j.ID, kind, "", sentAt) // outcome unknown: retry
 				default:
 					tc.t.Errorf("%s of %s: %v", kind, j.ID, err)
 					return st
@@ -145,7 +145,7 @@
 	}()
 }
 
-// waitFor waits until condition returns true. what names it in the failure message.
+// waitFor waits until condition returns true. what describes the condition in the failure message.
 func (tc *testCluster) waitFor(what string, condition func() bool) {
 	tc.t.Helper()
 	for !condition() {
@@ -157,11 +157,11 @@
 	}
 }
 
-// checkAnswers waits until all users are done, and checks their responses and the protocol's rules.
-func (tc *testCluster) checkAnswers() {
+// checkResponses waits until all users are done, and checks their responses and the protocol's rules.
+func (tc *testCluster) checkResponses() {
 	tc.t.Helper()
 	tc.wg.Wait()
-	if err := tc.log.Check(); err != nil {
+	if err := tc.responses.Check(); err != nil {
 		tc.t.Error(err)
 	}
 	for _, violation := range tc.cluster.Environment.Violations() {
@@ -180,9 +180,9 @@
 	return ""
 }
 
-// While controllers, machines and a zone's power fail and users submit, cancel and poll, each job gets one final
-// answer, and no protocol rule is violated.
-func TestEachJobEndsWithOneAnswerAcrossFailures(t *testing.T) {
+// Controllers, machines and a zone's power fail while users submit, cancel and poll. Each job must end in one final
+// state, and no protocol rule may be violated.
+func TestEachJobEndsInOneFinalStateAcrossFailures(t *testing.T) {
 	t.Parallel()
 	tc := startTestCluster(t, 1, nil)
 	for i := range 6 {
@@ -211,7 +211,7 @@
 		tc.submitAndFollow(20+round, batchJob(fmt.Sprint("j-", 300+round), 3, 1, nil), 0)
 		tc.waitFor("task starts after the fault", func() bool { return tc.cluster.Environment.Starts() > starts })
 	}
-	tc.checkAnswers()
+	tc.checkResponses()
 }
 
 // The store file persists across a restart: jobs accepted before the stop run after the next start, and final statuses
@@ -227,11 +227,11 @@
 		submitNew(t, c, j)
 	}
 	if st, err := c.Cancel(ctx, "j-3"); err != nil || st.Status != client.Cancelled {
-		t.Fatalf("%+v, %v", st, err)
+		t.Fatalf("cancellation of j-3: got %+v, %v, want cancelled", st, err)
 	}
 	c.PollInterval = 100 * time.Millisecond
 	if st, err := c.Wait(ctx, "j-1", nil); err != nil || st.Status != client.Done {
-		t.Fatalf("%+v, %v", st, err)
+		t.Fatalf("wait for j-1: got %+v, %v, want done", st, err)
 	}
 	second := Options{DataDir: data, ControllerProgram: tc.cluster.options.ControllerProgram, Zones: []string{"north"}, Controllers: 1}
 	if _, err := Start(ctx, second); err == nil {
@@ -254,7 +254,7 @@
 	}
 	c.PollInterval = 100 * time.Millisecond
 	if st, err := c.Wait(ctx, "j-2", nil); err != nil || st.Status != client.Done {
-		t.Errorf("j-2: %+v, %v", st, err)
+		t.Errorf("wait for j-2: got %+v, %v, want done", st, err)
 	}
 	if _, created, err := c.Submit(ctx, batchJob("j-1", 1, 0.5, nil)); err != nil || created {
 		t.Errorf("submitted again: created %t, %v, want known", created, err)
@@ -282,16 +282,16 @@
 	}
 }
 
-// The store executes a submission's commit, but its response arrives after the controller's timeout: the response to
-// the client's retry reports the job as known, and the job has been accepted once.
-func TestSubmissionWithLateCommitAnswerIsAcceptedOnce(t *testing.T) {
+// The store applies the commit of a submission, but the response to the commit arrives after the controller's timeout.
+// The response to the client's retry must report the job as known, so that the job is accepted once.
+func TestSubmissionWithLateCommitResponseIsAcceptedOnce(t *testing.T) {
 	t.Parallel()
-	const answerDelay = time.Second // twice a controller's timeout for store requests
+	const responseDelay = time.Second // twice a controller's timeout for store requests
 	var delayed atomic.Int32
 	delayFirst := func(c *fiber.Ctx) error {
 		err := c.Next()
 		if c.Path() == "/commit" && bytes.Contains(c.Body(), []byte(records.OpenKey("j-1"))) && delayed.Add(1) == 1 {
-			time.Sleep(answerDelay)
+			time.Sleep(responseDelay)
 		}
 		return err
 	}
@@ -316,8 +316,7 @@
 	}
 }
 
-// A controller program that exits immediately makes Start fail with the controller's name and log, and is not left
-// running.
+// If the controller program exits immediately, Start fails with an error that names the controller.
 func TestControllerThatCannotRunIsReported(t *testing.T) {
 	t.Parallel()
 	bad, err := exec.LookPath("false")
@@ -328,6 +327,6 @@
 	defer cancel()
 	_, err = Start(ctx, Options{DataDir: t.TempDir(), ControllerProgram: bad, Zones: []string{"north"}, Controllers: 1})
 	if err == nil || !strings.Contains(err.Error(), "controller-1 exits immediately") {
-		t.Errorf("%v", err)
+		t.Errorf("start with a program that exits: got %v, want an error that names controller-1", err)
 	}
 }
--- a/internal/localcluster/process.go
+++ b/internal/localcluster/process.go
@@ -26,9 +26,9 @@
 	return calls
 })
 
-// StartProcess starts a process that the kernel kills when this one ends for any reason.
+// StartProcess starts a child process, which the kernel kills when this process ends for any reason.
 func StartProcess(cmd *exec.Cmd) error {
-	// A separate process group keeps Ctrl-C at the terminal from reaching the child; the cluster handles it.
+	// A separate process group keeps Ctrl-C at the terminal from reaching the child. The parent stops the child instead.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	failed := make(chan error)
 	processStarter() <- func() { failed <- cmd.Start() }
@@ -46,8 +46,8 @@
 // supervisedProcess is a controller process that is restarted whenever it ends.
 type supervisedProcess struct {
 	name         string
-	env          []string
-	logPath      string
+	env          []string      // NAME=VALUE, in addition to the environment of this process
+	logPath      string        // receives standard output and error of every start
 	restartDelay time.Duration // delay between an exit and the next start
 
 	quit  chan struct{} // closed by stop
@@ -57,10 +57,11 @@
 	args         []string
 	nextArgs     []string // replaces args at the next start, if set
 	cmd          *exec.Cmd
-	permanentErr error // why it is no longer restarted; nil while it is
+	permanentErr error // why the process is no longer restarted; nil while it is restarted
 }
 
-// run starts the process again whenever it ends, until stop is called or a permanent failure occurs.
+// run starts the process, and restarts it whenever it ends. It returns once stop was called, or after a permanent
+// failure: the process could not be started, or made maxQuickExits.
 func (p *supervisedProcess) run() {
 	defer close(p.ended)
 	quickExits := 0
@@ -126,13 +127,14 @@
 	return lines[len(lines)-1]
 }
 
+// setFailure records why run no longer restarts the process.
 func (p *supervisedProcess) setFailure(err error) {
 	p.mu.Lock()
 	p.permanentErr = err
 	p.mu.Unlock()
 }
 
-// failure returns why the process is no longer restarted, or nil while it is.
+// failure returns why the process is no longer restarted, or nil while it is restarted.
 func (p *supervisedProcess) failure() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,7 +151,7 @@
 	return p.cmd.Process.Pid
 }
 
-// kill ends the process with SIGKILL, like a crash.
+// kill sends SIGKILL to the process, like a crash. run then restarts the process.
 func (p *supervisedProcess) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,7 +160,7 @@
 	}
 }
 
-// stop ends the process and its restarts, and waits until run has returned.
+// stop kills the process, ends its restarts, and waits until run has returned.
 func (p *supervisedProcess) stop() {
 	close(p.quit)
 	for {
--- a/internal/localcluster/services.go
+++ b/internal/localcluster/services.go
@@ -25,12 +25,12 @@
 	maxRequestBytes = 64 << 10
 	// workerVersion is the version of the workers on new machines.
 	workerVersion = "1.0"
-	// maxCommandDelay is how long after a heartbeat a worker still executes the commands in its response, as the
-	// protocol specifies.
+	// maxCommandDelay is the maximum time from the sending of a heartbeat until the worker executes the commands in the
+	// response, as the protocol specifies.
 	maxCommandDelay = 4 * time.Second
 )
 
-// startServices serves the store, unless Options.StoreAddr is set, the cloud and the control API.
+// startServices starts the servers of the cloud, of the control API and, unless Options.StoreAddr is set, of the store.
 func (c *Cluster) startServices() (err error) {
 	if c.Info.StoreAddr = c.options.StoreAddr; c.Info.StoreAddr == "" {
 		if err = c.serveStore(); err != nil {
@@ -84,7 +84,7 @@
 	return fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: maxRequestBytes})
 }
 
-// serve serves what mount adds on a new loopback address, until Stop, and returns the address.
+// serve serves the routes that mount registers on a new loopback address until Stop, and returns the address.
 func (c *Cluster) serve(mount func(*fiber.App)) (string, error) {
 	app, addr, err := serveOnLoopback(mount)
 	if err != nil {
@@ -94,7 +94,8 @@
 	return addr, nil
 }
 
-// serveOnLoopback serves what mount adds on a new loopback address, and returns the app and the address.
+// serveOnLoopback serves the routes that mount registers on a new loopback address, and returns the app and the
+// address.
 func serveOnLoopback(mount func(*fiber.App)) (*fiber.App, string, error) {
 	ln, err := listen()
 	if err != nil {
@@ -131,7 +132,8 @@
 	}
 }
 
-// runTimeNearEstimate returns the run time of a task: 0.7 to 1.3 times its job's estimate, by a hash of its name.
+// runTimeNearEstimate returns the run time of a task: 0.7 to 1.3 times its job's estimate, derived from a hash of the
+// task's name.
 func (c *Cluster) runTimeNearEstimate(task string) time.Duration {
 	id, _, _ := strings.Cut(task, "/")
 	j, _ := c.readOpenJob(id)
@@ -140,8 +142,8 @@
 	return config.Seconds(j.EstimateS * (0.7 + 0.6*float64(h.Sum32()%1000)/1000))
 }
 
-// readOpenJob reads an open job from the store, and reports whether there is one. It stands in for workers that fetch
-// what users uploaded.
+// readOpenJob reads the open job with the given ID from the store, and reports whether there is one. Real workers
+// fetch the job that its user uploaded instead.
 func (c *Cluster) readOpenJob(id string) (records.Job, bool) {
 	var j records.Job
 	value := c.Store.Value(records.OpenKey(id))
@@ -160,8 +162,8 @@
 	return ln.Addr().String(), func() { ln.Close() }, nil
 }
 
-// trackCancellations reports to the environment each job whose cancellation is stored, and which users may thus know to
-// be cancelled, so that the environment can check that its tasks stop in time.
+// trackCancellations reports each job with a stored cancellation to the environment, because users may have received
+// the confirmation. The environment then checks that the job's tasks stop in time.
 func (c *Cluster) trackCancellations() {
 	var since uint64
 	for c.ctx.Err() == nil {
--- a/internal/localcluster/settings.go
+++ b/internal/localcluster/settings.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Intervals and timeouts of a local cluster, in seconds. The heartbeat interval is the shortest that workers support;
-// the others keep their proportion to it in users' deployments.
+// Intervals and timeouts of a local cluster, in seconds. The heartbeat interval is the shortest that workers support.
+// The other times have the same ratio to it as in users' deployments.
 const (
 	heartbeatIntervalS = 1.0
 	leaseS             = 6.0
@@ -20,8 +20,8 @@
 	machineStartupS    = 2.0
 )
 
-// fdLimit is a controller's limit of file descriptors. Three quarters are for connections of workers
-// and users, enough for 4,000 workers with one connection each. It is a limit and reserves nothing.
+// fdLimit is a controller's maximum number of file descriptors. Three quarters of them are for connections of workers
+// and users, enough for 4,000 workers with one connection each. The limit reserves nothing.
 const fdLimit = 6000
 
 // defaultDeployment returns the default deployment settings.
@@ -51,7 +51,7 @@
 	}}
 }
 
-// writeSettings writes a controller's settings file and returns its path.
+// writeSettings checks and writes a controller's settings file, and returns its path.
 func writeSettings(dir string, c *config.Config) (string, error) {
 	raw, err := toml.Marshal(c)
 	if err != nil {
--- a/internal/localcluster/settings_test.go
+++ b/internal/localcluster/settings_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A controller of a local cluster accepts one connection from each worker of a large fleet.
+// The file descriptor limit of a local cluster's controller allows one connection from each worker of a large fleet.
 func TestControllerHasConnectionsForLargeFleet(t *testing.T) {
 	const fleet = 4000
 	if n := defaultDeployment([]string{"a"}, 3).Resources.FDLimit * 3 / 4; n < fleet {
@@ -10,7 +10,8 @@
 	}
 }
 
-// Clusters of one process never assign the same address to two controllers, even after it is released.
+// Clusters of one process never assign the same address to two controllers, even after the address is released. A
+// controller could otherwise receive another cluster's requests.
 func TestControllersOfAllClustersHaveDistinctAddresses(t *testing.T) {
 	const clusters, controllers = 200, 3
 	assigned := map[string]bool{}
--- a/internal/localcluster/store_file.go
+++ b/internal/localcluster/store_file.go
@@ -13,8 +13,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// storeFile persists a store's changes in a file, in order, and writes all pending changes in one transaction. A caller
-// that reports a change to a client must first wait until it is durable (waitDurable).
+// storeFile persists a store's changes in a file, in order, and writes all pending changes in one transaction. Before a
+// caller reports a change to a client, it must wait with waitDurable until the change is durable.
 type storeFile struct {
 	db     *bbolt.DB
 	wakeup chan struct{} // holds an element while changes are pending
@@ -24,23 +24,23 @@
 	mu               sync.Mutex // guards the fields below
 	pending          []simulation.Change
 	enqueuedRevision uint64        // of the last change enqueued
-	durableRevision  uint64        // up to which all changes have been written, or failed to be
+	durableRevision  uint64        // all changes up to this revision have been written, or their write has failed
 	durableChanged   chan struct{} // closed and replaced after each write
 	writeErr         error         // of the last failed write; later writes continue
-	closed           bool          // later changes are dropped, as after a process has ended
+	closed           bool          // changes are dropped from now on, as after the end of a store's process
 }
 
 // Buckets of the file, and the keys in bucketMeta.
 var (
-	bucketEntries = []byte("rows")
-	bucketLeases  = []byte("grants") // lease ID -> time to live
+	bucketEntries = []byte("rows")   // key -> records.KeyValue as JSON
+	bucketLeases  = []byte("grants") // lease ID -> time to live in nanoseconds
 	bucketMeta    = []byte("meta")
 
-	keyRevision  = []byte("epoch")
-	keyLastLease = []byte("hold")
+	keyRevision  = []byte("epoch") // revision of the last change
+	keyLastLease = []byte("hold")  // ID of the last granted lease
 )
 
-// openTimeout is how long to wait for the file's lock.
+// openTimeout is the maximum time that openStoreFile waits for the lock of the file.
 const openTimeout = time.Second
 
 // openStoreFile opens the file, restores its content into the store, and persists the store's changes from then on.
@@ -100,9 +100,9 @@
 	})
 }
 
-const numberBytes = 8
+const numberBytes = 8 // length of a stored number
 
-// decodeNumber decodes a number; a missing or malformed one gives 0.
+// decodeNumber decodes a stored number. It returns 0 if the number is missing or malformed.
 func decodeNumber(raw []byte) uint64 {
 	if len(raw) != numberBytes {
 		return 0
@@ -112,7 +112,7 @@
 
 func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// enqueue queues a change for writing, without blocking. It must be called in the order of the changes.
+// enqueue queues a change for writing, without waiting for the write. The caller must pass changes in their order.
 func (f *storeFile) enqueue(c simulation.Change) {
 	f.mu.Lock()
 	if !f.closed {
@@ -126,8 +126,8 @@
 	}
 }
 
-// waitDurable waits until all changes up to a revision are written, or cannot be because a write failed or the file is
-// closed.
+// waitDurable waits until all changes up to a revision are written. It also returns if any write has failed, or if
+// the changes were dropped because the file is closed.
 func (f *storeFile) waitDurable(revision uint64) {
 	for {
 		f.mu.Lock()
@@ -179,6 +179,7 @@
 	return tx.Bucket(bucketMeta).Put(keyRevision, encodeNumber(last))
 }
 
+// writeChange writes a change's entries, deletions and lease.
 func writeChange(tx *bbolt.Tx, c simulation.Change) error {
 	entries, leases, meta := tx.Bucket(bucketEntries), tx.Bucket(bucketLeases), tx.Bucket(bucketMeta)
 	for _, kv := range c.Writes {
--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -26,13 +26,13 @@
 	number uint64
 
 	status           string
-	cause            string // why it ended
-	checkpointSaved  bool   // a checkpoint was saved when it was stopped
+	cause            string // why the attempt ended: a fleet.Cause constant or causeLost
+	checkpointSaved  bool   // a checkpoint was saved when the attempt was stopped
 	startedAt        time.Time
 	statusSince      time.Time
 	statusEndsAt     time.Time     // when the status times out or completes; zero: never
-	runningSince     time.Time     // zero: it has not run yet
-	initialProgress  time.Duration // progress when it began to run
+	runningSince     time.Time     // zero: the attempt has not run yet
+	initialProgress  time.Duration // saved progress of the task when the attempt began to run
 	peerMissingSince time.Time     // zero: no task of the gang is missing
 }
 
@@ -52,7 +52,7 @@
 	return a.initialProgress + now.Sub(a.statusSince)
 }
 
-// checkpointAt returns the progress in the last periodic checkpoint before a time.
+// checkpointAt returns the progress in the last periodic checkpoint before a time, or 0 if the job saves none.
 func (a *attempt) checkpointAt(now time.Time) time.Duration {
 	if a.job.CheckpointS <= 0 {
 		return 0
@@ -61,7 +61,8 @@
 	return time.Duration(math.Floor(a.progressAt(now).Seconds()/interval) * interval * float64(time.Second))
 }
 
-// saveProgressLocked stores an attempt's progress for later attempts of the task. It never lowers the stored progress.
+// saveProgressLocked stores an attempt's progress, with which later attempts of the task (or of the gang) start. It
+// never lowers the stored progress.
 func (env *Environment) saveProgressLocked(a *attempt, progress time.Duration) {
 	key := a.checkpointKey()
 	env.savedProgress[key] = max(env.savedProgress[key], progress)
@@ -96,7 +97,7 @@
 	}
 }
 
-// executeLocked executes a controller's commands.
+// executeLocked executes a controller's commands. A repeated command has no effect.
 func (m *Machine) executeLocked(commands []fleet.Command) {
 	m.advanceLocked()
 	for _, c := range commands {
@@ -119,7 +120,8 @@
 	}
 }
 
-// startAttemptLocked starts an attempt and checks the rules that apply to a start.
+// startAttemptLocked starts an attempt and checks the rules that apply to a start. If the worker rejects the attempt,
+// the attempt ends at once.
 func (m *Machine) startAttemptLocked(key string, c fleet.Command) {
 	env := m.env
 	id, _ := fleet.ParseTask(c.Task)
@@ -153,7 +155,7 @@
 	m.wake()
 }
 
-// epsilon absorbs rounding in sums of resources.
+// epsilon is the tolerance for rounding errors in sums of resources.
 const epsilon = 1e-9
 
 // rejectionCauseLocked returns why the worker rejects an attempt, or "" if it accepts it.
@@ -193,7 +195,7 @@
 	m.env.startGangIfReadyLocked(a, now)
 }
 
-// startRunningLocked runs an attempt from the saved progress.
+// startRunningLocked lets an attempt run, starting with the saved progress of its task or gang.
 func (m *Machine) startRunningLocked(a *attempt, now time.Time) {
 	a.status, a.statusSince, a.statusEndsAt = statusRunning, now, time.Time{}
 	a.runningSince = now
@@ -231,15 +233,15 @@
 	}
 }
 
-// killAttemptLocked stops an attempt. It first saves a checkpoint if the job supports that and the grace period is
-// long enough.
+// killAttemptLocked stops an attempt. A running attempt first saves a checkpoint if its job saves checkpoints and the
+// grace period is long enough. Otherwise the attempt ends now and keeps the progress of its last periodic checkpoint.
 func (m *Machine) killAttemptLocked(a *attempt, c fleet.Command) {
 	now, grace := time.Now(), 0.0
 	if c.GraceS != nil {
 		grace = *c.GraceS
 	}
 	switch canSave := a.job.CheckpointS > 0; {
-	case a.status == statusFlushing && grace > 0:
+	case a.status == statusFlushing && grace > 0: // the attempt completes its checkpoint
 	case a.status == statusRunning && canSave && grace >= a.job.SaveS:
 		m.env.saveProgressLocked(a, a.progressAt(now))
 		a.status, a.statusSince = statusFlushing, now
@@ -256,7 +258,7 @@
 	}
 }
 
-// loseTasksLocked removes all attempts from the machine and records them as lost at a time.
+// loseTasksLocked removes all attempts from the machine and records those that had not ended as lost at a time.
 func (m *Machine) loseTasksLocked(at time.Time) {
 	for _, a := range m.tasks {
 		if a.status != statusEnded {
@@ -274,7 +276,7 @@
 	m.endAttemptAtLocked(a, cause, time.Now())
 }
 
-// endAttemptAtLocked ends an attempt and records a time as its end.
+// endAttemptAtLocked ends an attempt with a time as its end, and records its run and its lost work.
 func (m *Machine) endAttemptAtLocked(a *attempt, cause string, at time.Time) {
 	env := m.env
 	if cause != fleet.CauseDone && a.job.Shape != records.ShapeService {
--- a/internal/simulation/cancel_before_outage_test.go
+++ b/internal/simulation/cancel_before_outage_test.go
@@ -8,32 +8,32 @@
 	"drumpick/internal/records"
 )
 
-// The store refuses only the leader, another controller confirms cancellations, and then the store is
-// down for all controllers, for longer than the cancellation limit, while workers send their heartbeats
-// to the old leader. The tasks of cancelled jobs end in time in every scenario. If the other
-// controllers can report which jobs these are, no other task is lost.
+// In these tests, the store refuses only the leader, and another controller confirms cancellations. Then the store
+// is down for all controllers for longer than the cancellation limit, while workers send their heartbeats to the old
+// leader. The tasks of cancelled jobs must end in time in every scenario. If the other controllers can report the
+// cancelled jobs to the leader, no other task may be lost.
 
-// refusalScenario is a running scenario; it begins with a leader and running tasks.
+// refusalScenario is a running scenario. It begins with a leader and running tasks.
 type refusalScenario struct {
 	cluster *cluster
-	leader  int
-	other   int // the controller that confirms cancellations
-	starts  int // of tasks, before the first fault
+	leader  int // index of the leader before the first fault
+	other   int // index of the controller that confirms cancellations
+	starts  int // number of task starts before the first fault
 }
 
-// cancel cancels jobs at a controller as a user does; each has to be confirmed.
+// cancel cancels jobs at a controller as a user does. The controller must confirm each cancellation.
 func (rs *refusalScenario) cancel(i int, ids ...string) {
 	rs.cluster.t.Helper()
 	for _, id := range ids {
 		if _, st := rs.cluster.ask(i, peer.MethodCancel, id); st != records.StatusCancelled {
-			rs.cluster.t.Errorf("cancel %s at node %d: %q", id, i, st)
+			rs.cluster.t.Errorf("cancel %s at controller %d: %q", id, i, st)
 		}
 		rs.cluster.expectCancelled(id)
 	}
 }
 
-// refuseThenOutage makes the store refuse the leader, cancels jobs at another controller, and after so
-// many seconds takes the store down for all controllers.
+// refuseThenOutage makes the store refuse the leader and cancels jobs at another controller. After a number of
+// seconds, it takes the store down for all controllers.
 func (rs *refusalScenario) refuseThenOutage(after float64, ids ...string) {
 	rs.refuse(rs.leader, true)
 	rs.cancel(rs.other, ids...)
@@ -41,7 +41,7 @@
 	rs.cluster.store.SetOutage(true)
 }
 
-// wantTasksGoneAfter checks after s seconds that the jobs' tasks are gone, and then waits 40 s more.
+// wantTasksGoneAfter calls wantTasksGone after s seconds, and then waits for 40 s, so that the outage continues.
 func (rs *refusalScenario) wantTasksGoneAfter(s float64, ids ...string) {
 	sleep(s)
 	rs.wantTasksGone(ids...)
@@ -53,8 +53,9 @@
 	rs.cluster.setIsolated(i, on)
 }
 
+// refuse sets whether the store refuses a controller.
 func (rs *refusalScenario) refuse(i int, on bool) {
-	rs.cluster.store.SetRefused(rs.cluster.env.Nodes[i], on)
+	rs.cluster.store.SetRefused(rs.cluster.env.Controllers[i], on)
 }
 
 // wantNoTaskLost checks that no task has been lost with its machine or lease so far.
@@ -81,12 +82,12 @@
 	}
 }
 
-// confirmedBeforeOutage are scenarios of an outage after a confirmed cancellation. They guard against
-// two faults of the first cancellation that is confirmed while the store refuses the leader: the
-// leases of all tasks expire, and the cancelled tasks run on until then.
+// confirmedBeforeOutage are scenarios of an outage after a cancellation that was confirmed while the store refused
+// the leader. They guard against two failures: the leases of all workers expire, and until then the tasks of cancelled
+// jobs keep running.
 var confirmedBeforeOutage = map[string]struct {
-	nodes       int  // number of controllers; 0 means three
-	mayLoseWork bool // a controller that may have confirmed a cancellation cannot report it, or workers are unreachable
+	controllers int  // number of controllers; 0 means three
+	mayLoseWork bool // other tasks may be lost: a possibly confirmed cancellation is unreported, or workers are unreachable
 	run         func(rs *refusalScenario)
 }{
 	"the refusal ends during the outage": {run: func(rs *refusalScenario) {
@@ -108,8 +109,8 @@
 	"the outage begins just before the leader's lease expires": {run: func(rs *refusalScenario) {
 		rs.refuse(rs.leader, true)
 		rs.cancel(rs.other, "j-1")
-		// Guards against a leader that steps down as soon as it knows that the store serves others.
-		for _, until := rs.cluster.node(rs.leader).election.Term(); time.Until(until) > 100*time.Millisecond; {
+		// Guards against a leader that steps down as soon as it learns that the store serves the other controllers.
+		for _, until := rs.cluster.controller(rs.leader).election.Term(); time.Until(until) > 100*time.Millisecond; {
 			rs.cluster.ask(rs.other, peer.MethodPoll, "j-2")
 			sleep(0.05)
 		}
@@ -139,7 +140,7 @@
 		rs.refuse(rs.leader, true)
 		rs.cancel(rs.other, "j-1")
 		rs.cancel(3-rs.leader-rs.other, "j-1")
-		rs.cancel(rs.leader, "j-1") // which relays it
+		rs.cancel(rs.leader, "j-1") // the leader relays the request
 		sleep(1)
 		rs.cluster.store.SetOutage(true)
 		rs.wantTasksGoneAfter(8, "j-1")
@@ -147,7 +148,7 @@
 	"cancellation reported by a poll and stored by a dead controller": {mayLoseWork: true, run: func(rs *refusalScenario) {
 		rs.refuse(rs.leader, true)
 		rs.cancel(rs.other, "j-1")
-		rs.cluster.killNode(rs.other)
+		rs.cluster.killController(rs.other)
 		if _, st := rs.cluster.ask(3-rs.leader-rs.other, peer.MethodPoll, "j-1"); st != records.StatusCancelled {
 			rs.cluster.t.Errorf("poll: %q", st)
 		}
@@ -156,25 +157,25 @@
 	}},
 	"the confirming controller restarts after 50 ms": {mayLoseWork: true, run: func(rs *refusalScenario) {
 		rs.refuseThenOutage(0, "j-1")
-		rs.cluster.killNode(rs.other)
+		rs.cluster.killController(rs.other)
 		sleep(0.05)
-		rs.cluster.startNode(rs.other)
+		rs.cluster.startController(rs.other)
 		sleep(50)
 	}},
 	"the confirming controller restarts after 5 s": {mayLoseWork: true, run: func(rs *refusalScenario) {
 		rs.refuseThenOutage(0, "j-1")
 		sleep(0.5)
-		rs.cluster.killNode(rs.other)
+		rs.cluster.killController(rs.other)
 		sleep(5)
-		rs.cluster.startNode(rs.other)
+		rs.cluster.startController(rs.other)
 		sleep(50)
 	}},
 	"the leader restarts at once": {mayLoseWork: true, run: func(rs *refusalScenario) {
 		rs.refuseThenOutage(0, "j-1")
 		sleep(1)
-		rs.cluster.killNode(rs.leader)
+		rs.cluster.killController(rs.leader)
 		sleep(0.05)
-		rs.cluster.startNode(rs.leader)
+		rs.cluster.startController(rs.leader)
 		sleep(50)
 	}},
 	"the leader cannot reach one of the others": {mayLoseWork: true, run: func(rs *refusalScenario) {
@@ -248,16 +249,16 @@
 	"the store refuses a follower that users cancel at": {run: func(rs *refusalScenario) {
 		rs.refuse(rs.other, true)
 		sleep(1)
-		rs.cancel(rs.other, "j-1") // which relays it
+		rs.cancel(rs.other, "j-1") // the follower relays the request
 		rs.cluster.store.SetOutage(true)
 		rs.wantTasksGoneAfter(8, "j-1")
 		rs.refuse(rs.other, false)
 	}},
-	"two controllers": {nodes: 2, run: func(rs *refusalScenario) {
+	"two controllers": {controllers: 2, run: func(rs *refusalScenario) {
 		rs.refuseThenOutage(1, "j-1")
 		rs.wantTasksGoneAfter(8, "j-1")
 	}},
-	"seven controllers": {nodes: 7, run: func(rs *refusalScenario) {
+	"seven controllers": {controllers: 7, run: func(rs *refusalScenario) {
 		rs.refuse(rs.leader, true)
 		for n, id := range []string{"j-1", "j-2", "j-3"} {
 			rs.cancel((rs.leader+1+n)%7, id)
@@ -270,7 +271,7 @@
 		rs.partition(rs.leader, true)
 		rs.refuse(rs.leader, true)
 		sleep(7)
-		if now := rs.cluster.node(rs.other).election.Leader(); now == rs.cluster.env.Nodes[rs.leader] {
+		if now := rs.cluster.controller(rs.other).election.Leader(); now == rs.cluster.env.Controllers[rs.leader] {
 			rs.cluster.t.Error("no other controller leads")
 		}
 		rs.cancel(rs.other, "j-1")
@@ -280,7 +281,7 @@
 	}},
 }
 
-// submitOutageJobs submits jobs of all shapes, one with a dependency, and one that is not cancelled.
+// submitOutageJobs submits jobs of all shapes, one job with a dependency (j-7), and one that no scenario cancels (j-10).
 func (c *cluster) submitOutageJobs() {
 	for id, j := range map[string]records.Job{
 		"j-1": {Tasks: 12}, "j-2": {Tasks: 4}, "j-3": {Tasks: 4, Shape: records.ShapeGang},
@@ -297,18 +298,18 @@
 	c.expectCancelled("j-5") // a service runs until it is cancelled
 }
 
-// The tasks of jobs whose cancellation was confirmed before an outage end in time. If the other
-// controllers can report which jobs these are, no other task is lost.
+// The tasks of jobs whose cancellation was confirmed before an outage end in time. Unless the scenario may lose work,
+// no other task is lost.
 func TestCancellationConfirmedBeforeOutageTakesEffect(t *testing.T) {
 	for name, s := range confirmedBeforeOutage {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			nodes := s.nodes
-			if nodes == 0 {
-				nodes = 3
+			controllers := s.controllers
+			if controllers == 0 {
+				controllers = 3
 			}
 			runScenarioWith(t, func(c *cluster) {
-				c.cfg.Deployment.Nodes = nodes
+				c.cfg.Deployment.Nodes = controllers
 				c.env.GangStartTimeout, c.env.GangPeerTimeout = 30*time.Second, 5*time.Second
 			}, func(c *cluster) {
 				c.env.RunTime = func(string) time.Duration { return 400 * time.Second }
@@ -316,7 +317,7 @@
 				c.submitOutageJobs()
 				sleep(34)
 				rs := &refusalScenario{cluster: c, leader: c.leaderIndex(), starts: c.env.Starts()}
-				rs.other = (rs.leader + 1) % nodes
+				rs.other = (rs.leader + 1) % controllers
 				if c.env.Running() < 50 {
 					t.Errorf("%d tasks are running before the first fault, want 50 or more", c.env.Running())
 				}
--- a/internal/simulation/cancel_confirm_test.go
+++ b/internal/simulation/cancel_confirm_test.go
@@ -8,29 +8,29 @@
 	"drumpick/internal/records"
 )
 
-// After the cancellation of a job has been confirmed to a user, none of its tasks starts, however
-// late the leader's watch of the store reports the cancellation (the environment checks this as
-// rule started_cancelled). Short tasks keep starting on few machines while the jobs are cancelled
-// one by one at other controllers. Guards against starts by a leader that is the only controller
-// refused by the store, and by a leader that reaches neither the store nor its peers.
+// After the cancellation of a job has been confirmed to a user, no task of the job starts, however late the leader's
+// watch of the store reports the cancellation. The environment checks this as rule started_cancelled. Short tasks keep
+// starting on few machines while users cancel the jobs one by one at other controllers. Guards against starts by a
+// leader that is the only controller refused by the store, and by a leader that reaches neither the store nor its
+// peers.
 func TestNoTaskStartsAfterConfirmedCancellation(t *testing.T) {
 	for name, scenario := range map[string]func(c *cluster, leader int, cancel func()){
 		"the store is slow for the leader": func(c *cluster, leader int, cancel func()) {
-			c.node(leader).client.SetDelay(700 * time.Millisecond)
+			c.controller(leader).client.SetDelay(700 * time.Millisecond)
 			for range 4 {
 				cancel()
 				sleep(1.5)
 			}
-			c.node(leader).client.SetDelay(0)
+			c.controller(leader).client.SetDelay(0)
 		},
 		"the store refuses the leader alone": func(c *cluster, leader int, cancel func()) {
-			c.store.SetRefused(c.env.Nodes[leader], true)
+			c.store.SetRefused(c.env.Controllers[leader], true)
 			for range 4 {
 				cancel()
 				sleep(0.7)
 			}
 			sleep(10)
-			c.store.SetRefused(c.env.Nodes[leader], false)
+			c.store.SetRefused(c.env.Controllers[leader], false)
 		},
 		"the leader is isolated from store and peers": func(c *cluster, leader int, cancel func()) {
 			c.isolateFromControlPlane(leader, true)
@@ -42,12 +42,12 @@
 			c.isolateFromControlPlane(leader, false)
 		},
 		"during an election": func(c *cluster, leader int, cancel func()) {
-			c.killNode(leader)
+			c.killController(leader)
 			for range 200 {
 				cancel()
 				sleep(0.05)
 			}
-			c.startNode(leader)
+			c.startController(leader)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -17,14 +17,14 @@
 	Environment *Environment
 	// Alive reports whether the controller still runs.
 	Alive func() bool
-	// LoseResponses is the number of further rentals that are carried out but get no response.
+	// LoseResponses is the number of next rentals that start machines but get no response.
 	LoseResponses int
 }
 
-// cloudLatency is how long a call to the cloud takes.
+// cloudLatency is the duration of a call to the cloud.
 const cloudLatency = 20 * networkLatency
 
-// beginCall waits for the latency of a call. It returns an error if the controller no longer runs.
+// beginCall waits for the latency of a call. It returns an error if ctx ends or the controller no longer runs.
 func (c *CloudClient) beginCall(ctx context.Context) error {
 	if err := ctxtime.Sleep(ctx, cloudLatency); err != nil {
 		return err
@@ -40,7 +40,7 @@
 	return append([]records.MachineType(nil), c.Environment.Types...), c.beginCall(ctx)
 }
 
-// Rent rents machines and returns their names.
+// Rent rents machines and returns their names. It returns autoscaler.ErrUnknownOutcome if the response is lost.
 func (c *CloudClient) Rent(ctx context.Context, r autoscaler.RentalRequest) ([]string, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return nil, err
@@ -70,8 +70,9 @@
 	return c.Environment.CloudMachines(), nil
 }
 
-// rent starts as many of the requested machines as the zone has capacity for, and returns their names. Requests
-// are idempotent by name: a repeated one gets the response of the first.
+// rent starts as many of the requested machines as the zone has capacity for, and returns their names. It returns
+// autoscaler.ErrNoCapacity if the zone has none. Requests are idempotent by name: a request with a known name gets the
+// response of the first request.
 func (env *Environment) rent(r autoscaler.RentalRequest) ([]string, error) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -111,7 +112,8 @@
 	return m
 }
 
-// returnMachines terminates machines. When it returns, their tasks have ended and their addresses are closed.
+// returnMachines terminates machines and removes them from the cloud's list. When it returns, their tasks have ended
+// and their addresses are closed.
 func (env *Environment) returnMachines(machines []string) {
 	var closeAddrs []func()
 	env.mu.Lock()
@@ -133,10 +135,11 @@
 const (
 	cloudBooting = "booting"
 	cloudRunning = "running"
-	cloudFailed  = "failed"
+	cloudFailed  = "failed" // terminated and not yet returned by a controller
 )
 
-// CloudMachines returns the machines that the cloud lists, sorted by name.
+// CloudMachines returns the machines that the cloud lists, including terminated ones until a controller returns them.
+// They are sorted by name.
 func (env *Environment) CloudMachines() []autoscaler.CloudMachine {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -21,14 +21,14 @@
 
 // These tests run complete controllers against the simulation, in the virtual time of synctest.
 
-// node is a running controller.
-type node struct {
+// testController is a running controller.
+type testController struct {
 	name     string
 	client   *Client
 	election *election.Election
 	server   *api.Server
 	observer watermark.Observer
-	leader   *leader.Leader // nil if it is not the leader; guarded by cluster.mu
+	leader   *leader.Leader // nil while this controller is not the leader; guarded by cluster.mu
 	cancel   context.CancelFunc
 	stopped  chan struct{}
 }
@@ -45,30 +45,30 @@
 	limitLeaderWrites bool          // leaders limit their writes to their share of the write rate
 	starts            int           // number of controller starts
 
-	mu    sync.Mutex // guards the fields below
-	nodes []*node    // nil while down
+	mu          sync.Mutex        // guards the fields below
+	controllers []*testController // the controllers, by index; nil while down
 
-	// Injected faults of controllers and of the network to them.
-	olderVersion    map[int]bool          // nodes of a version without watermarks and heartbeat relay
-	unreachable     map[int]bool          // nodes that workers cannot reach
-	isolated        map[int]bool          // nodes that no other node can reach
-	onlyNodeForZone map[string]int        // by zone, the only node that its workers can reach
-	delays          map[int]time.Duration // by node, the additional delay of heartbeats and peer messages to it
-	copyDelays      []time.Duration       // a copy of every heartbeat is delivered after each of these; see copyHeartbeats
-	shouldKeepCopy  func() bool           // decides whether to keep a copy of a heartbeat for the next leader; nil: never
-	keptHeartbeats  [][]byte              // copies kept for the next leader
+	// Injected faults of controllers and of the network to them. Controllers are given by index.
+	olderVersion          map[int]bool          // controllers of a version without watermarks and heartbeat relay
+	unreachable           map[int]bool          // controllers that workers cannot reach
+	isolated              map[int]bool          // controllers that no other controller can reach
+	onlyControllerForZone map[string]int        // the only controller that the workers of a zone can reach, by zone
+	delays                map[int]time.Duration // additional delay of heartbeats and peer messages to a controller
+	copyDelays            []time.Duration       // delays of the copies of every heartbeat; see copyHeartbeats
+	shouldKeepCopy        func() bool           // decides whether to keep a copy of a heartbeat for the next leader; nil: never
+	keptHeartbeats        [][]byte              // copies kept for the next leader
 
-	heartbeatCounts []int // number of heartbeats that workers sent to each node
+	heartbeatCounts []int // number of heartbeats that workers sent to each controller
 
 	// State of the simulated users.
-	jobs              map[string]records.Job
-	expectedDone      []string               // accepted jobs that are not cancelled
-	unansweredCancels []string               // jobs whose cancel request got no 200 response
-	cancelledJobs     map[string]bool        // cancelled jobs and their direct and indirect dependents
+	jobs              map[string]records.Job // submitted jobs, by ID
+	expectedDone      []string               // IDs of accepted jobs that are not cancelled and must be done at the end
+	unansweredCancels []string               // IDs of jobs whose cancel request got no 200 response
+	cancelledJobs     map[string]bool        // IDs of cancelled jobs and of their direct and indirect dependents
 	onJobEvent        func(event, id string) // called when a response reports a job as accepted or final; may be nil
 }
 
-const nodeNames = "n-0 n-1 n-2 n-3 n-4 n-5 n-6"
+const controllerNames = "n-0 n-1 n-2 n-3 n-4 n-5 n-6"
 
 // sleep sleeps for a number of seconds.
 func sleep(s float64) { time.Sleep(time.Duration(s * float64(time.Second))) }
@@ -78,7 +78,8 @@
 	runScenarioWith(t, func(*cluster) {}, scenario)
 }
 
-// runScenarioWith is runScenario with a function that prepares settings and the store before the controllers start.
+// runScenarioWith is runScenario with a function that prepares the settings, the environment and the store before the
+// controllers start.
 func runScenarioWith(t *testing.T, prepare, scenario func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -97,8 +98,8 @@
 			t.Error("no task was started")
 		}
 		cancel()
-		for i := range c.nodes {
-			c.killNode(i)
+		for i := range c.controllers {
+			c.killController(i)
 		}
 		// Requests of workers may still be in flight, and no goroutine of a synctest bubble may outlast the test.
 		sleep(60)
@@ -117,7 +118,7 @@
 	c := &cluster{
 		t: t, ctx: ctx, store: NewStore(), env: NewEnvironment(ctx), cfg: cfg, leaderLease: 4 * time.Second,
 		olderVersion: map[int]bool{}, unreachable: map[int]bool{}, isolated: map[int]bool{},
-		onlyNodeForZone: map[string]int{}, delays: map[int]time.Duration{},
+		onlyControllerForZone: map[string]int{}, delays: map[int]time.Duration{},
 		jobs: map[string]records.Job{}, cancelledJobs: map[string]bool{},
 	}
 	env := c.env
@@ -142,10 +143,10 @@
 func (c *cluster) startAll() {
 	c.env.Teams = c.cfg.Deployment.Teams
 	n := c.cfg.Deployment.Nodes
-	c.nodes, c.heartbeatCounts = make([]*node, n), make([]int, n)
-	c.env.Nodes = strings.Fields(nodeNames)[:n]
-	for i := range c.nodes {
-		c.startNode(i)
+	c.controllers, c.heartbeatCounts = make([]*testController, n), make([]int, n)
+	c.env.Controllers = strings.Fields(controllerNames)[:n]
+	for i := range c.controllers {
+		c.startController(i)
 	}
 }
 
@@ -163,16 +164,16 @@
 	}
 }
 
-// startNode starts a controller as a new process, without state of an earlier one.
-func (c *cluster) startNode(i int) {
-	name := strings.Fields(nodeNames)[i]
+// startController starts a controller as a new process, without state of an earlier one.
+func (c *cluster) startController(i int) {
+	name := strings.Fields(controllerNames)[i]
 	c.starts++
 	ctx, cancel := context.WithCancel(c.ctx)
-	n := &node{name: name, client: c.store.Client(name), cancel: cancel, stopped: make(chan struct{})}
+	n := &testController{name: name, client: c.store.Client(name), cancel: cancel, stopped: make(chan struct{})}
 	if c.limitLeaderWrites {
 		n.client.SetWriteShare(c.cfg.Deployment.Store.Lowest().WriteRPS / 2)
 	}
-	cfg := c.nodeConfig(i)
+	cfg := c.controllerConfig(i)
 	n.election = election.New(n.client, name, fmt.Sprint("start-", c.starts), c.leaderLease, cfg.Options.Watermarks)
 	peers := &peerNetwork{c, i}
 	n.server = api.New(cfg, n.client, peers, n.election.Leader, func() api.Leader {
@@ -200,17 +201,17 @@
 		})
 	}()
 	c.mu.Lock()
-	c.nodes[i] = n
+	c.controllers[i] = n
 	c.mu.Unlock()
 }
 
-// nodeConfig returns the configuration of a controller.
-func (c *cluster) nodeConfig(i int) *config.Config {
+// controllerConfig returns the configuration of a controller.
+func (c *cluster) controllerConfig(i int) *config.Config {
 	cfg := *c.cfg
 	cfg.Options.Watermarks = cfg.Options.Watermarks && !c.olderVersion[i]
 	cfg.Options.HeartbeatRelay = cfg.Options.HeartbeatRelay && !c.olderVersion[i]
-	cfg.Node = strings.Fields(nodeNames)[i]
-	for j, other := range c.env.Nodes {
+	cfg.Node = strings.Fields(controllerNames)[i]
+	for j, other := range c.env.Controllers {
 		if j != i {
 			cfg.Peers = append(cfg.Peers, config.Peer{Node: other})
 		}
@@ -218,17 +219,17 @@
 	return &cfg
 }
 
-func (c *cluster) setLeader(n *node, l *leader.Leader) {
+func (c *cluster) setLeader(n *testController, l *leader.Leader) {
 	c.mu.Lock()
 	n.leader = l
 	c.mu.Unlock()
 }
 
-// killNode ends a controller, as a crash would. It does nothing if the controller is down.
-func (c *cluster) killNode(i int) {
+// killController ends a controller, as a crash would. It does nothing if the controller is down.
+func (c *cluster) killController(i int) {
 	c.mu.Lock()
-	n := c.nodes[i]
-	c.nodes[i] = nil
+	n := c.controllers[i]
+	c.controllers[i] = nil
 	c.mu.Unlock()
 	if n != nil {
 		n.client.Kill()
@@ -237,14 +238,14 @@
 	}
 }
 
-// node returns a controller, or nil if it is down.
-func (c *cluster) node(i int) *node {
+// controller returns the controller with an index, or nil if it is down.
+func (c *cluster) controller(i int) *testController {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nodes[i]
+	return c.controllers[i]
 }
 
-// leaderIndex returns the index of the leader's node, or -1 if there is no leader.
+// leaderIndex returns the index of the leader, or -1 if there is no leader.
 func (c *cluster) leaderIndex() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -252,7 +253,7 @@
 }
 
 func (c *cluster) leaderIndexLocked() int {
-	for i, n := range c.nodes {
+	for i, n := range c.controllers {
 		if n != nil && n.leader != nil {
 			return i
 		}
@@ -285,9 +286,9 @@
 	}()
 }
 
-// upNodeFrom returns the index of the first of three nodes that is up, from i on.
-func (c *cluster) upNodeFrom(i int) int {
-	for c.node(i%3) == nil {
+// upControllerFrom returns the index of the first controller that is up, starting at i. The cluster has three.
+func (c *cluster) upControllerFrom(i int) int {
+	for c.controller(i%3) == nil {
 		i++
 	}
 	return i % 3
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -32,9 +32,9 @@
 		for range 4 {
 			sleep(12)
 			old := c.leaderIndex()
-			c.killNode(old)
+			c.killController(old)
 			sleep(1)
-			c.startNode(old)
+			c.startController(old)
 		}
 		sleep(40)
 		for _, id := range []string{"j-1", "j-2", "j-3", "j-4"} {
@@ -47,7 +47,7 @@
 		if err := json.Unmarshal([]byte(c.store.Value("jobs/over/j-4")), &closed); err != nil || closed.AtMS == 0 {
 			t.Errorf("the record has no completion time: %+v, %v", closed, err)
 		}
-		// The version in production must be able to read its fields of the record.
+		// The version in production must be able to read the fields of the record that it uses.
 		var older struct {
 			Status string `json:"status"`
 			Tasks  int    `json:"shots"`
@@ -59,7 +59,7 @@
 }
 
 // Cancelling a job cancels all its direct and indirect dependents within the cancellation limit,
-// including those submitted meanwhile or long after.
+// including dependents that are submitted during the cancellation or long after it.
 func TestCancellationReachesAllDependents(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		sleep(2)
@@ -87,11 +87,11 @@
 	})
 }
 
-// Without a leader, the controller that is polled finds out itself that a dependency was cancelled,
-// and stores the dependent's cancellation, also at the end of a chain of 60 jobs.
+// Without a leader, a controller that is polled for a job checks itself whether a dependency was cancelled, and then
+// stores the job's cancellation. This also holds at the end of a chain of 60 jobs.
 func TestDependentsAreCancelledWithoutLeader(t *testing.T) {
-	// The leader's lease outlasts the time for which the others delay a confirmation to notify the
-	// leader, so that the cancellation is confirmed while there is no leader.
+	// The leader's lease is longer than the time for which a controller delays a confirmation in order to notify the
+	// leader. So the cancellation is confirmed while there is no leader.
 	runScenarioWith(t, func(c *cluster) { c.leaderLease = 12 * time.Second }, func(c *cluster) {
 		sleep(2)
 		old := c.leaderIndex()
@@ -102,8 +102,8 @@
 		c.submit(old, dependentJob("j-100", 2))
 		c.submit(old, dependentJob("j-101", 2, "j-100"))
 		asked, other := (old+1)%3, (old+2)%3
-		c.killNode(old)
-		c.killNode(other)
+		c.killController(old)
+		c.killController(other)
 		c.cancelUntilConfirmed(asked, "j-1")
 		c.wantCancelled(asked, "j-60", "j-30")
 		if _, st := c.ask(asked, peer.MethodPoll, "j-101"); st != records.StatusPending {
@@ -131,11 +131,11 @@
 		for i := 2; i <= 200; i++ {
 			c.submit(0, dependentJob(fmt.Sprint("j-", i), 1, fmt.Sprint("j-", i-1)))
 		}
-		c.ask(c.upNodeFrom(c.leaderIndex()+1), peer.MethodCancel, "j-1")
+		c.ask(c.upControllerFrom(c.leaderIndex()+1), peer.MethodCancel, "j-1")
 		for len(c.store.Keys("jobs/open/")) > 120 {
 			sleep(0.05)
 		}
-		c.killNode(c.leaderIndex())
+		c.killController(c.leaderIndex())
 		if n := len(c.store.Keys("jobs/open/")); n < 50 {
 			t.Errorf("%d jobs were open when the leader died, want 50 or more", n)
 		}
@@ -143,15 +143,15 @@
 		if open := c.store.Keys("jobs/open/"); len(open) > 1 {
 			t.Errorf("still open: %v", open)
 		}
-		c.wantCancelled(c.upNodeFrom(0), "j-200", "j-100")
+		c.wantCancelled(c.upControllerFrom(0), "j-200", "j-100")
 		sleep(40)
-		c.wantDone(c.upNodeFrom(0), "j-900")
+		c.wantDone(c.upControllerFrom(0), "j-900")
 	})
 }
 
-// The leader's commit of a job's completion is applied, but its response is lost: the job is done
-// and its dependents run. Guards against reading the missing open record as a cancellation, which
-// would cancel dependents without any cancellation request.
+// The leader's commit of a job's completion is applied, but the response to the commit is lost. The job is done and
+// its dependents run. Guards against a leader that takes the job's missing open record for a cancellation, and cancels
+// the dependents although no user requested that.
 func TestCompletedJobWithLostCommitResponseIsNotCancelled(t *testing.T) {
 	for _, delay := range []time.Duration{0, 3 * time.Second} {
 		runScenario(t, func(c *cluster) {
@@ -161,9 +161,9 @@
 			c.submit(0, dependentJob("j-2", 2, "j-1"))
 			c.submit(0, dependentJob("j-3", 1, "j-2"))
 			sleep(27)
-			c.node(c.leaderIndex()).client.LoseResponses(20, delay)
+			c.controller(c.leaderIndex()).client.LoseResponses(20, delay)
 			sleep(20)
-			c.node(c.leaderIndex()).client.LoseResponses(0, 0)
+			c.controller(c.leaderIndex()).client.LoseResponses(0, 0)
 			sleep(60)
 			for i := range 3 {
 				c.wantDone(i, "j-3")
@@ -172,8 +172,8 @@
 	}
 }
 
-// A user cancels a job as it completes. The response reports either done, and the job's dependents
-// run, or cancelled, and they are cancelled too.
+// A user cancels a job at about the time of its completion. If the response reports the job as done, its dependents
+// run. If it reports the job as cancelled, its dependents are cancelled too.
 func TestCancelRacingCompletionGivesOneFinalState(t *testing.T) {
 	finalStates := map[string]int{}
 	var end time.Duration // of the task of j-1, measured in the first run
@@ -194,13 +194,13 @@
 				c.env.mu.Unlock()
 			}
 			time.Sleep(end - time.Since(began) + time.Duration(k-12)*5*time.Millisecond)
-			_, st := c.ask(c.upNodeFrom(k), peer.MethodCancel, "j-1")
+			_, st := c.ask(c.upControllerFrom(k), peer.MethodCancel, "j-1")
 			finalStates[st]++
 			if k%2 == 0 {
-				c.killNode(c.leaderIndex())
+				c.killController(c.leaderIndex())
 			}
 			sleep(70)
-			up := c.upNodeFrom(0)
+			up := c.upControllerFrom(0)
 			if _, state := c.ask(up, peer.MethodPoll, "j-3"); state != st {
 				t.Errorf("j-1 is %s, j-3 is %s", st, state)
 			}
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -14,23 +14,24 @@
 // It checks the protocol's rules while it runs. The exported fields must be set before first use.
 type Environment struct {
 	HeartbeatInterval time.Duration
-	Lease             time.Duration // a worker's lease, from its last answered heartbeat
+	Lease             time.Duration // duration of a worker's lease, from the sending of its last answered heartbeat
 	BootTime          time.Duration
-	CancelLimit       time.Duration // how long a cancelled job's tasks may still be on machines
-	GangStartTimeout  time.Duration // how long a gang's task waits for the others to start; 0: not at all
-	GangPeerTimeout   time.Duration // how long a gang runs without one of its tasks; 0: no limit
-	// MaxCommandDelay is how long a start command may take to reach a machine. A start that arrives later than
-	// this after a confirmed cancellation must have been sent after the confirmation.
+	CancelLimit       time.Duration // maximum time that a cancelled job's tasks may still be on machines
+	GangStartTimeout  time.Duration // maximum time that a gang's task waits for the gang's other tasks; 0: no wait
+	GangPeerTimeout   time.Duration // maximum time that a gang runs without one of its tasks; 0: no limit
+	// MaxCommandDelay is the maximum time from the sending of a start command to its arrival at a machine. If a start
+	// command arrives more than MaxCommandDelay after the confirmation of a cancellation, it was sent after the
+	// confirmation.
 	MaxCommandDelay time.Duration
 
-	Nodes []string      // the controllers' names
-	Teams []config.Team // with their limits; nil: no team has a limit
-	Types []records.MachineType
-	// ZoneCapacity is the number of machines of each kind, spot and on-demand, in a zone.
+	Controllers []string      // the controllers' names
+	Teams       []config.Team // with their limits; nil: no team has a limit
+	Types       []records.MachineType
+	// ZoneCapacity is the maximum number of spot machines, and of on-demand machines, in a zone.
 	ZoneCapacity int
 	// WorkerVersion is the worker version of new machines.
 	WorkerVersion string
-	// LookupJob returns a job that users submitted.
+	// LookupJob returns the job that users submitted with an ID, and whether there is one.
 	LookupJob func(id string) (records.Job, bool)
 	// RunTime returns the total run time of a task.
 	RunTime func(task string) time.Duration
@@ -39,34 +40,35 @@
 
 	// Heartbeat delivers the workers' heartbeats to controllers.
 	Heartbeat HeartbeatFunc
-	// FirstNode returns the index of the controller that a machine's worker contacts first; nil: always 0.
-	FirstNode func(machine string) int
-	// Listen, if set, opens a machine's address once it has booted; closeAddr closes it.
+	// FirstController returns the index in Controllers of the controller that a machine's worker contacts first. If it
+	// is nil, the index is 0.
+	FirstController func(machine string) int
+	// Listen, if set, opens the address of a machine that has booted. closeAddr closes the address.
 	Listen func(m *Machine) (addr string, closeAddr func(), err error)
 	// RemoteMachines means that machines are rented here but run in another environment: Listen starts them there.
 	RemoteMachines bool
 
 	ctx context.Context
 
-	mu           sync.Mutex // guards the fields below, the machines and their attempts
+	mu           sync.Mutex // guards the fields below, the machines and their attempts; *Locked methods require it
 	machineCount int        // number of machines rented so far; the names of new machines contain it
 	machines     map[string]*Machine
 	rentals      map[string][]string              // machine names by the name of the rental request
-	attempts     map[string]map[*attempt]*Machine // attempts that have not ended, by job
+	attempts     map[string]map[*attempt]*Machine // attempts that have not ended, with their machines, by job ID
 
-	completed     map[string]map[string]bool // tasks that have completed, by job
+	completed     map[string]map[string]bool // names of the tasks that have completed, by job ID
 	savedProgress map[string]time.Duration   // by attempt.checkpointKey
 
 	// Faults.
 	partitioned      map[string]bool // zones that are unreachable
-	commandsBlocked  map[string]bool // zones that direct commands do not reach
+	commandsBlocked  map[string]bool // zones whose machines get no direct commands
 	pickCommandDelay func() (command, response time.Duration)
 	pickBootTime     func() time.Duration // overrides BootTime if not nil
 
-	// Users' requests about jobs and the responses; the rules refer to them.
+	// What users requested and which responses they got, by job ID. The rules use these times and states.
 	acceptedAt      map[string]time.Time // when a response first reported the job as known
-	cancelRequested map[string]bool      // jobs that a user asked to cancel, answered or not
-	cancelledAt     map[string]time.Time // when a response first reported the job as cancelled
+	cancelRequested map[string]bool      // jobs that a user asked to cancel, with or without a response
+	cancelledAt     map[string]time.Time // when a response first confirmed the job's cancellation
 	finalStates     map[string]finalState
 	violations      []string
 
@@ -75,8 +77,8 @@
 	costs            []RentalCost
 	starts           int
 	leaseExpiries    int
-	lostWork         time.Duration // run time that must be repeated
-	maxCancelLatency time.Duration // longest time that a cancelled job's task was seen on its machine, within CancelLimit
+	lostWork         time.Duration // run time of tasks that must be repeated
+	maxCancelLatency time.Duration // see MaxCancelLatency
 }
 
 // NewEnvironment returns an environment without machines. It runs until ctx ends.
@@ -97,15 +99,15 @@
 	}
 }
 
-// firstNode returns the index of the controller that a machine's worker contacts first.
-func (env *Environment) firstNode(m *Machine) int {
-	if env.FirstNode == nil {
+// firstController returns the index of the controller that a machine's worker contacts first.
+func (env *Environment) firstController(m *Machine) int {
+	if env.FirstController == nil {
 		return 0
 	}
-	return env.FirstNode(m.Name)
+	return env.FirstController(m.Name)
 }
 
-// Machine returns the machine with a name, or nil.
+// Machine returns the machine with the given name, or nil if there is none.
 func (env *Environment) Machine(name string) *Machine {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -127,7 +129,7 @@
 }
 
 // Upgrade replaces the version of a machine's worker, as an operator would: the worker loses all of its tasks and
-// restarts in a new incarnation. It returns false if no such machine is up.
+// restarts in a new incarnation. Upgrade returns false if the machine is not up or does not exist.
 func (env *Environment) Upgrade(machine, version string) bool {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -155,8 +157,8 @@
 	return n
 }
 
-// SetBootTime sets the function that returns the boot time of each new machine; nil: BootTime applies. It returns
-// the previous function.
+// SetBootTime sets the function that returns the boot time of each new machine, and returns the previous function. If
+// the function is nil, BootTime applies.
 func (env *Environment) SetBootTime(pick func() time.Duration) (before func() time.Duration) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/internal/simulation/failover_test.go
+++ b/internal/simulation/failover_test.go
@@ -9,14 +9,13 @@
 	"drumpick/internal/records"
 )
 
-// Tests of which tasks a new leader may start before it has reached every machine.
+// These tests check which tasks a new leader starts before it has reached every machine.
 
-// startsAfterFailover runs a failover while zone b is partitioned and tasks that were never
-// dispatched are waiting. It returns how many tasks start within two heartbeat intervals after a new
-// leader takes over.
+// startsAfterFailover runs a failover while zone b is partitioned and tasks that were never dispatched are waiting.
+// It returns the number of tasks that start within two heartbeat intervals after a new leader is elected.
 func startsAfterFailover(t *testing.T, prepare func(*cluster), failOver func(c *cluster)) (started int) {
 	runScenarioWith(t, func(c *cluster) {
-		// No lease expires during the scenario, so no task is restarted for that.
+		// No worker's lease expires during the scenario, so that no start repeats a lost task.
 		c.cfg.Deployment.Workers.LeaseS, c.cfg.Deployment.Workers.CancelS = 30, 50
 		c.env.Lease, c.env.CancelLimit, c.env.ZoneCapacity = 30*time.Second, 50*time.Second, 4
 		prepare(c)
@@ -40,7 +39,7 @@
 		sleep(240)
 		for n := range 4 {
 			for i := range 3 {
-				if c.node(i) != nil {
+				if c.controller(i) != nil {
 					c.wantDone(i, fmt.Sprint("j-", n+1))
 				}
 			}
@@ -49,12 +48,11 @@
 	return started
 }
 
-// The leader is killed while a zone is partitioned: tasks that were never dispatched start at once
-// in the other zone. Guards against machines that idle beside a full queue until the unreachable
-// ones have been returned.
+// The leader is killed while a zone is partitioned. Tasks that were never dispatched start at once in the other zone.
+// Guards against machines that are idle beside a full queue until the unreachable machines have been returned.
 func TestFailoverStartsTasksNeverDispatched(t *testing.T) {
 	t.Parallel()
-	killLeader := func(c *cluster) { c.killNode(c.leaderIndex()) }
+	killLeader := func(c *cluster) { c.killController(c.leaderIndex()) }
 	if n := startsAfterFailover(t, func(*cluster) {}, killLeader); n < 10 {
 		t.Errorf("%d tasks started within two heartbeat intervals, want 10 or more", n)
 	}
@@ -63,18 +61,18 @@
 	}
 }
 
-// All controllers are killed at once, so that no observer is left: the attestation in the store is
-// used by the process that restarts on the last leader's node in time.
+// All controllers are killed at once, so that no observer of the watermarks is left. If the last leader restarts in
+// time, its new process uses the attestation in the store.
 func TestStoredWatermarksAreUsedAfterAllControllersDied(t *testing.T) {
 	t.Parallel()
 	failOver := func(pause float64) func(c *cluster) {
 		return func(c *cluster) {
 			last := c.leaderIndex()
 			for i := range 3 {
-				c.killNode(i)
+				c.killController(i)
 			}
 			sleep(pause)
-			c.startNode(last)
+			c.startController(last)
 		}
 	}
 	if n := startsAfterFailover(t, func(*cluster) {}, failOver(1)); n == 0 {
@@ -85,18 +83,19 @@
 	}
 }
 
-// A controller of a version without watermarks led in between and may have dispatched any task.
+// A controller of a version without watermarks leads before the failover and may have dispatched any task. The next
+// leader must not start tasks by older watermarks.
 func TestWatermarksAreNotUsedAfterOlderVersionLed(t *testing.T) {
 	t.Parallel()
 	if n := startsAfterFailover(t, func(c *cluster) { c.olderVersion[1] = true }, func(c *cluster) {
-		c.killNode(0)
-		c.killNode(2)
+		c.killController(0)
+		c.killController(2)
 		for c.leaderIndex() != 1 {
 			sleep(1)
 		}
-		c.startNode(0)
+		c.startController(0)
 		sleep(1)
-		c.killNode(1)
+		c.killController(1)
 	}); n > 0 {
 		t.Errorf("%d tasks started before the machines that the older version may have used were reached", n)
 	}
@@ -118,7 +117,7 @@
 				jobs := 0
 				submit := func() {
 					for i := range 3 {
-						if c.node(i) != nil && c.submit(i, records.Job{ID: fmt.Sprint("j-", jobs+1), Tasks: 20 + r.IntN(120), EstimateS: 8}) == 201 {
+						if c.controller(i) != nil && c.submit(i, records.Job{ID: fmt.Sprint("j-", jobs+1), Tasks: 20 + r.IntN(120), EstimateS: 8}) == 201 {
 							jobs++
 							return
 						}
--- a/internal/simulation/fault_injection_test.go
+++ b/internal/simulation/fault_injection_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// isolateFromControlPlane partitions a controller from the store and the other controllers, but not from workers;
-// false ends the partition.
+// isolateFromControlPlane partitions a controller from the store and the other controllers, but not from workers. If on
+// is false, it ends the partition.
 func (c *cluster) isolateFromControlPlane(i int, on bool) {
 	c.setIsolated(i, on)
 	hang := time.Duration(0)
 	if on {
 		hang = time.Second
 	}
-	if n := c.node(i); n != nil {
+	if n := c.controller(i); n != nil {
 		n.client.SetHang(hang)
 	}
 }
@@ -26,17 +26,17 @@
 	c.mu.Lock()
 	clear(c.isolated)
 	clear(c.delays)
-	clear(c.onlyNodeForZone)
+	clear(c.onlyControllerForZone)
 	clear(c.unreachable)
 	c.shouldKeepCopy, c.onJobEvent = nil, nil // copyDelays stays set: late copies of heartbeats continue
 	c.mu.Unlock()
 	c.store.SetOutage(false)
-	for i, name := range strings.Fields(nodeNames)[:len(c.nodes)] {
+	for i, name := range strings.Fields(controllerNames)[:len(c.controllers)] {
 		c.store.SetRefused(name, false)
-		if c.node(i) == nil {
-			c.startNode(i)
+		if c.controller(i) == nil {
+			c.startController(i)
 		}
-		n := c.node(i).client
+		n := c.controller(i).client
 		n.SetHang(0)
 		n.SetLateWrites(nil)
 		n.SetDelay(0)
@@ -66,18 +66,18 @@
 			m.SetUnreachable(false)
 		}
 	case 1:
-		if c.node(i) != nil {
+		if c.controller(i) != nil {
 			c.isolateFromControlPlane(i, true)
 			sleep(float64(1 + r.IntN(40)))
-			if c.node(i) != nil {
+			if c.controller(i) != nil {
 				c.isolateFromControlPlane(i, false)
 			}
 		}
 	case 2:
-		if c.node(i) != nil {
-			c.killNode(i)
+		if c.controller(i) != nil {
+			c.killController(i)
 			sleep(r.Float64())
-			c.startNode(i)
+			c.startController(i)
 		}
 		sleep(float64(r.IntN(6)))
 	case 3:
@@ -97,21 +97,21 @@
 	switch r.IntN(10) {
 	case 0, 1:
 		if l := c.leaderIndex(); l >= 0 {
-			c.killNode(l)
+			c.killController(l)
 		}
 	case 2:
 		for k := range 3 {
-			c.killNode(k)
+			c.killController(k)
 		}
 		sleep(1 + 2*r.Float64())
 		for k := range 3 {
-			c.startNode(k)
+			c.startController(k)
 		}
 	case 3, 4:
-		if c.node(i) == nil {
-			c.startNode(i)
+		if c.controller(i) == nil {
+			c.startController(i)
 		} else {
-			c.killNode(i)
+			c.killController(i)
 		}
 	case 5:
 		c.store.SetOutage(r.IntN(3) > 0)
@@ -132,26 +132,27 @@
 	}
 }
 
-// restartNode kills a controller and starts it again after a pause in seconds. It does nothing if i is -1 or the
+// restartController kills a controller and starts it again after a pause in seconds. It does nothing if i is -1 or the
 // controller is down.
-func (c *cluster) restartNode(i int, pause float64) {
-	if i >= 0 && c.node(i) != nil {
-		c.killNode(i)
+func (c *cluster) restartController(i int, pause float64) {
+	if i >= 0 && c.controller(i) != nil {
+		c.killController(i)
 		sleep(pause)
-		c.startNode(i)
+		c.startController(i)
 	}
 }
 
 // setLateWrites calls Client.SetLateWrites for all running controllers.
 func (c *cluster) setLateWrites(pick func() (time.Duration, bool)) {
-	for k := range c.nodes {
-		if n := c.node(k); n != nil {
+	for k := range c.controllers {
+		if n := c.controller(k); n != nil {
 			n.client.SetLateWrites(pick)
 		}
 	}
 }
 
-// hangMachines makes up to n random machines with tasks hang for s seconds. The channel is closed when they resume.
+// hangMachines makes up to n random machines with tasks hang for s seconds. The returned channel is closed when the
+// machines resume.
 func (c *cluster) hangMachines(r *rand.Rand, n, s int) <-chan struct{} {
 	var ms []*Machine
 	for _, m := range c.env.Machines() {
@@ -189,7 +190,7 @@
 	c.shouldKeepCopy = func() bool { return r.IntN(3) == 0 }
 }
 
-// randomBootTimes returns boot times for SetBootTime: 0.2 to 2 s for three in four machines, 20 s for the others.
+// randomBootTimes returns a function for SetBootTime: 0.2 to 2 s for three in four machines, 20 s for the others.
 func randomBootTimes(seed uint64) func() time.Duration {
 	r := rand.New(rand.NewPCG(seed, 5))
 	var mu sync.Mutex
@@ -203,7 +204,8 @@
 	}
 }
 
-// randomLateWrites returns delays for SetLateWrites: half of the commits get no response and are applied 2 to 12 s late.
+// randomLateWrites returns a function for SetLateWrites: half of the commits get no response and are applied 2 to 12 s
+// late.
 func randomLateWrites(seed uint64) func() (time.Duration, bool) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var mu sync.Mutex
@@ -214,8 +216,8 @@
 	}
 }
 
-// randomCommandDelays returns delays for SetCommandDelay: a third of the commands and of the responses are delayed by
-// up to 15 s, so that the machine's state can change before they arrive.
+// randomCommandDelays returns a function for SetCommandDelay: a third of the commands and of the responses are delayed
+// by up to 15 s. The machine's state can change before such a command arrives.
 func randomCommandDelays(seed uint64) func() (command, response time.Duration) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	var mu sync.Mutex
--- a/internal/simulation/fault_pair_list_test.go
+++ b/internal/simulation/fault_pair_list_test.go
@@ -8,7 +8,7 @@
 	"drumpick/internal/records"
 )
 
-// faultPairs are the fault pairs of docs/faults.md, in its order. inject injects a pair once, with
+// faultPairs are the fault pairs of docs/faults.md, in the order of that page. inject injects the pair once, with
 // random parameters from r.
 var faultPairs = []struct {
 	name   string
@@ -16,7 +16,7 @@
 }{
 	{"cancellation through another controller, then an outage", func(c *cluster, r *rand.Rand) {
 		leader := max(c.leaderIndex(), 0)
-		c.store.SetRefused(c.env.Nodes[leader], true)
+		c.store.SetRefused(c.env.Controllers[leader], true)
 		sleep(3 * r.Float64())
 		c.cancelSome(r, 1)
 		c.store.SetOutage(true)
@@ -24,13 +24,13 @@
 		if r.IntN(2) == 0 {
 			injectRandomFault(c, r)
 		}
-		c.store.SetRefused(c.env.Nodes[leader], false)
+		c.store.SetRefused(c.env.Controllers[leader], false)
 		c.store.SetOutage(false)
 	}},
 	{"late transactions and a leader restart", func(c *cluster, r *rand.Rand) {
 		c.setLateWrites(randomLateWrites(r.Uint64()))
 		sleep(float64(r.IntN(15)))
-		c.restartNode(c.leaderIndex(), 2*r.Float64())
+		c.restartController(c.leaderIndex(), 2*r.Float64())
 	}},
 	{"the leader isolated from store and peers", func(c *cluster, r *rand.Rand) {
 		if leader := c.leaderIndex(); leader >= 0 {
@@ -42,7 +42,7 @@
 		}
 	}},
 	{"a slow store and a random fault", func(c *cluster, r *rand.Rand) {
-		if n := c.node(r.IntN(3)); n != nil {
+		if n := c.controller(r.IntN(3)); n != nil {
 			n.client.SetDelay(time.Duration(r.IntN(3000)) * time.Millisecond)
 			defer n.client.SetDelay(0)
 		}
@@ -51,14 +51,14 @@
 	}},
 	{"all controllers die and one restarts at once", func(c *cluster, r *rand.Rand) {
 		for k := range 3 {
-			c.killNode(k)
+			c.killController(k)
 		}
 		sleep(r.Float64())
-		c.startNode(r.IntN(3))
+		c.startController(r.IntN(3))
 		sleep(float64(r.IntN(10)))
 		for k := range 3 {
-			if c.node(k) == nil {
-				c.startNode(k)
+			if c.controller(k) == nil {
+				c.startController(k)
 			}
 		}
 	}},
@@ -73,9 +73,9 @@
 		c.env.PartitionZone(zone, !unreachable)
 		sleep(float64(r.IntN(4)))
 		leader := max(c.leaderIndex(), 0)
-		c.killNode(leader)
+		c.killController(leader)
 		sleep(float64(r.IntN(30)))
-		c.startNode(leader)
+		c.startController(leader)
 		c.env.PartitionZone(zone, false)
 		for _, m := range c.env.Machines() {
 			m.SetUnreachable(false)
@@ -87,24 +87,24 @@
 	}},
 	{"repeated leader restarts", func(c *cluster, r *rand.Rand) {
 		for range 3 {
-			c.restartNode(c.leaderIndex(), r.Float64())
+			c.restartController(c.leaderIndex(), r.Float64())
 			sleep(float64(r.IntN(6)))
 		}
 	}},
-	// The next seven were requested by users.
+	// The next seven pairs were requested by users of the scheduler.
 	{"polls at every controller while one is refused, slow or restarted", func(c *cluster, r *rand.Rand) {
 		c.pollAggressively(r.Uint64())
 		i := r.IntN(3)
 		switch r.IntN(3) {
 		case 0:
-			c.store.SetRefused(c.env.Nodes[i], true)
+			c.store.SetRefused(c.env.Controllers[i], true)
 		case 1:
-			if n := c.node(i); n != nil {
+			if n := c.controller(i); n != nil {
 				n.client.SetDelay(time.Duration(100+r.IntN(800)) * time.Millisecond)
 				defer n.client.SetDelay(0)
 			}
 		case 2:
-			c.restartNode(c.leaderIndex(), r.Float64())
+			c.restartController(c.leaderIndex(), r.Float64())
 		}
 		for range 4 {
 			submitRandomJob(c, r)
@@ -112,7 +112,7 @@
 			c.cancelSome(r, 1)
 			sleep(2 * r.Float64())
 		}
-		c.store.SetRefused(c.env.Nodes[i], false)
+		c.store.SetRefused(c.env.Controllers[i], false)
 	}},
 	{"transactions applied at once with lost responses", func(c *cluster, r *rand.Rand) {
 		pick := randomLateWrites(r.Uint64())
@@ -126,7 +126,7 @@
 			c.cancelSome(r, 1)
 		}
 		if r.IntN(2) == 0 {
-			c.restartNode(c.leaderIndex(), r.Float64())
+			c.restartController(c.leaderIndex(), r.Float64())
 		}
 		sleep(float64(r.IntN(10)))
 		c.setLateWrites(nil)
@@ -148,9 +148,9 @@
 		}
 		sleep(2 * r.Float64())
 		leader := max(c.leaderIndex(), 0)
-		c.killNode(leader)
+		c.killController(leader)
 		sleep(float64(r.IntN(12)))
-		c.startNode(leader)
+		c.startController(leader)
 		c.cancel(r.IntN(3), jobID(n+3))
 		<-hangEnded
 		c.env.PartitionZone("b", false)
@@ -161,7 +161,7 @@
 		if cancelBefore {
 			c.cancelSome(r, 2)
 		}
-		c.killNode(leader)
+		c.killController(leader)
 		sleep(7 * r.Float64())
 		c.cancelSome(r, 2)
 		for k := 0; k < 400 && c.leaderIndex() < 0; k++ {
@@ -171,7 +171,7 @@
 			c.cancelSome(r, 1)
 			sleep(0.05 * r.Float64())
 		}
-		c.startNode(leader)
+		c.startController(leader)
 	}},
 	{"fast machine boots, late writes and a leader restart", func(c *cluster, r *rand.Rand) {
 		previous := c.env.SetBootTime(func() time.Duration { return time.Second })
@@ -185,7 +185,7 @@
 			submitRandomJob(c, r)
 			sleep(1 + 4*r.Float64())
 		}
-		c.restartNode(c.leaderIndex(), float64(r.IntN(6)))
+		c.restartController(c.leaderIndex(), float64(r.IntN(6)))
 		c.env.SetBootTime(previous)
 	}},
 	{"old heartbeats at every controller as a term begins", func(c *cluster, r *rand.Rand) {
@@ -200,9 +200,9 @@
 			}
 		}
 		sleep(float64(r.IntN(20)))
-		c.restartNode(c.leaderIndex(), r.Float64())
+		c.restartController(c.leaderIndex(), r.Float64())
 		sleep(float64(r.IntN(8)))
-		c.restartNode(c.leaderIndex(), r.Float64())
+		c.restartController(c.leaderIndex(), r.Float64())
 	}},
 	{"four single-task jobs a second, a quarter cancelled", func(c *cluster, r *rand.Rand) {
 		c.mu.Lock()
@@ -219,7 +219,7 @@
 			}()
 			switch {
 			case k == 40 && r.IntN(2) == 0:
-				c.killNode(max(c.leaderIndex(), 0))
+				c.killController(max(c.leaderIndex(), 0))
 			case k == 70 && r.IntN(2) == 0:
 				c.store.SetOutage(true)
 			case k == 100:
@@ -247,7 +247,7 @@
 		}
 		sleep(float64(15 + r.IntN(20)))
 		c.cancelSome(r, 1)
-		c.restartNode(c.leaderIndex(), 2*r.Float64())
+		c.restartController(c.leaderIndex(), 2*r.Float64())
 		sleep(float64(r.IntN(15)))
 		c.mu.Lock()
 		clear(c.delays)
@@ -276,18 +276,18 @@
 			sleep(float64(r.IntN(30)))
 		}
 		if r.IntN(2) == 0 {
-			c.restartNode(c.leaderIndex(), r.Float64())
+			c.restartController(c.leaderIndex(), r.Float64())
 		}
 		sleep(float64(r.IntN(15)))
 		c.env.PartitionZone(zone, false)
 	}},
 	{"all controllers down for longer than a lease", func(c *cluster, r *rand.Rand) {
 		for k := range 3 {
-			c.killNode(k)
+			c.killController(k)
 		}
 		sleep(12 + float64(r.IntN(20)))
 		for k := range 3 {
-			c.startNode(k)
+			c.startController(k)
 			sleep(r.Float64())
 		}
 		c.cancelSome(r, 1)
@@ -316,11 +316,11 @@
 		if leader := c.leaderIndex(); leader >= 0 && r.IntN(2) == 0 {
 			i = leader
 		}
-		if c.node(i) == nil {
+		if c.controller(i) == nil {
 			return
 		}
 		c.mu.Lock()
-		c.onlyNodeForZone[zone] = i
+		c.onlyControllerForZone[zone] = i
 		c.mu.Unlock()
 		c.env.BlockCommands(zone, true)
 		c.isolateFromControlPlane(i, true)
@@ -328,7 +328,7 @@
 		c.cancelSome(r, 2)
 		sleep(float64(10 + r.IntN(30)))
 		c.mu.Lock()
-		delete(c.onlyNodeForZone, zone)
+		delete(c.onlyControllerForZone, zone)
 		c.mu.Unlock()
 		c.env.BlockCommands(zone, false)
 		c.isolateFromControlPlane(i, false)
@@ -349,12 +349,12 @@
 			}
 		}
 		leader := max(c.leaderIndex(), 0)
-		c.killNode(leader)
+		c.killController(leader)
 		sleep(float64(r.IntN(8)))
 		c.cancel((leader+1)%3, jobID(n+1))
 		sleep(float64(r.IntN(12)))
 		c.cancel((leader+2)%3, jobID(n+2))
-		c.startNode(leader)
+		c.startController(leader)
 		sleep(float64(r.IntN(10)))
 		c.env.BlockCommands(zone, false)
 		c.reconnectMachines()
@@ -366,7 +366,7 @@
 		sleep(float64(r.IntN(8)))
 		c.cancelSome(r, 1)
 		if r.IntN(2) == 0 {
-			c.restartNode(c.leaderIndex(), 3*r.Float64())
+			c.restartController(c.leaderIndex(), 3*r.Float64())
 		}
 		sleep(float64(r.IntN(35)))
 		c.reconnectMachines()
@@ -380,7 +380,7 @@
 			if k == 6 {
 				c.store.SetOutage(false)
 			}
-			c.restartNode(c.leaderIndex(), r.Float64())
+			c.restartController(c.leaderIndex(), r.Float64())
 			if r.IntN(3) == 0 {
 				c.cancelSome(r, 1)
 			}
@@ -391,7 +391,7 @@
 		hangEnded := c.hangMachines(r, 8, 1+r.IntN(40))
 		c.cancelSome(r, 3)
 		if r.IntN(2) == 0 {
-			c.restartNode(c.leaderIndex(), r.Float64())
+			c.restartController(c.leaderIndex(), r.Float64())
 		}
 		<-hangEnded
 	}},
--- a/internal/simulation/fault_pairs_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -12,14 +12,13 @@
 	"drumpick/internal/records"
 )
 
-// Tests of two faults at once. docs/faults.md has a row for each pair and names the tests of those
-// that are tested elsewhere.
+// Tests of two faults at once. docs/faults.md has a row for each pair of faults, and names the tests of the pairs
+// that other files test.
 
 var faultPairSeeds = flag.Uint64("fault-pairs", 6, "number of scenarios with random fault pairs to run")
 
-// The tasks of a job end far apart, across leader changes with late transactions. A job is done only
-// once all its tasks are, no completed task runs again while its result is known, and none is
-// forgotten.
+// The tasks of a job end at very different times, with leader changes and late transactions in between. A job must be
+// done only after all of its tasks. No completed task may run again, and no job may be forgotten.
 func TestFailoverWithLateCommitsKeepsCompletedTasks(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -37,20 +36,20 @@
 				for n := range 8 {
 					c.submit(n%3, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: 2 + n%2, CPUs: 2, EstimateS: 70})
 				}
-				// The first tasks end from 29 s on. Around that time the leader is killed with its
-				// last transactions late or lost, and later its successors.
+				// The first tasks end from 29 s on. Around that time the leader is killed while its last transactions
+				// are late or lost. Later the next leaders are killed in the same way.
 				sleep(25 + 6*r.Float64())
 				for range 3 {
 					leader := c.leaderIndex()
-					c.node(leader).client.SetLateWrites(randomLateWrites(r.Uint64()))
+					c.controller(leader).client.SetLateWrites(randomLateWrites(r.Uint64()))
 					sleep(4 * r.Float64())
-					c.killNode(leader)
+					c.killController(leader)
 					sleep(r.Float64())
-					c.startNode(leader)
+					c.startController(leader)
 					sleep(10)
 					for i := range 3 {
-						if c.node(i) == nil {
-							t.Fatalf("node %d is down", i)
+						if c.controller(i) == nil {
+							t.Fatalf("controller %d is down", i)
 						}
 						for n := range 8 {
 							c.ask(i, peer.MethodPoll, fmt.Sprint("j-", n+1)) // the environment checks the responses
@@ -68,8 +67,8 @@
 	}
 }
 
-// The leader is killed while machines with long tasks are partitioned, hang, or receive no
-// responses. They become reachable again before their leases expire or after, at any controller.
+// The leader is killed while machines with long tasks are partitioned, hang, or receive no responses. The machines
+// become reachable again before or after their leases expire. No task may run twice, and no job may be lost.
 func TestMachinesUnreachableAcrossFailover(t *testing.T) {
 	for _, fault := range []string{"partitioned", "unreachable", "hanging"} {
 		for _, seconds := range []float64{6, 10, 20, 45} {
@@ -101,12 +100,12 @@
 					setFault(true)
 					sleep(1)
 					leader := c.leaderIndex()
-					c.killNode(leader)
+					c.killController(leader)
 					sleep(2)
 					c.ask((leader+1)%3, peer.MethodCancel, "j-3")
 					c.expectCancelled("j-3")
 					sleep(seconds - 3)
-					c.startNode(leader)
+					c.startController(leader)
 					setFault(false)
 					sleep(420)
 					c.wantAllJobsKnown()
@@ -117,8 +116,8 @@
 	}
 }
 
-// The store is slow, up to timeouts of all calls, then refuses only the leader, and then all
-// controllers for longer than the cancellation limit, while users submit, cancel and poll.
+// The store is slow, up to timeouts of all calls. Then it refuses the leader alone, and then all controllers for longer
+// than the cancellation limit. Meanwhile users submit, cancel and poll. No job may be lost.
 func TestSlowStore(t *testing.T) {
 	for _, delay := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1500 * time.Millisecond, 4 * time.Second} {
 		t.Run(fmt.Sprint(delay), func(t *testing.T) {
@@ -130,7 +129,7 @@
 				n := 0
 				setDelay := func(d time.Duration) {
 					for i := range 3 {
-						c.node(i).client.SetDelay(d)
+						c.controller(i).client.SetDelay(d)
 					}
 				}
 				// runUsers submits jobs, cancels every other one and polls, for s seconds.
@@ -152,15 +151,15 @@
 				setDelay(delay)
 				runUsers(20)
 				old := max(c.leaderIndex(), 0)
-				c.store.SetRefused(c.env.Nodes[old], true)
+				c.store.SetRefused(c.env.Controllers[old], true)
 				runUsers(4)
 				c.store.SetOutage(true)
 				runUsers(36)
 				c.store.SetOutage(false)
-				c.store.SetRefused(c.env.Nodes[old], false)
+				c.store.SetRefused(c.env.Controllers[old], false)
 				runUsers(10)
 				setDelay(0)
-				// Repeats the cancellations that were not confirmed.
+				// Repeat the cancellations, because some were not confirmed.
 				for i := 2; i <= n; i += 2 {
 					id := fmt.Sprint("j-", i)
 					if _, st := c.ask(0, peer.MethodCancel, id); st == records.StatusCancelled {
@@ -175,8 +174,8 @@
 	}
 }
 
-// Random fault pairs from a seed, two or three faults at a time, while users submit and cancel jobs.
-// -fault-pairs 200 runs 200 seeds.
+// Each scenario injects random fault pairs, two or three faults at a time, while users submit and cancel jobs. No rule
+// may be violated. -fault-pairs 200 runs 200 seeds.
 func TestRandomFaultPairs(t *testing.T) {
 	for seed := range *faultPairSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -184,8 +183,8 @@
 			runFaultPairs(t, rand.New(rand.NewPCG(seed, 36)), 12, func(c *cluster, r *rand.Rand) {
 				faultPairs[r.IntN(len(faultPairs))].inject(c, r)
 				for k := range 3 {
-					if c.node(k) == nil && r.IntN(2) == 0 {
-						c.startNode(k)
+					if c.controller(k) == nil && r.IntN(2) == 0 {
+						c.startController(k)
 					}
 				}
 				sleep(float64(r.IntN(12)))
@@ -197,15 +196,15 @@
 // Each scenario injects one fault pair of docs/faults.md three times. -fault-pairs 60 runs ten
 // seeds of each pair.
 func TestEachFaultPair(t *testing.T) {
-	for i, m := range faultPairs {
+	for i, pair := range faultPairs {
 		for seed := range max(*faultPairSeeds/6, 1) {
-			t.Run(fmt.Sprint(m.name, " ", seed), func(t *testing.T) {
+			t.Run(fmt.Sprint(pair.name, " ", seed), func(t *testing.T) {
 				t.Parallel()
 				runFaultPairs(t, rand.New(rand.NewPCG(seed, 100+uint64(i))), 3, func(c *cluster, r *rand.Rand) {
-					m.inject(c, r)
+					pair.inject(c, r)
 					for k := range 3 {
-						if c.node(k) == nil {
-							c.startNode(k)
+						if c.controller(k) == nil {
+							c.startController(k)
 						}
 					}
 					sleep(float64(10 + r.IntN(10)))
@@ -215,8 +214,8 @@
 	}
 }
 
-// runFaultPairs runs a scenario that calls inject the given number of times and then ends all faults. It checks
-// that every accepted job is known and done, and did not wait beside free capacity.
+// runFaultPairs runs a scenario that calls inject the given number of times and then ends all faults. It checks that
+// every accepted job is known and done, and that no job waited beside free capacity.
 func runFaultPairs(t *testing.T, r *rand.Rand, times int, inject func(c *cluster, r *rand.Rand)) {
 	runScenarioWith(t, func(c *cluster) {
 		c.env.ZoneCapacity = 8
--- a/internal/simulation/faults_test.go
+++ b/internal/simulation/faults_test.go
@@ -13,11 +13,12 @@
 	"drumpick/internal/scheduler"
 )
 
-// These tests inject each fault of docs/faults.md in scenarios of its own. At the end of each scenario, every accepted
+// These tests inject each fault of docs/faults.md in separate scenarios. At the end of each scenario, every accepted
 // job must be known to every controller.
 
-// A machine's heartbeats arrive while nothing reaches it. Once that is detected it must get no starts and a gang must
-// start elsewhere. It is returned if it stays unreachable, and used again if it becomes reachable.
+// A machine's heartbeats arrive while responses and commands do not reach the machine. Once the leader detects this,
+// the machine must get no starts and a gang must start elsewhere. The machine is returned if it stays unreachable, and
+// used again if it becomes reachable.
 func TestMachineThatReceivesNothing(t *testing.T) {
 	unreachableFor := func(c *cluster, ms []*Machine, s float64) {
 		for _, m := range ms {
@@ -51,7 +52,7 @@
 			c.submit(0, records.Job{ID: "j-2", Team: "limited", Tasks: 12, CPUs: 2, EstimateS: 30})
 			sleep(33)
 			c.env.Machines()[0].SetUnreachable(true)
-			c.killNode(c.leaderIndex())
+			c.killController(c.leaderIndex())
 			sleep(20)
 			isUp := func(v scheduler.MachineView) bool { return v.State == scheduler.MachineUp }
 			if !slices.ContainsFunc(c.leaderMachines(), isUp) {
@@ -128,23 +129,23 @@
 					c.submit(n, records.Job{ID: fmt.Sprint("j-", n+1), Tasks: 60, CPUs: 2, EstimateS: 8})
 				}
 				sleep(35)
-				c.killNode(c.leaderIndex())
+				c.killController(c.leaderIndex())
 				sleep(10)
 				c.env.Machines()[0].Terminate()
 				sleep(20)
 				for i := range 3 {
-					c.killNode(i)
+					c.killController(i)
 				}
 				sleep(1)
 				for i := range 3 {
-					c.startNode(i)
+					c.startController(i)
 				}
 				sleep(60)
 				// By now idle machines have been returned, while copies of their heartbeats still
 				// arrive. A new leader does not know these machines.
 				sleep(20)
 				c.submit(0, records.Job{ID: "j-9", Tasks: 4, CPUs: 4, EstimateS: 8})
-				c.killNode(c.leaderIndex())
+				c.killController(c.leaderIndex())
 				sleep(60)
 				c.wantAllJobsKnown()
 				c.wantNoVanishedMachines()
@@ -153,7 +154,7 @@
 	}
 }
 
-// A controller loses the store and the other controllers, but not its workers: no task may be lost.
+// A controller is partitioned from the store and the other controllers, but not from its workers. No task may be lost.
 func TestIsolatedControllerLosesNoTask(t *testing.T) {
 	for _, role := range []string{"leader", "follower"} {
 		for _, seconds := range []float64{5, 12, 90} {
@@ -174,13 +175,13 @@
 					c.isolateFromControlPlane(isolated, true)
 					sleep(4)
 					if seconds > 5 {
-						// Its users get 503 without a delay.
+						// Users of the isolated controller get 503 without a delay.
 						sleep(3)
 						began := time.Now()
 						if status, _ := c.ask(isolated, peer.MethodPoll, "j-1"); status != 503 || time.Since(began) > time.Second/4 {
 							t.Errorf("a poll at the isolated controller: %d after %v", status, time.Since(began))
 						}
-						if c.node(isolated).server.Ready() {
+						if c.controller(isolated).server.Ready() {
 							t.Error("the isolated controller is ready")
 						}
 					}
@@ -201,23 +202,23 @@
 	}
 }
 
-// A controller restarts within a fraction of a second, also during an election, or a machine reboots with its
-// incarnation and sequence number reset. No job may be lost.
+// Controllers restart within a second, also during an election, or machines reboot with their incarnation and sequence
+// number reset. No job may be lost.
 func TestImmediateRestartLosesNothing(t *testing.T) {
-	restart := func(c *cluster, pause float64, nodes ...int) {
-		for _, i := range nodes {
-			c.killNode(i)
+	restart := func(c *cluster, pause float64, controllers ...int) {
+		for _, i := range controllers {
+			c.killController(i)
 		}
 		sleep(pause)
-		for _, i := range nodes {
-			c.startNode(i)
+		for _, i := range controllers {
+			c.startController(i)
 		}
 	}
 	for name, scenario := range map[string]func(c *cluster){
 		"the leader":        func(c *cluster) { restart(c, 0.05, c.leaderIndex()) },
 		"the leader, later": func(c *cluster) { restart(c, 0.9, c.leaderIndex()) },
 		"the leader with a commit under way": func(c *cluster) {
-			c.node(c.leaderIndex()).client.LoseResponses(3, 2*time.Second)
+			c.controller(c.leaderIndex()).client.LoseResponses(3, 2*time.Second)
 			sleep(0.6)
 			restart(c, 0.05, c.leaderIndex())
 		},
@@ -231,12 +232,12 @@
 		"all":         func(c *cluster) { restart(c, 0.2, 0, 1, 2) },
 		"in an election": func(c *cluster) {
 			i := c.leaderIndex()
-			c.killNode(i)
+			c.killController(i)
 			for c.leaderIndex() < 0 {
 				sleep(0.01)
 			}
 			restart(c, 0.05, c.leaderIndex())
-			c.startNode(i)
+			c.startController(i)
 		},
 		"a machine":     func(c *cluster) { rebootMachines(c, c.env.Machines()[:1]) },
 		"most machines": func(c *cluster) { rebootMachines(c, c.env.Machines()) },
@@ -293,7 +294,7 @@
 				jobs := 0
 				for range 10 {
 					for i := range 3 {
-						if c.node(i) == nil {
+						if c.controller(i) == nil {
 							continue
 						}
 						j := records.Job{ID: jobID(jobs + 1), Tasks: 10 + r.IntN(40), CPUs: float64(1 + r.IntN(4)), EstimateS: 8}
--- a/internal/simulation/final_checks_test.go
+++ b/internal/simulation/final_checks_test.go
@@ -8,12 +8,13 @@
 	"drumpick/internal/scheduler"
 )
 
-// wantAllJobsKnown polls every controller for every accepted job, every 5 s for up to 75 s, until each poll is answered
-// within 2 s. It then requires that all jobs are done.
+// wantAllJobsKnown polls every running controller for every job in expectedDone, until the controller has reported each
+// job within 2 s. It fails the test after 15 rounds of polls, 5 s apart. It then requires that all of these jobs are
+// done.
 func (c *cluster) wantAllJobsKnown() {
 	c.t.Helper()
-	for i := range c.nodes {
-		if c.node(i) == nil {
+	for i := range c.controllers {
+		if c.controller(i) == nil {
 			continue
 		}
 		left := slices.Clone(c.expectedDone)
@@ -29,12 +30,12 @@
 			sleep(5)
 		}
 		if len(left) > 0 {
-			c.t.Errorf("node %d did not answer polls for %v", i, left)
+			c.t.Errorf("controller %d did not answer polls for %v", i, left)
 		}
 	}
 	for _, id := range c.expectedDone {
-		for i := range c.nodes {
-			if c.node(i) != nil {
+		for i := range c.controllers {
+			if c.controller(i) != nil {
 				c.wantDone(i, id)
 				break
 			}
@@ -48,7 +49,7 @@
 	if i < 0 {
 		return nil
 	}
-	list, _ := c.node(i).leader.Machines("", 1000)
+	list, _ := c.controller(i).leader.Machines("", 1000)
 	return list
 }
 
--- a/internal/simulation/gang.go
+++ b/internal/simulation/gang.go
@@ -8,8 +8,8 @@
 	attempt *attempt
 }
 
-// gangPeersLocked returns all live attempts of a's gang with its attempt number, including a. Attempts on hung
-// machines are left out.
+// gangPeersLocked returns the attempts of a's gang that have the attempt number of a and have not ended, including a.
+// It omits attempts on hung machines.
 func (env *Environment) gangPeersLocked(a *attempt) []gangPeer {
 	var peers []gangPeer
 	for other, m := range env.attempts[a.taskID.Job] {
@@ -20,7 +20,7 @@
 	return peers
 }
 
-// startGangIfReadyLocked starts a gang if all of its tasks are waiting to start.
+// startGangIfReadyLocked lets all tasks of a's gang run if all of them are waiting.
 func (env *Environment) startGangIfReadyLocked(a *attempt, now time.Time) {
 	peers := env.gangPeersLocked(a)
 	if len(peers) < a.job.Tasks {
@@ -37,8 +37,8 @@
 	}
 }
 
-// gangPeerTimedOutLocked reports whether a task of a's gang has been missing for GangPeerTimeout. It tracks since
-// when one is missing.
+// gangPeerTimedOutLocked reports whether a task of a's gang has been missing for GangPeerTimeout, which is never the
+// case if that is 0. It stores in a since when a task is missing.
 func (m *Machine) gangPeerTimedOutLocked(a *attempt, now time.Time) bool {
 	if m.env.GangPeerTimeout == 0 || len(m.env.gangPeersLocked(a)) == a.job.Tasks {
 		a.peerMissingSince = time.Time{}
--- a/internal/simulation/heartbeat.go
+++ b/internal/simulation/heartbeat.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/fleet"
 )
 
-// heartbeatTimeout is how long a worker waits for the response to a heartbeat (PROTOCOL).
+// heartbeatTimeout is the maximum time that a worker waits for the response to a heartbeat (PROTOCOL).
 const heartbeatTimeout = 4 * time.Second
 
 // retryDelay returns the delay before a worker tries the next controller after a heartbeat that was not accepted.
@@ -20,7 +20,7 @@
 	return min(env.HeartbeatInterval, time.Second) / 4
 }
 
-// sentHeartbeat is a heartbeat with the time and the reboot count of its machine when it was sent.
+// sentHeartbeat is a heartbeat with the time at which it was sent and its machine's reboot count at that time.
 type sentHeartbeat struct {
 	body    *fleet.Heartbeat
 	at      time.Time
@@ -33,19 +33,19 @@
 	if !m.boot() || env.RemoteMachines {
 		return
 	}
-	node := env.firstNode(m)
+	controller := env.firstController(m)
 	for {
 		h, terminated := m.nextHeartbeat()
 		if terminated {
 			return
 		}
 		if h != nil {
-			next, delay, ok := m.sendHeartbeat(node, h)
+			next, delay, ok := m.sendHeartbeat(controller, h)
 			if !ok {
 				return
 			}
 			if delay > 0 {
-				node = next
+				controller = next
 				if ctxtime.Sleep(env.ctx, delay) != nil {
 					return
 				}
@@ -58,8 +58,8 @@
 	}
 }
 
-// nextHeartbeat returns the worker's next heartbeat, or nil if none can leave the machine now. terminated reports that
-// the machine is terminated.
+// nextHeartbeat updates the worker's attempts and returns its next heartbeat. It returns nil if the machine is hung or
+// its heartbeats are lost. terminated reports that the machine is terminated.
 func (m *Machine) nextHeartbeat() (h *sentHeartbeat, terminated bool) {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
@@ -76,44 +76,45 @@
 	return &sentHeartbeat{body: m.heartbeatLocked(), at: time.Now(), reboots: m.reboots}, false
 }
 
-// sendHeartbeat sends a heartbeat to a controller and executes the commands in the response. If the heartbeat was
-// not accepted it returns the controller to try next and the delay before that; otherwise the delay is 0. ok is false
-// once the environment has ended.
-func (m *Machine) sendHeartbeat(node int, h *sentHeartbeat) (next int, delay time.Duration, ok bool) {
+// sendHeartbeat sends a heartbeat to a controller, given by its index, and executes the commands in the response. If
+// the heartbeat was not accepted, it returns the index of the controller to try next and the delay before that.
+// Otherwise the delay is 0. ok is false once the environment has ended.
+func (m *Machine) sendHeartbeat(controller int, h *sentHeartbeat) (next int, delay time.Duration, ok bool) {
 	env := m.env
-	status, resp, leader := env.Heartbeat(node, h.body)
+	status, resp, leader := env.Heartbeat(controller, h.body)
 	env.mu.Lock()
 	if m.inboundLost || m.reboots != h.reboots {
-		status = 0 // the response is lost, or the machine has rebooted since
+		status = 0 // the response is lost, or the machine has rebooted since it sent the heartbeat
 	}
 	env.mu.Unlock()
 	if status == 0 && ctxtime.Sleep(env.ctx, heartbeatTimeout) != nil {
-		return node, 0, false
+		return controller, 0, false
 	}
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	switch leaderNode := slices.Index(env.Nodes, leader); {
+	switch leaderIndex := slices.Index(env.Controllers, leader); {
 	case status == http.StatusOK && m.acceptsResponseLocked(h, resp):
 		m.fencingToken = resp.FencingToken
 		m.leaseStart = h.at
 		m.executeLocked(resp.Commands)
-	case status == http.StatusMisdirectedRequest && leaderNode >= 0 && leaderNode != node:
-		return leaderNode, env.redirectDelay(), true
+	case status == http.StatusMisdirectedRequest && leaderIndex >= 0 && leaderIndex != controller:
+		return leaderIndex, env.redirectDelay(), true
 	case status != http.StatusOK:
-		return (node + 1) % len(env.Nodes), env.retryDelay(), true
+		return (controller + 1) % len(env.Controllers), env.retryDelay(), true
 	}
-	return node, 0, true
+	return controller, 0, true
 }
 
-// acceptsResponseLocked reports whether the worker accepts a response: it is not from a deposed leader (its fencing
-// token is at least the latest one), it arrives within two heartbeat intervals, and the incarnation is the same.
+// acceptsResponseLocked reports whether the worker accepts the response to heartbeat h. It must not come from a deposed
+// leader, so its fencing token must be at least the latest one. It must arrive within two heartbeat intervals, in the
+// incarnation that sent h.
 func (m *Machine) acceptsResponseLocked(h *sentHeartbeat, resp fleet.HeartbeatResponse) bool {
 	return h.body.Incarnation == m.incarnation && resp.FencingToken >= m.fencingToken &&
 		!m.terminated && !m.hung && time.Since(h.at) < 2*m.env.HeartbeatInterval
 }
 
-// waitForNextHeartbeat waits for the heartbeat interval, or less if a task's status changes. It returns false once
-// the environment has ended.
+// waitForNextHeartbeat waits for the heartbeat interval, or at least a quarter of it if the worker has a change to
+// report earlier. It returns false once the environment has ended.
 func (m *Machine) waitForNextHeartbeat() bool {
 	env := m.env
 	wait, shortest := env.HeartbeatInterval, env.HeartbeatInterval/4
--- a/internal/simulation/heartbeat_network_test.go
+++ b/internal/simulation/heartbeat_network_test.go
@@ -10,40 +10,39 @@
 
 // Delivery of workers' heartbeats to controllers.
 
-// setUnreachable sets whether all workers are cut off from a node.
+// setUnreachable sets whether all workers are cut off from a controller.
 func (c *cluster) setUnreachable(i int, on bool) {
 	c.mu.Lock()
 	c.unreachable[i] = on
 	c.mu.Unlock()
 }
 
-// isUnreachable reports whether workers cannot reach a node.
+// isUnreachable reports whether no worker can reach a controller.
 func (c *cluster) isUnreachable(i int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unreachable[i]
 }
 
-// isUnreachableFromZone reports whether workers of a zone cannot reach a node.
+// isUnreachableFromZone reports whether workers of a zone cannot reach a controller.
 func (c *cluster) isUnreachableFromZone(i int, zone string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	only, ok := c.onlyNodeForZone[zone]
+	only, ok := c.onlyControllerForZone[zone]
 	return ok && only != i
 }
 
-// delayOf returns the delay of messages to a node, in addition to the network latency.
+// delayOf returns the delay of messages to a controller, in addition to the network latency.
 func (c *cluster) delayOf(i int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.delays[i]
 }
 
-// heartbeat delivers a worker's heartbeat to a node and returns the status, the response and the
-// leader it names. Status 0 means no response.
+// heartbeat is the environment's HeartbeatFunc. It also counts the heartbeat and delivers or keeps copies of it.
 func (c *cluster) heartbeat(i int, r *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
 	time.Sleep(networkLatency + c.delayOf(i))
-	n := c.node(i)
+	n := c.controller(i)
 	if n == nil {
 		return StatusRefused, fleet.HeartbeatResponse{}, ""
 	}
@@ -57,7 +56,7 @@
 	c.keepHeartbeat(r)
 	for k, d := range copyDelays {
 		runAfter(d, func() {
-			if to := c.node((i + k) % len(c.nodes)); to != nil {
+			if to := c.controller((i + k) % len(c.controllers)); to != nil {
 				copied, _ := json.Marshal(r)
 				to.server.HandleHeartbeat(copied)
 			}
@@ -74,9 +73,9 @@
 	return out.Status, resp.HeartbeatResponse, resp.Leader
 }
 
-// copyHeartbeats sets the delays after which copies of every heartbeat from now on are delivered in
-// addition. The copy of the first delay goes to the node that received the heartbeat, that of each
-// further delay to the next node. A copy to a node that is down then is dropped.
+// copyHeartbeats makes copies of every heartbeat from now on, one for each delay, and delivers each copy after its
+// delay. The first copy goes to the controller that received the heartbeat, each further copy to the next controller. A
+// copy to a controller that is down is dropped.
 func (c *cluster) copyHeartbeats(after ...time.Duration) {
 	c.mu.Lock()
 	c.copyDelays = after
@@ -93,16 +92,16 @@
 	}
 }
 
-// replayKeptHeartbeats delivers the heartbeat copies kept so far, once each, to every running controller as a
-// term begins, and discards them. It stops early if the term, and with it ctx, ends.
+// replayKeptHeartbeats delivers each kept copy of a heartbeat once to every running controller, and discards the
+// copies. It is called at the beginning of a term, and stops early when the term ends, which ends ctx.
 func (c *cluster) replayKeptHeartbeats(ctx context.Context) {
 	c.mu.Lock()
 	kept := c.keptHeartbeats
 	c.keptHeartbeats = nil
 	c.mu.Unlock()
 	for _, raw := range kept {
-		for i := range c.nodes {
-			if n := c.node(i); n != nil && ctx.Err() == nil {
+		for i := range c.controllers {
+			if n := c.controller(i); n != nil && ctx.Err() == nil {
 				go n.server.HandleHeartbeat(raw)
 			}
 		}
--- a/internal/simulation/heartbeat_relay_test.go
+++ b/internal/simulation/heartbeat_relay_test.go
@@ -10,7 +10,7 @@
 
 // Tests of heartbeats that followers relay to the leader.
 
-// countHeartbeats returns how many heartbeats each node receives in the next s seconds.
+// countHeartbeats returns the number of heartbeats that workers send to each controller in the next s seconds.
 func (c *cluster) countHeartbeats(s float64) (n []int) {
 	c.mu.Lock()
 	before := slices.Clone(c.heartbeatCounts)
@@ -24,6 +24,7 @@
 	return n
 }
 
+// runRelayScenario runs a scenario that begins while the 48 tasks of a job run, and requires that the job is done.
 func runRelayScenario(t *testing.T, prepare, scenario func(c *cluster)) {
 	runScenarioWith(t, func(c *cluster) { prepare(c); c.env.ZoneCapacity = 6 }, func(c *cluster) {
 		c.env.RunTime = func(string) time.Duration { return 90 * time.Second }
@@ -33,22 +34,22 @@
 		scenario(c)
 		sleep(150)
 		for i := range 3 {
-			if c.node(i) != nil {
+			if c.controller(i) != nil {
 				c.wantDone(i, "j-1")
 			}
 		}
 	})
 }
 
-// Workers send about as many heartbeats to each follower and none to the leader, which receives all of
-// them by relay.
+// Workers send about equally many heartbeats to each follower and none to the leader. The followers relay all of them
+// to the leader.
 func TestHeartbeatsAreRelayedEvenly(t *testing.T) {
 	runRelayScenario(t, func(*cluster) {}, func(c *cluster) {
 		leader := c.leaderIndex()
 		n := c.countHeartbeats(12)
 		a, b := n[(leader+1)%3], n[(leader+2)%3]
 		if n[leader] > 0 || a == 0 || b == 0 || a > 2*b || b > 2*a {
-			t.Errorf("heartbeats by node with leader %d: %v", leader, n)
+			t.Errorf("heartbeats by controller with leader %d: %v", leader, n)
 		}
 		if starts := c.env.Starts(); starts != 48 {
 			t.Errorf("%d starts for 48 tasks", starts)
@@ -62,15 +63,15 @@
 	runRelayScenario(t, func(*cluster) {}, func(c *cluster) {
 		leader := c.leaderIndex()
 		follower := (leader + 1) % 3
-		c.killNode(follower)
+		c.killController(follower)
 		sleep(8)
 		if n := c.countHeartbeats(8); n[follower] > 0 || n[(leader+2)%3] == 0 {
-			t.Errorf("heartbeats by node with leader %d and %d dead: %v", leader, follower, n)
+			t.Errorf("heartbeats by controller with leader %d and %d dead: %v", leader, follower, n)
 		}
-		c.startNode(follower)
+		c.startController(follower)
 		sleep(30)
 		if n := c.countHeartbeats(8); n[follower] == 0 {
-			t.Errorf("heartbeats by node with leader %d and %d restarted: %v", leader, follower, n)
+			t.Errorf("heartbeats by controller with leader %d and %d restarted: %v", leader, follower, n)
 		}
 		if starts := c.env.Starts(); starts != 48 {
 			t.Errorf("%d starts for 48 tasks", starts)
@@ -86,7 +87,7 @@
 		c.setIsolated(leader, true)
 		sleep(8)
 		if n := c.countHeartbeats(8); n[leader] == 0 {
-			t.Errorf("heartbeats by node with isolated leader %d: %v", leader, n)
+			t.Errorf("heartbeats by controller with isolated leader %d: %v", leader, n)
 		}
 		c.setIsolated(leader, false)
 		if starts := c.env.Starts(); starts != 48 {
@@ -105,14 +106,14 @@
 		c.mu.Unlock()
 		for i := range 3 {
 			if !c.olderVersion[i] {
-				c.killNode(i)
-				c.startNode(i)
+				c.killController(i)
+				c.startController(i)
 			}
 		}
 		leader := c.leaderIndex()
 		sleep(6)
 		if n := c.countHeartbeats(12); n[leader] == 0 {
-			t.Errorf("heartbeats by node with leader %d: %v", leader, n)
+			t.Errorf("heartbeats by controller with leader %d: %v", leader, n)
 		}
 		if starts := c.env.Starts(); starts != 48 {
 			t.Errorf("%d starts for 48 tasks", starts)
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -12,7 +12,7 @@
 	Machine string    `json:"machine"`
 	Zone    string    `json:"zone"`
 	Started time.Time `json:"from"`
-	Running time.Time `json:"running,omitzero"` // when it began to run; zero: it never ran
+	Running time.Time `json:"running,omitzero"` // when the attempt began to run; zero: it never ran
 	Ended   time.Time `json:"to"`
 	Cause   string    `json:"cause"` // as reported by workers, or causeLost
 }
@@ -20,19 +20,19 @@
 // causeLost is the cause of an attempt that ended with its machine or its lease; no worker reports it.
 const causeLost = "lost"
 
-// RentalCost is the cost of a machine.
+// RentalCost is the cost of one machine at its nominal price per hour.
 type RentalCost struct {
 	Machine string    `json:"machine"`
 	Type    string    `json:"type"`
 	Zone    string    `json:"zone"`
 	Spot    bool      `json:"spot"`
 	From    time.Time `json:"from"`
-	To      time.Time `json:"to"` // zero while it is still rented
+	To      time.Time `json:"to"` // zero while the machine is still rented
 	Cost    float64   `json:"cost"`
 }
 
-// History returns the attempts that have ended, in the order in which they were recorded, and the cost of all
-// machines so far at nominal prices.
+// History returns the attempts that have ended, in the order in which they were recorded, and the cost of each machine
+// so far, sorted by machine name.
 func (env *Environment) History() ([]TaskRun, []RentalCost) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -46,7 +46,7 @@
 	return slices.Clone(env.runs), costs
 }
 
-// Starts returns the number of attempts that were started.
+// Starts returns the number of attempts that were started, without those that workers rejected.
 func (env *Environment) Starts() int {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -75,8 +75,8 @@
 	return env.leaseExpiries
 }
 
-// MaxCancelLatency returns the longest time that a task of a cancelled job was seen on its machine. It leaves out
-// times above CancelLimit, which are violations.
+// MaxCancelLatency returns the longest time after a confirmed cancellation at which CheckCancelled found a task of the
+// job on a machine. It omits times above CancelLimit, which are violations.
 func (env *Environment) MaxCancelLatency() time.Duration {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/internal/simulation/idle_check_test.go
+++ b/internal/simulation/idle_check_test.go
@@ -13,17 +13,18 @@
 	"drumpick/internal/records"
 )
 
-// maxIdle is how long a job may wait while a suitable machine has room, its team is below its limit, and no fault is
-// active.
+// maxIdle is the maximum time that a job may wait while a suitable machine has room, the job's team is below its limit,
+// and no fault is active.
 const maxIdle = 90 * time.Second
 
 // idleCheck checks that no job waits for longer than maxIdle although it could run.
 type idleCheck struct {
 	env       *Environment
-	idleSince map[string]time.Time // by job, since when it has been waiting although it could run
+	idleSince map[string]time.Time // since when a job has been waiting although it could run, by job ID
 }
 
-// check checks all jobs. faulty means that a fault is active: the check starts over.
+// check records a violation for each job that has been idle for longer than maxIdle. faulty means that a fault is
+// active: it resets the idle times of all jobs.
 func (x *idleCheck) check(faulty bool) {
 	x.env.mu.Lock()
 	defer x.env.mu.Unlock()
@@ -94,8 +95,8 @@
 	return machine
 }
 
-// machineWithRoomLocked returns a machine with room for one more task of a job, or nil. taken is the number of CPUs
-// already assigned on each machine, zones the number of the job's tasks in each zone.
+// machineWithRoomLocked returns a machine with room for one more task of a job, or nil if there is none. taken holds the
+// CPUs that this search has already assigned on each machine, zones the number of the job's tasks in each zone.
 func (env *Environment) machineWithRoomLocked(j records.Job, zones map[string]int, taken map[*Machine]float64) *Machine {
 	for _, m := range env.machines {
 		cpus, mem := m.typ.CPUs-taken[m]-j.CPUs, m.typ.MemGB-j.MemGB
@@ -138,8 +139,8 @@
 	c.env.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	active = active || c.leaderIndexLocked() < 0 || len(c.onlyNodeForZone) > 0
-	for i, n := range c.nodes {
+	active = active || c.leaderIndexLocked() < 0 || len(c.onlyControllerForZone) > 0
+	for i, n := range c.controllers {
 		active = active || c.isolated[i] || c.unreachable[i] || c.delays[i] > 0
 		if n != nil {
 			n.client.mu.Lock()
@@ -150,7 +151,7 @@
 	return active
 }
 
-// idleCheck must report a job that is not started on an empty machine after 90 s and not before. It must not report a
+// idleCheck must report a job that waits beside a machine with room, after 90 s and not before. It must not report a
 // job without room, above its team's limit, or during a fault.
 func TestIdleCheckReportsOnlyIdleJobs(t *testing.T) {
 	zone := "b"
--- a/internal/simulation/jobs_test.go
+++ b/internal/simulation/jobs_test.go
@@ -47,10 +47,10 @@
 		}
 		sleep(3)
 		c.wantRunning(0)
-		c.killNode(c.leaderIndex())
+		c.killController(c.leaderIndex())
 		sleep(30)
 		for i := range 3 {
-			if c.node(i) == nil {
+			if c.controller(i) == nil {
 				continue
 			}
 			if status, st := c.ask(i, peer.MethodPoll, "j-1"); status != 200 || st != records.StatusCancelled {
@@ -70,7 +70,7 @@
 		sleep(2)
 		c.submit(0, records.Job{ID: "j-1", Tasks: 100_000, EstimateS: 1})
 		sleep(60)
-		c.killNode(c.leaderIndex())
+		c.killController(c.leaderIndex())
 		sleep(15)
 		for _, k := range c.store.Keys("done/") {
 			if v := c.store.Value(k); len(v) > 8<<10 {
@@ -81,7 +81,7 @@
 			t.Errorf("only %d tasks started", c.env.Starts())
 		}
 		for i := range 3 {
-			if c.node(i) != nil {
+			if c.controller(i) != nil {
 				c.ask(i, peer.MethodCancel, "j-1")
 				break
 			}
@@ -90,7 +90,7 @@
 	})
 }
 
-// A machine fails and another is preempted with notice: the job is done all the same.
+// A machine fails and another is preempted with notice. The job is done nevertheless.
 func TestJobCompletesDespiteLostMachines(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		sleep(2)
@@ -107,8 +107,8 @@
 	})
 }
 
-// The response to a new machine's first heartbeat waits until the machine is on record and then carries
-// start commands. Guards against losing one heartbeat interval for each new machine.
+// The leader responds to a new machine's first heartbeat only after it has stored the machine's record, and includes
+// start commands in the response. Guards against losing one heartbeat interval for each new machine.
 func TestFirstHeartbeatResponseStartsTasks(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		sleep(2)
--- a/internal/simulation/late_writes_test.go
+++ b/internal/simulation/late_writes_test.go
@@ -11,7 +11,7 @@
 
 // Commits without a response are applied seconds later, after newer ones of the same controller, while
 // machines fail and leaders are killed during a zone partition. Guards against a late commit that
-// reverts newer writes of its term because both compare nothing but the leader key.
+// reverts newer writes of the same term, because both commits compare only the leader key.
 func TestLateWritesRevertNoNewerWrite(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -22,7 +22,7 @@
 				installRecordCheck(c)
 				setLate := func() {
 					for i := range 3 {
-						if n := c.node(i); n != nil {
+						if n := c.controller(i); n != nil {
 							n.client.SetLateWrites(randomLateWrites(seed + uint64(i)))
 						}
 					}
@@ -50,15 +50,15 @@
 					case 1:
 						leader := max(c.leaderIndex(), 0)
 						c.env.PartitionZone("b", true)
-						c.killNode(leader)
+						c.killController(leader)
 						sleep(float64(r.IntN(8)))
-						c.startNode(leader)
+						c.startController(leader)
 						setLate()
 						c.env.PartitionZone("b", false)
 					}
 				}
 				for i := range 3 {
-					c.node(i).client.SetLateWrites(nil)
+					c.controller(i).client.SetLateWrites(nil)
 				}
 				sleep(240)
 				c.wantAllJobsKnown()
--- a/internal/simulation/lease_expiry_test.go
+++ b/internal/simulation/lease_expiry_test.go
@@ -11,13 +11,13 @@
 	"drumpick/internal/scheduler"
 )
 
-// Tests of when a new leader may treat the tasks of machines that it has not reached as ended.
+// These tests check when a new leader treats the tasks of unreached machines as ended.
 
-// reconciliationAfterFailover runs a failover during a long partition of zone b, with no free capacity
-// in the other zone. It returns how many seconds after failOver a new leader is reconciled, -1 if none
-// is within 60 s, and how many machines of the zone are left then.
+// reconciliationAfterFailover runs a failover during a long partition of zone b, with no free capacity in the other
+// zone. It returns the number of seconds from failOver until a new leader has reconciled all machines, and the number
+// of machines of zone b that are left then. after is -1 if no new leader has reconciled within 60 s.
 func reconciliationAfterFailover(
-	t *testing.T, prepare func(c *cluster), failOver func(c *cluster, node int, old *leader.Leader),
+	t *testing.T, prepare func(c *cluster), failOver func(c *cluster, oldIndex int, old *leader.Leader),
 ) (after float64, left int) {
 	after = -1
 	runScenarioWith(t, func(c *cluster) {
@@ -31,7 +31,7 @@
 		sleep(40)
 		l := c.leaderIndex()
 		c.mu.Lock()
-		old := c.nodes[l].leader
+		old := c.controllers[l].leader
 		c.mu.Unlock()
 		reconciled := isReconciled(old)
 		failOver(c, l, old)
@@ -47,13 +47,13 @@
 		c.env.PartitionZone("b", false)
 		c.env.BlockCommands("b", false)
 		c.mu.Lock()
-		clear(c.onlyNodeForZone)
+		clear(c.onlyControllerForZone)
 		clear(c.isolated)
 		c.mu.Unlock()
 		for i := range 3 {
-			c.store.SetRefused(strings.Fields(nodeNames)[i], false)
-			if c.node(i) == nil {
-				c.startNode(i)
+			c.store.SetRefused(strings.Fields(controllerNames)[i], false)
+			if c.controller(i) == nil {
+				c.startController(i)
 			}
 		}
 		sleep(250)
@@ -66,7 +66,7 @@
 func (c *cluster) leaderOtherThan(old *leader.Leader) *leader.Leader {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, n := range c.nodes {
+	for _, n := range c.controllers {
 		if n != nil && n.leader != nil && n.leader != old {
 			return n.leader
 		}
@@ -85,20 +85,20 @@
 	return len(all) > 0
 }
 
-// The leader's process is killed during a zone partition and restarts: the old process can renew no
-// lease any more, so one lease duration after the kill the zone's tasks have ended, and its
-// machines are kept. If the process does not restart, the new leader cannot exclude that it still
-// renews leases: the machines are returned.
+// The leader's process is killed during a zone partition and restarts. The restart proves that the old process can
+// renew no lease, so one lease duration after the kill the zone's tasks have ended and the zone's machines are kept.
+// If the process does not restart, the new leader cannot exclude that the old process still renews leases, and returns
+// the machines.
 func TestLeasesExpireInPartitionedZone(t *testing.T) {
 	t.Parallel()
 	failOver := func(restarts bool) func(*cluster, int, *leader.Leader) {
 		return func(c *cluster, l int, _ *leader.Leader) {
 			c.env.PartitionZone("b", true)
 			sleep(1)
-			c.killNode(l)
+			c.killController(l)
 			if restarts {
 				sleep(2)
-				c.startNode(l)
+				c.startController(l)
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 	}
 	after, left = reconciliationAfterFailover(t, func(*cluster) {}, failOver(false))
 	if after < 12 || left > 2 {
-		t.Errorf("with the last leader's node down: reconciled after %v s, with %d machines of the zone left", after, left)
+		t.Errorf("with the last leader down: reconciled after %v s, with %d machines of the zone left", after, left)
 	}
 	olderEverywhere := func(c *cluster) { c.olderVersion[0], c.olderVersion[1], c.olderVersion[2] = true, true, true }
 	after, left = reconciliationAfterFailover(t, olderEverywhere, failOver(true))
@@ -117,17 +117,17 @@
 	}
 }
 
-// The last leader is partitioned together with a zone and keeps renewing its workers' leases, which
-// last longer than those of a leader that has died. No task of these workers starts elsewhere before
-// the leases expire or the machines are returned.
+// The last leader is partitioned together with a zone and keeps renewing the leases of the zone's workers. So these
+// leases end later than after a leader's crash. No task of these workers may start elsewhere before the leases expire
+// or the machines are returned.
 func TestLeasesHoldInZonePartitionedWithLeader(t *testing.T) {
 	t.Parallel()
 	for _, secondTakeover := range []bool{false, true} {
 		t.Run(fmt.Sprint("second takeover ", secondTakeover), func(t *testing.T) {
 			reconciliationAfterFailover(t, func(*cluster) {}, func(c *cluster, l int, old *leader.Leader) {
-				c.store.SetRefused(strings.Fields(nodeNames)[l], true)
+				c.store.SetRefused(strings.Fields(controllerNames)[l], true)
 				c.mu.Lock()
-				c.isolated[l], c.onlyNodeForZone["b"] = true, l
+				c.isolated[l], c.onlyControllerForZone["b"] = true, l
 				c.mu.Unlock()
 				c.env.BlockCommands("b", true)
 				if !secondTakeover {
@@ -141,9 +141,9 @@
 				}
 				for i := range 3 {
 					if i != l {
-						c.killNode(i)
+						c.killController(i)
 						sleep(0.5)
-						c.startNode(i)
+						c.startController(i)
 					}
 				}
 			})
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -25,21 +25,21 @@
 	closeAddr func()
 	wakeup    chan struct{} // signalled when the worker has a change to report
 
-	up, terminated bool
-	preemptionAt   time.Time // zero: no preemption notice
+	up, terminated bool      // up: has booted; stays set after termination
+	preemptionAt   time.Time // when the preemption terminates the machine; zero: no preemption notice
 
 	hung         bool
-	inboundLost  bool // its heartbeats arrive, but nothing reaches it
+	inboundLost  bool // its heartbeats arrive, but responses and commands do not reach it
 	outboundLost bool // its heartbeats reach no controller, but direct commands reach it
 
-	reboots      int
+	reboots      int // number of reboots so far
 	incarnation  uint64
-	sequence     uint64
-	fencingToken uint64
-	leaseStart   time.Time // send time of the last answered heartbeat
+	sequence     uint64    // number of the last heartbeat; restarts at a reboot
+	fencingToken uint64    // latest token that the worker has accepted
+	leaseStart   time.Time // when the last answered heartbeat was sent, or the incarnation began
 
-	tasks        map[string]*attempt  // by task and attempt number
-	imageReadyAt map[string]time.Time // when each image has been fetched
+	tasks        map[string]*attempt  // by "TASK:ATTEMPT NUMBER"
+	imageReadyAt map[string]time.Time // when the fetch of an image ends, by image
 }
 
 func newMachine(env *Environment, name string, r autoscaler.RentalRequest) *Machine {
@@ -69,7 +69,7 @@
 	return m.addr
 }
 
-// cost returns the cost of the machine until a time, or until now if it is zero.
+// cost returns the cost of the machine until a time, or until now if the time is zero.
 func (m *Machine) cost(to time.Time) RentalCost {
 	end := to
 	if to.IsZero() {
@@ -105,23 +105,23 @@
 	closeAddr()
 }
 
-// SetHung makes the machine and its worker hang; false lets them continue.
+// SetHung makes the machine and its worker hang, or lets them continue if on is false.
 func (m *Machine) SetHung(on bool) {
 	m.env.mu.Lock()
 	m.hung = on
 	m.env.mu.Unlock()
 }
 
-// SetUnreachable drops all responses and commands to the machine, while its heartbeats still arrive; false makes it
-// reachable again.
+// SetUnreachable drops all responses and commands to the machine, while its heartbeats still arrive. If on is false,
+// the machine is reachable again.
 func (m *Machine) SetUnreachable(on bool) {
 	m.env.mu.Lock()
 	m.inboundLost = on
 	m.env.mu.Unlock()
 }
 
-// SetIsolated drops all heartbeats of the machine, while direct commands still reach it; false lets it send
-// heartbeats again.
+// SetIsolated drops all heartbeats of the machine, while direct commands still reach it. If on is false, heartbeats
+// arrive again.
 func (m *Machine) SetIsolated(on bool) {
 	m.env.mu.Lock()
 	m.outboundLost = on
@@ -156,13 +156,14 @@
 	}
 }
 
-// unresponsiveLocked reports whether the machine answers no requests.
+// unresponsiveLocked reports whether the machine responds to no requests: it is terminated, hung, booting or in a
+// partitioned zone.
 func (m *Machine) unresponsiveLocked() bool {
 	return m.terminated || m.hung || !m.up || m.env.partitioned[m.Zone]
 }
 
 // ExecuteCommands executes direct commands, and returns the outcome and the worker's heartbeat. It rejects commands
-// with an older fencing token or for another incarnation.
+// with an older fencing token or for another incarnation. It returns an error if the machine does not respond.
 func (m *Machine) ExecuteCommands(r fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
@@ -178,7 +179,7 @@
 	return workers.OutcomeExecuted, m.heartbeatLocked(), nil
 }
 
-// Status returns the worker's current heartbeat on request.
+// Status returns the worker's current heartbeat on request, or an error if the machine does not respond.
 func (m *Machine) Status() (*fleet.Heartbeat, error) {
 	m.env.mu.Lock()
 	defer m.env.mu.Unlock()
@@ -205,7 +206,7 @@
 			Task: a.task, Attempt: a.number, Status: a.status, Cause: a.cause, CheckpointSaved: a.checkpointSaved,
 		})
 	}
-	// A deep copy, as if it had been sent over the wire.
+	// Return a deep copy, as if the heartbeat had been sent over the wire.
 	raw, _ := json.Marshal(r)
 	var sent fleet.Heartbeat
 	_ = json.Unmarshal(raw, &sent)
--- a/internal/simulation/many_machines_test.go
+++ b/internal/simulation/many_machines_test.go
@@ -45,7 +45,7 @@
 	return sum
 }
 
-// machinesInZone returns those machines that are in a zone.
+// machinesInZone returns the machines of ms that are in a zone.
 func machinesInZone(ms []*Machine, zone string) []*Machine {
 	var out []*Machine
 	for _, m := range ms {
@@ -56,8 +56,8 @@
 	return out
 }
 
-// runManyMachines runs a scenario on all machines and checks the work lost. The scenario returns the minimum of work
-// that its faults must lose.
+// runManyMachines runs a scenario under load, with ms as the machines that are up, and checks the work lost. The
+// scenario returns minLost, the run time of tasks that its faults lose unavoidably.
 func runManyMachines(
 	t *testing.T, prepare func(c *cluster), scenario func(c *cluster, ms []*Machine) (minLost time.Duration),
 ) {
@@ -87,7 +87,7 @@
 		sleep(250)
 		for n := range manyJobs {
 			for i := range 3 {
-				if c.node(i) != nil {
+				if c.controller(i) != nil {
 					c.wantDone(i, fmt.Sprint("j-", n+1))
 				}
 			}
@@ -96,7 +96,7 @@
 		// Some tasks are stopped in any case, to pack machines when the load falls.
 		totalWork := time.Duration(manyJobs*manyTasks*scaledFleetSize()/fleetSize) * 8 * 7 * time.Second
 		t.Logf("work lost: %v, unavoidable: %v, total: %v", lost, minLost, totalWork)
-		// A preemption notice stops tasks that by their estimate would not end in time, though some would.
+		// A preemption notice stops tasks whose estimate exceeds the notice, though some of them would end in time.
 		if lost > minLost*23/20+totalWork/50 {
 			t.Errorf("work lost: %v, unavoidable: %v, total: %v, which is too much", lost, minLost, totalWork)
 		}
@@ -124,18 +124,18 @@
 	runManyMachines(t, func(*cluster) {}, func(c *cluster, ms []*Machine) time.Duration {
 		c.store.SetOutage(true)
 		sleep(9)
-		c.killNode(c.leaderIndex())
+		c.killController(c.leaderIndex())
 		sleep(3)
 		c.store.SetOutage(false)
 		return 0
 	})
 }
 
-// A zone loses power during a failover.
+// A zone loses power during a failover. Little more than the unsaved work in the zone may be lost.
 func TestZonePowerLossDuringFailover(t *testing.T) {
 	t.Parallel()
 	runManyMachines(t, func(*cluster) {}, func(c *cluster, ms []*Machine) time.Duration {
-		c.killNode(c.leaderIndex())
+		c.killController(c.leaderIndex())
 		for c.leaderIndex() < 0 {
 			sleep(0.1)
 		}
@@ -146,17 +146,17 @@
 	})
 }
 
-// All controllers restart twice within a worker's lease.
+// All controllers restart twice within a worker's lease. Nothing may be lost.
 func TestAllControllersRestartTwiceWithinLease(t *testing.T) {
 	t.Parallel()
 	runManyMachines(t, func(*cluster) {}, func(c *cluster, ms []*Machine) time.Duration {
 		for range 2 {
 			for i := range 3 {
-				c.killNode(i)
+				c.killController(i)
 			}
 			sleep(3)
 			for i := range 3 {
-				c.startNode(i)
+				c.startController(i)
 			}
 			sleep(6)
 		}
@@ -165,7 +165,7 @@
 }
 
 // A third of the machines fails while as many spot machines are preempted with notice, and every second replacement
-// fails to boot.
+// fails to boot. Little more than the unavoidable work may be lost.
 func TestThirdOfMachinesDiesAndThirdIsPreempted(t *testing.T) {
 	t.Parallel()
 	var boots atomic.Int32
@@ -207,22 +207,22 @@
 	})
 }
 
-// A controller of a version without watermarks and heartbeat relay leads for a while. When it crashes, a zone is
-// partitioned for less than a lease.
+// A controller of a version without watermarks and heartbeat relay leads for a while. It crashes while a zone is
+// partitioned for less than a lease. Nothing may be lost.
 func TestZonePartitionAfterOlderVersionLed(t *testing.T) {
 	t.Parallel()
 	runManyMachines(t, func(c *cluster) { c.olderVersion[1] = true }, func(c *cluster, ms []*Machine) time.Duration {
-		c.killNode(0)
-		c.killNode(2)
+		c.killController(0)
+		c.killController(2)
 		for c.leaderIndex() != 1 {
 			sleep(1)
 		}
-		c.startNode(0)
-		c.startNode(2)
+		c.startController(0)
+		c.startController(2)
 		sleep(10)
 		c.env.PartitionZone("b", true)
 		sleep(1)
-		c.killNode(1)
+		c.killController(1)
 		sleep(10)
 		c.env.PartitionZone("b", false)
 		return 0
@@ -230,18 +230,19 @@
 }
 
 // An observer of the watermarks restarts and is then isolated from the other controllers, before the leader crashes.
+// Nothing may be lost.
 func TestRestartedObserverIsIsolatedBeforeFailover(t *testing.T) {
 	t.Parallel()
 	runManyMachines(t, func(*cluster) {}, func(c *cluster, ms []*Machine) time.Duration {
-		leaderNode := c.leaderIndex()
-		observer := (leaderNode + 1) % 3
-		c.killNode(observer)
+		leaderIndex := c.leaderIndex()
+		observer := (leaderIndex + 1) % 3
+		c.killController(observer)
 		sleep(2)
-		c.startNode(observer)
+		c.startController(observer)
 		sleep(6)
 		c.setIsolated(observer, true)
 		sleep(4)
-		c.killNode(leaderNode)
+		c.killController(leaderIndex)
 		sleep(8)
 		c.setIsolated(observer, false)
 		return 0
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -9,23 +9,24 @@
 	"drumpick/internal/workers"
 )
 
-// HeartbeatFunc delivers a worker's heartbeat to a controller. It returns the HTTP status, the response, and the
-// leader that the worker is redirected to. Status 0 means no response, StatusRefused a refused connection.
-type HeartbeatFunc func(node int, r *fleet.Heartbeat) (status int, resp fleet.HeartbeatResponse, leader string)
+// HeartbeatFunc delivers a worker's heartbeat to a controller, given by its index. It returns the HTTP status, the
+// response, and the name of the leader that the worker is redirected to, or "". Status 0 means no response,
+// StatusRefused a refused connection.
+type HeartbeatFunc func(controller int, r *fleet.Heartbeat) (status int, resp fleet.HeartbeatResponse, leader string)
 
 // StatusRefused is the status of a heartbeat to a controller that does not run.
 const StatusRefused = -1
 
 var errNoResponse = errors.New("worker did not respond")
 
-// PartitionZone makes a zone's machines unreachable; false makes them reachable again.
+// PartitionZone makes a zone's machines unreachable, or reachable again if on is false.
 func (env *Environment) PartitionZone(zone string, on bool) {
 	env.mu.Lock()
 	env.partitioned[zone] = on
 	env.mu.Unlock()
 }
 
-// BlockCommands drops direct commands to a zone's machines; false delivers them again.
+// BlockCommands drops direct commands to a zone's machines, or delivers them again if on is false.
 func (env *Environment) BlockCommands(zone string, on bool) {
 	env.mu.Lock()
 	env.commandsBlocked[zone] = on
@@ -33,17 +34,18 @@
 }
 
 // SetCommandDelay sets the function that returns the delay of each direct command and of its response; nil: no delay.
-// Senders wait for either no longer than a heartbeat interval.
+// A sender times out if either delay is a heartbeat interval or longer.
 func (env *Environment) SetCommandDelay(pick func() (command, response time.Duration)) {
 	env.mu.Lock()
 	env.pickCommandDelay = pick
 	env.mu.Unlock()
 }
 
-// Go runs f in a goroutine. Together with SendCommands it implements the controllers' access to workers.
+// Go runs f in a new goroutine. Go and SendCommands implement the interface through which controllers access workers.
 func (env *Environment) Go(f func()) { go f() }
 
-// SendCommands sends direct commands to a worker and returns its response.
+// SendCommands sends direct commands to the worker at addr, which is the machine's name here, and returns the worker's
+// response. It returns an error if the worker does not respond in time.
 func (env *Environment) SendCommands(addr string, r fleet.CommandRequest) (workers.Outcome, *fleet.Heartbeat, error) {
 	_ = ctxtime.Sleep(env.ctx, networkLatency)
 	env.mu.Lock()
--- a/internal/simulation/older_records_test.go
+++ b/internal/simulation/older_records_test.go
@@ -66,10 +66,9 @@
 	return done, machines
 }
 
-// The records of the version in production are reconciled: finished tasks do not run again, machines
-// on record are kept, and old final states serve as those of dependencies. The large values are
-// emptied before the store's limits are lowered, and at any time the older version can read all tasks
-// finished before.
+// The leader reconciles the records of the version in production: finished tasks do not run again, recorded machines
+// are kept, and new jobs can depend on jobs with old final states. The leader empties the large values before the
+// store's limits are lowered. At any time the older version can read which tasks had finished before.
 func TestRecordsOfOlderVersionAreReconciled(t *testing.T) {
 	runScenarioWith(t, func(c *cluster) {
 		announceLowerLimits(c)
@@ -133,11 +132,11 @@
 				c.store.SetLimits(2, 5, 15)
 			}
 			if i == 300 {
-				c.killNode(c.leaderIndex())
+				c.killController(c.leaderIndex())
 			}
 		}
 		sleep(60)
-		at := c.upNodeFrom(0)
+		at := c.upControllerFrom(0)
 		c.wantDone(at, "j-1")
 		c.wantDone(at, "j-10")
 		c.wantDone(at, "j-12")
--- a/internal/simulation/outage_test.go
+++ b/internal/simulation/outage_test.go
@@ -9,9 +9,9 @@
 	"drumpick/internal/records"
 )
 
-// A store outage longer than the leader's lease and the workers' leases ends no running task, as all
-// controllers attest that none of them has confirmed a cancellation to a user. As none of them can
-// lead, waiting tasks keep starting.
+// A store outage longer than the leader's lease and the workers' leases ends no running task, because all controllers
+// attest that they have not confirmed a cancellation to a user. Waiting tasks keep starting, because no other
+// controller can lead.
 func TestLongStoreOutageKeepsRunningTasks(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		c.env.RunTime = func(task string) time.Duration {
@@ -30,7 +30,7 @@
 		if status, _ := c.ask(0, peer.MethodPoll, "j-1"); status != 503 {
 			t.Errorf("poll in an outage: %d, want 503", status)
 		}
-		if !c.node(0).server.Ready() {
+		if !c.controller(0).server.Ready() {
 			t.Error("not ready in an outage for all controllers")
 		}
 		if c.env.Starts() < starts+8 {
@@ -46,8 +46,8 @@
 	})
 }
 
-// After its lease has expired, a leader starts nothing while a peer may lead: here one peer is dead
-// during a store outage and cannot attest that it does not lead.
+// After its lease has expired, a leader starts nothing while a peer may lead. Here a peer is down during a store
+// outage and cannot attest that it does not lead.
 func TestLeaderWithoutLeaseOrPeersStartsNothing(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		c.env.RunTime = func(string) time.Duration { return 5 * time.Second }
@@ -56,7 +56,7 @@
 		sleep(30)
 		old := c.leaderIndex()
 		c.store.SetOutage(true)
-		c.killNode((old + 1) % 3)
+		c.killController((old + 1) % 3)
 		sleep(6)
 		starts := c.env.Starts()
 		sleep(10)
@@ -71,8 +71,8 @@
 	})
 }
 
-// A controller restarts during the outage and cannot attest for the time before: leases expire in time
-// for any cancellation.
+// A controller confirms a cancellation, restarts during a store outage, and cannot attest what it confirmed before.
+// The workers' leases must expire within the cancellation limit.
 func TestOutageWithRestartedControllerExpiresLeases(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		c.env.RunTime = func(string) time.Duration { return 200 * time.Second }
@@ -81,14 +81,14 @@
 		sleep(32)
 		other := (c.leaderIndex() + 1) % 3
 		// The cancellation is stored and confirmed to the user, but the leader cannot receive it.
-		c.store.SetRefused(strings.Fields(nodeNames)[c.leaderIndex()], true)
+		c.store.SetRefused(strings.Fields(controllerNames)[c.leaderIndex()], true)
 		if _, st := c.ask(other, peer.MethodCancel, "j-1"); st != records.StatusCancelled {
 			t.Fatalf("cancel: %q", st)
 		}
 		c.store.SetOutage(true)
-		c.killNode(other)
+		c.killController(other)
 		sleep(1)
-		c.startNode(other)
+		c.startController(other)
 		sleep(31)
 		c.wantRunning(0)
 		c.env.CheckCancelled()
@@ -97,7 +97,7 @@
 }
 
 // At the end of an outage the store serves the leader 0.9 s after the others. The leader keeps leading,
-// as stepping down would cost a lease and a failover.
+// because stepping down would cost a lease duration and a failover.
 func TestLeaderServedLastAfterOutageKeepsLeading(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		sleep(2)
@@ -106,14 +106,14 @@
 		old := c.leaderIndex()
 		c.store.SetOutage(true)
 		sleep(10)
-		c.store.SetRefused(strings.Fields(nodeNames)[old], true)
+		c.store.SetRefused(strings.Fields(controllerNames)[old], true)
 		c.store.SetOutage(false)
 		sleep(0.9)
-		c.store.SetRefused(strings.Fields(nodeNames)[old], false)
+		c.store.SetRefused(strings.Fields(controllerNames)[old], false)
 		for range 10 {
 			sleep(1)
 			if now := c.leaderIndex(); now != old {
-				t.Fatalf("node %d leads after the outage, node %d did before", now, old)
+				t.Fatalf("controller %d leads after the outage, controller %d did before", now, old)
 			}
 		}
 		sleep(60)
@@ -130,19 +130,19 @@
 		sleep(32)
 		starts := c.env.Starts()
 		old := c.leaderIndex()
-		c.store.SetRefused(strings.Fields(nodeNames)[old], true)
+		c.store.SetRefused(strings.Fields(controllerNames)[old], true)
 		sleep(12)
 		if now := c.leaderIndex(); now < 0 || now == old {
-			t.Fatalf("node %d leads while the store refuses node %d", now, old)
+			t.Fatalf("controller %d leads while the store refuses controller %d", now, old)
 		}
-		if c.node(old).server.Ready() {
-			t.Error("the refused node is ready, though the store serves the others")
+		if c.controller(old).server.Ready() {
+			t.Error("the refused controller is ready, though the store serves the others")
 		}
 		if status, st := c.ask(old, peer.MethodPoll, "j-1"); status != 200 {
-			t.Errorf("poll at the refused node: %d %s", status, st)
+			t.Errorf("poll at the refused controller: %d %s", status, st)
 		}
 		if got := c.submit(old, records.Job{ID: "j-2", Tasks: 1, EstimateS: 30}); got != 201 {
-			t.Errorf("submission at the refused node: %d", got)
+			t.Errorf("submission at the refused controller: %d", got)
 		}
 		sleep(60)
 		c.wantDone((old+1)%3, "j-1")
@@ -152,11 +152,11 @@
 	})
 }
 
-// Commits that are applied late and whose responses are lost lose nothing and repeat nothing.
+// Commits are applied late and their responses are lost. No job may be lost or accepted twice.
 func TestCommitsWithLostResponsesLoseAndRepeatNothing(t *testing.T) {
 	runScenario(t, func(c *cluster) {
 		sleep(2)
-		n := c.node(1)
+		n := c.controller(1)
 		n.client.LoseResponses(1, time.Second)
 		if got := c.submit(1, records.Job{ID: "j-1", Tasks: 2, EstimateS: 30}); got != 503 {
 			t.Errorf("unanswered submission: %d, want 503", got)
@@ -166,7 +166,7 @@
 			t.Errorf("retry of the submission: %d, want 200", got)
 		}
 		sleep(20)
-		c.node(c.leaderIndex()).client.LoseResponses(5, 3*time.Second)
+		c.controller(c.leaderIndex()).client.LoseResponses(5, 3*time.Second)
 		sleep(60)
 		c.wantDone(0, "j-1")
 	})
--- a/internal/simulation/peer_network_test.go
+++ b/internal/simulation/peer_network_test.go
@@ -11,24 +11,24 @@
 // peerNetwork is a controller's connection to its peers.
 type peerNetwork struct {
 	cluster *cluster
-	self    int
+	self    int // index of the controller
 }
 
-// setIsolated sets whether a node is partitioned from all others.
+// setIsolated sets whether a controller is partitioned from all others.
 func (c *cluster) setIsolated(i int, on bool) {
 	c.mu.Lock()
 	c.isolated[i] = on
 	c.mu.Unlock()
 }
 
-// arePartitioned reports whether two nodes cannot reach each other.
+// arePartitioned reports whether two controllers cannot reach each other.
 func (c *cluster) arePartitioned(i, k int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.isolated[i] || c.isolated[k]
 }
 
-// isOlderVersion reports whether a node runs an older version.
+// isOlderVersion reports whether a controller runs an older version.
 func (c *cluster) isOlderVersion(i int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,13 +42,13 @@
 func (p *peerNetwork) QueryStatus(_ context.Context, request peer.StatusRequest) ([]peer.Status, bool) {
 	time.Sleep(networkLatency)
 	var out []peer.Status
-	for i := range p.cluster.nodes {
-		n := p.cluster.node(i)
+	for i := range p.cluster.controllers {
+		n := p.cluster.controller(i)
 		if i == p.self || n == nil || p.cluster.arePartitioned(p.self, i) {
 			continue
 		}
 		if p.cluster.isOlderVersion(i) {
-			// This version does not know attestations.
+			// The older version does not support attestations.
 			out = append(out, peer.StatusOf(n.name, n.client, n.server.Cancellations(), peer.StatusRequest{}))
 			continue
 		}
@@ -56,11 +56,11 @@
 		s = s.WithAttestations(&n.observer, request.Attestation, n.server.SinceWorkerRenewal())
 		out = append(out, s)
 	}
-	return out, len(out) == len(p.cluster.nodes)-1
+	return out, len(out) == len(p.cluster.controllers)-1
 }
 
-// hangIfPartitioned reports whether a node is partitioned from this one, and if so only after half a
-// second, as a call to it hangs.
+// hangIfPartitioned reports whether a controller is partitioned from this one. If it is, the function returns only after
+// half a second, because a call to the controller hangs.
 func (p *peerNetwork) hangIfPartitioned(i int) bool {
 	if !p.cluster.arePartitioned(p.self, i) {
 		return false
@@ -69,19 +69,19 @@
 	return true
 }
 
-func (p *peerNetwork) RelayHeartbeat(node string, body []byte) (peer.RelayReply, error) {
-	for i := range p.cluster.nodes {
-		if n := p.cluster.node(i); n != nil && n.name == node && !p.hangIfPartitioned(i) {
+func (p *peerNetwork) RelayHeartbeat(controller string, body []byte) (peer.RelayReply, error) {
+	for i := range p.cluster.controllers {
+		if n := p.cluster.controller(i); n != nil && n.name == controller && !p.hangIfPartitioned(i) {
 			return n.server.HandleRelayedHeartbeat(peer.HeartbeatRequest{Body: body}), nil
 		}
 	}
 	return peer.RelayReply{}, errors.New("no response from the peer")
 }
 
-func (p *peerNetwork) RelayHeartbeats(node string, in peer.HeartbeatBatch, _ time.Duration) (peer.HeartbeatBatchReply, error) {
+func (p *peerNetwork) RelayHeartbeats(controller string, in peer.HeartbeatBatch, _ time.Duration) (peer.HeartbeatBatchReply, error) {
 	time.Sleep(networkLatency)
-	for i := range p.cluster.nodes {
-		if n := p.cluster.node(i); n != nil && n.name == node && !p.cluster.isOlderVersion(i) && !p.cluster.arePartitioned(p.self, i) {
+	for i := range p.cluster.controllers {
+		if n := p.cluster.controller(i); n != nil && n.name == controller && !p.cluster.isOlderVersion(i) && !p.cluster.arePartitioned(p.self, i) {
 			time.Sleep(p.cluster.delayOf(i))
 			return n.server.HandleHeartbeatBatch(in), nil
 		}
@@ -89,9 +89,9 @@
 	return peer.HeartbeatBatchReply{}, errors.New("no response from the peer")
 }
 
-func (p *peerNetwork) Progress(node, id string) (peer.Progress, error) {
-	for i := range p.cluster.nodes {
-		if n := p.cluster.node(i); n != nil && n.name == node && !p.hangIfPartitioned(i) {
+func (p *peerNetwork) Progress(controller, id string) (peer.Progress, error) {
+	for i := range p.cluster.controllers {
+		if n := p.cluster.controller(i); n != nil && n.name == controller && !p.hangIfPartitioned(i) {
 			p.cluster.mu.Lock()
 			l := n.leader
 			p.cluster.mu.Unlock()
@@ -109,10 +109,10 @@
 	return peer.Progress{}, errors.New("no response from the peer")
 }
 
-func (p *peerNetwork) NotifyCancelled(node, id string) (bool, error) {
+func (p *peerNetwork) NotifyCancelled(controller, id string) (bool, error) {
 	time.Sleep(networkLatency)
-	for i := range p.cluster.nodes {
-		if n := p.cluster.node(i); n != nil && n.name == node && !p.hangIfPartitioned(i) {
+	for i := range p.cluster.controllers {
+		if n := p.cluster.controller(i); n != nil && n.name == controller && !p.hangIfPartitioned(i) {
 			time.Sleep(p.cluster.delayOf(i))
 			return n.server.HandleCancellation(id), nil
 		}
@@ -121,8 +121,8 @@
 }
 
 func (p *peerNetwork) Relay(r peer.RelayRequest, _ time.Duration) (peer.RelayReply, bool) {
-	for i := range p.cluster.nodes {
-		if n := p.cluster.node(i); n != nil && i != p.self && !p.hangIfPartitioned(i) {
+	for i := range p.cluster.controllers {
+		if n := p.cluster.controller(i); n != nil && i != p.self && !p.hangIfPartitioned(i) {
 			if out := n.server.HandleRelayedRequest(r); out.Final(r) {
 				return out, true
 			}
