--- a/internal/simulation/random_users_test.go
+++ b/internal/simulation/random_users_test.go
@@ -12,7 +12,7 @@
 	"drumpick/internal/records"
 )
 
-// submitRandomJob submits a random job and may cancel an older one.
+// submitRandomJob submits a random job with a new ID and may cancel a random submitted job.
 func submitRandomJob(c *cluster, r *rand.Rand) {
 	c.mu.Lock()
 	n, accepted := len(c.jobs)+1, slices.Clone(c.expectedDone)
@@ -47,8 +47,8 @@
 	}
 }
 
-// pollAggressively makes users poll all nodes several times within milliseconds, and repeat the submission, whenever
-// a job is accepted, done or cancelled. Some cancel the job at once.
+// pollAggressively sets onJobEvent: whenever a job is accepted, done or cancelled, users poll all controllers several
+// times within milliseconds and repeat the submission. Some users then cancel the job at once.
 func (c *cluster) pollAggressively(seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	var mu sync.Mutex
@@ -69,7 +69,7 @@
 			runAfter(2*time.Millisecond, func() { c.submit(i, j) })
 		}
 		if event == records.StatusDone && cancels {
-			runAfter(time.Millisecond, func() { c.ask(from, peer.MethodCancel, id) }) // it must stay done
+			runAfter(time.Millisecond, func() { c.ask(from, peer.MethodCancel, id) }) // the job must stay done
 		}
 		if event == "accepted" {
 			runAfter(3*time.Millisecond, func() { c.submitInvalid(from, j) })
@@ -80,8 +80,8 @@
 	}
 }
 
-// submitInvalid sends invalid submissions: with a missing or malformed field, too large for any machine, of an unknown
-// team or machine type. Each has an ID of its own.
+// submitInvalid sends invalid submissions to a controller: with a missing or malformed field, too large for any machine,
+// or with an unknown team or machine type. Each has a new ID.
 func (c *cluster) submitInvalid(i int, j records.Job) {
 	for k, change := range []func(m map[string]any){
 		func(m map[string]any) { delete(m, "vcpus") },
--- a/internal/simulation/record_check_test.go
+++ b/internal/simulation/record_check_test.go
@@ -13,12 +13,13 @@
 // except the leader key is written again.
 type recordCheck struct {
 	cluster       *cluster
-	watermarks    map[string]int
-	finishedTasks map[string]int
-	deleted       map[string]bool
-	reported      map[string]bool
+	watermarks    map[string]int  // by job ID, at the last change
+	finishedTasks map[string]int  // number of recorded finished tasks by job ID, at the last change
+	deleted       map[string]bool // keys that were deleted, except the leader key
+	reported      map[string]bool // texts of the reported test errors
 }
 
+// installRecordCheck makes the store call a new recordCheck at every change.
 func installRecordCheck(c *cluster) *recordCheck {
 	r := &recordCheck{cluster: c, watermarks: map[string]int{}, finishedTasks: map[string]int{}, deleted: map[string]bool{}, reported: map[string]bool{}}
 	c.store.mu.Lock()
@@ -27,6 +28,7 @@
 	return r
 }
 
+// fail reports a test error, once for each distinct text.
 func (r *recordCheck) fail(format string, args ...any) {
 	if text := fmt.Sprintf(format, args...); !r.reported[text] {
 		r.reported[text] = true
@@ -34,7 +36,8 @@
 	}
 }
 
-// forEachEntry calls each for all records under a prefix. The caller holds the store's lock.
+// forEachEntry decodes the values under a prefix and calls each for all entries in them. The caller holds the store's
+// lock.
 func (r *recordCheck) forEachEntry(prefix string, each func(id string, v json.RawMessage)) {
 	for key, entry := range r.cluster.store.entries {
 		if strings.HasPrefix(key, prefix) {
@@ -49,6 +52,7 @@
 	}
 }
 
+// checkChange is the store's OnChange function.
 func (r *recordCheck) checkChange(change Change) {
 	for _, key := range change.Deletes {
 		r.deleted[key] = r.deleted[key] || !strings.HasPrefix(key, records.KeyLeader)
--- a/internal/simulation/restart_test.go
+++ b/internal/simulation/restart_test.go
@@ -14,10 +14,10 @@
 		sleep(32)
 		old := c.leaderIndex()
 		starts := c.env.Starts()
-		c.killNode(old)
+		c.killController(old)
 		sleep(8)
 		if now := c.leaderIndex(); now < 0 || now == old {
-			t.Fatalf("node %d leads after node %d died", now, old)
+			t.Fatalf("controller %d leads after controller %d died", now, old)
 		}
 		sleep(40)
 		c.wantDone((old+1)%3, "j-1")
@@ -35,11 +35,11 @@
 		sleep(32)
 		starts := c.env.Starts()
 		for i := range 3 {
-			c.killNode(i)
+			c.killController(i)
 		}
 		sleep(3)
 		for i := range 3 {
-			c.startNode(i)
+			c.startController(i)
 		}
 		sleep(50)
 		c.wantDone(0, "j-1")
@@ -49,7 +49,7 @@
 	})
 }
 
-// A machine that hangs during a failover may resume with its tasks. They start elsewhere only once the
+// A machine that hangs during a failover may resume with its tasks. The tasks may start elsewhere only after the
 // machine has been returned.
 func TestMachineHangingThroughFailoverRunsNothingTwice(t *testing.T) {
 	runScenario(t, func(c *cluster) {
@@ -58,12 +58,12 @@
 		sleep(32)
 		ms := c.env.Machines()
 		ms[0].SetHung(true)
-		c.killNode(c.leaderIndex())
+		c.killController(c.leaderIndex())
 		sleep(9)
 		ms[0].SetHung(false)
 		sleep(100)
 		for i := range 3 {
-			if c.node(i) != nil {
+			if c.controller(i) != nil {
 				c.wantDone(i, "j-1")
 			}
 		}
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -10,11 +10,10 @@
 	"drumpick/internal/records"
 )
 
-// This file checks the rules of the protocol ("Rules") that concern tasks, under the names they have there;
-// rules_responses.go checks those that concern responses to users. Each distinct violation is recorded once.
-// rules_test.go breaks each rule on purpose.
+// This file checks the protocol's rules about tasks, under the names that the protocol gives them in "Rules".
+// rules_responses.go checks the rules about responses to users. rules_test.go breaks each rule on purpose.
 
-// recordViolationLocked records the violation of a rule.
+// recordViolationLocked records the violation of a rule, once for each distinct text.
 func (env *Environment) recordViolationLocked(format string, args ...any) {
 	if text := fmt.Sprintf(format, args...); !slices.Contains(env.violations, text) {
 		env.violations = append(env.violations, text)
@@ -28,7 +27,8 @@
 	return append([]string(nil), env.violations...)
 }
 
-// CheckCancelled checks that no task of a cancelled job is on a machine for longer than CancelLimit.
+// CheckCancelled records a violation for each task of a cancelled job that is on a machine more than CancelLimit after
+// the cancellation was confirmed.
 func (env *Environment) CheckCancelled() {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -36,7 +36,8 @@
 		for _, a := range m.tasks {
 			id, _ := fleet.ParseTask(a.task)
 			at, cancelled := env.cancelledAt[id.Job]
-			// A task counts from when its image is fetched until it exits, also while it waits for its gang or saves.
+			// A task counts from the end of its image fetch until it ends, also while it waits for its gang or saves a
+			// checkpoint.
 			counts := a.status != statusEnded && a.status != statusPulling
 			if !cancelled || !counts || m.terminated || time.Since(m.leaseStart) > env.Lease {
 				continue
@@ -84,8 +85,8 @@
 	env.checkTeamLimitLocked(job.Team)
 }
 
-// misplaced reports whether a task of the job must not be on the machine, given the number of the job's attempts by
-// zone.
+// misplaced reports whether the job's placement constraints forbid its tasks on the machine. zones holds the number of
+// the job's attempts by zone, including the attempt on this machine.
 func (m *Machine) misplaced(job records.Job, zones map[string]int) bool {
 	return job.OneZone && len(zones) > 1 ||
 		job.SpreadZones && zones[m.Zone] > maxTasksPerZone(job) ||
@@ -94,7 +95,7 @@
 		m.Spot && !job.Spot
 }
 
-// maxTasksPerZone returns how many tasks of a job that is spread over zones may be in one zone.
+// maxTasksPerZone returns the maximum number of tasks in one zone, for a job that is spread over zones.
 func maxTasksPerZone(job records.Job) int { return (job.Tasks + 1) / 2 }
 
 // leaseValidLocked reports whether the machine exists and its worker's lease has not expired. Otherwise the rules
@@ -103,8 +104,8 @@
 	return !m.terminated && now.Sub(m.leaseStart) <= m.env.Lease
 }
 
-// checkTeamLimitLocked checks that a team is within its limit. It also counts tasks that still fetch their image,
-// which is stricter than the rule.
+// checkTeamLimitLocked records a violation if a team exceeds its limit. It also counts tasks that still fetch their
+// image, which is stricter than the rule.
 func (env *Environment) checkTeamLimitLocked(team string) {
 	if len(env.Teams) == 0 {
 		return // no team has a limit
@@ -114,7 +115,7 @@
 	}
 }
 
-// teamUsageLocked returns the CPUs and GPUs that a team's tasks use.
+// teamUsageLocked returns the CPUs and GPUs of a team's attempts on machines whose lease is valid.
 func (env *Environment) teamUsageLocked(team string) (cpus, gpus float64) {
 	now := time.Now()
 	for _, attempts := range env.attempts {
--- a/internal/simulation/rules_responses.go
+++ b/internal/simulation/rules_responses.go
@@ -31,7 +31,8 @@
 	env.mu.Unlock()
 }
 
-// mayBeCancelled reports whether a user asked to cancel a job or one of its direct or indirect dependencies.
+// mayBeCancelled reports whether a user asked to cancel a job or one of its direct or indirect dependencies. The caller
+// must not hold env.mu.
 func (env *Environment) mayBeCancelled(id string) bool {
 	env.mu.Lock()
 	_, confirmed := env.cancelledAt[id]
@@ -42,7 +43,7 @@
 }
 
 // DependencyCancelledFor returns the longest time since a response first reported a direct or indirect dependency of a
-// job as cancelled; 0: none was.
+// job as cancelled. It returns 0 if no response has reported one as cancelled.
 func (env *Environment) DependencyCancelledFor(id string) time.Duration {
 	j, _ := env.LookupJob(id)
 	var longest time.Duration
@@ -57,7 +58,7 @@
 	return longest
 }
 
-// CheckSubmission checks the HTTP status that a user gets for a submission sent at a time.
+// CheckSubmission checks the HTTP status of the response to a user's submission. sent is when the user sent it.
 func (env *Environment) CheckSubmission(id string, status int, sent time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -78,15 +79,16 @@
 	}
 }
 
-// placeable reports whether a job can ever run: a machine type fits its tasks and its team's limit allows it.
+// placeable reports whether a job can ever run: a machine type fits its tasks, and the limit of its team allows the
+// tasks that must run at the same time.
 func (env *Environment) placeable(j records.Job) bool {
-	atOnce := 1.0 // tasks that must run at the same time
+	concurrentTasks := 1.0 // tasks that must run at the same time
 	if j.Shape != records.ShapeArray {
-		atOnce = float64(j.Tasks)
+		concurrentTasks = float64(j.Tasks)
 	}
 	teamKnown := len(env.Teams) == 0 ||
 		slices.ContainsFunc(env.Teams, func(t config.Team) bool { return t.Name == j.Team })
-	return teamKnown && env.withinLimit(j.Team, atOnce*j.CPUs, atOnce*j.GPUs) &&
+	return teamKnown && env.withinLimit(j.Team, concurrentTasks*j.CPUs, concurrentTasks*j.GPUs) &&
 		slices.ContainsFunc(env.Types, func(t records.MachineType) bool { return fits(j, t) })
 }
 
@@ -104,7 +106,8 @@
 	}
 }
 
-// CheckNotFound checks a response that a job is not found: no response before the request may have reported it as known.
+// CheckNotFound checks a response that a job is not found, to a request sent at the time asked. No response received
+// before that time may have reported the job as known.
 func (env *Environment) CheckNotFound(id string, asked time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -113,9 +116,9 @@
 	}
 }
 
-// CheckJobState checks the job state in the response to a request sent at a time. The state must be consistent with all
-// responses received before that time, from any controller. Two different final states are a violation in any order.
-// first reports that it is the job's first final state.
+// CheckJobState checks the job state in the response to a request sent at the time asked. The state must be consistent
+// with all responses received before that time, from any controller. Two different final states are a violation in any
+// order. first reports that this is the first response with a final state of the job.
 func (env *Environment) CheckJobState(id, status string, asked time.Time) (first bool) {
 	dependencyCancelledFor, mayBeCancelled := env.DependencyCancelledFor(id), env.mayBeCancelled(id)
 	j, known := env.LookupJob(id)
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -19,7 +19,7 @@
 func newEnvironmentWithoutControllers(ctx context.Context) *Environment {
 	env := NewEnvironment(ctx)
 	env.HeartbeatInterval, env.Lease, env.BootTime = 2*time.Second, time.Hour, time.Second
-	env.Nodes = []string{"n-0"}
+	env.Controllers = []string{"n-0"}
 	env.Types = []records.MachineType{{Name: "c4", CPUs: 4, MemGB: 16}}
 	env.RunTime = func(string) time.Duration { return time.Hour }
 	env.Heartbeat = func(int, *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
--- a/internal/simulation/serve_store.go
+++ b/internal/simulation/serve_store.go
@@ -56,13 +56,14 @@
 
 // storeServer serves a store over HTTP.
 type storeServer struct {
-	ctx         context.Context // open watches end when it ends
+	ctx         context.Context // open watches end when ctx ends
 	store       *Store
 	waitDurable func(revision uint64)
 }
 
 // ServeStore registers the routes of the store's API. durable blocks until all changes up to a revision are persisted;
-// no response discloses a change before that. nil: changes count as persisted at once. Open watches end with ctx.
+// no response discloses a change before that. If durable is nil, changes count as persisted at once. Open watches end
+// with ctx.
 func ServeStore(ctx context.Context, app *fiber.App, s *Store, durable func(revision uint64)) {
 	server := &storeServer{ctx: ctx, store: s, waitDurable: durable}
 	app.Use("/store", server.rejectDuringOutage)
@@ -77,7 +78,7 @@
 	app.Get("/watch", server.watch)
 }
 
-// respond sends a response once all changes so far are persisted, as the response may disclose them.
+// respond sends a response after all changes so far are persisted, because the response may disclose them.
 func (s *storeServer) respond(c *fiber.Ctx, status int, body any) error {
 	if s.waitDurable != nil {
 		s.waitDurable(s.store.Revision())
@@ -123,7 +124,7 @@
 
 var errMalformedOp = errors.New("a change is either a write with a value or a delete")
 
-// operations returns the operations of a request. Values are copied, as the request's buffer is reused.
+// operations returns the operations of a request. It copies the values, because the request's buffer is reused.
 func (r *commitRequest) operations() ([]records.Op, error) {
 	var ops []records.Op
 	for _, op := range r.Ops {
--- a/internal/simulation/serve_worker.go
+++ b/internal/simulation/serve_worker.go
@@ -18,7 +18,7 @@
 }
 
 // ServeWorkers registers the routes of many machines' workers. machineOf returns the machine that a request is for, or
-// nil if it no longer exists.
+// nil if the machine no longer exists.
 func ServeWorkers(app *fiber.App, machineOf func(c *fiber.Ctx) *Machine) {
 	app.Post("/orders", func(c *fiber.Ctx) error {
 		var r fleet.CommandRequest
@@ -57,16 +57,17 @@
 	return nil
 }
 
-// HeartbeatOverHTTP returns a HeartbeatFunc that sends heartbeats as HTTP bodies.
+// HeartbeatOverHTTP returns a HeartbeatFunc that encodes heartbeats and passes them to send, which sends them over HTTP.
+// An error of send, or an undecodable response with status 200, counts as no response.
 func HeartbeatOverHTTP(
-	send func(machine string, node int, body []byte) (status int, response []byte, err error),
+	send func(machine string, controller int, body []byte) (status int, response []byte, err error),
 ) HeartbeatFunc {
-	return func(node int, r *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
+	return func(controller int, r *fleet.Heartbeat) (int, fleet.HeartbeatResponse, string) {
 		raw, err := json.Marshal(r)
 		if err != nil {
 			panic(fmt.Sprintf("encode heartbeat: %v", err))
 		}
-		status, response, err := send(r.Machine, node, raw)
+		status, response, err := send(r.Machine, controller, raw)
 		if err != nil {
 			return 0, fleet.HeartbeatResponse{}, ""
 		}
--- a/internal/simulation/seven_controllers_test.go
+++ b/internal/simulation/seven_controllers_test.go
@@ -13,9 +13,9 @@
 // down for longer than a lease. No gang loses work: no machine's lease expires, and every task starts
 // once.
 func TestSevenControllersKeepGangsRunning(t *testing.T) {
-	const nodes, gangs = 7, 12
+	const controllers, gangs = 7, 12
 	runScenarioWith(t, func(c *cluster) {
-		c.cfg.Deployment.Nodes = nodes
+		c.cfg.Deployment.Nodes = controllers
 		c.cfg.Deployment.Workers.HeartbeatS, c.leaderLease = 1.5, 3*time.Second
 		c.cfg.Options.Guarantees = true
 		c.env.HeartbeatInterval, c.env.ZoneCapacity = 1500*time.Millisecond, 20
@@ -30,7 +30,7 @@
 				ID: fmt.Sprint("j-", n), Shape: records.ShapeGang, Tasks: size, CPUs: 2,
 				EstimateS: 150, CheckpointS: 60, SaveS: 4, OneZone: true,
 			}
-			if got := c.submit(n%nodes, j); got != 201 {
+			if got := c.submit(n%controllers, j); got != 201 {
 				t.Errorf("gang %d: status %d", n, got)
 			}
 		}
@@ -40,12 +40,12 @@
 		}
 		sleep(36)
 		c.mu.Lock()
-		c.delays[(c.leaderIndexLocked()+1)%nodes] = 700 * time.Millisecond
+		c.delays[(c.leaderIndexLocked()+1)%controllers] = 700 * time.Millisecond
 		c.mu.Unlock()
-		for i := range nodes {
-			c.killNode(i)
+		for i := range controllers {
+			c.killController(i)
 			sleep(5)
-			c.startNode(i)
+			c.startController(i)
 			sleep(3)
 		}
 		for n := range gangs / 2 {
@@ -57,7 +57,7 @@
 		c.store.SetOutage(false)
 		sleep(240)
 		for n := range gangs {
-			for i := range nodes {
+			for i := range controllers {
 				c.wantDone(i, fmt.Sprint("j-", n))
 			}
 		}
--- a/internal/simulation/single_task_jobs_test.go
+++ b/internal/simulation/single_task_jobs_test.go
@@ -10,10 +10,10 @@
 	"drumpick/internal/records"
 )
 
-// Four single-task jobs a second for three minutes, a quarter of them cancelled, on the store of the
-// smallest deployment (20 writes a second). Bounds the writes per job, the throttled writes, the
-// latency of acceptance and the number of ended jobs that are not stored yet. With a failover and a
-// store outage, no job is forgotten and no record left over either.
+// Users submit four single-task jobs per second for three minutes and cancel a quarter of them. The store has the
+// limits of the smallest deployment (20 writes per second). The test bounds the writes per job, the throttled writes,
+// the latency of acceptance, and the number of ended jobs that are not stored yet. No job may be forgotten and no
+// record left over, also with a failover and a store outage.
 func TestSingleTaskJobsStayWithinStoreLimits(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -41,9 +41,9 @@
 					switch {
 					case x.faults && k == 200:
 						leader = c.leaderIndex()
-						c.killNode(leader)
+						c.killController(leader)
 					case x.faults && k == 260:
-						c.startNode(leader)
+						c.startController(leader)
 					case x.faults && k == 400:
 						c.store.SetOutage(true)
 					case x.faults && k == 460:
@@ -73,7 +73,7 @@
 	}
 }
 
-// submitUntilAnyAccepts submits a job every second, at one node after the other, until one accepts it.
+// submitUntilAnyAccepts submits a job every second, to each of three controllers in turn, until one accepts it.
 func (c *cluster) submitUntilAnyAccepts(first int, j records.Job) {
 	for try := first; ; try++ {
 		if status := c.submit(try%3, j); status == 200 || status == 201 {
@@ -83,7 +83,8 @@
 	}
 }
 
-// cancelUntilAnswered cancels a job every second, at one node after the other, until one confirms its final state.
+// cancelUntilAnswered cancels a job every second, at each of three controllers in turn, until one responds with status
+// 200.
 func (c *cluster) cancelUntilAnswered(first int, id string) {
 	for try := first; ; try++ {
 		status, st := c.ask(try%3, peer.MethodCancel, id)
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -18,23 +18,23 @@
 // Store is an in-memory key-value store with the protocol's semantics: compare-and-swap transactions, leases and
 // watches. It injects faults of the whole store; Client injects those of one controller's connection.
 type Store struct {
-	// OnChange, if set, is called with every change, in order and with the lock held.
+	// OnChange, if set, is called with every change, in order and with the store's lock held.
 	OnChange func(Change)
 
 	mu                sync.Mutex // guards all fields below
-	writes            int        // operations of all transactions that passed the limits
+	writes            int        // number of operations in all transactions that passed the limits
 	oversizedTxns     []string   // descriptions of transactions that were rejected as too large
-	throttledWrites   int        // transactions that were rejected by the write rate limit
-	revision          uint64
+	throttledWrites   int        // number of transactions that were rejected by the write rate limit
+	revision          uint64     // of the last change
 	entries           map[string]records.KeyValue
 	log               []records.Event
-	compactedRevision uint64 // changes up to this revision are not in the log
+	compactedRevision uint64 // the log may lack changes up to this revision
 	leases            map[uint64]*lease
 	lastLease         uint64
 	changed           chan struct{} // closed and replaced at every change
 
-	outage         bool            // all clients are refused
-	refusedClients map[string]bool // clients that are refused individually
+	outage         bool            // requests of all clients are refused
+	refusedClients map[string]bool // names of single clients whose requests are refused
 
 	maxValueKB   float64 // 0: no limit
 	maxTxnOps    int     // 0: no limit
@@ -67,9 +67,9 @@
 	Revision     uint64
 	Writes       []records.KeyValue
 	Deletes      []string // keys
-	LeaseID      uint64   // a lease that was granted
+	LeaseID      uint64   // ID of the lease that was granted; 0: none
 	TTL          time.Duration
-	RevokedLease uint64 // a lease that was revoked or has expired
+	RevokedLease uint64 // ID of the lease that was revoked or has expired; 0: none
 }
 
 // NewStore returns an empty store.
@@ -95,7 +95,7 @@
 	}
 }
 
-// SetRefused makes the store refuse a single client; false serves it again.
+// SetRefused makes the store refuse the requests of a single client, or serve them again if on is false.
 func (s *Store) SetRefused(client string, on bool) {
 	s.mu.Lock()
 	s.refusedClients[client] = on
@@ -111,7 +111,8 @@
 
 func (s *Store) refusesLocked(client string) bool { return s.outage || s.refusedClients[client] }
 
-// SetLimits sets the limits of values, transactions and the write rate. Entries already stored are kept.
+// SetLimits sets the maximum size of a value, number of operations in a transaction, and number of operations per
+// second. Entries already stored are kept.
 func (s *Store) SetLimits(valueKB float64, txnOps int, writeRPS float64) {
 	s.mu.Lock()
 	s.maxValueKB, s.maxTxnOps = valueKB, txnOps
@@ -131,7 +132,7 @@
 	}
 }
 
-// Restore restores the store's own persisted state. All leases are renewed for their full TTL.
+// Restore restores the persisted state of this store after a restart. All leases are renewed for their full TTL.
 func (s *Store) Restore(entries []records.KeyValue, revision, lastLease uint64, ttls map[uint64]time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,7 +162,7 @@
 	return kv, s.revision, found
 }
 
-// Value returns a key's value as text, or "" if it is absent.
+// Value returns a key's value as text, or "" if the key is absent.
 func (s *Store) Value(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -212,8 +213,9 @@
 	return entries, false, revision
 }
 
-// commit applies a transaction and returns its revision. The order of the checks is that of the protocol: the size and
-// write rate limits come before the compares, and a transaction with a failed compare uses up write rate.
+// commit applies a transaction and returns its revision, or the error of validateTxnLocked or compareLocked. The order
+// of the checks is that of the protocol: the size and write rate limits come before the compares, so a transaction with
+// a failed compare uses up write rate.
 func (s *Store) commit(compares []records.Compare, ops []records.Op) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,7 +239,8 @@
 // maxComparesPerOp times the limit of operations is the maximum number of compares of a transaction.
 const maxComparesPerOp = 4
 
-// validateTxnLocked checks that a transaction's leases exist and that it is within the store's limits.
+// validateTxnLocked checks a transaction before its compares. It returns records.ErrLeaseExpired if a lease does not
+// exist, ErrInvalid if the transaction is too large, and ErrThrottled if it exceeds the write rate.
 func (s *Store) validateTxnLocked(compares []records.Compare, ops []records.Op) error {
 	for _, op := range ops {
 		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
@@ -261,7 +264,7 @@
 	return nil
 }
 
-// compareLocked evaluates a transaction's compares. It returns a records.ConflictError with all that failed.
+// compareLocked evaluates a transaction's compares. If any fail, it returns a records.ConflictError with their keys.
 func (s *Store) compareLocked(compares []records.Compare) error {
 	var failed []string
 	for _, c := range compares {
@@ -297,7 +300,7 @@
 	return change, nil
 }
 
-// recordChangeLocked passes a change to OnChange and compacts the log.
+// recordChangeLocked passes a change to OnChange with the store's revision, and compacts the log.
 func (s *Store) recordChangeLocked(c Change) {
 	if s.OnChange != nil {
 		c.Revision = s.revision
--- a/internal/simulation/store_client.go
+++ b/internal/simulation/store_client.go
@@ -15,7 +15,7 @@
 const (
 	// networkLatency is the delivery time of a message.
 	networkLatency = 5 * time.Millisecond
-	// requestTimeout is how long a caller waits for a response, as in the controllers' settings.
+	// requestTimeout is the maximum time that a caller waits for a response, as in the controllers' settings.
 	requestTimeout = time.Second
 	// listPageEntries is the page size that List requests.
 	listPageEntries = 500
@@ -29,18 +29,18 @@
 	writeLimiter *rate.Limiter // of the leader's background writes; nil: no limit
 
 	mu                 sync.Mutex // guards the fields below
-	lastOK, lastFailed time.Time
-	lastResponse       time.Time // including refusals
+	lastOK, lastFailed time.Time  // times of the last successful and the last failed call
+	lastResponse       time.Time  // including refusals
 
 	killed          bool
-	hang            time.Duration // calls hang for this time and get no response; 0: calls are answered
-	delay           time.Duration // added to the latency of calls
-	loseResponses   int           // this many further commits get no response and are applied after lostCommitDelay
+	hang            time.Duration // calls hang for this time and get no response; 0: calls get responses
+	delay           time.Duration // minimum duration of a call; from requestTimeout on, calls time out
+	loseResponses   int           // number of next commits that get no response and are applied after lostCommitDelay
 	lostCommitDelay time.Duration
-	pickLateWrite   func() (time.Duration, bool)
+	pickLateWrite   func() (time.Duration, bool) // see SetLateWrites
 }
 
-// Client returns the connection of a controller.
+// Client returns a new connection for the controller with the given name.
 func (s *Store) Client(name string) *Client {
 	return &Client{store: s, name: name, started: time.Now()}
 }
@@ -52,22 +52,23 @@
 	c.mu.Unlock()
 }
 
-// SetLateWrites sets the function that returns, for each commit, whether its response is lost and after which delay it
-// is then applied, possibly after newer commits; 0: at once. nil: every commit is answered.
+// SetLateWrites sets the function that decides for each commit whether its response is lost, and after which delay the
+// commit is then applied; 0: at once. A delayed commit can be applied after newer ones. If the function is nil, every
+// commit gets a response.
 func (c *Client) SetLateWrites(pick func() (time.Duration, bool)) {
 	c.mu.Lock()
 	c.pickLateWrite = pick
 	c.mu.Unlock()
 }
 
-// SetDelay adds a delay to every call; 0: no delay.
+// SetDelay sets the minimum duration of every call; 0: only networkLatency. From requestTimeout on, calls time out.
 func (c *Client) SetDelay(d time.Duration) {
 	c.mu.Lock()
 	c.delay = d
 	c.mu.Unlock()
 }
 
-// SetHang makes every call hang for this time without a response; 0: calls are answered again.
+// SetHang makes every call hang for a time without a response. If the time is 0, calls get responses again.
 func (c *Client) SetHang(d time.Duration) {
 	c.mu.Lock()
 	c.hang = d
@@ -166,7 +167,7 @@
 	return nil, nil
 }
 
-// List calls each for all entries under a prefix, and returns the revision of the first page.
+// List calls each for all entries under a prefix, in order of their keys, and returns the revision of the first page.
 func (c *Client) List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return 0, err
@@ -189,7 +190,8 @@
 	return first, nil
 }
 
-// Commit applies a transaction and returns its revision, unless an injected fault delays it or drops its response.
+// Commit applies a transaction and returns its revision. It returns records.ErrUnknownOutcome if an injected fault
+// delays the commit or drops its response.
 func (c *Client) Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error) {
 	c.mu.Lock()
 	delay, killed := c.delay, c.killed
@@ -244,7 +246,7 @@
 	return c.store.grantLease(ttl), nil
 }
 
-// RenewLease renews a lease.
+// RenewLease renews a lease for its original TTL. It returns records.ErrLeaseExpired if the lease does not exist.
 func (c *Client) RenewLease(ctx context.Context, id uint64, _ time.Duration) error {
 	if err := c.beginCall(ctx); err != nil {
 		return err
@@ -255,14 +257,15 @@
 	return nil
 }
 
-// RevokeLease revokes a lease.
+// RevokeLease revokes a lease, unless an injected fault makes the call fail.
 func (c *Client) RevokeLease(ctx context.Context, id uint64) {
 	if c.beginCall(ctx) == nil {
 		c.store.revokeLease(id)
 	}
 }
 
-// Watch waits for changes under a prefix after a revision.
+// Watch waits up to wait for changes under a prefix after the revision since. It returns the changes and the revision
+// from which the next watch continues.
 func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) ([]records.Event, uint64, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return nil, since, err
--- a/internal/simulation/store_lease.go
+++ b/internal/simulation/store_lease.go
@@ -35,14 +35,15 @@
 	return l != nil
 }
 
-// revokeLease ends a lease at once.
+// revokeLease ends a lease at once and deletes the keys attached to it.
 func (s *Store) revokeLease(id uint64) {
 	s.mu.Lock()
 	s.endLeaseLocked(id)
 	s.mu.Unlock()
 }
 
-// resetLeaseTimerLocked restarts a lease's timer with the full TTL. No lease expires during an outage.
+// resetLeaseTimerLocked restarts a lease's timer with the full TTL. If the timer fires during an outage, the lease
+// stays; SetOutage restarts the timer.
 func (s *Store) resetLeaseTimerLocked(id uint64, l *lease) {
 	if l.timer != nil {
 		l.timer.Stop()
--- a/internal/simulation/store_limits_test.go
+++ b/internal/simulation/store_limits_test.go
@@ -32,11 +32,11 @@
 		if refused == 0 {
 			t.Error("no write was rejected as too large, so the case is not tested")
 		}
-		c.killNode(c.leaderIndex())
+		c.killController(c.leaderIndex())
 		// Submissions above the write rate limit are rejected, and accepted when they are retried.
-		node, rejected := c.upNodeFrom(0), 0
+		controller, rejected := c.upControllerFrom(0), 0
 		for i := range 20 {
-			if c.submit(node, dependentJob(fmt.Sprint("j-1", i), 1, "j-3")) != 201 {
+			if c.submit(controller, dependentJob(fmt.Sprint("j-1", i), 1, "j-3")) != 201 {
 				rejected++
 			}
 		}
@@ -50,13 +50,13 @@
 					t.Fatalf("j-1%d: %d after %d s", i, status, try)
 				}
 				sleep(1)
-				status = c.submit(node, dependentJob(fmt.Sprint("j-1", i), 1, "j-3"))
+				status = c.submit(controller, dependentJob(fmt.Sprint("j-1", i), 1, "j-3"))
 			}
 		}
 		sleep(140)
-		c.wantDone(node, "j-119")
+		c.wantDone(controller, "j-119")
 		for _, id := range []string{"j-1", "j-2", "j-3"} {
-			c.wantDone(node, id)
+			c.wantDone(controller, id)
 		}
 		if n := len(c.store.OversizedTransactions()); n > 30 {
 			t.Errorf("%d writes were rejected as too large: %v", n, c.store.OversizedTransactions()[:30])
--- a/internal/simulation/store_watch.go
+++ b/internal/simulation/store_watch.go
@@ -9,12 +9,13 @@
 	"drumpick/internal/records"
 )
 
-// maxWatchEvents is the number of past changes that a watch can resume from. It loses no entries: a watch from an
-// older revision gets ErrCompacted and its client lists the entries again.
+// maxWatchEvents is the minimum number of past changes that the log keeps. A watch from a revision before the log gets
+// ErrCompacted, and its client lists the entries again.
 const maxWatchEvents = 10_000
 
-// watch waits for changes under a prefix after a revision, and returns them and the revision they lead to. Open
-// watches stay open during an outage. disconnected is evaluated at every change of the store.
+// watch waits up to wait for changes under a prefix after the revision since. It returns the changes and the store's
+// revision. During an outage, or while the store refuses the client, the watch stays open. It calls disconnected at
+// every change of the store, and returns records.ErrUnknownOutcome if that reports true.
 func (s *Store) watch(
 	ctx context.Context, client, prefix string, since uint64, wait time.Duration, disconnected func() bool,
 ) ([]records.Event, uint64, error) {
--- a/internal/simulation/teams_test.go
+++ b/internal/simulation/teams_test.go
@@ -10,14 +10,14 @@
 	"drumpick/internal/records"
 )
 
-// These tests run many teams at their limits. The leader accounts what each team uses as attempts start and end. No
+// These tests run many teams at their limits. The leader updates the usage of a team when an attempt starts or ends. No
 // fault may make a team use more than its limit, or wait while it is below its limit and machines have room.
 
 const teamCount = 48
 
 // runTeamsAtLimit runs a scenario with three controllers in which each team has ten times as much work as its limit
-// lets run at once. At the end every job must be done or cancelled. Each scenario contains several faults, as the race
-// detector allows only some tens of thousands of timers per process.
+// lets run at once. At the end every job must be done or cancelled. Each scenario contains several faults, because the
+// race detector allows only some tens of thousands of timers per process.
 func runTeamsAtLimit(t *testing.T, prepare, scenario func(c *cluster)) {
 	t.Helper()
 	const limit, jobs = 2, teamCount
@@ -41,19 +41,20 @@
 		sleep(140)
 		for n := range jobs {
 			id := fmt.Sprint("j-", n)
-			for i := range c.nodes {
-				if c.node(i) == nil {
+			for i := range c.controllers {
+				if c.controller(i) == nil {
 					continue
 				}
 				if status, state := c.ask(i, peer.MethodPoll, id); status != 200 || state != records.StatusDone && state != records.StatusCancelled {
-					t.Errorf("poll %s at node %d: %d %q", id, i, status, state)
+					t.Errorf("poll %s at controller %d: %d %q", id, i, status, state)
 				}
 			}
 		}
 	})
 }
 
-// cancelEvery cancels every n-th job, and retries each request until it is answered.
+// cancelEvery cancels the jobs whose number is a multiple of every. It sends up to 20 requests for each job, one per
+// second, until the response is 200.
 func (c *cluster) cancelEvery(every int) {
 	for n := 0; n < teamCount; n += every {
 		id := fmt.Sprint("j-", n)
@@ -66,15 +67,16 @@
 	}
 }
 
-// restartLeader kills the leader and starts its controller again after a pause.
+// restartLeader kills the leader and starts its controller again after a number of seconds.
 func (c *cluster) restartLeader(seconds float64) {
 	leader := c.leaderIndex()
-	c.killNode(leader)
+	c.killController(leader)
 	sleep(seconds)
-	c.startNode(leader)
+	c.startController(leader)
 }
 
-// Failovers: alone, while a zone is partitioned, and while machines of cancelled jobs hang.
+// Teams stay at their limits across failovers: without another fault, while a zone is partitioned, and while machines
+// with tasks of cancelled jobs hang.
 func TestTeamsAtLimitAcrossFailovers(t *testing.T) {
 	runTeamsAtLimit(t, func(*cluster) {}, func(c *cluster) {
 		c.restartLeader(6)
@@ -97,23 +99,23 @@
 	})
 }
 
-// A store outage, a leader of a version without watermarks, and the loss of a third of the machines while another third
-// is preempted.
+// Teams stay at their limits across a store outage, a leader of a version without watermarks, and the loss of a third
+// of the machines while another third is preempted.
 func TestTeamsAtLimitAcrossVersionsAndMachineLosses(t *testing.T) {
 	runTeamsAtLimit(t, func(c *cluster) { c.olderVersion[1] = true }, func(c *cluster) {
 		c.store.SetOutage(true)
 		sleep(20)
 		c.store.SetOutage(false)
 		c.cancelEvery(5)
-		c.killNode(0)
-		c.killNode(2)
+		c.killController(0)
+		c.killController(2)
 		sleep(8)
-		c.startNode(0)
-		c.startNode(2)
+		c.startController(0)
+		c.startController(2)
 		sleep(4)
-		c.killNode(1)
+		c.killController(1)
 		sleep(6)
-		c.startNode(1)
+		c.startController(1)
 		for i, m := range c.env.Machines() {
 			switch i % 3 {
 			case 0:
--- a/internal/simulation/users_test.go
+++ b/internal/simulation/users_test.go
@@ -10,10 +10,10 @@
 	"drumpick/internal/records"
 )
 
-// request sends a user's request to a node, and returns the HTTP status and the job's state in the response. Status 0
-// means that the node is down.
+// request sends a user's request to a controller, and returns the HTTP status and the job's state in the response.
+// Status 0 means that the controller is down.
 func (c *cluster) request(i int, r peer.RelayRequest) (status int, state string) {
-	n := c.node(i)
+	n := c.controller(i)
 	if n == nil {
 		return 0, ""
 	}
@@ -59,7 +59,7 @@
 	return raw
 }
 
-// submit submits a job to a node as a user, and returns the HTTP status.
+// submit submits a job to a controller as a user, and returns the HTTP status.
 func (c *cluster) submit(i int, j records.Job) int {
 	asked := time.Now()
 	status, _ := c.request(i, peer.RelayRequest{Method: peer.MethodSubmit, Body: c.encodeSubmission(j)})
@@ -75,7 +75,7 @@
 	return status
 }
 
-// ask polls or cancels a job at a node as a user, and returns the HTTP status and the job's state.
+// ask polls or cancels a job at a controller as a user, and returns the HTTP status and the job's state.
 func (c *cluster) ask(i int, method, id string) (int, string) {
 	if method == peer.MethodCancel {
 		c.env.RecordCancelRequest(id)
@@ -98,10 +98,11 @@
 	return status, state
 }
 
+// wantDone requires that a controller reports a job as done.
 func (c *cluster) wantDone(i int, id string) {
 	c.t.Helper()
 	if status, st := c.ask(i, peer.MethodPoll, id); status != 200 || st != records.StatusDone {
-		c.t.Errorf("poll %s at node %d: %d %q, want done", id, i, status, st)
+		c.t.Errorf("poll %s at controller %d: %d %q, want done", id, i, status, st)
 	}
 }
 
@@ -112,7 +113,7 @@
 	}
 }
 
-// submitToAny submits a job to node i, and to the next nodes if that does not accept it.
+// submitToAny submits a job to the three controllers in turn, starting with controller i, until one accepts the job.
 func (c *cluster) submitToAny(i int, j records.Job) {
 	for k := range 3 {
 		if status := c.submit((i+k)%3, j); status == 201 || status == 200 {
@@ -121,8 +122,8 @@
 	}
 }
 
-// cancel cancels a job at a node as a user. A request without a 200 response is recorded, and runFaultPairs repeats it
-// at the end.
+// cancel cancels a job at a controller as a user. If the response is not 200, cancel records the job, and runFaultPairs
+// repeats the request at the end.
 func (c *cluster) cancel(i int, id string) {
 	switch status, st := c.ask(i, peer.MethodCancel, id); {
 	case st == records.StatusCancelled:
@@ -134,7 +135,7 @@
 	}
 }
 
-// cancelSome cancels n random accepted jobs at random nodes.
+// cancelSome cancels n random jobs of the latest accepted ones at random controllers.
 func (c *cluster) cancelSome(r *rand.Rand, n int) {
 	for range n {
 		c.mu.Lock()
@@ -178,8 +179,8 @@
 	}
 }
 
-// cancelUntilConfirmed cancels a job and retries until that is confirmed. A crashed leader, which cannot be notified,
-// may delay the confirmation for no longer than its lease.
+// cancelUntilConfirmed cancels a job at a controller and retries until the controller confirms the cancellation. A
+// crashed leader cannot be notified, which may delay the confirmation for no longer than the leader's lease.
 func (c *cluster) cancelUntilConfirmed(i int, id string) {
 	c.t.Helper()
 	began := time.Now()
@@ -189,17 +190,18 @@
 			return
 		}
 		if status != 503 || time.Since(began) > c.leaderLease+2*time.Second {
-			c.t.Fatalf("cancel %s at node %d: %d %q after %v", id, i, status, st, time.Since(began))
+			c.t.Fatalf("cancel %s at controller %d: %d %q after %v", id, i, status, st, time.Since(began))
 		}
 		sleep(1)
 	}
 }
 
+// wantCancelled requires that a controller reports jobs as cancelled.
 func (c *cluster) wantCancelled(i int, ids ...string) {
 	c.t.Helper()
 	for _, id := range ids {
 		if status, st := c.ask(i, peer.MethodPoll, id); status != 200 || st != records.StatusCancelled {
-			c.t.Errorf("poll %s at node %d: %d %q, want cancelled", id, i, status, st)
+			c.t.Errorf("poll %s at controller %d: %d %q, want cancelled", id, i, status, st)
 		}
 	}
 }
--- a/internal/simulation/workload_test.go
+++ b/internal/simulation/workload_test.go
@@ -27,17 +27,17 @@
 	seed     uint64
 	jobs     map[string]*submittedJob
 	jobCount int
-	loadEnd  time.Time
+	loadEnd  time.Time // no job is submitted after this time
 }
 
 type submittedJob struct {
 	class       string
 	submittedAt time.Time
-	deadline    time.Duration
+	deadline    time.Duration // from submission
 	doneAfter   time.Duration // from submission to completion; 0: not done yet
 }
 
-// generateLoad submits jobs at random times, such that they keep a share of the machines busy on average.
+// generateLoad submits jobs at random times until loadEnd. On average, they keep a share of the machines busy.
 func (s *workload) generateLoad(machines int, share float64) {
 	cpus := 4 * float64(machines) * share
 	for i, k := range []struct {
@@ -70,6 +70,7 @@
 	}
 }
 
+// submitUntilAccepted submits a job every second until a controller accepts it as new.
 func (s *workload) submitUntilAccepted(j records.Job, deadlineS float64) {
 	s.mu.Lock()
 	s.jobCount++
@@ -119,7 +120,7 @@
 	return float64(late) / float64(max(n, 1)), n
 }
 
-// busyMachines returns how many of the selected machines have tasks.
+// busyMachines returns the number of selected machines with tasks that have not ended.
 func (s *workload) busyMachines(selected func(*Machine) bool) int {
 	s.env.mu.Lock()
 	defer s.env.mu.Unlock()
@@ -138,7 +139,8 @@
 	return n
 }
 
-// runWorkload runs a scenario under a steady load.
+// runWorkload runs a scenario under a steady load, which keeps a share of the machines busy and lasts for the given
+// number of seconds.
 func runWorkload(
 	t *testing.T, seed uint64, machines int, seconds, share float64, prepare func(*cluster), scenario func(s *workload),
 ) {
@@ -170,8 +172,8 @@
 	})
 }
 
-// TestMeasureDrain compares ways to empty one of two zones before a power loss: a drain with and without a
-// deadline, a cordon, and doing nothing.
+// TestMeasureDrain measures ways to empty one of two zones: a drain with and without a deadline, and a cordon. It
+// compares them with a power failure and with an undisturbed run.
 //
 //	go test ./internal/simulation -run MeasureDrain -measure 450 -v
 func TestMeasureDrain(t *testing.T) {
@@ -228,7 +230,7 @@
 	}
 }
 
-// startDrain stores a drain request, as an operator's request does.
+// startDrain stores a drain, as a controller does for an operator's request. It retries until the store accepts it.
 func (s *workload) startDrain(d drain.Spec) {
 	for {
 		_, err := s.store.Client("operator").Commit(s.ctx, nil, []records.Op{{Write: records.PrefixDrains + d.ID, Value: d}})
@@ -303,7 +305,7 @@
 func (s *workload) isDrained(machine string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range s.nodes {
+	for _, n := range s.controllers {
 		if n != nil && n.leader != nil {
 			v, ok := n.leader.Machine(machine)
 			return ok && v.State == "drained"
--- a/internal/simulation/zone_partition_test.go
+++ b/internal/simulation/zone_partition_test.go
@@ -11,8 +11,9 @@
 
 // Tests of a zone's machines during a partition.
 
-// runZonePartition partitions a zone that holds half of the machines. It returns how many of its
-// machines are still there 8 s after the partition, out of how many, and how many tasks were lost.
+// runZonePartition partitions a zone with half of the machines for a number of seconds. It returns the number of the
+// zone's machines before the partition (total) and of those that still exist 8 s after its end (kept), and the number
+// of lost tasks.
 func runZonePartition(t *testing.T, seconds float64, zoneHealth bool) (kept, total, lost int) {
 	runScenarioWith(t, func(c *cluster) {
 		c.cfg.Options.ZoneHealth = zoneHealth
@@ -50,9 +51,9 @@
 	return kept, total, lost
 }
 
-// A zone that is partitioned for less than a lease loses no task. Guards against returning its machines
-// one by one, as each becomes one of few that have been silent for long. After a lease the zone's tasks
-// start elsewhere, and its machines are still there when the partition ends.
+// A zone that is partitioned for less than a lease loses no task. After a lease the zone's tasks start elsewhere, but
+// the zone's machines still exist when the partition ends. Guards against a leader that returns the machines one by
+// one, because each in turn is among the few that have been silent for long.
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
@@ -62,7 +63,7 @@
 	}{{7, true, true}, {20, true, true}, {20, false, false}} {
 		kept, total, lost := runZonePartition(t, x.seconds, x.zoneHealth)
 		result := fmt.Sprintf("partition of %v s, zone health %v: %d machines of %d are left, %d tasks lost", x.seconds, x.zoneHealth, kept, total, lost)
-		// One or two may be returned as idle, as some work is done elsewhere meanwhile.
+		// One or two machines may be returned as idle, because some work is done elsewhere meanwhile.
 		if total < 12 || x.keeps != (kept >= total-2) {
 			t.Error(result)
 		}
