--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -10,9 +10,9 @@
 	"drumpick/internal/goldentest"
 )
 
-// goldenSamples returns values with every field set.
+// goldenSamples returns a job, a machine and a drain with its view and plan, with every field set.
 func goldenSamples() (Job, Machine, Drain, DrainView, DrainPlan) {
-	zone, due := "a", 300.5
+	zone, deadlineS := "a", 300.5
 	sum := drain.Summary{Machines: 1, Finish: 2, Move: 3, Restart: 4, Wait: 5, Blocked: 6, LostS: 7.5, MachineLost: 8, EmptyS: 9.5}
 	spec := drain.Spec{
 		ID: "d-1", Kind: DrainUpgrade, Machines: []string{"m-1"}, Type: "c4", Zone: "a", OlderThanS: 60, Version: "1.0", DeadlineMS: 946684802000,
@@ -22,7 +22,7 @@
 	return Job{
 			ID: "j-412", Class: "train", Team: "vision", Shape: Group, Priority: Urgent, Tasks: 4, CPUs: 1.5, GPUs: 2, MemGB: 16,
 			Image: "img", ImageGB: 3, Types: []string{"c4", "g8"}, Zone: &zone, OneZone: true, SpreadZones: true, Spot: true,
-			EstimateS: 10, CheckpointS: 5, SaveS: 2, DeadlineS: &due, Dependencies: []string{"j-1", "j-2"},
+			EstimateS: 10, CheckpointS: 5, SaveS: 2, DeadlineS: &deadlineS, Dependencies: []string{"j-1", "j-2"},
 		}, Machine{
 			Name: "m-1", Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.232:9000", State: "up", AgeS: 60.5, Version: "1.0", TaskCount: 1,
 			Tasks: []Task{{Task: "j-1/0", Attempt: 2, State: "running", RanS: 4.5, Stopping: true}},
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -75,8 +75,8 @@
 	NeedsRelay(heartbeat *fleet.Heartbeat) bool
 }
 
-// Server handles the requests of users and workers. Each part of its state has its own type, with its
-// own lock.
+// Server handles the requests of users and workers. Each part of the state that changes has
+// its own type with its own lock, or is atomic.
 type Server struct {
 	cfg         *config.Config
 	store       Store
--- a/internal/api/shared_poll.go
+++ b/internal/api/shared_poll.go
@@ -72,7 +72,8 @@
 	c.nextList, c.lastStart = nil, time.Now()
 }
 
-// awaitList waits for a list of the open jobs that starts after this call.
+// awaitList returns a list of the open jobs that is read from the store after this call. The error is
+// that of the read, or of ctx if it ends first.
 func (s *Server) awaitList(ctx context.Context) (*openList, error) {
 	list, wait, first := s.coalescer.join()
 	if first {
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -281,7 +281,7 @@
 	d.machineSeconds[machineType] += float64(tasks) * d.demand.TaskSeconds * share
 }
 
-// openMachine adds a new machine to the plan.
+// openMachine counts one more machine to rent by an offer. The caller packs tasks into it.
 func (d *demandPlan) openMachine(o Offer) {
 	// Machines for these tasks are rented regardless of the amount of work. Otherwise a job could
 	// wait forever: the existing machines count as enough although none of them may or can run it.
--- a/internal/drain/upgrade.go
+++ b/internal/drain/upgrade.go
@@ -119,7 +119,7 @@
 			outOfService = append(outOfService, m.Name)
 			allowance--
 		case r.RolledBack && r.Previous == "":
-			// No version to go back to is known: upgraded machines stay as they are.
+			// The target is still the faulty version, as no earlier one is known: m is not upgraded.
 		default:
 			waiting = append(waiting, m)
 		}
--- a/internal/fleet/status_test.go
+++ b/internal/fleet/status_test.go
@@ -172,7 +172,7 @@
 }
 
 // A new incarnation of a worker has lost its tasks; an attempt that is only planned is kept.
-func TestNewIncarnationForgetsTasks(t *testing.T) {
+func TestNewIncarnationLosesRunningTasks(t *testing.T) {
 	table, m := newReconciledTable(t)
 	table.Apply(status(11, running(1)), true, start)
 	planned := table.Plan(m, TaskID{Job: "j-000002"}, 1, &packing.Item{}, start)
--- a/internal/localcluster/control.go
+++ b/internal/localcluster/control.go
@@ -34,8 +34,8 @@
 	Error string `json:"error,omitempty"`
 }
 
-// defaultPartition is the duration of a partition if the request does not set one.
-const defaultPartition = "10s"
+// defaultPartitionDuration is the duration of a partition if the request does not set one.
+const defaultPartitionDuration = "10s"
 
 // mountControl mounts the control API, through which other processes inject faults and read the history.
 func (c *Cluster) mountControl(app *fiber.App) {
@@ -52,7 +52,7 @@
 }
 
 func (c *Cluster) servePartition(ctx *fiber.Ctx) error {
-	duration, err := time.ParseDuration(ctx.Query("for", defaultPartition))
+	duration, err := time.ParseDuration(ctx.Query("for", defaultPartitionDuration))
 	if err != nil || duration <= 0 {
 		return ctx.Status(http.StatusBadRequest).JSON(controlResult{Error: "for is no length of time such as 10s"})
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -42,8 +42,9 @@
 	Machine(name string) (scheduler.MachineView, bool)
 	// Drain returns a drain; ok is false if the leader has not read it from the store.
 	Drain(id string) (view scheduler.DrainView, ok bool)
-	// PreviewDrain returns a page of the plan of a drain: its totals, and up to limit tasks of machines
-	// whose names sort after since. It changes nothing.
+	// PreviewDrain returns the plan of a drain and changes nothing. The plan lists the machines whose
+	// names sort after since, up to limit machines and tasks in all but at least one machine. Without
+	// force, it rejects a drain, other than an upgrade, that leaves a class of jobs without any machine.
 	PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error)
 }
 
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -184,7 +184,8 @@
 	return nodes, ownZone
 }
 
-// leastLoaded returns the controller with the fewest assigned workers, or "" if nodes is empty.
+// leastLoaded returns the controller with the fewest assigned workers, the first by name if several have
+// as few, or "" if nodes is empty.
 func (r *Router) leastLoaded(nodes []string) string {
 	if len(nodes) == 0 {
 		return ""
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -35,7 +35,7 @@
 
 // benefitsFromPreemption reports whether a job within a guarantee can still start in time after
 // preempting others. Without this check, tasks are preempted for gangs that are late anyway: on busy
-// days such gangs were over a third of the starts of their class.
+// days, more than a third of the starts of a class were lost by such preemptions.
 func (s *Scheduler) benefitsFromPreemption(job *Job, now time.Time) bool {
 	if !s.settings.Guarantees || s.settings.GuaranteeWithin == 0 {
 		return true
--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -120,9 +120,9 @@
 	p.watermarkUnreadable = p.watermarkUnreadable || !readable
 }
 
-// FinishLoading is called when all pages are loaded. It passes the watermarks to the scheduler, and
-// removes the finished tasks and watermarks of jobs that are not open. complete means that earlier
-// leaders dispatched no task beyond the stored watermarks.
+// FinishLoading is called when all pages are loaded. It removes the finished tasks of jobs that are
+// not open. If watermarks are enabled, it also removes the watermarks of such jobs, and passes all
+// loaded ones to the scheduler. complete means that earlier leaders dispatched no task beyond these.
 func (p *Persistence) FinishLoading(complete bool) {
 	for id := range p.finished.Pages().IDs() {
 		if job, _, _ := records.ParsePartID(id); p.scheduler.jobs[job] == nil {
@@ -291,7 +291,8 @@
 	s.removedMachines = s.removedMachines[:0]
 }
 
-// appendMachinePages appends the writes of changed machine pages, and reports whether all fit.
+// appendMachinePages appends the writes of changed machine pages to a batch, and reports whether all
+// fit.
 func (p *Persistence) appendMachinePages(b *writeBatch) bool {
 	return p.appendPages(p.machines, b, func(ids []string, entries map[string]json.RawMessage) pageCallbacks {
 		return pageCallbacks{
@@ -341,8 +342,8 @@
 	}
 }
 
-// appendFinishedPages appends the writes of changed pages of finished tasks, and reports whether all
-// fit.
+// appendFinishedPages appends the writes of changed pages of finished tasks to a batch, and reports
+// whether all fit.
 func (p *Persistence) appendFinishedPages(b *writeBatch) bool {
 	return p.appendPages(p.finished.Pages(), b, func(ids []string, _ map[string]json.RawMessage) pageCallbacks {
 		return pageCallbacks{
@@ -358,8 +359,8 @@
 	onMoved  func(ids []string) // called if the store rejects the page as too large, with the ids to put into other pages
 }
 
-// appendPages appends the writes of changed pages, and reports whether all fit. callbacks returns the
-// callbacks for the write of a page with the given ids and entries.
+// appendPages appends the writes of changed pages to a batch, and reports whether all fit. callbacks
+// returns the callbacks for the write of a page with the given ids and entries.
 func (p *Persistence) appendPages(pages *records.PagedRecords, b *writeBatch, callbacks func(ids []string, entries map[string]json.RawMessage) pageCallbacks) bool {
 	for _, page := range pages.DirtyPages() {
 		if !b.tryReserve(1, p.maxValueBytes) {
@@ -380,9 +381,9 @@
 	return true
 }
 
-// appendWatermarkPages appends the writes of changed watermark pages, and reports whether all fit.
-// Watermarks are raised ahead of need, so they are stored together, once per quarter of a heartbeat
-// interval, unless a task waits for one.
+// appendWatermarkPages appends the writes of changed watermark pages to a batch, and reports whether
+// all fit. Watermarks are raised ahead of need, so they are stored together, once per quarter of a
+// heartbeat interval, unless a task waits for one.
 func (p *Persistence) appendWatermarkPages(b *writeBatch, now time.Time) bool {
 	s := p.scheduler
 	if !p.watermarkNeeded && now.Sub(p.lastWatermarkUpdate) < s.settings.HeartbeatInterval/4 {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -82,8 +82,8 @@
 }
 
 // placeGangOrTasks places the waiting tasks of a turn's job: of a gang, all or none. It reports
-// whether all tasks that may start found room; with noRoom, it tries only the job's claims and
-// returns true.
+// whether all tasks that may start found room. With noRoom, it tries only the claims of a job that
+// is no gang, and returns true.
 func (p *placementPass) placeGangOrTasks(turn placementTurn, noRoom bool) bool {
 	s, job := p.scheduler, turn.job
 	if job.Shape == records.ShapeGang {
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -14,9 +14,10 @@
 )
 
 // startDelaysUnderLoad simulates a fleet on which small jobs with later turns always wait, while
-// gangs that need a whole zone arrive, each at one of arrivalSteps. boundS is the reservation bound
-// in seconds, 0 for no reservations; runTimesS are the run times of the small jobs in seconds. It
-// returns the time from arrival to start of each gang that started.
+// gangs that need a whole zone arrive, each at one of arrivalSteps, which count half seconds. boundS
+// is the time in seconds within which a job should start, 0 for no reservations; runTimesS are the
+// run times of the small jobs in seconds. It returns how long each gang that started has waited, by
+// job id.
 func startDelaysUnderLoad(t *rapid.T, boundS float64, machinesPerZone int, arrivalSteps []int, runTimesS []int) map[string]time.Duration {
 	options := config.DefaultOptions()
 	options.Reservations, options.BeginWithinS = boundS > 0, max(boundS, 1)
--- a/internal/simulation/peer_network_test.go
+++ b/internal/simulation/peer_network_test.go
@@ -28,8 +28,8 @@
 	return c.isolated[i] || c.isolated[k]
 }
 
-// isOlderVersion reports whether a controller runs an older version.
-func (c *cluster) isOlderVersion(i int) bool {
+// runsOlderVersion reports whether a controller runs a version without watermarks and heartbeat relay.
+func (c *cluster) runsOlderVersion(i int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.olderVersion[i]
@@ -47,7 +47,7 @@
 		if i == p.self || n == nil || p.cluster.arePartitioned(p.self, i) {
 			continue
 		}
-		if p.cluster.isOlderVersion(i) {
+		if p.cluster.runsOlderVersion(i) {
 			// The older version does not support attestations.
 			out = append(out, peer.StatusOf(n.name, n.client, n.server.Cancellations(), peer.StatusRequest{}))
 			continue
@@ -81,7 +81,7 @@
 func (p *peerNetwork) RelayHeartbeats(controller string, in peer.HeartbeatBatch, _ time.Duration) (peer.HeartbeatBatchReply, error) {
 	time.Sleep(networkLatency)
 	for i := range p.cluster.controllers {
-		if n := p.cluster.controller(i); n != nil && n.name == controller && !p.cluster.isOlderVersion(i) && !p.cluster.arePartitioned(p.self, i) {
+		if n := p.cluster.controller(i); n != nil && n.name == controller && !p.cluster.runsOlderVersion(i) && !p.cluster.arePartitioned(p.self, i) {
 			time.Sleep(p.cluster.delayOf(i))
 			return n.server.HandleHeartbeatBatch(in), nil
 		}
