--- a/client/jobs.go
+++ b/client/jobs.go
@@ -12,7 +12,8 @@
 )
 
 // Submit submits a job, with retries, and reports whether the job was new. Submitting a job
-// again, by any caller, is not an error.
+// again, by any caller, is not an error: if the ID is known, the job is not stored, and the status is that of the
+// job that is.
 func (c *Client) Submit(ctx context.Context, j Job) (st Status, created bool, err error) {
 	response, err := c.requestWithRetry(ctx, http.MethodPost, "/work", j, c.RetryPolicy.SubmitTimeout)
 	if err != nil {
--- a/client/operator.go
+++ b/client/operator.go
@@ -97,6 +97,7 @@
 }
 
 // NewDrainID returns a new drain ID, made of the time in milliseconds, so that later IDs sort after earlier ones.
+// IDs made in the same millisecond are equal.
 func NewDrainID() string { return "d-" + strconv.FormatInt(time.Now().UnixMilli(), 10) }
 
 // PlanDrain returns the predicted effect of a drain, without starting it.
@@ -116,13 +117,14 @@
 	return all, nil
 }
 
-// StartDrain starts a drain, with retries. Starting it again under the same ID is not an error.
+// StartDrain starts a drain, with retries. Starting it again under the same ID is not an error, but starting
+// a different drain under that ID is (RefusedError).
 func (c *Client) StartDrain(ctx context.Context, d Drain) (DrainView, error) {
 	var v DrainView
 	return v, c.requestJSON(ctx, http.MethodPost, "/operator/drains", d, "drain "+d.ID, &v)
 }
 
-// Drains returns all drains, including stopped ones.
+// Drains returns all drains on record, including ended ones; the service removes the oldest of these.
 func (c *Client) Drains(ctx context.Context) ([]DrainView, error) {
 	var list struct {
 		Drains []DrainView `json:"drains"`
--- a/client/request.go
+++ b/client/request.go
@@ -25,8 +25,9 @@
 	return nil
 }
 
-// requestWithRetry sends a request to one controller after the other until one gives a final response or
-// RetryPolicy.TotalTimeout has passed.
+// requestWithRetry sends a request to one controller after the other until one gives a final response,
+// RetryPolicy.TotalTimeout has passed (ErrUnavailable) or ctx ends (its error). A final response other
+// than success is returned with ErrNotFound or a RefusedError.
 func (c *Client) requestWithRetry(ctx context.Context, method, uri string, body any, timeout time.Duration) (httpclient.Response, error) {
 	raw, err := encode(body)
 	if err != nil {
--- a/cmd/drumpick-scale/main.go
+++ b/cmd/drumpick-scale/main.go
@@ -23,8 +23,8 @@
 // Exit codes.
 const (
 	exitOK          = 0
-	exitFailed      = 1 // a protocol rule was violated, or the run failed
-	exitUsage       = 2 // invalid command line; nothing was started
+	exitFailed      = 1 // a protocol rule was violated, the run failed, or there was an unexpected argument
+	exitUsage       = 2 // invalid flag, size or file; nothing was started
 	exitInterrupted = 130
 )
 
--- a/cmd/drumpickctl/drains.go
+++ b/cmd/drumpickctl/drains.go
@@ -206,8 +206,8 @@
 	}
 }
 
-// waitDrain polls a drain until it is finished, and prints its progress. It returns an error if the drain was rolled
-// back.
+// waitDrain polls a drain until it is drained, done, stopped or rolled back, and prints its progress. It returns an
+// error if the drain was rolled back. A cordon reaches none of these phases until it is stopped.
 func waitDrain(cmd *cobra.Command, c *client.Client, v client.DrainView) (client.DrainView, error) {
 	lastShown := ""
 	for {
--- a/cmd/drumpickctl/jobs.go
+++ b/cmd/drumpickctl/jobs.go
@@ -88,6 +88,8 @@
 }
 
 // submitAll submits jobs in waves: a job is sent once the jobs of the file that it depends on are accepted.
+// After an error it sends no further wave. The statuses have the order of the jobs; a job that was not accepted has
+// the status "not accepted".
 func submitAll(ctx context.Context, c *client.Client, jobs []jobspec.NamedJob, errOut io.Writer) ([]client.Status, error) {
 	statuses := make([]client.Status, 0, len(jobs))
 	for _, j := range jobs {
--- a/cmd/drumpickctl/main.go
+++ b/cmd/drumpickctl/main.go
@@ -155,7 +155,8 @@
 	}
 }
 
-// resolveDataDir returns the local cluster's directory: from --data, DRUMPICK_DATA or the user's cache directory.
+// resolveDataDir returns the local cluster's directory: from --data, else DRUMPICK_DATA, else drumpick/local in the
+// user's cache directory, or in the directory for temporary files if there is none.
 func (f *globalFlags) resolveDataDir() string {
 	switch {
 	case f.dataDir != "":
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -110,7 +110,8 @@
 
 // Plan returns the requests to send now; the caller names them. It requests the machines that bin
 // packing of the demand needs beside the vacant and requested ones, but no more than the work keeps
-// busy for the planning horizon.
+// busy for the planning horizon, unless openMachine counts them as rented regardless of the work.
+// Headroom and MaxRentCount bound each request, and an offer with a request in flight gets none.
 func (p *Planner) Plan(in PlanInput) []RentalRequest {
 	state := &plan{
 		PlanInput: in, planner: p, spaces: map[string]*packing.Space{}, machinesInZone: map[string]int{},
@@ -321,8 +322,8 @@
 // other tasks are packed into it one by one.
 const maxItemsPerEmptyBin = 100
 
-// itemsPerEmptyBin returns how many items of one size an empty bin holds by the packing rules, and
-// whether the bin accepts other items beside them.
+// itemsPerEmptyBin returns how many items of one size an empty bin holds by the packing rules, from
+// 1 to maxItemsPerEmptyBin, and whether the bin accepts other items beside them.
 func itemsPerEmptyBin(capacity, request packing.Resources) (n int, leavesRoom bool) {
 	b := packing.NewBin("", capacity)
 	space := &packing.Space{NoFirstFit: true}
--- a/internal/autoscaler/returns.go
+++ b/internal/autoscaler/returns.go
@@ -136,9 +136,10 @@
 }
 
 // silenceLimit returns how long a machine may be silent before it is returned ahead of its lease
-// expiry: the return proves that its tasks are gone, and they start elsewhere sooner. A machine with a
-// preemption notice has most likely been preempted. Any other has most likely failed, unless many are
-// silent because of a network partition or a stalled leader.
+// expiry, math.MaxInt64 if it is not: the return proves that its tasks are gone, and they start
+// elsewhere sooner. A machine with a preemption notice has most likely been preempted. Any other
+// has most likely failed, unless many are silent because of a network partition or a stalled
+// leader.
 func (p *ReturnPolicy) silenceLimit(m *fleet.Machine, now time.Time) time.Duration {
 	if !m.PreemptionAt.IsZero() && now.After(m.PreemptionAt) {
 		return p.heartbeatInterval * 3 / 2
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -85,8 +85,9 @@
 
 // Decide returns what to do with a task. timeLeft is the time until the machine must be empty, nil
 // without a deadline; margin is how long before it a command must be sent (a heartbeat interval).
-// The rules in order of precedence: completed work is lost only if the deadline requires it; an urgent
-// task with little slack keeps running where it is; a task that can save a checkpoint moves.
+// The rules in order of precedence: completed work is lost only if the deadline requires it; a task
+// that is nearly done, or urgent with little slack, keeps running where it is if the deadline is not
+// at risk; a task that can save a checkpoint moves.
 func Decide(t Task, timeLeft *time.Duration, margin time.Duration) Decision {
 	d := newDeadline(t, timeLeft, margin)
 	switch {
@@ -166,7 +167,8 @@
 	return Decision{Action: Wait, Reason: "for room elsewhere"}
 }
 
-// decideExpired decides about a task on a machine whose deadline has expired.
+// decideExpired decides about a task on a machine whose deadline has expired, or about a replica
+// that must stop now.
 func decideExpired(t Task) Decision {
 	const reason = "the time is over"
 	switch {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -27,8 +27,8 @@
 }
 
 // Guards against work lost without need. For random tasks: work is lost only if the deadline
-// requires it, a task leaves its machine when the deadline has expired, and an urgent task without
-// slack stays.
+// requires it, a task leaves its machine when the deadline has expired, and a running urgent task
+// without slack stays if it would end in time.
 func TestDecideKeepsWorkUnlessTimeDemands(t *testing.T) {
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -101,9 +101,9 @@
 	return task.Slack != nil && *task.Slack == 0 && task.SaveDuration+task.RestartDuration > 0
 }
 
-// An upgrade of random machines, some of which are faulty with the new version, ends with all machines
-// on the new version or all back on the old one. It never has more than MaxOutOfService machines out
-// of service, nor fewer than MinInService in service.
+// An upgrade of random machines, some of which are faulty with the new version, ends with all
+// machines on the new version or all back on the old one. It never has more than MaxOutOfService
+// machines out of service and, if none is faulty, nor fewer than MinInService in service in a zone.
 func TestRolloutEnds(t *testing.T) {
 	fixSeed(t)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -19,7 +19,7 @@
 
 // What happens to a drained machine once it is empty.
 const (
-	Keep   = "keep"   // it stays empty until the drain is stopped or it has the target version
+	Keep   = "keep"   // it stays empty until the drain is stopped, its window ends or it has the target version
 	Return = "return" // it is returned to the cloud; replacements are rented as needed
 )
 
@@ -57,7 +57,7 @@
 	olderThanLimitS   = 1e9
 )
 
-// ValidID reports whether an id is "d-" followed by digits.
+// ValidID reports whether an id is "d-" followed by 1 to maxIDDigits digits.
 func ValidID(id string) bool {
 	digits, ok := strings.CutPrefix(id, "d-")
 	return ok && len(digits) > 0 && len(digits) <= maxIDDigits && strings.Trim(digits, "0123456789") == ""
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -4,9 +4,9 @@
 
 // Phases of a drain.
 const (
-	PhaseWaiting     = "waiting" // for its window
-	PhaseDraining    = "draining"
-	PhaseDrained     = "drained" // every selected machine is empty or returned
+	PhaseWaiting     = "waiting"  // for its window
+	PhaseDraining    = "draining" // a cordon stays in this phase while it is in force
+	PhaseDrained     = "drained"  // every selected machine is empty or returned
 	PhaseUpgrading   = "upgrading"
 	PhaseRollingBack = "rolling back"
 	PhaseDone        = "done"        // every machine has the target version
@@ -50,7 +50,7 @@
 	Rollout      *Rollout `json:"roll,omitempty"`    // upgrade only
 	OutOfService []string `json:"in_hand,omitempty"` // upgrade only: machines out of service
 	MachinesLeft int      `json:"left"`              // machines that are not empty, or lack the target version
-	Blocked      string   `json:"blocked,omitempty"` // why the drain makes no progress; "": it does
+	Blocked      string   `json:"blocked,omitempty"` // upgrade only: why a machine is not taken out of service; "": none is held back
 	Plan         Summary  `json:"plan"`              // estimate at the start of the drain
 	Actual       Summary  `json:"seen"`              // outcome so far
 	BeganMS      int64    `json:"began_ms,omitempty"`
@@ -58,7 +58,8 @@
 	Term         uint64   `json:"term,omitempty"` // of the leader that stored the state
 }
 
-// Closed reports whether the drain is complete or stopped.
+// Closed reports whether the drain is stopped or, of an upgrade, done or rolled back. PhaseDrained
+// is not final: the drain stays in force.
 func (s *State) Closed() bool {
 	return s.Phase == PhaseDone || s.Phase == PhaseRolledBack || s.Phase == PhaseStopped
 }
@@ -85,7 +86,7 @@
 	Class        string  `json:"class"`
 	Action       Action  `json:"action"`
 	Reason       string  `json:"why"`
-	LeavesAfterS float64 `json:"until_s"` // time until the task has left the machine
+	LeavesAfterS float64 `json:"until_s"` // until the task has left; its remaining run time unless it moves or restarts
 	LostS        float64 `json:"lost_s,omitempty"`
 	LateS        float64 `json:"late_s,omitempty"` // how late its job becomes because of the drain
 }
@@ -102,8 +103,8 @@
 // ClassPlan is the planned outcome for a class of jobs.
 type ClassPlan struct {
 	Summary
-	Late       int `json:"late"`     // jobs that miss their deadline because of the drain
-	LateAnyway int `json:"late_now"` // jobs that miss their deadline without the drain as well
+	Late       int `json:"late"`     // jobs that miss, because of the drain, the next target that they can meet
+	LateAnyway int `json:"late_now"` // jobs with a task that can meet no target, even without the drain
 }
 
 // Plan is the expected effect of a drain that starts now.
--- a/internal/drain/upgrade.go
+++ b/internal/drain/upgrade.go
@@ -45,8 +45,8 @@
 	return r
 }
 
-// DecideRollback starts a rollback if machines with the target version are faulty, and at least as many
-// are faulty as have completed a task with it.
+// DecideRollback starts a rollback if machines with the target version are faulty, and at least as
+// many are faulty as have completed a task with it. The target becomes Previous, if that is known.
 func (r *Rollout) DecideRollback(candidates []Candidate) {
 	if r.RolledBack {
 		return
@@ -71,9 +71,11 @@
 }
 
 // SelectOutOfService returns the machines to have out of service now: those that already are out of
-// service, until they have the target version, and further ones, cheapest to empty first, up to the
-// spec's MaxOutOfService. A machine that has the target version but has completed no task with it
-// counts as out of service for the soak time, so that a bad version reaches only a few machines.
+// service, until they have the target version, and further ones, in the order of compare, up to the
+// spec's MaxOutOfService. It skips a machine in service that is not faulty if fewer than
+// MinInService would remain in its zone or for one of its classes, and gives the reason in
+// r.Blocked. A machine that has the target version but has completed no task with it counts as out
+// of service for the soak time, so that a bad version reaches only a few machines.
 //
 // The maps count the machines in service by zone and by class of open jobs. SelectOutOfService updates
 // them.
--- a/internal/drain/window.go
+++ b/internal/drain/window.go
@@ -58,8 +58,9 @@
 	return rule, nil
 }
 
-// Check returns an error that names the first invalid field. It rejects a rule whose windows overlap,
-// because the drain would never release its machines.
+// Check returns an error that names the first invalid field. It rejects a rule whose next two
+// windows, with lead time, overlap, because the drain would never release its machines. Later
+// windows are not compared.
 func (w *Window) Check(now time.Time) error {
 	rule, err := w.parseRule()
 	switch {
--- a/internal/overload/detector.go
+++ b/internal/overload/detector.go
@@ -15,7 +15,7 @@
 // Levels of overload, from least to most.
 const (
 	Normal     Level = iota // nothing is shed
-	Degraded                // sheds starts of non-urgent tasks and placement at each heartbeat
+	Degraded                // sheds placement at each heartbeat, and starts of tasks neither urgent nor within a guarantee
 	Overloaded              // sheds all task starts
 )
 
@@ -104,7 +104,7 @@
 func (d *Detector) Lag() time.Duration { return d.lag }
 
 // ScaleOutHeadroom returns how many of the wanted new machines the leader may request beside the
-// existing ones, whose number is machines.
+// existing ones, whose number is machines; 0 while it sheds load.
 func (d *Detector) ScaleOutHeadroom(machines, wanted int) int {
 	if d.level > Normal {
 		return 0
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -11,8 +11,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// handleLostAttempt releases an attempt that is no longer on its machine and left no result. A lost
-// gang member stops its whole gang, unless the worker never confirmed the attempt.
+// handleLostAttempt releases an attempt that is no longer on its machine and left no result. The
+// loss of a gang member's current attempt stops the whole gang, unless the worker never confirmed
+// the attempt (state Sent).
 func (s *Scheduler) handleLostAttempt(attempt *fleet.Attempt, now time.Time) {
 	job := s.jobs[attempt.Task.Job]
 	attemptsLostTotal.Inc()
@@ -28,7 +29,8 @@
 }
 
 // handleEndedAttempt updates job and machine after a worker reported an attempt as ended, and
-// releases the attempt. A gang member that did not complete stops its whole gang.
+// releases the attempt. If the job is not open, it only lets the worker reap the attempt. A current
+// attempt of a gang that did not complete stops the whole gang.
 func (s *Scheduler) handleEndedAttempt(attempt *fleet.Attempt, now time.Time) {
 	job := s.jobs[attempt.Task.Job]
 	s.placementStale = true
@@ -86,8 +88,9 @@
 	}
 }
 
-// handleCompletedTask records the result of an attempt that ended successfully, discards the attempts
-// that it supersedes, and clears the failures and the backoff of job and machine.
+// handleCompletedTask records the result of an attempt that ended successfully and discards the
+// current attempts that it supersedes. It clears the failures of job and machine and the job's
+// backoff, and marks the other machines on which the job failed as faulty.
 func (s *Scheduler) handleCompletedTask(job *Job, attempt *fleet.Attempt, now time.Time) {
 	machine := attempt.Machine
 	s.freedRoom.add(job.request, now, s.settings.HeartbeatInterval)
@@ -204,8 +207,8 @@
 	}
 }
 
-// remainingSeconds estimates the remaining run time of an attempt, in seconds: at least a tenth of
-// the job's estimate.
+// remainingSeconds estimates the remaining run time of an attempt, in seconds: the job's
+// estimate if the attempt does not run yet, and at least a tenth of it.
 func (s *Scheduler) remainingSeconds(j *Job, a *fleet.Attempt, now time.Time) float64 {
 	if a.RunningSince.IsZero() {
 		return j.EstimateS
--- a/internal/scheduler/autoscale.go
+++ b/internal/scheduler/autoscale.go
@@ -345,9 +345,10 @@
 	}
 }
 
-// removeUnlisted removes machines that the cloud no longer has. A list can be stale by up to twice the
-// list lag at the time of its request. A machine that is missing from it is gone if lastListed is
-// before that time.
+// removeUnlisted removes machines that the cloud no longer has. A list can be stale by up to twice
+// the list lag at the time of its request. A machine that is missing from it is gone if it was last
+// listed before that time, with a margin of half a list lag and a quarter of a heartbeat interval.
+// A machine without an entry in lastListed is kept.
 func (s *Scheduler) removeUnlisted(listed map[string]bool, requestedAt, now time.Time) {
 	lag := s.settings.ListLag*5/2 + s.settings.HeartbeatInterval/4
 	for _, m := range s.fleet.Sorted() {
--- a/internal/scheduler/claims.go
+++ b/internal/scheduler/claims.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// claimFreedPlace claims the place that a task of a broken gang leaves. The gang has to restart, and
-// would soon preempt any other task placed there.
+// claimFreedPlace claims the place that a task of a broken gang leaves, if the attempt was sent and
+// its machine's bin is open. The gang has to restart, and would soon preempt any other task placed
+// there.
 func (s *Scheduler) claimFreedPlace(j *Job, a *fleet.Attempt) {
 	if j.gangBroken && a.Machine.Bin.Open() && a.State() != fleet.Planned {
 		s.addClaim(j, a.Machine, s.passTime)
@@ -85,8 +86,9 @@
 }
 
 // placeInClaims places tasks of a job other than a gang in its claimed room, as far as that is
-// free. It updates used, the quota in use by team, and zones, the job's tasks and claims by zone.
-// zones is nil if the job has no zone constraint.
+// free. It releases the claims that it uses, and those in zones that the job's zone constraint no
+// longer allows. It updates zones, the job's tasks and claims by zone (nil: no zone constraint),
+// and, if the job's team has a limit, used, the quota in use by team.
 func (s *Scheduler) placeInClaims(job *Job, used map[string]quota.Amount, zones map[string]int, now time.Time) {
 	limited := job.teamLimited
 	for i := 0; i < len(job.claims); {
@@ -118,7 +120,8 @@
 
 // expireClaims releases claims whose job cannot start or whose machine is gone or accepts no tasks,
 // claims beyond the job's waiting tasks, and claims whose room stayed unused for
-// claimTimeoutIntervals.
+// claimTimeoutIntervals. A broken gang keeps its claims although it cannot start, and claims of a
+// reservation do not time out.
 func (s *Scheduler) expireClaims(now time.Time) {
 	owners := s.claimOwners
 	s.claimOwners = s.claimOwners[:0]
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -106,6 +106,7 @@
 }
 
 // closeJobWrite returns the write that replaces the open record of a job by a closed one.
+// It marks the job as closing, so that no more of its tasks start.
 func (s *Scheduler) closeJobWrite(job *Job, closed records.ClosedJob) PendingWrite {
 	job.closing = true
 	closed.Tasks = job.Tasks
--- a/internal/scheduler/dispatch.go
+++ b/internal/scheduler/dispatch.go
@@ -11,7 +11,8 @@
 )
 
 // PlanMachine plans attempts for a machine whose heartbeat is being answered. It runs a placement
-// pass if anything has changed, unless the leader sheds load.
+// pass if anything has changed, unless the leader sheds load. If the machine is recorded, attempts
+// planned for other machines may move to it.
 func (s *Scheduler) PlanMachine(m *fleet.Machine, now time.Time) {
 	if s.placementStale && s.overload.Level() == overload.Normal {
 		s.placeWaiting(now)
@@ -48,8 +49,9 @@
 }
 
 // mayReassign reports whether an attempt planned for another machine may move to machine. A move
-// never makes the placement worse: it adds no image fetch and replaces no on-demand machine by a
-// spot machine and no machine in use by an empty one.
+// never makes the placement worse: it adds no image fetch that takes time, and replaces no on-demand
+// machine by a spot machine, no spot machine by an on-demand one of a type in short supply, and no
+// machine that other tasks use by an empty one.
 func (s *Scheduler) mayReassign(machine *fleet.Machine, job *Job, attempt *fleet.Attempt, now time.Time) bool {
 	planned := attempt.Machine
 	switch {
@@ -103,8 +105,8 @@
 }
 
 // dispatch marks a planned attempt as sent if it may be sent, and reports whether it may. An attempt
-// that may no longer start is cancelled, unless only its machine's record or its watermark is not
-// stored yet.
+// that may not be sent is cancelled, unless its start is shed, or its machine accepts tasks and the
+// machine's record or the task's watermark is not stored yet.
 func (s *Scheduler) dispatch(machine *fleet.Machine, attempt *fleet.Attempt, now time.Time) bool {
 	job := s.jobOf(attempt)
 	if job != nil && s.shedsStart(job) {
@@ -125,9 +127,9 @@
 	return true
 }
 
-// mayDispatch checks all placement rules again just before a run command is sent. It counts the
-// attempts that may be on machines, including those whose run command is in flight, but not planned
-// ones.
+// mayDispatch checks the rules for job, task, machine, zone, quota and room again just before a run
+// command is sent, but not claims and held machines. It counts the attempts that may be on
+// machines, including those whose run command is in flight, but not planned ones.
 func (s *Scheduler) mayDispatch(attempt *fleet.Attempt, now time.Time) bool {
 	job, machine, task := s.jobOf(attempt), attempt.Machine, attempt.Task.N
 	switch {
--- a/internal/scheduler/drain_preview.go
+++ b/internal/scheduler/drain_preview.go
@@ -14,23 +14,26 @@
 // Errors of a rejected drain.
 type (
 	// DrainTargetError is returned if a drain names a machine, zone or machine type that does not
-	// exist, or if it selects no machine.
+	// exist, or if a drain without a window that selects by name or version, or is an upgrade, selects
+	// no machine.
 	DrainTargetError struct{ Text string }
-	// DrainRefusedError is returned if a drain would leave jobs without any machine, or if too many
-	// drains are in force.
+	// DrainRefusedError is returned if a drain would leave jobs without any machine, or no machine at
+	// all, or if there are already maxDrains drains.
 	DrainRefusedError struct{ Text string }
 )
 
 func (e *DrainTargetError) Error() string  { return e.Text }
 func (e *DrainRefusedError) Error() string { return e.Text }
 
-// maxDrains is the maximum number of drains in force, because each pass matches every drain with
-// every machine. It does not bound the number of drained machines: a drain by type, zone, age or
-// version selects any number, and a drain by names as many as its record can hold.
+// maxDrains is the maximum number of drains that are neither stopped nor completed upgrades,
+// because each pass matches every drain with every machine. It does not bound the number of drained
+// machines: a drain by type, zone, age or version selects any number, and a drain by names as many
+// as its record can hold.
 const maxDrains = 64
 
 // PreviewDrain returns the plan of a drain that starts now; it changes nothing. Without force, it
-// rejects a drain, other than an upgrade, that would leave a class of jobs without any machine.
+// rejects a drain, other than an upgrade, that would leave a class of jobs without any machine, or
+// no machine at all.
 func (s *Scheduler) PreviewDrain(spec *drain.Spec, force bool, now time.Time) (*drain.Plan, error) {
 	if err := s.checkDrain(spec); err != nil {
 		return nil, err
@@ -63,8 +66,8 @@
 // previewWindows is the number of upcoming windows that a preview lists.
 const previewWindows = 5
 
-// checkDrain returns an error if a drain names a target that does not exist, or if too many drains are
-// in force.
+// checkDrain returns an error if a drain names a target that does not exist, or if there are already
+// maxDrains drains.
 func (s *Scheduler) checkDrain(spec *drain.Spec) error {
 	for _, name := range spec.Machines {
 		if s.fleet.Machines[name] == nil {
--- a/internal/scheduler/drain_records.go
+++ b/internal/scheduler/drain_records.go
@@ -83,7 +83,8 @@
 }
 
 // appendDrainRemovals appends the removal of the oldest ended drains to a batch. It returns false
-// if the batch is full. The drains are sorted by id, which is the order of their creation.
+// if the batch is full. The drains are sorted by id, which is the order of their creation if their
+// ids come from client.NewDrainID.
 func (p *Persistence) appendDrainRemovals(b *writeBatch) bool {
 	ended := 0
 	for _, d := range p.scheduler.drains.list {
--- a/internal/scheduler/drain_tasks.go
+++ b/internal/scheduler/drain_tasks.go
@@ -162,7 +162,8 @@
 }
 
 // countDrainOutcome counts the outcome of an attempt that has ended or is lost in the state of the
-// drain that evicts tasks from its machine, if there is one.
+// drain that evicts tasks from its machine, if there is one. It does not count an attempt that its
+// worker never confirmed, nor one that ran and failed for a reason other than a stop.
 func countDrainOutcome(a *fleet.Attempt, now time.Time) {
 	d, ok := a.Machine.Cordon.(*activeDrain)
 	if !ok || !d.evictsTasks() || a.State() == fleet.Sent {
--- a/internal/scheduler/eligibility.go
+++ b/internal/scheduler/eligibility.go
@@ -8,12 +8,13 @@
 	"drumpick/internal/records"
 )
 
-// startable reports whether tasks of the job may be started now. After a failover, until
+// startable reports whether tasks of the job may be started now: not while it is closed or being
+// closed, blocked by a dependency, a broken gang, or before its retry time. After a failover, until
 // reconciliation completes, a task may start only if no machine can already run it: its job was
 // accepted in this term, or released in this term by a dependency that was stored as done, or the
-// task is beyond the watermark. Until then, jobs do not start at all if their rules need all their
-// own or their team's tasks: gangs of earlier terms, jobs with a zone constraint, and jobs of teams
-// with a limit.
+// task is beyond the watermark; isUncertain checks this by task. Until then, jobs do not start at
+// all if their rules need all their own or their team's tasks: gangs of earlier terms, jobs with a
+// zone constraint, and jobs of teams with a limit.
 func (s *Scheduler) startable(j *Job, now time.Time) bool {
 	if j.closed || j.blocked || j.closing || j.gangBroken || now.Before(j.retryAt) {
 		return false
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -66,8 +66,9 @@
 	return false
 }
 
-// markFaulty takes a machine out of service because it fails tasks that run elsewhere. The machine is
-// returned once it is empty, unless an upgrade cordons it to restore its previous version.
+// markFaulty takes a machine out of service because it fails tasks of several jobs, or of a job
+// that runs elsewhere, and cancels the attempts planned for it. The machine is returned once it is
+// empty, unless an upgrade cordons it to restore its previous version.
 func (s *Scheduler) markFaulty(machine *fleet.Machine) {
 	if !machine.Faulty {
 		slog.Warn("machine faulty", "machine", machine.Name, "errors", len(machine.FailedTasksByJob), "term", s.term)
@@ -92,8 +93,9 @@
 }
 
 // handlePreemptionNotice drains a machine that the cloud is about to preempt: it gets no new tasks.
-// Tasks that would not end in time, and gangs that save checkpoints, are stopped, if there is time
-// to save the checkpoints.
+// Gangs that save checkpoints, and array tasks that do and would not end in time, are stopped if
+// there is time to save. Array tasks without checkpoints that would not end in time are stopped at
+// once; other gangs and replicas are not stopped here.
 func (s *Scheduler) handlePreemptionNotice(machine *fleet.Machine, now time.Time) {
 	s.cancelPlanned(machine)
 	machine.Draining = true
--- a/internal/scheduler/gangs.go
+++ b/internal/scheduler/gangs.go
@@ -11,8 +11,9 @@
 )
 
 // placeGang places all waiting tasks of a gang or none, and reports whether it placed them. It
-// updates used, the quota in use by team. A member that never arrived on a machine is replaced
-// under the gang's attempt number.
+// places none while attempts of an earlier start of the gang remain. It updates used, the quota in
+// use by team. A member that never arrived on a machine is replaced under the gang's attempt
+// number.
 func (s *Scheduler) placeGang(job *Job, used map[string]quota.Amount, now time.Time) bool {
 	if job.gangAttempt == 0 && len(job.attempts)+len(job.duplicates) > 0 {
 		return false
@@ -75,7 +76,7 @@
 }
 
 // stopGang stops all tasks of a gang so that a new attempt can start as a whole. It cancels planned
-// attempts.
+// attempts. It does nothing if the job is closed or all its tasks are done.
 func (s *Scheduler) stopGang(job *Job, now time.Time) {
 	if job.closed || job.doneCount == job.Tasks {
 		return
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -10,8 +10,9 @@
 )
 
 // assignGuarantees marks the jobs that fit into their team's guarantee together with the team's
-// earlier unfinished jobs, those that are protected from preemption, and those that can still start
-// in time. A job's first mark is also kept in job.start.
+// earlier unfinished jobs, those that are protected from preemption, and, if the settings enable
+// guarantees, those within a guarantee that can still start in time. A job's first mark is also
+// kept in job.start.
 func (s *Scheduler) assignGuarantees(now time.Time) {
 	account := fairshare.NewAccount(s.settings.Teams, s.settings.Guarantees)
 	for _, job := range s.sortedJobs {
@@ -34,8 +35,9 @@
 const preemptionIntervals = 3
 
 // benefitsFromPreemption reports whether a job within a guarantee can still start in time after
-// preempting others. Without this check, tasks are preempted for gangs that are late anyway: on busy
-// days, more than a third of the starts of a class were lost by such preemptions.
+// preempting others. It returns true if guarantees are disabled or promise no time. Without this
+// check, tasks are preempted for gangs that are late anyway: on busy days, more than a third of the
+// starts of a class were lost by such preemptions.
 func (s *Scheduler) benefitsFromPreemption(job *Job, now time.Time) bool {
 	if !s.settings.Guarantees || s.settings.GuaranteeWithin == 0 {
 		return true
@@ -44,8 +46,9 @@
 }
 
 // recordShortage records a shortage of the on-demand machine types that fit a job that found no
-// room, if the job may not use spot machines and its team has a guarantee. A job that waits because
-// of its team's limit does not count. used is the team's quota in use.
+// room, if the job may not use spot machines and its team has a guarantee. It does nothing if
+// guarantees are disabled, and skips types that are not offered as spot machines. A job that waits
+// because of its team's limit does not count. used is the team's quota in use.
 func (s *Scheduler) recordShortage(j *Job, used quota.Amount, now time.Time) {
 	if !s.settings.Guarantees || j.Spot || !fairshare.HasGuarantee(j.team) || j.teamLimited && !s.withinLimit(j, used) {
 		return
@@ -64,8 +67,9 @@
 }
 
 // tasksBlockingOnDemand counts a job's tasks that run on on-demand machines of types with a recent
-// shortage, though the job may use spot machines. Spot machines are scaled out for as many tasks, so
-// that later tasks do not need the on-demand machines.
+// shortage, though the job may use spot machines; 0 if guarantees are disabled or the job is no
+// array. Spot machines are scaled out for as many tasks, so that later tasks do not need the
+// on-demand machines.
 func (s *Scheduler) tasksBlockingOnDemand(job *Job, now time.Time) int {
 	if !s.settings.Guarantees || !job.Spot || job.Shape != records.ShapeArray {
 		return 0
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -36,12 +36,12 @@
 const maxRelayLeases = 4
 
 // NeedsRelay reports whether a worker that sent its heartbeat to another controller cannot reach
-// this one, so that it has to be answered through that controller. An unknown worker, or one with a
-// recent status, is redirected here first. A worker that was redirected and still sends to the
-// other controller, or whose last status is older than 1.5 heartbeat intervals, counts as unable to
-// reach this controller. Without relays, a leader that only the workers cannot reach would take
-// every machine for lost. After maxRelayLeases leases, a relayed worker is redirected here again,
-// in case it can reach this controller now.
+// this one, so that it has to be answered through that controller. An unknown worker is always
+// redirected here; one without a status, or with a recent one, at first. A worker that was
+// redirected and within a lease still sends to the other controller, or whose last status is older
+// than 1.5 heartbeat intervals, counts as unable to reach this controller. Without relays, a leader
+// that only the workers cannot reach would take every machine for lost. After maxRelayLeases
+// leases, a relayed worker is redirected here again, in case it can reach this controller now.
 func (s *Scheduler) NeedsRelay(name string, now time.Time) bool {
 	machine := s.fleet.Machines[name]
 	if machine == nil {
--- a/internal/scheduler/held_machines.go
+++ b/internal/scheduler/held_machines.go
@@ -18,7 +18,8 @@
 // holdMachines holds the machines that will have room soonest for waiting tasks that are larger
 // than others that wait. A held machine takes only tasks of the job that it is held for and of jobs
 // served before that job. Otherwise small tasks of jobs that are served later would fill every gap,
-// and large tasks would starve.
+// and large tasks would starve. Before reconciliation no machine is held, and none ever for gangs
+// and for jobs of teams with a limit.
 func (s *Scheduler) holdMachines(now time.Time) {
 	heldBefore := s.releaseHeldMachines()
 	if !s.reconciled {
--- a/internal/zonehealth/monitor.go
+++ b/internal/zonehealth/monitor.go
@@ -62,7 +62,8 @@
 const SilentAfterIntervals = 1.5
 
 // Observe updates the state of all zones. It returns the zones in which an outage is newly suspected
-// and those that have recovered, each sorted by name.
+// and those in which it no longer is, because they have recovered or it was suspected for more than
+// maxOutageLeases, each sorted by name.
 func (m *Monitor) Observe(counts map[string]Count, now time.Time) (suspected, recovered []string) {
 	total := Count{}
 	for _, c := range counts {
