--- a/internal/scheduler/persistence.go
+++ b/internal/scheduler/persistence.go
@@ -37,8 +37,9 @@
 }
 
 // Persistence decides which records of a term to store next; package leader stores them. The
-// records are closed jobs, machines that may hold tasks, finished tasks, watermarks and drain
-// states. The caller of any method except HalveCommitSize must hold the leader's lock on the scheduler.
+// records are closed jobs, machines that may hold tasks, finished tasks, watermarks, attestations and
+// drain states. The caller of any method except HalveCommitSize must hold the leader's lock on the
+// scheduler.
 type Persistence struct {
 	scheduler           *Scheduler
 	machines            *records.PagedRecords
@@ -161,8 +162,8 @@
 // for one.
 func (p *Persistence) RequestWatermark() { p.watermarkNeeded = true }
 
-// HalveCommitSize halves the maximum number of operations in a commit, after the store has rejected a
-// commit as too large. Only the goroutine that calls NextWrites may call it.
+// HalveCommitSize halves the maximum number of operations in a commit, to no less than 2, after the
+// store has rejected a commit as too large. Only the goroutine that calls NextWrites may call it.
 func (p *Persistence) HalveCommitSize() { p.maxOps = max(p.maxOps/2, 2) }
 
 const (
@@ -192,7 +193,8 @@
 func (b *writeBatch) add(w PendingWrite) { b.writes = append(b.writes, w) }
 
 // NextWrites returns the writes of the next commit, nil if there is nothing to store: first the
-// jobs to be closed, then watermarks and machines that are used, then finished tasks and drains.
+// jobs to be closed, then the attestation, watermarks and machines that are used, then finished tasks
+// and drains, and if there are none of these, copies of machines from read-only pages.
 // Writes that do not fit wait for the next commit, which is built in the same order. attestation
 // returns the record that the watermarks are complete, or nil if none is due.
 func (p *Persistence) NextWrites(now time.Time, attestation func(now time.Time) *watermark.StoredAttestation) []PendingWrite {
--- a/internal/scheduler/place_finder.go
+++ b/internal/scheduler/place_finder.go
@@ -10,7 +10,7 @@
 )
 
 // placeFinder finds where tasks could be placed at one point in time, without placing them. Once a job
-// finds no room, the other jobs of its placement class are not tried.
+// finds no room, the other jobs of its placement class are not tried. Jobs without a class always are.
 type placeFinder struct {
 	scheduler    *Scheduler
 	now          time.Time
@@ -61,7 +61,8 @@
 	return drain.NoRoom, nil
 }
 
-// findRoom returns a machine with room for one more task of a job, nil if there is none.
+// findRoom returns a machine outside of drains, and not held for an earlier job, with room for one more
+// task of a job, nil if there is none. Room that packing would make by moves counts.
 func (p *placeFinder) findRoom(j *Job, zones map[string]int) *fleet.Machine {
 	if j.placementClass > 0 && p.noRoom[j.placementClass] {
 		return nil
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -82,8 +82,8 @@
 }
 
 // placeGangOrTasks places the waiting tasks of a turn's job: of a gang, all or none. It reports
-// whether all tasks that may start found room. With noRoom, it tries only the claims of a job that
-// is no gang, and returns true.
+// whether all tasks that may start found room; for a gang, whether it was placed. With noRoom, it
+// tries only the claims of a job that is no gang, and returns true.
 func (p *placementPass) placeGangOrTasks(turn placementTurn, noRoom bool) bool {
 	s, job := p.scheduler, turn.job
 	if job.Shape == records.ShapeGang {
@@ -143,7 +143,7 @@
 	zone          string         // the only zone to try; "": all
 }
 
-// allows reports whether the constraints, apart from room, permit a machine.
+// allows reports whether the constraints, apart from room and requiredLabel, permit a machine.
 func (i *insertion) allows(machine *fleet.Machine) bool {
 	return i.job.permits(machine.Type, machine.Zone, machine.Spot) &&
 		(i.zones == nil || i.job.zoneAllowed(machine.Zone, i.zones)) &&
--- a/internal/scheduler/placement_class.go
+++ b/internal/scheduler/placement_class.go
@@ -3,7 +3,7 @@
 import "drumpick/internal/packing"
 
 // placementKey contains everything that decides which machines can take a task of an unconstrained
-// job.
+// job, apart from the machines that are held for other jobs.
 type placementKey struct {
 	request packing.Resources
 	zone    string
@@ -12,7 +12,7 @@
 }
 
 // placementClasses maps placement keys to class numbers, from 1. Jobs of the same class are
-// equivalent: if one finds no room, neither does the other.
+// equivalent: if one finds no room, neither do those that are served later.
 type placementClasses map[placementKey]int
 
 // classOf returns the class number of a placement key, and assigns one if it is new.
--- a/internal/scheduler/placement_order.go
+++ b/internal/scheduler/placement_order.go
@@ -17,8 +17,8 @@
 	ready bool      // only for machines that have the job's image ready
 }
 
-// placementClass returns the number of the class whose turns all find no room if this one finds
-// none; 0: no class.
+// placementClass returns the number of the turn's class; 0: none. If the turn finds no room, the turns
+// of that class whose jobs are served later find none either.
 func (t placementTurn) placementClass() int {
 	if t.ready {
 		return t.job.imageClass
@@ -71,7 +71,7 @@
 // are served. A job's turn for all machines is later than its turn for machines with its image by
 // twice the fetch time: during a fetch, the place would be idle, while a job that arrived later
 // could use it at once. Fetches can take as long as the tasks, and each machine fetches each image
-// separately.
+// separately. Gangs and jobs without a known fetch time have only the turn for all machines.
 func newPlacementOrder(jobs []*Job, fetchTime func(*Job) time.Duration) *placementOrder {
 	o := &placementOrder{groups: map[equivalentTurns]positions{}, turnsOf: make(map[*Job][]int, len(jobs))}
 	for _, job := range jobs {
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -8,9 +8,10 @@
 )
 
 // preempt stops tasks of lower priority, or of teams that exceed their guarantee, for jobs that may
-// preempt and find no room, and claims the freed room for these jobs. Jobs other than gangs preempt
-// only for tasks that do not fit into the room that ending tasks are expected to free within a
-// heartbeat interval: on hundreds of machines that soon suffices for any job, without lost work.
+// preempt and find no room, and claims the freed room for these jobs. It does nothing until
+// reconciliation is complete. Jobs other than gangs preempt only for tasks that do not fit into the
+// room that ending tasks are expected to free within a heartbeat interval: on hundreds of machines
+// that soon suffices for any job, without lost work.
 //
 // A job that is urgent only because of its dependents is served first but does not preempt: the
 // middle jobs of a dependency chain are large and have time to spare, and preemption for them would
@@ -48,8 +49,8 @@
 	}
 }
 
-// preemptors returns the jobs that may preempt and have waiting tasks, in the order in which they are
-// served, and whether any of these jobs is protected by its team's guarantee.
+// preemptors returns the startable jobs that may preempt and have waiting tasks, in the order in which
+// they are served, and whether any of these jobs is protected by its team's guarantee.
 func (s *Scheduler) preemptors(now time.Time) (jobs []*Job, anyProtected bool) {
 	for _, job := range s.queue(now) {
 		if !s.startable(job, now) || job.nextTask() < 0 {
--- a/internal/scheduler/preemption_search.go
+++ b/internal/scheduler/preemption_search.go
@@ -31,7 +31,7 @@
 }
 
 // candidateKey contains everything about a job that the choice of victims depends on, except for the
-// tasks that were preempted for it before.
+// tasks that were preempted for it before and the machines that are held for earlier jobs.
 type candidateKey struct {
 	placementClass int
 	rank           int
@@ -83,7 +83,7 @@
 }
 
 // makeRoomForGang preempts for all n tasks of a gang that lack a place and claims the room, or does
-// neither.
+// neither and starts the job's claim backoff of one heartbeat interval.
 func (s *preemptionSearch) makeRoomForGang(job *Job, n int) {
 	zones := s.scheduler.constrainedZoneCounts(job)
 	for _, zone := range s.scheduler.zonesToTry(job, zones) {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -17,7 +17,8 @@
 }
 
 // queue returns the open jobs that are not blocked, in the order in which they are served. If the
-// queue is stale, it first recomputes that order, the jobs' guarantees and the placement order.
+// queue is stale, it first recomputes that order, the jobs' guarantees, the placement order and the
+// reservation candidates.
 func (s *Scheduler) queue(now time.Time) []*Job {
 	if s.queueStale {
 		s.queueStale = false
@@ -129,9 +130,9 @@
 }
 
 // completionTargets returns when a job should be complete, in seconds from its release, the soonest
-// first: by the objectives of its class, its deadline and its dependents' deadlines; without any of
-// these, a default. A job's own deadline counts from its acceptance, so the time while the job was
-// blocked is subtracted.
+// first: by the objectives of its class or, if they state none, its deadline, and by its dependents'
+// deadlines if these are earlier than its own; without any of these, a default. A job's own deadline
+// counts from its acceptance, so the time while the job was blocked is subtracted.
 func (s *Scheduler) completionTargets(job *Job) []float64 {
 	var targets []float64
 	for _, objective := range s.settings.Objectives {
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -18,7 +18,8 @@
 
 // scanUsage computes a team's usage by scanning every attempt on every machine, as the reference for
 // the quota account. inUse counts attempts that may be present, committed also planned ones, and
-// notStopping only the team's own present attempts without a requested stop.
+// notStopping only the team's own present attempts without a requested stop. inUse and committed
+// include the attempts of jobs that are not open.
 func scanUsage(s *Scheduler, team string) (inUse, committed, notStopping quota.Amount) {
 	for _, m := range s.fleet.Sorted() {
 		for _, a := range m.Attempts() {
--- a/internal/scheduler/rebalance.go
+++ b/internal/scheduler/rebalance.go
@@ -10,7 +10,8 @@
 
 // rebalance runs a rebalancing round: it predicts the load of every machine, runs VISBP's change
 // operation on bins that are overloaded or where ended tasks left a gap of at least a third, and moves
-// service replicas off machines that are being drained.
+// service replicas off machines that are being drained. Bins change only after reconciliation; a gap
+// counts only if the bin has tasks and no claims.
 func (s *Scheduler) rebalance(now time.Time) {
 	s.lastRebalance = now
 	s.queueStale = true
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -114,7 +114,8 @@
 }
 
 // CheckReconciled ends the reconciliation if every machine that an earlier term may have used has
-// reported under this term or is gone.
+// reported under this term or is gone, and then stops broken gangs. It does not check whether the
+// reconciliation has already ended.
 func (s *Scheduler) CheckReconciled(now time.Time) {
 	if s.fleet.HasUnreconciled() {
 		return
@@ -145,7 +146,8 @@
 }
 
 // adoptAttempt adds an attempt that a worker reports and this term does not know. It becomes the
-// current attempt of its task or, if it cannot, a duplicate that is stopped.
+// current attempt of its task or, if it cannot, a duplicate that is stopped. An ended attempt is only
+// marked as a duplicate.
 func (s *Scheduler) adoptAttempt(machine *fleet.Machine, attempt *fleet.Attempt) {
 	job, task := s.jobs[attempt.Task.Job], attempt.Task.N
 	attempt.Duplicate = true
@@ -178,7 +180,7 @@
 }
 
 // adoptUnknownAttempt adds an attempt of a job that is not open, or of a task that its job lacks, and
-// stops it.
+// stops it. If it has ended, the worker may reap it.
 func (s *Scheduler) adoptUnknownAttempt(machine *fleet.Machine, attempt *fleet.Attempt) {
 	if attempt.State() == fleet.Ended {
 		attempt.MayReap = true
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -11,10 +11,11 @@
 	"drumpick/internal/reservation"
 )
 
-// reserveRoom claims room for jobs whose reservation is due, in the order of dueReservations: all
-// places of a gang, in one zone if the gang requires that, and one place of an array. It runs
-// before placement, because packing inserts items one by one: beside a steady queue of smaller
-// jobs, a gang that needs twelve bins at once would find eleven at most.
+// reserveRoom claims room for jobs whose reservation is due, in the order of dueReservations: places
+// of a gang (reserveGangPlaces), in one zone if the gang requires that, and one place of an array. It
+// does nothing if reservations are off or until reconciliation is complete. It runs before placement,
+// because packing inserts items one by one: beside a steady queue of smaller jobs, a gang that needs
+// twelve bins at once would find eleven at most.
 func (s *Scheduler) reserveRoom(now time.Time) {
 	if s.settings.ReservationBound <= 0 || !s.reconciled {
 		return
@@ -151,8 +152,9 @@
 
 // reserveGangPlaces claims places in the reserved zone for the waiting tasks of a gang: those that are
 // free and, once reservation.Urgent holds and no earlier reservation waits in the zone (behindOther),
-// also those that become free soonest. It returns how many of the places are not free yet. If the zone
-// has too few places, it drops the reserved zone and returns 0.
+// also those that become free soonest. They replace the gang's earlier claims. It returns how many of
+// the places are not free yet. If the zone has too few places, it drops the reserved zone and returns
+// 0.
 func (s *Scheduler) reserveGangPlaces(job *Job, behindOther bool, now time.Time) (lacking int) {
 	places := s.releaseAndListPlaces(job, now)
 	n := job.pending()
@@ -176,8 +178,9 @@
 }
 
 // releaseAndListPlaces releases a job's claims and returns the places for its tasks in its reserved
-// zone, the soonest free first. Machines that the job had claims on are preferred: small tasks would
-// otherwise refill a partly free machine, which would never become free as a whole.
+// zone, the soonest free first. Machines that the job had claims on are preferred, by halving the time
+// until their places are free: small tasks would otherwise refill a partly free machine, which would
+// never become free as a whole.
 func (s *Scheduler) releaseAndListPlaces(job *Job, now time.Time) []machineWait {
 	claimedBefore := map[*fleet.Machine]bool{}
 	for _, c := range job.claims {
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -67,7 +67,8 @@
 
 // Guards against large jobs that starve because small jobs fill each place that becomes free. A
 // gang must start within the limit that docs/reservations.md states: three quarters of the
-// reservation bound, plus the longest run time of the running tasks for each gang that is due.
+// reservation bound, plus the longest run time of the running tasks for each gang that is due. The
+// test allows one run time more, and 8 s for heartbeats.
 func TestLargestJobsStartWithinBound(t *testing.T) {
 	useFixedSeed(t)
 	setRapidChecks(t, 25)
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -35,7 +35,7 @@
 	// Machines.
 	fleet          *fleet.Table
 	machineTypes   map[string]records.MachineType
-	typesByPrice   []string                  // names of machine types, cheapest first
+	typesByPrice   []string                  // names of machine types, cheapest first; those with GPUs come last
 	spaces         map[string]*packing.Space // bins by machine type
 	lastBinRefresh time.Time                 // when refreshOpenBins last checked which machines accept tasks
 	quotaUsage     *quota.Account            // resources used by attempts, by team
--- a/internal/scheduler/stop_reasons.go
+++ b/internal/scheduler/stop_reasons.go
@@ -20,8 +20,8 @@
 
 // outcomeName returns the metric label for the outcome of an attempt without a result: the reason
 // for which the scheduler stopped it, or else the reported cause of its end. Without a reported
-// end, the outcome is "lease" if the machine's lease expired, "unsent" if the worker never reported
-// the attempt, and "lost" otherwise.
+// end, the outcome is "lease" if the machine's lease expired and the cloud did not report it failed,
+// else "unsent" if the worker never reported the attempt, and "lost" otherwise.
 func outcomeName(attempt *fleet.Attempt) string {
 	switch {
 	case attempt.Stopping() && attempt.StopReason != "":
--- a/internal/scheduler/tick.go
+++ b/internal/scheduler/tick.go
@@ -60,7 +60,7 @@
 // tick interval if it does not fall behind. The longest delay of other events since the last tick
 // (ObserveDelay) counts instead if it is longer, because a due timer runs before all other events.
 // While the leader falls behind, it delays starts first, then planning, but never lease expiry, task
-// ends or cancellations.
+// ends or cancellations. ObserveTick does nothing if load shedding is off.
 func (s *Scheduler) ObserveTick(gap time.Duration, now time.Time) {
 	if !s.settings.LoadShedding {
 		return
--- a/internal/scheduler/waiting_tasks.go
+++ b/internal/scheduler/waiting_tasks.go
@@ -5,7 +5,7 @@
 // waitingTasks is the queue of a job's tasks to start: first the tasks to retry, then the untried
 // ones, in order.
 type waitingTasks struct {
-	nextUntried         int      // tasks from this number on were never taken from the queue
+	nextUntried         int      // tasks from this number on are queued unless they are done or have an attempt
 	untriedHaveAttempts bool     // some tasks from nextUntried on may have an attempt, adopted after a failover
 	retries             []int    // tasks to retry
 	inRetries           []uint64 // bit set of the tasks in retries
--- a/internal/scheduler/watermarks.go
+++ b/internal/scheduler/watermarks.go
@@ -123,7 +123,8 @@
 	s.watermarks.complete = s.settings.Watermarks
 }
 
-// raiseWatermark requests a watermark of job j beyond task t, for a gang beyond all its tasks.
+// raiseWatermark requests a watermark of job j beyond task t, for a gang beyond all its tasks. It does
+// nothing if watermarks are off.
 func (s *Scheduler) raiseWatermark(j *Job, t int) {
 	if !s.settings.Watermarks {
 		return
