--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -91,11 +91,12 @@
 	return time.Duration(job.ImageGB / rate * float64(time.Second))
 }
 
-// assignTurns sets each job's rank and turn. Critical and urgent jobs rank before the rest. Within a
+// assignTurns sets each job's rank and turn. Critical jobs rank before urgent ones, and these before
+// standard and low ones, which rank equally; inherited priorities (dependency.Graph) count. Within a
 // rank, a job's turn is its release time plus a share of the slack until its next target, plus a
 // multiple of the time that its remaining work would occupy all machines. Jobs with little slack and
-// short jobs thus go first, and no job starves. Among jobs of equal priority, a job that can no longer
-// meet any target ranks last, until it is very late.
+// short jobs thus go first, and no job starves. A job that can no longer meet any target ranks after the
+// others that would rank equally, until it is very late.
 func (s *Scheduler) assignTurns(now time.Time) {
 	machinesUp := 0
 	for _, machine := range s.fleet.Sorted() {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -10,8 +10,9 @@
 )
 
 // Reconcile applies the status in a worker's heartbeat (isHeartbeat) or in its answer to a command. It
-// returns the worker's machine, and whether the status is stale; a stale status changes nothing. The
-// machine is nil if a stale status is invalid or its machine is unknown.
+// adds the machine if it is unknown and was not returned. It returns the machine, and whether the
+// status is stale; a stale status changes no attempt, but may lead to a probe. The machine is nil if a
+// stale status is invalid or its machine was returned.
 func (s *Scheduler) Reconcile(heartbeat *fleet.Heartbeat, isHeartbeat bool, now time.Time) (*fleet.Machine, bool) {
 	heartbeatsTotal.Inc()
 	// A late copy of a heartbeat must not add a returned machine again.
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -54,7 +54,7 @@
 	claimOwners           []*Job // jobs that have claims
 	reservationCandidates []*Job // jobs that may need a reservation
 	machineHolders        []*Job // jobs for which machines are held
-	lastMachineHolder     *Job   // result of lastHoldingJob for the current placement pass; nil: none
+	lastMachineHolder     *Job   // result of lastHoldingJob for the current placement pass; nil: no machine is excluded by it
 
 	// Failover and reconciliation.
 	reconciled bool // every machine that an earlier term may have used has reported or is gone
--- a/internal/scheduler/view.go
+++ b/internal/scheduler/view.go
@@ -36,7 +36,7 @@
 const (
 	MachineBooting      = "booting"
 	MachineUp           = "up"
-	MachineUnreconciled = "unsettled" // has not shown the current term since the failover
+	MachineUnreconciled = "unsettled" // has not shown the current term; a lease of an earlier term may still be valid
 	MachineSilent       = "silent"
 	MachineUnreachable  = "deaf"    // sends heartbeats, but no command reaches it
 	MachinePreempting   = "noticed" // the cloud is about to preempt it
