--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -51,7 +51,7 @@
 	lastRebalance    time.Time
 
 	// Room reserved for jobs.
-	claimOwners           []*Job // jobs that have claims
+	claimOwners           []*Job // jobs that have claims; until expireClaims, also jobs without claims and duplicates
 	reservationCandidates []*Job // jobs that may need a reservation
 	machineHolders        []*Job // jobs for which machines are held
 	lastMachineHolder     *Job   // result of lastHoldingJob for the current placement pass; nil: no machine is excluded by it
--- a/internal/scheduler/settings.go
+++ b/internal/scheduler/settings.go
@@ -26,7 +26,7 @@
 
 	Watermarks   bool // a task is sent only below a stored watermark
 	LoadShedding bool // starts are delayed while the leader falls behind
-	Guarantees   bool // jobs within a guarantee that can start in time go first and may preempt
+	Guarantees   bool // of the jobs within a guarantee, those that can start in time go first, and late ones do not preempt for it
 	ZoneHealth   bool // zone outages are detected, and machines of such a zone are waited for before they are replaced
 
 	GuaranteeWithin  time.Duration // within which a guaranteed job must start; 0: no objective states it
