--- a/internal/cancellation/renewal_bound.go
+++ b/internal/cancellation/renewal_bound.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// LastContact returns the time before which every confirmed cancellation is known.
+// LastContact returns the time before which every confirmed cancellation is known; zero: none yet.
 func (b *RenewalBound) LastContact() time.Time { return b.contact }
 
 // MayRenew reports whether leases may be renewed now.
@@ -56,8 +56,9 @@
 
 // Covers reports whether the answers, one of every controller and all received by now, include
 // every cancellation confirmed between the last contact and the query. It returns the listed job
-// ids, or nil if not. The span of every answer has to include the contact: no other controller
-// knows what a restarted or unreachable one has confirmed.
+// ids, or nil if not. The span of every answer has to include the contact, unless its controller has
+// confirmed nothing since: no other controller knows what a restarted or unreachable one has
+// confirmed.
 func (b *RenewalBound) Covers(answers []PeerAnswer, now time.Time) (ids []string, ok bool) {
 	sinceContact := now.Sub(b.contact)
 	for _, answer := range answers {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -80,17 +80,17 @@
 	return e.leader
 }
 
-// Term returns this process's own term, or 0 if it does not lead, and until when the lease on the
-// leader key is certain not to have expired.
+// Term returns this process's own term, and until when the lease on the leader key is certain not to
+// have expired. Both are zero if this process does not lead.
 func (e *Election) Term() (term uint64, confirmedUntil time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.term, e.confirmedUntil
 }
 
-// Resign ends the term being served, if any, without deleting the leader key. No other controller
-// leads before the lease on the key has expired, and this one does not campaign for two lease
-// durations.
+// Resign ends the term being served without deleting the leader key. No other controller leads
+// before the lease on the key has expired, and this one does not campaign for two lease durations.
+// Resign does nothing if no term is being served.
 func (e *Election) Resign() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,8 +121,9 @@
 	}
 }
 
-// campaign waits for the leader key to change while another term holds it, and otherwise tries to
-// acquire it. It returns nil without an error if it should be called again.
+// campaign tries to acquire the leader key if the key is absent or held by an earlier incarnation of
+// this node, and otherwise waits for it to change. After Resign it first waits for a part of the
+// backoff. It returns nil without an error if it should be called again.
 func (e *Election) campaign(ctx context.Context) (*wonTerm, error) {
 	record, err := e.store.Get(ctx, records.KeyLeader)
 	if err != nil {
--- a/internal/fairshare/account.go
+++ b/internal/fairshare/account.go
@@ -39,6 +39,7 @@
 //
 // entitled reports whether the job is entitled to its resources: the team's jobs up to and including
 // this one fit into the guarantee. mayPreempt reports whether other tasks may be preempted for it.
+// Both are false, and nothing is charged, for a team without a guarantee.
 // With onlyNamed, an entitled job that also requests a resource that is not guaranteed is placed
 // first, but preempts nothing.
 func (a *Account) Charge(team string, n int, size packing.Resources) (entitled, mayPreempt bool) {
--- a/internal/finishedtasks/tracker.go
+++ b/internal/finishedtasks/tracker.go
@@ -66,7 +66,7 @@
 // other records.
 type supersededRecord struct {
 	id                  string
-	firstPart, lastPart int // inclusive; -1: it holds no tasks of the job
+	firstPart, lastPart int // inclusive; -1: it holds no tasks of the job, and is removed with the job
 }
 
 // New returns a tracker without records, which writes to pages.
@@ -95,8 +95,9 @@
 }
 
 // Load adds a stored record of an open job: ranges of finished tasks of a chunk. A writable record
-// that holds tasks of a single part becomes the record of that part; any other record is superseded.
-// An error means that the ranges are invalid.
+// that holds tasks of a single part becomes the record of that part if the part has none yet and the
+// id is valid for it; any other record is superseded. The parts of a read-only record become dirty.
+// Load does not change the job's sets of tasks. An error means that the ranges are invalid.
 func (t *Tracker) Load(id string, job Job, chunk int, ranges string) error {
 	r := t.recordsOf(job.JobID())
 	r.usedIDs[id] = true
@@ -172,8 +173,8 @@
 	}
 }
 
-// newID returns an unused id for the record of a part. The number of leading zeros of the chunk
-// number identifies the part within the chunk.
+// newID returns an unused id for the record of a part. If chunks have several parts, the number of
+// leading zeros of the chunk number identifies the part within the chunk.
 func (t *Tracker) newID(job string, part int) string {
 	chunk, perChunk := t.layout.chunk(part), t.layout.PartsPerChunk()
 	zeros := 0
@@ -197,7 +198,8 @@
 }
 
 // OnStored returns a callback that marks the tasks of the given records as stored that are finished
-// now. The caller must call the callback once the records are stored.
+// now, except in dirty parts and in records that were replaced. The caller must call the callback
+// once the records are stored.
 func (t *Tracker) OnStored(ids []string) func(revision uint64) {
 	var parts []pendingPart
 	for _, id := range ids {
@@ -247,7 +249,8 @@
 	})
 }
 
-// Rewrite writes the parts of the given records again because the records need another page.
+// Rewrite writes the parts of the given records, and all dirty parts, because the records need
+// another page.
 func (t *Tracker) Rewrite(ids []string) {
 	for _, id := range ids {
 		p := t.parts[id]
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -21,7 +21,7 @@
 
 	AssignedAt      time.Time // when it was planned or discovered; once it is sent, when it was sent
 	RunningSince    time.Time // when it was first reported as running
-	ImageReadySince time.Time // when it was first reported with its image present
+	ImageReadySince time.Time // when its state first changed to one with its image present; zero: not seen
 	StopRequestedAt time.Time // when a stop was first requested
 	StopReason      string    // set by the caller of RequestStop; the table does not read it
 
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -31,7 +31,7 @@
 	// Inherited, Reconciled and EarlierLeasesExpired determine whether tasks of an earlier leader
 	// may still run here: see AwaitsReconciliation.
 	Inherited            bool // it was on record when this term began: an earlier term may have used it
-	Reconciled           bool // a status has shown this term's fencing token
+	Reconciled           bool // a status has shown this term's fencing token, or no sign of any earlier leader
 	EarlierLeasesExpired bool // all leases of earlier terms expired before a status of this term arrived
 	Recorded             bool // the store has a record of it, as a machine that may run tasks
 	Recording            bool // the record is being written
@@ -57,8 +57,8 @@
 
 	FullUntil    time.Time // no tasks are sent until then, since it rejected one as full
 	EmptySince   time.Time // since when all attempts on it have ended; zero: not empty
-	RelayedAt    time.Time // when a peer controller last relayed one of its heartbeats
-	RelayedSince time.Time // since when its heartbeats are relayed
+	RelayedAt    time.Time // when a heartbeat forwarded by a peer was last relayed, or first redirected
+	RelayedSince time.Time // start of a period of relayed heartbeats; zero: none yet
 
 	Bin           *packing.Bin   // its capacity and the items of the attempts on it
 	Forecast      *forecast.FUSD // of its load
--- a/internal/fleet/probe.go
+++ b/internal/fleet/probe.go
@@ -18,7 +18,8 @@
 
 // DueProbes returns the probes that are due, and records them as sent. A machine is probed if its
 // heartbeats lack an attempt that it should have, or if no status of it was applied for more than
-// 1.5 heartbeat intervals and only late statuses have arrived for more than half an interval.
+// 1.5 heartbeat intervals and only late statuses have arrived for more than half an interval. It is
+// not probed while it is being returned, or within half an interval of the last probe.
 func (t *Table) DueProbes(heartbeatInterval time.Duration, now time.Time) []Probe {
 	var probes []Probe
 	for _, m := range t.sorted {
@@ -48,9 +49,9 @@
 }
 
 // ApplyProbe applies the answer to a probe. If the answer is older than the machine's known state,
-// either the machine has restarted or the known state came from a late copy. In both cases restarted
-// is true, and the machine has only the attempts in the answer, apart from run commands that may still
-// be in flight.
+// and no status was applied since the probe was sent, either the machine has restarted or the known
+// state came from a late copy. In both cases restarted is true, and the machine has only the attempts
+// in the answer, apart from run commands that may still be in flight.
 func (t *Table) ApplyProbe(probe Probe, hb *Heartbeat, now time.Time) (out ApplyResult, restarted bool) {
 	m := t.Machines[probe.Machine]
 	if m == nil || hb.Machine != probe.Machine {
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -33,6 +33,8 @@
 // if it comes sooner than the worker could return from another controller. The second condition is
 // needed because a probe raises the sequence number too: that of the heartbeat after it is then not
 // the next one.
+//
+// Otherwise the last answer, if any, counts as missed, unless the status cannot show its arrival.
 func (m *Machine) updateReachability(hb *Heartbeat, isHeartbeat bool, term uint64, now time.Time) {
 	last := &m.reachability
 	arrived := !isHeartbeat || m.FencingToken < term && hb.FencingToken == term
--- a/internal/fleet/staleness.go
+++ b/internal/fleet/staleness.go
@@ -44,7 +44,7 @@
 // Recency is the age of a heartbeat relative to the known state of its machine.
 type Recency uint8
 
-// Recencies. Only a Current heartbeat is applied; only a Late one is rejected.
+// Recencies. Only a Current heartbeat is applied; an Overtaken one may still renew the lease.
 const (
 	Current   Recency = iota
 	Overtaken         // older than an answer to a direct command, but the worker still waits for the response
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -10,7 +10,7 @@
 	Stale       bool       // not newer than the last applied status, or not valid: nothing was changed
 	Machine     *Machine   // nil only if the status is not valid or the machine is unknown
 	Discovered  []*Attempt // on the machine, but not in the table before
-	Ended       []*Attempt // newly ended
+	Ended       []*Attempt // newly ended, without those discovered as ended
 	Running     []*Attempt // newly running: their images are present
 	Lost        []*Attempt // no longer on the machine, without a reported end
 	Reconciled  bool       // this status reconciled the machine
@@ -19,9 +19,10 @@
 	Upgraded    bool       // the worker's version changed
 }
 
-// Apply applies a status to its machine and the machine's attempts. isHeartbeat is true for a
-// heartbeat, before which the worker has executed or timed out every earlier response, and false for
-// the answer to a direct command or a status request, which may overtake a response.
+// Apply applies a status to its machine and the machine's attempts. It adds an unknown machine and
+// marks it as Unverified. isHeartbeat is true for a heartbeat, before which the worker has
+// executed or timed out every earlier response, and false for the answer to a direct command or a
+// status request, which may overtake a response.
 func (t *Table) Apply(hb *Heartbeat, isHeartbeat bool, now time.Time) ApplyResult {
 	if hb.Validate() != nil {
 		return ApplyResult{Stale: true}
--- a/internal/fleet/table.go
+++ b/internal/fleet/table.go
@@ -16,7 +16,8 @@
 	Lease    time.Duration       // duration of a worker's lease, with clock drift and margin
 	Machines map[string]*Machine // by name
 	Forecast forecast.Params     // parameters of the load forecasts of new machines
-	// OnChange, if set, is called for each attempt that is added, changed or forgotten.
+	// OnChange, if set, is called for each attempt that is added or forgotten, or whose state, stop
+	// request or item changes.
 	OnChange func(a *Attempt)
 
 	sorted        []*Machine                       // by name; copied on write
@@ -46,7 +47,7 @@
 
 // GetOrCreate returns the machine with the given name, and adds it if it is new. The caller sets
 // Inherited on a machine that the store has on record, which then awaits reconciliation. Any other
-// new machine has never been sent a run command.
+// new machine has never been sent a run command, unless it is Unverified.
 func (t *Table) GetOrCreate(name, addr, typ, zone string, spot bool) *Machine {
 	m := t.Machines[name]
 	if m == nil {
--- a/internal/leader/attestation.go
+++ b/internal/leader/attestation.go
@@ -23,7 +23,8 @@
 	observer *watermark.Observer // of this controller
 
 	// lastReconciled is the latest attestation of a reconciled term that any controller has
-	// reported; zero: none. The failover sets it before the loops start, so it needs no lock.
+	// reported; zero: none, or watermarks are disabled. The failover sets it before the loops start,
+	// so it needs no lock.
 	lastReconciled watermark.Attestation
 	// announcedAt is when an attestation was last sent to the peers. Only announce uses it.
 	announcedAt time.Time
@@ -71,7 +72,8 @@
 
 // announce updates the attestation and sends it to the peers if it has changed, and otherwise once
 // per heartbeat interval, because a restarted peer has lost it. After an outage of the store,
-// watermarks are complete again once all of them are stored. Calls must not overlap.
+// watermarks are complete again once all of them are stored. It sends nothing if watermarks are
+// disabled or the attestation has no sequence number yet. Calls must not overlap.
 func (a *attestor) announce(ctx context.Context) {
 	if !a.settings.Watermarks {
 		return
--- a/internal/leader/attestation_query.go
+++ b/internal/leader/attestation_query.go
@@ -15,7 +15,7 @@
 // earlierWatermarksComplete reports whether the watermarks of earlier leaders are known to be
 // complete: from the observers or, if none of them attests that, from the stored attestation. It
 // must be called after the term was won: once queried, an observer rejects a relaxation by an
-// earlier leader.
+// earlier leader. The result is false if watermarks are disabled.
 func (a *attestor) earlierWatermarksComplete(ctx context.Context) bool {
 	if !a.settings.Watermarks {
 		return false
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -59,8 +59,8 @@
 }
 
 // cancelLocked closes a cancelled job. It returns the time by which the job's last run command in
-// flight has reached its worker, or the zero time if none was in flight. The caller must hold the
-// state's lock.
+// flight has usually reached its worker, or the zero time if none was in flight. The caller must
+// hold the state's lock.
 func (t *term) cancelLocked(job string) (arrival time.Time) {
 	cancelled := &t.state.cancelled
 	cancelled.lastReportedAt = time.Now()
@@ -81,7 +81,8 @@
 
 // NotifyCancelled closes a job that is cancelled in the store; it is called before the cancellation
 // is confirmed to a user. It returns true once no task of the job is dispatched any more and run
-// commands in flight have reached their workers, and false if the term or ctx has ended before.
+// commands in flight have usually reached their workers. It returns false if the term has ended
+// before the job is closed, or ctx before the return.
 // Without it, tasks could start after a confirmed cancellation, because this leader's watch lags if
 // the store is slow or unreachable.
 func (l *Leader) NotifyCancelled(ctx context.Context, id string) bool {
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -85,7 +85,8 @@
 }
 
 // PreviewDrain returns the expected effect of a drain that starts now: its totals, and a page of
-// machines whose names sort after since, with up to limit machines and tasks together.
+// machines whose names sort after since, with up to limit machines and tasks together, but at least
+// one machine.
 func (l *Leader) PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error) {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
--- a/internal/leader/failover.go
+++ b/internal/leader/failover.go
@@ -12,8 +12,8 @@
 )
 
 // loadState loads from the store what earlier terms have left: machine types, open jobs, finished
-// tasks, machines, watermarks and drains. It returns the revision of the list of open jobs, from
-// which the watches start. No loop of the term runs before loadState has succeeded.
+// tasks, machines, and if enabled watermarks and drains. It returns the revision of the list of open
+// jobs, from which the watches start. No loop of the term runs before loadState has succeeded.
 func (l *Leader) loadState(ctx context.Context) (revision uint64, err error) {
 	sched := scheduler.New(l.settings, l.number, time.Now())
 	limits := l.cfg.Deployment.Store.Lowest()
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -171,10 +171,10 @@
 }
 
 // awaitCommitLocked waits until ready returns true, for heartbeatInterval/commitWaitDivisor at
-// most: a record that the machine needs is then stored, and its tasks start with this response
-// instead of a heartbeat later. The caller must hold the lock of state, which is released during
-// the wait. The result is not that of ready: it reports whether the machine's heartbeat is still
-// the latest and may still be accepted.
+// most, and only while the lease on the leader key is confirmed: a record that the machine needs
+// is then stored, and its tasks start with this response instead of a heartbeat later. The caller
+// must hold the lock of state, which is released during the wait. The result is not that of ready:
+// it reports whether the machine's heartbeat is still the latest and may still be accepted.
 func (l *Leader) awaitCommitLocked(machine *fleet.Machine, ready func() bool) bool {
 	incarnation, sequence := machine.Incarnation, machine.Sequence
 	// The heartbeats of a batch that a peer relays wait concurrently.
@@ -194,15 +194,16 @@
 	return l.state.scheduler.IsLatestHeartbeat(machine, incarnation, sequence) && l.contact.mayRenewLeases(time.Now())
 }
 
-// Recency returns the recency of a heartbeat relative to the latest status of its machine.
+// Recency returns the recency of a heartbeat relative to the latest status of its machine, and
+// records a late one.
 func (l *Leader) Recency(heartbeat *fleet.Heartbeat) fleet.Recency {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
 	return l.state.scheduler.Recency(heartbeat, time.Now())
 }
 
-// NeedsRelay reports whether the worker of a heartbeat forwarded by a peer cannot reach this
-// controller directly.
+// NeedsRelay reports whether the worker of a heartbeat forwarded by a peer is to be answered through
+// that peer, because it seems unable to reach this controller. Each call records the forwarding.
 func (l *Leader) NeedsRelay(heartbeat *fleet.Heartbeat) bool {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
--- a/internal/leader/job_watch.go
+++ b/internal/leader/job_watch.go
@@ -21,7 +21,7 @@
 	// relist applies a list of all records after the store has compacted the events since the
 	// watch's revision, and returns the revision of the list.
 	relist func(ctx context.Context) (revision uint64, err error)
-	// apply applies the events of an answer that was requested at askedAt.
+	// apply applies the events of an answer that was requested at askedAt; none after a relist.
 	apply func(events []records.Event, askedAt time.Time)
 }
 
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -5,7 +5,7 @@
 //
 // Invariants:
 //   - Fencing by term: every command to a worker carries the term as its fencing token. A leader
-//     that sees a higher one resigns.
+//     that receives a higher one in a heartbeat resigns.
 //   - No write without the leader key: every commit compares the key with the term, so a late write
 //     of a deposed leader fails. Machines are scaled out and in only while the lease on the key is
 //     certain not to have expired.
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -61,7 +61,7 @@
 	c.bound.RecordContact(at)
 }
 
-// last returns the latest time before which the leader knows all confirmed cancellations.
+// last returns the latest time before which the leader knows all confirmed cancellations; zero: none.
 func (c *storeContact) last() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +92,7 @@
 	c.soleLeaderUntil = until
 }
 
-// soleLeader reports whether no peer can lead now.
+// soleLeader reports whether it is certain that no peer can lead now.
 func (c *storeContact) soleLeader() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/leader/persist.go
+++ b/internal/leader/persist.go
@@ -158,10 +158,10 @@
 	}
 }
 
-// commitSeparately stores writes one by one after the store has rejected them as one commit. It
-// returns false when the term or ctx has ended. Without it, a limit of the store that is lowered
-// without notice would block the leader permanently: the store would reject the oversized commit on
-// every retry.
+// commitSeparately stores writes one by one after the store has rejected them as one commit, and
+// marks a single write as too large. It returns false when the term or ctx has ended. Without it,
+// a limit of the store that is lowered without notice would block the leader permanently: the
+// store would reject the oversized commit on every retry.
 func (p *persister) commitSeparately(ctx context.Context, writes []scheduler.PendingWrite, cause error) bool {
 	slog.Warn("commit rejected as too large", "writes", len(writes), "term", p.number, "err", cause)
 	if len(writes) == 1 {
--- a/internal/leader/store_outage.go
+++ b/internal/leader/store_outage.go
@@ -15,8 +15,9 @@
 // cancellations that it has confirmed to users since the leader's last contact. If all peers
 // answer, the leader cancels the listed jobs and may renew workers' leases for longer, also on
 // machines with tasks of these jobs, because the tasks are killed. A restarted peer lists only the
-// time since its start; if that leaves a gap, leases are not renewed. If the store serves a peer
-// but not the leader, the leader resigns once its lease on the leader key has expired.
+// time since its start; if that leaves a gap, leases are not renewed for longer. If the store
+// serves a peer but not the leader, the leader resigns once its lease on the leader key has
+// expired.
 type storeOutage struct {
 	*term
 	attestor        *attestor
--- a/internal/packing/bin.go
+++ b/internal/packing/bin.go
@@ -157,7 +157,8 @@
 func (b *Bin) isUTBin() bool   { return b.isTBin() && b.Gap() >= Third-eps }
 func (b *Bin) isULLTBin() bool { return b.isLOrLTBin() && b.Gap() >= Third-eps }
 
-// AcceptsAny reports whether the paper's rules allow adding some item to the bin.
+// AcceptsAny reports whether the paper's rules or TopUp allow adding some item to the bin, open or
+// not.
 func (b *Bin) AcceptsAny() bool {
 	return b.Gap() > eps && (b.empty() || b.isTBin() || b.isLOrLTBin() || b.isSBin())
 }
--- a/internal/packing/visbp.go
+++ b/internal/packing/visbp.go
@@ -1,7 +1,7 @@
 // Package packing implements VISBP, the variable item size bin packing of section 3 of the paper that
 // the scheduler implements. Machines are bins, tasks are items, and the size of an item is the largest
-// share that it takes of any resource of its bin. The package is pure: no clock and no I/O. The caller
-// decides which of the returned moves are executed.
+// share that it takes of any resource of its bin. The package is pure: no clock and no I/O. The bins
+// already reflect the returned moves; the caller decides which of them are executed.
 //
 // The package uses the paper's terms:
 //
@@ -109,8 +109,8 @@
 // mayMove reports whether the operation has fewer than the maximum number of moves.
 func (o *operation) mayMove() bool { return len(o.moves) < o.maxMoves }
 
-// move moves a group if each item may be moved, the whole group fits and mayMove holds. It reports
-// whether it did.
+// move moves a group if each item may be moved and is worth it, the target is another, open and
+// allowed bin that the whole group fits into, and mayMove holds. It reports whether it did.
 func (o *operation) move(group []*Item, from, to *Bin) bool {
 	var sum Resources
 	for _, item := range group {
@@ -243,7 +243,7 @@
 			o.spread(b, utBins)
 		}
 	default:
-		// The item grew: the tiny items of the bin are moved out.
+		// Any other change, such as an item that grew: the tiny items of the bin are moved out.
 		for _, group := range b.groups() {
 			o.placeGroup(group, b)
 		}
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -143,7 +143,8 @@
 	return a.teams[team].addPhases(a.shared.addPhases(Amount{}, phases...), phases...)
 }
 
-// NotStopping returns the usage of a team's own attempts that have not been requested to stop.
+// NotStopping returns the usage of a team's own attempts that may be on machines and have not been
+// requested to stop.
 func (a *Account) NotStopping(team string) Amount {
 	return a.teams[team].addPhases(Amount{}, Present)
 }
--- a/internal/records/errors.go
+++ b/internal/records/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Errors of the store. Each states whether the request may have been executed.
+// Errors of the store. The first three state whether the request may have been executed.
 var (
 	// ErrUnavailable means that the store is unavailable and did not execute the request.
 	ErrUnavailable = errors.New("state service refused the request (503)")
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -16,8 +16,8 @@
 	// PrefixMachines is the prefix of pages with machines.
 	PrefixMachines = "machines/"
 	// PrefixWatermarks is the prefix of pages with the jobs' watermarks: no task at or above the
-	// watermark has ever been dispatched (package watermark). Versions without watermarks do not
-	// touch these keys.
+	// watermark has ever been dispatched, if the watermarks are complete (package watermark).
+	// Versions without watermarks do not touch these keys.
 	PrefixWatermarks = "sent/"
 	// KeyWatermarksComplete holds a watermark.StoredAttestation: when the watermarks were last
 	// complete.
--- a/internal/records/leader.go
+++ b/internal/records/leader.go
@@ -15,8 +15,8 @@
 	Watermarks bool `json:"marks,omitempty"`
 }
 
-// FormatWatermark encodes a job's watermark: tasks below it may have been dispatched. The encoding
-// has a fixed width, so that a rising watermark does not outgrow its page.
+// FormatWatermark encodes a job's watermark: tasks below it may have been dispatched. The number is
+// padded to six digits, so that a watermark that rises below 1,000,000 does not outgrow its page.
 func FormatWatermark(n int) json.RawMessage { return fmt.Appendf(nil, "\"%06d\"", n) }
 
 // ParseWatermark decodes a value that FormatWatermark encoded.
--- a/internal/records/paged.go
+++ b/internal/records/paged.go
@@ -62,7 +62,7 @@
 }
 
 // Put sets a record and reserves up to reserve bytes for its value, as far as its page has space.
-// It returns false and changes nothing if the record has outgrown its page.
+// It returns false and changes nothing if the record has outgrown a page that it shares with others.
 func (p *PagedRecords) Put(id string, value json.RawMessage, reserve int) bool {
 	minBytes := len(value) + len(id) + entryOverhead
 	reserveBytes := max(reserve, len(value)) + len(id) + entryOverhead
--- a/internal/watermark/attestation.go
+++ b/internal/watermark/attestation.go
@@ -27,7 +27,7 @@
 	// Seq increases within a term each time the watermarks become complete or relaxed.
 	Seq uint64 `msgpack:"seq"`
 	// Complete means that every task that was ever dispatched, by any leader, is below the stored
-	// watermark of its job; otherwise the watermarks are relaxed.
+	// watermark of its job. Otherwise, if Seq is not 0, the leader may relax the watermarks.
 	Complete bool `msgpack:"whole"`
 	// Revision is a store revision at which the term held the leader key.
 	Revision uint64 `msgpack:"epoch"`
@@ -44,11 +44,12 @@
 	mu         sync.Mutex  // guards the fields below
 	latest     Attestation // the latest with a sequence number; zero: none
 	reconciled Attestation // of the latest reconciled term; zero: none
-	minTerm    uint64      // attestations of earlier terms are rejected
+	minTerm    uint64      // earlier terms are rejected, except as reconciled
 }
 
 // Observe records an attestation and returns the latest one recorded, or the zero value. It rejects
-// an attestation that is outdated by its term or its sequence number.
+// an attestation that is outdated by its term or its sequence number. A repetition of the latest
+// one raises the latest one's revision.
 func (o *Observer) Observe(a Attestation) Attestation {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/watermark/mark.go
+++ b/internal/watermark/mark.go
@@ -1,6 +1,7 @@
 package watermark
 
-// Mark is the watermark of one job: tasks at or above it were never dispatched.
+// Mark is the watermark of one job: tasks at or above the stored value were never dispatched, unless
+// the watermarks are relaxed.
 type Mark struct {
 	Stored    int // value in the store
 	Requested int // value requested for the next write
