--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -31,7 +31,7 @@
 	// Inherited, Reconciled and EarlierLeasesExpired determine whether tasks of an earlier leader
 	// may still run here: see AwaitsReconciliation.
 	Inherited            bool // it was on record when this term began: an earlier term may have used it
-	Reconciled           bool // a status has shown this term's fencing token, or no sign of any earlier leader
+	Reconciled           bool // a status has shown this term's fencing token, or none ever accepted: see reconcile
 	EarlierLeasesExpired bool // all leases of earlier terms expired before a status of this term arrived
 	Recorded             bool // the store has a record of it, as a machine that may run tasks
 	Recording            bool // the record is being written
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -16,7 +16,7 @@
 
 var stateNames = [...]string{"planned", "sent", "pulling", "waiting", "running", "flushing", "ended"}
 
-// String returns the name of the state in the worker protocol.
+// String returns the name of the state: from Pulling on, that in the worker protocol.
 func (s State) String() string { return stateNames[s] }
 
 // parseState parses a state that a worker may report.
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -81,8 +81,9 @@
 
 // NotifyCancelled closes a job that is cancelled in the store; it is called before the cancellation
 // is confirmed to a user. It returns true once no task of the job is dispatched any more and run
-// commands in flight have usually reached their workers. It returns false if the term has ended
-// before the job is closed, or ctx before the return.
+// commands in flight have usually reached their workers. It first waits until the state of earlier
+// terms is loaded. It returns false if the term has ended before the job is closed, or ctx before
+// the return.
 // Without it, tasks could start after a confirmed cancellation, because this leader's watch lags if
 // the store is slow or unreachable.
 func (l *Leader) NotifyCancelled(ctx context.Context, id string) bool {
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -195,7 +195,7 @@
 }
 
 // Recency returns the recency of a heartbeat relative to the latest status of its machine, and
-// records a late one.
+// records a late one of a known machine.
 func (l *Leader) Recency(heartbeat *fleet.Heartbeat) fleet.Recency {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
@@ -203,7 +203,7 @@
 }
 
 // NeedsRelay reports whether the worker of a heartbeat forwarded by a peer is to be answered through
-// that peer, because it seems unable to reach this controller. Each call records the forwarding.
+// that peer, because it seems unable to reach this controller. It updates the machine's relay state.
 func (l *Leader) NeedsRelay(heartbeat *fleet.Heartbeat) bool {
 	l.state.mu.Lock()
 	defer l.state.mu.Unlock()
--- a/internal/leader/lease_expiry.go
+++ b/internal/leader/lease_expiry.go
@@ -18,8 +18,8 @@
 	attestor *attestor
 }
 
-// run returns once it has recorded that the leases have expired, or all machines are reconciled, or
-// if the possible renewers are not known. It queries the store only after the failover is complete,
+// run returns once it has recorded that the leases have expired, all machines are reconciled or ctx
+// has ended, or if the possible renewers are not known. It queries the store only after the failover is complete,
 // so that the failover does not wait for the answer.
 func (e *leaseExpiry) run(ctx context.Context) {
 	renewers := e.possibleRenewers(ctx)
--- a/internal/packing/bin.go
+++ b/internal/packing/bin.go
@@ -164,7 +164,7 @@
 }
 
 // Accepts reports whether an item with the given request may be added to the bin without any move,
-// by the paper's combinations or by TopUp.
+// by the paper's combinations or by TopUp. It does not check labels.
 func (b *Bin) Accepts(request Resources) bool {
 	if !b.open || !b.Fits(request) {
 		return false
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -1,7 +1,7 @@
 // Package quota accounts for the resources that teams use. The account is updated incrementally:
 // each attempt has one charge, and a change of the attempt replaces its charge. Reading the usage
-// of a team takes time proportional to the number of distinct task sizes of the team, not to the
-// number of attempts or machines.
+// of a team takes time at most proportional to the number of distinct task sizes of the team and of
+// the shared charges, not to the number of attempts or machines.
 //
 // The package is pure: no I/O, no clock.
 package quota
