--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -8,12 +8,13 @@
 	"drumpick/internal/records"
 )
 
-// cancelAttempts bounds the attempts to cancel a job whose record changes between the read and the
-// commit.
+// cancelAttempts bounds the rounds of cancelJob. One round commits the cancellation and the next one
+// returns the cached final state. A round is repeated if the job's record changes between the read and
+// the commit.
 const cancelAttempts = 4
 
 // cancelJob cancels a job. The response reports the job's final state, which is not "cancelled" if
-// the job was already done.
+// the job was already done. It asks the user to retry if the state cannot be read, stored or confirmed.
 func (s *Server) cancelJob(ctx context.Context, id string) response {
 	if !records.ValidID(id) {
 		return noSuchJobResponse
--- a/internal/api/confirmations.go
+++ b/internal/api/confirmations.go
@@ -24,7 +24,7 @@
 	leaderLease time.Duration // duration of the leader's lease
 
 	mu    sync.Mutex           // guards since
-	since map[string]time.Time // by job id: when this controller first stored or read the cancellation
+	since map[string]time.Time // by job id: when this controller stored the cancellation, or read it while it was not cached
 }
 
 func newPendingConfirmations(leaderLease time.Duration) *pendingConfirmations {
@@ -86,7 +86,7 @@
 
 // notifyLeader notifies the leader of a cancellation and reports whether the leader acknowledges it.
 // The result is true if no leader is known, because the next leader reads the store after its
-// election. It is false while this controller is elected but does not lead yet.
+// election. It is false while this controller is elected but does not lead yet, and once ctx has ended.
 func (s *Server) notifyLeader(ctx context.Context, id string) bool {
 	if l := s.localLeader(); l != nil {
 		return l.NotifyCancelled(ctx, id)
@@ -105,7 +105,8 @@
 }
 
 // HandleCancellation handles a peer's notification that a job is cancelled. It returns true if this
-// controller leads and dispatches none of the job's tasks from then on.
+// controller leads and dispatches none of the job's tasks from then on, and false if the id is invalid
+// or that is not reached within requestTimeout.
 func (s *Server) HandleCancellation(id string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout())
 	defer cancel()
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -64,8 +64,9 @@
 
 // dependencyResponse checks the dependencies of an open job, direct and indirect, before the job is
 // reported as open. It returns false if the job may be reported as open. If a dependency is cancelled,
-// it cancels the job as well and returns the response that says so. If the status of the dependencies
-// is unknown, the response asks the user to retry. readAt is a time before openRecord was read.
+// it cancels the job as well and returns the response with its final state. If the status of the
+// dependencies is unknown or that state cannot be stored or read, the response asks the user to retry.
+// readAt is a time before openRecord was read; progress is the leader's view of the job.
 //
 // Normally the leader cancels such jobs. Without this check, while no controller leads, a job could be
 // reported as pending long after a dependency was cancelled.
@@ -122,11 +123,12 @@
 	return &dependencyWalker{s, config.Seconds(s.cfg.Deployment.Workers.CancelS) / 2}
 }
 
-// pathStep is an open job on the path from the checked job to a dependency.
+// pathStep is a job on the path from the checked job to a dependency. It was open when its direct
+// dependencies were read, which may be long ago if they were cached.
 type pathStep struct {
 	id          string
 	unchecked   []string  // direct dependencies that have not been checked yet
-	clearAsOf   time.Time // neither the job nor its checked dependencies were cancelled up to this time
+	clearAsOf   time.Time // its checked dependencies and, with recordRead, the job were not cancelled up to this time
 	askedLeader bool      // the leader's view of the job was requested
 	recordRead  bool      // the job's record was read after clearAsOf
 }
@@ -165,7 +167,8 @@
 }
 
 // step advances the check by one job. It removes the last job of the path if that job is known to be
-// clear or all its dependencies are checked; otherwise it checks the job's next dependency. The result
+// clear or all its dependencies are checked. Otherwise it asks the leader about the job, once, and
+// checks the job's next dependency unless the leader knows that all are clear. The result
 // dependenciesClear means that this step found no cancelled or unknown dependency.
 func (w *dependencyWalker) step(ctx context.Context, path *dependencyPath, progress func(id string) peer.Progress) dependencyStatus {
 	cache := w.server.dependencies
@@ -233,8 +236,8 @@
 
 // readDependency reads a dependency from the store and, if it is open, caches its direct dependencies.
 // The status is dependencyCancelled if the dependency is cancelled, dependenciesUnknown if the read
-// fails or exceeds the rate limit, and otherwise dependenciesClear. done is true if all its tasks are
-// done, so that its own dependencies do not matter.
+// fails, finds no such job or exceeds the rate limit, and otherwise dependenciesClear. done is true
+// if all its tasks are done, so that its own dependencies do not matter.
 func (w *dependencyWalker) readDependency(ctx context.Context, id string) (status dependencyStatus, done bool) {
 	if !w.server.readLimiter.Allow() {
 		return dependenciesUnknown, false
@@ -255,7 +258,8 @@
 	return dependenciesClear, false
 }
 
-// storedDependencies returns the direct dependencies in the record of an open job.
+// storedDependencies returns the direct dependencies in the record of an open job, nil if it has none
+// or cannot be decoded.
 func storedDependencies(openRecord *records.KeyValue) []string {
 	var job struct {
 		Dependencies []string `json:"prereqs"`
--- a/internal/api/dependency_cache.go
+++ b/internal/api/dependency_cache.go
@@ -10,7 +10,7 @@
 	mu                  sync.Mutex           // guards the fields below
 	clearAsOf           map[string]time.Time // by open job: neither it nor any dependency of it was cancelled up to this time
 	direct              map[string][]string  // by open job: its direct dependencies, which never change
-	cancelledDependency map[string]bool      // open jobs with a cancelled dependency, direct or indirect
+	cancelledDependency map[string]bool      // jobs that are cancelled or have a cancelled dependency, direct or indirect
 }
 
 func newDependencyCache() *dependencyCache {
@@ -26,7 +26,8 @@
 	return at, time.Since(at) < maxAge
 }
 
-// setClear records that neither a job nor any of its dependencies was cancelled up to the given time.
+// setClear records that neither a job nor any of its dependencies was cancelled up to the given time,
+// unless a later time is cached.
 func (c *dependencyCache) setClear(id string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +45,8 @@
 	clear(c.clearAsOf)
 }
 
-// directDependencies returns the direct dependencies of a job, nil if they are not cached.
+// directDependencies returns the direct dependencies of a job, nil if it has none or they are not
+// cached.
 func (c *dependencyCache) directDependencies(id string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,14 +60,16 @@
 	c.direct[id] = dependencies
 }
 
-// hasCancelled reports whether a job is known to have a cancelled dependency, direct or indirect.
+// hasCancelled reports whether a job is known to be cancelled or to have a cancelled dependency, direct
+// or indirect. It does not look up final states: see jobCache.
 func (c *dependencyCache) hasCancelled(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cancelledDependency[id]
 }
 
-// setCancelled records that all jobs on a path have a cancelled dependency, direct or indirect.
+// setCancelled records that all jobs on a path have a cancelled dependency, direct or indirect. The
+// last job may be cancelled itself instead.
 func (c *dependencyCache) setCancelled(path []pathStep) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/api/heartbeat_relay.go
+++ b/internal/api/heartbeat_relay.go
@@ -45,7 +45,7 @@
 	retryAt       time.Time     // when suspendedNode is tried again with an empty batch
 	unsupported   bool          // suspendedNode does not support batches; false: it did not answer
 	failures      int           // number of consecutive batches that failed
-	delay         time.Duration // transmission time of the last batch and its reply, reported in the next batch
+	delay         time.Duration // to report in the next batch: see peer.HeartbeatBatch.DelayMS
 }
 
 // canRelayTo reports whether heartbeats are relayed to a leader in batches. enabled is false if
@@ -57,8 +57,8 @@
 	return enabled && node != "" && node != r.suspendedNode
 }
 
-// shouldAnnounce reports whether an empty batch should be sent to a leader now. It is false before
-// retryAt of a suspended leader.
+// shouldAnnounce reports whether an empty batch should be sent to a leader now. It is false if node is
+// "" (no leader is known), and before retryAt of a suspended leader.
 func (r *heartbeatRelay) shouldAnnounce(node string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +66,8 @@
 }
 
 // unresponsive reports whether a leader is suspended because it did not answer. A single heartbeat
-// relayed to such a leader would time out as well, so the worker is redirected to the leader.
+// relayed to such a leader would time out as well, so the worker is redirected to the leader. enabled
+// is as in canRelayTo; node must not be "".
 func (r *heartbeatRelay) unresponsive(enabled bool, node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,8 +85,9 @@
 
 // recordResult records whether a leader accepted a batch; err is nil if it did. It suspends the relay
 // to a leader that does not support batches, or after more than maxBatchFailures consecutive
-// failures, and tries the leader again at retryAt. A failure at another leader than the suspended one
-// starts a new count.
+// failures, and tries the leader again at retryAt. The first failure at another leader than the
+// suspended one suspends nothing, whatever the error: it ends the suspension and starts a new count.
+// While no leader is suspended, failures at different leaders add up.
 func (r *heartbeatRelay) recordResult(node string, err error, retryAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +108,8 @@
 var errRelaySuspended = errors.New("relay to the leader is suspended after failed batches")
 
 // relayBatch sends a batch to the leader on the given node. If this fails, the workers try the next
-// controller a second later; once the relay is suspended, they are redirected to the leader.
+// controller a second later; once the relay is suspended, they are redirected to the leader. A
+// suspended leader is sent only empty batches; others fail with errRelaySuspended.
 func (s *Server) relayBatch(node string, bodies [][]byte) (peer.HeartbeatBatchReply, error) {
 	start := time.Now()
 	// Without this check, each batch that is queued for a leader that hangs would wait for its timeout
@@ -131,8 +134,9 @@
 	return reply, nil
 }
 
-// AnnounceRelay sends empty batches to the leader periodically, until the context is cancelled, to
-// announce that this controller can relay heartbeats. It sends none while this controller leads.
+// AnnounceRelay sends an empty batch to the leader every half heartbeat interval, until the context is
+// cancelled, to announce that this controller can relay heartbeats. It sends none while this
+// controller is elected or leads, and none that shouldAnnounce does not allow.
 func (s *Server) AnnounceRelay(ctx context.Context) {
 	interval := s.cfg.HeartbeatInterval()
 	for ctxtime.Sleep(ctx, interval/2) == nil {
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -11,7 +11,7 @@
 )
 
 // redirectBody is the body of a response that redirects a worker to another controller. If Leader is
-// empty, the worker tries the next controller.
+// empty, the worker tries the next controller. An empty one is also the body of a 503 to a heartbeat.
 type redirectBody struct {
 	Leader string `json:"conductor,omitempty"` // node that the worker must use
 }
@@ -21,7 +21,8 @@
 
 // HandleHeartbeat handles a heartbeat that a worker sent to this controller. Only the leader processes
 // it. Any other controller relays it if possible. Otherwise it redirects the worker to the leader or,
-// if no leader is known or a batch failed while the relay is not suspended, to the next controller.
+// if no other controller is known to lead or a batch failed while the relay is not suspended, to the
+// next controller.
 func (s *Server) HandleHeartbeat(body []byte) peer.RelayReply {
 	if s.localLeader() != nil {
 		return s.handleHeartbeatAsLeader(body, s.cfg.Node)
--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -8,10 +8,10 @@
 	"drumpick/internal/records"
 )
 
-// maxCacheEntries bounds each cache of jobs: final states, accepted ids, dependencies. It does not
-// bound the jobs of a deployment: at 41,000 jobs a day a cache is full about every six hours, and
-// half of its entries are evicted. What an evicted entry held is read from the store again when it is
-// needed, with one or two requests.
+// maxCacheEntries bounds each cache of jobs: final states, accepted ids, dependencies. Pending
+// confirmations may exceed it (pendingConfirmations.add). It does not bound the jobs of a deployment:
+// at 41,000 jobs a day a cache is full about every six hours, and half of its entries are evicted.
+// What an evicted entry held is read from the store again when it is needed, with one or two requests.
 const maxCacheEntries = 20_000
 
 // evictHalf removes arbitrary entries of a full cache until it is less than half full. It does
@@ -56,11 +56,11 @@
 
 // addClosed caches the final state of a job. mayHaveStarted is false for a job that is cancelled
 // because of a dependency: none of its tasks can have started, so the leader need not acknowledge the
-// cancellation.
+// cancellation. It is true if the cause is not known.
 //
 // All effects of a cancellation take place under the lock, before the final state can be read from the
-// cache. So no response uses that state before the log records the cancellation, and of two calls for
-// the same job only the first requires an acknowledgement.
+// cache. So no response uses that state before the log records the cancellation. While a job's state is
+// cached, further calls for the job require no acknowledgement.
 func (c *jobCache) addClosed(id string, job records.ClosedJob, mayHaveStarted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/api/peer_store_health.go
+++ b/internal/api/peer_store_health.go
@@ -8,8 +8,9 @@
 	"drumpick/internal/ctxtime"
 )
 
-// peerStoreHealth holds what the other controllers last reported about the store. All fields are false
-// while the store does not fail for this controller.
+// peerStoreHealth holds what the other controllers last reported about the store. WatchPeers
+// updates it; all fields are false after an update while the store does not fail for this
+// controller.
 type peerStoreHealth struct {
 	mu         sync.Mutex // guards the fields below
 	servesPeer bool       // the store serves another controller, but not this one
@@ -23,9 +24,9 @@
 	h.servesPeer, h.peersAsked, h.isolated = servesPeer, peersAsked, isolated
 }
 
-// isIsolated reports whether this controller is cut off from the network. In an outage of the store
-// itself, the result is false: the store rejects requests, or other controllers respond and report
-// failures as well.
+// isIsolated reports whether this controller is cut off from the network; the result is false if there
+// is no other controller. In an outage of the store itself, the result is false, too: the store rejects
+// requests, or other controllers respond and report failures as well.
 func (h *peerStoreHealth) isIsolated() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -12,8 +12,8 @@
 )
 
 // pollJob returns the response with the status of a job: from the cache if the job's final state is
-// cached, from a shared list of the open jobs if polls arrive too fast, and from reads of the job's
-// records otherwise.
+// cached, from a shared list of the open jobs if polls arrive too fast or the store throttles, and from
+// reads of the job's records otherwise.
 func (s *Server) pollJob(ctx context.Context, id string) response {
 	if !records.ValidID(id) {
 		return noSuchJobResponse
--- a/internal/api/relay_routes.go
+++ b/internal/api/relay_routes.go
@@ -55,6 +55,7 @@
 
 // HandleHeartbeatBatch handles a batch of heartbeats that a peer relayed. It handles the heartbeats
 // concurrently, so that heartbeats that wait for the store delay the batch by no more than one commit.
+// A batch without a sender is not handled: its replies have status 0.
 func (s *Server) HandleHeartbeatBatch(batch peer.HeartbeatBatch) peer.HeartbeatBatchReply {
 	reply := peer.HeartbeatBatchReply{Replies: make([]peer.RelayReply, len(batch.Heartbeats))}
 	if batch.From == "" {
--- a/internal/api/requests.go
+++ b/internal/api/requests.go
@@ -15,13 +15,14 @@
 // requestTimeout bounds the handling of a request, so that users get the response in time.
 func requestTimeout() time.Duration { return userTimeout * 3 / 4 }
 
-// relayTimeout bounds the handling of a request that a peer relayed, and the wait for a peer's reply.
+// relayTimeout bounds the handling of a request that a peer relayed, and the wait for each peer's
+// reply.
 func relayTimeout() time.Duration { return requestTimeout() / 2 }
 
 // HandleRequest handles a user's request. While the store fails here, the request is relayed to the
-// peers if the store serves one of them. If that is not known yet, this controller tries first and
-// relays the request only if it cannot serve it; a peer that cannot serve the request replies at
-// once.
+// peers if the store serves one of them; if no peer serves it, this controller tries. If it is not
+// known yet whether the store serves a peer, this controller tries first and relays the request only
+// if it cannot serve it. Each peer replies within relayTimeout or is passed over.
 func (s *Server) HandleRequest(r peer.RelayRequest) peer.RelayReply {
 	if s.peerStoreHealth.isIsolated() {
 		// With no time, only cached states can be reported. For any other job, the user gets the
--- a/internal/api/response.go
+++ b/internal/api/response.go
@@ -17,7 +17,7 @@
 	outcomeCreated             // a new job was stored
 	outcomeInvalid             // the request is malformed
 	outcomeNotFound            // there is no such job
-	outcomeRejected            // the request is well formed, but the job can never run
+	outcomeRejected            // the job can never run or be stored, or its dependencies are invalid
 	outcomeUnavailable         // the request cannot be decided now; the user should retry
 )
 
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,7 +1,7 @@
 // Package api serves the HTTP API of users and workers: submitting, polling and cancelling jobs,
 // readiness, and workers' heartbeats. Every controller serves it. Requests about jobs are served from
 // the store, whether or not this controller leads. The leader processes heartbeats; followers relay
-// them to the leader.
+// them to the leader or redirect the workers.
 package api
 
 import (
@@ -59,7 +59,8 @@
 	// false for a job that the leader does not know.
 	Progress(id string) (status string, done, running int, ok bool)
 	// DependenciesClear reports whether no dependency of a job, direct or indirect, was cancelled as
-	// far as the leader knew age ago.
+	// far as the leader knew age ago. ok is false, too, if the job is not open or a dependency is in an
+	// unknown state.
 	DependenciesClear(id string) (age time.Duration, ok bool)
 	// HandleHeartbeat processes a heartbeat and returns the result for its worker.
 	HandleHeartbeat(heartbeat *fleet.Heartbeat) fleet.HeartbeatResult
@@ -83,7 +84,7 @@
 	peers       Peers
 	leaderNode  func() string // returns the name of the node that leads, "" if unknown
 	localLeader func() Leader // returns nil if this process does not lead
-	readLimiter *rate.Limiter // limits the reads of single jobs from the store by polls
+	readLimiter *rate.Limiter // limits the reads of single jobs from the store by polls and dependencyWalker
 
 	types             machineTypes
 	jobs              *jobCache
@@ -96,10 +97,10 @@
 	lastWorkerRenewal atomic.Value // time.Time of the last heartbeat handled as leader, or of the start
 }
 
-// pollShare is the share of the store's request rate that polls at all controllers may use for reads of
-// single jobs. Without this limit, a flood of polls, or polls for unknown jobs, would starve
-// submissions and the renewal of the leader's lease. Polls beyond the limit share a list
-// (shared_poll.go).
+// pollShare is the share of the store's request rate at which polls and dependencyWalker may read
+// single jobs, at all controllers together. A job that is not open takes two requests. Without this
+// limit, a flood of polls, or polls for unknown jobs, would starve submissions and the renewal of
+// the leader's lease. Polls beyond the limit share a list (shared_poll.go).
 const pollShare = 0.6
 
 // New returns a server. leaderNode returns the name of the node that leads, "" if unknown;
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -10,9 +10,10 @@
 	"drumpick/internal/records"
 )
 
-// submitJob accepts a job, or returns the response that says why the job is not accepted. Its stages:
-// parse the request, check that the job can run, look for an earlier submission, check the
-// dependencies, store the job.
+// submitJob accepts a job, or returns the response that says why the job is not accepted. If a job
+// of the same id was accepted earlier, the response is that job's status. Its stages: parse the
+// request, check that the job can run, look for an earlier submission, check the dependencies,
+// store the job.
 func (s *Server) submitJob(ctx context.Context, body []byte) response {
 	sub, err := parseSubmission(body)
 	if err != nil {
@@ -78,7 +79,8 @@
 
 // duplicateResponse returns the response to the submission of a job that was accepted earlier; known is
 // false if no earlier submission was found. It avoids a commit that would fail: such commits also count
-// against the store's write rate, which is low. It reads the store only if duplicates are expected.
+// against the store's write rate, which is low. For a job that is not cached as accepted, it reads the
+// store only if duplicates are expected; if that read fails, the response asks the user to retry.
 func (s *Server) duplicateResponse(ctx context.Context, job *records.Job) (resp response, known bool) {
 	switch {
 	case s.jobs.isAccepted(job.ID):
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -39,8 +39,8 @@
 // submission is a well-formed job as submitted.
 type submission struct {
 	job records.Job
-	// dependencyError is what is wrong with the list of dependencies, "" if nothing. Unlike any other
-	// error in a submission, it matters only if the job was not accepted earlier.
+	// dependencyError is what is wrong with the list of dependencies, "" if nothing. Unlike the errors
+	// of parseSubmission, it matters only if the job was not accepted earlier.
 	dependencyError string
 }
 
@@ -57,7 +57,8 @@
 	priorities = []string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}
 )
 
-// parseSubmission decodes a submission and checks its form. An error names the invalid field.
+// parseSubmission decodes a submission and checks its form. An error names the invalid field, unless
+// the body is not a JSON object. Invalid dependencies are no error: see submission.dependencyError.
 func parseSubmission(body []byte) (submission, error) {
 	fields, err := decodeSubmission(body)
 	if err != nil {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -76,7 +76,7 @@
 )
 
 // call waits for the rate limit, sends a request, and decodes the response body into out, unless out is
-// nil.
+// nil. ctx bounds only the wait; the request itself has the client's timeout.
 func (c *Client) call(ctx context.Context, method, uri string, body, out any) error {
 	if err := c.requests.Wait(ctx); err != nil {
 		return err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -37,7 +37,7 @@
 // Deployment holds the parameters of a deployment.
 type Deployment struct {
 	Nodes           int         `toml:"nodes"`         // number of controllers; if not set, the number of Peers plus one
-	Zones           []string    `toml:"zones"`         // zones in which gangs that need a single zone may be placed
+	Zones           []string    `toml:"zones"`         // zones in which gangs that need a single zone may be placed, and that drains may name
 	MaxClockErrorMS float64     `toml:"time_bound_ms"` // maximum error of a machine's wall clock
 	Teams           []Team      `toml:"teams"`         // teams that may submit jobs
 	Objectives      []Objective `toml:"objectives"`    // service-level objectives of classes of jobs
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -14,7 +14,7 @@
 	PeerTimeout         time.Duration // timeout of a call to another controller
 	CloudTimeout        time.Duration // timeout of a call to the cloud's API
 	WorkerTimeout       time.Duration // timeout of a direct command to a worker
-	RenewalWithoutStore time.Duration // how long a leader that cannot reach the store goes on renewing workers' leases
+	RenewalWithoutStore time.Duration // how long a leader that cannot reach the store renews workers' leases, unless package cancellation extends it
 }
 
 // Timing derives the timing from the settings and options.
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -126,8 +126,9 @@
 }
 
 // SetFinal sets the final state of a job, Done or Cancelled, once the store has recorded it. Only the
-// first call for a job has an effect. doneAt is when the job was done; zero if unknown. revision is the
-// store revision of the record; it determines EarliestStartRevision of the dependents.
+// first call for a job has an effect, and none if the job is not in the graph. doneAt is when the
+// job was done; zero if unknown. revision is the store revision of the record; it determines
+// EarliestStartRevision of the dependents.
 func (g *Graph) SetFinal(id string, state State, doneAt time.Time, revision uint64) {
 	n := g.nodes[id]
 	if n == nil || n.state == Done || n.state == Cancelled {
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -29,9 +29,9 @@
 	ClosePerCall bool
 }
 
-// New returns a client of addr, a host:port, with at most maxConns connections, each opened within
-// dialTimeout. The client never retries a request: only the caller can decide whether a commit or
-// a rental may be repeated.
+// New returns a client of addr, a host:port, with at most maxConns connections over IPv4, each opened
+// within dialTimeout. A call for which no connection is free fails at once. The client never
+// retries a request: only the caller can decide whether a commit or a rental may be repeated.
 func New(addr string, maxConns int, dialTimeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return &Client{host: &fasthttp.HostClient{
--- a/internal/operator/drain_plan.go
+++ b/internal/operator/drain_plan.go
@@ -10,8 +10,9 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// tasksPerPage is the maximum number of tasks in a page of a plan, which keeps the page below the limit
-// of 64 KiB. Further tasks follow in further pages; the totals in each page cover all tasks.
+// tasksPerPage is the maximum number of machines and tasks together in a page of a plan, which
+// keeps the page below the limit of 64 KiB. Further machines follow in further pages. Tasks of one
+// machine beyond the limit are only counted; the totals in each page cover all tasks.
 const tasksPerPage = 250
 
 // statusDrainUnread is the status of the leader's reply to a plan request if the leader has not yet
--- a/internal/operator/drain_request.go
+++ b/internal/operator/drain_request.go
@@ -26,7 +26,8 @@
 // and the request to the leader with the ids of all stored drains, must each fit the limit of 64 KiB.
 const maxSpecBytes = 48 << 10
 
-// parseRequest decodes and checks a drainRequest; reason says what is wrong with it, "" if it is valid.
+// parseRequest decodes and checks a drainRequest and sets RequestedMS to the current time. reason says
+// what is wrong with the request, "" if it is valid.
 func (s *Server) parseRequest(body []byte) (request drainRequest, reason string) {
 	if err := json.Unmarshal(body, &request); err != nil {
 		var typeErr *json.UnmarshalTypeError
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -148,7 +148,8 @@
 }
 
 // repeatedStartResponse returns the response to the start of a drain whose id is already stored: the
-// stored drain if the request is the same, otherwise a 409.
+// stored drain if the request is the same apart from its time, even if the drain was stopped since,
+// and otherwise a 409.
 func repeatedStartResponse(spec drain.Spec, record *records.KeyValue) peer.RelayReply {
 	var stored drain.Spec
 	if err := json.Unmarshal(record.Value, &stored); err != nil {
@@ -201,8 +202,8 @@
 	return storeUnavailableResponse
 }
 
-// maxListedNames is the maximum number of machines that listDrains names per drain; showDrain names
-// all.
+// maxListedNames is the maximum number of machines that listDrains names per drain in each of Machines
+// and OutOfService; showDrain names all.
 const maxListedNames = 3
 
 // listDrains returns all stored drains with their states. It logs and skips records that it cannot
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -44,7 +44,9 @@
 	Drain(id string) (view scheduler.DrainView, ok bool)
 	// PreviewDrain returns the plan of a drain and changes nothing. The plan lists the machines whose
 	// names sort after since, up to limit machines and tasks in all but at least one machine. Without
-	// force, it rejects a drain, other than an upgrade, that leaves a class of jobs without any machine.
+	// force, it rejects a drain, other than an upgrade, that leaves a class of jobs without any
+	// machine. The error is a *scheduler.DrainTargetError if the drain's target does not exist, and
+	// a *scheduler.DrainRefusedError if the drain is rejected for another reason.
 	PreviewDrain(spec *drain.Spec, force bool, since string, limit int) (*drain.Plan, error)
 }
 
@@ -55,12 +57,13 @@
 	peers         Peers
 	leaderNode    func() string // returns the name of the node that leads, "" if unknown
 	localLeader   func() Leader // returns nil if this process does not lead
-	timeout       time.Duration // bounds the handling of a request
+	timeout       time.Duration // bounds a request's use of the store and, separately, each call to the leader
 	maxValueBytes int           // maximum size of a value by the current and upcoming limits of the store
 }
 
 // New returns a server. leaderNode returns the name of the node that leads, "" if unknown; localLeader
-// returns nil if this process does not lead; timeout bounds the handling of a request.
+// returns nil if this process does not lead; timeout bounds a request's use of the store and,
+// separately, each call to the leader.
 func New(cfg *config.Config, store Store, peers Peers, leaderNode func() string, localLeader func() Leader, timeout time.Duration) *Server {
 	return &Server{
 		node: cfg.Node, store: store, peers: peers, leaderNode: leaderNode, localLeader: localLeader, timeout: timeout,
@@ -105,7 +108,7 @@
 }
 
 // AskLeader returns the leader's reply to a request, from this process or from a peer. The reply is a
-// 503 if no leader is known or the leader cannot be reached.
+// 503 if no leader is known, or the leader cannot be reached or has no operator API.
 func (s *Server) AskLeader(r peer.RelayRequest) peer.RelayReply {
 	if s.localLeader() != nil {
 		return s.HandleAsLeader(r)
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -29,9 +29,10 @@
 	SinceStoreServedMS  int64  `msgpack:"silent_ms"` // since the store last served a request, or since the start of the controller
 	StoreServed         bool   `msgpack:"answered"`  // the store has served a request since the start of the controller
 	StoreFailing        bool   `msgpack:"failing"`   // the store has failed since it last served a request
-	SinceConfirmationMS int64  `msgpack:"quiet_ms"`  // since a cancellation was last confirmed to a user, or since the start of the controller
-	// Cancellations lists the cancellations that the controller has confirmed to users; nil if the
-	// request does not ask for them. Versions that do not support the list omit it.
+	SinceConfirmationMS int64  `msgpack:"quiet_ms"`  // since a cancellation may last have been confirmed to a user, or since the start of the controller
+	// Cancellations lists the cancellations that the controller has confirmed to users or may be about
+	// to confirm; nil if the request does not ask for them. Versions that do not support the list
+	// omit it.
 	Cancellations *cancellation.ConfirmedList `msgpack:"told,omitempty"`
 	// Attestation is the latest attestation of a leader that the controller has recorded. Versions
 	// without watermarks omit it.
@@ -110,8 +111,8 @@
 	Acknowledged bool `msgpack:"heard"`
 }
 
-// Progress is the progress of an open job as the leader knows it. If Known is false the leader does not
-// know the job, and the other fields are not valid.
+// Progress is the progress of an open job as the leader knows it. If Known is false, the leader
+// does not know the job or the asked controller does not lead, and the other fields are not valid.
 type Progress struct {
 	Known   bool   `msgpack:"known"`
 	Status  string `msgpack:"status"`
@@ -171,7 +172,8 @@
 	From       string   `msgpack:"from"` // node of the sender
 	Heartbeats [][]byte `msgpack:"bodies"`
 	// DelayMS is the delay of the sender's previous batch, in milliseconds: the time until the leader
-	// began to handle the batch plus the way back of the reply.
+	// began to handle the batch plus the way back of the reply. For a failed batch it is the time until
+	// the failure; it is 0 if the delay was already reported.
 	DelayMS int64  `msgpack:"late_ms,omitempty"`
 	Zone    string `msgpack:"zone,omitempty"` // zone of the sender, "" if unknown
 }
--- a/internal/slo/tracker.go
+++ b/internal/slo/tracker.go
@@ -85,6 +85,7 @@
 }
 
 // JobStarted records the start of a job: of all tasks of a gang, or of the first task of a job array.
+// Only the first call for a job has an effect.
 func (t *Tracker) JobStarted(id string, at time.Time) {
 	if j := t.jobs[id]; j != nil && j.started.IsZero() {
 		j.started = at
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -32,9 +32,9 @@
 	// leader and of a user.
 	throttledRetries     = 3
 	userThrottledRetries = 1
-	// The first pause before a retry is timeout / retryPauseDivisor.
+	// The first pause before a retry is timeout / retryPauseDivisor on average; it doubles per retry.
 	retryPauseDivisor = 20
-	// A user's request waits for the throttle for at most timeout / userWaitDivisor.
+	// Each attempt of a user's request waits for the throttles for at most timeout / userWaitDivisor.
 	userWaitDivisor = 2
 )
 
@@ -139,7 +139,7 @@
 }
 
 // WaitForWrites blocks until the leader's share of the write rate allows n writes, or the writes of one
-// second if n is more. It returns an error if ctx ends first.
+// second if n is more. It returns an error if ctx ends or would end first. Commit does not call it.
 func (c *Client) WaitForWrites(ctx context.Context, n int) error {
 	return c.leaderWrites.WaitN(ctx, min(n, c.leaderWrites.Burst()))
 }
@@ -155,7 +155,8 @@
 
 // send sends a request once. It returns an error if the store is unavailable or throttles (503, 429),
 // so that the request was not executed, or if no response arrived, so that the outcome is unknown.
-// The caller handles all other statuses.
+// The caller handles all other statuses. Of ctx only the deadline counts: a cancellation does not end
+// the call.
 func (c *connection) send(ctx context.Context, r request, timeout time.Duration) (status int, body []byte, err error) {
 	start := time.Now()
 	deadline := start.Add(timeout)
--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -25,21 +25,23 @@
 	maxAddresses = 20_000
 )
 
-// Caller sends commands to workers, with bounded concurrency. It is safe for concurrent use.
+// Caller sends commands to workers. Calls made by Go have bounded concurrency. It is safe for
+// concurrent use.
 type Caller struct {
 	timeout time.Duration // of a call
-	slots   chan struct{} // one element per running call
+	slots   chan struct{} // one element per running function of Go
 
 	mu      sync.Mutex                    // guards clients
 	clients map[string]*httpclient.Client // by address
 }
 
-// NewCaller returns a caller that runs at most maxCalls calls at a time, each with the given timeout.
+// NewCaller returns a caller whose Go runs at most maxCalls functions at a time. Each call has the
+// given timeout.
 func NewCaller(maxCalls int, timeout time.Duration) *Caller {
 	return &Caller{timeout: timeout, slots: make(chan struct{}, maxCalls), clients: map[string]*httpclient.Client{}}
 }
 
-// Go runs f, which makes one call, in a new goroutine once a slot is free. It does not block.
+// Go starts a goroutine that runs f, which makes one call, once a slot is free. It does not block.
 func (c *Caller) Go(f func()) {
 	go func() {
 		c.slots <- struct{}{}
@@ -86,7 +88,8 @@
 )
 
 // SendCommands sends commands to the worker at addr. It returns the worker's heartbeat if the
-// worker executed or rejected them, and OutcomeUnknown with an error otherwise.
+// worker executed or rejected them, and OutcomeUnknown with an error otherwise. It takes no slot:
+// see Go.
 func (c *Caller) SendCommands(addr string, request fleet.CommandRequest) (Outcome, *fleet.Heartbeat, error) {
 	status, body, err := c.client(addr).DoJSON(http.MethodPost, pathCommands, request, time.Now().Add(c.timeout))
 	if err != nil {
