--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -107,7 +107,7 @@
 	return c.Client.Commit(ctx, compares, ops)
 }
 
-// A flood of polls uses no more than its share of the store's request rate, so that it does not starve
+// A flood of polls causes a bounded number of reads of the store, so that it does not starve
 // submissions. Of thousands of polls for unknown jobs, those beyond the share get the response to
 // retry, and a submission after them is accepted. A job that is then submitted and cancelled many
 // times causes only two commits.
