--- a/internal/goldentest/exchange.go
+++ b/internal/goldentest/exchange.go
@@ -21,15 +21,15 @@
 	Request      json.RawMessage `json:"request,omitempty"`
 	Status       int             `json:"status"`
 	ResponseType string          `json:"answer_type,omitempty"` // Content-Type header of the response
-	RetryAfter   string          `json:"retry_after,omitempty"` // Retry-After header of the response
+	RetryAfter   string          `json:"retry_after,omitempty"` // Retry-After header of the response; only DoRequest sets it
 	Response     json.RawMessage `json:"answer,omitempty"`
 }
 
 // msgpackContentType is the content type of bodies that a golden file stores in hexadecimal.
 const msgpackContentType = "application/msgpack"
 
-// encodeBody returns a body as an Exchange stores it: compact JSON unchanged, MessagePack as a hexadecimal string, and
-// any other body as a string. It returns nil for an empty body.
+// encodeBody returns a body as an Exchange stores it: a body of type msgpackContentType as a hexadecimal string, compact
+// JSON unchanged, and any other body as a string. It returns nil for an empty body.
 func encodeBody(raw []byte, contentType string) json.RawMessage {
 	var compact bytes.Buffer
 	if len(raw) == 0 {
--- a/internal/goldentest/golden.go
+++ b/internal/goldentest/golden.go
@@ -95,7 +95,7 @@
 }
 
 // Check reports a test error if the encoded value got differs from the entry with the given name, and returns the
-// entry's bytes. With -update-golden, it first sets the entry to got.
+// entry's bytes. It fails the test if there is no such entry. With -update-golden, it first sets the entry to got.
 func (f *File) Check(t *testing.T, name string, got []byte, isJSON bool) []byte {
 	t.Helper()
 	if *update {
@@ -185,7 +185,8 @@
 }
 
 // Run compares each case with its entry of a golden file, in its own subtest: the value must encode to exactly the
-// entry's bytes, and the entry must decode to the value. A case's Direction can omit one of the two. The entry
+// entry's bytes, and the entry must decode to the value. A case's Direction can omit one of the two. A value with unset
+// fields is a test error unless AllowUnset is set. The entry
 // "NAME, zero" holds the zero value of a struct and shows which fields are omitted when empty; cases with AllowUnset
 // or ReadOnly have no such entry.
 func Run(t *testing.T, file string, c Codec, cases []Case) {
--- a/internal/loadtest/deployment.go
+++ b/internal/loadtest/deployment.go
@@ -320,7 +320,8 @@
 	}
 }
 
-// sampleProcesses samples the CPU and memory usage of the deployment's processes.
+// sampleProcesses samples the CPU and memory usage of the deployment's processes. While no leader is known, all
+// controllers count as followers.
 func (d *deployment) sampleProcesses(m *meter) {
 	leader := d.readLeader().controller
 	for _, controller := range d.cluster.Info.Controllers {
--- a/internal/loadtest/faults.go
+++ b/internal/loadtest/faults.go
@@ -10,7 +10,7 @@
 )
 
 // Failover holds the times of a failover in a deployment, in seconds after its leader was killed. 0 means that
-// the event was not observed within failoverTimeout.
+// the event was not observed within failoverTimeout or before the end of the run.
 type Failover struct {
 	Deployment  int     `json:"region"`    // index of the deployment, from 0
 	NewLeaderS  float64 `json:"leader_s"`  // until the store held a new term
@@ -48,7 +48,7 @@
 }
 
 // schedule returns the faults of the run in order of time. Machine failures and restarts occur at the rates of the
-// planned day, scaled to the number of workers.
+// planned day, scaled to the number of workers and accelerated by Faults.TimeCompression.
 func (f *faultInjector) schedule() []scheduledFault {
 	var all []scheduledFault
 	days := f.size.MeasureTime.Seconds() * f.size.Faults.TimeCompression / (24 * 3600) * float64(f.size.Workers) / plannedWorkers
@@ -130,7 +130,7 @@
 const failoverTimeout = 60 * time.Second
 
 // killLeader kills the leader of a random deployment and records the times of the failover. It does nothing if the
-// deployment has no leader.
+// deployment has no known leader or the kill fails.
 func (f *faultInjector) killLeader(ctx context.Context) {
 	d := f.randomDeployment()
 	old := d.readLeader()
--- a/internal/loadtest/history.go
+++ b/internal/loadtest/history.go
@@ -48,7 +48,7 @@
 // epsilon is the tolerance for rounding errors in sums of CPUs.
 const epsilon = 1e-9
 
-// CPULimits maps teams to their CPU limits. A team without an entry has no limit.
+// CPULimits maps teams to their CPU limits. A team without an entry, or with limit 0, has no limit.
 type CPULimits map[string]float64
 
 // History holds what the workers and users of a run observed.
@@ -59,7 +59,7 @@
 	CancelLimit time.Duration        // maximum time from a confirmed cancellation to the end of the job's tasks
 }
 
-// Check returns the violations of the protocol's rules.
+// Check returns the violations of the protocol's rules, and the violation nothing_ran if no attempt has ended.
 func (h *History) Check() []Violation {
 	var all []Violation
 	all = append(all, h.checkDuplicateRuns()...)
@@ -160,8 +160,8 @@
 	return all
 }
 
-// checkFinalStates reports accepted jobs that are not final, whose final state differs between controllers, or whose
-// final state contradicts their completed tasks and cancellation requests.
+// checkFinalStates reports accepted jobs that are not final, that a controller fails to report, whose final state
+// differs between controllers, or whose final state contradicts their completed tasks and cancellation requests.
 func (h *History) checkFinalStates() []Violation {
 	completed := map[string]map[string]bool{}
 	for _, r := range h.Runs {
--- a/internal/loadtest/hollow_workers.go
+++ b/internal/loadtest/hollow_workers.go
@@ -230,7 +230,8 @@
 	return status, response, err
 }
 
-// applySetup sets the machine types and the controllers' addresses.
+// applySetup sets the machine types and the controllers' addresses. It must be called once, before the first machine
+// starts.
 func (h *HollowWorkers) applySetup(s Setup) {
 	h.mu.Lock()
 	h.controllers = s.Controllers
@@ -242,7 +243,7 @@
 }
 
 // startMachine starts a rented machine and waits until it accepts commands. If that takes longer than
-// childRequestTimeout, it terminates the machine and returns an error.
+// childRequestTimeout, it terminates the machine and returns an error. It also returns an error if h.ctx ends.
 func (h *HollowWorkers) startMachine(req MachineRequest) (MachineAddr, error) {
 	m := h.env.AddMachine(req.Machine, req.Rental)
 	for deadline := time.Now().Add(childRequestTimeout); time.Now().Before(deadline); {
--- a/internal/loadtest/regression.go
+++ b/internal/loadtest/regression.go
@@ -111,7 +111,8 @@
 	return f, nil
 }
 
-// fitAll adds a model for each cost. results are in order of size.
+// fitAll adds a model for each cost of the first result. A cost that another result lacks counts as 0 there. results
+// are in order of size.
 func (f *Regression) fitAll(results []*Result) {
 	costs := make([]map[string]float64, len(results))
 	for i, r := range results {
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -29,13 +29,13 @@
 	Usage                 map[string]Usage          `json:"usage"`   // by role
 	Traffic               map[string]Traffic        `json:"traffic"` // by kind
 	StartLatency          map[string]LatencySummary `json:"waits"`   // from submission to the first start of a task, by class
-	CommandToRunning      LatencySummary            `json:"to_run"`  // from a task's start command until it runs
-	UrgentOnTimeShare     float64                   `json:"in_time"` // fraction of urgent tasks started within urgentStartTargetS
+	CommandToRunning      LatencySummary            `json:"to_run"`  // from the arrival of a task's start command until it runs
+	UrgentOnTimeShare     float64                   `json:"in_time"` // fraction of urgent tasks started within urgentStartTargetS; 0 if none started
 	LeaseExpiries         int                       `json:"lapses"`  // expired worker leases
 	LostStarts            int                       `json:"lost"`    // task starts that did not complete, without those of cancelled jobs
 	RejectedHeartbeats    uint64                    `json:"refused"` // heartbeats without a 200 response
 	AcceptedJobs          int                       `json:"jobs"`
-	FinishedJobs          int                       `json:"finished"` // accepted jobs known to be final at the end
+	FinishedJobs          int                       `json:"finished"` // accepted jobs seen to become final after their acceptance
 	UnansweredSubmissions int                       `json:"unanswered"`
 	InjectedFaults        InjectedFaults            `json:"happened"`
 	// WithoutTeams is the result of the preceding run of the same size without teams. It is nil if there was none.
@@ -77,7 +77,8 @@
 	return LatencySummary{h.TotalCount(), quantileS(50), quantileS(95), quantileS(99), float64(h.Max()) / 1000}
 }
 
-// measureStarts computes the rates, latencies and lost starts from the task starts between from and to.
+// measureStarts computes the rates, latencies and lost starts from the task starts between from and to. runs holds the
+// ended attempts, including those that workers rejected.
 func (r *Result) measureStarts(runs []simulation.TaskRun, jobs map[string]*UserJob, from, to time.Time) {
 	startLatency := map[string]*hdrhistogram.Histogram{classUrgent: newHistogram(), classBulk: newHistogram()}
 	commandToRunning := newHistogram()
@@ -134,7 +135,7 @@
 	return os.WriteFile(path, append(raw, '\n'), 0o644)
 }
 
-// ReadResult reads a result from a JSON file.
+// ReadResult reads a result from a JSON file. A result without workers or measured time is an error.
 func ReadResult(path string) (*Result, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -150,7 +151,7 @@
 	return r, nil
 }
 
-// Print writes the result as a text table.
+// Print writes the result as a text table with the first 10 violations, after the result without teams, if any.
 func (r *Result) Print(out io.Writer) error {
 	if r.WithoutTeams != nil {
 		if err := r.WithoutTeams.Print(out); err != nil {
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -40,7 +40,7 @@
 )
 
 // RunPaired runs a load test without teams and then one with teams. It returns the second result, which includes the
-// first result and the violations of both.
+// first result and the violations of both. It returns a UsageError if size has no teams.
 func RunPaired(ctx context.Context, size Size, programs Programs, log io.Writer) (*Result, error) {
 	if size.Teams == 0 {
 		return nil, &UsageError{"paired", "without teams there is nothing to compare"}
@@ -138,7 +138,7 @@
 }
 
 // evaluate adds to result what the workers and users observed between start and end, and the violations of the
-// protocol's rules. It returns the users' errors.
+// protocol's rules. It returns the users' errors, or the error of reading the workers' history.
 func (r *run) evaluate(result *Result, start, end time.Time) error {
 	var runs []simulation.TaskRun
 	for _, d := range r.deployments {
@@ -197,7 +197,8 @@
 	return n
 }
 
-// sampleUntil samples the processes, and logs the progress of a phase, until done returns true.
+// sampleUntil samples the processes, and logs the progress of a phase, until done returns true. It returns an error if
+// ctx ends or a process does not return its counts.
 func (r *run) sampleUntil(ctx context.Context, phase string, done func() bool) error {
 	var lastLogged time.Time
 	for !done() {
@@ -265,8 +266,8 @@
 	return all
 }
 
-// sourceVersion returns the commit that this program was built from, or "unknown" if the build has no such
-// information.
+// sourceVersion returns the abbreviated commit that this program was built from, or "unknown" if the build has no such
+// information. It appends ", changed" if the sources had uncommitted changes.
 func sourceVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/loadtest/users.go
+++ b/internal/loadtest/users.go
@@ -19,7 +19,7 @@
 	urgentStartTargetS = 2.8 // maximum time from submission to start, in seconds
 )
 
-// Parameters of the load. Bulk jobs are job arrays. No task writes checkpoints.
+// Parameters of the load. All jobs are job arrays. No task writes checkpoints.
 const (
 	urgentShare           = 0.04 // fraction of all task starts
 	urgentRunTimeS        = 5.0
@@ -95,8 +95,8 @@
 	}
 }
 
-// submit submits one job in a new goroutine. It cancels a random cancelShare of the bulk jobs after half of the task
-// run time.
+// submit submits one job in a new goroutine. It cancels a random cancelShare of the bulk jobs half of the task run time
+// after their acceptance.
 func (u *users) submit(ctx context.Context, s *stream, tasks int) {
 	u.mu.Lock()
 	u.lastJobNumber++
@@ -209,15 +209,15 @@
 	u.mu.Unlock()
 }
 
-// openCount returns the number of open jobs.
+// openCount returns the number of open jobs, including those that were final when accepted.
 func (u *users) openCount() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.openJobs)
 }
 
-// awaitCompletion waits until no job is open, but at most three task run times plus completionTimeout. Then it sets
-// FinalStates of every accepted job.
+// awaitCompletion waits until openCount is 0, but at most three task run times plus completionTimeout or until ctx ends.
+// Then it sets FinalStates of every accepted job.
 func (u *users) awaitCompletion(ctx context.Context) {
 	deadline := time.Now().Add(3*u.size.taskTime() + completionTimeout)
 	for u.openCount() > 0 && time.Now().Before(deadline) && ctxtime.Sleep(ctx, time.Second) == nil {
--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -55,7 +55,7 @@
 // Cluster is a running local cluster.
 type Cluster struct {
 	Info        Info
-	Store       *simulation.Store
+	Store       *simulation.Store // empty if Options.StoreAddr is set
 	Environment *simulation.Environment
 
 	options     Options
@@ -186,8 +186,8 @@
 // shutdownTimeout is the maximum time that a stopping HTTP server waits for requests in progress.
 const shutdownTimeout = time.Second
 
-// Stop stops all controllers, machines and servers. It removes the info file if this process wrote it, and keeps the
-// rest of the data directory.
+// Stop stops all controllers, machines and servers. It must be called only once. It removes the info file if this
+// process wrote it, and keeps the rest of the data directory.
 func (c *Cluster) Stop() error {
 	for _, p := range c.controllers {
 		p.stop()
--- a/internal/localcluster/control.go
+++ b/internal/localcluster/control.go
@@ -22,7 +22,7 @@
 	Violations []string                `json:"broken"` // of protocol rules
 }
 
-// History returns the cluster's history so far.
+// History returns the cluster's history so far. It lacks the attempts of workers that Options.StartWorker starts.
 func (c *Cluster) History() History {
 	runs, costs := c.Environment.History()
 	return History{runs, costs, c.Environment.Violations()}
--- a/internal/localcluster/faults.go
+++ b/internal/localcluster/faults.go
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// FailZone simulates a power failure in a zone: its machines are lost, and its controllers crash and restart. It returns
-// the number of machines lost.
+// FailZone simulates a power failure in a zone: its machines that are up are lost, and its controllers crash and restart.
+// It returns the number of machines lost.
 func (c *Cluster) FailZone(zone string) (int, error) {
 	if err := c.checkZone(zone); err != nil {
 		return 0, err
--- a/internal/localcluster/services.go
+++ b/internal/localcluster/services.go
@@ -57,8 +57,8 @@
 	return err
 }
 
-// ServeStore serves a store that persists in the file at path, until ctx ends, and returns its address. onRequest, if
-// set, handles every request first.
+// ServeStore serves a store that persists in the file at path, and returns its address. When ctx ends, it closes the
+// file; the listener stays open until the process ends. onRequest, if set, handles every request first.
 func ServeStore(ctx context.Context, path string, onRequest fiber.Handler) (addr string, err error) {
 	store := simulation.NewStore()
 	file, err := openStoreFile(path, store)
@@ -133,7 +133,7 @@
 }
 
 // runTimeNearEstimate returns the run time of a task: 0.7 to 1.3 times its job's estimate, derived from a hash of the
-// task's name.
+// task's name. It returns 0 if the job is not open.
 func (c *Cluster) runTimeNearEstimate(task string) time.Duration {
 	id, _, _ := strings.Cut(task, "/")
 	j, _ := c.readOpenJob(id)
--- a/internal/localcluster/store_file.go
+++ b/internal/localcluster/store_file.go
@@ -113,6 +113,7 @@
 func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
 // enqueue queues a change for writing, without waiting for the write. The caller must pass changes in their order.
+// After close, enqueue drops them.
 func (f *storeFile) enqueue(c simulation.Change) {
 	f.mu.Lock()
 	if !f.closed {
@@ -210,7 +211,8 @@
 	return nil
 }
 
-// close writes the pending changes and closes the file. It returns the error of the last failed write, if any.
+// close writes the pending changes and closes the file. It returns the error of the last failed write, if any; after
+// such an error, it may drop pending changes.
 func (f *storeFile) close() error {
 	f.mu.Lock()
 	f.closed = true
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,5 +1,6 @@
 // Package scenario replays recorded scenarios in tests. In a scenario file, each line is an event, followed by lines
-// with the decisions that it caused, marked with "> ". Run replays the events and compares the decisions with the file.
+// with the decisions that it caused, marked with "> ". Blank lines and comments, which start with "#", are no events.
+// Run replays the events and compares the decisions with the file.
 package scenario
 
 import (
