--- a/internal/simulation/attempt.go
+++ b/internal/simulation/attempt.go
@@ -44,7 +44,7 @@
 	return a.task
 }
 
-// progressAt returns the task's progress at a time.
+// progressAt returns the task's progress at a time, or its initial progress if the attempt is not running.
 func (a *attempt) progressAt(now time.Time) time.Duration {
 	if a.status != statusRunning {
 		return a.initialProgress
@@ -97,7 +97,8 @@
 	}
 }
 
-// executeLocked executes a controller's commands. A repeated command has no effect.
+// executeLocked executes a controller's commands. A repeated command has no effect, with two exceptions: a kill without
+// a grace period ends an attempt that is saving its checkpoint, and a run after a reap starts the attempt again.
 func (m *Machine) executeLocked(commands []fleet.Command) {
 	m.advanceLocked()
 	for _, c := range commands {
@@ -158,7 +159,7 @@
 // epsilon is the tolerance for rounding errors in sums of resources.
 const epsilon = 1e-9
 
-// rejectionCauseLocked returns why the worker rejects an attempt, or "" if it accepts it.
+// rejectionCauseLocked returns why the worker rejects an attempt, or "" if it accepts it. It does not check GPUs.
 func (m *Machine) rejectionCauseLocked(a *attempt, jobKnown bool) (cause string) {
 	cpus, mem := a.job.CPUs, a.job.MemGB
 	for _, other := range m.tasks {
@@ -234,7 +235,8 @@
 }
 
 // killAttemptLocked stops an attempt. A running attempt first saves a checkpoint if its job saves checkpoints and the
-// grace period is long enough. Otherwise the attempt ends now and keeps the progress of its last periodic checkpoint.
+// grace period is long enough. An attempt that is already saving one completes it unless the grace period is 0.
+// Otherwise the attempt ends now and keeps the progress of its last periodic checkpoint.
 func (m *Machine) killAttemptLocked(a *attempt, c fleet.Command) {
 	now, grace := time.Now(), 0.0
 	if c.GraceS != nil {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -40,7 +40,8 @@
 	return append([]records.MachineType(nil), c.Environment.Types...), c.beginCall(ctx)
 }
 
-// Rent rents machines and returns their names. It returns autoscaler.ErrUnknownOutcome if the response is lost.
+// Rent rents up to r.Count machines and returns their names. It returns autoscaler.ErrNoCapacity if the zone has no
+// capacity, and autoscaler.ErrUnknownOutcome if the response is lost or the controller no longer runs.
 func (c *CloudClient) Rent(ctx context.Context, r autoscaler.RentalRequest) ([]string, error) {
 	if err := c.beginCall(ctx); err != nil {
 		return nil, err
@@ -53,7 +54,7 @@
 	return machines, err
 }
 
-// Return terminates machines.
+// Return terminates machines and removes them from the cloud's list. It ignores unknown names.
 func (c *CloudClient) Return(ctx context.Context, machines []string) error {
 	if err := c.beginCall(ctx); err != nil {
 		return err
--- a/internal/simulation/environment.go
+++ b/internal/simulation/environment.go
@@ -145,7 +145,7 @@
 	return true
 }
 
-// FailZone terminates all machines of a zone without notice, and returns their number.
+// FailZone terminates all machines of a zone that are up, without notice, and returns their number.
 func (env *Environment) FailZone(zone string) int {
 	n := 0
 	for _, m := range env.Machines() {
--- a/internal/simulation/final_checks_test.go
+++ b/internal/simulation/final_checks_test.go
@@ -9,8 +9,8 @@
 )
 
 // wantAllJobsKnown polls every running controller for every job in expectedDone, until the controller has reported each
-// job within 2 s. It fails the test after 15 rounds of polls, 5 s apart. It then requires that all of these jobs are
-// done.
+// job within 2 s. It fails the test after 15 rounds of polls, 5 s apart. It then requires that the first running
+// controller reports all of these jobs as done.
 func (c *cluster) wantAllJobsKnown() {
 	c.t.Helper()
 	for i := range c.controllers {
--- a/internal/simulation/heartbeat.go
+++ b/internal/simulation/heartbeat.go
@@ -77,8 +77,8 @@
 }
 
 // sendHeartbeat sends a heartbeat to a controller, given by its index, and executes the commands in the response. If
-// the heartbeat was not accepted, it returns the index of the controller to try next and the delay before that.
-// Otherwise the delay is 0. ok is false once the environment has ended.
+// the status is not 200, it returns the index of the controller to try next and the delay before that. Otherwise the
+// delay is 0, even if the worker does not accept the response. ok is false once the environment has ended.
 func (m *Machine) sendHeartbeat(controller int, h *sentHeartbeat) (next int, delay time.Duration, ok bool) {
 	env := m.env
 	status, resp, leader := env.Heartbeat(controller, h.body)
--- a/internal/simulation/heartbeat_network_test.go
+++ b/internal/simulation/heartbeat_network_test.go
@@ -24,7 +24,7 @@
 	return c.unreachable[i]
 }
 
-// isUnreachableFromZone reports whether workers of a zone cannot reach a controller.
+// isUnreachableFromZone reports whether another controller is the only one that the workers of a zone can reach.
 func (c *cluster) isUnreachableFromZone(i int, zone string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/idle_check_test.go
+++ b/internal/simulation/idle_check_test.go
@@ -51,7 +51,8 @@
 }
 
 // findIdleMachineLocked returns the name of a machine with room for a waiting task of a job that may run now, or "" if
-// there is none. A gang needs room for all of its waiting tasks. The caller holds the environment's lock.
+// there is none. A job that a user asked to cancel does not count, and no job does if TaskFails is set. A gang needs room
+// for all of its waiting tasks. The caller holds the environment's lock.
 func (env *Environment) findIdleMachineLocked(id string) string {
 	j, ok := env.LookupJob(id)
 	if _, final := env.finalStates[id]; !ok || final || env.cancelRequested[id] || env.TaskFails != nil {
@@ -116,8 +117,8 @@
 	return nil
 }
 
-// anyFault reports whether any injected fault is active. Late copies of heartbeats do not count: no job may wait longer
-// because of them.
+// anyFault reports whether an injected fault is active or there is no leader. Late copies of heartbeats do not count: no
+// job may wait longer because of them. Neither do followers that are down, nor the faults of Client.LoseResponses.
 func (c *cluster) anyFault() bool {
 	c.store.mu.Lock()
 	active := c.store.outage
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -69,7 +69,8 @@
 	return m.addr
 }
 
-// cost returns the cost of the machine until a time, or until now if the time is zero.
+// cost returns the cost of the machine until a time, or until now if the time is zero. It charges at least
+// autoscaler.MinCharge.
 func (m *Machine) cost(to time.Time) RentalCost {
 	end := to
 	if to.IsZero() {
@@ -86,7 +87,7 @@
 }
 
 // removeLocked terminates the machine with all of its tasks. It returns the function that closes the machine's
-// address, which must be called without the lock.
+// address, which must be called without the lock. If the machine is already terminated, that function does nothing.
 func (m *Machine) removeLocked() (closeAddr func()) {
 	if m.terminated {
 		return func() {}
@@ -213,7 +214,8 @@
 	return &sent
 }
 
-// boot boots the machine. It returns false if the machine was terminated meanwhile or the environment has ended.
+// boot boots the machine. It returns false if the machine was terminated meanwhile, its address could not be opened, or
+// the environment has ended.
 func (m *Machine) boot() bool {
 	env := m.env
 	bootTime := env.BootTime
--- a/internal/simulation/random_users_test.go
+++ b/internal/simulation/random_users_test.go
@@ -48,7 +48,8 @@
 }
 
 // pollAggressively sets onJobEvent: whenever a job is accepted, done or cancelled, users poll all controllers several
-// times within milliseconds and repeat the submission. Some users then cancel the job at once.
+// times within milliseconds and repeat the submission. When a job is accepted, a user also sends invalid submissions.
+// Some users cancel an accepted or done job at once.
 func (c *cluster) pollAggressively(seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	var mu sync.Mutex
--- a/internal/simulation/rules_responses.go
+++ b/internal/simulation/rules_responses.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// placeable reports whether a job can ever run: a machine type fits its tasks, and the limit of its team allows the
-// tasks that must run at the same time.
+// placeable reports whether a job can ever run: a machine type fits its tasks, its team exists, and the limit of its
+// team allows the tasks that must run at the same time.
 func (env *Environment) placeable(j records.Job) bool {
 	concurrentTasks := 1.0 // tasks that must run at the same time
 	if j.Shape != records.ShapeArray {
--- a/internal/simulation/serve_store.go
+++ b/internal/simulation/serve_store.go
@@ -62,8 +62,8 @@
 }
 
 // ServeStore registers the routes of the store's API. durable blocks until all changes up to a revision are persisted;
-// no response discloses a change before that. If durable is nil, changes count as persisted at once. Open watches end
-// with ctx.
+// no response discloses a change of an entry before that. It does not wait for lease grants, which do not advance the
+// revision. If durable is nil, changes count as persisted at once. Open watches end with ctx.
 func ServeStore(ctx context.Context, app *fiber.App, s *Store, durable func(revision uint64)) {
 	server := &storeServer{ctx: ctx, store: s, waitDurable: durable}
 	app.Use("/store", server.rejectDuringOutage)
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -64,7 +64,7 @@
 
 // Change is a change of the store, as passed to OnChange.
 type Change struct {
-	Revision     uint64
+	Revision     uint64 // of the store after the change; a change of leases alone does not advance it
 	Writes       []records.KeyValue
 	Deletes      []string // keys
 	LeaseID      uint64   // ID of the lease that was granted; 0: none
@@ -112,7 +112,7 @@
 func (s *Store) refusesLocked(client string) bool { return s.outage || s.refusedClients[client] }
 
 // SetLimits sets the maximum size of a value, number of operations in a transaction, and number of operations per
-// second. Entries already stored are kept.
+// second. For the first two, 0 means no limit. Entries already stored are kept.
 func (s *Store) SetLimits(valueKB float64, txnOps int, writeRPS float64) {
 	s.mu.Lock()
 	s.maxValueKB, s.maxTxnOps = valueKB, txnOps
@@ -213,7 +213,8 @@
 	return entries, false, revision
 }
 
-// commit applies a transaction and returns its revision, or the error of validateTxnLocked or compareLocked. The order
+// commit applies a transaction and returns its revision, or the error of validateTxnLocked, of compareLocked or of
+// encoding a value. The order
 // of the checks is that of the protocol: the size and write rate limits come before the compares, so a transaction with
 // a failed compare uses up write rate.
 func (s *Store) commit(compares []records.Compare, ops []records.Op) (uint64, error) {
--- a/internal/simulation/store_client.go
+++ b/internal/simulation/store_client.go
@@ -143,7 +143,8 @@
 	return c.lastFailed.After(c.lastOK) && c.lastFailed.After(t)
 }
 
-// WaitForWrites blocks until the leader's share of the write rate allows n writes.
+// WaitForWrites blocks until the share set by SetWriteShare allows n writes, or a full burst if n is larger. Without a
+// share it does not wait. It returns an error if ctx ends.
 func (c *Client) WaitForWrites(ctx context.Context, n int) error {
 	if c.writeLimiter == nil {
 		return ctx.Err()
@@ -151,7 +152,8 @@
 	return c.writeLimiter.WaitN(ctx, min(n, c.writeLimiter.Burst()))
 }
 
-// SetWriteShare sets the controller's share of the write rate, in writes per second.
+// SetWriteShare sets the controller's share of the write rate, in writes per second. It must be called before the client
+// is used concurrently.
 func (c *Client) SetWriteShare(writeRPS float64) {
 	c.writeLimiter = rate.NewLimiter(rate.Limit(writeRPS), max(int(writeRPS), 1))
 }
