--- a/client/client.go
+++ b/client/client.go
@@ -48,27 +48,27 @@
 // fields: it has what the service adds, and is read by controllers of several versions, while this
 // type changes only with the protocol, and programs of others are built on it.
 type Job struct {
-	ID          string   `json:"uid"`               // "j-" and digits, unique; see NewID
-	Class       string   `json:"jobclass"`          // class of the job, which service-level objectives name
-	Team        string   `json:"owner"`             // team whose guarantee and limit apply
-	Shape       string   `json:"shape"`             // Batch, Group or Service
-	Priority    string   `json:"urgency"`           // Critical, Urgent, Standard or Low
-	Tasks       int      `json:"shots"`             // number of tasks, 1 to 100,000
-	CPUs        float64  `json:"vcpus"`             // of each task
-	GPUs        float64  `json:"gpus"`              // of each task
-	MemGB       float64  `json:"mem_gb"`            // memory of each task, in GB
-	Image       string   `json:"build"`             // image that the tasks run
-	ImageGB     float64  `json:"size_gb"`           // size of the image, in GB
-	Types       []string `json:"rigs"`              // machine types that are allowed; nil: all
-	Zone        *string  `json:"site"`              // zone that the tasks must run in; nil: any
-	OneZone     bool     `json:"one_zone"`          // all tasks run in the same zone
-	Apart       bool     `json:"apart"`             // no zone has more than half of the tasks, rounded up
-	Spot        bool     `json:"loaners"`           // tasks may run on spot machines
-	EstimateS   float64  `json:"guess_s"`           // estimated run time of a task, in seconds
-	CheckpointS float64  `json:"snapshot_s"`        // interval between checkpoints, in seconds; 0: none
-	SaveS       float64  `json:"flush_s"`           // time to save a checkpoint when stopped, in seconds
-	DeadlineS   *float64 `json:"due_s"`             // deadline, in seconds from the submission; nil: none
-	Needs       []string `json:"prereqs,omitempty"` // IDs of jobs that must be done before any task starts
+	ID           string   `json:"uid"`               // "j-" and digits, unique; see NewID
+	Class        string   `json:"jobclass"`          // class of the job, which service-level objectives name
+	Team         string   `json:"owner"`             // team whose guarantee and limit apply
+	Shape        string   `json:"shape"`             // Batch, Group or Service
+	Priority     string   `json:"urgency"`           // Critical, Urgent, Standard or Low
+	Tasks        int      `json:"shots"`             // number of tasks, 1 to 100,000
+	CPUs         float64  `json:"vcpus"`             // of each task
+	GPUs         float64  `json:"gpus"`              // of each task
+	MemGB        float64  `json:"mem_gb"`            // memory of each task, in GB
+	Image        string   `json:"build"`             // image that the tasks run
+	ImageGB      float64  `json:"size_gb"`           // size of the image, in GB
+	Types        []string `json:"rigs"`              // machine types that are allowed; nil: all
+	Zone         *string  `json:"site"`              // zone that the tasks must run in; nil: any
+	OneZone      bool     `json:"one_zone"`          // all tasks run in the same zone
+	SpreadZones  bool     `json:"apart"`             // no zone has more than half of the tasks, rounded up
+	Spot         bool     `json:"loaners"`           // tasks may run on spot machines
+	EstimateS    float64  `json:"guess_s"`           // estimated run time of a task, in seconds
+	CheckpointS  float64  `json:"snapshot_s"`        // interval between checkpoints, in seconds; 0: none
+	SaveS        float64  `json:"flush_s"`           // time to save a checkpoint when stopped, in seconds
+	DeadlineS    *float64 `json:"due_s"`             // deadline, in seconds from the submission; nil: none
+	Dependencies []string `json:"prereqs,omitempty"` // IDs of jobs that must be done before any task starts
 }
 
 // Status is the status of a job.
@@ -79,8 +79,8 @@
 	Running int    `json:"running"` // tasks that run now
 }
 
-// Over reports whether the status is final.
-func (s Status) Over() bool { return s.Status == Done || s.Status == Cancelled }
+// IsFinal reports whether the status is final.
+func (s Status) IsFinal() bool { return s.Status == Done || s.Status == Cancelled }
 
 var (
 	// ErrNotFound is returned if there is no such job, machine or drain.
@@ -97,19 +97,19 @@
 
 func (e *RefusedError) Error() string { return e.Reason }
 
-// Patience holds the time-outs of a client.
-type Patience struct {
-	Total     time.Duration // how long a request is repeated
-	Submit    time.Duration // time-out of a single submission
-	Poll      time.Duration // time-out of any other single request
-	Pause     time.Duration // pause before a request is repeated, if the service asks for no longer one
-	MostPause time.Duration // longest pause that the service can ask for
+// RetryPolicy holds the time-outs of a client.
+type RetryPolicy struct {
+	TotalTimeout   time.Duration // how long a request is repeated
+	SubmitTimeout  time.Duration // time-out of a single submission
+	RequestTimeout time.Duration // time-out of any other single request
+	MinDelay       time.Duration // pause before a request is repeated, if the service asks for no longer one
+	MaxDelay       time.Duration // longest pause that the service can ask for
 }
 
-// DefaultPatience holds the time-outs of the protocol.
-var DefaultPatience = Patience{
-	Total: time.Minute, Submit: 5 * time.Second, Poll: 2 * time.Second,
-	Pause: time.Second, MostPause: 30 * time.Second,
+// DefaultRetryPolicy holds the time-outs of the protocol.
+var DefaultRetryPolicy = RetryPolicy{
+	TotalTimeout: time.Minute, SubmitTimeout: 5 * time.Second, RequestTimeout: 2 * time.Second,
+	MinDelay: time.Second, MaxDelay: 30 * time.Second,
 }
 
 // defaultPollInterval is the pause between the polls of Wait.
@@ -120,8 +120,8 @@
 
 // Client calls controllers, one at a time. It is safe for concurrent use once its fields are set.
 type Client struct {
-	Patience Patience
-	Every    time.Duration // pause between the polls of Wait, give or take a quarter
+	RetryPolicy  RetryPolicy
+	PollInterval time.Duration // pause between the polls of Wait, give or take a quarter
 
 	controllers []*httpclient.Client
 	preferred   atomic.Uint32 // index of the controller that answered last
@@ -132,12 +132,12 @@
 	if len(addrs) == 0 {
 		return nil, errors.New("no controller's address is given")
 	}
-	c := &Client{Patience: DefaultPatience, Every: defaultPollInterval}
+	c := &Client{RetryPolicy: DefaultRetryPolicy, PollInterval: defaultPollInterval}
 	for _, addr := range addrs {
 		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
 			return nil, fmt.Errorf("controller's address %q is not host:port", addr)
 		}
-		c.controllers = append(c.controllers, httpclient.New(addr, maxConnections, DefaultPatience.Poll))
+		c.controllers = append(c.controllers, httpclient.New(addr, maxConnections, DefaultRetryPolicy.RequestTimeout))
 	}
 	c.preferred.Store(rand.Uint32N(uint32(len(addrs))))
 	return c, nil
--- a/client/operator.go
+++ b/client/operator.go
@@ -12,25 +12,25 @@
 
 // Machine is a machine as the leader sees it.
 type Machine struct {
-	Name    string  `json:"name"`
-	Type    string  `json:"type"`              // machine type
-	Zone    string  `json:"zone"`              // zone that it is in
-	Spot    bool    `json:"spot"`              // a spot machine, which the cloud may take back
-	Addr    string  `json:"addr"`              // host:port of its worker
-	State   string  `json:"state"`             // such as "up"
-	AgeS    float64 `json:"age_s,omitempty"`   // seconds since it was requested from the cloud
-	Version string  `json:"version,omitempty"` // version of its worker
-	Count   int     `json:"tasks"`             // number of tasks on it
-	Tasks   []Task  `json:"on_it,omitempty"`   // the tasks, where a machine is asked for by itself
+	Name      string  `json:"name"`
+	Type      string  `json:"type"`              // machine type
+	Zone      string  `json:"zone"`              // zone that it is in
+	Spot      bool    `json:"spot"`              // a spot machine, which the cloud may take back
+	Addr      string  `json:"addr"`              // host:port of its worker
+	State     string  `json:"state"`             // such as "up"
+	AgeS      float64 `json:"age_s,omitempty"`   // seconds since it was requested from the cloud
+	Version   string  `json:"version,omitempty"` // version of its worker
+	TaskCount int     `json:"tasks"`             // number of tasks on it
+	Tasks     []Task  `json:"on_it,omitempty"`   // the tasks, where a machine is asked for by itself
 }
 
 // Task is an attempt of a task on a machine.
 type Task struct {
-	Task  string  `json:"task"`            // job ID and index, such as "j-1/0"
-	Try   uint64  `json:"attempt"`         // number of the attempt
-	State string  `json:"state"`           // such as "running"
-	RanS  float64 `json:"ran_s"`           // seconds that it has run
-	Stops bool    `json:"stops,omitempty"` // it is being stopped
+	Task     string  `json:"task"`            // job ID and index, such as "j-1/0"
+	Attempt  uint64  `json:"attempt"`         // number of the attempt
+	State    string  `json:"state"`           // such as "running"
+	RanS     float64 `json:"ran_s"`           // seconds that it has run
+	Stopping bool    `json:"stops,omitempty"` // it is being stopped
 }
 
 // Machines returns all machines, ordered by name.
@@ -41,7 +41,7 @@
 			Machines []Machine `json:"machines"`
 			More     bool      `json:"more"`
 		}
-		if err := c.call(ctx, http.MethodGet, "/operator/machines?since="+url.QueryEscape(since), nil, "machines", &page); err != nil {
+		if err := c.requestJSON(ctx, http.MethodGet, "/operator/machines?since="+url.QueryEscape(since), nil, "machines", &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
@@ -55,7 +55,7 @@
 // Machine returns one machine with its tasks.
 func (c *Client) Machine(ctx context.Context, name string) (Machine, error) {
 	var m Machine
-	return m, c.call(ctx, http.MethodGet, "/operator/machines/"+url.PathEscape(name), nil, "machine "+name, &m)
+	return m, c.requestJSON(ctx, http.MethodGet, "/operator/machines/"+url.PathEscape(name), nil, "machine "+name, &m)
 }
 
 // Kinds of drains.
@@ -67,8 +67,8 @@
 
 // What becomes of empty machines.
 const (
-	ThenKeep   = drain.Keep   // they stay, empty
-	ThenReturn = drain.Return // they are returned to the cloud
+	WhenEmptyKeep   = drain.Keep   // they stay, empty
+	WhenEmptyReturn = drain.Return // they are returned to the cloud
 )
 
 type (
@@ -104,7 +104,7 @@
 	var all DrainPlan
 	for more := true; more; {
 		var page DrainPlan
-		if err := c.call(ctx, http.MethodPost, "/operator/drains/plan", d, "drain", &page); err != nil {
+		if err := c.requestJSON(ctx, http.MethodPost, "/operator/drains/plan", d, "drain", &page); err != nil {
 			return all, err
 		}
 		page.Machines = append(all.Machines, page.Machines...)
@@ -119,7 +119,7 @@
 // StartDrain starts a drain, until a controller answers. To start it again, under its ID, is no error.
 func (c *Client) StartDrain(ctx context.Context, d Drain) (DrainView, error) {
 	var v DrainView
-	return v, c.call(ctx, http.MethodPost, "/operator/drains", d, "drain "+d.ID, &v)
+	return v, c.requestJSON(ctx, http.MethodPost, "/operator/drains", d, "drain "+d.ID, &v)
 }
 
 // Drains returns all drains, stopped ones included.
@@ -127,17 +127,17 @@
 	var out struct {
 		Drains []DrainView `json:"drains"`
 	}
-	return out.Drains, c.call(ctx, http.MethodGet, "/operator/drains", nil, "drains", &out)
+	return out.Drains, c.requestJSON(ctx, http.MethodGet, "/operator/drains", nil, "drains", &out)
 }
 
 // Drain returns one drain with its progress.
 func (c *Client) Drain(ctx context.Context, id string) (DrainView, error) {
 	var v DrainView
-	return v, c.call(ctx, http.MethodGet, "/operator/drains/"+url.PathEscape(id), nil, "drain "+id, &v)
+	return v, c.requestJSON(ctx, http.MethodGet, "/operator/drains/"+url.PathEscape(id), nil, "drain "+id, &v)
 }
 
 // StopDrain stops a drain: its machines take tasks again.
 func (c *Client) StopDrain(ctx context.Context, id string) (DrainView, error) {
 	var v DrainView
-	return v, c.call(ctx, http.MethodPost, "/operator/drains/"+url.PathEscape(id)+"/stop", struct{}{}, "drain "+id, &v)
+	return v, c.requestJSON(ctx, http.MethodPost, "/operator/drains/"+url.PathEscape(id)+"/stop", struct{}{}, "drain "+id, &v)
 }
--- a/cmd/drumpick/daemon.go
+++ b/cmd/drumpick/daemon.go
@@ -58,10 +58,10 @@
 	bufferBytes = 4096
 )
 
-// run serves until the process is killed, or an address can no longer be served. There is no
+// runDaemon serves until the process is killed, or an address can no longer be served. There is no
 // orderly shutdown: a controller may end at any moment, and its lease on the leader key expires by
 // itself.
-func run(cfg *config.Config) error {
+func runDaemon(cfg *config.Config) error {
 	setLogging(os.Getenv("LOG_LEVEL"))
 	limitRuntime(cfg.Deployment.Resources)
 	logWarnings(cfg)
@@ -95,12 +95,12 @@
 	cfg    *config.Config
 	timing config.Timing
 
-	store    *store.Client
-	cloud    *cloud.Client
-	peers    *peer.Peers
-	workers  *workers.Caller
-	election *election.Election
-	observer watermark.Observer // what leaders have attested of their watermarks
+	store        *store.Client
+	cloud        *cloud.Client
+	peers        *peer.Peers
+	workers      *workers.Caller
+	election     *election.Election
+	attestations watermark.Observer // what leaders have attested of their watermarks
 
 	currentLeader atomic.Pointer[leader.Leader] // nil while this process does not lead
 	api           *api.Server
@@ -114,9 +114,9 @@
 		cfg:     cfg,
 		timing:  timing,
 		store:   newStoreClient(cfg, timing),
-		cloud:   cloud.NewClient(cfg.External.Cloud, cfg.Deployment.Cloud.RPS, timing.Cloud),
-		peers:   peer.NewPeers(cfg.Peers, timing.Peer),
-		workers: workers.NewCaller(max(descriptors/workerConnectionsDivisor, minWorkerConnections), timing.Worker),
+		cloud:   cloud.NewClient(cfg.External.Cloud, cfg.Deployment.Cloud.RPS, timing.CloudTimeout),
+		peers:   peer.NewPeers(cfg.Peers, timing.PeerTimeout),
+		workers: workers.NewCaller(max(descriptors/workerConnectionsDivisor, minWorkerConnections), timing.WorkerTimeout),
 	}
 	incarnation := strconv.FormatUint(rand.Uint64(), 36)
 	d.election = election.New(d.store, cfg.Node, incarnation, timing.LeaderLease, cfg.Options.Watermarks)
@@ -126,18 +126,18 @@
 }
 
 func newStoreClient(cfg *config.Config, timing config.Timing) *store.Client {
-	limits := cfg.Deployment.State.Lowest()
-	return store.NewClient(cfg.External.State, store.Limits{
+	limits := cfg.Deployment.Store.Lowest()
+	return store.NewClient(cfg.External.Store, store.Limits{
 		RPS:            limits.RPS,
 		WriteRPS:       limits.WriteRPS,
 		Controllers:    cfg.Deployment.Nodes,
 		MaxConnections: max(cfg.Deployment.Resources.FDLimit/storeConnectionsDivisor, minStoreConnections),
-		Timeout:        timing.Store,
+		Timeout:        timing.StoreTimeout,
 	})
 }
 
 // leaderForAPI returns the leader in this process, or a nil interface.
-func (d *daemon) leaderForAPI() api.Local {
+func (d *daemon) leaderForAPI() api.Leader {
 	if l := d.currentLeader.Load(); l != nil {
 		return l
 	}
@@ -145,7 +145,7 @@
 }
 
 // leaderForOperators returns the leader in this process, or a nil interface.
-func (d *daemon) leaderForOperators() operator.Local {
+func (d *daemon) leaderForOperators() operator.Leader {
 	if l := d.currentLeader.Load(); l != nil {
 		return l
 	}
@@ -186,7 +186,7 @@
 	connections := d.cfg.Deployment.Resources.FDLimit * userConnectionsPercent / 100
 	app := newApp(connections, config.Seconds(d.cfg.Deployment.Workers.LeaseS))
 	d.api.Mount(app)
-	if d.cfg.Options.Operators {
+	if d.cfg.Options.OperatorAPI {
 		d.operators.Mount(app)
 	}
 	return app
@@ -205,24 +205,24 @@
 
 func (d *daemon) peerHandlers() peer.Handlers {
 	handlers := peer.Handlers{
-		Status:         d.peerStatus,
-		Progress:       d.peerProgress,
-		Relay:          d.api.Relay,
-		RelayHeartbeat: d.api.RelayedHeartbeat,
-		Cancelled:      d.api.NotifyCancelled,
+		Status:          d.peerStatus,
+		Progress:        d.peerProgress,
+		Relay:           d.api.HandleRelayedRequest,
+		RelayHeartbeat:  d.api.HandleRelayedHeartbeat,
+		NotifyCancelled: d.api.HandleCancellation,
 	}
-	if d.cfg.Options.Operators {
-		handlers.Operate = d.operators.Decide
+	if d.cfg.Options.OperatorAPI {
+		handlers.RelayOperatorRequest = d.operators.HandleAsLeader
 	}
 	if d.cfg.Options.HeartbeatRelay {
-		handlers.RelayHeartbeats = d.api.RelayedHeartbeats
+		handlers.RelayHeartbeats = d.api.HandleHeartbeatBatch
 	}
 	return handlers
 }
 
 func (d *daemon) peerStatus(request peer.StatusRequest) peer.Status {
 	status := peer.StatusOf(d.cfg.Node, d.store, d.api.Cancellations(), request)
-	return status.WithAttestations(&d.observer, request.Attestation, d.api.SinceRenewal())
+	return status.WithAttestations(&d.attestations, request.Attestation, d.api.SinceWorkerRenewal())
 }
 
 func (d *daemon) peerProgress(job string) peer.Progress {
@@ -245,24 +245,24 @@
 // startBackground starts what the controller does beside answering, which goes on until ctx ends.
 func (d *daemon) startBackground(ctx context.Context) {
 	if d.cfg.Options.HeartbeatRelay {
-		go d.api.OfferRelay(ctx)
+		go d.api.AnnounceRelay(ctx)
 	}
 	go d.api.WatchPeers(ctx)
-	go d.learnMachineTypes(ctx)
-	go d.election.Run(ctx, d.lead)
+	go d.refreshMachineTypes(ctx)
+	go d.election.Run(ctx, d.leadTerm)
 }
 
-// lead serves one term of leadership.
-func (d *daemon) lead(ctx context.Context, term uint64) {
-	l := leader.New(d.cfg, d.store, d.cloud, d.election, d.peers, d.workers, &d.observer, d.api.Cancellations(), term)
+// leadTerm serves one term of leadership.
+func (d *daemon) leadTerm(ctx context.Context, term uint64) {
+	l := leader.New(d.cfg, d.store, d.cloud, d.election, d.peers, d.workers, &d.attestations, d.api.Cancellations(), term)
 	d.currentLeader.Store(l)
 	defer d.currentLeader.Store(nil)
 	l.Run(ctx)
 }
 
-// learnMachineTypes keeps the API's machine types: from the store, or from the cloud itself where
+// refreshMachineTypes keeps the API's machine types: from the store, or from the cloud itself where
 // no leader has stored them yet.
-func (d *daemon) learnMachineTypes(ctx context.Context) {
+func (d *daemon) refreshMachineTypes(ctx context.Context) {
 	interval := d.timing.HeartbeatInterval
 	retryPause := interval / 8
 	for {
--- a/cmd/drumpick/main.go
+++ b/cmd/drumpick/main.go
@@ -18,7 +18,7 @@
 var version = "0.2.0-dev"
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := newCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "drumpick:", err)
 		os.Exit(1)
 	}
@@ -42,8 +42,8 @@
 	return cfg, err
 }
 
-// command is the command line: without a subcommand it runs the daemon.
-func command() *cobra.Command {
+// newCommand is the command line: without a subcommand it runs the daemon.
+func newCommand() *cobra.Command {
 	var flags settingsFlags
 	root := &cobra.Command{
 		Use:           "drumpick",
@@ -57,17 +57,17 @@
 			if err != nil {
 				return err
 			}
-			return run(cfg)
+			return runDaemon(cfg)
 		},
 	}
 	root.PersistentFlags().StringVar(&flags.configPath, "config", "", "settings `file` of the platform (TOML)")
 	root.PersistentFlags().StringVar(&flags.optionsPath, "options", "", "operators' settings `file` (INI)")
-	root.AddCommand(checkCommand(&flags))
+	root.AddCommand(newCheckCommand(&flags))
 	root.CompletionOptions.DisableDefaultCmd = true
 	return root
 }
 
-func checkCommand(flags *settingsFlags) *cobra.Command {
+func newCheckCommand(flags *settingsFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
 		Short: "Check the settings and exit",
--- a/cmd/drumpickctl/demo.go
+++ b/cmd/drumpickctl/demo.go
@@ -21,10 +21,10 @@
 )
 
 //go:embed sample.yaml
-var sample []byte
+var sampleJobs []byte
 
 // demo runs the sample jobs on a local cluster of their own.
-func (f *flags) demo(cmd *cobra.Command, o localcluster.Options) error {
+func (f *globalFlags) demo(cmd *cobra.Command, o localcluster.Options) error {
 	data := f.dataDir
 	if data == "" {
 		dir, err := os.MkdirTemp("", "drumpick-demo-")
@@ -38,10 +38,10 @@
 }
 
 // runSample runs the sample jobs and prints what became of them.
-func (f *flags) runSample(cmd *cobra.Command, cluster *localcluster.Cluster) error {
+func (f *globalFlags) runSample(cmd *cobra.Command, cluster *localcluster.Cluster) error {
 	errs := cmd.ErrOrStderr()
 	fmt.Fprintf(errs, "three controllers, a state service and a cloud run on loopback; submitting sample jobs\n")
-	jobs, err := jobspec.Read("sample.yaml", bytes.NewReader(sample), client.NewID)
+	jobs, err := jobspec.Read("sample.yaml", bytes.NewReader(sampleJobs), client.NewID)
 	if err != nil {
 		return err
 	}
@@ -61,8 +61,8 @@
 		}
 	}
 	h := cluster.History()
-	res := demoResult(jobs, states, h, began)
-	if err := f.print(cmd.OutOrStdout(), res, func(w io.Writer) { showDemo(w, res, began) }); err != nil {
+	res := newSampleResult(jobs, states, h, began)
+	if err := f.printOutput(cmd.OutOrStdout(), res, func(w io.Writer) { showDemo(w, res, began) }); err != nil {
 		return err
 	}
 	if len(h.Violations) > 0 {
@@ -72,7 +72,7 @@
 }
 
 // finishSample waits until the jobs that end by themselves are final, cancels the others, and updates the states.
-func (f *flags) finishSample(cmd *cobra.Command, c *client.Client, jobs []jobspec.NamedJob, states []client.Status) error {
+func (f *globalFlags) finishSample(cmd *cobra.Command, c *client.Client, jobs []jobspec.NamedJob, states []client.Status) error {
 	var ending []client.Status
 	for i, j := range jobs {
 		if j.Shape != client.Service {
@@ -97,27 +97,27 @@
 
 // jobResult is what became of a sample job. Times are in seconds since the demo began.
 type jobResult struct {
-	Name     string   `json:"name"`
-	ID       string   `json:"id"`
-	Status   string   `json:"status"`
-	Tasks    int      `json:"tasks"`
-	Starts   int      `json:"starts"`
-	FirstS   float64  `json:"first_start_s"`
-	LastS    float64  `json:"last_end_s"`
-	Machines []string `json:"machines"`
-	Zones    []string `json:"zones"`
+	Name        string   `json:"name"`
+	ID          string   `json:"id"`
+	Status      string   `json:"status"`
+	Tasks       int      `json:"tasks"`
+	Starts      int      `json:"starts"`
+	FirstStartS float64  `json:"first_start_s"`
+	LastEndS    float64  `json:"last_end_s"`
+	Machines    []string `json:"machines"`
+	Zones       []string `json:"zones"`
 }
 
-// result is what became of the sample jobs.
-type result struct {
-	Jobs []jobResult          `json:"jobs"`
-	Ran  localcluster.History `json:"history"`
-	Cost float64              `json:"cost"`
+// sampleResult is what became of the sample jobs.
+type sampleResult struct {
+	Jobs    []jobResult          `json:"jobs"`
+	History localcluster.History `json:"history"`
+	Cost    float64              `json:"cost"`
 }
 
-// demoResult works out what became of the sample jobs.
-func demoResult(jobs []jobspec.NamedJob, states []client.Status, h localcluster.History, began time.Time) result {
-	res := result{Ran: h}
+// newSampleResult works out what became of the sample jobs.
+func newSampleResult(jobs []jobspec.NamedJob, states []client.Status, h localcluster.History, began time.Time) sampleResult {
+	res := sampleResult{History: h}
 	for i, j := range jobs {
 		out := jobResult{Name: j.Name, ID: j.ID, Status: states[i].Status, Tasks: j.Tasks}
 		machines, zones := map[string]bool{}, map[string]bool{}
@@ -126,11 +126,11 @@
 				continue
 			}
 			from, to := ran.Started.Sub(began).Seconds(), ran.Ended.Sub(began).Seconds()
-			if out.Starts == 0 || from < out.FirstS {
-				out.FirstS = from
+			if out.Starts == 0 || from < out.FirstStartS {
+				out.FirstStartS = from
 			}
 			out.Starts++
-			out.LastS = max(out.LastS, to)
+			out.LastEndS = max(out.LastEndS, to)
 			machines[ran.Machine], zones[ran.Zone] = true, true
 		}
 		out.Machines, out.Zones = slices.Sorted(maps.Keys(machines)), slices.Sorted(maps.Keys(zones))
@@ -143,16 +143,16 @@
 }
 
 // showDemo prints a result, after a demo that began at a time.
-func showDemo(w io.Writer, res result, began time.Time) {
-	h := res.Ran
+func showDemo(w io.Writer, res sampleResult, began time.Time) {
+	h := res.History
 	fmt.Fprintln(w, "\nJOB\tID\tSTATUS\tTASKS\tSTARTS\tFIRST START\tLAST END\tMACHINES\tZONES")
 	for _, j := range res.Jobs {
-		first, last := fmt.Sprintf("%.1fs", j.FirstS), fmt.Sprintf("%.1fs", j.LastS)
+		first, last := fmt.Sprintf("%.1fs", j.FirstStartS), fmt.Sprintf("%.1fs", j.LastEndS)
 		if j.Starts == 0 {
 			first, last = "-", "-"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\t%s\n", j.Name, j.ID, j.Status, j.Tasks, j.Starts, first, last,
-			short(j.Machines), strings.Join(j.Zones, " "))
+			abbreviateList(j.Machines), strings.Join(j.Zones, " "))
 	}
 	fmt.Fprintln(w, "\nMACHINE\tTYPE\tZONE\tKIND\tTASKS\tCOST")
 	for _, b := range h.Costs {
@@ -162,14 +162,14 @@
 				n++
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4f\n", b.Machine, b.Type, b.Zone, kind(b.Spot), n, b.Cost)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.4f\n", b.Machine, b.Type, b.Zone, machineKind(b.Spot), n, b.Cost)
 	}
 	fmt.Fprintf(w, "\n%d starts on %d machines in %.0fs, cost %.4f; rules broken: %d\n",
 		len(h.Runs), len(h.Costs), time.Since(began).Seconds(), res.Cost, len(h.Violations))
 }
 
-// short returns a list of names, shortened after the first few.
-func short(names []string) string {
+// abbreviateList returns a list of names, shortened after the first few.
+func abbreviateList(names []string) string {
 	if len(names) > 3 {
 		return fmt.Sprintf("%s and %d more", strings.Join(names[:3], " "), len(names)-3)
 	}
--- a/cmd/drumpickctl/drains.go
+++ b/cmd/drumpickctl/drains.go
@@ -18,51 +18,51 @@
 
 // drainFlags are the flags that describe a drain.
 type drainFlags struct {
-	spec         client.Drain
-	cordon       bool
-	older, in    time.Duration
-	by           string
-	rule, zone   string
-	starts       string
-	length, lead time.Duration
-	upgrade      string
+	spec                     client.Drain
+	cordon                   bool
+	olderThan, deadlineIn    time.Duration
+	deadlineAt               string
+	windowRule, windowZone   string
+	windowStart              string
+	windowLength, windowLead time.Duration
+	upgradeTo                string
 }
 
-func (x *drainFlags) add(cmd *cobra.Command) {
+func (x *drainFlags) register(cmd *cobra.Command) {
 	fl := cmd.Flags()
 	fl.StringVar(&x.spec.ID, "id", "", "`id` of the drain, d- and digits (else a new one); repeated under it nothing happens twice")
 	fl.StringVar(&x.spec.Type, "type", "", "machines of a `type`")
 	fl.StringVar(&x.spec.Zone, "zone", "", "machines of a `zone`")
-	fl.DurationVar(&x.older, "older-than", 0, "machines rented at least so long ago")
+	fl.DurationVar(&x.olderThan, "older-than", 0, "machines rented at least so long ago")
 	fl.StringVar(&x.spec.Version, "worker-version", "", "machines whose worker has a `version`")
 	fl.BoolVar(&x.cordon, "cordon", false, "mark only: no new tasks, what runs goes on")
-	fl.StringVar(&x.by, "by", "", "`time` by which they must be empty, as 2006-01-02T15:04 here, or RFC 3339")
-	fl.DurationVar(&x.in, "in", 0, "the same, from now on")
-	fl.StringVar(&x.spec.WhenEmpty, "then", client.ThenKeep, "`keep` empty machines, or return them to the cloud")
-	fl.StringVar(&x.upgrade, "upgrade-to", "", "roll machines over to a worker's `version`")
+	fl.StringVar(&x.deadlineAt, "by", "", "`time` by which they must be empty, as 2006-01-02T15:04 here, or RFC 3339")
+	fl.DurationVar(&x.deadlineIn, "in", 0, "the same, from now on")
+	fl.StringVar(&x.spec.WhenEmpty, "then", client.WhenEmptyKeep, "`keep` empty machines, or return them to the cloud")
+	fl.StringVar(&x.upgradeTo, "upgrade-to", "", "roll machines over to a worker's `version`")
 	fl.IntVar(&x.spec.MaxOutOfService, "at-once", 0, "of an upgrade: how many machines are out of service at a time (1)")
 	fl.IntVar(&x.spec.MinInService, "keep-up", 0, "of an upgrade: how many stay in service in each zone, and for each class")
-	fl.StringVar(&x.rule, "window", "", "hold only in windows, by an RFC 5545 `RRULE` such as FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0")
-	fl.StringVar(&x.zone, "window-zone", "", "time `zone` of the windows, such as Europe/Warsaw (else TZ)")
-	fl.StringVar(&x.starts, "window-starts", "", "first window, as 2006-01-02T15:04 in that zone; the rule counts from it")
-	fl.DurationVar(&x.length, "window-for", 2*time.Hour, "how long each window is")
-	fl.DurationVar(&x.lead, "window-lead", 0, "empty machines so long ahead that they are empty when a window starts")
+	fl.StringVar(&x.windowRule, "window", "", "hold only in windows, by an RFC 5545 `RRULE` such as FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0")
+	fl.StringVar(&x.windowZone, "window-zone", "", "time `zone` of the windows, such as Europe/Warsaw (else TZ)")
+	fl.StringVar(&x.windowStart, "window-starts", "", "first window, as 2006-01-02T15:04 in that zone; the rule counts from it")
+	fl.DurationVar(&x.windowLength, "window-for", 2*time.Hour, "how long each window is")
+	fl.DurationVar(&x.windowLead, "window-lead", 0, "empty machines so long ahead that they are empty when a window starts")
 }
 
-// drain returns the drain that the flags and the names of machines describe.
-func (x *drainFlags) drain(names []string, now time.Time) (client.Drain, error) {
+// buildDrain returns the drain that the flags and the names of machines describe.
+func (x *drainFlags) buildDrain(names []string, now time.Time) (client.Drain, error) {
 	d := x.spec
-	d.Machines, d.Kind, d.OlderThanS = names, client.DrainEmpty, x.older.Seconds()
+	d.Machines, d.Kind, d.OlderThanS = names, client.DrainEmpty, x.olderThan.Seconds()
 	if d.ID == "" {
 		d.ID = client.NewDrainID()
 	}
 	switch {
-	case x.cordon && x.upgrade != "":
-		return d, usage("--cordon and --upgrade-to exclude each other")
+	case x.cordon && x.upgradeTo != "":
+		return d, usageError("--cordon and --upgrade-to exclude each other")
 	case x.cordon:
 		d.Kind = client.DrainCordon
-	case x.upgrade != "":
-		d.Kind, d.TargetVersion = client.DrainUpgrade, x.upgrade
+	case x.upgradeTo != "":
+		d.Kind, d.TargetVersion = client.DrainUpgrade, x.upgradeTo
 		if d.MaxOutOfService == 0 {
 			d.MaxOutOfService = 1
 		}
@@ -71,68 +71,68 @@
 	if d.DeadlineMS, err = x.deadline(now); err != nil {
 		return d, err
 	}
-	d.Window, err = x.window()
+	d.Window, err = x.buildWindow()
 	return d, err
 }
 
-// localTime is the form of times without a time zone.
-const localTime = "2006-01-02T15:04"
+// localTimeLayout is the form of times without a time zone.
+const localTimeLayout = "2006-01-02T15:04"
 
 // deadline returns the time by which the machines must be empty, in milliseconds; 0: there is none.
 func (x *drainFlags) deadline(now time.Time) (int64, error) {
 	switch {
-	case x.by != "" && x.in != 0:
-		return 0, usage("--by and --in exclude each other")
-	case x.in != 0:
-		return now.Add(x.in).UnixMilli(), nil
-	case x.by == "":
+	case x.deadlineAt != "" && x.deadlineIn != 0:
+		return 0, usageError("--by and --in exclude each other")
+	case x.deadlineIn != 0:
+		return now.Add(x.deadlineIn).UnixMilli(), nil
+	case x.deadlineAt == "":
 		return 0, nil
 	}
-	at, err := time.ParseInLocation(localTime, x.by, now.Location())
+	at, err := time.ParseInLocation(localTimeLayout, x.deadlineAt, now.Location())
 	if err != nil {
-		at, err = time.Parse(time.RFC3339, x.by)
+		at, err = time.Parse(time.RFC3339, x.deadlineAt)
 	}
 	if err != nil {
-		return 0, usage("--by: %q is no time such as 2026-01-31T22:00", x.by)
+		return 0, usageError("--by: %q is no time such as 2026-01-31T22:00", x.deadlineAt)
 	}
 	return at.UnixMilli(), nil
 }
 
-// window returns the windows in which the drain holds; nil: it always does.
-func (x *drainFlags) window() (*client.Window, error) {
-	if x.rule == "" {
+// buildWindow returns the windows in which the drain holds; nil: it always does.
+func (x *drainFlags) buildWindow() (*client.Window, error) {
+	if x.windowRule == "" {
 		return nil, nil
 	}
-	zone := x.zone
+	zone := x.windowZone
 	if zone == "" {
 		zone = os.Getenv("TZ")
 	}
 	if zone == "" {
-		return nil, usage("--window-zone is missing: the time zone that the rule is meant in")
+		return nil, usageError("--window-zone is missing: the time zone that the rule is meant in")
 	}
 	return &client.Window{
-		Rule: x.rule, TimeZone: zone, DurationS: x.length.Seconds(), LeadS: x.lead.Seconds(), FirstStart: x.starts,
+		Rule: x.windowRule, TimeZone: zone, DurationS: x.windowLength.Seconds(), LeadS: x.windowLead.Seconds(), FirstStart: x.windowStart,
 	}, nil
 }
 
-func drainCommand(f *flags) *cobra.Command {
+func drainCommand(f *globalFlags) *cobra.Command {
 	cmd := &cobra.Command{Use: "drain", Short: "Empty machines, for good, for a while, or to upgrade them"}
 	cmd.AddCommand(planDrainCommand(f), startDrainCommand(f), listDrainsCommand(f),
-		oneDrain(f, "show DRAIN", "Show a drain: what was planned, and what happened", (*client.Client).Drain),
-		oneDrain(f, "stop DRAIN", "Withdraw a drain: its machines take tasks again", (*client.Client).StopDrain))
+		singleDrainCommand(f, "show DRAIN", "Show a drain: what was planned, and what happened", (*client.Client).Drain),
+		singleDrainCommand(f, "stop DRAIN", "Withdraw a drain: its machines take tasks again", (*client.Client).StopDrain))
 	return cmd
 }
 
-func planDrainCommand(f *flags) *cobra.Command {
+func planDrainCommand(f *globalFlags) *cobra.Command {
 	var x drainFlags
 	cmd := &cobra.Command{
 		Use: "plan [MACHINE...]", Short: "Tell what a drain would do to each task and class; changes nothing",
 		RunE: func(cmd *cobra.Command, names []string) error {
-			d, err := x.drain(names, time.Now())
+			d, err := x.buildDrain(names, time.Now())
 			if err != nil {
 				return err
 			}
-			c, err := f.client()
+			c, err := f.newClient()
 			if err != nil {
 				return err
 			}
@@ -141,24 +141,24 @@
 			if err != nil {
 				return err
 			}
-			return f.print(cmd.OutOrStdout(), p, func(w io.Writer) { showPlan(w, p) })
+			return f.printOutput(cmd.OutOrStdout(), p, func(w io.Writer) { showPlan(w, p) })
 		},
 	}
-	x.add(cmd)
+	x.register(cmd)
 	return cmd
 }
 
-func startDrainCommand(f *flags) *cobra.Command {
+func startDrainCommand(f *globalFlags) *cobra.Command {
 	var x drainFlags
 	var wait, force bool
 	cmd := &cobra.Command{
 		Use: "start [MACHINE...]", Short: "Start a drain, of machines by name, type, zone, age or version",
 		RunE: func(cmd *cobra.Command, names []string) error {
-			d, err := x.drain(names, time.Now())
+			d, err := x.buildDrain(names, time.Now())
 			if err != nil {
 				return err
 			}
-			c, err := f.client()
+			c, err := f.newClient()
 			if err != nil {
 				return err
 			}
@@ -171,20 +171,20 @@
 			if err != nil {
 				return err
 			}
-			return f.print(cmd.OutOrStdout(), v, func(w io.Writer) { showDrain(w, v) })
+			return f.printOutput(cmd.OutOrStdout(), v, func(w io.Writer) { showDrain(w, v) })
 		},
 	}
-	x.add(cmd)
+	x.register(cmd)
 	cmd.Flags().BoolVarP(&wait, "wait", "w", false, "wait until all machines are empty, or have their version")
 	cmd.Flags().BoolVar(&force, "force", false, "start it though it leaves no machine for some jobs")
 	return cmd
 }
 
-func listDrainsCommand(f *flags) *cobra.Command {
+func listDrainsCommand(f *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use: "list", Short: "List drains", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c, err := f.client()
+			c, err := f.newClient()
 			if err != nil {
 				return err
 			}
@@ -192,7 +192,7 @@
 			if err != nil {
 				return err
 			}
-			return f.print(cmd.OutOrStdout(), all, func(w io.Writer) { showDrains(w, all) })
+			return f.printOutput(cmd.OutOrStdout(), all, func(w io.Writer) { showDrains(w, all) })
 		},
 	}
 }
@@ -202,7 +202,7 @@
 	fmt.Fprintln(w, "DRAIN\tKIND\tMEANS\tPHASE\tLEFT\tBEGAN")
 	for _, v := range all {
 		phase, left := phaseOf(v)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Drain.ID, v.Drain.Kind, means(v.Drain), phase, left, clock(v.Drain.RequestedMS))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Drain.ID, v.Drain.Kind, selectorText(v.Drain), phase, left, formatTime(v.Drain.RequestedMS))
 	}
 }
 
@@ -230,7 +230,7 @@
 		select {
 		case <-cmd.Context().Done():
 			return v, cmd.Context().Err()
-		case <-time.After(c.Every):
+		case <-time.After(c.PollInterval):
 		}
 	}
 }
@@ -246,19 +246,19 @@
 	return v.State.Phase, fmt.Sprint(v.State.MachinesLeft)
 }
 
-// clock returns a time as text, "-" if there is none.
-func clock(ms int64) string {
+// formatTime returns a time as text, "-" if there is none.
+func formatTime(ms int64) string {
 	if ms == 0 {
 		return "-"
 	}
 	return time.UnixMilli(ms).Format("2006-01-02 15:04:05")
 }
 
-// means describes in a few words which machines a drain selects.
-func means(d drain.Spec) string {
+// selectorText describes in a few words which machines a drain selects.
+func selectorText(d drain.Spec) string {
 	var words []string
 	if len(d.Machines) > 0 {
-		words = append(words, short(d.Machines))
+		words = append(words, abbreviateList(d.Machines))
 	}
 	for _, x := range [][2]string{{"type ", d.Type}, {"zone ", d.Zone}, {"version ", d.Version}, {"to version ", d.TargetVersion}} {
 		if x[1] != "" {
@@ -282,9 +282,9 @@
 	}
 	row("drain", d.ID)
 	row("kind", d.Kind)
-	row("means", means(d))
+	row("means", selectorText(d))
 	if d.DeadlineMS != 0 {
-		row("empty by", clock(d.DeadlineMS))
+		row("empty by", formatTime(d.DeadlineMS))
 	}
 	if d.Window != nil {
 		span := time.Duration(d.Window.DurationS * float64(time.Second))
@@ -294,14 +294,14 @@
 	if d.Kind == client.DrainUpgrade {
 		row("at once", fmt.Sprintf("%d, %d stay in service in each zone and for each class", d.MaxOutOfService, d.MinInService))
 	}
-	row("began", clock(d.RequestedMS))
+	row("began", formatTime(d.RequestedMS))
 	row("phase", phase)
 	row("machines left", left)
 	s := v.State
 	if s == nil {
 		return
 	}
-	row("in hand", short(s.OutOfService))
+	row("in hand", abbreviateList(s.OutOfService))
 	row("waits", s.Blocked)
 	if s.Rollout != nil && s.Rollout.RolledBack {
 		row("rolled back", s.Rollout.Reason+", to version "+s.Rollout.Target)
@@ -311,12 +311,12 @@
 		name string
 		s    client.DrainSummary
 	}{{"planned", s.Plan}, {"seen", s.Actual}} {
-		fmt.Fprintf(w, "%s\t%s\n", x.name, counts(x.s))
+		fmt.Fprintf(w, "%s\t%s\n", x.name, summaryColumns(x.s))
 	}
 }
 
-// counts returns the columns of a summary.
-func counts(s client.DrainSummary) string {
+// summaryColumns returns the columns of a summary.
+func summaryColumns(s client.DrainSummary) string {
 	empty := "-"
 	if s.EmptyS > 0 {
 		empty = fmt.Sprintf("%.0fs", s.EmptyS)
@@ -345,9 +345,9 @@
 	fmt.Fprintln(w, "\nCLASS\tMACHINES\tFINISH\tMOVE\tBEGIN ANEW\tWAIT\tBLOCKED\tVANISHED\tWORK LOST\tEMPTY AFTER\tJOBS LATE BY IT\tLATE ANYWAY")
 	for _, class := range slices.Sorted(maps.Keys(p.Classes)) {
 		x := p.Classes[class]
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", class, counts(x.Summary), x.Late, x.LateAnyway)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", class, summaryColumns(x.Summary), x.Late, x.LateAnyway)
 	}
-	fmt.Fprintf(w, "all\t%s\n", counts(p.Total))
+	fmt.Fprintf(w, "all\t%s\n", summaryColumns(p.Total))
 	if len(p.WindowStarts) > 0 {
 		fmt.Fprintf(w, "\nnext windows\t%s\n", strings.Join(p.WindowStarts, ", "))
 	}
@@ -356,14 +356,14 @@
 	}
 }
 
-// oneDrain returns a command that sends a request about one drain and prints the drain.
-func oneDrain(
-	f *flags, use, text string, send func(*client.Client, context.Context, string) (client.DrainView, error),
+// singleDrainCommand returns a command that sends a request about one drain and prints the drain.
+func singleDrainCommand(
+	f *globalFlags, use, text string, send func(*client.Client, context.Context, string) (client.DrainView, error),
 ) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: text, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, err := f.client()
+			c, err := f.newClient()
 			if err != nil {
 				return err
 			}
@@ -371,7 +371,7 @@
 			if err != nil {
 				return err
 			}
-			return f.print(cmd.OutOrStdout(), v, func(w io.Writer) { showDrain(w, v) })
+			return f.printOutput(cmd.OutOrStdout(), v, func(w io.Writer) { showDrain(w, v) })
 		},
 	}
 }
--- a/cmd/drumpickctl/jobs.go
+++ b/cmd/drumpickctl/jobs.go
@@ -14,13 +14,13 @@
 	"github.com/spf13/cobra"
 )
 
-// maxConcurrent bounds the requests of one command that are under way.
-const maxConcurrent = 8
+// maxConcurrentRequests bounds the requests of one command that are under way.
+const maxConcurrentRequests = 8
 
-// each does something for every item, several at a time, and returns the first error.
-func each[T any](items []T, do func(i int, item T) error) error {
+// forEachConcurrently does something for every item, several at a time, and returns the first error.
+func forEachConcurrently[T any](items []T, do func(i int, item T) error) error {
 	errs := make([]error, len(items))
-	slots := make(chan struct{}, maxConcurrent)
+	slots := make(chan struct{}, maxConcurrentRequests)
 	var wg sync.WaitGroup
 	for i, item := range items {
 		slots <- struct{}{}
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func submitCommand(f *flags) *cobra.Command {
+func submitCommand(f *globalFlags) *cobra.Command {
 	var wait bool
 	cmd := &cobra.Command{
 		Use:   "submit FILE",
@@ -54,7 +54,7 @@
 			if err != nil {
 				return &exitError{exitUsage, err}
 			}
-			c, err := f.client()
+			c, err := f.newClient()
 			if err != nil {
 				return err
 			}
@@ -93,7 +93,7 @@
 	}
 	for from := 0; from < len(jobs); {
 		to := from + waveLength(jobs[from:])
-		err := each(jobs[from:to], func(i int, j jobspec.NamedJob) error {
+		err := forEachConcurrently(jobs[from:to], func(i int, j jobspec.NamedJob) error {
 			if j.Name != "" {
 				fmt.Fprintf(errs, "%s is %s\n", j.Name, j.ID)
 			}
@@ -115,7 +115,7 @@
 func waveLength(jobs []jobspec.NamedJob) int {
 	inWave := map[string]bool{}
 	for n, j := range jobs {
-		if slices.ContainsFunc(j.Needs, func(id string) bool { return inWave[id] }) {
+		if slices.ContainsFunc(j.Dependencies, func(id string) bool { return inWave[id] }) {
 			return n
 		}
 		inWave[j.ID] = true
@@ -124,7 +124,7 @@
 }
 
 // waitAll waits until jobs are final, showing progress. Services are final only when they are cancelled.
-func (f *flags) waitAll(cmd *cobra.Command, c *client.Client, states []client.Status) ([]client.Status, error) {
+func (f *globalFlags) waitAll(cmd *cobra.Command, c *client.Client, states []client.Status) ([]client.Status, error) {
 	p := newProgress(cmd.ErrOrStderr(), states)
 	defer p.close()
 	var wg sync.WaitGroup
@@ -149,8 +149,8 @@
 }
 
 // printStates prints the states of jobs.
-func (f *flags) printStates(out io.Writer, states []client.Status) error {
-	return f.print(out, states, func(w io.Writer) {
+func (f *globalFlags) printStates(out io.Writer, states []client.Status) error {
+	return f.printOutput(out, states, func(w io.Writer) {
 		fmt.Fprintln(w, "JOB\tSTATUS\tDONE\tRUNNING")
 		for _, s := range states {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", s.ID, s.Status, s.Done, s.Running)
@@ -161,17 +161,17 @@
 // jobRequest sends a request about a job.
 type jobRequest func(c *client.Client, ctx context.Context, id string) (client.Status, error)
 
-// jobsCommand returns a command that sends a request about each job and prints their states.
-func jobsCommand(f *flags, use, short string, send jobRequest) *cobra.Command {
+// jobRequestCommand returns a command that sends a request about each job and prints their states.
+func jobRequestCommand(f *globalFlags, use, short string, send jobRequest) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, ids []string) error {
-			c, err := f.client()
+			c, err := f.newClient()
 			if err != nil {
 				return err
 			}
 			states := make([]client.Status, len(ids))
-			err = each(ids, func(i int, id string) error {
+			err = forEachConcurrently(ids, func(i int, id string) error {
 				states[i].ID, states[i].Status = id, "unknown"
 				st, err := send(c, cmd.Context(), id)
 				if err == nil {
@@ -187,19 +187,19 @@
 	}
 }
 
-func getCommand(f *flags) *cobra.Command {
-	return jobsCommand(f, "get JOB...", "Show how jobs stand", (*client.Client).Get)
+func getCommand(f *globalFlags) *cobra.Command {
+	return jobRequestCommand(f, "get JOB...", "Show how jobs stand", (*client.Client).Get)
 }
 
-func cancelCommand(f *flags) *cobra.Command {
-	return jobsCommand(f, "cancel JOB...", "Cancel jobs, and all that need them", (*client.Client).Cancel)
+func cancelCommand(f *globalFlags) *cobra.Command {
+	return jobRequestCommand(f, "cancel JOB...", "Cancel jobs, and all that need them", (*client.Client).Cancel)
 }
 
-func watchCommand(f *flags) *cobra.Command {
+func watchCommand(f *globalFlags) *cobra.Command {
 	return &cobra.Command{
 		Use: "watch JOB...", Short: "Show how jobs go on until they are over", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, ids []string) error {
-			c, err := f.client()
+			c, err := f.newClient()
 			if err != nil {
 				return err
 			}
--- a/cmd/drumpickctl/local.go
+++ b/cmd/drumpickctl/local.go
@@ -17,18 +17,18 @@
 	"github.com/spf13/cobra"
 )
 
-func localCommand(f *flags) *cobra.Command {
+func localCommand(f *globalFlags) *cobra.Command {
 	cmd := &cobra.Command{Use: "local", Short: "Run a whole deployment on this machine"}
-	o := localcluster.Options{Zones: []string{"north", "south"}, Controllers: 3, Machines: 6, LogLevel: "info"}
+	o := localcluster.Options{Zones: []string{"north", "south"}, Controllers: 3, MachinesPerZone: 6, LogLevel: "info"}
 	up := &cobra.Command{
 		Use: "up", Short: "Start a local region and stay until Ctrl-C", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.withCluster(cmd, o, f.data(), func(r *localcluster.Cluster) error {
-				if err := f.print(cmd.OutOrStdout(), r.Info, func(w io.Writer) { showCluster(w, f.data(), r.Info) }); err != nil {
+			return f.withCluster(cmd, o, f.resolveDataDir(), func(r *localcluster.Cluster) error {
+				if err := f.printOutput(cmd.OutOrStdout(), r.Info, func(w io.Writer) { showCluster(w, f.resolveDataDir(), r.Info) }); err != nil {
 					return err
 				}
 				<-cmd.Context().Done()
-				fmt.Fprintln(cmd.ErrOrStderr(), "ending; the records stay in", f.data())
+				fmt.Fprintln(cmd.ErrOrStderr(), "ending; the records stay in", f.resolveDataDir())
 				return nil
 			})
 		},
@@ -38,7 +38,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return f.demo(cmd, o) },
 	}
 	for _, c := range []*cobra.Command{up, demo} {
-		c.Flags().StringVar(&o.Controller, "daemon", "",
+		c.Flags().StringVar(&o.ControllerProgram, "daemon", "",
 			"the controllers' `program` (else drumpick beside this one, or built from the sources here)")
 		c.Flags().StringVar(&o.LogLevel, "log", o.LogLevel, "the controllers' LOG_LEVEL")
 	}
@@ -61,11 +61,11 @@
 }
 
 // faultCommand returns a command that a running local cluster carries out.
-func (f *flags) faultCommand(use, short, path string, query func() string) *cobra.Command {
+func (f *globalFlags) faultCommand(use, short, path string, query func() string) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			info, err := localcluster.Find(f.data())
+			info, err := localcluster.ReadInfo(f.resolveDataDir())
 			if err != nil {
 				return &exitError{exitUsage, err}
 			}
@@ -73,7 +73,7 @@
 			if query != nil {
 				uri += query()
 			}
-			result, err := info.Command(uri)
+			result, err := info.PostCommand(uri)
 			if err != nil {
 				return &exitError{exitNotFound, err}
 			}
@@ -93,12 +93,12 @@
 }
 
 // withCluster runs a local cluster while do runs, and leaves no process behind.
-func (f *flags) withCluster(
+func (f *globalFlags) withCluster(
 	cmd *cobra.Command, o localcluster.Options, data string, do func(*localcluster.Cluster) error,
 ) error {
-	o.Data = data
+	o.DataDir = data
 	var err error
-	if o.Controller, err = controllerProgram(cmd.Context(), o.Controller, data, cmd.ErrOrStderr()); err != nil {
+	if o.ControllerProgram, err = controllerProgram(cmd.Context(), o.ControllerProgram, data, cmd.ErrOrStderr()); err != nil {
 		return err
 	}
 	r, err := localcluster.Start(cmd.Context(), o)
@@ -118,18 +118,18 @@
 	if named != "" {
 		path, err := exec.LookPath(named)
 		if err != nil {
-			return "", usage("--daemon: %v", err)
+			return "", usageError("--daemon: %v", err)
 		}
 		return filepath.Abs(path)
 	}
 	if self, err := os.Executable(); err == nil {
-		if beside := filepath.Join(filepath.Dir(self), "drumpick"); executable(beside) {
+		if beside := filepath.Join(filepath.Dir(self), "drumpick"); isExecutable(beside) {
 			return beside, nil
 		}
 	}
-	root, err := sources()
+	root, err := findSourceRoot()
 	if err != nil {
-		return "", usage("--daemon is missing, and %v", err)
+		return "", usageError("--daemon is missing, and %v", err)
 	}
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return "", err
@@ -147,14 +147,14 @@
 	return built, nil
 }
 
-// executable reports whether a path is a file that can be run.
-func executable(path string) bool {
+// isExecutable reports whether a path is a file that can be run.
+func isExecutable(path string) bool {
 	s, err := os.Stat(path)
 	return err == nil && s.Mode().IsRegular() && s.Mode().Perm()&0o111 != 0
 }
 
-// sources returns the root of drumpick's sources above the working directory.
-func sources() (string, error) {
+// findSourceRoot returns the root of drumpick's sources above the working directory.
+func findSourceRoot() (string, error) {
 	dir, err := os.Getwd()
 	for err == nil {
 		raw, readErr := os.ReadFile(filepath.Join(dir, "go.mod"))
--- a/cmd/drumpickctl/machines.go
+++ b/cmd/drumpickctl/machines.go
@@ -9,12 +9,12 @@
 	"github.com/spf13/cobra"
 )
 
-func machineCommand(f *flags) *cobra.Command {
+func machineCommand(f *globalFlags) *cobra.Command {
 	cmd := &cobra.Command{Use: "machine", Short: "Show machines"}
 	cmd.AddCommand(&cobra.Command{
 		Use: "list", Short: "List machines", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c, err := f.client()
+			c, err := f.newClient()
 			if err != nil {
 				return err
 			}
@@ -22,17 +22,17 @@
 			if err != nil {
 				return err
 			}
-			return f.print(cmd.OutOrStdout(), ms, func(w io.Writer) {
+			return f.printOutput(cmd.OutOrStdout(), ms, func(w io.Writer) {
 				fmt.Fprintln(w, "MACHINE\tTYPE\tZONE\tKIND\tSTATE\tTASKS\tVERSION")
 				for _, m := range ms {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Type, m.Zone, kind(m.Spot), m.State, m.Count, m.Version)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Type, m.Zone, machineKind(m.Spot), m.State, m.TaskCount, m.Version)
 				}
 			})
 		},
 	}, &cobra.Command{
 		Use: "show MACHINE", Short: "Show a machine and what is on it", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, err := f.client()
+			c, err := f.newClient()
 			if err != nil {
 				return err
 			}
@@ -40,7 +40,7 @@
 			if err != nil {
 				return err
 			}
-			return f.print(cmd.OutOrStdout(), m, func(w io.Writer) { showMachine(w, m) })
+			return f.printOutput(cmd.OutOrStdout(), m, func(w io.Writer) { showMachine(w, m) })
 		},
 	})
 	return cmd
@@ -48,7 +48,7 @@
 
 func showMachine(w io.Writer, m client.Machine) {
 	for _, x := range [][2]any{
-		{"machine", m.Name}, {"type", m.Type}, {"zone", m.Zone}, {"kind", kind(m.Spot)}, {"address", m.Addr}, {"state", m.State},
+		{"machine", m.Name}, {"type", m.Type}, {"zone", m.Zone}, {"kind", machineKind(m.Spot)}, {"address", m.Addr}, {"state", m.State},
 	} {
 		fmt.Fprintf(w, "%s\t%s\n", x[0], x[1])
 	}
@@ -60,14 +60,14 @@
 	}
 	for _, t := range m.Tasks {
 		state := t.State
-		if t.Stops {
+		if t.Stopping {
 			state += ", stopping"
 		}
-		fmt.Fprintf(w, "%s\t%d.%d\t%s\t%.0fs\n", t.Task, t.Try>>24, t.Try&(1<<24-1), state, t.RanS)
+		fmt.Fprintf(w, "%s\t%d.%d\t%s\t%.0fs\n", t.Task, t.Attempt>>24, t.Attempt&(1<<24-1), state, t.RanS)
 	}
 }
 
-func kind(spot bool) string {
+func machineKind(spot bool) string {
 	if spot {
 		return "spot"
 	}
--- a/cmd/drumpickctl/main.go
+++ b/cmd/drumpickctl/main.go
@@ -43,13 +43,13 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// usage returns an error of the command line.
-func usage(format string, args ...any) error {
+// usageError returns an error of the command line.
+func usageError(format string, args ...any) error {
 	return &exitError{exitUsage, fmt.Errorf(format, args...)}
 }
 
-// codeOf returns the exit code of an error.
-func codeOf(err error) int {
+// exitCode returns the exit code of an error.
+func exitCode(err error) int {
 	var exit *exitError
 	var refused *client.RefusedError
 	switch {
@@ -89,11 +89,11 @@
 		}
 		fmt.Fprintln(errs, "drumpickctl:", err)
 	}
-	return codeOf(err)
+	return exitCode(err)
 }
 
-// flags are those of every command.
-type flags struct {
+// globalFlags are those of every command.
+type globalFlags struct {
 	servers []string
 	dataDir string
 	output  string
@@ -101,7 +101,7 @@
 }
 
 func newCommand() *cobra.Command {
-	f := &flags{}
+	f := &globalFlags{}
 	root := &cobra.Command{
 		Use:           "drumpickctl",
 		Short:         "Submit and watch jobs, look after machines, try drumpick on one machine",
@@ -114,7 +114,7 @@
 			}
 			slog.SetDefault(slog.New(slog.NewTextHandler(cmd.ErrOrStderr(), &slog.HandlerOptions{Level: level})))
 			if f.output != "table" && f.output != "json" {
-				return usage("--output is table or json, not %q", f.output)
+				return usageError("--output is table or json, not %q", f.output)
 			}
 			return nil
 		},
@@ -126,12 +126,12 @@
 	p.BoolVarP(&f.verbose, "verbose", "v", false, "say more on standard error")
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &exitError{exitUsage, err} })
 	root.AddCommand(submitCommand(f), getCommand(f), watchCommand(f), cancelCommand(f), machineCommand(f), drainCommand(f), localCommand(f))
-	strict(root)
+	returnUsageErrors(root)
 	return root
 }
 
-// strict makes a wrong number of arguments, or an unknown command, an error of usage.
-func strict(cmd *cobra.Command) {
+// returnUsageErrors makes a wrong number of arguments, or an unknown command, an error of usage.
+func returnUsageErrors(cmd *cobra.Command) {
 	if check := cmd.Args; check != nil {
 		cmd.Args = func(cmd *cobra.Command, args []string) error {
 			if err := check(cmd, args); err != nil {
@@ -141,21 +141,21 @@
 		}
 	}
 	for _, sub := range cmd.Commands() {
-		strict(sub)
+		returnUsageErrors(sub)
 	}
 	if cmd.HasSubCommands() && cmd.RunE == nil {
 		cmd.Args = cobra.ArbitraryArgs
 		cmd.RunE = func(cmd *cobra.Command, args []string) error {
 			if len(args) > 0 {
-				return usage("unknown command %q for %q", args[0], cmd.CommandPath())
+				return usageError("unknown command %q for %q", args[0], cmd.CommandPath())
 			}
 			return cmd.Help()
 		}
 	}
 }
 
-// data returns the local cluster's directory.
-func (f *flags) data() string {
+// resolveDataDir returns the local cluster's directory.
+func (f *globalFlags) resolveDataDir() string {
 	switch {
 	case f.dataDir != "":
 		return f.dataDir
@@ -169,18 +169,18 @@
 	return filepath.Join(home, "drumpick", "local")
 }
 
-// client returns a client of the controllers that the command line, the environment or the local cluster names, in this
+// newClient returns a client of the controllers that the command line, the environment or the local cluster names, in this
 // order.
-func (f *flags) client() (*client.Client, error) {
+func (f *globalFlags) newClient() (*client.Client, error) {
 	addrs := f.servers
 	if len(addrs) == 0 && os.Getenv("DRUMPICK_SERVERS") != "" {
 		addrs = strings.Split(os.Getenv("DRUMPICK_SERVERS"), ",")
 	}
 	local := len(addrs) == 0
 	if local {
-		info, err := localcluster.Find(f.data())
+		info, err := localcluster.ReadInfo(f.resolveDataDir())
 		if err != nil {
-			return nil, usage("--server is missing, and %v", err)
+			return nil, usageError("--server is missing, and %v", err)
 		}
 		addrs = info.Addrs()
 	}
@@ -189,13 +189,13 @@
 		return nil, &exitError{exitUsage, err}
 	}
 	if local {
-		c.Every /= 5 // its times are short, and nobody else polls it
+		c.PollInterval /= 5 // its times are short, and nobody else polls it
 	}
 	return c, nil
 }
 
-// print writes a value for programs, or calls table for people.
-func (f *flags) print(out io.Writer, v any, table func(w io.Writer)) error {
+// printOutput writes a value for programs, or calls table for people.
+func (f *globalFlags) printOutput(out io.Writer, v any, table func(w io.Writer)) error {
 	if f.output == "json" {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
--- a/cmd/drumpickctl/progress.go
+++ b/cmd/drumpickctl/progress.go
@@ -14,22 +14,22 @@
 
 // progress shows the progress of jobs: one line that changes at a terminal, else a line at each change.
 type progress struct {
-	out      io.Writer
-	terminal bool
-	began    time.Time
-	done     chan struct{}
-	ended    sync.WaitGroup
+	out       io.Writer
+	terminal  bool
+	startedAt time.Time
+	done      chan struct{}
+	ended     sync.WaitGroup
 
-	mu     sync.Mutex // guards what follows
-	states []client.Status
-	shown  string
+	mu       sync.Mutex // guards what follows
+	states   []client.Status
+	lastText string
 }
 
-// showEvery is how often progress is shown, at the most.
-const showEvery = 500 * time.Millisecond
+// progressInterval is how often progress is shown, at the most.
+const progressInterval = 500 * time.Millisecond
 
 func newProgress(out io.Writer, states []client.Status) *progress {
-	p := &progress{out: out, began: time.Now(), done: make(chan struct{}), states: append([]client.Status(nil), states...)}
+	p := &progress{out: out, startedAt: time.Now(), done: make(chan struct{}), states: append([]client.Status(nil), states...)}
 	if file, ok := out.(*os.File); ok {
 		p.terminal = term.IsTerminal(int(file.Fd()))
 	}
@@ -41,7 +41,7 @@
 // run shows the progress until close.
 func (p *progress) run() {
 	defer p.ended.Done()
-	t := time.NewTicker(showEvery)
+	t := time.NewTicker(progressInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -69,16 +69,16 @@
 	p.mu.Lock()
 	final, running, done := 0, 0, 0
 	for _, st := range p.states {
-		if st.Over() {
+		if st.IsFinal() {
 			final++
 		}
 		running, done = running+st.Running, done+st.Done
 	}
 	text := fmt.Sprintf("%d of %d jobs over, %d tasks running, %d done", final, len(p.states), running, done)
-	same := text == p.shown
-	p.shown = text
+	same := text == p.lastText
+	p.lastText = text
 	p.mu.Unlock()
-	passed := time.Since(p.began).Round(time.Second)
+	passed := time.Since(p.startedAt).Round(time.Second)
 	switch {
 	case p.terminal:
 		fmt.Fprintf(p.out, "\r\033[K%4s  %s", passed, text)
--- a/internal/api/answer.go
+++ b/internal/api/answer.go
@@ -39,14 +39,14 @@
 	}
 }
 
-// answer is the result of a user's request with the body to send.
-type answer struct {
+// response is the result of a user's request with the body to send.
+type response struct {
 	outcome outcome
 	body    any
 }
 
-// reply encodes the answer.
-func (a answer) reply() peer.RelayReply { return encodeReply(a.outcome.httpStatus(), a.body) }
+// encode encodes the answer.
+func (a response) encode() peer.RelayReply { return encodeJSON(a.outcome.httpStatus(), a.body) }
 
 // jobStatus is the body of an answer about a job.
 type jobStatus struct {
@@ -61,21 +61,21 @@
 	Error string `json:"error"`
 }
 
-func failed(o outcome, reason string) answer { return answer{o, errorBody{reason}} }
+func errorResponse(o outcome, reason string) response { return response{o, errorBody{reason}} }
 
 // Answers that carry no detail of the request.
 var (
-	answerUnavailable = failed(outcomeUnavailable, "the service cannot decide now; please retry")
-	answerNoSuchJob   = failed(outcomeNotFound, "no such job")
+	unavailableResponse = errorResponse(outcomeUnavailable, "the service cannot decide now; please retry")
+	noSuchJobResponse   = errorResponse(outcomeNotFound, "no such job")
 )
 
-// answerOpen answers about a job that has no final state yet.
-func answerOpen(id string, p peer.Progress) answer {
-	return answer{outcomeOK, jobStatus{ID: id, Status: p.Status, Done: &p.Done, Running: &p.Running}}
+// openJobResponse answers about a job that has no final state yet.
+func openJobResponse(id string, p peer.Progress) response {
+	return response{outcomeOK, jobStatus{ID: id, Status: p.Status, Done: &p.Done, Running: &p.Running}}
 }
 
-// encodeReply encodes a body as JSON.
-func encodeReply(status int, v any) peer.RelayReply {
+// encodeJSON encodes a body as JSON.
+func encodeJSON(status int, v any) peer.RelayReply {
 	var raw []byte
 	var err error
 	if m, ok := v.(easyjson.Marshaler); ok {
--- a/internal/api/availability.go
+++ b/internal/api/availability.go
@@ -8,35 +8,35 @@
 	"drumpick/internal/ctxtime"
 )
 
-// peerAvailability holds what the other controllers last said of the store, while it fails this
+// peerStoreHealth holds what the other controllers last said of the store, while it fails this
 // one.
-type peerAvailability struct {
-	mu       sync.Mutex
-	served   bool // the store serves another controller, but not this one
-	asked    bool // the others were asked since the store failed this one
-	isolated bool // neither the store nor any other controller answers
+type peerStoreHealth struct {
+	mu         sync.Mutex
+	servesPeer bool // the store serves another controller, but not this one
+	peersAsked bool // the others were asked since the store failed this one
+	isolated   bool // neither the store nor any other controller answers
 }
 
-func (a *peerAvailability) set(served, asked, isolated bool) {
+func (a *peerStoreHealth) update(served, asked, isolated bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.served, a.asked, a.isolated = served, asked, isolated
+	a.servesPeer, a.peersAsked, a.isolated = served, asked, isolated
 }
 
 // isIsolated reports whether this controller is cut off. In an outage that all share it is not:
 // the store refuses, or the others report that they fare no better.
-func (a *peerAvailability) isIsolated() bool {
+func (a *peerStoreHealth) isIsolated() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.isolated
 }
 
-// peerServed reports whether the store was last seen to serve some other controller, and whether
+// storeServesPeer reports whether the store was last seen to serve some other controller, and whether
 // they were asked since the store failed this one.
-func (a *peerAvailability) peerServed() (served, asked bool) {
+func (a *peerStoreHealth) storeServesPeer() (served, asked bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.served, a.asked
+	return a.servesPeer, a.peersAsked
 }
 
 // Ready reports whether this controller can take requests. It cannot when the store fails it
@@ -50,8 +50,8 @@
 	if !failing || time.Since(lastOK) < s.cfg.HeartbeatInterval()/2 {
 		return true
 	}
-	served, _ := s.availability.peerServed()
-	return !served && !s.availability.isIsolated()
+	served, _ := s.peerStoreHealth.storeServesPeer()
+	return !served && !s.peerStoreHealth.isIsolated()
 }
 
 // WatchPeers asks the other controllers, while the store fails this one, whether it serves them, until
@@ -68,10 +68,10 @@
 			for _, a := range answers {
 				// An open watch outlasts the start of an outage without failing, so only
 				// a recent response counts.
-				silent := time.Duration(a.StoreSilentMS) * time.Millisecond
+				silent := time.Duration(a.SinceStoreResponseMS) * time.Millisecond
 				served = served || !a.StoreFailing && silent < interval*3/2
 			}
 		}
-		s.availability.set(served, failing, isolated)
+		s.peerStoreHealth.update(served, failing, isolated)
 	}
 }
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -11,32 +11,32 @@
 // cancelAttempts is how often a job is looked up that changes while it is being cancelled.
 const cancelAttempts = 4
 
-// cancel cancels a job, or answers with the final state that it has already.
-func (s *Server) cancel(ctx context.Context, id string) answer {
+// cancelJob cancels a job, or answers with the final state that it has already.
+func (s *Server) cancelJob(ctx context.Context, id string) response {
 	if !records.ValidID(id) {
-		return answerNoSuchJob
+		return noSuchJobResponse
 	}
 	for range cancelAttempts {
 		if closed, ok := s.jobs.closedJob(id); ok {
-			if a := s.answerClosed(ctx, id, closed); a.outcome != outcomeOK {
+			if a := s.closedJobResponse(ctx, id, closed); a.outcome != outcomeOK {
 				return a
 			}
-			return answer{outcomeOK, jobStatus{ID: id, Status: closed.Status}}
+			return response{outcomeOK, jobStatus{ID: id, Status: closed.Status}}
 		}
 		job, err := s.lookup(ctx, id)
 		switch {
 		case err != nil:
-			return answerUnavailable
+			return unavailableResponse
 		case job.closed != nil:
 			continue
 		case job.open == nil:
-			return answerNoSuchJob
+			return noSuchJobResponse
 		}
 		if !s.storeCancelled(ctx, id, job.open, true) {
-			return answerUnavailable
+			return unavailableResponse
 		}
 	}
-	return answerUnavailable
+	return unavailableResponse
 }
 
 // storeCancelled moves an open job to the closed records as cancelled, unless it has gone there
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -11,19 +11,19 @@
 	"drumpick/internal/records"
 )
 
-// dependencyVerdict is what the dependencies of a job, direct and indirect, mean for it.
-type dependencyVerdict int
+// dependencyStatus is what the dependencies of a job, direct and indirect, mean for it.
+type dependencyStatus int
 
 const (
-	dependenciesUnknown dependencyVerdict = iota // the store did not answer, or not all in time
-	dependenciesInvalid                          // one was never accepted, or is a service, which never ends
-	dependencyCancelled                          // one is cancelled
-	dependenciesClear                            // none is cancelled
+	dependenciesUnknown dependencyStatus = iota // the store did not answer, or not all in time
+	dependenciesInvalid                         // one was never accepted, or is a service, which never ends
+	dependencyCancelled                         // one is cancelled
+	dependenciesClear                           // none is cancelled
 )
 
 // checkDependencies checks the jobs that a submission names as dependencies, and theirs. If they are
 // invalid it returns why.
-func (s *Server) checkDependencies(ctx context.Context, job *records.Job) (dependencyVerdict, string) {
+func (s *Server) checkDependencies(ctx context.Context, job *records.Job) (dependencyStatus, string) {
 	walker := s.newWalker()
 	result := dependenciesClear
 	for _, id := range job.Dependencies {
@@ -62,14 +62,14 @@
 	return s.lookup(ctx, id)
 }
 
-// answerBlocked makes sure, before an open job is reported as open, that none of its dependencies,
+// dependencyResponse makes sure, before an open job is reported as open, that none of its dependencies,
 // direct or indirect, is cancelled. If one is, it stores that the job is cancelled as well, and
 // answers that. Mostly the leader knows. Without this, a user could be told that a job waits long
 // after a dependency of it was cancelled, while there is no leader to cancel it.
-func (s *Server) answerBlocked(ctx context.Context, id string, row *records.KeyValue, readAt time.Time, p peer.Progress) (answer, bool) {
+func (s *Server) dependencyResponse(ctx context.Context, id string, row *records.KeyValue, readAt time.Time, p peer.Progress) (response, bool) {
 	dependencies := storedDependencies(row)
 	if len(dependencies) == 0 {
-		return answer{}, false
+		return response{}, false
 	}
 	progressOf := func(other string) peer.Progress {
 		if other == id {
@@ -79,28 +79,28 @@
 	}
 	switch s.newWalker().check(ctx, id, dependencies, readAt, progressOf) {
 	case dependenciesClear:
-		return answer{}, false
+		return response{}, false
 	case dependencyCancelled:
-		if a, ok := s.cancelBlocked(ctx, id, row); ok {
+		if a, ok := s.cancelDependent(ctx, id, row); ok {
 			return a, true
 		}
 	}
-	return answerUnavailable, true
+	return unavailableResponse, true
 }
 
-// cancelBlocked stores that a job is cancelled because a dependency of it is, and answers with its
+// cancelDependent stores that a job is cancelled because a dependency of it is, and answers with its
 // final state.
-func (s *Server) cancelBlocked(ctx context.Context, id string, row *records.KeyValue) (answer, bool) {
+func (s *Server) cancelDependent(ctx context.Context, id string, row *records.KeyValue) (response, bool) {
 	if !s.storeCancelled(ctx, id, row, false) {
-		return answer{}, false
+		return response{}, false
 	}
-	if a, ok := s.answerFromCache(ctx, id); ok {
+	if a, ok := s.cachedResponse(ctx, id); ok {
 		return a, true
 	}
 	if job, err := s.lookup(ctx, id); err == nil && job.closed != nil {
-		return s.answerClosed(ctx, id, *job.closed), true
+		return s.closedJobResponse(ctx, id, *job.closed), true
 	}
-	return answer{}, false
+	return response{}, false
 }
 
 // dependencyWalker checks the dependencies of a job, direct and indirect, depth first. What it finds is
@@ -121,9 +121,9 @@
 type pathStep struct {
 	id          string
 	unchecked   []string  // direct dependencies that are still to be checked
-	clearAt     time.Time // up to then neither it nor what was checked below it was cancelled
+	clearAsOf   time.Time // up to then neither it nor what was checked below it was cancelled
 	askedLeader bool
-	recordRead  bool // its record has been read after clearAt
+	recordRead  bool // its record has been read after clearAsOf
 }
 
 // dependencyPath is the path from the job that is checked to the dependency in hand.
@@ -131,11 +131,11 @@
 
 func (p dependencyPath) last() *pathStep { return &p[len(p)-1] }
 
-// leave goes back to the job before the last one, whose dependencies are all clear up to a time.
-func (p *dependencyPath) leave(clearAt time.Time) {
+// pop goes back to the job before the last one, whose dependencies are all clear up to a time.
+func (p *dependencyPath) pop(clearAt time.Time) {
 	*p = (*p)[:len(*p)-1]
-	if len(*p) > 0 && clearAt.Before(p.last().clearAt) {
-		p.last().clearAt = clearAt
+	if len(*p) > 0 && clearAt.Before(p.last().clearAsOf) {
+		p.last().clearAsOf = clearAt
 	}
 }
 
@@ -143,8 +143,8 @@
 // leader's knowledge, by progress, is used where it is at hand.
 func (w *dependencyWalker) check(
 	ctx context.Context, id string, dependencies []string, readAt time.Time, progress func(id string) peer.Progress,
-) dependencyVerdict {
-	path := dependencyPath{{id: id, unchecked: dependencies, clearAt: readAt, recordRead: true}}
+) dependencyStatus {
+	path := dependencyPath{{id: id, unchecked: dependencies, clearAsOf: readAt, recordRead: true}}
 	for len(path) > 0 {
 		switch w.step(ctx, &path, progress) {
 		case dependenciesUnknown:
@@ -159,18 +159,18 @@
 
 // step goes on by one job: it leaves the last one on the path if that is found clear, or takes up one
 // of its dependencies. dependenciesClear means that nothing was found that ends the check.
-func (w *dependencyWalker) step(ctx context.Context, path *dependencyPath, progress func(id string) peer.Progress) dependencyVerdict {
+func (w *dependencyWalker) step(ctx context.Context, path *dependencyPath, progress func(id string) peer.Progress) dependencyStatus {
 	cache := w.server.dependencies
 	job := path.last()
 	if clearAt, ok := cache.clearWithin(job.id, w.maxAge); ok {
-		path.leave(clearAt)
+		path.pop(clearAt)
 		return dependenciesClear
 	}
 	if cache.hasCancelled(job.id) {
 		return dependencyCancelled
 	}
 	if len(job.unchecked) == 0 {
-		return w.finish(ctx, path)
+		return w.finishJob(ctx, path)
 	}
 	if !job.askedLeader {
 		job.askedLeader = true
@@ -183,26 +183,26 @@
 	return w.descend(ctx, path)
 }
 
-// finish leaves the last job on the path, all of whose dependencies are clear, after it has made sure
+// finishJob leaves the last job on the path, all of whose dependencies are clear, after it has made sure
 // that the job itself is not cancelled.
-func (w *dependencyWalker) finish(ctx context.Context, path *dependencyPath) dependencyVerdict {
+func (w *dependencyWalker) finishJob(ctx context.Context, path *dependencyPath) dependencyStatus {
 	job := path.last()
 	if !job.recordRead {
-		if verdict, _ := w.read(ctx, job.id); verdict != dependenciesClear {
+		if verdict, _ := w.readDependency(ctx, job.id); verdict != dependenciesClear {
 			return verdict
 		}
 	}
-	clearAt := job.clearAt
+	clearAt := job.clearAsOf
 	w.server.dependencies.setClear(job.id, clearAt)
-	path.leave(clearAt)
+	path.pop(clearAt)
 	return dependenciesClear
 }
 
 // descend takes up the next dependency of the last job on the path. One with a final state needs no
 // check of its own dependencies.
-func (w *dependencyWalker) descend(ctx context.Context, path *dependencyPath) dependencyVerdict {
+func (w *dependencyWalker) descend(ctx context.Context, path *dependencyPath) dependencyStatus {
 	job := path.last()
-	next := pathStep{id: job.unchecked[0], clearAt: time.Now()}
+	next := pathStep{id: job.unchecked[0], clearAsOf: time.Now()}
 	job.unchecked = job.unchecked[1:]
 	if closed, ok := w.server.jobs.closedJob(next.id); ok {
 		if closed.Status == records.StatusCancelled {
@@ -210,22 +210,22 @@
 		}
 		return dependenciesClear
 	}
-	next.unchecked = w.server.dependencies.directOf(next.id)
+	next.unchecked = w.server.dependencies.directDependencies(next.id)
 	if len(next.unchecked) == 0 {
-		verdict, done := w.read(ctx, next.id)
+		verdict, done := w.readDependency(ctx, next.id)
 		if done || verdict != dependenciesClear {
 			return verdict
 		}
-		next.unchecked, next.recordRead = w.server.dependencies.directOf(next.id), true
+		next.unchecked, next.recordRead = w.server.dependencies.directDependencies(next.id), true
 	}
 	*path = append(*path, next)
 	return dependenciesClear
 }
 
-// read reads whether a dependency is cancelled, and caches its own dependencies if it is open. done
+// readDependency reads whether a dependency is cancelled, and caches its own dependencies if it is open. done
 // reports whether its tasks are all done, so that nothing below it matters.
-func (w *dependencyWalker) read(ctx context.Context, id string) (verdict dependencyVerdict, done bool) {
-	if !w.server.reads.Allow() {
+func (w *dependencyWalker) readDependency(ctx context.Context, id string) (verdict dependencyStatus, done bool) {
+	if !w.server.readLimiter.Allow() {
 		return dependenciesUnknown, false
 	}
 	job, err := w.server.lookup(ctx, id)
--- a/internal/api/dependency_cache.go
+++ b/internal/api/dependency_cache.go
@@ -7,14 +7,14 @@
 
 // dependencyCache holds what was found out about the dependencies of open jobs.
 type dependencyCache struct {
-	mu             sync.Mutex
-	clearAt        map[string]time.Time // up to then neither this open job nor any dependency of it was cancelled
-	direct         map[string][]string  // direct dependencies of a job; they never change
-	afterCancelled map[string]bool      // jobs that have a cancelled dependency, direct or indirect
+	mu                  sync.Mutex
+	clearAsOf           map[string]time.Time // up to then neither this open job nor any dependency of it was cancelled
+	direct              map[string][]string  // direct dependencies of a job; they never change
+	cancelledDependency map[string]bool      // jobs that have a cancelled dependency, direct or indirect
 }
 
 func newDependencyCache() *dependencyCache {
-	return &dependencyCache{clearAt: map[string]time.Time{}, direct: map[string][]string{}, afterCancelled: map[string]bool{}}
+	return &dependencyCache{clearAsOf: map[string]time.Time{}, direct: map[string][]string{}, cancelledDependency: map[string]bool{}}
 }
 
 // clearWithin returns the time up to which an open job and all its dependencies are known not to
@@ -22,7 +22,7 @@
 func (c *dependencyCache) clearWithin(id string, maxAge time.Duration) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at := c.clearAt[id]
+	at := c.clearAsOf[id]
 	return at, time.Since(at) < maxAge
 }
 
@@ -30,21 +30,21 @@
 func (c *dependencyCache) setClear(id string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at.After(c.clearAt[id]) {
-		evictHalf(c.clearAt)
-		c.clearAt[id] = at
+	if at.After(c.clearAsOf[id]) {
+		evictHalf(c.clearAsOf)
+		c.clearAsOf[id] = at
 	}
 }
 
-// forgetClear drops what is known to be clear, after a job was cancelled that any may depend on.
-func (c *dependencyCache) forgetClear() {
+// invalidateClear drops what is known to be clear, after a job was cancelled that any may depend on.
+func (c *dependencyCache) invalidateClear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	clear(c.clearAt)
+	clear(c.clearAsOf)
 }
 
-// directOf returns the direct dependencies of a job, as far as they are known.
-func (c *dependencyCache) directOf(id string) []string {
+// directDependencies returns the direct dependencies of a job, as far as they are known.
+func (c *dependencyCache) directDependencies(id string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.direct[id]
@@ -61,15 +61,15 @@
 func (c *dependencyCache) hasCancelled(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.afterCancelled[id]
+	return c.cancelledDependency[id]
 }
 
 // setCancelled records of all jobs on a path that a dependency of them is cancelled.
 func (c *dependencyCache) setCancelled(path []pathStep) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	evictHalf(c.afterCancelled)
+	evictHalf(c.cancelledDependency)
 	for _, step := range path {
-		c.afterCancelled[step.id] = true
+		c.cancelledDependency[step.id] = true
 	}
 }
--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -8,19 +8,19 @@
 	"drumpick/internal/records"
 )
 
-// maxCached bounds each cache of jobs: final states, accepted ids, dependencies. It does not
+// maxCacheEntries bounds each cache of jobs: final states, accepted ids, dependencies. It does not
 // bound the jobs of a deployment: at 41,000 a day a cache is full every six hours or so, half of
 // it is evicted, and what was evicted is read from the store when it is asked for, with one or
 // two requests.
-const maxCached = 20_000
+const maxCacheEntries = 20_000
 
 // evictHalf makes room in a cache that is full: half of it goes.
 func evictHalf[V any](m map[string]V) {
-	if len(m) < maxCached {
+	if len(m) < maxCacheEntries {
 		return
 	}
 	for k := range m {
-		if delete(m, k); len(m) < maxCached/2 {
+		if delete(m, k); len(m) < maxCacheEntries/2 {
 			return
 		}
 	}
@@ -31,7 +31,7 @@
 type jobCache struct {
 	cancellations *cancellation.Log
 	dependencies  *dependencyCache
-	unconfirmed   *confirmations
+	confirmations *pendingConfirmations
 
 	mu            sync.Mutex
 	closed        map[string]records.ClosedJob // final states
@@ -39,9 +39,9 @@
 	lastDuplicate time.Time                    // when a job last came that another controller had accepted
 }
 
-func newJobCache(log *cancellation.Log, dependencies *dependencyCache, unconfirmed *confirmations) *jobCache {
+func newJobCache(log *cancellation.Log, dependencies *dependencyCache, unconfirmed *pendingConfirmations) *jobCache {
 	return &jobCache{
-		cancellations: log, dependencies: dependencies, unconfirmed: unconfirmed,
+		cancellations: log, dependencies: dependencies, confirmations: unconfirmed,
 		closed: map[string]records.ClosedJob{}, accepted: map[string]bool{},
 	}
 }
@@ -65,9 +65,9 @@
 	defer c.mu.Unlock()
 	if job.Status == records.StatusCancelled {
 		c.cancellations.Add(id, time.Now())
-		c.dependencies.forgetClear() // any of them may depend on this job
+		c.dependencies.invalidateClear() // any of them may depend on this job
 		if _, known := c.closed[id]; !known && mayHaveStarted {
-			c.unconfirmed.require(id)
+			c.confirmations.add(id)
 		}
 	}
 	evictHalf(c.closed)
@@ -88,15 +88,15 @@
 	c.accepted[id] = true
 }
 
-// noteDuplicate records that a job came here which another controller had accepted.
-func (c *jobCache) noteDuplicate() {
+// recordDuplicate records that a job came here which another controller had accepted.
+func (c *jobCache) recordDuplicate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastDuplicate = time.Now()
 }
 
-// duplicateWithin reports whether such a job came less than the given time ago.
-func (c *jobCache) duplicateWithin(d time.Duration) bool {
+// hadDuplicateWithin reports whether such a job came less than the given time ago.
+func (c *jobCache) hadDuplicateWithin(d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.lastDuplicate) < d
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -11,20 +11,20 @@
 	"drumpick/internal/records"
 )
 
-// poll answers how a job stands: from the cache if it has a final state that is known here, from a
+// pollJob answers how a job stands: from the cache if it has a final state that is known here, from a
 // shared list of the open jobs if polls come too fast, and from single reads otherwise.
-func (s *Server) poll(ctx context.Context, id string) answer {
+func (s *Server) pollJob(ctx context.Context, id string) response {
 	if !records.ValidID(id) {
-		return answerNoSuchJob
+		return noSuchJobResponse
 	}
-	if a, ok := s.answerFromCache(ctx, id); ok {
+	if a, ok := s.cachedResponse(ctx, id); ok {
 		return a
 	}
 	readAt := time.Now()
-	if s.coalescer.active(readAt) {
+	if s.coalescer.isActive(readAt) {
 		return s.pollShared(ctx, id)
 	}
-	if !s.reads.Allow() {
+	if !s.readLimiter.Allow() {
 		s.coalescer.activate(readAt)
 		return s.pollShared(ctx, id)
 	}
@@ -35,17 +35,17 @@
 		return s.pollShared(ctx, id)
 	case err != nil:
 		slog.Debug("poll failed", "job", id, "err", err)
-		return answerUnavailable
+		return unavailableResponse
 	case job.closed != nil:
-		return s.answerClosed(ctx, id, *job.closed)
+		return s.closedJobResponse(ctx, id, *job.closed)
 	case job.open == nil:
-		return answerNoSuchJob
+		return noSuchJobResponse
 	}
 	p := s.progress(id)
-	if a, closed := s.answerBlocked(ctx, id, job.open, readAt, p); closed {
+	if a, closed := s.dependencyResponse(ctx, id, job.open, readAt, p); closed {
 		return a
 	}
-	return answerOpen(id, p)
+	return openJobResponse(id, p)
 }
 
 // storedJob is a job as the store has it: open, closed, or neither if there is no such job.
@@ -83,31 +83,31 @@
 	return &job, nil
 }
 
-// answerFromCache answers about a job whose final state is known here.
-func (s *Server) answerFromCache(ctx context.Context, id string) (answer, bool) {
+// cachedResponse answers about a job whose final state is known here.
+func (s *Server) cachedResponse(ctx context.Context, id string) (response, bool) {
 	job, ok := s.jobs.closedJob(id)
 	if !ok {
-		return answer{}, false
+		return response{}, false
 	}
-	return s.answerClosed(ctx, id, job), true
+	return s.closedJobResponse(ctx, id, job), true
 }
 
-// answerClosed answers about a job that has a final state.
-func (s *Server) answerClosed(ctx context.Context, id string, job records.ClosedJob) answer {
+// closedJobResponse answers about a job that has a final state.
+func (s *Server) closedJobResponse(ctx context.Context, id string, job records.ClosedJob) response {
 	done, running := 0, 0
 	switch {
 	case job.Status == records.StatusDone:
 		done = job.Tasks
 	case !s.confirmCancelled(ctx, id):
-		return answerUnavailable
+		return unavailableResponse
 	}
-	return answer{outcomeOK, jobStatus{ID: id, Status: job.Status, Done: &done, Running: &running}}
+	return response{outcomeOK, jobStatus{ID: id, Status: job.Status, Done: &done, Running: &running}}
 }
 
 // progress returns how far an open job is, for display only: where the leader does not answer, the
 // job is simply pending.
 func (s *Server) progress(id string) peer.Progress {
-	if l := s.local(); l != nil {
+	if l := s.localLeader(); l != nil {
 		if status, done, running, ok := l.Progress(id); ok {
 			age, isClear := l.DependenciesClear(id)
 			return peer.Progress{
@@ -115,7 +115,7 @@
 				DependenciesClear: isClear, ClearAgeMS: age.Milliseconds(),
 			}
 		}
-	} else if node := s.leader(); node != "" && node != s.cfg.Node {
+	} else if node := s.leaderNode(); node != "" && node != s.cfg.Node {
 		if p, err := s.peers.Progress(node, id); err == nil && p.Known {
 			return p
 		}
--- a/internal/api/relay_routes.go
+++ b/internal/api/relay_routes.go
@@ -11,34 +11,34 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-var workersReferred = metrics.NewCounter("drumpick_workers_sent_to_peers_total")
+var workersRedirected = metrics.NewCounter("drumpick_workers_sent_to_peers_total")
 
 // relayRoutes holds, at the leader, through which controllers workers' heartbeats come.
 type relayRoutes struct {
 	mu     sync.Mutex
 	router *routing.Router
-	term   Local // the term that the router belongs to
+	leader Leader // the term that the router belongs to
 }
 
 // routerLocked returns the router of a term; each term begins with a new one.
-func (r *relayRoutes) routerLocked(cfg *config.Config, l Local) *routing.Router {
-	if r.term != l {
+func (r *relayRoutes) routerLocked(cfg *config.Config, l Leader) *routing.Router {
+	if r.leader != l {
 		r.router = routing.New(cfg.Node, cfg.HeartbeatInterval(), config.Seconds(cfg.Deployment.Workers.LeaseS))
-		r.term = l
+		r.leader = l
 	}
 	return r.router
 }
 
-// notePeer records that a controller can relay heartbeats.
-func (r *relayRoutes) notePeer(cfg *config.Config, l Local, node, zone string, now time.Time) {
+// recordPeer records that a controller can relay heartbeats.
+func (r *relayRoutes) recordPeer(cfg *config.Config, l Leader, node, zone string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.routerLocked(cfg, l).NotePeer(node, zone, now)
+	r.routerLocked(cfg, l).RecordPeer(node, zone, now)
 }
 
 // route returns the controller that a machine's worker is to send its heartbeats to instead of via; ""
 // if its heartbeat is answered here.
-func (r *relayRoutes) route(cfg *config.Config, l Local, machine, zone, via string, now time.Time) string {
+func (r *relayRoutes) route(cfg *config.Config, l Leader, machine, zone, via string, now time.Time) string {
 	if !cfg.Options.HeartbeatRelay || via == "" {
 		return ""
 	}
@@ -46,21 +46,21 @@
 	defer r.mu.Unlock()
 	node := r.routerLocked(cfg, l).Route(machine, zone, via, now)
 	if node != "" {
-		workersReferred.Inc()
+		workersRedirected.Inc()
 	}
 	return node
 }
 
-// RelayedHeartbeats answers a batch of heartbeats that a peer passed on, each by itself and all at
+// HandleHeartbeatBatch answers a batch of heartbeats that a peer passed on, each by itself and all at
 // once: one that waits for the store delays the others by no more than a commit takes.
-func (s *Server) RelayedHeartbeats(in peer.HeartbeatBatch) peer.HeartbeatBatchReply {
+func (s *Server) HandleHeartbeatBatch(in peer.HeartbeatBatch) peer.HeartbeatBatchReply {
 	out := peer.HeartbeatBatchReply{Answers: make([]peer.RelayReply, len(in.Heartbeats))}
 	if in.From == "" {
 		return out
 	}
 	began := time.Now()
-	if l := s.local(); l != nil {
-		s.routes.notePeer(s.cfg, l, in.From, in.Zone, began)
+	if l := s.localLeader(); l != nil {
+		s.routes.recordPeer(s.cfg, l, in.From, in.Zone, began)
 		l.ObserveDelay(time.Duration(in.DelayMS) * time.Millisecond)
 	}
 	var wg sync.WaitGroup
@@ -68,10 +68,10 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out.Answers[i] = s.decideHeartbeat(body, in.From)
+			out.Answers[i] = s.handleHeartbeatAsLeader(body, in.From)
 		}()
 	}
 	wg.Wait()
-	out.HeldMS = time.Since(began).Milliseconds()
+	out.ProcessingMS = time.Since(began).Milliseconds()
 	return out
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -49,15 +49,15 @@
 	NotifyCancelled(node, id string) (known bool, err error)
 }
 
-// Local is the leader that runs in this process.
-type Local interface {
+// Leader is the leader that runs in this process.
+type Leader interface {
 	// Progress returns the status of an open job with the numbers of its tasks that are done and that
 	// run; ok is false for a job that the leader does not know.
 	Progress(id string) (status string, done, running int, ok bool)
 	// DependenciesClear reports whether no dependency of a job, direct or indirect, was cancelled
 	// up to the given time ago.
 	DependenciesClear(id string) (age time.Duration, ok bool)
-	Heartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult
+	HandleHeartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult
 	// Recency compares a heartbeat with what is known of its machine.
 	Recency(r *fleet.Heartbeat) fleet.Recency
 	// NotifyCancelled takes in that a job is stored as cancelled, and reports whether none of its
@@ -73,22 +73,22 @@
 // Server answers users and workers. The state that each of its duties keeps has a type, and a
 // lock, of its own.
 type Server struct {
-	cfg    *config.Config
-	store  Store
-	peers  Peers
-	leader func() string // node that leads, "" when unknown
-	local  func() Local  // nil when this process does not lead
-	reads  *rate.Limiter // single reads of the store that polls may cause
-
-	types         machineTypes
-	jobs          *jobCache
-	dependencies  *dependencyCache
-	confirmations *confirmations
-	coalescer     pollCoalescer
-	availability  peerAvailability
-	relay         heartbeatRelay
-	routes        relayRoutes
-	lastRenewal   atomic.Value // time.Time: when a heartbeat was last answered here as leader, or the start
+	cfg         *config.Config
+	store       Store
+	peers       Peers
+	leaderNode  func() string // node that leads, "" when unknown
+	localLeader func() Leader // nil when this process does not lead
+	readLimiter *rate.Limiter // single reads of the store that polls may cause
+
+	types             machineTypes
+	jobs              *jobCache
+	dependencies      *dependencyCache
+	confirmations     *pendingConfirmations
+	coalescer         pollCoalescer
+	peerStoreHealth   peerStoreHealth
+	relay             heartbeatRelay
+	routes            relayRoutes
+	lastWorkerRenewal atomic.Value // time.Time: when a heartbeat was last answered here as leader, or the start
 }
 
 // pollShare is the share of the store's request rate that polls may take with a single read
@@ -98,19 +98,19 @@
 const pollShare = 0.6
 
 // New returns a server.
-func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Local) *Server {
-	pollRPS := cfg.Deployment.State.Lowest().RPS * pollShare
-	unconfirmed := newConfirmations(cfg.Timing().LeaderLease)
+func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Leader) *Server {
+	pollRPS := cfg.Deployment.Store.Lowest().RPS * pollShare
+	unconfirmed := newPendingConfirmations(cfg.Timing().LeaderLease)
 	dependencies := newDependencyCache()
 	s := &Server{
-		cfg: cfg, store: store, peers: peers, leader: leader, local: local,
-		reads:         rate.NewLimiter(rate.Limit(pollRPS/float64(max(cfg.Deployment.Nodes, 1))), max(int(pollRPS), 1)),
+		cfg: cfg, store: store, peers: peers, leaderNode: leader, localLeader: local,
+		readLimiter:   rate.NewLimiter(rate.Limit(pollRPS/float64(max(cfg.Deployment.Nodes, 1))), max(int(pollRPS), 1)),
 		jobs:          newJobCache(cancellation.NewLog(time.Now()), dependencies, unconfirmed),
 		dependencies:  dependencies,
 		confirmations: unconfirmed,
 	}
-	s.lastRenewal.Store(time.Now())
-	s.relay.batcher = peer.NewBatcher(cfg.HeartbeatInterval()/batchWindowFraction, s.relayBatch)
+	s.lastWorkerRenewal.Store(time.Now())
+	s.relay.batcher = peer.NewBatcher(cfg.HeartbeatInterval()/batchWindowDivisor, s.relayBatch)
 	return s
 }
 
@@ -123,22 +123,22 @@
 // Cancellations returns the log of cancellations that users were notified of here.
 func (s *Server) Cancellations() *cancellation.Log { return s.jobs.cancellations }
 
-// SinceRenewal returns how long ago this controller may last have renewed a worker's lease, or
+// SinceWorkerRenewal returns how long ago this controller may last have renewed a worker's lease, or
 // this process started.
-func (s *Server) SinceRenewal() time.Duration {
-	return time.Since(s.lastRenewal.Load().(time.Time))
+func (s *Server) SinceWorkerRenewal() time.Duration {
+	return time.Since(s.lastWorkerRenewal.Load().(time.Time))
 }
 
 // Mount registers the routes of users and workers.
 func (s *Server) Mount(app *fiber.App) {
 	app.Post("/work", func(c *fiber.Ctx) error {
-		return s.reply(c, peer.RelayRequest{Method: peer.MethodSubmit, Body: c.Body()})
+		return s.respond(c, peer.RelayRequest{Method: peer.MethodSubmit, Body: c.Body()})
 	})
 	app.Get("/work/:id", func(c *fiber.Ctx) error {
-		return s.reply(c, peer.RelayRequest{Method: peer.MethodPoll, ID: utils.CopyString(c.Params("id"))})
+		return s.respond(c, peer.RelayRequest{Method: peer.MethodPoll, ID: utils.CopyString(c.Params("id"))})
 	})
 	app.Post("/work/:id/withdraw", func(c *fiber.Ctx) error {
-		return s.reply(c, peer.RelayRequest{Method: peer.MethodCancel, ID: utils.CopyString(c.Params("id"))})
+		return s.respond(c, peer.RelayRequest{Method: peer.MethodCancel, ID: utils.CopyString(c.Params("id"))})
 	})
 	app.Get("/ready", func(c *fiber.Ctx) error {
 		if s.Ready() {
@@ -147,16 +147,16 @@
 		c.Set(fiber.HeaderRetryAfter, retryAfterS)
 		return c.SendStatus(fiber.StatusServiceUnavailable)
 	})
-	app.Post("/checkin", s.handleHeartbeat)
+	app.Post("/checkin", s.serveHeartbeat)
 }
 
 // retryAfterS is the pause in seconds that users are told to make when a request cannot be taken
 // now: the shortest one that they keep.
 const retryAfterS = "1"
 
-// reply answers a user.
-func (s *Server) reply(c *fiber.Ctx, r peer.RelayRequest) error {
-	out := s.Answer(r)
+// respond answers a user.
+func (s *Server) respond(c *fiber.Ctx, r peer.RelayRequest) error {
+	out := s.HandleRequest(r)
 	if out.Status == fiber.StatusServiceUnavailable {
 		c.Set(fiber.HeaderRetryAfter, retryAfterS)
 	}
--- a/internal/api/shared_poll.go
+++ b/internal/api/shared_poll.go
@@ -23,8 +23,8 @@
 type pollCoalescer struct {
 	mu          sync.Mutex
 	activeUntil time.Time // polls share lists until then
-	next        *openList // the list that has not begun
-	lastBegan   time.Time // when a list last began
+	nextList    *openList // the list that has not begun
+	lastStart   time.Time // when a list last began
 }
 
 // openList is one list of the open jobs, which several polls wait for. Its other fields may be
@@ -38,8 +38,8 @@
 // listsPerTimeout is how many lists begin at most while a user waits for an answer.
 const listsPerTimeout = 2
 
-// active reports whether polls share lists now.
-func (c *pollCoalescer) active(now time.Time) bool {
+// isActive reports whether polls share lists now.
+func (c *pollCoalescer) isActive(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Before(c.activeUntil)
@@ -57,25 +57,25 @@
 func (c *pollCoalescer) join() (list *openList, wait time.Duration, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.next != nil {
-		return c.next, 0, false
+	if c.nextList != nil {
+		return c.nextList, 0, false
 	}
-	c.next = &openList{done: make(chan struct{})}
-	return c.next, max(time.Until(c.lastBegan.Add(userTimeout/listsPerTimeout)), 0), true
+	c.nextList = &openList{done: make(chan struct{})}
+	return c.nextList, max(time.Until(c.lastStart.Add(userTimeout/listsPerTimeout)), 0), true
 }
 
-// begin closes the next list to further polls: they join the one after it.
-func (c *pollCoalescer) begin() {
+// startNext closes the next list to further polls: they join the one after it.
+func (c *pollCoalescer) startNext() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next, c.lastBegan = nil, time.Now()
+	c.nextList, c.lastStart = nil, time.Now()
 }
 
 // awaitList waits for a list of the open jobs that begins after this call.
 func (s *Server) awaitList(ctx context.Context) (*openList, error) {
 	list, wait, first := s.coalescer.join()
 	if first {
-		go s.listOpen(list, wait)
+		go s.listOpenJobs(list, wait)
 	}
 	select {
 	case <-list.done:
@@ -85,14 +85,14 @@
 	}
 }
 
-// listOpen reads the open jobs after a wait, for all polls that have joined by then. It ends by its
+// listOpenJobs reads the open jobs after a wait, for all polls that have joined by then. It ends by its
 // own timeout, as no single poll owns it.
-func (s *Server) listOpen(list *openList, wait time.Duration) {
+func (s *Server) listOpenJobs(list *openList, wait time.Duration) {
 	defer close(list.done)
 	ctx, cancel := context.WithTimeout(context.Background(), wait+requestTimeout())
 	defer cancel()
 	_ = ctxtime.Sleep(ctx, wait)
-	s.coalescer.begin()
+	s.coalescer.startNext()
 	sharedLists.Inc()
 	list.jobs = map[string]*records.KeyValue{}
 	_, list.err = s.store.List(ctx, records.PrefixOpen, func(row records.KeyValue) error {
@@ -106,42 +106,42 @@
 
 // pollShared answers a poll from a shared list. A job that is not in it has a final state, or does
 // not exist: the final state is read singly, in turn.
-func (s *Server) pollShared(ctx context.Context, id string) answer {
+func (s *Server) pollShared(ctx context.Context, id string) response {
 	readAt := time.Now()
 	list, err := s.awaitList(ctx)
 	if err != nil {
-		return answerUnavailable
+		return unavailableResponse
 	}
 	if row := list.jobs[id]; row != nil {
-		return s.answerListed(ctx, id, row, readAt)
+		return s.listedJobResponse(ctx, id, row, readAt)
 	}
-	if a, ok := s.answerFromCache(ctx, id); ok {
+	if a, ok := s.cachedResponse(ctx, id); ok {
 		return a
 	}
-	if s.reads.Wait(ctx) != nil {
-		return answerUnavailable
+	if s.readLimiter.Wait(ctx) != nil {
+		return unavailableResponse
 	}
 	closed, err := s.readClosed(ctx, id)
 	switch {
 	case err != nil:
-		return answerUnavailable
+		return unavailableResponse
 	case closed == nil:
 		// It was absent among the open jobs first, and among the closed ones after that: there is
 		// no such job.
-		return answerNoSuchJob
+		return noSuchJobResponse
 	}
-	return s.answerClosed(ctx, id, *closed)
+	return s.closedJobResponse(ctx, id, *closed)
 }
 
-// answerListed answers about a job that a shared list has as open. Its progress is asked for only
+// listedJobResponse answers about a job that a shared list has as open. Its progress is asked for only
 // where that takes no call, or bears on the answer.
-func (s *Server) answerListed(ctx context.Context, id string, row *records.KeyValue, readAt time.Time) answer {
+func (s *Server) listedJobResponse(ctx context.Context, id string, row *records.KeyValue, readAt time.Time) response {
 	p := peer.Progress{Status: records.StatusPending}
-	if len(storedDependencies(row)) > 0 || s.local() != nil {
+	if len(storedDependencies(row)) > 0 || s.localLeader() != nil {
 		p = s.progress(id)
 	}
-	if a, closed := s.answerBlocked(ctx, id, row, readAt, p); closed {
+	if a, closed := s.dependencyResponse(ctx, id, row, readAt, p); closed {
 		return a
 	}
-	return answerOpen(id, p)
+	return openJobResponse(id, p)
 }
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -46,10 +46,10 @@
 
 // Limits of what a submission may contain.
 const (
-	maxTasks  = 100_000
-	maxText   = 200 // bytes
-	maxTypes  = 256
-	maxAmount = 1e9
+	maxTasks     = 100_000
+	maxTextBytes = 200 // bytes
+	maxTypes     = 256
+	maxAmount    = 1e9
 )
 
 var (
@@ -175,7 +175,7 @@
 	return nil
 }
 
-func isEmptyOrLong(text string) bool { return text == "" || len(text) > maxText }
+func isEmptyOrLong(text string) bool { return text == "" || len(text) > maxTextBytes }
 
 // isAmount reports whether a number is a valid amount; NaN is not.
 func isAmount(v float64) bool { return v >= 0 && v <= maxAmount }
@@ -207,8 +207,8 @@
 // tolerance absorbs rounding where amounts are compared.
 const tolerance = 1e-9
 
-// infeasible returns why a job can never run, "" when it can.
-func infeasible(job *records.Job, teams []config.Team, types []records.MachineType) string {
+// infeasibleReason returns why a job can never run, "" when it can.
+func infeasibleReason(job *records.Job, teams []config.Team, types []records.MachineType) string {
 	i := slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == job.Team })
 	if i < 0 {
 		return "unknown team"
@@ -244,10 +244,10 @@
 	return job.CPUs <= t.CPUs+tolerance && job.GPUs <= t.GPUs+tolerance && job.MemGB <= t.MemGB+tolerance
 }
 
-// tooLarge returns why a job cannot be stored: its record is larger than a value of the store may be,
+// tooLargeReason returns why a job cannot be stored: its record is larger than a value of the store may be,
 // now or after an announced change of limits; "" if it can.
-func (s *Server) tooLarge(job *records.Job) string {
-	limit := int(s.cfg.Deployment.State.Lowest().ValueKB * 1024)
+func (s *Server) tooLargeReason(job *records.Job) string {
+	limit := int(s.cfg.Deployment.Store.Lowest().ValueKB * 1024)
 	if limit == 0 {
 		return ""
 	}
--- a/internal/cancellation/renewal_bound.go
+++ b/internal/cancellation/renewal_bound.go
@@ -22,7 +22,7 @@
 // is reduced by the clock drift and by a tenth for messages in flight.
 func NewRenewalBound(cancel, lease time.Duration) RenewalBound {
 	span := cancel - lease
-	return RenewalBound{span: span - config.Drift(span) - span/marginDivisor}
+	return RenewalBound{span: span - config.MaxDrift(span) - span/marginDivisor}
 }
 
 // RecordContact records that the store was read. The time of the request counts, as the response
@@ -43,7 +43,7 @@
 // with a timeout.
 func (b *RenewalBound) RequiredSpan(now time.Time, timeout time.Duration) time.Duration {
 	span := now.Sub(b.contact) + timeout
-	return span + 2*config.Drift(span) + timeout
+	return span + 2*config.MaxDrift(span) + timeout
 }
 
 // PeerAnswer is the answer of one controller.
@@ -60,14 +60,14 @@
 	sinceContact := now.Sub(b.contact)
 	for _, answer := range answers {
 		// A controller without confirmations since the contact needs no list.
-		if answer.SinceLastConfirmation-config.Drift(answer.SinceLastConfirmation) >= sinceContact {
+		if answer.SinceLastConfirmation-config.MaxDrift(answer.SinceLastConfirmation) >= sinceContact {
 			continue
 		}
 		if answer.Confirmed == nil || answer.Confirmed.Check() != nil {
 			return nil, false
 		}
 		span := time.Duration(answer.Confirmed.SpanMS) * time.Millisecond
-		if span-config.Drift(span) < sinceContact {
+		if span-config.MaxDrift(span) < sinceContact {
 			return nil, false
 		}
 		ids = append(ids, answer.Confirmed.IDs...)
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -28,8 +28,8 @@
 	rentalShare  = 0.5
 	// maxConnections bounds the connections to the cloud.
 	maxConnections = 8
-	// pageMachines is how many machines a page of the list has.
-	pageMachines = 500
+	// pageSize is how many machines a page of the list has.
+	pageSize = 500
 	// noCapacity is the error by which the cloud says that it has no such machines now.
 	noCapacity = "no capacity"
 )
@@ -59,17 +59,17 @@
 
 // Bodies of requests and answers.
 type (
-	rentalAnswer struct {
+	rentalResponse struct {
 		Machines []string `json:"hosts"`
 	}
 	returnRequest struct {
 		Machines []string `json:"hosts"`
 	}
-	pageAnswer struct {
+	pageResponse struct {
 		Machines []autoscaler.CloudMachine `json:"hosts"`
 		More     bool                      `json:"more"`
 	}
-	errorAnswer struct {
+	errorResponse struct {
 		Error string `json:"error"`
 	}
 )
@@ -79,7 +79,7 @@
 	if err := c.requests.Wait(ctx); err != nil {
 		return err
 	}
-	status, raw, err := c.http.JSON(method, uri, body, time.Now().Add(c.timeout))
+	status, raw, err := c.http.DoJSON(method, uri, body, time.Now().Add(c.timeout))
 	if err != nil {
 		return fmt.Errorf("%w: %s %s: %v", autoscaler.ErrUnknownOutcome, method, uri, err)
 	}
@@ -95,7 +95,7 @@
 	case http.StatusTooManyRequests:
 		return autoscaler.ErrUnavailable
 	case http.StatusServiceUnavailable:
-		var answer errorAnswer
+		var answer errorResponse
 		_ = json.Unmarshal(raw, &answer) // without a text it is an outage
 		if answer.Error == noCapacity {
 			return autoscaler.ErrNoCapacity
@@ -127,7 +127,7 @@
 	if err := c.rentals.Wait(ctx); err != nil {
 		return nil, err
 	}
-	var answer rentalAnswer
+	var answer rentalResponse
 	err := c.call(ctx, http.MethodPost, "/machines", request, &answer)
 	return answer.Machines, err
 }
@@ -142,11 +142,11 @@
 	var all []autoscaler.CloudMachine
 	since := ""
 	for {
-		uri := "/machines?limit=" + strconv.Itoa(pageMachines)
+		uri := "/machines?limit=" + strconv.Itoa(pageSize)
 		if since != "" {
 			uri += "&since=" + url.QueryEscape(since)
 		}
-		var page pageAnswer
+		var page pageResponse
 		if err := c.call(ctx, http.MethodGet, uri, nil, &page); err != nil {
 			return nil, err
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,20 +31,20 @@
 // External holds the addresses of other services, each as host:port.
 type External struct {
 	Cloud string `toml:"cloud"` // the cloud's API
-	State string `toml:"state"` // the key-value store
+	Store string `toml:"state"` // the key-value store
 }
 
 // Deployment holds the figures of a deployment.
 type Deployment struct {
-	Nodes       int         `toml:"nodes"`         // number of controllers; if not set, one more than Peers
-	Zones       []string    `toml:"zones"`         // zones in which gangs that need a single zone may be placed
-	TimeBoundMS float64     `toml:"time_bound_ms"` // by how much the time of day of a machine may be off
-	Teams       []Team      `toml:"teams"`         // teams that may submit jobs
-	Objectives  []Objective `toml:"objectives"`    // service-level objectives of classes of jobs
-	Workers     Workers     `toml:"workers"`       // intervals and time-outs that workers keep
-	State       State       `toml:"state"`         // limits of the key-value store
-	Cloud       Cloud       `toml:"cloud"`         // limits of the cloud's API
-	Resources   Resources   `toml:"resources"`     // what a controller may use of its machine
+	Nodes           int         `toml:"nodes"`         // number of controllers; if not set, one more than Peers
+	Zones           []string    `toml:"zones"`         // zones in which gangs that need a single zone may be placed
+	MaxClockErrorMS float64     `toml:"time_bound_ms"` // by how much the time of day of a machine may be off
+	Teams           []Team      `toml:"teams"`         // teams that may submit jobs
+	Objectives      []Objective `toml:"objectives"`    // service-level objectives of classes of jobs
+	Workers         Workers     `toml:"workers"`       // intervals and time-outs that workers keep
+	Store           StoreLimits `toml:"state"`         // limits of the key-value store
+	Cloud           CloudLimits `toml:"cloud"`         // limits of the cloud's API
+	Resources       Resources   `toml:"resources"`     // what a controller may use of its machine
 }
 
 // Team has a guaranteed share of the machines and a limit. Amounts are of all its running tasks
@@ -67,24 +67,24 @@
 
 // Objective is a service-level objective of a class of jobs.
 type Objective struct {
-	Kind    string  `toml:"kind"`     // what is measured, such as KindWait
-	Class   string  `toml:"class"`    // class of the jobs that it holds for
-	WithinS float64 `toml:"within_s"` // time that is allowed, in seconds
-	Share   float64 `toml:"share"`    // share of the cases that have to meet it, 0 to 1
-	Times   float64 `toml:"times"`    // factor on a job's deadline
+	Kind           string  `toml:"kind"`     // what is measured, such as KindWait
+	Class          string  `toml:"class"`    // class of the jobs that it holds for
+	WithinS        float64 `toml:"within_s"` // time that is allowed, in seconds
+	Share          float64 `toml:"share"`    // share of the cases that have to meet it, 0 to 1
+	DeadlineFactor float64 `toml:"times"`    // factor on a job's deadline
 }
 
 // Workers holds the intervals and time-outs that workers keep, in seconds.
 type Workers struct {
-	HeartbeatS float64 `toml:"report_s"`    // interval between the heartbeats of a worker
-	LeaseS     float64 `toml:"lease_s"`     // a worker's lease: without an answer for so long it ends its tasks
-	GangWaitS  float64 `toml:"gang_wait_s"` // how long a task waits for the rest of its gang to start
-	GangPeerS  float64 `toml:"gang_peer_s"` // within which the tasks of a gang notice that one is gone
-	CancelS    float64 `toml:"cancel_s"`    // within which all tasks of a cancelled job must be gone
+	HeartbeatS    float64 `toml:"report_s"`    // interval between the heartbeats of a worker
+	LeaseS        float64 `toml:"lease_s"`     // a worker's lease: without an answer for so long it ends its tasks
+	GangWaitS     float64 `toml:"gang_wait_s"` // how long a task waits for the rest of its gang to start
+	GangPeerLossS float64 `toml:"gang_peer_s"` // within which the tasks of a gang notice that one is gone
+	CancelS       float64 `toml:"cancel_s"`    // within which all tasks of a cancelled job must be gone
 }
 
-// State holds the limits of the key-value store.
-type State struct {
+// StoreLimits holds the limits of the key-value store.
+type StoreLimits struct {
 	RPS      float64        `toml:"rps"`       // requests per second of all controllers
 	WriteRPS float64        `toml:"write_rps"` // puts and deletes per second of all controllers
 	ValueKB  float64        `toml:"value_kb"`  // size of a value, in KiB
@@ -103,8 +103,8 @@
 
 // Lowest returns the lower of the present and the upcoming limits: what keeps to them is accepted
 // before and after the store changes over.
-func (s State) Lowest() State {
-	lowest := State{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
+func (s StoreLimits) Lowest() StoreLimits {
+	lowest := StoreLimits{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
 	for _, limit := range []struct{ lowest, next *float64 }{
 		{&lowest.RPS, s.Next.RPS},
 		{&lowest.WriteRPS, s.Next.WriteRPS},
@@ -120,8 +120,8 @@
 	return lowest
 }
 
-// Cloud holds the limits of the cloud's API.
-type Cloud struct {
+// CloudLimits holds the limits of the cloud's API.
+type CloudLimits struct {
 	RPS      float64 `toml:"rps"`        // requests per second of all controllers
 	ListLagS float64 `toml:"list_lag_s"` // by how much its list of machines lags behind, in seconds
 }
@@ -136,11 +136,11 @@
 // Seconds converts a figure of the settings to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// maxDriftRatio is one in so many by which the monotonic clocks of two machines may differ.
-const maxDriftRatio = 1000
+// maxDriftDivisor is one in so many by which the monotonic clocks of two machines may differ.
+const maxDriftDivisor = 1000
 
-// Drift returns by how much the monotonic clocks of two machines may differ over d.
-func Drift(d time.Duration) time.Duration { return d / maxDriftRatio }
+// MaxDrift returns by how much the monotonic clocks of two machines may differ over d.
+func MaxDrift(d time.Duration) time.Duration { return d / maxDriftDivisor }
 
 // HeartbeatInterval returns the interval between a worker's heartbeats.
 func (c *Config) HeartbeatInterval() time.Duration { return Seconds(c.Deployment.Workers.HeartbeatS) }
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -11,22 +11,22 @@
 type Options struct {
 	// RoundIntervals is the length of a scheduling round, in heartbeat intervals.
 	RoundIntervals float64
-	// AlphaUp is the smoothing factor of the FUSD forecast while use rises, -1 to 0.
-	AlphaUp float64
-	// AlphaDown is the smoothing factor of the FUSD forecast while use falls, 0 to 1.
-	AlphaDown float64
-	// Window is the number of heartbeats in the window of the FUSD forecast.
-	Window int
-	// Percentile is the percentile of the window that is taken as observed use, 1 to 100.
-	Percentile float64
+	// ForecastAlphaUp is the smoothing factor of the FUSD forecast while use rises, -1 to 0.
+	ForecastAlphaUp float64
+	// ForecastAlphaDown is the smoothing factor of the FUSD forecast while use falls, 0 to 1.
+	ForecastAlphaDown float64
+	// ForecastWindow is the number of heartbeats in the window of the FUSD forecast.
+	ForecastWindow int
+	// ForecastPercentile is the percentile of the window that is taken as observed use, 1 to 100.
+	ForecastPercentile float64
 	// LeaderLeaseIntervals is the life of the leader's lease, in heartbeat intervals.
 	LeaderLeaseIntervals float64
 	// IdleStartups is how long an empty machine is kept, in startup times of its type.
 	IdleStartups float64
 	// CapacityBackoffStartups is the pause after the cloud had no capacity, in startup times.
 	CapacityBackoffStartups float64
-	// Operators serves the operators' API beside the users' one.
-	Operators bool
+	// OperatorAPI serves the operators' API beside the users' one.
+	OperatorAPI bool
 	// Watermarks stores how far jobs were dispatched, so that a new leader need not wait for all
 	// machines before it starts the rest.
 	Watermarks bool
@@ -42,8 +42,8 @@
 	Guarantees bool
 	// Reservations keeps room free for jobs that need much of it at once.
 	Reservations bool
-	// BeginS is the time in seconds within which any job is to start, if there is room for it at all.
-	BeginS float64
+	// BeginWithinS is the time in seconds within which any job is to start, if there is room for it at all.
+	BeginWithinS float64
 	// ZoneHealth has the scheduler wait for the machines of a zone that is cut off, rather than give
 	// them up.
 	ZoneHealth bool
@@ -52,8 +52,8 @@
 // DefaultOptions returns the options that hold where the INI file sets nothing.
 func DefaultOptions() Options {
 	return Options{
-		RoundIntervals: 2, AlphaUp: -0.2, AlphaDown: 0.7, Window: 8, Percentile: 90,
-		LeaderLeaseIntervals: 2, IdleStartups: 1, CapacityBackoffStartups: 0.5, BeginS: 240,
+		RoundIntervals: 2, ForecastAlphaUp: -0.2, ForecastAlphaDown: 0.7, ForecastWindow: 8, ForecastPercentile: 90,
+		LeaderLeaseIntervals: 2, IdleStartups: 1, CapacityBackoffStartups: 0.5, BeginWithinS: 240,
 	}
 }
 
@@ -86,19 +86,19 @@
 func (o *Options) numbers() []numberOption {
 	return []numberOption{
 		{optionKey{"rounds", "round_reports"}, &o.RoundIntervals, 1, 1000},
-		{optionKey{"forecast", "alpha_up"}, &o.AlphaUp, -1, 0},
-		{optionKey{"forecast", "alpha_down"}, &o.AlphaDown, 0, 0.999},
-		{optionKey{"forecast", "percentile"}, &o.Percentile, 1, 100},
+		{optionKey{"forecast", "alpha_up"}, &o.ForecastAlphaUp, -1, 0},
+		{optionKey{"forecast", "alpha_down"}, &o.ForecastAlphaDown, 0, 0.999},
+		{optionKey{"forecast", "percentile"}, &o.ForecastPercentile, 1, 100},
 		{optionKey{"leader", "grant_reports"}, &o.LeaderLeaseIntervals, 1, 20},
 		{optionKey{"rental", "idle_startups"}, &o.IdleStartups, 0, 100},
-		{optionKey{"largest", "begin_s"}, &o.BeginS, 1, 86400},
+		{optionKey{"largest", "begin_s"}, &o.BeginWithinS, 1, 86400},
 		{optionKey{"rental", "refused_startups"}, &o.CapacityBackoffStartups, 0.05, 100},
 	}
 }
 
 func (o *Options) switches() []switchOption {
 	return []switchOption{
-		{optionKey{"operator", "enabled"}, &o.Operators},
+		{optionKey{"operator", "enabled"}, &o.OperatorAPI},
 		{optionKey{"takeover", "marks"}, &o.Watermarks},
 		{optionKey{"takeover", "lapses"}, &o.LeaseExpiryProofs},
 		{optionKey{"relay", "enabled"}, &o.HeartbeatRelay},
@@ -148,7 +148,7 @@
 	if err != nil || v < 1 || v > maxWindow {
 		return windowKey.invalid("must be a whole number from 1 to %d", maxWindow)
 	}
-	o.Window = v
+	o.ForecastWindow = v
 	return nil
 }
 
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -8,34 +8,34 @@
 // Timing holds the time-outs of calls and the life of the leader's lease. All are ratios to the
 // heartbeat interval, bounded where users or workers wait.
 type Timing struct {
-	HeartbeatInterval  time.Duration // between the heartbeats of a worker
-	LeaderLease        time.Duration // life of the leader's lease
-	Store              time.Duration // time-out of a call to the key-value store
-	Peer               time.Duration // time-out of a call to another controller
-	Cloud              time.Duration // time-out of a call to the cloud
-	Worker             time.Duration // time-out of a direct command to a worker
-	UnconfirmedRenewal time.Duration // how long a leader renews workers' leases without contact to the store
+	HeartbeatInterval   time.Duration // between the heartbeats of a worker
+	LeaderLease         time.Duration // life of the leader's lease
+	StoreTimeout        time.Duration // time-out of a call to the key-value store
+	PeerTimeout         time.Duration // time-out of a call to another controller
+	CloudTimeout        time.Duration // time-out of a call to the cloud
+	WorkerTimeout       time.Duration // time-out of a direct command to a worker
+	RenewalWithoutStore time.Duration // how long a leader renews workers' leases without contact to the store
 }
 
 // Timing derives the timing from the settings.
 func (c *Config) Timing() Timing {
 	interval, workers := c.HeartbeatInterval(), c.Deployment.Workers
 	return Timing{
-		HeartbeatInterval:  interval,
-		LeaderLease:        time.Duration(float64(interval) * c.Options.LeaderLeaseIntervals),
-		Store:              min(interval/2, time.Second),
-		Peer:               min(interval/4, time.Second/2),
-		Cloud:              2 * interval,
-		Worker:             interval,
-		UnconfirmedRenewal: Seconds(workers.CancelS - workers.LeaseS),
+		HeartbeatInterval:   interval,
+		LeaderLease:         time.Duration(float64(interval) * c.Options.LeaderLeaseIntervals),
+		StoreTimeout:        min(interval/2, time.Second),
+		PeerTimeout:         min(interval/4, time.Second/2),
+		CloudTimeout:        2 * interval,
+		WorkerTimeout:       interval,
+		RenewalWithoutStore: Seconds(workers.CancelS - workers.LeaseS),
 	}
 }
 
 const (
 	// slowStoreCall is what a call to the key-value store may take now and then.
 	slowStoreCall = 300 * time.Millisecond
-	// lostHeartbeat is how long a worker waits for an answer, and then before it tries the next node.
-	lostHeartbeat = 5 * time.Second
+	// lostHeartbeatDelay is how long a worker waits for an answer, and then before it tries the next node.
+	lostHeartbeatDelay = 5 * time.Second
 )
 
 // Warnings lists settings each of which is in range and that hold together badly: nothing breaks a
@@ -50,17 +50,17 @@
 		warn("facts.workers.lease_s (%v): a leader that fails is replaced after %v and heard by all machines %v later; "+
 			"their leases may end before", workers.LeaseS, timing.LeaderLease, 2*timing.HeartbeatInterval)
 	}
-	if lostHeartbeat+timing.HeartbeatInterval > lease {
+	if lostHeartbeatDelay+timing.HeartbeatInterval > lease {
 		warn("facts.workers.lease_s (%v): one report without an answer costs a worker %v; its lease may end",
-			workers.LeaseS, lostHeartbeat+timing.HeartbeatInterval)
+			workers.LeaseS, lostHeartbeatDelay+timing.HeartbeatInterval)
 	}
-	if timing.UnconfirmedRenewal < 2*timing.HeartbeatInterval {
+	if timing.RenewalWithoutStore < 2*timing.HeartbeatInterval {
 		warn("facts.workers.cancel_s (%v): a leader out of touch with the store renews leases for %v only",
-			workers.CancelS, timing.UnconfirmedRenewal)
+			workers.CancelS, timing.RenewalWithoutStore)
 	}
-	if timing.Store < slowStoreCall {
+	if timing.StoreTimeout < slowStoreCall {
 		warn("facts.workers.report_s (%v): calls to the state service are given %v, and it may take %v",
-			workers.HeartbeatS, timing.Store, slowStoreCall)
+			workers.HeartbeatS, timing.StoreTimeout, slowStoreCall)
 	}
 	for i, o := range c.Deployment.Objectives {
 		if o.Kind == KindGuarantee && Seconds(o.WithinS) <= 3*timing.HeartbeatInterval {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -18,7 +18,7 @@
 		{"bind", c.UserAddr},
 		{"back", c.PeerAddr},
 		{"external.cloud", c.External.Cloud},
-		{"external.state", c.External.State},
+		{"external.state", c.External.Store},
 	} {
 		if err := validateAddr(a.key, a.addr); err != nil {
 			return err
@@ -65,7 +65,7 @@
 	if len(d.Zones) == 0 {
 		return missing("facts.zones")
 	}
-	for _, f := range d.figures() {
+	for _, f := range d.numbers() {
 		if math.IsNaN(f.value) || f.value < f.min || f.value > f.max {
 			return invalid(f.key, "%s is missing or out of range: %v is not within %v to %v", f.key, f.value, f.min, f.max)
 		}
@@ -76,51 +76,51 @@
 	return d.validateTeams()
 }
 
-// figure is a number of the settings with the range that it must be in.
-type figure struct {
+// numberSetting is a number of the settings with the range that it must be in.
+type numberSetting struct {
 	key      string
 	value    float64
 	min, max float64
 }
 
-// figures lists the numbers of the settings, in the order in which they are checked. The ranges only
+// numbers lists the numbers of the settings, in the order in which they are checked. The ranges only
 // keep out what no deployment has, and what would make a controller misbehave.
-func (d *Deployment) figures() []figure {
+func (d *Deployment) numbers() []numberSetting {
 	const (
 		maxRate = 1e9
 		hourS   = 3600
 		dayS    = 86400
 	)
-	figures := []figure{
+	figures := []numberSetting{
 		{"facts.nodes", float64(d.Nodes), 1, 1000},
-		{"facts.time_bound_ms", d.TimeBoundMS, 0, hourS * 1e3},
+		{"facts.time_bound_ms", d.MaxClockErrorMS, 0, hourS * 1e3},
 		{"facts.workers.report_s", d.Workers.HeartbeatS, 0.01, hourS},
 		{"facts.workers.lease_s", d.Workers.LeaseS, 0.1, dayS},
 		{"facts.workers.gang_wait_s", d.Workers.GangWaitS, 0.1, dayS},
-		{"facts.workers.gang_peer_s", d.Workers.GangPeerS, 0.1, dayS},
+		{"facts.workers.gang_peer_s", d.Workers.GangPeerLossS, 0.1, dayS},
 		{"facts.workers.cancel_s", d.Workers.CancelS, 0.1, dayS},
-		{"facts.state.rps", d.State.RPS, 1, maxRate},
-		{"facts.state.write_rps", d.State.WriteRPS, 0.5, maxRate},
-		{"facts.state.value_kb", d.State.ValueKB, 1, 64},
-		{"facts.state.txn_ops", float64(d.State.TxnOps), 2, 1e6},
+		{"facts.state.rps", d.Store.RPS, 1, maxRate},
+		{"facts.state.write_rps", d.Store.WriteRPS, 0.5, maxRate},
+		{"facts.state.value_kb", d.Store.ValueKB, 1, 64},
+		{"facts.state.txn_ops", float64(d.Store.TxnOps), 2, 1e6},
 		{"facts.cloud.rps", d.Cloud.RPS, 0.1, maxRate},
 		{"facts.cloud.list_lag_s", d.Cloud.ListLagS, 0, hourS},
 		{"facts.resources.cores", d.Resources.Cores, 0.001, 4096},
 		{"facts.resources.ram_mb", d.Resources.RAMMB, 24, 1e9},
 		{"facts.resources.fd_limit", float64(d.Resources.FDLimit), 32, 1e9},
 	}
-	next := d.State.Next
+	next := d.Store.Next
 	if next.RPS != nil {
-		figures = append(figures, figure{"facts.state.next.rps", *next.RPS, 1, maxRate})
+		figures = append(figures, numberSetting{"facts.state.next.rps", *next.RPS, 1, maxRate})
 	}
 	if next.WriteRPS != nil {
-		figures = append(figures, figure{"facts.state.next.write_rps", *next.WriteRPS, 0.5, maxRate})
+		figures = append(figures, numberSetting{"facts.state.next.write_rps", *next.WriteRPS, 0.5, maxRate})
 	}
 	if next.ValueKB != nil {
-		figures = append(figures, figure{"facts.state.next.value_kb", *next.ValueKB, 1, 64})
+		figures = append(figures, numberSetting{"facts.state.next.value_kb", *next.ValueKB, 1, 64})
 	}
 	if next.TxnOps != nil {
-		figures = append(figures, figure{"facts.state.next.txn_ops", float64(*next.TxnOps), 2, 1e6})
+		figures = append(figures, numberSetting{"facts.state.next.txn_ops", float64(*next.TxnOps), 2, 1e6})
 	}
 	return figures
 }
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -49,7 +49,7 @@
 type node struct {
 	job          Job // only its ID, while nothing else is known
 	state        State
-	cascades     bool      // it is open and to be cancelled, as a dependency is
+	toCancel     bool      // it is open and to be cancelled, as a dependency is
 	blocked      bool      // it is open and waits for a dependency
 	doneAt       time.Time // zero: not known
 	revision     uint64    // at which its final state was stored; 0: not known
@@ -60,10 +60,10 @@
 
 // Graph holds the open jobs and those that open jobs depend on. It is not for concurrent use.
 type Graph struct {
-	nodes   map[string]*node
-	unknown map[string]bool // see UnknownJobs
-	cascade []string        // see ToCancel; may hold jobs that have been closed since
-	changed map[string]bool // see Changed
+	nodes    map[string]*node
+	unknown  map[string]bool // see UnknownJobs
+	toCancel []string        // see ToCancel; may hold jobs that have been closed since
+	changed  map[string]bool // see Changed
 }
 
 // New returns an empty graph.
@@ -99,7 +99,7 @@
 		}
 	}
 	n.precedence = job.precedence()
-	n.blocked = n.needsOthers()
+	n.blocked = n.hasUnfinishedDependency()
 	g.changed[job.ID] = true
 	for _, dependent := range n.dependents { // named it before it was known
 		g.updateBlocked(dependent)
@@ -107,7 +107,7 @@
 	g.propagatePrecedence(n)
 	for _, dependency := range n.dependencies {
 		g.propagatePrecedence(dependency)
-		if dependency.state == Cancelled || dependency.cascades {
+		if dependency.state == Cancelled || dependency.toCancel {
 			g.cancelWithDependents(n)
 		}
 	}
@@ -153,15 +153,15 @@
 		if dependency.state == Open {
 			g.propagatePrecedence(dependency)
 		}
-		g.forgetUnused(dependency)
+		g.removeIfUnused(dependency)
 	}
 	n.dependencies = nil
-	n.cascades, n.blocked = false, false
-	g.forgetUnused(n)
+	n.toCancel, n.blocked = false, false
+	g.removeIfUnused(n)
 }
 
-// forgetUnused forgets a job that is not open and that no open job names.
-func (g *Graph) forgetUnused(n *node) {
+// removeIfUnused forgets a job that is not open and that no open job names.
+func (g *Graph) removeIfUnused(n *node) {
 	if n.state != Open && len(n.dependents) == 0 {
 		delete(g.nodes, n.job.ID)
 		delete(g.unknown, n.job.ID)
@@ -169,14 +169,14 @@
 	}
 }
 
-// needsOthers reports whether any dependency is not known to be stored as done.
-func (n *node) needsOthers() bool {
+// hasUnfinishedDependency reports whether any dependency is not known to be stored as done.
+func (n *node) hasUnfinishedDependency() bool {
 	return slices.ContainsFunc(n.dependencies, func(dependency *node) bool { return dependency.state != Done })
 }
 
 // updateBlocked recomputes whether a job is blocked.
 func (g *Graph) updateBlocked(n *node) {
-	if blocked := n.needsOthers(); blocked != n.blocked {
+	if blocked := n.hasUnfinishedDependency(); blocked != n.blocked {
 		n.blocked = blocked
 		g.changed[n.job.ID] = true
 	}
@@ -187,11 +187,11 @@
 func (g *Graph) cancelWithDependents(first *node) {
 	for queue := []*node{first}; len(queue) > 0; queue = queue[1:] {
 		n := queue[0]
-		if n.state != Open || n.cascades {
+		if n.state != Open || n.toCancel {
 			continue
 		}
-		n.cascades = true
-		g.cascade = append(g.cascade, n.job.ID)
+		n.toCancel = true
+		g.toCancel = append(g.toCancel, n.job.ID)
 		queue = append(queue, n.dependents...)
 	}
 }
@@ -204,8 +204,8 @@
 	return a
 }
 
-// minus subtracts a duration from a time; zero stays no time.
-func minus(t time.Time, d time.Duration) time.Time {
+// subtract subtracts a duration from a time; zero stays no time.
+func subtract(t time.Time, d time.Duration) time.Time {
 	if t.IsZero() {
 		return t
 	}
@@ -224,8 +224,8 @@
 		precedence := n.job.precedence()
 		for _, dependent := range n.dependents {
 			precedence.Rank = min(precedence.Rank, dependent.precedence.Rank)
-			precedence.Deadline = earliest(precedence.Deadline, minus(dependent.precedence.Deadline, dependent.job.Estimate))
-			precedence.LatestEnd = earliest(precedence.LatestEnd, minus(dependent.precedence.LatestEnd, dependent.job.Estimate))
+			precedence.Deadline = earliest(precedence.Deadline, subtract(dependent.precedence.Deadline, dependent.job.Estimate))
+			precedence.LatestEnd = earliest(precedence.LatestEnd, subtract(dependent.precedence.LatestEnd, dependent.job.Estimate))
 		}
 		if precedence != n.precedence {
 			n.precedence = precedence
@@ -238,7 +238,7 @@
 // Blocked reports whether a job depends on one that is not known to be stored as done.
 func (g *Graph) Blocked(id string) bool {
 	n := g.nodes[id]
-	return n != nil && n.needsOthers()
+	return n != nil && n.hasUnfinishedDependency()
 }
 
 // ReleasedAt returns when the last dependency of a job was done, as far as known; zero if none is.
@@ -274,11 +274,11 @@
 	return Precedence{}
 }
 
-// Unobstructed reports whether of all dependencies of an open job, however far, none is cancelled or
+// DependenciesClear reports whether of all dependencies of an open job, however far, none is cancelled or
 // unknown. A dependency that is done has none such of its own.
-func (g *Graph) Unobstructed(id string) bool {
+func (g *Graph) DependenciesClear(id string) bool {
 	n := g.nodes[id]
-	if n == nil || n.state != Open || n.cascades {
+	if n == nil || n.state != Open || n.toCancel {
 		return false
 	}
 	seen := map[*node]bool{}
@@ -287,7 +287,7 @@
 		stack = stack[:len(stack)-1]
 		switch {
 		case seen[dependency] || dependency.state == Done:
-		case dependency.state != Open || dependency.cascades:
+		case dependency.state != Open || dependency.toCancel:
 			return false
 		default:
 			seen[dependency] = true
@@ -305,11 +305,11 @@
 // ToCancel lists the open jobs that are to be cancelled because a dependency is, the
 // nearest to it first.
 func (g *Graph) ToCancel() []string {
-	g.cascade = slices.DeleteFunc(g.cascade, func(id string) bool {
+	g.toCancel = slices.DeleteFunc(g.toCancel, func(id string) bool {
 		n := g.nodes[id]
-		return n == nil || !n.cascades
+		return n == nil || !n.toCancel
 	})
-	return slices.Clone(g.cascade)
+	return slices.Clone(g.toCancel)
 }
 
 // Changed lists the jobs that were blocked, released, or became more or less urgent since
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -300,5 +300,5 @@
 // leaseConfirmedUntil returns until when a lease granted or renewed by a request sent at
 // requestedAt is certain to last, allowing for the drift of the local clock.
 func (e *Election) leaseConfirmedUntil(requestedAt time.Time) time.Time {
-	return requestedAt.Add(e.leaseDuration - config.Drift(e.leaseDuration))
+	return requestedAt.Add(e.leaseDuration - config.MaxDrift(e.leaseDuration))
 }
