--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -8,18 +8,18 @@
 	"drumpick/internal/records"
 )
 
-// cancelAttempts is how often a job is looked up that changes while it is being cancelled.
+// cancelAttempts bounds the attempts to cancel a job that changes concurrently.
 const cancelAttempts = 4
 
-// cancelJob cancels a job, or answers with the final state that it has already.
+// cancelJob cancels a job. If the job already has a final state, the response reports that state.
 func (s *Server) cancelJob(ctx context.Context, id string) response {
 	if !records.ValidID(id) {
 		return noSuchJobResponse
 	}
 	for range cancelAttempts {
 		if closed, ok := s.jobs.closedJob(id); ok {
-			if a := s.closedJobResponse(ctx, id, closed); a.outcome != outcomeOK {
-				return a
+			if resp := s.closedJobResponse(ctx, id, closed); resp.outcome != outcomeOK {
+				return resp
 			}
 			return response{outcomeOK, jobStatus{ID: id, Status: closed.Status}}
 		}
@@ -39,8 +39,9 @@
 	return unavailableResponse
 }
 
-// storeCancelled moves an open job to the closed records as cancelled, unless it has gone there
-// meanwhile. mayHaveStarted is as in jobCache.addClosed. It returns false if the store does not answer.
+// storeCancelled moves an open job to the closed records as cancelled, unless its record has changed
+// since row was read. mayHaveStarted is as in jobCache.addClosed. It returns false if the commit
+// fails for any reason other than a conflict.
 func (s *Server) storeCancelled(ctx context.Context, id string, row *records.KeyValue, mayHaveStarted bool) bool {
 	job := decodeOpen(row)
 	closed := records.ClosedJob{Status: records.StatusCancelled, Tasks: job.Tasks, Service: job.Shape == records.ShapeService}
--- a/internal/api/confirmations.go
+++ b/internal/api/confirmations.go
@@ -18,24 +18,24 @@
 	withheldCancellations = metrics.NewCounter("drumpick_cancellations_held_back_total")
 )
 
-// pendingConfirmations holds the cancelled jobs of which it is not known whether the leader knows of the
-// cancellation. Users are not told of one before it does.
+// pendingConfirmations tracks the cancelled jobs whose cancellation the leader has not acknowledged.
+// Until then users are not told that such a job is cancelled.
 type pendingConfirmations struct {
 	leaderLease time.Duration
 
 	mu    sync.Mutex
-	since map[string]time.Time // when the cancellation was first known here
+	since map[string]time.Time // when this controller first learned of the cancellation, by job
 }
 
 func newPendingConfirmations(leaderLease time.Duration) *pendingConfirmations {
 	return &pendingConfirmations{leaderLease: leaderLease, since: map[string]time.Time{}}
 }
 
-// add records that a cancellation has to be confirmed.
+// add records that the leader has to acknowledge a cancellation.
 //
-// When the memory is full, those cancellations are evicted that are older than the leader's lease:
-// they need no confirmation any more (confirmCancelled). Nothing else is evicted, so that no user is
-// told of a cancellation before the leader because it was forgotten here.
+// When the map is full, cancellations older than the leader's lease are evicted: they no longer need
+// an acknowledgement (confirmCancelled). Nothing else is evicted, since a user would then be told of
+// a cancellation that the leader does not know.
 func (c *pendingConfirmations) add(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +49,7 @@
 	c.since[id] = time.Now()
 }
 
-// pendingSince returns since when a cancellation waits for its confirmation, and whether it does.
+// pendingSince returns since when a cancellation has been pending; ok is false if it is not pending.
 func (c *pendingConfirmations) pendingSince(id string) (since time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,13 +63,13 @@
 	delete(c.since, id)
 }
 
-// confirmCancelled reports whether users may be told that a job is cancelled which is stored as
-// such. From then on none of its tasks may start (the protocol), so the leader has to know before.
-// Mostly the leader's watch of the store is faster than a user. It is not where the store is slow,
-// refuses the leader alone, or has lost its lease while the leader still goes by it. Then the
-// leader is notified here, and its answer waited for. A leader that cannot be reached starts
-// nothing any more once the lease is over that it may have had when the cancellation was first
-// known here. Until then users are asked to retry.
+// confirmCancelled reports whether users may be told that a job is cancelled whose cancellation is
+// stored. By the protocol, none of the job's tasks may start after that, so the leader has to know
+// first. Usually its watch of the store has told it. The watch may lag if the store is slow, rejects
+// requests of the leader alone, or has lost the leader's lease while the leader still relies on it.
+// Therefore the leader is notified and has to acknowledge. A leader that cannot be reached starts no
+// tasks after the expiry of any lease that it held when this controller learned of the cancellation.
+// Until then users are asked to retry.
 func (s *Server) confirmCancelled(ctx context.Context, id string) bool {
 	since, pending := s.confirmations.pendingSince(id)
 	if !pending {
@@ -77,15 +77,15 @@
 	}
 	if time.Since(since) <= s.cfg.Timing().LeaderLease && !s.notifyLeader(ctx, id) {
 		withheldCancellations.Inc()
-		slog.Debug("cancellation not confirmed", "job", id, "reason", "the leader does not know of it")
+		slog.Debug("cancellation not confirmed", "job", id, "reason", "leader has not acknowledged it")
 		return false
 	}
 	s.confirmations.remove(id)
 	return true
 }
 
-// notifyLeader notifies the leader of a cancellation, and reports whether it knows now. Where nobody
-// leads, as far as known, the next leader reads the store after its election.
+// notifyLeader notifies the leader of a cancellation and reports whether the leader has acknowledged
+// it. If no leader is known the result is true: the next leader reads the store after its election.
 func (s *Server) notifyLeader(ctx context.Context, id string) bool {
 	if l := s.localLeader(); l != nil {
 		return l.NotifyCancelled(ctx, id)
@@ -98,13 +98,13 @@
 		return false
 	}
 	leaderNotifications.Inc()
-	known, err := s.peers.NotifyCancelled(node, id)
-	// A version that does not support the call relies on its watch alone.
-	return err == nil && known || errors.Is(err, peer.ErrUnsupported)
+	acknowledged, err := s.peers.NotifyCancelled(node, id)
+	// A leader of a version without this call relies on its watch alone.
+	return err == nil && acknowledged || errors.Is(err, peer.ErrUnsupported)
 }
 
-// HandleCancellation answers a peer that notifies this controller, as the leader, of a cancellation. It
-// reports whether none of the job's tasks is sent to a worker from then on.
+// HandleCancellation handles the notification of a peer that a job is cancelled. It returns true if
+// this controller leads and dispatches none of the job's tasks from then on.
 func (s *Server) HandleCancellation(id string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout())
 	defer cancel()
--- a/internal/api/confirmations_eviction_test.go
+++ b/internal/api/confirmations_eviction_test.go
@@ -9,8 +9,8 @@
 	"drumpick/internal/records"
 )
 
-// However many cancellations wait for the leader's confirmation, none is evicted within a leader's
-// lease; older ones make room.
+// A full map of pending confirmations evicts only cancellations that are older than the leader's
+// lease, never newer ones.
 func TestUnconfirmedCancellationsAreKeptForALease(t *testing.T) {
 	cfg := &config.Config{Node: "n-0", Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, CancelS: 44}
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -11,18 +11,18 @@
 	"drumpick/internal/records"
 )
 
-// dependencyStatus is what the dependencies of a job, direct and indirect, mean for it.
+// dependencyStatus is the combined status of the direct and indirect dependencies of a job.
 type dependencyStatus int
 
 const (
-	dependenciesUnknown dependencyStatus = iota // the store did not answer, or not all in time
+	dependenciesUnknown dependencyStatus = iota // not all could be read in time
 	dependenciesInvalid                         // one was never accepted, or is a service, which never ends
 	dependencyCancelled                         // one is cancelled
 	dependenciesClear                           // none is cancelled
 )
 
-// checkDependencies checks the jobs that a submission names as dependencies, and theirs. If they are
-// invalid it returns why.
+// checkDependencies checks the dependencies of a submitted job, direct and indirect. If they are
+// invalid it also returns the reason.
 func (s *Server) checkDependencies(ctx context.Context, job *records.Job) (dependencyStatus, string) {
 	walker := s.newWalker()
 	result := dependenciesClear
@@ -34,7 +34,7 @@
 			slog.Debug("dependency not read", "job", job.ID, "dependency", id, "err", err)
 			return dependenciesUnknown, ""
 		case dependency.absent():
-			// Records are kept for good: what is not stored was never accepted.
+			// Records are never deleted: a job that is not stored was never accepted.
 			return dependenciesInvalid, "prereqs names a job that was never accepted: " + id
 		}
 		open := decodeOpen(dependency.open)
@@ -54,7 +54,7 @@
 	return result, ""
 }
 
-// lookupCached is like lookup, but takes a final state from the cache.
+// lookupCached is lookup, except that it reads a cached final state from the cache.
 func (s *Server) lookupCached(ctx context.Context, id string) (storedJob, error) {
 	if closed, ok := s.jobs.closedJob(id); ok {
 		return storedJob{closed: &closed}, nil
@@ -62,10 +62,11 @@
 	return s.lookup(ctx, id)
 }
 
-// dependencyResponse makes sure, before an open job is reported as open, that none of its dependencies,
-// direct or indirect, is cancelled. If one is, it stores that the job is cancelled as well, and
-// answers that. Mostly the leader knows. Without this, a user could be told that a job waits long
-// after a dependency of it was cancelled, while there is no leader to cancel it.
+// dependencyResponse checks the dependencies of an open job, direct and indirect, before the job is
+// reported as open. If one is cancelled it cancels the job as well and returns a response that says
+// so; if their status is unknown it asks the user to retry. It returns false if the job may be
+// reported as open. Normally the leader cancels such jobs; without this check, a user could be told
+// that a job is pending long after a dependency was cancelled while no controller leads.
 func (s *Server) dependencyResponse(ctx context.Context, id string, row *records.KeyValue, readAt time.Time, p peer.Progress) (response, bool) {
 	dependencies := storedDependencies(row)
 	if len(dependencies) == 0 {
@@ -81,21 +82,21 @@
 	case dependenciesClear:
 		return response{}, false
 	case dependencyCancelled:
-		if a, ok := s.cancelDependent(ctx, id, row); ok {
-			return a, true
+		if resp, ok := s.cancelDependent(ctx, id, row); ok {
+			return resp, true
 		}
 	}
 	return unavailableResponse, true
 }
 
-// cancelDependent stores that a job is cancelled because a dependency of it is, and answers with its
-// final state.
+// cancelDependent cancels a job because one of its dependencies is cancelled, and returns the response
+// with its final state. It returns false if that cannot be stored or read.
 func (s *Server) cancelDependent(ctx context.Context, id string, row *records.KeyValue) (response, bool) {
 	if !s.storeCancelled(ctx, id, row, false) {
 		return response{}, false
 	}
-	if a, ok := s.cachedResponse(ctx, id); ok {
-		return a, true
+	if resp, ok := s.cachedResponse(ctx, id); ok {
+		return resp, true
 	}
 	if job, err := s.lookup(ctx, id); err == nil && job.closed != nil {
 		return s.closedJobResponse(ctx, id, *job.closed), true
@@ -103,44 +104,46 @@
 	return response{}, false
 }
 
-// dependencyWalker checks the dependencies of a job, direct and indirect, depth first. What it finds is
-// cached, so that a long chain is checked over several polls: the dependencies of a job never
-// change, so the next poll begins with the first of them.
+// dependencyWalker checks the dependencies of a job, direct and indirect, depth first. It caches its
+// findings, so that a long chain can be checked over several polls. The dependencies of a job never
+// change, so every poll checks them in the same order.
 type dependencyWalker struct {
 	server *Server
-	maxAge time.Duration // how long a finding that nothing is cancelled holds
+	maxAge time.Duration // how long a finding that nothing is cancelled is valid
 }
 
-// newWalker returns a walker. Its findings hold for half of the time that a cancellation may take to
-// end a job's tasks: whoever cancelled a dependency since then was answered since then.
+// newWalker returns a walker whose findings are valid for half of the time within which the tasks of a
+// cancelled job must end. A dependency that is cancelled after a finding is also confirmed to its user
+// after it, so the dependents still end in time.
 func (s *Server) newWalker() *dependencyWalker {
 	return &dependencyWalker{s, config.Seconds(s.cfg.Deployment.Workers.CancelS) / 2}
 }
 
-// pathStep is an open job on the path from the job that is checked to a dependency.
+// pathStep is an open job on the path from the checked job to a dependency.
 type pathStep struct {
 	id          string
-	unchecked   []string  // direct dependencies that are still to be checked
-	clearAsOf   time.Time // up to then neither it nor what was checked below it was cancelled
+	unchecked   []string  // direct dependencies that have not been checked yet
+	clearAsOf   time.Time // neither it nor its checked dependencies were cancelled up to then
 	askedLeader bool
-	recordRead  bool // its record has been read after clearAsOf
+	recordRead  bool // its record was read after clearAsOf
 }
 
-// dependencyPath is the path from the job that is checked to the dependency in hand.
+// dependencyPath is the path from the checked job to the dependency that is being checked.
 type dependencyPath []pathStep
 
 func (p dependencyPath) last() *pathStep { return &p[len(p)-1] }
 
-// pop goes back to the job before the last one, whose dependencies are all clear up to a time.
-func (p *dependencyPath) pop(clearAt time.Time) {
+// pop removes the last job of the path, which was not cancelled up to clearAsOf, nor was any of its
+// dependencies.
+func (p *dependencyPath) pop(clearAsOf time.Time) {
 	*p = (*p)[:len(*p)-1]
-	if len(*p) > 0 && clearAt.Before(p.last().clearAsOf) {
-		p.last().clearAsOf = clearAt
+	if len(*p) > 0 && clearAsOf.Before(p.last().clearAsOf) {
+		p.last().clearAsOf = clearAsOf
 	}
 }
 
-// check checks all dependencies of an open job; readAt is from before its record was read. The
-// leader's knowledge, by progress, is used where it is at hand.
+// check checks all dependencies of an open job. readAt is a time before its record was read. The
+// leader's view, which progress returns, saves reads where it is available.
 func (w *dependencyWalker) check(
 	ctx context.Context, id string, dependencies []string, readAt time.Time, progress func(id string) peer.Progress,
 ) dependencyStatus {
@@ -157,13 +160,13 @@
 	return dependenciesClear
 }
 
-// step goes on by one job: it leaves the last one on the path if that is found clear, or takes up one
-// of its dependencies. dependenciesClear means that nothing was found that ends the check.
+// step removes the last job from the path if no dependency of it is cancelled, or else checks or
+// appends its next dependency. It returns dependenciesClear if the check goes on.
 func (w *dependencyWalker) step(ctx context.Context, path *dependencyPath, progress func(id string) peer.Progress) dependencyStatus {
 	cache := w.server.dependencies
 	job := path.last()
-	if clearAt, ok := cache.clearWithin(job.id, w.maxAge); ok {
-		path.pop(clearAt)
+	if clearAsOf, ok := cache.clearWithin(job.id, w.maxAge); ok {
+		path.pop(clearAsOf)
 		return dependenciesClear
 	}
 	if cache.hasCancelled(job.id) {
@@ -183,23 +186,23 @@
 	return w.descend(ctx, path)
 }
 
-// finishJob leaves the last job on the path, all of whose dependencies are clear, after it has made sure
-// that the job itself is not cancelled.
+// finishJob removes the last job from the path, none of whose dependencies is cancelled, after it has
+// verified that the job itself is not cancelled.
 func (w *dependencyWalker) finishJob(ctx context.Context, path *dependencyPath) dependencyStatus {
 	job := path.last()
 	if !job.recordRead {
-		if verdict, _ := w.readDependency(ctx, job.id); verdict != dependenciesClear {
-			return verdict
+		if status, _ := w.readDependency(ctx, job.id); status != dependenciesClear {
+			return status
 		}
 	}
-	clearAt := job.clearAsOf
-	w.server.dependencies.setClear(job.id, clearAt)
-	path.pop(clearAt)
+	clearAsOf := job.clearAsOf
+	w.server.dependencies.setClear(job.id, clearAsOf)
+	path.pop(clearAsOf)
 	return dependenciesClear
 }
 
-// descend takes up the next dependency of the last job on the path. One with a final state needs no
-// check of its own dependencies.
+// descend checks the next dependency of the last job on the path, and appends it to the path if it is
+// open. The dependencies of a job with a final state need no check.
 func (w *dependencyWalker) descend(ctx context.Context, path *dependencyPath) dependencyStatus {
 	job := path.last()
 	next := pathStep{id: job.unchecked[0], clearAsOf: time.Now()}
@@ -212,9 +215,9 @@
 	}
 	next.unchecked = w.server.dependencies.directDependencies(next.id)
 	if len(next.unchecked) == 0 {
-		verdict, done := w.readDependency(ctx, next.id)
-		if done || verdict != dependenciesClear {
-			return verdict
+		status, done := w.readDependency(ctx, next.id)
+		if done || status != dependenciesClear {
+			return status
 		}
 		next.unchecked, next.recordRead = w.server.dependencies.directDependencies(next.id), true
 	}
@@ -222,9 +225,9 @@
 	return dependenciesClear
 }
 
-// readDependency reads whether a dependency is cancelled, and caches its own dependencies if it is open. done
-// reports whether its tasks are all done, so that nothing below it matters.
-func (w *dependencyWalker) readDependency(ctx context.Context, id string) (verdict dependencyStatus, done bool) {
+// readDependency reads the status of a dependency and, if it is open, caches its direct dependencies.
+// done is true if all its tasks are done, so that its own dependencies do not matter.
+func (w *dependencyWalker) readDependency(ctx context.Context, id string) (status dependencyStatus, done bool) {
 	if !w.server.readLimiter.Allow() {
 		return dependenciesUnknown, false
 	}
@@ -244,7 +247,7 @@
 	return dependenciesClear, false
 }
 
-// storedDependencies returns the direct dependencies of an open job by its record.
+// storedDependencies returns the direct dependencies in the record of an open job.
 func storedDependencies(row *records.KeyValue) []string {
 	var job struct {
 		Dependencies []string `json:"prereqs"`
@@ -253,8 +256,8 @@
 	return job.Dependencies
 }
 
-// decodeOpen decodes an open job's record; the job of no record is empty. What of a record cannot be
-// read stays empty as well.
+// decodeOpen decodes an open job's record. The result is the zero job if row is nil; fields that cannot
+// be decoded are left zero.
 func decodeOpen(row *records.KeyValue) records.Job {
 	var job records.Job
 	if row != nil {
--- a/internal/api/dependency_cache.go
+++ b/internal/api/dependency_cache.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// dependencyCache holds what was found out about the dependencies of open jobs.
+// dependencyCache caches findings about the dependencies of open jobs.
 type dependencyCache struct {
 	mu                  sync.Mutex
-	clearAsOf           map[string]time.Time // up to then neither this open job nor any dependency of it was cancelled
+	clearAsOf           map[string]time.Time // neither this open job nor any dependency of it was cancelled up to then
 	direct              map[string][]string  // direct dependencies of a job; they never change
-	cancelledDependency map[string]bool      // jobs that have a cancelled dependency, direct or indirect
+	cancelledDependency map[string]bool      // open jobs with a cancelled dependency, direct or indirect
 }
 
 func newDependencyCache() *dependencyCache {
 	return &dependencyCache{clearAsOf: map[string]time.Time{}, direct: map[string][]string{}, cancelledDependency: map[string]bool{}}
 }
 
-// clearWithin returns the time up to which an open job and all its dependencies are known not to
-// be cancelled, and whether that is less than maxAge ago.
+// clearWithin returns the time up to which neither an open job nor any of its dependencies was
+// cancelled, and whether that is less than maxAge ago.
 func (c *dependencyCache) clearWithin(id string, maxAge time.Duration) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,7 +26,7 @@
 	return at, time.Since(at) < maxAge
 }
 
-// setClear records that up to the given time neither a job nor any dependency of it was cancelled.
+// setClear records that neither a job nor any of its dependencies was cancelled up to the given time.
 func (c *dependencyCache) setClear(id string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,14 +36,14 @@
 	}
 }
 
-// invalidateClear drops what is known to be clear, after a job was cancelled that any may depend on.
+// invalidateClear drops all findings of setClear, after the cancellation of a job that any may depend on.
 func (c *dependencyCache) invalidateClear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.clearAsOf)
 }
 
-// directDependencies returns the direct dependencies of a job, as far as they are known.
+// directDependencies returns the direct dependencies of a job, nil if they are not cached.
 func (c *dependencyCache) directDependencies(id string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,14 +57,14 @@
 	c.direct[id] = dependencies
 }
 
-// hasCancelled reports whether a job is known to have a cancelled dependency.
+// hasCancelled reports whether a job is known to have a cancelled dependency, direct or indirect.
 func (c *dependencyCache) hasCancelled(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cancelledDependency[id]
 }
 
-// setCancelled records of all jobs on a path that a dependency of them is cancelled.
+// setCancelled records that all jobs on a path have a cancelled dependency.
 func (c *dependencyCache) setCancelled(path []pathStep) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/api/heartbeat_outcome_test.go
+++ b/internal/api/heartbeat_outcome_test.go
@@ -9,7 +9,7 @@
 	"drumpick/internal/simulation"
 )
 
-// Each outcome of a heartbeat at the leader has its status code in the protocol.
+// Each outcome of a heartbeat at the leader maps to its status code in the protocol.
 func TestHeartbeatOutcomeStatus(t *testing.T) {
 	for outcome, want := range map[fleet.HeartbeatOutcome]int{
 		fleet.HeartbeatAccepted:    200,
--- a/internal/api/heartbeat_relay.go
+++ b/internal/api/heartbeat_relay.go
@@ -19,69 +19,70 @@
 )
 
 const (
-	// batchWindowDivisor is the part of a heartbeat interval, one in so many, in which heartbeats
-	// are gathered into a batch: no worker notices the delay, and at hundreds of heartbeats a
-	// second several share a message.
+	// batchWindowDivisor divides the heartbeat interval into the time for which heartbeats are
+	// collected into a batch. The delay does not matter to workers, and at hundreds of heartbeats
+	// per second several share a message.
 	batchWindowDivisor = 100
-	// relayRetryIntervals is for how many heartbeat intervals no batch is sent to a leader that
-	// accepted none.
+	// relayRetryIntervals is the number of heartbeat intervals for which batches to a leader that
+	// did not accept them are suspended.
 	relayRetryIntervals = 1
-	// workerTimeout is how long workers wait for an answer (the protocol), and batchTimeoutShare
-	// the share of it in which a batch is answered.
+	// workerTimeout is how long workers wait for a response, by the protocol. batchTimeoutShare is
+	// the share of it that bounds the call to the leader.
 	workerTimeout     = 4 * time.Second
 	batchTimeoutShare = 0.8
-	// maxBatchFailures is how many batches in a row may stay without an answer before workers are
-	// sent to the leader. Without it, a leader that is slow for a moment would have to accept all
-	// their connections as well.
+	// maxBatchFailures is how many consecutive batches may fail before workers are redirected to the
+	// leader. Without it, a leader that is slow for a moment would have to accept all their
+	// connections as well.
 	maxBatchFailures = 2
 )
 
-// heartbeatRelay passes workers' heartbeats on to the leader in batches, and holds how the leader
-// takes them.
+// heartbeatRelay relays workers' heartbeats to the leader in batches, and tracks whether the leader
+// accepts them.
 type heartbeatRelay struct {
 	batcher *peer.Batcher
 
 	mu            sync.Mutex
-	suspendedNode string        // a leader that accepted no batch, or could not be reached
-	retryAt       time.Time     // when it is tried again
-	unsupported   bool          // it does not support batches; otherwise it did not answer
-	failures      int           // batches in a row without an answer
-	delay         time.Duration // of the last batch, to be reported with the next
+	suspendedNode string        // leader to which batches are suspended, "" if none
+	retryAt       time.Time     // when suspendedNode is tried again
+	unsupported   bool          // suspendedNode does not support batches; otherwise it did not answer
+	failures      int           // consecutive batches that failed
+	delay         time.Duration // transmission delay of the last batch, reported with the next one
 }
 
-// canRelayTo reports whether heartbeats are relayed to a leader in batches. One that accepted none is
-// tried again with an empty batch, so that no worker waits for it.
+// canRelayTo reports whether heartbeats are relayed to a leader in batches. A suspended leader is tried
+// again with an empty batch, so that no worker waits for it.
 func (r *heartbeatRelay) canRelayTo(enabled bool, node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return enabled && node != "" && node != r.suspendedNode
 }
 
-// shouldAnnounce reports whether a leader is asked now whether it accepts batches.
+// shouldAnnounce reports whether an empty batch should be sent to a leader now.
 func (r *heartbeatRelay) shouldAnnounce(node string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return node != "" && !(node == r.suspendedNode && now.Before(r.retryAt))
 }
 
-// unresponsive reports whether a leader has left batches without an answer: a single heartbeat would
-// hang as well, and its worker does better to go to the leader itself.
+// unresponsive reports whether a leader is suspended because it did not answer. Relaying a single
+// heartbeat would time out as well, so its worker is redirected to the leader.
 func (r *heartbeatRelay) unresponsive(enabled bool, node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return enabled && node == r.suspendedNode && !r.unsupported
 }
 
-// exchangeDelay sets the delay to report with the next batch, and returns the one set before.
+// exchangeDelay sets the delay to report with the next batch and returns the previous one.
 func (r *heartbeatRelay) exchangeDelay(d time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.delay
+	previous := r.delay
 	r.delay = d
-	return before
+	return previous
 }
 
-// recordResult records how a leader took a batch; one that does not accept any gets none until retryAt.
+// recordResult records whether a leader accepted a batch, and suspends batches to it until retryAt if
+// it does not support them or too many have failed.
 func (r *heartbeatRelay) recordResult(node string, err error, retryAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,15 +99,15 @@
 	}
 }
 
-// errRelaySuspended is returned for a batch to a leader that accepted none a moment ago.
-var errRelaySuspended = errors.New("the leader does not answer, and is left alone for now")
+// errRelaySuspended is the error of a batch to a suspended leader.
+var errRelaySuspended = errors.New("relay to the leader is suspended after failed batches")
 
-// relayBatch sends a batch to the leader. Where that fails the workers try the next controller a second
-// later, and where it keeps failing the leader itself.
+// relayBatch sends a batch to the leader. If this fails, the workers try the next controller a second
+// later; if it keeps failing, they are redirected to the leader.
 func (s *Server) relayBatch(node string, bodies [][]byte) (peer.HeartbeatBatchReply, error) {
-	began := time.Now()
-	// Without this, batches queued behind others for a leader that hangs would each wait for it anew
-	// after it has been given up.
+	start := time.Now()
+	// Without this, each batch that is queued for a leader that hangs would wait for its timeout
+	// although batches to the leader are already suspended.
 	if len(bodies) > 0 && !s.relay.canRelayTo(true, node) {
 		heartbeatsNotRelayed.Add(len(bodies))
 		return peer.HeartbeatBatchReply{}, errRelaySuspended
@@ -117,18 +118,18 @@
 	}
 	out, err := s.peers.RelayHeartbeats(node, batch, time.Duration(batchTimeoutShare*float64(workerTimeout)))
 	s.relay.recordResult(node, err, time.Now().Add(relayRetryIntervals*s.cfg.HeartbeatInterval()))
-	s.relay.exchangeDelay(time.Since(began) - time.Duration(out.ProcessingMS)*time.Millisecond)
+	s.relay.exchangeDelay(time.Since(start) - time.Duration(out.ProcessingMS)*time.Millisecond)
 	if err != nil {
 		heartbeatsNotRelayed.Add(len(bodies))
-		slog.Debug("heartbeats not relayed", "node", node, "heartbeats", len(bodies), "err", err)
+		slog.Debug("failed to relay heartbeats", "node", node, "heartbeats", len(bodies), "err", err)
 		return out, err
 	}
 	heartbeatsRelayed.Add(len(bodies))
 	return out, nil
 }
 
-// AnnounceRelay tells the leader now and then, until the context ends, that this controller can relay
-// heartbeats. A leader that accepts no batches is asked again later.
+// AnnounceRelay sends empty batches to the leader periodically, until the context is cancelled, to
+// announce that this controller can relay heartbeats. A suspended leader is tried again later.
 func (s *Server) AnnounceRelay(ctx context.Context) {
 	interval := s.cfg.HeartbeatInterval()
 	for ctxtime.Sleep(ctx, interval/2) == nil {
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -10,17 +10,17 @@
 	"github.com/mailru/easyjson"
 )
 
-// redirectBody is the body of an answer that sends a worker to another controller; an empty one
-// leaves the worker to try the next.
+// redirectBody is the body of a response that redirects a worker to another controller. If it is empty
+// the worker tries the next controller.
 type redirectBody struct {
 	Leader string `json:"conductor,omitempty"`
 }
 
-// serveHeartbeat takes a worker's heartbeat.
+// serveHeartbeat is the HTTP handler of workers' heartbeats.
 func (s *Server) serveHeartbeat(c *fiber.Ctx) error { return sendJSON(c, s.HandleHeartbeat(c.Body())) }
 
-// HandleHeartbeat answers a heartbeat that a worker sent to this controller. Only the leader decides on it;
-// another controller relays it where it can, and otherwise sends the worker to the leader.
+// HandleHeartbeat handles a heartbeat that a worker sent to this controller. Only the leader processes
+// it; any other controller relays it if possible, and otherwise redirects the worker to the leader.
 func (s *Server) HandleHeartbeat(body []byte) peer.RelayReply {
 	if s.localLeader() != nil {
 		return s.handleHeartbeatAsLeader(body, s.cfg.Node)
@@ -45,48 +45,48 @@
 	return encodeJSON(fiber.StatusMisdirectedRequest, redirectBody{Leader: node})
 }
 
-// HandleRelayedHeartbeat answers a single heartbeat that a peer passed on. The 200 that the worker gets in
-// the end renews its lease from when it sent the heartbeat, so the way makes no difference for
-// what the leader may conclude from its silence.
+// HandleRelayedHeartbeat handles a single heartbeat that a peer relayed. A 200 renews the worker's
+// lease from the time when it sent the heartbeat, so the relay does not change what the leader may
+// conclude from the worker's silence.
 func (s *Server) HandleRelayedHeartbeat(in peer.HeartbeatRequest) peer.RelayReply {
 	return s.handleHeartbeatAsLeader(in.Body, "")
 }
 
-// handleHeartbeatAsLeader answers a heartbeat as the leader. via is the controller that it came through; ""
-// stands for one that relays heartbeats only where the worker cannot reach the leader.
+// handleHeartbeatAsLeader handles a heartbeat as the leader. via is the controller that received it; ""
+// stands for one that relays heartbeats only for workers that cannot reach the leader.
 func (s *Server) handleHeartbeatAsLeader(body []byte, via string) peer.RelayReply {
 	l := s.localLeader()
 	if l == nil {
 		return encodeJSON(fiber.StatusMisdirectedRequest, redirectBody{})
 	}
-	var r fleet.Heartbeat
-	if err := easyjson.Unmarshal(body, &r); err != nil {
+	var heartbeat fleet.Heartbeat
+	if err := easyjson.Unmarshal(body, &heartbeat); err != nil {
 		return encodeJSON(fiber.StatusBadRequest, errorBody{"not a report: " + err.Error()})
 	}
-	if err := r.Validate(); err != nil {
+	if err := heartbeat.Validate(); err != nil {
 		return encodeJSON(fiber.StatusBadRequest, errorBody{err.Error()})
 	}
-	if via == "" && !l.NeedsRelay(&r) {
+	if via == "" && !l.NeedsRelay(&heartbeat) {
 		return encodeJSON(fiber.StatusMisdirectedRequest, redirectBody{})
 	}
-	// Without this, late copies of heartbeats would send workers to and fro that report elsewhere by
-	// now.
-	recency := l.Recency(&r)
+	// Without this, a late copy of a heartbeat would redirect a worker that already sends its
+	// heartbeats through another controller.
+	recency := l.Recency(&heartbeat)
 	if recency == fleet.Late {
 		return encodeJSON(fiber.StatusServiceUnavailable, redirectBody{})
 	}
-	r.Via = via
+	heartbeat.Via = via
 	if recency == fleet.Current {
-		if node := s.routes.route(s.cfg, l, r.Machine, r.Zone, via, time.Now()); node != "" {
+		if node := s.routes.route(s.cfg, l, heartbeat.Machine, heartbeat.Zone, via, time.Now()); node != "" {
 			return encodeJSON(fiber.StatusMisdirectedRequest, redirectBody{Leader: node})
 		}
 	}
-	// Noted before it is answered: a lease counts from when the heartbeat was sent.
+	// Recorded before the response: the lease counts from when the heartbeat was sent.
 	s.lastWorkerRenewal.Store(time.Now())
-	return encodeHeartbeatResult(l.HandleHeartbeat(&r))
+	return encodeHeartbeatResult(l.HandleHeartbeat(&heartbeat))
 }
 
-// encodeHeartbeatResult maps what the leader made of a heartbeat to the protocol's status codes.
+// encodeHeartbeatResult maps the leader's result to the status codes of the protocol.
 func encodeHeartbeatResult(result fleet.HeartbeatResult) peer.RelayReply {
 	switch result.Outcome {
 	case fleet.HeartbeatAccepted:
--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -9,12 +9,12 @@
 )
 
 // maxCacheEntries bounds each cache of jobs: final states, accepted ids, dependencies. It does not
-// bound the jobs of a deployment: at 41,000 a day a cache is full every six hours or so, half of
-// it is evicted, and what was evicted is read from the store when it is asked for, with one or
-// two requests.
+// bound the jobs of a deployment: at 41,000 jobs a day a cache is full about every six hours and half
+// of it is evicted. An evicted entry is read from the store again when it is needed, with one or two
+// requests.
 const maxCacheEntries = 20_000
 
-// evictHalf makes room in a cache that is full: half of it goes.
+// evictHalf removes arbitrary entries of a full cache until less than half of it is left.
 func evictHalf[V any](m map[string]V) {
 	if len(m) < maxCacheEntries {
 		return
@@ -26,8 +26,7 @@
 	}
 }
 
-// jobCache holds what this controller knows of jobs that never changes: final states, and which
-// ids were accepted.
+// jobCache caches the facts about jobs that never change: final states, and which ids were accepted.
 type jobCache struct {
 	cancellations *cancellation.Log
 	dependencies  *dependencyCache
@@ -36,17 +35,17 @@
 	mu            sync.Mutex
 	closed        map[string]records.ClosedJob // final states
 	accepted      map[string]bool              // ids of jobs that were accepted
-	lastDuplicate time.Time                    // when a job last came that another controller had accepted
+	lastDuplicate time.Time                    // when a job was last submitted here that another controller had accepted
 }
 
-func newJobCache(log *cancellation.Log, dependencies *dependencyCache, unconfirmed *pendingConfirmations) *jobCache {
+func newJobCache(log *cancellation.Log, dependencies *dependencyCache, confirmations *pendingConfirmations) *jobCache {
 	return &jobCache{
-		cancellations: log, dependencies: dependencies, confirmations: unconfirmed,
+		cancellations: log, dependencies: dependencies, confirmations: confirmations,
 		closed: map[string]records.ClosedJob{}, accepted: map[string]bool{},
 	}
 }
 
-// closedJob returns the final state of a job, if it is known here.
+// closedJob returns the final state of a job, if it is cached.
 func (c *jobCache) closedJob(id string) (records.ClosedJob, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,18 +53,18 @@
 	return job, ok
 }
 
-// addClosed keeps a final state. mayHaveStarted is false for a job that was cancelled along with
-// one of its dependencies: none of its tasks can have started, so the leader need not confirm it.
+// addClosed caches a final state. mayHaveStarted is false for a job that is cancelled because of a
+// dependency: none of its tasks can have started, so the leader need not acknowledge it.
 //
-// All effects of a cancellation take place under the lock, before the final state can be read
-// here: nobody is answered from it before the log has it, and of two calls for the same job
-// only the first asks for a confirmation.
+// All effects of a cancellation take place under the lock, before the final state can be read from
+// the cache: no response uses it before the log records it, and of two calls for the same job only
+// the first requires an acknowledgement.
 func (c *jobCache) addClosed(id string, job records.ClosedJob, mayHaveStarted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if job.Status == records.StatusCancelled {
 		c.cancellations.Add(id, time.Now())
-		c.dependencies.invalidateClear() // any of them may depend on this job
+		c.dependencies.invalidateClear() // any job may depend on this one
 		if _, known := c.closed[id]; !known && mayHaveStarted {
 			c.confirmations.add(id)
 		}
@@ -88,14 +87,14 @@
 	c.accepted[id] = true
 }
 
-// recordDuplicate records that a job came here which another controller had accepted.
+// recordDuplicate records the submission of a job that another controller had accepted.
 func (c *jobCache) recordDuplicate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastDuplicate = time.Now()
 }
 
-// hadDuplicateWithin reports whether such a job came less than the given time ago.
+// hadDuplicateWithin reports whether recordDuplicate was called less than d ago.
 func (c *jobCache) hadDuplicateWithin(d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- /dev/null
+++ b/internal/api/peer_store_health.go
@@ -0,0 +1,77 @@
+package api
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"drumpick/internal/ctxtime"
+)
+
+// peerStoreHealth holds what the other controllers last reported about the store while requests of
+// this controller to it fail.
+type peerStoreHealth struct {
+	mu         sync.Mutex
+	servesPeer bool // the store serves another controller, but not this one
+	peersAsked bool // the others have been asked since the store began to fail here
+	isolated   bool // neither the store nor any other controller responds
+}
+
+func (h *peerStoreHealth) update(servesPeer, peersAsked, isolated bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.servesPeer, h.peersAsked, h.isolated = servesPeer, peersAsked, isolated
+}
+
+// isIsolated reports whether this controller is cut off from the network. In an outage of the store
+// itself it is not: the store rejects requests, or the other controllers report failures as well.
+func (h *peerStoreHealth) isIsolated() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.isolated
+}
+
+// storeServesPeer reports whether the store served some other controller when they were last asked,
+// and whether they have been asked since the store began to fail here.
+func (h *peerStoreHealth) storeServesPeer() (servesPeer, peersAsked bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.servesPeer, h.peersAsked
+}
+
+// Ready reports whether this controller can serve requests. It is not ready if the store fails only
+// here or if it is isolated. In an outage of the store for all controllers it stays ready, since no
+// other controller could serve the requests either.
+func (s *Server) Ready() bool {
+	lastOK, failing, started := s.store.Health()
+	if lastOK.IsZero() {
+		lastOK = started
+	}
+	if !failing || time.Since(lastOK) < s.cfg.HeartbeatInterval()/2 {
+		return true
+	}
+	servesPeer, _ := s.peerStoreHealth.storeServesPeer()
+	return !servesPeer && !s.peerStoreHealth.isIsolated()
+}
+
+// WatchPeers asks the other controllers, while the store fails here, whether the store serves them.
+// It runs until the context is cancelled, in the background, so that no user's request waits for an
+// unreachable controller.
+func (s *Server) WatchPeers(ctx context.Context) {
+	interval := s.cfg.HeartbeatInterval()
+	for ctxtime.Sleep(ctx, interval/4) == nil {
+		servesPeer, isolated := false, false
+		_, failing, _ := s.store.Health()
+		if failing {
+			statuses, all := s.peers.Status(ctx)
+			isolated = !all && len(statuses) == 0 && time.Since(s.store.LastResponse()) > interval/2
+			for _, status := range statuses {
+				// A watch that is already open does not fail when an outage starts, so only a
+				// recent response of the store counts.
+				silent := time.Duration(status.SinceStoreResponseMS) * time.Millisecond
+				servesPeer = servesPeer || !status.StoreFailing && silent < interval*3/2
+			}
+		}
+		s.peerStoreHealth.update(servesPeer, failing, isolated)
+	}
+}
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -11,14 +11,14 @@
 	"drumpick/internal/records"
 )
 
-// pollJob answers how a job stands: from the cache if it has a final state that is known here, from a
-// shared list of the open jobs if polls come too fast, and from single reads otherwise.
+// pollJob returns the status of a job: from the cache if its final state is cached, from a shared list
+// of the open jobs if polls arrive too fast, and from single reads otherwise.
 func (s *Server) pollJob(ctx context.Context, id string) response {
 	if !records.ValidID(id) {
 		return noSuchJobResponse
 	}
-	if a, ok := s.cachedResponse(ctx, id); ok {
-		return a
+	if resp, ok := s.cachedResponse(ctx, id); ok {
+		return resp
 	}
 	readAt := time.Now()
 	if s.coalescer.isActive(readAt) {
@@ -42,13 +42,13 @@
 		return noSuchJobResponse
 	}
 	p := s.progress(id)
-	if a, closed := s.dependencyResponse(ctx, id, job.open, readAt, p); closed {
-		return a
+	if resp, final := s.dependencyResponse(ctx, id, job.open, readAt, p); final {
+		return resp
 	}
 	return openJobResponse(id, p)
 }
 
-// storedJob is a job as the store has it: open, closed, or neither if there is no such job.
+// storedJob is a job as read from the store: open, closed, or neither if there is no such job.
 type storedJob struct {
 	open   *records.KeyValue
 	closed *records.ClosedJob
@@ -58,9 +58,9 @@
 
 // lookup reads a job from the store.
 func (s *Server) lookup(ctx context.Context, id string) (storedJob, error) {
-	// A job moves from the open to the closed records in one transaction; read in this order, a
-	// move in between is met at its new place. Closed records stay for good: where there is none
-	// now, there was none when the open record was found absent, so there was no such job then.
+	// A job moves from the open to the closed records in one transaction. In this order, a job that
+	// moves between the reads is found by the second. Closed records are never deleted: if there is
+	// none now, there was none when the open record was found absent, so no such job existed then.
 	row, err := s.store.Get(ctx, records.OpenKey(id))
 	if err != nil || row != nil {
 		return storedJob{open: row}, err
@@ -69,7 +69,7 @@
 	return storedJob{closed: closed}, err
 }
 
-// readClosed reads a job's final state and caches it; it returns nil where there is none.
+// readClosed reads a job's final state and caches it; it returns nil if there is none.
 func (s *Server) readClosed(ctx context.Context, id string) (*records.ClosedJob, error) {
 	row, err := s.store.Get(ctx, records.ClosedKey(id))
 	if err != nil || row == nil {
@@ -83,7 +83,7 @@
 	return &job, nil
 }
 
-// cachedResponse answers about a job whose final state is known here.
+// cachedResponse returns the response about a job whose final state is cached.
 func (s *Server) cachedResponse(ctx context.Context, id string) (response, bool) {
 	job, ok := s.jobs.closedJob(id)
 	if !ok {
@@ -92,7 +92,7 @@
 	return s.closedJobResponse(ctx, id, job), true
 }
 
-// closedJobResponse answers about a job that has a final state.
+// closedJobResponse returns the response about a job with a final state.
 func (s *Server) closedJobResponse(ctx context.Context, id string, job records.ClosedJob) response {
 	done, running := 0, 0
 	switch {
@@ -104,8 +104,8 @@
 	return response{outcomeOK, jobStatus{ID: id, Status: job.Status, Done: &done, Running: &running}}
 }
 
-// progress returns how far an open job is, for display only: where the leader does not answer, the
-// job is simply pending.
+// progress returns the leader's view of an open job. Its task counts are for display only: if the
+// leader does not answer, the job is reported as pending.
 func (s *Server) progress(id string) peer.Progress {
 	if l := s.localLeader(); l != nil {
 		if status, done, running, ok := l.Progress(id); ok {
--- a/internal/api/relay_routes.go
+++ b/internal/api/relay_routes.go
@@ -13,14 +13,14 @@
 
 var workersRedirected = metrics.NewCounter("drumpick_workers_sent_to_peers_total")
 
-// relayRoutes holds, at the leader, through which controllers workers' heartbeats come.
+// relayRoutes tracks, at the leader, through which controllers workers send their heartbeats.
 type relayRoutes struct {
 	mu     sync.Mutex
 	router *routing.Router
-	leader Leader // the term that the router belongs to
+	leader Leader // leader of the term that the router belongs to
 }
 
-// routerLocked returns the router of a term; each term begins with a new one.
+// routerLocked returns the router of the leader's term, a new one for a new term. The caller holds r.mu.
 func (r *relayRoutes) routerLocked(cfg *config.Config, l Leader) *routing.Router {
 	if r.leader != l {
 		r.router = routing.New(cfg.Node, cfg.HeartbeatInterval(), config.Seconds(cfg.Deployment.Workers.LeaseS))
@@ -36,8 +36,8 @@
 	r.routerLocked(cfg, l).RecordPeer(node, zone, now)
 }
 
-// route returns the controller that a machine's worker is to send its heartbeats to instead of via; ""
-// if its heartbeat is answered here.
+// route returns the controller to which a machine's worker is redirected from via, "" if it is not
+// redirected.
 func (r *relayRoutes) route(cfg *config.Config, l Leader, machine, zone, via string, now time.Time) string {
 	if !cfg.Options.HeartbeatRelay || via == "" {
 		return ""
@@ -51,16 +51,16 @@
 	return node
 }
 
-// HandleHeartbeatBatch answers a batch of heartbeats that a peer passed on, each by itself and all at
-// once: one that waits for the store delays the others by no more than a commit takes.
+// HandleHeartbeatBatch handles a batch of heartbeats that a peer relayed. It handles them concurrently,
+// so that those that wait for the store delay the batch by no more than one commit.
 func (s *Server) HandleHeartbeatBatch(in peer.HeartbeatBatch) peer.HeartbeatBatchReply {
 	out := peer.HeartbeatBatchReply{Answers: make([]peer.RelayReply, len(in.Heartbeats))}
 	if in.From == "" {
 		return out
 	}
-	began := time.Now()
+	start := time.Now()
 	if l := s.localLeader(); l != nil {
-		s.routes.recordPeer(s.cfg, l, in.From, in.Zone, began)
+		s.routes.recordPeer(s.cfg, l, in.From, in.Zone, start)
 		l.ObserveDelay(time.Duration(in.DelayMS) * time.Millisecond)
 	}
 	var wg sync.WaitGroup
@@ -72,6 +72,6 @@
 		}()
 	}
 	wg.Wait()
-	out.ProcessingMS = time.Since(began).Milliseconds()
+	out.ProcessingMS = time.Since(start).Milliseconds()
 	return out
 }
--- a/internal/api/requests.go
+++ b/internal/api/requests.go
@@ -9,26 +9,26 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// userTimeout is how long users wait for the answer to a poll (the protocol).
+// userTimeout is how long users wait for the response to a poll, by the protocol.
 const userTimeout = 2 * time.Second
 
-// requestTimeout bounds the work on one request, so that users get the answer in time.
+// requestTimeout bounds the handling of a request, so that users get the response in time.
 func requestTimeout() time.Duration { return userTimeout * 3 / 4 }
 
-// relayTimeout bounds the work on a request that a peer passed on, and the wait for its answer there.
+// relayTimeout bounds the handling of a relayed request, and the wait for the reply of a peer.
 func relayTimeout() time.Duration { return requestTimeout() / 2 }
 
-// HandleRequest answers a user's request. While the store fails this controller, a peer that the store
-// serves is asked in its place; where it is not known yet whether it serves one, peers are
-// asked after this controller has tried: they answer at once if they cannot.
+// HandleRequest handles a user's request. While the store fails here, the request is relayed to a peer
+// that the store serves. If it is not known yet whether there is one, the peers are asked after this
+// controller has tried; a peer that the store does not serve either replies at once.
 func (s *Server) HandleRequest(r peer.RelayRequest) peer.RelayReply {
 	if s.peerStoreHealth.isIsolated() {
-		// Nobody can be asked for what is not known here: users are answered at once, and
-		// go on to another controller.
+		// Only the caches can be used. The user gets a response at once and tries another
+		// controller.
 		return s.handleWithin(r, 0)
 	}
 	_, failing, _ := s.store.Health()
-	peerServed, peersAsked := s.peerStoreHealth.storeServesPeer()
+	servesPeer, peersAsked := s.peerStoreHealth.storeServesPeer()
 	if r.Method == peer.MethodSubmit && failing {
 		switch sub, err := parseSubmission(r.Body); {
 		case err != nil:
@@ -37,7 +37,7 @@
 			r.Method = peer.MethodSubmitWithDependencies
 		}
 	}
-	if failing && peerServed {
+	if failing && servesPeer {
 		if out, ok := s.peers.Relay(r, relayTimeout()); ok {
 			return out
 		}
@@ -51,7 +51,7 @@
 	return out
 }
 
-// HandleRelayedRequest answers a request that a peer passed on.
+// HandleRelayedRequest handles a user's request that a peer relayed.
 func (s *Server) HandleRelayedRequest(r peer.RelayRequest) peer.RelayReply {
 	return s.handleWithin(r, relayTimeout())
 }
--- a/internal/api/answer.go
+++ b/internal/api/response.go
@@ -9,7 +9,7 @@
 	"github.com/mailru/easyjson"
 )
 
-// outcome is the result of a user's request; each corresponds to one HTTP status.
+// outcome is the result of a user's request. Each outcome corresponds to one HTTP status.
 type outcome int
 
 const (
@@ -18,10 +18,10 @@
 	outcomeInvalid             // the request is malformed
 	outcomeNotFound            // there is no such job
 	outcomeRejected            // the request is well formed, but the job can never run
-	outcomeUnavailable         // nothing was decided; the user should retry
+	outcomeUnavailable         // the request was not decided; the user should retry
 )
 
-// httpStatus returns the HTTP status that users get for an outcome.
+// httpStatus returns the HTTP status for an outcome.
 func (o outcome) httpStatus() int {
 	switch o {
 	case outcomeOK:
@@ -39,16 +39,16 @@
 	}
 }
 
-// response is the result of a user's request with the body to send.
+// response is the outcome of a user's request and the body to send.
 type response struct {
 	outcome outcome
 	body    any
 }
 
-// encode encodes the answer.
-func (a response) encode() peer.RelayReply { return encodeJSON(a.outcome.httpStatus(), a.body) }
+// encode returns the HTTP status and the encoded body.
+func (r response) encode() peer.RelayReply { return encodeJSON(r.outcome.httpStatus(), r.body) }
 
-// jobStatus is the body of an answer about a job.
+// jobStatus is the body of a response about a job.
 type jobStatus struct {
 	ID      string `json:"uid"`
 	Status  string `json:"status"`
@@ -56,25 +56,25 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// errorBody is the body of an answer that carries an error.
+// errorBody is the body of an error response.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
 func errorResponse(o outcome, reason string) response { return response{o, errorBody{reason}} }
 
-// Answers that carry no detail of the request.
+// Responses that are the same for every request.
 var (
 	unavailableResponse = errorResponse(outcomeUnavailable, "the service cannot decide now; please retry")
 	noSuchJobResponse   = errorResponse(outcomeNotFound, "no such job")
 )
 
-// openJobResponse answers about a job that has no final state yet.
+// openJobResponse returns the response about a job without a final state.
 func openJobResponse(id string, p peer.Progress) response {
 	return response{outcomeOK, jobStatus{ID: id, Status: p.Status, Done: &p.Done, Running: &p.Running}}
 }
 
-// encodeJSON encodes a body as JSON.
+// encodeJSON returns a reply with the body encoded as JSON, or a 503 if it cannot be encoded.
 func encodeJSON(status int, v any) peer.RelayReply {
 	var raw []byte
 	var err error
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,7 +1,7 @@
-// Package api serves the HTTP interface of users and workers: submit, poll and cancel jobs,
-// readiness, and workers' heartbeats. Every controller serves it. Requests about jobs are
-// answered from the store, whether or not this controller leads; heartbeats are decided on by
-// the leader and relayed to it by the others.
+// Package api serves the HTTP interface of users and workers: submitting, polling and cancelling
+// jobs, readiness, and workers' heartbeats. Every controller serves it. Requests about jobs are
+// served from the store, whether or not this controller leads. Heartbeats are processed by the leader
+// and relayed to it by the followers.
 package api
 
 import (
@@ -28,57 +28,58 @@
 	Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error)
 	// Health returns when a call last succeeded, whether calls fail now, and when the client started.
 	Health() (lastOK time.Time, failing bool, started time.Time)
-	// LastResponse returns when the store last answered anything, a refusal included.
+	// LastResponse returns the time of the last response, including those that rejected the request.
 	LastResponse() time.Time
 }
 
-// Peers reaches the other controllers.
+// Peers calls the other controllers.
 type Peers interface {
-	// Status asks all of them for their status; all reports whether each one answered.
-	Status(ctx context.Context) (answers []peer.Status, all bool)
+	// Status asks every other controller for its status; all reports whether every one answered.
+	Status(ctx context.Context) (statuses []peer.Status, all bool)
 	// Progress asks a node, as the leader, for the progress of a job.
 	Progress(node, id string) (peer.Progress, error)
-	// Relay has some peer answer a user's request; it returns false if none could.
+	// Relay relays a user's request to the peers in turn; it returns false if none could serve it.
 	Relay(r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, bool)
-	// RelayHeartbeat passes a single heartbeat on to a node.
+	// RelayHeartbeat relays a single heartbeat to a node.
 	RelayHeartbeat(node string, body []byte) (peer.RelayReply, error)
-	// RelayHeartbeats passes a batch of heartbeats on to a node.
+	// RelayHeartbeats relays a batch of heartbeats to a node.
 	RelayHeartbeats(node string, in peer.HeartbeatBatch, timeout time.Duration) (peer.HeartbeatBatchReply, error)
-	// NotifyCancelled notifies a node, as the leader, of a cancelled job. known reports whether it
-	// knows of it now, and starts none of the job's tasks from then on.
-	NotifyCancelled(node, id string) (known bool, err error)
+	// NotifyCancelled notifies a node, as the leader, of a cancelled job. acknowledged reports
+	// whether it dispatches none of the job's tasks from then on.
+	NotifyCancelled(node, id string) (acknowledged bool, err error)
 }
 
-// Leader is the leader that runs in this process.
+// Leader is the leader of the current term, if it runs in this process.
 type Leader interface {
-	// Progress returns the status of an open job with the numbers of its tasks that are done and that
-	// run; ok is false for a job that the leader does not know.
+	// Progress returns the status of an open job and its numbers of done and running tasks; ok is
+	// false for a job that the leader does not know.
 	Progress(id string) (status string, done, running int, ok bool)
-	// DependenciesClear reports whether no dependency of a job, direct or indirect, was cancelled
-	// up to the given time ago.
+	// DependenciesClear reports whether no dependency of a job, direct or indirect, had been
+	// cancelled as of age ago.
 	DependenciesClear(id string) (age time.Duration, ok bool)
-	HandleHeartbeat(r *fleet.Heartbeat) fleet.HeartbeatResult
-	// Recency compares a heartbeat with what is known of its machine.
-	Recency(r *fleet.Heartbeat) fleet.Recency
-	// NotifyCancelled takes in that a job is stored as cancelled, and reports whether none of its
-	// tasks is sent to a worker from then on.
+	// HandleHeartbeat applies a heartbeat.
+	HandleHeartbeat(heartbeat *fleet.Heartbeat) fleet.HeartbeatResult
+	// Recency compares a heartbeat with the known state of its machine.
+	Recency(heartbeat *fleet.Heartbeat) fleet.Recency
+	// NotifyCancelled closes a job whose cancellation is stored, and reports whether none of its
+	// tasks is dispatched from then on.
 	NotifyCancelled(ctx context.Context, id string) bool
-	// ObserveDelay records how long something waited before the leader got to it.
+	// ObserveDelay records how long a message waited before the leader handled it.
 	ObserveDelay(d time.Duration)
-	// NeedsRelay reports whether a worker whose heartbeat came through a peer cannot reach the
-	// leader directly.
-	NeedsRelay(r *fleet.Heartbeat) bool
+	// NeedsRelay reports whether a worker whose heartbeat a peer relayed cannot reach the leader
+	// directly.
+	NeedsRelay(heartbeat *fleet.Heartbeat) bool
 }
 
-// Server answers users and workers. The state that each of its duties keeps has a type, and a
-// lock, of its own.
+// Server handles the requests of users and workers. Each part of its state has its own type and its
+// own lock.
 type Server struct {
 	cfg         *config.Config
 	store       Store
 	peers       Peers
-	leaderNode  func() string // node that leads, "" when unknown
-	localLeader func() Leader // nil when this process does not lead
-	readLimiter *rate.Limiter // single reads of the store that polls may cause
+	leaderNode  func() string // name of the node that leads, "" if unknown
+	localLeader func() Leader // nil if this process does not lead
+	readLimiter *rate.Limiter // limits the single reads of the store that polls cause
 
 	types             machineTypes
 	jobs              *jobCache
@@ -88,43 +89,43 @@
 	peerStoreHealth   peerStoreHealth
 	relay             heartbeatRelay
 	routes            relayRoutes
-	lastWorkerRenewal atomic.Value // time.Time: when a heartbeat was last answered here as leader, or the start
+	lastWorkerRenewal atomic.Value // time.Time of the last heartbeat handled as leader, or of the start
 }
 
-// pollShare is the share of the store's request rate that polls may take with a single read
-// each. Without this limit, polls for unknown jobs, or by the thousand, would leave the renewal of
-// the leader's lease and submissions without an answer. Polls beyond it share a list
-// (shared_poll.go).
+// pollShare is the share of the store's request rate that polls may use with a single read each.
+// Without this limit, a flood of polls, or polls for unknown jobs, would starve submissions and the
+// renewal of the leader's lease. Polls beyond the limit share a list (shared_poll.go).
 const pollShare = 0.6
 
-// New returns a server.
-func New(cfg *config.Config, store Store, peers Peers, leader func() string, local func() Leader) *Server {
+// New returns a server. leaderNode returns the name of the node that leads, "" if unknown;
+// localLeader returns nil if this process does not lead.
+func New(cfg *config.Config, store Store, peers Peers, leaderNode func() string, localLeader func() Leader) *Server {
 	pollRPS := cfg.Deployment.Store.Lowest().RPS * pollShare
-	unconfirmed := newPendingConfirmations(cfg.Timing().LeaderLease)
+	confirmations := newPendingConfirmations(cfg.Timing().LeaderLease)
 	dependencies := newDependencyCache()
 	s := &Server{
-		cfg: cfg, store: store, peers: peers, leaderNode: leader, localLeader: local,
+		cfg: cfg, store: store, peers: peers, leaderNode: leaderNode, localLeader: localLeader,
 		readLimiter:   rate.NewLimiter(rate.Limit(pollRPS/float64(max(cfg.Deployment.Nodes, 1))), max(int(pollRPS), 1)),
-		jobs:          newJobCache(cancellation.NewLog(time.Now()), dependencies, unconfirmed),
+		jobs:          newJobCache(cancellation.NewLog(time.Now()), dependencies, confirmations),
 		dependencies:  dependencies,
-		confirmations: unconfirmed,
+		confirmations: confirmations,
 	}
 	s.lastWorkerRenewal.Store(time.Now())
 	s.relay.batcher = peer.NewBatcher(cfg.HeartbeatInterval()/batchWindowDivisor, s.relayBatch)
 	return s
 }
 
-// SetMachineTypes sets the machine types that jobs may ask for.
+// SetMachineTypes sets the machine types that jobs may use.
 func (s *Server) SetMachineTypes(types []records.MachineType) { s.types.set(types) }
 
 // HasMachineTypes reports whether the machine types are known.
 func (s *Server) HasMachineTypes() bool { return len(s.types.get()) > 0 }
 
-// Cancellations returns the log of cancellations that users were notified of here.
+// Cancellations returns the log of cancellations that this controller may have confirmed to users.
 func (s *Server) Cancellations() *cancellation.Log { return s.jobs.cancellations }
 
-// SinceWorkerRenewal returns how long ago this controller may last have renewed a worker's lease, or
-// this process started.
+// SinceWorkerRenewal returns the time since this controller may last have renewed a worker's lease, or
+// since the start of this process.
 func (s *Server) SinceWorkerRenewal() time.Duration {
 	return time.Since(s.lastWorkerRenewal.Load().(time.Time))
 }
@@ -150,11 +151,10 @@
 	app.Post("/checkin", s.serveHeartbeat)
 }
 
-// retryAfterS is the pause in seconds that users are told to make when a request cannot be taken
-// now: the shortest one that they keep.
+// retryAfterS is the value of the Retry-After header in seconds: the shortest delay that users observe.
 const retryAfterS = "1"
 
-// respond answers a user.
+// respond handles a user's request and sends the response.
 func (s *Server) respond(c *fiber.Ctx, r peer.RelayRequest) error {
 	out := s.HandleRequest(r)
 	if out.Status == fiber.StatusServiceUnavailable {
@@ -168,10 +168,10 @@
 	return c.Status(out.Status).Send(out.Body)
 }
 
-// machineTypes holds the machine types that jobs may ask for.
+// machineTypes holds the machine types that jobs may use.
 type machineTypes struct {
 	mu    sync.Mutex
-	types []records.MachineType // replaced as a whole; its elements never change
+	types []records.MachineType // replaced as a whole; its elements are never changed
 }
 
 func (m *machineTypes) set(types []records.MachineType) {
--- a/internal/api/shared_poll.go
+++ b/internal/api/shared_poll.go
@@ -16,26 +16,26 @@
 
 var sharedLists = metrics.NewCounter("drumpick_polls_shared_lists_total")
 
-// pollCoalescer answers polls that come faster than single reads are allowed: one list of the
-// open jobs serves all polls that came before it began. Without this, users who poll at the same
-// interval starve each other: one of them always comes when the reads are used up, is never
-// answered, and, with enough jobs, gives its job up.
+// pollCoalescer serves polls that arrive faster than single reads are allowed: one list of the open
+// jobs serves all polls that arrived before it started. Without this, users who poll at the same
+// interval starve each other: with enough jobs, one of them always polls when the reads are used up,
+// never gets a response and abandons its job.
 type pollCoalescer struct {
 	mu          sync.Mutex
-	activeUntil time.Time // polls share lists until then
-	nextList    *openList // the list that has not begun
-	lastStart   time.Time // when a list last began
+	activeUntil time.Time // polls share lists up to then
+	nextList    *openList // the list that has not started, nil if none is requested
+	lastStart   time.Time // when a list last started
 }
 
-// openList is one list of the open jobs, which several polls wait for. Its other fields may be
-// read once done is closed.
+// openList is one list of the open jobs that several polls wait for. jobs and err may be read once
+// done is closed.
 type openList struct {
 	done chan struct{}
 	jobs map[string]*records.KeyValue
 	err  error
 }
 
-// listsPerTimeout is how many lists begin at most while a user waits for an answer.
+// listsPerTimeout is the maximum number of lists that start within userTimeout.
 const listsPerTimeout = 2
 
 // isActive reports whether polls share lists now.
@@ -45,15 +45,15 @@
 	return now.Before(c.activeUntil)
 }
 
-// activate has polls share lists for a while, since they come too fast for single reads.
+// activate makes polls share lists for userTimeout, since they arrive too fast for single reads.
 func (c *pollCoalescer) activate(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.activeUntil = now.Add(userTimeout)
 }
 
-// join returns the next list. first reports whether nobody has joined it before: then the caller has
-// to start it, after the wait.
+// join returns the next list. first reports whether the caller is the first to join it and has to start
+// it after the wait.
 func (c *pollCoalescer) join() (list *openList, wait time.Duration, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,14 +64,14 @@
 	return c.nextList, max(time.Until(c.lastStart.Add(userTimeout/listsPerTimeout)), 0), true
 }
 
-// startNext closes the next list to further polls: they join the one after it.
+// startNext marks the next list as started: further polls join the one after it.
 func (c *pollCoalescer) startNext() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nextList, c.lastStart = nil, time.Now()
 }
 
-// awaitList waits for a list of the open jobs that begins after this call.
+// awaitList waits for a list of the open jobs that starts after this call.
 func (s *Server) awaitList(ctx context.Context) (*openList, error) {
 	list, wait, first := s.coalescer.join()
 	if first {
@@ -85,8 +85,8 @@
 	}
 }
 
-// listOpenJobs reads the open jobs after a wait, for all polls that have joined by then. It ends by its
-// own timeout, as no single poll owns it.
+// listOpenJobs reads the open jobs after a wait, for all polls that have joined by then. It has its own
+// timeout, since no single poll owns it.
 func (s *Server) listOpenJobs(list *openList, wait time.Duration) {
 	defer close(list.done)
 	ctx, cancel := context.WithTimeout(context.Background(), wait+requestTimeout())
@@ -100,12 +100,12 @@
 		return nil
 	})
 	if list.err != nil {
-		slog.Debug("open jobs not listed", "err", list.err)
+		slog.Debug("failed to list open jobs", "err", list.err)
 	}
 }
 
-// pollShared answers a poll from a shared list. A job that is not in it has a final state, or does
-// not exist: the final state is read singly, in turn.
+// pollShared serves a poll from a shared list. A job that is not in the list has a final state or does
+// not exist: its final state is read singly, when the rate limit allows it.
 func (s *Server) pollShared(ctx context.Context, id string) response {
 	readAt := time.Now()
 	list, err := s.awaitList(ctx)
@@ -115,8 +115,8 @@
 	if row := list.jobs[id]; row != nil {
 		return s.listedJobResponse(ctx, id, row, readAt)
 	}
-	if a, ok := s.cachedResponse(ctx, id); ok {
-		return a
+	if resp, ok := s.cachedResponse(ctx, id); ok {
+		return resp
 	}
 	if s.readLimiter.Wait(ctx) != nil {
 		return unavailableResponse
@@ -126,22 +126,21 @@
 	case err != nil:
 		return unavailableResponse
 	case closed == nil:
-		// It was absent among the open jobs first, and among the closed ones after that: there is
-		// no such job.
+		// The open record was absent first, and the closed one after that: there is no such job.
 		return noSuchJobResponse
 	}
 	return s.closedJobResponse(ctx, id, *closed)
 }
 
-// listedJobResponse answers about a job that a shared list has as open. Its progress is asked for only
-// where that takes no call, or bears on the answer.
+// listedJobResponse returns the response about a job that is open in a shared list. It reads the
+// progress only if that needs no call to another controller or can change the status.
 func (s *Server) listedJobResponse(ctx context.Context, id string, row *records.KeyValue, readAt time.Time) response {
 	p := peer.Progress{Status: records.StatusPending}
 	if len(storedDependencies(row)) > 0 || s.localLeader() != nil {
 		p = s.progress(id)
 	}
-	if a, closed := s.dependencyResponse(ctx, id, row, readAt, p); closed {
-		return a
+	if resp, final := s.dependencyResponse(ctx, id, row, readAt, p); final {
+		return resp
 	}
 	return openJobResponse(id, p)
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -10,39 +10,39 @@
 	"drumpick/internal/records"
 )
 
-// submitJob accepts a job, or answers why not. Its stages: parse the request, check that the job can
-// run, look for an earlier submission of it, check its dependencies, store it.
+// submitJob accepts a job or returns why it is rejected. Its stages: parse the request, check that the
+// job can run, look for an earlier submission, check the dependencies, store the job.
 func (s *Server) submitJob(ctx context.Context, body []byte) response {
 	sub, err := parseSubmission(body)
 	if err != nil {
 		return errorResponse(outcomeInvalid, err.Error())
 	}
 	job := &sub.job
-	if a, ok := s.cachedResponse(ctx, job.ID); ok {
-		return a
+	if resp, ok := s.cachedResponse(ctx, job.ID); ok {
+		return resp
 	}
 	types := s.types.get()
 	job.AcceptedMS = time.Now().UnixMilli()
-	if why := s.checkSubmission(&sub, types); why != nil {
-		return s.rejectionResponse(ctx, job.ID, why)
+	if rejected := s.checkSubmission(&sub, types); rejected != nil {
+		return s.rejectionResponse(ctx, job.ID, rejected)
 	}
-	if a, known := s.duplicateResponse(ctx, job); known {
-		return a
+	if resp, known := s.duplicateResponse(ctx, job); known {
+		return resp
 	}
-	record, refusal := s.newJobRecord(ctx, job)
-	if refusal != nil {
-		return *refusal
+	record, failure := s.newJobRecord(ctx, job)
+	if failure != nil {
+		return *failure
 	}
 	return s.acceptJob(ctx, job, record)
 }
 
-// rejection is why a job is not accepted.
+// rejection is the reason why a job is not accepted.
 type rejection struct {
 	reason    string
-	permanent bool // it never will be; otherwise the user should retry
+	permanent bool // the job can never be accepted; otherwise the user should retry
 }
 
-// checkSubmission returns why a job can never run or be stored, or cannot be judged yet; nil if it
+// checkSubmission returns why a job can never run or be stored, or cannot be checked yet; nil if it
 // can run.
 func (s *Server) checkSubmission(sub *submission, types []records.MachineType) *rejection {
 	if len(types) == 0 {
@@ -61,35 +61,36 @@
 	return &rejection{reason: reason, permanent: true}
 }
 
-// rejectionResponse answers a submission that is not accepted. A job that is known already is answered as
-// such, whatever has changed since it was accepted.
-func (s *Server) rejectionResponse(ctx context.Context, id string, why *rejection) response {
-	a := s.pollJob(ctx, id)
+// rejectionResponse returns the response to a rejected submission. If the job was accepted earlier, the
+// response is its status, whatever has changed since then.
+func (s *Server) rejectionResponse(ctx context.Context, id string, rejected *rejection) response {
+	resp := s.pollJob(ctx, id)
 	switch {
-	case a.outcome == outcomeOK, a.outcome == outcomeUnavailable:
-		return a
-	case !why.permanent:
-		return errorResponse(outcomeUnavailable, why.reason)
+	case resp.outcome == outcomeOK, resp.outcome == outcomeUnavailable:
+		return resp
+	case !rejected.permanent:
+		return errorResponse(outcomeUnavailable, rejected.reason)
 	}
-	return errorResponse(outcomeRejected, why.reason)
+	return errorResponse(outcomeRejected, rejected.reason)
 }
 
-// duplicateResponse answers a submission that repeats an earlier one, as far as that is known or
-// likely. A commit that fails counts against the store's write rate all the same, and that is low.
-func (s *Server) duplicateResponse(ctx context.Context, job *records.Job) (a response, known bool) {
+// duplicateResponse returns the response to a submission of a job that was accepted earlier, if that is
+// known or likely. It avoids a commit that would fail: such commits also count against the store's
+// write rate, which is low.
+func (s *Server) duplicateResponse(ctx context.Context, job *records.Job) (resp response, known bool) {
 	switch {
 	case s.jobs.isAccepted(job.ID):
-		a = s.pollJob(ctx, job.ID)
-		return a, a.outcome != outcomeNotFound
+		resp = s.pollJob(ctx, job.ID)
+		return resp, resp.outcome != outcomeNotFound
 	case !s.expectDuplicates():
-		return a, false
+		return resp, false
 	}
 	row, err := s.store.Get(ctx, records.OpenKey(job.ID))
 	switch {
 	case err != nil:
 		return unavailableResponse, true
 	case row == nil:
-		return a, false
+		return resp, false
 	}
 	s.jobs.addAccepted(job.ID)
 	if len(job.Dependencies) > 0 {
@@ -98,51 +99,52 @@
 	return openJobResponse(job.ID, peer.Progress{Status: records.StatusPending}), true
 }
 
-// duplicateIntervals is for how many heartbeat intervals more duplicates are expected after one.
+// duplicateIntervals is the number of heartbeat intervals for which more duplicates are expected after one.
 const duplicateIntervals = 4
 
-// expectDuplicates reports whether a job came here lately that another controller had accepted: then
-// the store is asked for a job before it is committed. Without this, users who submit each job to
-// every controller would waste the store's write rate on commits of which all but one fail.
+// expectDuplicates reports whether a job was submitted here recently that another controller had
+// accepted. If so, a job is read from the store before it is committed. Without this, users who submit
+// each job to every controller would waste the store's write rate on commits of which all but one fail.
 func (s *Server) expectDuplicates() bool {
 	return s.jobs.hadDuplicateWithin(duplicateIntervals * s.cfg.HeartbeatInterval())
 }
 
-// jobRecord is what is stored of a new job, and the job's status by it.
+// jobRecord is the record to store for a new job, and the status that the job then has.
 type jobRecord struct {
 	write  records.Op
 	status string
 }
 
-// newJobRecord returns what to store of a new job: its open record, or, where one of its dependencies is
-// cancelled, that the job is as well. If nothing is to be stored it returns the answer instead.
+// newJobRecord returns the record to store for a new job: its open record or, if one of its
+// dependencies is cancelled, a closed record of a cancelled job. If nothing is to be stored it returns
+// the response instead.
 func (s *Server) newJobRecord(ctx context.Context, job *records.Job) (jobRecord, *response) {
 	open := jobRecord{records.Op{Write: records.OpenKey(job.ID), Value: *job}, records.StatusPending}
 	if len(job.Dependencies) == 0 {
 		return open, nil
 	}
-	switch verdict, reason := s.checkDependencies(ctx, job); verdict {
+	switch status, reason := s.checkDependencies(ctx, job); status {
 	case dependenciesUnknown:
 		return jobRecord{}, &unavailableResponse
 	case dependenciesInvalid:
-		a := s.pollJob(ctx, job.ID)
-		if a.outcome == outcomeNotFound {
-			a = errorResponse(outcomeRejected, reason)
+		resp := s.pollJob(ctx, job.ID)
+		if resp.outcome == outcomeNotFound {
+			resp = errorResponse(outcomeRejected, reason)
 		}
-		return jobRecord{}, &a
+		return jobRecord{}, &resp
 	case dependencyCancelled:
-		// The job is accepted all the same, and cancelled with its dependency.
+		// The job is accepted nevertheless, and cancelled because of its dependency.
 		closed := records.ClosedJob{Status: records.StatusCancelled, Tasks: job.Tasks}
 		return jobRecord{records.Op{Write: records.ClosedKey(job.ID), Value: closed}, closed.Status}, nil
 	}
 	return open, nil
 }
 
-// acceptAttempts is how often a job is stored anew that the store reported as stored, and that was
-// not found then.
+// acceptAttempts bounds the attempts to store a job if the commit reports that it exists and the
+// following read does not find it.
 const acceptAttempts = 3
 
-// acceptJob stores a new job, unless it turns out to be known.
+// acceptJob stores a new job, unless it is already stored.
 func (s *Server) acceptJob(ctx context.Context, job *records.Job, record jobRecord) response {
 	absent := []records.Compare{{Key: records.OpenKey(job.ID)}, {Key: records.ClosedKey(job.ID)}}
 	for range acceptAttempts {
@@ -156,13 +158,13 @@
 		case errors.As(err, &conflict):
 			s.jobs.addAccepted(job.ID)
 			s.jobs.recordDuplicate()
-			if a := s.pollJob(ctx, job.ID); a.outcome != outcomeNotFound {
-				return a
+			if resp := s.pollJob(ctx, job.ID); resp.outcome != outcomeNotFound {
+				return resp
 			}
 		default:
-			// Without an answer the job may have been stored, or may yet be: the retry, under the
-			// same id, finds out.
-			slog.Debug("job not stored", "job", job.ID, "err", err)
+			// The job may have been stored or may still be. The user's retry with the same id
+			// resolves this.
+			slog.Debug("failed to store job", "job", job.ID, "err", err)
 			return unavailableResponse
 		}
 	}
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -10,7 +10,7 @@
 	"drumpick/internal/records"
 )
 
-// submissionFields is a job as users send it. Pointers tell a missing field from a zero one.
+// submissionFields is a job as users send it. Pointers distinguish a missing field from a zero value.
 type submissionFields struct {
 	ID          *string  `json:"uid"`
 	Class       *string  `json:"jobclass"`
@@ -40,7 +40,7 @@
 type submission struct {
 	job records.Job
 	// dependencyError is what is wrong with the list of dependencies, "" if nothing. Other errors
-	// make a request invalid; this one only rejects a job that is not known yet.
+	// make any request invalid; this one rejects only a job that was not accepted earlier.
 	dependencyError string
 }
 
@@ -57,7 +57,7 @@
 	priorities = []string{records.PriorityCritical, records.PriorityUrgent, records.PriorityStandard, records.PriorityLow}
 )
 
-// parseSubmission reads a submission and checks its form; an error names the field at fault.
+// parseSubmission decodes a submission and checks its form. An error names the invalid field.
 func parseSubmission(body []byte) (submission, error) {
 	fields, err := decodeSubmission(body)
 	if err != nil {
@@ -77,9 +77,9 @@
 func decodeSubmission(body []byte) (*submissionFields, error) {
 	var fields submissionFields
 	if err := json.Unmarshal(body, &fields); err != nil {
-		var wrongType *json.UnmarshalTypeError
-		if errors.As(err, &wrongType) && wrongType.Field != "" {
-			return nil, errors.New(wrongType.Field + " has the wrong type or is out of range")
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) && typeErr.Field != "" {
+			return nil, errors.New(typeErr.Field + " has the wrong type or is out of range")
 		}
 		return nil, errors.New("the body is not a JSON object")
 	}
@@ -88,21 +88,21 @@
 
 func errMissing(field string) error { return errors.New(field + " is missing") }
 
-// requiredField is a field that every submission has, with where its value goes.
+// requiredField is a field that every submission must have, and the destination of its value.
 type requiredField[T any] struct {
 	name string
 	from *T // nil if the field is missing
 	to   *T
 }
 
-// copyRequired copies fields; check returns what is wrong with a value, "" if nothing.
+// copyRequired checks and copies fields; check returns what is wrong with a value, "" if nothing.
 func copyRequired[T any](fields []requiredField[T], check func(T) string) error {
 	for _, f := range fields {
 		if f.from == nil {
 			return errMissing(f.name)
 		}
-		if wrong := check(*f.from); wrong != "" {
-			return errors.New(f.name + " " + wrong)
+		if problem := check(*f.from); problem != "" {
+			return errors.New(f.name + " " + problem)
 		}
 		*f.to = *f.from
 	}
@@ -180,8 +180,8 @@
 // isAmount reports whether a number is a valid amount; NaN is not.
 func isAmount(v float64) bool { return v >= 0 && v <= maxAmount }
 
-// parseDependencies reads the jobs that a submission names as its dependencies, each once, or returns
-// what is wrong with the list.
+// parseDependencies returns the ids in a submission's list of dependencies without duplicates, or what
+// is wrong with the list.
 func parseDependencies(raw json.RawMessage, id string) (ids []string, reason string) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil, ""
@@ -204,10 +204,10 @@
 	return ids, ""
 }
 
-// tolerance absorbs rounding where amounts are compared.
+// tolerance allows for rounding errors when amounts are compared.
 const tolerance = 1e-9
 
-// infeasibleReason returns why a job can never run, "" when it can.
+// infeasibleReason returns why a job can never run, "" if it can.
 func infeasibleReason(job *records.Job, teams []config.Team, types []records.MachineType) string {
 	i := slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == job.Team })
 	if i < 0 {
@@ -222,30 +222,30 @@
 	return ""
 }
 
-// exceedsLimit reports whether what a job must run at once exceeds its team's limits: one task of an
-// array, all tasks of other jobs.
+// exceedsLimit reports whether the tasks of a job that must run concurrently exceed its team's limits:
+// one task of a job array, all tasks of other jobs.
 func exceedsLimit(job *records.Job, team config.Team) bool {
-	atOnce := 1.0
+	concurrent := 1.0
 	if job.Shape != records.ShapeArray {
-		atOnce = float64(job.Tasks)
+		concurrent = float64(job.Tasks)
 	}
-	return team.LimitCPUs > 0 && atOnce*job.CPUs > team.LimitCPUs+tolerance ||
-		team.LimitGPUs > 0 && atOnce*job.GPUs > team.LimitGPUs+tolerance
+	return team.LimitCPUs > 0 && concurrent*job.CPUs > team.LimitCPUs+tolerance ||
+		team.LimitGPUs > 0 && concurrent*job.GPUs > team.LimitGPUs+tolerance
 }
 
-// allows reports whether a job may run on machines of a type, by its name and zones.
+// allows reports whether a job's machine types and zone allow machines of a type.
 func allows(job *records.Job, t records.MachineType) bool {
 	return (job.Types == nil || slices.Contains(job.Types, t.Name)) &&
 		(job.Zone == nil || slices.Contains(t.Zones, *job.Zone))
 }
 
-// fits reports whether an empty machine of a type has room for a task.
+// fits reports whether one task fits an empty machine of a type.
 func fits(job *records.Job, t records.MachineType) bool {
 	return job.CPUs <= t.CPUs+tolerance && job.GPUs <= t.GPUs+tolerance && job.MemGB <= t.MemGB+tolerance
 }
 
-// tooLargeReason returns why a job cannot be stored: its record is larger than a value of the store may be,
-// now or after an announced change of limits; "" if it can.
+// tooLargeReason returns why a job cannot be stored, "" if it can: its record must not exceed the
+// store's limit on the size of a value, now or after an announced change.
 func (s *Server) tooLargeReason(job *records.Job) string {
 	limit := int(s.cfg.Deployment.Store.Lowest().ValueKB * 1024)
 	if limit == 0 {
--- a/internal/api/validate_test.go
+++ b/internal/api/validate_test.go
@@ -21,9 +21,10 @@
 	return keys
 }
 
-// A job has the same fields in the client's submission, in the server's form of it, and in the store's
-// record, which has the time of its acceptance besides. The three are types of their own, since each
-// changes for reasons of its own; without this test, a field that is added to one would be lost.
+// The client's submission, the server's decoded submission and the stored record have the same fields,
+// except that the record also has the time of acceptance. They are separate types, since they change
+// for different reasons. This test guards against a field that is added to only one of them and is
+// then lost.
 func TestJobFieldsAreTheSameInClientServerAndStore(t *testing.T) {
 	want := jsonKeys(submissionFields{})
 	if got := jsonKeys(client.Job{}); !slices.Equal(got, want) {
