--- a/client/example_test.go
+++ b/client/example_test.go
@@ -10,7 +10,7 @@
 	"drumpick/client"
 )
 
-// Submit a job and wait until it is done. The server here stands for a controller.
+// Submits a job and waits until it is done. The test server stands in for a controller.
 func Example() {
 	controller := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -38,7 +38,7 @@
 		}
 }
 
-// What programs of others send and read through this package keeps its wire format.
+// The types that external programs send and read keep their wire format.
 func TestGoldenForms(t *testing.T) {
 	job, machine, d, view, plan := goldenSamples()
 	goldentest.Run(t, "golden-forms.json", goldentest.JSON, []goldentest.Case{
@@ -56,7 +56,7 @@
 	})
 }
 
-// Every call goes out as the protocol has it, and its answer is read.
+// Every call sends the request that the protocol specifies and decodes its response.
 func TestGoldenRequests(t *testing.T) {
 	job, machine, d, view, plan := goldenSamples()
 	server := goldentest.NewFakeServer(t)
--- a/client/jobs.go
+++ b/client/jobs.go
@@ -11,8 +11,8 @@
 	"drumpick/internal/ctxtime"
 )
 
-// Submit submits a job, until a controller answers, and reports whether the job was new. To submit
-// a job again, by whomever, is no error.
+// Submit submits a job, with retries, and reports whether the job was new. Submitting a job
+// again, by any caller, is not an error.
 func (c *Client) Submit(ctx context.Context, j Job) (st Status, created bool, err error) {
 	response, err := c.requestWithRetry(ctx, http.MethodPost, "/work", j, c.RetryPolicy.SubmitTimeout)
 	if err != nil {
@@ -21,29 +21,29 @@
 	return st, response.Status == http.StatusCreated, decode(response, &st)
 }
 
-// Get returns the status of a job.
+// Get returns a job's status.
 func (c *Client) Get(ctx context.Context, id string) (Status, error) {
 	var st Status
 	return st, c.requestJSON(ctx, http.MethodGet, "/work/"+url.PathEscape(id), nil, "job "+id, &st)
 }
 
-// Cancel cancels a job and returns its final status, which is Done if it was done before.
+// Cancel cancels a job and returns its final status: Done if the job was done before, else Cancelled.
 func (c *Client) Cancel(ctx context.Context, id string) (Status, error) {
 	var st Status
 	return st, c.requestJSON(ctx, http.MethodPost, "/work/"+url.PathEscape(id)+"/withdraw", struct{}{}, "job "+id, &st)
 }
 
-// Wait polls a job until its status is final, and calls tell, if it is not nil, with each change. It goes
-// on while no controller answers, since a job that was accepted is run.
-func (c *Client) Wait(ctx context.Context, id string, tell func(Status)) (Status, error) {
+// Wait polls a job until its status is final, and calls onChange, unless it is nil, with each new status.
+// It keeps polling while no controller is available: an accepted job runs nevertheless.
+func (c *Client) Wait(ctx context.Context, id string, onChange func(Status)) (Status, error) {
 	var last Status
 	for {
 		st, err := c.Get(ctx, id)
 		switch {
 		case err == nil && st != last:
 			last = st
-			if tell != nil {
-				tell(st)
+			if onChange != nil {
+				onChange(st)
 			}
 		case err != nil && !errors.Is(err, ErrUnavailable):
 			return last, err
@@ -51,7 +51,7 @@
 		if last.IsFinal() {
 			return last, nil
 		}
-		// The pause varies, so that clients which began together do not go on polling together.
+		// Jitter keeps clients that started together from polling in step.
 		if err := ctxtime.Sleep(ctx, c.PollInterval*3/4+rand.N(c.PollInterval/2+1)); err != nil {
 			return last, err
 		}
--- a/client/operator.go
+++ b/client/operator.go
@@ -10,27 +10,27 @@
 	"drumpick/internal/drain"
 )
 
-// Machine is a machine as the leader sees it.
+// Machine is the leader's view of a machine.
 type Machine struct {
 	Name      string  `json:"name"`
 	Type      string  `json:"type"`              // machine type
-	Zone      string  `json:"zone"`              // zone that it is in
-	Spot      bool    `json:"spot"`              // a spot machine, which the cloud may take back
+	Zone      string  `json:"zone"`              // zone it is in
+	Spot      bool    `json:"spot"`              // spot machine, which the cloud may reclaim
 	Addr      string  `json:"addr"`              // host:port of its worker
 	State     string  `json:"state"`             // such as "up"
 	AgeS      float64 `json:"age_s,omitempty"`   // seconds since it was requested from the cloud
 	Version   string  `json:"version,omitempty"` // version of its worker
 	TaskCount int     `json:"tasks"`             // number of tasks on it
-	Tasks     []Task  `json:"on_it,omitempty"`   // the tasks, where a machine is asked for by itself
+	Tasks     []Task  `json:"on_it,omitempty"`   // the tasks; set by Client.Machine only
 }
 
-// Task is an attempt of a task on a machine.
+// Task is one attempt of a task on a machine.
 type Task struct {
-	Task     string  `json:"task"`            // job ID and index, such as "j-1/0"
-	Attempt  uint64  `json:"attempt"`         // number of the attempt
+	Task     string  `json:"task"`            // job ID and task index, such as "j-1/0"
+	Attempt  uint64  `json:"attempt"`         // attempt number
 	State    string  `json:"state"`           // such as "running"
-	RanS     float64 `json:"ran_s"`           // seconds that it has run
-	Stopping bool    `json:"stops,omitempty"` // it is being stopped
+	RanS     float64 `json:"ran_s"`           // run time so far, in seconds
+	Stopping bool    `json:"stops,omitempty"` // being stopped
 }
 
 // Machines returns all machines, ordered by name.
@@ -60,46 +60,46 @@
 
 // Kinds of drains.
 const (
-	DrainCordon  = drain.KindCordon  // no new tasks; running ones go on
-	DrainEmpty   = drain.KindDrain   // no new tasks; running ones end or are moved
-	DrainUpgrade = drain.KindUpgrade // as DrainEmpty, some machines at a time, until each has another version
+	DrainCordon  = drain.KindCordon  // no new tasks; running tasks continue
+	DrainEmpty   = drain.KindDrain   // no new tasks; running tasks finish or are moved
+	DrainUpgrade = drain.KindUpgrade // like DrainEmpty, a few machines at a time, until each has the target version
 )
 
-// What becomes of empty machines.
+// Actions on empty machines.
 const (
-	WhenEmptyKeep   = drain.Keep   // they stay, empty
-	WhenEmptyReturn = drain.Return // they are returned to the cloud
+	WhenEmptyKeep   = drain.Keep   // keep them, empty
+	WhenEmptyReturn = drain.Return // return them to the cloud
 )
 
 type (
-	// Window is the recurring window in which a drain holds.
+	// Window is the recurring time window in which a drain is active.
 	Window = drain.Window
-	// DrainSummary holds the sums of what a drain does to tasks.
+	// DrainSummary holds totals of a drain's effects on machines and tasks.
 	DrainSummary = drain.Summary
 	// DrainState is the progress of a drain.
 	DrainState = drain.State
-	// DrainPlan is what a drain would do.
+	// DrainPlan is the predicted effect of a drain.
 	DrainPlan = drain.Plan
 )
 
-// Drain is a request to drain machines. A machine is meant if it meets all of the selectors that are
-// set. Times of day are milliseconds since 1970, durations seconds.
+// Drain is a request to drain machines. It selects the machines that match all selectors that are set.
+// Points in time are in milliseconds since the Unix epoch, durations in seconds.
 type Drain struct {
 	drain.Spec
-	Force bool   `json:"force,omitempty"` // start it although it leaves no machine for some jobs
-	Since string `json:"since,omitempty"` // plan only: return the page behind this machine
+	Force bool   `json:"force,omitempty"` // start it even if it leaves no machine for some jobs
+	Since string `json:"since,omitempty"` // plan only: return the page after this machine
 }
 
-// DrainView is a drain with its progress.
+// DrainView is a drain and its progress.
 type DrainView struct {
 	Drain drain.Spec  `json:"drain"`
-	State *DrainState `json:"state,omitempty"` // nil where no leader has seen the drain yet
+	State *DrainState `json:"state,omitempty"` // nil until a leader has seen the drain
 }
 
-// NewDrainID returns an ID that no other drain has; later ones sort behind earlier ones.
+// NewDrainID returns a drain ID made of the time in milliseconds, so that later IDs sort after earlier ones.
 func NewDrainID() string { return "d-" + strconv.FormatInt(time.Now().UnixMilli(), 10) }
 
-// PlanDrain returns what a drain would do; it changes nothing.
+// PlanDrain predicts the effect of a drain without starting it.
 func (c *Client) PlanDrain(ctx context.Context, d Drain) (DrainPlan, error) {
 	var all DrainPlan
 	for more := true; more; {
@@ -116,13 +116,13 @@
 	return all, nil
 }
 
-// StartDrain starts a drain, until a controller answers. To start it again, under its ID, is no error.
+// StartDrain starts a drain, with retries. Starting it again under the same ID is not an error.
 func (c *Client) StartDrain(ctx context.Context, d Drain) (DrainView, error) {
 	var v DrainView
 	return v, c.requestJSON(ctx, http.MethodPost, "/operator/drains", d, "drain "+d.ID, &v)
 }
 
-// Drains returns all drains, stopped ones included.
+// Drains returns all drains, including stopped ones.
 func (c *Client) Drains(ctx context.Context) ([]DrainView, error) {
 	var out struct {
 		Drains []DrainView `json:"drains"`
@@ -130,13 +130,13 @@
 	return out.Drains, c.requestJSON(ctx, http.MethodGet, "/operator/drains", nil, "drains", &out)
 }
 
-// Drain returns one drain with its progress.
+// Drain returns one drain and its progress.
 func (c *Client) Drain(ctx context.Context, id string) (DrainView, error) {
 	var v DrainView
 	return v, c.requestJSON(ctx, http.MethodGet, "/operator/drains/"+url.PathEscape(id), nil, "drain "+id, &v)
 }
 
-// StopDrain stops a drain: its machines take tasks again.
+// StopDrain stops a drain; its machines accept tasks again.
 func (c *Client) StopDrain(ctx context.Context, id string) (DrainView, error) {
 	var v DrainView
 	return v, c.requestJSON(ctx, http.MethodPost, "/operator/drains/"+url.PathEscape(id)+"/stop", struct{}{}, "drain "+id, &v)
