--- a/internal/api/confirmations.go
+++ b/internal/api/confirmations.go
@@ -23,7 +23,7 @@
 type pendingConfirmations struct {
 	leaderLease time.Duration
 
-	mu    sync.Mutex
+	mu    sync.Mutex           // guards since
 	since map[string]time.Time // when this controller first learned of the cancellation, by job
 }
 
@@ -34,7 +34,7 @@
 // add records that the leader has to acknowledge a cancellation.
 //
 // When the map is full, cancellations older than the leader's lease are evicted: they no longer need
-// an acknowledgement (confirmCancelled). Nothing else is evicted, since a user would then be told of
+// an acknowledgement (confirmCancelled). Nothing else is evicted, since a user could then be told of
 // a cancellation that the leader does not know.
 func (c *pendingConfirmations) add(id string) {
 	c.mu.Lock()
@@ -63,13 +63,13 @@
 	delete(c.since, id)
 }
 
-// confirmCancelled reports whether users may be told that a job is cancelled whose cancellation is
-// stored. By the protocol, none of the job's tasks may start after that, so the leader has to know
-// first. Usually its watch of the store has told it. The watch may lag if the store is slow, rejects
-// requests of the leader alone, or has lost the leader's lease while the leader still relies on it.
-// Therefore the leader is notified and has to acknowledge. A leader that cannot be reached starts no
-// tasks after the expiry of any lease that it held when this controller learned of the cancellation.
-// Until then users are asked to retry.
+// confirmCancelled reports whether users may be told of a job's cancellation, which is stored. By
+// the protocol, none of the job's tasks may start after that, so the leader has to know first.
+// Usually its watch of the store reports the cancellation before a user asks. The watch lags if the
+// store is slow, rejects requests of the leader alone, or no longer has the leader's lease while
+// the leader still relies on it. Therefore the leader is notified and has to acknowledge. A leader
+// that cannot be reached starts no tasks after the expiry of any lease that it held when this
+// controller learned of the cancellation. Until then users are asked to retry.
 func (s *Server) confirmCancelled(ctx context.Context, id string) bool {
 	since, pending := s.confirmations.pendingSince(id)
 	if !pending {
@@ -85,7 +85,8 @@
 }
 
 // notifyLeader notifies the leader of a cancellation and reports whether the leader has acknowledged
-// it. If no leader is known the result is true: the next leader reads the store after its election.
+// it. If no leader is known the result is true: the next leader reads the store after its election. It
+// is false while this controller is elected but does not lead yet.
 func (s *Server) notifyLeader(ctx context.Context, id string) bool {
 	if l := s.localLeader(); l != nil {
 		return l.NotifyCancelled(ctx, id)
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -54,7 +54,7 @@
 	return result, ""
 }
 
-// lookupCached is lookup, except that it reads a cached final state from the cache.
+// lookupCached is like lookup, but returns a cached final state without a read of the store.
 func (s *Server) lookupCached(ctx context.Context, id string) (storedJob, error) {
 	if closed, ok := s.jobs.closedJob(id); ok {
 		return storedJob{closed: &closed}, nil
@@ -112,9 +112,10 @@
 	maxAge time.Duration // how long a finding that nothing is cancelled is valid
 }
 
-// newWalker returns a walker whose findings are valid for half of the time within which the tasks of a
-// cancelled job must end. A dependency that is cancelled after a finding is also confirmed to its user
-// after it, so the dependents still end in time.
+// newWalker returns a walker whose findings are valid for half of the time within which the tasks
+// of a cancelled job must end. The cancellation of a dependency after a finding is confirmed to its
+// user after it, too, so no dependent is reported as open for longer than this half after the
+// confirmation.
 func (s *Server) newWalker() *dependencyWalker {
 	return &dependencyWalker{s, config.Seconds(s.cfg.Deployment.Workers.CancelS) / 2}
 }
@@ -160,8 +161,9 @@
 	return dependenciesClear
 }
 
-// step removes the last job from the path if no dependency of it is cancelled, or else checks or
-// appends its next dependency. It returns dependenciesClear if the check goes on.
+// step advances the check by one job: it removes the last job of the path if that is known to be clear
+// or all its dependencies are checked, and otherwise checks its next dependency. It returns
+// dependenciesClear if nothing was found that ends the check.
 func (w *dependencyWalker) step(ctx context.Context, path *dependencyPath, progress func(id string) peer.Progress) dependencyStatus {
 	cache := w.server.dependencies
 	job := path.last()
@@ -186,8 +188,8 @@
 	return w.descend(ctx, path)
 }
 
-// finishJob removes the last job from the path, none of whose dependencies is cancelled, after it has
-// verified that the job itself is not cancelled.
+// finishJob removes the last job of the path, whose dependencies are all clear. Before that it verifies
+// that the job itself is not cancelled, unless its record was read after clearAsOf.
 func (w *dependencyWalker) finishJob(ctx context.Context, path *dependencyPath) dependencyStatus {
 	job := path.last()
 	if !job.recordRead {
@@ -226,7 +228,8 @@
 }
 
 // readDependency reads the status of a dependency and, if it is open, caches its direct dependencies.
-// done is true if all its tasks are done, so that its own dependencies do not matter.
+// done is true if all its tasks are done, so that its own dependencies do not matter. The status is
+// dependenciesUnknown if the read fails or exceeds the rate limit.
 func (w *dependencyWalker) readDependency(ctx context.Context, id string) (status dependencyStatus, done bool) {
 	if !w.server.readLimiter.Allow() {
 		return dependenciesUnknown, false
--- a/internal/api/dependency_cache.go
+++ b/internal/api/dependency_cache.go
@@ -7,7 +7,7 @@
 
 // dependencyCache caches findings about the dependencies of open jobs.
 type dependencyCache struct {
-	mu                  sync.Mutex
+	mu                  sync.Mutex           // guards the fields below
 	clearAsOf           map[string]time.Time // neither this open job nor any dependency of it was cancelled up to then
 	direct              map[string][]string  // direct dependencies of a job; they never change
 	cancelledDependency map[string]bool      // open jobs with a cancelled dependency, direct or indirect
@@ -36,7 +36,8 @@
 	}
 }
 
-// invalidateClear drops all findings of setClear, after the cancellation of a job that any may depend on.
+// invalidateClear removes all findings of setClear. It is called after the cancellation of a job on
+// which any job may depend.
 func (c *dependencyCache) invalidateClear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/api/heartbeat_relay.go
+++ b/internal/api/heartbeat_relay.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// batchWindowDivisor divides the heartbeat interval into the time for which heartbeats are
-	// collected into a batch. The delay does not matter to workers, and at hundreds of heartbeats
-	// per second several share a message.
+	// Heartbeats are collected into a batch for the heartbeat interval / batchWindowDivisor. The
+	// delay does not matter to workers, and at hundreds of heartbeats per second several share a
+	// message.
 	batchWindowDivisor = 100
 	// relayRetryIntervals is the number of heartbeat intervals for which batches to a leader that
 	// did not accept them are suspended.
@@ -41,16 +41,17 @@
 type heartbeatRelay struct {
 	batcher *peer.Batcher
 
-	mu            sync.Mutex
+	mu            sync.Mutex    // guards the fields below
 	suspendedNode string        // leader to which batches are suspended, "" if none
 	retryAt       time.Time     // when suspendedNode is tried again
 	unsupported   bool          // suspendedNode does not support batches; otherwise it did not answer
 	failures      int           // consecutive batches that failed
-	delay         time.Duration // transmission delay of the last batch, reported with the next one
+	delay         time.Duration // transmission time of the last batch and its reply, sent with the next one
 }
 
-// canRelayTo reports whether heartbeats are relayed to a leader in batches. A suspended leader is tried
-// again with an empty batch, so that no worker waits for it.
+// canRelayTo reports whether heartbeats are relayed to a leader in batches; enabled is false if
+// operators have not enabled this. A suspended leader is tried again with an empty batch, so that
+// no worker waits for it.
 func (r *heartbeatRelay) canRelayTo(enabled bool, node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -32,7 +32,7 @@
 	dependencies  *dependencyCache
 	confirmations *pendingConfirmations
 
-	mu            sync.Mutex
+	mu            sync.Mutex                   // guards the fields below
 	closed        map[string]records.ClosedJob // final states
 	accepted      map[string]bool              // ids of jobs that were accepted
 	lastDuplicate time.Time                    // when a job was last submitted here that another controller had accepted
--- a/internal/api/peer_store_health.go
+++ b/internal/api/peer_store_health.go
@@ -8,13 +8,13 @@
 	"drumpick/internal/ctxtime"
 )
 
-// peerStoreHealth holds what the other controllers last reported about the store while requests of
-// this controller to it fail.
+// peerStoreHealth holds what the other controllers last reported about the store, while it fails for
+// this controller.
 type peerStoreHealth struct {
-	mu         sync.Mutex
-	servesPeer bool // the store serves another controller, but not this one
-	peersAsked bool // the others have been asked since the store began to fail here
-	isolated   bool // neither the store nor any other controller responds
+	mu         sync.Mutex // guards the fields below
+	servesPeer bool       // the store serves another controller, but not this one
+	peersAsked bool       // the others have been asked since the store began to fail here
+	isolated   bool       // neither the store nor any other controller responds
 }
 
 func (h *peerStoreHealth) update(servesPeer, peersAsked, isolated bool) {
@@ -67,9 +67,9 @@
 			isolated = !all && len(statuses) == 0 && time.Since(s.store.LastResponse()) > interval/2
 			for _, status := range statuses {
 				// A watch that is already open does not fail when an outage starts, so only a
-				// recent response of the store counts.
-				silent := time.Duration(status.SinceStoreResponseMS) * time.Millisecond
-				servesPeer = servesPeer || !status.StoreFailing && silent < interval*3/2
+				// recently served request counts.
+				sinceServed := time.Duration(status.SinceStoreServedMS) * time.Millisecond
+				servesPeer = servesPeer || !status.StoreFailing && sinceServed < interval*3/2
 			}
 		}
 		s.peerStoreHealth.update(servesPeer, failing, isolated)
--- a/internal/api/relay_routes.go
+++ b/internal/api/relay_routes.go
@@ -54,7 +54,7 @@
 // HandleHeartbeatBatch handles a batch of heartbeats that a peer relayed. It handles them concurrently,
 // so that those that wait for the store delay the batch by no more than one commit.
 func (s *Server) HandleHeartbeatBatch(in peer.HeartbeatBatch) peer.HeartbeatBatchReply {
-	out := peer.HeartbeatBatchReply{Answers: make([]peer.RelayReply, len(in.Heartbeats))}
+	out := peer.HeartbeatBatchReply{Replies: make([]peer.RelayReply, len(in.Heartbeats))}
 	if in.From == "" {
 		return out
 	}
@@ -68,7 +68,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out.Answers[i] = s.handleHeartbeatAsLeader(body, in.From)
+			out.Replies[i] = s.handleHeartbeatAsLeader(body, in.From)
 		}()
 	}
 	wg.Wait()
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -26,15 +26,17 @@
 	Get(ctx context.Context, key string) (*records.KeyValue, error)
 	List(ctx context.Context, prefix string, each func(records.KeyValue) error) (uint64, error)
 	Commit(ctx context.Context, compares []records.Compare, ops []records.Op) (uint64, error)
-	// Health returns when a call last succeeded, whether calls fail now, and when the client started.
+	// Health returns when the store last served a request (zero: not since the start), whether it
+	// has failed since, and when the client started.
 	Health() (lastOK time.Time, failing bool, started time.Time)
-	// LastResponse returns the time of the last response, including those that rejected the request.
+	// LastResponse returns the time of the store's last response, of any status, or the start of the
+	// client if there was none.
 	LastResponse() time.Time
 }
 
 // Peers calls the other controllers.
 type Peers interface {
-	// Status asks every other controller for its status; all reports whether every one answered.
+	// Status asks every other controller for its status; all reports whether every one replied.
 	Status(ctx context.Context) (statuses []peer.Status, all bool)
 	// Progress asks a node, as the leader, for the progress of a job.
 	Progress(node, id string) (peer.Progress, error)
@@ -55,7 +57,7 @@
 	// false for a job that the leader does not know.
 	Progress(id string) (status string, done, running int, ok bool)
 	// DependenciesClear reports whether no dependency of a job, direct or indirect, had been
-	// cancelled as of age ago.
+	// cancelled at the time that is age ago.
 	DependenciesClear(id string) (age time.Duration, ok bool)
 	// HandleHeartbeat applies a heartbeat.
 	HandleHeartbeat(heartbeat *fleet.Heartbeat) fleet.HeartbeatResult
--- a/internal/api/shared_poll.go
+++ b/internal/api/shared_poll.go
@@ -133,7 +133,8 @@
 }
 
 // listedJobResponse returns the response about a job that is open in a shared list. It reads the
-// progress only if that needs no call to another controller or can change the status.
+// progress only if that needs no call to another controller or can change the response, which it can
+// if the job has dependencies.
 func (s *Server) listedJobResponse(ctx context.Context, id string, row *records.KeyValue, readAt time.Time) response {
 	p := peer.Progress{Status: records.StatusPending}
 	if len(storedDependencies(row)) > 0 || s.localLeader() != nil {
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -43,7 +43,7 @@
 }
 
 // checkSubmission returns why a job can never run or be stored, or cannot be checked yet; nil if it
-// can run.
+// can be accepted.
 func (s *Server) checkSubmission(sub *submission, types []records.MachineType) *rejection {
 	if len(types) == 0 {
 		return &rejection{reason: "machine types are not known yet"}
@@ -141,8 +141,8 @@
 	return open, nil
 }
 
-// acceptAttempts bounds the attempts to store a job if the commit reports that it exists and the
-// following read does not find it.
+// acceptAttempts bounds the commits of a new job. A commit is repeated only if it conflicts with a
+// stored job of the same id that the following read does not find.
 const acceptAttempts = 3
 
 // acceptJob stores a new job, unless it is already stored.
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -47,7 +47,7 @@
 // Limits of what a submission may contain.
 const (
 	maxTasks     = 100_000
-	maxTextBytes = 200 // bytes
+	maxTextBytes = 200
 	maxTypes     = 256
 	maxAmount    = 1e9
 )
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,8 +1,8 @@
 // Package cloud is the client of the cloud API, which rents machines by the second to scale out
 // and takes them back to scale in.
 //
-// Its errors are those of package autoscaler. The cloud's protocol names appear only in paths and
-// struct tags.
+// Its errors are those of package autoscaler, which decides by them. The cloud's protocol names
+// appear only in paths and struct tags.
 package cloud
 
 import (
@@ -54,7 +54,8 @@
 	}
 }
 
-// newLimiter returns a limiter with bursts of one second, at least of one request.
+// newLimiter returns a limiter for rps requests per second. Its bursts are the requests of one second,
+// at least one.
 func newLimiter(rps float64) *rate.Limiter { return rate.NewLimiter(rate.Limit(rps), max(int(rps), 1)) }
 
 // Bodies of requests and responses.
@@ -132,8 +133,8 @@
 	return response.Machines, err
 }
 
-// Return returns machines to the cloud. If it succeeds, the machines and everything on them are
-// terminated.
+// Return returns machines to the cloud. If it succeeds, the machines are gone, with everything on
+// them.
 func (c *Client) Return(ctx context.Context, machines []string) error {
 	return c.call(ctx, http.MethodPost, "/machines/return", returnRequest{Machines: machines}, nil)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -2,9 +2,9 @@
 // set (INI). It rejects values that would make a controller misbehave, with a one-line error that names
 // the key.
 //
-// Field names are the terms of the code; the keys of the files are older and appear only in the tags
-// and in options.go. Fields that end in S are in seconds, in MS in milliseconds, in KB in KiB and in MB
-// in MiB; RPS is requests per second.
+// Field names are the terms of the code; the keys of the files are older and appear only in the
+// tags, in options.go and in error texts. Fields that end in S are in seconds, in MS in
+// milliseconds, in KB in KiB and in MB in MiB; RPS is requests per second.
 package config
 
 import "time"
@@ -51,10 +51,10 @@
 // means no guarantee or no limit.
 type Team struct {
 	Name           string  `toml:"name"`     // name of the team in jobs
-	GuaranteedCPUs float64 `toml:"cpus"`     // guarantee of CPUs
-	LimitCPUs      float64 `toml:"cpus_max"` // limit of CPUs
-	GuaranteedGPUs float64 `toml:"gpus"`     // guarantee of GPUs
-	LimitGPUs      float64 `toml:"gpus_max"` // limit of GPUs
+	GuaranteedCPUs float64 `toml:"cpus"`     // CPUs that it gets if its jobs need them
+	LimitCPUs      float64 `toml:"cpus_max"` // maximum number of CPUs
+	GuaranteedGPUs float64 `toml:"gpus"`     // GPUs that it gets if its jobs need them
+	LimitGPUs      float64 `toml:"gpus_max"` // maximum number of GPUs
 }
 
 // Kinds of objectives that affect the order of the queue; the settings may contain others.
@@ -78,9 +78,9 @@
 type Workers struct {
 	HeartbeatS    float64 `toml:"report_s"`    // interval between the heartbeats of a worker
 	LeaseS        float64 `toml:"lease_s"`     // duration of a worker's lease; a worker without a response for so long ends its tasks
-	GangWaitS     float64 `toml:"gang_wait_s"` // how long a task waits for its gang to start
-	GangPeerLossS float64 `toml:"gang_peer_s"` // within which the tasks of a gang detect the loss of one
-	CancelS       float64 `toml:"cancel_s"`    // within which all tasks of a cancelled job must have ended
+	GangWaitS     float64 `toml:"gang_wait_s"` // how long a task waits for the rest of its gang to start
+	GangPeerLossS float64 `toml:"gang_peer_s"` // time in which the tasks of a gang detect the loss of one
+	CancelS       float64 `toml:"cancel_s"`    // time in which all tasks of a cancelled job must end
 }
 
 // StoreLimits holds the limits of the key-value store.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// validSettings are valid settings.
+// validSettings is a complete settings file without errors.
 const validSettings = `
 node_name = "n-0"
 zone = "a"
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -40,9 +40,9 @@
 	// Guarantees prioritizes tasks within a team's guarantee that can still start in time, and preempts
 	// other tasks for them.
 	Guarantees bool
-	// Reservations reserves room for jobs that need much of it at once.
+	// Reservations reserves capacity for gangs and other jobs that need much of it at once.
 	Reservations bool
-	// BeginWithinS is the time in seconds within which any job should start, if there is room for it.
+	// BeginWithinS is the time in seconds within which any job should start, if there is capacity for it.
 	BeginWithinS float64
 	// ZoneHealth lets the scheduler wait for the machines of an unreachable zone instead of declaring
 	// them lost.
--- a/internal/ctxtime/ctxtime.go
+++ b/internal/ctxtime/ctxtime.go
@@ -1,4 +1,4 @@
-// Package ctxtime provides waits that end early with a context.
+// Package ctxtime provides waits that end early if a context ends.
 package ctxtime
 
 import (
--- a/internal/dependency/graph.go
+++ b/internal/dependency/graph.go
@@ -17,7 +17,7 @@
 
 // States. Done and Cancelled are final and recorded in the store.
 const (
-	Unknown   State = iota // no dependent may start
+	Unknown   State = iota // not known or not read yet; no dependent may start
 	Open                   // accepted, and neither done nor cancelled
 	Done                   // all its tasks have succeeded
 	Cancelled              // by a user, or because a dependency was cancelled
@@ -240,7 +240,8 @@
 	return n != nil && n.hasUnfinishedDependency()
 }
 
-// ReleasedAt returns when the last dependency of a job was done, as far as known; zero if unknown.
+// ReleasedAt returns when the last dependency of a job was done, as far as known; zero if no such
+// time is known.
 func (g *Graph) ReleasedAt(id string) time.Time {
 	var last time.Time
 	if n := g.nodes[id]; n != nil {
--- a/internal/leader/attestation.go
+++ b/internal/leader/attestation.go
@@ -127,7 +127,7 @@
 		// The last condition excludes a peer that has restarted since the query: it reports the
 		// store as silent only since then. Before the restart a new leader may have made it reject
 		// this term, which its new process does not know.
-		storeSilent := time.Duration(answer.SinceStoreResponseMS) * time.Millisecond
+		storeSilent := time.Duration(answer.SinceStoreServedMS) * time.Millisecond
 		all = all && answer.Attestation != nil && attestation.ObservedBy(*answer.Attestation) && storeSilent > elapsed
 	}
 	if !all || attestation.Term == 0 {
--- a/internal/leader/store_outage.go
+++ b/internal/leader/store_outage.go
@@ -92,16 +92,16 @@
 func (o *storeOutage) summarizeStoreAccess(answers []peer.Status, sinceExpiry, elapsed time.Duration) peerStoreAccess {
 	access := peerStoreAccess{noneCanLead: true}
 	for _, answer := range answers {
-		silent := time.Duration(answer.SinceStoreResponseMS) * time.Millisecond
+		silent := time.Duration(answer.SinceStoreServedMS) * time.Millisecond
 		if silent < o.settings.HeartbeatInterval/2 && !answer.StoreFailing {
 			access.served = true
 		}
-		if answer.StoreAnswered && silent < sinceExpiry-elapsed {
+		if answer.StoreServed && silent < sinceExpiry-elapsed {
 			access.servedPastExpiry = true
 		}
 		// A controller that the store has never answered since its start cannot lead either,
 		// however recent the start.
-		if answer.StoreAnswered && silent-config.MaxDrift(silent) < sinceExpiry {
+		if answer.StoreServed && silent-config.MaxDrift(silent) < sinceExpiry {
 			access.noneCanLead = false
 		}
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -37,6 +37,7 @@
 type Leader interface {
 	// Machines returns up to limit machines whose names sort after since, and whether there are more.
 	Machines(since string, limit int) ([]scheduler.MachineView, bool)
+	// Machine returns a machine, and false if there is none of that name.
 	Machine(name string) (scheduler.MachineView, bool)
 	// Drain returns a drain; ok is false if the leader has not read it from the store.
 	Drain(id string) (view scheduler.DrainView, ok bool)
--- a/internal/peer/batcher.go
+++ b/internal/peer/batcher.go
@@ -16,8 +16,8 @@
 type SendBatchFunc func(node string, heartbeats [][]byte) (HeartbeatBatchReply, error)
 
 // Batcher batches heartbeats by node. A batch is sent at the end of its window, or later if the node
-// has maxInFlightBatches unanswered batches; until then it grows. Without this bound, a slow leader
-// would receive ever more concurrent requests.
+// has maxInFlightBatches batches without a reply; until then it grows, up to maxBatchBytes. Without
+// the bound on batches in flight, a slow leader would receive ever more concurrent requests.
 //
 // It is safe for concurrent use.
 type Batcher struct {
@@ -55,7 +55,7 @@
 	if target.err != nil {
 		return RelayReply{}, target.err
 	}
-	return target.reply.Answers[index], nil
+	return target.reply.Replies[index], nil
 }
 
 // add adds a heartbeat to the open batch of a node and returns its index in the batch. If first is
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -22,13 +22,14 @@
 // contentType is the content type of all messages.
 const contentType = "application/msgpack"
 
-// Status is how the store serves a controller, and what the controller has recorded for leaders.
+// Status is how the store serves a controller, and what the controller has recorded for leaders. The
+// store serves a request if it gives any response other than a 429 or 503.
 type Status struct {
-	Node                 string `msgpack:"node"`
-	SinceStoreResponseMS int64  `msgpack:"silent_ms"` // since the store last served a request, or since the start
-	StoreAnswered        bool   `msgpack:"answered"`  // the store has served a request since the start
-	StoreFailing         bool   `msgpack:"failing"`   // the store has failed since it last served a request
-	SinceConfirmationMS  int64  `msgpack:"quiet_ms"`  // since the last confirmation of a cancellation, or since the start
+	Node                string `msgpack:"node"`
+	SinceStoreServedMS  int64  `msgpack:"silent_ms"` // since the store last served a request, or since the start
+	StoreServed         bool   `msgpack:"answered"`  // the store has served a request since the start
+	StoreFailing        bool   `msgpack:"failing"`   // the store has failed since it last served a request
+	SinceConfirmationMS int64  `msgpack:"quiet_ms"`  // since a cancellation was last confirmed to a user, or since the start
 	// Cancellations lists confirmed cancellations if the request asks for them. Versions that do
 	// not list them omit it.
 	Cancellations *cancellation.ConfirmedList `msgpack:"told,omitempty"`
@@ -36,6 +37,7 @@
 	// watermarks omit it.
 	Attestation *watermark.Attestation `msgpack:"heard,omitempty"`
 	// LatestReconciled is the attestation of the latest reconciled term that the controller knows.
+	// Earlier versions omit it.
 	LatestReconciled *watermark.Attestation `msgpack:"settled,omitempty"`
 	// SinceRenewalMS is the time since the controller, as leader, may last have renewed a worker's
 	// lease, or since its start. Earlier versions omit it.
@@ -56,20 +58,20 @@
 	now := time.Now()
 	s := Status{
 		Node:                node,
-		StoreAnswered:       !lastOK.IsZero(),
+		StoreServed:         !lastOK.IsZero(),
 		StoreFailing:        failing,
 		SinceConfirmationMS: confirmed.SinceLastConfirmation(now).Milliseconds(),
 	}
-	// An implausibly long span requests everything on record.
+	// A longer span requests all that is on record, and is cut so that the duration cannot overflow.
 	spanMS := min(request.CancellationSpanMS, maxCancellationSpan.Milliseconds())
 	if spanMS > 0 {
 		list := confirmed.ConfirmedWithin(time.Duration(spanMS)*time.Millisecond, now)
 		s.Cancellations = &list
 	}
-	if !s.StoreAnswered {
+	if !s.StoreServed {
 		lastOK = started
 	}
-	s.SinceStoreResponseMS = time.Since(lastOK).Milliseconds()
+	s.SinceStoreServedMS = time.Since(lastOK).Milliseconds()
 	return s
 }
 
@@ -104,7 +106,7 @@
 
 // CancelledReply is the leader's reply to a cancellation.
 type CancelledReply struct {
-	// Acknowledged means that the leader starts none of the job's tasks from now on.
+	// Acknowledged means that the leader dispatches none of the job's tasks from now on.
 	Acknowledged bool `msgpack:"heard"`
 }
 
@@ -164,16 +166,16 @@
 // HeartbeatBatch is a batch of workers' heartbeats, relayed by a follower as the workers sent them.
 // An empty batch announces that the sender can relay heartbeats.
 type HeartbeatBatch struct {
-	From       string   `msgpack:"from"`
+	From       string   `msgpack:"from"` // node of the sender
 	Heartbeats [][]byte `msgpack:"bodies"`
 	// DelayMS is the delay of the sender's previous batch: its wait until the leader handled it
 	// plus the way back of the reply.
 	DelayMS int64  `msgpack:"late_ms,omitempty"`
-	Zone    string `msgpack:"zone,omitempty"` // the sender's
+	Zone    string `msgpack:"zone,omitempty"` // zone of the sender
 }
 
 // HeartbeatBatchReply has the replies to the heartbeats of a batch, in the same order.
 type HeartbeatBatchReply struct {
-	Answers      []RelayReply `msgpack:"answers"`
+	Replies      []RelayReply `msgpack:"answers"`
 	ProcessingMS int64        `msgpack:"held_ms,omitempty"` // how long the leader took to handle the batch
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -43,13 +43,13 @@
 }
 
 // handle returns a fiber handler that decodes a request and encodes the reply to it.
-func handle[Request, Reply any](answer func(Request) Reply) fiber.Handler {
+func handle[Request, Reply any](respond func(Request) Reply) fiber.Handler {
 	return func(c *fiber.Ctx) error {
 		var request Request
 		if err := msgpack.Unmarshal(c.Body(), &request); err != nil {
 			return c.SendStatus(http.StatusBadRequest)
 		}
-		raw, err := msgpack.Marshal(answer(request))
+		raw, err := msgpack.Marshal(respond(request))
 		if err != nil {
 			return err
 		}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -175,7 +175,7 @@
 		}
 	}
 	if c := r.controllers[w.via]; c == nil || c.zone != w.zone {
-		inZoneWorkers++ // counts this worker, which is not in them yet
+		inZoneWorkers++ // counts this worker unless it is there already, so that one in its zone stays
 	}
 	if len(inZone) > 0 && inZoneWorkers*len(nodes) <= maxZoneFactor*len(inZone)*len(r.workers) {
 		nodes, ownZone = inZone, true
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -23,8 +23,8 @@
 var testStart = time.Unix(1_000_000, 0)
 
 // A scenario gives the router of leader n-0 heartbeats ("heartbeat m-1 via n-1", or "heartbeats 40
-// via n-1" for m-0 to m-39) and other controllers that have relayed something ("peer n-1"), each
-// with an optional zone ("in a").
+// via n-1" for m-0 to m-39) and other controllers that have relayed a batch ("peer n-1"), each with
+// an optional zone ("in a"). "loads" lists the number of workers of each other controller.
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		r := New(leaderNode, testInterval, testLease)
--- a/internal/slo/tracker.go
+++ b/internal/slo/tracker.go
@@ -11,7 +11,7 @@
 // job is a job that has arrived.
 type job struct {
 	class, team string
-	size        float64   // resources that all its tasks need together
+	size        float64   // resources that all its tasks need together; only compared, in any unit
 	waitsSince  time.Time // when it arrived, or when its dependencies were done
 	started     time.Time // zero: not started
 	closed      bool      // done or cancelled
@@ -56,12 +56,12 @@
 	// Without the second condition, a new leader with tens of thousands of open jobs would scan all of
 	// them for each arrival, although none can be removed.
 	if len(t.order) > maxJobs && t.closed > 0 {
-		t.forgetClosed(len(t.order) - keptJobs)
+		t.removeClosed(len(t.order) - keptJobs)
 	}
 }
 
-// forgetClosed removes the n closed jobs that arrived first, or all closed jobs if there are fewer.
-func (t *Tracker) forgetClosed(n int) {
+// removeClosed removes the n closed jobs that arrived first, or all closed jobs if there are fewer.
+func (t *Tracker) removeClosed(n int) {
 	kept := t.order[:0]
 	for _, id := range t.order {
 		if n > 0 && t.jobs[id].closed {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -48,7 +48,7 @@
 	http         *httpclient.Client
 	timeout      time.Duration
 	leaderWrites *rate.Limiter // limits the leader's own writes, not those of users
-	userRequests *userThrottle
+	userRequests *userThrottle // limits the number of users' requests
 	userWrites   *userThrottle // limits the keys that users' requests write
 
 	started time.Time
@@ -210,8 +210,8 @@
 	}
 }
 
-// waitForThrottle blocks until the user throttles admit a request that writes so many keys. It
-// returns false if that takes too long or ctx ends.
+// waitForThrottle blocks until the user throttles admit a request that writes the given number of
+// keys. It returns false if that takes more than timeout / userWaitDivisor or ctx ends.
 func (c *Client) waitForThrottle(ctx context.Context, writes int) bool {
 	end := time.Now().Add(c.timeout / userWaitDivisor)
 	wait := func(throttle *userThrottle, n int) bool {
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -7,9 +7,9 @@
 
 // userThrottle is a token bucket that adapts the rate of users' requests to what the store
 // accepts, so that the leader's own requests are served, above all its lease renewals. While the
-// store throttles no request, every request passes. Each 429 multiplies the rate by cutFactor,
-// down to this controller's part of the users' share of the store's rate; then the rate rises
-// linearly.
+// store throttles no request, every request passes. A 429 multiplies the rate by cutFactor, at most
+// once per minCutInterval and down to this controller's part of the users' share of the store's
+// rate; then the rate rises linearly.
 //
 // Without it, users who poll and submit at all controllers at once make leaders lose their leases
 // in succession: the store rejects every request over its rate with a 429, whoever sends it.
@@ -53,7 +53,7 @@
 	return min(t.maxRate, t.rate+t.maxRate*now.Sub(t.lastCut).Seconds()/recoveryTime.Seconds())
 }
 
-// recordThrottled cuts the rate after a 429 from the store.
+// recordThrottled cuts the rate after a 429 from the store, at most once per minCutInterval.
 func (t *userThrottle) recordThrottled(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/workers/caller.go
+++ b/internal/workers/caller.go
@@ -1,5 +1,5 @@
-// Package workers sends commands directly to workers if a command cannot wait for the answer to the
-// worker's next heartbeat.
+// Package workers sends workers the commands that cannot wait for the response to their next
+// heartbeat.
 package workers
 
 import (
@@ -72,7 +72,7 @@
 	}
 }
 
-// Outcome is whether a worker executed the commands of a request.
+// Outcome tells whether a worker executed the commands of a request.
 type Outcome int
 
 const (
