--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -8,10 +8,11 @@
 	"drumpick/internal/records"
 )
 
-// cancelAttempts bounds the attempts to cancel a job that changes concurrently.
+// cancelAttempts bounds the attempts to cancel a job whose record changes between the read and the commit.
 const cancelAttempts = 4
 
-// cancelJob cancels a job. If the job already has a final state, the response reports that state.
+// cancelJob cancels a job. The response reports the job's final state, which is not "cancelled" if the job
+// was already done.
 func (s *Server) cancelJob(ctx context.Context, id string) response {
 	if !records.ValidID(id) {
 		return noSuchJobResponse
@@ -40,8 +41,8 @@
 }
 
 // storeCancelled moves an open job to the closed records as cancelled, unless its record has changed
-// since openRecord was read. mayHaveStarted is as in jobCache.addClosed. It returns false if the
-// commit fails for any reason other than a conflict.
+// since openRecord was read. mayHaveStarted is as in jobCache.addClosed. The result is true if the job
+// was cancelled or its record had changed, and false if the commit failed otherwise.
 func (s *Server) storeCancelled(ctx context.Context, id string, openRecord *records.KeyValue, mayHaveStarted bool) bool {
 	job := decodeOpen(openRecord)
 	closed := records.ClosedJob{Status: records.StatusCancelled, Tasks: job.Tasks, Service: job.Shape == records.ShapeService}
--- a/internal/api/confirmations.go
+++ b/internal/api/confirmations.go
@@ -18,10 +18,10 @@
 	withheldCancellations = metrics.NewCounter("drumpick_cancellations_held_back_total")
 )
 
-// pendingConfirmations tracks the cancelled jobs whose cancellation the leader has not acknowledged.
-// Until then no response reports such a job as cancelled.
+// pendingConfirmations tracks the cancelled jobs whose cancellation the leader has not acknowledged yet.
+// No response reports such a job as cancelled until confirmCancelled allows it.
 type pendingConfirmations struct {
-	leaderLease time.Duration
+	leaderLease time.Duration // duration of the leader's lease
 
 	mu    sync.Mutex           // guards since
 	since map[string]time.Time // when this controller first stored or read the cancellation, by job
@@ -31,11 +31,11 @@
 	return &pendingConfirmations{leaderLease: leaderLease, since: map[string]time.Time{}}
 }
 
-// add records that the leader has to acknowledge a cancellation.
+// add records that the leader has to acknowledge the cancellation of a job.
 //
-// When the map is full, cancellations older than the leader's lease are evicted: they no longer need
-// an acknowledgement (confirmCancelled). Nothing else is evicted. Otherwise a cancellation that the
-// leader does not know could be confirmed to a user.
+// When the map is full, add evicts the cancellations older than the leader's lease, which no longer need
+// an acknowledgement (confirmCancelled). It evicts no others: otherwise a cancellation that the leader
+// does not know could be confirmed to a user.
 func (c *pendingConfirmations) add(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +49,7 @@
 	c.since[id] = time.Now()
 }
 
-// pendingSince returns since when a cancellation has been pending; ok is false if it is not pending.
+// pendingSince returns since when the cancellation of a job has been pending; ok is false if it is not.
 func (c *pendingConfirmations) pendingSince(id string) (since time.Time, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,13 +63,13 @@
 	delete(c.since, id)
 }
 
-// confirmCancelled reports whether a stored cancellation of a job may be confirmed to users. By the
-// protocol, none of the job's tasks may start after that, so the leader has to know first. Usually
-// its watch of the store reports the cancellation before a user asks. The watch lags if the store
-// is slow, rejects requests of the leader alone, or no longer has the leader's lease while the
-// leader still relies on it. Therefore the leader is notified and has to acknowledge. A leader that
-// cannot be reached starts no tasks after the expiry of any lease that it held when this controller
-// stored or read the cancellation. Until then users are asked to retry.
+// confirmCancelled reports whether the stored cancellation of a job may be confirmed to users. By the
+// protocol, none of the job's tasks may start after the confirmation, so the leader has to know of the
+// cancellation first. Usually its watch of the store reports the cancellation before a user asks. The
+// watch lags if the store is slow, rejects only the leader's requests, or has already expired a lease
+// on which the leader still relies. Therefore the leader is notified and has to acknowledge. A leader
+// that cannot be reached starts no tasks after the expiry of any lease that it held when this controller
+// stored or read the cancellation; until then users are asked to retry.
 func (s *Server) confirmCancelled(ctx context.Context, id string) bool {
 	since, pending := s.confirmations.pendingSince(id)
 	if !pending {
@@ -84,8 +84,8 @@
 	return true
 }
 
-// notifyLeader notifies the leader of a cancellation and reports whether the leader has acknowledged
-// it. If no leader is known the result is true: the next leader reads the store after its election. It
+// notifyLeader notifies the leader of a cancellation and reports whether the leader acknowledges it. The
+// result is true if no leader is known, because the next leader reads the store after its election. It
 // is false while this controller is elected but does not lead yet.
 func (s *Server) notifyLeader(ctx context.Context, id string) bool {
 	if l := s.localLeader(); l != nil {
@@ -100,12 +100,12 @@
 	}
 	leaderNotifications.Inc()
 	acknowledged, err := s.peers.NotifyCancelled(node, id)
-	// A leader of a version without this call relies on its watch alone.
+	// A leader whose version lacks this call learns of cancellations by its watch alone.
 	return err == nil && acknowledged || errors.Is(err, peer.ErrUnsupported)
 }
 
-// HandleCancellation handles the notification of a peer that a job is cancelled. It returns true if
-// this controller leads and dispatches none of the job's tasks from then on.
+// HandleCancellation handles a peer's notification that a job is cancelled. It returns true if this
+// controller leads and dispatches none of the job's tasks from then on.
 func (s *Server) HandleCancellation(id string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout())
 	defer cancel()
--- a/internal/api/confirmations_eviction_test.go
+++ b/internal/api/confirmations_eviction_test.go
@@ -10,7 +10,8 @@
 )
 
 // A full map of pending confirmations evicts only cancellations that are older than the leader's
-// lease, never newer ones.
+// lease. If it evicted a newer one, that cancellation could be confirmed to a user before the leader
+// knows of it.
 func TestUnconfirmedCancellationsAreKeptForALease(t *testing.T) {
 	cfg := &config.Config{Node: "n-0", Options: config.DefaultOptions()}
 	cfg.Deployment.Workers = config.Workers{HeartbeatS: 5, LeaseS: 24, CancelS: 44}
--- a/internal/api/confirmations_test.go
+++ b/internal/api/confirmations_test.go
@@ -16,7 +16,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// cancellationPeers returns the given results from NotifyCancelled and counts the calls.
+// cancellationPeers are peers whose NotifyCancelled returns the given results and counts its calls.
 type cancellationPeers struct {
 	unreachablePeers
 	acknowledged bool
@@ -44,9 +44,10 @@
 	return err
 }
 
-// No response to a cancellation, a poll or a repeated submission reports a job as cancelled before
-// the leader has acknowledged it or its lease has expired. Once confirmed, a cancellation stays
-// confirmed.
+// No response to a cancellation, a poll or a repeated submission reports a job as cancelled before the
+// leader has acknowledged the cancellation or the leader's lease has expired. Otherwise a leader that
+// does not know of the cancellation could start tasks after the report. Once confirmed, a cancellation
+// stays confirmed.
 func TestCancellationIsReportedOnceLeaderKnows(t *testing.T) {
 	unsupported := unsupportedError(t)
 	for name, x := range map[string]struct {
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -11,18 +11,18 @@
 	"drumpick/internal/records"
 )
 
-// dependencyStatus is the combined status of the direct and indirect dependencies of a job.
+// dependencyStatus is the combined status of some or all dependencies of a job, direct and indirect.
 type dependencyStatus int
 
 const (
-	dependenciesUnknown dependencyStatus = iota // not all could be read in time
-	dependenciesInvalid                         // one was never accepted, or is a service, which never ends
+	dependenciesUnknown dependencyStatus = iota // not all could be read
+	dependenciesInvalid                         // one was never accepted, or is a service, which is never done
 	dependencyCancelled                         // one is cancelled
 	dependenciesClear                           // none is cancelled
 )
 
-// checkDependencies checks the dependencies of a submitted job, direct and indirect. If they are
-// invalid it also returns the reason.
+// checkDependencies checks the dependencies of a submitted job, direct and indirect. The text is the
+// reason if they are invalid, and otherwise "".
 func (s *Server) checkDependencies(ctx context.Context, job *records.Job) (dependencyStatus, string) {
 	walker := s.newWalker()
 	result := dependenciesClear
@@ -34,7 +34,7 @@
 			slog.Debug("dependency not read", "job", job.ID, "dependency", id, "err", err)
 			return dependenciesUnknown, ""
 		case dependency.absent():
-			// Records are never deleted: a job that is not stored was never accepted.
+			// Jobs are never deleted from the store: one that is absent was never accepted.
 			return dependenciesInvalid, "prereqs names a job that was never accepted: " + id
 		}
 		open := decodeOpen(dependency.open)
@@ -54,7 +54,7 @@
 	return result, ""
 }
 
-// lookupCached is like lookup, but returns a cached final state without a read of the store.
+// lookupCached is like lookup, but does not read the store if the job's final state is cached.
 func (s *Server) lookupCached(ctx context.Context, id string) (storedJob, error) {
 	if closed, ok := s.jobs.closedJob(id); ok {
 		return storedJob{closed: &closed}, nil
@@ -63,10 +63,12 @@
 }
 
 // dependencyResponse checks the dependencies of an open job, direct and indirect, before the job is
-// reported as open. If one is cancelled it cancels the job as well and returns a response that says
-// so; if their status is unknown it asks the user to retry. It returns false if the job may be
-// reported as open. Normally the leader cancels such jobs; without this check, a job could be
-// reported as pending long after a dependency was cancelled while no controller leads.
+// reported as open. It returns false if the job may be reported as open. If a dependency is cancelled,
+// it cancels the job as well and returns the response that says so. If the status of the dependencies is
+// unknown, the response asks the user to retry. readAt is a time before openRecord was read.
+//
+// Normally the leader cancels such jobs. Without this check, while no controller leads, a job could be
+// reported as pending long after a dependency was cancelled.
 func (s *Server) dependencyResponse(ctx context.Context, id string, openRecord *records.KeyValue, readAt time.Time, progress peer.Progress) (response, bool) {
 	dependencies := storedDependencies(openRecord)
 	if len(dependencies) == 0 {
@@ -90,7 +92,7 @@
 }
 
 // cancelDependent cancels a job because one of its dependencies is cancelled, and returns the response
-// with its final state. It returns false if that cannot be stored or read.
+// with the job's final state. It returns false if that state cannot be stored or read.
 func (s *Server) cancelDependent(ctx context.Context, id string, openRecord *records.KeyValue) (response, bool) {
 	if !s.storeCancelled(ctx, id, openRecord, false) {
 		return response{}, false
@@ -104,18 +106,18 @@
 	return response{}, false
 }
 
-// dependencyWalker checks the dependencies of a job, direct and indirect, depth first. It caches its
-// findings, so that a long chain can be checked over several polls. The dependencies of a job never
-// change, so every poll checks them in the same order.
+// dependencyWalker checks the dependencies of a job, direct and indirect, depth first. It stores its
+// findings in the server's dependencyCache, so that a long chain can be checked over several polls. The
+// dependencies of a job never change, so every poll checks them in the same order.
 type dependencyWalker struct {
 	server *Server
-	maxAge time.Duration // how long a finding that nothing is cancelled is valid
+	maxAge time.Duration // how long a finding that no dependency is cancelled is valid
 }
 
 // newWalker returns a walker whose findings are valid for half of the time within which the tasks
-// of a cancelled job must end. The cancellation of a dependency after a finding is confirmed to its
-// user after it, too, so no dependent is reported as open for longer than this half after the
-// confirmation.
+// of a cancelled job must end. If a dependency is cancelled after a finding, the confirmation to its
+// user also follows the finding. So no dependent is reported as open for longer than this half after
+// the confirmation.
 func (s *Server) newWalker() *dependencyWalker {
 	return &dependencyWalker{s, config.Seconds(s.cfg.Deployment.Workers.CancelS) / 2}
 }
@@ -124,18 +126,18 @@
 type pathStep struct {
 	id          string
 	unchecked   []string  // direct dependencies that have not been checked yet
-	clearAsOf   time.Time // neither it nor its checked dependencies were cancelled up to then
-	askedLeader bool
-	recordRead  bool // its record was read after clearAsOf
+	clearAsOf   time.Time // neither the job nor its checked dependencies were cancelled up to this time
+	askedLeader bool      // the leader's view of the job was requested
+	recordRead  bool      // the job's record was read after clearAsOf
 }
 
-// dependencyPath is the path from the checked job to the dependency that is being checked.
+// dependencyPath is the path from the job whose dependencies are checked to the current dependency.
 type dependencyPath []pathStep
 
 func (p dependencyPath) last() *pathStep { return &p[len(p)-1] }
 
-// pop removes the last job of the path: neither it nor any of its dependencies was cancelled up to
-// clearAsOf. The job before it is then clear up to that time at most.
+// pop removes the last job of the path: neither that job nor any of its dependencies was cancelled up to
+// clearAsOf. The job before it on the path is then known to be clear up to that time at most.
 func (p *dependencyPath) pop(clearAsOf time.Time) {
 	*p = (*p)[:len(*p)-1]
 	if len(*p) > 0 && clearAsOf.Before(p.last().clearAsOf) {
@@ -143,8 +145,9 @@
 	}
 }
 
-// check checks all dependencies of an open job. readAt is a time before its record was read. The
-// leader's view, which progress returns, saves reads where it is available.
+// check checks all dependencies of an open job. dependencies are the direct ones; readAt is a time before
+// the job's record was read. progress returns the leader's view of a job, which saves reads of the store
+// if the leader knows the job.
 func (w *dependencyWalker) check(
 	ctx context.Context, id string, dependencies []string, readAt time.Time, progress func(id string) peer.Progress,
 ) dependencyStatus {
@@ -161,9 +164,9 @@
 	return dependenciesClear
 }
 
-// step advances the check by one job: it removes the last job of the path if that is known to be clear
-// or all its dependencies are checked, and otherwise checks its next dependency. It returns
-// dependenciesClear if nothing was found that ends the check.
+// step advances the check by one job. It removes the last job of the path if that job is known to be
+// clear or all its dependencies are checked; otherwise it checks the job's next dependency. The result
+// dependenciesClear means that this step found no cancelled or unknown dependency.
 func (w *dependencyWalker) step(ctx context.Context, path *dependencyPath, progress func(id string) peer.Progress) dependencyStatus {
 	cache := w.server.dependencies
 	job := path.last()
@@ -188,8 +191,9 @@
 	return w.descend(ctx, path)
 }
 
-// finishJob removes the last job of the path, whose dependencies are all clear. Before that it verifies
-// that the job itself is not cancelled, unless its record was read after clearAsOf.
+// finishJob removes the last job of the path, whose dependencies are all clear, and caches that it is
+// clear. Before that it verifies that the job itself is not cancelled, unless the job's record was read
+// after clearAsOf.
 func (w *dependencyWalker) finishJob(ctx context.Context, path *dependencyPath) dependencyStatus {
 	job := path.last()
 	if !job.recordRead {
@@ -203,8 +207,8 @@
 	return dependenciesClear
 }
 
-// descend checks the next dependency of the last job on the path, and appends it to the path if it is
-// open. The dependencies of a job with a final state need no check.
+// descend checks the next dependency of the last job on the path, and appends the dependency to the path
+// if it may be open. The dependencies of a job with a final state need no check.
 func (w *dependencyWalker) descend(ctx context.Context, path *dependencyPath) dependencyStatus {
 	job := path.last()
 	next := pathStep{id: job.unchecked[0], clearAsOf: time.Now()}
@@ -227,9 +231,10 @@
 	return dependenciesClear
 }
 
-// readDependency reads the status of a dependency and, if it is open, caches its direct dependencies.
-// done is true if all its tasks are done, so that its own dependencies do not matter. The status is
-// dependenciesUnknown if the read fails or exceeds the rate limit.
+// readDependency reads a dependency from the store and, if it is open, caches its direct dependencies.
+// The status is dependencyCancelled if the dependency is cancelled, dependenciesUnknown if the read
+// fails or exceeds the rate limit, and otherwise dependenciesClear. done is true if all its tasks are
+// done, so that its own dependencies do not matter.
 func (w *dependencyWalker) readDependency(ctx context.Context, id string) (status dependencyStatus, done bool) {
 	if !w.server.readLimiter.Allow() {
 		return dependenciesUnknown, false
--- a/internal/api/dependency_cache.go
+++ b/internal/api/dependency_cache.go
@@ -8,8 +8,8 @@
 // dependencyCache caches findings about the dependencies of open jobs.
 type dependencyCache struct {
 	mu                  sync.Mutex           // guards the fields below
-	clearAsOf           map[string]time.Time // neither this open job nor any dependency of it was cancelled up to then
-	direct              map[string][]string  // direct dependencies of a job; they never change
+	clearAsOf           map[string]time.Time // by open job: neither it nor any dependency of it was cancelled up to this time
+	direct              map[string][]string  // by open job: its direct dependencies, which never change
 	cancelledDependency map[string]bool      // open jobs with a cancelled dependency, direct or indirect
 }
 
@@ -18,7 +18,7 @@
 }
 
 // clearWithin returns the time up to which neither an open job nor any of its dependencies was
-// cancelled, and whether that is less than maxAge ago.
+// cancelled, zero if unknown, and whether that time is less than maxAge ago.
 func (c *dependencyCache) clearWithin(id string, maxAge time.Duration) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,8 +36,8 @@
 	}
 }
 
-// invalidateClear removes all findings of setClear. It is called after the cancellation of a job on
-// which any job may depend.
+// invalidateClear removes all findings of setClear. It is called after the cancellation of any job: every
+// other job may depend on it.
 func (c *dependencyCache) invalidateClear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +65,7 @@
 	return c.cancelledDependency[id]
 }
 
-// setCancelled records that all jobs on a path have a cancelled dependency.
+// setCancelled records that all jobs on a path have a cancelled dependency, direct or indirect.
 func (c *dependencyCache) setCancelled(path []pathStep) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -20,7 +20,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// goldenLeader is a leader that knows one job and records the last heartbeat.
+// goldenLeader is a leader that knows one running job, j-1, and records the last heartbeat.
 type goldenLeader struct {
 	acceptingLeader
 	lastHeartbeat fleet.Heartbeat
@@ -42,7 +42,7 @@
 	}}}
 }
 
-// relayingPeers are peers that relay a heartbeat to the leader and return its reply.
+// relayingPeers are peers whose RelayHeartbeat returns a leader's reply with the given status.
 type relayingPeers struct {
 	unreachablePeers
 	status int
@@ -52,7 +52,7 @@
 	return peer.RelayReply{Status: r.status, Body: []byte(`{"baton":41,"orders":[]}`)}, nil
 }
 
-// acceptedMS matches the part of a record that differs from run to run.
+// acceptedMS matches the time of acceptance in a job's record, which differs from run to run.
 var acceptedMS = regexp.MustCompile(`"accepted_ms":\d+`)
 
 // goldenJob is a submission with every field set.
@@ -60,8 +60,8 @@
 	`"vcpus":1.5,"gpus":1,"mem_gb":2.5,"build":"img","size_gb":3.5,"rigs":["c4"],"site":"a","one_zone":true,` +
 	`"apart":true,"loaners":true,"guess_s":10,"snapshot_s":5,"flush_s":2.5,"due_s":300,"prereqs":["j-7"]}`
 
-// goldenServer returns a server with a store that holds one closed job, the store, and a function that
-// sends requests to the server.
+// goldenServer returns a server, its store, which holds one closed job, and a function that sends
+// requests to the server. leader is the node that leads, "" if unknown.
 func goldenServer(
 	peers api.Peers, leader string, local func() api.Leader,
 ) (*api.Server, *simulation.Store, func(*http.Request) (*http.Response, error)) {
@@ -79,7 +79,8 @@
 	return s, store, func(r *http.Request) (*http.Response, error) { return app.Test(r, -1) }
 }
 
-// Users' requests and their responses keep their wire format.
+// Users' requests and their responses keep their wire format. A renamed field or path would break users'
+// clients.
 func TestGoldenUsers(t *testing.T) {
 	l := &goldenLeader{}
 	s, store, send := goldenServer(unreachablePeers{}, "n-0", func() api.Leader { return l })
@@ -147,7 +148,7 @@
 	} {
 		check("submit, "+name, "POST", "/work", body)
 	}
-	// One flag at a time: swapped flags would go unnoticed if both were set.
+	// Sets one flag at a time: two swapped flags would go unnoticed if both were set.
 	for _, flag := range []string{"one_zone", "apart", "loaners"} {
 		body := editedJob(`uid="j-5"`, "one_zone=false", "apart=false", "loaners=false", flag+"=true")
 		check("submit with "+flag, "POST", "/work", strings.Replace(body, "j-5", "j-5"+strconv.Itoa(len(flag)), 1))
@@ -163,7 +164,7 @@
 	check("withdraw in an outage", "POST", "/work/j-3/withdraw", "{}")
 }
 
-// without returns a JSON object without the named field, the other fields sorted by name.
+// without encodes the given fields, except the named one, as a JSON object with sorted keys.
 func without(t *testing.T, fields map[string]json.RawMessage, name string) string {
 	t.Helper()
 	rest := map[string]json.RawMessage{}
@@ -179,7 +180,8 @@
 	return string(raw)
 }
 
-// Workers' heartbeats and their responses keep their wire format, at the leader and at followers.
+// Workers' heartbeats and their responses keep their wire format, at the leader and at followers. A
+// renamed field or path, or another status code, would break workers.
 func TestGoldenWorkers(t *testing.T) {
 	const heartbeat = `{"host":"m-000231","addr":"10.1.0.232:9000","rig":"g8","site":"a","loaners":true,"stint":1,"tick":88,"baton":41,` +
 		`"warning_s":12.5,"version":"1.0","shots":[{"shot":"j-412/3","try":2,"status":"ended","cause":"done","saved":true}]}`
--- a/internal/api/heartbeat_outcome_test.go
+++ b/internal/api/heartbeat_outcome_test.go
@@ -9,7 +9,8 @@
 	"drumpick/internal/simulation"
 )
 
-// Each outcome of a heartbeat at the leader maps to its status code in the protocol.
+// Each outcome of a heartbeat at the leader maps to its status code in the protocol. With another code,
+// a worker would keep its lease, retry or change the controller at the wrong time.
 func TestHeartbeatOutcomeStatus(t *testing.T) {
 	for outcome, want := range map[fleet.HeartbeatOutcome]int{
 		fleet.HeartbeatAccepted:    200,
--- a/internal/api/heartbeat_relay.go
+++ b/internal/api/heartbeat_relay.go
@@ -19,20 +19,19 @@
 )
 
 const (
-	// Heartbeats are collected into a batch for the heartbeat interval / batchWindowDivisor. The
-	// delay does not matter to workers, and at hundreds of heartbeats per second several share a
-	// message.
+	// A batch collects heartbeats for the heartbeat interval / batchWindowDivisor. This delay does
+	// not matter to workers, and at hundreds of heartbeats per second several share a message.
 	batchWindowDivisor = 100
-	// relayRetryIntervals is the number of heartbeat intervals for which batches to a leader that
-	// did not accept them are suspended.
+	// relayRetryIntervals is the number of heartbeat intervals after which a suspended leader is
+	// tried again with an empty batch.
 	relayRetryIntervals = 1
 	// workerTimeout is how long workers wait for a response, by the protocol. batchTimeoutShare is
-	// the share of it that bounds the call to the leader.
+	// the share of that time within which the leader has to reply to a batch.
 	workerTimeout     = 4 * time.Second
 	batchTimeoutShare = 0.8
-	// maxBatchFailures is how many consecutive batches may fail before workers are redirected to the
-	// leader. Without it, a leader that is slow for a moment would have to accept all their
-	// connections as well.
+	// maxBatchFailures is how many consecutive batches may fail before the relay to the leader is
+	// suspended and workers are redirected to it. If the first failure counted, a leader that is slow
+	// for a moment would have to accept all the workers' connections as well.
 	maxBatchFailures = 2
 )
 
@@ -42,38 +41,39 @@
 	batcher *peer.Batcher
 
 	mu            sync.Mutex    // guards the fields below
-	suspendedNode string        // leader to which batches are suspended, "" if none
-	retryAt       time.Time     // when suspendedNode is tried again
-	unsupported   bool          // suspendedNode does not support batches; otherwise it did not answer
-	failures      int           // consecutive batches that failed
-	delay         time.Duration // transmission time of the last batch and its reply, sent with the next one
+	suspendedNode string        // leader to which the relay is suspended, "" if none
+	retryAt       time.Time     // when suspendedNode is tried again with an empty batch
+	unsupported   bool          // suspendedNode does not support batches; false: it did not answer
+	failures      int           // number of consecutive batches that failed
+	delay         time.Duration // transmission time of the last batch and its reply, reported in the next batch
 }
 
-// canRelayTo reports whether heartbeats are relayed to a leader in batches; enabled is false if
-// operators have not enabled this. A suspended leader is tried again with an empty batch, so that
-// no worker waits for it.
+// canRelayTo reports whether heartbeats are relayed to a leader in batches. enabled is false if operators
+// have not enabled batches. To a suspended leader none are relayed until it has accepted an empty batch,
+// so that no worker waits for that leader.
 func (r *heartbeatRelay) canRelayTo(enabled bool, node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return enabled && node != "" && node != r.suspendedNode
 }
 
-// shouldAnnounce reports whether an empty batch should be sent to a leader now.
+// shouldAnnounce reports whether an empty batch should be sent to a leader now. It is false before retryAt
+// of a suspended leader.
 func (r *heartbeatRelay) shouldAnnounce(node string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return node != "" && !(node == r.suspendedNode && now.Before(r.retryAt))
 }
 
-// unresponsive reports whether a leader is suspended because it did not answer. Relaying a single
-// heartbeat would time out as well, so its worker is redirected to the leader.
+// unresponsive reports whether a leader is suspended because it did not answer. A single heartbeat
+// relayed to such a leader would time out as well, so the worker is redirected to the leader.
 func (r *heartbeatRelay) unresponsive(enabled bool, node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return enabled && node == r.suspendedNode && !r.unsupported
 }
 
-// exchangeDelay sets the delay to report with the next batch and returns the previous one.
+// exchangeDelay sets the delay to report in the next batch and returns the previous value.
 func (r *heartbeatRelay) exchangeDelay(d time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,8 +82,10 @@
 	return previous
 }
 
-// recordResult records whether a leader accepted a batch, and suspends batches to it until retryAt if
-// it does not support them or too many have failed.
+// recordResult records whether a leader accepted a batch; err is nil if it did. It suspends the relay to
+// a leader that does not support batches, or after more than maxBatchFailures consecutive failures, and
+// tries the leader again at retryAt. A failure at another leader than the suspended one starts a new
+// count.
 func (r *heartbeatRelay) recordResult(node string, err error, retryAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,12 +105,12 @@
 // errRelaySuspended is the error of a batch to a suspended leader.
 var errRelaySuspended = errors.New("relay to the leader is suspended after failed batches")
 
-// relayBatch sends a batch to the leader. If this fails, the workers try the next controller a second
-// later; if it keeps failing, they are redirected to the leader.
+// relayBatch sends a batch to the leader on the given node. If this fails, the workers try the next
+// controller a second later; once the relay is suspended, they are redirected to the leader.
 func (s *Server) relayBatch(node string, bodies [][]byte) (peer.HeartbeatBatchReply, error) {
 	start := time.Now()
-	// Without this, each batch that is queued for a leader that hangs would wait for its timeout
-	// although batches to the leader are already suspended.
+	// Without this check, each batch that is queued for a leader that hangs would wait for its timeout
+	// although the relay to that leader is already suspended.
 	if len(bodies) > 0 && !s.relay.canRelayTo(true, node) {
 		heartbeatsNotRelayed.Add(len(bodies))
 		return peer.HeartbeatBatchReply{}, errRelaySuspended
@@ -130,7 +132,7 @@
 }
 
 // AnnounceRelay sends empty batches to the leader periodically, until the context is cancelled, to
-// announce that this controller can relay heartbeats. A suspended leader is tried again later.
+// announce that this controller can relay heartbeats. It sends none while this controller leads.
 func (s *Server) AnnounceRelay(ctx context.Context) {
 	interval := s.cfg.HeartbeatInterval()
 	for ctxtime.Sleep(ctx, interval/2) == nil {
--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -10,17 +10,18 @@
 	"github.com/mailru/easyjson"
 )
 
-// redirectBody is the body of a response that redirects a worker to another controller. If it is empty
-// the worker tries the next controller.
+// redirectBody is the body of a response that redirects a worker to another controller. If Leader is
+// empty, the worker tries the next controller.
 type redirectBody struct {
-	Leader string `json:"conductor,omitempty"`
+	Leader string `json:"conductor,omitempty"` // node that the worker must use
 }
 
 // serveHeartbeat is the HTTP handler of workers' heartbeats.
 func (s *Server) serveHeartbeat(c *fiber.Ctx) error { return sendJSON(c, s.HandleHeartbeat(c.Body())) }
 
 // HandleHeartbeat handles a heartbeat that a worker sent to this controller. Only the leader processes
-// it; any other controller relays it if possible, and otherwise redirects the worker to the leader.
+// it. Any other controller relays it if possible. Otherwise it redirects the worker to the leader or, if
+// no leader is known or a batch failed while the relay is not suspended, to the next controller.
 func (s *Server) HandleHeartbeat(body []byte) peer.RelayReply {
 	if s.localLeader() != nil {
 		return s.handleHeartbeatAsLeader(body, s.cfg.Node)
@@ -45,15 +46,16 @@
 	return encodeJSON(fiber.StatusMisdirectedRequest, redirectBody{Leader: node})
 }
 
-// HandleRelayedHeartbeat handles a single heartbeat that a peer relayed. A 200 renews the worker's
-// lease from the time when it sent the heartbeat, so the relay does not change what the leader may
-// conclude from the worker's silence.
+// HandleRelayedHeartbeat handles a single heartbeat that a peer relayed. A response of 200 renews the
+// worker's lease from the time when the worker sent the heartbeat, so the relay does not change what the
+// leader may conclude from the worker's silence.
 func (s *Server) HandleRelayedHeartbeat(in peer.HeartbeatRequest) peer.RelayReply {
 	return s.handleHeartbeatAsLeader(in.Body, "")
 }
 
-// handleHeartbeatAsLeader handles a heartbeat as the leader. via is the controller that received it; ""
-// stands for one that relays heartbeats only for workers that cannot reach the leader.
+// handleHeartbeatAsLeader handles a heartbeat as the leader. via is the controller that received the
+// heartbeat from the worker; "" stands for a controller that relays heartbeats singly, which it may do
+// only for workers that cannot reach the leader.
 func (s *Server) handleHeartbeatAsLeader(body []byte, via string) peer.RelayReply {
 	l := s.localLeader()
 	if l == nil {
@@ -69,7 +71,7 @@
 	if via == "" && !l.NeedsRelay(&heartbeat) {
 		return encodeJSON(fiber.StatusMisdirectedRequest, redirectBody{})
 	}
-	// Without this, a late copy of a heartbeat would redirect a worker that already sends its
+	// Without this check, a late copy of a heartbeat would redirect a worker that already sends its
 	// heartbeats through another controller.
 	recency := l.Recency(&heartbeat)
 	if recency == fleet.Late {
@@ -81,12 +83,12 @@
 			return encodeJSON(fiber.StatusMisdirectedRequest, redirectBody{Leader: node})
 		}
 	}
-	// Recorded before the response: the lease counts from when the heartbeat was sent.
+	// Recorded before the response, because the lease counts from when the worker sent the heartbeat.
 	s.lastWorkerRenewal.Store(time.Now())
 	return encodeHeartbeatResult(l.HandleHeartbeat(&heartbeat))
 }
 
-// encodeHeartbeatResult maps the leader's result to the status codes of the protocol.
+// encodeHeartbeatResult returns the reply for the leader's result, with the protocol's status code.
 func encodeHeartbeatResult(result fleet.HeartbeatResult) peer.RelayReply {
 	switch result.Outcome {
 	case fleet.HeartbeatAccepted:
--- a/internal/api/job_cache.go
+++ b/internal/api/job_cache.go
@@ -8,13 +8,14 @@
 	"drumpick/internal/records"
 )
 
-// maxCacheEntries bounds each cache of jobs: final states, accepted ids, dependencies. It does not
-// bound the jobs of a deployment: at 41,000 jobs a day a cache is full about every six hours and half
-// of it is evicted. An evicted entry is read from the store again when it is needed, with one or two
-// requests.
+// maxCacheEntries bounds each cache of jobs: final states, accepted ids, dependencies. It does not bound
+// the jobs of a deployment: at 41,000 jobs a day a cache is full about every six hours, and half of its
+// entries are evicted. What an evicted entry held is read from the store again when it is needed, with
+// one or two requests.
 const maxCacheEntries = 20_000
 
-// evictHalf removes arbitrary entries of a full cache until less than half of it is left.
+// evictHalf removes arbitrary entries of a full cache until it is less than half full. It does nothing if
+// the cache is not full.
 func evictHalf[V any](m map[string]V) {
 	if len(m) < maxCacheEntries {
 		return
@@ -35,7 +36,7 @@
 	mu            sync.Mutex                   // guards the fields below
 	closed        map[string]records.ClosedJob // final states
 	accepted      map[string]bool              // ids of jobs that were accepted
-	lastDuplicate time.Time                    // when a job was last submitted here that another controller had accepted
+	lastDuplicate time.Time                    // see recordDuplicate
 }
 
 func newJobCache(log *cancellation.Log, dependencies *dependencyCache, confirmations *pendingConfirmations) *jobCache {
@@ -45,7 +46,7 @@
 	}
 }
 
-// closedJob returns the final state of a job, if it is cached.
+// closedJob returns the cached final state of a job, and false if none is cached.
 func (c *jobCache) closedJob(id string) (records.ClosedJob, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,12 +54,13 @@
 	return job, ok
 }
 
-// addClosed caches a final state. mayHaveStarted is false for a job that is cancelled because of a
-// dependency: none of its tasks can have started, so the leader need not acknowledge it.
+// addClosed caches the final state of a job. mayHaveStarted is false for a job that is cancelled because
+// of a dependency: none of its tasks can have started, so the leader need not acknowledge the
+// cancellation.
 //
-// All effects of a cancellation take place under the lock, before the final state can be read from
-// the cache: no response uses it before the log records it, and of two calls for the same job only
-// the first requires an acknowledgement.
+// All effects of a cancellation take place under the lock, before the final state can be read from the
+// cache. So no response uses that state before the log records the cancellation, and of two calls for
+// the same job only the first requires an acknowledgement.
 func (c *jobCache) addClosed(id string, job records.ClosedJob, mayHaveStarted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +75,7 @@
 	c.closed[id] = job
 }
 
-// isAccepted reports whether a job is known to have been accepted.
+// isAccepted reports whether a job is cached as accepted; false means unknown.
 func (c *jobCache) isAccepted(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +89,7 @@
 	c.accepted[id] = true
 }
 
-// recordDuplicate records the submission of a job that another controller had accepted.
+// recordDuplicate records that a job submitted here was already stored, usually by another controller.
 func (c *jobCache) recordDuplicate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/api/peer_store_health.go
+++ b/internal/api/peer_store_health.go
@@ -8,13 +8,13 @@
 	"drumpick/internal/ctxtime"
 )
 
-// peerStoreHealth holds what the other controllers last reported about the store, while it fails for
-// this controller.
+// peerStoreHealth holds what the other controllers last reported about the store. It is all false while
+// the store does not fail for this controller.
 type peerStoreHealth struct {
 	mu         sync.Mutex // guards the fields below
 	servesPeer bool       // the store serves another controller, but not this one
-	peersAsked bool       // the others have been asked since the store began to fail here
-	isolated   bool       // neither the store nor any other controller responds
+	peersAsked bool       // the other controllers have been asked since the store began to fail here
+	isolated   bool       // neither the store nor any other controller responds here
 }
 
 func (h *peerStoreHealth) update(servesPeer, peersAsked, isolated bool) {
@@ -24,24 +24,26 @@
 }
 
 // isIsolated reports whether this controller is cut off from the network. In an outage of the store
-// itself it is not: the store rejects requests, or the other controllers report failures as well.
+// itself, the result is false: the store rejects requests, or other controllers respond and report
+// failures as well.
 func (h *peerStoreHealth) isIsolated() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.isolated
 }
 
-// storeServesPeer reports whether the store served some other controller when they were last asked,
-// and whether they have been asked since the store began to fail here.
+// storeServesPeer reports whether the store served some other controller when the other controllers were
+// last asked, and whether they were asked since the store began to fail here.
 func (h *peerStoreHealth) storeServesPeer() (servesPeer, peersAsked bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.servesPeer, h.peersAsked
 }
 
-// Ready reports whether this controller can serve requests. It is not ready if the store fails only
-// here or if it is isolated. In an outage of the store for all controllers it stays ready, since no
-// other controller could serve the requests either.
+// Ready reports whether this controller can serve requests. It is not ready if the store fails here, has
+// served no request for half a heartbeat interval, and either serves another controller or this
+// controller is isolated. In an outage of the store for all controllers it stays ready, because no other
+// controller could serve the requests either.
 func (s *Server) Ready() bool {
 	lastOK, failing, started := s.store.Health()
 	if lastOK.IsZero() {
@@ -54,9 +56,9 @@
 	return !servesPeer && !s.peerStoreHealth.isIsolated()
 }
 
-// WatchPeers asks the other controllers, while the store fails here, whether the store serves them.
-// It runs until the context is cancelled, in the background, so that no user's request waits for an
-// unreachable controller.
+// WatchPeers asks the other controllers every quarter of a heartbeat interval, while the store fails here,
+// whether the store serves them. It returns when the context is cancelled. It is meant to run in the
+// background, so that no user's request waits for an unreachable controller.
 func (s *Server) WatchPeers(ctx context.Context) {
 	interval := s.cfg.HeartbeatInterval()
 	for ctxtime.Sleep(ctx, interval/4) == nil {
@@ -66,8 +68,8 @@
 			statuses, all := s.peers.Status(ctx)
 			isolated = !all && len(statuses) == 0 && time.Since(s.store.LastResponse()) > interval/2
 			for _, status := range statuses {
-				// A watch that is already open does not fail when an outage starts, so only a
-				// recently served request counts.
+				// A peer's watch that is open when an outage starts does not fail. So the peer may
+				// not report a failure yet, and only a recently served request counts.
 				sinceServed := time.Duration(status.SinceStoreServedMS) * time.Millisecond
 				servesPeer = servesPeer || !status.StoreFailing && sinceServed < interval*3/2
 			}
--- a/internal/api/poll.go
+++ b/internal/api/poll.go
@@ -11,8 +11,9 @@
 	"drumpick/internal/records"
 )
 
-// pollJob returns the status of a job: from the cache if its final state is cached, from a shared list
-// of the open jobs if polls arrive too fast, and from single reads otherwise.
+// pollJob returns the response with the status of a job: from the cache if the job's final state is
+// cached, from a shared list of the open jobs if polls arrive too fast, and from reads of the job's
+// records otherwise.
 func (s *Server) pollJob(ctx context.Context, id string) response {
 	if !records.ValidID(id) {
 		return noSuchJobResponse
@@ -48,19 +49,19 @@
 	return openJobResponse(id, progress)
 }
 
-// storedJob is a job as read from the store: open, closed, or neither if there is no such job.
+// storedJob is a job as read from the store. Both fields are nil if there is no such job.
 type storedJob struct {
-	open   *records.KeyValue
-	closed *records.ClosedJob
+	open   *records.KeyValue  // the open job's record, nil if the job is not open
+	closed *records.ClosedJob // the final state, nil if the job has none
 }
 
 func (j storedJob) absent() bool { return j.open == nil && j.closed == nil }
 
 // lookup reads a job from the store.
 func (s *Server) lookup(ctx context.Context, id string) (storedJob, error) {
-	// A job moves from the open to the closed records in one transaction. In this order, a job that
-	// moves between the reads is found by the second. Closed records are never deleted: if there is
-	// none now, there was none when the open record was found absent, so no such job existed then.
+	// A job moves from the open to the closed records in one transaction, so the second read finds a
+	// job that moves between the two reads. Closed records are never deleted. If there is none at the
+	// second read, there was none at the first read either, so no such job existed at that time.
 	openRecord, err := s.store.Get(ctx, records.OpenKey(id))
 	if err != nil || openRecord != nil {
 		return storedJob{open: openRecord}, err
@@ -69,7 +70,8 @@
 	return storedJob{closed: closed}, err
 }
 
-// readClosed reads a job's final state and caches it; it returns nil if there is none.
+// readClosed reads a job's final state from the store and caches it. It returns nil without an error if
+// there is none.
 func (s *Server) readClosed(ctx context.Context, id string) (*records.ClosedJob, error) {
 	closedRecord, err := s.store.Get(ctx, records.ClosedKey(id))
 	if err != nil || closedRecord == nil {
@@ -83,7 +85,7 @@
 	return &job, nil
 }
 
-// cachedResponse returns the response about a job whose final state is cached.
+// cachedResponse returns the response about a job whose final state is cached, and false if it is not.
 func (s *Server) cachedResponse(ctx context.Context, id string) (response, bool) {
 	job, ok := s.jobs.closedJob(id)
 	if !ok {
@@ -92,7 +94,8 @@
 	return s.closedJobResponse(ctx, id, job), true
 }
 
-// closedJobResponse returns the response about a job with a final state.
+// closedJobResponse returns the response about a job with a final state. It asks the user to retry if the
+// job is cancelled and the cancellation may not be confirmed yet.
 func (s *Server) closedJobResponse(ctx context.Context, id string, job records.ClosedJob) response {
 	done, running := 0, 0
 	switch {
@@ -104,8 +107,8 @@
 	return response{outcomeOK, jobStatus{ID: id, Status: job.Status, Done: &done, Running: &running}}
 }
 
-// progress returns the leader's view of an open job. Its task counts are for display only: if the
-// leader does not answer, the job is reported as pending.
+// progress returns the leader's view of an open job. If the leader does not answer or does not know the
+// job, the result is "pending" with Known false. The task counts are for display only.
 func (s *Server) progress(id string) peer.Progress {
 	if l := s.localLeader(); l != nil {
 		if status, done, running, ok := l.Progress(id); ok {
--- a/internal/api/relay_routes.go
+++ b/internal/api/relay_routes.go
@@ -15,12 +15,13 @@
 
 // relayRoutes tracks, at the leader, through which controllers workers send their heartbeats.
 type relayRoutes struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the fields below
 	router *routing.Router
 	leader Leader // leader of the term that the router belongs to
 }
 
-// routerLocked returns the router of the leader's term, a new one for a new term. The caller holds r.mu.
+// routerLocked returns the router of the leader's term, and creates it for a new term. The caller must
+// hold mu.
 func (r *relayRoutes) routerLocked(cfg *config.Config, l Leader) *routing.Router {
 	if r.leader != l {
 		r.router = routing.New(cfg.Node, cfg.HeartbeatInterval(), config.Seconds(cfg.Deployment.Workers.LeaseS))
@@ -29,15 +30,16 @@
 	return r.router
 }
 
-// recordPeer records that a controller can relay heartbeats.
+// recordPeer records that a controller in the given zone, "" if unknown, can relay heartbeats.
 func (r *relayRoutes) recordPeer(cfg *config.Config, l Leader, node, zone string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.routerLocked(cfg, l).RecordPeer(node, zone, now)
 }
 
-// route returns the controller to which a machine's worker is redirected from via, "" if it is not
-// redirected.
+// route records a heartbeat of a machine's worker that came through controller via. It returns the
+// controller to which the worker is redirected, "" if the worker is not redirected. It does nothing if
+// the relay is disabled or via is "".
 func (r *relayRoutes) route(cfg *config.Config, l Leader, machine, zone, via string, now time.Time) string {
 	if !cfg.Options.HeartbeatRelay || via == "" {
 		return ""
@@ -51,8 +53,8 @@
 	return node
 }
 
-// HandleHeartbeatBatch handles a batch of heartbeats that a peer relayed. It handles them concurrently,
-// so that those that wait for the store delay the batch by no more than one commit.
+// HandleHeartbeatBatch handles a batch of heartbeats that a peer relayed. It handles the heartbeats
+// concurrently, so that those that wait for the store delay the batch by no more than one commit.
 func (s *Server) HandleHeartbeatBatch(in peer.HeartbeatBatch) peer.HeartbeatBatchReply {
 	out := peer.HeartbeatBatchReply{Replies: make([]peer.RelayReply, len(in.Heartbeats))}
 	if in.From == "" {
--- a/internal/api/requests.go
+++ b/internal/api/requests.go
@@ -15,16 +15,16 @@
 // requestTimeout bounds the handling of a request, so that users get the response in time.
 func requestTimeout() time.Duration { return userTimeout * 3 / 4 }
 
-// relayTimeout bounds the handling of a relayed request, and the wait for the reply of a peer.
+// relayTimeout bounds the handling of a request that a peer relayed, and the wait for a peer's reply.
 func relayTimeout() time.Duration { return requestTimeout() / 2 }
 
-// HandleRequest handles a user's request. While the store fails here, the request is relayed to a peer
-// that the store serves. If it is not known yet whether there is one, the peers are asked after this
-// controller has tried; a peer that cannot serve the request replies at once.
+// HandleRequest handles a user's request. While the store fails here, the request is relayed to the peers
+// if the store serves one of them. If that is not known yet, this controller tries first and relays the
+// request only if it cannot serve it; a peer that cannot serve the request replies at once.
 func (s *Server) HandleRequest(r peer.RelayRequest) peer.RelayReply {
 	if s.peerStoreHealth.isIsolated() {
-		// Only the caches can be used. The user gets a response at once and tries another
-		// controller.
+		// With no time, only cached states can be reported. For any other job, the user gets the
+		// response to retry at once, and tries another controller.
 		return s.handleWithin(r, 0)
 	}
 	_, failing, _ := s.store.Health()
--- a/internal/api/response.go
+++ b/internal/api/response.go
@@ -18,7 +18,7 @@
 	outcomeInvalid             // the request is malformed
 	outcomeNotFound            // there is no such job
 	outcomeRejected            // the request is well formed, but the job can never run
-	outcomeUnavailable         // the request was not decided; the user should retry
+	outcomeUnavailable         // the request cannot be decided now; the user should retry
 )
 
 // httpStatus returns the HTTP status for an outcome.
@@ -39,21 +39,21 @@
 	}
 }
 
-// response is the outcome of a user's request and the body to send.
+// response is the outcome of a user's request and the response body, which is encoded as JSON.
 type response struct {
 	outcome outcome
 	body    any
 }
 
-// encode returns the HTTP status and the encoded body.
+// encode returns the reply with the HTTP status and the encoded body.
 func (r response) encode() peer.RelayReply { return encodeJSON(r.outcome.httpStatus(), r.body) }
 
 // jobStatus is the body of a response about a job.
 type jobStatus struct {
 	ID      string `json:"uid"`
 	Status  string `json:"status"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
+	Done    *int   `json:"done,omitempty"`    // number of tasks; nil if not reported
+	Running *int   `json:"running,omitempty"` // number of tasks; nil if not reported
 }
 
 // errorBody is the body of an error response.
@@ -69,12 +69,12 @@
 	noSuchJobResponse   = errorResponse(outcomeNotFound, "no such job")
 )
 
-// openJobResponse returns the response about a job without a final state.
+// openJobResponse returns the response about an open job.
 func openJobResponse(id string, progress peer.Progress) response {
 	return response{outcomeOK, jobStatus{ID: id, Status: progress.Status, Done: &progress.Done, Running: &progress.Running}}
 }
 
-// encodeJSON returns a reply with the body encoded as JSON, or a 503 if it cannot be encoded.
+// encodeJSON returns a reply with v encoded as JSON, or a 503 without a body if v cannot be encoded.
 func encodeJSON(status int, v any) peer.RelayReply {
 	var raw []byte
 	var err error
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,7 +1,7 @@
-// Package api serves the HTTP interface of users and workers: submitting, polling and cancelling
-// jobs, readiness, and workers' heartbeats. Every controller serves it. Requests about jobs are
-// served from the store, whether or not this controller leads. Heartbeats are processed by the leader
-// and relayed to it by the followers.
+// Package api serves the HTTP API of users and workers: submitting, polling and cancelling jobs,
+// readiness, and workers' heartbeats. Every controller serves it. Requests about jobs are served from
+// the store, whether or not this controller leads. The leader processes heartbeats; followers relay
+// them to the leader.
 package api
 
 import (
@@ -36,18 +36,20 @@
 
 // Peers calls the other controllers.
 type Peers interface {
-	// Status asks every other controller for its status; all reports whether every one replied.
+	// Status returns the statuses of the other controllers that replied; all is true if every one did.
 	Status(ctx context.Context) (statuses []peer.Status, all bool)
 	// Progress asks a node, as the leader, for the progress of a job.
 	Progress(node, id string) (peer.Progress, error)
-	// Relay relays a user's request to the peers in turn; it returns false if none could serve it.
+	// Relay relays a user's request to the peers in turn until one gives a final reply, and returns
+	// false if none does. timeout bounds each call.
 	Relay(r peer.RelayRequest, timeout time.Duration) (peer.RelayReply, bool)
-	// RelayHeartbeat relays a single heartbeat to a node.
+	// RelayHeartbeat relays a single heartbeat to a node, as the leader.
 	RelayHeartbeat(node string, body []byte) (peer.RelayReply, error)
-	// RelayHeartbeats relays a batch of heartbeats to a node.
+	// RelayHeartbeats relays a batch of heartbeats to a node, as the leader. Without an error, the
+	// reply has one element for each heartbeat.
 	RelayHeartbeats(node string, in peer.HeartbeatBatch, timeout time.Duration) (peer.HeartbeatBatchReply, error)
-	// NotifyCancelled notifies a node, as the leader, of a cancelled job. acknowledged reports
-	// whether it dispatches none of the job's tasks from then on.
+	// NotifyCancelled notifies a node, as the leader, of a cancelled job. acknowledged means that the
+	// leader dispatches none of the job's tasks from then on.
 	NotifyCancelled(node, id string) (acknowledged bool, err error)
 }
 
@@ -56,15 +58,15 @@
 	// Progress returns the status of an open job and its numbers of done and running tasks; ok is
 	// false for a job that the leader does not know.
 	Progress(id string) (status string, done, running int, ok bool)
-	// DependenciesClear reports whether no dependency of a job, direct or indirect, had been
-	// cancelled at the time that is age ago.
+	// DependenciesClear reports whether no dependency of a job, direct or indirect, was cancelled as
+	// far as the leader knew age ago.
 	DependenciesClear(id string) (age time.Duration, ok bool)
-	// HandleHeartbeat applies a heartbeat.
+	// HandleHeartbeat processes a heartbeat and returns the result for its worker.
 	HandleHeartbeat(heartbeat *fleet.Heartbeat) fleet.HeartbeatResult
-	// Recency compares a heartbeat with the known state of its machine.
+	// Recency returns how recent a heartbeat is compared with the known state of its machine.
 	Recency(heartbeat *fleet.Heartbeat) fleet.Recency
-	// NotifyCancelled closes a job whose cancellation is stored, and reports whether none of its
-	// tasks is dispatched from then on.
+	// NotifyCancelled closes a job whose cancellation is stored, and reports whether the leader
+	// dispatches none of the job's tasks from then on.
 	NotifyCancelled(ctx context.Context, id string) bool
 	// ObserveDelay records how long a message waited before the leader handled it.
 	ObserveDelay(d time.Duration)
@@ -73,15 +75,15 @@
 	NeedsRelay(heartbeat *fleet.Heartbeat) bool
 }
 
-// Server handles the requests of users and workers. Each part of its state has its own type and its
-// own lock.
+// Server handles the requests of users and workers. Each part of its state has its own type, with its own
+// lock.
 type Server struct {
 	cfg         *config.Config
 	store       Store
 	peers       Peers
-	leaderNode  func() string // name of the node that leads, "" if unknown
-	localLeader func() Leader // nil if this process does not lead
-	readLimiter *rate.Limiter // limits the single reads of the store that polls cause
+	leaderNode  func() string // returns the name of the node that leads, "" if unknown
+	localLeader func() Leader // returns nil if this process does not lead
+	readLimiter *rate.Limiter // limits the reads of single jobs from the store by polls
 
 	types             machineTypes
 	jobs              *jobCache
@@ -94,9 +96,9 @@
 	lastWorkerRenewal atomic.Value // time.Time of the last heartbeat handled as leader, or of the start
 }
 
-// pollShare is the share of the store's request rate that polls may use with a single read each.
-// Without this limit, a flood of polls, or polls for unknown jobs, would starve submissions and the
-// renewal of the leader's lease. Polls beyond the limit share a list (shared_poll.go).
+// pollShare is the share of the store's request rate that polls at all controllers may use for reads of
+// single jobs. Without this limit, a flood of polls, or polls for unknown jobs, would starve submissions
+// and the renewal of the leader's lease. Polls beyond the limit share a list (shared_poll.go).
 const pollShare = 0.6
 
 // New returns a server. leaderNode returns the name of the node that leads, "" if unknown;
@@ -120,10 +122,10 @@
 // SetMachineTypes sets the machine types that jobs may use.
 func (s *Server) SetMachineTypes(types []records.MachineType) { s.types.set(types) }
 
-// HasMachineTypes reports whether the machine types are known.
+// HasMachineTypes reports whether SetMachineTypes has set any machine types.
 func (s *Server) HasMachineTypes() bool { return len(s.types.get()) > 0 }
 
-// Cancellations returns the log of cancellations that this controller may have confirmed to users.
+// Cancellations returns the log of the cancellations that this controller may have confirmed to users.
 func (s *Server) Cancellations() *cancellation.Log { return s.jobs.cancellations }
 
 // SinceWorkerRenewal returns the time since this controller may last have renewed a worker's lease, or
@@ -153,7 +155,7 @@
 	app.Post("/checkin", s.serveHeartbeat)
 }
 
-// retryAfterS is the value of the Retry-After header in seconds: the shortest delay that users observe.
+// retryAfterS is the value of the Retry-After header, in seconds: the shortest delay that users respect.
 const retryAfterS = "1"
 
 // respond handles a user's request and sends the response.
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -28,10 +28,10 @@
  "vcpus":1.0,"gpus":0.0,"mem_gb":2.0,"build":"img","size_gb":1.0,"rigs":null,"site":null,"one_zone":false,
  "apart":false,"loaners":true,"guess_s":10.0,"snapshot_s":0.0,"flush_s":0.0,"due_s":null}`
 
-// A scenario sends requests: "submit" with changes to a valid job, such as "-uid" (left out) or
-// "shots=0"; "raw BODY"; "GET /path"; "POST /path"; "checkin". It changes the conditions with "types"
-// (machine types become known), "outage on" and "outage off" (of the store), "team" (no team exists any
-// more) and "small" (a lower limit on the size of values).
+// A scenario sends requests to one server: "submit" with changes to a valid job, such as "-uid" (left
+// out) or "shots=0"; "raw BODY" (a submission); "GET /path"; "POST /path"; "checkin". Other events change
+// the conditions: "types" (machine types become known), "outage on" and "outage off" (of the store),
+// "team" (no team exists any more) and "small" (a lower limit on the size of values).
 func TestScenarios(t *testing.T) {
 	scenario.Run(t, "*.trace", func(t *testing.T) func([]string) []string {
 		store := simulation.NewStore()
@@ -86,7 +86,7 @@
 	})
 }
 
-// countingStore counts the requests to a store.
+// countingStore is a store client that counts its requests.
 type countingStore struct {
 	*simulation.Client
 	gets, commits, lists atomic.Int64
@@ -107,9 +107,10 @@
 	return c.Client.Commit(ctx, compares, ops)
 }
 
-// A flood of polls uses no more than its share of the store's request rate. Of thousands of polls for
-// unknown jobs, those beyond the share get the response to retry; a submission during the flood is
-// accepted, and a job that is submitted many times is committed once.
+// A flood of polls uses no more than its share of the store's request rate, so that it does not starve
+// submissions. Of thousands of polls for unknown jobs, those beyond the share get the response to retry,
+// and a submission after them is accepted. A job that is then submitted and cancelled many times causes
+// only two commits.
 func TestPollFloodLeavesRoomForSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Node: "n-0"}
@@ -153,9 +154,9 @@
 }
 
 // After an outage with empty caches, the users of 300 open and 60 closed jobs poll one of seven
-// controllers every 5 s, spread over the interval: far more than its share of single reads. Each gets a
-// response within 75 s, most of them to the first poll. Without shared lists, a job whose polls always
-// arrive when the reads are used up would never get a response.
+// controllers every 5 s, spread over the interval: far more polls than its share of reads of single jobs.
+// Each user gets a response within 75 s, most of them to the first poll. Without shared lists, a user
+// whose polls always arrive when the reads are used up would never get a response.
 func TestEveryPollIsAnsweredInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := &config.Config{Node: "n-0"}
@@ -220,8 +221,8 @@
 	return fleet.HeartbeatResult{Outcome: fleet.HeartbeatAccepted, Response: fleet.HeartbeatResponse{FencingToken: 1, Commands: []fleet.Command{}}}
 }
 
-// Malformed heartbeats are rejected before the leader handles them. A very long one is accepted, sent
-// directly or through a peer.
+// Malformed heartbeats get a 400 and do not reach the leader, whose state they would corrupt. A valid
+// heartbeat of more than 50 KiB is accepted, both directly from the worker and through a peer.
 func TestMalformedHeartbeatsAreRejected(t *testing.T) {
 	cfg := &config.Config{Node: "n-0"}
 	cfg.Deployment.Store.RPS = 100
@@ -256,7 +257,7 @@
 	}
 }
 
-// unreachablePeers are peers that do not respond.
+// unreachablePeers are peers that do not respond, except to NotifyCancelled.
 type unreachablePeers struct{}
 
 func (unreachablePeers) Status(context.Context) ([]peer.Status, bool) { return nil, false }
@@ -264,7 +265,7 @@
 	return peer.Progress{}, errors.New("no answer")
 }
 
-// NotifyCancelled succeeds nevertheless: the leader acknowledges every cancellation.
+// NotifyCancelled acknowledges every cancellation, so that tests of other calls need no leader.
 func (unreachablePeers) NotifyCancelled(string, string) (bool, error) { return true, nil }
 func (unreachablePeers) RelayHeartbeats(string, peer.HeartbeatBatch, time.Duration) (peer.HeartbeatBatchReply, error) {
 	return peer.HeartbeatBatchReply{}, errors.New("no peers")
@@ -277,7 +278,7 @@
 	return peer.RelayReply{}, false
 }
 
-// editField changes one field of a job given as JSON text.
+// editField changes one field of a JSON object: "name=value" sets or adds the field, "-name" removes it.
 func editField(body, change string) string {
 	name, value, set := strings.Cut(strings.TrimPrefix(change, "-"), "=")
 	i := strings.Index(body, `"`+name+`":`)
--- a/internal/api/shared_poll.go
+++ b/internal/api/shared_poll.go
@@ -16,22 +16,22 @@
 
 var sharedLists = metrics.NewCounter("drumpick_polls_shared_lists_total")
 
-// pollCoalescer serves polls that arrive faster than single reads are allowed: one list of the open
-// jobs serves all polls that arrived before it started. Without this, users who poll at the same
-// interval starve each other: with enough jobs, one of them always polls when the reads are used up,
-// never gets a response and abandons its job.
+// pollCoalescer serves polls that arrive faster than the rate limit allows reads of single jobs: one list
+// of the open jobs serves all polls that arrived before the list started. Without it, users who poll at
+// the same interval starve each other: with enough jobs, one user always polls when the reads are used
+// up, never gets a response and abandons the job.
 type pollCoalescer struct {
-	mu          sync.Mutex
-	activeUntil time.Time // polls share lists up to then
-	nextList    *openList // the list that has not started, nil if none is requested
-	lastStart   time.Time // when a list last started
+	mu          sync.Mutex // guards the fields below
+	activeUntil time.Time  // polls share lists up to this time
+	nextList    *openList  // the requested list that has not started, nil if there is none
+	lastStart   time.Time  // when a list last started
 }
 
 // openList is one list of the open jobs that several polls wait for. jobs and err may be read once
 // done is closed.
 type openList struct {
-	done chan struct{}
-	jobs map[string]*records.KeyValue
+	done chan struct{}                // closed once jobs and err are set
+	jobs map[string]*records.KeyValue // records of the open jobs, by job id
 	err  error
 }
 
@@ -45,15 +45,16 @@
 	return now.Before(c.activeUntil)
 }
 
-// activate makes polls share lists for userTimeout, since they arrive too fast for single reads.
+// activate makes polls share lists for userTimeout. It is called when polls arrive too fast for single
+// reads.
 func (c *pollCoalescer) activate(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.activeUntil = now.Add(userTimeout)
 }
 
-// join returns the next list. first reports whether the caller is the first to join it and has to start
-// it after the wait.
+// join returns the next list. first is true if the caller is the first to join this list; the caller then
+// has to start the list after the given wait.
 func (c *pollCoalescer) join() (list *openList, wait time.Duration, first bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +65,7 @@
 	return c.nextList, max(time.Until(c.lastStart.Add(userTimeout/listsPerTimeout)), 0), true
 }
 
-// startNext marks the next list as started: further polls join the one after it.
+// startNext marks the next list as started: polls from now on join the list after it.
 func (c *pollCoalescer) startNext() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,8 +86,8 @@
 	}
 }
 
-// listOpenJobs reads the open jobs after a wait, for all polls that have joined by then. It has its own
-// timeout, since no single poll owns it.
+// listOpenJobs reads the open jobs after the given wait, for all polls that have joined the list by then.
+// It has its own timeout because the list does not belong to any single poll.
 func (s *Server) listOpenJobs(list *openList, wait time.Duration) {
 	defer close(list.done)
 	ctx, cancel := context.WithTimeout(context.Background(), wait+requestTimeout())
@@ -105,7 +106,7 @@
 }
 
 // pollShared serves a poll from a shared list. A job that is not in the list has a final state or does
-// not exist: its final state is read singly, when the rate limit allows it.
+// not exist: pollShared then reads the job's final state once the rate limit allows the read.
 func (s *Server) pollShared(ctx context.Context, id string) response {
 	readAt := time.Now()
 	list, err := s.awaitList(ctx)
@@ -126,15 +127,15 @@
 	case err != nil:
 		return unavailableResponse
 	case closed == nil:
-		// The open record was absent first, and the closed one after that: there is no such job.
+		// The open record was absent in the list, and the closed one later: see lookup.
 		return noSuchJobResponse
 	}
 	return s.closedJobResponse(ctx, id, *closed)
 }
 
-// listedJobResponse returns the response about a job that is open in a shared list. It reads the
-// progress only if that needs no call to another controller or can change the response, which it can
-// if the job has dependencies.
+// listedJobResponse returns the response about a job that is open in a shared list. It requests the
+// leader's view only if this controller leads, so that no call is needed, or if the job has
+// dependencies, so that the view can save reads of them. Otherwise it reports the job as pending.
 func (s *Server) listedJobResponse(ctx context.Context, id string, openRecord *records.KeyValue, readAt time.Time) response {
 	progress := peer.Progress{Status: records.StatusPending}
 	if len(storedDependencies(openRecord)) > 0 || s.localLeader() != nil {
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -10,8 +10,9 @@
 	"drumpick/internal/records"
 )
 
-// submitJob accepts a job or returns why it is rejected. Its stages: parse the request, check that the
-// job can run, look for an earlier submission, check the dependencies, store the job.
+// submitJob accepts a job, or returns the response that says why the job is not accepted. Its stages:
+// parse the request, check that the job can run, look for an earlier submission, check the dependencies,
+// store the job.
 func (s *Server) submitJob(ctx context.Context, body []byte) response {
 	sub, err := parseSubmission(body)
 	if err != nil {
@@ -39,11 +40,11 @@
 // rejection is the reason why a job is not accepted.
 type rejection struct {
 	reason    string
-	permanent bool // the job can never be accepted; otherwise the user should retry
+	permanent bool // true: the job can never be accepted; false: the user should retry
 }
 
-// checkSubmission returns why a job can never run or be stored, or cannot be checked yet; nil if it
-// can be accepted.
+// checkSubmission returns why a job can never run or be stored, or why it cannot be checked yet; nil if
+// there is no such reason.
 func (s *Server) checkSubmission(sub *submission, types []records.MachineType) *rejection {
 	if len(types) == 0 {
 		return &rejection{reason: "machine types are not known yet"}
@@ -62,7 +63,8 @@
 }
 
 // rejectionResponse returns the response to a rejected submission. If the job was accepted earlier, the
-// response is its status, even if the same submission would be rejected now.
+// response is the job's status, although the same submission would be rejected now. If that is not known,
+// the response asks the user to retry.
 func (s *Server) rejectionResponse(ctx context.Context, id string, rejected *rejection) response {
 	resp := s.pollJob(ctx, id)
 	switch {
@@ -74,9 +76,9 @@
 	return errorResponse(outcomeRejected, rejected.reason)
 }
 
-// duplicateResponse returns the response to a submission of a job that was accepted earlier, if that is
-// known or likely. It avoids a commit that would fail: such commits also count against the store's
-// write rate, which is low.
+// duplicateResponse returns the response to the submission of a job that was accepted earlier; known is
+// false if no earlier submission was found. It avoids a commit that would fail: such commits also count
+// against the store's write rate, which is low. It reads the store only if duplicates are expected.
 func (s *Server) duplicateResponse(ctx context.Context, job *records.Job) (resp response, known bool) {
 	switch {
 	case s.jobs.isAccepted(job.ID):
@@ -99,26 +101,26 @@
 	return openJobResponse(job.ID, peer.Progress{Status: records.StatusPending}), true
 }
 
-// duplicateIntervals is the number of heartbeat intervals for which more duplicates are expected
-// after one.
+// duplicateIntervals is the number of heartbeat intervals after a duplicate submission in which more of
+// them are expected.
 const duplicateIntervals = 4
 
-// expectDuplicates reports whether a job was submitted here recently that another controller had
-// accepted. If so, a job is read from the store before it is committed. Without this, users who submit
-// each job to every controller would waste the store's write rate on commits of which all but one fail.
+// expectDuplicates reports whether a job that was already stored was submitted here recently. If so, each
+// submitted job is read from the store before it is committed. Without this, users who submit each job
+// to every controller would waste the store's write rate on commits of which all but one fail.
 func (s *Server) expectDuplicates() bool {
 	return s.jobs.hadDuplicateWithin(duplicateIntervals * s.cfg.HeartbeatInterval())
 }
 
-// jobRecord is the record to store for a new job, and the status that the job then has.
+// jobRecord is the write that stores a new job's record, and the status that the job then has.
 type jobRecord struct {
 	write  records.Op
 	status string
 }
 
-// newJobRecord returns the record to store for a new job: its open record or, if one of its
-// dependencies is cancelled, a closed record of a cancelled job. If nothing is to be stored it returns
-// the response instead.
+// newJobRecord returns the record to store for a new job: an open record or, if one of the job's
+// dependencies is cancelled, a closed record with status cancelled. If the job must not be stored, the
+// second result is the response instead, and otherwise nil.
 func (s *Server) newJobRecord(ctx context.Context, job *records.Job) (jobRecord, *response) {
 	open := jobRecord{records.Op{Write: records.OpenKey(job.ID), Value: *job}, records.StatusPending}
 	if len(job.Dependencies) == 0 {
@@ -134,7 +136,7 @@
 		}
 		return jobRecord{}, &resp
 	case dependencyCancelled:
-		// The job is accepted nevertheless, and cancelled because of its dependency.
+		// The job is accepted nevertheless, and is cancelled from the start.
 		closed := records.ClosedJob{Status: records.StatusCancelled, Tasks: job.Tasks}
 		return jobRecord{records.Op{Write: records.ClosedKey(job.ID), Value: closed}, closed.Status}, nil
 	}
@@ -142,10 +144,10 @@
 }
 
 // acceptAttempts bounds the commits of a new job. A commit is repeated only if it conflicts with a
-// stored job of the same id that the following read does not find.
+// stored job of the same id and the poll after it does not find that job.
 const acceptAttempts = 3
 
-// acceptJob stores a new job, unless it is already stored.
+// acceptJob stores a new job. If a job of the same id is already stored, the response is its status.
 func (s *Server) acceptJob(ctx context.Context, job *records.Job, record jobRecord) response {
 	absent := []records.Compare{{Key: records.OpenKey(job.ID)}, {Key: records.ClosedKey(job.ID)}}
 	for range acceptAttempts {
@@ -163,8 +165,8 @@
 				return resp
 			}
 		default:
-			// The job may have been stored or may be stored later. The user's retry with the
-			// same id resolves this.
+			// The store may have executed the commit, or may do so later. The user retries with
+			// the same id, which shows whether the job is stored.
 			slog.Debug("failed to store job", "job", job.ID, "err", err)
 			return unavailableResponse
 		}
--- a/internal/api/validate.go
+++ b/internal/api/validate.go
@@ -39,17 +39,17 @@
 // submission is a well-formed job as submitted.
 type submission struct {
 	job records.Job
-	// dependencyError is what is wrong with the list of dependencies, "" if nothing. Other errors
-	// make any request invalid; this one rejects only a job that was not accepted earlier.
+	// dependencyError is what is wrong with the list of dependencies, "" if nothing. Unlike any other
+	// error in a submission, it matters only if the job was not accepted earlier.
 	dependencyError string
 }
 
 // Limits of what a submission may contain.
 const (
 	maxTasks     = 100_000
-	maxTextBytes = 200
-	maxTypes     = 256
-	maxAmount    = 1e9
+	maxTextBytes = 200 // length of any text field
+	maxTypes     = 256 // machine types in the list of allowed ones
+	maxAmount    = 1e9 // any amount, in the unit of its field
 )
 
 var (
@@ -95,7 +95,8 @@
 	to   *T
 }
 
-// copyRequired checks and copies fields; check returns what is wrong with a value, "" if nothing.
+// copyRequired checks and copies fields, and returns an error for the first that is missing or invalid.
+// check returns what is wrong with a value, "" if nothing.
 func copyRequired[T any](fields []requiredField[T], check func(T) string) error {
 	for _, f := range fields {
 		if f.from == nil {
@@ -150,7 +151,7 @@
 	}, func(bool) string { return "" })
 }
 
-// checkValues checks the copied texts, and the fields that are not copied yet.
+// checkValues checks the copied texts that allow only certain values, and the fields not copied yet.
 func checkValues(fields *submissionFields, job *records.Job) error {
 	switch {
 	case !records.ValidID(job.ID):
@@ -180,8 +181,8 @@
 // isAmount reports whether a number is a valid amount; NaN is not.
 func isAmount(v float64) bool { return v >= 0 && v <= maxAmount }
 
-// parseDependencies returns the ids in a submission's list of dependencies without duplicates, or what
-// is wrong with the list.
+// parseDependencies returns the ids in a submission's list of dependencies, without duplicates, or the
+// reason why the list is invalid. id is the submitted job's own id.
 func parseDependencies(raw json.RawMessage, id string) (ids []string, reason string) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil, ""
@@ -204,10 +205,10 @@
 	return ids, ""
 }
 
-// tolerance allows for rounding errors when amounts are compared.
+// tolerance allows for rounding errors when CPUs, GPUs and memory are compared.
 const tolerance = 1e-9
 
-// infeasibleReason returns why a job can never run, "" if it can.
+// infeasibleReason returns why a job can never run, "" if it can run.
 func infeasibleReason(job *records.Job, teams []config.Team, types []records.MachineType) string {
 	i := slices.IndexFunc(teams, func(t config.Team) bool { return t.Name == job.Team })
 	if i < 0 {
@@ -222,8 +223,8 @@
 	return ""
 }
 
-// exceedsLimit reports whether the tasks of a job that must run concurrently exceed its team's limits:
-// one task of a job array, all tasks of other jobs.
+// exceedsLimit reports whether a job needs more CPUs or GPUs at once than its team's limits: for one task
+// of a job array, for all tasks of any other job.
 func exceedsLimit(job *records.Job, team config.Team) bool {
 	concurrent := 1.0
 	if job.Shape != records.ShapeArray {
@@ -233,7 +234,7 @@
 		team.LimitGPUs > 0 && concurrent*job.GPUs > team.LimitGPUs+tolerance
 }
 
-// allows reports whether a job's machine types and zone allow machines of a type.
+// allows reports whether a job may use machines of a type, by its lists of machine types and its zone.
 func allows(job *records.Job, t records.MachineType) bool {
 	return (job.Types == nil || slices.Contains(job.Types, t.Name)) &&
 		(job.Zone == nil || slices.Contains(t.Zones, *job.Zone))
@@ -244,8 +245,8 @@
 	return job.CPUs <= t.CPUs+tolerance && job.GPUs <= t.GPUs+tolerance && job.MemGB <= t.MemGB+tolerance
 }
 
-// tooLargeReason returns why a job cannot be stored, "" if it can: its record must not exceed the
-// store's current and upcoming limits on the size of a value.
+// tooLargeReason returns why a job's record is too large to be stored, "" if it is not: the record must
+// not exceed the lower of the store's current and upcoming limits on the size of a value.
 func (s *Server) tooLargeReason(job *records.Job) string {
 	limit := int(s.cfg.Deployment.Store.Lowest().ValueKB * 1024)
 	if limit == 0 {
--- a/internal/api/validate_test.go
+++ b/internal/api/validate_test.go
@@ -21,10 +21,9 @@
 	return keys
 }
 
-// The client's submission, the server's decoded submission and the stored record have the same fields,
-// except that the record also has the time of acceptance. They are separate types, since they change
-// for different reasons. This test guards against a field that is added to only one of them and is
-// then lost.
+// The client's submission, the server's decoded submission and the stored record have the same JSON
+// keys, except that the record also has the time of acceptance. They are three types because each
+// changes for its own reasons. A field that is added to only one of them would be lost.
 func TestJobFieldsAreTheSameInClientServerAndStore(t *testing.T) {
 	want := jsonKeys(submissionFields{})
 	if got := jsonKeys(client.Job{}); !slices.Equal(got, want) {
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -24,8 +24,8 @@
 	return NewClient(strings.TrimPrefix(server.URL, "http://"), 1000, time.Second)
 }
 
-// Rent maps each response of the cloud to one result or error. A malformed response is never
-// reported as a rental.
+// Rent maps each response of the cloud to one result or error. A malformed response must not be reported
+// as a rental: the leader would count on machines that do not exist.
 func TestRentDistinguishesResponses(t *testing.T) {
 	for name, test := range map[string]struct {
 		status  int
@@ -50,6 +50,8 @@
 	}
 }
 
+// Types returns an error for a response without machine types or with an invalid one. Accepted, such a
+// response would make jobs infeasible.
 func TestTypesRejectsInvalidResponses(t *testing.T) {
 	for name, body := range map[string]string{
 		"none":           `{"rigs":[]}`,
@@ -65,8 +67,9 @@
 	}
 }
 
-// Rentals that are rejected and retried must not delay lists and returns, and all calls together
-// must stay below the cloud's rate limit.
+// Rentals leave a part of the rate to other calls, and all calls together stay below the cloud's rate
+// limit. Otherwise rentals that are rejected and retried would delay lists and returns, on which a
+// failover waits.
 func TestRentalsLeaveRoomForOtherCalls(t *testing.T) {
 	for _, rps := range []float64{0.5, 3, 4, 100} {
 		c := NewClient("127.0.0.1:1", rps, time.Second)
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -19,7 +19,8 @@
 
 func oneResponse(status int, text string) []goldenResponse { return []goldenResponse{{status, text}} }
 
-// Requests to the cloud and its responses keep their wire format.
+// Requests to the cloud and the cloud's responses keep their wire format. A renamed path or key would
+// break every call to the cloud.
 func TestGoldenRequests(t *testing.T) {
 	service := goldentest.NewFakeServer(t)
 	client := NewClient(service.Addr, 1000, 10*time.Second)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -69,7 +69,7 @@
 type Objective struct {
 	Kind           string  `toml:"kind"`     // what is measured, such as KindWait
 	Class          string  `toml:"class"`    // class of the jobs that the objective applies to
-	WithinS        float64 `toml:"within_s"` // allowed time until the start, for KindWait and KindGuarantee
+	WithinS        float64 `toml:"within_s"` // allowed time; for KindWait and KindGuarantee, until the start
 	Share          float64 `toml:"share"`    // share of the tasks or jobs that must meet the objective, 0 to 1
 	DeadlineFactor float64 `toml:"times"`    // for KindDeadline: multiple of a job's deadline
 }
@@ -123,7 +123,7 @@
 // CloudLimits holds the limits of the cloud's API.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`        // requests per second of all controllers
-	ListLagS float64 `toml:"list_lag_s"` // maximum age of the cloud's list of machines when it is read
+	ListLagS float64 `toml:"list_lag_s"` // maximum lag of the cloud's list of machines behind the actual machines
 }
 
 // Resources holds the resources that a controller may use on its machine.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -47,6 +47,8 @@
 fd_limit = 1200
 `
 
+// Parse returns the values of the settings, the number of controllers by the number of peers, and the
+// default options. It ignores unknown keys, which a later version of the platform may add.
 func TestParse(t *testing.T) {
 	c, err := Parse([]byte(validSettings))
 	if err != nil {
@@ -58,6 +60,7 @@
 }
 
 // Lowest takes the lower of each current and upcoming limit; a limit without an upcoming value stays.
+// Otherwise requests would exceed a limit once it changes.
 func TestLowestLimits(t *testing.T) {
 	now := StoreLimits{RPS: 150, WriteRPS: 20, ValueKB: 8, TxnOps: 16}
 	for _, x := range []struct {
@@ -80,7 +83,7 @@
 	}
 }
 
-// Every invalid setting is a one-line error whose text and Key name the key.
+// Every invalid setting is a one-line error whose text and Key name the key, so that operators find it.
 func TestInvalidSettingsNameTheKey(t *testing.T) {
 	for _, x := range []struct{ from, to, want, key string }{
 		{`node_name = "n-0"`, ``, "node_name is missing", "node_name"},
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Every key of the settings is read into the configuration and written under the same name, since the
-// local cluster writes the settings of its controllers.
+// Every key of the settings is read into its own field and written under the same name, because the
+// local cluster writes the settings files of its controllers.
 func TestGoldenSettings(t *testing.T) {
 	rps, writeRPS, valueKB, txnOps := 11.5, 12.5, 13.5, 14
 	want := Config{
@@ -54,7 +54,7 @@
 	}
 }
 
-// The kinds of objectives keep their names in the settings.
+// The kinds of objectives keep their names in the settings: a renamed kind would no longer match.
 func TestGoldenObjectives(t *testing.T) {
 	goldentest.Run(t, "golden-objectives.json", goldentest.JSON, []goldentest.Case{
 		{Name: "kinds", Direction: goldentest.WriteOnly, Value: []string{KindWait, KindDeadline, KindGuarantee}},
@@ -78,7 +78,7 @@
 	if got, err := LoadOptions("testdata/golden-options.ini"); err != nil || got != want {
 		t.Errorf("the options are read as\n     %+v, %v\nwant %+v", got, err, want)
 	}
-	// One switch at a time: swapped switches would go unnoticed if both were on.
+	// Sets one switch at a time: two swapped switches would go unnoticed if both were on.
 	for key, want := range map[string]func(*Options) *bool{
 		"[operator]\nenabled":   func(o *Options) *bool { return &o.OperatorAPI },
 		"[takeover]\nmarks":     func(o *Options) *bool { return &o.Watermarks },
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -48,7 +48,7 @@
 	// BeginWithinS is the time in seconds within which any job should start, if there is capacity for it.
 	BeginWithinS float64
 	// ZoneHealth lets the scheduler wait for the machines of an unreachable zone instead of returning
-	// them and starting their tasks elsewhere.
+	// them to the cloud as lost.
 	ZoneHealth bool
 }
 
--- a/internal/config/timing_test.go
+++ b/internal/config/timing_test.go
@@ -9,6 +9,8 @@
 	"drumpick/internal/scenario"
 )
 
+// An event of the scenario gives settings, in seconds: "report" (heartbeat interval), "lease", "cancel"
+// and "aim" (start bound of a guarantee). The decisions are the derived timing and the warnings.
 func TestTiming(t *testing.T) {
 	scenario.Run(t, "timing.trace", func(t *testing.T) func([]string) []string {
 		return func(w []string) []string {
--- a/internal/dependency/example_test.go
+++ b/internal/dependency/example_test.go
@@ -7,7 +7,7 @@
 	"drumpick/internal/dependency"
 )
 
-// A job is blocked until its dependency is done, and the dependency inherits its urgency.
+// A job is blocked until its dependency is done, and the dependency inherits the job's rank.
 func ExampleGraph() {
 	graph := dependency.New()
 	graph.Add(dependency.Job{ID: "j-1", Rank: 3})
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -10,6 +10,7 @@
 	"time"
 )
 
+// testTimeout is ample for a local call.
 const testTimeout = 5 * time.Second
 
 func TestDoJSONSendsBodyAndReadsResponse(t *testing.T) {
@@ -26,6 +27,7 @@
 	}
 }
 
+// A Retry-After header that is missing, negative or a date counts as 0.
 func TestRetryAfterIsReadInSeconds(t *testing.T) {
 	for header, want := range map[string]time.Duration{
 		"": 0, "3": 3 * time.Second, "0": 0, "-3": 0, "Wed, 21 Oct 2015 07:28:00 GMT": 0,
@@ -36,7 +38,8 @@
 	}
 }
 
-// A server that closes connections without a response receives each request only once.
+// A server that closes connections without a response receives each request only once. A repeated commit
+// or rental could be executed twice.
 func TestFailedRequestIsNotRepeated(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -20,7 +20,7 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// goldenLeader is a leader whose replies have every field set, and that records the plan request.
+// goldenLeader is a leader that replies with every field set, and records the last plan request.
 type goldenLeader struct {
 	fakeLeader
 	plannedSpec drain.Spec
@@ -54,17 +54,18 @@
 	}, nil
 }
 
-// goldenDrain is a request with every field that an upgrade can have.
+// goldenDrain is a drainRequest with every field that an upgrade can have.
 const goldenDrain = `{"id":"d-1","kind":"upgrade","machines":["m-1"],"type":"g8","zone":"a","older_than_s":60,"version":"1.0",` +
 	`"then":"return","to_version":"1.1","at_once":2,"keep_up":3,` +
 	`"window":{"rule":"FREQ=WEEKLY;BYDAY=SU;BYHOUR=2;BYMINUTE=0;BYSECOND=0","zone":"Europe/Warsaw",` +
 	`"for_s":7200,"lead_s":600,"starts":"2026-01-31T22:00"},` +
 	`"force":true,"since":"m-0","seen":["d-0"]}`
 
-// requestedMS matches the part of a record that differs from run to run.
+// requestedMS matches the time of the request in a drain's record, which differs from run to run.
 var requestedMS = regexp.MustCompile(`"began_ms":\d+`)
 
-// Operators' requests and their responses keep their wire format.
+// Operators' requests and their responses keep their wire format. A renamed field or path would break
+// operators' tools and the stored drains.
 func TestGoldenOperators(t *testing.T) {
 	l := &goldenLeader{}
 	store := simulation.NewStore()
@@ -147,7 +148,8 @@
 	check("outage", "GET", "/operator/drains", "")
 }
 
-// The requests that controllers relay to the leader keep their wire format.
+// The requests that controllers relay to the leader keep their wire format, because controllers of
+// different versions call each other.
 func TestGoldenRelayedRequests(t *testing.T) {
 	var in drainRequest
 	d := json.NewDecoder(bytes.NewBufferString(goldenDrain))
@@ -190,7 +192,7 @@
 	}
 }
 
-// recordingPeers records the requests that are relayed to the leader.
+// recordingPeers calls a function with each request that is relayed to the leader.
 type recordingPeers func(peer.RelayRequest)
 
 func (f recordingPeers) RelayOperatorRequest(_ string, r peer.RelayRequest, _ time.Duration) (peer.RelayReply, error) {
--- a/internal/peer/client_test.go
+++ b/internal/peer/client_test.go
@@ -42,21 +42,21 @@
 	return listener.Addr().String()
 }
 
-// onePeer serves the handlers as controller n-1 and returns a client of it.
+// onePeer serves the handlers as controller n-1 and returns a client of that controller.
 func onePeer(t *testing.T, h Handlers) *Peers {
 	t.Helper()
 	return NewPeers([]config.Peer{{Node: "n-1", Addr: serve(t, h)}}, callTimeout)
 }
 
-// failingStore has served no request since the start.
+// failingStore is the health of a store that fails and has served no request since the start.
 type failingStore struct{ started time.Time }
 
 func (s failingStore) Health() (lastOK time.Time, failing bool, started time.Time) {
 	return time.Time{}, true, s.started
 }
 
-// statusHandler returns a status handler of controller n-1 with a failing store and the given log of
-// confirmed cancellations.
+// statusHandler returns the status handler of controller n-1, whose store fails and whose confirmed
+// cancellations are in the given log.
 func statusHandler(confirmed *cancellation.Log) func(StatusRequest) Status {
 	store := failingStore{started: time.Now()}
 	return func(request StatusRequest) Status { return StatusOf("n-1", store, confirmed, request) }
@@ -97,6 +97,8 @@
 	}
 }
 
+// A peer that does not reply is left out, and all is false. A leader must not take the statuses for those
+// of all peers.
 func TestStatusLeavesOutUnreachablePeers(t *testing.T) {
 	confirmed := cancellation.NewLog(time.Now())
 	peers := NewPeers([]config.Peer{
@@ -121,6 +123,7 @@
 	}
 }
 
+// A peer's 503 is not final: it must not reach a user whom another peer could serve.
 func TestRelaySkipsUnavailablePeers(t *testing.T) {
 	peers := onePeer(t, Handlers{Relay: func(r RelayRequest) RelayReply {
 		if r.ID == "j-503" {
@@ -146,6 +149,8 @@
 	}
 }
 
+// NotifyCancelled tells an acknowledgement from a refusal, a failed call and an unsupported call. A
+// cancellation that the leader has not acknowledged must not be confirmed to users.
 func TestNotifyCancelledOutcomes(t *testing.T) {
 	peers := NewPeers([]config.Peer{
 		{Node: "n-1", Addr: serve(t, Handlers{NotifyCancelled: func(id string) bool { return id == "j-1" }})},
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Messages between controllers keep their encoded bytes. Complete messages of the version in
-// production are in production-messages.json.
+// Messages between controllers keep their encoded bytes, because controllers of different versions call
+// each other. Complete messages of the version in production are in production-messages.json.
 func TestGoldenMessages(t *testing.T) {
 	m := newGoldenMessages()
 	codec := goldentest.Codec{Tag: "msgpack", Encode: msgpack.Marshal, Decode: msgpack.Unmarshal}
@@ -68,7 +68,7 @@
 	})
 }
 
-// Each call keeps its path and sends and receives msgpack.
+// Each call keeps its path, and its request and reply stay in msgpack.
 func TestGoldenCalls(t *testing.T) {
 	m := newGoldenMessages()
 	app := fiber.New()
--- a/internal/peer/messages_test.go
+++ b/internal/peer/messages_test.go
@@ -12,7 +12,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// productionMessages returns the encoded messages of the version in production, by name.
+// productionMessages returns messages as encoded by the version in production, by name.
 func productionMessages(t *testing.T) map[string][]byte {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/production-messages.json")
@@ -32,8 +32,9 @@
 	return messages
 }
 
-// Messages of the version in production are decoded with the same meaning. This version encodes
-// the fields that both know to the same bytes; new fields come after them and are omitted if empty.
+// This version decodes messages of the version in production with the same meaning, and encodes the
+// fields that both versions know to the same bytes. New fields come after these and are omitted if
+// empty. Otherwise controllers could not work together during an upgrade.
 func TestProductionMessagesAreReadAndWritten(t *testing.T) {
 	messages := productionMessages(t)
 	for name, want := range map[string]any{
@@ -72,7 +73,7 @@
 	}
 }
 
-// The version in production decodes a progress reply with additional fields.
+// The version in production decodes a progress reply with fields that it does not know.
 func TestEarlierVersionReadsProgress(t *testing.T) {
 	type earlierProgress struct {
 		Known   bool   `msgpack:"known"`
@@ -87,7 +88,8 @@
 	}
 }
 
-// A version whose status request is only an attestation decodes a request with additional fields.
+// A version whose status request is only an attestation decodes a request with fields that it does not
+// know.
 func TestEarlierVersionReadsAttestation(t *testing.T) {
 	want := watermark.Attestation{Term: 5, Seq: 2, Complete: true, Revision: 9}
 	var got watermark.Attestation
@@ -97,7 +99,8 @@
 	}
 }
 
-// An earlier version without dependencies responds with a 400, which must not reach the user.
+// Final rejects a peer's 503 and missing replies, and a 400 for a submission with dependencies: a version
+// without dependencies responds so to a valid submission, and this must not reach the user.
 func TestFinalReplies(t *testing.T) {
 	for _, test := range []struct {
 		status int
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -16,8 +16,8 @@
 
 var testLimits = Limits{WriteRPS: 20, MaxConnections: 4, Timeout: 100 * time.Millisecond}
 
-// Get maps each response of the store to one result or error. Only the store's own 404, with a
-// revision, means that a key is absent.
+// Get maps each response of the store to one result or error. Only a 404 by the store itself, which has a
+// revision, means that a key is absent: a proxy's 404 would make a stored job seem never accepted.
 func TestGetDistinguishesResponses(t *testing.T) {
 	cases := map[string]struct {
 		status       int
@@ -61,7 +61,8 @@
 	}
 }
 
-// A commit without a response may have been executed, even if the connection was refused.
+// The outcome of a commit without a response is unknown, even if the connection was refused. A caller
+// that took such a commit as not executed could repeat its effect.
 func TestUnansweredCommitHasUnknownOutcome(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -18,7 +18,8 @@
 	text   string
 }
 
-// goldenCase is a call of the client, the responses to its requests, and the expected result.
+// goldenCase is a call of the client, the store's responses to the call's requests, and the expected
+// result.
 type goldenCase struct {
 	responses []goldenResponse
 	call      func() (any, error)
@@ -28,7 +29,8 @@
 
 func oneResponse(status int, text string) []goldenResponse { return []goldenResponse{{status, text}} }
 
-// Requests to the store and its responses keep their wire format.
+// Requests to the store and the store's responses keep their wire format. A renamed path or key would
+// break every call to the store.
 func TestGoldenRequests(t *testing.T) {
 	service := goldentest.NewFakeServer(t)
 	client := NewClient(service.Addr, Limits{RPS: 1000, WriteRPS: 1000, Controllers: 1, MaxConnections: 2, Timeout: 10 * time.Second})
